--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -28,9 +28,11 @@
     """
     turn_ms = 1000 * min(timeit.repeat("for _ in range(1_000_000): pass", number=1, repeat=5))
     loads = "/".join(f"{one:.1f}" for one in os.getloadavg())
-    return (f"{datetime.now(UTC):%Y-%m-%d}, {os.cpu_count()} cores ({platform.machine()}), "
-            f"{platform.system()}, {platform.python_implementation()} {platform.python_version()}, "
-            f"load before {loads}, a million empty turns in {turn_ms:.0f} ms")
+    return (
+        f"{datetime.now(UTC):%Y-%m-%d}, {os.cpu_count()} cores ({platform.machine()}), "
+        f"{platform.system()}, {platform.python_implementation()} {platform.python_version()}, "
+        f"load before {loads}, a million empty turns in {turn_ms:.0f} ms"
+    )
 
 
 def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
@@ -38,8 +40,10 @@
     widths = [max(len(row[at]) for row in (head, *rows)) for at in range(len(head))]
 
     def line(row: Sequence[str]) -> str:
-        cells = [cell.ljust(width) if not at else cell.rjust(width)
-                 for at, (cell, width) in enumerate(zip(row, widths, strict=True))]
+        cells = [
+            cell.ljust(width) if not at else cell.rjust(width)
+            for at, (cell, width) in enumerate(zip(row, widths, strict=True))
+        ]
         return f"| {' | '.join(cells)} |"
 
     rule = ["-" * width if not at else "-" * (width - 1) + ":" for at, width in enumerate(widths)]
--- a/benchmarks/day_to_day.py
+++ b/benchmarks/day_to_day.py
@@ -62,9 +62,24 @@
         for handle in (self._node, self._discovery):
             self.servers.append(await asyncio.start_server(handle, "127.0.0.1", 0))
         node, discovery = (one.sockets[0].getsockname()[1] for one in self.servers)
-        self.listed = json.dumps({"seq": 1, "whole": True, "hosts": [
-            {"host": "s-0", "dial": f"127.0.0.1:{node}", "site": "a", "class": "m", "block": 1,
-             "health": "active", "share": 1.0, "born_ms": 0}]}).encode()
+        self.listed = json.dumps(
+            {
+                "seq": 1,
+                "whole": True,
+                "hosts": [
+                    {
+                        "host": "s-0",
+                        "dial": f"127.0.0.1:{node}",
+                        "site": "a",
+                        "class": "m",
+                        "block": 1,
+                        "health": "active",
+                        "share": 1.0,
+                        "born_ms": 0,
+                    }
+                ],
+            }
+        ).encode()
         return node, discovery
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, body: bytes) -> None:
@@ -117,19 +132,35 @@
 async def sidecar(checkout: Path, discovery: int, cpu: int | None = None) -> AsyncIterator[Sidecar]:
     """A sidecar of a checkout, serving; `cpu`: the one core that it runs on."""
     port, staff = free_port(), free_port()
-    classes = [{"name": "balance", "aim_ms": 20_000, "deadline_ms": 60_000, "gain": 1,
-                "semantics": "idempotent"}]
-    told = {"name": "n0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}", "seed": "1",
-            "console": f"127.0.0.1:{staff}", "limits": {"cores": 1, "memory_mb": MEMORY_MB, "sockets": 1024},
-            "settings": {"classes": classes, "limits": {"cancel": True, "most_tries": 3}, "round_ms": 1,
-                         "localities": ["a"], "zone": 0, "registry_mode": "automatic"}}
+    classes = [
+        {"name": "balance", "aim_ms": 20_000, "deadline_ms": 60_000, "gain": 1, "semantics": "idempotent"}
+    ]
+    told = {
+        "name": "n0",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "1",
+        "console": f"127.0.0.1:{staff}",
+        "limits": {"cores": 1, "memory_mb": MEMORY_MB, "sockets": 1024},
+        "settings": {
+            "classes": classes,
+            "limits": {"cancel": True, "most_tries": 3},
+            "round_ms": 1,
+            "localities": ["a"],
+            "zone": 0,
+            "registry_mode": "automatic",
+        },
+    }
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "config.json"
         config.write_text(json.dumps(told))
         process = subprocess.Popen(
-            [sys.executable, "-m", "coveport"], cwd=checkout, stderr=subprocess.DEVNULL,
+            [sys.executable, "-m", "coveport"],
+            cwd=checkout,
+            stderr=subprocess.DEVNULL,
             env={**os.environ, "LB_CONFIG": str(config), "PYTHONPATH": str(checkout)},
-            preexec_fn=(lambda: os.sched_setaffinity(0, {cpu})) if cpu is not None else None)
+            preexec_fn=(lambda: os.sched_setaffinity(0, {cpu})) if cpu is not None else None,
+        )
         try:
             for _ in range(200):
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -152,8 +183,10 @@
     count = 0
     while often():
         count += 1
-        writer.write(b"GET /balance HTTP/1.1\r\nHost: a\r\nX-Request-Id: %d-%d\r\nX-Deadline: 60000m\r\n\r\n"
-                     % (number, count))
+        writer.write(
+            b"GET /balance HTTP/1.1\r\nHost: a\r\nX-Request-Id: %d-%d\r\nX-Deadline: 60000m\r\n\r\n"
+            % (number, count)
+        )
         line, size = await head(reader)
         assert " 200 " in line, line
         while size:
@@ -178,7 +211,7 @@
     rows, ratios = [], list[float]()
     cores = sorted(os.sched_getaffinity(0))
     os.sched_setaffinity(0, set(cores[:-1]))  # the last one is the sidecars': they run one after the other
-    async with (sidecar(ROOT, discovery, cores[-1]) as ours, sidecar(beside, discovery, cores[-1]) as theirs):
+    async with sidecar(ROOT, discovery, cores[-1]) as ours, sidecar(beside, discovery, cores[-1]) as theirs:
         for turn in range(ROUNDS + 1):
             used = []
             for one in (ours, theirs) if turn % 2 else (theirs, ours):
@@ -201,8 +234,10 @@
     _, discovery = await around.start()
     async with sidecar(ROOT, discovery) as one:
         end = time.monotonic() + INFO_S
-        load = [asyncio.create_task(ask(one.port, lambda: time.monotonic() < end, client))
-                for client in range(4 * CLIENTS)]
+        load = [
+            asyncio.create_task(ask(one.port, lambda: time.monotonic() < end, client))
+            for client in range(4 * CLIENTS)
+        ]
         silent = [await asyncio.open_connection("127.0.0.1", one.staff) for _ in range(8)]
         await asyncio.sleep(1)
         took, before, began = list[float](), one.cpu_s(), time.monotonic()
@@ -215,9 +250,11 @@
         for _, writer in silent:
             writer.close()
     took.sort()
-    print(f"{INFO_CALLS} calls of INFO while {4 * CLIENTS} clients ask without a pause (CPU {share:.2f} of a "
-          f"core): median {statistics.median(took):.1f} ms, 99% {took[int(len(took) * 0.99)]:.1f} ms, "
-          f"most {took[-1]:.1f} ms")
+    print(
+        f"{INFO_CALLS} calls of INFO while {4 * CLIENTS} clients ask without a pause (CPU {share:.2f} of a "
+        f"core): median {statistics.median(took):.1f} ms, 99% {took[int(len(took) * 0.99)]:.1f} ms, "
+        f"most {took[-1]:.1f} ms"
+    )
     return took[-1] < 1000
 
 
@@ -230,16 +267,19 @@
         often = limited(READERS)
         await asyncio.gather(*(ask(one.port, often, client, PACE) for client in range(READERS)))
         peak = one.peak_mb()
-    print(f"{READERS} answers of {LONG / 1e6:.0f} MB at once ({READERS * LONG / 1e6:.0f} MB offered), each "
-          f"read at {PACE / 1e6:.0f} MB/s: peak {peak:.0f} MB, {before:.0f} MB before them, "
-          f"{MEMORY_MB} MB allowed")
+    print(
+        f"{READERS} answers of {LONG / 1e6:.0f} MB at once ({READERS * LONG / 1e6:.0f} MB offered), each "
+        f"read at {PACE / 1e6:.0f} MB/s: peak {peak:.0f} MB, {before:.0f} MB before them, "
+        f"{MEMORY_MB} MB allowed"
+    )
     return peak < 0.9 * MEMORY_MB
 
 
 def main() -> int:
     """Measure one thing; 1 where what is sought was not reached."""
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("what", choices=["cost", "info", "memory"])
     parser.add_argument("--beside", type=Path, help="another checkout, for `cost`")
     told = parser.parse_args()
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -53,8 +53,15 @@
                     ttl_s=ttl, margin_s=margin, faults=(Fault(at, kind, HOLDER, lasts),), calm_s=4 * ttl + 5
                 )
                 found.append(gap(trial, seed, at) * 1000)
-            rows.append({"ttl_s": ttl, "fault": kind, "median_ms": round(statistics.median(found)),
-                         "worst_ms": round(max(found)), "bound_ms": round((ttl + margin) * 1000)})
+            rows.append(
+                {
+                    "ttl_s": ttl,
+                    "fault": kind,
+                    "median_ms": round(statistics.median(found)),
+                    "worst_ms": round(max(found)),
+                    "bound_ms": round((ttl + margin) * 1000),
+                }
+            )
     return rows
 
 
@@ -64,8 +71,13 @@
     for instances in (5, 40, 200, 1000):
         played = play(Trial(instances=instances, drill_s=1.0, faults=(), calm_s=60.0), 1)
         idle = sum(count for name, count in played.calls.items() if not name.startswith("act"))
-        rows.append({"instances": instances, "calls_an_instance_s": round(idle / instances / 60, 3),
-                     "acts_s": round(played.calls.get("act_done", 0) / 60, 2)})
+        rows.append(
+            {
+                "instances": instances,
+                "calls_an_instance_s": round(idle / instances / 60, 3),
+                "acts_s": round(played.calls.get("act_done", 0) / 60, 2),
+            }
+        )
     return rows
 
 
@@ -89,8 +101,15 @@
             for _ in range(120):
                 place.run(0.5)
                 ever |= set(place.running(NEW))
-            rows.append({"instances": instances, "bad": how, "ever_had_it": len(ever),
-                         "share": round(len(ever) / instances, 3), "phase": place.plan.phase.value})
+            rows.append(
+                {
+                    "instances": instances,
+                    "bad": how,
+                    "ever_had_it": len(ever),
+                    "share": round(len(ever) / instances, 3),
+                    "phase": place.plan.phase.value,
+                }
+            )
     return rows
 
 
@@ -107,8 +126,11 @@
     day = draw(load(find("fleet-join"), [f"fleet.sidecars={copies}"]), seed)
     played = play_day(day, warded=warded)
     born = {row.node: row.born for row in played.rows if isinstance(row, NodeIs) and row.born >= 0}
-    done = sum(1 for row in played.rows if isinstance(row, Ran) and row.node in born
-               and 0 <= row.at - born[row.node] <= 10_000)
+    done = sum(
+        1
+        for row in played.rows
+        if isinstance(row, Ran) and row.node in born and 0 <= row.at - born[row.node] <= 10_000
+    )
     breaches = oracle.judge(played.day, played.rows, grace=oracle.Grace.virtual())
     outcome = measures.measure(played, name="join", variant="")
     return done, outcome.service, sum(one.rule == "cold" for one in breaches)
@@ -198,8 +220,12 @@
     if told.what == "real":
         rows = [asyncio.run(real_at(told.instances, store)) for store in ("sqlite", "etcd")]
     else:
-        rows = {"gaps": lambda: gaps(told.seeds), "calls": calls, "rollout": rollout,
-                "warden": lambda: warden(told.seeds)}[told.what]()
+        rows = {
+            "gaps": lambda: gaps(told.seeds),
+            "calls": calls,
+            "rollout": rollout,
+            "warden": lambda: warden(told.seeds),
+        }[told.what]()
     if told.json:
         print(json.dumps(rows, indent=2))
         return 0
--- a/benchmarks/fence_gap.py
+++ b/benchmarks/fence_gap.py
@@ -39,10 +39,19 @@
         hand(step)
 
     Hand.fence, RouteStep.hand = looks, handed  # type: ignore[method-assign]
-    atexit.register(lambda: file.write_text(json.dumps({
-        "count": GAPS.get_total_count(), "p50": GAPS.get_value_at_percentile(50),
-        "p99": GAPS.get_value_at_percentile(99), "p999": GAPS.get_value_at_percentile(99.9),
-        "most": GAPS.get_max_value()})))
+    atexit.register(
+        lambda: file.write_text(
+            json.dumps(
+                {
+                    "count": GAPS.get_total_count(),
+                    "p50": GAPS.get_value_at_percentile(50),
+                    "p99": GAPS.get_value_at_percentile(99),
+                    "p999": GAPS.get_value_at_percentile(99.9),
+                    "most": GAPS.get_max_value(),
+                }
+            )
+        )
+    )
     sys.argv = ["coveport", *sys.argv[2:]]
     from coveport.cli.main import main as command
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -64,11 +64,18 @@
                     await asyncio.sleep(0.01)
                 took.append(time.monotonic() - began)
                 await one.all_serve()
-            return [{"instances": instances, "plays": plays,
-                     "s, median": round(statistics.median(took), 2), "s, worst": round(max(took), 2),
-                     "MB an instance": round(memory, 1), "MB supervisor": round(memory_mb(supervisor.pid), 1),
-                     "wakes a second, instance": round(statistics.fmean(woken[pid] for pid in pids), 1),
-                     "wakes a second, supervisor": round(woken[supervisor.pid], 1)}]
+            return [
+                {
+                    "instances": instances,
+                    "plays": plays,
+                    "s, median": round(statistics.median(took), 2),
+                    "s, worst": round(max(took), 2),
+                    "MB an instance": round(memory, 1),
+                    "MB supervisor": round(memory_mb(supervisor.pid), 1),
+                    "wakes a second, instance": round(statistics.fmean(woken[pid] for pid in pids), 1),
+                    "wakes a second, supervisor": round(woken[supervisor.pid], 1),
+                }
+            ]
 
 
 async def restart(instances: int) -> list[Row]:
@@ -96,9 +103,15 @@
                 took = time.monotonic() - began
                 meanwhile = [at for at in calls if began <= at <= began + took]
                 peak = max((sum(at <= it < at + 1.0 for it in meanwhile) for at in meanwhile), default=0)
-                rows.append({"instances": instances, "snapshots": "on" if young_s else "off",
-                             "all serve after s": round(took, 1), "discovery calls": len(meanwhile),
-                             "at most in a second": peak})
+                rows.append(
+                    {
+                        "instances": instances,
+                        "snapshots": "on" if young_s else "off",
+                        "all serve after s": round(took, 1),
+                        "discovery calls": len(meanwhile),
+                        "at most in a second": peak,
+                    }
+                )
     return rows
 
 
@@ -111,8 +124,9 @@
     parser.add_argument("--json", action="store_true")
     told = parser.parse_args()
     where = machine()
-    rows = asyncio.run(kill(told.instances or 5, told.plays) if told.what == "kill"
-                       else restart(told.instances or 40))
+    rows = asyncio.run(
+        kill(told.instances or 5, told.plays) if told.what == "kill" else restart(told.instances or 40)
+    )
     if told.json:
         print(json.dumps({"machine": where, "rows": rows}, indent=2))
     else:
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -32,9 +32,11 @@
 def machine() -> str:
     """Today and the machine in general terms."""
     load = "/".join(f"{one:.1f}" for one in os.getloadavg())
-    return (f"{datetime.now(UTC):%Y-%m-%d}, {os.cpu_count()} cores ({platform.machine()}), "
-            f"{platform.system()}, {platform.python_implementation()} {platform.python_version()}, "
-            f"load before {load}")
+    return (
+        f"{datetime.now(UTC):%Y-%m-%d}, {os.cpu_count()} cores ({platform.machine()}), "
+        f"{platform.system()}, {platform.python_implementation()} {platform.python_version()}, "
+        f"load before {load}"
+    )
 
 
 def replay() -> None:
@@ -51,10 +53,26 @@
     files = [f"{ROOT / module.replace('.', '/')}.py" for module in MODULES]
     with tempfile.TemporaryDirectory() as work:
         data, told = f"{work}/data", f"{work}/told.json"
-        subprocess.run([sys.executable, "-m", "coverage", "run", "--branch", f"--data-file={data}",
-                        f"--include={','.join(files)}", *arguments], cwd=ROOT, check=True, stdout=sys.stderr)
-        subprocess.run([sys.executable, "-m", "coverage", "json", "-q", f"--data-file={data}", "-o", told],
-                       cwd=ROOT, check=True)
+        subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "coverage",
+                "run",
+                "--branch",
+                f"--data-file={data}",
+                f"--include={','.join(files)}",
+                *arguments,
+            ],
+            cwd=ROOT,
+            check=True,
+            stdout=sys.stderr,
+        )
+        subprocess.run(
+            [sys.executable, "-m", "coverage", "json", "-q", f"--data-file={data}", "-o", told],
+            cwd=ROOT,
+            check=True,
+        )
         found = json.loads(Path(told).read_text())["files"]
     return {name: f"{one['summary']['percent_covered']:.1f}" for name, one in found.items()}
 
@@ -67,8 +85,9 @@
 
 def main() -> None:
     """Measure and print."""
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--only", action="append", choices=list(UNDER_TEST))
     parser.add_argument("--tests", action="store_true")
@@ -84,13 +103,31 @@
     for name in told.only or run.TARGETS:
         corpus = run.load(run.CORPORA / name)
         done = run.play(name, corpus, seconds=told.seconds)
-        rows.append([name, str(len(corpus)), str(sum(map(len, corpus))),
-                     f"{done.executions / done.seconds:.0f}", str(len(done.finds))])
+        rows.append(
+            [
+                name,
+                str(len(corpus)),
+                str(sum(map(len, corpus))),
+                f"{done.executions / done.seconds:.0f}",
+                str(len(done.finds)),
+            ]
+        )
     print(table(rows), end="\n\n")
     shares = [covered([str(Path(__file__)), "--replay"])]
     if told.tests:
-        shares.append(covered(["-m", "pytest", "-q", "-p", "no:cacheprovider", "tests",
-                               *(f"--ignore={one}" for one in NOT_OURS)]))
+        shares.append(
+            covered(
+                [
+                    "-m",
+                    "pytest",
+                    "-q",
+                    "-p",
+                    "no:cacheprovider",
+                    "tests",
+                    *(f"--ignore={one}" for one in NOT_OURS),
+                ]
+            )
+        )
     rows = [["module", "corpora, %", *["other tests, %"] * told.tests]]
     for module in MODULES:
         file = f"{module.replace('.', '/')}.py"
--- a/benchmarks/ground_agreement.py
+++ b/benchmarks/ground_agreement.py
@@ -70,14 +70,34 @@
     virtual, real = pair.virtual, pair.real
     broken = " / ".join(", ".join(rules(one)) or "none" for one in (virtual, real))
     verdict = "void" if real.late else "yes" if pair.agreed else "NO"
-    return [f"{pair.scenario} {pair.seed}", f"{virtual.service:.3f}", f"{real.service:.3f}",
-            f"{pair.difference:+.3f}", f"{virtual.mark:.3f}", f"{real.mark:.3f}",
-            f"{virtual.attempts.per_operation:.2f}", f"{real.attempts.per_operation:.2f}", broken,
-            f"{pair.voids}", verdict]
-
-
-HEAD = ("day", "service, virtual", "real", "real - virtual", "mark, virtual", "real", "attempts, virtual",
-        "real", "broken rules, virtual / real", "void plays", "agreed")
+    return [
+        f"{pair.scenario} {pair.seed}",
+        f"{virtual.service:.3f}",
+        f"{real.service:.3f}",
+        f"{pair.difference:+.3f}",
+        f"{virtual.mark:.3f}",
+        f"{real.mark:.3f}",
+        f"{virtual.attempts.per_operation:.2f}",
+        f"{real.attempts.per_operation:.2f}",
+        broken,
+        f"{pair.voids}",
+        verdict,
+    ]
+
+
+HEAD = (
+    "day",
+    "service, virtual",
+    "real",
+    "real - virtual",
+    "mark, virtual",
+    "real",
+    "attempts, virtual",
+    "real",
+    "broken rules, virtual / real",
+    "void plays",
+    "agreed",
+)
 
 
 def main() -> int:
@@ -102,16 +122,20 @@
                 print(" ".join(shown(pairs[-1])), file=sys.stderr, flush=True)
     print(table(HEAD, [shown(pair) for pair in pairs]))
     held = [pair for pair in pairs if not pair.real.late]
-    print(f"\nreal - virtual: {spread([pair.difference for pair in held])}; "
-          f"agreed on {sum(pair.agreed for pair in pairs)} of {len(pairs) + len(unplayed)} days")
+    print(
+        f"\nreal - virtual: {spread([pair.difference for pair in held])}; "
+        f"agreed on {sum(pair.agreed for pair in pairs)} of {len(pairs) + len(unplayed)} days"
+    )
     print("\n".join(unplayed))
     for pair in pairs:
         for ground, outcome in (("virtual", pair.virtual), ("real", pair.real)):
             for note in outcome.notes:
                 print(f"{pair.scenario} {pair.seed}, {ground}: {note}")
             for one in outcome.broken:
-                print(f"{pair.scenario} {pair.seed}, {ground}: {one.rule} at {one.at_ms / 1000:.3f} s: "
-                      f"{one.what}")
+                print(
+                    f"{pair.scenario} {pair.seed}, {ground}: {one.rule} at {one.at_ms / 1000:.3f} s: "
+                    f"{one.what}"
+                )
     if told.json:
         told.json.write_bytes(msgspec.json.format(msgspec.json.encode(pairs), indent=2) + b"\n")
     return 0 if all(pair.agreed for pair in pairs) and not unplayed else 1
--- a/benchmarks/lab_speed.py
+++ b/benchmarks/lab_speed.py
@@ -53,11 +53,18 @@
 
 SIZES = {
     "6x10": Size((*_fleet(6, 10, 30), "load.level=0.35"), 100, "calm, as shipped at level 0.35"),
-    "40x17": Size((*_fleet(40, 17, 30), f"load.level={_PER_SIDECAR * 40 / (17 * 4):.4f}",
-                   *(f"fleet.kinds.{kind}.cores=4" for kind in range(2))),
-                  20, "calm, as much a sidecar as at 6x10; nodes of 4 cores carry it"),
-    "40x17-level": Size((*_fleet(40, 17, 30), "load.level=0.35"), 20,
-                        "calm, level 0.35 of single-core nodes"),
+    "40x17": Size(
+        (
+            *_fleet(40, 17, 30),
+            f"load.level={_PER_SIDECAR * 40 / (17 * 4):.4f}",
+            *(f"fleet.kinds.{kind}.cores=4" for kind in range(2)),
+        ),
+        20,
+        "calm, as much a sidecar as at 6x10; nodes of 4 cores carry it",
+    ),
+    "40x17-level": Size(
+        (*_fleet(40, 17, 30), "load.level=0.35"), 20, "calm, level 0.35 of single-core nodes"
+    ),
     "500x50": Size((*_fleet(500, 50, 10), "load.rate=100"), 2, "quiet: 0.2 operations a second a sidecar"),
     "2000x200": Size((*_fleet(2000, 200, 5), "load.rate=400"), 0, "quiet: 0.2 operations a second a sidecar"),
 }
@@ -106,9 +113,24 @@
     judged = clock()
     outcome = measures.measure(played)
     ended = clock()
-    return Timed(size, seed, outcome.simulated_s, drawn - began, done - drawn, done_cpu - drawn_cpu,
-                 judged - done, ended - judged, memory, _memory_mib(), len(day.wishes), len(played.rows),
-                 played.trace, sorted({one.rule for one in breaches}), outcome.service, played.notes)
+    return Timed(
+        size,
+        seed,
+        outcome.simulated_s,
+        drawn - began,
+        done - drawn,
+        done_cpu - drawn_cpu,
+        judged - done,
+        ended - judged,
+        memory,
+        _memory_mib(),
+        len(day.wishes),
+        len(played.rows),
+        played.trace,
+        sorted({one.rule for one in breaches}),
+        outcome.service,
+        played.notes,
+    )
 
 
 def _memory_mib() -> float:
@@ -138,14 +160,36 @@
 def shown(one: Timed) -> list[str]:
     """A row of the table."""
     wanted = SIZES[one.size].wanted
-    return [one.size, f"{one.wishes}", f"{one.simulated_s:.1f}", f"{one.draw_s:.2f}", f"{one.play_s:.2f}",
-            f"{one.judge_s:.2f}", f"{one.measure_s:.2f}", f"{one.ratio:.1f}",
-            f"{one.simulated_s / one.play_cpu_s:.1f}", f"{wanted:g}" if wanted else "any",
-            f"{one.memory_played_mib:.0f}", f"{one.memory_mib:.0f}"]
-
-
-HEAD = ("sidecars x nodes", "operations", "simulated s", "draw s", "play s", "judge s", "measure s", "ratio",
-        "of CPU", "sought", "MiB played", "MiB in all")
+    return [
+        one.size,
+        f"{one.wishes}",
+        f"{one.simulated_s:.1f}",
+        f"{one.draw_s:.2f}",
+        f"{one.play_s:.2f}",
+        f"{one.judge_s:.2f}",
+        f"{one.measure_s:.2f}",
+        f"{one.ratio:.1f}",
+        f"{one.simulated_s / one.play_cpu_s:.1f}",
+        f"{wanted:g}" if wanted else "any",
+        f"{one.memory_played_mib:.0f}",
+        f"{one.memory_mib:.0f}",
+    ]
+
+
+HEAD = (
+    "sidecars x nodes",
+    "operations",
+    "simulated s",
+    "draw s",
+    "play s",
+    "judge s",
+    "measure s",
+    "ratio",
+    "of CPU",
+    "sought",
+    "MiB played",
+    "MiB in all",
+)
 
 
 def profile(size: str, seed: int, rows: int) -> None:
@@ -163,15 +207,26 @@
             where = Path(file).relative_to(ROOT).as_posix()
         except ValueError:
             where = Path(file).name
-        part = ("the lab" if where.startswith("coveport/lab/")
-                else "the program" if where.startswith(("coveport/", "micaflow/")) else "others")
+        part = (
+            "the lab"
+            if where.startswith("coveport/lab/")
+            else "the program"
+            if where.startswith(("coveport/", "micaflow/"))
+            else "others"
+        )
         parts[part].append((own, cumulative, calls, f"{where}:{line} {name}" if line else name))
     for part, entries in parts.items():
         entries.sort(reverse=True)
         print(f"\n{part}: {100 * sum(one[0] for one in entries) / total:.0f}% of the time\n")
-        print(table(("function", "own %", "with callees %", "calls"), [
-            [name, f"{100 * own / total:.1f}", f"{100 * cumulative / total:.1f}", f"{calls}"]
-            for own, cumulative, calls, name in entries[:rows]]))
+        print(
+            table(
+                ("function", "own %", "with callees %", "calls"),
+                [
+                    [name, f"{100 * own / total:.1f}", f"{100 * cumulative / total:.1f}", f"{calls}"]
+                    for own, cumulative, calls, name in entries[:rows]
+                ],
+            )
+        )
 
 
 def main() -> int:
@@ -199,8 +254,11 @@
         if best is not None:
             figures.append(best)
     print(table(HEAD, [shown(one) for one in figures]))
-    problems += [f"{one.size}: {one.ratio:.1f} times real time, sought {SIZES[one.size].wanted:g}"
-                 for one in figures if one.ratio < SIZES[one.size].wanted]
+    problems += [
+        f"{one.size}: {one.ratio:.1f} times real time, sought {SIZES[one.size].wanted:g}"
+        for one in figures
+        if one.ratio < SIZES[one.size].wanted
+    ]
     print("\n".join(problems))
     if told.json:
         told.json.write_bytes(msgspec.json.format(msgspec.json.encode(figures), indent=2) + b"\n")
--- a/benchmarks/load_accuracy.py
+++ b/benchmarks/load_accuracy.py
@@ -96,8 +96,9 @@
 def measure_one(rate: float, seconds: float, seed: int) -> Accuracy:
     """Play a day and look at its tills' books."""
     played = play(scenario_of(rate, seconds), seed=seed, ground="real")
-    late = np.array([row.at - row.due for row in played.rows
-                     if isinstance(row, books.Asked) and not row.repeat])
+    late = np.array(
+        [row.at - row.due for row in played.rows if isinstance(row, books.Asked) and not row.repeat]
+    )
     unasked = sum(isinstance(row, books.Unasked) for row in played.rows)
     broken: dict[str, int] = {}
     for one in judge_rules(played.day, played.rows, grace=Grace.real()):
@@ -106,8 +107,20 @@
     took = np.array([row.at - asked[row.op] for row in played.rows if isinstance(row, books.Answered)])
     p50, p99, p999, most = (float(one) for one in np.quantile(late, (0.5, 0.99, 0.999, 1)))
     answer_p50, answer_p99 = (float(one) for one in np.quantile(took, (0.5, 0.99)))
-    return Accuracy(rate, len(late), unasked, p50, p99, p999, most, answer_p50, answer_p99, played.late,
-                    broken, measure(played).notes)
+    return Accuracy(
+        rate,
+        len(late),
+        unasked,
+        p50,
+        p99,
+        p999,
+        most,
+        answer_p50,
+        answer_p99,
+        played.late,
+        broken,
+        measure(played).notes,
+    )
 
 
 def main() -> int:
@@ -122,11 +135,37 @@
     figures = []
     for rate in told.rate or (500.0, 1000.0):
         figures.append(measure_one(rate, told.seconds, told.seed))
-    print(table(("operations/s", "asked", "unasked", "p50 ms", "p99 ms", "p99.9 ms", "max ms",
-                 "answers p50 ms", "answers p99 ms", "void"),
-                [[f"{one.rate:g}", f"{one.asked}", f"{one.unasked}", f"{one.p50:.2f}", f"{one.p99:.2f}",
-                  f"{one.p999:.2f}", f"{one.most:.2f}", f"{one.answer_p50:.2f}", f"{one.answer_p99:.2f}",
-                  "yes" if one.void else "no"] for one in figures]))
+    print(
+        table(
+            (
+                "operations/s",
+                "asked",
+                "unasked",
+                "p50 ms",
+                "p99 ms",
+                "p99.9 ms",
+                "max ms",
+                "answers p50 ms",
+                "answers p99 ms",
+                "void",
+            ),
+            [
+                [
+                    f"{one.rate:g}",
+                    f"{one.asked}",
+                    f"{one.unasked}",
+                    f"{one.p50:.2f}",
+                    f"{one.p99:.2f}",
+                    f"{one.p999:.2f}",
+                    f"{one.most:.2f}",
+                    f"{one.answer_p50:.2f}",
+                    f"{one.answer_p99:.2f}",
+                    "yes" if one.void else "no",
+                ]
+                for one in figures
+            ],
+        )
+    )
     for one in figures:
         for rule, count in one.broken.items():
             print(f"{one.rate:g}/s: broken rule {rule}, {count} times")
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -34,9 +34,18 @@
 def line(report: Report, audit: bool) -> str:
     """A report as a line of the table."""
     rules = ", ".join(one.breach.rule for one in report.found)
-    cells = (report.world.name, report.states, report.paths, report.depth, report.most_timers,
-             f"{report.seconds:.1f}", f"{report.paths / max(report.seconds, 1e-9):.0f}",
-             "whole" if report.whole else "bounded", report.doubts if audit else "-", rules or "-")
+    cells = (
+        report.world.name,
+        report.states,
+        report.paths,
+        report.depth,
+        report.most_timers,
+        f"{report.seconds:.1f}",
+        f"{report.paths / max(report.seconds, 1e-9):.0f}",
+        "whole" if report.whole else "bounded",
+        report.doubts if audit else "-",
+        rules or "-",
+    )
     return f"| {' | '.join(map(str, cells))} |"
 
 
@@ -52,9 +61,11 @@
     told = parser.parse_args()
     names = told.worlds or [world.name for world in (SMALL if told.small else LARGE)]
     loads = "/".join(f"{one:.1f}" for one in os.getloadavg())
-    print(f"{os.cpu_count()} cores ({platform.machine()}), {platform.python_implementation()} "
-          f"{platform.python_version()}, load before {loads}, {told.jobs} at once, "
-          f"at most {told.states} states\n")
+    print(
+        f"{os.cpu_count()} cores ({platform.machine()}), {platform.python_implementation()} "
+        f"{platform.python_version()}, load before {loads}, {told.jobs} at once, "
+        f"at most {told.states} states\n"
+    )
     print(f"| {' | '.join(HEAD)} |\n| {' | '.join(['---'] + ['---:'] * (len(HEAD) - 3) + ['---'] * 2)} |")
     tests, doubts = [], 0
     with ProcessPoolExecutor(told.jobs) as pool:
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -45,8 +45,13 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 FILES = ("micaflow/decide.py", "micaflow/held.py", "coveport/core/reducer.py")
-TESTS = ("tests/test_decide_*.py", "tests/test_reducer*.py", "tests/test_trouble.py", "tests/test_crowd.py",
-         "tests/test_rules.py")
+TESTS = (
+    "tests/test_decide_*.py",
+    "tests/test_reducer*.py",
+    "tests/test_trouble.py",
+    "tests/test_crowd.py",
+    "tests/test_rules.py",
+)
 COPIED = ("micaflow", "coveport", "tests", "pyproject.toml")
 EQUIVALENT = ROOT / "benchmarks" / "mutants_equivalent.toml"
 MEMORY = 2 << 30  # bytes a run of the tests may take: a change may make a list grow for ever
@@ -59,8 +64,18 @@
 """
 
 BOUNDARY = {"<": "<=", "<=": "<", ">": ">=", ">=": ">"}
-OPPOSITE = {"<": ">=", "<=": ">", ">": "<=", ">=": "<", "==": "!=", "!=": "==", "is not": "is",
-            "is": "is not", "not in": "in", "in": "not in"}
+OPPOSITE = {
+    "<": ">=",
+    "<=": ">",
+    ">": "<=",
+    ">=": "<",
+    "==": "!=",
+    "!=": "==",
+    "is not": "is",
+    "is": "is not",
+    "not in": "in",
+    "in": "not in",
+}
 ARITHMETIC = {"+": "-", "-": "+", "*": "/", "/": "*", "**": "*", "+=": "-=", "-=": "+="}
 OTHER_CALL = {"min": "max", "max": "min", "any": "all", "all": "any"}
 SYMMETRIC = ("min", "max", "isinstance", "uniform")  # calls that do the same with arguments swapped, or raise
@@ -80,12 +95,13 @@
 
     def apply(self, source: bytes) -> bytes:
         """The file with the change."""
-        return source[:self.start] + self.new.encode() + source[self.end:]
+        return source[: self.start] + self.new.encode() + source[self.end :]
 
     def diff(self, source: bytes) -> str:
         """The lines before and after."""
-        lines = difflib.unified_diff(source.decode().splitlines(), self.apply(source).decode().splitlines(),
-                                     n=0, lineterm="")
+        lines = difflib.unified_diff(
+            source.decode().splitlines(), self.apply(source).decode().splitlines(), n=0, lineterm=""
+        )
         return "\n".join(line for line in lines if line[:3] not in ("---", "+++"))
 
 
@@ -104,8 +120,10 @@
 
     def span(self, node: ast.expr | ast.stmt) -> tuple[int, int]:
         assert node.end_lineno is not None and node.end_col_offset is not None
-        return (self.starts[node.lineno - 1] + node.col_offset,
-                self.starts[node.end_lineno - 1] + node.end_col_offset)
+        return (
+            self.starts[node.lineno - 1] + node.col_offset,
+            self.starts[node.end_lineno - 1] + node.end_col_offset,
+        )
 
     def text(self, node: ast.expr | ast.stmt) -> str:
         start, end = self.span(node)
@@ -113,7 +131,7 @@
 
     def place(self, kind: str, span: tuple[int, int], *news: str) -> None:
         """A place; the text that was there is no change."""
-        old = self.source[span[0]:span[1]].decode()
+        old = self.source[span[0] : span[1]].decode()
         where = ".".join(self.path) or "constants"
         made = [Mutant(self.file, kind, *span, new, where=where) for new in dict.fromkeys(news) if new != old]
         if made:
@@ -126,8 +144,11 @@
         found = re.search(r"not\s+in|is\s+not|[<>=!*/+-]+|\b(?:and|or|is|in)\b", between)
         if found:
             old = " ".join(found[0].split())
-            self.place(kind, (start + found.start(), start + found.end()),
-                       *(table[old] for table in tables if old in table))
+            self.place(
+                kind,
+                (start + found.start(), start + found.end()),
+                *(table[old] for table in tables if old in table),
+            )
 
     def wrapped(self, node: ast.expr, new: str) -> str:
         """As it is where that means the same as in parentheses."""
@@ -166,8 +187,11 @@
         if isinstance(node.targets[0], ast.Name) and node.targets[0].id == "__slots__":
             return
         # Without a first value all fails at once, which says nothing of the tests.
-        names = [one for target in node.targets for one in
-                 (target.elts if isinstance(target, ast.Tuple) else [target])]
+        names = [
+            one
+            for target in node.targets
+            for one in (target.elts if isinstance(target, ast.Tuple) else [target])
+        ]
         if self.path[-1:] != ["__init__"] and not any(isinstance(one, ast.Name) for one in names):
             self.place("dropped statement", self.span(node), "pass")
         self.generic_visit(node)
@@ -192,10 +216,18 @@
             self.place("dropped statement", self.span(node), "pass")
             return
         text = self.text(node.value)
-        news = {"bool": [f"not ({text})", "True", "False"], "float": ["0.0", f"2 * ({text})"],
-                "int": ["0", f"2 * ({text})"], "list[api.Action]": ["[]"], "list[Effect]": ["[]"]}
-        self.place("return value", self.span(node.value),
-                   *news.get(self.returns, ["None"] if "None" in self.returns else []))
+        news = {
+            "bool": [f"not ({text})", "True", "False"],
+            "float": ["0.0", f"2 * ({text})"],
+            "int": ["0", f"2 * ({text})"],
+            "list[api.Action]": ["[]"],
+            "list[Effect]": ["[]"],
+        }
+        self.place(
+            "return value",
+            self.span(node.value),
+            *news.get(self.returns, ["None"] if "None" in self.returns else []),
+        )
         self.generic_visit(node)
 
     def visit_If(self, node: ast.If | ast.While | ast.IfExp) -> None:
@@ -233,18 +265,27 @@
 
     def visit_UnaryOp(self, node: ast.UnaryOp) -> None:
         if isinstance(node.op, ast.USub | ast.Not):
-            self.place("sign" if isinstance(node.op, ast.USub) else "dropped not", self.span(node),
-                       self.wrapped(node, self.text(node.operand)))
+            self.place(
+                "sign" if isinstance(node.op, ast.USub) else "dropped not",
+                self.span(node),
+                self.wrapped(node, self.text(node.operand)),
+            )
         self.generic_visit(node)
 
     def visit_Call(self, node: ast.Call) -> None:
-        name = node.func.id if isinstance(node.func, ast.Name) else (
-            node.func.attr if isinstance(node.func, ast.Attribute) else "")
+        name = (
+            node.func.id
+            if isinstance(node.func, ast.Name)
+            else (node.func.attr if isinstance(node.func, ast.Attribute) else "")
+        )
         if name in OTHER_CALL and isinstance(node.func, ast.Name):
             self.place("other call", self.span(node.func), OTHER_CALL[name])
             if len(node.args) == 2 and not node.keywords:
-                self.place("dropped operand", self.span(node),
-                           *(self.wrapped(node, self.text(one)) for one in node.args))
+                self.place(
+                    "dropped operand",
+                    self.span(node),
+                    *(self.wrapped(node, self.text(one)) for one in node.args),
+                )
         if name not in SYMMETRIC:
             for one, other in zip(node.args, node.args[1:], strict=False):
                 (start, end), (after, stop) = self.span(one), self.span(other)
@@ -262,8 +303,11 @@
             self.place("constant", self.span(node), str(not value))
         elif isinstance(value, int | float):
             scaled = (value * 0, value * 2, value * 35, value + 1, value - 1)
-            self.place("constant", self.span(node),
-                       *(self.wrapped(node, repr(one)) for one in scaled if one != value))
+            self.place(
+                "constant",
+                self.span(node),
+                *(self.wrapped(node, repr(one)) for one in scaled if one != value),
+            )
 
 
 def all_places() -> tuple[dict[str, bytes], list[list[Mutant]]]:
@@ -307,6 +351,7 @@
 
 def _test(copy: Path, limit_s: int) -> tuple[int | None, str]:
     """Run the tests in a copy until one fails: their exit code (None: out of time) and which one it was."""
+
     def bounded() -> None:
         resource.setrlimit(resource.RLIMIT_AS, (MEMORY, MEMORY))
         resource.setrlimit(resource.RLIMIT_CPU, (limit_s, limit_s))
@@ -315,8 +360,16 @@
     command = [sys.executable, "-m", "pytest", "-x", "-q", "--tb=no", "-rfE", "-p", "no:cacheprovider"]
     # Written within the same second a changed file may look like the one whose byte code was kept.
     environment = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1", "PYTHONPATH": str(copy)}
-    with subprocess.Popen([*command, *tests], cwd=copy, env=environment, text=True, stdout=subprocess.PIPE,
-                          stderr=subprocess.STDOUT, start_new_session=True, preexec_fn=bounded) as child:
+    with subprocess.Popen(
+        [*command, *tests],
+        cwd=copy,
+        env=environment,
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+        start_new_session=True,
+        preexec_fn=bounded,
+    ) as child:
         try:
             said, _ = child.communicate(timeout=limit_s * WALL)
         except subprocess.TimeoutExpired:
@@ -382,8 +435,10 @@
         draw = random.Random(chosen.seed)
         drawn = draw.sample(places, min(chosen.count or len(places), len(places)))
         mutants = [draw.choice(place) for place in drawn]
-    print(f"{len(places)} places, {len(everything)} changes; seed {chosen.seed}, {len(mutants)} drawn",
-          flush=True)
+    print(
+        f"{len(places)} places, {len(everything)} changes; seed {chosen.seed}, {len(mutants)} drawn",
+        flush=True,
+    )
     if chosen.list:
         for one in mutants:
             print(f"\n{one.id} {one.file} {one.where}: {one.kind}\n{one.diff(sources[one.file])}")
@@ -394,23 +449,44 @@
         verdicts.append(verdict)
         mutant = verdict.mutant
         if verdict.verdict == "survived" and mutant.id not in judged:
-            print(f"\nsurvived {mutant.id} {mutant.file} {mutant.where}: {mutant.kind}\n"
-                  f"{mutant.diff(sources[mutant.file])}", flush=True)
+            print(
+                f"\nsurvived {mutant.id} {mutant.file} {mutant.where}: {mutant.kind}\n"
+                f"{mutant.diff(sources[mutant.file])}",
+                flush=True,
+            )
         elif verdict.verdict != "survived" and mutant.id in judged:
             print(f"\njudged equivalent, but killed by {verdict.by}: {mutant.id}", flush=True)
     if chosen.json:
-        chosen.json.write_text("".join(json.dumps({
-            "id": one.mutant.id, "file": one.mutant.file, "where": one.mutant.where, "kind": one.mutant.kind,
-            "diff": one.mutant.diff(sources[one.mutant.file]), "verdict": one.verdict, "by": one.by,
-            "took_s": round(one.took_s, 2)}) + "\n" for one in verdicts))
+        chosen.json.write_text(
+            "".join(
+                json.dumps(
+                    {
+                        "id": one.mutant.id,
+                        "file": one.mutant.file,
+                        "where": one.mutant.where,
+                        "kind": one.mutant.kind,
+                        "diff": one.mutant.diff(sources[one.mutant.file]),
+                        "verdict": one.verdict,
+                        "by": one.by,
+                        "took_s": round(one.took_s, 2),
+                    }
+                )
+                + "\n"
+                for one in verdicts
+            )
+        )
     count = Counter(one.verdict for one in verdicts)
     alike = sum(one.verdict == "survived" and one.mutant.id in judged for one in verdicts)
     caught = count["killed"] + count["timeout"]
-    print(f"\n{len(verdicts)} changes in {time.monotonic() - began:.0f} s with {chosen.jobs} jobs: "
-          f"{count['killed']} killed, {count['timeout']} timed out, {count['survived']} survived, "
-          f"{alike} of those judged equivalent")
-    print(f"noticed: {caught / max(1, len(verdicts)):.1%} of all, "
-          f"{caught / max(1, len(verdicts) - alike):.1%} of those that can make a difference")
+    print(
+        f"\n{len(verdicts)} changes in {time.monotonic() - began:.0f} s with {chosen.jobs} jobs: "
+        f"{count['killed']} killed, {count['timeout']} timed out, {count['survived']} survived, "
+        f"{alike} of those judged equivalent"
+    )
+    print(
+        f"noticed: {caught / max(1, len(verdicts)):.1%} of all, "
+        f"{caught / max(1, len(verdicts) - alike):.1%} of those that can make a difference"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/policy_gap.py
+++ b/benchmarks/policy_gap.py
@@ -63,8 +63,11 @@
         late = one["late"] * kinds[name].late_loss
         counts = {"late": late, "failed": one["failed"], "refused": one["refused"]}
         together = sum(counts.values())
-        lines += [Line(f"whole day: {name} {ending}", gap * count / together)
-                  for ending, count in counts.items() if count]
+        lines += [
+            Line(f"whole day: {name} {ending}", gap * count / together)
+            for ending, count in counts.items()
+            if count
+        ]
     unexplained = weight * (1.0 - report["served"]) - sum(line.lost for line in lines)
     return [*lines, Line("whole day: sizes that differ from the mean", unexplained)]
 
@@ -88,8 +91,11 @@
     rest = sum(line.lost for line in lines if line not in shown)
     rows = [(line.cause, f"{line.lost:.4f}") for line in shown]
     together = sum(line.lost for line in lines)
-    rows += [("all smaller ones", f"{rest:.4f}"), ("sum", f"{together:.4f}"),
-             ("gap: 1 less the day's worth", f"{1.0 - report['G']:.4f}")]
+    rows += [
+        ("all smaller ones", f"{rest:.4f}"),
+        ("sum", f"{together:.4f}"),
+        ("gap: 1 less the day's worth", f"{1.0 - report['G']:.4f}"),
+    ]
     return table(("cause", "lost"), rows)
 
 
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -75,9 +75,15 @@
     parts = {name: value for name, _, value in report["parts"]}
     told = report["all"]
     return Play(
-        worth=report["G"], served=report["served"], late=told["late"], failed=told["failed"],
-        refused=told["refused"], read_again=prices.get("1,000 tokens of shared parts read again", 0.0),
-        worst_class=parts.get("worst class", 0.0), rules=tuple(sorted(report["breaks"])))
+        worth=report["G"],
+        served=report["served"],
+        late=told["late"],
+        failed=told["failed"],
+        refused=told["refused"],
+        read_again=prices.get("1,000 tokens of shared parts read again", 0.0),
+        worst_class=parts.get("worst class", 0.0),
+        rules=tuple(sorted(report["breaks"])),
+    )
 
 
 def interval(gains: Sequence[float]) -> tuple[float, float, float]:
@@ -119,11 +125,25 @@
         """One play; one line on why there is none."""
         with tempfile.TemporaryDirectory() as folder:
             report = Path(folder) / "report.json"
-            command = [str(self._bench), "run", str(site), day, "--seed", str(seed), "--small", "--no-cpu",
-                       "--report", str(report), "--why", self._why, *self._more]
+            command = [
+                str(self._bench),
+                "run",
+                str(site),
+                day,
+                "--seed",
+                str(seed),
+                "--small",
+                "--no-cpu",
+                "--report",
+                str(report),
+                "--why",
+                self._why,
+                *self._more,
+            ]
             async with self._places:
                 process = await asyncio.create_subprocess_exec(
-                    *command, cwd=tree, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
+                    *command, cwd=tree, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT
+                )
                 try:
                     said, _ = await asyncio.wait_for(process.communicate(), PLAY_S)
                 except TimeoutError:
@@ -134,8 +154,9 @@
                 return said.decode(errors="replace").strip()[-300:] or "no report"
             return read_play(json.loads(report.read_text()))
 
-    async def pairs(self, before: Path, afters: Sequence[Path], site: Path, day: str, seed: int
-                    ) -> list[Pair | str]:
+    async def pairs(
+        self, before: Path, afters: Sequence[Path], site: Path, day: str, seed: int
+    ) -> list[Pair | str]:
         """All trees on one day, each against the one before."""
         one, *others = await asyncio.gather(*(self.play(tree, site, day, seed) for tree in (before, *afters)))
         found: list[Pair | str] = []
@@ -158,20 +179,45 @@
         return " / ".join(f"{value:.{digits}f}" for value in values)
 
     broken = sum(bool(pair.after.rules) for pair in pairs)
-    return (name, str(len(pairs)), both("worth", 3), f"{middle:+.4f}", f"{low:+.4f} to {high:+.4f}",
-            f"{min(pair.gain for pair in pairs):+.3f}", both("late", 1), both("failed", 1),
-            both("refused", 1), both("read_again", 0), both("worst_class", 3), str(broken))
-
-
-HEAD = ("site, day", "pairs", "worth", "gain", "interval", "worst pair", "late", "failed", "refused",
-        "1,000 read again", "worst class", "broken")
+    return (
+        name,
+        str(len(pairs)),
+        both("worth", 3),
+        f"{middle:+.4f}",
+        f"{low:+.4f} to {high:+.4f}",
+        f"{min(pair.gain for pair in pairs):+.3f}",
+        both("late", 1),
+        both("failed", 1),
+        both("refused", 1),
+        both("read_again", 0),
+        both("worst_class", 3),
+        str(broken),
+    )
+
+
+HEAD = (
+    "site, day",
+    "pairs",
+    "worth",
+    "gain",
+    "interval",
+    "worst pair",
+    "late",
+    "failed",
+    "refused",
+    "1,000 read again",
+    "worst class",
+    "broken",
+)
 
 
 def summary(pairs: Sequence[Pair]) -> str:
     """The table over days and over all."""
     days = sorted({(pair.site, pair.day) for pair in pairs})
-    rows = [row(f"{site}, {day}", [pair for pair in pairs if (pair.site, pair.day) == (site, day)])
-            for site, day in days]
+    rows = [
+        row(f"{site}, {day}", [pair for pair in pairs if (pair.site, pair.day) == (site, day)])
+        for site, day in days
+    ]
     return table(HEAD, [*rows, row("all", pairs)])
 
 
@@ -182,7 +228,7 @@
     problems: list[str] = []
     turns = [(site, day, seed) for seed in given.seeds for site in given.site for day in given.day]
     for at in range(0, len(turns), given.jobs):
-        asked = (player.pairs(given.before, given.after, *turn) for turn in turns[at:at + given.jobs])
+        asked = (player.pairs(given.before, given.after, *turn) for turn in turns[at : at + given.jobs])
         for found in await asyncio.gather(*asked):
             pairs += [one for one in found if isinstance(one, Pair)]
             problems += [one for one in found if isinstance(one, str)]
@@ -198,8 +244,9 @@
 
 def main() -> int:
     """Play, print, keep; exit 1 where a play failed or a rule broke afterwards."""
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("bench", type=Path)
     parser.add_argument("before", type=Path)
     parser.add_argument("after", type=Path, nargs="+")
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -55,8 +55,11 @@
         began = time.perf_counter()
         runs = runs_until(name, told.seed, told.most)
         missed += runs is None
-        print(f"{name:18} {VARIANTS[name].rule:12} {runs or f'not in {told.most}':>12} "
-              f"{time.perf_counter() - began:7.1f} s", flush=True)
+        print(
+            f"{name:18} {VARIANTS[name].rule:12} {runs or f'not in {told.most}':>12} "
+            f"{time.perf_counter() - began:7.1f} s",
+            flush=True,
+        )
     return 1 if missed else 0
 
 
--- a/benchmarks/work_in_hand.py
+++ b/benchmarks/work_in_hand.py
@@ -52,8 +52,9 @@
 
 def pool() -> concurrent.futures.ProcessPoolExecutor:
     """Workers, two cores left free."""
-    return concurrent.futures.ProcessPoolExecutor(max(1, (os.cpu_count() or 2) - 2),
-                                                  mp_context=multiprocessing.get_context("spawn"))
+    return concurrent.futures.ProcessPoolExecutor(
+        max(1, (os.cpu_count() or 2) - 2), mp_context=multiprocessing.get_context("spawn")
+    )
 
 
 def interval(figures: Iterable[float]) -> str:
@@ -68,23 +69,32 @@
     rows: list[Row] = []
     with pool() as workers:
         for day in DAYS:
-            both = {on: list(workers.map(_one, [day] * seeds, range(seeds), [on] * seeds))
-                    for on in (False, True)}
+            both = {
+                on: list(workers.map(_one, [day] * seeds, range(seeds), [on] * seeds)) for on in (False, True)
+            }
             losses = sum(one[3] for one in both[True])
             unknown = sum(one[2] for one in both[True])
-            rows.append({
-                "day": day, "off: learnt": interval(one[0] for one in both[False]),
-                "on: learnt": interval(one[0] for one in both[True]),
-                "off: ran twice": sum(one[1] for one in both[False]),
-                "on: ran twice": sum(one[1] for one in both[True]),
-                "on: unknown a loss": round(unknown / losses, 2) if losses else "-"})
+            rows.append(
+                {
+                    "day": day,
+                    "off: learnt": interval(one[0] for one in both[False]),
+                    "on: learnt": interval(one[0] for one in both[True]),
+                    "off: ran twice": sum(one[1] for one in both[False]),
+                    "on: ran twice": sum(one[1] for one in both[True]),
+                    "on: unknown a loss": round(unknown / losses, 2) if losses else "-",
+                }
+            )
     return rows
 
 
 def _closes(instances: int, seed: int) -> tuple[float, int]:
     faults = (Fault(6.0, "half_killed", "", 30.0),)
-    played = play(WorkTrial(instances=instances, faults=faults, rate=min(400.0, 10.0 * instances),
-                            over_s=8.0, calm_s=4.0), seed)
+    played = play(
+        WorkTrial(
+            instances=instances, faults=faults, rate=min(400.0, 10.0 * instances), over_s=8.0, calm_s=4.0
+        ),
+        seed,
+    )
     if played.findings:
         raise SystemExit(f"{instances} instances, seed {seed}: {played.findings[:3]}")
     return played.closed_s, played.counts.get("work_taken_over", 0)
@@ -97,10 +107,15 @@
         for instances in (5, 40, 200):
             count = seeds if instances < 200 else min(seeds, 2)
             found = list(workers.map(_closes, [instances] * count, range(count)))
-            rows.append({"instances": instances, "plays": count,
-                         "s, median": round(statistics.median(one[0] for one in found), 2),
-                         "s, worst": round(max(one[0] for one in found), 2),
-                         "taken over, mean": round(statistics.fmean(one[1] for one in found), 1)})
+            rows.append(
+                {
+                    "instances": instances,
+                    "plays": count,
+                    "s, median": round(statistics.median(one[0] for one in found), 2),
+                    "s, worst": round(max(one[0] for one in found), 2),
+                    "taken over, mean": round(statistics.fmean(one[1] for one in found), 1),
+                }
+            )
     return rows
 
 
@@ -114,8 +129,10 @@
 def variants() -> list[Row]:
     """How many drawn trials of five instances it takes to find each broken one."""
     with pool() as workers:
-        return [{"variant": name, "about": VARIANTS[name].about, "trials": trials or "-", "by": by}
-                for name, trials, by in workers.map(_found_at, VARIANTS)]
+        return [
+            {"variant": name, "about": VARIANTS[name].about, "trials": trials or "-", "by": by}
+            for name, trials, by in workers.map(_found_at, VARIANTS)
+        ]
 
 
 # Processes.
@@ -136,8 +153,11 @@
         await asyncio.sleep(max(0.0, began + number / rate - time.monotonic()))
         at = number % len(one.instances)
         cls = "redeem" if number % 2 else "earn"
-        asks.append(asyncio.ensure_future(
-            one.tills.ask(at, one.instances[at].port, cls, f"{rate}-{number}", keyed=True)))
+        asks.append(
+            asyncio.ensure_future(
+                one.tills.ask(at, one.instances[at].port, cls, f"{rate}-{number}", keyed=True)
+            )
+        )
     return [it.took_s for it in [await it for it in asks] if it.status == 200]
 
 
@@ -151,7 +171,7 @@
         if time.monotonic() > end:
             raise SystemExit(f"{one.name} tells no figures")
         time.sleep(0.01)
-    told = json.loads(said[said.index(b"counters") + len("counters "):].splitlines()[0])
+    told = json.loads(said[said.index(b"counters") + len("counters ") :].splitlines()[0])
     return {name: int(value) for name, value in told.items() if name.startswith("work_")}
 
 
@@ -170,25 +190,39 @@
             took = sorted(await _load(one, rate, seconds))
             after = [cpu_s(it.process.pid) for it in one.instances if it.process]
             last = [figures(it) for it in one.instances]
-            rss = [int(next(line for line in Path(f"/proc/{it.process.pid}/status").read_text().splitlines()
-                            if line.startswith("VmRSS")).split()[1]) / 1024
-                   for it in one.instances if it.process]
+            rss = [
+                int(
+                    next(
+                        line
+                        for line in Path(f"/proc/{it.process.pid}/status").read_text().splitlines()
+                        if line.startswith("VmRSS")
+                    ).split()[1]
+                )
+                / 1024
+                for it in one.instances
+                if it.process
+            ]
     served = max(1, len(took))
 
     def a_second(name: str) -> float:
         return sum(b.get(name, 0) - a.get(name, 0) for a, b in zip(first, last, strict=True)) / seconds
 
-    return {"store": kind + (f" + {delay_s * 1000:g} ms" if kind == "etcd" else ""), "a second": rate,
-            "records": "on" if on else "off", "served": f"{len(took)} of {int(rate * seconds)}",
-            "p50 ms": round(took[served // 2] * 1000, 1) if took else "-",
-            "p99 ms": round(took[int(served * 0.99)] * 1000, 1) if took else "-",
-            "CPU ms an operation": round(sum(b - a for a, b in zip(before, after, strict=True))
-                                         / served * 1000, 2),
-            "MB an instance": round(statistics.fmean(rss), 1),
-            "writes a second": round(a_second("work_writes")),
-            "groups a second": round(a_second("work_groups")),
-            "store calls a second": round(a_second("work_store_calls")),
-            "kB a second": round(a_second("work_bytes") / 1000)}
+    return {
+        "store": kind + (f" + {delay_s * 1000:g} ms" if kind == "etcd" else ""),
+        "a second": rate,
+        "records": "on" if on else "off",
+        "served": f"{len(took)} of {int(rate * seconds)}",
+        "p50 ms": round(took[served // 2] * 1000, 1) if took else "-",
+        "p99 ms": round(took[int(served * 0.99)] * 1000, 1) if took else "-",
+        "CPU ms an operation": round(
+            sum(b - a for a, b in zip(before, after, strict=True)) / served * 1000, 2
+        ),
+        "MB an instance": round(statistics.fmean(rss), 1),
+        "writes a second": round(a_second("work_writes")),
+        "groups a second": round(a_second("work_groups")),
+        "store calls a second": round(a_second("work_store_calls")),
+        "kB a second": round(a_second("work_bytes") / 1000),
+    }
 
 
 def costs(seconds: float) -> list[Row]:
@@ -217,8 +251,11 @@
             for it in one.instances:
                 await one.leave(it)
             told = [json.loads((it.folder / "gap.json").read_text()) for it in one.instances]
-    return [{"a second": rate, "instance": number} | {name if name == "count" else f"{name} us": value
-            for name, value in row.items()} for number, row in enumerate(told)]
+    return [
+        {"a second": rate, "instance": number}
+        | {name if name == "count" else f"{name} us": value for name, value in row.items()}
+        for number, row in enumerate(told)
+    ]
 
 
 def gap(seconds: float) -> list[Row]:
@@ -235,9 +272,13 @@
     parser.add_argument("--json", action="store_true")
     told = parser.parse_args()
     where = machine()
-    rows = {"saves": lambda: saves(told.seeds), "closes": lambda: closes(told.seeds),
-            "costs": lambda: costs(told.seconds), "gap": lambda: gap(told.seconds),
-            "variants": variants}[told.what]()
+    rows = {
+        "saves": lambda: saves(told.seeds),
+        "closes": lambda: closes(told.seeds),
+        "costs": lambda: costs(told.seconds),
+        "gap": lambda: gap(told.seconds),
+        "variants": variants,
+    }[told.what]()
     if told.json:
         print(json.dumps({"machine": where, "rows": rows}, indent=2))
     else:
--- a/benchmarks/yardstick.py
+++ b/benchmarks/yardstick.py
@@ -89,27 +89,33 @@
 
 def play_outside(template: str, kind: str, seed: int, variant: str) -> Day:
     """One day of the simulator."""
-    decisions = shlex.join([sys.executable, "-m", "benchmarks.variant_link",
-                            *([] if variant == VARIANTS[0] else [variant])])
-    command = (template.replace("{kind}", kind).replace("{seed}", str(seed))
-               .replace("{variant}", decisions))
+    decisions = shlex.join(
+        [sys.executable, "-m", "benchmarks.variant_link", *([] if variant == VARIANTS[0] else [variant])]
+    )
+    command = template.replace("{kind}", kind).replace("{seed}", str(seed)).replace("{variant}", decisions)
     try:
-        done = subprocess.run(shlex.split(command), cwd=ROOT, capture_output=True, timeout=LIMIT_S,
-                              check=False)
+        done = subprocess.run(
+            shlex.split(command), cwd=ROOT, capture_output=True, timeout=LIMIT_S, check=False
+        )
         said = msgspec.json.decode(done.stdout, type=Said)
     except subprocess.TimeoutExpired:
         return Day(seed, 0.0, 0.0, wrong=f"took longer than {LIMIT_S:g} s")
     except (OSError, msgspec.DecodeError) as problem:
         return Day(seed, 0.0, 0.0, wrong=f"no figures: {problem}")
-    return Day(seed, said.worth_served / said.worth_offered if said.worth_offered else 0.0, said.g,
-               sorted(said.breaks))
+    return Day(
+        seed,
+        said.worth_served / said.worth_offered if said.worth_offered else 0.0,
+        said.g,
+        sorted(said.breaks),
+    )
 
 
 def play_inside(scenario: str, sets: list[str], seed: int, variant: str) -> Day:
     """One day of the lab."""
     name = "" if variant == VARIANTS[0] else variant
-    _, outcome = play_and_judge(load(find(scenario), sets), name=scenario, seed=seed, ground="virtual",
-                                variant=name)
+    _, outcome = play_and_judge(
+        load(find(scenario), sets), name=scenario, seed=seed, ground="virtual", variant=name
+    )
     return Day(seed, outcome.service, outcome.mark, sorted({one.rule for one in outcome.broken}))
 
 
@@ -133,10 +139,18 @@
             blind = [side for side, tells in zip(("lab", "simulator"), told, strict=True) if not tells]
             verdict = f"not told apart by {' or '.join(blind)}"
         elif verdict == "unlike":
-            against.append(f"{scenario}: the lab has {one} {ours:+.3f} against {other}, "
-                           f"the simulator {theirs:+.3f}")
-        rows.append([scenario, f"{one} - {other}", f"{ours:+.3f} ± {our_error:.3f}",
-                     f"{theirs:+.3f} ± {their_error:.3f}", verdict])
+            against.append(
+                f"{scenario}: the lab has {one} {ours:+.3f} against {other}, the simulator {theirs:+.3f}"
+            )
+        rows.append(
+            [
+                scenario,
+                f"{one} - {other}",
+                f"{ours:+.3f} ± {our_error:.3f}",
+                f"{theirs:+.3f} ± {their_error:.3f}",
+                verdict,
+            ]
+        )
     return rows, against
 
 
@@ -144,11 +158,21 @@
     """Compare; 1 where the two sides don't agree, or a rule was broken."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--simulator", required=True, help="its command, see above")
-    parser.add_argument("--day", action="append", required=True, metavar="SCENARIO=KIND:SEEDS",
-                        help="a scenario of the lab, and the simulator's days that are like it")
+    parser.add_argument(
+        "--day",
+        action="append",
+        required=True,
+        metavar="SCENARIO=KIND:SEEDS",
+        help="a scenario of the lab, and the simulator's days that are like it",
+    )
     parser.add_argument("--seeds", default="1-8", help="the lab's (default 1-8)")
-    parser.add_argument("--set", action="append", default=[], metavar="SCENARIO:KEY=VALUE",
-                        help="laid over a scenario of the lab")
+    parser.add_argument(
+        "--set",
+        action="append",
+        default=[],
+        metavar="SCENARIO:KEY=VALUE",
+        help="laid over a scenario of the lab",
+    )
     parser.add_argument("--json", type=Path, help="where to keep the figures")
     told = parser.parse_args()
     print(machine(), flush=True)
@@ -157,34 +181,64 @@
         scenario, _, there = text.partition("=")
         kind, _, seeds = there.rpartition(":")
         sets = [one.partition(":")[2] for one in told.set if one.partition(":")[0] == scenario]
-        lab = Side({variant: [play_inside(scenario, sets, seed, variant) for seed in seeds_of(told.seeds)]
-                    for variant in VARIANTS})
-        outside = Side({variant: [play_outside(told.simulator, kind, seed, variant)
-                                  for seed in seeds_of(seeds)] for variant in VARIANTS})
+        lab = Side(
+            {
+                variant: [play_inside(scenario, sets, seed, variant) for seed in seeds_of(told.seeds)]
+                for variant in VARIANTS
+            }
+        )
+        outside = Side(
+            {
+                variant: [play_outside(told.simulator, kind, seed, variant) for seed in seeds_of(seeds)]
+                for variant in VARIANTS
+            }
+        )
         sides[scenario] = lab, outside
         print(f"{scenario}: played", file=sys.stderr, flush=True)
     problems: list[str] = []
     figures, pairs = list[list[str]](), list[list[str]]()
     for scenario, both in sides.items():
         for variant in VARIANTS:
-            figures.append([scenario, variant, *(cell for side in both for cell in (
-                spread(side.service(variant)), f"{fmean(side.mark(variant) or [0.0]):.3f}",
-                f"{side.ranking().index(variant) + 1}"))])
+            figures.append(
+                [
+                    scenario,
+                    variant,
+                    *(
+                        cell
+                        for side in both
+                        for cell in (
+                            spread(side.service(variant)),
+                            f"{fmean(side.mark(variant) or [0.0]):.3f}",
+                            f"{side.ranking().index(variant) + 1}",
+                        )
+                    ),
+                ]
+            )
             for name, side in zip(("lab", "simulator"), both, strict=True):
-                problems += [f"{scenario} {day.seed}, {variant}, {name}: {what}" for day in side.days[variant]
-                             for what in (day.wrong, *(f"broken rule {rule}" for rule in day.broken)) if what]
+                problems += [
+                    f"{scenario} {day.seed}, {variant}, {name}: {what}"
+                    for day in side.days[variant]
+                    for what in (day.wrong, *(f"broken rule {rule}" for rule in day.broken))
+                    if what
+                ]
         rows, against = judge(scenario, *both)
         pairs += rows
         problems += against
-    print(table(("scenario", "variant", "lab: service", "mark", "rank", "simulator: service", "mark", "rank"),
-                figures))
+    print(
+        table(
+            ("scenario", "variant", "lab: service", "mark", "rank", "simulator: service", "mark", "rank"),
+            figures,
+        )
+    )
     print()
     print(table(("scenario", "difference in service", "lab", "simulator", "order"), pairs))
     print()
     if CALM in sides:
         ours, theirs = (fmean(side.service(VARIANTS[0]) or [0.0]) for side in sides[CALM])
-        print(f"service of the calm day: lab {ours:.3f}, simulator {theirs:.3f}, "
-              f"{abs(ours - theirs):.3f} apart (sought: under {SOUGHT:g})")
+        print(
+            f"service of the calm day: lab {ours:.3f}, simulator {theirs:.3f}, "
+            f"{abs(ours - theirs):.3f} apart (sought: under {SOUGHT:g})"
+        )
         if abs(ours - theirs) >= SOUGHT:
             problems.append("the calm day differs")
     print("\n".join(problems))
--- a/coveport/cli/check.py
+++ b/coveport/cli/check.py
@@ -10,11 +10,17 @@
 from coveport.cli.errors import OK, Unusable
 
 
-@click.command(short_help="Say whether a configuration can be used.",
-               epilog="Example: coveport check example/config.json")
+@click.command(
+    short_help="Say whether a configuration can be used.",
+    epilog="Example: coveport check example/config.json",
+)
 @click.argument("file", required=False, type=click.Path(path_type=Path))
-@click.option("--rate", type=click.FloatRange(0, 1e6), default=0.0,
-              help="Operations of recorded classes a second, over all instances: tells what records cost.")
+@click.option(
+    "--rate",
+    type=click.FloatRange(0, 1e6),
+    default=0.0,
+    help="Operations of recorded classes a second, over all instances: tells what records cost.",
+)
 def check(file: Path | None, rate: float) -> int:
     """Read the platform's configuration FILE (or LB_CONFIG's) as a sidecar would, and say what is wrong.
 
@@ -51,8 +57,10 @@
     except platform.ConfigError as problem:
         raise Unusable(str(problem)) from problem
     classes = ", ".join(one.name for one in config.settings.classes)
-    click.echo(f"ok: {config.name} listens on {config.listen[0]}:{config.listen[1]}, discovery at "
-               f"{config.discovery[0]}:{config.discovery[1]}, classes {classes}{beside}")
+    click.echo(
+        f"ok: {config.name} listens on {config.listen[0]}:{config.listen[1]}, discovery at "
+        f"{config.discovery[0]}:{config.discovery[1]}, classes {classes}{beside}"
+    )
     if cost:
         click.echo(cost)
     return OK
--- a/coveport/cli/check_model.py
+++ b/coveport/cli/check_model.py
@@ -20,10 +20,20 @@
 
 @click.command("check-model", short_help="Explore all orders of small worlds.", epilog=EPILOG)
 @click.argument("worlds", nargs=-1)
-@click.option("--states", type=click.IntRange(min=1), default=200_000, show_default=True, metavar="N",
-              help="Stop a world at so many states.")
-@click.option("--seed", type=int, metavar="N",
-              help="Go at random, path after path to its end: for worlds with more states than that.")
+@click.option(
+    "--states",
+    type=click.IntRange(min=1),
+    default=200_000,
+    show_default=True,
+    metavar="N",
+    help="Stop a world at so many states.",
+)
+@click.option(
+    "--seed",
+    type=int,
+    metavar="N",
+    help="Go at random, path after path to its end: for worlds with more states than that.",
+)
 @click.option("--list", "list_", is_flag=True, help="Show the worlds that there are, a line each.")
 def check_model(worlds: Sequence[str], states: int, seed: int | None, list_: bool) -> int:
     """Explore WORLDS (by default all small ones): whatever may come, in all orders.
@@ -47,15 +57,19 @@
     for world in [WORLDS[name] for name in worlds] or SMALL:
         told = None
         if sys.stderr.isatty():
+
             def told(states: int, paths: int, depth: int, name: str = world.name) -> None:
                 click.echo(f"\r{name}: {states} states, {paths} paths, depth {depth} ", err=True, nl=False)
+
         report = check(world, most_states=states, seed=seed, clock=time.perf_counter, told=told)
         if told is not None:
             click.echo("\r\033[K", err=True, nl=False)
         end = "all orders" if report.whole else f"BOUNDED: stopped at {states} states"
         broken = f"; broken: {', '.join(one.breach.rule for one in report.found)}" if report.found else ""
-        click.echo(f"{world.name:18} {report.states:8} states {report.paths:8} paths  depth {report.depth:3} "
-                   f"{report.seconds:6.1f} s  {end}{broken}")
+        click.echo(
+            f"{world.name:18} {report.states:8} states {report.paths:8} paths  depth {report.depth:3} "
+            f"{report.seconds:6.1f} s  {end}{broken}"
+        )
         for one in report.found:
             found = True
             click.echo(f"\n{printed(world, one)}")
--- a/coveport/cli/fleet.py
+++ b/coveport/cli/fleet.py
@@ -74,15 +74,21 @@
     if json_:
         click.echo(json.dumps(told, indent=2))
     else:
-        click.echo(f"{told['fleet']}: {told['count']} instances, by {told['supervisor']}"
-                   + ("" if told["holds"] else ", which does not hold the duty"))
+        click.echo(
+            f"{told['fleet']}: {told['count']} instances, by {told['supervisor']}"
+            + ("" if told["holds"] else ", which does not hold the duty")
+        )
         if told["restart"]:
             it = told["restart"]
-            click.echo(f"restart: {it['phase']}, {it['taken']} of {it['of']}"
-                       + (f": {it['why']}" if it["why"] else ""))
+            click.echo(
+                f"restart: {it['phase']}, {it['taken']} of {it['of']}"
+                + (f": {it['why']}" if it["why"] else "")
+            )
         for one in told["instances"]:
-            click.echo(f"{one['name']:16} {one['state']:9} {one['address']:22} pid {one['pid'] or '-':<8} "
-                       f"for {one['for_s']:>8.1f} s  served {one['served']:.3f}  {one['why']}".rstrip())
+            click.echo(
+                f"{one['name']:16} {one['state']:9} {one['address']:22} pid {one['pid'] or '-':<8} "
+                f"for {one['for_s']:>8.1f} s  served {one['served']:.3f}  {one['why']}".rstrip()
+            )
     return OK if all(one["state"] == "serving" for one in told["instances"] if one["wanted"]) else NOT_HELD
 
 
@@ -134,7 +140,8 @@
         who = one.pop("instance", one.pop("supervisor", "?"))
         at, event = float(one.pop("unix", 0.0)), one.pop("event", "")
         level = one.pop("level", "info")
-        rest = " ".join(f"{key}={value}" for key, value in one.items()
-                        if key not in ("incarnation", "at", "clock"))
+        rest = " ".join(
+            f"{key}={value}" for key, value in one.items() if key not in ("incarnation", "at", "clock")
+        )
         click.echo(f"{time.strftime('%F %T', time.localtime(at))} {level:7} {who:20} {event} {rest}".rstrip())
     return OK
--- a/coveport/cli/fuzz.py
+++ b/coveport/cli/fuzz.py
@@ -37,19 +37,39 @@
 
 @click.command("fuzz", short_help="Feed what reads bytes with bytes that nobody sends.", epilog=EPILOG)
 @click.argument("target")
-@click.option("--seconds", type=click.FloatRange(min=0), default=10.0, show_default=True,
-              help="How long; 0: the corpus alone.")
-@click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True,
-              help="All chance comes of it.")
-@click.option("--corpus", type=FOLDER, metavar="DIR",
-              help="Inputs to begin with; by default fuzz/TARGET of the source tree.")
-@click.option("--out", type=FOLDER, default=Path("out/fuzz"), show_default=True, metavar="DIR",
-              help="Where finds go, and new inputs of guided runs.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(min=0),
+    default=10.0,
+    show_default=True,
+    help="How long; 0: the corpus alone.",
+)
+@click.option(
+    "--seed", type=click.IntRange(min=0), default=1, show_default=True, help="All chance comes of it."
+)
+@click.option(
+    "--corpus",
+    type=FOLDER,
+    metavar="DIR",
+    help="Inputs to begin with; by default fuzz/TARGET of the source tree.",
+)
+@click.option(
+    "--out",
+    type=FOLDER,
+    default=Path("out/fuzz"),
+    show_default=True,
+    metavar="DIR",
+    help="Where finds go, and new inputs of guided runs.",
+)
 @click.option("--blind", is_flag=True, help="Without atheris, even if it is there.")
-@click.option("--minimise", is_flag=True,
-              help="At the end leave few inputs in the corpus, which take all steps of the old and new ones.")
-def fuzz(target: str, seconds: float, seed: int, corpus: Path | None, out: Path, blind: bool,
-         minimise: bool) -> int:
+@click.option(
+    "--minimise",
+    is_flag=True,
+    help="At the end leave few inputs in the corpus, which take all steps of the old and new ones.",
+)
+def fuzz(
+    target: str, seconds: float, seed: int, corpus: Path | None, out: Path, blind: bool, minimise: bool
+) -> int:
     """Run TARGET on its corpus and on mutations of it, and say where its invariants do not hold.
 
     With atheris (pip install 'coveport[fuzz]') mutations are guided by coverage; without it they are drawn by
@@ -82,8 +102,10 @@
         path = run.keep(here / "finds", find.data)
         click.echo(f"{path}: {find.text[:500]}")
     rate = told.executions / told.seconds if told.seconds else 0
-    click.echo(f"{target}: {told.executions} inputs in {told.seconds:.1f} s ({rate:.0f} a second), "
-               f"{'guided' if told.guided else 'drawn'}; {len(told.finds)} kinds of finds")
+    click.echo(
+        f"{target}: {told.executions} inputs in {told.seconds:.1f} s ({rate:.0f} a second), "
+        f"{'guided' if told.guided else 'drawn'}; {len(told.finds)} kinds of finds"
+    )
     return NOT_HELD if told.finds else OK
 
 
--- a/coveport/cli/lab.py
+++ b/coveport/cli/lab.py
@@ -22,9 +22,13 @@
 
 OUT_FILE = click.Path(dir_okay=False, path_type=Path)
 OUT_FOLDER = click.Path(file_okay=False, path_type=Path)
-GROUND = click.option("--ground", type=click.Choice(["virtual", "real", "bare"]), default="virtual",
-                      show_default=True,
-                      help="Simulated time in one process, processes on loopback, or decisions alone.")
+GROUND = click.option(
+    "--ground",
+    type=click.Choice(["virtual", "real", "bare"]),
+    default="virtual",
+    show_default=True,
+    help="Simulated time in one process, processes on loopback, or decisions alone.",
+)
 
 
 @click.group()
@@ -131,8 +135,9 @@
         scenario = load(find(day), sets)
         _make_room(json_)
         with _day_progress(day) as progress:
-            played = play(scenario, seed=scenario.seed if seed is None else seed, ground=ground,
-                          progress=progress)
+            played = play(
+                scenario, seed=scenario.seed if seed is None else seed, ground=ground, progress=progress
+            )
     picture = picturing.explain(played)
     if json_ is None or str(json_) != "-":
         click.echo(picturing.text(picture, scenario.fleet.zones))
@@ -158,8 +163,16 @@
 @click.option("--set", "sets", multiple=True, metavar="KEY=VALUE", help="Change a figure of the day's file.")
 @click.option("--variant", default="", metavar="NAME", help="Which variant of the sidecar.")
 @click.option("--logs", type=OUT_FOLDER, metavar="DIR", help="Keep what each sidecar printed there.")
-def run(day: str, seed: int | None, ground: str, json_: Path | None, report: Path | None, sets: Sequence[str],
-        variant: str, logs: Path | None) -> int:
+def run(
+    day: str,
+    seed: int | None,
+    ground: str,
+    json_: Path | None,
+    report: Path | None,
+    sets: Sequence[str],
+    variant: str,
+    logs: Path | None,
+) -> int:
     """Play DAY once, judge it, and print what came of it. A DAY may be a trial (trials/...).
 
     Exit code 0 where rules and expectations hold, 1 where not, 2 where the file or the call can't be used,
@@ -184,8 +197,15 @@
         if logs is not None:
             logs.mkdir(parents=True, exist_ok=True)
         with _day_progress(f"{path.stem}, seed {seed}") as progress:
-            played, outcome = play_and_judge(scenario, name=path.stem, seed=seed, ground=ground,
-                                             variant=variant, logs=logs, progress=progress)
+            played, outcome = play_and_judge(
+                scenario,
+                name=path.stem,
+                seed=seed,
+                ground=ground,
+                variant=variant,
+                logs=logs,
+                progress=progress,
+            )
         click.echo(summary_text(outcome), err=str(json_) == "-")
         if json_ is not None:
             _write(json_, encode(outcome))
@@ -207,20 +227,34 @@
 """
 
 
-@lab.command("sweep", short_help="Play a grid of parameters, variants and seeds.",
-             epilog=SWEEP_EPILOG)
+@lab.command("sweep", short_help="Play a grid of parameters, variants and seeds.", epilog=SWEEP_EPILOG)
 @click.argument("day")
 @click.option("--seeds", required=True, metavar="1-20", help="Which seeds: 1-20, or 1,5,9-12.")
-@click.option("--grid", "grids", multiple=True, metavar="KEY=V1,V2,...",
-              help="Values of a figure of the day's file; several of these span a grid.")
-@click.option("--variant", "variants", default="", metavar="A,B",
-              help="Variants of the sidecar; nothing between commas is the sidecar as it is.")
-@click.option("--jobs", type=click.IntRange(min=1), metavar="N",
-              help="Days played at once; by default one a core (real ground: one).")
+@click.option(
+    "--grid",
+    "grids",
+    multiple=True,
+    metavar="KEY=V1,V2,...",
+    help="Values of a figure of the day's file; several of these span a grid.",
+)
+@click.option(
+    "--variant",
+    "variants",
+    default="",
+    metavar="A,B",
+    help="Variants of the sidecar; nothing between commas is the sidecar as it is.",
+)
+@click.option(
+    "--jobs",
+    type=click.IntRange(min=1),
+    metavar="N",
+    help="Days played at once; by default one a core (real ground: one).",
+)
 @click.option("--out", type=OUT_FOLDER, required=True, metavar="DIR", help="Where the sweep is kept.")
 @GROUND
-def sweep(day: str, seeds: str, grids: Sequence[str], variants: str, jobs: int | None, out: Path,
-          ground: str) -> int:
+def sweep(
+    day: str, seeds: str, grids: Sequence[str], variants: str, jobs: int | None, out: Path, ground: str
+) -> int:
     """Play DAY at all places of a grid, with all seeds, and print means with 95% bootstrap intervals.
 
     DIR gets a file for each day as it is done, and at the end table.json and table.csv. The same call goes on
@@ -238,18 +272,26 @@
         if ground == "real" and (jobs or 1) > 1:
             raise Unusable("--ground real plays one day at a time: days at once would make each other late")
         try:
-            plan = sweeping.plan(find(day), sweeping.parse_seeds(seeds), sweeping.parse_grid(grids),
-                                 several, ground)
+            plan = sweeping.plan(
+                find(day), sweeping.parse_seeds(seeds), sweeping.parse_grid(grids), several, ground
+            )
             with _sweep_progress(out, plan.total) as told:
-                swept = sweeping.sweep(plan, out, play=sweeping.play_day, told=told,
-                                       jobs=jobs or (1 if ground == "real" else os.cpu_count() or 1))
+                swept = sweeping.sweep(
+                    plan,
+                    out,
+                    play=sweeping.play_day,
+                    told=told,
+                    jobs=jobs or (1 if ground == "real" else os.cpu_count() or 1),
+                )
         except sweeping.SweepError as problem:
             raise Unusable(str(problem)) from problem
     _print(_sweep_table(swept.lines))
     for cell, why in swept.problems:
         click.echo(f"not played: {cell.label}: {why}", err=True)
-    click.echo(f"{out}/table.csv, {out}/table.json"
-               + (f" ({swept.resumed} days were there already)" if swept.resumed else ""))
+    click.echo(
+        f"{out}/table.csv, {out}/table.json"
+        + (f" ({swept.resumed} days were there already)" if swept.resumed else "")
+    )
     lines = swept.lines
     if swept.problems or any(min(line.kept, line.met) < line.days for line in lines):
         return NOT_HELD
@@ -260,8 +302,15 @@
     if told.judged is None:
         return f"{told.cell.label}: NOT PLAYED: {told.problem}"
     judged = told.judged
-    state = ("void, the machine ran late" if judged.late else "RULES BROKEN" if not judged.lawful
-             else "expectations missed" if not judged.met else "held")
+    state = (
+        "void, the machine ran late"
+        if judged.late
+        else "RULES BROKEN"
+        if not judged.lawful
+        else "expectations missed"
+        if not judged.met
+        else "held"
+    )
     return f"{told.cell.label}: {state}, service {_figure(judged.service)}"
 
 
@@ -275,8 +324,13 @@
         from rich.console import Console
         from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-        with Progress(TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(),
-                      TimeRemainingColumn(), console=Console(stderr=True)) as progress:
+        with Progress(
+            TextColumn("{task.description}"),
+            BarColumn(),
+            MofNCompleteColumn(),
+            TimeRemainingColumn(),
+            console=Console(stderr=True),
+        ) as progress:
             task = progress.add_task("days", total=total)
 
             def bar(told: Told) -> None:
@@ -306,8 +360,9 @@
     from rich.box import SIMPLE_HEAD
     from rich.table import Table
 
-    table = Table(box=SIMPLE_HEAD, title="means and 95% bootstrap intervals (of 5 days or more)",
-                  title_justify="left")
+    table = Table(
+        box=SIMPLE_HEAD, title="means and 95% bootstrap intervals (of 5 days or more)", title_justify="left"
+    )
     keys = list(lines[0].params)
     named = any(line.variant for line in lines)
     names = dict.fromkeys(name for line in lines for name in line.mean)
@@ -322,8 +377,14 @@
         for name in figures:
             bounds = f"\n[{_figure(line.low[name])}, {_figure(line.high[name])}]" if name in line.low else ""
             cells.append(_figure(line.mean.get(name)) + bounds)
-        texts = [*line.params.values(), *([line.variant or "base"] if named else []), days, str(line.kept),
-                 str(line.met), *cells]
+        texts = [
+            *line.params.values(),
+            *([line.variant or "base"] if named else []),
+            days,
+            str(line.kept),
+            str(line.met),
+            *cells,
+        ]
         table.add_row(*(_plain(text) for text in texts))
     return table
 
@@ -371,8 +432,10 @@
             return OK
     _print(_compare_table(told))
     for letter, side in (("A", told.a), ("B", told.b)):
-        click.echo(f"{letter}: {side.name}; days: {side.days}, rules kept on {side.kept}, "
-                   f"expectations met on {side.met}")
+        click.echo(
+            f"{letter}: {side.name}; days: {side.days}, rules kept on {side.kept}, "
+            f"expectations met on {side.met}"
+        )
     click.echo(f"Paired by {told.paired}." if told.paired else "Not paired: no common scenarios and seeds.")
     if any(one.p_holm is not None for one in told.differences):
         click.echo(told.method)
@@ -393,10 +456,27 @@
         table.add_column(name, justify="left" if name in ("figure", "beyond chance") else "right")
     for one in told.differences:
         bounds = "-" if one.low is None or one.high is None else f"[{signed(one.low)}, {signed(one.high)}]"
-        table.add_row(*(_plain(text) for text in (
-            one.figure, str(one.days), _figure(one.a), _figure(one.b), signed(one.difference), bounds,
-            _figure(one.p_holm), f"{one.better} is better" if one.beyond else "equal" if one.equal
-            else "can't tell" if one.p is None else "no")))
+        table.add_row(
+            *(
+                _plain(text)
+                for text in (
+                    one.figure,
+                    str(one.days),
+                    _figure(one.a),
+                    _figure(one.b),
+                    signed(one.difference),
+                    bounds,
+                    _figure(one.p_holm),
+                    f"{one.better} is better"
+                    if one.beyond
+                    else "equal"
+                    if one.equal
+                    else "can't tell"
+                    if one.p is None
+                    else "no",
+                )
+            )
+        )
     return table
 
 
--- a/coveport/cli/operator.py
+++ b/coveport/cli/operator.py
@@ -18,8 +18,12 @@
     from coveport.config.operator import OperatorFile
     from coveport.leases.store import Entry, Store
 
-CONFIG = click.option("--config", required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path),
-                      help="The operator's file (TOML).")
+CONFIG = click.option(
+    "--config",
+    required=True,
+    type=click.Path(exists=True, dir_okay=False, path_type=Path),
+    help="The operator's file (TOML).",
+)
 JSON = click.option("--json", "json_", is_flag=True, help="As JSON.")
 TAKEN_S = 10.0  # how long a word to a holder may wait to be taken up
 
@@ -61,7 +65,7 @@
     found = await store.read(prefix)
     if isinstance(found, Unknown):
         raise Unusable(f"the store does not answer: {found.why}")
-    return {one.key[len(prefix):]: one for one in found.entries}
+    return {one.key[len(prefix) :]: one for one in found.entries}
 
 
 async def put(store: Store, prefix: str, key: str, value: bytes, only_new: bool = False) -> bool:
@@ -115,14 +119,23 @@
     rows = []
     for name in sorted({*held, *told.duties.wished(zone)}):
         entry = held.get(name)
-        row: dict[str, Any] = {"duty": name.partition("@")[0], "zone": name.partition("@")[2], "holder": "",
-                               "token": 0, "since": None, "until": None}
+        row: dict[str, Any] = {
+            "duty": name.partition("@")[0],
+            "zone": name.partition("@")[2],
+            "holder": "",
+            "token": 0,
+            "since": None,
+            "until": None,
+        }
         if entry is not None:
             who, _, since = entry.value.decode(errors="replace").partition(" ")
             left = await store.left(entry.lease)
-            row |= {"holder": who.partition("#")[0], "token": entry.created,
-                    "since": float(since) if since else None,
-                    "until": time.time() + left.ttl_s if isinstance(left, Done) else None}
+            row |= {
+                "holder": who.partition("#")[0],
+                "token": entry.created,
+                "since": float(since) if since else None,
+                "until": time.time() + left.ttl_s if isinstance(left, Done) else None,
+            }
         rows.append(row)
     return rows
 
@@ -132,6 +145,7 @@
 @click.pass_obj
 def yield_(told: OperatorFile, name: str) -> int:
     """Have whoever holds duty NAME hand it on to somebody else."""
+
     async def work(store: Store, prefix: str) -> int:
         entries = await standing(store, prefix)
         held = entries.get(f"duty/{name}")
@@ -162,6 +176,7 @@
 
 def ask(told: OperatorFile, word: dict[str, str]) -> int:
     """Write down what is asked for, and wait until a holder has taken it up."""
+
     async def work(store: Store, prefix: str) -> int:
         value = json.dumps(word | {"by": getpass.getuser()}).encode()
         if not await put(store, prefix, "ask/rollout", value, only_new=True):
@@ -218,6 +233,7 @@
 @click.pass_obj
 def status(told: OperatorFile, json_: bool) -> int:
     """Show where the roll-out is, and what each instance runs."""
+
     async def work(store: Store, prefix: str) -> int:
         from coveport.duties.rollout import fares_of
 
@@ -229,8 +245,10 @@
         elif plan is None:
             click.echo("rollout: there was none")
         else:
-            click.echo(f"{plan['new']}: {plan['phase']}, step {plan['done']} of {len(plan['steps'])}"
-                       + (f": {plan['why']}" if plan["why"] else ""))
+            click.echo(
+                f"{plan['new']}: {plan['phase']}, step {plan['done']} of {len(plan['steps'])}"
+                + (f": {plan['why']}" if plan["why"] else "")
+            )
             for name, what in runs.items():
                 click.echo(f"  {name}: {what or 'its own file'}")
         return OK
--- a/coveport/cli/root.py
+++ b/coveport/cli/root.py
@@ -54,14 +54,20 @@
         except (click.Abort, KeyboardInterrupt):
             code = self._say("coveport", "interrupted", errors.INTERRUPTED)
         except ModuleNotFoundError as problem:
-            code = self._say("coveport", f"{problem}; the lab's packages come with: "
-                                         "pip install 'coveport[lab]'", errors.UNUSABLE)
+            code = self._say(
+                "coveport",
+                f"{problem}; the lab's packages come with: pip install 'coveport[lab]'",
+                errors.UNUSABLE,
+            )
         except OSError as problem:
             where = f"{problem.filename}: " if problem.filename else ""
             code = self._say("coveport", f"{where}{problem.strerror or problem}", errors.UNUSABLE)
         except Exception as problem:
-            code = self._say("coveport", f"a fault of our own: {type(problem).__name__}: {problem}"
-                                         " (coveport --debug ... shows where)", errors.OWN_FAULT)
+            code = self._say(
+                "coveport",
+                f"a fault of our own: {type(problem).__name__}: {problem} (coveport --debug ... shows where)",
+                errors.OWN_FAULT,
+            )
         sys.exit(code)
 
     def _say(self, who: str, what: str, code: int) -> int:
@@ -94,9 +100,14 @@
 
 @click.group("coveport", cls=Root, epilog=EPILOG, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(version(), prog_name="coveport")
-@click.option("--debug", is_flag=True, expose_value=False, is_eager=True,
-              callback=lambda ctx, _param, value: setattr(ctx.command, "debug", value),
-              help="Show where an error came from.")
+@click.option(
+    "--debug",
+    is_flag=True,
+    expose_value=False,
+    is_eager=True,
+    callback=lambda ctx, _param, value: setattr(ctx.command, "debug", value),
+    help="Show where an error came from.",
+)
 def root() -> None:
     """The sidecar of the shared points ledger, and the lab that plays days around it.
 
--- a/coveport/cli/run.py
+++ b/coveport/cli/run.py
@@ -11,8 +11,11 @@
 
 
 @click.command(epilog="Example: coveport run --config example/config.json")
-@click.option("--config", type=click.Path(exists=True, dir_okay=False, path_type=Path),
-              help="The platform's JSON file, which beats LB_CONFIG, or an operator's file (.toml).")
+@click.option(
+    "--config",
+    type=click.Path(exists=True, dir_okay=False, path_type=Path),
+    help="The platform's JSON file, which beats LB_CONFIG, or an operator's file (.toml).",
+)
 @click.option("--as", "name", default="", help="Of an operator's file with a fleet: which of its instances.")
 def run(config: Path | None, name: str) -> int:
     """Run a sidecar until SIGTERM, as the platform would.
--- a/coveport/cli/search.py
+++ b/coveport/cli/search.py
@@ -34,15 +34,28 @@
 @click.argument("day")
 @click.option("--runs", type=click.IntRange(min=1), required=True, metavar="N", help="Schedules to play.")
 @click.option("--jobs", type=click.IntRange(min=1), metavar="K", help="At once; by default one a core.")
-@click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True,
-              help="All schedules come of it.")
+@click.option(
+    "--seed", type=click.IntRange(min=0), default=1, show_default=True, help="All schedules come of it."
+)
 @click.option("--out", type=OUT_FOLDER, required=True, metavar="DIR", help="Where the search is kept.")
 @VARIANT
 @click.option("--set", "sets", multiple=True, metavar="KEY=VALUE", help="Change a figure of the day's file.")
-@click.option("--seconds", type=click.FloatRange(min=0, min_open=True), metavar="T",
-              help="Begin no further run after so long.")
-def search(day: str, runs: int, jobs: int | None, seed: int, out: Path, variant: str, sets: Sequence[str],
-           seconds: float | None) -> int:
+@click.option(
+    "--seconds",
+    type=click.FloatRange(min=0, min_open=True),
+    metavar="T",
+    help="Begin no further run after so long.",
+)
+def search(
+    day: str,
+    runs: int,
+    jobs: int | None,
+    seed: int,
+    out: Path,
+    variant: str,
+    sets: Sequence[str],
+    seconds: float | None,
+) -> int:
     """Play N schedules of faults drawn around DAY on simulated ground, and list what they show, worst first.
 
     A schedule is a scenario: up to five faults that overlap, and figures of fleet, load, network and rules
@@ -67,8 +80,17 @@
         base = load(path, sets)
         try:
             with _progress(out, runs) as told:
-                summary = hunt(base, path.stem, out, runs=runs, jobs=jobs or os.cpu_count() or 1, seed=seed,
-                               variant=variant, seconds=seconds or float("inf"), told=told)
+                summary = hunt(
+                    base,
+                    path.stem,
+                    out,
+                    runs=runs,
+                    jobs=jobs or os.cpu_count() or 1,
+                    seed=seed,
+                    variant=variant,
+                    seconds=seconds or float("inf"),
+                    told=told,
+                )
         except SweepError as problem:
             raise Unusable(str(problem)) from problem
     _show(summary, out)
@@ -78,12 +100,14 @@
 @contextlib.contextmanager
 def _progress(out: Path, total: int) -> Iterator[Callable[[Told], None]]:
     """A bar on a terminal, a line for each new find; elsewhere a line now and then as well."""
+
     def fresh(told: Told) -> Iterator[str]:
         for signature in told.fresh:
             yield f"run {told.result.run}, seed {told.result.seed}: {signature}"
 
     try:
         if not sys.stderr.isatty():
+
             def plain(told: Told) -> None:
                 for line in fresh(told):
                     click.echo(line, err=True)
@@ -95,8 +119,13 @@
         from rich.console import Console
         from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-        with Progress(TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(),
-                      TimeRemainingColumn(), console=Console(stderr=True)) as progress:
+        with Progress(
+            TextColumn("{task.description}"),
+            BarColumn(),
+            MofNCompleteColumn(),
+            TimeRemainingColumn(),
+            console=Console(stderr=True),
+        ) as progress:
             task = progress.add_task("runs", total=total)
 
             def bar(told: Told) -> None:
@@ -115,24 +144,31 @@
         _show_line(line, out)
     if summary.dips:
         worst = summary.dips[0]
-        click.echo(f"\nMost worth in reach and not served (a figure, no find): run {worst.run}, seed "
-                   f"{worst.seed}: {worst.what}")
+        click.echo(
+            f"\nMost worth in reach and not served (a figure, no find): run {worst.run}, seed "
+            f"{worst.seed}: {worst.what}"
+        )
     back = summary.back_s
     times = ", ".join(f"{name} {seconds:.1f} s" for name, seconds in back.items())
-    click.echo(f"\n{len(summary.lines)} finds in {summary.runs} runs"
-               + (f", {summary.unplayed} of them not played" if summary.unplayed else "")
-               + f"; a minute: {summary.runs_a_minute:.0f} runs, {summary.simulated_h_a_minute:.2f} hours of "
-                 "days")
+    click.echo(
+        f"\n{len(summary.lines)} finds in {summary.runs} runs"
+        + (f", {summary.unplayed} of them not played" if summary.unplayed else "")
+        + f"; a minute: {summary.runs_a_minute:.0f} runs, {summary.simulated_h_a_minute:.2f} hours of "
+        "days"
+    )
     if back or summary.not_back:
-        click.echo(f"back after the last fault: {times or 'never'}; not by the day's end: "
-                   f"{summary.not_back:.0%}")
+        click.echo(
+            f"back after the last fault: {times or 'never'}; not by the day's end: {summary.not_back:.0%}"
+        )
     click.echo(f"{out}/summary.json")
 
 
 def _show_line(line: Line, out: Path) -> None:
-    click.echo(f"{line.badness:5.1f}  {line.signature}\n"
-               f"       {line.runs} run{'s' * (line.runs > 1)}; worst: run {line.run}, seed {line.seed}, "
-               f"{out}/{line.file}\n       {line.what}")
+    click.echo(
+        f"{line.badness:5.1f}  {line.signature}\n"
+        f"       {line.runs} run{'s' * (line.runs > 1)}; worst: run {line.run}, seed {line.seed}, "
+        f"{out}/{line.file}\n       {line.what}"
+    )
 
 
 SHRINK_EPILOG = """\b
@@ -146,13 +182,29 @@
 @click.command("shrink", short_help="Make a find small.", epilog=SHRINK_EPILOG)
 @click.argument("day")
 @click.option("--seed", type=click.IntRange(min=0), help="By default the one the file names.")
-@click.option("--kind", "signature", default="", metavar="SIGNATURE",
-              help="Which find, or a part of its signature; by default the worst.")
+@click.option(
+    "--kind",
+    "signature",
+    default="",
+    metavar="SIGNATURE",
+    help="Which find, or a part of its signature; by default the worst.",
+)
 @VARIANT
-@click.option("--plays", type=click.IntRange(min=1), default=300, show_default=True, metavar="N",
-              help="Days played at the most.")
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), required=True, metavar="FILE",
-              help="Where the small one is written.")
+@click.option(
+    "--plays",
+    type=click.IntRange(min=1),
+    default=300,
+    show_default=True,
+    metavar="N",
+    help="Days played at the most.",
+)
+@click.option(
+    "--out",
+    type=click.Path(dir_okay=False, path_type=Path),
+    required=True,
+    metavar="FILE",
+    help="Where the small one is written.",
+)
 def shrink(day: str, seed: int | None, signature: str, variant: str, plays: int, out: Path) -> int:
     """Write the smallest day that shows the same find as DAY; `coveport lab run FILE` plays it.
 
@@ -172,13 +224,21 @@
         out.parent.mkdir(parents=True, exist_ok=True)
         try:
             with _plays(plays) as told:
-                shrunk = smallest(scenario, scenario.seed if seed is None else seed, signature,
-                                  variant=variant, most_plays=plays, told=told)
+                shrunk = smallest(
+                    scenario,
+                    scenario.seed if seed is None else seed,
+                    signature,
+                    variant=variant,
+                    most_plays=plays,
+                    told=told,
+                )
         except NotShownError as problem:
             raise Unusable(f"{day}: {problem}") from problem
         write_whole(out, shrunk.text().encode())
-    click.echo(f"{_seen(shrunk.scenario)} after {shrunk.plays} plays"
-               + ("; more plays might make it smaller" if shrunk.spent else ""))
+    click.echo(
+        f"{_seen(shrunk.scenario)} after {shrunk.plays} plays"
+        + ("; more plays might make it smaller" if shrunk.spent else "")
+    )
     click.echo(f"{shrunk.find.signature}\n{shrunk.find.what}\n{out}")
     return OK
 
@@ -186,8 +246,10 @@
 def _seen(day: Scenario) -> str:
     """How large a day is."""
     faults, fleet = len(day.faults), day.fleet
-    return (f"{faults} fault{'s' * (faults != 1)}, {fleet.sidecars} sidecar{'s' * (fleet.sidecars > 1)}, "
-            f"{fleet.nodes} node{'s' * (fleet.nodes > 1)}, {day.length_s:g} s")
+    return (
+        f"{faults} fault{'s' * (faults != 1)}, {fleet.sidecars} sidecar{'s' * (fleet.sidecars > 1)}, "
+        f"{fleet.nodes} node{'s' * (fleet.nodes > 1)}, {day.length_s:g} s"
+    )
 
 
 @contextlib.contextmanager
@@ -198,7 +260,12 @@
     from rich.console import Console
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn
 
-    with Progress(TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(),
-                  console=Console(stderr=True), transient=True) as progress:
+    with Progress(
+        TextColumn("{task.description}"),
+        BarColumn(),
+        MofNCompleteColumn(),
+        console=Console(stderr=True),
+        transient=True,
+    ) as progress:
         task = progress.add_task("plays", total=total)
         yield lambda done, best: progress.update(task, completed=done, description=_seen(best))
--- a/coveport/cli/trials.py
+++ b/coveport/cli/trials.py
@@ -27,8 +27,9 @@
     return NOT_HELD if findings else OK
 
 
-def play_trial(path: Path, seed: int | None, ground: str, variant: str, sets: Sequence[str],
-               logs: Path | None) -> int:
+def play_trial(
+    path: Path, seed: int | None, ground: str, variant: str, sets: Sequence[str], logs: Path | None
+) -> int:
     """Play a trial's file on a ground."""
     from coveport.lab.trials.days import load
     from coveport.lab.trials.variants import SOUND, VARIANTS
@@ -56,8 +57,9 @@
         return report(came.findings, came.beliefs, came.acts)
 
 
-def search_trials(path: Path, runs: int, workers: int, seed: int, out: Path, variant: str,
-                  sets: Sequence[str]) -> int:
+def search_trials(
+    path: Path, runs: int, workers: int, seed: int, out: Path, variant: str, sets: Sequence[str]
+) -> int:
     """Draw trials for as many instances as a day of trials has; each find is kept as such a day."""
     from coveport.lab.trials.days import load, write
     from coveport.lab.trials.schedules import Trial
@@ -91,8 +93,9 @@
 @click.option("--work", is_flag=True, help="Trials of work in hand, not of duties.")
 @click.option("--fleet", is_flag=True, help="Trials of a supervised fleet.")
 @click.option("--workers", type=click.IntRange(min=0), default=0, help="Processes; 0: one a core.")
-def trials(runs: int, first_seed: int, instances: int, variant: str, work: bool, fleet: bool, workers: int
-           ) -> int:
+def trials(
+    runs: int, first_seed: int, instances: int, variant: str, work: bool, fleet: bool, workers: int
+) -> int:
     """Play drawn trials on simulated ground; print each find with as few faults as show it."""
     from coveport.lab.trials.search import VARIANTS_OF, hunt, shrink
 
@@ -102,8 +105,9 @@
     if variant and variant not in VARIANTS_OF[kind]:
         raise Unusable(f"no variant {variant!r}; one of {', '.join(VARIANTS_OF[kind])}")
     finds: list[Found] = []
-    for _, found in hunt(range(first_seed, first_seed + runs), instances, variant, workers, bool(variant),
-                         kind):
+    for _, found in hunt(
+        range(first_seed, first_seed + runs), instances, variant, workers, bool(variant), kind
+    ):
         if found is not None:
             less = shrink(found, variant)
             finds.append(less)
--- a/coveport/cli/work.py
+++ b/coveport/cli/work.py
@@ -59,7 +59,7 @@
     async def ids(self, unknown: bool) -> list[str]:
         """Of all records, or of those whose end is not known."""
         prefix = self.layout.unknown_key() if unknown else self.layout.record_key("")
-        return [one.key[len(prefix):] for one in await self.read(prefix)]
+        return [one.key[len(prefix) :] for one in await self.read(prefix)]
 
 
 def with_records(told: OperatorFile, work: Callable[[StaffRecords], Awaitable[int]]) -> int:
@@ -83,13 +83,31 @@
 
 def row(record: Record) -> dict[str, Any]:
     """What staff are shown of a record: nothing of what was asked or answered."""
-    return {"id": record.id, "class": record.cls, "key": record.key, "is": record.said,
-            "settled": None if record.settled is None else record.settled.end.value,
-            "owner": record.owner, "taken": record.unix, "closed": record.closed_unix or None,
-            "attempts": [{"node": one.node, "zone": one.zone, "cell": one.cell, "by": one.by, "at": one.unix,
-                          "ended": None if one.ended is None else one.ended.name.lower()}
-                         for one in record.attempts],
-            "owners": list(record.owners), "lives": record.lives, "why": record.why, "asked": record.asked}
+    return {
+        "id": record.id,
+        "class": record.cls,
+        "key": record.key,
+        "is": record.said,
+        "settled": None if record.settled is None else record.settled.end.value,
+        "owner": record.owner,
+        "taken": record.unix,
+        "closed": record.closed_unix or None,
+        "attempts": [
+            {
+                "node": one.node,
+                "zone": one.zone,
+                "cell": one.cell,
+                "by": one.by,
+                "at": one.unix,
+                "ended": None if one.ended is None else one.ended.name.lower(),
+            }
+            for one in record.attempts
+        ],
+        "owners": list(record.owners),
+        "lives": record.lives,
+        "why": record.why,
+        "asked": record.asked,
+    }
 
 
 def _at(unix: float) -> str:
@@ -117,8 +135,10 @@
         why = f": {record.why}" if record.why else ""
         yield f"{_at(record.closed_unix)}  closed as {record.end.value}{why}"
     if record.settled is not None:
-        yield (f"{_at(record.settled.unix)}  settled as {record.settled.end.value} by {record.settled.by}: "
-               f"{record.settled.why}")
+        yield (
+            f"{_at(record.settled.unix)}  settled as {record.settled.end.value} by {record.settled.by}: "
+            f"{record.settled.why}"
+        )
 
 
 @click.group()
@@ -135,6 +155,7 @@
 @click.pass_obj
 def list_(told: OperatorFile, json_: bool, unknown: bool) -> int:
     """List records, oldest first."""
+
     async def run(records: StaffRecords) -> int:
         from coveport.work.record import RecordError, decode
 
@@ -154,8 +175,10 @@
             click.echo(json.dumps(rows, indent=2))
         else:
             for one in rows:
-                click.echo(f"{one['id']}  {_at(one['taken'])}  {one['class']:10} "
-                           f"{one['settled'] or one['is']:10} {one['owner']}  {one['why']}")
+                click.echo(
+                    f"{one['id']}  {_at(one['taken'])}  {one['class']:10} "
+                    f"{one['settled'] or one['is']:10} {one['owner']}  {one['why']}"
+                )
         return NOT_HELD if unreadable else OK
 
     return with_records(told, run)
@@ -167,6 +190,7 @@
 @click.pass_obj
 def show(told: OperatorFile, identity: str, json_: bool) -> int:
     """Tell the life of one record."""
+
     async def run(records: StaffRecords) -> int:
         record, _ = await records.record(identity)
         click.echo(json.dumps(row(record), indent=2) if json_ else "\n".join(life(record)))
@@ -183,6 +207,7 @@
 @click.pass_obj
 def settle(told: OperatorFile, identity: str, end: str, by: str, why: str) -> int:
     """Say of a record whose end nobody knows how it ended; it is kept with your name and reason."""
+
     async def run(records: StaffRecords) -> int:
         from coveport.leases.store import Refused, Unknown
         from coveport.work.record import End, RecordError
@@ -210,6 +235,7 @@
 @click.pass_obj
 def export(told: OperatorFile, file: Path) -> int:
     """Append the unknown ones to FILE, a JSON line each, each once, also where an earlier run was killed."""
+
     async def run(records: StaffRecords) -> int:
         from coveport.work.record import RecordError, decode
 
@@ -245,7 +271,7 @@
         data = file.read_bytes()
     except FileNotFoundError:
         return set()
-    whole = data[:data.rfind(b"\n") + 1]
+    whole = data[: data.rfind(b"\n") + 1]
     if len(whole) < len(data):
         with open(file, "r+b") as out:
             out.truncate(len(whole))
--- a/coveport/config/operator.py
+++ b/coveport/config/operator.py
@@ -186,8 +186,14 @@
 
 
 SECTIONS: dict[str, type[msgspec.Struct]] = {
-    "instance": Instance, "store": Stored, "leases": Leases, "duties": Duties, "log": Logged,
-    "work": Work, "fleet": Fleet}
+    "instance": Instance,
+    "store": Stored,
+    "leases": Leases,
+    "duties": Duties,
+    "log": Logged,
+    "work": Work,
+    "fleet": Fleet,
+}
 
 
 def _section(name: str, kind: type[msgspec.Struct], told: Any, faults: list[str]) -> Any:
@@ -197,8 +203,11 @@
         return None
     known = {one.name: one for one in msgspec.structs.fields(kind)}
     before = len(faults)
-    faults += [f"[{name}] {key}: there is no such key; there are {', '.join(known)}"
-               for key in told if key not in known]
+    faults += [
+        f"[{name}] {key}: there is no such key; there are {', '.join(known)}"
+        for key in told
+        if key not in known
+    ]
     for key, one in known.items():
         if key in told:
             try:
@@ -216,8 +225,11 @@
         told = tomllib.loads(text)
     except tomllib.TOMLDecodeError as problem:
         raise OperatorFileError(f"not TOML: {problem}") from problem
-    faults = [f"[{name}]: there is no such section; there are {', '.join(SECTIONS)}"
-              for name in told if name not in SECTIONS]
+    faults = [
+        f"[{name}]: there is no such section; there are {', '.join(SECTIONS)}"
+        for name in told
+        if name not in SECTIONS
+    ]
     parts = {name: _section(name, kind, told.get(name, {}), faults) for name, kind in SECTIONS.items()}
     store, leases = parts["store"], parts["leases"]
     if store is not None:
@@ -240,12 +252,18 @@
             faults.append(f"[leases] ttl: such a store counts in whole seconds, not {leases.ttl:g}")
     work = parts["work"]
     if work is not None:
-        faults += [f"[work] refuse: {name!r} is not recorded" for name in work.refuse
-                   if name not in work.record]
-        faults += [f"[work] {name}: must be {said}, not {value!r}" for name, value, least, most, said in (
-            ("kept_s", work.kept_s, 1.0, 86400.0 * 30, "1 s to 30 days"),
-            ("body_most", work.body_most, 0, 262144, "0 to 262144 bytes"),
-            ("pace", work.pace, 0.1, 10000.0, "0.1 to 10000 a second")) if not least <= value <= most]
+        faults += [
+            f"[work] refuse: {name!r} is not recorded" for name in work.refuse if name not in work.record
+        ]
+        faults += [
+            f"[work] {name}: must be {said}, not {value!r}"
+            for name, value, least, most, said in (
+                ("kept_s", work.kept_s, 1.0, 86400.0 * 30, "1 s to 30 days"),
+                ("body_most", work.body_most, 0, 262144, "0 to 262144 bytes"),
+                ("pace", work.pace, 0.1, 10000.0, "0.1 to 10000 a second"),
+            )
+            if not least <= value <= most
+        ]
     if parts["fleet"] is not None:
         faults += _fleet_faults(parts["fleet"], parts["instance"])
     if faults:
@@ -255,15 +273,27 @@
 
 def _fleet_faults(fleet: Fleet, instance: Instance | None) -> list[str]:
     """What is wrong with `[fleet]`."""
-    faults = [f"[fleet] {key}: must be {least:g} to {most:g}, not {value:g}" for key, value, least, most in (
-        ("instances", fleet.instances, 0, INSTANCES_MOST), ("at_once", fleet.at_once, 1, INSTANCES_MOST),
-        ("a_second", fleet.a_second, 0.01, 1000), ("ready_s", fleet.ready_s, 0.5, 3600),
-        ("stop_s", fleet.stop_s, 1, 3600), ("hung_s", fleet.hung_s, 0.2, 3600),
-        ("backoff_s", fleet.backoff_s, 0.01, 3600), ("backoff_most_s", fleet.backoff_most_s, 0.01, 86400),
-        ("loop", fleet.loop, 2, 1000), ("loop_s", fleet.loop_s, 1, 86400), ("rest_s", fleet.rest_s, 1, 86400),
-        ("hold_s", fleet.hold_s, 0, 3600), ("young_s", fleet.young_s, 0, 86400),
-        ("sockets", fleet.sockets, 0, 1 << 20), ("memory_mb", fleet.memory_mb, 0, 1 << 20),
-    ) if not least <= value <= most]
+    faults = [
+        f"[fleet] {key}: must be {least:g} to {most:g}, not {value:g}"
+        for key, value, least, most in (
+            ("instances", fleet.instances, 0, INSTANCES_MOST),
+            ("at_once", fleet.at_once, 1, INSTANCES_MOST),
+            ("a_second", fleet.a_second, 0.01, 1000),
+            ("ready_s", fleet.ready_s, 0.5, 3600),
+            ("stop_s", fleet.stop_s, 1, 3600),
+            ("hung_s", fleet.hung_s, 0.2, 3600),
+            ("backoff_s", fleet.backoff_s, 0.01, 3600),
+            ("backoff_most_s", fleet.backoff_most_s, 0.01, 86400),
+            ("loop", fleet.loop, 2, 1000),
+            ("loop_s", fleet.loop_s, 1, 86400),
+            ("rest_s", fleet.rest_s, 1, 86400),
+            ("hold_s", fleet.hold_s, 0, 3600),
+            ("young_s", fleet.young_s, 0, 86400),
+            ("sockets", fleet.sockets, 0, 1 << 20),
+            ("memory_mb", fleet.memory_mb, 0, 1 << 20),
+        )
+        if not least <= value <= most
+    ]
     if fleet.name and not NAME.fullmatch(fleet.name):
         faults.append(f"[fleet] name: letters, digits, dots and dashes, not {fleet.name!r}")
     if fleet.name and instance is not None and instance.name:
@@ -278,8 +308,11 @@
                 faults.append(f"[fleet] {name} would listen where {addresses[address]} does: {address}")
     except ValueError as problem:
         faults.append(f"[fleet] listen: {problem}")
-    faults += [f"[fleet.each.{name}]: an instance is called {fleet.name}-NUMBER" for name in fleet.each
-               if not fleet.number(name)]
+    faults += [
+        f"[fleet.each.{name}]: an instance is called {fleet.name}-NUMBER"
+        for name in fleet.each
+        if not fleet.number(name)
+    ]
     return faults
 
 
--- a/coveport/config/platform.py
+++ b/coveport/config/platform.py
@@ -39,8 +39,12 @@
 def _number(section: Mapping[str, Any], key: str, default: float, *, least: float = 0) -> float:
     value = section.get(key, default)
     # Guards against whole numbers beyond all floats, which JSON may hold.
-    if (isinstance(value, bool) or not isinstance(value, int | float)
-            or not 0 < value <= sys.float_info.max or value < least):
+    if (
+        isinstance(value, bool)
+        or not isinstance(value, int | float)
+        or not 0 < value <= sys.float_info.max
+        or value < least
+    ):
         wanted = f"a number of at least {least:g}" if least else "a positive number"
         raise ValueError(f"{key} must be {wanted}, not {value!r}")
     return float(value)
@@ -51,16 +55,24 @@
     if type(settings.zone) is not int:
         raise ValueError(f"zone must be a whole number, not {settings.zone!r}")
     # Guards against names that are no texts: nothing that comes by HTTP could be one of them.
-    for key, names in (("classes: name", [one.name for one in settings.classes]),
-                       ("telemetry: fields", settings.load_fields)):
+    for key, names in (
+        ("classes: name", [one.name for one in settings.classes]),
+        ("telemetry: fields", settings.load_fields),
+    ):
         for name in names:
             if not isinstance(name, str):
                 raise ValueError(f"{key} must be a text, not {name!r}")
     return settings
 
 
-def read(text: str, environ: Mapping[str, str], *, again: bool = False,
-         running: Config | None = None, where: str = "configuration") -> Config:
+def read(
+    text: str,
+    environ: Mapping[str, str],
+    *,
+    again: bool = False,
+    running: Config | None = None,
+    where: str = "configuration",
+) -> Config:
     """Read and check a configuration's JSON; ConfigError says in one line what is wrong `where`.
 
     `again`: the file was replaced while we ran. What it says of discovery then beats the variable, which
@@ -81,8 +93,9 @@
         return Config(
             name=environ.get("LB_NAME") or str(told.get("name", "coveport")),
             listen=parse_address(environ.get("LB_LISTEN") or told.get("listen")),
-            discovery=parse_address((again and told.get("discovery")) or environ.get("LB_DISCOVERY")
-                                    or told.get("discovery")),
+            discovery=parse_address(
+                (again and told.get("discovery")) or environ.get("LB_DISCOVERY") or told.get("discovery")
+            ),
             seed=seed if isinstance(seed, int) else int(seed, 16),
             sockets=int(_number(limits, "sockets", 1024, least=1)),
             memory_mb=_number(limits, "memory_mb", 64),
--- a/coveport/config/retuning.py
+++ b/coveport/config/retuning.py
@@ -37,8 +37,9 @@
         for key in ("aim_ms", "deadline_ms"):
             _positive(one.get(key), f"{where}.{key}")
         if one.get("semantics") not in EFFECTS:
-            raise ValueError(f"{where}.semantics must be one of {', '.join(EFFECTS)}, "
-                             f"not {one.get('semantics')!r}")
+            raise ValueError(
+                f"{where}.semantics must be one of {', '.join(EFFECTS)}, not {one.get('semantics')!r}"
+            )
     limits = settings.get("limits")
     if isinstance(limits, dict) and "most_tries" in limits:
         most = limits["most_tries"]
--- a/coveport/console/codec.py
+++ b/coveport/console/codec.py
@@ -26,7 +26,7 @@
 
     `ended`: nothing more will come.
     """
-    line, end, _ = bytes(held[:MOST_LINE + 2]).partition(b"\n")
+    line, end, _ = bytes(held[: MOST_LINE + 2]).partition(b"\n")
     if not end:
         # Guards against a line without an end, which would be held for ever.
         if len(held) > MOST_LINE:
--- a/coveport/console/server.py
+++ b/coveport/console/server.py
@@ -104,8 +104,9 @@
     exception there is answered with a no.
     """
 
-    def __init__(self, net: Net, counters: Counters, log: Log, *, most: int,
-                 calls: Mapping[Call, Callable[[], Done]]) -> None:
+    def __init__(
+        self, net: Net, counters: Counters, log: Log, *, most: int, calls: Mapping[Call, Callable[[], Done]]
+    ) -> None:
         self.net, self._counters, self._log = net, counters, log
         self._most, self._calls = most, calls
         self._silent: dict[_Caller, None] = {}  # who has not asked yet, the longest connected first
@@ -114,8 +115,9 @@
 
     async def open(self, address: Address) -> int:
         """Listen; the port that was bound. OSError where that can't be."""
-        self._server = await self.net.listen(lambda: _Caller(self), address, accept_most=ACCEPT_MOST,
-                                             waiting_most=WAITING_MOST)
+        self._server = await self.net.listen(
+            lambda: _Caller(self), address, accept_most=ACCEPT_MOST, waiting_most=WAITING_MOST
+        )
         return self._server.port
 
     def came(self, caller: _Caller) -> None:
@@ -125,8 +127,9 @@
         count = len(self._silent) + len(self._leaving)
         if count >= self._most:
             before = self.net.now_s() - FRESH_S
-            going = next((one for one in (*self._leaving, *self._silent)
-                          if one.since < before and one.quiet), None)
+            going = next(
+                (one for one in (*self._leaving, *self._silent) if one.since < before and one.quiet), None
+            )
             if going is None and count >= 2 * self._most:
                 going = next(iter(self._silent or self._leaving))
             if going is not None:
--- a/coveport/core/messages.py
+++ b/coveport/core/messages.py
@@ -135,9 +135,21 @@
     lasted_ms: float
 
 
-Input = (Granted | Stalled | OperationCame | BodyCame | StepHanded | AnswerBegan
-         | ClientGone | StepEnded | ProbeEnded | PoolTold | TimerDue | DeadlineDue
-         | Reloaded)
+Input = (
+    Granted
+    | Stalled
+    | OperationCame
+    | BodyCame
+    | StepHanded
+    | AnswerBegan
+    | ClientGone
+    | StepEnded
+    | ProbeEnded
+    | PoolTold
+    | TimerDue
+    | DeadlineDue
+    | Reloaded
+)
 
 
 # Effects.
@@ -232,6 +244,16 @@
     text: str
 
 
-Effect = (SendStep | CancelStep | GiveAnswer | BeginAnswer | EndAnswer
-          | SetTimer | GuardDeadline | ProbeDestination | AskPool
-          | MovePool | Complain)
+Effect = (
+    SendStep
+    | CancelStep
+    | GiveAnswer
+    | BeginAnswer
+    | EndAnswer
+    | SetTimer
+    | GuardDeadline
+    | ProbeDestination
+    | AskPool
+    | MovePool
+    | Complain
+)
--- a/coveport/core/reducer.py
+++ b/coveport/core/reducer.py
@@ -71,8 +71,9 @@
 class Reducer:
     """The state of one sidecar."""
 
-    def __init__(self, settings: api.Settings, seed: int,
-                 balancer: Callable[[api.Settings, int], Balancer] = Balancer) -> None:
+    def __init__(
+        self, settings: api.Settings, seed: int, balancer: Callable[[api.Settings, int], Balancer] = Balancer
+    ) -> None:
         self._settings = settings
         self._balancer = balancer(settings, seed)
         self._operations: dict[int, _Operation] = {}
@@ -84,8 +85,7 @@
     @property
     def owed(self) -> int:
         """How many operations still wait for their answer."""
-        return sum(not operation.answered or operation.stream >= 0
-                   for operation in self._operations.values())
+        return sum(not operation.answered or operation.stream >= 0 for operation in self._operations.values())
 
     @property
     def members(self) -> tuple[int, int]:
@@ -100,13 +100,19 @@
     def fresh(self) -> dict[int, tuple[int, float]]:
         """Destinations that count as cold: zone, and age in ms."""
         warm = self._settings.rules.warm_after_ms
-        return {host.id: (host.zone, self._now - host.cold_at) for host in self._balancer.hosts.values()
-                if self._now - host.cold_at < warm}
+        return {
+            host.id: (host.zone, self._now - host.cold_at)
+            for host in self._balancer.hosts.values()
+            if self._now - host.cold_at < warm
+        }
 
     def out(self) -> dict[int, float]:
         """Destinations that are out as they failed, and for how long, ms."""
-        return {host.id: max(0.0, self._now - host.down_at) for host in self._balancer.hosts.values()
-                if host.trial_at < inf}
+        return {
+            host.id: max(0.0, self._now - host.down_at)
+            for host in self._balancer.hosts.values()
+            if host.trial_at < inf
+        }
 
     def place_of(self, destination: int) -> tuple[int, int]:
         """Zone and cell of a destination; -1 both where it is not known any more."""
@@ -117,9 +123,15 @@
     def tables(self) -> dict[str, int]:
         """How many entries each table has, the module's included; all but `hosts` come back to nothing."""
         module = self._balancer
-        return {"operations": len(self._operations), "ids": len(self._ids), "requests": len(module.open),
-                "queue": module.queue.count, "flights": len(module.flights), "due": len(module.due),
-                "hosts": len(module.hosts)}
+        return {
+            "operations": len(self._operations),
+            "ids": len(self._ids),
+            "requests": len(module.open),
+            "queue": module.queue.count,
+            "flights": len(module.flights),
+            "due": len(module.due),
+            "hosts": len(module.hosts),
+        }
 
     def step(self, now_ms: float, item: Input) -> list[Effect]:
         """Take one input in and say what is to be done."""
@@ -175,13 +187,24 @@
             self._effects.append(GiveAnswer(item.operation, Verdict.DOUBLE))
             return
         self._ids.add(item.id)
-        operation = self._operations[item.operation] = _Operation(item.deadline_ms, item.id,
-                                                                   self._settings.limits.max_attempts)
+        operation = self._operations[item.operation] = _Operation(
+            item.deadline_ms, item.id, self._settings.limits.max_attempts
+        )
         operation.steps.extend(_Step(-1, one.sent_ms, out=False) for one in item.before)
         if not item.long:
             self._guard(item.operation, operation)
-        told = self._tell(api.Request(item.operation, item.deadline_ms, item.cls, 0, item.cost_ms,
-                                      repeat=item.repeat, long=item.long, before=item.before))
+        told = self._tell(
+            api.Request(
+                item.operation,
+                item.deadline_ms,
+                item.cls,
+                0,
+                item.cost_ms,
+                repeat=item.repeat,
+                long=item.long,
+                before=item.before,
+            )
+        )
         self._settle(item.operation, operation, told)
 
     def _guard(self, number: int, operation: _Operation) -> None:
@@ -220,8 +243,9 @@
         took = (self._now if step.began_at is None else step.began_at) - step.sent_at
         # Guards against a module that takes one over whose answer is still passed on: it would call that off.
         closed = operation.answered and operation.stream < 0
-        told = self._tell(api.Reply(item.operation, item.step, step.destination, item.outcome, took, closed,
-                                    item.load))
+        told = self._tell(
+            api.Reply(item.operation, item.step, step.destination, item.outcome, took, closed, item.load)
+        )
         self._settle(item.operation, operation, told)
 
     def _discount(self, lasted_ms: float) -> None:
@@ -287,8 +311,11 @@
                 # Guards against a module that cancels what it never sent.
                 self._effects.append(Complain(f"{action} names no route step"))
                 return False
-            if (operation is not None and operation.steps[action.attempt].out
-                    and operation.stream != action.attempt):  # what is passed on is the client's
+            if (
+                operation is not None
+                and operation.steps[action.attempt].out
+                and operation.stream != action.attempt
+            ):  # what is passed on is the client's
                 self._effects.append(CancelStep(action.id, action.attempt))
         elif isinstance(action, api.Refuse | api.Fail):
             operation = self._operations.get(action.id)
@@ -321,8 +348,9 @@
         left = operation.deadline_ms - self._now
         if operation.answered or left <= 0 or attempt >= operation.most_attempts:
             operation.steps[attempt].out = False
-            self._events.append(api.Reply(action.id, attempt, action.host, api.Outcome.MOOT, 0.0,
-                                          operation.answered))
+            self._events.append(
+                api.Reply(action.id, attempt, action.host, api.Outcome.MOOT, 0.0, operation.answered)
+            )
             return
         timeout = min(action.timeout_ms, left) if action.timeout_ms else left
         self._effects.append(SendStep(action.id, attempt, action.host, timeout))
--- a/coveport/discovery/agent.py
+++ b/coveport/discovery/agent.py
@@ -69,9 +69,18 @@
 class _Agent:
     """One discovery: asks it, watches it, and redials where it fails or goes silent."""
 
-    def __init__(self, net: Net, address: Address, reader: PoolReader,
-                 tell: Callable[[PoolUpdate | None], None], counters: Counters, log: Log, *,
-                 must_ask: bool, chance: random.Random) -> None:
+    def __init__(
+        self,
+        net: Net,
+        address: Address,
+        reader: PoolReader,
+        tell: Callable[[PoolUpdate | None], None],
+        counters: Counters,
+        log: Log,
+        *,
+        must_ask: bool,
+        chance: random.Random,
+    ) -> None:
         self._net, self._address, self._reader = net, address, reader
         self._tell, self._counters, self._log, self._must_ask = tell, counters, log, must_ask
         self._chance = chance
@@ -256,13 +265,23 @@
 class PoolConfig:
     """Where the pool config comes from: one discovery, and while it moves its successor beside it."""
 
-    def __init__(self, net: Net, address: Address, reader: PoolReader,
-                 tell: Callable[[PoolUpdate | None], None], counters: Counters, log: Log, *,
-                 must_ask: bool, seed: int = 0) -> None:
+    def __init__(
+        self,
+        net: Net,
+        address: Address,
+        reader: PoolReader,
+        tell: Callable[[PoolUpdate | None], None],
+        counters: Counters,
+        log: Log,
+        *,
+        must_ask: bool,
+        seed: int = 0,
+    ) -> None:
         self._net, self._reader, self._tell, self._counters, self._log = net, reader, tell, counters, log
         self._must_ask, self._closed, self._chance = must_ask, False, random.Random(seed)
-        self._agent = _Agent(net, address, reader, tell, counters, log, must_ask=must_ask,
-                             chance=self._chance)
+        self._agent = _Agent(
+            net, address, reader, tell, counters, log, must_ask=must_ask, chance=self._chance
+        )
         self._next: _Agent | None = None
 
     def start(self) -> None:
@@ -298,8 +317,16 @@
                 self._tell(update)
 
         # It asks on until it is answered, though nobody has asked us: the list may have changed there.
-        agent = _Agent(self._net, address, self._reader, told, self._counters, self._log, must_ask=False,
-                       chance=self._chance)
+        agent = _Agent(
+            self._net,
+            address,
+            self._reader,
+            told,
+            self._counters,
+            self._log,
+            must_ask=False,
+            chance=self._chance,
+        )
         self._next = agent
         agent.ask(whole=True)
 
--- a/coveport/discovery/reader.py
+++ b/coveport/discovery/reader.py
@@ -81,8 +81,11 @@
             raise ValueError(f"host {name!r} is no name")
         for value in (weight, born):
             # Guards against whole numbers beyond all floats, which JSON may hold.
-            if (isinstance(value, bool) or not isinstance(value, int | float)
-                    or not 0 <= value <= sys.float_info.max):
+            if (
+                isinstance(value, bool)
+                or not isinstance(value, int | float)
+                or not 0 <= value <= sys.float_info.max
+            ):
                 raise ValueError(f"{name!r}: {value!r} is no figure")
         for value in (one["site"], one["block"]):
             if isinstance(value, bool) or not isinstance(value, int | str):
--- a/coveport/duties/duty.py
+++ b/coveport/duties/duty.py
@@ -43,8 +43,13 @@
     `did`: told of each step that was done, with its token and revision.
     """
 
-    def __init__(self, keeper: Keeper, duty: Duty, now_s: Callable[[], float],
-                 did: Callable[[Step, int, int], None] = lambda step, token, revision: None) -> None:
+    def __init__(
+        self,
+        keeper: Keeper,
+        duty: Duty,
+        now_s: Callable[[], float],
+        did: Callable[[Step, int, int], None] = lambda step, token, revision: None,
+    ) -> None:
         self._keeper, self.duty, self._now_s, self._did = keeper, duty, now_s, did
         self._task: asyncio.Task[None] | None = None
 
@@ -88,8 +93,13 @@
         if step is None:
             return known
         key = STATE + self.duty.name
-        outcome = await self._keeper.act(self.duty.name, Put(key, step.state), *step.changes,
-                                         compares=(Compare(key, Field.MODIFIED, modified),), what=step.what)
+        outcome = await self._keeper.act(
+            self.duty.name,
+            Put(key, step.state),
+            *step.changes,
+            compares=(Compare(key, Field.MODIFIED, modified),),
+            what=step.what,
+        )
         if isinstance(outcome, Done):
             self._did(step, token, outcome.revision)
             return step.state, outcome.revision
--- a/coveport/duties/looking.py
+++ b/coveport/duties/looking.py
@@ -91,7 +91,7 @@
         self, now: float, nodes: Iterable[str], entries: Mapping[str, Entry], every_s: float
     ) -> list[str]:
         """The nodes of our own that are to be looked at now."""
-        present = {key[len(INSTANCE):] for key in entries if key.startswith(INSTANCE)} | {self._name}
+        present = {key[len(INSTANCE) :] for key in entries if key.startswith(INSTANCE)} | {self._name}
         if present != self._present:
             # Guards against a hash for each pair of node and instance at every look.
             self._present, self._turns = present, {}
--- a/coveport/duties/rollout.py
+++ b/coveport/duties/rollout.py
@@ -80,7 +80,7 @@
     @property
     def given(self) -> tuple[str, ...]:
         """Instances that were told of the new settings, in order."""
-        return tuple(name for step in self.steps[:self.done] for name in step)
+        return tuple(name for step in self.steps[: self.done] for name in step)
 
 
 class Fares(msgspec.Struct, frozen=True):
@@ -113,9 +113,9 @@
     for key, entry in entries.items():
         if key.startswith(INSTANCE):
             try:
-                found[key[len(INSTANCE):]] = msgspec.json.decode(entry.value, type=Fares)
+                found[key[len(INSTANCE) :]] = msgspec.json.decode(entry.value, type=Fares)
             except msgspec.DecodeError:
-                found[key[len(INSTANCE):]] = Fares()
+                found[key[len(INSTANCE) :]] = Fares()
     return found
 
 
@@ -123,7 +123,7 @@
     """Instances in steps of a tenth each, rounded up; by a hash of their names, so that neighbours part."""
     line = sorted(names, key=lambda name: (hashlib.sha256(name.encode()).digest(), name))
     size = max(1, -(-len(line) // steps))
-    return tuple(tuple(line[at:at + size]) for at in range(0, len(line), size))
+    return tuple(tuple(line[at : at + size]) for at in range(0, len(line), size))
 
 
 def share(fares: Iterable[Fares]) -> tuple[float, int]:
@@ -164,8 +164,11 @@
             return None
         if plan.done < len(plan.steps):
             step = plan.steps[plan.done]
-            return _step(msgspec.structs.replace(plan, done=plan.done + 1), f"step {plan.done + 1}",
-                         *(Put(WANT + name, _wanted(plan.new)) for name in step))
+            return _step(
+                msgspec.structs.replace(plan, done=plan.done + 1),
+                f"step {plan.done + 1}",
+                *(Put(WANT + name, _wanted(plan.new)) for name in step),
+            )
         return _step(plan.to(Phase.DONE, "all have it"), "done", Put(ALL, _wanted(plan.new)))
 
     def _asked(self, plan: Plan | None, entries: Mapping[str, Entry]) -> Step:
@@ -180,8 +183,12 @@
             standing = entries.get(ALL)
             old = str(json.loads(standing.value)["settings"]) if standing is not None else ""
             fresh = Plan(new, old, cut(fares_of(entries)), by=ask.by, said="started")
-            return _step(fresh, f"started: {new} in {len(fresh.steps)} steps", taken,
-                         Put(SETTINGS + new, ask.settings.encode()))
+            return _step(
+                fresh,
+                f"started: {new} in {len(fresh.steps)} steps",
+                taken,
+                Put(SETTINGS + new, ask.settings.encode()),
+            )
         if plan is None:
             return _step(
                 Plan("", "", (), Phase.UNDONE, said=f"{ask.do}: there is no roll-out"), "refused", taken
@@ -190,18 +197,24 @@
         if ask.do in moves and plan.phase is moves[ask.do][0]:
             return _step(msgspec.structs.replace(plan.to(moves[ask.do][1]), said=ask.do), ask.do, taken)
         if ask.do == "abort" and plan.phase in (Phase.RUNNING, Phase.PAUSED):
-            return _step(msgspec.structs.replace(plan.to(Phase.BACK, f"aborted by {ask.by}"), said="abort"),
-                         "abort", taken)
+            return _step(
+                msgspec.structs.replace(plan.to(Phase.BACK, f"aborted by {ask.by}"), said="abort"),
+                "abort",
+                taken,
+            )
         said = f"{ask.do}: refused, the roll-out is {plan.phase.value}"
         return _step(msgspec.structs.replace(plan, said=said), said, taken)
 
     def _go_back(self, plan: Plan) -> Step:
         # All that had them at once: bad settings are to go faster than they came.
-        left = plan.given[plan.back:plan.back + PUTS_MOST]
+        left = plan.given[plan.back : plan.back + PUTS_MOST]
         if not left:
             return _step(plan.to(Phase.UNDONE), "undone")
-        return _step(msgspec.structs.replace(plan, back=plan.back + len(left)), f"{len(left)} go back",
-                     *(Put(WANT + name, _wanted(plan.old)) for name in left))
+        return _step(
+            msgspec.structs.replace(plan, back=plan.back + len(left)),
+            f"{len(left)} go back",
+            *(Put(WANT + name, _wanted(plan.old)) for name in left),
+        )
 
     def _trouble(self, now: float, plan: Plan, fares: Mapping[str, Fares]) -> str:
         given = [name for name in plan.given if name in fares]
--- a/coveport/duties/warden.py
+++ b/coveport/duties/warden.py
@@ -104,8 +104,10 @@
     exact = {name: most * wish / all_ for name, wish in wishes.items()}
     found = {name: int(part) for name, part in exact.items()}
     left = most - sum(found.values())
-    order = sorted(exact, key=lambda name: (found[name] - exact[name],
-                                            xxhash.xxh3_64_intdigest(f"{salt}\0{name}".encode())))
+    order = sorted(
+        exact,
+        key=lambda name: (found[name] - exact[name], xxhash.xxh3_64_intdigest(f"{salt}\0{name}".encode())),
+    )
     for name in order[:left]:
         found[name] += 1
     return {name: count for name, count in found.items() if count}
@@ -169,9 +171,13 @@
         answered = {name: stamp for name, stamp in books.answered.items() if INSTANCE + name in entries}
         answered |= {name: needs[name].stamp for name in given}
         after = Books(self._by, step, {node: line for node, line in out.items() if line}, answered)
-        puts = [Put(f"{GRANT}{self._zone}/{name}", msgspec.json.encode(
-            Grant(needs[name].to, needs[name].stamp, step, counts)))
-                for name, counts in given.items()]
+        puts = [
+            Put(
+                f"{GRANT}{self._zone}/{name}",
+                msgspec.json.encode(Grant(needs[name].to, needs[name].stamp, step, counts)),
+            )
+            for name, counts in given.items()
+        ]
         self._own = True
         total = sum(sum(counts.values()) for counts in given.values())
         return Step(msgspec.json.encode(after), f"granted {total} to {len(given)}", tuple(puts))
@@ -180,20 +186,24 @@
         """Wishes not answered yet, of instances that are there; so many as fit in a step."""
         found: dict[str, Need] = {}
         for key, entry in entries.items():
-            if not key.startswith(NEED) or INSTANCE + key[len(NEED):] not in entries:
+            if not key.startswith(NEED) or INSTANCE + key[len(NEED) :] not in entries:
                 continue
             try:
                 need = msgspec.json.decode(entry.value, type=Need)
             except msgspec.DecodeError:
                 continue
-            name = key[len(NEED):]
+            name = key[len(NEED) :]
             seen = self._seen.get(name)
             if seen is None or seen[0] != need.stamp:
                 seen = self._seen[name] = need.stamp, now
             if now - seen[1] > GRANT_S / 2:
                 continue  # what is granted for it now would run out on the way
-            if need.rate > 0 and need.service > 0 and books.answered.get(name) != need.stamp and (
-                    len(found) < PUTS_MOST):
+            if (
+                need.rate > 0
+                and need.service > 0
+                and books.answered.get(name) != need.stamp
+                and (len(found) < PUTS_MOST)
+            ):
                 found[name] = need
         return found
 
@@ -206,8 +216,9 @@
         self._steps: dict[str, int] = {}  # by warden's zone: the last step that we took a grant of
         self._told = (-inf, 0)  # when we wished last, and for how many nodes
 
-    def wish(self, now: float, rate: float, service_s: float,
-             nodes: Mapping[str, tuple[int, float]]) -> bytes | None:
+    def wish(
+        self, now: float, rate: float, service_s: float, nodes: Mapping[str, tuple[int, float]]
+    ) -> bytes | None:
         """What to write down now; None where there is nothing to wish for, or we have just wished."""
         if not nodes or rate <= 0 or (now - self._told[0] < GRANT_S / 2 and len(nodes) <= self._told[1]):
             return None
--- a/coveport/fleet/crew.py
+++ b/coveport/fleet/crew.py
@@ -62,8 +62,12 @@
 
     def planned(self, now: float, plan: Plan) -> list[Order]:
         """A plan as it stands in the store."""
-        if self.plan is not None and self.plan.restart is not None and plan.restart is not None and (
-                self.plan.restart.phase is Phase.HALTED and plan.restart.phase is Phase.RUNNING):
+        if (
+            self.plan is not None
+            and self.plan.restart is not None
+            and plan.restart is not None
+            and (self.plan.restart.phase is Phase.HALTED and plan.restart.phase is Phase.RUNNING)
+        ):
             for member in self.members.values():
                 member.retry(now)  # staff say that what went wrong is mended
         self.plan = plan
@@ -76,8 +80,9 @@
             for name, life in restart.lives.items():
                 if name in self.members:
                     orders += self.members[name].replace(now, life)
-        for name in [name for name, one in self.members.items()
-                     if name not in wanted and one.state is State.DOWN]:
+        for name in [
+            name for name, one in self.members.items() if name not in wanted and one.state is State.DOWN
+        ]:
             del self.members[name]
         return orders
 
@@ -142,13 +147,16 @@
         return orders + self._replace_hung(now) + self._start(now)
 
     def _start(self, now: float) -> list[Order]:
-        self._tokens = min(float(self.fleet.at_once),
-                           self._tokens + max(0.0, now - self._spent_at) * self.fleet.a_second)
+        self._tokens = min(
+            float(self.fleet.at_once), self._tokens + max(0.0, now - self._spent_at) * self.fleet.a_second
+        )
         self._spent_at = now
         starting = sum(one.state is State.STARTING for one in self.members.values())
         orders: list[Order] = []
-        for member in sorted((one for one in self.members.values() if one.may_start(now)),
-                             key=lambda one: (one.wait_until, self.fleet.number(one.name))):
+        for member in sorted(
+            (one for one in self.members.values() if one.may_start(now)),
+            key=lambda one: (one.wait_until, self.fleet.number(one.name)),
+        ):
             if self._tokens < 1.0 or starting >= self.fleet.at_once:
                 break
             self._tokens -= 1.0
@@ -166,11 +174,13 @@
             # Guards against ending healthy ones: that many at once is a host without CPU, or our own ear. The
             # quiet ones count, as their last signs do not come in step: one would be the first to be late.
             silent = [one for one in silent if one.silent_s(now) > PATIENCE * self.fleet.hung_s]
-        out = sum(bool(one.replacing) or (one.state is not State.SERVING and one.state in THERE)
-                  for one in self.members.values())
+        out = sum(
+            bool(one.replacing) or (one.state is not State.SERVING and one.state in THERE)
+            for one in self.members.values()
+        )
         most = max(1, int(REPLACED * len(self.members))) - out
         silent.sort(key=lambda one: one.heard_at)
-        return [order for one in silent[:max(0, most)] for order in one.hung(now)]
+        return [order for one in silent[: max(0, most)] for order in one.hung(now)]
 
     # What is asked.
 
@@ -179,10 +189,15 @@
         found = {}
         for name, one in self.members.items():
             served, ended = self._served.get(name, (1.0, 0))
-            trouble = one.why if one.state in (State.BROKEN, State.KILLING) or (
-                one.state is State.WAITING and one.wait_until > now and one.failing) else ""
-            found[name] = Fares(one.life, now - one.since if one.state is State.SERVING else -1.0, trouble,
-                                served, ended)
+            trouble = (
+                one.why
+                if one.state in (State.BROKEN, State.KILLING)
+                or (one.state is State.WAITING and one.wait_until > now and one.failing)
+                else ""
+            )
+            found[name] = Fares(
+                one.life, now - one.since if one.state is State.SERVING else -1.0, trouble, served, ended
+            )
         return found
 
     @property
--- a/coveport/fleet/daemon.py
+++ b/coveport/fleet/daemon.py
@@ -38,8 +38,9 @@
     """What is wrong with the files as they are now; empty: nothing."""
     try:
         now = load(config)
-        platform.read(now.platform.read_text(encoding="utf-8"), {"LB_LISTEN": now.fleet.listen},
-                      where=str(now.platform))
+        platform.read(
+            now.platform.read_text(encoding="utf-8"), {"LB_LISTEN": now.fleet.listen}, where=str(now.platform)
+        )
     except (OperatorFileError, platform.ConfigError) as problem:
         return " ".join(str(problem).split())
     except (OSError, UnicodeDecodeError) as problem:
@@ -72,12 +73,29 @@
     async def run(self) -> int:
         """Until SIGTERM; the exit code."""
         told, chance = self._told, random.Random(uuid.uuid4().int)
-        keeper = Keeper(open_store(told), name=self.name, incarnation=self.name,
-                        duties=(f"fleet@{told.fleet.name}",), terms=told.terms, now_s=boot_s,
-                        unix_s=time.time, history=self._say, chance=chance, prefix=told.fleet_prefix)
+        keeper = Keeper(
+            open_store(told),
+            name=self.name,
+            incarnation=self.name,
+            duties=(f"fleet@{told.fleet.name}",),
+            terms=told.terms,
+            now_s=boot_s,
+            unix_s=time.time,
+            history=self._say,
+            chance=chance,
+            prefix=told.fleet_prefix,
+        )
         hands = Processes(told, self._config)
-        supervisor = Supervisor(told, keeper, hands, now_s=boot_s, chance=chance, say=self._say,
-                                check=lambda: checked(self._told, self._config), most=INSTANCES_MOST)
+        supervisor = Supervisor(
+            told,
+            keeper,
+            hands,
+            now_s=boot_s,
+            chance=chance,
+            say=self._say,
+            check=lambda: checked(self._told, self._config),
+            most=INSTANCES_MOST,
+        )
         supervisor.on_holding = lambda holding: self._holds(supervisor, hands, holding)
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
@@ -111,8 +129,10 @@
             others = [name for name in supervisor.keeper.instances if name != supervisor.keeper.name]
             held = any(key.startswith(DUTY) for key in supervisor.keeper.entries)
             if late and others and held:
-                self._tell(f"{', '.join(sorted(others))} supervises {self._told.fleet.name} already; "
-                           "--standby waits to take over")
+                self._tell(
+                    f"{', '.join(sorted(others))} supervises {self._told.fleet.name} already; "
+                    "--standby waits to take over"
+                )
                 return False
             if late and not said:
                 said = True
--- a/coveport/fleet/hands.py
+++ b/coveport/fleet/hands.py
@@ -85,8 +85,11 @@
         """By their locks, whoever started them."""
         fleet = self._told.fleet
         found = {name: life for name, life in locks.names_held(self._folder).items() if fleet.number(name)}
-        return {name: life for name, life in found.items()
-                if life in self._watched or self._watch(name, life, None)}
+        return {
+            name: life
+            for name, life in found.items()
+            if life in self._watched or self._watch(name, life, None)
+        }
 
     def _watch(self, name: str, life: str, child: subprocess.Popen[bytes] | None) -> bool:
         pid = locks.pid_of(life)
@@ -131,14 +134,22 @@
         fleet = self._told.fleet
         held = self._hold(name)
         environ = os.environ | {
-            "LB_CONFIG": "", "NOTIFY_SOCKET": str(self.notify_path), LISTEN_FD: str(held.fileno()),
-            "WATCHDOG_USEC": str(int(fleet.hung_s * 1e6))}
+            "LB_CONFIG": "",
+            "NOTIFY_SOCKET": str(self.notify_path),
+            LISTEN_FD: str(held.fileno()),
+            "WATCHDOG_USEC": str(int(fleet.hung_s * 1e6)),
+        }
         environ.pop("WATCHDOG_PID", None)  # a service manager's word to us, not to them
         with open(self._folder / "log" / f"{name}.out", "ab") as out:
             child = subprocess.Popen(
                 [sys.executable, "-m", "coveport", "run", "--config", str(self._config), "--as", name],
-                stdin=subprocess.DEVNULL, stdout=out, stderr=out, env=environ, pass_fds=(held.fileno(),),
-                start_new_session=True)  # a Ctrl-C at our terminal is ours to pass on
+                stdin=subprocess.DEVNULL,
+                stdout=out,
+                stderr=out,
+                env=environ,
+                pass_fds=(held.fileno(),),
+                start_new_session=True,
+            )  # a Ctrl-C at our terminal is ours to pass on
         life = locks.life_of(child.pid)
         own = fleet.each.get(name)
         sockets = (own.sockets if own is not None else 0) or fleet.sockets
--- a/coveport/fleet/life.py
+++ b/coveport/fleet/life.py
@@ -36,8 +36,9 @@
 MOVES: dict[State, frozenset[State]] = {
     State.DOWN: frozenset({State.WAITING, State.STARTING}),
     State.WAITING: frozenset({State.DOWN, State.STARTING}),
-    State.STARTING: frozenset({State.SERVING, State.STOPPING, State.KILLING, State.WAITING, State.BROKEN,
-                               State.DOWN}),
+    State.STARTING: frozenset(
+        {State.SERVING, State.STOPPING, State.KILLING, State.WAITING, State.BROKEN, State.DOWN}
+    ),
     State.SERVING: frozenset({State.STOPPING, State.KILLING, State.WAITING, State.BROKEN, State.DOWN}),
     State.STOPPING: frozenset({State.KILLING, State.WAITING, State.DOWN}),
     State.KILLING: frozenset({State.WAITING, State.DOWN, State.BROKEN}),
--- a/coveport/fleet/membership.py
+++ b/coveport/fleet/membership.py
@@ -91,9 +91,11 @@
         # Guards against copies that draw the same: the file's seed is one for all of them.
         drawn = hashlib.blake2b(f"{config.seed} {self.name}".encode(), digest_size=8).digest()
         config = replace(
-            config, seed=int.from_bytes(drawn),
+            config,
+            seed=int.from_bytes(drawn),
             sockets=(own.sockets if own else 0) or self._fleet.sockets or config.sockets,
-            memory_mb=(own.memory_mb if own else 0.0) or self._fleet.memory_mb or config.memory_mb)
+            memory_mb=(own.memory_mb if own else 0.0) or self._fleet.memory_mb or config.memory_mb,
+        )
         if self._fleet.young_s > 0:
             self._remember()
         if self.remembered is not None and self.remembered.seq > _seq(config.known):
@@ -106,7 +108,8 @@
         now = snapshot.Taken(time.time(), boot_s(), boot_id())
         try:
             self.remembered, self._age_s = snapshot.usable(
-                snapshot.read(self._path), self._fleet.name, self.name, now, self._fleet.young_s)
+                snapshot.read(self._path), self._fleet.name, self.name, now, self._fleet.young_s
+            )
         except snapshot.SnapshotError as problem:
             self.why_not = str(problem)
 
@@ -182,8 +185,12 @@
     def _served(self) -> str:
         assert self._parts is not None
         counters, names = self._parts.counters, [one.name for one in self._parts.settings.classes]
-        self._ended.append((sum(counters.get(ended(name, ENDS[0])) for name in names),
-                            sum(counters.get(ended(name, how)) for name in names for how in ENDS)))
+        self._ended.append(
+            (
+                sum(counters.get(ended(name, ENDS[0])) for name in names),
+                sum(counters.get(ended(name, how)) for name in names for how in ENDS),
+            )
+        )
         del self._ended[:-LATELY]
         all_ = self._ended[-1][1] - self._ended[0][1]
         served = self._ended[-1][0] - self._ended[0][0]
@@ -212,14 +219,23 @@
         if self._parts is None or not self._heard.seq or self._fleet.young_s <= 0:
             return
         names = {str(one.get("dial")): name for name, one in self._heard.hosts.items()}
-        by = {number: names.get(f"{place[0][0]}:{place[0][1]}", "")
-              for number, place in self._nodes().items()}
+        by = {
+            number: names.get(f"{place[0][0]}:{place[0][1]}", "") for number, place in self._nodes().items()
+        }
         now = snapshot.Taken(time.time(), boot_s(), boot_id())
         told = snapshot.Snapshot(
-            self._fleet.name, self.name, now, self._heard.seq, list(self._heard.hosts.values()),
+            self._fleet.name,
+            self.name,
+            now,
+            self._heard.seq,
+            list(self._heard.hosts.values()),
             out={by[number]: ms / 1000 for number, ms in self._parts.out().items() if by.get(number)},
-            cold={by[number]: now.unix_s * 1000 - age
-                  for number, (_, age) in self._parts.fresh().items() if by.get(number)})
+            cold={
+                by[number]: now.unix_s * 1000 - age
+                for number, (_, age) in self._parts.fresh().items()
+                if by.get(number)
+            },
+        )
         data = snapshot.encode(told)
         try:
             self._path.parent.mkdir(parents=True, exist_ok=True)
@@ -232,4 +248,3 @@
 def _seq(known: Any) -> int:
     seq = known.get("seq") if isinstance(known, dict) else None
     return seq if isinstance(seq, int) else -1
-
--- a/coveport/fleet/notify.py
+++ b/coveport/fleet/notify.py
@@ -91,7 +91,8 @@
         for _ in range(A_TURN):
             try:
                 data, beside, flags, _ = self._socket.recvmsg(
-                    MOST, socket.CMSG_SPACE(_CREDENTIALS.size) + socket.CMSG_SPACE(64))
+                    MOST, socket.CMSG_SPACE(_CREDENTIALS.size) + socket.CMSG_SPACE(64)
+                )
             except OSError:
                 return
             pid = 0
@@ -99,10 +100,10 @@
                 if level != socket.SOL_SOCKET:
                     continue
                 if kind == socket.SCM_CREDENTIALS:
-                    pid = _CREDENTIALS.unpack(told[:_CREDENTIALS.size])[0]
+                    pid = _CREDENTIALS.unpack(told[: _CREDENTIALS.size])[0]
                 elif kind == socket.SCM_RIGHTS:
                     # Guards against descriptors that somebody sends along: nobody would ever close them.
-                    sent = array.array("i", told[:len(told) - len(told) % 4])
+                    sent = array.array("i", told[: len(told) - len(told) % 4])
                     for one in sent:
                         os.close(one)
             if pid and not flags & socket.MSG_TRUNC:
--- a/coveport/fleet/plan.py
+++ b/coveport/fleet/plan.py
@@ -103,7 +103,8 @@
             return plan, f"refused: 0 to {most} instances, not {ask.count}"
         drained = tuple(name for name in plan.drained if name in fleet.names(ask.count))
         return msgspec.structs.replace(plan, count=ask.count, drained=drained), (
-            f"{plan.count} instances are to be {ask.count}")
+            f"{plan.count} instances are to be {ask.count}"
+        )
     unknown = [name for name in ask.names if name not in names]
     if unknown:
         return plan, f"refused: there is no {unknown[0]}"
@@ -154,8 +155,9 @@
     if min(with_new[1], with_old[1]) >= ENOUGH and with_new[0] < with_old[0] - WORSE:
         why = f"served {with_new[0]:.3f} by those restarted, {with_old[0]:.3f} by the others"
         return step(restart.to(Phase.HALTED, why), "restart halted")
-    settled = [name for name in taken
-               if fares[name].life != restart.lives[name] and fares[name].serving_s >= hold_s]
+    settled = [
+        name for name in taken if fares[name].life != restart.lives[name] and fares[name].serving_s >= hold_s
+    ]
     under_way = len(taken) - len(settled)
     left = [name for name in restart.left if name not in gone]
     if not left:
@@ -163,7 +165,7 @@
     if under_way >= restart.at_once:
         return None
     # Who does not serve now is not in its turn's way: it is started anew in any case.
-    now = left[:restart.at_once - under_way]
+    now = left[: restart.at_once - under_way]
     lives = {**restart.lives, **{name: fares[name].life for name in now}}
     return step(msgspec.structs.replace(restart, lives=lives), f"restart of {', '.join(now)}")
 
@@ -183,8 +185,14 @@
     most.
     """
 
-    def __init__(self, fleet: Fleet, fares: Callable[[], Mapping[str, Fares]],
-                 seen: Callable[[Plan], None], most: int, every_s: float = 0.1) -> None:
+    def __init__(
+        self,
+        fleet: Fleet,
+        fares: Callable[[], Mapping[str, Fares]],
+        seen: Callable[[Plan], None],
+        most: int,
+        every_s: float = 0.1,
+    ) -> None:
         self.name = FLEET + fleet.name
         self.every_s = every_s
         self.fleet, self._fares, self._seen, self._most = fleet, fares, seen, most
--- a/coveport/fleet/snapshot.py
+++ b/coveport/fleet/snapshot.py
@@ -60,7 +60,7 @@
         raise SnapshotError("it is no snapshot, or was cut")
     if int(head[1]) != FORMAT:
         raise SnapshotError(f"of format {int(head[1])}, ours is {FORMAT}")
-    body = data[head.end():]
+    body = data[head.end() :]
     if b"%08x" % zlib.crc32(body) != head[2]:
         raise SnapshotError("its sum does not match: it was damaged")
     try:
@@ -132,7 +132,7 @@
     try:
         left = memoryview(data)
         while left:
-            left = left[disk.write(file, bytes(left)):]
+            left = left[disk.write(file, bytes(left)) :]
         disk.sync(file)
     except OSError:
         with contextlib.suppress(OSError):
--- a/coveport/fleet/stream.py
+++ b/coveport/fleet/stream.py
@@ -46,6 +46,7 @@
 
 def lines(folder: Path, level: str = "info", **who: object) -> Any:
     """What writes events into the stream, each with who it is and when."""
+
     def when(_logger: object, _method: str, event: Any) -> Any:
         event["unix"] = round(time.time(), 3)
         return event
@@ -54,7 +55,9 @@
         _Lines(stream_path(folder)),
         processors=[structlog.processors.add_log_level, when, structlog.processors.JSONRenderer()],
         wrapper_class=structlog.make_filtering_bound_logger(
-            logging.DEBUG if level == "debug" else logging.INFO))
+            logging.DEBUG if level == "debug" else logging.INFO
+        ),
+    )
     return made.bind(**who)
 
 
--- a/coveport/fleet/supervisor.py
+++ b/coveport/fleet/supervisor.py
@@ -32,9 +32,18 @@
     `say`: an event and its fields, for the log.
     """
 
-    def __init__(self, told: OperatorFile, keeper: Keeper, hands: Hands, *, now_s: Callable[[], float],
-                 chance: random.Random, say: Callable[..., None], check: Callable[[], str],
-                 most: int = 1000) -> None:
+    def __init__(
+        self,
+        told: OperatorFile,
+        keeper: Keeper,
+        hands: Hands,
+        *,
+        now_s: Callable[[], float],
+        chance: random.Random,
+        say: Callable[..., None],
+        check: Callable[[], str],
+        most: int = 1000,
+    ) -> None:
         self.told, self.keeper, self.hands = told, keeper, hands
         self._now_s, self._say, self._check = now_s, say, check
         self.crew = Crew(told.fleet, chance)
@@ -166,8 +175,9 @@
                 self._say("fleet_drain", name=order.name, life=order.life)
                 self.hands.drain(order.life)
             elif isinstance(order, Kill):
-                self._say("fleet_kill", name=order.name, life=order.life,
-                          why=self.crew.members[order.name].why)
+                self._say(
+                    "fleet_kill", name=order.name, life=order.life, why=self.crew.members[order.name].why
+                )
                 self.hands.kill(order.life)
 
     def _start(self, name: str) -> None:
@@ -209,8 +219,13 @@
         for name, one in self.crew.members.items():
             if self._states.get(name) is not one.state:
                 self._states[name] = one.state
-                self._say("fleet_broken" if one.state is State.BROKEN else "fleet_state", name=name,
-                          state=one.state.value, life=one.life, why=one.why)
+                self._say(
+                    "fleet_broken" if one.state is State.BROKEN else "fleet_state",
+                    name=name,
+                    state=one.state.value,
+                    life=one.life,
+                    why=one.why,
+                )
                 if one.state in (State.DOWN, State.BROKEN):
                     self.hands.unhold(name)
         for name in [name for name in self._states if name not in self.crew.members]:
@@ -227,8 +242,13 @@
         if not self.acts:
             return {"ok": False, "said": "refused: this supervisor does not hold the duty"}
         try:
-            ask = Ask(str(told["id"]), str(do), int(told.get("count", 0)),
-                      tuple(str(name) for name in told.get("names", ())), int(told.get("at_once", 1)))
+            ask = Ask(
+                str(told["id"]),
+                str(do),
+                int(told.get("count", 0)),
+                tuple(str(name) for name in told.get("names", ())),
+                int(told.get("at_once", 1)),
+            )
         except (KeyError, TypeError, ValueError):
             return {"ok": False, "said": "refused: not a request that there is"}
         fault = self._check() if ask.do in ("restart", "resume") else ""
@@ -247,19 +267,37 @@
         now, plan = self._now_s(), self.crew.plan
         fares = self.crew.fares(now)
         return {
-            "fleet": self.told.fleet.name, "supervisor": self.keeper.name, "holds": self.acts,
+            "fleet": self.told.fleet.name,
+            "supervisor": self.keeper.name,
+            "holds": self.acts,
             "token": self._token if self.holding else 0,
             "count": plan.count if plan is not None else None,
-            "restart": None if plan is None or plan.restart is None else {
-                "phase": plan.restart.phase.value, "why": plan.restart.why,
-                "taken": len(plan.restart.lives), "of": len(plan.restart.order)},
+            "restart": None
+            if plan is None or plan.restart is None
+            else {
+                "phase": plan.restart.phase.value,
+                "why": plan.restart.why,
+                "taken": len(plan.restart.lives),
+                "of": len(plan.restart.order),
+            },
             "instances": [
-                {"name": name, "state": one.state.value, "address": self.told.fleet.address(name),
-                 "pid": int(one.life.partition(".")[0] or 0), "life": one.life,
-                 "for_s": round(now - one.since, 1), "why": one.why, "wanted": one.wanted, "ended": one.lives,
-                 "served": round(fares[name].served, 4)}
-                for name, one in sorted(self.crew.members.items(),
-                                        key=lambda it: self.told.fleet.number(it[0]))]}
+                {
+                    "name": name,
+                    "state": one.state.value,
+                    "address": self.told.fleet.address(name),
+                    "pid": int(one.life.partition(".")[0] or 0),
+                    "life": one.life,
+                    "for_s": round(now - one.since, 1),
+                    "why": one.why,
+                    "wanted": one.wanted,
+                    "ended": one.lives,
+                    "served": round(fares[name].served, 4),
+                }
+                for name, one in sorted(
+                    self.crew.members.items(), key=lambda it: self.told.fleet.number(it[0])
+                )
+            ],
+        }
 
 
 def _served(text: str) -> tuple[float, int] | None:
@@ -268,4 +306,3 @@
         return float(share), int(ended)
     except ValueError:
         return None
-
--- a/coveport/http1/clients.py
+++ b/coveport/http1/clients.py
@@ -86,7 +86,7 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Where to read to."""
-        return _INBOX[:self._listener.budget.read_most()] if self._upload is not None else _INBOX
+        return _INBOX[: self._listener.budget.read_most()] if self._upload is not None else _INBOX
 
     def buffer_updated(self, nbytes: int) -> None:
         """Take in what the client sends."""
@@ -197,8 +197,9 @@
             return now - self._since > LINGER_S
         stood = self._stood_s + (now - self._stands_from if self._stands_from is not None else 0.0)
         waited = now - self._since - (stood if self._upload is not None else 0.0)
-        return (waited > HEAD_S + self._parser.come / SLOWEST
-                or (self._upload is not None and self._stands_from is None and now - self._read_at > STILL_S))
+        return waited > HEAD_S + self._parser.come / SLOWEST or (
+            self._upload is not None and self._stands_from is None and now - self._read_at > STILL_S
+        )
 
     def _waited_s(self) -> float:
         """How long a request may have stood below a connection that we took up after a stall."""
@@ -304,7 +305,7 @@
         lines = [*(headers or ()), *self._connection(keep)]
         self._since = self._listener.net.now_s()
         data = codec.write_response(status, lines, body)
-        self._transport.write(data[:len(data) - len(body)] if self._bare else data)
+        self._transport.write(data[: len(data) - len(body)] if self._bare else data)
         if not keep:
             self._farewell()
 
@@ -383,15 +384,24 @@
 
     @property
     def _nothing_open(self) -> bool:
-        return not (self._operation is not None or self._unsent or self._ended
-                    or self._transport is None or self._transport.is_closing())
+        return not (
+            self._operation is not None
+            or self._unsent
+            or self._ended
+            or self._transport is None
+            or self._transport.is_closing()
+        )
 
     def may_close(self, fresh_until: float) -> bool:
         """Whether it stands between two requests (one that came by then: before its first)."""
         # Guards against losing what was taken: a request may wait below, or be on its way on a connection
         # just accepted, and its client sends it again only if it had used the connection before.
-        return (self._nothing_open and not self._parser.begun and (self._used or self._since < fresh_until)
-                and self._quiet)
+        return (
+            self._nothing_open
+            and not self._parser.begun
+            and (self._used or self._since < fresh_until)
+            and self._quiet
+        )
 
     def may_end(self) -> bool:
         """Whether its last answer is with the system, and nothing unread would have a close reset it away."""
@@ -404,8 +414,9 @@
     @property
     def _quiet(self) -> bool:
         # What we don't read for now is not known to be quiet.
-        return (not self._paused and self._transport is not None
-                and self._listener.net.is_quiet(self._transport))
+        return (
+            not self._paused and self._transport is not None and self._listener.net.is_quiet(self._transport)
+        )
 
     def check(self, now: float) -> None:
         """Put an end to what takes too long, and to idle connections while the program closes."""
@@ -431,9 +442,11 @@
                 self._keep = False
                 self._reject(codec.BadMessageError(408, "the request did not come whole"))
         # Guards against connections that say nothing: by the hundred they would leave no room for others.
-        elif ((self._listener.closing or not self._listener.resting
-               or waited > (IDLE_S if self._used else FIRST_S))
-              and self.may_close(now - FRESH_S)):
+        elif (
+            self._listener.closing
+            or not self._listener.resting
+            or waited > (IDLE_S if self._used else FIRST_S)
+        ) and self.may_close(now - FRESH_S):
             self.close()
 
     def close(self) -> None:
@@ -446,10 +459,20 @@
 class Listener:
     """Takes clients in and holds their connections."""
 
-    def __init__(self, net: Net, counters: Counters, log: Log,
-                 classes: tuple[api.RequestClass, ...], *, most_clients: int, ready: Callable[[], bool],
-                 take: Callable[[int, Client, Operation], None], gone: Callable[[int], None],
-                 whole: Callable[[int, float], None], budget: Budget) -> None:
+    def __init__(
+        self,
+        net: Net,
+        counters: Counters,
+        log: Log,
+        classes: tuple[api.RequestClass, ...],
+        *,
+        most_clients: int,
+        ready: Callable[[], bool],
+        take: Callable[[int, Client, Operation], None],
+        gone: Callable[[int], None],
+        whole: Callable[[int, float], None],
+        budget: Budget,
+    ) -> None:
         self.net, self.counters, self.log = net, counters, log
         self.retune(classes)
         self.ready, self.take, self.gone, self.whole, self.budget = ready, take, gone, whole, budget
@@ -495,8 +518,9 @@
 
     async def open(self, address: Address) -> int:
         """Listen; the port that was bound."""
-        self._server = await self.net.listen(lambda: Client(self), address, accept_most=ACCEPT_MOST,
-                                             waiting_most=WAITING_MOST, shared=True)
+        self._server = await self.net.listen(
+            lambda: Client(self), address, accept_most=ACCEPT_MOST, waiting_most=WAITING_MOST, shared=True
+        )
         return self._server.port
 
     def number(self) -> int:
@@ -544,9 +568,14 @@
         if len(found) < count:
             # The newest may be about to send, unless there is no room left at all.
             sure = len(self._new) - (0 if len(self._clients) > self._most + SPARE else NEWEST)
-            found += islice((one for place, one in enumerate(self._new)
-                             if (place < sure or one.since < now - FRESH_S) and one.may_drop()),
-                            count - len(found))
+            found += islice(
+                (
+                    one
+                    for place, one in enumerate(self._new)
+                    if (place < sure or one.since < now - FRESH_S) and one.may_drop()
+                ),
+                count - len(found),
+            )
         if len(found) < count:
             found += islice((one for one in self._by_age() if one.may_close(now)), count - len(found))
         for client in found:
@@ -582,8 +611,11 @@
         return now - self._stalled_from
 
     def _caught_up(self) -> None:
-        if (self._server is not None and not self._server.quiet
-                and self.net.now_s() < self._stall_seen + CATCH_UP_S):
+        if (
+            self._server is not None
+            and not self._server.quiet
+            and self.net.now_s() < self._stall_seen + CATCH_UP_S
+        ):
             self.net.loop.call_soon(self._caught_up)  # a few connections are accepted in each turn
             return
         self._stalled_from, self._awake_at = None, self.net.now_s()
--- a/coveport/http1/codec.py
+++ b/coveport/http1/codec.py
@@ -19,13 +19,26 @@
 _VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
 _CHUNK = re.compile(  # RFC 9112, 7.1.1; white space at the end is sent by some, and harmless
     rb"([0-9A-Fa-f]{1,8})(?:[ \t]*;[ \t]*%(token)s(?:[ \t]*=[ \t]*(?:%(token)s|%(quoted)s))?)*[ \t]*"
-    % {b"token": _TOKEN.pattern,
-       b"quoted": rb'"(?:[\t\x20\x21\x23-\x5b\x5d-\x7e\x80-\xff]|\\[\t\x20-\x7e\x80-\xff])*"'})
+    % {
+        b"token": _TOKEN.pattern,
+        b"quoted": rb'"(?:[\t\x20\x21\x23-\x5b\x5d-\x7e\x80-\xff]|\\[\t\x20-\x7e\x80-\xff])*"',
+    }
+)
 _REASONS = {
-    100: "Continue", 200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 417: "Expectation Failed",
-    431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
-    503: "Service Unavailable", 505: "HTTP Version Not Supported",
+    100: "Continue",
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    417: "Expectation Failed",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
 }
 
 
@@ -190,8 +203,8 @@
         if len(self.held) < self._left or (self.whole_most is not None and self._left > self.whole_most):
             return None
         with memoryview(self.held) as held:
-            body = bytes(held[:self._left])
-        del self.held[:self._left]
+            body = bytes(held[: self._left])
+        del self.held[: self._left]
         return body
 
     @property
@@ -218,7 +231,7 @@
             self._check_opening()
             raise BadMessageError(431, "too many headers")
         self._empty = 0
-        del self.held[:end + 4]
+        del self.held[: end + 4]
         return self._start(lines[0], _read_fields(lines[1:], "header"))
 
     def _check_opening(self) -> None:
@@ -283,13 +296,13 @@
                     return False
                 if stop > end:
                     # Guards against smuggling: what others refuse must not pass, though it is thrown away.
-                    trailers = bytes(self.held[end + 2:stop]).split(b"\r\n")
+                    trailers = bytes(self.held[end + 2 : stop]).split(b"\r\n")
                     if len(trailers) > MAX_HEADERS:
                         raise BadMessageError(431, "too many trailers")
                     _read_fields(trailers, "trailer")
-                del self.held[:stop + 4]
+                del self.held[: stop + 4]
                 return True
-            del self.held[:end + 2]
+            del self.held[: end + 2]
             self._chunk = size + 2
 
 
@@ -307,11 +320,13 @@
 
 def _keeps(version: bytes, headers: dict[str, list[str]]) -> bool:
     # Spaces and tabs alone are white space: decoded, some bytes above 127 would count as such, too.
-    options = {part.strip(" \t").lower()
-               for line in headers.get("connection", ()) for part in line.split(",")}
+    options = {
+        part.strip(" \t").lower() for line in headers.get("connection", ()) for part in line.split(",")
+    }
     # HTTP/1.0 knows no chunks: what of it says so may be framed otherwise for others (RFC 9112, 6.1).
-    return "close" not in options and (version == b"HTTP/1.1" or (
-        "keep-alive" in options and "transfer-encoding" not in headers))
+    return "close" not in options and (
+        version == b"HTTP/1.1" or ("keep-alive" in options and "transfer-encoding" not in headers)
+    )
 
 
 class RequestParser(_Parser):
@@ -363,8 +378,13 @@
     @property
     def wants_continue(self) -> bool:
         """Whether the client waits for our word before it sends the body."""
-        return (self._message is not None and not self.held and not self.got and not self._old
-                and [v.lower() for v in self._message.headers.get("expect", ())] == ["100-continue"])
+        return (
+            self._message is not None
+            and not self.held
+            and not self.got
+            and not self._old
+            and [v.lower() for v in self._message.headers.get("expect", ())] == ["100-continue"]
+        )
 
 
 class ResponseParser(_Parser):
@@ -402,8 +422,12 @@
     def end(self) -> Response | None:
         """The connection has ended: the response that this makes whole, if any."""
         message = self._message
-        if (not isinstance(message, Response) or self._left is not None or self._chunks is not None
-                or self._wrong):
+        if (
+            not isinstance(message, Response)
+            or self._left is not None
+            or self._chunks is not None
+            or self._wrong
+        ):
             return None
         message.body, self._message = bytes(self.held), None
         self.held = bytearray()
--- a/coveport/http1/links.py
+++ b/coveport/http1/links.py
@@ -47,8 +47,11 @@
     operation = step.operation
     if operation is None:
         return codec.write_request("GET", PROBE_PATH, [("Host", host)])
-    headers = [("Host", host), ("X-Request-Id", operation.id),
-               ("X-Deadline", f"{max(1, round(step.left_s * 1000))}m")]
+    headers = [
+        ("Host", host),
+        ("X-Request-Id", operation.id),
+        ("X-Deadline", f"{max(1, round(step.left_s * 1000))}m"),
+    ]
     if operation.key is not None:
         headers.append(("Idempotency-Key", operation.key))
     headers.extend(("content-type", value) for value in operation.content_type)
@@ -63,8 +66,9 @@
 class Link(asyncio.BufferedProtocol):
     """One connection to a destination."""
 
-    def __init__(self, pool: Pool, number: int, place: Place, step: RouteStep, fields: tuple[str, ...],
-                 budget: Budget) -> None:
+    def __init__(
+        self, pool: Pool, number: int, place: Place, step: RouteStep, fields: tuple[str, ...], budget: Budget
+    ) -> None:
         self._budget = budget
         self._pool, self.number, self.place, self._fields = pool, number, place, fields
         self._step: RouteStep | None = step
@@ -177,7 +181,7 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Where to read to."""
-        return _INBOX[:self._budget.read_most()] if self._answer is not None else _INBOX
+        return _INBOX[: self._budget.read_most()] if self._answer is not None else _INBOX
 
     def buffer_updated(self, nbytes: int) -> None:
         """Read on in the answer."""
@@ -239,8 +243,11 @@
 
     def _result(self, response: codec.Response) -> StepResult:
         kinds = response.headers.get("content-type")
-        return StepResult(outcome_of(response), Answer(response.body, kinds[0] if kinds else None),
-                          load_of(response, self._fields))
+        return StepResult(
+            outcome_of(response),
+            Answer(response.body, kinds[0] if kinds else None),
+            load_of(response, self._fields),
+        )
 
     def eof_received(self) -> bool:
         """The destination ends; what was only waiting for that is whole now."""
--- a/coveport/http1/operations.py
+++ b/coveport/http1/operations.py
@@ -41,6 +41,16 @@
         cost_ms = float(extras.get("cost_ms", "0"))
     except ValueError:
         cost_ms = 0.0
-    return Operation(request.method, request.target, request.body, number, key, cls, wait_ms,
-                     request.get("x-retry") == "1", cost_ms if 0 < cost_ms < math.inf else 0.0,
-                     tuple(request.headers.get("content-type", ())), tuple(request.headers.get("accept", ())))
+    return Operation(
+        request.method,
+        request.target,
+        request.body,
+        number,
+        key,
+        cls,
+        wait_ms,
+        request.get("x-retry") == "1",
+        cost_ms if 0 < cost_ms < math.inf else 0.0,
+        tuple(request.headers.get("content-type", ())),
+        tuple(request.headers.get("accept", ())),
+    )
--- a/coveport/lab/bare/listing.py
+++ b/coveport/lab/bare/listing.py
@@ -24,8 +24,9 @@
 class Listing:
     """The list of nodes, and what each sidecar has been told of it."""
 
-    def __init__(self, agenda: Agenda, books: Books, day: Day,
-                 tell: Callable[[int, ListUpdate], None]) -> None:
+    def __init__(
+        self, agenda: Agenda, books: Books, day: Day, tell: Callable[[int, ListUpdate], None]
+    ) -> None:
         """`tell`: hand an update to a sidecar, by its number."""
         self._agenda, self._write, self._day, self._tell = agenda, books.write, day, tell
         self._nodes = {node.number: SeenNode(node.born) for node in day.nodes}
@@ -42,23 +43,40 @@
         known = {node: ("active", NEVER) for node in self._first}
         self._hand(sidecar, ListKind.CACHED, known)
         if not self._quiet:
-            self._agenda.at(self._agenda.now + ends(self._day.scenario.discovery.spread_ms)[0],
-                            self._whole, sidecar)
+            self._agenda.at(
+                self._agenda.now + ends(self._day.scenario.discovery.spread_ms)[0], self._whole, sidecar
+            )
 
     def _whole(self, sidecar: int) -> None:
         heard = self._heard[sidecar]
         gone = {node: ("left", self._nodes[node].born) for node in self._first if node not in heard}
         self._hand(sidecar, ListKind.FULL, heard, gone)
 
-    def _hand(self, sidecar: int, kind: ListKind, listed: dict[int, tuple[str, float]],
-              gone: dict[int, tuple[str, float]] | None = None) -> None:
+    def _hand(
+        self,
+        sidecar: int,
+        kind: ListKind,
+        listed: dict[int, tuple[str, float]],
+        gone: dict[int, tuple[str, float]] | None = None,
+    ) -> None:
         now = self._agenda.now
         for node, (state, born) in (listed | (gone or {})).items():
             self._write(Told(now, sidecar, node, state, born))
-        self._tell(sidecar, ListUpdate(kind, tuple(
-            HostEntry(node + 1, *self._places[node], _STATES[state],
-                      started_ms=born + EPOCH_MS if born >= 0 else 0.0)
-            for node, (state, born) in listed.items())))
+        self._tell(
+            sidecar,
+            ListUpdate(
+                kind,
+                tuple(
+                    HostEntry(
+                        node + 1,
+                        *self._places[node],
+                        _STATES[state],
+                        started_ms=born + EPOCH_MS if born >= 0 else 0.0,
+                    )
+                    for node, (state, born) in listed.items()
+                ),
+            ),
+        )
 
     def change(self, change: Change) -> None:
         """Take in what happens to nodes, and to discovery itself."""
@@ -89,8 +107,9 @@
         low, high = ends(self._day.scenario.discovery.spread_ms)
         late = sum(self._late.values())
         for sidecar, chance in enumerate(self._spread):
-            self._agenda.at(self._agenda.now + chance.uniform(low, high) + late, self._hear, sidecar, number,
-                            node.seen)
+            self._agenda.at(
+                self._agenda.now + chance.uniform(low, high) + late, self._hear, sidecar, number, node.seen
+            )
 
     def _hear(self, sidecar: int, number: int, seen: tuple[str, float]) -> None:
         if self._quiet:
--- a/coveport/lab/bare/nodes.py
+++ b/coveport/lab/bare/nodes.py
@@ -39,8 +39,17 @@
 class BareNode:
     """One ledger node; what goes out to sidecars travels, what comes in has travelled."""
 
-    def __init__(self, agenda: Agenda, books: Books, day: Day, drawn: NodeDrawn, keys: KeyMemory,
-                 works: WorkBook, zones: list[int], base_ms: Callable[[int, int], float]) -> None:
+    def __init__(
+        self,
+        agenda: Agenda,
+        books: Books,
+        day: Day,
+        drawn: NodeDrawn,
+        keys: KeyMemory,
+        works: WorkBook,
+        zones: list[int],
+        base_ms: Callable[[int, int], float],
+    ) -> None:
         """`zones`: of the sidecars; `base_ms`: one way between two zones in calm."""
         self.drawn, self.model = drawn, NodeModel(drawn, day.scenario.classes, keys)
         self._agenda, self._write, self._works, self._zones = agenda, books.write, works, zones
@@ -142,8 +151,9 @@
         while effects := model.take():
             for attempt, what in effects:
                 if what == core.RUN:
-                    self._write(Ran(now, attempt.op, self.drawn.number, self.drawn.cell, attempt.number,
-                                    attempt.key))
+                    self._write(
+                        Ran(now, attempt.op, self.drawn.number, self.drawn.cell, attempt.number, attempt.key)
+                    )
                 elif attempt.owner is not None:
                     link: Link = attempt.owner
                     attempt.owner = link.attempt = None
@@ -170,8 +180,9 @@
             return
         now, model = self._agenda.now, self.model
         model.advance(now)
-        self._write(NodeLoad(now, self.drawn.number, model.working, model.waiting, self._busy.look(now),
-                             model.conns))
+        self._write(
+            NodeLoad(now, self.drawn.number, model.working, model.waiting, self._busy.look(now), model.conns)
+        )
         self.settle()
         self._agenda.at(now + LOAD_EVERY_MS, self._sample, life)
 
@@ -222,8 +233,23 @@
             took = model.arrive(now, attempt)
         else:
             took = core.WORK
-        self._write(Arrived(now, op, drawn.number, link.sidecar, number, link.number, now, handed, wish.cls,
-                            key, wish.op, work_ms, took))
+        self._write(
+            Arrived(
+                now,
+                op,
+                drawn.number,
+                link.sidecar,
+                number,
+                link.number,
+                now,
+                handed,
+                wish.cls,
+                key,
+                wish.op,
+                work_ms,
+                took,
+            )
+        )
         if took in (core.FULL, core.DRAIN):
             self._answer(link, op, number, 503, Outcome.FULL)
             if link.surplus:
--- a/coveport/lab/bare/play.py
+++ b/coveport/lab/bare/play.py
@@ -46,13 +46,25 @@
         keys, works = KeyMemory(), WorkBook(day)
         zones = [one.zone for one in day.sidecars]
         self.complaints: list[str] = []
-        self.nodes = [BareNode(agenda, self.books, day, drawn, keys, works, zones, ways.base_ms)
-                      for drawn in day.nodes]
+        self.nodes = [
+            BareNode(agenda, self.books, day, drawn, keys, works, zones, ways.base_ms) for drawn in day.nodes
+        ]
         self.listing = Listing(agenda, self.books, day, self._tell)
         self.tills = Tills(agenda, self.books, day, self._ask, self._leave)
-        self.sidecars = [BareSidecar(agenda, self.books, day, drawn, self.nodes, self.complaints,
-                                     self.tills.answered, self.tills.broke, balancer)
-                         for drawn in day.sidecars]
+        self.sidecars = [
+            BareSidecar(
+                agenda,
+                self.books,
+                day,
+                drawn,
+                self.nodes,
+                self.complaints,
+                self.tills.answered,
+                self.tills.broke,
+                balancer,
+            )
+            for drawn in day.sidecars
+        ]
 
     def lives(self) -> list[tuple[str, Life]]:
         """Name and life of each sidecar that takes operations."""
@@ -105,8 +117,13 @@
         agenda.run(agenda.now + 12_000.0)
 
 
-def play_day(day: Day, *, progress: Callable[[float], None] | None = None,
-             balancer: Callable[[api.Settings, int], Balancer] = Balancer, warded: bool = False) -> Played:
+def play_day(
+    day: Day,
+    *,
+    progress: Callable[[float], None] | None = None,
+    balancer: Callable[[api.Settings, int], Balancer] = Balancer,
+    warded: bool = False,
+) -> Played:
     """Play a day; `balancer` makes the module's instances. BareError where it holds what can't be played.
 
     `warded`: a warden in each zone shares out what fresh nodes bear.
--- a/coveport/lab/bare/sidecars.py
+++ b/coveport/lab/bare/sidecars.py
@@ -29,15 +29,30 @@
 START_MS = 200.0  # until the next one is ready
 
 Answered = Callable[[Try, int, str, float], None]
-_STATUS = {core.Verdict.SERVED: 200, core.Verdict.BUSY: 503, core.Verdict.FAILED: 500,
-           core.Verdict.DOUBLE: 409}
+_STATUS = {
+    core.Verdict.SERVED: 200,
+    core.Verdict.BUSY: 503,
+    core.Verdict.FAILED: 500,
+    core.Verdict.DOUBLE: 409,
+}
 
 
 class _Flight:
     """A route step, or a probe."""
 
-    __slots__ = ("asked", "began", "handed", "link", "node", "operation", "over", "run", "step", "timer",
-                 "up_by")
+    __slots__ = (
+        "asked",
+        "began",
+        "handed",
+        "link",
+        "node",
+        "operation",
+        "over",
+        "run",
+        "step",
+        "timer",
+        "up_by",
+    )
 
     def __init__(self, run: _Run, node: BareNode, operation: int, step: int) -> None:
         self.run, self.node, self.operation, self.step = run, node, operation, step
@@ -77,8 +92,14 @@
         """It has waited long enough."""
         self.end(api.Outcome.TIMEOUT if self.handed else api.Outcome.CONNECT_FAILED)
 
-    def end(self, outcome: api.Outcome, load: tuple[float, ...] = (), body: str = "", keep: bool = False,
-            told: bool = True) -> None:
+    def end(
+        self,
+        outcome: api.Outcome,
+        load: tuple[float, ...] = (),
+        body: str = "",
+        keep: bool = False,
+        told: bool = True,
+    ) -> None:
         """Say once how it ended."""
         if self.over:
             return
@@ -94,8 +115,9 @@
         if not told:
             return
         if self.operation < 0:
-            self.run.feed(core.ProbeEnded(self.node.drawn.number + 1, outcome,
-                                          self.run.agenda.now - self.began, load))
+            self.run.feed(
+                core.ProbeEnded(self.node.drawn.number + 1, outcome, self.run.agenda.now - self.began, load)
+            )
         else:
             self.run.flights.pop((self.operation, self.step), None)
             answer = Answer(body.encode()) if outcome is api.Outcome.OK else None
@@ -105,8 +127,9 @@
 class _Run:
     """One life of a sidecar."""
 
-    def __init__(self, sidecar: BareSidecar, seed: int,
-                 balancer: Callable[[api.Settings, int], Balancer]) -> None:
+    def __init__(
+        self, sidecar: BareSidecar, seed: int, balancer: Callable[[api.Settings, int], Balancer]
+    ) -> None:
         day = sidecar.day
         self.agenda, self.zone, self._nodes = sidecar.agenda, sidecar.drawn.zone, sidecar.nodes
         settings = sidecar.settings
@@ -222,9 +245,18 @@
 class BareSidecar:
     """A sidecar over its lives."""
 
-    def __init__(self, agenda: Agenda, books: Books, day: Day, drawn: SidecarDrawn, nodes: list[BareNode],
-                 complaints: list[str], answered: Answered, broke: Callable[[Try], None],
-                 balancer: Callable[[api.Settings, int], Balancer]) -> None:
+    def __init__(
+        self,
+        agenda: Agenda,
+        books: Books,
+        day: Day,
+        drawn: SidecarDrawn,
+        nodes: list[BareNode],
+        complaints: list[str],
+        answered: Answered,
+        broke: Callable[[Try], None],
+        balancer: Callable[[api.Settings, int], Balancer],
+    ) -> None:
         """`answered` and `broke`: what a till is told."""
         self.agenda, self.day, self.drawn, self.nodes = agenda, day, drawn, nodes
         self.complaints, self._write = complaints, books.write
