--- a/coveport/lab/bare/tills.py
+++ b/coveport/lab/bare/tills.py
@@ -53,8 +53,14 @@
 class Tills:
     """All tills of a day."""
 
-    def __init__(self, agenda: Agenda, books: Books, day: Day, ask: Callable[[Try, str], bool],
-                 leave: Callable[[Try], None]) -> None:
+    def __init__(
+        self,
+        agenda: Agenda,
+        books: Books,
+        day: Day,
+        ask: Callable[[Try, str], bool],
+        leave: Callable[[Try], None],
+    ) -> None:
         """`ask`: hand a try with its key to its sidecar, False where nobody is there; `leave`: it is gone."""
         self._agenda, self._write, self._day = agenda, books.write, day
         self._ask_sidecar, self._leave_sidecar = ask, leave
@@ -92,8 +98,21 @@
             return
         one.asked = now
         self._conns += 1
-        self._write(Asked(now, one.op, wish.op, wish.sidecar, wish.cls, key, due, one.patience, self._conns,
-                          number > 0, wish.op))
+        self._write(
+            Asked(
+                now,
+                one.op,
+                wish.op,
+                wish.sidecar,
+                wish.cls,
+                key,
+                due,
+                one.patience,
+                self._conns,
+                number > 0,
+                wish.op,
+            )
+        )
         self._agenda.at(now + one.patience, self._late, one)
         if wish.leaves_ms >= 0 and not number:
             self._agenda.at(wish.due + wish.leaves_ms, self._leave, one)
@@ -148,7 +167,7 @@
         if errand.chance is None:
             errand.chance = random.Random(f"retries {self._day.seed} {wish.op}")
             errand.backoff = errand.chance.uniform(*ends(self._retries.backoff_ms))
-        wait = errand.backoff * (2.0 ** one.number if self._retries.growing else 1.0)
+        wait = errand.backoff * (2.0**one.number if self._retries.growing else 1.0)
         rules = self._day.scenario.rules
         if after_ms > 0 and rules.retry_after and errand.chance.random() < self._retries.honour:
             wait = max(wait, min(after_ms, rules.max_retry_after_ms))
--- a/coveport/lab/bare/warded.py
+++ b/coveport/lab/bare/warded.py
@@ -80,7 +80,7 @@
         self._agenda.at(self._agenda.now + LOOK_MS, self._look)
 
     def _news(self, key: str) -> None:
-        zone, _, name = key[len(GRANT):].partition("/")
+        zone, _, name = key[len(GRANT) :].partition("/")
         now = self._agenda.now / 1000
         for who, life in self._fleet.lives():
             if who == name and id(life) in self._parts:
--- a/coveport/lab/books.py
+++ b/coveport/lab/books.py
@@ -226,8 +226,27 @@
     late_ms: float
 
 
-AnyRow = (Asked | Unasked | Answered | Broke | GaveUp | Arrived | Ran | Replied | Ended | Probed | Linked
-          | NodeIs | NodeLoad | Told | Called | Life | Sample | Fault | Lag)
+AnyRow = (
+    Asked
+    | Unasked
+    | Answered
+    | Broke
+    | GaveUp
+    | Arrived
+    | Ran
+    | Replied
+    | Ended
+    | Probed
+    | Linked
+    | NodeIs
+    | NodeLoad
+    | Told
+    | Called
+    | Life
+    | Sample
+    | Fault
+    | Lag
+)
 
 
 class Books:
--- a/coveport/lab/broken.py
+++ b/coveport/lab/broken.py
@@ -46,14 +46,17 @@
 
 
 def _classes(settings: api.Settings, kind: api.Effect, **changed: object) -> api.Settings:
-    return dataclasses.replace(settings, classes=tuple(
-        dataclasses.replace(cls, **changed) if cls.effect is kind else cls  # type: ignore[arg-type]
-        for cls in settings.classes))
+    return dataclasses.replace(
+        settings,
+        classes=tuple(
+            dataclasses.replace(cls, **changed) if cls.effect is kind else cls  # type: ignore[arg-type]
+            for cls in settings.classes
+        ),
+    )
 
 
 def _limits(settings: api.Settings, **changed: object) -> api.Settings:
-    return dataclasses.replace(
-        settings, limits=dataclasses.replace(settings.limits, **changed))  # type: ignore[arg-type]
+    return dataclasses.replace(settings, limits=dataclasses.replace(settings.limits, **changed))  # type: ignore[arg-type]
 
 
 # Deciders.
@@ -153,8 +156,9 @@
 
 
 class _Later:
-    def __init__(self, later: Callable[[Callable[[], None]], object], client: Asker,
-                 served: bool = True) -> None:
+    def __init__(
+        self, later: Callable[[Callable[[], None]], object], client: Asker, served: bool = True
+    ) -> None:
         self._later, self._client, self._served = later, client, served
 
     def answer(self, verdict: core.Verdict, answer: Answer | None, retry_after_ms: float) -> None:
@@ -199,7 +203,8 @@
         if self.struck(effect.operation) and self.destinations._places:
             number = next(iter(self.destinations._places))
             self._net.loop.call_later(
-                0.3, lambda: self.destinations.send(number, asked, 1.0, lambda result: None))
+                0.3, lambda: self.destinations.send(number, asked, 1.0, lambda result: None)
+            )
 
 
 class _KeepsTheGone(Effects):
@@ -226,29 +231,58 @@
 
 
 _ALL = (
-    Variant("redeem-resent", "a redeem is tried again though it may have run", "resent",
-            _lied(lambda s: _classes(s, api.Effect.UNSAFE, effect=api.Effect.SAFE))),
-    Variant("earn-elsewhere", "an earn is tried again in another cell", "resent",
-            _lied(lambda s: _classes(s, api.Effect.KEYED, group=api.Group.ALL))),
-    Variant("earn-past-window", "an earn is tried again when its window is over", "resent",
-            _lied(lambda s: _classes(s, api.Effect.KEYED, window_ms=1e6)),
-            scenario=("classes.1.window_ms=300",)),
+    Variant(
+        "redeem-resent",
+        "a redeem is tried again though it may have run",
+        "resent",
+        _lied(lambda s: _classes(s, api.Effect.UNSAFE, effect=api.Effect.SAFE)),
+    ),
+    Variant(
+        "earn-elsewhere",
+        "an earn is tried again in another cell",
+        "resent",
+        _lied(lambda s: _classes(s, api.Effect.KEYED, group=api.Group.ALL)),
+    ),
+    Variant(
+        "earn-past-window",
+        "an earn is tried again when its window is over",
+        "resent",
+        _lied(lambda s: _classes(s, api.Effect.KEYED, window_ms=1e6)),
+        scenario=("classes.1.window_ms=300",),
+    ),
     Variant("answers-twice", "a second final answer", "answer-twice", effects=_AnswersTwice),
     Variant("answers-none", "no final answer", "answer-none", effects=_ForgetsAnswers),
     Variant("mixes-bodies", "the body of another operation", "body", effects=_MixesBodies),
     Variant("cuts-bodies", "a body that is not whole", "body", effects=_CutsBodies),
     Variant("answers-late", "an answer after the client's time", "answer-late", effects=_AnswersLate),
-    Variant("holds-back", "what is given up is answered late, to spare a retry", "answer-held",
-            effects=_HoldsBack),
+    Variant(
+        "holds-back", "what is given up is answered late, to spare a retry", "answer-held", effects=_HoldsBack
+    ),
     Variant("deaf-to-drains", "goes on sending to what drains", "drained", _decides(_DeafToDrains)),
-    Variant("floods-cold", "sends all to the node that has just started", "cold", _decides(_FloodsTheCold),
-            scenario=("load.level=1.0",)),
-    Variant("fourth-attempt", "more attempts than allowed", "attempts",
-            _lied(lambda s: _limits(s, max_attempts=9)), scenario=("rules.most_tries=2",)),
-    Variant("loses-cancels", "attempts go on when their operation is over", "cancel-lost",
-            effects=_LosesCancels),
-    Variant("second-copy", "a second copy where none is allowed", "second-copy",
-            _lied(lambda s: _limits(s, second_copies=True)), scenario=("rules.second_copies=false",)),
+    Variant(
+        "floods-cold",
+        "sends all to the node that has just started",
+        "cold",
+        _decides(_FloodsTheCold),
+        scenario=("load.level=1.0",),
+    ),
+    Variant(
+        "fourth-attempt",
+        "more attempts than allowed",
+        "attempts",
+        _lied(lambda s: _limits(s, max_attempts=9)),
+        scenario=("rules.most_tries=2",),
+    ),
+    Variant(
+        "loses-cancels", "attempts go on when their operation is over", "cancel-lost", effects=_LosesCancels
+    ),
+    Variant(
+        "second-copy",
+        "a second copy where none is allowed",
+        "second-copy",
+        _lied(lambda s: _limits(s, second_copies=True)),
+        scenario=("rules.second_copies=false",),
+    ),
     Variant("refuses-all", "a busy reply for what may have run", "refused", _decides(_RefusesAll)),
     Variant("changes-keys", "another key at a further attempt", "changed", effects=_ChangesKeys),
     Variant("sends-on", "an attempt after the final answer", "after-end", effects=_SendsOn),
@@ -256,8 +290,11 @@
     Variant("dies", "ends by itself", "process", effects=_Dies),
     Variant("never-ends", "hangs at its planned end", "process", effects=_NeverEnds),
     Variant("random-pick", "picks at random among the usable", reducer=_decides(_RandomPick)),
-    Variant("no-retries", "one attempt, no second copies",
-            reducer=_lied(lambda s: _limits(s, max_attempts=1, second_copies=False))),
+    Variant(
+        "no-retries",
+        "one attempt, no second copies",
+        reducer=_lied(lambda s: _limits(s, max_attempts=1, second_copies=False)),
+    ),
 )
 
 VARIANTS = {one.name: one for one in _ALL}
--- a/coveport/lab/catalog.py
+++ b/coveport/lab/catalog.py
@@ -39,11 +39,13 @@
         return files[name_or_path]
     near = difflib.get_close_matches(name_or_path, files, len(files), 0.5)
     known = ", ".join([*near, *(name for name in files if name not in near)])
-    raise ScenarioError(name_or_path, "file: neither a file nor a scenario's name; "
-                                      f"one of {known}")
+    raise ScenarioError(name_or_path, f"file: neither a file nor a scenario's name; one of {known}")
 
 
 def _files() -> dict[str, Path]:
     top = folder()
-    return {path.relative_to(top).with_suffix("").as_posix(): path
-            for pattern in ("*.toml", "found/*.toml", "trials/*.toml") for path in sorted(top.glob(pattern))}
+    return {
+        path.relative_to(top).with_suffix("").as_posix(): path
+        for pattern in ("*.toml", "found/*.toml", "trials/*.toml")
+        for path in sorted(top.glob(pattern))
+    }
--- a/coveport/lab/chance.py
+++ b/coveport/lab/chance.py
@@ -18,7 +18,7 @@
 def arrays(seed: int, *names: object) -> np.random.Generator:
     """For arrays of draws; as stable as numpy's own streams are."""
     told = hashlib.blake2b(" ".join(map(str, (seed, *names))).encode(), digest_size=32).digest()
-    return np.random.Generator(np.random.PCG64([int.from_bytes(told[at:at + 4]) for at in range(0, 32, 4)]))
+    return np.random.Generator(np.random.PCG64([int.from_bytes(told[at : at + 4]) for at in range(0, 32, 4)]))
 
 
 def ends(figure: Figure) -> tuple[float, float]:
--- a/coveport/lab/check/chance.py
+++ b/coveport/lab/check/chance.py
@@ -61,8 +61,11 @@
         low, high = self.span[0] * self.scale + self.shift, self.span[1] * self.scale + self.shift
         first = floor(low)
         place = first + self.chooser.place(max(1, ceil(high) - first))
-        self.chooser.narrow(self.span, (max(low, place) - self.shift) / self.scale,
-                            (min(high, place + 1) - self.shift) / self.scale)
+        self.chooser.narrow(
+            self.span,
+            (max(low, place) - self.shift) / self.scale,
+            (min(high, place + 1) - self.shift) / self.scale,
+        )
         return place
 
 
@@ -230,8 +233,15 @@
     def orders(level: list[decide._Host]) -> list[list[decide._Host]]:
         found = [level]
         if kinds and len({kinds[host.id - NODE] for host in level}) < len(level):
-            found += [list(other) for other in permutations(level) if list(other) != level and all(
-                kinds[one.id - NODE] == kinds[two.id - NODE] for one, two in zip(level, other, strict=True))]
+            found += [
+                list(other)
+                for other in permutations(level)
+                if list(other) != level
+                and all(
+                    kinds[one.id - NODE] == kinds[two.id - NODE]
+                    for one, two in zip(level, other, strict=True)
+                )
+            ]
         return found
 
     class Watched(balancer):  # type: ignore[misc, valid-type]
@@ -240,8 +250,10 @@
             assert isinstance(chooser, Chooser)
             # With probes a pick sends some on its way, so it is not pure.
             host: decide._Host | None = chooser.pick(
-                lambda order: super(Watched, self)._draw(order, request), orders(level),
-                not self.limits.probes)
+                lambda order: super(Watched, self)._draw(order, request),
+                orders(level),
+                not self.limits.probes,
+            )
             return host
 
     return Watched
--- a/coveport/lab/check/explore.py
+++ b/coveport/lab/check/explore.py
@@ -61,10 +61,19 @@
     double: bool = False  # its key was met before
 
 
-def check(world: World, *, reducer: type[Reducer] = Reducer, balancer: type[Balancer] = Balancer,
-          most_states: int = 200_000, seed: int | None = None, exact: bool = False, fold: bool = True,
-          audit: bool = False, clock: Callable[[], float] | None = None,
-          told: Callable[[int, int, int], None] | None = None) -> Report:
+def check(
+    world: World,
+    *,
+    reducer: type[Reducer] = Reducer,
+    balancer: type[Balancer] = Balancer,
+    most_states: int = 200_000,
+    seed: int | None = None,
+    exact: bool = False,
+    fold: bool = True,
+    audit: bool = False,
+    clock: Callable[[], float] | None = None,
+    told: Callable[[int, int, int], None] | None = None,
+) -> Report:
     """Explore a world from its start, until nothing new is found or there are so many states.
 
     With a `seed` states are not met in the order of their depth: a path is gone at random to its end, then
@@ -80,16 +89,30 @@
     if seed is not None:
         found = {rule: _shortened(world, one, reducer, balancer) for rule, one in found.items()}
     elif fold:
-        sure = {rule: one for rule, one in found.items() if any(
-            breach.rule == rule
-            for breach in replay(world, one.path, one.draws, reducer=reducer, balancer=balancer))}
+        sure = {
+            rule: one
+            for rule, one in found.items()
+            if any(
+                breach.rule == rule
+                for breach in replay(world, one.path, one.draws, reducer=reducer, balancer=balancer)
+            )
+        }
         if len(sure) < len(found):
             # A path through states that count as one may need nodes in two orders: look for one in one order.
             again = _Search(world, reducer, balancer, Keys(world, exact, False), told, None)
             again.run(2 * most_states, False, found.keys() - sure.keys())
             found = {rule: sure.get(rule) or again.found.get(rule, one) for rule, one in found.items()}
-    return Report(world, len(search.edges), search.paths, search.depth, search.most_timers,
-                  not search.waiting, tuple(found.values()), search.doubts, clock() - began if clock else 0.0)
+    return Report(
+        world,
+        len(search.edges),
+        search.paths,
+        search.depth,
+        search.most_timers,
+        not search.waiting,
+        tuple(found.values()),
+        search.doubts,
+        clock() - began if clock else 0.0,
+    )
 
 
 def _shortened(world: World, found: Found, reducer: type[Reducer], balancer: type[Balancer]) -> Found:
@@ -98,7 +121,7 @@
     while len(found.path) < length:
         length = len(found.path)
         for place in reversed(range(length)):
-            less = replace(found, path=(*found.path[:place], *found.path[place + 1:]))
+            less = replace(found, path=(*found.path[:place], *found.path[place + 1 :]))
             for breach in replay(world, less.path, less.draws, reducer=reducer, balancer=balancer):
                 if breach.rule == found.breach.rule:
                     found = replace(less, breach=breach)
@@ -107,12 +130,20 @@
 
 
 class _Search:
-    def __init__(self, world: World, reducer: type[Reducer], balancer: type[Balancer], keys: Keys,
-                 told: Callable[[int, int, int], None] | None, seed: int | None) -> None:
+    def __init__(
+        self,
+        world: World,
+        reducer: type[Reducer],
+        balancer: type[Balancer],
+        keys: Keys,
+        told: Callable[[int, int, int], None] | None,
+        seed: int | None,
+    ) -> None:
         self._world, self._reducer, self._balancer = world, reducer, watched(balancer, keys.kinds)
         settings = world.settings
-        self._keeper = Keeper([world, settings, settings.limits, settings.rules, *settings.classes],
-                              [self._balancer, reducer])
+        self._keeper = Keeper(
+            [world, settings, settings.limits, settings.rules, *settings.classes], [self._balancer, reducer]
+        )
         self._keys, self._told = keys, told
         self._seen: set[bytes] = set()
         # Of each state: where it came from, and which choices were made there.
--- a/coveport/lab/check/replay.py
+++ b/coveport/lab/check/replay.py
@@ -22,12 +22,32 @@
 
 WIDTH = 110
 
-NAMES = ("Came", "Deadline", "Ended", "Left", "Line", "Node", "Probed", "Reload", "Timer", "Told", "Until",
-         "Wish", "Word", "World")
+NAMES = (
+    "Came",
+    "Deadline",
+    "Ended",
+    "Left",
+    "Line",
+    "Node",
+    "Probed",
+    "Reload",
+    "Timer",
+    "Told",
+    "Until",
+    "Wish",
+    "Word",
+    "World",
+)
 
 
-def replay(world: World, path: Path, draws: Sequence[float] = (), *, reducer: type[Reducer] = Reducer,
-           balancer: type[Balancer] = Balancer) -> list[Breach]:
+def replay(
+    world: World,
+    path: Path,
+    draws: Sequence[float] = (),
+    *,
+    reducer: type[Reducer] = Reducer,
+    balancer: type[Balancer] = Balancer,
+) -> list[Breach]:
     """Play a path; what it breaks, in order.
 
     Another reducer or module than the one the path was found with may go another way. What is due before the
@@ -65,14 +85,16 @@
         f"    path = (\n{path}    )\n"
         f"    draws = {source(found.draws, 4, len('    draws = '))}\n"
         f"    broken = replay(world, path, draws, reducer=reducer, balancer=balancer)\n"
-        f'    assert "{rule}" not in [breach.rule for breach in broken]\n')
+        f'    assert "{rule}" not in [breach.rule for breach in broken]\n'
+    )
     used = ", ".join(name for name in NAMES if re.search(rf"\b{name}\(", body))
     return (
         f"from coveport.core.reducer import Reducer\n"
         f"from coveport.lab.check import replay\n"
         f"from coveport.lab.check.world import {used}\n"
         f"from micaflow import Balancer\n"
-        f"from micaflow import interface as api\n\n\n{body}")
+        f"from micaflow import interface as api\n\n\n{body}"
+    )
 
 
 def source(value: Any, indent: int = 0, used: int = 0) -> str:
--- a/coveport/lab/check/rules.py
+++ b/coveport/lab/check/rules.py
@@ -82,8 +82,10 @@
     elif state is not State.READY:
         since = around.now - around.told_at[node]
         if since > around.world.settings.rules.drain_grace_ms:
-            yield Breach("drained", f"{what} went to node {node} {since:g} ms after word that it is "
-                                    f"{state.name.lower()}")
+            yield Breach(
+                "drained",
+                f"{what} went to node {node} {since:g} ms after word that it is {state.name.lower()}",
+            )
 
 
 def _send(around: Surroundings, effect: core.SendStep) -> Iterator[Breach]:
@@ -95,8 +97,9 @@
         yield Breach("after-end", f"{name} was sent after the operation was over")
         return
     if effect.step in asked.steps or len(asked.steps) >= limits.max_attempts:
-        yield Breach("attempts",
-                     f"{name} is number {len(asked.steps) + 1}; {limits.max_attempts} are allowed")
+        yield Breach(
+            "attempts", f"{name} is number {len(asked.steps) + 1}; {limits.max_attempts} are allowed"
+        )
     left = asked.deadline_ms - around.now
     if not 0 < effect.timeout_ms <= left:
         yield Breach("span", f"{name} was given {effect.timeout_ms:g} ms, where {left:g} ms are left")
@@ -136,12 +139,16 @@
         cls = around.world.settings.classes[wish.cls]
         may = [place for place, step in asked.steps.items() if step.may_have_run]
         harmless = cls.effect is api.Effect.SAFE or (
-            cls.effect is api.Effect.KEYED and cls.group is api.Group.ALL)
+            cls.effect is api.Effect.KEYED and cls.group is api.Group.ALL
+        )
         if may and not harmless:
             yield Breach("refused", f"{name} ({cls.name}) got a busy reply, and step {may[0]} may have run")
     elif effect.verdict is Verdict.SERVED:
-        made = [around.answer_of(effect.operation, place) for place, step in asked.steps.items()
-                if step.outcome is Outcome.OK]
+        made = [
+            around.answer_of(effect.operation, place)
+            for place, step in asked.steps.items()
+            if step.outcome is Outcome.OK
+        ]
         if effect.answer not in made:
             yield Breach("body", f"{name} was served {effect.answer}, which no node made for it")
     elif effect.verdict is Verdict.DOUBLE and not _doubled(around, effect.operation, asked):
@@ -151,8 +158,10 @@
 def _doubled(around: Surroundings, number: int, asked: Asked) -> bool:
     wishes = around.world.wishes
     name = wishes[asked.wish].id
-    return bool(name) and any(other != number and wishes[one.wish].id == name and wishes[one.wish].room
-                              for other, one in around.open.items())
+    return bool(name) and any(
+        other != number and wishes[one.wish].id == name and wishes[one.wish].room
+        for other, one in around.open.items()
+    )
 
 
 def of_input(around: Surroundings, item: core.Input) -> Iterator[Breach]:
@@ -189,8 +198,10 @@
     for number, asked in around.open.items():
         late = around.now - asked.deadline_ms - settings.rules.answer_slack_ms
         if not asked.over and late > 0 and asked.guard_at > around.now:
-            yield Breach("answer-none", f"operation {number - OPERATION} has no answer {late:g} ms after its "
-                                        f"deadline and slack")
+            yield Breach(
+                "answer-none",
+                f"operation {number - OPERATION} has no answer {late:g} ms after its deadline and slack",
+            )
     if settings.must_ask and not around.asks:
         since = around.now - around.quiet_since
         if since > settings.rules.ask_within_ms:
@@ -226,7 +237,9 @@
             yield Breach("tables", f"{name}: {has}, and should be {should}")
     instants = [at for at, _ in around.timers]
     twins = max(map(instants.count, instants), default=0)
-    for what, most, count in (("wait together", world.most_timers, len(instants)),
-                              ("wait for the same instant", world.most_twins, twins)):
+    for what, most, count in (
+        ("wait together", world.most_timers, len(instants)),
+        ("wait for the same instant", world.most_twins, twins),
+    ):
         if most and count > most:
             yield Breach("timers", f"{count} timers of the module {what}; {most} are allowed")
--- a/coveport/lab/check/states.py
+++ b/coveport/lab/check/states.py
@@ -63,7 +63,8 @@
             self._table[cls] = fill(place)
         known: dict[tuple[str, str], Any] = {
             (__name__, _kept.__name__): kept.__getitem__,
-            (__name__, _blank.__name__): lambda place: object.__new__(empty[place])}
+            (__name__, _blank.__name__): lambda place: object.__new__(empty[place]),
+        }
 
         class Unpickler(pickle.Unpickler):
             def find_class(self, module: str, name: str) -> Any:
@@ -90,18 +91,71 @@
 # Telling apart.
 
 _SKIPPED = {  # fields that never change, or are set before they are read
-    Balancer: {"settings", "rules", "limits", "random", "out", "now", "soon", "aim", "dear", "most_out",
-               "slow", "calm", "hosts", "local", "wide", "all", "open", "queue", "flights", "due",
-               "came_at", "keep_at"},
+    Balancer: {
+        "settings",
+        "rules",
+        "limits",
+        "random",
+        "out",
+        "now",
+        "soon",
+        "aim",
+        "dear",
+        "most_out",
+        "slow",
+        "calm",
+        "hosts",
+        "local",
+        "wide",
+        "all",
+        "open",
+        "queue",
+        "flights",
+        "due",
+        "came_at",
+        "keep_at",
+    },
     Reducer: {"_settings", "_balancer", "_operations", "_ids", "_now", "_effects"},
-    Surroundings: {"world", "now", "open", "came", "states", "told_at", "births", "timers", "probes",
-                   "quiet_since"},
+    Surroundings: {
+        "world",
+        "now",
+        "open",
+        "came",
+        "states",
+        "told_at",
+        "births",
+        "timers",
+        "probes",
+        "quiet_since",
+    },
 }
 _OWN = {  # fields that a key tells in its own way
-    decide._Host: {"id", "zone", "cell", "started", "pending", "heard_at", "seen_at", "cold_at", "down_at",
-                   "trial_at", "paused_until", "failures", "mark"},
-    decide._Request: {"id", "kind", "cls", "limits", "long", "deadline", "attempts", "cross_at",
-                      "hold_until"},
+    decide._Host: {
+        "id",
+        "zone",
+        "cell",
+        "started",
+        "pending",
+        "heard_at",
+        "seen_at",
+        "cold_at",
+        "down_at",
+        "trial_at",
+        "paused_until",
+        "failures",
+        "mark",
+    },
+    decide._Request: {
+        "id",
+        "kind",
+        "cls",
+        "limits",
+        "long",
+        "deadline",
+        "attempts",
+        "cross_at",
+        "hold_until",
+    },
     decide._Attempt: {"host", "sent_at", "share", "passed"},  # the last two are told of those that are out
 }
 
@@ -111,12 +165,23 @@
 
     def __init__(self, world: World, exact: bool = False, fold: bool = True) -> None:
         self._world, self._exact = world, exact
-        said = [(place, line) for place, word in enumerate((world.list_known(), *world.words))
-                for line in word.lines]
+        said = [
+            (place, line)
+            for place, word in enumerate((world.list_known(), *world.words))
+            for line in word.lines
+        ]
         kinds: dict[object, int] = {}
-        self.kinds = [kinds.setdefault((node, number if not fold else -1, tuple(
-            (place, line.state, line.birth) for place, line in said if line.node == number)), len(kinds))
-            for number, node in enumerate(world.nodes)]
+        self.kinds = [
+            kinds.setdefault(
+                (
+                    node,
+                    number if not fold else -1,
+                    tuple((place, line.state, line.birth) for place, line in said if line.node == number),
+                ),
+                len(kinds),
+            )
+            for number, node in enumerate(world.nodes)
+        ]
         rules = world.settings.rules
         self._aim = min(cls.aim_ms for cls in world.settings.classes)
         self._fall = max(self._aim, rules.fall_ms)
@@ -149,10 +214,15 @@
         for number, place in sorted(balancer.flights):
             use(balancer.flights[number, place].host, 3, self._rank(number), place)
         operations = tuple(self._operation(play, number, use) for number in self._ranks)
-        steps = [(asked.steps[place].node, self._rank(number), place)
-                 for number, asked in around.open.items() for place in asked.out()]
-        nodes = [self._node(around, number, steps, [self._host(around, one, uses[id(one)]) for one in known])
-                 for number, known in hosts.items()]
+        steps = [
+            (asked.steps[place].node, self._rank(number), place)
+            for number, asked in around.open.items()
+            for place in asked.out()
+        ]
+        nodes = [
+            self._node(around, number, steps, [self._host(around, one, uses[id(one)]) for one in known])
+            for number, known in hosts.items()
+        ]
         return (
             self._fields(around, _SKIPPED[Surroundings]),
             self._world.settings.must_ask and not around.asks and self._instant(around.quiet_since),
@@ -181,54 +251,95 @@
                 use(attempt.host, 4, self._rank(number), place)
                 sent = self._instant(attempt.sent_at) if keyed and attempt.may_have_run else 0
                 attempts.append((sent, *self._fields(attempt, _OWN[decide._Attempt])))
-            told = (self._ahead(request.cross_at, play), self._ahead(request.hold_until, play),
-                    tuple(attempts), *self._fields(request, _OWN[decide._Request]))
+            told = (
+                self._ahead(request.cross_at, play),
+                self._ahead(request.hold_until, play),
+                tuple(attempts),
+                *self._fields(request, _OWN[decide._Request]),
+            )
         return (
-            asked.wish, asked.answered, asked.gone, self._instant(asked.deadline_ms),
-            self._instant(asked.guard_at), self._steps(asked, keyed),
-            own and (own.answered, self._instant(own.deadline_ms),
-                     tuple((step.out, step.out and self._instant(step.sent_at)) for step in own.steps)),
-            told)
+            asked.wish,
+            asked.answered,
+            asked.gone,
+            self._instant(asked.deadline_ms),
+            self._instant(asked.guard_at),
+            self._steps(asked, keyed),
+            own
+            and (
+                own.answered,
+                self._instant(own.deadline_ms),
+                tuple((step.out, step.out and self._instant(step.sent_at)) for step in own.steps),
+            ),
+            told,
+        )
 
     def _steps(self, asked: Asked, keyed: bool) -> tuple[Any, ...]:
         return tuple(
-            (place, step.cancelled, self._instant(step.sent_at), self._instant(step.due_at),
-             self._instant(max(step.ripe_at, self._now))) if step.outcome is None else
-            (place, step.may_have_run, keyed and step.may_have_run and self._instant(step.sent_at))
-            for place, step in asked.steps.items())
+            (
+                place,
+                step.cancelled,
+                self._instant(step.sent_at),
+                self._instant(step.due_at),
+                self._instant(max(step.ripe_at, self._now)),
+            )
+            if step.outcome is None
+            else (place, step.may_have_run, keyed and step.may_have_run and self._instant(step.sent_at))
+            for place, step in asked.steps.items()
+        )
 
-    def _node(self, around: Surroundings, number: int, steps: list[tuple[int, int, int]],
-              hosts: list[Any]) -> tuple[Any, ...]:
+    def _node(
+        self, around: Surroundings, number: int, steps: list[tuple[int, int, int]], hosts: list[Any]
+    ) -> tuple[Any, ...]:
         grace = around.world.settings.rules.drain_grace_ms + around.world.grid_ms
         warm = around.world.settings.rules.warm_after_ms
         return (
-            self.kinds[number], int(around.states.get(number, -1)),
+            self.kinds[number],
+            int(around.states.get(number, -1)),
             self._since(around.told_at.get(number, inf), grace),
-            tuple(sorted((birth, self._since(at, warm)) for (node, birth), at in around.births.items()
-                         if node == number)),
-            tuple(sorted((self._instant(due), self._instant(sent)) for due, sent, node in around.probes
-                         if node == number)),
+            tuple(
+                sorted(
+                    (birth, self._since(at, warm))
+                    for (node, birth), at in around.births.items()
+                    if node == number
+                )
+            ),
+            tuple(
+                sorted(
+                    (self._instant(due), self._instant(sent))
+                    for due, sent, node in around.probes
+                    if node == number
+                )
+            ),
             tuple((rank, place) for node, rank, place in steps if node == number),
-            tuple(hosts))
+            tuple(hosts),
+        )
 
     def _host(self, around: Surroundings, host: decide._Host, uses: list[Any]) -> tuple[Any, ...]:
         now = self._now
         starts = [at for (node, _), at in around.births.items() if node == host.id - NODE]
         untold = {"host", "pending", "may_have_run"}
-        flights = tuple((self._rank(number), place, *self._fields(flight, untold))
-                        for (number, place), flight in host.pending.items())
+        flights = tuple(
+            (self._rank(number), place, *self._fields(flight, untold))
+            for (number, place), flight in host.pending.items()
+        )
         sent = [flight.sent_at for flight in host.pending.values()]
         # Asked of the last answer is only whether it came after something else.
         heard: Any = (host.heard_at < now, host.down_at > host.heard_at, *(host.heard_at < at for at in sent))
         if self._exact:
             heard = self._instant(host.heard_at)
         return (
-            heard, flights, tuple(uses), sum(at <= host.started for at in starts),
+            heard,
+            flights,
+            tuple(uses),
+            sum(at <= host.started for at in starts),
             self._since(host.seen_at, host.pace),
             self._since(host.cold_at, self._world.settings.rules.warm_after_ms),
-            self._since(host.down_at, self._fall), self._ahead(host.trial_at),
+            self._since(host.down_at, self._fall),
+            self._ahead(host.trial_at),
             self._ahead(host.paused_until),
-            min(host.failures, decide.ACCIDENTS), *self._fields(host, _OWN[decide._Host]))
+            min(host.failures, decide.ACCIDENTS),
+            *self._fields(host, _OWN[decide._Host]),
+        )
 
     # The figures.
 
--- a/coveport/lab/check/surroundings.py
+++ b/coveport/lab/check/surroundings.py
@@ -232,8 +232,9 @@
         number = OPERATION + self.came
         deadline = self.now + wish.wait_ms
         self.open[number] = Asked(place, deadline)
-        return core.OperationCame(number, wish.cls, deadline, wish.repeat, 0.0, wish.room,
-                                  wish.id or str(number))
+        return core.OperationCame(
+            number, wish.cls, deadline, wish.repeat, 0.0, wish.room, wish.id or str(number)
+        )
 
     def ended(self, number: int, place: int, outcome: Outcome) -> core.Input:
         """A route step ends."""
@@ -281,8 +282,11 @@
             asked = self.open.get(effect.operation)
             if asked is not None:
                 asked.steps[effect.step] = Step(
-                    effect.destination - NODE, self.now, self.on_grid(self.now + effect.timeout_ms),
-                    self.on_grid(self.now + self.world.quick_ms))
+                    effect.destination - NODE,
+                    self.now,
+                    self.on_grid(self.now + effect.timeout_ms),
+                    self.on_grid(self.now + self.world.quick_ms),
+                )
         elif isinstance(effect, core.CancelStep):
             asked = self.open.get(effect.operation)
             step = asked.steps.get(effect.step) if asked is not None else None
--- a/coveport/lab/compare.py
+++ b/coveport/lab/compare.py
@@ -172,8 +172,9 @@
 # Comparing.
 
 
-def compare(a: Sequence[Day], b: Sequence[Day], names: tuple[str, str] = ("A", "B"),
-            resamples: int = 10_000) -> Comparison:
+def compare(
+    a: Sequence[Day], b: Sequence[Day], names: tuple[str, str] = ("A", "B"), resamples: int = 10_000
+) -> Comparison:
     """Compare two sides; CompareError where one has no day that counts, or mixes variants or grounds.
 
     `resamples`: of each interval and test; the same days give the same comparison.
@@ -187,11 +188,19 @@
             raise CompareError(f"{letter} ({name}): all its outcomes are void, the machine ran late")
         mixed = dict.fromkeys(f"{day.judged.variant or 'base'} {day.judged.ground}" for day in counting)
         if len(mixed) > 1:
-            raise CompareError(f"{letter} ({name}) mixes variants or grounds ({', '.join(mixed)}): "
-                               "name one of them by a pattern")
-        sides.append(Side(name, len(counting), len(days) - len(counting),
-                          kept=sum(day.judged.lawful for day in counting),
-                          met=sum(day.judged.met for day in counting)))
+            raise CompareError(
+                f"{letter} ({name}) mixes variants or grounds ({', '.join(mixed)}): "
+                "name one of them by a pattern"
+            )
+        sides.append(
+            Side(
+                name,
+                len(counting),
+                len(days) - len(counting),
+                kept=sum(day.judged.lawful for day in counting),
+                met=sum(day.judged.met for day in counting),
+            )
+        )
         live.append(counting)
     paired, pairs, left_out = _pairs(*live)
     if paired:
@@ -200,8 +209,13 @@
             one, other = (_averaged([day.judged.figures() for day in days]) for days in pair)
             # Guards against a figure that one of a pair lacks: it would be averaged over unlike days.
             shared = [name for name in one if name in other]
-            rows.append((_drawn(pair[0][0]), {name: one[name] for name in shared},
-                         {name: other[name] for name in shared}))
+            rows.append(
+                (
+                    _drawn(pair[0][0]),
+                    {name: one[name] for name in shared},
+                    {name: other[name] for name in shared},
+                )
+            )
         first = _by_draw([(key, one) for key, one, _ in rows])
         second = _by_draw([(key, other) for key, _, other in rows])
     else:
@@ -214,17 +228,23 @@
         if told.beyond:
             told.better = "B" if (told.difference > 0) == (told.figure in HIGHER_IS_BETTER) else "A"
     comparison = Comparison(
-        sides[0], sides[1], paired, len(pairs), min(len(first), len(second)), left_out,
+        sides[0],
+        sides[1],
+        paired,
+        len(pairs),
+        min(len(first), len(second)),
+        left_out,
         sum(len({day.judged.trace for day in [*one, *other]} - {""}) == 1 for one, other in pairs),
         f"95% BCa bootstrap intervals of the mean difference ({resamples:,} resamples, fixed seed); "
         f"beyond chance: permutation test, Holm's correction over {len(tested)} figures, 5% in all",
-        differences, [])
+        differences,
+        [],
+    )
     comparison.verdict = _verdict(comparison, len(first), len(second))
     return comparison
 
 
-def _differences(first: list[Values], second: list[Values], paired: bool,
-                 resamples: int) -> list[Difference]:
+def _differences(first: list[Values], second: list[Values], paired: bool, resamples: int) -> list[Difference]:
     """Of all figures that both sides have; paired: equal places are pairs, and have equal figures."""
     from coveport.lab import intervals
 
@@ -237,7 +257,7 @@
         found.append(told)
         if told.days < 2:
             continue
-        if (a == b if paired else len({*a, *b}) == 1):
+        if a == b if paired else len({*a, *b}) == 1:
             told.equal, told.p, told.low, told.high = True, 1.0, 0.0, 0.0
             continue
         if paired:
@@ -268,8 +288,10 @@
     words = []
     for letter, side in (("A", told.a), ("B", told.b)):
         if side.kept < side.days:
-            words.append(f"{letter} broke rules on {side.days - side.kept} of {side.days} days: "
-                         "that is no matter of chance, and comes before all figures.")
+            words.append(
+                f"{letter} broke rules on {side.days - side.kept} of {side.days} days: "
+                "that is no matter of chance, and comes before all figures."
+            )
         if side.void:
             words.append(f"{letter}: void days left out, as the machine ran late: {side.void}.")
     if told.left_out:
@@ -278,29 +300,38 @@
     if told.pairs and told.same == told.pairs:
         return [*words, "All pairs are the same to the last byte: the sides do not differ on these days."]
     if min(days_a, days_b) < 2:
-        return [*words, "One run of each can't tell: the differences shown may be chance alone. "
-                        "Play more seeds (coveport lab sweep --seeds 1-20)."]
+        return [
+            *words,
+            "One run of each can't tell: the differences shown may be chance alone. "
+            "Play more seeds (coveport lab sweep --seeds 1-20).",
+        ]
     if not tested:
         return [*words, "All figures are equal on all days."]
     beyond = [one for one in tested if one.beyond]
     for letter, other in (("B", "A"), ("A", "B")):
-        won = [f"{one.figure} ({signed(one.difference)}{_between(one)})" for one in beyond
-               if one.better == letter]
+        won = [
+            f"{one.figure} ({signed(one.difference)}{_between(one)})"
+            for one in beyond
+            if one.better == letter
+        ]
         if won:
-            words.append(f"{letter} is better than {other} beyond chance in: {', '.join(won)} "
-                         "(B less A).")
+            words.append(f"{letter} is better than {other} beyond chance in: {', '.join(won)} (B less A).")
     if not beyond:
         words.append(f"No difference beyond chance in any of {len(tested)} figures.")
         service = next((one for one in tested if one.figure == "service" and one.low is not None), None)
         if service is not None:
-            words.append(f"That does not prove them equal: service may differ by anything"
-                         f"{_between(service).removeprefix(',')}.")
+            words.append(
+                f"That does not prove them equal: service may differ by anything"
+                f"{_between(service).removeprefix(',')}."
+            )
     elif len(beyond) < len(tested):
         words.append(f"The other {len(tested) - len(beyond)} figures: nothing beyond chance.")
     least = intervals.smallest_p(told.days) if told.paired else intervals.smallest_p_of_gap(days_a, days_b)
     if least * len(tested) > 1.0 - intervals.LEVEL:
-        words.append(f"{told.days} days are too few to call any of {len(tested)} figures beyond chance, "
-                     f"however large: {intervals.pairs_needed(len(tested))} pairs are needed.")
+        words.append(
+            f"{told.days} days are too few to call any of {len(tested)} figures beyond chance, "
+            f"however large: {intervals.pairs_needed(len(tested))} pairs are needed."
+        )
     return words
 
 
--- a/coveport/lab/conductor.py
+++ b/coveport/lab/conductor.py
@@ -27,8 +27,12 @@
 OF_TILLS = frozenset(TILL_CHANGES)
 
 
-def conduct(changes: Iterable[Change], net: Net, day_ms: Callable[[], float],
-            takers: Iterable[tuple[frozenset[str], Take]]) -> None:
+def conduct(
+    changes: Iterable[Change],
+    net: Net,
+    day_ms: Callable[[], float],
+    takers: Iterable[tuple[frozenset[str], Take]],
+) -> None:
     """Set a timer for each change that somebody here takes; each taker gets those whose `what` is in its set.
 
     Changes of one instant are handed over in the day's order, whichever taker they go to.
--- a/coveport/lab/day.py
+++ b/coveport/lab/day.py
@@ -171,24 +171,48 @@
     rules = scenario.rules
     semantics = {"safe": "idempotent", "keyed": "deduplicated", "never": "at_most_once"}
     return {
-        "classes": [{"name": one.name, "aim_ms": one.aim_ms, "deadline_ms": one.deadline_ms,
-                     "gain": one.worth, "late_share": 0.0, "semantics": semantics[one.repeats],
-                     "key_scope": one.scope,
-                     "window_ms": one.window_ms, "stream": False} for one in scenario.classes],
-        "limits": {"cancel": True, "connect_timeout_ms": rules.connect_timeout_ms,
-                   "keepalive_ms": _low(scenario.fleet.idle_s) * 1000, "most_tries": rules.most_tries,
-                   "max_retry_after_ms": rules.max_retry_after_ms, "probes": rules.probes,
-                   "retry_after": rules.retry_after, "second_copies": rules.second_copies,
-                   "streams_per_conn": 1},
-        "invariants": {"answer_slack_ms": rules.answer_slack_ms, "cold_from": rules.cold_from,
-                       "warm_after_ms": rules.warm_after_ms, "overload_factor": rules.overload_factor,
-                       "fall_ms": rules.fall_ms, "stop_sending_within_ms": rules.drain_grace_ms,
-                       "ask_within_ms": 10000.0},
+        "classes": [
+            {
+                "name": one.name,
+                "aim_ms": one.aim_ms,
+                "deadline_ms": one.deadline_ms,
+                "gain": one.worth,
+                "late_share": 0.0,
+                "semantics": semantics[one.repeats],
+                "key_scope": one.scope,
+                "window_ms": one.window_ms,
+                "stream": False,
+            }
+            for one in scenario.classes
+        ],
+        "limits": {
+            "cancel": True,
+            "connect_timeout_ms": rules.connect_timeout_ms,
+            "keepalive_ms": _low(scenario.fleet.idle_s) * 1000,
+            "most_tries": rules.most_tries,
+            "max_retry_after_ms": rules.max_retry_after_ms,
+            "probes": rules.probes,
+            "retry_after": rules.retry_after,
+            "second_copies": rules.second_copies,
+            "streams_per_conn": 1,
+        },
+        "invariants": {
+            "answer_slack_ms": rules.answer_slack_ms,
+            "cold_from": rules.cold_from,
+            "warm_after_ms": rules.warm_after_ms,
+            "overload_factor": rules.overload_factor,
+            "fall_ms": rules.fall_ms,
+            "stop_sending_within_ms": rules.drain_grace_ms,
+            "ask_within_ms": 10000.0,
+        },
         "prices": {"cross_zone": 0.055, "waste": 0.018, "late_fail": 0.05, "probe": 0.01},
         "telemetry": {"fields": ["fail_rate", "busy"], "how": "inline"},
-        "localities": list(scenario.fleet.zones), "zone": sidecar.zone, "peers_total": len(day.sidecars),
+        "localities": list(scenario.fleet.zones),
+        "zone": sidecar.zone,
+        "peers_total": len(day.sidecars),
         "registry_mode": "subscribe" if scenario.discovery.asked else "automatic",
-        "me": sidecar.number, "round_ms": 5.0,
+        "me": sidecar.number,
+        "round_ms": 5.0,
     }
 
 
--- a/coveport/lab/drawing.py
+++ b/coveport/lab/drawing.py
@@ -24,18 +24,37 @@
     troubles = [draw_trouble(scenario, seed, number, nodes) for number in range(len(scenario.faults))]
     course = Course(scenario, seed, nodes, troubles)
     network, chance = scenario.network, stream(seed, "network")
-    same, client, jitter, notice, add = (drawn(chance, one) for one in (
-        network.same_ms, network.client_ms, network.jitter, scenario.discovery.notice_s,
-        scenario.discovery.add_s))
+    same, client, jitter, notice, add = (
+        drawn(chance, one)
+        for one in (
+            network.same_ms,
+            network.client_ms,
+            network.jitter,
+            scenario.discovery.notice_s,
+            scenario.discovery.add_s,
+        )
+    )
     zones = len(scenario.fleet.zones)
     cross = [[same] * zones for _ in range(zones)]
     for one in range(zones):
         for other in range(one):
             cross[one][other] = cross[other][one] = drawn(chance, network.cross_ms)
-    return Day(scenario, seed, nodes=(*nodes, *course.replacements), sidecars=draw_sidecars(scenario, seed),
-               wishes=draw_wishes(scenario, seed, capacity, troubles), changes=tuple(course.changes),
-               spans=tuple(course.spans), same_ms=same, cross_ms=tuple(map(tuple, cross)), client_ms=client,
-               jitter=jitter, notice_ms=notice * 1000, add_ms=add * 1000, capacity=capacity)
+    return Day(
+        scenario,
+        seed,
+        nodes=(*nodes, *course.replacements),
+        sidecars=draw_sidecars(scenario, seed),
+        wishes=draw_wishes(scenario, seed, capacity, troubles),
+        changes=tuple(course.changes),
+        spans=tuple(course.spans),
+        same_ms=same,
+        cross_ms=tuple(map(tuple, cross)),
+        client_ms=client,
+        jitter=jitter,
+        notice_ms=notice * 1000,
+        add_ms=add * 1000,
+        capacity=capacity,
+    )
 
 
 def summary(day: Day) -> dict[str, Any]:
@@ -51,10 +70,17 @@
         asked[wish.cls] += 1
     length = day.scenario.length_s
     return {
-        "seed": day.seed, "length_s": length, "nodes": sum(node.born for node in day.nodes),
-        "sidecars": len(day.sidecars), "wishes": count, "rate": count / length, "capacity": day.capacity,
+        "seed": day.seed,
+        "length_s": length,
+        "nodes": sum(node.born for node in day.nodes),
+        "sidecars": len(day.sidecars),
+        "wishes": count,
+        "rate": count / length,
+        "capacity": day.capacity,
         "level": sum(wish.work_ms for wish in day.wishes) / (day.capacity * length * 1000),
         "mix": {one.name: many / max(count, 1) for one, many in zip(classes, asked, strict=True)},
-        "faults": [f"{span.kind} ({span.whom}) {span.begin / 1000:.1f} to {span.end / 1000:.1f} s"
-                   for span in day.spans],
+        "faults": [
+            f"{span.kind} ({span.whom}) {span.begin / 1000:.1f} to {span.end / 1000:.1f} s"
+            for span in day.spans
+        ],
     }
--- a/coveport/lab/explain.py
+++ b/coveport/lab/explain.py
@@ -96,8 +96,10 @@
         attempts = [row for one in of_wish for row in arrived.get(one.op, ()) if row.took in _TAKEN]
         if answers[of_wish[-1].op].status in (429, 503):
             return "after a try" if attempts else "turned away"
-        given_up = any((at := (row.node, row.attempt)) not in replied
-                       and getattr(ended.get(at), "how", "end") == "end" for row in attempts)
+        given_up = any(
+            (at := (row.node, row.attempt)) not in replied and getattr(ended.get(at), "how", "end") == "end"
+            for row in attempts
+        )
         return "timed out" if given_up else "broken"
 
     count = max(1, int(np.ceil(day.scenario.length_s * 1000 / WINDOW_MS)))
@@ -108,7 +110,7 @@
         cls = day.scenario.classes[wish.cls]
         due_worth[at] += cls.worth
         wishes[at] += 1
-        if (why := cause(wish.op, wish.due, cls.aim_ms)):
+        if why := cause(wish.op, wish.due, cls.aim_ms):
             lost[at][why] += cls.worth
     all_arrived = [row for some in arrived.values() for row in some]
     work = sum(row.work_ms for row in all_arrived)
@@ -121,12 +123,21 @@
         _windows(loads, count, due_worth, wishes, lost),
         1 - sum(sum(one.values()) for one in lost) / total,
         {why: sum(one.get(why, 0.0) for one in lost) / total for why in CAUSES},
-        len(all_arrived) / max(1, len(day.wishes)), crossed / max(1, len(all_arrived)),
-        links / max(1, len(all_arrived)), wasted / max(work, 1e-9), _heat(day, loads, count))
-
-
-def _windows(loads: Iterable[books.NodeLoad], count: int, due: np.ndarray, wishes: np.ndarray,
-             lost: list[dict[str, float]]) -> list[Window]:
+        len(all_arrived) / max(1, len(day.wishes)),
+        crossed / max(1, len(all_arrived)),
+        links / max(1, len(all_arrived)),
+        wasted / max(work, 1e-9),
+        _heat(day, loads, count),
+    )
+
+
+def _windows(
+    loads: Iterable[books.NodeLoad],
+    count: int,
+    due: np.ndarray,
+    wishes: np.ndarray,
+    lost: list[dict[str, float]],
+) -> list[Window]:
     seen: list[dict[int, list[tuple[float, float]]]] = [defaultdict(list) for _ in range(count)]
     for row in loads:
         if 0 <= row.at < count * WINDOW_MS:
@@ -136,10 +147,19 @@
         means = np.array([np.mean(some, axis=0) for some in nodes.values()] or [[0.0, 0.0]])
         idle, crowded = float(np.mean(means[:, 0] < IDLE)), float(np.mean(means[:, 1] > CROWDED))
         worth = max(float(due[at]), 1e-9)
-        windows.append(Window(
-            at * WINDOW_MS / 1000, int(wishes[at]), 1 - sum(lost[at].values()) / worth,
-            {why: lost[at].get(why, 0.0) / worth for why in CAUSES}, float(np.mean(means[:, 0])), idle,
-            crowded, float(np.mean(means[:, 1])), 2 * min(idle, crowded)))
+        windows.append(
+            Window(
+                at * WINDOW_MS / 1000,
+                int(wishes[at]),
+                1 - sum(lost[at].values()) / worth,
+                {why: lost[at].get(why, 0.0) / worth for why in CAUSES},
+                float(np.mean(means[:, 0])),
+                idle,
+                crowded,
+                float(np.mean(means[:, 1])),
+                2 * min(idle, crowded),
+            )
+        )
     return windows
 
 
@@ -148,25 +168,39 @@
     for row in loads:
         if 0 <= row.at < count * WINDOW_MS:
             held[row.node][int(row.at // WINDOW_MS)].append(row.working + row.waiting)
-    return sorted((node.zone, node.number, "".join(
-        SHADES[int(np.searchsorted(STEPS, np.mean(some), side="right"))] if some else "x"
-        for some in held[node.number])) for node in day.nodes)
+    return sorted(
+        (
+            node.zone,
+            node.number,
+            "".join(
+                SHADES[int(np.searchsorted(STEPS, np.mean(some), side="right"))] if some else "x"
+                for some in held[node.number]
+            ),
+        )
+        for node in day.nodes
+    )
 
 
 def text(picture: Picture, zones: tuple[str, ...]) -> str:
     """For a terminal: a line a window, then a line a node."""
     names = list(CAUSES)
-    lines = [f"served {picture.served:.3f}; lost: " + ", ".join(
-        f"{why} {share:.3f}" for why, share in picture.lost.items() if share >= 0.0005),
+    lines = [
+        f"served {picture.served:.3f}; lost: "
+        + ", ".join(f"{why} {share:.3f}" for why, share in picture.lost.items() if share >= 0.0005),
         f"attempts a wish {picture.attempts:.2f}, crossed {picture.crossings:.2f}, connections an attempt "
-        f"{picture.connections:.2f}, work without an answer {picture.wasted:.2f}", "",
-        f"{'from':>6} {'wishes':>7} {'served':>7} " + " ".join(f"{why:>11}" for why in names)
-        + f" {'busy':>6} {'idle':>6} {'crowded':>8} {'held':>6} {'unlike':>7}"]
+        f"{picture.connections:.2f}, work without an answer {picture.wasted:.2f}",
+        "",
+        f"{'from':>6} {'wishes':>7} {'served':>7} "
+        + " ".join(f"{why:>11}" for why in names)
+        + f" {'busy':>6} {'idle':>6} {'crowded':>8} {'held':>6} {'unlike':>7}",
+    ]
     for one in picture.windows:
-        lines.append(f"{one.at_s:5.0f}s {one.wishes:7} {one.served:7.3f} "
-                     + " ".join(f"{one.lost[why]:11.3f}" for why in names)
-                     + f" {one.busy:6.2f} {one.idle:6.2f} {one.crowded:8.2f} {one.held:6.1f}"
-                     + f" {one.unlike:7.2f}")
+        lines.append(
+            f"{one.at_s:5.0f}s {one.wishes:7} {one.served:7.3f} "
+            + " ".join(f"{one.lost[why]:11.3f}" for why in names)
+            + f" {one.busy:6.2f} {one.idle:6.2f} {one.crowded:8.2f} {one.held:6.1f}"
+            + f" {one.unlike:7.2f}"
+        )
     lines += ["", "operations held by each node, a column for each two seconds (x: not there)"]
     for zone, number, shades in picture.heat:
         lines.append(f"{zones[zone]:>12} {number:5} |{shades}|")
--- a/coveport/lab/faults.py
+++ b/coveport/lab/faults.py
@@ -236,9 +236,34 @@
     silent: Annotated[int, Bounds(0, 200)] = 3
 
 
-AnyFault = (Crash | Slow | Silent | Drain | Rolling | Errors | Resets | Spoilt | FullQueue | Cut | Delay
-            | Loss | Burst | HeavyTail | DiscoveryFault | Kill | Stall | Restart | Clock | Starve
-            | Descriptors | SlowReader | Upgrade | Lameduck | Retune | Scrape)
+AnyFault = (
+    Crash
+    | Slow
+    | Silent
+    | Drain
+    | Rolling
+    | Errors
+    | Resets
+    | Spoilt
+    | FullQueue
+    | Cut
+    | Delay
+    | Loss
+    | Burst
+    | HeavyTail
+    | DiscoveryFault
+    | Kill
+    | Stall
+    | Restart
+    | Clock
+    | Starve
+    | Descriptors
+    | SlowReader
+    | Upgrade
+    | Lameduck
+    | Retune
+    | Scrape
+)
 
 OF_STAFF = (Upgrade, Lameduck, Retune, Scrape)
 OF_SIDECARS = (Kill, Stall, Restart, Clock, Starve, Descriptors, SlowReader, *OF_STAFF)
--- a/coveport/lab/fuzz/mutate.py
+++ b/coveport/lab/fuzz/mutate.py
@@ -11,9 +11,30 @@
 HUGE_SHARE = 0.003
 
 _NUMBER = re.compile(rb"[0-9]+")
-_NUMBERS = (b"0", b"1", b"-1", b"00", b"1e400", b"0.5", b"127", b"255", b"256", b"65535", b"65536",
-            b"2147483648", b"4294967296", b"9" * 18, b"9" * 19, b"9" * 400, b"NaN", b"Infinity",
-            b"1_0", b"0x1", b"+1", b"")
+_NUMBERS = (
+    b"0",
+    b"1",
+    b"-1",
+    b"00",
+    b"1e400",
+    b"0.5",
+    b"127",
+    b"255",
+    b"256",
+    b"65535",
+    b"65536",
+    b"2147483648",
+    b"4294967296",
+    b"9" * 18,
+    b"9" * 19,
+    b"9" * 400,
+    b"NaN",
+    b"Infinity",
+    b"1_0",
+    b"0x1",
+    b"+1",
+    b"",
+)
 _BYTES = b"\x00\x01\t\n\x0b\r\x1f !\"#%',-./:;<=>?[\\]{}~\x7f\x80\x85\xa0\xc3\xff"
 
 
@@ -23,6 +44,7 @@
     One a line, `"..."` or `name="..."`, with `\xAB`, `\\` and `\"`. Lines that are empty or begin with `#`
     are passed over; ValueError names one that is none of these.
     """
+
     def byte(match: re.Match[str]) -> str:
         return chr(int(match[1][1:], 16)) if match[1][0] == "x" else match[1]
 
@@ -47,8 +69,21 @@
         self._corpus = list(corpus) or [b""]
         self._words = list(words) or [b"\0"]
         self._ways: tuple[Callable[[bytes], bytes], ...] = (
-            self._flip, self._put, self._drop, self._double, self._insert, self._insert, self._replace,
-            self._splice, self._number, self._number, self._lines, self._lines, self._case, self._cut)
+            self._flip,
+            self._put,
+            self._drop,
+            self._double,
+            self._insert,
+            self._insert,
+            self._replace,
+            self._splice,
+            self._number,
+            self._number,
+            self._lines,
+            self._lines,
+            self._case,
+            self._cut,
+        )
 
     def __iter__(self) -> Iterator[bytes]:
         """Inputs without an end."""
@@ -78,11 +113,11 @@
         if not data:
             return data
         at = self._chance.randrange(len(data))
-        return data[:at] + bytes([data[at] ^ 1 << self._chance.randrange(8)]) + data[at + 1:]
+        return data[:at] + bytes([data[at] ^ 1 << self._chance.randrange(8)]) + data[at + 1 :]
 
     def _put(self, data: bytes) -> bytes:
         at = self._at(data)
-        return data[:at] + bytes([self._chance.choice(_BYTES)]) + data[at + self._chance.randrange(2):]
+        return data[:at] + bytes([self._chance.choice(_BYTES)]) + data[at + self._chance.randrange(2) :]
 
     def _drop(self, data: bytes) -> bytes:
         low, high = self._span(data)
@@ -102,7 +137,7 @@
 
     def _splice(self, data: bytes) -> bytes:
         other = self._chance.choice(self._corpus)
-        return data[:self._at(data)] + other[self._at(other):]
+        return data[: self._at(data)] + other[self._at(other) :]
 
     def _number(self, data: bytes) -> bytes:
         places = [match.span() for match in _NUMBER.finditer(data)]
@@ -110,8 +145,11 @@
             return self._put(data)
         low, high = self._chance.choice(places)
         value = data[low:high]
-        new = (b"%d" % max(0, int(value) + self._chance.choice((-1, 1))) if self._chance.random() < 0.4
-               and len(value) < 20 else self._chance.choice(_NUMBERS))
+        new = (
+            b"%d" % max(0, int(value) + self._chance.choice((-1, 1)))
+            if self._chance.random() < 0.4 and len(value) < 20
+            else self._chance.choice(_NUMBERS)
+        )
         return data[:low] + new + data[high:]
 
     def _lines(self, data: bytes) -> bytes:
@@ -130,7 +168,7 @@
         return data[:low] + data[low:high].swapcase() + data[high:]
 
     def _cut(self, data: bytes) -> bytes:
-        return data[:self._at(data)]
+        return data[: self._at(data)]
 
     def _blow_up(self, data: bytes) -> bytes:
         low, high = self._span(data)
--- a/coveport/lab/fuzz/run.py
+++ b/coveport/lab/fuzz/run.py
@@ -22,8 +22,23 @@
 from coveport.lab.fuzz.mutate import Mutator, read_dictionary
 from coveport.lab.fuzz.targets import TARGETS, BrokenError, Target
 
-__all__ = ["TARGETS", "Find", "FuzzError", "Mutator", "Told", "attempt", "can_guide", "guide", "keep", "load",
-           "minimise", "named", "play", "rewrite", "words"]
+__all__ = [
+    "TARGETS",
+    "Find",
+    "FuzzError",
+    "Mutator",
+    "Told",
+    "attempt",
+    "can_guide",
+    "guide",
+    "keep",
+    "load",
+    "minimise",
+    "named",
+    "play",
+    "rewrite",
+    "words",
+]
 
 ROOT = Path(__file__).resolve().parents[3]
 CORPORA = ROOT / "fuzz"
@@ -105,8 +120,15 @@
     return read_dictionary(path.read_text(encoding="utf-8")) if path.is_file() else []
 
 
-def play(name: str, corpus: Sequence[bytes], *, seed: int = 1, count: int | None = None,
-         seconds: float | None = None, on: Callable[[int], None] | None = None) -> Told:
+def play(
+    name: str,
+    corpus: Sequence[bytes],
+    *,
+    seed: int = 1,
+    count: int | None = None,
+    seconds: float | None = None,
+    on: Callable[[int], None] | None = None,
+) -> Told:
     """Play a corpus, then mutations of it by seed: `count` of them, or for `seconds`. Never guided.
 
     `on` is told the number of executions now and then.
@@ -144,11 +166,23 @@
     with tempfile.TemporaryDirectory() as work:
         report, dictionary = Path(work) / "finds", CORPORA / "dictionaries" / f"{target.dictionary}.dict"
         command = [
-            sys.executable, "-m", "coveport.lab.fuzz.guided", name, str(report), str(corpus),
-            f"-max_total_time={max(1, round(seconds))}", f"-seed={seed % 2**32 or 1}", f"-timeout={SLOW_S:g}",
-            "-max_len=20000", "-rss_limit_mb=4096", "-print_final_stats=1", f"-artifact_prefix={crashes}/",
+            sys.executable,
+            "-m",
+            "coveport.lab.fuzz.guided",
+            name,
+            str(report),
+            str(corpus),
+            f"-max_total_time={max(1, round(seconds))}",
+            f"-seed={seed % 2**32 or 1}",
+            f"-timeout={SLOW_S:g}",
+            "-max_len=20000",
+            "-rss_limit_mb=4096",
+            "-print_final_stats=1",
+            f"-artifact_prefix={crashes}/",
             *([f"-dict={dictionary}"] if dictionary.is_file() else []),
-            str(inputs), *([str(corpus)] if corpus.is_dir() else [])]
+            str(inputs),
+            *([str(corpus)] if corpus.is_dir() else []),
+        ]
         done = subprocess.run(command, capture_output=True, check=False, cwd=ROOT)
         said = done.stderr.decode(errors="replace")
         for line in report.read_text().splitlines() if report.is_file() else ():
@@ -250,4 +284,3 @@
     for one in folder.iterdir():
         if one.is_file() and one.name not in kept:
             one.unlink()
-
--- a/coveport/lab/fuzz/targets.py
+++ b/coveport/lab/fuzz/targets.py
@@ -80,7 +80,7 @@
     """Some ways to cut bytes into pieces, always the same ones for the same bytes."""
     chance = random.Random(zlib.crc32(data))
     if len(data) <= BYTEWISE:
-        yield [data[at:at + 1] for at in range(len(data))]
+        yield [data[at : at + 1] for at in range(len(data))]
     for several in (1, 2, 7):
         at = sorted({0, len(data), *(chance.randint(0, len(data)) for _ in range(several))})
         yield [data[low:high] for low, high in pairwise(at)]
@@ -97,7 +97,7 @@
                 found.append(message)
         except codec.BadMessageError as problem:
             must(problem.status in REFUSALS, "status", f"{problem.status}")
-            for rest in [*pieces[number + 1:], b"GET / HTTP/1.1\r\nHost: a\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"]:
+            for rest in [*pieces[number + 1 :], b"GET / HTTP/1.1\r\nHost: a\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"]:
                 parser.feed(rest)
                 must(parser.next() is None, "after an error", "a message was taken")
             return Read(found, problem.status, False)
@@ -138,8 +138,12 @@
         written = codec.write_request(message.method, message.target, headers, message.body)
         again = _one(codec.RequestParser(MOST_BODY), written)
         if again is not None:
-            must((again.method, again.target, again.body, _plain(again.headers))
-                 == (message.method, message.target, message.body, headers), "written", f"{again}")
+            must(
+                (again.method, again.target, again.body, _plain(again.headers))
+                == (message.method, message.target, message.body, headers),
+                "written",
+                f"{again}",
+            )
             rewritten = codec.write_request(again.method, again.target, _plain(again.headers), again.body)
             must(rewritten == written, "stable", f"{written!r}, then {rewritten!r}")
 
@@ -167,8 +171,12 @@
         written = codec.write_response(message.status, _plain(message.headers), message.body)
         again = _one(codec.ResponseParser(MOST_BODY), written)
         if again is not None:
-            must((again.status, again.body, _plain(again.headers))
-                 == (message.status, message.body, _plain(message.headers)), "written", f"{again}")
+            must(
+                (again.status, again.body, _plain(again.headers))
+                == (message.status, message.body, _plain(message.headers)),
+                "written",
+                f"{again}",
+            )
             rewritten = codec.write_response(again.status, _plain(again.headers), again.body)
             must(rewritten == written, "stable", f"{written!r}, then {rewritten!r}")
 
@@ -247,8 +255,13 @@
     return [dict(getattr(reader, name)) for name in ("_hosts", "_cells", "_where", "_zones")]
 
 
-def _one_list(told: Any, update: api.ListUpdate, places: Sequence[tuple[int, Any]], numbers: dict[str, int],
-              given: set[int]) -> None:
+def _one_list(
+    told: Any,
+    update: api.ListUpdate,
+    places: Sequence[tuple[int, Any]],
+    numbers: dict[str, int],
+    given: set[int],
+) -> None:
     """Hold one list against a model of its own: `numbers` of the names that are there, all ever `given`."""
     must(update.version == told["seq"], "version", f"{update.version}")
     kind = api.ListKind.FULL if told["whole"] else api.ListKind.DELTA
@@ -300,8 +313,11 @@
     for one in (read.listen, read.discovery):
         _dialable(one)
     must(type(read.name) is str and type(read.seed) is int, "types", f"{read}")
-    must(read.sockets >= 1 and 0 < read.memory_mb < math.inf and 0 < read.keepalive_ms < math.inf, "limits",
-         f"{read}")
+    must(
+        read.sockets >= 1 and 0 < read.memory_mb < math.inf and 0 < read.keepalive_ms < math.inf,
+        "limits",
+        f"{read}",
+    )
     names = [one.name for one in read.settings.classes]
     must(all(type(one) is str for one in names), "class", f"{names}")
     must(all(type(one) is str for one in read.settings.load_fields), "fields", f"{read.settings.load_fields}")
@@ -393,8 +409,11 @@
     except ValueError:
         return
     written = outcome.encode(read)
-    must(outcome.decode(written) == read and outcome.encode(outcome.decode(written)) == written, "stable",
-         f"{written!r}")
+    must(
+        outcome.decode(written) == read and outcome.encode(outcome.decode(written)) == written,
+        "stable",
+        f"{written!r}",
+    )
 
 
 # The comparison with h11, loaded where it is wanted: h11 is needed by nothing else.
--- a/coveport/lab/fuzz/writers.py
+++ b/coveport/lab/fuzz/writers.py
@@ -47,8 +47,12 @@
     for instance, item in taken:
         records.append(struct.pack("<HH", 12, instance))
         if isinstance(item, api.ListUpdate) and item.kind is not api.ListKind.FAILED:
-            entries = [struct.pack("<IBBHBfd", one.host, one.zone, 0, one.cell, one.state, one.weight,
-                                   one.started_ms) for one in item.entries]
+            entries = [
+                struct.pack(
+                    "<IBBHBfd", one.host, one.zone, 0, one.cell, one.state, one.weight, one.started_ms
+                )
+                for one in item.entries
+            ]
             records.append(struct.pack("<HBI", 11, 7, len(entries)) + b"".join(entries))
         records.append(_record(item))
     body = b"".join(records)
@@ -67,20 +71,39 @@
             return struct.pack("<HBIB", 2, item.kind, item.version, 7)
         case api.Request():
             flags = (repr(item.cost_ms) != "0.0") | item.repeat << 1 | item.write << 2
-            return struct.pack("<HQQBdHdH", 3, item.id, item.key, flags, item.deadline_ms, item.cls,
-                               item.cost_ms, item.tenant)
+            return struct.pack(
+                "<HQQBdHdH",
+                3,
+                item.id,
+                item.key,
+                flags,
+                item.deadline_ms,
+                item.cls,
+                item.cost_ms,
+                item.tenant,
+            )
         case api.StreamStarted():
             return struct.pack("<HQHId", 4, item.id, item.attempt, item.host, 0.0)
         case api.Reply():
-            return struct.pack("<HQHIHdBB", 5, item.id, item.attempt, item.host, item.outcome,
-                               item.latency_ms, item.closed, len(item.load)) + _floats(item.load)
+            return struct.pack(
+                "<HQHIHdBB",
+                5,
+                item.id,
+                item.attempt,
+                item.host,
+                item.outcome,
+                item.latency_ms,
+                item.closed,
+                len(item.load),
+            ) + _floats(item.load)
         case api.Left():
             return struct.pack("<HQ", 6, item.id)
         case api.TimerFired():
             return struct.pack("<HQ", 7, item.token)
         case api.ProbeResult():
-            return struct.pack("<HIHdB", 8, item.host, item.outcome, item.latency_ms,
-                               len(item.load)) + _floats(item.load)
+            return struct.pack(
+                "<HIHdB", 8, item.host, item.outcome, item.latency_ms, len(item.load)
+            ) + _floats(item.load)
         case api.PeerMessage():
             return struct.pack("<HHH", 9, item.sender, len(item.data)) + item.data
 
--- a/coveport/lab/intervals.py
+++ b/coveport/lab/intervals.py
@@ -38,9 +38,16 @@
         with warnings.catch_warnings():
             # Guards against data so uneven that BCa has no answer: it warns, says nan, and percentiles do.
             warnings.simplefilter("ignore")
-            told = stats.bootstrap(data, statistic, n_resamples=resamples, method=method, vectorized=True,
-                                   confidence_level=LEVEL, batch=1000,
-                                   rng=np.random.default_rng(SEED)).confidence_interval
+            told = stats.bootstrap(
+                data,
+                statistic,
+                n_resamples=resamples,
+                method=method,
+                vectorized=True,
+                confidence_level=LEVEL,
+                batch=1000,
+                rng=np.random.default_rng(SEED),
+            ).confidence_interval
         if math.isfinite(told.low) and math.isfinite(told.high):
             return float(told.low), float(told.high)
     return None
@@ -51,8 +58,9 @@
     return _bootstrap((np.asarray(values, dtype=float),), _mean, resamples)
 
 
-def interval_of_gap(first: Sequence[float], second: Sequence[float],
-                    resamples: int = RESAMPLES) -> tuple[float, float] | None:
+def interval_of_gap(
+    first: Sequence[float], second: Sequence[float], resamples: int = RESAMPLES
+) -> tuple[float, float] | None:
     """The 95% interval of the mean of `second` less that of `first`, two unpaired samples; None as above."""
     return _bootstrap((np.asarray(first, dtype=float), np.asarray(second, dtype=float)), _gap, resamples)
 
@@ -62,8 +70,16 @@
     values = np.asarray(differences, dtype=float)
     if not values.any():
         return 1.0
-    return float(stats.permutation_test((values,), _mean, permutation_type="samples", vectorized=True,
-                                        n_resamples=resamples, rng=np.random.default_rng(SEED)).pvalue)
+    return float(
+        stats.permutation_test(
+            (values,),
+            _mean,
+            permutation_type="samples",
+            vectorized=True,
+            n_resamples=resamples,
+            rng=np.random.default_rng(SEED),
+        ).pvalue
+    )
 
 
 def p_of_gap(first: Sequence[float], second: Sequence[float], resamples: int = RESAMPLES) -> float:
@@ -71,9 +87,17 @@
     data = (np.asarray(first, dtype=float), np.asarray(second, dtype=float))
     if np.ptp(np.concatenate(data)) == 0.0:
         return 1.0
-    return float(stats.permutation_test(data, _gap, permutation_type="independent", vectorized=True,
-                                        n_resamples=resamples, batch=1000,
-                                        rng=np.random.default_rng(SEED)).pvalue)
+    return float(
+        stats.permutation_test(
+            data,
+            _gap,
+            permutation_type="independent",
+            vectorized=True,
+            n_resamples=resamples,
+            batch=1000,
+            rng=np.random.default_rng(SEED),
+        ).pvalue
+    )
 
 
 def holm(ps: Sequence[float]) -> list[float]:
@@ -87,7 +111,7 @@
 
 def smallest_p(pairs: int) -> float:
     """The least p-value that so many pairs can give, however large the difference."""
-    return min(1.0, 2.0 / 2.0 ** pairs)
+    return min(1.0, 2.0 / 2.0**pairs)
 
 
 def smallest_p_of_gap(first: int, second: int) -> float:
--- a/coveport/lab/lanes.py
+++ b/coveport/lab/lanes.py
@@ -123,8 +123,9 @@
     return " ".join(f"{type(raised).__name__}: {raised}".split())
 
 
-def each(jobs: Iterable[J], play: Callable[[J], R], at_once: int, lane: Callable[[], Lane] = Worker
-         ) -> Generator[tuple[J, R | None, str], None, None]:
+def each(
+    jobs: Iterable[J], play: Callable[[J], R], at_once: int, lane: Callable[[], Lane] = Worker
+) -> Generator[tuple[J, R | None, str], None, None]:
     """Play jobs, so many at a time; each with its result, or None and why there is none, as they end.
 
     A job that raises, or whose worker dies, does not stop the others. Jobs are taken one by one as there is
--- a/coveport/lab/measures.py
+++ b/coveport/lab/measures.py
@@ -113,12 +113,12 @@
                     good_at[found] = row.at
                     self.good_op[found] = row
                 if state[row.op] == _NONE:
-                    state[row.op] = (_SERVED if row.status == 200 else _BUSY if row.status in (429, 503)
-                                     else _FAILED)
+                    state[row.op] = (
+                        _SERVED if row.status == 200 else _BUSY if row.status in (429, 503) else _FAILED
+                    )
             elif isinstance(row, books.Broke) and state.get(row.op) == _NONE:
                 state[row.op] = _BROKEN
-            elif (isinstance(row, books.GaveUp) and row.how == "impatient"
-                  and state.get(row.op) == _NONE):
+            elif isinstance(row, books.GaveUp) and row.how == "impatient" and state.get(row.op) == _NONE:
                 state[row.op] = _LEFT
         for one in day.wishes:
             if one.op not in index:
@@ -203,21 +203,40 @@
     operations = sum(1 for op in wishes.asked if wishes.counts[wishes.of_op[op]])
     attempts, crossings, waste = _attempts(played, wishes, found, operations)
     return Outcome(
-        scenario=Named(scenario.title, name), seed=day.seed, ground=played.ground, variant=variant, kept=True,
-        late=played.late, service=whole, worst_10s=worst_10s, worst_class=worst_class,
+        scenario=Named(scenario.title, name),
+        seed=day.seed,
+        ground=played.ground,
+        variant=variant,
+        kept=True,
+        late=played.late,
+        service=whole,
+        worst_10s=worst_10s,
+        worst_class=worst_class,
         mark=WHOLE * whole + CLASS * worst_class.service + TEN * worst_10s,
-        latency_ms={one.name: _latency(wishes, wishes.counts & (wishes.cls == number))
-                    for number, one in enumerate(scenario.classes)},
-        answers=Answers(_kinds(wishes, wishes.counts),
-                        {one.name: _kinds(wishes, wishes.counts & (wishes.cls == number))
-                         for number, one in enumerate(scenario.classes)}),
-        attempts=attempts, waste=waste, crossings=crossings,
+        latency_ms={
+            one.name: _latency(wishes, wishes.counts & (wishes.cls == number))
+            for number, one in enumerate(scenario.classes)
+        },
+        answers=Answers(
+            _kinds(wishes, wishes.counts),
+            {
+                one.name: _kinds(wishes, wishes.counts & (wishes.cls == number))
+                for number, one in enumerate(scenario.classes)
+            },
+        ),
+        attempts=attempts,
+        waste=waste,
+        crossings=crossings,
         connections=_connections(_of(found, books.Linked), settle, operations),
         probes=sum(1 for row in _of(found, books.Probed) if row.at >= settle),
         discovery_calls=sum(1 for row in _of(found, books.Called) if row.at >= settle),
         sidecars=_sidecars(played, wishes, _of(found, books.Sample)),
-        recovery_s=recovery, trace=played.trace, wall_s=played.wall_s,
-        simulated_s=max(played.rows[-1].at / 1000 if played.rows else 0.0, scenario.length_s), notes=notes)
+        recovery_s=recovery,
+        trace=played.trace,
+        wall_s=played.wall_s,
+        simulated_s=max(played.rows[-1].at / 1000 if played.rows else 0.0, scenario.length_s),
+        notes=notes,
+    )
 
 
 def judge_expectations(outcome: Outcome, scenario: Scenario) -> list[Expectation]:
@@ -266,8 +285,11 @@
     """Whether a fault ends of itself; one with no `for_s` that lasts until the day's end does not."""
     scenario = played.day.scenario
     listed: tuple[FaultBase, ...] = scenario.faults
-    return (span.number >= len(listed) or listed[span.number].for_s != 0
-            or abs(span.end - scenario.length_s * 1000) > 1e-6)
+    return (
+        span.number >= len(listed)
+        or listed[span.number].for_s != 0
+        or abs(span.end - scenario.length_s * 1000) > 1e-6
+    )
 
 
 def _worst_class(wishes: _Wishes, scenario: Scenario, whole: float) -> ClassService:
@@ -288,8 +310,9 @@
     return float((served[enough] / asked[enough]).min()) if enough.any() else whole
 
 
-def _recoveries(played: Played, wishes: _Wishes, spans: list[Span], notes: list[str]
-                ) -> dict[str, float | None]:
+def _recoveries(
+    played: Played, wishes: _Wishes, spans: list[Span], notes: list[str]
+) -> dict[str, float | None]:
     """Seconds from each fault's end (where nobody mends it, its begin) until service is back, by 0.5 s.
 
     Back is the first moment from which on, for 2 s, what is due within the 3 s ahead is served at 98% or
@@ -305,8 +328,10 @@
     scenario = played.day.scenario
     settle, length = scenario.settle_s * 1000, scenario.length_s * 1000
     worth = _Worth(wishes)
-    spans = [one if is_mended(played, one) else Span(one.number, one.kind, one.begin, one.begin, one.whom)
-             for one in spans]
+    spans = [
+        one if is_mended(played, one) else Span(one.number, one.kind, one.begin, one.begin, one.whom)
+        for one in spans
+    ]
     slots: Floats = np.arange(settle, length, _STEP_MS)
     slot_ends = np.minimum(slots + _STEP_MS, length)
     asked, served = worth.between(slots, slot_ends)
@@ -341,7 +366,7 @@
         holds = good | ~known
         steps = int(_HOLD_MS / _STEP_MS)
         for number in np.flatnonzero(good):
-            if holds[number:number + steps + 1].all():
+            if holds[number : number + steps + 1].all():
                 recovery[key] = float(begins[number] - span.end) / 1000
                 break
     return recovery
@@ -369,8 +394,9 @@
     return dict(zip(KINDS, counts.tolist(), strict=True))
 
 
-def _attempts(played: Played, wishes: _Wishes, found: dict[type[Any], list[Any]], operations: int
-              ) -> tuple[Attempts, float, float]:
+def _attempts(
+    played: Played, wishes: _Wishes, found: dict[type[Any], list[Any]], operations: int
+) -> tuple[Attempts, float, float]:
     """(attempts, crossings, waste)."""
     day = played.day
     settle = day.scenario.settle_s * 1000
@@ -397,8 +423,15 @@
         way = day.cross_ms[own_zone][node_zone]
         handed = min(row.handed, row.began - way)
         # What the sidecar ended, it ended a way's time before its node saw it.
-        until = (end.at - way * (1 + day.jitter) - 1 if end is not None and end.how in ("end", "reset")
-                 else end.at if end is not None else reply.at + way if reply is not None else math.inf)
+        until = (
+            end.at - way * (1 + day.jitter) - 1
+            if end is not None and end.how in ("end", "reset")
+            else end.at
+            if end is not None
+            else reply.at + way
+            if reply is not None
+            else math.inf
+        )
         crosses, latest = out.get(row.op, (node_zone != own_zone, -math.inf))
         if row.op not in out:
             tried += 1
@@ -414,12 +447,16 @@
             lost += 0.0 if row.attempt in useful else work
     probing = sum(row.work_ms for row in _of(found, books.Probed) if row.at >= settle)
     attempts = Attempts(total, total / operations if operations else 0.0, ended, copies)
-    return (attempts, crossed / tried if tried else 0.0,
-            (lost + probing) / (done + probing) if done + probing > 0 else 0.0)
+    return (
+        attempts,
+        crossed / tried if tried else 0.0,
+        (lost + probing) / (done + probing) if done + probing > 0 else 0.0,
+    )
 
 
-def _useful(wishes: _Wishes, replies: list[books.Replied], runs: list[books.Ran],
-            arrivals: list[books.Arrived]) -> set[int]:
+def _useful(
+    wishes: _Wishes, replies: list[books.Replied], runs: list[books.Ran], arrivals: list[books.Arrived]
+) -> set[int]:
     """The attempts whose work served a wish in time.
 
     For each wish it is the first whole 200 with the body that came; where that was dropped as a repeat, the
@@ -434,8 +471,11 @@
     ran_first: dict[str, int] = {}
     for run in runs:
         ran_first.setdefault(run.key, run.attempt)
-    useful.update(ran_first[row.key] for row in arrivals
-                  if row.took == "repeat" and row.attempt in useful and row.key in ran_first)
+    useful.update(
+        ran_first[row.key]
+        for row in arrivals
+        if row.took == "repeat" and row.attempt in useful and row.key in ran_first
+    )
     return useful
 
 
@@ -474,9 +514,17 @@
     figures = []
     for one in played.day.sidecars:
         which = wishes.counts & (wishes.sidecar == one.number)
-        figures.append(SidecarFigures(
-            one.number, one.name, int(which.sum()), wishes.service(which), memory.get(one.number, 0.0),
-            descriptors.get(one.number, 0), ended.get(one.number, 0.0) + cpu.get(one.number, 0.0)))
+        figures.append(
+            SidecarFigures(
+                one.number,
+                one.name,
+                int(which.sum()),
+                wishes.service(which),
+                memory.get(one.number, 0.0),
+                descriptors.get(one.number, 0),
+                ended.get(one.number, 0.0) + cpu.get(one.number, 0.0),
+            )
+        )
     return figures
 
 
@@ -533,9 +581,13 @@
     answers: Floats = np.zeros((len(KINDS), steps))
     np.add.at(answers, (wishes.kind, due), 1 / step_s)
 
-    nodes = tuple(sorted({row.node for row in _of(found, books.NodeLoad)}
-                         | {row.node for row in _of(found, books.NodeIs)}
-                         | {one.number for one in day.nodes if one.born}))
+    nodes = tuple(
+        sorted(
+            {row.node for row in _of(found, books.NodeLoad)}
+            | {row.node for row in _of(found, books.NodeIs)}
+            | {one.number for one in day.nodes if one.born}
+        )
+    )
     loads, place = _of(found, books.NodeLoad), {node: number for number, node in enumerate(nodes)}
     node = np.fromiter((place[row.node] for row in loads), np.int64)
     when = slot(np.fromiter((row.at for row in loads), np.float64))
@@ -551,19 +603,33 @@
         return _means(len(sidecars), steps, sidecar, sampled, np.fromiter(values, np.float64))
 
     links = _of(found, books.Linked)
-    changes = np.bincount(slot(np.fromiter((row.at for row in links), np.float64)),
-                          np.fromiter((1.0 if row.up else -1.0 for row in links), np.float64), steps)
+    changes = np.bincount(
+        slot(np.fromiter((row.at for row in links), np.float64)),
+        np.fromiter((1.0 if row.up else -1.0 for row in links), np.float64),
+        steps,
+    )
     return Series(
-        step_s=step_s, at_s=np.arange(steps, dtype=np.float64) * step_s,
+        step_s=step_s,
+        at_s=np.arange(steps, dtype=np.float64) * step_s,
         classes=tuple(one.name for one in day.scenario.classes),
-        offered=offered, served=served, service=service, p50_ms=p50, p99_ms=p99, answers=answers,
-        attempts=rate(_of(found, books.Arrived)), probes=rate(_of(found, books.Probed)),
+        offered=offered,
+        served=served,
+        service=service,
+        p50_ms=p50,
+        p99_ms=p99,
+        answers=answers,
+        attempts=rate(_of(found, books.Arrived)),
+        probes=rate(_of(found, books.Probed)),
         busy_replies=rate(row for row in _of(found, books.Answered) if row.status in (429, 503)),
-        connections=np.cumsum(changes), nodes=nodes,
-        held=by_node(row.working + row.waiting for row in loads), busy=by_node(row.busy for row in loads),
-        away=_away(_of(found, books.NodeIs), place, steps, step), sidecars=sidecars,
+        connections=np.cumsum(changes),
+        nodes=nodes,
+        held=by_node(row.working + row.waiting for row in loads),
+        busy=by_node(row.busy for row in loads),
+        away=_away(_of(found, books.NodeIs), place, steps, step),
+        sidecars=sidecars,
         memory_mb=by_sidecar(row.memory_mb for row in samples),
-        descriptors=by_sidecar(row.descriptors for row in samples))
+        descriptors=by_sidecar(row.descriptors for row in samples),
+    )
 
 
 def _means(rows: int, steps: int, row: Ints, when: Ints, values: Floats) -> Floats:
@@ -590,5 +656,5 @@
 def _away(rows: list[books.NodeIs], place: dict[int, int], steps: int, step: float) -> Bools:
     away: Bools = np.zeros((len(place), steps), dtype=np.bool_)
     for row in rows:  # in order of time: each holds until the next
-        away[place[row.node], max(0, int(row.at / step)):] = row.state in ("down", "silent")
+        away[place[row.node], max(0, int(row.at / step)) :] = row.state in ("down", "silent")
     return away
--- a/coveport/lab/model.py
+++ b/coveport/lab/model.py
@@ -51,11 +51,30 @@
 class Attempt:
     """An attempt as the model knows it."""
 
-    __slots__ = ("number", "op", "key", "cls", "work_ms", "expires_at", "owner", "fate", "answer", "known",
-                 "place")
+    __slots__ = (
+        "number",
+        "op",
+        "key",
+        "cls",
+        "work_ms",
+        "expires_at",
+        "owner",
+        "fate",
+        "answer",
+        "known",
+        "place",
+    )
 
-    def __init__(self, number: int, op: str, key: str, cls: int, work_ms: float, expires_at: float = inf,
-                 owner: Any = None) -> None:
+    def __init__(
+        self,
+        number: int,
+        op: str,
+        key: str,
+        cls: int,
+        work_ms: float,
+        expires_at: float = inf,
+        owner: Any = None,
+    ) -> None:
         """Take what came.
 
         `number` is fresh over the whole day, `cls` a position in the scenario's classes, `work_ms` counted on
@@ -100,18 +119,54 @@
     """One ledger node. All inputs take `now`, which must not run backwards by more than rounding."""
 
     __slots__ = (
-        "working", "waiting", "conns", "draining", "alive", "jammed", "jam_changed_at", "busy_ms",
-        "speed", "born", "_drawn", "_cores", "_keys", "_random", "_effects", "_t", "_v", "_rate", "_core",
-        "_slow", "_run", "_queue", "_front", "_front_left", "_repeats", "_finish_at", "_turn_at",
-        "_cold_from", "_warm_at", "_slope", "_paused", "_pause_from", "_pause_until", "_behind_since",
-        "_jam_until", "_bucket_at", "_buckets",
+        "working",
+        "waiting",
+        "conns",
+        "draining",
+        "alive",
+        "jammed",
+        "jam_changed_at",
+        "busy_ms",
+        "speed",
+        "born",
+        "_drawn",
+        "_cores",
+        "_keys",
+        "_random",
+        "_effects",
+        "_t",
+        "_v",
+        "_rate",
+        "_core",
+        "_slow",
+        "_run",
+        "_queue",
+        "_front",
+        "_front_left",
+        "_repeats",
+        "_finish_at",
+        "_turn_at",
+        "_cold_from",
+        "_warm_at",
+        "_slope",
+        "_paused",
+        "_pause_from",
+        "_pause_until",
+        "_behind_since",
+        "_jam_until",
+        "_bucket_at",
+        "_buckets",
     )
 
     def __init__(self, drawn: NodeDrawn, classes: Sequence[Class], keys: KeyMemory) -> None:
         """A node that is not there yet: `start` it."""
         self._drawn, self._cores = drawn, drawn.cores
-        self._keys = [(keys.table(number, one.scope, drawn.zone, drawn.cell), one.window_ms)
-                      if one.repeats == "keyed" else None for number, one in enumerate(classes)]
+        self._keys = [
+            (keys.table(number, one.scope, drawn.zone, drawn.cell), one.window_ms)
+            if one.repeats == "keyed"
+            else None
+            for number, one in enumerate(classes)
+        ]
         self._random = random.Random(f"model {drawn.seed}")
         self._effects: list[tuple[Attempt, str]] = []
         self._slow = 1.0
@@ -363,7 +418,8 @@
                 self._buckets.append(self.busy_ms)
                 self._bucket_at = now + drawn.jam_rest_ms / _BUCKETS
             rested = len(self._buckets) > _BUCKETS and (
-                self._buckets[-1] - self._buckets[0] < drawn.jam_below * self._cores * drawn.jam_rest_ms)
+                self._buckets[-1] - self._buckets[0] < drawn.jam_below * self._cores * drawn.jam_rest_ms
+            )
             if rested or now >= self._jam_until:
                 self.jammed, self.jam_changed_at = False, now
         elif now >= self._behind_since + drawn.jam_over_ms:
--- a/coveport/lab/oracle/__init__.py
+++ b/coveport/lab/oracle/__init__.py
@@ -32,8 +32,7 @@
     `rows` may come in any order that keeps each party's own; they are not changed. `grace`: by the ground.
     """
     case = Case(day, rows, grace)
-    for judge_group in (judge_answers, judge_attempts, judge_nodes, judge_processes,
-                        judge_staff):
+    for judge_group in (judge_answers, judge_attempts, judge_nodes, judge_processes, judge_staff):
         judge_group(case)
     case.found.sort(key=lambda breach: (breach.at_ms, breach.rule, breach.operation, breach.what))
     return case.found
--- a/coveport/lab/oracle/answers.py
+++ b/coveport/lab/oracle/answers.py
@@ -22,9 +22,13 @@
     """`answer-none`, `answer-late`, `answer-twice`, `answer-held`, `body`."""
     for operation in case.operations.values():
         for again in operation.answers[1:]:
-            case.breach("answer-twice", again.at, operation.op,
-                        f"A second answer ({again.status}) came at {again.at:.1f} ms; the first "
-                        f"({operation.answers[0].status}) at {operation.answers[0].at:.1f} ms.")
+            case.breach(
+                "answer-twice",
+                again.at,
+                operation.op,
+                f"A second answer ({again.status}) came at {again.at:.1f} ms; the first "
+                f"({operation.answers[0].status}) at {operation.answers[0].at:.1f} ms.",
+            )
         _read_and_closed(case, operation)
         asked = operation.owed
         if asked is None:
@@ -37,8 +41,12 @@
             continue  # what was held back here is part of that
         _held(case, operation, asked)
     for stray in case.strays:
-        case.breach("answer-twice", stray.at, "", f"{stray.seen} bytes that no operation waited for came to "
-                                                  f"a till at {stray.at:.1f} ms.")
+        case.breach(
+            "answer-twice",
+            stray.at,
+            "",
+            f"{stray.seen} bytes that no operation waited for came to a till at {stray.at:.1f} ms.",
+        )
 
 
 def _read_and_closed(case: Case, operation: Operation) -> None:
@@ -49,10 +57,14 @@
             continue
         for attempt in operation.attempts:
             if asked.at <= attempt.row.handed <= unasked.at:
-                case.breach("answer-none", unasked.at, operation.op,
-                            f"{case.sidecar(asked.sidecar)} ended the connection at {unasked.at:.1f} ms "
-                            f"without an answer, and had sent the operation to "
-                            f"{case.node(attempt.row.node)} at {attempt.row.handed:.1f} ms.")
+                case.breach(
+                    "answer-none",
+                    unasked.at,
+                    operation.op,
+                    f"{case.sidecar(asked.sidecar)} ended the connection at {unasked.at:.1f} ms "
+                    f"without an answer, and had sent the operation to "
+                    f"{case.node(attempt.row.node)} at {attempt.row.handed:.1f} ms.",
+                )
                 break
 
 
@@ -69,10 +81,14 @@
 def _late(case: Case, operation: Operation, asked: Asked, answer: Answered) -> None:
     limit = _limit(case, asked)
     if _came(case, asked, answer) > limit:
-        case.breach("answer-late", answer.at, operation.op,
-                    f"{case.sidecar(asked.sidecar)} answered {answer.status} at {answer.at:.1f} ms, "
-                    f"{answer.at - limit:.1f} ms after the last moment; asked at {asked.at:.1f} ms, with "
-                    f"{asked.patience:.1f} ms to wait.")
+        case.breach(
+            "answer-late",
+            answer.at,
+            operation.op,
+            f"{case.sidecar(asked.sidecar)} answered {answer.status} at {answer.at:.1f} ms, "
+            f"{answer.at - limit:.1f} ms after the last moment; asked at {asked.at:.1f} ms, with "
+            f"{asked.patience:.1f} ms to wait.",
+        )
 
 
 def _came(case: Case, asked: Asked, answer: Answered) -> float:
@@ -86,13 +102,22 @@
         return
     for attempt in operation.attempts:
         replied = attempt.replied
-        if (replied is not None and replied.whole and replied.status == 200 and replied.at <= answer.at
-                and replied.digest == answer.digest):
+        if (
+            replied is not None
+            and replied.whole
+            and replied.status == 200
+            and replied.at <= answer.at
+            and replied.digest == answer.digest
+        ):
             return
     nodes = ", ".join(case.node(attempt.row.node) for attempt in operation.attempts) or "no node at all"
-    case.breach("body", answer.at, operation.op,
-                f"{case.sidecar(asked.sidecar)} passed on a 200 at {answer.at:.1f} ms whose body was made "
-                f"for it by none of the nodes it went to ({nodes}).")
+    case.breach(
+        "body",
+        answer.at,
+        operation.op,
+        f"{case.sidecar(asked.sidecar)} passed on a 200 at {answer.at:.1f} ms whose body was made "
+        f"for it by none of the nodes it went to ({nodes}).",
+    )
 
 
 def _none(case: Case, operation: Operation, asked: Asked) -> bool:
@@ -116,10 +141,15 @@
         if broke.seen and _cut_short(case, operation, broke.at):
             return False
         how = {"end": "ended the connection", "reset": "reset the connection"}.get(
-            broke.how, "sent what can't be read")
-        case.breach("answer-none", broke.at, operation.op,
-                    f"{who} {how} at {broke.at:.1f} ms after {broke.seen} bytes of an answer, with the "
-                    f"operation open since {asked.at:.1f} ms.")
+            broke.how, "sent what can't be read"
+        )
+        case.breach(
+            "answer-none",
+            broke.at,
+            operation.op,
+            f"{who} {how} at {broke.at:.1f} ms after {broke.seen} bytes of an answer, with the "
+            f"operation open since {asked.at:.1f} ms.",
+        )
         return True
     if life.end < limit:
         if left <= life.end:
@@ -132,15 +162,23 @@
             found = "was still taking operations and was killed"
         else:
             return False
-        case.breach("answer-none", life.end, operation.op,
-                    f"{who} {found} at {life.end:.1f} ms with the operation open since {asked.at:.1f} ms; "
-                    f"SIGTERM had come at {life.term:.1f} ms.")
+        case.breach(
+            "answer-none",
+            life.end,
+            operation.op,
+            f"{who} {found} at {life.end:.1f} ms with the operation open since {asked.at:.1f} ms; "
+            f"SIGTERM had come at {life.term:.1f} ms.",
+        )
         return True
     if left < limit - _ROUNDING_MS or case.end < limit:
         return False
-    case.breach("answer-none", limit, operation.op,
-                f"{who} had given no final answer by {limit:.1f} ms; asked at {asked.at:.1f} ms, with "
-                f"{asked.patience:.1f} ms to wait.")
+    case.breach(
+        "answer-none",
+        limit,
+        operation.op,
+        f"{who} had given no final answer by {limit:.1f} ms; asked at {asked.at:.1f} ms, with "
+        f"{asked.patience:.1f} ms to wait.",
+    )
     return True
 
 
@@ -157,21 +195,30 @@
     """
     for attempt in operation.attempts:
         row, replied = attempt.row, attempt.replied
-        if (replied is None or not replied.whole or case.reach.by(row.node, row.sidecar, replied.at) > at
-                or case.reach.died(row.node, replied.at, at)):
+        if (
+            replied is None
+            or not replied.whole
+            or case.reach.by(row.node, row.sidecar, replied.at) > at
+            or case.reach.died(row.node, replied.at, at)
+        ):
             return True
     return False
 
 
 def _held(case: Case, operation: Operation, asked: Asked) -> None:
     """What is known must be passed on: a node's 200, and that nothing more may be tried."""
-    settled = min(_came(case, asked, operation.answers[0]) if operation.answers else inf,
-                  operation.gave_up.at if operation.gave_up else inf)
+    settled = min(
+        _came(case, asked, operation.answers[0]) if operation.answers else inf,
+        operation.gave_up.at if operation.gave_up else inf,
+    )
     if settled == inf:
         return
     on_the_way = case.reach.client_ms + case.grace.passing_ms
-    held = [(known + on_the_way, attempt) for attempt in operation.attempts
-            if (known := _served_known(case, asked, attempt, settled - on_the_way)) is not None]
+    held = [
+        (known + on_the_way, attempt)
+        for attempt in operation.attempts
+        if (known := _served_known(case, asked, attempt, settled - on_the_way)) is not None
+    ]
     why = "its 200"
     if not held and not (operation.answers and operation.answers[0].status == 200):
         known = _hopeless_known(case, operation, asked, settled - on_the_way)
@@ -183,9 +230,13 @@
     limit, attempt = min(held, key=lambda pair: pair[0])
     limit = case.lives.due(asked.sidecar, limit) + asking_ms(case.day, asked.cls)
     if settled > limit:
-        case.breach("answer-held", settled, operation.op,
-                    f"{case.sidecar(asked.sidecar)} owed its till {why} from {case.node(attempt.row.node)} "
-                    f"by {limit:.1f} ms; the till heard nothing until {settled:.1f} ms.")
+        case.breach(
+            "answer-held",
+            settled,
+            operation.op,
+            f"{case.sidecar(asked.sidecar)} owed its till {why} from {case.node(attempt.row.node)} "
+            f"by {limit:.1f} ms; the till heard nothing until {settled:.1f} ms.",
+        )
 
 
 def _served_known(case: Case, asked: Asked, attempt: Attempt, before: float) -> float | None:
@@ -199,7 +250,8 @@
         return None
     reach, size = case.reach, case.day.scenario.classes[asked.cls].answer
     known = reach.by(row.node, row.sidecar, replied.at) + reach.trips_ms(
-        row.node, row.sidecar, replied.at, int(max(size) if isinstance(size, tuple) else size))
+        row.node, row.sidecar, replied.at, int(max(size) if isinstance(size, tuple) else size)
+    )
     crossed = attempt.closed <= reach.by(row.node, row.sidecar, known) + case.grace.early_ms
     return None if crossed or reach.died(row.node, replied.at, known) else known
 
@@ -213,7 +265,8 @@
     attempts, reach = operation.attempts, case.reach
     never = case.day.scenario.classes[asked.cls].repeats == "never"
     if len(attempts) < case.rules.most_tries and not (
-            never and any(case.unrun_known(attempt) == inf for attempt in attempts)):
+        never and any(case.unrun_known(attempt) == inf for attempt in attempts)
+    ):
         return None
     known = 0.0
     for attempt in attempts:
--- a/coveport/lab/oracle/attempts.py
+++ b/coveport/lab/oracle/attempts.py
@@ -74,17 +74,25 @@
         if not why and row.took == "bad":
             why = "the node could not take it"
         if why:
-            case.breach("changed", row.at, operation.op,
-                        f"{case.sidecar(row.sidecar)} sent {case.node(row.node)} something that came at "
-                        f"{row.at:.1f} ms: {why}.")
+            case.breach(
+                "changed",
+                row.at,
+                operation.op,
+                f"{case.sidecar(row.sidecar)} sent {case.node(row.node)} something that came at "
+                f"{row.at:.1f} ms: {why}.",
+            )
 
 
 def _too_many(case: Case, operation: Operation, sent: list[Attempt]) -> None:
-    for number, attempt in enumerate(sent[case.rules.most_tries:], case.rules.most_tries + 1):
+    for number, attempt in enumerate(sent[case.rules.most_tries :], case.rules.most_tries + 1):
         row = attempt.row
-        case.breach("attempts", row.at, operation.op,
-                    f"{case.sidecar(row.sidecar)} sent attempt {number} to {case.node(row.node)}, where it "
-                    f"came at {row.at:.1f} ms; {case.rules.most_tries} are allowed.")
+        case.breach(
+            "attempts",
+            row.at,
+            operation.op,
+            f"{case.sidecar(row.sidecar)} sent attempt {number} to {case.node(row.node)}, where it "
+            f"came at {row.at:.1f} ms; {case.rules.most_tries} are allowed.",
+        )
 
 
 def _same_group(case: Case, cls: Class, one: Attempt, other: Attempt) -> bool:
@@ -113,10 +121,14 @@
         for earlier in sent[:number]:
             why = _forbidden(case, cls, earlier, later)
             if why:
-                case.breach("resent", later.row.handed, operation.op,
-                            f"{case.sidecar(later.row.sidecar)} sent {case.node(later.row.node)} an attempt "
-                            f"at {later.row.handed:.1f} ms, while that of {earlier.row.handed:.1f} ms at "
-                            f"{case.node(earlier.row.node)} may have run: {why}.")
+                case.breach(
+                    "resent",
+                    later.row.handed,
+                    operation.op,
+                    f"{case.sidecar(later.row.sidecar)} sent {case.node(later.row.node)} an attempt "
+                    f"at {later.row.handed:.1f} ms, while that of {earlier.row.handed:.1f} ms at "
+                    f"{case.node(earlier.row.node)} may have run: {why}.",
+                )
                 break
 
 
@@ -130,12 +142,19 @@
     ran = sorted(((row, attempt) for attempt in sent for row in attempt.ran), key=lambda pair: pair[0].at)
     for row, later in ran[1:]:
         first, earlier = ran[0]
-        if (cls.repeats == "keyed" and row.at >= earlier.row.handed + cls.window_ms
-                and not _forbidden(case, cls, earlier, later)):
+        if (
+            cls.repeats == "keyed"
+            and row.at >= earlier.row.handed + cls.window_ms
+            and not _forbidden(case, cls, earlier, later)
+        ):
             continue
-        case.breach("ran-twice", row.at, operation.op,
-                    f"{cls.name} took effect at {case.node(first.node)} at {first.at:.1f} ms and again at "
-                    f"{case.node(row.node)} at {row.at:.1f} ms, sent by {case.sidecar(later.row.sidecar)}.")
+        case.breach(
+            "ran-twice",
+            row.at,
+            operation.op,
+            f"{cls.name} took effect at {case.node(first.node)} at {first.at:.1f} ms and again at "
+            f"{case.node(row.node)} at {row.at:.1f} ms, sent by {case.sidecar(later.row.sidecar)}.",
+        )
 
 
 def _ran_again(case: Case, tries: list[Operation], refused: set[str]) -> None:
@@ -149,8 +168,11 @@
     for operation in tries:
         if operation.op not in refused:
             continue
-        first = min((row for attempt in operation.attempts for row in attempt.ran), key=lambda row: row.at,
-                    default=None)
+        first = min(
+            (row for attempt in operation.attempts for row in attempt.ran),
+            key=lambda row: row.at,
+            default=None,
+        )
         if first is None:
             continue
         for other in tries:
@@ -158,23 +180,34 @@
                 continue
             for attempt in other.attempts:
                 for row in attempt.ran:
-                    case.breach("ran-twice", row.at, other.op,
-                                f"It took effect at {case.node(row.node)} at {row.at:.1f} ms; its earlier "
-                                f"try {operation.op}, called harmless to repeat, had done so at "
-                                f"{case.node(first.node)} at {first.at:.1f} ms.")
+                    case.breach(
+                        "ran-twice",
+                        row.at,
+                        other.op,
+                        f"It took effect at {case.node(row.node)} at {row.at:.1f} ms; its earlier "
+                        f"try {operation.op}, called harmless to repeat, had done so at "
+                        f"{case.node(first.node)} at {first.at:.1f} ms.",
+                    )
 
 
 def _refused(case: Case, operation: Operation, cls: Class, sent: list[Attempt]) -> bool:
-    if not operation.answers or operation.answers[0].status not in BUSY or (
-            cls.repeats == "keyed" and cls.scope == "all"):
+    if (
+        not operation.answers
+        or operation.answers[0].status not in BUSY
+        or (cls.repeats == "keyed" and cls.scope == "all")
+    ):
         return False
     answer = operation.answers[0]
     for attempt in sent:
         row = attempt.row
         if case.handed(row) <= answer.at and case.unrun_known(attempt) > answer.at:
-            case.breach("refused", answer.at, operation.op,
-                        f"{case.sidecar(row.sidecar)} answered {answer.status} at {answer.at:.1f} ms, while "
-                        f"the attempt at {case.node(row.node)} of {row.handed:.1f} ms may have run.")
+            case.breach(
+                "refused",
+                answer.at,
+                operation.op,
+                f"{case.sidecar(row.sidecar)} answered {answer.status} at {answer.at:.1f} ms, while "
+                f"the attempt at {case.node(row.node)} of {row.handed:.1f} ms may have run.",
+            )
             return True
     return False
 
@@ -184,10 +217,14 @@
         for earlier in sent[:number]:
             until = _out_until(case, earlier)
             if later.row.handed < until:
-                case.breach("second-copy", later.row.handed, operation.op,
-                            f"{case.sidecar(later.row.sidecar)} sent {case.node(later.row.node)} a copy at "
-                            f"{later.row.handed:.1f} ms, while the attempt of {earlier.row.handed:.1f} ms at "
-                            f"{case.node(earlier.row.node)} was out.")
+                case.breach(
+                    "second-copy",
+                    later.row.handed,
+                    operation.op,
+                    f"{case.sidecar(later.row.sidecar)} sent {case.node(later.row.node)} a copy at "
+                    f"{later.row.handed:.1f} ms, while the attempt of {earlier.row.handed:.1f} ms at "
+                    f"{case.node(earlier.row.node)} was out.",
+                )
                 break
 
 
@@ -198,8 +235,12 @@
     if replied is not None and replied.whole:
         until = replied.at + reach.base_ms(row.node, row.sidecar) - case.grace.early_ms
     if ended is not None:
-        until = min(until, ended.at if ended.how in ("down", "cut") else
-                    reach.since(row.node, row.sidecar, ended.at) - case.grace.early_ms)
+        until = min(
+            until,
+            ended.at
+            if ended.how in ("down", "cut")
+            else reach.since(row.node, row.sidecar, ended.at) - case.grace.early_ms,
+        )
     if attempt.closed < inf:
         until = min(until, reach.since(row.node, row.sidecar, attempt.closed) - case.grace.early_ms)
     return until
@@ -210,9 +251,13 @@
     limit = end + case.reach.client_ms + case.grace.after_end_ms
     if row.handed <= limit or case.handed(row) <= case.lives.due(sidecar, limit):
         return
-    case.breach("after-end", row.handed, operation.op,
-                f"{case.sidecar(row.sidecar)} sent {case.node(row.node)} an attempt at {row.handed:.1f} ms; "
-                f"the operation was over for its till at {end:.1f} ms.")
+    case.breach(
+        "after-end",
+        row.handed,
+        operation.op,
+        f"{case.sidecar(row.sidecar)} sent {case.node(row.node)} an attempt at {row.handed:.1f} ms; "
+        f"the operation was over for its till at {end:.1f} ms.",
+    )
 
 
 def _cancel_lost(case: Case, operation: Operation, end: float, attempt: Attempt) -> None:
@@ -230,6 +275,10 @@
     if min(over, reach.closed_by_death(row.node, row.at), case.end) <= limit:
         return
     how = "was still out at the books' end" if over == inf else f"was out until {over:.1f} ms"
-    case.breach("cancel-lost", limit, operation.op,
-                f"The attempt of {case.sidecar(row.sidecar)} at {case.node(row.node)}, which came at "
-                f"{row.at:.1f} ms, {how}; the operation was over for its till at {end:.1f} ms.")
+    case.breach(
+        "cancel-lost",
+        limit,
+        operation.op,
+        f"The attempt of {case.sidecar(row.sidecar)} at {case.node(row.node)}, which came at "
+        f"{row.at:.1f} ms, {how}; the operation was over for its till at {end:.1f} ms.",
+    )
--- a/coveport/lab/oracle/case.py
+++ b/coveport/lab/oracle/case.py
@@ -101,10 +101,22 @@
         self._lives: list[Life] = []
         self._lags: list[Lag] = []
         takers: dict[type, Callable[[Any], None]] = {
-            Asked: self._asked, Unasked: self._unasked, Answered: self._answered, Broke: self._broke,
-            GaveUp: self._gave_up, Arrived: self._arrived, Ran: self._ran, Replied: self._replied,
-            Ended: self._ended, Linked: self._linked, Probed: self._probed, NodeIs: self._node_is,
-            Told: self._told, Life: self._lives.append, Lag: self._lags.append}
+            Asked: self._asked,
+            Unasked: self._unasked,
+            Answered: self._answered,
+            Broke: self._broke,
+            GaveUp: self._gave_up,
+            Arrived: self._arrived,
+            Ran: self._ran,
+            Replied: self._replied,
+            Ended: self._ended,
+            Linked: self._linked,
+            Probed: self._probed,
+            NodeIs: self._node_is,
+            Told: self._told,
+            Life: self._lives.append,
+            Lag: self._lags.append,
+        }
         ordered = sorted(rows, key=_at)
         for row in ordered:
             take = takers.get(type(row))
--- a/coveport/lab/oracle/grace.py
+++ b/coveport/lab/oracle/grace.py
@@ -47,13 +47,23 @@
     @classmethod
     def real(cls) -> Self:
         """For days on real sockets."""
-        return cls(extra_ms=50.0, passing_ms=150.0, cancel_ms=300.0, after_end_ms=100.0, early_ms=20.0,
-                   resume_ms=250.0, fault_ms=50.0, death_ms=250.0, lag_ms=20.0, exit_ms=500.0)
+        return cls(
+            extra_ms=50.0,
+            passing_ms=150.0,
+            cancel_ms=300.0,
+            after_end_ms=100.0,
+            early_ms=20.0,
+            resume_ms=250.0,
+            fault_ms=50.0,
+            death_ms=250.0,
+            lag_ms=20.0,
+            exit_ms=500.0,
+        )
 
 
 RULES = {
     "answer-none": "an operation taken by a sidecar that lived got no final answer before its client's time "
-                   "was over",
+    "was over",
     "answer-late": "the final answer came after the client's time plus slack",
     "answer-twice": "bytes of a second answer",
     "answer-held": "what was known (a node's 200; that nothing more may be tried) was passed on late",
--- a/coveport/lab/oracle/lives.py
+++ b/coveport/lab/oracle/lives.py
@@ -40,8 +40,9 @@
         self._ends: dict[int, list[float]] = {}
         self._blind: dict[int, list[Span]] = {}
         self.replacing: dict[int, list[list[float]]] = {}  # by sidecar: from, until (inf: not ended)
-        self._lags = _joined([(lag.at - lag.late_ms, lag.at + lag.late_ms) for lag in lags
-                              if lag.late_ms >= grace.lag_ms])
+        self._lags = _joined(
+            [(lag.at - lag.late_ms, lag.at + lag.late_ms) for lag in lags if lag.late_ms >= grace.lag_ms]
+        )
         stalled: dict[int, float] = {}
         spans: dict[int, list[Span]] = {}
         for row in rows:
--- a/coveport/lab/oracle/nodes.py
+++ b/coveport/lab/oracle/nodes.py
@@ -18,18 +18,26 @@
     for row in [attempt.row for attempts in case.arrived.values() for attempt in attempts]:
         told = case.told.get((row.sidecar, row.node))
         if told is None or told[0].at > row.at:
-            case.breach("unnamed", row.at, row.op,
-                        f"{case.sidecar(row.sidecar)} sent {case.node(row.node)} something that came at "
-                        f"{row.at:.1f} ms; discovery had not named that node to it.")
+            case.breach(
+                "unnamed",
+                row.at,
+                row.op,
+                f"{case.sidecar(row.sidecar)} sent {case.node(row.node)} something that came at "
+                f"{row.at:.1f} ms; discovery had not named that node to it.",
+            )
             continue
         for out in outs[row.sidecar, row.node]:
             if out.limit < row.handed < out.until:
                 handed = case.handed(row)
                 if handed > case.lives.due(row.sidecar, out.limit):
-                    case.breach("drained", handed, row.op,
-                                f"{case.sidecar(row.sidecar)} sent {case.node(row.node)} something new at "
-                                f"{handed:.1f} ms, {handed - out.told.at:.1f} ms after it was told that the "
-                                f"node is {out.told.state}.")
+                    case.breach(
+                        "drained",
+                        handed,
+                        row.op,
+                        f"{case.sidecar(row.sidecar)} sent {case.node(row.node)} something new at "
+                        f"{handed:.1f} ms, {handed - out.told.at:.1f} ms after it was told that the "
+                        f"node is {out.told.state}.",
+                    )
     for node, rows in case.nodes.items():
         _judge_cold(case, node, rows)
 
@@ -113,11 +121,15 @@
         for load in loads[first:last]:
             by[load.sidecar] = by.get(load.sidecar, 0.0) + load.work_ms
         whose = ", ".join(f"{case.sidecar(one)} {share:.0f}" for one, share in sorted(by.items()))
-        case.breach("cold", at, "",
-                    f"{case.node(node)}, started at {born:.1f} ms, was sent {sent:.0f} ms of work from "
-                    f"{begin:.1f} to {at:.1f} ms ({whose}); its budget for {fall_ms:.0f} ms was "
-                    f"{budget:.0f}, and {100 * by_told / sent:.0f}% came from sidecars that had been told of "
-                    f"its start.")
+        case.breach(
+            "cold",
+            at,
+            "",
+            f"{case.node(node)}, started at {born:.1f} ms, was sent {sent:.0f} ms of work from "
+            f"{begin:.1f} to {at:.1f} ms ({whose}); its budget for {fall_ms:.0f} ms was "
+            f"{budget:.0f}, and {100 * by_told / sent:.0f}% came from sidecars that had been told of "
+            f"its start.",
+        )
         return
 
 
@@ -139,8 +151,11 @@
 
 def _told_of_start(case: Case, sidecar: int, node: int, born: float) -> list[float]:
     """When a sidecar was told of a start, or is deemed told, by one process or another."""
-    told = [row.at for row in case.told.get((sidecar, node), ())
-            if row.state == "active" and row.born >= born - case.grace.born_ms]
+    told = [
+        row.at
+        for row in case.told.get((sidecar, node), ())
+        if row.state == "active" and row.born >= born - case.grace.born_ms
+    ]
     late_ms = max((one.value for one in case.day.changes if one.what == "discovery-late"), default=0.0)
     seen = born + case.day.add_ms + late_ms
     for life in case.lives.of.get(sidecar) or [Generation()]:
--- a/coveport/lab/oracle/reach.py
+++ b/coveport/lab/oracle/reach.py
@@ -42,8 +42,10 @@
         self._lost_ms = _lost_ms(base_loss, network.loss_ms) + self.harsh_ms
         lost_ms = _lost_ms(base_loss + sum(change.value for _, _, change in losses), network.loss_ms)
         self._slower = [self._after(begin, end, lost_ms, True) for begin, end, _ in losses]
-        self._slower += [self._after(begin, end, change.value, change.share >= 1)
-                         for begin, end, change in _spans(day.changes, "delay")]
+        self._slower += [
+            self._after(begin, end, change.value, change.share >= 1)
+            for begin, end, change in _spans(day.changes, "delay")
+        ]
         self._cuts = [(begin, end, change.target) for begin, end, change in _spans(day.changes, "cut")]
         self._silent = [(begin, end, change.target) for begin, end, change in _spans(day.changes, "silent")]
         self._downs: dict[int, list[float]] = {}
--- a/coveport/lab/oracle/staff.py
+++ b/coveport/lab/oracle/staff.py
@@ -33,8 +33,14 @@
                 _drain(case, mine, at)
             elif row.what == "asked":
                 by = case.lives.due(sidecar, row.at + ANSWER_MS)
-                told = next((one.what == "info" and one.at <= by for one in mine[at + 1:]
-                             if one.what in ("asked", "info")), False)
+                told = next(
+                    (
+                        one.what == "info" and one.at <= by
+                        for one in mine[at + 1 :]
+                        if one.what in ("asked", "info")
+                    ),
+                    False,
+                )
                 if not told and by < case.end and not _ends(case, sidecar, row.at, by):
                     _breach(case, by, sidecar, f"was asked for figures at {row.at:.1f} ms and had told none")
         _figures(case, sidecar, mine)
@@ -44,8 +50,13 @@
     row, wanted = rows[at], "no" if rows[at].what == "lameduck" else "yes"
     by = case.lives.due(row.sidecar, row.at + (NO_MS if wanted == "no" else YES_MS))
     # The front may hear of it before whoever asked for it does.
-    later = [one for one in rows if row.at - CALL_MS <= one.at <= by and one is not row
-             and one.what in ("lameduck", "rejoin", "yes", "no")]
+    later = [
+        one
+        for one in rows
+        if row.at - CALL_MS <= one.at <= by
+        and one is not row
+        and one.what in ("lameduck", "rejoin", "yes", "no")
+    ]
     taken_back = any(one.what in ("lameduck", "rejoin") for one in later)
     if taken_back or by >= case.end or _ends(case, row.sidecar, row.at, by):
         return
@@ -68,11 +79,19 @@
     last = told[-1]
     figures = {name: int(value) for name, value in json.loads(last.detail).items()}
     completed = sum(value for name, value in figures.items() if name.endswith(".completed"))
-    served = [one.answers[0].at for one in case.operations.values()
-              if one.asked is not None and one.asked.sidecar == sidecar and one.answers
-              and one.answers[0].status == 200]
-    gone = sum(one.gave_up is not None for one in case.operations.values()
-               if one.asked is not None and one.asked.sidecar == sidecar)
+    served = [
+        one.answers[0].at
+        for one in case.operations.values()
+        if one.asked is not None
+        and one.asked.sidecar == sidecar
+        and one.answers
+        and one.answers[0].status == 200
+    ]
+    gone = sum(
+        one.gave_up is not None
+        for one in case.operations.values()
+        if one.asked is not None and one.asked.sidecar == sidecar
+    )
     least = sum(at <= last.at - LAG_MS for at in served)
     most = sum(at <= last.at for at in served) + gone
     off = max(OFF_MOST, OFF_SHARE * most)
--- a/coveport/lab/real/hosts.py
+++ b/coveport/lab/real/hosts.py
@@ -52,8 +52,9 @@
     It is one socket all day, so that the port stays ours while nobody listens.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, ip: str,
-                 take: Callable[[socket.socket], None]) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, ip: str, take: Callable[[socket.socket], None]
+    ) -> None:
         self._loop, self._take = loop, take
         self._socket = bound(ip)
         self.address: Address = self._socket.getsockname()
@@ -108,9 +109,15 @@
 class RealHost:
     """`ground.Host` on loopback, for a party that sidecars call."""
 
-    def __init__(self, net: Net, clock: DayClock, addresses: Sequence[tuple[int, str]], *,
-                 delay_s: Callable[[int], float] = lambda _: 0.0,
-                 held: Callable[[int], bool] = lambda _: False) -> None:
+    def __init__(
+        self,
+        net: Net,
+        clock: DayClock,
+        addresses: Sequence[tuple[int, str]],
+        *,
+        delay_s: Callable[[int], float] = lambda _: 0.0,
+        held: Callable[[int], bool] = lambda _: False,
+    ) -> None:
         """`addresses`: (sidecar, IP address) for each sidecar that may call.
 
         `delay_s`: seconds that the next message takes between that sidecar and here. `held`: whether nothing
@@ -123,8 +130,7 @@
         self._silent = False
         self._wires: dict[Wire, int] = {}
         self._coming: set[asyncio.Task[None]] = set()
-        self._doors = {sidecar: Door(net.loop, ip, partial(self._take, sidecar))
-                       for sidecar, ip in addresses}
+        self._doors = {sidecar: Door(net.loop, ip, partial(self._take, sidecar)) for sidecar, ip in addresses}
 
     def day_ms(self) -> float:
         """Milliseconds since the day began."""
@@ -184,9 +190,15 @@
         if accept is None:
             connection.close()
             return
-        wire = Wire(self.net, accept(sidecar), partial(self._delay_s, sidecar), gone=self._gone,
-                    held=partial(self._held, sidecar), wanted=lambda: self._accept is accept,
-                    day_ms_of=self._clock.day_ms_of)
+        wire = Wire(
+            self.net,
+            accept(sidecar),
+            partial(self._delay_s, sidecar),
+            gone=self._gone,
+            held=partial(self._held, sidecar),
+            wanted=lambda: self._accept is accept,
+            day_ms_of=self._clock.day_ms_of,
+        )
         self._wires[wire] = sidecar
         task = self.net.loop.create_task(self._come(wire, connection))
         self._coming.add(task)
--- a/coveport/lab/real/orchestrator.py
+++ b/coveport/lab/real/orchestrator.py
@@ -115,8 +115,15 @@
 class _Run:
     """One run."""
 
-    def __init__(self, day: Day, folder: Path, brood: Brood, command: Sequence[str], parts: str,
-                 progress: Callable[[float], None] | None) -> None:
+    def __init__(
+        self,
+        day: Day,
+        folder: Path,
+        brood: Brood,
+        command: Sequence[str],
+        parts: str,
+        progress: Callable[[float], None] | None,
+    ) -> None:
         self.day, self._folder, self._brood, self._parts, self._progress = day, folder, brood, parts, progress
         self.books, self.notes = Books(), list[str]()
         loop = asyncio.get_running_loop()
@@ -126,9 +133,18 @@
         self._workers: list[_Worker] = []
         self.logs: list[Path] = []
         home = Path(coveport.__file__).parents[1]
-        self._setting = Setting(day, brood, self._clock, self.books, self.notes, folder, command, str(home),
-                                lambda sidecar: self._workers[0].know(sidecar),
-                                lambda work: self._group.create_task(work))
+        self._setting = Setting(
+            day,
+            brood,
+            self._clock,
+            self.books,
+            self.notes,
+            folder,
+            command,
+            str(home),
+            lambda sidecar: self._workers[0].know(sidecar),
+            lambda work: self._group.create_task(work),
+        )
         self._group = asyncio.TaskGroup()
         self.sidecars: list[Sidecar] = []
         self._sampling: asyncio.TimerHandle | None = None
@@ -164,8 +180,10 @@
         file = self._folder / "day"
         file.write_bytes(msgspec.msgpack.encode(self.day))
         jobs = [("the world", "world", tuple[int, ...]())]
-        jobs += [(f"the tills of sidecars {', '.join(map(str, share))}", "tills", share)
-                 for share in shares(self.day)]
+        jobs += [
+            (f"the tills of sidecars {', '.join(map(str, share))}", "tills", share)
+            for share in shares(self.day)
+        ]
         environ = dict(os.environ)
         # Guards against a worker that finds another coveport, or none: it sees what we see.
         environ["PYTHONPATH"] = os.pathsep.join(path or os.getcwd() for path in sys.path)
@@ -174,15 +192,24 @@
             own.setblocking(False)
             log = self._folder / f"lab-{number}.log"
             with its:
-                child = self._brood.start([sys.executable, "-m", "coveport.lab.real.worker"], log=log,
-                                          environ=environ, control=its)
+                child = self._brood.start(
+                    [sys.executable, "-m", "coveport.lab.real.worker"], log=log, environ=environ, control=its
+                )
             worker = _Worker(name, child, log, own)
             self._workers.append(worker)
             self.logs.append(log)
             await worker.connect()
-            worker.send(control.Job(role, str(file), self._parts, share,
-                                    tuple(one.address for one in self.sidecars), self._clock.t0,
-                                    self._unix_s))
+            worker.send(
+                control.Job(
+                    role,
+                    str(file),
+                    self._parts,
+                    share,
+                    tuple(one.address for one in self.sidecars),
+                    self._clock.t0,
+                    self._unix_s,
+                )
+            )
 
     async def _conduct(self) -> list[bytes]:
         day, clock = self.day, self._clock
@@ -222,8 +249,11 @@
         while (now := clock.day_ms()) < self.end_ms:
             if now >= length_ms and all(worker.done.is_set() for worker in self._workers[1:]):
                 break
-            if self.sidecars and not any(one.will_run for one in self.sidecars) and not any(
-                    change.what == "launch" and change.at >= now for change in day.changes):
+            if (
+                self.sidecars
+                and not any(one.will_run for one in self.sidecars)
+                and not any(change.what == "launch" and change.at >= now for change in day.changes)
+            ):
                 self.notes.append(f"no sidecar was left {now / 1000:.1f} s into the day: it ended there")
                 break
             if self._progress is not None:
@@ -290,13 +320,21 @@
     world = 2 * nodes * sidecars + 4 * sidecars + links + OWN
     tills = max((len(share) for share in shares(day)), default=0) * day.scenario.load.connections + OWN
     if max(world, tills) > descriptors:
-        raise GroundError(f"{nodes} nodes and {sidecars} sidecars need {max(world, tills)} descriptors in "
-                          f"one process, {descriptors} is the limit here")
-
-
-async def play(day: Day, *, variant: str = "", logs: Path | None = None,
-               progress: Callable[[float], None] | None = None, command: Sequence[str] = (),
-               parts: str = PARTS) -> Played:
+        raise GroundError(
+            f"{nodes} nodes and {sidecars} sidecars need {max(world, tills)} descriptors in "
+            f"one process, {descriptors} is the limit here"
+        )
+
+
+async def play(
+    day: Day,
+    *,
+    variant: str = "",
+    logs: Path | None = None,
+    progress: Callable[[float], None] | None = None,
+    command: Sequence[str] = (),
+    parts: str = PARTS,
+) -> Played:
     """Play a day; GroundError where the lab can't, asyncio.CancelledError where it is told to stop.
 
     `logs`: a folder that gets the logs of all processes. `progress` is told the share of the day that is
@@ -310,7 +348,7 @@
         raise GroundError(f"{key}: simulated ground alone can do this; leave it out, or --ground virtual")
     check_fits(day, resource.getrlimit(resource.RLIMIT_NOFILE)[1])
     began = time.monotonic()
-    with (own_folder() as folder, Brood(asyncio.get_running_loop()) as brood, _ended_by_signals()):
+    with own_folder() as folder, Brood(asyncio.get_running_loop()) as brood, _ended_by_signals():
         run = _Run(day, folder, brood, command or (sys.executable, "-m", "coveport"), parts, progress)
         try:
             async with _limit(run.most_s, "the day took longer than it may"):
@@ -322,17 +360,31 @@
             if logs is not None:
                 with contextlib.suppress(OSError):
                     _keep(run, logs)
-        return Played(day, "real", Books.merged(books), run.late, wall_s=time.monotonic() - began,
-                      logs={one.drawn.number: _tail(one.log) for one in run.sidecars}, notes=run.notes)
-
-
-def play_day(day: Day, *, variant: str = "", logs: Path | None = None,
-             progress: Callable[[float], None] | None = None, command: Sequence[str] = (),
-             parts: str = PARTS) -> Played:
+        return Played(
+            day,
+            "real",
+            Books.merged(books),
+            run.late,
+            wall_s=time.monotonic() - began,
+            logs={one.drawn.number: _tail(one.log) for one in run.sidecars},
+            notes=run.notes,
+        )
+
+
+def play_day(
+    day: Day,
+    *,
+    variant: str = "",
+    logs: Path | None = None,
+    progress: Callable[[float], None] | None = None,
+    command: Sequence[str] = (),
+    parts: str = PARTS,
+) -> Played:
     """As `play`, for callers without a loop; KeyboardInterrupt where it is told to stop."""
     try:
-        return asyncio.run(play(day, variant=variant, logs=logs, progress=progress, command=command,
-                                parts=parts))
+        return asyncio.run(
+            play(day, variant=variant, logs=logs, progress=progress, command=command, parts=parts)
+        )
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
 
--- a/coveport/lab/real/parts.py
+++ b/coveport/lab/real/parts.py
@@ -77,12 +77,20 @@
         self._ways = Ways(day)
         self._hosts = {drawn.number: self._host(drawn) for drawn in day.nodes}
         self._nodes = {
-            drawn.number: LedgerNode(self._hosts[drawn.number], place.books, day, drawn, keys, wishes,
-                                     self._rtt_ms(drawn.zone)) for drawn in day.nodes}
+            drawn.number: LedgerNode(
+                self._hosts[drawn.number], place.books, day, drawn, keys, wishes, self._rtt_ms(drawn.zone)
+            )
+            for drawn in day.nodes
+        }
         self._discovery = Discovery(
-            day, place.books, net, clock.day_ms, lambda node, sidecar: self._hosts[node].address(sidecar),
+            day,
+            place.books,
+            net,
+            clock.day_ms,
+            lambda node, sidecar: self._hosts[node].address(sidecar),
             unix_ms_of=clock.unix_ms,
-            on_move=lambda sidecar: self._moving.append(net.loop.create_task(self._move(sidecar))))
+            on_move=lambda sidecar: self._moving.append(net.loop.create_task(self._move(sidecar))),
+        )
         self._moving: list[asyncio.Task[None]] = []  # guards against tasks that are collected as they run
         self._agents: dict[int, RealHost] = {}
         self._left: list[RealHost] = []
@@ -92,10 +100,12 @@
         sidecars = place.day.sidecars
         zones = {one.number: one.zone for one in sidecars}
         return RealHost(
-            place.net, place.clock,
+            place.net,
+            place.clock,
             [(one.number, address_of(NODES, drawn.number * len(sidecars) + one.number)) for one in sidecars],
             delay_s=lambda sidecar: ways.delay_ms(zones[sidecar], drawn.zone) / 1000,
-            held=lambda sidecar: ways.held(zones[sidecar], drawn.zone))
+            held=lambda sidecar: ways.held(zones[sidecar], drawn.zone),
+        )
 
     def _rtt_ms(self, zone: int) -> Callable[[int], float]:
         zones = {one.number: one.zone for one in self._place.day.sidecars}
@@ -116,9 +126,16 @@
         for node in self._nodes.values():
             await node.start()
         place = self._place
-        conduct(place.day.changes, place.net, place.clock.day_ms, [
-            (OF_NODES, self._change_nodes), (OF_NETWORK, self._change_ways),
-            (OF_NODES | OF_DISCOVERY, self._discovery.change)])
+        conduct(
+            place.day.changes,
+            place.net,
+            place.clock.day_ms,
+            [
+                (OF_NODES, self._change_nodes),
+                (OF_NETWORK, self._change_ways),
+                (OF_NODES | OF_DISCOVERY, self._discovery.change),
+            ],
+        )
 
     def _change_nodes(self, change: Change) -> None:
         for number, node in self._nodes.items():
@@ -156,10 +173,17 @@
     def __init__(self, place: Place) -> None:
         host = CallerHost(place.net, place.clock)
         self._tills = [
-            Tills(host, place.books, place.day, one,
-                  [wish for wish in place.day.wishes if wish.sidecar == one.number],
-                  partial(place.addresses.__getitem__, one.number))
-            for one in place.day.sidecars if one.number in place.sidecars]
+            Tills(
+                host,
+                place.books,
+                place.day,
+                one,
+                [wish for wish in place.day.wishes if wish.sidecar == one.number],
+                partial(place.addresses.__getitem__, one.number),
+            )
+            for one in place.day.sidecars
+            if one.number in place.sidecars
+        ]
 
     def begin(self) -> None:
         for one in self._tills:
--- a/coveport/lab/real/processes.py
+++ b/coveport/lab/real/processes.py
@@ -23,20 +23,23 @@
 
 def _ends_with(parent: int, descriptors: int) -> Callable[[], None]:
     """What a child does before it becomes the program."""
+
     def prepare() -> None:
         _PRCTL(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
         if os.getppid() != parent:  # guards against our death before the call
             os._exit(1)
         if descriptors:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
+
     return prepare
 
 
 class Child:
     """A process, in a group of its own."""
 
-    def __init__(self, popen: subprocess.Popen[bytes], loop: asyncio.AbstractEventLoop,
-                 on_end: Callable[[int], None]) -> None:
+    def __init__(
+        self, popen: subprocess.Popen[bytes], loop: asyncio.AbstractEventLoop, on_end: Callable[[int], None]
+    ) -> None:
         self._popen, self._loop, self._on_end = popen, loop, on_end
         self.pid = popen.pid
         self.ended = asyncio.Event()
@@ -83,9 +86,17 @@
         self._loop = loop
         self._children: list[Child] = []
 
-    def start(self, command: Sequence[str], *, log: Path, environ: Mapping[str, str],
-              folder: str | None = None, control: socket.socket | None = None, descriptors: int = 0,
-              on_end: Callable[[int], None] = lambda code: None) -> Child:
+    def start(
+        self,
+        command: Sequence[str],
+        *,
+        log: Path,
+        environ: Mapping[str, str],
+        folder: str | None = None,
+        control: socket.socket | None = None,
+        descriptors: int = 0,
+        on_end: Callable[[int], None] = lambda code: None,
+    ) -> Child:
         """Start a program; OSError where that can't be.
 
         `log` takes what it prints, behind what is there. `control` becomes its standard input. `descriptors`:
@@ -94,9 +105,15 @@
         """
         with log.open("ab") as sink:
             popen = subprocess.Popen(
-                list(command), stdin=subprocess.DEVNULL if control is None else control.fileno(), stdout=sink,
-                stderr=sink, env=dict(environ), cwd=folder, start_new_session=True,
-                preexec_fn=_ends_with(os.getpid(), descriptors))
+                list(command),
+                stdin=subprocess.DEVNULL if control is None else control.fileno(),
+                stdout=sink,
+                stderr=sink,
+                env=dict(environ),
+                cwd=folder,
+                start_new_session=True,
+                preexec_fn=_ends_with(os.getpid(), descriptors),
+            )
         try:
             child = Child(popen, self._loop, on_end)
         except BaseException:
@@ -109,8 +126,9 @@
     def __enter__(self) -> Brood:
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, problem: BaseException | None,
-                 trace: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, problem: BaseException | None, trace: TracebackType | None
+    ) -> None:
         for child in self._children:
             with contextlib.suppress(subprocess.TimeoutExpired):
                 child.reap()
--- a/coveport/lab/real/shaping.py
+++ b/coveport/lab/real/shaping.py
@@ -15,8 +15,7 @@
 class Way:
     """One direction of a connection: what is under way, in order, with the time at which it arrives."""
 
-    __slots__ = ("_loop", "_delay_s", "_queue", "_last", "_timer", "_held", "bytes",
-                 "put_s")
+    __slots__ = ("_loop", "_delay_s", "_queue", "_last", "_timer", "_held", "bytes", "put_s")
 
     def __init__(self, loop: asyncio.AbstractEventLoop, delay_s: Callable[[], float]) -> None:
         self._loop, self._delay_s = loop, delay_s
@@ -149,10 +148,17 @@
 
     real: asyncio.Transport
 
-    def __init__(self, net: Net, protocol: asyncio.BaseProtocol, delay_s: Callable[[], float], *,
-                 held: Callable[[], bool] = lambda: False, wanted: Callable[[], bool] = lambda: True,
-                 gone: Callable[[Wire], object] = lambda _: None,
-                 day_ms_of: Callable[[float], float] = lambda s: s * 1000) -> None:
+    def __init__(
+        self,
+        net: Net,
+        protocol: asyncio.BaseProtocol,
+        delay_s: Callable[[], float],
+        *,
+        held: Callable[[], bool] = lambda: False,
+        wanted: Callable[[], bool] = lambda: True,
+        gone: Callable[[Wire], object] = lambda _: None,
+        day_ms_of: Callable[[float], float] = lambda s: s * 1000,
+    ) -> None:
         """As the connection comes up: `held` tells whether nothing passes, `wanted` whether it is taken.
 
         `gone` is told when it is no more. `day_ms_of` turns loop time into the day's.
--- a/coveport/lab/real/sidecars.py
+++ b/coveport/lab/real/sidecars.py
@@ -140,14 +140,21 @@
         # Guards against a process that ends while it is looked at.
         with contextlib.suppress(OSError, ValueError, IndexError):
             status = (place / "status").read_text()
-            memory = next((int(line.split()[1]) for line in status.splitlines()
-                           if line.startswith("VmRSS:")), 0)
+            memory = next(
+                (int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS:")), 0
+            )
             if not memory:
                 return  # it has ended, which nobody has noticed yet
             times = (place / "stat").read_text().rpartition(")")[2].split()
-            self._setting.books.write(Sample(
-                self._setting.clock.day_ms(), self.drawn.number, memory / PAGE_KB,
-                len(os.listdir(place / "fd")), (int(times[11]) + int(times[12])) / TICKS))
+            self._setting.books.write(
+                Sample(
+                    self._setting.clock.day_ms(),
+                    self.drawn.number,
+                    memory / PAGE_KB,
+                    len(os.listdir(place / "fd")),
+                    (int(times[11]) + int(times[12])) / TICKS,
+                )
+            )
 
     def close(self) -> None:
         """Give its address back."""
@@ -172,10 +179,14 @@
         self._generation += 1
         limits = setting.day.scenario.limits
         self._told = {
-            "name": drawn.name, "listen": _text(self.address), "discovery": _text(known.discovery),
+            "name": drawn.name,
+            "listen": _text(self.address),
+            "discovery": _text(known.discovery),
             "seed": f"{(drawn.seed * 1_000_003 + self._generation) % 2**64:016x}",
             "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.descriptors},
-            "known": known.known, "settings": sidecar_settings(setting.day, drawn)}
+            "known": known.known,
+            "settings": sidecar_settings(setting.day, drawn),
+        }
         self._write()
         environ = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
         environ["LB_CONFIG"] = str(self._config)
@@ -185,8 +196,13 @@
         self._live("start", str(self._generation))
         try:
             self._child = setting.brood.start(
-                setting.command, log=self.log, environ=environ, folder=setting.home,
-                descriptors=limits.descriptors, on_end=self._ended)
+                setting.command,
+                log=self.log,
+                environ=environ,
+                folder=setting.home,
+                descriptors=limits.descriptors,
+                on_end=self._ended,
+            )
         except OSError as problem:
             self._note(f"could not be started: {problem}")
             self._live("exit", str(problem.errno))
--- a/coveport/lab/real/timing.py
+++ b/coveport/lab/real/timing.py
@@ -71,8 +71,9 @@
 class LagWatch:
     """Measures how late this process does what is due, every 10 ms."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: DayClock, books: Books, who: str,
-                 from_ms: float) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, clock: DayClock, books: Books, who: str, from_ms: float
+    ) -> None:
         """Rows say `who`; figures count from `from_ms` of the day."""
         self._loop, self._clock, self._books, self._who, self._from = loop, clock, books, who, from_ms
         self._lags: list[float] = []
--- a/coveport/lab/real/worker.py
+++ b/coveport/lab/real/worker.py
@@ -37,8 +37,15 @@
         loop.set_exception_handler(self._unexpected)
         self._books, self._clock = Books(), DayClock(job.t0, job.unix_s)
         day = msgspec.msgpack.decode(Path(job.day).read_bytes(), type=Day)
-        place = Place(day, self._books, ShapedNet(loop), self._clock, job.sidecars, job.addresses,
-                      lambda sidecar, address: self._send(control.Moved(sidecar, address)))
+        place = Place(
+            day,
+            self._books,
+            ShapedNet(loop),
+            self._clock,
+            job.sidecars,
+            job.addresses,
+            lambda sidecar, address: self._send(control.Moved(sidecar, address)),
+        )
         parts = importlib.import_module(job.parts)
         self._world: World | None = parts.world(place) if job.role == "world" else None
         self._clients: Clients | None = parts.clients(place) if job.role == "tills" else None
@@ -67,8 +74,11 @@
                     self._clients.begin()
                     self._look()
             case control.Know() if self._world is not None:
-                self._send(control.Known(frame.sidecar, self._world.discovery(frame.sidecar),
-                                         self._world.known(frame.sidecar)))
+                self._send(
+                    control.Known(
+                        frame.sidecar, self._world.discovery(frame.sidecar), self._world.known(frame.sidecar)
+                    )
+                )
             case control.Finish():
                 for part in (self._world, self._clients):
                     if part is not None:
--- a/coveport/lab/report/page.py
+++ b/coveport/lab/report/page.py
@@ -38,7 +38,7 @@
     "recovery": "How long after a fault's end service was back at 98% of what it had been, and stayed there.",
     "retry": "A client's own second try, after a busy reply or a failure.",
     "rule": "What no day may break: each operation answered once and in time, nothing run twice that must "
-            "not be, nothing sent to nodes that drain, no cold node overwhelmed.",
+    "not be, nothing sent to nodes that drain, no cold node overwhelmed.",
     "second copy": "An attempt made while an earlier one of the same operation was still out.",
     "seed": "The number from which all chance of the day was drawn. The same seed gives the same day.",
     "service": "The worth answered in time over the worth asked: 100% is perfect.",
@@ -58,26 +58,40 @@
     step = max(1.0, float(np.ceil(day.scenario.length_s / _MOST_STEPS)))
     one, spans = series(played, step), faults(played)
     return _template().render(
-        o=outcome, day=day, about=day.scenario.about, verdict=verdict(outcome), command=command,
+        o=outcome,
+        day=day,
+        about=day.scenario.about,
+        verdict=verdict(outcome),
+        command=command,
         state="void" if outcome.late else "good" if outcome.passed else "bad",
-        classes=_classes(played, outcome), wishes=sum(outcome.answers.all.values()),
-        kinds={kind: text for kind, text in KINDS.items() if outcome.answers.all[kind]}, all_kinds=KINDS,
-        kind_colours=KIND_COLOURS, ends=ENDS,
-        expectations=[(expectation(each.name, each.wanted), expectation(each.name, each.got)[2], each.met)
-                      for each in outcome.expectations],
-        faults=[_fault(played, outcome, one, span) for span in spans], events=_events(played),
+        classes=_classes(played, outcome),
+        wishes=sum(outcome.answers.all.values()),
+        kinds={kind: text for kind, text in KINDS.items() if outcome.answers.all[kind]},
+        all_kinds=KINDS,
+        kind_colours=KIND_COLOURS,
+        ends=ENDS,
+        expectations=[
+            (expectation(each.name, each.wanted), expectation(each.name, each.got)[2], each.met)
+            for each in outcome.expectations
+        ],
+        faults=[_fault(played, outcome, one, span) for span in spans],
+        events=_events(played),
         plots=[(how, Markup(svg)) for how, svg in draw(day, one, spans)],
-        broken=outcome.broken[:MOST_BREACHES], glossary=GLOSSARY)
+        broken=outcome.broken[:MOST_BREACHES],
+        glossary=GLOSSARY,
+    )
 
 
 @functools.cache
 def _template() -> Template:
     # Guards against a name or a breach's text that is taken for markup.
-    environment = Environment(autoescape=True, undefined=StrictUndefined, trim_blocks=True,
-                              lstrip_blocks=True)
+    environment = Environment(
+        autoescape=True, undefined=StrictUndefined, trim_blocks=True, lstrip_blocks=True
+    )
     environment.filters.update(percent=percent, millis=millis)
     return environment.from_string(
-        resources.files(__package__).joinpath("page.html").read_text(encoding="utf-8"))
+        resources.files(__package__).joinpath("page.html").read_text(encoding="utf-8")
+    )
 
 
 def _classes(played: Played, outcome: Outcome) -> list[dict[str, Any]]:
@@ -85,9 +99,17 @@
     for one in played.day.scenario.classes:
         latency, answers = outcome.latency_ms[one.name], outcome.answers.by_class[one.name]
         asked = sum(answers.values())
-        rows.append({"name": one.name, "worth": one.worth, "aim": one.aim_ms, "asked": asked,
-                     "latency": latency, "service": answers["served"] / asked if asked else None,
-                     "answers": answers})
+        rows.append(
+            {
+                "name": one.name,
+                "worth": one.worth,
+                "aim": one.aim_ms,
+                "asked": asked,
+                "latency": latency,
+                "service": answers["served"] / asked if asked else None,
+                "answers": answers,
+            }
+        )
     return rows
 
 
@@ -100,16 +122,30 @@
         then = "not seen by the end of the day"
     else:
         then = "at once" if took == 0 else f"{took:.1f} s later"
-    return {"number": span.number, "kind": span.kind.replace("_", " "), "whom": span.whom,
-            "begin": span.begin / 1000, "end": span.end / 1000, "mended": mended, "then": then,
-            "meanwhile": float(one.served[during].sum()) / offered if offered > 0 else None}
+    return {
+        "number": span.number,
+        "kind": span.kind.replace("_", " "),
+        "whom": span.whom,
+        "begin": span.begin / 1000,
+        "end": span.end / 1000,
+        "mended": mended,
+        "then": then,
+        "meanwhile": float(one.served[during].sum()) / offered if offered > 0 else None,
+    }
 
 
 def _events(played: Played) -> list[tuple[float, str]]:
     """What happened to the sidecars' processes, but for their first start: (s, sentence)."""
-    words = {"start": "started", "ready": "ready", "reload": "told to reload",
-             "term": "told to stop (SIGTERM)", "kill": "killed (SIGKILL)", "stall": "gets no CPU",
-             "resume": "gets CPU again", "exit": "ended"}
+    words = {
+        "start": "started",
+        "ready": "ready",
+        "reload": "told to reload",
+        "term": "told to stop (SIGTERM)",
+        "kill": "killed (SIGKILL)",
+        "stall": "gets no CPU",
+        "resume": "gets CPU again",
+        "exit": "ended",
+    }
     names = {one.number: one.name for one in played.day.sidecars}
     again: set[int] = set()  # those to whom something has happened
     events = []
@@ -119,6 +155,11 @@
                 again.add(row.sidecar)
             if row.sidecar in again:
                 code = f" with code {row.detail}" if row.what == "exit" and row.detail else ""
-                events.append((row.at / 1000, f"sidecar {names.get(row.sidecar, row.sidecar)} "
-                                              f"{words.get(row.what, row.what)}{code}"))
+                events.append(
+                    (
+                        row.at / 1000,
+                        f"sidecar {names.get(row.sidecar, row.sidecar)} "
+                        f"{words.get(row.what, row.what)}{code}",
+                    )
+                )
     return events[:_MOST_EVENTS]
--- a/coveport/lab/run.py
+++ b/coveport/lab/run.py
@@ -14,8 +14,15 @@
 GROUNDS = ("virtual", "real", "bare")
 
 
-def play(scenario: Scenario, *, seed: int, ground: str, variant: str = "", logs: Path | None = None,
-         progress: Callable[[float], None] | None = None) -> Played:
+def play(
+    scenario: Scenario,
+    *,
+    seed: int,
+    ground: str,
+    variant: str = "",
+    logs: Path | None = None,
+    progress: Callable[[float], None] | None = None,
+) -> Played:
     """Draw and play a day; ValueError where there is no such ground or variant."""
     day = draw(scenario, seed)
     if ground == "virtual":
@@ -47,9 +54,16 @@
     return outcome
 
 
-def play_and_judge(scenario: Scenario, *, name: str, seed: int, ground: str, variant: str = "",
-                   logs: Path | None = None,
-                   progress: Callable[[float], None] | None = None) -> tuple[Played, Outcome]:
+def play_and_judge(
+    scenario: Scenario,
+    *,
+    name: str,
+    seed: int,
+    ground: str,
+    variant: str = "",
+    logs: Path | None = None,
+    progress: Callable[[float], None] | None = None,
+) -> tuple[Played, Outcome]:
     """Both; what the command line and the experiments call."""
     played = play(scenario, seed=seed, ground=ground, variant=variant, logs=logs, progress=progress)
     return played, judge(played, name=name, variant=variant)
--- a/coveport/lab/scenario.py
+++ b/coveport/lab/scenario.py
@@ -55,11 +55,28 @@
 # Reading.
 
 # By field; checked in place of what must be there and is not, or is wrong.
-STAND_INS: dict[str, Any] = {"title": "?", "name": "x", "share": 1.0, "work_ms": 1.0, "repeats": "safe",
-                             "aim_ms": 1.0, "deadline_ms": 1.0, "at_s": 0.0}
-
-SIMULATED_FIGURES = ("split", "merge", "window", "reset_mid", "end_mid", "late_connect", "backlog",
-                     "accept_ms", "read_chunk")
+STAND_INS: dict[str, Any] = {
+    "title": "?",
+    "name": "x",
+    "share": 1.0,
+    "work_ms": 1.0,
+    "repeats": "safe",
+    "aim_ms": 1.0,
+    "deadline_ms": 1.0,
+    "at_s": 0.0,
+}
+
+SIMULATED_FIGURES = (
+    "split",
+    "merge",
+    "window",
+    "reset_mid",
+    "end_mid",
+    "late_connect",
+    "backlog",
+    "accept_ms",
+    "read_chunk",
+)
 """Figures of the network that simulated ground alone can do."""
 
 
@@ -75,8 +92,10 @@
     try:
         text = path.read_bytes().decode()
     except OSError as problem:
-        raise ScenarioError(str(path), f"file: can't be read, {(problem.strerror or str(problem)).lower()}; "
-                                       "the path of a scenario") from problem
+        raise ScenarioError(
+            str(path),
+            f"file: can't be read, {(problem.strerror or str(problem)).lower()}; the path of a scenario",
+        ) from problem
     except UnicodeDecodeError as problem:
         raise ScenarioError(str(path), f"byte {problem.start}: not UTF-8; a text in UTF-8") from problem
     return parse(text, str(path), sets)
@@ -105,8 +124,14 @@
     for name in SIMULATED_FIGURES:
         if getattr(day.network, name) != getattr(calm, name):
             return f"network.{name}"
-    return next((f"faults[{number}].kind" for number, fault in enumerate(day.faults)
-                 if isinstance(fault, SIMULATED_FAULTS)), "")
+    return next(
+        (
+            f"faults[{number}].kind"
+            for number, fault in enumerate(day.faults)
+            if isinstance(fault, SIMULATED_FAULTS)
+        ),
+        "",
+    )
 
 
 def nonsense(day: Scenario) -> str:
--- a/coveport/lab/schema.py
+++ b/coveport/lab/schema.py
@@ -23,9 +23,14 @@
 FigureDescriptors = Annotated[Figure, Bounds(4, 1_000_000)]
 Title = Annotated[str, Spelt(r"[^\n]*\S[^\n]*", "a text of one line")]
 Name = Annotated[str, Spelt(r"[\w.-]{1,40}", "up to 40 letters, digits, dots, dashes and underscores")]
-ClassName = Annotated[str, Spelt(
-    # It is a path's first part, and /ping is a probe.
-    r"(?!ping\Z)[a-z][a-z0-9_-]{0,39}", "a small letter, then small letters, digits, dashes and underscores")]
+ClassName = Annotated[
+    str,
+    Spelt(
+        # It is a path's first part, and /ping is a probe.
+        r"(?!ping\Z)[a-z][a-z0-9_-]{0,39}",
+        "a small letter, then small letters, digits, dashes and underscores",
+    ),
+]
 
 
 class Strict(Struct, forbid_unknown_fields=True, frozen=True):
@@ -53,9 +58,19 @@
 
 
 def _kinds() -> tuple[Kind, ...]:
-    return (Kind(name="full-core", share=0.63, speed=(0.85, 1.1)),
-            Kind(name="slow-core", share=0.37, speed=(0.51, 0.69), waiting=(17, 39),
-                 crowd_cost=(0.049, 0.14), cold_from=(0.36, 0.58), warm_s=(3.8, 8.2), error_rate=(0, 0.002)))
+    return (
+        Kind(name="full-core", share=0.63, speed=(0.85, 1.1)),
+        Kind(
+            name="slow-core",
+            share=0.37,
+            speed=(0.51, 0.69),
+            waiting=(17, 39),
+            crowd_cost=(0.049, 0.14),
+            cold_from=(0.36, 0.58),
+            warm_s=(3.8, 8.2),
+            error_rate=(0, 0.002),
+        ),
+    )
 
 
 class Jam(Strict, frozen=True):
@@ -112,10 +127,28 @@
     """The ledger's three."""
     return (
         Class(name="balance", share=0.45, work_ms=(46, 83), repeats="safe", aim_ms=1000, deadline_ms=4000),
-        Class(name="earn", share=0.28, work_ms=(87, 160), repeats="keyed", aim_ms=1200, deadline_ms=3000,
-              worth=5, dist="lognormal", cv=(0.7, 1.4)),
-        Class(name="redeem", share=0.27, work_ms=(110, 190), repeats="never", aim_ms=2500, deadline_ms=6000,
-              worth=3, dist="lognormal", cv=(0.78, 1.4)),
+        Class(
+            name="earn",
+            share=0.28,
+            work_ms=(87, 160),
+            repeats="keyed",
+            aim_ms=1200,
+            deadline_ms=3000,
+            worth=5,
+            dist="lognormal",
+            cv=(0.7, 1.4),
+        ),
+        Class(
+            name="redeem",
+            share=0.27,
+            work_ms=(110, 190),
+            repeats="never",
+            aim_ms=2500,
+            deadline_ms=6000,
+            worth=3,
+            dist="lognormal",
+            cv=(0.78, 1.4),
+        ),
     )
 
 
--- a/coveport/lab/search/aftermath.py
+++ b/coveport/lab/search/aftermath.py
@@ -102,8 +102,7 @@
     asked = sum(wish.work_ms for wish in day.wishes if wish.due >= quiet) / max(end - quiet, 1.0)
     capacity = reach.capacity_after(quiet)
     queued = _queued_ms(day, rows, quiet)
-    judged = quiet + NEWS_MS + max(_drain_ms(day, rows, quiet),
-                                   queued / max(capacity - asked, 1e-9))
+    judged = quiet + NEWS_MS + max(_drain_ms(day, rows, quiet), queued / max(capacity - asked, 1e-9))
     first = min([span.begin for span in day.spans], default=0.0)
     due, served = reach.between(first, end)
     step = reach.step_ms
@@ -112,8 +111,14 @@
     while begin <= end - WINDOW_MS:
         low.append((begin, is_low(reach, begin, begin + WINDOW_MS)))
         begin += step
-    back = next((at for number, (at, _) in enumerate(low)
-                 if not any(bad for other, bad in low[number:] if other <= at + HOLD_MS)), None)
+    back = next(
+        (
+            at
+            for number, (at, _) in enumerate(low)
+            if not any(bad for other, bad in low[number:] if other <= at + HOLD_MS)
+        ),
+        None,
+    )
     below = inf
     for at, bad in reversed(low):
         if not bad or at < judged:
@@ -121,9 +126,14 @@
         below = at
     if asked > MOST_LEVEL * capacity:
         below = inf
-    return Aftermath(quiet, judged, bool(low), None if back is None else (back - low[0][0]) / 1000,
-                     below if end - below >= STAYS_MS and is_low(reach, below, end) else None,
-                     max(0.0, 1 - served / due) if due > 0 else 0.0)
+    return Aftermath(
+        quiet,
+        judged,
+        bool(low),
+        None if back is None else (back - low[0][0]) / 1000,
+        below if end - below >= STAYS_MS and is_low(reach, below, end) else None,
+        max(0.0, 1 - served / due) if due > 0 else 0.0,
+    )
 
 
 def ratio(reach: Reach, begin: float, end: float) -> float:
--- a/coveport/lab/search/files.py
+++ b/coveport/lab/search/files.py
@@ -32,8 +32,11 @@
     tables = sparse(scenario)
     about = tables.get("about", "")
     # Guards against what a text over several lines can't hold as it is, such as an end of line in front.
-    if "\n" in about.strip("\n") and not about.startswith("\n") and all(
-            line.isprintable() and "\"" not in line for line in about.split("\n")):
+    if (
+        "\n" in about.strip("\n")
+        and not about.startswith("\n")
+        and all(line.isprintable() and '"' not in line for line in about.split("\n"))
+    ):
         tables["about"] = tomlkit.string(about, multiline=True)
     for fault in tables.get("faults", ()):
         if "whom" in fault:
--- a/coveport/lab/search/finds.py
+++ b/coveport/lab/search/finds.py
@@ -28,9 +28,21 @@
 RULE, PROCESS, HELD, NO_RETURN, DIP = "rule", "process", "held", "no-return", "dip"
 """Kinds of finds; a dip is a figure to look at, and counts as none."""
 
-WORST = {"ran-twice": 9, "resent": 9, "refused": 9, "body": 9, "changed": 9, "answer-none": 8,
-         "answer-twice": 8, "process": 8, "second-copy": 7, "unnamed": 7, "drained": 6, "cold": 6,
-         "answer-late": 6}  # others: 5
+WORST = {
+    "ran-twice": 9,
+    "resent": 9,
+    "refused": 9,
+    "body": 9,
+    "changed": 9,
+    "answer-none": 8,
+    "answer-twice": 8,
+    "process": 8,
+    "second-copy": 7,
+    "unnamed": 7,
+    "drained": 6,
+    "cold": 6,
+    "answer-late": 6,
+}  # others: 5
 OF_CLASSES = ("resent", "ran-twice", "refused")  # rules that turn on what a class may repeat
 DIPS = 0.15  # a smaller share of the worth in reach is not worth a line
 HISTORIES = 2000  # breaches of a day that are looked at; the rest is more of the same
@@ -73,8 +85,12 @@
     """
     reach = reachable(played.day, played.rows)
     after = aftermath(played.day, played.rows, reach)
-    found = [*_rules(played, outcome.broken), *_complaints(played), *_held(played),
-             *_service(played, reach, after)]
+    found = [
+        *_rules(played, outcome.broken),
+        *_complaints(played),
+        *_held(played),
+        *_service(played, reach, after),
+    ]
     return Findings(sorted(_merged(found), key=lambda one: (-one.badness, one.signature)), after, reach)
 
 
@@ -88,8 +104,9 @@
     worths = [control.day.scenario.classes[one.cls].worth for one in control.day.wishes if one.due >= below]
     gained = better.between(below, end)[1] - here.reach.between(below, end)[1]
     gap = LOW_GAP if is_low(better, below, end) else GAP
-    return (ratio(better, below, end) >= ratio(here.reach, below, end) + gap
-            and gained >= LEAST * sum(worths) / max(1, len(worths)))
+    return ratio(better, below, end) >= ratio(here.reach, below, end) + gap and gained >= LEAST * sum(
+        worths
+    ) / max(1, len(worths))
 
 
 def unplayed(problem: str) -> Find:
@@ -104,8 +121,17 @@
     merged = []
     for those in by.values():
         first, count = min(those, key=lambda one: one.at_ms), sum(one.count for one in those)
-        merged.append(Find(first.kind, first.signature, round(first.badness + min(9.0, log2(count)), 2),
-                           first.what, first.at_ms, first.operation, count))
+        merged.append(
+            Find(
+                first.kind,
+                first.signature,
+                round(first.badness + min(9.0, log2(count)), 2),
+                first.what,
+                first.at_ms,
+                first.operation,
+                count,
+            )
+        )
     return merged
 
 
@@ -138,8 +164,10 @@
     """What became of an operation, in words; `at_ms` is the moment at issue."""
     words = ["crossed"] if operation.crossed else []
     attempts = sorted(operation.attempts, key=lambda one: one.row.handed)
-    words += [f"{word}, again" if len(list(those)) > 1 else word
-              for word, those in groupby(_fate(one) for one in attempts)] or ["no attempt"]
+    words += [
+        f"{word}, again" if len(list(those)) > 1 else word
+        for word, those in groupby(_fate(one) for one in attempts)
+    ] or ["no attempt"]
     words.append(_end(operation))
     if operation.asked is not None:
         words += _process(case, operation.asked.sidecar, operation.asked.at, at_ms)
@@ -151,8 +179,15 @@
     replied, ended, took = attempt.replied, attempt.ended, attempt.row.took
     if took in ("full", "drain", "over"):
         return "turned away"
-    end = (f"answered {replied.status}" if replied is not None and replied.whole
-           else "spoilt" if replied is not None else f"ended ({ended.how})" if ended is not None else "open")
+    end = (
+        f"answered {replied.status}"
+        if replied is not None and replied.whole
+        else "spoilt"
+        if replied is not None
+        else f"ended ({ended.how})"
+        if ended is not None
+        else "open"
+    )
     ran = "ran, " if attempt.ran else "" if took == "work" else f"{took}, "
     return ran + end
 
@@ -238,12 +273,21 @@
     end = played.day.scenario.length_s * 1000
     if after.below is not None:
         share = ratio(reach, after.below, end)
-        yield Find(NO_RETURN, f"no-return: {_how_most_end(played, after.below)}", 40.0 + 20 * (1 - share),
-                   f"From {after.below / 1000:.1f} s to the day's end {share:.0%} of what was in reach was "
-                   f"served; the last trouble was over at {after.quiet / 1000:.1f} s.", after.below)
+        yield Find(
+            NO_RETURN,
+            f"no-return: {_how_most_end(played, after.below)}",
+            40.0 + 20 * (1 - share),
+            f"From {after.below / 1000:.1f} s to the day's end {share:.0%} of what was in reach was "
+            f"served; the last trouble was over at {after.quiet / 1000:.1f} s.",
+            after.below,
+        )
     if after.short >= DIPS:
-        yield Find(DIP, "dip", 10 * after.short, f"{after.short:.0%} of the worth in reach from the first "
-                                                 "fault on was not served.")
+        yield Find(
+            DIP,
+            "dip",
+            10 * after.short,
+            f"{after.short:.0%} of the worth in reach from the first fault on was not served.",
+        )
 
 
 def _how_most_end(played: Played, begin: float) -> str:
@@ -265,7 +309,7 @@
         elif isinstance(row, books.Answered):
             if row.status == 200:
                 served.add(first)
-            ends[first] = ("late" if row.status == 200 else "busy" if row.status in (429, 503) else "failed")
+            ends[first] = "late" if row.status == 200 else "busy" if row.status in (429, 503) else "failed"
             if row.status == 200 and row.at <= wishes[first].due + classes[wishes[first].cls].aim_ms + 1e-6:
                 ends[first] = "served"
         elif isinstance(row, books.Broke):
--- a/coveport/lab/search/hunt.py
+++ b/coveport/lab/search/hunt.py
@@ -125,6 +125,7 @@
 @contextlib.contextmanager
 def _bounded(seconds: float) -> Iterator[None]:
     """End what takes more CPU time, by HangsError; time in which this process is stopped does not count."""
+
     def enough(*_: object) -> None:
         stopping.ask(HangsError(f"took more than {seconds:g} s of CPU time"))
 
@@ -149,8 +150,9 @@
     """
     began = time.perf_counter()
     with _bounded(LIMIT_S):
-        played, outcome = play_and_judge(scenario, name="schedule", seed=seed, ground="virtual",
-                                         variant=variant)
+        played, outcome = play_and_judge(
+            scenario, name="schedule", seed=seed, ground="virtual", variant=variant
+        )
         here = finds(played, outcome)
         found = here.finds
         if any(one.kind == NO_RETURN for one in found):
@@ -158,8 +160,18 @@
             if not stands(here, control):
                 found = [one for one in found if one.kind != NO_RETURN]
     return found, Result(
-        0, "", seed, _kinds(scenario), found, outcome.service, here.after.short, here.after.seen,
-        here.after.back_s, time.perf_counter() - began, outcome.simulated_s)
+        0,
+        "",
+        seed,
+        _kinds(scenario),
+        found,
+        outcome.service,
+        here.after.short,
+        here.after.seen,
+        here.after.back_s,
+        time.perf_counter() - began,
+        outcome.simulated_s,
+    )
 
 
 def play_run(job: Job) -> bytes:
@@ -170,9 +182,20 @@
     return msgspec.json.encode(result)
 
 
-def hunt(base: Scenario, name: str, out: Path, *, runs: int, jobs: int, seed: int, variant: str = "",
-         seconds: float = inf, play: Play = play_run, told: Callable[[Told], None] | None = None,
-         lane: Callable[[], Lane] = Worker) -> Summary:
+def hunt(
+    base: Scenario,
+    name: str,
+    out: Path,
+    *,
+    runs: int,
+    jobs: int,
+    seed: int,
+    variant: str = "",
+    seconds: float = inf,
+    play: Play = play_run,
+    told: Callable[[Told], None] | None = None,
+    lane: Callable[[], Lane] = Worker,
+) -> Summary:
     """Play the runs that `out` does not hold yet, `jobs` at a time, for so many seconds at the most.
 
     SweepError where `out` is another's; KeyboardInterrupt passes through once the workers are gone.
@@ -180,8 +203,9 @@
     manifest = Manifest(name, hashlib.sha256(to_toml(base).encode()).hexdigest(), code_hash(), seed, variant)
     digest = hashlib.sha256(msgspec.json.encode(manifest)).hexdigest()[:16]
     _open(out, manifest)
-    results = {run: one for run in range(runs)
-               if (one := _read(out / "runs" / _file(run), digest)) is not None}
+    results = {
+        run: one for run in range(runs) if (one := _read(out / "runs" / _file(run), digest)) is not None
+    }
     began, before = time.monotonic(), len(results)
     known = {find.signature for one in results.values() for find in one.finds if find.counts}
 
@@ -195,8 +219,7 @@
     try:
         with contextlib.closing(each(waiting(), play, jobs, lane)) as played:
             for job, data, problem in played:
-                result = (msgspec.json.decode(data, type=Result) if data is not None
-                          else _failed(job, problem))
+                result = msgspec.json.decode(data, type=Result) if data is not None else _failed(job, problem)
                 result.search = digest
                 write_whole(out / "runs" / _file(job.run), msgspec.json.encode(result))
                 results[job.run] = result
@@ -235,11 +258,13 @@
             there = msgspec.json.decode(path.read_bytes(), type=Manifest)
         except (msgspec.MsgspecError, UnicodeDecodeError) as problem:
             raise SweepError(f"{path}: {problem}; name another folder") from problem
-        unlike = [name for name in Manifest.__struct_fields__
-                  if getattr(there, name) != getattr(manifest, name)]
+        unlike = [
+            name for name in Manifest.__struct_fields__ if getattr(there, name) != getattr(manifest, name)
+        ]
         if unlike:
-            raise SweepError(f"{out} holds another search (not the same: {', '.join(unlike)}); "
-                             "name another folder")
+            raise SweepError(
+                f"{out} holds another search (not the same: {', '.join(unlike)}); name another folder"
+            )
     elif out.exists() and (not out.is_dir() or any(out.iterdir())):
         raise SweepError(f"{out} is not a search's folder, and not empty; name another folder")
     for part in ("runs", "finds"):
@@ -286,11 +311,22 @@
     hours = sum(one.simulated_s for one in played) / 3600
     lines = _lines(every)
     return Summary(
-        manifest.base, manifest.seed, manifest.variant, len(every), len(every) - len(played), hours, wall_s,
-        fresh * a_minute, hours / max(len(every), 1) * fresh * a_minute,
-        {"median": float(np.median(back)), "p95": float(np.quantile(back, 0.95)), "worst": max(back)} if back
-        else {}, 1 - len(back) / len(seen) if seen else 0.0,
-        [one for one in lines if one.kind != "dip"], [one for one in lines if one.kind == "dip"])
+        manifest.base,
+        manifest.seed,
+        manifest.variant,
+        len(every),
+        len(every) - len(played),
+        hours,
+        wall_s,
+        fresh * a_minute,
+        hours / max(len(every), 1) * fresh * a_minute,
+        {"median": float(np.median(back)), "p95": float(np.quantile(back, 0.95)), "worst": max(back)}
+        if back
+        else {},
+        1 - len(back) / len(seen) if seen else 0.0,
+        [one for one in lines if one.kind != "dip"],
+        [one for one in lines if one.kind == "dip"],
+    )
 
 
 def _lines(results: Sequence[Result]) -> list[Line]:
--- a/coveport/lab/search/reach.py
+++ b/coveport/lab/search/reach.py
@@ -59,7 +59,7 @@
 
     def capacity_after(self, begin_ms: float) -> float:
         """Ms of standard work a ms, on average from then on."""
-        after = self.capacity[round(begin_ms / self.step_ms):]
+        after = self.capacity[round(begin_ms / self.step_ms) :]
         return float(after.mean()) / self.step_ms if len(after) else 0.0
 
 
@@ -85,11 +85,14 @@
         until = wish.due + (cls.aim_ms if wish.leaves_ms < 0 else min(cls.aim_ms, wish.leaves_ms))
         # A later try begins anew, unless its key tells that the work is done or under way.
         once = cls.aim_ms if cls.repeats == "keyed" and wish.tries > 1 else cls.deadline_ms * wish.try_share
-        speed = float(fastest[at:at + aims[wish.cls] + 1].max())
-        if wish.half or wish.work_ms > speed * min(until - wish.due, once) or any(
-                begin <= wish.due and until <= end for begin, end in shut.get(wish.sidecar, ())):
+        speed = float(fastest[at : at + aims[wish.cls] + 1].max())
+        if (
+            wish.half
+            or wish.work_ms > speed * min(until - wish.due, once)
+            or any(begin <= wish.due and until <= end for begin, end in shut.get(wish.sidecar, ()))
+        ):
             continue
-        near_cut = cut[:, at:at + aims[wish.cls] + 1].any()
+        near_cut = cut[:, at : at + aims[wish.cls] + 1].any()
         group = wish.cls, at, zone_of[wish.sidecar] if near_cut else 0
         work, worth = offered.get(group, (0.0, 0.0))
         offered[group] = work + wish.work_ms, worth + cls.worth
@@ -103,12 +106,18 @@
             if row.at <= done.due + classes[done.cls].aim_ms + 1e-6:
                 good.add(first)
                 served[min(int(done.due // step), steps - 1)] += classes[done.cls].worth
-    return Reach(step, asked, _best(offered, capacity, cut, aims, steps), served,
-                 capacity.sum(axis=0)[:steps])
+    return Reach(
+        step, asked, _best(offered, capacity, cut, aims, steps), served, capacity.sum(axis=0)[:steps]
+    )
 
 
-def _best(offered: dict[Group, tuple[float, float]], capacity: Floats, cut: NDArray[np.bool_],
-          aims: list[int], steps: int) -> Floats:
+def _best(
+    offered: dict[Group, tuple[float, float]],
+    capacity: Floats,
+    cut: NDArray[np.bool_],
+    aims: list[int],
+    steps: int,
+) -> Floats:
     """Worth done by step of its due time, for the greatest worth in all."""
     done = np.zeros(steps)
     zones, slots = capacity.shape
@@ -123,19 +132,29 @@
             # While a zone is cut off it has its own capacity, and all others theirs together.
             apart = cut[:, slot]
             pool = (zone if apart[zone] else zones) if apart.any() else zones + 1
-            room = (capacity[zone, slot] if apart[zone] else capacity[~apart, slot].sum()) if apart.any(
-                ) else whole[slot]
+            room = (
+                (capacity[zone, slot] if apart[zone] else capacity[~apart, slot].sum())
+                if apart.any()
+                else whole[slot]
+            )
             if room > 0:
                 gains.append(worth / work)
                 rows_of.append(number)
                 pools.append(len(groups) + pool * slots + slot)
     if not gains:
         return done
-    limits = np.concatenate([[offered[one][0] for one in groups], capacity.ravel(),
-                             np.where(cut, 0.0, capacity).sum(axis=0), whole])
+    limits = np.concatenate(
+        [
+            [offered[one][0] for one in groups],
+            capacity.ravel(),
+            np.where(cut, 0.0, capacity).sum(axis=0),
+            whole,
+        ]
+    )
     count = len(gains)
-    taken = sparse.csr_matrix((np.ones(2 * count), (rows_of + pools, [*range(count)] * 2)),
-                              shape=(len(limits), count))
+    taken = sparse.csr_matrix(
+        (np.ones(2 * count), (rows_of + pools, [*range(count)] * 2)), shape=(len(limits), count)
+    )
     found = linprog(-np.array(gains), A_ub=taken, b_ub=limits, method="highs")
     assert found.status == 0, found.message
     worths: Floats = np.array(gains) * found.x
@@ -143,8 +162,9 @@
     return done
 
 
-def _capacity(day: Day, rows: Sequence[AnyRow], step: float, slots: int, longest: float
-              ) -> tuple[Floats, Floats]:
+def _capacity(
+    day: Day, rows: Sequence[AnyRow], step: float, slots: int, longest: float
+) -> tuple[Floats, Floats]:
     """Ms of standard work that can be done by zone and step; and in a ms by the fastest core, by step."""
     states: dict[int, list[books.NodeIs]] = {}
     told: dict[int, list[books.Told]] = {}
@@ -234,7 +254,7 @@
     begun: dict[int, Change] = {}
 
     def over(change: Change, until: float) -> None:
-        cut[change.target, ceil(change.at / step):max(0, int(min(until, slots * step) // step))] = True
+        cut[change.target, ceil(change.at / step) : max(0, int(min(until, slots * step) // step))] = True
 
     for change in day.changes:
         if change.what == "cut" and change.on:
--- a/coveport/lab/search/schedules.py
+++ b/coveport/lab/search/schedules.py
@@ -64,16 +64,26 @@
 
 FAULTS: dict[tuple[str, str], Draw] = {
     ("crash", "replaced"): _of(False, False, False, True),
-    ("slow", "size"): _log(1.2, 12), ("errors", "size"): _log(0.01, 1), ("resets", "size"): _log(0.01, 1),
-    ("spoilt", "size"): _log(0.01, 1), ("loss", "size"): _log(0.005, 0.6),
-    ("drain", "gone_s"): _of(0.0, 0.1, 0.5, 1.0, 3.0, 5.0), ("rolling", "every_s"): _log(0.1, 2),
-    ("rolling", "gone_s"): _even(0, 2), ("rolling", "down_s"): _log(0.1, 2),
-    ("restart", "every_s"): _of(0.0, 0.0, 0.3, 1.5), ("delay", "added_ms"): _log(2, 2000),
-    ("burst", "size"): _log(0.2, 6), ("burst", "rise_s"): _of(0.0, 0.3, 2.0),
-    ("heavy_tail", "share"): _log(0.005, 0.1), ("heavy_tail", "size"): _log(3, 30),
-    ("discovery", "size"): _log(0.3, 10), ("starve", "size"): _log(0.02, 0.9),
+    ("slow", "size"): _log(1.2, 12),
+    ("errors", "size"): _log(0.01, 1),
+    ("resets", "size"): _log(0.01, 1),
+    ("spoilt", "size"): _log(0.01, 1),
+    ("loss", "size"): _log(0.005, 0.6),
+    ("drain", "gone_s"): _of(0.0, 0.1, 0.5, 1.0, 3.0, 5.0),
+    ("rolling", "every_s"): _log(0.1, 2),
+    ("rolling", "gone_s"): _even(0, 2),
+    ("rolling", "down_s"): _log(0.1, 2),
+    ("restart", "every_s"): _of(0.0, 0.0, 0.3, 1.5),
+    ("delay", "added_ms"): _log(2, 2000),
+    ("burst", "size"): _log(0.2, 6),
+    ("burst", "rise_s"): _of(0.0, 0.3, 2.0),
+    ("heavy_tail", "share"): _log(0.005, 0.1),
+    ("heavy_tail", "size"): _log(3, 30),
+    ("discovery", "size"): _log(0.3, 10),
+    ("starve", "size"): _log(0.02, 0.9),
     ("clock", "size"): _of(-3600, -60, -1, -0.05, 0.05, 1, 60, 3600),
-    ("descriptors", "size"): _whole(40, 300), ("slow_reader", "size"): _log(0.05, 10),
+    ("descriptors", "size"): _whole(40, 300),
+    ("slow_reader", "size"): _log(0.05, 10),
     ("slow_reader", "share"): _log(0.01, 1),
 }
 """By kind and key; what is not there is drawn by its type and bounds."""
@@ -132,16 +142,25 @@
 """By place in the file: how often it is drawn, and how. What the schema does not have is not drawn."""
 
 MACHINES: tuple[tuple[float, dict[str, Draw]], ...] = (
-    (0.15, {"cancel": _of("none", "all")}), (0.1, {"drops_expired": _of(True)}),
-    (0.1, {"waiting": _whole(1, 30)}), (0.1, {"cores": _of(2, 4)}), (0.1, {"error_rate": _log(0.001, 0.2)}),
-    (0.1, {"pause_ms": _log(10, 800)}), (0.1, {"cold_from": _of(0.36, 0.45), "warm_s": _log(0.1, 8.6)}),
+    (0.15, {"cancel": _of("none", "all")}),
+    (0.1, {"drops_expired": _of(True)}),
+    (0.1, {"waiting": _whole(1, 30)}),
+    (0.1, {"cores": _of(2, 4)}),
+    (0.1, {"error_rate": _log(0.001, 0.2)}),
+    (0.1, {"pause_ms": _log(10, 800)}),
+    (0.1, {"cold_from": _of(0.36, 0.45), "warm_s": _log(0.1, 8.6)}),
 )
 """Changes of all kinds of machines, and how often."""
 
 OPEN_SECTIONS = ("network", "load", "discovery")
 NEW_SHARE = 0.12  # of schedules that draw a figure of these sections that no table knows
-LEFT = ("load.rate", "load.curve", "load.wave_s", "load.swing",  # `load.level` says it all
-        "load.half_close")  # known: an end of the client's sending is taken as the client gone
+LEFT = (
+    "load.rate",
+    "load.curve",
+    "load.wave_s",
+    "load.swing",  # `load.level` says it all
+    "load.half_close",
+)  # known: an end of the client's sending is taken as the client gone
 
 
 def draw_schedule(base: Scenario, seed: int, run: int) -> Scenario:
@@ -149,8 +168,14 @@
     chance = stream(seed, "schedule", run)
     sets = [f"seed={chance.randrange(1, 1_000_000)}"]
     sets += [f"{place}={_spelt(value)}" for place, value in _settings(base, chance).items()]
-    plain = msgspec.structs.replace(base, title=f"{base.title}, schedule {run} of seed {seed}", about="",
-                                    length_s=SHORTEST_S + LAST_S, expect=Expect(), faults=())
+    plain = msgspec.structs.replace(
+        base,
+        title=f"{base.title}, schedule {run} of seed {seed}",
+        about="",
+        length_s=SHORTEST_S + LAST_S,
+        expect=Expect(),
+        faults=(),
+    )
     day = _sensible(plain, sets)
     faults = [_pressed(fault, base.length_s) for fault in base.faults]
     for _ in range(chance.randint(1, MOST_FAULTS)):
@@ -159,8 +184,9 @@
             faults.append(fault)
     day = msgspec.structs.replace(day, faults=tuple(faults))
     ends = max([LAST_S / 2, *(end for _, end in spans_s(day))])
-    day = msgspec.structs.replace(day, length_s=math.ceil(2 * max(
-        SHORTEST_S, ends + chance.uniform(*QUIET_S))) / 2)
+    day = msgspec.structs.replace(
+        day, length_s=math.ceil(2 * max(SHORTEST_S, ends + chance.uniform(*QUIET_S))) / 2
+    )
     if getattr(day, "quiet_s", RESTED_S) < RESTED_S:
         day = msgspec.structs.replace(day, quiet_s=RESTED_S)
     return _with_connections(_affordable(parse(to_toml(day), "schedule")))
@@ -170,8 +196,10 @@
     """When each fault begins and ends by the day's own seed, in s (see `troubles_of`); restarts whole."""
     # A sidecar told to stop ends once its clients have had their answers.
     ending = max(one.deadline_ms for one in day.classes)
-    return [(one.begin / 1000, (one.end + (ending if isinstance(one.fault, Restart) else 0.0)) / 1000)
-            for one in troubles_of(day, day.seed)]
+    return [
+        (one.begin / 1000, (one.end + (ending if isinstance(one.fault, Restart) else 0.0)) / 1000)
+        for one in troubles_of(day, day.seed)
+    ]
 
 
 # Figures.
@@ -332,11 +360,28 @@
         return _rounded(chance.uniform(*FIRST_S)), length
     begin, end = chance.choice(spans_s(msgspec.structs.replace(day, faults=tuple(before))))
     at = {
-        "within": chance.uniform(begin, end), "at its end": end, "just before": end - chance.uniform(0, 0.3),
-        "just after": end + chance.uniform(0, 0.3), "at once": begin,
-        "when it is noticed": begin + chance.uniform(0.5, 6), "when it is told": end + chance.uniform(0.3, 4),
-    }[chance.choice(("within", "within", "within", "at its end", "just before", "just after", "at once",
-                     "when it is noticed", "when it is told"))]
+        "within": chance.uniform(begin, end),
+        "at its end": end,
+        "just before": end - chance.uniform(0, 0.3),
+        "just after": end + chance.uniform(0, 0.3),
+        "at once": begin,
+        "when it is noticed": begin + chance.uniform(0.5, 6),
+        "when it is told": end + chance.uniform(0.3, 4),
+    }[
+        chance.choice(
+            (
+                "within",
+                "within",
+                "within",
+                "at its end",
+                "just before",
+                "just after",
+                "at once",
+                "when it is noticed",
+                "when it is told",
+            )
+        )
+    ]
     at = min(max(_hundredths(at), 0.0), LAST_S - 0.5)
     return at, min(length, _hundredths(max(LAST_S - at, 0.05)))
 
@@ -350,12 +395,20 @@
     factor = min(1.0, LAST_S / length_s)
 
     def pressed(figure: Any) -> Any:
-        return tuple(_rounded(one * factor) for one in figure) if isinstance(figure, tuple) else _rounded(
-            figure * factor)
-
-    return msgspec.structs.replace(fault, **{
-        name: pressed(getattr(fault, name)) for name in ("at_s", "for_s", "every_s", "gone_s", "down_s")
-        if hasattr(fault, name)})
+        return (
+            tuple(_rounded(one * factor) for one in figure)
+            if isinstance(figure, tuple)
+            else _rounded(figure * factor)
+        )
+
+    return msgspec.structs.replace(
+        fault,
+        **{
+            name: pressed(getattr(fault, name))
+            for name in ("at_s", "for_s", "every_s", "gone_s", "down_s")
+            if hasattr(fault, name)
+        },
+    )
 
 
 def _affordable(day: Scenario) -> Scenario:
@@ -368,8 +421,12 @@
         if count <= MOST_WISHES:
             break
         level = max(day.load.level) if isinstance(day.load.level, tuple) else day.load.level
-        day = msgspec.structs.replace(day, load=msgspec.structs.replace(
-            day.load, rate=0.0, level=_rounded(level * MOST_WISHES / count * 0.9)))
+        day = msgspec.structs.replace(
+            day,
+            load=msgspec.structs.replace(
+                day.load, rate=0.0, level=_rounded(level * MOST_WISHES / count * 0.9)
+            ),
+        )
     return day
 
 
@@ -384,5 +441,7 @@
         asked[wish.sidecar] += wish.work_ms
     speed = calm.capacity / sum(node.cores for node in calm.nodes if node.born)
     out = max(asked) / speed / (day.length_s * 1000)  # at once, on average, from the busiest sidecar
-    return msgspec.structs.replace(day, load=msgspec.structs.replace(
-        day.load, connections=max(day.load.connections, math.ceil(2 * out) + 1)))
+    return msgspec.structs.replace(
+        day,
+        load=msgspec.structs.replace(day.load, connections=max(day.load.connections, math.ceil(2 * out) + 1)),
+    )
--- a/coveport/lab/search/shrink.py
+++ b/coveport/lab/search/shrink.py
@@ -52,8 +52,10 @@
 
     def text(self) -> str:
         """Its file, with lines on cause and mend to be filled in."""
-        return to_toml(self.scenario, ["cause: ", "mend: ", f"signature: {self.find.signature}",
-                                       f"shows: {self.find.what}"])
+        return to_toml(
+            self.scenario,
+            ["cause: ", "mend: ", f"signature: {self.find.signature}", f"shows: {self.find.what}"],
+        )
 
 
 def look_at(scenario: Scenario, seed: int, variant: str) -> list[Find]:
@@ -64,9 +66,16 @@
         return [unplayed(said(raised))]
 
 
-def shrink(scenario: Scenario, seed: int, signature: str = "", *, variant: str = "",
-           most_plays: int = MOST_PLAYS, told: Callable[[int, Scenario], None] | None = None,
-           look: Look = look_at) -> Shrunk:
+def shrink(
+    scenario: Scenario,
+    seed: int,
+    signature: str = "",
+    *,
+    variant: str = "",
+    most_plays: int = MOST_PLAYS,
+    told: Callable[[int, Scenario], None] | None = None,
+    look: Look = look_at,
+) -> Shrunk:
     """Make a scenario small that shows `signature` (a part of one will do; empty: its worst find).
 
     `told` hears of the plays so far and the smallest scenario yet. NotShownError where it shows no such find.
@@ -89,8 +98,15 @@
 
 
 class _Shrinking:
-    def __init__(self, scenario: Scenario, find: Find, variant: str, most: int,
-                 told: Callable[[int, Scenario], None] | None, look: Look) -> None:
+    def __init__(
+        self,
+        scenario: Scenario,
+        find: Find,
+        variant: str,
+        most: int,
+        told: Callable[[int, Scenario], None] | None,
+        look: Look,
+    ) -> None:
         self.best, self.find = scenario, find
         self.plays = 0
         self._variant, self._most, self._told, self._look = variant, most, told, look
@@ -106,8 +122,11 @@
             return False
         self._tried.add(text)
         self.plays += 1
-        same = [one for one in self._look(scenario, scenario.seed, self._variant)
-                if one.signature == self.find.signature]
+        same = [
+            one
+            for one in self._look(scenario, scenario.seed, self._variant)
+            if one.signature == self.find.signature
+        ]
         if same:
             self.find, self.best = same[0], scenario
         if self._told is not None:
@@ -203,11 +222,20 @@
 
 def _size(scenario: Scenario) -> tuple[float, ...]:
     """What is compared: faults, who is there, changes, time, load, and how much there is to read."""
-    times = sum(_high(getattr(fault, name, 0.0)) for fault in scenario.faults
-                for name in ("at_s", "for_s", "every_s", "gone_s", "down_s"))
+    times = sum(
+        _high(getattr(fault, name, 0.0))
+        for fault in scenario.faults
+        for name in ("at_s", "for_s", "every_s", "gone_s", "down_s")
+    )
     bare = msgspec.structs.replace(scenario, title="-", about="", seed=1)
-    return (len(scenario.faults), scenario.fleet.sidecars + scenario.fleet.nodes, len(_pieces(scenario)),
-            scenario.length_s + times, _high(scenario.load.level), len(str(sparse(bare))))
+    return (
+        len(scenario.faults),
+        scenario.fleet.sidecars + scenario.fleet.nodes,
+        len(_pieces(scenario)),
+        scenario.length_s + times,
+        _high(scenario.load.level),
+        len(str(sparse(bare))),
+    )
 
 
 def _high(figure: Any) -> float:
@@ -219,7 +247,7 @@
     replace = msgspec.structs.replace
     faults = scenario.faults
     for number in range(len(faults)):
-        yield replace(scenario, faults=faults[:number] + faults[number + 1:]), False
+        yield replace(scenario, faults=faults[:number] + faults[number + 1 :]), False
     for party in ("sidecars", "nodes"):
         count = getattr(scenario.fleet, party)
         for fewer in dict.fromkeys((1, 2, 3, count // 2, count - 1)):
@@ -228,10 +256,15 @@
     pieces = _pieces(scenario)
     for number, (place, _) in enumerate(pieces):
         if place != ("faults",):
-            yield _built(scenario, pieces[:number] + pieces[number + 1:]), False
+            yield _built(scenario, pieces[:number] + pieces[number + 1 :]), False
     ends = max([one.end / 1000 for one in troubles_of(scenario, scenario.seed)], default=0.0)
-    for length in (math.ceil(find.at_ms / 1000) + 1, scenario.length_s / 2, math.ceil(ends) + 2,
-                   math.floor(scenario.length_s - 1), math.floor(scenario.length_s)):
+    for length in (
+        math.ceil(find.at_ms / 1000) + 1,
+        scenario.length_s / 2,
+        math.ceil(ends) + 2,
+        math.floor(scenario.length_s - 1),
+        math.floor(scenario.length_s),
+    ):
         if scenario.settle_s < length < scenario.length_s:
             yield replace(scenario, length_s=float(length)), False
     level = _high(scenario.load.level)
@@ -239,10 +272,10 @@
         yield replace(scenario, load=replace(scenario.load, level=_rounder(lower))), True
     for number, fault in enumerate(faults):
         for changed in _simpler(fault):
-            yield replace(scenario, faults=(*faults[:number], changed, *faults[number + 1:])), False
+            yield replace(scenario, faults=(*faults[:number], changed, *faults[number + 1 :])), False
     for number, (place, value) in enumerate(pieces):
         if place != ("faults",) and isinstance(value, float) and not isinstance(value, bool):
-            rounder = [*pieces[:number], (place, _rounder(value)), *pieces[number + 1:]]
+            rounder = [*pieces[:number], (place, _rounder(value)), *pieces[number + 1 :]]
             yield _built(scenario, rounder), False
 
 
@@ -252,7 +285,7 @@
     whom = getattr(fault, "whom", None)
     if whom is not None and len(whom.numbers) > 1:
         yield replace(fault, whom=Whom(numbers=whom.numbers[:1]))
-        yield replace(fault, whom=Whom(numbers=whom.numbers[:len(whom.numbers) // 2]))
+        yield replace(fault, whom=Whom(numbers=whom.numbers[: len(whom.numbers) // 2]))
         yield replace(fault, whom=Whom(numbers=whom.numbers[1:]))
         yield replace(fault, whom=Whom(all=True))
     for one in fields(type(fault)):
@@ -261,8 +294,11 @@
             yield replace(fault, **{one.name: one.default})
         if isinstance(value, float) and not isinstance(value, bool) and value:
             times = one.name.endswith("_s")
-            for less in ((1.0, round(max(value, 2) / 2, 1), math.floor(value), round(value, 1)) if times
-                         else (_rounder(value),)):
+            for less in (
+                (1.0, round(max(value, 2) / 2, 1), math.floor(value), round(value, 1))
+                if times
+                else (_rounder(value),)
+            ):
                 if less != value and less:
                     yield replace(fault, **{one.name: float(less)})
 
