--- a/coveport/lab/sense.py
+++ b/coveport/lab/sense.py
@@ -31,7 +31,7 @@
     """Split `total` by shares (their sum above 0): whole parts first, the rest to the largest remainders."""
     exact = [share * total / sum(shares) for share in shares]
     parts = [int(one) for one in exact]
-    for position in sorted(range(len(parts)), key=lambda one: parts[one] - exact[one])[:total - sum(parts)]:
+    for position in sorted(range(len(parts)), key=lambda one: parts[one] - exact[one])[: total - sum(parts)]:
         parts[position] += 1
     return parts
 
@@ -46,8 +46,11 @@
 def check_day(day: Scenario, say: Say) -> None:
     """Say of each thing that makes no sense where it stands, and what would."""
     if day.settle_s >= day.length_s:
-        say(("settle_s",), f"{day.settle_s:g} s leave nothing of the day; less than its {day.length_s:g} s",
-            ("length_s",))
+        say(
+            ("settle_s",),
+            f"{day.settle_s:g} s leave nothing of the day; less than its {day.length_s:g} s",
+            ("length_s",),
+        )
     _check_fleet(day.fleet, say)
     _check_classes(day, say)
     _check_load(day.load, say)
@@ -69,27 +72,42 @@
         say((*place, 0, "share"), "all shares are 0; at least one above", place)
     for number, name in enumerate(names):
         if name in names[:number]:
-            say((*place, number, *key), f"{shown(name)} is there already; a name of its own",
-                *((*place, one, *key) for one in range(number)))
+            say(
+                (*place, number, *key),
+                f"{shown(name)} is there already; a name of its own",
+                *((*place, one, *key) for one in range(number)),
+            )
 
 
 def _check_fleet(fleet: Fleet, say: Say) -> None:
     _check_list(fleet.zones, [1], ("fleet", "zones"), (), say)
-    _check_list([one.name for one in fleet.kinds], [one.share for one in fleet.kinds], ("fleet", "kinds"),
-                ("name",), say)
+    _check_list(
+        [one.name for one in fleet.kinds],
+        [one.share for one in fleet.kinds],
+        ("fleet", "kinds"),
+        ("name",),
+        say,
+    )
 
 
 def _check_classes(day: Scenario, say: Say) -> None:
-    _check_list([one.name for one in day.classes], [one.share for one in day.classes], ("classes",),
-                ("name",), say)
+    _check_list(
+        [one.name for one in day.classes], [one.share for one in day.classes], ("classes",), ("name",), say
+    )
     for number, one in enumerate(day.classes):
         place: Place = ("classes", number)
         if one.deadline_ms < one.aim_ms:
-            say((*place, "deadline_ms"), f"{one.deadline_ms:g} is before the aim; at least aim_ms = "
-                                         f"{one.aim_ms:g}", (*place, "aim_ms"))
+            say(
+                (*place, "deadline_ms"),
+                f"{one.deadline_ms:g} is before the aim; at least aim_ms = {one.aim_ms:g}",
+                (*place, "aim_ms"),
+            )
         if one.repeats == "keyed" and not one.window_ms > 0:
-            say((*place, "window_ms"), "a keyed class remembers its keys for a while; a number above 0",
-                (*place, "repeats"))
+            say(
+                (*place, "window_ms"),
+                "a keyed class remembers its keys for a while; a number above 0",
+                (*place, "repeats"),
+            )
 
 
 def _check_load(load: Load, say: Say) -> None:
@@ -109,8 +127,11 @@
 
 def _check_fault(day: Scenario, fault: AnyFault, place: Place, loss: float, say: Say) -> None:
     if (latest := _high(fault.at_s)) >= day.length_s:
-        say((*place, "at_s"), f"{latest:g} is not within the day; below length_s = {day.length_s:g}",
-            ("length_s",))
+        say(
+            (*place, "at_s"),
+            f"{latest:g} is not within the day; below length_s = {day.length_s:g}",
+            ("length_s",),
+        )
     whom = getattr(fault, "whom", None)
     if whom is not None:
         _check_whom(day.fleet, whom, (*place, "whom"), isinstance(fault, OF_SIDECARS), say)
@@ -122,19 +143,29 @@
     if isinstance(fault, Stall) and not _low(fault.for_s) > 0:
         say((*place, "for_s"), "a stall has an end; a number above 0")
     if isinstance(fault, Drain) and fault.for_s != 0 and _low(fault.for_s) <= fault.gone_s:
-        say((*place, "for_s"), f"{_low(fault.for_s):g} is over before the nodes are gone; above gone_s = "
-                               f"{fault.gone_s:g}, or 0 for never", (*place, "gone_s"))
+        say(
+            (*place, "for_s"),
+            f"{_low(fault.for_s):g} is over before the nodes are gone; above gone_s = "
+            f"{fault.gone_s:g}, or 0 for never",
+            (*place, "gone_s"),
+        )
     if isinstance(fault, Cut):
         if fault.zone:
             _check_zone(day.fleet, fault.zone, (*place, "zone"), say)
         if len(day.fleet.zones) < 2:
             say((*place, "zone"), "there is no other zone to be cut off from; two zones", ("fleet", "zones"))
-    if isinstance(fault, HeavyTail) and fault.cls and fault.cls not in (
-            names := [one.name for one in day.classes]):
+    if (
+        isinstance(fault, HeavyTail)
+        and fault.cls
+        and fault.cls not in (names := [one.name for one in day.classes])
+    ):
         say((*place, "cls"), f"no class {shown(fault.cls)}; {one_of(fault.cls, names)}", ("classes",))
     if isinstance(fault, Loss) and loss > 0.9:
-        say((*place, "size"), f"{loss:g} of all messages lost, all losses together; at most 0.9",
-            ("network", "loss"))
+        say(
+            (*place, "size"),
+            f"{loss:g} of all messages lost, all losses together; at most 0.9",
+            ("network", "loss"),
+        )
 
 
 def _check_zone(fleet: Fleet, zone: str, place: Place, say: Say) -> None:
@@ -164,8 +195,12 @@
         if whom.zone in fleet.zones:
             most = len(range(fleet.zones.index(whom.zone), total, len(fleet.zones)))
             if not most:
-                say((*place, "zone"), f"no {party} is in {whom.zone}; another zone or more {party}s",
-                    there, ("fleet", "zones"))
+                say(
+                    (*place, "zone"),
+                    f"no {party} is in {whom.zone}; another zone or more {party}s",
+                    there,
+                    ("fleet", "zones"),
+                )
     if whom.kind and sidecars:
         say((*place, "kind"), "sidecars are all of one kind; leave it out")
     elif whom.kind and whom.kind not in kinds:
@@ -174,11 +209,20 @@
         of_kind = portions([one.share for one in fleet.kinds], total)[kinds.index(whom.kind)]
         most = min(most, of_kind)
         if not of_kind:
-            say((*place, "kind"), f"no node is of kind {whom.kind}; another kind or more nodes",
-                there, ("fleet", "kinds"))
+            say(
+                (*place, "kind"),
+                f"no node is of kind {whom.kind}; another kind or more nodes",
+                there,
+                ("fleet", "kinds"),
+            )
     if most and whom.count > most:
-        say((*place, "count"), f"{whom.count} are more than there are; at most {most}", there,
-            ("fleet", "zones"), ("fleet", "kinds"))
+        say(
+            (*place, "count"),
+            f"{whom.count} are more than there are; at most {most}",
+            there,
+            ("fleet", "zones"),
+            ("fleet", "kinds"),
+        )
 
 
 def _low(figure: Figure) -> float:
--- a/coveport/lab/standins/discovery.py
+++ b/coveport/lab/standins/discovery.py
@@ -42,8 +42,18 @@
 class _View:
     """What has been heard for one sidecar."""
 
-    __slots__ = ("sidecar", "seq", "floor", "listed", "born", "changed", "versions", "told", "callers",
-                 "noise")
+    __slots__ = (
+        "sidecar",
+        "seq",
+        "floor",
+        "listed",
+        "born",
+        "changed",
+        "versions",
+        "told",
+        "callers",
+        "noise",
+    )
 
     def __init__(self, sidecar: int, seed: int, listed: dict[int, str]) -> None:
         self.sidecar = sidecar
@@ -169,10 +179,17 @@
 class Discovery:
     """Discovery of a day: takes the changes of nodes and its own faults, and answers through its agents."""
 
-    def __init__(self, day: Day, books: Books, net: Net, day_ms: Callable[[], float],
-                 node_address: Callable[[int, int], Address], *,
-                 unix_ms_of: Callable[[float], float] = lambda ms: ms,
-                 on_move: Callable[[int], None] = lambda sidecar: None) -> None:
+    def __init__(
+        self,
+        day: Day,
+        books: Books,
+        net: Net,
+        day_ms: Callable[[], float],
+        node_address: Callable[[int, int], Address],
+        *,
+        unix_ms_of: Callable[[float], float] = lambda ms: ms,
+        on_move: Callable[[int], None] = lambda sidecar: None,
+    ) -> None:
         """Nobody is served before `agent`.
 
         `node_address`: where a node (first) is for a sidecar (second). `unix_ms_of`: turns ms since the day
@@ -184,16 +201,28 @@
         self._drawn = {node.number: node for node in day.nodes}
         self._nodes = {node.number: SeenNode(node.born) for node in day.nodes}
         self._first = [node.number for node in day.nodes if node.born]
-        self._views = {one.number: _View(one.number, day.seed, dict.fromkeys(self._first, "active"))
-                       for one in day.sidecars}
+        self._views = {
+            one.number: _View(one.number, day.seed, dict.fromkeys(self._first, "active"))
+            for one in day.sidecars
+        }
         self._agents: dict[int, _Agent] = {}
         self._left: list[_Agent] = []  # agents that sidecars have been told to leave
         self._faults: dict[str, dict[int, Change]] = {}
         self._closed, self._free_ms = False, 0.0  # when an overbooked discovery has done what waits
         zones = day.scenario.fleet.zones
-        self._static = {node.number: {
-            "host": node.name, "dial": "", "site": zones[node.zone], "class": node.kind, "block": node.cell,
-            "health": "", "share": _share(node), "born_ms": 0} for node in day.nodes}
+        self._static = {
+            node.number: {
+                "host": node.name,
+                "dial": "",
+                "site": zones[node.zone],
+                "class": node.kind,
+                "block": node.cell,
+                "health": "",
+                "share": _share(node),
+                "born_ms": 0,
+            }
+            for node in day.nodes
+        }
         self._extra = self._extra_entries()
 
     # Agents.
@@ -329,8 +358,11 @@
         body, rows = self._list(view, caller.after)
         caller.answered_ms = self._day_ms()
         if self._on("discovery-garbled", view):
-            body = (body[:view.noise.randrange(len(body))] if view.noise.random() < 0.5
-                    else view.noise.randbytes(view.noise.randrange(1, 400)))
+            body = (
+                body[: view.noise.randrange(len(body))]
+                if view.noise.random() < 0.5
+                else view.noise.randbytes(view.noise.randrange(1, 400))
+            )
         else:
             caller.write(200, body)
             # Guards against word that counts as told though the network has cut it short.
@@ -356,20 +388,30 @@
             parts += self._extra if listed else ()
             whole = b"true"
         else:
-            states = {number: view.listed.get(number, "left")
-                      for number, version in view.changed.items() if version > after}
+            states = {
+                number: view.listed.get(number, "left")
+                for number, version in view.changed.items()
+                if version > after
+            }
             parts = [self._entry(view, number, state) for number, state in states.items()]
             whole = b"false"
         now = self._day_ms()
-        rows = [Told(now, view.sidecar, number, state, view.born.get(number, NEVER))
-                for number, state in states.items()]
+        rows = [
+            Told(now, view.sidecar, number, state, view.born.get(number, NEVER))
+            for number, state in states.items()
+        ]
         return b'{"seq":%d,"whole":%b,"hosts":[%b]}' % (view.seq, whole, b",".join(parts)), rows
 
     def _entry(self, view: _View, number: int, state: str) -> bytes:
         born = view.born.get(number, NEVER)
-        return msgspec.json.encode({
-            **self._static[number], "dial": _dial(self._address(number, view.sidecar)), "health": state,
-            "born_ms": 0 if born < 0 else round(self._unix_ms_of(born))})
+        return msgspec.json.encode(
+            {
+                **self._static[number],
+                "dial": _dial(self._address(number, view.sidecar)),
+                "health": state,
+                "born_ms": 0 if born < 0 else round(self._unix_ms_of(born)),
+            }
+        )
 
     # The list that a sidecar is started with.
 
@@ -381,15 +423,23 @@
         """
         kept = self._known_nodes(sidecar)
         known = self._day.scenario.discovery.known
-        hosts = [{**self._static[number], "dial": _dial(self._address(number, sidecar)), "health": "active"}
-                 for number in kept]
+        hosts = [
+            {**self._static[number], "dial": _dial(self._address(number, sidecar)), "health": "active"}
+            for number in kept
+        ]
         if known == "old" and self._first:
             chance = random.Random(f"gone {self._day.seed} {sidecar}")
             for place in range(1 + len(self._first) // 5):
                 like = self._static[chance.choice(self._first)]
-                hosts.insert(chance.randrange(len(hosts) + 1), {
-                    **like, "host": f"s-{chance.getrandbits(32):08x}", "dial": _nowhere(place),
-                    "health": "active"})
+                hosts.insert(
+                    chance.randrange(len(hosts) + 1),
+                    {
+                        **like,
+                        "host": f"s-{chance.getrandbits(32):08x}",
+                        "dial": _nowhere(place),
+                        "health": "active",
+                    },
+                )
         if known != "none":
             hosts += [msgspec.json.decode(one) for one in self._extra]
         return {"seq": 1 if known == "fresh" else 0, "whole": True, "hosts": hosts}
@@ -417,10 +467,21 @@
         chance = random.Random(f"extra {self._day.seed}")
         kinds = [kind.name for kind in self._day.scenario.fleet.kinds]
         cells = 1 + max((node.cell for node in self._day.nodes), default=0)
-        return [msgspec.json.encode({
-            "host": f"x-{chance.getrandbits(32):08x}-{place}", "dial": _nowhere(1000 + place),
-            "site": f"far-{place % 7}", "class": chance.choice(kinds), "block": cells + place // 4,
-            "health": "leaving", "share": 1.0, "born_ms": 0}) for place in range(count)]
+        return [
+            msgspec.json.encode(
+                {
+                    "host": f"x-{chance.getrandbits(32):08x}-{place}",
+                    "dial": _nowhere(1000 + place),
+                    "site": f"far-{place % 7}",
+                    "class": chance.choice(kinds),
+                    "block": cells + place // 4,
+                    "health": "leaving",
+                    "share": 1.0,
+                    "born_ms": 0,
+                }
+            )
+            for place in range(count)
+        ]
 
 
 def _share(node: NodeDrawn) -> float:
--- a/coveport/lab/standins/etcd/cluster.py
+++ b/coveport/lab/standins/etcd/cluster.py
@@ -57,18 +57,27 @@
 
     def linked(self, one: int, other: int, now: float) -> bool:
         """Whether two members hear each other."""
-        return one == other or (self.up(one, now) and self.up(other, now)
-                                and (one, other) not in self.cut and (other, one) not in self.cut)
+        return one == other or (
+            self.up(one, now)
+            and self.up(other, now)
+            and (one, other) not in self.cut
+            and (other, one) not in self.cut
+        )
 
     def majority(self, number: int, now: float) -> bool:
         """Whether a member reaches more than half, itself among them."""
-        return self.up(number, now) and 2 * sum(self.linked(number, other.number, now)
-                                                for other in self.members) > len(self.members)
+        return self.up(number, now) and 2 * sum(
+            self.linked(number, other.number, now) for other in self.members
+        ) > len(self.members)
 
     def has_leader(self, number: int, now: float) -> bool:
         """Whether a member knows a leader that can decide."""
-        return (self.leader is not None and self.linked(number, self.leader, now) and self.up(number, now)
-                and self.majority(self.leader, now))
+        return (
+            self.leader is not None
+            and self.linked(number, self.leader, now)
+            and self.up(number, now)
+            and self.majority(self.leader, now)
+        )
 
     def tick(self, now: float) -> None:
         """Elections, the ends of leases, what waits in the log, and what members apply."""
@@ -99,8 +108,9 @@
             self._lost_since = None
             self.engine.prolong(now)
 
-    def propose(self, number: int, now: float, deed: Callable[[float], Outcome],
-                done: Callable[[Outcome], None]) -> None:
+    def propose(
+        self, number: int, now: float, deed: Callable[[float], Outcome], done: Callable[[Outcome], None]
+    ) -> None:
         """Have it carried out by way of a member: now, later, or never."""
         if self.leader is None or not self.linked(number, self.leader, now):
             return
@@ -111,7 +121,7 @@
             self._log.append(Proposal(self.term, deed, done))
 
     def _apply(self, one: Member) -> None:
-        for _, change in self.engine.book[one.applied:]:
+        for _, change in self.engine.book[one.applied :]:
             if change.entry is None:
                 one.entries.pop(change.key, None)
             else:
--- a/coveport/lab/standins/etcd/engine.py
+++ b/coveport/lab/standins/etcd/engine.py
@@ -76,8 +76,11 @@
     def read(self, now: float, prefix: str) -> Done:
         """All keys that begin so."""
         self.pass_(now)
-        return Done(self.identity, self.revision,
-                    tuple(self.entries[key] for key in sorted(self.entries) if key.startswith(prefix)))
+        return Done(
+            self.identity,
+            self.revision,
+            tuple(self.entries[key] for key in sorted(self.entries) if key.startswith(prefix)),
+        )
 
     def holds(self, one: Compare) -> bool:
         """Whether a compare holds now."""
--- a/coveport/lab/standins/etcd/server.py
+++ b/coveport/lab/standins/etcd/server.py
@@ -40,14 +40,21 @@
 
 
 def _written(one: Entry) -> Any:
-    return rpc.KeyValue(key=one.key.encode(), value=one.value, create_revision=one.created,
-                        mod_revision=one.modified, lease=one.lease, version=1)
+    return rpc.KeyValue(
+        key=one.key.encode(),
+        value=one.value,
+        create_revision=one.created,
+        mod_revision=one.modified,
+        lease=one.lease,
+        version=1,
+    )
 
 
 def _event(change: Change) -> Any:
     if change.entry is None:
-        return rpc.Event(type=rpc.Event.DELETE,
-                         kv=rpc.KeyValue(key=change.key.encode(), mod_revision=change.revision))
+        return rpc.Event(
+            type=rpc.Event.DELETE, kv=rpc.KeyValue(key=change.key.encode(), mod_revision=change.revision)
+        )
     return rpc.Event(type=rpc.Event.PUT, kv=_written(change.entry))
 
 
@@ -64,9 +71,12 @@
 
     def _header(self, revision: int | None = None) -> Any:
         engine = self._cluster.engine
-        return rpc.ResponseHeader(cluster_id=int(engine.identity), member_id=self._number + 1,
-                                  revision=engine.revision if revision is None else revision,
-                                  raft_term=self._cluster.term)
+        return rpc.ResponseHeader(
+            cluster_id=int(engine.identity),
+            member_id=self._number + 1,
+            revision=engine.revision if revision is None else revision,
+            raft_term=self._cluster.term,
+        )
 
     async def _awake(self) -> None:
         while self._cluster.members[self._number].stalled_until > boot_s():
@@ -108,8 +118,9 @@
         done = await self._proposed(context, lambda now: self._cluster.engine.read(now, ""))
         assert isinstance(done, Done)
         found = [one for one in done.entries if _within(request, one.key)]
-        return rpc.RangeResponse(header=self._header(done.revision), kvs=[_written(one) for one in found],
-                                 count=len(found))
+        return rpc.RangeResponse(
+            header=self._header(done.revision), kvs=[_written(one) for one in found], count=len(found)
+        )
 
     async def txn(self, request: Any, context: Any) -> Any:
         """Txn with equal compares of create or mod revision, puts and deletes."""
@@ -119,9 +130,11 @@
                 await context.abort(
                     grpc.StatusCode.UNIMPLEMENTED, "the stand-in compares revisions for equality"
                 )
-            compares.append(Compare(one.key.decode(), Field.CREATED, one.create_revision)
-                            if one.target == rpc.Compare.CREATE else
-                            Compare(one.key.decode(), Field.MODIFIED, one.mod_revision))
+            compares.append(
+                Compare(one.key.decode(), Field.CREATED, one.create_revision)
+                if one.target == rpc.Compare.CREATE
+                else Compare(one.key.decode(), Field.MODIFIED, one.mod_revision)
+            )
         changes: list[Put | Delete] = []
         for one in request.success:
             if one.HasField("request_put"):
@@ -146,8 +159,9 @@
 
     async def grant(self, request: Any, context: Any) -> Any:
         """LeaseGrant."""
-        done = await self._proposed(context, lambda now: self._cluster.engine.grant(now, float(request.TTL)),
-                                    "grant")
+        done = await self._proposed(
+            context, lambda now: self._cluster.engine.grant(now, float(request.TTL)), "grant"
+        )
         assert isinstance(done, Done)
         return rpc.LeaseGrantResponse(header=self._header(done.revision), ID=done.lease, TTL=int(done.ttl_s))
 
@@ -162,8 +176,13 @@
         """LeaseKeepAlive: an answer a request, with no time left where the lease is gone."""
         async for request in requests:
             lease = request.ID
-            done = await self._proposed(context, lambda now, lease=lease:  # type: ignore[misc]
-                                        self._cluster.engine.keep(now, lease), "keep")
+            done = await self._proposed(
+                context,
+                lambda now, lease=lease: (  # type: ignore[misc]
+                    self._cluster.engine.keep(now, lease)
+                ),
+                "keep",
+            )
             ttl = int(done.ttl_s) if isinstance(done, Done) else 0
             yield rpc.LeaseKeepAliveResponse(header=self._header(), ID=lease, TTL=ttl)
 
@@ -191,8 +210,9 @@
                     await self._awake()
                     if task.done():
                         break
-                    await context.write(rpc.WatchResponse(header=self._header(
-                        self._cluster.members[self._number].revision)))
+                    await context.write(
+                        rpc.WatchResponse(header=self._header(self._cluster.members[self._number].revision))
+                    )
             if task is not None:
                 await task
         finally:
@@ -215,17 +235,28 @@
             if not self._cluster.has_leader(self._number, now) or seen == member.revision:
                 continue
             try:
-                changes = [one for one in engine.changes("", seen)
-                           if one.revision <= member.revision and _within(create, one.key)]
+                changes = [
+                    one
+                    for one in engine.changes("", seen)
+                    if one.revision <= member.revision and _within(create, one.key)
+                ]
             except WatchLostError as problem:
-                await context.write(rpc.WatchResponse(header=self._header(), canceled=True,
-                                                      compact_revision=engine.compacted,
-                                                      cancel_reason=str(problem)))
+                await context.write(
+                    rpc.WatchResponse(
+                        header=self._header(),
+                        canceled=True,
+                        compact_revision=engine.compacted,
+                        cancel_reason=str(problem),
+                    )
+                )
                 return
             seen = max(seen, member.revision)
             if changes:
-                await context.write(rpc.WatchResponse(header=self._header(member.revision),
-                                                      events=[_event(one) for one in changes]))
+                await context.write(
+                    rpc.WatchResponse(
+                        header=self._header(member.revision), events=[_event(one) for one in changes]
+                    )
+                )
 
     # Life.
 
@@ -235,23 +266,45 @@
         unary, streamed = grpc.unary_unary_rpc_method_handler, grpc.stream_stream_rpc_method_handler
 
         def handler(call: Any, kind: Any, request: Any, response: Any) -> Any:
-            return kind(call, request_deserializer=request.FromString,
-                        response_serializer=response.SerializeToString)
-
-        self.server.add_generic_rpc_handlers((
-            grpc.method_handlers_generic_handler("etcdserverpb.KV", {
-                "Range": handler(self.range, unary, rpc.RangeRequest, rpc.RangeResponse),
-                "Txn": handler(self.txn, unary, rpc.TxnRequest, rpc.TxnResponse),
-                "Compact": handler(self.compact, unary, rpc.CompactionRequest, rpc.CompactionResponse)}),
-            grpc.method_handlers_generic_handler("etcdserverpb.Lease", {
-                "LeaseGrant": handler(self.grant, unary, rpc.LeaseGrantRequest, rpc.LeaseGrantResponse),
-                "LeaseRevoke": handler(self.revoke, unary, rpc.LeaseRevokeRequest, rpc.LeaseRevokeResponse),
-                "LeaseTimeToLive": handler(self.left, unary, rpc.LeaseTimeToLiveRequest,
-                                           rpc.LeaseTimeToLiveResponse),
-                "LeaseKeepAlive": handler(self.keep, streamed, rpc.LeaseKeepAliveRequest,
-                                          rpc.LeaseKeepAliveResponse)}),
-            grpc.method_handlers_generic_handler("etcdserverpb.Watch", {
-                "Watch": handler(self.watch, streamed, rpc.WatchRequest, rpc.WatchResponse)})))
+            return kind(
+                call, request_deserializer=request.FromString, response_serializer=response.SerializeToString
+            )
+
+        self.server.add_generic_rpc_handlers(
+            (
+                grpc.method_handlers_generic_handler(
+                    "etcdserverpb.KV",
+                    {
+                        "Range": handler(self.range, unary, rpc.RangeRequest, rpc.RangeResponse),
+                        "Txn": handler(self.txn, unary, rpc.TxnRequest, rpc.TxnResponse),
+                        "Compact": handler(
+                            self.compact, unary, rpc.CompactionRequest, rpc.CompactionResponse
+                        ),
+                    },
+                ),
+                grpc.method_handlers_generic_handler(
+                    "etcdserverpb.Lease",
+                    {
+                        "LeaseGrant": handler(
+                            self.grant, unary, rpc.LeaseGrantRequest, rpc.LeaseGrantResponse
+                        ),
+                        "LeaseRevoke": handler(
+                            self.revoke, unary, rpc.LeaseRevokeRequest, rpc.LeaseRevokeResponse
+                        ),
+                        "LeaseTimeToLive": handler(
+                            self.left, unary, rpc.LeaseTimeToLiveRequest, rpc.LeaseTimeToLiveResponse
+                        ),
+                        "LeaseKeepAlive": handler(
+                            self.keep, streamed, rpc.LeaseKeepAliveRequest, rpc.LeaseKeepAliveResponse
+                        ),
+                    },
+                ),
+                grpc.method_handlers_generic_handler(
+                    "etcdserverpb.Watch",
+                    {"Watch": handler(self.watch, streamed, rpc.WatchRequest, rpc.WatchResponse)},
+                ),
+            )
+        )
         self.port = self.server.add_insecure_port(f"127.0.0.1:{self.port}")
         await self.server.start()
 
@@ -287,11 +340,20 @@
 
 
 CONTROLS = {
-    "cut": "members a, b: neither hears the other", "heal": "all members hear each other",
-    "stall": "member, seconds: it does nothing for so long", "kill": "member", "start": "member",
-    "elect": "member: it leads from now on", "lose": "kind (claim, txn, keep, grant), count: answers lost",
-    "delay": "seconds before each deed", "break_watches": "all streams", "compact": "all history",
-    "save": "a backup", "restore": "the backup", "book": "every change so far", "state": "leader and term",
+    "cut": "members a, b: neither hears the other",
+    "heal": "all members hear each other",
+    "stall": "member, seconds: it does nothing for so long",
+    "kill": "member",
+    "start": "member",
+    "elect": "member: it leads from now on",
+    "lose": "kind (claim, txn, keep, grant), count: answers lost",
+    "delay": "seconds before each deed",
+    "break_watches": "all streams",
+    "compact": "all history",
+    "save": "a backup",
+    "restore": "the backup",
+    "book": "every change so far",
+    "state": "leader and term",
 }
 
 
@@ -367,8 +429,9 @@
     members = [Member(cluster, number, faults) for number in range(count)]
     for one in members:
         await one.start()
-    control = await asyncio.start_server(Control(cluster, members, faults).serve, "127.0.0.1", 0,
-                                         limit=1 << 20)
+    control = await asyncio.start_server(
+        Control(cluster, members, faults).serve, "127.0.0.1", 0, limit=1 << 20
+    )
     ports = {"members": [one.port for one in members], "control": control.sockets[0].getsockname()[1]}
     print(json.dumps(ports), flush=True)
     ended = asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
--- a/coveport/lab/standins/fates.py
+++ b/coveport/lab/standins/fates.py
@@ -21,8 +21,11 @@
     SPOILT = 5
 
 
-FATES = {"errors": (Fate.ERROR, Fate.ERROR_UNRUN), "resets": (Fate.RESET, Fate.RESET_UNRUN),
-         "spoilt": (Fate.SPOILT, Fate.SPOILT)}
+FATES = {
+    "errors": (Fate.ERROR, Fate.ERROR_UNRUN),
+    "resets": (Fate.RESET, Fate.RESET_UNRUN),
+    "spoilt": (Fate.SPOILT, Fate.SPOILT),
+}
 UNRUN = (Fate.ERROR_UNRUN, Fate.RESET_UNRUN)
 
 
@@ -78,6 +81,6 @@
     if kind == "chunks":
         return b"%bTransfer-Encoding: chunked\r\n\r\nzz\r\n%b" % (head, body)
     length = {"long": len(body) + 1000, "drip": CLAIMED}.get(kind, len(body))
-    sent = body[:len(body) // 2] if kind == "short" else body
+    sent = body[: len(body) // 2] if kind == "short" else body
     junk = b"\x00junk" if kind == "junk" else b""
     return b"%bContent-Length: %d\r\n\r\n%b%b" % (head, length, sent, junk)
--- a/coveport/lab/standins/node_link.py
+++ b/coveport/lab/standins/node_link.py
@@ -31,8 +31,22 @@
 class NodeLink(asyncio.BufferedProtocol):
     """One sidecar's connection to the node, and what is out on it."""
 
-    __slots__ = ("node", "sidecar", "number", "parser", "transport", "began", "handed", "ready_at", "timer",
-                 "attempt", "unwhole", "last", "surplus", "gone")
+    __slots__ = (
+        "node",
+        "sidecar",
+        "number",
+        "parser",
+        "transport",
+        "began",
+        "handed",
+        "ready_at",
+        "timer",
+        "attempt",
+        "unwhole",
+        "last",
+        "surplus",
+        "gone",
+    )
 
     def __init__(self, node: LinkedNode, sidecar: int) -> None:
         self.node, self.sidecar = node, sidecar
--- a/coveport/lab/standins/node_state.py
+++ b/coveport/lab/standins/node_state.py
@@ -16,11 +16,20 @@
 
 def state_row(at: float, drawn: NodeDrawn, model: NodeModel, silent: bool) -> NodeIs:
     """The node as it is from then on."""
-    state = ("down" if not model.alive else "silent" if silent
-             else "draining" if model.draining else "up")
+    state = "down" if not model.alive else "silent" if silent else "draining" if model.draining else "up"
     cold_from = drawn.cold_from if model.born >= 0 else 1.0
-    return NodeIs(at, drawn.number, state, model.born, drawn.cores, model.speed, cold_from, drawn.warm_ms,
-                  drawn.zone, drawn.cell)
+    return NodeIs(
+        at,
+        drawn.number,
+        state,
+        model.born,
+        drawn.cores,
+        model.speed,
+        cold_from,
+        drawn.warm_ms,
+        drawn.zone,
+        drawn.cell,
+    )
 
 
 class BusyShare:
@@ -48,8 +57,9 @@
     `write` makes a report of the rate of failures (a second) and the busy share; `first` stands for none.
     """
 
-    def __init__(self, drawn: NodeDrawn, model: NodeModel, first: T,
-                 write: Callable[[float, float], T]) -> None:
+    def __init__(
+        self, drawn: NodeDrawn, model: NodeModel, first: T, write: Callable[[float, float], T]
+    ) -> None:
         self.random = random.Random(f"reports {drawn.seed}")
         self.errors = 0  # since the last report
         self._drawn, self._busy, self._first, self._write = drawn, BusyShare(drawn, model), first, write
--- a/coveport/lab/standins/nodes.py
+++ b/coveport/lab/standins/nodes.py
@@ -49,8 +49,14 @@
 _NO_CLASS = (-1, "")
 _EMPTY = digest_of_body(b"")
 _DEADLINE = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,9})?)(m|u)")
-_REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 500: b"Internal Server Error",
-            503: b"Service Unavailable", 504: b"Gateway Timeout"}
+_REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    500: b"Internal Server Error",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 _NOT_RUN = b"X-Not-Run: 1\r\n"
 _CLOSE = b"Connection: close\r\n"
 
@@ -58,8 +64,16 @@
 class LedgerNode:
     """A ledger node of a day, up or down."""
 
-    def __init__(self, host: Host, books: Books, day: Day, drawn: NodeDrawn, keys: KeyMemory,
-                 wishes: WorkBook, rtt_ms: Callable[[int], float] | None = None) -> None:
+    def __init__(
+        self,
+        host: Host,
+        books: Books,
+        day: Day,
+        drawn: NodeDrawn,
+        keys: KeyMemory,
+        wishes: WorkBook,
+        rtt_ms: Callable[[int], float] | None = None,
+    ) -> None:
         """Prepare; nothing is listened on before `start` or a "start" among the changes.
 
         `keys` is the one of all nodes. `rtt_ms` tells the round trip to a sidecar by its number, which a
@@ -70,8 +84,10 @@
         self._write, self._wishes = books.write, wishes
         self._rtt_ms = rtt_ms
         self._probes = day.scenario.rules.probes
-        self._classes = {one.name: (number, "GET" if one.repeats == "safe" else "POST")
-                         for number, one in enumerate(day.scenario.classes)}
+        self._classes = {
+            one.name: (number, "GET" if one.repeats == "safe" else "POST")
+            for number, one in enumerate(day.scenario.classes)
+        }
         self._attempts = self._numbers = drawn.number * NUMBERS
         self._links: dict[NodeLink, None] = {}
         self._idle: dict[NodeLink, float] = {}  # since when, the longest first
@@ -186,8 +202,9 @@
         while effects := model.take():
             for attempt, what in effects:
                 if what == core.RUN:
-                    self._write(Ran(now, attempt.op, self.drawn.number, self.drawn.cell, attempt.number,
-                                    attempt.key))
+                    self._write(
+                        Ran(now, attempt.op, self.drawn.number, self.drawn.cell, attempt.number, attempt.key)
+                    )
                 elif attempt.owner is not None:
                     link: NodeLink = attempt.owner
                     attempt.owner = link.attempt = None
@@ -203,8 +220,11 @@
             if self._due_timer is not None:
                 self._due_timer.cancel()
             self._due = due
-            self._due_timer = None if due == inf else self.host.net.loop.call_later(
-                max(0.0, due - now) / 1000, self._come_due)
+            self._due_timer = (
+                None
+                if due == inf
+                else self.host.net.loop.call_later(max(0.0, due - now) / 1000, self._come_due)
+            )
 
     def _come_due(self) -> None:
         # Guards against a clock that rounds down: the model would ask for the same moment again and again.
@@ -379,8 +399,23 @@
             cls = self._classes.get(_first_part(request.target), _NO_CLASS)[0]
             digest = digest_of_request(request.method, request.target, op, key, request.body)
         self._attempts += 1
-        self._write(Arrived(now, op, self.drawn.number, link.sidecar, self._attempts, link.number, link.began,
-                            link.handed, cls, key, digest, 0.0, took))
+        self._write(
+            Arrived(
+                now,
+                op,
+                self.drawn.number,
+                link.sidecar,
+                self._attempts,
+                link.number,
+                link.began,
+                link.handed,
+                cls,
+                key,
+                digest,
+                0.0,
+                took,
+            )
+        )
         link.began = -1.0
         return self._attempts
 
@@ -409,8 +444,23 @@
         else:
             took = core.WORK
         digest = digest_of_request(method, target, op, key, request.body)
-        self._write(Arrived(now, op, drawn.number, link.sidecar, number, link.number, link.began, link.handed,
-                            cls, key, digest, work_ms, took))
+        self._write(
+            Arrived(
+                now,
+                op,
+                drawn.number,
+                link.sidecar,
+                number,
+                link.number,
+                link.began,
+                link.handed,
+                cls,
+                key,
+                digest,
+                work_ms,
+                took,
+            )
+        )
         link.began = -1.0
         if took == core.FULL or took == core.DRAIN:
             self._answer(link, op, number, 503, now, _NOT_RUN, link.surplus)
@@ -452,22 +502,34 @@
             self._spoil(link, attempt, now)
         else:
             body = attempt.run.answer
-            link.transport.write(b"%bContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%b" % (
-                self._head(200, now), len(body), body))
-            self._write(Replied(now, attempt.op, self.drawn.number, attempt.number, 200, digest_of_body(body),
-                                True))
+            link.transport.write(
+                b"%bContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%b"
+                % (self._head(200, now), len(body), body)
+            )
+            self._write(
+                Replied(now, attempt.op, self.drawn.number, attempt.number, 200, digest_of_body(body), True)
+            )
             self._answered(link, now)
 
     def _head(self, status: int, now: float) -> bytes:
         return b"HTTP/1.1 %d %b\r\n%b" % (status, _REASONS[status], self._reports.shown(now))
 
-    def _answer(self, link: NodeLink, op: str, number: int, status: int, now: float, lines: bytes = b"",
-                close: bool = False) -> None:
+    def _answer(
+        self,
+        link: NodeLink,
+        op: str,
+        number: int,
+        status: int,
+        now: float,
+        lines: bytes = b"",
+        close: bool = False,
+    ) -> None:
         """Answer with no body: anything but a 200."""
         if status == 500:
             self._reports.errors += 1
-        link.transport.write(b"%b%b%bContent-Length: 0\r\n\r\n" % (
-            self._head(status, now), lines, _CLOSE if close else b""))
+        link.transport.write(
+            b"%b%b%bContent-Length: 0\r\n\r\n" % (self._head(status, now), lines, _CLOSE if close else b"")
+        )
         self._write(Replied(now, op, self.drawn.number, number, status, _EMPTY, True))
         self._answered(link, now, close)
 
@@ -484,8 +546,17 @@
         kind = SPOILT[chance.randrange(len(SPOILT))]
         link.transport.write(spoilt_answer(kind, self._head(200, now), body, chance))
         whole = kind == "junk"
-        self._write(Replied(now, attempt.op, self.drawn.number, attempt.number, 0 if kind == "noise" else 200,
-                            digest_of_body(body) if whole else "", whole))
+        self._write(
+            Replied(
+                now,
+                attempt.op,
+                self.drawn.number,
+                attempt.number,
+                0 if kind == "noise" else 200,
+                digest_of_body(body) if whole else "",
+                whole,
+            )
+        )
         if whole:
             self._answered(link, now)
             return
--- a/coveport/lab/standins/staff.py
+++ b/coveport/lab/standins/staff.py
@@ -75,8 +75,14 @@
         await asyncio.sleep(FRONT_EVERY_S)
 
 
-async def scrape(host: Host, console: Callable[[], Address], every_s: float, silent: int, write: Write,
-                 goes_on: Callable[[], bool]) -> None:
+async def scrape(
+    host: Host,
+    console: Callable[[], Address],
+    every_s: float,
+    silent: int,
+    write: Write,
+    goes_on: Callable[[], bool],
+) -> None:
     """Ask for the figures again and again, beside callers who say nothing; each answer is entered."""
     crowd: set[asyncio.Task[str]] = set()
     while goes_on():
--- a/coveport/lab/standins/tills.py
+++ b/coveport/lab/standins/tills.py
@@ -75,8 +75,19 @@
 class _Try:
     """One try: an operation with an id of its own."""
 
-    __slots__ = ("errand", "op", "number", "due", "limit", "patience", "asked", "connection", "over", "late",
-                 "digest")
+    __slots__ = (
+        "errand",
+        "op",
+        "number",
+        "due",
+        "limit",
+        "patience",
+        "asked",
+        "connection",
+        "over",
+        "late",
+        "digest",
+    )
 
     def __init__(self, errand: _Errand, number: int, due: float) -> None:
         self.errand, self.number, self.due = errand, number, due
@@ -177,8 +188,15 @@
     to a wish that would else find no connection. A wish waits for one in turn, and its time runs meanwhile.
     """
 
-    def __init__(self, host: Host, books: Books, day: Day, sidecar: SidecarDrawn, wishes: Sequence[Wish],
-                 address: Callable[[], Address]) -> None:
+    def __init__(
+        self,
+        host: Host,
+        books: Books,
+        day: Day,
+        sidecar: SidecarDrawn,
+        wishes: Sequence[Wish],
+        address: Callable[[], Address],
+    ) -> None:
         """`wishes`: this sidecar's, in order of time; `address`: where the sidecar listens, at each dial."""
         self.host, self._write, self._day, self._sidecar = host, books.write, day, sidecar
         self._wishes, self._address = wishes, address
@@ -186,8 +204,10 @@
         scenario = day.scenario
         self._classes, self._rules = scenario.classes, scenario.rules
         self._retries, self._most = scenario.load.retries, scenario.load.connections
-        self._linger_ms = [scenario.rules.answer_slack_ms + SOCKETS_MS + asking_ms(day, cls)
-                           for cls in range(len(scenario.classes))]
+        self._linger_ms = [
+            scenario.rules.answer_slack_ms + SOCKETS_MS + asking_ms(day, cls)
+            for cls in range(len(scenario.classes))
+        ]
         self._begun = 0  # wishes, from the front
         self._open = 0
         self._agenda: list[tuple[float, int, Callable[..., object], _Try | _Errand]] = []
@@ -327,11 +347,13 @@
         wish, cls = one.errand.wish, self._classes[one.errand.wish.cls]
         safe = cls.repeats == "safe"
         method, target = "GET" if safe else "POST", f"/{cls.name}/{wish.op[:6]}"
-        body = b"" if safe else (wish.op.encode() * (wish.body // len(wish.op) + 1))[:wish.body]
+        body = b"" if safe else (wish.op.encode() * (wish.body // len(wish.op) + 1))[: wish.body]
         key = wish.key if cls.repeats == "keyed" else ""
         ip, port = self._address()
-        head = (f"{method} {target} HTTP/1.1\r\nHost: {ip}:{port}\r\nX-Request-Id: {one.op}\r\n"
-                f"X-Deadline: {one.patience}m\r\n")
+        head = (
+            f"{method} {target} HTTP/1.1\r\nHost: {ip}:{port}\r\nX-Request-Id: {one.op}\r\n"
+            f"X-Deadline: {one.patience}m\r\n"
+        )
         if key:
             head += f"Idempotency-Key: {key}\r\n"
         if one.number:
@@ -348,9 +370,21 @@
         errand = one.errand
         wish = errand.wish
         now = one.asked = self.host.day_ms()
-        self._write(Asked(now, one.op, wish.op, self._sidecar.number, wish.cls,
-                          wish.key if self._classes[wish.cls].repeats == "keyed" else "",
-                          one.due, one.patience, connection.number, one.number > 0, one.digest))
+        self._write(
+            Asked(
+                now,
+                one.op,
+                wish.op,
+                self._sidecar.number,
+                wish.cls,
+                wish.key if self._classes[wish.cls].repeats == "keyed" else "",
+                one.due,
+                one.patience,
+                connection.number,
+                one.number > 0,
+                one.digest,
+            )
+        )
         self._enter(now + one.patience, self._expire, one)
         if wish.half and connection.transport is not None:
             connection.transport.write_eof()
@@ -458,7 +492,7 @@
             errand.chance = random.Random(f"retries {self._day.seed} {wish.op}")
             figure = self._retries.backoff_ms
             errand.backoff = errand.chance.uniform(*figure) if isinstance(figure, tuple) else figure
-        wait = errand.backoff * (2.0 ** one.number if self._retries.growing else 1.0)
+        wait = errand.backoff * (2.0**one.number if self._retries.growing else 1.0)
         if after_ms > 0 and self._rules.retry_after and errand.chance.random() < self._retries.honour:
             wait = max(wait, min(after_ms, self._rules.max_retry_after_ms))
         due = now + wait
@@ -510,8 +544,11 @@
         now, status = self.host.day_ms(), response.status
         after_ms = _retry_after_ms(response)
         came = self.came(connection, now)
-        self._write(Answered(came, one.op, status, digest_of_body(response.body), after_ms,
-                             min(connection.began, came)))
+        self._write(
+            Answered(
+                came, one.op, status, digest_of_body(response.body), after_ms, min(connection.began, came)
+            )
+        )
         self._end(one)
         wish = one.errand.wish
         if connection.parser.held:
@@ -531,8 +568,11 @@
 
     def came(self, connection: _Connection, now: float) -> float:
         """When what is read now came, ms."""
-        told = (connection.transport.get_extra_info("came_ms")
-                if connection.slow and connection.transport is not None else None)
+        told = (
+            connection.transport.get_extra_info("came_ms")
+            if connection.slow and connection.transport is not None
+            else None
+        )
         return told if isinstance(told, float) else now
 
     def stray(self, connection: _Connection, count: int) -> None:
@@ -550,8 +590,13 @@
         if one is not None:
             now, handed = self.came(connection, self.host.day_ms()), one.asked != math.inf
             # An end in answer to our own half close says nothing of a close that crossed.
-            if (connection.used and not connection.seen and not one.late and not one.errand.wish.half
-                    and (not handed or now - one.asked <= CROSSED_MS)):
+            if (
+                connection.used
+                and not connection.seen
+                and not one.late
+                and not one.errand.wish.half
+                and (not handed or now - one.asked <= CROSSED_MS)
+            ):
                 self._unasked(one, now, "crossed")
                 one.asked = math.inf
                 self._dial(one)
--- a/coveport/lab/sweep.py
+++ b/coveport/lab/sweep.py
@@ -144,9 +144,14 @@
         `unrecovered`, how many faults the day did not recover from, which have no time.
         """
         told: dict[str, float | None] = {
-            "service": self.service, "worst_10s": self.worst_10s, "worst_class": self.worst_class.service,
-            "mark": self.mark, "attempts": self.attempts.per_operation, "waste": self.waste,
-            "crossings": self.crossings}
+            "service": self.service,
+            "worst_10s": self.worst_10s,
+            "worst_class": self.worst_class.service,
+            "mark": self.mark,
+            "attempts": self.attempts.per_operation,
+            "waste": self.waste,
+            "crossings": self.crossings,
+        }
         told |= {f"p99.{cls}": quantiles.get("p99") for cls, quantiles in self.latency_ms.items()}
         told |= {f"recovery.{fault}": seconds for fault, seconds in self.recovery_s.items()}
         if self.recovery_s:
@@ -271,21 +276,29 @@
         for seed in self.seeds:
             for params, scenario in places:
                 for variant in self.manifest.variants:
-                    yield Job(self.manifest.scenario, scenario, self.manifest.ground,
-                              Cell(params, variant, seed))
-
-
-def plan(path: Path, seeds: Sequence[int], grid: dict[str, list[str]], variants: Sequence[str] = ("",),
-         ground: str = "virtual") -> Plan:
+                    yield Job(
+                        self.manifest.scenario, scenario, self.manifest.ground, Cell(params, variant, seed)
+                    )
+
+
+def plan(
+    path: Path,
+    seeds: Sequence[int],
+    grid: dict[str, list[str]],
+    variants: Sequence[str] = ("",),
+    ground: str = "virtual",
+) -> Plan:
     """Read the scenario at every place of the grid; ScenarioError or OSError where that can't be."""
     from coveport.lab.scenario import load
 
     text = path.read_bytes()
-    scenarios = tuple(load(path, [f"{key}={value}" for key, value in place.items()])
-                      for place in points(grid))
+    scenarios = tuple(
+        load(path, [f"{key}={value}" for key, value in place.items()]) for place in points(grid)
+    )
     versions = {"python": platform.python_version(), "msgspec": msgspec.__version__}
-    manifest = Manifest(path.stem, hashlib.sha256(text).hexdigest(), code_hash(), ground, grid,
-                        list(variants), versions)
+    manifest = Manifest(
+        path.stem, hashlib.sha256(text).hexdigest(), code_hash(), ground, grid, list(variants), versions
+    )
     return Plan(manifest, tuple(seeds), scenarios)
 
 
@@ -301,10 +314,12 @@
         except (msgspec.MsgspecError, UnicodeDecodeError) as problem:
             raise SweepError(f"{path}: {problem}; name another folder") from problem
         if there != manifest:
-            unlike = [name for name in Manifest.__struct_fields__
-                      if getattr(there, name) != getattr(manifest, name)]
-            raise SweepError(f"{out} holds another sweep (not the same: {', '.join(unlike)}); "
-                             "name another folder")
+            unlike = [
+                name for name in Manifest.__struct_fields__ if getattr(there, name) != getattr(manifest, name)
+            ]
+            raise SweepError(
+                f"{out} holds another sweep (not the same: {', '.join(unlike)}); name another folder"
+            )
         return
     if out.exists() and (not out.is_dir() or any(out.iterdir())):
         raise SweepError(f"{out} is not a sweep's folder, and not empty; name another folder")
@@ -329,13 +344,21 @@
     from coveport.lab.outcome import encode
     from coveport.lab.run import play_and_judge
 
-    _, outcome = play_and_judge(job.scenario, name=job.name, seed=job.cell.seed, ground=job.ground,
-                                variant=job.cell.variant)
+    _, outcome = play_and_judge(
+        job.scenario, name=job.name, seed=job.cell.seed, ground=job.ground, variant=job.cell.variant
+    )
     return encode(outcome)
 
 
-def sweep(plan: Plan, out: Path, *, jobs: int, play: Play = play_day,
-          told: Callable[[Told], None] | None = None, lane: Callable[[], Lane] = Worker) -> Swept:
+def sweep(
+    plan: Plan,
+    out: Path,
+    *,
+    jobs: int,
+    play: Play = play_day,
+    told: Callable[[Told], None] | None = None,
+    lane: Callable[[], Lane] = Worker,
+) -> Swept:
     """Play all cells that `out` does not hold yet, `jobs` at a time, and write the table.
 
     A day that raises, or whose worker dies, is reported and left out; the same call tries it again, as it
@@ -363,8 +386,9 @@
                 except msgspec.MsgspecError as raised:
                     problem = said(raised)
             if judged is not None and data is not None:
-                write_whole(paths[job.cell.file], msgspec.json.encode(
-                    Kept(job.cell, digest, msgspec.Raw(data))))
+                write_whole(
+                    paths[job.cell.file], msgspec.json.encode(Kept(job.cell, digest, msgspec.Raw(data)))
+                )
                 done[job.cell.file] = judged
             else:
                 swept.problems.append((job.cell, problem))
@@ -396,12 +420,20 @@
             for name, value in day.figures().items():
                 values.setdefault(name, []).append(value)
         bounds = {name: interval(some) for name, some in values.items()}
-        lines.append(Line(
-            cell.params, cell.variant, len(days), len(played) - len(days), len(all_days) - len(played),
-            sum(one.lawful for one in days), sum(one.met for one in days),
-            {name: math.fsum(some) / len(some) for name, some in values.items()},
-            {name: one[0] for name, one in bounds.items() if one},
-            {name: one[1] for name, one in bounds.items() if one}))
+        lines.append(
+            Line(
+                cell.params,
+                cell.variant,
+                len(days),
+                len(played) - len(days),
+                len(all_days) - len(played),
+                sum(one.lawful for one in days),
+                sum(one.met for one in days),
+                {name: math.fsum(some) / len(some) for name, some in values.items()},
+                {name: one[0] for name, one in bounds.items() if one},
+                {name: one[1] for name, one in bounds.items() if one},
+            )
+        )
     return lines
 
 
@@ -412,11 +444,21 @@
     counts = ("days", "void", "missing", "kept", "met")
     text = io.StringIO()
     writer = csv.writer(text, lineterminator="\n")
-    writer.writerow([*keys, "variant", *counts,
-                     *(column for name in figures for column in (name, f"{name} low", f"{name} high"))])
+    writer.writerow(
+        [
+            *keys,
+            "variant",
+            *counts,
+            *(column for name in figures for column in (name, f"{name} low", f"{name} high")),
+        ]
+    )
     for line in lines:
-        writer.writerow([*(line.params[key] for key in keys), line.variant,
-                         *(getattr(line, name) for name in counts),
-                         *(part.get(name, "") for name in figures
-                           for part in (line.mean, line.low, line.high))])
+        writer.writerow(
+            [
+                *(line.params[key] for key in keys),
+                line.variant,
+                *(getattr(line, name) for name in counts),
+                *(part.get(name, "") for name in figures for part in (line.mean, line.low, line.high)),
+            ]
+        )
     return text.getvalue()
--- a/coveport/lab/tables.py
+++ b/coveport/lab/tables.py
@@ -93,9 +93,15 @@
         """What is wrong first in the text, sets last: `KEY: what is wrong; what would be right`. Or ""."""
         wrong = [one.place for one in self._wrong]
         # Guards against mistakes that come only of what is put in place of a wrong value.
-        own = [one for one in self._odd if not any(
-            all(a == b for a, b in zip(bad, need, strict=False))  # one place holds the other
-            for bad in wrong for need in (one.place, *one.needs))]
+        own = [
+            one
+            for one in self._odd
+            if not any(
+                all(a == b for a, b in zip(bad, need, strict=False))  # one place holds the other
+                for bad in wrong
+                for need in (one.place, *one.needs)
+            )
+        ]
         first = min(self._wrong + own, key=lambda one: self._order.of(one.place), default=None)
         return f"{self._order.called(first.place)}: {first.text}" if first else ""
 
@@ -107,7 +113,8 @@
     def _stand_in(self, cls: type[Struct]) -> dict[str, Any]:
         config = cls.__struct_config__
         return ({config.tag_field: config.tag} if config.tag_field else {}) | {
-            one.name: self._stand_ins[one.name] for one in msgspec.structs.fields(cls) if one.required}
+            one.name: self._stand_ins[one.name] for one in msgspec.structs.fields(cls) if one.required
+        }
 
     def _table(self, raw: object, cls: type[Struct], place: Place) -> dict[str, Any]:
         """What of a table is right, with stand-ins for what must be there."""
@@ -123,8 +130,10 @@
                     clean[key] = got
             elif key != cls.__struct_config__.tag_field:
                 near = difflib.get_close_matches(key, known, 1)
-                self._fail((*place, key), f"no such key; did you mean {near[0]}" if near
-                           else f"no such key; {one_of(key, known)}")
+                self._fail(
+                    (*place, key),
+                    f"no such key; did you mean {near[0]}" if near else f"no such key; {one_of(key, known)}",
+                )
         for name, one in known.items():
             if one.required and name not in raw:
                 self._fail((*place, name), f"is missing; {_right(one.type)}")
@@ -172,7 +181,8 @@
         numbers = got if isinstance(got, tuple) else (got,)
         for one in numbers:
             if (isinstance(one, float) and not math.isfinite(one)) or (
-                    isinstance(rule, Bounds) and not rule.holds(one)):
+                isinstance(rule, Bounds) and not rule.holds(one)
+            ):
                 return self._fail(place, f"{shown(value)} is out of bounds; {_right(kind)}")
         if bare == Figure and numbers[0] > numbers[-1]:
             return self._fail(place, f"{shown(value)} falls; [low, high] such as {shown(value[::-1])}")
@@ -187,7 +197,7 @@
         text = json.dumps(value, ensure_ascii=False, default=str)
     except ValueError:  # a number of thousands of digits in it, which Python does not write
         text = "what is there"
-    return text if len(text) <= SHOWN else text[:SHOWN - 3] + "..."
+    return text if len(text) <= SHOWN else text[: SHOWN - 3] + "..."
 
 
 def one_of(word: object, known: Iterable[str]) -> str:
@@ -207,8 +217,9 @@
         at = re.search(r" \(at line (\d+), column (\d+)\)$", told)
         line, column = (at[1], at[2]) if at else (text.count("\n") + 1, len(text) - text.rfind("\n"))
         what = told.split(" (at ")[0]
-        raise TablesError(f"line {line}, column {column}: {what[:1].lower()}{what[1:]}; "
-                          "TOML, each KEY = VALUE on a line") from problem
+        raise TablesError(
+            f"line {line}, column {column}: {what[:1].lower()}{what[1:]}; TOML, each KEY = VALUE on a line"
+        ) from problem
     except ValueError as problem:  # thousands of digits, which Python makes no number of
         raise TablesError("file: a number is too long; numbers as the schema has them") from problem
 
@@ -246,8 +257,10 @@
     if not isinstance(here, list):
         raise TablesError(f"set {given}: {_written(place)} is no table; a value for it as a whole")
     if not part.isdecimal() or len(part) > 9 or int(part) > len(here):
-        raise TablesError(f"set {given}: {_written(place)} has no {part}; a position from 0 to {len(here)}, "
-                          "the last one to add one")
+        raise TablesError(
+            f"set {given}: {_written(place)} has no {part}; a position from 0 to {len(here)}, "
+            "the last one to add one"
+        )
     if int(part) == len(here):
         here.append({})
     return int(part)
@@ -285,7 +298,7 @@
     def of(self, place: Place) -> tuple[float, int]:
         """Sorts places as the text has them: what is left out where its table begins, sets last."""
         for back, (where, _) in enumerate(self._given):
-            if place[:len(where)] == where:
+            if place[: len(where)] == where:
                 return math.inf, -back
         up = [place[:length] for length in range(len(place), -1, -1)]
         line = next((self._lines[one] for one in up if one in self._lines), 0)
@@ -293,9 +306,11 @@
 
     def called(self, place: Place) -> str:
         """A place as errors write it, with the set that named it or something in it, if any."""
-        told = next((text for where, text in self._given
-                     if all(a == b for a, b in zip(place, where, strict=False))), "")
-        return _written(place) + (f" (set {told[:2 * SHOWN]})" if told else "")
+        told = next(
+            (text for where, text in self._given if all(a == b for a, b in zip(place, where, strict=False))),
+            "",
+        )
+        return _written(place) + (f" (set {told[: 2 * SHOWN]})" if told else "")
 
 
 def _written(place: Place) -> str:
@@ -325,6 +340,10 @@
     if get_origin(kind) is tuple:
         one, other = get_args(kind)
         return f"a list, each {_right(one)}" if other is ... else "a pair of numbers"
-    names: dict[Any, str] = {float: "a number", int: "a whole number", str: "a text in quotes",
-                             bool: "true or false"}
+    names: dict[Any, str] = {
+        float: "a number",
+        int: "a whole number",
+        str: "a text in quotes",
+        bool: "true or false",
+    }
     return names.get(kind, "a table")
--- a/coveport/lab/trials/clocked.py
+++ b/coveport/lab/trials/clocked.py
@@ -36,8 +36,10 @@
         return lambda: start + (clock() - start) * clocks.rate
 
     boot = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-    steady = {clock: faster(lambda clock=clock: clock_of(clock))  # type: ignore[misc]
-              for clock in (boot, time.CLOCK_MONOTONIC)}
+    steady = {
+        clock: faster(lambda clock=clock: clock_of(clock))  # type: ignore[misc]
+        for clock in (boot, time.CLOCK_MONOTONIC)
+    }
 
     def wall_s() -> float:
         jumped = clocks.jump_s if monotonic() - began >= clocks.jump_at_s else 0.0
--- a/coveport/lab/trials/days.py
+++ b/coveport/lab/trials/days.py
@@ -77,8 +77,11 @@
         raise ScenarioError(where, f"trial: {problem}") from problem
     for place, fault in enumerate(faults):
         if fault.kind not in (*KINDS, *TRAPS, "reset"):
-            raise ScenarioError(where, f"fault {place + 1}: kind: no {fault.kind!r}; there are "
-                                       f"{', '.join((*KINDS, *TRAPS, 'reset'))}")
+            raise ScenarioError(
+                where,
+                f"fault {place + 1}: kind: no {fault.kind!r}; there are "
+                f"{', '.join((*KINDS, *TRAPS, 'reset'))}",
+            )
         if fault.target and fault.target != HOLDER and not fault.target.isdecimal():
             raise ScenarioError(where, f"fault {place + 1}: target: an instance's number or {HOLDER}")
     if trial.instances < 1 or trial.store not in ("sqlite", "etcd"):
@@ -100,12 +103,26 @@
 
 def write(trial: Trial, seed: int, title: str) -> str:
     """A trial as such a file. What a file can't tell of it (roll-outs, duties, clocks) is left out."""
-    lines = ["[trial]", f"title = {json.dumps(title)}", f"instances = {trial.instances}",
-             f"ttl = {trial.ttl_s}", f"margin = {trial.margin_s}", f"drift = {trial.drift}",
-             f"calm = {trial.calm_s}", f"seed = {seed}"]
+    lines = [
+        "[trial]",
+        f"title = {json.dumps(title)}",
+        f"instances = {trial.instances}",
+        f"ttl = {trial.ttl_s}",
+        f"margin = {trial.margin_s}",
+        f"drift = {trial.drift}",
+        f"calm = {trial.calm_s}",
+        f"seed = {seed}",
+    ]
     for one in trial.faults:
         if one.kind not in (*KINDS, *TRAPS):
             continue
-        lines += ["", "[[fault]]", f"at = {one.at_s}", f"kind = {json.dumps(one.kind)}",
-                  f"target = {json.dumps(one.target)}", f"lasts = {one.lasts_s}", f"share = {one.share}"]
+        lines += [
+            "",
+            "[[fault]]",
+            f"at = {one.at_s}",
+            f"kind = {json.dumps(one.kind)}",
+            f"target = {json.dumps(one.target)}",
+            f"lasts = {one.lasts_s}",
+            f"share = {one.share}",
+        ]
     return "\n".join(lines) + "\n"
--- a/coveport/lab/trials/fleet/host.py
+++ b/coveport/lab/trials/fleet/host.py
@@ -97,8 +97,12 @@
         if crash < inf:
             self.world.at(self.world.now + crash * self._chance.uniform(0.5, 1.5), self.end, one, End.CRASH)
         ready = self.ills.start_s * self._chance.uniform(0.5, 1.5)
-        self.world.at(self.world.now + ready, self._ready, one, "" if self.ills.worse == 1.0 else
-                      f"{self.ills.worse}/50")
+        self.world.at(
+            self.world.now + ready,
+            self._ready,
+            one,
+            "" if self.ills.worse == 1.0 else f"{self.ills.worse}/50",
+        )
         return one
 
     def _ready(self, one: SimLife, served: str) -> None:
@@ -201,8 +205,9 @@
 
     def life_of(self, pid: int) -> tuple[str, str]:
         """Whose word it is."""
-        one = next((it for it in self.host.lives.values() if it.pid == pid and it.life in self._watched),
-                   None)
+        one = next(
+            (it for it in self.host.lives.values() if it.pid == pid and it.life in self._watched), None
+        )
         return ("", "") if one is None else (one.name, one.life)
 
     def let_go(self) -> None:
--- a/coveport/lab/trials/fleet/judge.py
+++ b/coveport/lab/trials/fleet/judge.py
@@ -69,13 +69,28 @@
     return found
 
 
-def judge(book: Sequence[Event], plans: Sequence[tuple[float, Plan]], holders: Sequence[tuple[float, str]],
-          fleet: Fleet, end: float, left: Sequence[SimLife], said: Sequence[Said]) -> list[Finding]:
+def judge(
+    book: Sequence[Event],
+    plans: Sequence[tuple[float, Plan]],
+    holders: Sequence[tuple[float, str]],
+    fleet: Fleet,
+    end: float,
+    left: Sequence[SimLife],
+    said: Sequence[Said],
+) -> list[Finding]:
     """All that is wrong."""
     lives = lives_of(book)
-    return [*_two(lives), *_holder(book, holders), *_starts(book, holders, fleet),
-            *_loops(lives, holders, fleet), *_healthy(book, lives, fleet), *_steps(book, plans),
-            *_turns(plans, lives), *_back(plans, left, fleet, end), *_verbs(plans, said)]
+    return [
+        *_two(lives),
+        *_holder(book, holders),
+        *_starts(book, holders, fleet),
+        *_loops(lives, holders, fleet),
+        *_healthy(book, lives, fleet),
+        *_steps(book, plans),
+        *_turns(plans, lives),
+        *_back(plans, left, fleet, end),
+        *_verbs(plans, said),
+    ]
 
 
 def _two(lives: dict[str, _Life]) -> list[Finding]:
@@ -178,9 +193,11 @@
             continue
         there = [other for other, one_ in lives.items() if one_.ready < it.killed < one_.ended]
         # Those that came to stand still only just now are no reason to doubt what was seen of it.
-        still = [other for other in there
-                 if (began := stands(other, it.killed, 0.0)) is not None
-                 and it.killed - began > 0.4 * fleet.hung_s]
+        still = [
+            other
+            for other in there
+            if (began := stands(other, it.killed, 0.0)) is not None and it.killed - began > 0.4 * fleet.hung_s
+        ]
         if len(still) > max(2, 0.6 * len(there)) and it.killed - since < 2.5 * fleet.hung_s:
             found.append(Finding("mass", it.killed, f"{it.name} was killed where the whole host stood still"))
     return found
@@ -195,11 +212,13 @@
             continue
         at = bisect_right(times, one.at) - 1
         # A plan that was just replaced may have been the one that was seen.
-        seen = [plan for _, plan in plans[max(0, at - 1):at + 1]]
+        seen = [plan for _, plan in plans[max(0, at - 1) : at + 1]]
         if any(one.name not in _names(plan) for plan in seen):
             continue
-        if any(plan.restart is not None and plan.restart.lives.get(one.name) == one.life
-               for _, plan in plans[:at + 1]):
+        if any(
+            plan.restart is not None and plan.restart.lives.get(one.name) == one.life
+            for _, plan in plans[: at + 1]
+        ):
             continue
         found.append(Finding("step", one.at, f"{one.name} was told to end, and no step names that life"))
     return found
@@ -219,12 +238,19 @@
             before = plan
             continue
         taken = set(restart.lives)
-        old = set(before.restart.lives) if before is not None and before.restart is not None and (
-            before.restart.order == restart.order) else set()
+        old = (
+            set(before.restart.lives)
+            if before is not None and before.restart is not None and (before.restart.order == restart.order)
+            else set()
+        )
         new = taken - old if len(taken) >= len(old) else taken
         if new and restart.phase is Phase.RUNNING and len(taken) > len(new):
-            down = [name for name in taken - new if name in _names(plan)
-                    and not any(one.name == name and one.ready <= at < one.ended for one in lives.values())]
+            down = [
+                name
+                for name in taken - new
+                if name in _names(plan)
+                and not any(one.name == name and one.ready <= at < one.ended for one in lives.values())
+            ]
             if len(down) + len(new) > restart.at_once:
                 found.append(Finding("turns", at, f"{sorted(new)} while {sorted(down)} did not serve"))
         elif len(new) > restart.at_once:
@@ -233,16 +259,19 @@
     return found
 
 
-def _back(plans: Sequence[tuple[float, Plan]], left: Sequence[SimLife], fleet: Fleet, end: float
-          ) -> list[Finding]:
+def _back(
+    plans: Sequence[tuple[float, Plan]], left: Sequence[SimLife], fleet: Fleet, end: float
+) -> list[Finding]:
     """In the end all that are to be there serve, and nobody else does."""
     if not plans:
         return [Finding("back", end, "nobody ever planned anything")]
     wanted = _names(plans[-1][1])
     there = {one.name for one in left if one.ready and one.draining == inf and one.frozen <= end}
     found = [Finding("back", end, f"{name} does not serve") for name in sorted(wanted - there)]
-    found += [Finding("back", end, f"{name} is there and not wanted")
-              for name in sorted({one.name for one in left if one.draining == inf} - wanted)]
+    found += [
+        Finding("back", end, f"{name} is there and not wanted")
+        for name in sorted({one.name for one in left if one.draining == inf} - wanted)
+    ]
     restart = plans[-1][1].restart
     if restart is not None and restart.phase is Phase.RUNNING:
         found.append(Finding("back", end, f"a restart is at {len(restart.lives)} of {len(restart.order)}"))
@@ -253,7 +282,10 @@
     """What staff were told to be done stood in the store by then."""
     found = []
     for one in said:
-        if one.ok and one.do == "scale" and not any(
-                plan.count == one.words["count"] for at, plan in plans if at <= one.told):
+        if (
+            one.ok
+            and one.do == "scale"
+            and not any(plan.count == one.words["count"] for at, plan in plans if at <= one.told)
+        ):
             found.append(Finding("verb", one.told, f"{one.do} was told as done, and never stood"))
     return found
--- a/coveport/lab/trials/fleet/real.py
+++ b/coveport/lab/trials/fleet/real.py
@@ -27,12 +27,26 @@
 class FleetTrialReal:
     """Supervisors, instances and a town; use as an async context."""
 
-    def __init__(self, folder: Path, instances: int, *, nodes: int = 4, told: Mapping[str, Any] | None = None,
-                 more: str = "") -> None:
+    def __init__(
+        self,
+        folder: Path,
+        instances: int,
+        *,
+        nodes: int = 4,
+        told: Mapping[str, Any] | None = None,
+        more: str = "",
+    ) -> None:
         """`told`: keys of `[fleet]` beside the usual ones. `more`: further sections of the file."""
         self.folder, self.count, self._nodes, self._more = folder, instances, nodes, more
-        self._told = {"hold_s": 0.3, "hung_s": 3.0, "at_once": 8, "a_second": 40.0, "backoff_s": 0.1,
-                      "stop_s": 8.0, **(told or {})}
+        self._told = {
+            "hold_s": 0.3,
+            "hung_s": 3.0,
+            "at_once": 8,
+            "a_second": 40.0,
+            "backoff_s": 0.1,
+            "stop_s": 8.0,
+            **(told or {}),
+        }
         self.supervisors: list[subprocess.Popen[bytes]] = []
         self.statuses: list[int] = []
 
@@ -60,36 +74,57 @@
         """Write the files. `platform`: what stands in the platform's in the place of what is right."""
         if not hasattr(self, "port"):
             self.port = _ports(max(64, 2 * self.count))
-        (self.folder / "platform.json").write_text(platform if platform is not None else json.dumps({
-            "name": "x", "listen": "127.0.0.1:1", "seed": "7",
-            "discovery": f"127.0.0.1:{self.town.discovery.stand.port}",
-            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256},
-            "known": {"seq": 0, "whole": True, "hosts": []}, "settings": SETTINGS}))
+        (self.folder / "platform.json").write_text(
+            platform
+            if platform is not None
+            else json.dumps(
+                {
+                    "name": "x",
+                    "listen": "127.0.0.1:1",
+                    "seed": "7",
+                    "discovery": f"127.0.0.1:{self.town.discovery.stand.port}",
+                    "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256},
+                    "known": {"seq": 0, "whole": True, "hosts": []},
+                    "settings": SETTINGS,
+                }
+            )
+        )
         told = {"name": "h", "instances": self.count, "listen": f"127.0.0.1:{self.port}", **self._told}
         self.file.write_text(
             '[instance]\nplatform = "platform.json"\n[store]\nurl = "sqlite:store.db"\n'
-            "[leases]\nttl = 1.0\nmargin = 0.1\n" + self._more + "[fleet]\n"
-            + "".join(f"{key} = {json.dumps(value)}\n" for key, value in told.items()))
+            "[leases]\nttl = 1.0\nmargin = 0.1\n"
+            + self._more
+            + "[fleet]\n"
+            + "".join(f"{key} = {json.dumps(value)}\n" for key, value in told.items())
+        )
 
     def supervise(self, *options: str) -> subprocess.Popen[bytes]:
         """A further supervisor."""
         with open(self.folder / "supervisors.out", "ab") as out:
             one = subprocess.Popen(
                 [sys.executable, "-m", "coveport", "fleet", "run", str(self.file), *options],
-                stdout=out, stderr=out, stdin=subprocess.DEVNULL)
+                stdout=out,
+                stderr=out,
+                stdin=subprocess.DEVNULL,
+            )
         self.supervisors.append(one)
         return one
 
     async def ask(self, do: str, **words: Any) -> dict[str, Any]:
         """Ask the supervisor; an empty answer where there is none."""
         try:
-            return await asyncio.to_thread(call, self.folder / "fleet" / "control.sock",
-                                           {"do": do, "id": f"{do}{time.monotonic_ns()}", **words}, 15.0)
+            return await asyncio.to_thread(
+                call,
+                self.folder / "fleet" / "control.sock",
+                {"do": do, "id": f"{do}{time.monotonic_ns()}", **words},
+                15.0,
+            )
         except OSError:
             return {}
 
-    async def until(self, what: Callable[[dict[str, Any]], object], for_what: str, within_s: float = UP_S
-                    ) -> dict[str, Any]:
+    async def until(
+        self, what: Callable[[dict[str, Any]], object], for_what: str, within_s: float = UP_S
+    ) -> dict[str, Any]:
         """Wait until the supervisor's status is so; TrialError where it does not come."""
         end = time.monotonic() + within_s
         told: dict[str, Any] = {}
@@ -106,8 +141,9 @@
 
         def there(told: dict[str, Any]) -> bool:
             rows = told["instances"]
-            return bool(told["holds"]) and len(rows) == count and all(
-                row["state"] == "serving" for row in rows)
+            return (
+                bool(told["holds"]) and len(rows) == count and all(row["state"] == "serving" for row in rows)
+            )
 
         return await self.until(there, f"{count} to serve")
 
--- a/coveport/lab/trials/fleet/sim.py
+++ b/coveport/lab/trials/fleet/sim.py
@@ -33,11 +33,49 @@
 
 START_S = 1000.0
 PREFIX = "coveport-fleet/"
-KINDS = ("sup_kill", "sup_kill", "sup_stall", "sup_stall", "sup_cut", "sup_lossy", "sup_leave", "store_away",
-         "store_stall", "kill", "kill", "most_killed", "hang", "hang", "host_stall", "loop", "slow",
-         "bad_file", "bad_lives", "term", "scale", "scale", "restart", "restart", "drain", "flood")
-TERMS = Fleet(name="host", instances=5, at_once=3, a_second=4.0, ready_s=6.0, stop_s=4.0, hung_s=2.0,
-              backoff_s=0.25, backoff_most_s=4.0, loop=4, loop_s=20.0, rest_s=15.0, hold_s=1.0)
+KINDS = (
+    "sup_kill",
+    "sup_kill",
+    "sup_stall",
+    "sup_stall",
+    "sup_cut",
+    "sup_lossy",
+    "sup_leave",
+    "store_away",
+    "store_stall",
+    "kill",
+    "kill",
+    "most_killed",
+    "hang",
+    "hang",
+    "host_stall",
+    "loop",
+    "slow",
+    "bad_file",
+    "bad_lives",
+    "term",
+    "scale",
+    "scale",
+    "restart",
+    "restart",
+    "drain",
+    "flood",
+)
+TERMS = Fleet(
+    name="host",
+    instances=5,
+    at_once=3,
+    a_second=4.0,
+    ready_s=6.0,
+    stop_s=4.0,
+    hung_s=2.0,
+    backoff_s=0.25,
+    backoff_most_s=4.0,
+    loop=4,
+    loop_s=20.0,
+    rest_s=15.0,
+    hold_s=1.0,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,8 +107,15 @@
         whole = self.instances / terms.a_second + 2 * terms.ready_s
         steps = 2.5 * self.instances * (1.2 + 0.6 + terms.hold_s)
         restarts = any(one.kind == "restart" for one in self.faults)
-        return (self.calm_from + 1.2 * terms.rest_s + terms.backoff_most_s + whole + 4 * self.ttl_s
-                + (min(steps, 90.0) if restarts else 0.0) + self.calm_s)
+        return (
+            self.calm_from
+            + 1.2 * terms.rest_s
+            + terms.backoff_most_s
+            + whole
+            + 4 * self.ttl_s
+            + (min(steps, 90.0) if restarts else 0.0)
+            + self.calm_s
+        )
 
 
 def draw(seed: int, instances: int = 5) -> FleetTrial:
@@ -79,8 +124,15 @@
     faults = []
     for _ in range(chance.randint(1, 6)):
         kind = chance.choice(KINDS)
-        faults.append(Fault(round(chance.uniform(1.0, 20.0), 3), kind, str(chance.randrange(instances)),
-                            round(chance.uniform(0.1, 8.0), 3), round(chance.random(), 2)))
+        faults.append(
+            Fault(
+                round(chance.uniform(1.0, 20.0), 3),
+                kind,
+                str(chance.randrange(instances)),
+                round(chance.uniform(0.1, 8.0), 3),
+                round(chance.random(), 2),
+            )
+        )
     ordered = tuple(sorted(faults, key=lambda it: it.at_s))
     return FleetTrial(instances, chance.choice((1, 2, 2, 3)), chance.choice((2.0, 2.0, 10.0)), faults=ordered)
 
@@ -130,8 +182,16 @@
         """The operator's file."""
         from pathlib import Path
 
-        return OperatorFile(Instance("p.json"), Stored("sqlite:x"), Leases(self.trial.ttl_s, 0.1, 0.02),
-                            Duties(), Logged(), Work(), self.trial.fleet, Path("."))
+        return OperatorFile(
+            Instance("p.json"),
+            Stored("sqlite:x"),
+            Leases(self.trial.ttl_s, 0.1, 0.02),
+            Duties(),
+            Logged(),
+            Work(),
+            self.trial.fleet,
+            Path("."),
+        )
 
     def launch(self, one: _Running) -> None:
         """A supervisor's process."""
@@ -151,12 +211,20 @@
                 self.began.append(self.world.now)
 
         one.keeper = keeper = Keeper(
-            SimStore(process, self.store, one.way, chance), name=name, incarnation=name,
-            duties=(FLEET + told.fleet.name,), terms=told.terms, now_s=now_s, history=say, chance=chance,
-            prefix=PREFIX)
+            SimStore(process, self.store, one.way, chance),
+            name=name,
+            incarnation=name,
+            duties=(FLEET + told.fleet.name,),
+            terms=told.terms,
+            now_s=now_s,
+            history=say,
+            chance=chance,
+            prefix=PREFIX,
+        )
         hands = SimHands(self.host, process, name)
         one.supervisor = supervisor = self.variant.supervisor(
-            told, keeper, hands, now_s=now_s, chance=chance, say=say, check=lambda: self.fault)
+            told, keeper, hands, now_s=now_s, chance=chance, say=say, check=lambda: self.fault
+        )
         if self.variant.crew is not None:
             supervisor.crew = self.variant.crew(told.fleet, chance)
 
@@ -170,14 +238,24 @@
     def lose(self, one: _Running) -> None:
         """Its process is gone."""
         if one.process is not None and one.process.alive:
-            self.problems += [repr(problem.get("exception") or problem["message"])
-                              for problem in one.process.problems]
+            self.problems += [
+                repr(problem.get("exception") or problem["message"]) for problem in one.process.problems
+            ]
             one.process.kill()
 
     def holding(self) -> _Running | None:
         """Whoever holds the duty by its own belief."""
-        return next((one for one in self.supervisors if one.supervisor is not None and one.process is not None
-                     and one.process.alive and one.supervisor.holding), None)
+        return next(
+            (
+                one
+                for one in self.supervisors
+                if one.supervisor is not None
+                and one.process is not None
+                and one.process.alive
+                and one.supervisor.holding
+            ),
+            None,
+        )
 
     # Faults.
 
@@ -296,8 +374,9 @@
 
         async def ask() -> None:
             answer = await supervisor.asked({"do": do, "id": identity, **words})
-            self.said.append(Said(at, self.world.now, do, bool(answer["ok"]), str(answer.get("said", "")),
-                                  words))
+            self.said.append(
+                Said(at, self.world.now, do, bool(answer["ok"]), str(answer.get("said", "")), words)
+            )
 
         process.call_soon(lambda: process.create_task(ask()))
 
@@ -317,22 +396,35 @@
     def plans(self) -> list[tuple[float, Plan]]:
         """Every plan that stood in the store."""
         key = f"{PREFIX}state/{FLEET}{self.trial.fleet.name}"
-        return [(at, msgspec.json.decode(change.entry.value, type=Plan))
-                for at, change in self.store.engine.book if change.key == key and change.entry is not None]
+        return [
+            (at, msgspec.json.decode(change.entry.value, type=Plan))
+            for at, change in self.store.engine.book
+            if change.key == key and change.entry is not None
+        ]
 
     def holders(self) -> list[tuple[float, str]]:
         """Who the store says held the duty from when on; empty: nobody."""
         key = f"{PREFIX}duty/{FLEET}{self.trial.fleet.name}"
-        return [(at, "" if change.entry is None else change.entry.value.split(b" ")[0].decode())
-                for at, change in self.store.engine.book if change.key == key]
+        return [
+            (at, "" if change.entry is None else change.entry.value.split(b" ")[0].decode())
+            for at, change in self.store.engine.book
+            if change.key == key
+        ]
 
     def judged(self, seed: int) -> PlayedFleet:
         """What came of it."""
         end = START_S + self.trial.lasts_s
         plans = self.plans()
         book = self.host.book
-        findings = judge(book, plans, self.holders(), self.trial.fleet, end,
-                         [one for one in self.host.lives.values()], self.said)
+        findings = judge(
+            book,
+            plans,
+            self.holders(),
+            self.trial.fleet,
+            end,
+            [one for one in self.host.lives.values()],
+            self.said,
+        )
         findings += order(accepted(self.store.engine.book))
         findings += [Finding("crash", end, what) for what in self.problems]
         restarts: dict[str, int] = {}
@@ -340,9 +432,16 @@
             if plan.restart is not None and plan.restart.phase is not Phase.RUNNING:
                 word = plan.restart.phase.value
                 restarts[word] = restarts.get(word, 0) + 1
-        return PlayedFleet(self.trial, seed, findings, sum(one.what == "start" for one in book),
-                           sum(one.what == "ended" for one in book), len(plans),
-                           len([1 for _, who in self.holders() if who]), restarts)
+        return PlayedFleet(
+            self.trial,
+            seed,
+            findings,
+            sum(one.what == "start" for one in book),
+            sum(one.what == "ended" for one in book),
+            len(plans),
+            len([1 for _, who in self.holders() if who]),
+            restarts,
+        )
 
 
 def play(trial: FleetTrial, seed: int, variant: FleetVariant = SOUND) -> PlayedFleet:
@@ -352,5 +451,3 @@
         with variant.while_played():
             one.run()
         return one.judged(seed)
-
-
--- a/coveport/lab/trials/fleet/variants.py
+++ b/coveport/lab/trials/fleet/variants.py
@@ -49,8 +49,12 @@
     """Replaces whoever is silent, however many are."""
 
     def _replace_hung(self, now: float) -> list[Order]:
-        return [order for one in self.members.values() if one.silent_s(now) > self.fleet.hung_s
-                for order in one.hung(now)]
+        return [
+            order
+            for one in self.members.values()
+            if one.silent_s(now) > self.fleet.hung_s
+            for order in one.hung(now)
+        ]
 
 
 class _Acts(Supervisor):
@@ -104,8 +108,11 @@
     if restart is None or restart.phase is not plan_module.Phase.RUNNING:
         return None
     left = [name for name in restart.left if name in fares][:1]
-    after = restart.to(plan_module.Phase.DONE) if not left else msgspec.structs.replace(
-        restart, lives={**restart.lives, left[0]: fares[left[0]].life})
+    after = (
+        restart.to(plan_module.Phase.DONE)
+        if not left
+        else msgspec.structs.replace(restart, lives={**restart.lives, left[0]: fares[left[0]].life})
+    )
     return msgspec.structs.replace(plan, restart=after), "on"
 
 
@@ -133,26 +140,55 @@
 
 SOUND = FleetVariant("sound", "the shipped program")
 
-VARIANTS: dict[str, FleetVariant] = {one.name: one for one in (
-    FleetVariant("no-lock", "names have no locks", ("two",), supervisor=_Forgets, locked=False),
-    FleetVariant("forgets-lives", "takes nothing over from who was there before",
-                 ("back", "loop", "flood", "step"), supervisor=_Forgets),
-    FleetVariant("spends-at-once", "starts all that wait at once", ("flood",), crew=_SpendsAtOnce),
-    FleetVariant("deaf", "takes its own stall for theirs", ("healthy",), crew=_Deaf),
-    FleetVariant("rash", "ends all that are silent, though the host stood still", ("mass", "healthy"),
-                 crew=_Rash),
-    FleetVariant("acts-on", "goes on without the duty", ("holder", "back"), supervisor=_Acts),
-    FleetVariant("before-the-step", "ends who is to be restarted before that stands", ("step",),
-                 supervisor=_Before),
-    FleetVariant("promises", "tells staff that it is done before it is", ("verb",), supervisor=_Promises),
-    FleetVariant("in-one-go", "a restart that waits for nobody", ("turns",),
-                 while_played=_patched(plan_module, "going_on", _in_one_go)),
-    FleetVariant("whoever", "a restart's step ends whoever has the name", ("step", "back"),
-                 while_played=_patched(Member, "replace", _whoever)),
-    FleetVariant("at-once", "starts again at once, however often it ends", ("loop",),
-                 while_played=_patched(Member, "_after", _at_once)),
-    FleetVariant("gives-up", "starts nothing again that ended by itself", ("back",),
-                 while_played=_patched(Member, "_after", _gives_up)),
-    FleetVariant("hopes", "waits for ever for one that gives no sign", ("back",),
-                 while_played=_patched(crew_module.Crew, "_replace_hung", lambda self, now: [])),
-)}
+VARIANTS: dict[str, FleetVariant] = {
+    one.name: one
+    for one in (
+        FleetVariant("no-lock", "names have no locks", ("two",), supervisor=_Forgets, locked=False),
+        FleetVariant(
+            "forgets-lives",
+            "takes nothing over from who was there before",
+            ("back", "loop", "flood", "step"),
+            supervisor=_Forgets,
+        ),
+        FleetVariant("spends-at-once", "starts all that wait at once", ("flood",), crew=_SpendsAtOnce),
+        FleetVariant("deaf", "takes its own stall for theirs", ("healthy",), crew=_Deaf),
+        FleetVariant(
+            "rash", "ends all that are silent, though the host stood still", ("mass", "healthy"), crew=_Rash
+        ),
+        FleetVariant("acts-on", "goes on without the duty", ("holder", "back"), supervisor=_Acts),
+        FleetVariant(
+            "before-the-step", "ends who is to be restarted before that stands", ("step",), supervisor=_Before
+        ),
+        FleetVariant("promises", "tells staff that it is done before it is", ("verb",), supervisor=_Promises),
+        FleetVariant(
+            "in-one-go",
+            "a restart that waits for nobody",
+            ("turns",),
+            while_played=_patched(plan_module, "going_on", _in_one_go),
+        ),
+        FleetVariant(
+            "whoever",
+            "a restart's step ends whoever has the name",
+            ("step", "back"),
+            while_played=_patched(Member, "replace", _whoever),
+        ),
+        FleetVariant(
+            "at-once",
+            "starts again at once, however often it ends",
+            ("loop",),
+            while_played=_patched(Member, "_after", _at_once),
+        ),
+        FleetVariant(
+            "gives-up",
+            "starts nothing again that ended by itself",
+            ("back",),
+            while_played=_patched(Member, "_after", _gives_up),
+        ),
+        FleetVariant(
+            "hopes",
+            "waits for ever for one that gives no sign",
+            ("back",),
+            while_played=_patched(crew_module.Crew, "_replace_hung", lambda self, now: []),
+        ),
+    )
+}
--- a/coveport/lab/trials/history.py
+++ b/coveport/lab/trials/history.py
@@ -63,9 +63,16 @@
         for line in path.read_bytes().splitlines():
             try:
                 told = json.loads(line)
-                records.append(Record(float(told["at"]), str(told["instance"]), str(told["incarnation"]),
-                                      str(told["event"]), float(told.get("clock", told["at"])),
-                                      {key: value for key, value in told.items() if key not in OWN}))
+                records.append(
+                    Record(
+                        float(told["at"]),
+                        str(told["instance"]),
+                        str(told["incarnation"]),
+                        str(told["event"]),
+                        float(told.get("clock", told["at"])),
+                        {key: value for key, value in told.items() if key not in OWN},
+                    )
+                )
             except (ValueError, KeyError, TypeError):
                 continue
     return Histories(records)
--- a/coveport/lab/trials/judge.py
+++ b/coveport/lab/trials/judge.py
@@ -55,8 +55,16 @@
             holders[duty] = change.entry
         elif kind == "state" and change.entry is not None:
             holder = holders.get(duty)
-            acts.append(Accepted(duty, at, change.revision, 0 if holder is None else holder.created,
-                                 "" if holder is None else holder.value.decode(), change.entry.value))
+            acts.append(
+                Accepted(
+                    duty,
+                    at,
+                    change.revision,
+                    0 if holder is None else holder.created,
+                    "" if holder is None else holder.value.decode(),
+                    change.entry.value,
+                )
+            )
     return acts
 
 
@@ -132,8 +140,14 @@
     found, highest = [], defaultdict[str, int](int)
     for act in sorted(book, key=lambda one: one.revision):
         if act.token < highest[act.duty] or act.token == 0:
-            found.append(Finding("order", act.at, f"{act.duty}: an act under token {act.token} at revision "
-                                                  f"{act.revision}, after one under {highest[act.duty]}"))
+            found.append(
+                Finding(
+                    "order",
+                    act.at,
+                    f"{act.duty}: an act under token {act.token} at revision "
+                    f"{act.revision}, after one under {highest[act.duty]}",
+                )
+            )
         highest[act.duty] = max(highest[act.duty], act.token)
     return found
 
@@ -180,8 +194,9 @@
     return found
 
 
-def rollouts(book: Iterable[tuple[float, Change]], prefix: str = "coveport/",
-             news_s: float = 3.0) -> list[Finding]:
+def rollouts(
+    book: Iterable[tuple[float, Change]], prefix: str = "coveport/", news_s: float = 3.0
+) -> list[Finding]:
     """Rule `tenths`: by the plan as the store had it, and what instances had told of themselves by then.
 
     `news_s`: who has come back within that time may not be known of yet (a holder whose news are older than
@@ -206,7 +221,8 @@
             if plan.done != before.done + 1:
                 found.append(Finding("tenths", at, f"step {plan.done} after step {before.done}"))
             late = [
-                name for name, one in fares_of(there).items()
+                name
+                for name, one in fares_of(there).items()
                 if name in before.given and one.runs != plan.new and at - came[INSTANCE + name] > news_s
             ]
             if late:
@@ -272,13 +288,20 @@
     return [(begin, over) for begin, over in found if over > begin]
 
 
-def again(held: Sequence[Belief], duties: Iterable[str], calm_from: float, within_s: float,
-          end: float) -> list[Finding]:
+def again(
+    held: Sequence[Belief], duties: Iterable[str], calm_from: float, within_s: float, end: float
+) -> list[Finding]:
     """Rule `again`: from `within_s` after the last fault on, each duty is held but for handing on."""
     found = []
     for duty in duties:
-        first = next((one.start for one in sorted(held, key=lambda one: one.start)
-                      if one.duty == duty and one.end > calm_from), None)
+        first = next(
+            (
+                one.start
+                for one in sorted(held, key=lambda one: one.start)
+                if one.duty == duty and one.end > calm_from
+            ),
+            None,
+        )
         if first is None or first > calm_from + within_s:
             found.append(
                 Finding(
--- a/coveport/lab/trials/ledger.py
+++ b/coveport/lab/trials/ledger.py
@@ -94,15 +94,31 @@
     asked: list[Asked] = field(default_factory=list)
     _count: int = 0
 
-    async def ask(self, instance: int, port: int, cls: str, key: str, *, wait_s: float = 1.0,
-                  body: bytes | None = None, keyed: bool | None = None, again: bool = False) -> Asked:
+    async def ask(
+        self,
+        instance: int,
+        port: int,
+        cls: str,
+        key: str,
+        *,
+        wait_s: float = 1.0,
+        body: bytes | None = None,
+        keyed: bool | None = None,
+        again: bool = False,
+    ) -> Asked:
         """One operation at an instance. `key`: which one it is; sent as Idempotency-Key where `keyed`."""
         self._count += 1
         identity = f"t{self._count}"
         one = Asked(time.monotonic(), instance, cls, key, identity, 0)
         data = json.dumps({"key": key}).encode() if body is None else body
-        lines = [f"POST /{cls}/7 HTTP/1.1", "Host: x", f"X-Request-Id: {identity}",
-                 f"X-Deadline: {wait_s * 1000:.0f}m", f"Content-Length: {len(data)}", "Connection: close"]
+        lines = [
+            f"POST /{cls}/7 HTTP/1.1",
+            "Host: x",
+            f"X-Request-Id: {identity}",
+            f"X-Deadline: {wait_s * 1000:.0f}m",
+            f"Content-Length: {len(data)}",
+            "Connection: close",
+        ]
         if CLASSES[cls] == "keyed" if keyed is None else keyed:
             lines.append(f"Idempotency-Key: {key}")
         if again:
@@ -127,8 +143,12 @@
         return one
 
 
-def judge(asked: Iterable[Asked], ran: Iterable[Ran], ends: Mapping[str, str] | None = None,
-          unrecorded: frozenset[str] = frozenset()) -> list[Finding]:
+def judge(
+    asked: Iterable[Asked],
+    ran: Iterable[Ran],
+    ends: Mapping[str, str] | None = None,
+    unrecorded: frozenset[str] = frozenset(),
+) -> list[Finding]:
     """Hold tills' view against nodes' books, operation by operation.
 
     `ends`: how each operation's record stands in the end, by key. `unrecorded`: keys that were served while
--- a/coveport/lab/trials/model.py
+++ b/coveport/lab/trials/model.py
@@ -207,8 +207,10 @@
                 now, Transaction((Compare(key, Field.CREATED, 0),), (Put(key, b"", call.lease),))
             )
         if isinstance(call, Claim):
-            return engine.commit(now, Transaction((Compare(KEY, Field.CREATED, 0),),
-                                                  (Put(KEY, f"h{who}".encode(), call.lease),)))
+            return engine.commit(
+                now,
+                Transaction((Compare(KEY, Field.CREATED, 0),), (Put(KEY, f"h{who}".encode(), call.lease),)),
+            )
         if isinstance(call, Release):
             return engine.commit(now, fenced(KEY, call.token, Delete(KEY)))
         return engine.read(now, KEY)
--- a/coveport/lab/trials/parts.py
+++ b/coveport/lab/trials/parts.py
@@ -28,9 +28,17 @@
 class Part:
     """One instance's part in others' duties."""
 
-    def __init__(self, keeper: Keeper, name: str, incarnation: str, duties: tuple[str, ...],
-                 now_s: Callable[[], float], world_s: Callable[[], float], history: History,
-                 chance: random.Random) -> None:
+    def __init__(
+        self,
+        keeper: Keeper,
+        name: str,
+        incarnation: str,
+        duties: tuple[str, ...],
+        now_s: Callable[[], float],
+        world_s: Callable[[], float],
+        history: History,
+        chance: random.Random,
+    ) -> None:
         self._keeper, self._name, self._incarnation, self._duties = keeper, name, incarnation, duties
         self._now_s, self._world_s, self._history, self._chance = now_s, world_s, history, chance
         self._follower, self._granted = Follower(name), Granted(incarnation)
--- a/coveport/lab/trials/real.py
+++ b/coveport/lab/trials/real.py
@@ -126,7 +126,10 @@
     def __init__(self, members: int = 3) -> None:
         self.process = subprocess.Popen(
             [sys.executable, "-m", "coveport.lab.standins.etcd.server", "--members", str(members)],
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
+        )
         assert self.process.stdout is not None
         ports = json.loads(self.process.stdout.readline())
         self.members: list[int] = ports["members"]
@@ -141,9 +144,17 @@
 
     def book(self) -> list[tuple[float, Change]]:
         """Every change so far."""
-        return [(at, Change(revision, key, None if entry is None else
-                            Entry(key, entry[0].encode(), entry[1], revision, entry[2])))
-                for at, revision, key, entry in self.do("book")]
+        return [
+            (
+                at,
+                Change(
+                    revision,
+                    key,
+                    None if entry is None else Entry(key, entry[0].encode(), entry[1], revision, entry[2]),
+                ),
+            )
+            for at, revision, key, entry in self.do("book")
+        ]
 
     def stop(self) -> None:
         """End it."""
@@ -157,18 +168,31 @@
     """Every change that the file still tells of. It writes no times."""
     with contextlib.closing(sqlite3.connect(path)) as base:
         rows = base.execute("SELECT revision, key, value, created, lease FROM history ORDER BY revision, key")
-        return [(float(revision), Change(revision, key, None if value is None else
-                                         Entry(key, value, created, revision, lease)))
-                for revision, key, value, created, lease in rows]
+        return [
+            (
+                float(revision),
+                Change(revision, key, None if value is None else Entry(key, value, created, revision, lease)),
+            )
+            for revision, key, value, created, lease in rows
+        ]
 
 
 class RealTrial:
     """Instances, store and town; use as an async context."""
 
-    def __init__(self, folder: Path, trial: Trial, *, store: str = "sqlite", nodes: int = 2,
-                 duties: tuple[str, ...] = (), settings: Mapping[str, Any] | None = None,
-                 relayed: bool = False, work: Mapping[str, Any] | None = None,
-                 clocks: Mapping[int, Clocks] | None = None) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        trial: Trial,
+        *,
+        store: str = "sqlite",
+        nodes: int = 2,
+        duties: tuple[str, ...] = (),
+        settings: Mapping[str, Any] | None = None,
+        relayed: bool = False,
+        work: Mapping[str, Any] | None = None,
+        clocks: Mapping[int, Clocks] | None = None,
+    ) -> None:
         """`relayed`: each instance reaches nodes and discovery by links of its own.
 
         `clocks`: those of instances, by number, whose time is wrong.
@@ -233,22 +257,35 @@
 
     def configure(self, one: Running) -> None:
         """Write its files."""
-        discovery = (self.town.discovery.stand.port if one.discovery_relay is None
-                     else one.discovery_relay.port)
-        (one.folder / "platform.json").write_text(json.dumps({
-            "name": one.name, "listen": f"127.0.0.1:{one.port}", "seed": f"{one.number + 1:x}",
-            "discovery": f"127.0.0.1:{discovery}",
-            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256},
-            "known": {"seq": 0, "whole": True, "hosts": []}, "settings": self._settings}))
-        url = "sqlite:../store.db" if self.engine is None else "etcd://" + ",".join(
-            f"127.0.0.1:{relay.port}" for relay in one.relays)
+        discovery = (
+            self.town.discovery.stand.port if one.discovery_relay is None else one.discovery_relay.port
+        )
+        (one.folder / "platform.json").write_text(
+            json.dumps(
+                {
+                    "name": one.name,
+                    "listen": f"127.0.0.1:{one.port}",
+                    "seed": f"{one.number + 1:x}",
+                    "discovery": f"127.0.0.1:{discovery}",
+                    "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256},
+                    "known": {"seq": 0, "whole": True, "hosts": []},
+                    "settings": self._settings,
+                }
+            )
+        )
+        url = (
+            "sqlite:../store.db"
+            if self.engine is None
+            else "etcd://" + ",".join(f"127.0.0.1:{relay.port}" for relay in one.relays)
+        )
         terms = self.trial
         (one.folder / "coveport.toml").write_text(
             f'[instance]\nname = "{one.name}"\nplatform = "platform.json"\n[store]\nurl = "{url}"\n'
             f"[leases]\nttl = {terms.ttl_s}\nmargin = {terms.margin_s}\ndrift = {terms.drift}\n[duties]\n"
             + "".join(f"{duty} = true\n" for duty in self._duties)
             + self._work_part()
-            + '[log]\npath = "history.jsonl"\nlevel = "debug"\n')
+            + '[log]\npath = "history.jsonl"\nlevel = "debug"\n'
+        )
 
     def _work_part(self) -> str:
         if self._work is None:
@@ -262,7 +299,10 @@
             one.started_at, one.logged = boot_s(), log.tell()
             one.process = subprocess.Popen(
                 [sys.executable, *self._program(one), "run", "--config", str(one.folder / "coveport.toml")],
-                stdout=log, stderr=log, env=os.environ | {"LB_CONFIG": ""})
+                stdout=log,
+                stderr=log,
+                env=os.environ | {"LB_CONFIG": ""},
+            )
 
     def _program(self, one: Running) -> tuple[str, ...]:
         clocks = self._clocks.get(one.number)
@@ -281,7 +321,7 @@
     def serves(self, one: Running) -> bool:
         """Whether it says that it serves; by its log, so that nothing is asked of it."""
         log = (one.folder / "log").read_bytes() if (one.folder / "log").exists() else b""
-        return f"{one.name}: serving".encode() in log[one.logged:]
+        return f"{one.name}: serving".encode() in log[one.logged :]
 
     async def until(self, what: Callable[[], object], within_s: float, for_what: str) -> None:
         """Wait; TrialError where it does not come."""
@@ -319,8 +359,13 @@
 
     def histories(self) -> Histories:
         """What all have written so far."""
-        return read_lines([one.folder / "history.jsonl" for one in self.instances
-                           if (one.folder / "history.jsonl").exists()])
+        return read_lines(
+            [
+                one.folder / "history.jsonl"
+                for one in self.instances
+                if (one.folder / "history.jsonl").exists()
+            ]
+        )
 
     def holder(self, duty: str) -> Running | None:
         """Who believed in a duty last and has not said that it ended."""
@@ -338,6 +383,7 @@
 
     async def held(self, duty: str, within_s: float, besides: Running | None = None) -> Running:
         """Whoever holds a duty, once somebody (else) does."""
+
         def there() -> bool:
             one = self.holder(duty)
             return one is not None and one is not besides
@@ -349,6 +395,7 @@
 
     async def all_in(self, within_s: float) -> None:
         """Wait until every process that runs now has a session of its own."""
+
         def there() -> bool:
             # By when it came, not how often: one that was killed before it was in leaves no word of itself.
             came = {one.instance: one.at for one in self.histories().of("in")}
@@ -358,10 +405,16 @@
 
     async def all_recording(self, within_s: float) -> None:
         """Wait until every process that runs now writes operations down."""
+
         def there() -> bool:
             came = {one.instance: one for one in self.histories().of("recording", "not_recording")}
-            return all(one.name in came and came[one.name].event == "recording"
-                       and came[one.name].at >= one.started_at for one in self.instances if one.alive)
+            return all(
+                one.name in came
+                and came[one.name].event == "recording"
+                and came[one.name].at >= one.started_at
+                for one in self.instances
+                if one.alive
+            )
 
         await self.until(there, within_s, "all to write operations down")
 
@@ -423,8 +476,9 @@
         if self.engine is None:
             if kind not in ("store_stall", "store_away"):
                 raise TrialError(f"{kind}: not with a file as the store")
-            with contextlib.closing(sqlite3.connect(self.folder / "store.db", isolation_level=None,
-                                                    timeout=30)) as base:
+            with contextlib.closing(
+                sqlite3.connect(self.folder / "store.db", isolation_level=None, timeout=30)
+            ) as base:
                 base.execute("BEGIN IMMEDIATE")
                 await asyncio.sleep(fault.lasts_s)
                 base.execute("ROLLBACK")
@@ -473,8 +527,9 @@
                 found[lives[-1]] = at
         return found
 
-    def judged(self, calm_from: float, end: float, *, drill: bool = True, apart_s: float = 0.0
-               ) -> list[judge.Finding]:
+    def judged(
+        self, calm_from: float, end: float, *, drill: bool = True, apart_s: float = 0.0
+    ) -> list[judge.Finding]:
         """What the judge finds; `calm_from`, `end`: boot clock. `apart_s`: how far two clocks are by now."""
         histories = self.histories()
         acts = judge.accepted(self.book())
@@ -486,9 +541,11 @@
         found += [
             judge.Finding("crash", end, f"{name} ended with {code}") for name, code in self.exits if code
         ]
-        found += [judge.Finding("crash", end, f"{one.name} ended by itself with {one.process.poll()}")
-                  for one in self.instances if one.process is not None
-                  and one.process.poll() not in (None, 0, -signal.SIGKILL)]
+        found += [
+            judge.Finding("crash", end, f"{one.name} ended by itself with {one.process.poll()}")
+            for one in self.instances
+            if one.process is not None and one.process.poll() not in (None, 0, -signal.SIGKILL)
+        ]
         return found
 
 
--- a/coveport/lab/trials/relay.py
+++ b/coveport/lab/trials/relay.py
@@ -69,8 +69,9 @@
         """Reset every connection."""
         for writer in list(self._writers):
             with contextlib.suppress(OSError):
-                writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
-                                                           struct.pack("ii", 1, 0))
+                writer.get_extra_info("socket").setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+                )
             writer.transport.abort()
 
     async def stop(self) -> None:
--- a/coveport/lab/trials/schedules.py
+++ b/coveport/lab/trials/schedules.py
@@ -9,8 +9,26 @@
 if TYPE_CHECKING:
     from _typeshed import DataclassInstance
 
-KINDS = ("cut", "cut_out", "cut_back", "slow", "lossy", "late", "double", "stall", "sleep", "kill", "halves",
-         "store_stall", "store_away", "compact", "lose_answers", "yield", "leave", "unwell")
+KINDS = (
+    "cut",
+    "cut_out",
+    "cut_back",
+    "slow",
+    "lossy",
+    "late",
+    "double",
+    "stall",
+    "sleep",
+    "kill",
+    "halves",
+    "store_stall",
+    "store_away",
+    "compact",
+    "lose_answers",
+    "yield",
+    "leave",
+    "unwell",
+)
 # The worst moment: what happens to the next call of a kind, whoever makes it.
 TRAPS = ("claim-unheard", "claim-late", "act-unheard", "act-late", "act-stall", "keep-stall")
 CHAINED = 0.4  # share that follow another, at whom that hit
@@ -71,8 +89,14 @@
         return 4 * self.ttl_s + 5.0
 
 
-def draw(seed: int, instances: int = 5, faults: int = 6, over_s: float = 30.0, ttl_s: float = 3.0,
-         wild: float = 0.1) -> Trial:
+def draw(
+    seed: int,
+    instances: int = 5,
+    faults: int = 6,
+    over_s: float = 30.0,
+    ttl_s: float = 3.0,
+    wild: float = 0.1,
+) -> Trial:
     """A trial from its seed. `wild`: share of trials whose clocks keep to no bound."""
     chance = random.Random(f"trial {seed}")
     drawn = list[Fault]()
@@ -103,8 +127,7 @@
         at = round(chance.uniform(2.0, over_s), 3)
         if kind.startswith("claim"):
             drawn.append(Fault(round(at + 0.01, 3), "yield", HOLDER))  # else nobody claims for a long while
-        drawn.append(Fault(at, kind, target, round(lasts, 3),
-                           round(chance.uniform(0.05, 0.9), 2)))
+        drawn.append(Fault(at, kind, target, round(lasts, 3), round(chance.uniform(0.05, 0.9), 2)))
     duties: tuple[str, ...] = ("drill",)
     kind_of = chance.random()
     if kind_of < 0.3:
@@ -113,8 +136,14 @@
     elif kind_of < 0.6:
         duties = ("drill", "warden@0")
     # Every act is told to all that watch: with many instances fewer of them show as much.
-    return Trial(instances=instances, ttl_s=ttl_s, duties=duties, drill_s=0.1 if instances <= FEW else 0.5,
-                 faults=tuple(sorted(drawn, key=lambda one: one.at_s)), wild_clocks=chance.random() < wild)
+    return Trial(
+        instances=instances,
+        ttl_s=ttl_s,
+        duties=duties,
+        drill_s=0.1 if instances <= FEW else 0.5,
+        faults=tuple(sorted(drawn, key=lambda one: one.at_s)),
+        wild_clocks=chance.random() < wild,
+    )
 
 
 AnyTrial = TypeVar("AnyTrial", bound="DataclassInstance")
@@ -123,4 +152,4 @@
 def without(trial: AnyTrial, number: int) -> AnyTrial:
     """The same trial with one fault less, for the shrinker."""
     faults = trial.faults  # type: ignore[attr-defined]
-    return replace(trial, faults=faults[:number] + faults[number + 1:])
+    return replace(trial, faults=faults[:number] + faults[number + 1 :])
--- a/coveport/lab/trials/search.py
+++ b/coveport/lab/trials/search.py
@@ -24,11 +24,13 @@
 
 Drawn = Trial | sim.WorkTrial | fleet_sim.FleetTrial
 # Kinds of trials, and who draws them.
-DRAWS: dict[str, Callable[[int, int], Drawn]] = {
-    "duties": draw, "work": sim.draw, "fleet": fleet_sim.draw}
+DRAWS: dict[str, Callable[[int, int], Drawn]] = {"duties": draw, "work": sim.draw, "fleet": fleet_sim.draw}
 
 VARIANTS_OF: dict[str, Sequence[str]] = {
-    "duties": tuple(VARIANTS), "work": tuple(WORK_VARIANTS), "fleet": tuple(FLEET_VARIANTS)}
+    "duties": tuple(VARIANTS),
+    "work": tuple(WORK_VARIANTS),
+    "fleet": tuple(FLEET_VARIANTS),
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,18 +56,23 @@
     return play(trial, seed, VARIANTS.get(variant, SOUND)).findings
 
 
-def _chunk(variant: str, instances: int, kind: str, seeds: Sequence[int]
-           ) -> list[tuple[int, Found | None]]:
+def _chunk(variant: str, instances: int, kind: str, seeds: Sequence[int]) -> list[tuple[int, Found | None]]:
     return [(seed, _try(variant, instances, kind, seed)) for seed in seeds]
 
 
-def hunt(seeds: range, instances: int = 5, variant: str = "", workers: int = 0,
-         first: bool = False, kind: str = "duties") -> Iterator[tuple[int, Found | None]]:
+def hunt(
+    seeds: range,
+    instances: int = 5,
+    variant: str = "",
+    workers: int = 0,
+    first: bool = False,
+    kind: str = "duties",
+) -> Iterator[tuple[int, Found | None]]:
     """Each seed and what it broke, in the order of the seeds. `first`: no further ones after a find.
 
     `kind`: one of `DRAWS`. `workers` 0: one a core; 1: in this process.
     """
-    chunks = [seeds[at:at + CHUNK] for at in range(0, len(seeds), CHUNK)]
+    chunks = [seeds[at : at + CHUNK] for at in range(0, len(seeds), CHUNK)]
     workers = workers or os.cpu_count() or 1
     if workers == 1:
         for seed in seeds:
--- a/coveport/lab/trials/simstore.py
+++ b/coveport/lab/trials/simstore.py
@@ -110,11 +110,15 @@
 
     async def commit(self, transaction: Transaction) -> Outcome:
         """Carry it out, or not."""
-        claim = any(one.field is Field.CREATED and not one.equals and "/duty/" in one.key
-                    for one in transaction.compares)
+        claim = any(
+            one.field is Field.CREATED and not one.equals and "/duty/" in one.key
+            for one in transaction.compares
+        )
         act = any("/state/" in one.key for one in transaction.changes)
-        return await self._call(lambda: self._host.engine.commit(self._host.now(), transaction),
-                                "claim" if claim else "act" if act else "")
+        return await self._call(
+            lambda: self._host.engine.commit(self._host.now(), transaction),
+            "claim" if claim else "act" if act else "",
+        )
 
     async def commit_all(self, transactions: Sequence[Transaction]) -> list[Outcome]:
         """Several calls at a time, each by itself."""
--- a/coveport/lab/trials/town.py
+++ b/coveport/lab/trials/town.py
@@ -51,14 +51,21 @@
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
                 method, target, _ = head[0].split(" ", 2)
-                headers = {name.strip().lower(): value.strip()
-                           for name, _, value in (line.partition(":") for line in head[1:] if line)}
+                headers = {
+                    name.strip().lower(): value.strip()
+                    for name, _, value in (line.partition(":") for line in head[1:] if line)
+                }
                 body = await reader.readexactly(int(headers.get("content-length", "0")))
                 status, said = await self._answer(Request(method, target, headers, body))
                 writer.write(b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n" % (status, len(said)) + said)
                 await writer.drain()
-        except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError,
-                asyncio.CancelledError):
+        except (
+            OSError,
+            asyncio.IncompleteReadError,
+            asyncio.LimitOverrunError,
+            ValueError,
+            asyncio.CancelledError,
+        ):
             pass  # its caller went away, or the trial is over
         finally:
             self._writers.discard(writer)
@@ -90,8 +97,9 @@
         if path == "/ping":
             self.probes += 1
             return 200, b"{}"
-        self.ran.append(Ran(time.time(), self.number, request.headers.get("x-request-id", ""),
-                            path.split("/")[1]))
+        self.ran.append(
+            Ran(time.time(), self.number, request.headers.get("x-request-id", ""), path.split("/")[1])
+        )
         await asyncio.sleep(self.service_s)
         if self.failing:
             return 500, b"{}"
@@ -165,13 +173,24 @@
         town.list_all()
         return town
 
-    def hosts(self, ports: Mapping[int, int] | None = None,
-              born_ms: Mapping[int, float] | None = None) -> list[dict[str, object]]:
+    def hosts(
+        self, ports: Mapping[int, int] | None = None, born_ms: Mapping[int, float] | None = None
+    ) -> list[dict[str, object]]:
         """The list; `ports`: by which nodes are reached instead of their own; `born_ms`: of those just up."""
         at = {node.number: node.stand.port for node in self.nodes} | dict(ports or {})
-        return [{"host": f"n{node.number}", "dial": f"127.0.0.1:{at[node.number]}", "site": "bilbao",
-                 "class": "toy", "block": getattr(node, "block", 0), "health": "active", "share": 1.0,
-                 "born_ms": (born_ms or {}).get(node.number, 0)} for node in self.nodes]
+        return [
+            {
+                "host": f"n{node.number}",
+                "dial": f"127.0.0.1:{at[node.number]}",
+                "site": "bilbao",
+                "class": "toy",
+                "block": getattr(node, "block", 0),
+                "health": "active",
+                "share": 1.0,
+                "born_ms": (born_ms or {}).get(node.number, 0),
+            }
+            for node in self.nodes
+        ]
 
     def list_all(self, born_ms: Mapping[int, float] | None = None) -> None:
         """Have discovery list all nodes; `born_ms`: of those that have just started (Unix ms)."""
@@ -189,8 +208,10 @@
         try:
             reader, writer = await asyncio.wait_for(asyncio.open_connection("127.0.0.1", port), wait_s)
             try:
-                writer.write(b"GET /balance/7 HTTP/1.1\r\nHost: x\r\nX-Request-Id: t%d\r\nX-Deadline: %dm\r\n"
-                             b"Connection: close\r\n\r\n" % (number, wait_s * 1000))
+                writer.write(
+                    b"GET /balance/7 HTTP/1.1\r\nHost: x\r\nX-Request-Id: t%d\r\nX-Deadline: %dm\r\n"
+                    b"Connection: close\r\n\r\n" % (number, wait_s * 1000)
+                )
                 line = await asyncio.wait_for(reader.readline(), wait_s + 0.5)
                 status = int(line.split()[1]) if line else 0
             finally:
--- a/coveport/lab/trials/variants.py
+++ b/coveport/lab/trials/variants.py
@@ -123,8 +123,9 @@
 
 
 class _NoFence(Keeper):
-    async def act(self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (),
-                  what: str = "") -> Outcome | None:
+    async def act(
+        self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
+    ) -> Outcome | None:
         token = self.holds(duty)
         if not token:
             return None
@@ -132,16 +133,23 @@
         outcome = await self._call(
             "act", self._store.commit(Transaction((), tuple(map(self._whole, changes))))
         )
-        self._history("act_ended", duty=duty, token=token, what=what, end=type(outcome).__name__,
-                      revision=0 if isinstance(outcome, Unknown) else outcome.revision)
+        self._history(
+            "act_ended",
+            duty=duty,
+            token=token,
+            what=what,
+            end=type(outcome).__name__,
+            revision=0 if isinstance(outcome, Unknown) else outcome.revision,
+        )
         return outcome
 
 
 class _ActsOnBelief(Keeper):
     """Holds its own word for enough, and fences with whatever token stands."""
 
-    async def act(self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (),
-                  what: str = "") -> Outcome | None:
+    async def act(
+        self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
+    ) -> Outcome | None:
         token = self.holder.believes(self._now_s(), duty)
         if not token:
             return None
@@ -149,8 +157,14 @@
         outcome = await self._call(
             "act", self._store.commit(Transaction((), tuple(map(self._whole, changes))))
         )
-        self._history("act_ended", duty=duty, token=token, what=what, end=type(outcome).__name__,
-                      revision=0 if isinstance(outcome, Unknown) else outcome.revision)
+        self._history(
+            "act_ended",
+            duty=duty,
+            token=token,
+            what=what,
+            end=type(outcome).__name__,
+            revision=0 if isinstance(outcome, Unknown) else outcome.revision,
+        )
         return outcome
 
 
@@ -162,8 +176,9 @@
             call.close()
             duty = next(name for name, one in self.holder.duties.items() if one.state is State.CLAIMING)
             key = self._prefix + DUTY + duty
-            call = self._store.commit(Transaction((), (Put(key, self.holder.incarnation.encode(),
-                                                           self.holder.lease),)))
+            call = self._store.commit(
+                Transaction((), (Put(key, self.holder.incarnation.encode(), self.holder.lease),))
+            )
         return await super()._call(kind, call)
 
 
@@ -174,8 +189,9 @@
         if kind == "look" and self.holder.session is Session.IN:
             for duty, one in self.holder.duties.items():
                 if one.state is State.IDLE and self._chance.random() < 0.2:
-                    await super()._call("release", self._store.commit(
-                        Transaction((), (Delete(self._prefix + DUTY + duty),))))
+                    await super()._call(
+                        "release", self._store.commit(Transaction((), (Delete(self._prefix + DUTY + duty),)))
+                    )
         return await super()._call(kind, call)
 
 
@@ -337,10 +353,18 @@
             ("once", "lost"),
             runner=_ReadsTooEarly,
         ),
-        Variant("forgets-what-was-granted", "a warden that takes over counts nothing as in use", ("flood",),
-            warden=_ForgetsWhatWasGranted),
-    Variant("grants-without-end", "a warden counts what it granted as used up", ("flood",),
-            warden=_GrantsWithoutEnd),
-    Variant("forgets-grants", "a successor begins anew", ("lost", "once"), drill=_ForgetsGrants),
+        Variant(
+            "forgets-what-was-granted",
+            "a warden that takes over counts nothing as in use",
+            ("flood",),
+            warden=_ForgetsWhatWasGranted,
+        ),
+        Variant(
+            "grants-without-end",
+            "a warden counts what it granted as used up",
+            ("flood",),
+            warden=_GrantsWithoutEnd,
+        ),
+        Variant("forgets-grants", "a successor begins anew", ("lost", "once"), drill=_ForgetsGrants),
     )
 }
--- a/coveport/lab/trials/virtual.py
+++ b/coveport/lab/trials/virtual.py
@@ -69,8 +69,10 @@
         self.faults: list[str] = []
         self.calls: dict[str, int] = {}
         self.out: list[str] = []  # who is not in session at the end
-        self.instances = [_Instance(number, self._rate(), Way(), Process.start(self.world, f"s{number}"))
-                          for number in range(trial.instances)]
+        self.instances = [
+            _Instance(number, self._rate(), Way(), Process.start(self.world, f"s{number}"))
+            for number in range(trial.instances)
+        ]
 
     def _rate(self) -> float:
         # Any two within the stated drift; wild ones run at up to three times each other's pace.
@@ -94,19 +96,38 @@
         chance = random.Random(self.chance.random())
         terms = Terms(self.trial.ttl_s, self.trial.margin_s, self.trial.drift)
         store = SimStore(process, self.host, one.way, chance)
-        keeper = self.variant.keeper(store, name=f"s{one.number}", incarnation=incarnation,
-                                     duties=self.trial.duties, terms=terms, now_s=now_s, history=history,
-                                     chance=chance, holder=self.variant.holder)
+        keeper = self.variant.keeper(
+            store,
+            name=f"s{one.number}",
+            incarnation=incarnation,
+            duties=self.trial.duties,
+            terms=terms,
+            now_s=now_s,
+            history=history,
+            chance=chance,
+            holder=self.variant.holder,
+        )
         drill = self.variant.drill(incarnation)
         drill.every_s = self.trial.drill_s
-        duties: dict[str, Duty] = {"drill": drill, "rollout": Rollout(hold_s=1.0, apply_s=20.0),
-                                   "warden@0": self.variant.warden(0, incarnation, SAFE, self.trial.drift)}
+        duties: dict[str, Duty] = {
+            "drill": drill,
+            "rollout": Rollout(hold_s=1.0, apply_s=20.0),
+            "warden@0": self.variant.warden(0, incarnation, SAFE, self.trial.drift),
+        }
         runners = {name: self.variant.runner(keeper, duties[name], now_s) for name in self.trial.duties}
         keeper.on_began = lambda duty, token: runners[duty].began(token)
         keeper.on_ended = lambda duty, token, why: runners[duty].ended()
         one.keeper, one.runners = keeper, list(runners.values())
-        part = Part(keeper, f"s{one.number}", incarnation, self.trial.duties, now_s,
-                    lambda: self.world.now - START_S, history, chance)
+        part = Part(
+            keeper,
+            f"s{one.number}",
+            incarnation,
+            self.trial.duties,
+            now_s,
+            lambda: self.world.now - START_S,
+            history,
+            chance,
+        )
         process.call_soon(part.start)
 
     def end(self, one: _Instance) -> None:
@@ -129,9 +150,13 @@
         for fault in self.trial.faults:
             self.world.at(START_S + fault.at_s, self.strike, fault)
         self.world.run(START_S + self.trial.lasts_s)
-        self.out = [f"s{one.number} is {one.keeper.holder.session.value} at the end" for one in self.instances
-                    if one.keeper is not None and one.process.alive
-                    and one.keeper.holder.session not in (Session.IN, Session.WARY)]
+        self.out = [
+            f"s{one.number} is {one.keeper.holder.session.value} at the end"
+            for one in self.instances
+            if one.keeper is not None
+            and one.process.alive
+            and one.keeper.holder.session not in (Session.IN, Session.WARY)
+        ]
         for one in self.instances:
             self.end(one)
 
@@ -139,8 +164,11 @@
         """Whom it hits."""
         if fault.target == HOLDER:
             for one in self.instances:
-                if one.process.alive and one.keeper is not None and any(
-                        one.keeper.holder.believes(1e-9, duty) for duty in self.trial.duties):
+                if (
+                    one.process.alive
+                    and one.keeper is not None
+                    and any(one.keeper.holder.believes(1e-9, duty) for duty in self.trial.duties)
+                ):
                     return one
             return self.instances[0]
         return self.instances[int(fault.target) % len(self.instances)]
@@ -149,8 +177,16 @@
         """Let it happen, and see to its end."""
         over = self.world.now + fault.lasts_s
         kind = fault.kind
-        self.histories.add(Record(self.world.now, "nemesis", "", "fault", self.world.now,
-                                  {"kind": kind, "target": fault.target, "lasts": fault.lasts_s}))
+        self.histories.add(
+            Record(
+                self.world.now,
+                "nemesis",
+                "",
+                "fault",
+                self.world.now,
+                {"kind": kind, "target": fault.target, "lasts": fault.lasts_s},
+            )
+        )
         if kind == "store_stall":
             self.host.held_until = over
         elif kind == "store_away":
@@ -222,10 +258,15 @@
                 way.back = True
             if kind == "slow":
                 way.back_s = Way().back_s
-            way.lose, way.late, way.double = ((0.0, way.late, way.double) if kind == "lossy" else
-                                              (way.lose, 0.0, way.double) if kind == "late" else
-                                              (way.lose, way.late, 0.0) if kind == "double" else
-                                              (way.lose, way.late, way.double))
+            way.lose, way.late, way.double = (
+                (0.0, way.late, way.double)
+                if kind == "lossy"
+                else (way.lose, 0.0, way.double)
+                if kind == "late"
+                else (way.lose, way.late, 0.0)
+                if kind == "double"
+                else (way.lose, way.late, way.double)
+            )
 
         self.world.at(over, mend)
 
@@ -253,11 +294,23 @@
             # Another may hold it all the while: whoever is well must be in again all the same.
             findings += [judge.Finding("again", end, what) for what in self.out]
         findings += [judge.Finding("crash", end, what) for what in self.faults]
-        findings += [judge.Finding("crash", end, f"s{one.number} is estranged") for one in self.instances
-                     if one.keeper is not None and one.keeper.holder.session is Session.ESTRANGED]
+        findings += [
+            judge.Finding("crash", end, f"s{one.number} is estranged")
+            for one in self.instances
+            if one.keeper is not None and one.keeper.holder.session is Session.ESTRANGED
+        ]
         lived = trial.lasts_s * trial.instances
-        return Played(trial, seed, self.histories, acts, held, findings, self.calls,
-                      sum(self.calls.values()) / lived, self.world.calls)
+        return Played(
+            trial,
+            seed,
+            self.histories,
+            acts,
+            held,
+            findings,
+            self.calls,
+            sum(self.calls.values()) / lived,
+            self.world.calls,
+        )
 
 
 def play(trial: Trial, seed: int, variant: Variant = SOUND) -> Played:
--- a/coveport/lab/trials/work/hands.py
+++ b/coveport/lab/trials/work/hands.py
@@ -64,8 +64,16 @@
 class _Step:
     """A route step on its way."""
 
-    def __init__(self, hands: SimHands, operation: int, number: int, asked: Operation, cls: str,
-                 node: SimNode, timeout_ms: float) -> None:
+    def __init__(
+        self,
+        hands: SimHands,
+        operation: int,
+        number: int,
+        asked: Operation,
+        cls: str,
+        node: SimNode,
+        timeout_ms: float,
+    ) -> None:
         self.hands, self.operation, self.number = hands, operation, number
         self.asked, self.cls, self.node = asked, cls, node
         self.over = self.handed = False
@@ -85,8 +93,9 @@
             hands.process.call_later(0.001 if not self.node.up else 0.1, self.end, api.Outcome.CONNECT_FAILED)
         else:
             # News from outside, not a timer: it comes before what came later, however long we stood still.
-            hands.world.at(hands.world.now + hands.chance.uniform(*CONNECT_S),
-                           hands.process.call_soon, self.connected)
+            hands.world.at(
+                hands.world.now + hands.chance.uniform(*CONNECT_S), hands.process.call_soon, self.connected
+            )
             if hands.stall_s:
                 hands.process.stall(hands.stall_s)
                 hands.stall_s = 0.0
@@ -143,8 +152,15 @@
 class SimHands:
     """One instance's reducer, and what it asks for."""
 
-    def __init__(self, world: World, process: Process, nodes: list[SimNode], settings: api.Settings,
-                 way: NodeWay, chance: random.Random) -> None:
+    def __init__(
+        self,
+        world: World,
+        process: Process,
+        nodes: list[SimNode],
+        settings: api.Settings,
+        way: NodeWay,
+        chance: random.Random,
+    ) -> None:
         self.world, self.process, self.nodes, self.way = world, process, nodes, way
         self.settings, self.chance = settings, chance
         self.records: Any = None
@@ -155,8 +171,13 @@
         self._busy = False
         self.count = 0
         self.stall_s = 0.0  # the worst moment: it stands still so long right before its next attempt goes
-        self.feed(core.PoolTold(api.ListUpdate(api.ListKind.FULL, tuple(
-            api.HostEntry(one.number, 0, one.block) for one in nodes), 1)))
+        self.feed(
+            core.PoolTold(
+                api.ListUpdate(
+                    api.ListKind.FULL, tuple(api.HostEntry(one.number, 0, one.block) for one in nodes), 1
+                )
+            )
+        )
 
     # What the recorder asks of it.
 
@@ -176,8 +197,19 @@
                 return
         self._open[number] = _Open(client, asked)
         self.pending += 1
-        self.feed(core.OperationCame(number, asked.cls, self.now_ms() + asked.wait_ms, asked.repeat, 0.0,
-                                     asked.room, asked.id, False, asked.before))
+        self.feed(
+            core.OperationCame(
+                number,
+                asked.cls,
+                self.now_ms() + asked.wait_ms,
+                asked.repeat,
+                0.0,
+                asked.room,
+                asked.id,
+                False,
+                asked.before,
+            )
+        )
 
     def withdraw(self, number: int) -> None:
         """It is another's."""
@@ -236,19 +268,29 @@
         elif isinstance(effect, core.ProbeDestination):
             node = self.nodes[effect.destination]
             fine = node.up and self.way.out and self.way.back
-            later(0.005 if fine else 0.2, self.feed, core.ProbeEnded(
-                node.number, api.Outcome.OK if fine else api.Outcome.CONNECT_FAILED, 5.0))
+            later(
+                0.005 if fine else 0.2,
+                self.feed,
+                core.ProbeEnded(node.number, api.Outcome.OK if fine else api.Outcome.CONNECT_FAILED, 5.0),
+            )
         elif isinstance(effect, core.Complain):
             raise AssertionError(effect.text)
 
     def _send(self, effect: core.SendStep) -> None:
         opened = self._open[effect.operation]
-        step = _Step(self, effect.operation, effect.step, opened.asked,
-                     self.settings.classes[opened.asked.cls].name, self.nodes[effect.destination],
-                     effect.timeout_ms)
+        step = _Step(
+            self,
+            effect.operation,
+            effect.step,
+            opened.asked,
+            self.settings.classes[opened.asked.cls].name,
+            self.nodes[effect.destination],
+            effect.timeout_ms,
+        )
         opened.steps[effect.step] = step
-        if self.records is None or self.records.send(effect.operation, effect.step, effect.destination,
-                                                     step.go):
+        if self.records is None or self.records.send(
+            effect.operation, effect.step, effect.destination, step.go
+        ):
             self.process.call_soon(step.go, lambda: True)
 
     def step_ended(self, step: _Step, outcome: api.Outcome, answer: Answer | None) -> None:
@@ -343,9 +385,20 @@
         hands.count += 1
         self.number = hands.count
         cls = next(at for at, one in enumerate(hands.settings.classes) if one.name == self.wish.cls)
-        hands.take(self.number, self, Operation(
-            "POST", f"/{self.wish.cls}/7", self.wish.key.encode(), self.identity, self.wish.key, cls, wait_ms,
-            self.again))
+        hands.take(
+            self.number,
+            self,
+            Operation(
+                "POST",
+                f"/{self.wish.cls}/7",
+                self.wish.key.encode(),
+                self.identity,
+                self.wish.key,
+                cls,
+                wait_ms,
+                self.again,
+            ),
+        )
 
     def answer(self, verdict: core.Verdict, answer: Answer | None, retry_after_ms: float) -> None:
         """The one final answer."""
@@ -365,5 +418,3 @@
         if not self.ended:
             self.ended = True
             self.tills.told(self.wish, verdict, body)
-
-
--- a/coveport/lab/trials/work/sim.py
+++ b/coveport/lab/trials/work/sim.py
@@ -40,9 +40,29 @@
 CALL_S = 0.25
 # By how much instances' wall clocks are wrong, s: right, some seconds off, or an hour.
 WALLS = (0.0, 0.0, 5.0, -5.0, 3700.0, -3700.0)
-KINDS = ("kill", "kill", "stall", "stall", "cut", "cut_out", "cut_back", "lossy", "late", "slow", "leave",
-         "node_cut", "node_lost", "node_mute", "node_down", "half_killed", "store_away", "store_stall",
-         "sleep", "send_stall", "send_stall")
+KINDS = (
+    "kill",
+    "kill",
+    "stall",
+    "stall",
+    "cut",
+    "cut_out",
+    "cut_back",
+    "lossy",
+    "late",
+    "slow",
+    "leave",
+    "node_cut",
+    "node_lost",
+    "node_mute",
+    "node_down",
+    "half_killed",
+    "store_away",
+    "store_stall",
+    "sleep",
+    "send_stall",
+    "send_stall",
+)
 CHAINED = 0.3  # share that follow a loss within the window, at somebody else or at the same
 
 
@@ -76,20 +96,36 @@
         kind = chance.choice(KINDS)
         if drawn and chance.random() < CHAINED:
             # A takeover that is taken over: whoever took it up is lost as well.
-            drawn.append(Fault(round(drawn[-1].at_s + chance.uniform(0.1, 6.0), 3),
-                               chance.choice(("kill", "stall", "half_killed", "cut")),
-                               str(chance.randrange(instances)), round(chance.uniform(0.5, 8.0), 3)))
+            drawn.append(
+                Fault(
+                    round(drawn[-1].at_s + chance.uniform(0.1, 6.0), 3),
+                    chance.choice(("kill", "stall", "half_killed", "cut")),
+                    str(chance.randrange(instances)),
+                    round(chance.uniform(0.5, 8.0), 3),
+                )
+            )
             continue
         lasts = min(30.0, 0.1 * 300 ** chance.random())
         if kind.startswith("store"):
             lasts = min(lasts, 8.0)
-        target = "" if kind in ("half_killed", "store_away", "store_stall") else str(
-            chance.randrange(instances))
-        drawn.append(Fault(round(chance.uniform(1.5, 12.0), 3), kind, target, round(lasts, 3),
-                           round(chance.uniform(0.1, 0.9), 2)))
-    return WorkTrial(instances=instances, rate=5.0 * min(instances, 10),
-                     refuse=("earn", "redeem") if chance.random() < 0.6 else (),
-                     faults=tuple(sorted(drawn, key=lambda one: one.at_s)))
+        target = (
+            "" if kind in ("half_killed", "store_away", "store_stall") else str(chance.randrange(instances))
+        )
+        drawn.append(
+            Fault(
+                round(chance.uniform(1.5, 12.0), 3),
+                kind,
+                target,
+                round(lasts, 3),
+                round(chance.uniform(0.1, 0.9), 2),
+            )
+        )
+    return WorkTrial(
+        instances=instances,
+        rate=5.0 * min(instances, 10),
+        refuse=("earn", "redeem") if chance.random() < 0.6 else (),
+        faults=tuple(sorted(drawn, key=lambda one: one.at_s)),
+    )
 
 
 class Plain(Kept):
@@ -100,8 +136,9 @@
 
     def asked(self, identity: str, asked: KeptAsked) -> bytes:
         """A request as it is."""
-        return json.dumps([asked.method, asked.target, asked.body.decode(), asked.request_id,
-                           asked.key]).encode()
+        return json.dumps(
+            [asked.method, asked.target, asked.body.decode(), asked.request_id, asked.key]
+        ).encode()
 
     def given(self, identity: str, given: Given) -> bytes:
         """An answer as it is."""
@@ -169,8 +206,15 @@
         self.counts: dict[str, int] = {}
         self.losses: list[float] = []
         self.instances = [
-            _Instance(number, self.chance.uniform(0.99, 1.01), Way(), NodeWay(),
-                      Process.start(self.world, f"s{number}")) for number in range(trial.instances)]
+            _Instance(
+                number,
+                self.chance.uniform(0.99, 1.01),
+                Way(),
+                NodeWay(),
+                Process.start(self.world, f"s{number}"),
+            )
+            for number in range(trial.instances)
+        ]
         walls = random.Random(f"walls {seed}")
         for one in self.instances:
             one.wall_off_s = walls.choice(WALLS)
@@ -195,9 +239,16 @@
             self.counts[what] = self.counts.get(what, 0) + 1
 
         variant, trial = self.variant, self.trial
-        keeper = Keeper(SimStore(process, self.host, one.way, chance), name=name, incarnation=incarnation,
-                        duties=(), terms=Terms(trial.ttl_s, 0.2, 0.02), now_s=now_s, history=say,
-                        chance=chance)
+        keeper = Keeper(
+            SimStore(process, self.host, one.way, chance),
+            name=name,
+            incarnation=incarnation,
+            duties=(),
+            terms=Terms(trial.ttl_s, 0.2, 0.02),
+            now_s=now_s,
+            history=say,
+            chance=chance,
+        )
         one.keeper = keeper
         one.hands = hands = SimHands(self.world, process, self.nodes, self.settings, one.node_way, chance)
         presence = Presence(incarnation, trial.ttl_s)
@@ -210,18 +261,39 @@
             return entry.created if inside and entry is not None else 0
 
         layout = variant.layout(PREFIX, trial.kept_s)
-        recorder = variant.recorder(hands, journal, layout, variant.kept(), presence, terms, incarnation,
-                                    session=token, now_s=now_s, chance=chance, count=count, say=say,
-                                    unix_s=unix_s)
-        takers = variant.takers(recorder, name, pace=Pace(50.0, 16), now_s=now_s, unix_s=unix_s,
-                                chance=chance, busy=lambda: hands.pending > 16, count=count, say=say)
+        recorder = variant.recorder(
+            hands,
+            journal,
+            layout,
+            variant.kept(),
+            presence,
+            terms,
+            incarnation,
+            session=token,
+            now_s=now_s,
+            chance=chance,
+            count=count,
+            say=say,
+            unix_s=unix_s,
+        )
+        takers = variant.takers(
+            recorder,
+            name,
+            pace=Pace(50.0, 16),
+            now_s=now_s,
+            unix_s=unix_s,
+            chance=chance,
+            busy=lambda: hands.pending > 16,
+            count=count,
+            say=say,
+        )
         one.recorder = recorder
         self._watch_unrecorded(recorder, hands)
 
         def changed(key: str, entry: Entry | None) -> None:
             if not key.startswith(INSTANCE):
                 return
-            other = key[len(INSTANCE):]
+            other = key[len(INSTANCE) :]
             if entry is None:
                 takers.gone(presence.gone(now_s(), other))
                 return
@@ -275,8 +347,9 @@
     def end(self, one: _Instance, planned: bool = False) -> None:
         """Its process is gone."""
         if one.process.alive:
-            self.problems += [str(problem.get("exception") or problem["message"])
-                              for problem in one.process.problems]
+            self.problems += [
+                str(problem.get("exception") or problem["message"]) for problem in one.process.problems
+            ]
             if not planned:
                 self.losses.append(self.world.now)
         one.process.kill()
@@ -322,8 +395,10 @@
                 process = one.process
                 process.call_soon(lambda: process.create_task(leave()))
                 hands, one.hands = one.hands, None  # tills are led elsewhere
-                self.world.at(self.world.now + LEAVE_S - 0.2,
-                              lambda: process.call_soon(lambda: process.create_task(recorder.left())))
+                self.world.at(
+                    self.world.now + LEAVE_S - 0.2,
+                    lambda: process.call_soon(lambda: process.create_task(recorder.left())),
+                )
                 self.world.at(self.world.now + LEAVE_S, self.end, one, True)
                 self.world.at(max(over, self.world.now + LEAVE_S + 0.1), self.again, one)
                 assert hands is not None
@@ -388,32 +463,52 @@
         """What came of it."""
         records = self.records()
         ran = [one for node in self.nodes for one in node.ran]
-        asked = [Asked(at, 0, wish.cls, wish.key, "", 200 if verdict == "served" else 503, body)
-                 for wish in self.tills.wishes for at, verdict, body in wish.told]
+        asked = [
+            Asked(at, 0, wish.cls, wish.key, "", 200 if verdict == "served" else 503, body)
+            for wish in self.tills.wishes
+            for at, verdict, body in wish.told
+        ]
         ends = {key: record.said for key, record in records.items() if key not in self.unrecorded}
         findings = judge(asked, ran, ends, frozenset(self.unrecorded))
         end = START_S + self.trial.lasts_s
-        findings += [Finding("open", end, f"{key} is {record.said} at the end, of {record.owner}")
-                     for key, record in records.items() if record.open]
+        findings += [
+            Finding("open", end, f"{key} is {record.said} at the end, of {record.owner}")
+            for key, record in records.items()
+            if record.open
+        ]
         findings += self._passed_on()
-        findings += [Finding("tries", end, f"{key}: {len(record.attempts)} attempts")
-                     for key, record in records.items()
-                     if len(record.attempts) > record.rules.most_attempts]
+        findings += [
+            Finding("tries", end, f"{key}: {len(record.attempts)} attempts")
+            for key, record in records.items()
+            if len(record.attempts) > record.rules.most_attempts
+        ]
         runs: dict[str, int] = {}
         for one in ran:
             runs[one.key] = runs.get(one.key, 0) + 1
-        findings += [Finding("tries", end, f"{key} was sent {count} times")
-                     for key, count in runs.items() if key not in self.unrecorded
-                     and count > self.settings.limits.max_attempts * (records[key].lives if key in records
-                                                                      else 1)]
+        findings += [
+            Finding("tries", end, f"{key} was sent {count} times")
+            for key, count in runs.items()
+            if key not in self.unrecorded
+            and count > self.settings.limits.max_attempts * (records[key].lives if key in records else 1)
+        ]
         findings += [Finding("crash", end, what) for what in self.problems]
         said: dict[str, int] = {}
         for record in records.values():
             said[record.said] = said.get(record.said, 0) + 1
-        return Played(self.trial, seed, findings, len(self.tills.wishes),
-                      sum(wish.over for wish in self.tills.wishes), len(ran), said, self.counts,
-                      self._closed_s(), sum(wish.over for wish in self.tills.wishes)
-                      / max(1, len(self.tills.wishes)), self._twice(ran), len(self.losses))
+        return Played(
+            self.trial,
+            seed,
+            findings,
+            len(self.tills.wishes),
+            sum(wish.over for wish in self.tills.wishes),
+            len(ran),
+            said,
+            self.counts,
+            self._closed_s(),
+            sum(wish.over for wish in self.tills.wishes) / max(1, len(self.tills.wishes)),
+            self._twice(ran),
+            len(self.losses),
+        )
 
     @staticmethod
     def _twice(ran: list[Ran]) -> int:
@@ -435,9 +530,10 @@
                 continue
             before = last.get(change.key)
             chain = (*record.owners, record.owner)
-            if before is not None and chain[:len(before.owners) + 1] != (*before.owners, before.owner):
-                found.append(Finding("owners", at, f"{record.key}: {record.owner} wrote what was "
-                                                   f"{before.owner}'s"))
+            if before is not None and chain[: len(before.owners) + 1] != (*before.owners, before.owner):
+                found.append(
+                    Finding("owners", at, f"{record.key}: {record.owner} wrote what was {before.owner}'s")
+                )
             last[change.key] = record
         return found
 
@@ -459,4 +555,3 @@
         with variant.while_played():
             one.run()
         return one.judged(seed)
-
--- a/coveport/lab/trials/work/variants.py
+++ b/coveport/lab/trials/work/variants.py
@@ -126,8 +126,15 @@
 
     async def _done_with(self, one: Hand, client: Any, record: Record, entry: Entry) -> bool:
         if record.open and self._owner(record) is not again.Owner.OURS:
-            ours = msgspec.structs.replace(record, owner=self.incarnation, token=self.token, attempts=(),
-                                           state=State.TAKEN, since=0, owners=(*record.owners, record.owner))
+            ours = msgspec.structs.replace(
+                record,
+                owner=self.incarnation,
+                token=self.token,
+                attempts=(),
+                state=State.TAKEN,
+                since=0,
+                owners=(*record.owners, record.owner),
+            )
             taken = await self.claim(record, entry, ours)
             return taken is not None and self._take_on(one, client, ours, taken, entry)
         return await super()._done_with(one, client, record, entry)
@@ -139,16 +146,18 @@
 class _NoCompare(RecordLayout):
     """Writes a record whatever stands there."""
 
-    def write(self, before: Record | None, revision: int, after: Record,
-              more: tuple[Any, ...] = ()) -> Transaction:
+    def write(
+        self, before: Record | None, revision: int, after: Record, more: tuple[Any, ...] = ()
+    ) -> Transaction:
         return replace(super().write(before, revision, after, more), compares=())
 
 
 class _ClaimsOver(RecordLayout):
     """Claims without a compare."""
 
-    def write(self, before: Record | None, revision: int, after: Record,
-              more: tuple[Any, ...] = ()) -> Transaction:
+    def write(
+        self, before: Record | None, revision: int, after: Record, more: tuple[Any, ...] = ()
+    ) -> Transaction:
         made = super().write(before, revision, after, more)
         claimed = before is not None and before.owner != after.owner
         return replace(made, compares=()) if claimed else made
@@ -157,11 +166,14 @@
 class _NoIndex(RecordLayout):
     """Leaves nothing by which what is open is found."""
 
-    def write(self, before: Record | None, revision: int, after: Record,
-              more: tuple[Any, ...] = ()) -> Transaction:
+    def write(
+        self, before: Record | None, revision: int, after: Record, more: tuple[Any, ...] = ()
+    ) -> Transaction:
         made = super().write(before, revision, after, more)
-        return replace(made, changes=tuple(one for one in made.changes if not (
-            isinstance(one, Put) and "/o/" in one.key)))
+        return replace(
+            made,
+            changes=tuple(one for one in made.changes if not (isinstance(one, Put) and "/o/" in one.key)),
+        )
 
 
 class _YoungAges(Ages):
@@ -211,6 +223,7 @@
 
 def _says_never_ran(write: Any) -> Any:
     """Writes down late that what it could not record was refused."""
+
     async def written(late: Late, one: Hand) -> bool:
         record = one.record
         attempts = tuple(msgspec.structs.replace(it, ended=api.Outcome.MOOT) for it in record.attempts)
@@ -222,6 +235,7 @@
 
 def _resends(decide: Any) -> Any:
     """A table that sends what may not run twice."""
+
     def table(record: Record, left_ms: float, age_ms: float, room_ms: float) -> Decision:
         found: Decision = decide(record, left_ms, age_ms, room_ms)
         unsafe = record.rules.effect is Effect.UNSAFE and record.may_have_run
@@ -232,9 +246,11 @@
 
 def _takes_sending_for_taken(decide: Any) -> Any:
     """A table that takes an attempt of which nothing was heard for one that was never sent."""
+
     def table(record: Record, left_ms: float, age_ms: float, room_ms: float) -> Decision:
-        ended = tuple(msgspec.structs.replace(one, ended=one.ended or api.Outcome.MOOT)
-                      for one in record.attempts)
+        ended = tuple(
+            msgspec.structs.replace(one, ended=one.ended or api.Outcome.MOOT) for one in record.attempts
+        )
         found: Decision = decide(msgspec.structs.replace(record, attempts=ended), left_ms, age_ms, room_ms)
         return found
 
@@ -243,6 +259,7 @@
 
 def _asks_anywhere(before: Any) -> Any:
     """Tells the module that all was sent where its nodes are now, and just so."""
+
     def told(one: Hand, now: float, now_ms: float) -> tuple[api.Before, ...]:
         return tuple(replace(it, may_have_run=False) for it in before(one, now, now_ms))
 
@@ -251,6 +268,7 @@
 
 def _anew(decide_again: Any) -> Any:
     """Takes what may have run once more, as if it were new."""
+
     def told(record: Record, *rest: Any) -> Any:
         found = decide_again(record, *rest)
         return again.Told(again.Then.ANEW, "") if found.then in (again.Then.TOLD, again.Then.TRY) else found
@@ -260,9 +278,17 @@
 
 def _reopens_all(reopened: Any) -> Any:
     def anew(record: Record, by: str, token: int) -> Record:
-        return msgspec.structs.replace(record, owner=by, token=token, state=State.TAKEN, attempts=(), since=0,
-                                       end=None, lives=record.lives + 1,
-                                       owners=(*record.owners, record.owner))
+        return msgspec.structs.replace(
+            record,
+            owner=by,
+            token=token,
+            state=State.TAKEN,
+            attempts=(),
+            since=0,
+            end=None,
+            lives=record.lives + 1,
+            owners=(*record.owners, record.owner),
+        )
 
     return anew
 
@@ -274,6 +300,7 @@
 
 def _young_again(ours: Any) -> Any:
     """Forgets since when the attempts stand there: each claim makes them young."""
+
     def made(record: Record, entry: Entry, incarnation: str, token: int) -> Record:
         return msgspec.structs.replace(as_ours(record, entry, incarnation, token), since=entry.modified)
 
@@ -282,46 +309,119 @@
 
 SOUND = WorkVariant("sound", "the shipped program")
 
-VARIANTS: dict[str, WorkVariant] = {one.name: one for one in (
-    WorkVariant("sends-at-once", "sends before it is written down", ("never-run", "twice"),
-                recorder=_SendsAtOnce),
-    WorkVariant("unknown-written", "takes a write without an answer for done", ("twice", "never-run", "open"),
-                recorder=_UnknownIsWritten),
-    WorkVariant("unknown-unwritten", "goes on sending where nobody knows what is written",
-                ("never-run", "twice"), recorder=_UnknownIsUnwritten),
-    WorkVariant("says-never-ran", "writes late that what went unrecorded was refused", ("never-run",),
-                while_played=_patched(Late, "write", _says_never_ran)),
-    WorkVariant("forgets-attempts", "tells the module nothing of attempts before", ("twice", "tries"),
-                recorder=_ForgetsAttempts),
-    WorkVariant("refused-is-written", "takes a refused write for done", ("twice", "owners", "open"),
-                recorder=_TakesWhatIsOurs),
-    WorkVariant("begins-beside", "who finds a record open begins anew", ("twice", "tries"),
-                recorder=_AsksOnce),
-    WorkVariant("no-compare", "writes records whatever stands there", ("owners", "twice", "open"),
-                layout=_NoCompare),
-    WorkVariant("claims-over", "claims without a compare", ("owners", "twice", "open"), layout=_ClaimsOver),
-    WorkVariant("no-index", "leaves nothing by which the open ones are found", ("open",), layout=_NoIndex),
-    WorkVariant("wall-sweep", "throws away by wall clocks alone", ("twice", "never-run", "owners"),
-                takers=_SweepsByTheWall),
-    WorkVariant("young-ages", "takes what it reads for as old as the reading", ("twice",), journal=_Young),
-    WorkVariant("unknown-refused", "takes a write without an answer for refused",
-                ("never-run", "twice", "open", "owners"), journal=_LosesAnswers),
-    WorkVariant("never-takes", "sees to nothing that is lost", ("open",), takers=_NeverTakes),
-    WorkVariant("resends", "a table that sends what may not run twice, past the module", ("twice",),
-                while_played=_both(_patched(record_adopter, "decide", _resends),
-                                   _patched(hand.Hand, "before", _asks_anywhere))),
-    WorkVariant("silence-is-unsent", "takes an attempt without a word for one never sent",
-                ("twice", "never-run", "open"),
-                while_played=_patched(record_adopter, "decide", _takes_sending_for_taken)),
-    WorkVariant("asks-anywhere", "tells the module that nothing of before may have run", ("twice",),
-                while_played=_patched(hand.Hand, "before", _asks_anywhere)),
-    WorkVariant("takes-again", "takes what may have run as if it were new", ("twice",),
-                while_played=_both(_patched(recorder, "decide_again", _anew),
-                                   _patched(Record, "reopened", _reopens_all))),
-    WorkVariant("no-fence", "sends however late it comes to it", ("twice", "never-run"),
-                while_played=_patched(hand.Hand, "fence", lambda _: lambda one, now: True)),
-    WorkVariant("crossed-keys", "gives the answer of another key", ("answer",), recorder=_AnswersBefore,
-                while_played=_patched(recorder, "id_of", _one_id)),
-    WorkVariant("young-claims", "each claim makes what it claims young", ("twice",),
-                while_played=_patched(recorder, "as_ours", _young_again)),
-)}
+VARIANTS: dict[str, WorkVariant] = {
+    one.name: one
+    for one in (
+        WorkVariant(
+            "sends-at-once", "sends before it is written down", ("never-run", "twice"), recorder=_SendsAtOnce
+        ),
+        WorkVariant(
+            "unknown-written",
+            "takes a write without an answer for done",
+            ("twice", "never-run", "open"),
+            recorder=_UnknownIsWritten,
+        ),
+        WorkVariant(
+            "unknown-unwritten",
+            "goes on sending where nobody knows what is written",
+            ("never-run", "twice"),
+            recorder=_UnknownIsUnwritten,
+        ),
+        WorkVariant(
+            "says-never-ran",
+            "writes late that what went unrecorded was refused",
+            ("never-run",),
+            while_played=_patched(Late, "write", _says_never_ran),
+        ),
+        WorkVariant(
+            "forgets-attempts",
+            "tells the module nothing of attempts before",
+            ("twice", "tries"),
+            recorder=_ForgetsAttempts,
+        ),
+        WorkVariant(
+            "refused-is-written",
+            "takes a refused write for done",
+            ("twice", "owners", "open"),
+            recorder=_TakesWhatIsOurs,
+        ),
+        WorkVariant(
+            "begins-beside", "who finds a record open begins anew", ("twice", "tries"), recorder=_AsksOnce
+        ),
+        WorkVariant(
+            "no-compare",
+            "writes records whatever stands there",
+            ("owners", "twice", "open"),
+            layout=_NoCompare,
+        ),
+        WorkVariant(
+            "claims-over", "claims without a compare", ("owners", "twice", "open"), layout=_ClaimsOver
+        ),
+        WorkVariant(
+            "no-index", "leaves nothing by which the open ones are found", ("open",), layout=_NoIndex
+        ),
+        WorkVariant(
+            "wall-sweep",
+            "throws away by wall clocks alone",
+            ("twice", "never-run", "owners"),
+            takers=_SweepsByTheWall,
+        ),
+        WorkVariant(
+            "young-ages", "takes what it reads for as old as the reading", ("twice",), journal=_Young
+        ),
+        WorkVariant(
+            "unknown-refused",
+            "takes a write without an answer for refused",
+            ("never-run", "twice", "open", "owners"),
+            journal=_LosesAnswers,
+        ),
+        WorkVariant("never-takes", "sees to nothing that is lost", ("open",), takers=_NeverTakes),
+        WorkVariant(
+            "resends",
+            "a table that sends what may not run twice, past the module",
+            ("twice",),
+            while_played=_both(
+                _patched(record_adopter, "decide", _resends), _patched(hand.Hand, "before", _asks_anywhere)
+            ),
+        ),
+        WorkVariant(
+            "silence-is-unsent",
+            "takes an attempt without a word for one never sent",
+            ("twice", "never-run", "open"),
+            while_played=_patched(record_adopter, "decide", _takes_sending_for_taken),
+        ),
+        WorkVariant(
+            "asks-anywhere",
+            "tells the module that nothing of before may have run",
+            ("twice",),
+            while_played=_patched(hand.Hand, "before", _asks_anywhere),
+        ),
+        WorkVariant(
+            "takes-again",
+            "takes what may have run as if it were new",
+            ("twice",),
+            while_played=_both(
+                _patched(recorder, "decide_again", _anew), _patched(Record, "reopened", _reopens_all)
+            ),
+        ),
+        WorkVariant(
+            "no-fence",
+            "sends however late it comes to it",
+            ("twice", "never-run"),
+            while_played=_patched(hand.Hand, "fence", lambda _: lambda one, now: True),
+        ),
+        WorkVariant(
+            "crossed-keys",
+            "gives the answer of another key",
+            ("answer",),
+            recorder=_AnswersBefore,
+            while_played=_patched(recorder, "id_of", _one_id),
+        ),
+        WorkVariant(
+            "young-claims",
+            "each claim makes what it claims young",
+            ("twice",),
+            while_played=_patched(recorder, "as_ours", _young_again),
+        ),
+    )
+}
--- a/coveport/lab/troubles.py
+++ b/coveport/lab/troubles.py
@@ -102,20 +102,24 @@
     return names.index(name) if name else any_of_them
 
 
-def _chosen(chance: random.Random, scenario: Scenario, nodes: Sequence[NodeDrawn], whom: Whom,
-            sidecars: bool) -> tuple[int, ...]:
+def _chosen(
+    chance: random.Random, scenario: Scenario, nodes: Sequence[NodeDrawn], whom: Whom, sidecars: bool
+) -> tuple[int, ...]:
     fleet = scenario.fleet
     if whom.numbers:
         return whom.numbers
-    pool = [number for number in range(fleet.sidecars if sidecars else fleet.nodes)
-            if not whom.zone or number % len(fleet.zones) == fleet.zones.index(whom.zone)]
+    pool = [
+        number
+        for number in range(fleet.sidecars if sidecars else fleet.nodes)
+        if not whom.zone or number % len(fleet.zones) == fleet.zones.index(whom.zone)
+    ]
     if whom.kind:
         pool = [number for number in pool if nodes[number].kind == whom.kind]
     chance.shuffle(pool)  # the first so many, so that a larger share takes the same ones and more
     if whom.share:
-        pool = pool[:max(1, int(whom.share * len(pool) + 0.5))]
+        pool = pool[: max(1, int(whom.share * len(pool) + 0.5))]
     elif whom.count:
-        pool = pool[:whom.count]
+        pool = pool[: whom.count]
     return tuple(sorted(pool))
 
 
@@ -137,8 +141,9 @@
     return then falls away; a node's place is taken by its replacement, at which later faults aim.
     """
 
-    def __init__(self, scenario: Scenario, seed: int, nodes: Sequence[NodeDrawn],
-                 troubles: Sequence[Trouble]) -> None:
+    def __init__(
+        self, scenario: Scenario, seed: int, nodes: Sequence[NodeDrawn], troubles: Sequence[Trouble]
+    ) -> None:
         self._scenario, self._seed, self._nodes = scenario, seed, nodes
         self.changes: list[Change] = []
         self.replacements: list[NodeDrawn] = []
@@ -151,12 +156,17 @@
         self._ending_ms = max([3000.0, *(one.deadline_ms for one in scenario.classes)]) + 1000
         for trouble in troubles:
             self._replace(trouble)
-        steps = [(at, trouble.number, place, what, trouble) for trouble in troubles
-                 for at, place, what in _steps(trouble)]
+        steps = [
+            (at, trouble.number, place, what, trouble)
+            for trouble in troubles
+            for at, place, what in _steps(trouble)
+        ]
         for at, _, place, what, trouble in sorted(steps, key=lambda step: step[:2]):
             self._step(at, place, what, trouble)
-        self.spans = [Span(one.number, str(one.fault.__struct_config__.tag), one.begin, one.end,
-                           self._whom(one)) for one in troubles]
+        self.spans = [
+            Span(one.number, str(one.fault.__struct_config__.tag), one.begin, one.end, self._whom(one))
+            for one in troubles
+        ]
 
     def _replace(self, trouble: Trouble) -> None:
         if not (isinstance(trouble.fault, Crash) and trouble.fault.replaced and trouble.length):
@@ -201,8 +211,16 @@
             party.stalled = NEVER
         if what not in ("gone", "start", "launch"):
             self._hit.setdefault(trouble.number, []).append(party.number)
-        self.changes.append(Change(at, trouble.number, "die" if what == "gone" else what, True, party.number,
-                                   trouble.length if what == "stall" else 0.0))
+        self.changes.append(
+            Change(
+                at,
+                trouble.number,
+                "die" if what == "gone" else what,
+                True,
+                party.number,
+                trouble.length if what == "stall" else 0.0,
+            )
+        )
 
     def _toggle(self, at: float, place: int, what: str, trouble: Trouble) -> None:
         """Begin something, or take it back (`what` with a minus in front)."""
@@ -221,11 +239,26 @@
         value = trouble.size * (1000 if seconds else 1) if told else 0.0
         if isinstance(fault, Scrape):
             value = fault.every_s * 1000
-        share = (fault.ran if isinstance(fault, Errors | Resets) else
-                 float(fault.silent) if isinstance(fault, Scrape) else trouble.share if trouble.share
-                 else float(getattr(fault, "within", False)))
-        self.changes.append(Change(at, trouble.number, what.removeprefix("-"), on, target,
-                                   value if on else 0.0, share if on else 0.0))
+        share = (
+            fault.ran
+            if isinstance(fault, Errors | Resets)
+            else float(fault.silent)
+            if isinstance(fault, Scrape)
+            else trouble.share
+            if trouble.share
+            else float(getattr(fault, "within", False))
+        )
+        self.changes.append(
+            Change(
+                at,
+                trouble.number,
+                what.removeprefix("-"),
+                on,
+                target,
+                value if on else 0.0,
+                share if on else 0.0,
+            )
+        )
 
     def _whom(self, trouble: Trouble) -> str:
         fault, scenario = trouble.fault, self._scenario
@@ -253,10 +286,24 @@
 def _steps(one: Trouble) -> Iterator[tuple[float, int, str]]:
     """What a fault does when to which target (-1: not one by one); "gone" is the death that ends a drain."""
     fault, begin, back = one.fault, one.begin, one.begin + one.length
-    what = {Slow: "slow", Silent: "silent", Errors: "errors", Resets: "resets", Spoilt: "spoilt", Cut: "cut",
-            Delay: "delay", Loss: "loss", FullQueue: "full-queue", Clock: "clock", Starve: "starve",
-            Descriptors: "descriptors", SlowReader: "slow-reader", Lameduck: "lameduck", Retune: "retune",
-            Scrape: "scrape"}.get(type(fault), "")
+    what = {
+        Slow: "slow",
+        Silent: "silent",
+        Errors: "errors",
+        Resets: "resets",
+        Spoilt: "spoilt",
+        Cut: "cut",
+        Delay: "delay",
+        Loss: "loss",
+        FullQueue: "full-queue",
+        Clock: "clock",
+        Starve: "starve",
+        Descriptors: "descriptors",
+        SlowReader: "slow-reader",
+        Lameduck: "lameduck",
+        Retune: "retune",
+        Scrape: "scrape",
+    }.get(type(fault), "")
     if isinstance(fault, DiscoveryFault):
         what = f"discovery-{fault.how}"
     if what:
--- a/coveport/lab/virtual/harsh.py
+++ b/coveport/lab/virtual/harsh.py
@@ -22,7 +22,8 @@
     def __init__(self, network: Network, seed: int) -> None:
         self._network, self._seed = network, seed
         self._split, self._merge, self._window, self._reset, self._end, self._late = (
-            stream(seed, "wires", name) for name in ("split", "merge", "window", "reset", "end", "late"))
+            stream(seed, "wires", name) for name in ("split", "merge", "window", "reset", "end", "late")
+        )
         self.splits, self.merges = network.split > 0, network.merge > 0
         self.breaks = network.reset_mid > 0 or network.end_mid > 0
         self.windows = network.window != Network().window
@@ -57,8 +58,10 @@
 
     def break_at(self, size: int) -> tuple[int, bool] | None:
         """At which byte of a message (0 to its size) the network breaks the connection; True: by a reset."""
-        for chance, share, resets in ((self._reset, self._network.reset_mid, True),
-                                      (self._end, self._network.end_mid, False)):
+        for chance, share, resets in (
+            (self._reset, self._network.reset_mid, True),
+            (self._end, self._network.end_mid, False),
+        ):
             if share and chance.random() < share:
                 return chance.randint(0, size), resets
         return None
--- a/coveport/lab/virtual/listening.py
+++ b/coveport/lab/virtual/listening.py
@@ -21,9 +21,17 @@
 class ListeningSocket:
     """A listening socket: what has come and is not accepted yet waits here."""
 
-    def __init__(self, net: VirtualNet, address: Address, factory: Factory | None,
-                 accept: Callable[[int], asyncio.BaseProtocol] | None, most: int, in_turn: int,
-                 pace_s: float, shared: bool = False) -> None:
+    def __init__(
+        self,
+        net: VirtualNet,
+        address: Address,
+        factory: Factory | None,
+        accept: Callable[[int], asyncio.BaseProtocol] | None,
+        most: int,
+        in_turn: int,
+        pace_s: float,
+        shared: bool = False,
+    ) -> None:
         self.shared = shared
         self.net, self.address, self.most, self._in_turn, self._pace_s = net, address, most, in_turn, pace_s
         self._factory, self._accept = factory, accept
@@ -92,7 +100,8 @@
                 self._pausing = True
                 problem = OSError(errno.EMFILE, "Too many open files")
                 self.net.process.call_exception_handler(
-                    {"message": "socket.accept() out of system resource", "exception": problem})
+                    {"message": "socket.accept() out of system resource", "exception": problem}
+                )
                 self.net.process.call_later(RETRY_ACCEPT_S, self._resume)
                 return
             wait_s = self._next_s - self.net.world.now
@@ -116,8 +125,7 @@
     def _begin(self, side: Side) -> None:
         self._beginning -= 1
         assert self._factory is not None or self._accept is not None
-        side.begin(self._factory() if self._factory is not None
-                   else self._accept(side.there.number))  # type: ignore[misc]
+        side.begin(self._factory() if self._factory is not None else self._accept(side.there.number))  # type: ignore[misc]
 
     def _resume(self) -> None:
         self._pausing = False
--- a/coveport/lab/virtual/play.py
+++ b/coveport/lab/virtual/play.py
@@ -104,8 +104,11 @@
         before = self._running.get(number)
         generation = before.generation + 1 if before is not None else 0
         process = Process.start(play.world, f"{drawn.name}.{generation}")
-        place = (play.network.places[self.address(number)[0]] if beside else
-                 play.network.place(self.address(number)[0], drawn.zone, number))
+        place = (
+            play.network.places[self.address(number)[0]]
+            if beside
+            else play.network.place(self.address(number)[0], drawn.zone, number)
+        )
         net = VirtualNet(process, play.network, place, read_chunk=play.day.scenario.network.read_chunk)
         running = self._running[number] = _Running(process, net, generation)
         running.console = self.address(number)[0], CONSOLE_PORT + generation % 100
@@ -124,8 +127,14 @@
             return
 
         async def run() -> int:
-            return await serve(config, net, log, reread=lambda _: self._config(drawn, generation),
-                               reducer=self._variant.reducer, effects_type=self._variant.effects)
+            return await serve(
+                config,
+                net,
+                log,
+                reread=lambda _: self._config(drawn, generation),
+                reducer=self._variant.reducer,
+                effects_type=self._variant.effects,
+            )
 
         def ended(task: asyncio.Task[int]) -> None:
             problem = None if task.cancelled() else task.exception()
@@ -136,18 +145,24 @@
         process.call_soon(lambda: process.create_task(run()).add_done_callback(ended))
         if beside:
             return
-        play.lab.call_soon(lambda: wait_until_ready(
-            play.host_of_tills(number), self.address(number), lambda: self._ready(number, running)))
+        play.lab.call_soon(
+            lambda: wait_until_ready(
+                play.host_of_tills(number), self.address(number), lambda: self._ready(number, running)
+            )
+        )
 
     def _config(self, drawn: SidecarDrawn, generation: int) -> configuration.Config:
         play, number = self._play, drawn.number
         limits, (host, port) = play.day.scenario.limits, self.address(number)
         discovery = self._discovery_at.setdefault(number, play.agents[number].address(number))
         told = {
-            "name": drawn.name, "listen": f"{host}:{port}", "discovery": "{}:{}".format(*discovery),
+            "name": drawn.name,
+            "listen": f"{host}:{port}",
+            "discovery": "{}:{}".format(*discovery),
             "seed": f"{(drawn.seed * 1_000_003 + generation) % (1 << 64):x}",
             "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.descriptors},
-            "known": play.discovery.known(number), "settings": self._settings(drawn),
+            "known": play.discovery.known(number),
+            "settings": self._settings(drawn),
         }
         if any(isinstance(one, OF_STAFF) for one in play.day.scenario.faults):
             told["console"] = "{}:{}".format(*self._running[number].console)
@@ -222,9 +237,16 @@
         elif change.what == "scrape":
             if change.on:
                 self._scraped.add(number)
-                play.lab.create_task(staff.scrape(
-                    host, lambda: self._consoles.get(number, self._running[number].console),
-                    change.value / 1000, int(change.share), write, lambda: number in self._scraped))
+                play.lab.create_task(
+                    staff.scrape(
+                        host,
+                        lambda: self._consoles.get(number, self._running[number].console),
+                        change.value / 1000,
+                        int(change.share),
+                        write,
+                        lambda: number in self._scraped,
+                    )
+                )
             else:
                 self._scraped.discard(number)
         elif running.ended:
@@ -315,14 +337,20 @@
         play = self._play
         running = {number: one for number, one in self._running.items() if not one.ended}
         said = {number: len(self.logs[number]) for number in running}
-        held = {number: {"connections": one.net.open_sides, "connecting": one.net.connecting,
-                         "tasks": len(asyncio.all_tasks(one.process)),
-                         "timers": play.world.timers(one.process)} for number, one in running.items()}
+        held = {
+            number: {
+                "connections": one.net.open_sides,
+                "connecting": one.net.connecting,
+                "tasks": len(asyncio.all_tasks(one.process)),
+                "timers": play.world.timers(one.process),
+            }
+            for number, one in running.items()
+        }
         for one in running.values():
             one.process.deliver(TELL_SIGNAL)
         play.world.run(play.world.now)
         for number, mine in held.items():
-            lines = [line.partition(TOLD)[2] for line in self.logs[number][said[number]:] if TOLD in line]
+            lines = [line.partition(TOLD)[2] for line in self.logs[number][said[number] :] if TOLD in line]
             if lines:
                 mine |= json.loads(lines[-1])["tables"]
         return held
@@ -351,8 +379,11 @@
 
     def faults(self) -> list[str]:
         """What went wrong in their loops and was not taken."""
-        return [f"sidecar {number}: {context}" for number, running in self._running.items()
-                for context in running.process.problems]
+        return [
+            f"sidecar {number}: {context}"
+            for number, running in self._running.items()
+            for context in running.process.problems
+        ]
 
 
 class _Play:
@@ -372,12 +403,19 @@
         for drawn in day.nodes:
             host = self.host(NODES, drawn.number, drawn.zone)
             self._hosts.append(host)
-            self.nodes.append(LedgerNode(host, self.books, day, drawn, keys, works,
-                                         rtt_ms=self._rtt(drawn.zone)))
+            self.nodes.append(
+                LedgerNode(host, self.books, day, drawn, keys, works, rtt_ms=self._rtt(drawn.zone))
+            )
         unix_offset_ms = (self.world.unix_s() - self.world.now + self.start_s) * 1000
-        self.discovery = Discovery(day, self.books, self.lab_net, self.day_ms,
-                                   lambda node, sidecar: self._hosts[node].address(sidecar),
-                                   unix_ms_of=lambda at: at + unix_offset_ms, on_move=self._moved)
+        self.discovery = Discovery(
+            day,
+            self.books,
+            self.lab_net,
+            self.day_ms,
+            lambda node, sidecar: self._hosts[node].address(sidecar),
+            unix_ms_of=lambda at: at + unix_offset_ms,
+            on_move=self._moved,
+        )
         self.agents = [self.host(AGENTS, one.number, CLIENT, one.number) for one in day.sidecars]
         self._till_hosts = [self.host(TILLS, one.number, CLIENT, one.number) for one in day.sidecars]
         self.sidecars = _Sidecars(self, variant)
@@ -385,8 +423,17 @@
         wishes: list[list[Wish]] = [[] for _ in day.sidecars]
         for wish in day.wishes:
             wishes[wish.sidecar].append(wish)
-        self.tills = [Tills(self._till_hosts[one.number], self.books, day, one, wishes[one.number],
-                            partial(self.sidecars.address, one.number)) for one in day.sidecars]
+        self.tills = [
+            Tills(
+                self._till_hosts[one.number],
+                self.books,
+                day,
+                one,
+                wishes[one.number],
+                partial(self.sidecars.address, one.number),
+            )
+            for one in day.sidecars
+        ]
 
     def _rtt(self, zone: int) -> Callable[[int], float]:
         zones = [one.zone for one in self.day.sidecars]
@@ -416,10 +463,19 @@
             self.sidecars.launch(drawn)
         for till in self.tills:
             till.start()
-        conduct(self.day.changes, self.lab_net, self.day_ms, (
-            (OF_NODES, self._node_change), (OF_NODES | OF_DISCOVERY, self.discovery.change),
-            (OF_NETWORK, self.ways.change), (OF_SIDECARS, self.sidecars.change),
-            (OF_QUEUES, self._queue_change), (OF_TILLS, self._till_change)))
+        conduct(
+            self.day.changes,
+            self.lab_net,
+            self.day_ms,
+            (
+                (OF_NODES, self._node_change),
+                (OF_NODES | OF_DISCOVERY, self.discovery.change),
+                (OF_NETWORK, self.ways.change),
+                (OF_SIDECARS, self.sidecars.change),
+                (OF_QUEUES, self._queue_change),
+                (OF_TILLS, self._till_change),
+            ),
+        )
         self._sample()
 
     def _node_change(self, change: Change) -> None:
@@ -461,8 +517,9 @@
         world.run(world.now + 1.0)
 
 
-def play_day(day: Day, *, variant: str = "", logs: Path | None = None,
-             progress: Callable[[float], None] | None = None) -> Played:
+def play_day(
+    day: Day, *, variant: str = "", logs: Path | None = None, progress: Callable[[float], None] | None = None
+) -> Played:
     """Play a day; `variant` names a deliberately different sidecar (see `coveport.lab.broken`).
 
     `logs`: a folder that gets what each sidecar printed. ValueError where no such variant is known.
@@ -494,5 +551,6 @@
         for number, text in said.items():
             (logs / f"{day.sidecars[number].name}.log").write_text(text + "\n")
     notes = play.sidecars.faults() + [f"the lab: {context}" for context in play.lab.problems]
-    return Played(day, "virtual", rows, False, play.network.trace, time.perf_counter() - began, said, notes,
-                  play.held)
+    return Played(
+        day, "virtual", rows, False, play.network.trace, time.perf_counter() - began, said, notes, play.held
+    )
--- a/coveport/lab/virtual/side.py
+++ b/coveport/lab/virtual/side.py
@@ -133,8 +133,12 @@
     @property
     def over(self) -> bool:
         """Whether the other end has ended or reset it, read or not."""
-        return (self._closing or self._reset or self._end_read
-                or any(type(what) is not bytes for what, _, _ in self._inbox))
+        return (
+            self._closing
+            or self._reset
+            or self._end_read
+            or any(type(what) is not bytes for what, _, _ in self._inbox)
+        )
 
     @property
     def is_reset(self) -> bool:
--- a/coveport/lab/virtual/sockets.py
+++ b/coveport/lab/virtual/sockets.py
@@ -85,7 +85,7 @@
             self._out_bytes += len(data)
             if 0 <= self._break_in <= len(data):
                 if self._break_in:
-                    self._send(data[:self._break_in], since)
+                    self._send(data[: self._break_in], since)
                 self._break()
             else:
                 self._break_in -= len(data) if self._break_in > 0 else 0
@@ -184,8 +184,9 @@
         else:
             self._send_harshly(self._harsh, what, now, waited, soonest, at)
 
-    def _send_harshly(self, harsh: Harsh, what: object, handed: float, waited: float, soonest: float,
-                      at: float) -> None:
+    def _send_harshly(
+        self, harsh: Harsh, what: object, handed: float, waited: float, soonest: float, at: float
+    ) -> None:
         """The same in segments, or together with the next message, as it is drawn.
 
         `soonest`: when it would come on its own, from which on it may be late; `at`: not before that.
@@ -243,8 +244,9 @@
         if type(what) is bytes:
             self.network.note(b"%.6f %d " % (self.world.now, self.number) + what)
         else:
-            self.network.note(b"%.6f %d %s" % (self.world.now, self.number,
-                                               b"end" if what is END else b"reset"))
+            self.network.note(
+                b"%.6f %d %s" % (self.world.now, self.number, b"end" if what is END else b"reset")
+            )
         if self._reset:
             return
         if self._closed or (self._shut and type(what) is bytes):
@@ -258,7 +260,7 @@
                 self._net.process.call_soon(self._fail)
         came, most = self.world.now - waited, self._net.read_chunk
         if most and type(what) is bytes:
-            self._inbox.extend((what[at:at + most], handed, came) for at in range(0, len(what), most))
+            self._inbox.extend((what[at : at + most], handed, came) for at in range(0, len(what), most))
         else:
             self._inbox.append((what, handed, came))
         if self._protocol is None or self._paused:
@@ -293,7 +295,8 @@
             raise
         except BaseException as problem:
             self._net.process.call_exception_handler(
-                {"message": "Fatal error: protocol failed", "exception": problem, "transport": self})
+                {"message": "Fatal error: protocol failed", "exception": problem, "transport": self}
+            )
             self._finish(problem if isinstance(problem, Exception) else None)
         finally:
             self._reading = False
--- a/coveport/lab/virtual/wires.py
+++ b/coveport/lab/virtual/wires.py
@@ -57,8 +57,14 @@
 class VirtualNet(Net):
     """The outside as one simulated process sees it."""
 
-    def __init__(self, process: Process, network: Network, place: Place, descriptors: int = 1 << 30,
-                 read_chunk: int = 0) -> None:
+    def __init__(
+        self,
+        process: Process,
+        network: Network,
+        place: Place,
+        descriptors: int = 1 << 30,
+        read_chunk: int = 0,
+    ) -> None:
         """`descriptors`: the most it may hold. `read_chunk`: bytes read at once at the most (0: all)."""
         self.loop = process
         self.process, self.network, self.world, self.place = process, network, network.world, place
@@ -105,8 +111,9 @@
         for side in list(self._sides):
             side.close_socket()
 
-    async def listen(self, factory: Factory, address: Address, *, accept_most: int,
-                     waiting_most: int, shared: bool = False) -> Listening:
+    async def listen(
+        self, factory: Factory, address: Address, *, accept_most: int, waiting_most: int, shared: bool = False
+    ) -> Listening:
         """Listen at an address of this machine; port 0: any."""
         return self._open(address, factory, None, waiting_most, accept_most, 0.0, shared)
 
@@ -121,9 +128,16 @@
             return self._open(address, None, accept, 1 << 30, 1 << 30, 0.0)
         return self._open(address, None, accept, harsh.backlog, 1 << 30, harsh.accept_s(address[0]))
 
-    def _open(self, address: Address, factory: Factory | None,
-              accept: Callable[[int], asyncio.BaseProtocol] | None, most: int, in_turn: int,
-              pace_s: float, shared: bool = False) -> ListeningSocket:
+    def _open(
+        self,
+        address: Address,
+        factory: Factory | None,
+        accept: Callable[[int], asyncio.BaseProtocol] | None,
+        most: int,
+        in_turn: int,
+        pace_s: float,
+        shared: bool = False,
+    ) -> ListeningSocket:
         host, port = address
         if port == 0:
             port = next(one for one in range(20_000, 60_000) if (host, one) not in self.network.listening)
@@ -138,8 +152,9 @@
             raise OSError(errno.EMFILE, "Too many open files")
         network, here = self.network, self.place
         found = network.find(address)
-        there = (found.net.place if found is not None
-                 else network.places.get(address[0]) or Place(address[0], 0))
+        there = (
+            found.net.place if found is not None else network.places.get(address[0]) or Place(address[0], 0)
+        )
         done: asyncio.Future[None] = self.process.create_future()
         dial = _Dial(network, here, there, done)
         late_s = 0.0
@@ -179,8 +194,13 @@
         found = network.find(address)
         back = self.world.now + network.delay_s(dial.there, dial.here) + dial.late_s
         if found is None:
-            self.world.at(back, dial.lost, ConnectionRefusedError(
-                errno.ECONNREFUSED, f"connect to {address[0]}:{address[1]} was refused"))
+            self.world.at(
+                back,
+                dial.lost,
+                ConnectionRefusedError(
+                    errno.ECONNREFUSED, f"connect to {address[0]}:{address[1]} was refused"
+                ),
+            )
             return
         if found.full:
             self._knock_again(dial, address)
--- a/coveport/lab/virtual/world.py
+++ b/coveport/lab/virtual/world.py
@@ -29,8 +29,9 @@
 
     __slots__ = ("_args", "_at", "_call", "_process", "gone")
 
-    def __init__(self, process: Process | None, at: float, call: Callable[..., object],
-                 args: tuple[object, ...]) -> None:
+    def __init__(
+        self, process: Process | None, at: float, call: Callable[..., object], args: tuple[object, ...]
+    ) -> None:
         self._process, self._at, self._call, self._args = process, at, call, args
         self.gone = False  # cancelled, or run
 
@@ -74,8 +75,9 @@
         """Unix time by a clock that is right."""
         return self.now + self._unix_offset
 
-    def at(self, when: float, call: Callable[..., object], *args: object,
-           process: Process | None = None) -> Handle:
+    def at(
+        self, when: float, call: Callable[..., object], *args: object, process: Process | None = None
+    ) -> Handle:
         """Call then (now at the soonest), on behalf of a process, or of the world itself."""
         handle = Timer(process, when, call, args)
         self._count += 1
@@ -256,20 +258,34 @@
         """Monotonic seconds."""
         return self.world.now
 
-    def call_soon(self, callback: Callable[..., object], *args: Any,  # type: ignore[override]
-                  context: contextvars.Context | None = None) -> Handle:
+    def call_soon(
+        self,
+        callback: Callable[..., object],
+        *args: Any,  # type: ignore[override]
+        context: contextvars.Context | None = None,
+    ) -> Handle:
         """Call in this instant."""
         return self.world.soon(callback, args, self)
 
     call_soon_threadsafe = call_soon  # type: ignore[assignment]
 
-    def call_later(self, delay: float, callback: Callable[..., object], *args: Any,  # type: ignore[override]
-                   context: contextvars.Context | None = None) -> Handle:
+    def call_later(
+        self,
+        delay: float,
+        callback: Callable[..., object],
+        *args: Any,  # type: ignore[override]
+        context: contextvars.Context | None = None,
+    ) -> Handle:
         """Call after so many seconds."""
         return self.world.at(self.world.now + max(delay, 0.0), callback, *args, process=self)
 
-    def call_at(self, when: float, callback: Callable[..., object], *args: Any,  # type: ignore[override]
-                context: contextvars.Context | None = None) -> Handle:
+    def call_at(
+        self,
+        when: float,
+        callback: Callable[..., object],
+        *args: Any,  # type: ignore[override]
+        context: contextvars.Context | None = None,
+    ) -> Handle:
         """Call then."""
         return self.world.at(when, callback, *args, process=self)
 
@@ -277,8 +293,13 @@
         """A future of this loop."""
         return asyncio.Future(loop=self)
 
-    def create_task(self, coro: Coroutine[Any, Any, T], *, name: str | None = None,  # type: ignore[override]
-                    context: contextvars.Context | None = None) -> asyncio.Task[T]:
+    def create_task(
+        self,
+        coro: Coroutine[Any, Any, T],
+        *,
+        name: str | None = None,  # type: ignore[override]
+        context: contextvars.Context | None = None,
+    ) -> asyncio.Task[T]:
         """Run a coroutine."""
         return asyncio.Task(coro, loop=self, name=name or "task")
 
@@ -294,8 +315,12 @@
         """Whether it is dead."""
         return not self.alive
 
-    def add_signal_handler(self, sig: int, callback: Callable[..., object],  # type: ignore[override]
-                           *args: Any) -> None:
+    def add_signal_handler(
+        self,
+        sig: int,
+        callback: Callable[..., object],  # type: ignore[override]
+        *args: Any,
+    ) -> None:
         """Call it when `deliver` brings this signal."""
         self._signals[int(sig)] = (callback, args)
 
@@ -311,5 +336,3 @@
             self.problems.append(context)
         else:
             self._on_problem(self, context)
-
-
--- a/coveport/lab/ways.py
+++ b/coveport/lab/ways.py
@@ -20,7 +20,8 @@
     """What segments and merged messages may add to any one way, at the most."""
     network = day.scenario.network
     return (_high(network.split_ms) if network.split else 0.0) + (
-        _high(network.merge_ms) if network.merge else 0.0)
+        _high(network.merge_ms) if network.merge else 0.0
+    )
 
 
 def piece(day: Day) -> int:
@@ -78,8 +79,11 @@
 
     def held(self, one: int, other: int) -> bool:
         """Whether nothing passes between two zones for now."""
-        return one != other and CLIENT not in (one, other) and any(
-            zone in (one, other) for zone in self._cut.values())
+        return (
+            one != other
+            and CLIENT not in (one, other)
+            and any(zone in (one, other) for zone in self._cut.values())
+        )
 
     def on_open(self, listener: Callable[[], None]) -> None:
         """Call `listener` whenever a cut is taken back."""
@@ -87,8 +91,7 @@
 
     def change(self, change: Change) -> None:
         """Take in one of `NETWORK_CHANGES`."""
-        table: dict[int, object] = {"delay": self._added, "loss": self._losses, "cut": self._cut}[
-            change.what]  # type: ignore[assignment]
+        table: dict[int, object] = {"delay": self._added, "loss": self._losses, "cut": self._cut}[change.what]  # type: ignore[assignment]
         if not change.on:
             table.pop(change.fault, None)
             if change.what == "cut":
