--- a/coveport/lab/wishes.py
+++ b/coveport/lab/wishes.py
@@ -58,8 +58,18 @@
 
 def _asking(scenario: Scenario, seed: int, capacity: float) -> _Asking:
     load, chance = scenario.load, stream(seed, "load")
-    rate, level, swing, phase, most, skew, spread = (drawn(chance, one) for one in (
-        load.rate, load.level, load.swing, (0.0, 2 * math.pi), load.retries.most, load.skew, load.spread))
+    rate, level, swing, phase, most, skew, spread = (
+        drawn(chance, one)
+        for one in (
+            load.rate,
+            load.level,
+            load.swing,
+            (0.0, 2 * math.pi),
+            load.retries.most,
+            load.skew,
+            load.spread,
+        )
+    )
     means, cvs = [], []
     for one in scenario.classes:
         own = stream(seed, "class", one.name)
@@ -67,8 +77,16 @@
         cvs.append(drawn(own, one.cv))
     mix = [one.share for one in scenario.classes]
     mean = sum(share * work for share, work in zip(mix, means, strict=True)) / sum(mix)
-    return _Asking(scenario.length_s * 1000, rate / 1000 or level * capacity / mean, swing, phase, most,
-                   _sidecar_shares(scenario, seed, skew, spread), means, cvs)
+    return _Asking(
+        scenario.length_s * 1000,
+        rate / 1000 or level * capacity / mean,
+        swing,
+        phase,
+        most,
+        _sidecar_shares(scenario, seed, skew, spread),
+        means,
+        cvs,
+    )
 
 
 def _sidecar_shares(scenario: Scenario, seed: int, skew: float, spread: float) -> list[float]:
@@ -80,19 +98,20 @@
     zones, sidecars = len(scenario.fleet.zones), scenario.fleet.sidecars
     factors = [1 + skew * (2 * zone / (zones - 1) - 1) for zone in range(zones)] if zones > 1 else [1.0]
     stream(seed, "zones").shuffle(factors)
-    sigma = math.sqrt(math.log1p(spread ** 2))
+    sigma = math.sqrt(math.log1p(spread**2))
     weights = [math.exp(sigma * stream(seed, "weight", number).gauss()) for number in range(sidecars)]
     shares = []
     for number in range(sidecars):
-        there = weights[number % zones::zones]
+        there = weights[number % zones :: zones]
         shares.append(factors[number % zones] * len(there) * weights[number] / sum(there))
     total = sum(shares)
     # A skew of 1 leaves one zone without wishes; if only that has sidecars, they ask all the same.
     return [share / total if total else 1 / sidecars for share in shares]
 
 
-def draw_wishes(scenario: Scenario, seed: int, capacity: float,
-                troubles: Sequence[Trouble]) -> tuple[Wish, ...]:
+def draw_wishes(
+    scenario: Scenario, seed: int, capacity: float, troubles: Sequence[Trouble]
+) -> tuple[Wish, ...]:
     """All wishes in order of time; `capacity` is the fleet's. ValueError for more than MOST_WISHES.
 
     What a burst adds is drawn by itself, so that the wishes without it stay as they are.
@@ -104,15 +123,22 @@
     more = [(one, usual * (one.size - 1) * _ramp(one, times)) for one in bursts if one.size > 1]
     expected = float(sum(np.trapezoid(one, times) for one in (usual, *(extra for _, extra in more))))
     if expected > MOST_WISHES:
-        raise ValueError(f"the day would hold some {expected:.3g} wishes, more than {MOST_WISHES:,}; "
-                         "less load.rate, load.level or length_s")
+        raise ValueError(
+            f"the day would hold some {expected:.3g} wishes, more than {MOST_WISHES:,}; "
+            "less load.rate, load.level or length_s"
+        )
     batch = _batch(scenario, seed, asking, ("wishes",), 0, times, usual)
     for one in bursts:
         if one.size < 1:
             gone = arrays(seed, "fault", one.number).random(len(batch.due))
             batch = _picked(batch, gone >= (1 - one.size) * _ramp(one, batch.due))
-    parts = [batch, *(_batch(scenario, seed, asking, ("fault", one.number), one.number + 1, times, extra)
-                      for one, extra in more)]
+    parts = [
+        batch,
+        *(
+            _batch(scenario, seed, asking, ("fault", one.number), one.number + 1, times, extra)
+            for one, extra in more
+        ),
+    ]
     batch = _Batch(*(np.concatenate([getattr(part, name) for part in parts]) for name in _Batch.__slots__))
     batch = _picked(batch, np.argsort(batch.due, kind="stable"))
     for one in troubles:
@@ -124,12 +150,25 @@
     ops = [f"{one:014x}00" for one in _mixed(batch.number, seed, "ops", 56)]
     keyed = np.array([one.repeats == "keyed" for one in scenario.classes])[batch.cls].tolist()
     first, last = (_mixed(batch.number, seed, what, 64) for what in ("keys", "ends of keys"))
-    keys = [f"{one:016x}{other:016x}" if has else ""
-            for one, other, has in zip(first, last, keyed, strict=True)]
-    before, behind = ((one.tolist() for one in some) for some in (
-        (batch.due, batch.sidecar, batch.cls),
-        (batch.work, batch.body, batch.answer, batch.tries, batch.try_share, batch.leaves, batch.half,
-         batch.stays)))
+    keys = [
+        f"{one:016x}{other:016x}" if has else "" for one, other, has in zip(first, last, keyed, strict=True)
+    ]
+    before, behind = (
+        (one.tolist() for one in some)
+        for some in (
+            (batch.due, batch.sidecar, batch.cls),
+            (
+                batch.work,
+                batch.body,
+                batch.answer,
+                batch.tries,
+                batch.try_share,
+                batch.leaves,
+                batch.half,
+                batch.stays,
+            ),
+        )
+    )
     return tuple(map(Wish, *before, ops, keys, *behind))
 
 
@@ -153,8 +192,15 @@
     return np.clip(part, 0.0, 1.0)
 
 
-def _batch(scenario: Scenario, seed: int, asking: _Asking, names: tuple[object, ...], number: int,
-           times: Floats, intensity: Floats) -> _Batch:
+def _batch(
+    scenario: Scenario,
+    seed: int,
+    asking: _Asking,
+    names: tuple[object, ...],
+    number: int,
+    times: Floats,
+    intensity: Floats,
+) -> _Batch:
     """Arrivals of a Poisson process with that intensity, and what each of them wants.
 
     Each figure takes one draw a wish, whether it is needed or not, so that settings move nothing else.
@@ -170,17 +216,30 @@
     work = np.zeros(count)
     for at, one in enumerate(classes):
         work = np.where(cls == at, asking.means[at] * _spread(one, asking.cvs[at], even, normal), work)
-    body, answer = (_whole(chance.random(count), cls, [getattr(one, name) for one in classes])
-                    for name in ("body", "answer"))
+    body, answer = (
+        _whole(chance.random(count), cls, [getattr(one, name) for one in classes])
+        for name in ("body", "answer")
+    )
     body = np.where(np.array([one.repeats == "safe" for one in classes])[cls], 0, body)
     tries = 1 + int(asking.most) + (chance.random(count) < asking.most % 1).astype(np.int64)
     low, high = ends(load.retries.try_share)
     try_share = low + chance.random(count) * (high - low)
     patience = np.array([one.deadline_ms for one in classes])[cls] * try_share
     impatient, moment, half, stays = (chance.random(count) for _ in range(4))
-    return _Batch(due, cls, sidecar, np.maximum(_rounded(work), 0.001), body, answer, tries, try_share,
-                  np.where(impatient < load.impatient, moment * patience, NEVER), half < load.half_close,
-                  stays < load.ask_once, np.arange(count, dtype=np.uint64) + np.uint64(number << 32))
+    return _Batch(
+        due,
+        cls,
+        sidecar,
+        np.maximum(_rounded(work), 0.001),
+        body,
+        answer,
+        tries,
+        try_share,
+        np.where(impatient < load.impatient, moment * patience, NEVER),
+        half < load.half_close,
+        stays < load.ask_once,
+        np.arange(count, dtype=np.uint64) + np.uint64(number << 32),
+    )
 
 
 def _rounded(figures: Floats) -> Floats:
@@ -206,8 +265,8 @@
         return even
     if one.dist == "fixed":
         return np.ones_like(even)
-    sigma = math.sqrt(math.log1p(cv ** 2))
-    return np.exp(sigma * normal - sigma ** 2 / 2)
+    sigma = math.sqrt(math.log1p(cv**2))
+    return np.exp(sigma * normal - sigma**2 / 2)
 
 
 def _whole(draws: Floats, cls: Ints, figures: Sequence[Figure]) -> Ints:
@@ -223,7 +282,7 @@
 
     Each step is one to one: SplitMix64's (Steele, Lea, Flood 2014), cut to `bits`.
     """
-    mask = np.uint64(2 ** bits - 1)
+    mask = np.uint64(2**bits - 1)
     start = int.from_bytes(hashlib.blake2b(f"{seed} {what}".encode(), digest_size=8).digest())
     mixed = (numbers * np.uint64(0x9E3779B97F4A7C15) + np.uint64(start)) & mask
     for shift, factor in ((30, 0xBF58476D1CE4E5B9), (27, 0x94D049BB133111EB)):
--- a/coveport/leases/etcd.py
+++ b/coveport/leases/etcd.py
@@ -40,10 +40,20 @@
 NEEDS_LEADER = (
     ("hasleader", "true"),
 )  # a member that is cut off from its leader ends the stream instead of idling
-OPTIONS = (("grpc.enable_http_proxy", 0), ("grpc.initial_reconnect_backoff_ms", 100),
-           ("grpc.min_reconnect_backoff_ms", 100), ("grpc.max_reconnect_backoff_ms", 1000))
-SERVED_ELSEWHERE = frozenset({grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.DEADLINE_EXCEEDED,
-                              grpc.StatusCode.CANCELLED, grpc.StatusCode.UNKNOWN})
+OPTIONS = (
+    ("grpc.enable_http_proxy", 0),
+    ("grpc.initial_reconnect_backoff_ms", 100),
+    ("grpc.min_reconnect_backoff_ms", 100),
+    ("grpc.max_reconnect_backoff_ms", 1000),
+)
+SERVED_ELSEWHERE = frozenset(
+    {
+        grpc.StatusCode.UNAVAILABLE,
+        grpc.StatusCode.DEADLINE_EXCEEDED,
+        grpc.StatusCode.CANCELLED,
+        grpc.StatusCode.UNKNOWN,
+    }
+)
 
 
 def end_of(prefix: str) -> bytes:
@@ -119,8 +129,9 @@
         for one in transaction.changes:
             operation = request.success.add()
             if isinstance(one, Put):
-                operation.request_put.CopyFrom(rpc.PutRequest(key=one.key.encode(), value=one.value,
-                                                              lease=one.lease))
+                operation.request_put.CopyFrom(
+                    rpc.PutRequest(key=one.key.encode(), value=one.value, lease=one.lease)
+                )
             else:
                 operation.request_delete_range.CopyFrom(rpc.DeleteRangeRequest(key=one.key.encode()))
         try:
@@ -150,10 +161,15 @@
     @staticmethod
     def _compare(one: Compare) -> Any:
         if one.field is Field.CREATED:
-            return rpc.Compare(result=rpc.Compare.EQUAL, target=rpc.Compare.CREATE, key=one.key.encode(),
-                               create_revision=one.equals)
-        return rpc.Compare(result=rpc.Compare.EQUAL, target=rpc.Compare.MOD, key=one.key.encode(),
-                           mod_revision=one.equals)
+            return rpc.Compare(
+                result=rpc.Compare.EQUAL,
+                target=rpc.Compare.CREATE,
+                key=one.key.encode(),
+                create_revision=one.equals,
+            )
+        return rpc.Compare(
+            result=rpc.Compare.EQUAL, target=rpc.Compare.MOD, key=one.key.encode(), mod_revision=one.equals
+        )
 
     async def grant(self, ttl_s: float) -> Done | Unknown:
         """A new lease; the engine counts in whole seconds, so it is rounded up."""
@@ -167,6 +183,7 @@
 
     async def keep(self, lease: int) -> Outcome:
         """Renew."""
+
         async def ask(channel: Any) -> Any:
             stream = rpc.LeaseStub(channel).LeaseKeepAlive(metadata=NEEDS_LEADER)
             try:
@@ -210,8 +227,9 @@
         """Changes, as the engine sends them; a stream that does not answer for a while is lost."""
         at = self._at
         stream = rpc.WatchStub(self._channel(at)).Watch(metadata=NEEDS_LEADER)
-        create = rpc.WatchCreateRequest(key=prefix.encode() or b"\0", range_end=end_of(prefix),
-                                        start_revision=after + 1)
+        create = rpc.WatchCreateRequest(
+            key=prefix.encode() or b"\0", range_end=end_of(prefix), start_revision=after + 1
+        )
         heard = asyncio.Event()
         beat = asyncio.ensure_future(self._beat(stream, heard))
         try:
@@ -226,8 +244,14 @@
                 if told.header.revision < after:
                     raise WatchLostError(f"{self._endpoints[at]}: the store went back")
                 if told.events:
-                    yield [Change(one.kv.mod_revision, one.kv.key.decode(),
-                                  None if one.type == one.DELETE else entry(one.kv)) for one in told.events]
+                    yield [
+                        Change(
+                            one.kv.mod_revision,
+                            one.kv.key.decode(),
+                            None if one.type == one.DELETE else entry(one.kv),
+                        )
+                        for one in told.events
+                    ]
         except grpc.aio.AioRpcError as problem:
             raise WatchLostError(f"{self._endpoints[at]}: {problem.details()}") from problem
         except asyncio.CancelledError:
--- a/coveport/leases/keeper.py
+++ b/coveport/leases/keeper.py
@@ -83,7 +83,8 @@
         now_s: Callable[[], float],
         history: History,
         chance: random.Random,
-        prefix: str = "coveport/", unix_s: Callable[[], float] = lambda: 0.0,
+        prefix: str = "coveport/",
+        unix_s: Callable[[], float] = lambda: 0.0,
         holder: Callable[..., Holder] = Holder,
     ) -> None:
         self._store, self.name, self._prefix, self._now_s = store, name, prefix, now_s
@@ -113,8 +114,9 @@
         """The token, where something new may be begun now; else 0."""
         return self.holder.holds(self._now_s(), duty)
 
-    async def act(self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (),
-                  what: str = "") -> Outcome | None:
+    async def act(
+        self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
+    ) -> Outcome | None:
         """Carry something out as the holder of a duty; None where we do not hold it.
 
         Keys are without the prefix. Fenced by the token: the store refuses it where the duty is not ours
@@ -123,13 +125,22 @@
         token = self.holds(duty)
         if not token:
             return None
-        transaction = fenced(self._prefix + DUTY + duty, token, *(self._whole(one) for one in changes),
-                             compares=tuple(Compare(self._prefix + one.key, one.field, one.equals)
-                                            for one in compares))
+        transaction = fenced(
+            self._prefix + DUTY + duty,
+            token,
+            *(self._whole(one) for one in changes),
+            compares=tuple(Compare(self._prefix + one.key, one.field, one.equals) for one in compares),
+        )
         self._history("act_sent", duty=duty, token=token, what=what)
         outcome = await self._call("act", self._store.commit(transaction))
-        self._history("act_ended", duty=duty, token=token, what=what, end=type(outcome).__name__,
-                      revision=0 if isinstance(outcome, Unknown) else outcome.revision)
+        self._history(
+            "act_ended",
+            duty=duty,
+            token=token,
+            what=what,
+            end=type(outcome).__name__,
+            revision=0 if isinstance(outcome, Unknown) else outcome.revision,
+        )
         if isinstance(outcome, Refused):
             self._feed(self.holder.lost_sight(self._now_s()))  # it may be another's by now
         return outcome
@@ -140,9 +151,14 @@
         if not isinstance(outcome, Done):
             return None
         cut = len(self._prefix)
-        return Done(outcome.identity, outcome.revision,
-                    tuple(Entry(one.key[cut:], one.value, one.created, one.modified, one.lease)
-                          for one in outcome.entries))
+        return Done(
+            outcome.identity,
+            outcome.revision,
+            tuple(
+                Entry(one.key[cut:], one.value, one.created, one.modified, one.lease)
+                for one in outcome.entries
+            ),
+        )
 
     def tell(self, fares: bytes) -> None:
         """Have this written under our name, now and after each return. Lost where the session is."""
@@ -165,8 +181,9 @@
             if not lease:
                 del self._puts[key]  # the session ended in this very turn: unbound it would stand for ever
                 return
-            await self._call("put", self._store.commit(
-                Transaction((), (Put(self._prefix + key, value, lease),))))
+            await self._call(
+                "put", self._store.commit(Transaction((), (Put(self._prefix + key, value, lease),)))
+            )
             if self._puts.get(key) is value:
                 del self._puts[key]
 
@@ -257,19 +274,27 @@
             outcome = await self._call("keep", self._store.keep(one.lease))
         elif isinstance(one, Arrive):
             key = self._prefix + INSTANCE + self.name
-            outcome = await self._call("arrive", self._store.commit(Transaction(
-                (Compare(key, Field.CREATED, 0),), (Put(key, self._fares, one.lease),))))
+            outcome = await self._call(
+                "arrive",
+                self._store.commit(
+                    Transaction((Compare(key, Field.CREATED, 0),), (Put(key, self._fares, one.lease),))
+                ),
+            )
         elif isinstance(one, Claim):
             key = self._prefix + DUTY + one.duty
-            outcome = await self._call("claim", self._store.commit(Transaction(
-                (Compare(key, Field.CREATED, 0),), (Put(key, self._claim(), one.lease),))))
+            outcome = await self._call(
+                "claim",
+                self._store.commit(
+                    Transaction((Compare(key, Field.CREATED, 0),), (Put(key, self._claim(), one.lease),))
+                ),
+            )
         elif isinstance(one, Release):
             key = self._prefix + DUTY + one.duty
             outcome = await self._call("release", self._store.commit(fenced(key, one.token, Delete(key))))
         else:
             outcome = await self._call("look", self._store.read(self._prefix + DUTY))
             if isinstance(outcome, Done):
-                found = {entry.key[len(self._prefix + DUTY):]: entry for entry in outcome.entries}
+                found = {entry.key[len(self._prefix + DUTY) :]: entry for entry in outcome.entries}
                 for duty in self.holder.duties:
                     self._feed(self.holder.seen(self._now_s(), duty, found.get(duty), outcome.revision))
         if self._closed and not isinstance(one, Release):
@@ -350,7 +375,7 @@
             self._feed(self.holder.seen(self._now_s(), duty, entries.get(DUTY + duty), revision))
 
     def _changed(self, change: Change) -> None:
-        key, entry = change.key[len(self._prefix):], change.entry
+        key, entry = change.key[len(self._prefix) :], change.entry
         if change.revision < self.revision:
             return
         self.revision = change.revision
@@ -363,7 +388,7 @@
             self._count()
         self.on_change(key, entry)
         if key.startswith(DUTY):
-            self._feed(self.holder.seen(self._now_s(), key[len(DUTY):], entry, change.revision))
+            self._feed(self.holder.seen(self._now_s(), key[len(DUTY) :], entry, change.revision))
 
     def _count(self) -> None:
         self.holder.instances = max(1, sum(key.startswith(INSTANCE) for key in self.entries))
--- a/coveport/leases/sqlite.py
+++ b/coveport/leases/sqlite.py
@@ -67,9 +67,15 @@
     counts from.
     """
 
-    def __init__(self, path: Path, *, now_s: Callable[[], float] = clock.boot_s,
-                 boot: Callable[[], str] = clock.boot_id, lock_s: float = LOCK_S,
-                 watched: bool = True) -> None:
+    def __init__(
+        self,
+        path: Path,
+        *,
+        now_s: Callable[[], float] = clock.boot_s,
+        boot: Callable[[], str] = clock.boot_id,
+        lock_s: float = LOCK_S,
+        watched: bool = True,
+    ) -> None:
         """`watched`: False where nobody asks for changes, so that no book of them is kept."""
         self._path, self._now_s, self._boot, self._lock_s = path, now_s, boot, lock_s
         self._watched = watched
@@ -84,6 +90,7 @@
 
     async def read(self, prefix: str) -> Done | Unknown:
         """All keys that begin so; leases that are over by the clock are ended first."""
+
         def job(base: sqlite3.Connection) -> Done:
             with self._writing(base):
                 revision = self._reap(base)
@@ -95,6 +102,7 @@
 
     async def commit(self, transaction: Transaction) -> Outcome:
         """Carry it out, or not."""
+
         def job(base: sqlite3.Connection) -> Outcome:
             with self._writing(base):
                 return self._one(base, self._reap(base), transaction)
@@ -103,6 +111,7 @@
 
     async def commit_all(self, transactions: Sequence[Transaction]) -> list[Outcome]:
         """Carry several out under one commit of the file: they are all there after it, or none is."""
+
         def job(base: sqlite3.Connection) -> list[Outcome]:
             done: list[Outcome] = []
             with self._writing(base):
@@ -127,11 +136,13 @@
 
     async def grant(self, ttl_s: float) -> Done | Unknown:
         """A new lease, from now."""
+
         def job(base: sqlite3.Connection) -> Done:
             with self._writing(base):
                 revision = self._reap(base)
-                lease = base.execute("INSERT INTO leases (ttl_s, until_s) VALUES (?, ?)",
-                                     (ttl_s, self._now_s() + ttl_s)).lastrowid
+                lease = base.execute(
+                    "INSERT INTO leases (ttl_s, until_s) VALUES (?, ?)", (ttl_s, self._now_s() + ttl_s)
+                ).lastrowid
                 assert lease is not None
                 return Done(self._identity, revision, lease=lease, ttl_s=ttl_s)
 
@@ -141,6 +152,7 @@
 
     async def keep(self, lease: int) -> Outcome:
         """Renew it."""
+
         def job(base: sqlite3.Connection) -> Outcome:
             with self._writing(base):
                 revision = self._reap(base)
@@ -154,6 +166,7 @@
 
     async def revoke(self, lease: int) -> Outcome:
         """End it."""
+
         def job(base: sqlite3.Connection) -> Outcome:
             with self._writing(base):
                 revision = self._reap(base)
@@ -165,6 +178,7 @@
 
     async def left(self, lease: int) -> Outcome:
         """What a lease has left."""
+
         def job(base: sqlite3.Connection) -> Outcome:
             with self._writing(base):
                 revision = self._reap(base)
@@ -269,9 +283,15 @@
                             raise StoreError(f"{self._path}: holds something that is no store of ours")
                         for line in SCHEMA.split(";"):
                             base.execute(line)
-                        base.executemany("INSERT INTO about VALUES (?, ?)", (
-                            ("identity", uuid.uuid4().hex), ("revision", "1"), ("boot", self._boot()),
-                            ("compacted", "0")))
+                        base.executemany(
+                            "INSERT INTO about VALUES (?, ?)",
+                            (
+                                ("identity", uuid.uuid4().hex),
+                                ("revision", "1"),
+                                ("boot", self._boot()),
+                                ("compacted", "0"),
+                            ),
+                        )
                         base.execute(f"PRAGMA user_version={FORMAT}")
                     self._identity = self._about(base, "identity")
                     if self._about(base, "boot") != self._boot():
@@ -338,8 +358,11 @@
         return self._unbind(base, revision, over)
 
     def _unbind(self, base: sqlite3.Connection, revision: int, leases: Sequence[int]) -> int:
-        keys = [row[0] for lease in leases
-                for row in base.execute("SELECT key FROM entries WHERE lease = ?", (lease,))]
+        keys = [
+            row[0]
+            for lease in leases
+            for row in base.execute("SELECT key FROM entries WHERE lease = ?", (lease,))
+        ]
         return self._change(base, revision, [Delete(key) for key in keys])
 
     def _change(self, base: sqlite3.Connection, revision: int, changes: Sequence[Put | Delete]) -> int:
@@ -350,11 +373,15 @@
             row = base.execute("SELECT created FROM entries WHERE key = ?", (one.key,)).fetchone()
             if isinstance(one, Put):
                 created = next_ if row is None else row[0]
-                base.execute("INSERT OR REPLACE INTO entries VALUES (?, ?, ?, ?, ?)",
-                             (one.key, one.value, created, next_, one.lease))
+                base.execute(
+                    "INSERT OR REPLACE INTO entries VALUES (?, ?, ?, ?, ?)",
+                    (one.key, one.value, created, next_, one.lease),
+                )
                 if self._watched:
-                    base.execute("INSERT OR REPLACE INTO history VALUES (?, ?, ?, ?, ?)",
-                                 (next_, one.key, one.value, created, one.lease))
+                    base.execute(
+                        "INSERT OR REPLACE INTO history VALUES (?, ?, ?, ?, ?)",
+                        (next_, one.key, one.value, created, one.lease),
+                    )
                 changed = True
             elif row is not None:
                 base.execute("DELETE FROM entries WHERE key = ?", (one.key,))
@@ -388,7 +415,13 @@
             raise WatchLostError(f"the store went back from {after} to {revision}")
         if after < int(self._about(base, "compacted")):
             raise WatchLostError(f"what came after {after} is not kept any more")
-        rows = base.execute("SELECT revision, key, value, created, lease FROM history "
-                            "WHERE revision > ? AND revision <= ? ORDER BY revision, key", (after, revision))
-        return [Change(at, key, None if value is None else Entry(key, value, created, at, lease))
-                for at, key, value, created, lease in rows if key.startswith(prefix)]
+        rows = base.execute(
+            "SELECT revision, key, value, created, lease FROM history "
+            "WHERE revision > ? AND revision <= ? ORDER BY revision, key",
+            (after, revision),
+        )
+        return [
+            Change(at, key, None if value is None else Entry(key, value, created, at, lease))
+            for at, key, value, created, lease in rows
+            if key.startswith(prefix)
+        ]
--- a/coveport/net/transport.py
+++ b/coveport/net/transport.py
@@ -46,8 +46,9 @@
     connect that finds no room there is sent again only after a second. It also pauses so long after EMFILE.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, one: socket.socket, factory: Factory,
-                 accept_most: int) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, one: socket.socket, factory: Factory, accept_most: int
+    ) -> None:
         self._loop, self._socket, self._factory, self._most = loop, one, factory, accept_most
         self._beginning: set[asyncio.Task[object]] = set()
         self._port: int = one.getsockname()[1]
@@ -120,8 +121,9 @@
         """Unix time in seconds; it may step."""
         return time.time()
 
-    async def listen(self, factory: Factory, address: Address, *, accept_most: int,
-                     waiting_most: int, shared: bool = False) -> Listening:
+    async def listen(
+        self, factory: Factory, address: Address, *, accept_most: int, waiting_most: int, shared: bool = False
+    ) -> Listening:
         """Listen on TCP; OSError where that can't be.
 
         `accept_most`: connections taken in one turn of the loop. `waiting_most`: those that may wait below.
@@ -185,7 +187,7 @@
     def reset(self, transport: asyncio.Transport) -> None:
         """Close with a reset: what is on its way in either direction is lost."""
         with contextlib.suppress(OSError):
-            transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
-                                                          struct.pack("ii", 1, 0))
+            transport.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+            )
         transport.abort()
-
--- a/coveport/nodes/destinations.py
+++ b/coveport/nodes/destinations.py
@@ -25,8 +25,17 @@
 class Destinations:
     """All destinations that the pool config names, and the connections to them."""
 
-    def __init__(self, net: Net, counters: Counters, log: Log, dial: Dial, *, keepalive_ms: float,
-                 connect_timeout_ms: float, most_links: int) -> None:
+    def __init__(
+        self,
+        net: Net,
+        counters: Counters,
+        log: Log,
+        dial: Dial,
+        *,
+        keepalive_ms: float,
+        connect_timeout_ms: float,
+        most_links: int,
+    ) -> None:
         self.net, self.counters, self.log, self.dial = net, counters, log, dial
         self.connect_timeout_s = connect_timeout_ms / 1000
         self._idle_s = keepalive_ms / 1000 * IDLE_SHARE
@@ -66,8 +75,12 @@
     @property
     def tables(self) -> dict[str, int]:
         """How many entries each table has."""
-        return {"links": len(self.links), "idle": len(self._by_age), "opening": self.opening,
-                "places": len(self._places)}
+        return {
+            "links": len(self.links),
+            "idle": len(self._by_age),
+            "opening": self.opening,
+            "places": len(self._places),
+        }
 
     def opened(self, _task: asyncio.Task[object]) -> None:
         """An attempt to connect has ended, however it did."""
@@ -83,16 +96,23 @@
         place = self._places.get(number)
         return place[0] if place is not None else None
 
-    def send(self, number: int, operation: Operation | None, timeout_s: float, done: Done,
-             began: Began | None = None, handed: Callable[[], None] | None = None,
-             fence: Callable[[], bool] | None = None) -> RouteStep:
+    def send(
+        self,
+        number: int,
+        operation: Operation | None,
+        timeout_s: float,
+        done: Done,
+        began: Began | None = None,
+        handed: Callable[[], None] | None = None,
+        fence: Callable[[], bool] | None = None,
+    ) -> RouteStep:
         """Begin a route step (None: a probe); `done` is called once, never before this returns.
 
         `began`: a long answer begins. `handed`: the last byte of a long operation was handed over. `fence`:
         asked right before the first byte, whether it may still go.
         """
         step = RouteStep(self, operation, timeout_s, done, began, handed, fence)
-        while (idle := self._idle.get(number)):
+        while idle := self._idle.get(number):
             # Guards against a close right behind an answer, which a reset would show too late, and against a
             # second answer right behind it, which would be taken for the next operation's.
             now = self.net.now_s()
--- a/coveport/nodes/steps.py
+++ b/coveport/nodes/steps.py
@@ -47,9 +47,16 @@
 class RouteStep:
     """One route step (or probe): from the connect to its end, which is told exactly once."""
 
-    def __init__(self, pool: Destinations, operation: Operation | None, timeout_s: float, done: Done,
-                 began: Began | None = None, handed: Callable[[], None] | None = None,
-                 fence: Callable[[], bool] | None = None) -> None:
+    def __init__(
+        self,
+        pool: Destinations,
+        operation: Operation | None,
+        timeout_s: float,
+        done: Done,
+        began: Began | None = None,
+        handed: Callable[[], None] | None = None,
+        fence: Callable[[], bool] | None = None,
+    ) -> None:
         self._pool, self._done, self._began, self._handed = pool, done, began, handed
         self._fence = fence  # asked right before the first byte; False: it must not go any more
         self.operation = operation  # None: a probe
@@ -62,8 +69,11 @@
         self.long = operation is not None and operation.upload is not None  # whether its body is
         self.moved_at = pool.net.now_s() if self.long else 0.0  # when bytes of a long body last went on
         # A long operation takes its client's time until its last byte is handed over.
-        self._timers = [pool.net.loop.call_later(STALLED_S, self._watch) if self.long else
-                        pool.net.loop.call_later(timeout_s, self._expire, Outcome.TIMEOUT)]
+        self._timers = [
+            pool.net.loop.call_later(STALLED_S, self._watch)
+            if self.long
+            else pool.net.loop.call_later(timeout_s, self._expire, Outcome.TIMEOUT)
+        ]
 
     def connect(self, number: int, place: Place) -> None:
         """Open a connection for this route step."""
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -54,8 +54,9 @@
 REACHED = ("outcome_ok", "outcome_full", "outcome_error", "probe_ok")
 MISSED = ("connects_failed", "outcome_connect_failed", "outcome_reset", "outcome_timeout")
 LEAVE_S = 2.0
-TELLING = frozenset({api.Outcome.OK, api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.TIMEOUT,
-                     api.Outcome.RESET})  # outcomes that say whether a destination lives
+TELLING = frozenset(
+    {api.Outcome.OK, api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.TIMEOUT, api.Outcome.RESET}
+)  # outcomes that say whether a destination lives
 DEBUG = frozenset({"renewed", "act_sent", "act_ended", "unknown"})
 
 
@@ -70,15 +71,17 @@
     made = structlog.wrap_logger(
         structlog.PrintLogger(file),
         processors=[structlog.processors.add_log_level, structlog.processors.JSONRenderer()],
-        wrapper_class=structlog.make_filtering_bound_logger(level))
+        wrapper_class=structlog.make_filtering_bound_logger(level),
+    )
     return made.bind(instance=name, incarnation=incarnation)
 
 
 class Beside:
     """What stands beside one sidecar: its keeper, its duties, and its part in others' duties."""
 
-    def __init__(self, told: OperatorFile, config: configuration.Config, log: Log,
-                 member: Membership | None = None) -> None:
+    def __init__(
+        self, told: OperatorFile, config: configuration.Config, log: Log, member: Membership | None = None
+    ) -> None:
         self._told, self._config, self._log, self._member = told, config, log, member
         self.name = told.instance.name or config.name
         self.incarnation = f"{self.name}#{uuid.uuid4().hex[:12]}"
@@ -86,12 +89,23 @@
         chance = random.Random(uuid.uuid4().int)
         zone = config.settings.zone
         self._wished = told.duties.wished(zone)
-        self.keeper = Keeper(open_store(told), name=self.name, incarnation=self.incarnation,
-                             duties=self._wished, terms=told.terms, now_s=boot_s, unix_s=time.time,
-                             history=self.history, chance=chance, prefix=told.store.prefix)
-        made: dict[str, Duty] = {"drill": Drill(self.incarnation), "rollout": Rollout(),
-                                 f"warden@{zone}": Warden(zone, self.incarnation, _safe(config.settings),
-                                                          told.leases.drift)}
+        self.keeper = Keeper(
+            open_store(told),
+            name=self.name,
+            incarnation=self.incarnation,
+            duties=self._wished,
+            terms=told.terms,
+            now_s=boot_s,
+            unix_s=time.time,
+            history=self.history,
+            chance=chance,
+            prefix=told.store.prefix,
+        )
+        made: dict[str, Duty] = {
+            "drill": Drill(self.incarnation),
+            "rollout": Rollout(),
+            f"warden@{zone}": Warden(zone, self.incarnation, _safe(config.settings), told.leases.drift),
+        }
         self._runners = {name: Runner(self.keeper, made[name], boot_s, self._did) for name in self._wished}
         self.keeper.on_began = lambda duty, token: self._runners[duty].began(token)
         self.keeper.on_ended = lambda duty, token, why: self._runners[duty].ended()
@@ -127,11 +141,15 @@
         """The sidecar's parts are there."""
         self._effects = effects
         counters = effects.counters
-        counters.gauge("duties_held", lambda: sum(
-            bool(self.keeper.holder.believes(boot_s(), name)) for name in self._wished))
+        counters.gauge(
+            "duties_held",
+            lambda: sum(bool(self.keeper.holder.believes(boot_s(), name)) for name in self._wished),
+        )
         counters.gauge("store_calls", lambda: sum(self.keeper.calls.values()))
-        counters.gauge("store_unknown", lambda: sum(
-            count for name, count in self.keeper.calls.items() if name.endswith("_unknown")))
+        counters.gauge(
+            "store_unknown",
+            lambda: sum(count for name, count in self.keeper.calls.items() if name.endswith("_unknown")),
+        )
         if self._recording is not None:
             self._recording.joined(effects)
         life.listen(self._phase)
@@ -181,20 +199,20 @@
         if self._member is not None and key.startswith(INSTANCE):
             self._member.seen(len(self.keeper.instances))
         if key.startswith(YIELD) and entry is not None:
-            duty = key[len(YIELD):]
+            duty = key[len(YIELD) :]
             held = self.keeper.entries.get(DUTY + duty)
             if duty in self._runners and held is not None and entry.value == b"%d" % held.created:
                 self.keeper.yield_(duty, "staff")
         elif key.startswith(LOOK) and self._looking is not None:
-            seen = self._looking.heard(boot_s(), time.time(), key[len(LOOK):], entry)
-            number = self._nodes().get(key[len(LOOK):]) if seen is not None else None
+            seen = self._looking.heard(boot_s(), time.time(), key[len(LOOK) :], entry)
+            number = self._nodes().get(key[len(LOOK) :]) if seen is not None else None
             if seen is not None and number is not None and self._effects is not None:
                 self._effects.counters.add("looks_heard")
                 self._effects.feed(_as_probe(number, seen))
         elif key.startswith(("want/", "settings/")):
             self._follow()
         elif key.startswith(GRANT) and key.endswith(f"/{self.name}") and self._granted is not None:
-            self._take_grant(self._granted, key[len(GRANT):].partition("/")[0], entry)
+            self._take_grant(self._granted, key[len(GRANT) :].partition("/")[0], entry)
 
     # Roll-out: our own part.
 
@@ -365,8 +383,9 @@
     return core.ProbeEnded(destination, api.Outcome.OK if seen.ok else api.Outcome.CONNECT_FAILED, seen.ms)
 
 
-async def _serve(told: OperatorFile, config: configuration.Config, log: Log,
-                 member: Membership | None) -> int:
+async def _serve(
+    told: OperatorFile, config: configuration.Config, log: Log, member: Membership | None
+) -> int:
     try:
         beside = Beside(told, config, log, member)
     except SealError as problem:
@@ -374,8 +393,9 @@
         return 2
     given = None if member is None else member.listening()
     try:
-        return await serve(config, Net(asyncio.get_running_loop(), given), log, reread=beside.reread,
-                           joined=beside.joined)
+        return await serve(
+            config, Net(asyncio.get_running_loop(), given), log, reread=beside.reread, joined=beside.joined
+        )
     finally:
         await beside.leave()
 
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -52,8 +52,12 @@
     return max(2, int(max(REST_SHARE * most, REST_LEAST) / 3))
 
 
-_ENDS = {core.Verdict.SERVED: "completed", core.Verdict.BUSY: "rejected", core.Verdict.FAILED: "failed",
-         core.Verdict.DOUBLE: "failed"}
+_ENDS = {
+    core.Verdict.SERVED: "completed",
+    core.Verdict.BUSY: "rejected",
+    core.Verdict.FAILED: "failed",
+    core.Verdict.DOUBLE: "failed",
+}
 
 
 class Asker(Protocol):
@@ -135,15 +139,23 @@
 
 def connect_timeout_ms(settings: api.Settings) -> float:
     """After which a connect is given up, so that there is time for a second try."""
-    return min(settings.limits.connect_timeout_ms,
-               CONNECT_SHARE * min(one.aim_ms for one in settings.classes))
+    return min(
+        settings.limits.connect_timeout_ms, CONNECT_SHARE * min(one.aim_ms for one in settings.classes)
+    )
 
 
 class Effects:
     """The reducer's hands."""
 
-    def __init__(self, net: Net, config: Config, counters: Counters, log: Log, dial: Dial,
-                 reducer: Callable[[api.Settings, int], Reducer] = Reducer) -> None:
+    def __init__(
+        self,
+        net: Net,
+        config: Config,
+        counters: Counters,
+        log: Log,
+        dial: Dial,
+        reducer: Callable[[api.Settings, int], Reducer] = Reducer,
+    ) -> None:
         self._net, self._config, self._clock = net, config, Clock(net)
         self.counters, self._log = counters, log
         self._reducer = reducer(config.settings, config.seed)
@@ -153,12 +165,25 @@
         self._beat_ms = self._clock.now_ms()
         self._beating: asyncio.TimerHandle | None = None  # set while anything is open
         self.destinations = Destinations(
-            net, counters, log, dial, keepalive_ms=config.keepalive_ms,
+            net,
+            counters,
+            log,
+            dial,
+            keepalive_ms=config.keepalive_ms,
             connect_timeout_ms=connect_timeout_ms(config.settings),
-            most_links=descriptors(config.sockets)[1])
+            most_links=descriptors(config.sockets)[1],
+        )
         self._reader = PoolReader(config.zones)
-        self.pool_config = PoolConfig(net, config.discovery, self._reader, self.told, counters, log,
-                                      must_ask=config.settings.must_ask, seed=config.seed)
+        self.pool_config = PoolConfig(
+            net,
+            config.discovery,
+            self._reader,
+            self.told,
+            counters,
+            log,
+            must_ask=config.settings.must_ask,
+            seed=config.seed,
+        )
         self.has_list = False
         self.looks: Looks | None = None
         self.records: Records | None = None
@@ -256,8 +281,19 @@
             self._beat()
             self._beating = self._net.loop.call_later(BEAT_MS / 1000, self._pulse)
         deadline = self._clock.now_ms() + (asked.wait_ms if asked.upload is None else LONGEST_MS)
-        self.feed(core.OperationCame(number, asked.cls, deadline, asked.repeat, asked.cost_ms, asked.room,
-                                     asked.id, asked.upload is not None, asked.before))
+        self.feed(
+            core.OperationCame(
+                number,
+                asked.cls,
+                deadline,
+                asked.repeat,
+                asked.cost_ms,
+                asked.room,
+                asked.id,
+                asked.upload is not None,
+                asked.before,
+            )
+        )
 
     def whole(self, number: int, waited_ms: float) -> None:
         """The last byte of a long operation has come; it may have stood below us for so long."""
@@ -319,8 +355,11 @@
     def _place(self, update: PoolUpdate) -> None:
         # First: what is held goes to a new destination, or to one's new address, as soon as the module knows.
         self.destinations.place(update.places, update.update.kind is not api.ListKind.DELTA)
-        if update.update.entries or update.update.kind is not api.ListKind.DELTA or (
-                self._config.settings.must_ask):  # whoever asked waits for an answer, an empty one too
+        if (
+            update.update.entries
+            or update.update.kind is not api.ListKind.DELTA
+            or (self._config.settings.must_ask)
+        ):  # whoever asked waits for an answer, an empty one too
             self.feed(core.PoolTold(update.update))
 
     def out(self) -> dict[int, float]:
@@ -341,12 +380,16 @@
     def reload(self, config: Config) -> None:
         """The configuration was read anew: discovery moves, other settings hold, the rest waits."""
         before, settings = self._config, config.settings
-        kept = [name for name in ("name", "listen", "console", "sockets", "memory_mb", "zones",
-                                  "keepalive_ms")
-                if getattr(before, name) != getattr(config, name)]
+        kept = [
+            name
+            for name in ("name", "listen", "console", "sockets", "memory_mb", "zones", "keepalive_ms")
+            if getattr(before, name) != getattr(config, name)
+        ]
         self.counters.add("config_reloads")
-        self._log.say(f"{before.name}: configuration read anew, discovery at {config.discovery[0]}:"
-                f"{config.discovery[1]}" + (f"; from the next start: {', '.join(kept)}" if kept else ""))
+        self._log.say(
+            f"{before.name}: configuration read anew, discovery at {config.discovery[0]}:"
+            f"{config.discovery[1]}" + (f"; from the next start: {', '.join(kept)}" if kept else "")
+        )
         for one in settings.classes:
             self.counters.name_class(one.name)
         self.destinations.connect_timeout_s = connect_timeout_ms(settings) / 1000  # the module counts with it
@@ -370,7 +413,8 @@
         elif isinstance(effect, core.GuardDeadline):
             delay = (effect.at_ms - self._clock.now_ms()) / 1000
             self._open[effect.operation].guard = self._net.loop.call_later(
-                delay, self.feed, core.DeadlineDue(effect.operation))
+                delay, self.feed, core.DeadlineDue(effect.operation)
+            )
         elif isinstance(effect, core.CancelStep):
             opened = self._open.get(effect.operation)
             if opened is not None and effect.step in opened.steps:
@@ -396,8 +440,9 @@
                 self.looks.saw(effect.destination, result.outcome)
             if self.records is not None:
                 self.records.ended(effect.operation, effect.step, result.outcome)
-            self.feed(core.StepEnded(effect.operation, effect.step, result.outcome,
-                                     result.load, result.answer))
+            self.feed(
+                core.StepEnded(effect.operation, effect.step, result.outcome, result.load, result.answer)
+            )
             self._forget(effect.operation)
 
         def began(_step: RouteStep, answer: Answer) -> Asker | None:
@@ -426,8 +471,9 @@
                 return written is None or written()
 
             left_ms = effect.timeout_ms - (self._clock.now_ms() - asked_ms)
-            return self.destinations.send(effect.destination, opened.asked, max(left_ms, 1.0) / 1000, done,
-                                          began, handed, fence)
+            return self.destinations.send(
+                effect.destination, opened.asked, max(left_ms, 1.0) / 1000, done, began, handed, fence
+            )
 
         if self.records is None:
             opened.steps[effect.step] = send()
@@ -461,8 +507,9 @@
 
         def done(result: StepResult) -> None:
             self.counters.add(f"probe_{result.outcome.name.lower()}")
-            self.feed(core.ProbeEnded(destination, result.outcome, self._clock.now_ms() - started,
-                                      result.load))
+            self.feed(
+                core.ProbeEnded(destination, result.outcome, self._clock.now_ms() - started, result.load)
+            )
 
         self.destinations.send(destination, None, timeout_s, done)
 
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -37,8 +37,14 @@
 def terms_of(told: OperatorFile) -> WorkTerms:
     """`[work]` of the file."""
     work = told.work
-    return WorkTerms(frozenset(work.record), frozenset(work.refuse), work.by_request_id, work.kept_s,
-                     work.body_most, work.pace)
+    return WorkTerms(
+        frozenset(work.record),
+        frozenset(work.refuse),
+        work.by_request_id,
+        work.kept_s,
+        work.body_most,
+        work.pace,
+    )
 
 
 def kept_of(told: OperatorFile) -> Kept:
@@ -50,8 +56,15 @@
 class Recording:
     """The recorder and the takers of one instance."""
 
-    def __init__(self, told: OperatorFile, config: Config, keeper: Keeper, incarnation: str,
-                 say: Callable[..., None], chance: random.Random) -> None:
+    def __init__(
+        self,
+        told: OperatorFile,
+        config: Config,
+        keeper: Keeper,
+        incarnation: str,
+        say: Callable[..., None],
+        chance: random.Random,
+    ) -> None:
         self._told, self._config, self._keeper, self._incarnation = told, config, keeper, incarnation
         self._say, self._chance = say, chance
         self._kept = kept_of(told)
@@ -66,11 +79,30 @@
         journal = Journal(open_work(self._told, self._terms.call_s), boot_s, self._terms.call_s, self._say)
         layout = RecordLayout(self._told.work_prefix, self._terms.kept_s)
         self.recorder = recorder = Recorder(
-            effects, journal, layout, self._kept, self.presence, self._terms, self._incarnation,
-            session=self._token, now_s=boot_s, chance=self._chance, count=counters.add, say=self._say)
-        self.takers = Takers(recorder, self._keeper.name, pace=Pace(self._terms.pace, BURST), now_s=boot_s,
-                             unix_s=time.time, chance=self._chance, count=counters.add, say=self._say,
-                             busy=lambda: effects.pending > BUSY_MOST)
+            effects,
+            journal,
+            layout,
+            self._kept,
+            self.presence,
+            self._terms,
+            self._incarnation,
+            session=self._token,
+            now_s=boot_s,
+            chance=self._chance,
+            count=counters.add,
+            say=self._say,
+        )
+        self.takers = Takers(
+            recorder,
+            self._keeper.name,
+            pace=Pace(self._terms.pace, BURST),
+            now_s=boot_s,
+            unix_s=time.time,
+            chance=self._chance,
+            count=counters.add,
+            say=self._say,
+            busy=lambda: effects.pending > BUSY_MOST,
+        )
         effects.records = recorder
         counters.gauge("work_open", lambda: recorder.tables["work_open"])
         counters.gauge("work_later", lambda: recorder.tables["work_later"])
@@ -96,7 +128,7 @@
         """Something in the leases' store has changed."""
         if not key.startswith(INSTANCE):
             return
-        name = key[len(INSTANCE):]
+        name = key[len(INSTANCE) :]
         if entry is not None:
             try:
                 word = msgspec.json.decode(entry.value, type=_Word).incarnation
--- a/coveport/sidecar/serve.py
+++ b/coveport/sidecar/serve.py
@@ -33,12 +33,17 @@
 LONG_LEAST_MB = 1.0
 
 
-async def serve(config: configuration.Config, net: Net, log: Log, *,
-                reread: Callable[[configuration.Config], configuration.Config],
-                on_phase: Callable[[Phase], None] | None = None,
-                reducer: Callable[[api.Settings, int], Reducer] = Reducer,
-                effects_type: type[Effects] = Effects,
-                joined: Callable[[Effects, Lifecycle], None] | None = None) -> int:
+async def serve(
+    config: configuration.Config,
+    net: Net,
+    log: Log,
+    *,
+    reread: Callable[[configuration.Config], configuration.Config],
+    on_phase: Callable[[Phase], None] | None = None,
+    reducer: Callable[[api.Settings, int], Reducer] = Reducer,
+    effects_type: type[Effects] = Effects,
+    joined: Callable[[Effects, Lifecycle], None] | None = None,
+) -> int:
     """Run until told to stop and nothing is owed; the exit code.
 
     `reread` gives the configuration anew, checked against the one that runs, or raises ConfigError. `reducer`
@@ -53,9 +58,18 @@
     counters.gauge("long_bytes", lambda: budget.held)
     counters.gauge("long_bytes_peak", lambda: budget.peak)
     effects = effects_type(net, config, counters, log, dial, reducer)
-    listener = Listener(net, counters, log, config.settings.classes, ready=lambda: life.ready,
-                        most_clients=descriptors(config.sockets)[0], take=effects.take, gone=effects.gone,
-                        whole=effects.whole, budget=budget)
+    listener = Listener(
+        net,
+        counters,
+        log,
+        config.settings.classes,
+        ready=lambda: life.ready,
+        most_clients=descriptors(config.sockets)[0],
+        take=effects.take,
+        gone=effects.gone,
+        whole=effects.whole,
+        budget=budget,
+    )
 
     def unexpected(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         # Guards against a fault in one connection, or EMFILE in accept: logged, and served on.
@@ -64,9 +78,16 @@
             listener.shed(16)
 
     def figures() -> None:
-        log.say("counters " + counters.line(phase=life.phase.value, owed=effects.owed,
-                                            clients=listener.count, links=effects.destinations.count,
-                                            tables={"clients": listener.count, **effects.tables}))
+        log.say(
+            "counters "
+            + counters.line(
+                phase=life.phase.value,
+                owed=effects.owed,
+                clients=listener.count,
+                links=effects.destinations.count,
+                tables={"clients": listener.count, **effects.tables},
+            )
+        )
 
     stop, running = asyncio.Event(), config
 
@@ -90,8 +111,13 @@
             return None
         return f"no way back: {life.phase.value}"
 
-    console = Console(net, counters, log, most=callers(config.sockets), calls={
-        Call.PING: ping, Call.INFO: info, Call.LAMEDUCK: lameduck, Call.REJOIN: rejoin})
+    console = Console(
+        net,
+        counters,
+        log,
+        most=callers(config.sockets),
+        calls={Call.PING: ping, Call.INFO: info, Call.LAMEDUCK: lameduck, Call.REJOIN: rejoin},
+    )
 
     def reload() -> None:
         try:
@@ -126,8 +152,11 @@
         return 1
     # Who must ask asks in its own time, as all that start together ask a small service: none waits for it.
     known_will_do = net.now_s() + (0.0 if config.settings.must_ask else FIRST_LIST_S)
-    while not stop.is_set() and not effects.has_list and not (
-            effects.destinations.known and net.now_s() >= known_will_do):
+    while (
+        not stop.is_set()
+        and not effects.has_list
+        and not (effects.destinations.known and net.now_s() >= known_will_do)
+    ):
         await asyncio.sleep(STEP_S)
     if beside and not stop.is_set() and not await _listen(config, net, log, listener):
         return 1
@@ -154,8 +183,9 @@
     return port is not None
 
 
-async def _open(net: Net, log: Log, listen: Callable[[Address], Awaitable[int]], address: Address
-                ) -> int | None:
+async def _open(
+    net: Net, log: Log, listen: Callable[[Address], Awaitable[int]], address: Address
+) -> int | None:
     """Listen there, and the port; None, with a line that says so, where that can't be."""
     give_up = net.now_s() + BIND_S
     while True:
@@ -173,8 +203,13 @@
         if phase is Phase.SERVING:
             gc.freeze()  # what is there by now stays: no collection need look at it again
 
-    return await serve(config, Net(asyncio.get_running_loop()), log, on_phase=settled,
-                       reread=lambda running: configuration.load(os.environ, again=True, running=running))
+    return await serve(
+        config,
+        Net(asyncio.get_running_loop()),
+        log,
+        on_phase=settled,
+        reread=lambda running: configuration.load(os.environ, again=True, running=running),
+    )
 
 
 def main() -> int:
--- a/coveport/telemetry/counters.py
+++ b/coveport/telemetry/counters.py
@@ -11,8 +11,14 @@
 
 ENDS = ("completed", "rejected", "failed")  # how an operation ends: served, refused, failed
 # What staff are told, beside how the operations of each class ended.
-TOLD = ("upstream_requests", "pending", "members", "members_unavailable", "config_reloads",
-        "config_reload_errors")
+TOLD = (
+    "upstream_requests",
+    "pending",
+    "members",
+    "members_unavailable",
+    "config_reloads",
+    "config_reload_errors",
+)
 PREFIX = "edge_lb"
 
 
--- a/coveport/work/asking.py
+++ b/coveport/work/asking.py
@@ -37,8 +37,9 @@
 class Answered(Protocol):
     """Who is told of answers before clients are."""
 
-    def answered(self, hand: Hand, verdict: Verdict, answer: Answer | None,
-                 deliver: Callable[[], None]) -> None:
+    def answered(
+        self, hand: Hand, verdict: Verdict, answer: Answer | None, deliver: Callable[[], None]
+    ) -> None:
         """The one final answer is there; `deliver` passes it on."""
 
     def finished(self, hand: Hand, whole: bool) -> None:
@@ -66,8 +67,9 @@
 
     def answer(self, verdict: Verdict, answer: Answer | None, retry_after_ms: float) -> None:
         """The one final answer."""
-        self._recorder.answered(self.hand, verdict, answer,
-                            lambda: self.client.answer(verdict, answer, retry_after_ms))
+        self._recorder.answered(
+            self.hand, verdict, answer, lambda: self.client.answer(verdict, answer, retry_after_ms)
+        )
 
     def left(self) -> bool:
         """Whether the client has gone."""
--- a/coveport/work/hand.py
+++ b/coveport/work/hand.py
@@ -124,5 +124,6 @@
     def before(self, now: float, now_ms: float) -> tuple[api.Before, ...]:
         """The attempts that were made, as the module is told of them."""
         sent_ms = now_ms - max(0.0, now - self.first_at) * 1000 if self.first_at < inf else now_ms
-        return tuple(api.Before(one.zone, one.cell, sent_ms, one.may_have_run)
-                     for one in self.record.attempts)
+        return tuple(
+            api.Before(one.zone, one.cell, sent_ms, one.may_have_run) for one in self.record.attempts
+        )
--- a/coveport/work/journal.py
+++ b/coveport/work/journal.py
@@ -49,8 +49,9 @@
     `now_s`: a clock that runs through sleep.
     """
 
-    def __init__(self, store: Store, now_s: Callable[[], float], call_s: float,
-                 say: Callable[..., None]) -> None:
+    def __init__(
+        self, store: Store, now_s: Callable[[], float], call_s: float, say: Callable[..., None]
+    ) -> None:
         self._store, self._now_s, self._call_s, self._say = store, now_s, call_s, say
         self._waiting: deque[_Waiting] = deque()
         self._bytes = 0
@@ -70,8 +71,11 @@
     @property
     def full(self) -> bool:
         """Whether no more can be taken in to be written."""
-        return (len(self._waiting) >= MOST_ENTRIES or self._bytes >= MOST_BYTES
-                or (bool(self._waiting) and self._now_s() - self._waiting[0].since > MOST_WAIT_S))
+        return (
+            len(self._waiting) >= MOST_ENTRIES
+            or self._bytes >= MOST_BYTES
+            or (bool(self._waiting) and self._now_s() - self._waiting[0].since > MOST_WAIT_S)
+        )
 
     @property
     def revision(self) -> int:
@@ -83,8 +87,9 @@
         """Whether what is written now has a chance to be there soon."""
         return self.there is There.UP
 
-    def write(self, make: Callable[[], Transaction | None], done: Callable[[Outcome], None],
-              size: int) -> None:
+    def write(
+        self, make: Callable[[], Transaction | None], done: Callable[[Outcome], None], size: int
+    ) -> None:
         """Write what `make` says by the time its group goes (None: nothing any more).
 
         `done` is called once, in a later turn. `size`: bytes, about.
@@ -135,8 +140,11 @@
         group: list[_Waiting] = []
         transactions: list[Transaction] = []
         size = 0
-        while self._waiting and len(group) < GROUP_ENTRIES and (
-                not group or size + self._waiting[0].size <= GROUP_BYTES):
+        while (
+            self._waiting
+            and len(group) < GROUP_ENTRIES
+            and (not group or size + self._waiting[0].size <= GROUP_BYTES)
+        ):
             one = self._waiting.popleft()
             self._bytes -= one.size
             transaction = one.make()
@@ -144,8 +152,9 @@
                 group.append(one)
                 transactions.append(transaction)
                 size += one.size
-                self.bytes += sum(len(put.key) + len(put.value) for put in transaction.changes
-                                  if isinstance(put, Put))
+                self.bytes += sum(
+                    len(put.key) + len(put.value) for put in transaction.changes if isinstance(put, Put)
+                )
         if not group:
             return
         self.groups += 1
--- a/coveport/work/late.py
+++ b/coveport/work/late.py
@@ -22,8 +22,14 @@
 class Late:
     """Operations that are answered, and the store has not heard how; by their records' ids."""
 
-    def __init__(self, journal: Journal, layout: RecordLayout, chance: random.Random,
-                 count: Callable[[str], None], unix_s: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        journal: Journal,
+        layout: RecordLayout,
+        chance: random.Random,
+        count: Callable[[str], None],
+        unix_s: Callable[[], float],
+    ) -> None:
         self._journal, self._layout, self._chance = journal, layout, chance
         self._count, self._unix_s = count, unix_s
         self._hands: dict[str, Hand] = {}
@@ -75,13 +81,18 @@
                 return True
             revision = found.entries[0].modified
             if (before.owner, before.owners, before.lives, before.asked) != (
-                    record.owner, record.owners, record.lives, record.asked) or not before.open:
+                record.owner,
+                record.owners,
+                record.lives,
+                record.asked,
+            ) or not before.open:
                 return True  # another's by now, or another ask's, or closed: it goes by what stands there
         elif hand.revision:
             return True  # it was there and was thrown away
         if record.open:
-            record = record.closed(End.FAILED if record.may_have_run else End.NEVER_RAN, "not answered",
-                                   self._unix_s())
+            record = record.closed(
+                End.FAILED if record.may_have_run else End.NEVER_RAN, "not answered", self._unix_s()
+            )
         if record.attempts:
             # Nobody knows how old they are: their window counts as over.
             record = msgspec.structs.replace(record, since=hand.since or FIRST_REVISION)
--- a/coveport/work/record.py
+++ b/coveport/work/record.py
@@ -138,7 +138,7 @@
         if self.state is State.CLOSED or attempt.ended is not None:
             return self
         told = msgspec.structs.replace(attempt, ended=outcome)
-        attempts = (*self.attempts[:number], told, *self.attempts[number + 1:])
+        attempts = (*self.attempts[:number], told, *self.attempts[number + 1 :])
         record = msgspec.structs.replace(self, attempts=attempts)
         return record.to(State.ANSWERED) if outcome is Outcome.OK and self.state is State.SENDING else record
 
@@ -166,9 +166,19 @@
         if self.state is not State.CLOSED or not (unrun or self.may_run_again):
             raise RecordError(f"{self.id}: can't be taken again")
         return msgspec.structs.replace(
-            self, owner=by, token=token, state=State.TAKEN if unrun else State.SENDING,
-            attempts=() if unrun else self.attempts, since=0 if unrun else self.since, end=None, why="",
-            settled=None, lives=self.lives + 1, owners=(*self.owners, self.owner), closed_unix=0.0)
+            self,
+            owner=by,
+            token=token,
+            state=State.TAKEN if unrun else State.SENDING,
+            attempts=() if unrun else self.attempts,
+            since=0 if unrun else self.since,
+            end=None,
+            why="",
+            settled=None,
+            lives=self.lives + 1,
+            owners=(*self.owners, self.owner),
+            closed_unix=0.0,
+        )
 
     def settle(self, end: End, by: str, why: str, unix: float = 0.0) -> Record:
         """Staff's word on what is not known; it is kept beside what was written before."""
@@ -222,8 +232,9 @@
         told = msgspec.json.decode(body, type=Record)
     except (msgspec.DecodeError, msgspec.ValidationError) as problem:
         later = _format(body)
-        raise RecordError(f"of format {later}, ours is {FORMAT}" if later > FORMAT else
-                          " ".join(str(problem).split())) from problem
+        raise RecordError(
+            f"of format {later}, ours is {FORMAT}" if later > FORMAT else " ".join(str(problem).split())
+        ) from problem
     if told.format > FORMAT:
         raise RecordError(f"{told.id}: of format {told.format}, ours is {FORMAT}")
     return told
--- a/coveport/work/record_adopter.py
+++ b/coveport/work/record_adopter.py
@@ -98,8 +98,12 @@
             if decision.do is Do.ASK_AGAIN:
                 hand.until = min(hand.until, now + decision.within_ms / 1000)
             if client is None and self._rebuilt(hand) is None:
-                self._end(hand, client, End.UNKNOWN if record.may_have_run else End.NEVER_RAN,
-                          "what was asked is not kept")
+                self._end(
+                    hand,
+                    client,
+                    End.UNKNOWN if record.may_have_run else End.NEVER_RAN,
+                    "what was asked is not kept",
+                )
                 return True
             self._begin(hand, client, hand.before(now, self._hands.now_ms()))
             return True
@@ -116,18 +120,37 @@
         classes = [one.name for one in self._hands.settings.classes]
         if asked is None or hand.record.cls not in classes:
             return None
-        return Operation(asked.method, asked.target, asked.body, asked.request_id, asked.key,
-                         classes.index(hand.record.cls), max(1.0, (hand.until - self._now_s()) * 1000),
-                         content_type=asked.content_type, accept=asked.accept)
+        return Operation(
+            asked.method,
+            asked.target,
+            asked.body,
+            asked.request_id,
+            asked.key,
+            classes.index(hand.record.cls),
+            max(1.0, (hand.until - self._now_s()) * 1000),
+            content_type=asked.content_type,
+            accept=asked.accept,
+        )
 
     def _begin(self, hand: Hand, client: Any, before: tuple[api.Before, ...]) -> None:
         """Have it carried out, under a number of our own."""
         rebuilt = self._rebuilt(hand) if client is None else None
         asked = rebuilt or hand.asked
         # A copy: what came first keeps what it was asked with.
-        asked = Operation(asked.method, asked.target, asked.body, asked.id, asked.key, asked.cls,
-                          max(1.0, (hand.until - self._now_s()) * 1000), asked.repeat, asked.cost_ms,
-                          asked.content_type, asked.accept, before=before)
+        asked = Operation(
+            asked.method,
+            asked.target,
+            asked.body,
+            asked.id,
+            asked.key,
+            asked.cls,
+            max(1.0, (hand.until - self._now_s()) * 1000),
+            asked.repeat,
+            asked.cost_ms,
+            asked.content_type,
+            asked.accept,
+            before=before,
+        )
         self._own -= 1
         hand.number = self._own
         hand.numbers.add(hand.number)
@@ -196,10 +219,14 @@
         """Whether what was taken over and found no room is tried again a little later."""
         rules = hand.record.rules
         rest_ms = rules.window_ms - (self._now_s() - hand.first_at) * 1000 if hand.first_at < inf else 0.0
-        if (rules.effect is not Effect.KEYED or hand.stage is not Stage.OURS or hand.gates
-                or rest_ms < LEAST_MS + TRY_AGAIN_S * 1000
-                or len(hand.record.attempts) >= rules.most_attempts
-                or hand.record.state is not State.SENDING):
+        if (
+            rules.effect is not Effect.KEYED
+            or hand.stage is not Stage.OURS
+            or hand.gates
+            or rest_ms < LEAST_MS + TRY_AGAIN_S * 1000
+            or len(hand.record.attempts) >= rules.most_attempts
+            or hand.record.state is not State.SENDING
+        ):
             return False
         self._loop().call_later(TRY_AGAIN_S, self._retry, hand)
         return True
@@ -210,8 +237,9 @@
             self._go_on(hand, None)
 
     @abstractmethod
-    def answered(self, hand: Hand, verdict: Verdict, answer: Answer | None,
-                 deliver: Callable[[], None]) -> None:
+    def answered(
+        self, hand: Hand, verdict: Verdict, answer: Answer | None, deliver: Callable[[], None]
+    ) -> None:
         """The one final answer is there; pass it on as soon as the class allows."""
 
     @abstractmethod
--- a/coveport/work/record_layout.py
+++ b/coveport/work/record_layout.py
@@ -67,7 +67,7 @@
 
     def owner_and_id(self, key: str) -> tuple[str, str]:
         """Of a key under `open_keys`."""
-        owner, _, identity = key[len(self.prefix) + len(OPEN):].rpartition("/")
+        owner, _, identity = key[len(self.prefix) + len(OPEN) :].rpartition("/")
         return owner, identity
 
     def leaving_key(self, owner: str = "") -> str:
@@ -80,7 +80,7 @@
 
     def bucket_and_id(self, key: str) -> tuple[int, str]:
         """Of a key under `kept_keys`."""
-        bucket, _, identity = key[len(self.prefix) + len(KEPT):].partition("/")
+        bucket, _, identity = key[len(self.prefix) + len(KEPT) :].partition("/")
         return int(bucket), identity
 
     def unknown_key(self, identity: str = "") -> str:
@@ -97,8 +97,9 @@
         bucket = int((record.closed_unix + self.kept_s) // BUCKET_S) + 1
         return f"{self.kept_keys(bucket)}{record.id}"
 
-    def write(self, before: Record | None, revision: int, after: Record, more: tuple[Put | Delete, ...] = ()
-              ) -> Transaction:
+    def write(
+        self, before: Record | None, revision: int, after: Record, more: tuple[Put | Delete, ...] = ()
+    ) -> Transaction:
         """Keep it as it is now, where it stands as it did `before`, at that revision (0: nowhere)."""
         if before is not None and before.id != after.id:
             raise RecordError(f"{before.id} can't become {after.id}")
@@ -108,10 +109,11 @@
             changes.append(Delete(self.index(before)))
         if before is None or self.index(before) != index:
             changes.append(Put(index, b""))
-        return Transaction((Compare(self.record_key(after.id), Field.MODIFIED, revision),),
-                           (*changes, *more))
+        return Transaction((Compare(self.record_key(after.id), Field.MODIFIED, revision),), (*changes, *more))
 
     def throw_away(self, identity: str, revision: int, index: str) -> Transaction:
         """Keep it no more, where it still stands at that revision."""
-        return Transaction((Compare(self.record_key(identity), Field.MODIFIED, revision),),
-                           (Delete(self.record_key(identity)), Delete(index)))
+        return Transaction(
+            (Compare(self.record_key(identity), Field.MODIFIED, revision),),
+            (Delete(self.record_key(identity)), Delete(index)),
+        )
--- a/coveport/work/record_writer.py
+++ b/coveport/work/record_writer.py
@@ -32,10 +32,23 @@
     runs through sleep. `count`: adds to a figure by its name.
     """
 
-    def __init__(self, hands: Hands, journal: Journal, layout: RecordLayout, kept: Kept, presence: Presence,
-                 terms: WorkTerms, incarnation: str, *, session: Callable[[], int],
-                 now_s: Callable[[], float], chance: random.Random, count: Callable[[str], None],
-                 say: Callable[..., None], unix_s: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self,
+        hands: Hands,
+        journal: Journal,
+        layout: RecordLayout,
+        kept: Kept,
+        presence: Presence,
+        terms: WorkTerms,
+        incarnation: str,
+        *,
+        session: Callable[[], int],
+        now_s: Callable[[], float],
+        chance: random.Random,
+        count: Callable[[str], None],
+        say: Callable[..., None],
+        unix_s: Callable[[], float] = time.time,
+    ) -> None:
         self._hands, self.journal, self.layout, self.kept = hands, journal, layout, kept
         self.presence, self._terms, self.incarnation = presence, terms, incarnation
         self._session, self._now_s, self._chance = session, now_s, chance
@@ -69,8 +82,11 @@
         if hand.writing or hand.stage is not Stage.OURS or hand.record is hand.written:
             return
         hand.writing = True
-        self.journal.write(partial(self._make, hand), partial(self._wrote, hand),
-                           SIZE + len(hand.record.request) + len(hand.record.answer))
+        self.journal.write(
+            partial(self._make, hand),
+            partial(self._wrote, hand),
+            SIZE + len(hand.record.request) + len(hand.record.answer),
+        )
 
     def _make(self, hand: Hand) -> Transaction | None:
         if hand.stage is not Stage.OURS:
@@ -124,8 +140,7 @@
         # Where something of it stands there, a successor may say of it that it never ran: so it must not.
         # What stands nowhere, or as being sent, nobody says that of.
         on_its_way = hand.target is not None and bool(hand.target.attempts)
-        hand.may_send = (hand.revision == 0 and on_its_way
-                         and hand.record.cls not in self._terms.refuse)
+        hand.may_send = hand.revision == 0 and on_its_way and hand.record.cls not in self._terms.refuse
         if hand.answered:
             self._deliver(hand)
             hand.to(Stage.OVER)
@@ -156,8 +171,12 @@
             hand.to(Stage.OVER)
             self._drop(hand)
             self._late.remember(hand)
-        elif hand.stage is Stage.OURS and hand.written is None and not hand.writing and (
-                not hand.record.attempts and not hand.gates):
+        elif (
+            hand.stage is Stage.OURS
+            and hand.written is None
+            and not hand.writing
+            and (not hand.record.attempts and not hand.gates)
+        ):
             # Nothing of it has gone to the store, so nothing need be said there.
             hand.to(Stage.OVER)
             self._drop(hand)
--- a/coveport/work/recorder.py
+++ b/coveport/work/recorder.py
@@ -48,8 +48,9 @@
             await self.journal.commit(self._note(within_s))
 
     def _note(self, within_s: float) -> Transaction:
-        return Transaction((), (Put(self.layout.leaving_key(self.incarnation),
-                                    msgspec.json.encode(Leaves(within_s))),))
+        return Transaction(
+            (), (Put(self.layout.leaving_key(self.incarnation), msgspec.json.encode(Leaves(within_s))),)
+        )
 
     async def left(self) -> None:
         """We have answered all that we can: what is open still is handed on at once."""
@@ -64,8 +65,12 @@
     @property
     def tables(self) -> dict[str, int]:
         """How many entries each table has."""
-        return {"work": len(self._by_number), "work_open": len(self._by_id), "work_later": len(self._late),
-                "work_waiting": len(self._waiters)}
+        return {
+            "work": len(self._by_number),
+            "work_open": len(self._by_id),
+            "work_later": len(self._late),
+            "work_waiting": len(self._waiters),
+        }
 
     # What comes from whoever carries operations out.
 
@@ -110,10 +115,18 @@
 
     def _new(self, identity: str, cls: api.RequestClass, asked: Operation) -> Record:
         sealed = self.kept.asked(identity, _as_asked(asked))
-        return Record(id=identity, key=asked.key or "", cls=cls.name,
-                      digest="" if sealed else digest_of(identity, asked.method, asked.target, asked.body),
-                      rules=Rules.of(cls, self._hands.settings.limits.max_attempts), owner=self.incarnation,
-                      token=self.token, request=sealed, asked=asked.id, unix=self._unix_s())
+        return Record(
+            id=identity,
+            key=asked.key or "",
+            cls=cls.name,
+            digest="" if sealed else digest_of(identity, asked.method, asked.target, asked.body),
+            rules=Rules.of(cls, self._hands.settings.limits.max_attempts),
+            owner=self.incarnation,
+            token=self.token,
+            request=sealed,
+            asked=asked.id,
+            unix=self._unix_s(),
+        )
 
     def send(self, number: int, step: int, destination: int, go: Go) -> bool:
         """A route step is to be sent: at once (True), or when `go` says so."""
@@ -171,8 +184,9 @@
 
     # The answer.
 
-    def answered(self, hand: Hand, verdict: Verdict, answer: Answer | None,
-                 deliver: Callable[[], None]) -> None:
+    def answered(
+        self, hand: Hand, verdict: Verdict, answer: Answer | None, deliver: Callable[[], None]
+    ) -> None:
         """The one final answer is there; pass it on as soon as the class allows."""
         if hand.answered or hand.stage is Stage.ELSEWHERE:
             return
@@ -319,5 +333,6 @@
 
 
 def _as_asked(asked: Operation) -> Asked:
-    return Asked(asked.method, asked.target, asked.body, asked.id, asked.key, asked.content_type,
-                 asked.accept)
+    return Asked(
+        asked.method, asked.target, asked.body, asked.id, asked.key, asked.content_type, asked.accept
+    )
--- a/coveport/work/seal.py
+++ b/coveport/work/seal.py
@@ -55,8 +55,9 @@
         """Seal it: NAME, a space, the nonce, and what came of it."""
         nonce = os.urandom(NONCE_BYTES)
         bound = f"{identity} {what}".encode()
-        return self._first.encode() + b" " + nonce + bytes(
-            self._keys[self._first].encrypt(nonce, data, bound))
+        return (
+            self._first.encode() + b" " + nonce + bytes(self._keys[self._first].encrypt(nonce, data, bound))
+        )
 
     def open(self, identity: str, what: str, sealed: bytes) -> bytes:
         """What was sealed; SealError where there is no such key any more, or it was changed."""
--- a/coveport/work/sharing.py
+++ b/coveport/work/sharing.py
@@ -16,6 +16,7 @@
 
 def rank(record: str, name: str, names: Collection[str]) -> int:
     """Where an instance stands in a record's order, from 0 on."""
+
     def weight(one: str) -> tuple[int, str]:
         return xxhash.xxh3_64_intdigest(f"{record}\n{one}".encode()), one
 
--- a/coveport/work/takeover.py
+++ b/coveport/work/takeover.py
@@ -68,8 +68,9 @@
         return Decision(
             Do.UNKNOWN, "never double an effect: its attempts were made at nodes that do not share keys"
         )
-    return Decision(Do.ASK_AGAIN, "repeats are dropped there, within the window", rules.group, like,
-                    min(left_ms, rest_ms))
+    return Decision(
+        Do.ASK_AGAIN, "repeats are dropped there, within the window", rules.group, like, min(left_ms, rest_ms)
+    )
 
 
 def _place(attempt: Attempt, group: Group) -> tuple[int, ...]:
--- a/coveport/work/takers.py
+++ b/coveport/work/takers.py
@@ -30,9 +30,19 @@
 class Takers:
     """What one instance does about records that are nobody's. `busy`: own work waits."""
 
-    def __init__(self, recorder: Recorder, name: str, *, pace: Pace, now_s: Callable[[], float],
-                 unix_s: Callable[[], float], chance: random.Random, busy: Callable[[], bool],
-                 count: Callable[[str], None], say: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        recorder: Recorder,
+        name: str,
+        *,
+        pace: Pace,
+        now_s: Callable[[], float],
+        unix_s: Callable[[], float],
+        chance: random.Random,
+        busy: Callable[[], bool],
+        count: Callable[[str], None],
+        say: Callable[..., None],
+    ) -> None:
         self._recorder, self._name, self._pace = recorder, name, pace
         self._now_s, self._unix_s, self._chance = now_s, unix_s, chance
         self._busy, self._count, self._say = busy, count, say
--- a/coveport/work/terms.py
+++ b/coveport/work/terms.py
@@ -31,6 +31,8 @@
     """What records cost a store, in a line. `rate`: operations of recorded classes a second."""
     kept = rate * kept_s
     most = RECORD_BYTES + 2 * SEALED * body_most
-    return (f"records: {rate:g} operations a second are {WRITES * rate:g} writes a second, each a key of "
-            f"{RECORD_BYTES} bytes to {most / 1000:.0f} kB and its index; {kept:,.0f} records kept, "
-            f"{kept * RECORD_BYTES / 1e6:,.0f} MB and their bodies (at most {kept * most / 1e6:,.0f} MB)")
+    return (
+        f"records: {rate:g} operations a second are {WRITES * rate:g} writes a second, each a key of "
+        f"{RECORD_BYTES} bytes to {most / 1000:.0f} kB and its index; {kept:,.0f} records kept, "
+        f"{kept * RECORD_BYTES / 1e6:,.0f} MB and their bodies (at most {kept * most / 1e6:,.0f} MB)"
+    )
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -67,8 +67,18 @@
     for number in range(3):
         node = ThreadingHTTPServer(("127.0.0.1", 0), LedgerNode)
         threading.Thread(target=node.serve_forever, daemon=True).start()
-        hosts.append({"host": f"s-{number}", "dial": f"127.0.0.1:{node.server_address[1]}", "site": "bilbao",
-                      "class": "toy", "block": 0, "health": "active", "share": 1.0, "born_ms": 0})
+        hosts.append(
+            {
+                "host": f"s-{number}",
+                "dial": f"127.0.0.1:{node.server_address[1]}",
+                "site": "bilbao",
+                "class": "toy",
+                "block": 0,
+                "health": "active",
+                "share": 1.0,
+                "born_ms": 0,
+            }
+        )
     Discovery.hosts = tuple(hosts)
     discovery = ThreadingHTTPServer(("127.0.0.1", int(sys.argv[1]) if sys.argv[1:] else 8500), Discovery)
     print(f"discovery at 127.0.0.1:{discovery.server_address[1]}", flush=True)
--- a/micaflow/benchlink.py
+++ b/micaflow/benchlink.py
@@ -11,8 +11,9 @@
 from micaflow.decide import Balancer
 
 
-def answer(balancers: dict[int, Balancer], decoder: wire.Decoder, now: float, count: int,
-           body: bytes) -> list[bytes]:
+def answer(
+    balancers: dict[int, Balancer], decoder: wire.Decoder, now: float, count: int, body: bytes
+) -> list[bytes]:
     """The records that answer one batch."""
     records: list[bytes] = []
     selected = -1
--- a/micaflow/decide.py
+++ b/micaflow/decide.py
@@ -72,8 +72,10 @@
         self.id, self.kind, self.deadline, self.long = event.id, self.cls.name, event.deadline_ms, event.long
         self.give_up = self.hold_until = self.cross_at = event.deadline_ms
         self.chill, self.streaming = chance.random(), False  # chill: which cold hosts it may go to
-        self.attempts = [_Attempt(_Host(api.HostEntry(-1, one.zone, one.cell), 0.0), one.sent_ms, one)
-                         for one in event.before]
+        self.attempts = [
+            _Attempt(_Host(api.HostEntry(-1, one.zone, one.cell), 0.0), one.sent_ms, one)
+            for one in event.before
+        ]
         # In which it may run again: what is decided by then is sent in time on a connection yet to come up.
         self.window = self.cls.window_ms - 2 * settings.tick_ms - self.limits.connect_timeout_ms
 
@@ -207,7 +209,8 @@
             if host.failures >= ACCIDENTS or host.trial_at < inf:
                 self._eject(host, silent=False)
         elif outcome is Outcome.CONNECT_FAILED or (
-                outcome is Outcome.TIMEOUT and host.heard_at < self.now - latency):  # silence
+            outcome is Outcome.TIMEOUT and host.heard_at < self.now - latency
+        ):  # silence
             self._eject(host)
         for other in host.pending.values():
             other.passed += sent is not None and outcome is Outcome.OK and other.sent_at < sent.sent_at
@@ -256,9 +259,13 @@
         expected = self._expected(host)
         # Where answers come this fast, what is out is on its way rather than waiting there.
         most = self.most_out * (2 if expected < self.aim * SWIFT else 1)
-        return (host.paused_until <= self.now and (len(host.pending) < most or host.has_room(most))
-                and self._has_room(host, request, first) and expected <= self._patience(request.cls.aim_ms)
-                and self._legal(request, host))
+        return (
+            host.paused_until <= self.now
+            and (len(host.pending) < most or host.has_room(most))
+            and self._has_room(host, request, first)
+            and expected <= self._patience(request.cls.aim_ms)
+            and self._legal(request, host)
+        )
 
     def _pick(self, request: _Request) -> _Host | None:
         if self.queue.count and self._has_its_part():
@@ -277,9 +284,15 @@
         # Guards against copies that fill each host as far as they may: what all of them have waiting there
         # makes it slower, and is late. What is lost, or out at hosts that are out, holds up nobody.
         part = max(1.0, self.came * OUT_FOR / OVER)
-        return len(self.flights) >= part and self.lately >= self.slow and part <= sum(
-            one.host.trial_at == inf and not one.lost and self.now - one.sent_at < self.aim
-            for one in self.flights.values())
+        return (
+            len(self.flights) >= part
+            and self.lately >= self.slow
+            and part
+            <= sum(
+                one.host.trial_at == inf and not one.lost and self.now - one.sent_at < self.aim
+                for one in self.flights.values()
+            )
+        )
 
     def _draw(self, level: list[_Host], request: _Request) -> _Host | None:  # less busy of two
         tried, found = [attempt.host for attempt in request.attempts], list[_Host]()
@@ -302,9 +315,13 @@
         risky = [a for a in request.attempts if a.may_have_run]
         if host is None:
             return not risky or cls.repeats_anywhere
-        if (not host.ready or request.streaming or self.now >= request.deadline
-                or len(request.attempts) >= request.limits.max_attempts
-                or (not request.limits.second_copies and any(a.pending for a in request.attempts))):
+        if (
+            not host.ready
+            or request.streaming
+            or self.now >= request.deadline
+            or len(request.attempts) >= request.limits.max_attempts
+            or (not request.limits.second_copies and any(a.pending for a in request.attempts))
+        ):
             return False
         if not risky or cls.effect is not Effect.KEYED or request.long:  # which takes its time
             return not risky or cls.effect is Effect.SAFE
@@ -361,9 +378,13 @@
     def _any_room(self) -> bool:  # else there is no use in drawing for each sort
         patience = self._patience(self.longest)
         return all(host.trial_at < inf for host in self.all) or any(  # all out: they are all given a chance
-            self.now >= host.trial_at and not host.pending if host.trial_at < inf else
-            host.paused_until <= self.now and host.has_room(2 * self.most_out)
-            and self._expected(host) <= patience for host in self.all)
+            self.now >= host.trial_at and not host.pending
+            if host.trial_at < inf
+            else host.paused_until <= self.now
+            and host.has_room(2 * self.most_out)
+            and self._expected(host) <= patience
+            for host in self.all
+        )
 
     def _dispatch(self) -> None:
         self.stuck, self.full = set(), False
@@ -372,8 +393,9 @@
         for request in self.queue.ended(self.soon):
             self._place(request)
         # First goes the class that is worth most for the time that it takes and that it can wait.
-        for sort, line in self.queue.lines(self.soon, lambda one: -one.cls.worth / (
-                self.took.get(one.kind, one.cls.aim_ms) * one.cls.aim_ms)):
+        for sort, line in self.queue.lines(
+            self.soon, lambda one: -one.cls.worth / (self.took.get(one.kind, one.cls.aim_ms) * one.cls.aim_ms)
+        ):
             for request in line:
                 self.full = self.full or self._has_its_part() or not self._any_room()
                 if self.full:
@@ -422,8 +444,11 @@
             risky = [a for a in request.attempts if a.may_have_run]
             if risky and request.cls.effect is Effect.KEYED:  # behind its window it would be held for nothing
                 request.hold_until = min(request.hold_until, risky[0].sent_at + request.window)
-            if (self.soon >= request.hold_until or len(request.attempts) >= request.limits.max_attempts
-                    or (risky and (request.cls.effect is Effect.UNSAFE or self.extra <= -EXTRA_BURST))):
+            if (
+                self.soon >= request.hold_until
+                or len(request.attempts) >= request.limits.max_attempts
+                or (risky and (request.cls.effect is Effect.UNSAFE or self.extra <= -EXTRA_BURST))
+            ):
                 self._answer(request)
                 return
             self.extra -= bool(risky)
--- a/micaflow/held.py
+++ b/micaflow/held.py
@@ -34,8 +34,12 @@
         self.count = self._entries = 0  # how many are held
 
     def __iter__(self) -> Iterator[W]:
-        return (one for line in self._lines.values() for number, one in line
-                if one.waiting and one.stands_as == number)
+        return (
+            one
+            for line in self._lines.values()
+            for number, one in line
+            if one.waiting and one.stands_as == number
+        )
 
     def add(self, one: W, now: float) -> None:
         """Hold it, in front of its like."""
@@ -74,8 +78,10 @@
         for one in self._due(self._crossings, now):
             self._stand(one, near=False)
         # Equals go by which line stood first: a name must not decide.
-        order = sorted(((rank(line[0][1]), not near, kind, line) for (kind, near), line in self._lines.items()
-                        if line), key=lambda row: row[:2])
+        order = sorted(
+            ((rank(line[0][1]), not near, kind, line) for (kind, near), line in self._lines.items() if line),
+            key=lambda row: row[:2],
+        )
         for _, far, kind, line in order:
             for end, pop in ((0, line.popleft), (-1, line.pop)):
                 while line and not (line[end][1].waiting and line[end][1].stands_as == line[end][0]):
--- a/micaflow/interface.py
+++ b/micaflow/interface.py
@@ -111,8 +111,12 @@
 
     def __post_init__(self) -> None:
         _positive(aim_ms=self.aim_ms, deadline_ms=self.deadline_ms)
-        _not_negative(worth=self.worth, late_share=self.late_share, window_ms=self.window_ms,
-                      aim_stretch=self.aim_stretch)
+        _not_negative(
+            worth=self.worth,
+            late_share=self.late_share,
+            window_ms=self.window_ms,
+            aim_stretch=self.aim_stretch,
+        )
 
     @property
     def repeats_anywhere(self) -> bool:
@@ -150,10 +154,17 @@
     fall_ms: float = 1000.0
 
     def __post_init__(self) -> None:
-        _positive(ask_within_ms=self.ask_within_ms, cold_from=self.cold_from,
-                  overload_factor=self.overload_factor, fall_ms=self.fall_ms)
-        _not_negative(answer_slack_ms=self.answer_slack_ms, drain_grace_ms=self.drain_grace_ms,
-                      warm_after_ms=self.warm_after_ms)
+        _positive(
+            ask_within_ms=self.ask_within_ms,
+            cold_from=self.cold_from,
+            overload_factor=self.overload_factor,
+            fall_ms=self.fall_ms,
+        )
+        _not_negative(
+            answer_slack_ms=self.answer_slack_ms,
+            drain_grace_ms=self.drain_grace_ms,
+            warm_after_ms=self.warm_after_ms,
+        )
         if self.cold_from > 1:
             raise ValueError(f"cold_from must be at most 1, not {self.cold_from!r}")
 
@@ -172,8 +183,9 @@
     probe: float = 0.0
 
     def __post_init__(self) -> None:
-        _not_negative(cross_zone=self.cross_zone, waste=self.waste, late_fail=self.late_fail,
-                      probe=self.probe)
+        _not_negative(
+            cross_zone=self.cross_zone, waste=self.waste, late_fail=self.late_fail, probe=self.probe
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/micaflow/levels.py
+++ b/micaflow/levels.py
@@ -14,8 +14,12 @@
     return next((level for level in levels if any(map(is_usable, level))), ())
 
 
-def less_busy_of_two(candidates: Sequence[C], in_flight: Mapping[C, int], random: Random | None,
-                     tie_break: Callable[[C, C], C | None] | None = None) -> C:
+def less_busy_of_two(
+    candidates: Sequence[C],
+    in_flight: Mapping[C, int],
+    random: Random | None,
+    tie_break: Callable[[C, C], C | None] | None = None,
+) -> C:
     """Of two drawn (no `random`: of those given) the less busy; of equals `tie_break`'s one or the first."""
     drawn = candidates if random is None else random.sample(candidates, min(2, len(candidates)))
     first, second = drawn[0], drawn[-1]
--- a/micaflow/wire.py
+++ b/micaflow/wire.py
@@ -29,8 +29,11 @@
 _CODE = struct.Struct("<H")
 
 _OUTCOMES = {int(o): o for o in api.Outcome}
-_EFFECTS = {"idempotent": api.Effect.SAFE, "deduplicated": api.Effect.KEYED,
-            "at_most_once": api.Effect.UNSAFE}
+_EFFECTS = {
+    "idempotent": api.Effect.SAFE,
+    "deduplicated": api.Effect.KEYED,
+    "at_most_once": api.Effect.UNSAFE,
+}
 _STATES = {int(s): s for s in api.State}
 _REPEAT_FLAG, _WRITE_FLAG, _HINT_FLAG = 2, 4, 1
 
@@ -61,13 +64,32 @@
     return {ours: section[theirs] for theirs, ours in names.items() if section.get(theirs) is not None}
 
 
-_CLASS_KEYS = {key: key for key in ("name", "aim_ms", "deadline_ms", "late_share", "aim_stretch",
-                                    "window_ms", "stream")} | {"gain": "worth"}
-_LIMIT_KEYS = {key: key for key in ("second_copies", "cancel", "probes", "retry_after",
-                                    "max_retry_after_ms", "connect_timeout_ms")}
+_CLASS_KEYS = {
+    key: key for key in ("name", "aim_ms", "deadline_ms", "late_share", "aim_stretch", "window_ms", "stream")
+} | {"gain": "worth"}
+_LIMIT_KEYS = {
+    key: key
+    for key in (
+        "second_copies",
+        "cancel",
+        "probes",
+        "retry_after",
+        "max_retry_after_ms",
+        "connect_timeout_ms",
+    )
+}
 _LIMIT_KEYS["most_tries"] = "max_attempts"
-_RULE_KEYS = {key: key for key in ("answer_slack_ms", "ask_within_ms", "cold_from", "warm_after_ms",
-                                   "overload_factor", "fall_ms")}
+_RULE_KEYS = {
+    key: key
+    for key in (
+        "answer_slack_ms",
+        "ask_within_ms",
+        "cold_from",
+        "warm_after_ms",
+        "overload_factor",
+        "fall_ms",
+    )
+}
 _RULE_KEYS["stop_sending_within_ms"] = "drain_grace_ms"
 _PRICE_KEYS = {key: key for key in ("cross_zone", "waste", "late_fail", "probe")}
 
@@ -160,14 +182,23 @@
         self._lists[number] = tuple(
             # A state that is not known is treated as draining: nothing new goes there.
             api.HostEntry(host, zone, cell, _STATES.get(state, api.State.DRAINING), weight, started)
-            for host, zone, _kind, cell, state, weight, started in _ENTRY.iter_unpack(body[at:end]))
+            for host, zone, _kind, cell, state, weight, started in _ENTRY.iter_unpack(body[at:end])
+        )
         return end
 
     def _item(self, code: int, body: bytes, at: int) -> tuple[Item, int]:
         if code == 3:
             rid, key, flags, deadline, lane, cost, tenant = _SUBMIT.unpack_from(body, at)
-            return api.Request(rid, deadline, lane, key, cost if flags & _HINT_FLAG else 0.0, tenant,
-                               bool(flags & _REPEAT_FLAG), bool(flags & _WRITE_FLAG)), at + _SUBMIT.size
+            return api.Request(
+                rid,
+                deadline,
+                lane,
+                key,
+                cost if flags & _HINT_FLAG else 0.0,
+                tenant,
+                bool(flags & _REPEAT_FLAG),
+                bool(flags & _WRITE_FLAG),
+            ), at + _SUBMIT.size
         if code == 5:
             rid, hop, host, how, took, closed, fields = _REPLY.unpack_from(body, at)
             load, at = self._load(body, at + _REPLY.size, fields)
@@ -222,7 +253,7 @@
     def _bytes(body: bytes, at: int, size: int) -> tuple[bytes, int]:
         if at + size > len(body):
             raise WireError(f"{size} bytes of content are cut short at byte {at}")
-        return body[at:at + size], at + size
+        return body[at : at + size], at + size
 
 
 _AT = struct.Struct("<HH").pack
--- a/tests/duties/test_rollout.py
+++ b/tests/duties/test_rollout.py
@@ -88,9 +88,13 @@
         step = (duty or self.duty).decide(self.now, state.value if state else None, self.entries)
         if step is None:
             return ""
-        done = self.engine.commit(self.now, Transaction(
-            (Compare("state/rollout", Field.MODIFIED, state.modified if state else 0),),
-            (Put("state/rollout", step.state), *step.changes)))
+        done = self.engine.commit(
+            self.now,
+            Transaction(
+                (Compare("state/rollout", Field.MODIFIED, state.modified if state else 0),),
+                (Put("state/rollout", step.state), *step.changes),
+            ),
+        )
         return step.what if isinstance(done, Done) else "refused"
 
     def run(self, seconds: float, by: float = 0.5) -> list[str]:
--- a/tests/duties/test_warden.py
+++ b/tests/duties/test_warden.py
@@ -52,9 +52,13 @@
         step = self.wardens[who].decide(self.now, state.value if state else None, self.engine.entries)
         if step is None:
             return False
-        done = self.engine.commit(self.now, Transaction(
-            (Compare(STATE, Field.MODIFIED, state.modified if state else 0),),
-            (Put(STATE, step.state), *step.changes)))
+        done = self.engine.commit(
+            self.now,
+            Transaction(
+                (Compare(STATE, Field.MODIFIED, state.modified if state else 0),),
+                (Put(STATE, step.state), *step.changes),
+            ),
+        )
         return isinstance(done, Done)
 
     def take(self, name: str) -> None:
--- a/tests/ends/test_bad_input.py
+++ b/tests/ends/test_bad_input.py
@@ -16,10 +16,16 @@
 from world import CLASSES, LIMITS, Discovery, Server, configuration, receive, request, served, wait_for, world
 
 
-@pytest.mark.parametrize(("endless", "status"), [
-    (b"GET /balance HTTP/1.1\r\nX: " + b"y" * 100_000, 431),
-    (b"GET /balance HTTP/1.1\r\n" + b"X: y\r\n" * 5000, 431),
-    (b"\r\n" * 5000, 400), (b"\x16\x03\x01" + b"\x00" * 5000, 400), (b"GET /balance HTTP/1.1\r\nX: y", 408)])
+@pytest.mark.parametrize(
+    ("endless", "status"),
+    [
+        (b"GET /balance HTTP/1.1\r\nX: " + b"y" * 100_000, 431),
+        (b"GET /balance HTTP/1.1\r\n" + b"X: y\r\n" * 5000, 431),
+        (b"\r\n" * 5000, 400),
+        (b"\x16\x03\x01" + b"\x00" * 5000, 400),
+        (b"GET /balance HTTP/1.1\r\nX: y", 408),
+    ],
+)
 def test_a_head_that_never_ends(tmp_path: Path, endless: bytes, status: int) -> None:
     node = Server(served)
     with world(tmp_path, node.address) as one, one.connect() as conn:
@@ -33,13 +39,21 @@
     assert len(node.seen) == 1
 
 
-@pytest.mark.parametrize("told", [
-    {"classes": [CLASSES[2]]},  # nothing may be repeated
-    {"classes": [one | {"aim_ms": 90, "deadline_ms": 120, "window_ms": 10} for one in CLASSES]},
-    {"classes": [one | {"aim_ms": 5000, "deadline_ms": 100} for one in CLASSES]},
-    {"limits": LIMITS | {"most_tries": 1}}, {"limits": LIMITS | {"connect_timeout_ms": 60_000}},
-    {"limits": LIMITS | {"keepalive_ms": 1}}, {"limits": {}}, {"invariants": {}, "prices": {}},
-    {"localities": [], "zone": 7}], ids=str)
+@pytest.mark.parametrize(
+    "told",
+    [
+        {"classes": [CLASSES[2]]},  # nothing may be repeated
+        {"classes": [one | {"aim_ms": 90, "deadline_ms": 120, "window_ms": 10} for one in CLASSES]},
+        {"classes": [one | {"aim_ms": 5000, "deadline_ms": 100} for one in CLASSES]},
+        {"limits": LIMITS | {"most_tries": 1}},
+        {"limits": LIMITS | {"connect_timeout_ms": 60_000}},
+        {"limits": LIMITS | {"keepalive_ms": 1}},
+        {"limits": {}},
+        {"invariants": {}, "prices": {}},
+        {"localities": [], "zone": 7},
+    ],
+    ids=str,
+)
 def test_a_configuration_on_the_edge_serves(tmp_path: Path, told: dict[str, Any]) -> None:
     node = Server(served)
     with world(tmp_path, node.address, told=told) as one:
@@ -68,17 +82,30 @@
         assert one.stop() == 0
 
 
-@pytest.mark.parametrize(("told", "named"), [
-    ({"classes": []}, "classes"), ({"classes": [CLASSES[0] | {"deadline_ms": 0}]}, "deadline_ms"),
-    ({"classes": [CLASSES[0] | {"aim_ms": -1}]}, "aim_ms"),
-    ({"limits": LIMITS | {"most_tries": 0}}, "attempts"),
-    ({"classes": [CLASSES[0] | {"name": 7}]}, "name"), ({"zone": "a"}, "zone")])
-def test_a_configuration_that_makes_no_sense_is_one_line(tmp_path: Path, told: dict[str, Any],
-                                                         named: str) -> None:
+@pytest.mark.parametrize(
+    ("told", "named"),
+    [
+        ({"classes": []}, "classes"),
+        ({"classes": [CLASSES[0] | {"deadline_ms": 0}]}, "deadline_ms"),
+        ({"classes": [CLASSES[0] | {"aim_ms": -1}]}, "aim_ms"),
+        ({"limits": LIMITS | {"most_tries": 0}}, "attempts"),
+        ({"classes": [CLASSES[0] | {"name": 7}]}, "name"),
+        ({"zone": "a"}, "zone"),
+    ],
+)
+def test_a_configuration_that_makes_no_sense_is_one_line(
+    tmp_path: Path, told: dict[str, Any], named: str
+) -> None:
     config = tmp_path / "config.json"
     config.write_text(configuration(Discovery(), "127.0.0.1:1", told=told))
-    ended = subprocess.run([sys.executable, "-m", "coveport"], stderr=subprocess.PIPE, text=True, timeout=20,
-                           env={**os.environ, "LB_CONFIG": str(config)}, check=False)
+    ended = subprocess.run(
+        [sys.executable, "-m", "coveport"],
+        stderr=subprocess.PIPE,
+        text=True,
+        timeout=20,
+        env={**os.environ, "LB_CONFIG": str(config)},
+        check=False,
+    )
     assert ended.returncode == 2 and len(ended.stderr.splitlines()) == 1 and named in ended.stderr
 
 
--- a/tests/ends/test_gone_clients.py
+++ b/tests/ends/test_gone_clients.py
@@ -38,8 +38,9 @@
 
 
 @pytest.mark.parametrize("leaves", [socket.socket.close, reset])
-def test_between_a_first_attempt_and_its_repeat(tmp_path: Path,
-                                                leaves: Callable[[socket.socket], None]) -> None:
+def test_between_a_first_attempt_and_its_repeat(
+    tmp_path: Path, leaves: Callable[[socket.socket], None]
+) -> None:
     node = Peer()
     with world(tmp_path, node.address, told=PATIENT) as one:
         warm(one, node)
@@ -70,8 +71,11 @@
     node = Peer()
     with world(tmp_path, node.address, told=PATIENT) as one:
         conns = [ask(one, "GET /balance", X_Request_Id=f"a{number}", X_Deadline=LONG) for number in range(14)]
-        wait_for(lambda: figures(one)["tables"]["queue"] >= 2 and node.waiting == 14 - figures(
-            one)["tables"]["queue"])
+        wait_for(
+            lambda: (
+                figures(one)["tables"]["queue"] >= 2 and node.waiting == 14 - figures(one)["tables"]["queue"]
+            )
+        )
         sent = [node.next() for _ in range(node.waiting)]
         held = {f"a{number}" for number in range(14)} - {got.id for got in sent}
         for number in range(14):
--- a/tests/ends/test_node_ends.py
+++ b/tests/ends/test_node_ends.py
@@ -24,17 +24,25 @@
 OPEN = b"HTTP/1.1 200 OK\r\n\r\nwhole"  # its end is the connection's
 
 
-@pytest.mark.parametrize(("sent", "end", "good"), [
-    (GOOD[:-1], "close", False), (GOOD[:-1], "reset", False), (GOOD[:9], "close", False),
-    (b"", "close", False),
-    (GOOD[:GOOD.index(b"\r\n\r\n") + 3], "reset", False),
-    (OPEN, "close", True), (OPEN, "reset", False), (OPEN[:-5], "reset", False),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n", "close", False),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n", "reset", True),
-])
+@pytest.mark.parametrize(
+    ("sent", "end", "good"),
+    [
+        (GOOD[:-1], "close", False),
+        (GOOD[:-1], "reset", False),
+        (GOOD[:9], "close", False),
+        (b"", "close", False),
+        (GOOD[: GOOD.index(b"\r\n\r\n") + 3], "reset", False),
+        (OPEN, "close", True),
+        (OPEN, "reset", False),
+        (OPEN[:-5], "reset", False),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n", "close", False),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n", "reset", True),
+    ],
+)
 @pytest.mark.parametrize("line", ["GET /balance", "POST /redeem"])
-def test_an_answer_that_is_cut_is_none_and_a_reset_is_no_end(tmp_path: Path, line: str, sent: bytes, end: str,
-                                                           good: bool) -> None:
+def test_an_answer_that_is_cut_is_none_and_a_reset_is_no_end(
+    tmp_path: Path, line: str, sent: bytes, end: str, good: bool
+) -> None:
     node = Peer()
     with world(tmp_path, node.address, told=PATIENT) as one:
         conn = ask(one, line, X_Deadline=LONG)
@@ -193,8 +201,10 @@
 def test_a_repeat_whose_connection_comes_up_behind_a_stall_of_ours_is_not_sent(tmp_path: Path) -> None:
     # Decided within the window, its connect pending, no CPU for two seconds: the window is over by then.
     window_s, node = 2.0, Clogged(at_once=False)
-    told = {"classes": [one | {"window_ms": 1000 * window_s} for one in PATIENT["classes"]],
-            "limits": {"connect_timeout_ms": 1500, "most_tries": 3, "keepalive_ms": 5000}}
+    told = {
+        "classes": [one | {"window_ms": 1000 * window_s} for one in PATIENT["classes"]],
+        "limits": {"connect_timeout_ms": 1500, "most_tries": 3, "keepalive_ms": 5000},
+    }
     with world(tmp_path, node.address, told=told) as one:
         conn = ask(one, "POST /earn", Idempotency_Key="k", X_Deadline=LONG)
         first, _ = node.socket.accept()
@@ -230,8 +240,10 @@
         assert receive(conn)[::2] == (200, b"b")
 
 
-@pytest.mark.parametrize("answer", [b"HTTP/1.1 200 OK\r\nX: " + b"y" * 200_000,
-                                    b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnever"])
+@pytest.mark.parametrize(
+    "answer",
+    [b"HTTP/1.1 200 OK\r\nX: " + b"y" * 200_000, b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnever"],
+)
 def test_an_answer_that_never_ends_is_answered_in_time(tmp_path: Path, answer: bytes) -> None:
     node = Peer()
     with world(tmp_path, node.address) as one:
--- a/tests/ends/test_ready.py
+++ b/tests/ends/test_ready.py
@@ -34,8 +34,12 @@
 def test_nine_in_ten_of_those_that_are_killed_together(tmp_path: Path, discovery: str) -> None:
     node, known = Server(served), Discovery()
     known.put("s-0", node.address)
-    there = {"hangs": Clogged().address, "silent": Peer().address, "refused": "127.0.0.1:1",
-             "refuses": Server(lambda seen: reply(503)).address}[discovery]
+    there = {
+        "hangs": Clogged().address,
+        "silent": Peer().address,
+        "refused": "127.0.0.1:1",
+        "refuses": Server(lambda seen: reply(503)).address,
+    }[discovery]
     with contextlib.ExitStack() as stack:
         began, late = time.monotonic(), 0
         logs = []
@@ -59,8 +63,12 @@
     config.write_text(configuration(known, known.server.address))
     costs = []
     for _ in range(3):
-        process = subprocess.Popen([sys.executable, "-m", "coveport"], stderr=subprocess.PIPE, text=True,
-                                   env={**os.environ, "LB_CONFIG": str(config)})
+        process = subprocess.Popen(
+            [sys.executable, "-m", "coveport"],
+            stderr=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "LB_CONFIG": str(config)},
+        )
         assert process.stderr is not None
         for line in process.stderr:
             if "serving" in line:
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -111,8 +111,13 @@
             got.conn.sendall(told(here.list)[:-20])
             got.cut()
         elif how != "silent":
-            got.send({"garbage": b"\x00\xff noise\r\n\r\n", "empty": reply(200, b""),
-                              "old": old.replace(b'"seq": 2', b'"seq": 1')}[how])
+            got.send(
+                {
+                    "garbage": b"\x00\xff noise\r\n\r\n",
+                    "empty": reply(200, b""),
+                    "old": old.replace(b'"seq": 2', b'"seq": 1'),
+                }[how]
+            )
         here.peer.next().send(told(here.list))
         took = time.monotonic() - began
         assert took < TOLD_S, took
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -72,15 +72,17 @@
         refused = one.supervise()
         assert await asyncio.to_thread(refused.wait, LONG) == 1, "a further one, by mistake"
         first.send_signal(signal.SIGSTOP)  # stands still, and comes back beside its successor
-        told = await one.until(lambda told: f"-{second.pid}-" in told["supervisor"] and told["holds"],
-                               "the second")
+        told = await one.until(
+            lambda told: f"-{second.pid}-" in told["supervisor"] and told["holds"], "the second"
+        )
         first.send_signal(signal.SIGCONT)
         await one.all_serve()
         assert one.lives() == before and told["holds"]
         await asyncio.sleep(1.0)
         second.kill()  # the first one stands by now
-        await one.until(lambda told: f"-{first.pid}-" in told["supervisor"] and told["holds"],
-                        "the first again")
+        await one.until(
+            lambda told: f"-{first.pid}-" in told["supervisor"] and told["holds"], "the first again"
+        )
         await one.all_serve()
         assert one.lives() == before, "nobody was restarted by any of it"
         third = one.supervise("--standby")
@@ -103,8 +105,13 @@
         os.kill(locks.pid_of(before["h-1"]), signal.SIGKILL)
         os.kill(locks.pid_of(before["h-2"]), signal.SIGSTOP)
         os.kill(locks.pid_of(before["h-3"]), signal.SIGTERM)
-        await one.until(lambda told: not set(one.lives().values()) & {
-            before["h-1"], before["h-2"], before["h-3"]} and len(one.lives()) == 4, "three new lives")
+        await one.until(
+            lambda told: (
+                not set(one.lives().values()) & {before["h-1"], before["h-2"], before["h-3"]}
+                and len(one.lives()) == 4
+            ),
+            "three new lives",
+        )
         await one.all_serve()
         assert one.lives()["h-4"] == before["h-4"], "the one that was well was left alone"
         for port in range(one.port, one.port + 4):
@@ -136,7 +143,11 @@
             return await asyncio.to_thread(
                 subprocess.run,
                 [sys.executable, "-m", "coveport", "fleet", *words, "--config", str(one.file)],
-                capture_output=True, text=True, timeout=LONG, check=False)
+                capture_output=True,
+                text=True,
+                timeout=LONG,
+                check=False,
+            )
 
         assert (await staff("scale", "4")).returncode == 0
         await one.all_serve(4)
@@ -159,6 +170,7 @@
 
 def test_forty_that_are_killed_within_a_second_under_load(tmp_path: Path) -> None:
     """Two fresh nodes and one that drains meanwhile; each node's own book says that nothing ran twice."""
+
     async def work(one: FleetTrialReal) -> None:
         before = one.lives()
         loading = asyncio.ensure_future(one.load(60.0, 8.0))
--- a/tests/fleet/test_host_parts.py
+++ b/tests/fleet/test_host_parts.py
@@ -82,8 +82,10 @@
     async def work() -> None:
         heard: list[tuple[int, dict[str, str]]] = []
         receiver = Receiver(tmp_path / "n.sock", lambda pid, words: heard.append((pid, words)))
-        code = ("import sys; from coveport.fleet.notify import Notifier; "
-                "print(Notifier(sys.argv[1]).say(READY=1, STATUS='all well', X_SERVED='1.0/5'))")
+        code = (
+            "import sys; from coveport.fleet.notify import Notifier; "
+            "print(Notifier(sys.argv[1]).say(READY=1, STATUS='all well', X_SERVED='1.0/5'))"
+        )
         done = subprocess.Popen([sys.executable, "-c", code, str(tmp_path / "n.sock")])
         await asyncio.to_thread(done.wait)
         one = Notifier(str(tmp_path / "n.sock"))
--- a/tests/fleet/test_life.py
+++ b/tests/fleet/test_life.py
@@ -58,8 +58,15 @@
 
 
 def key(one: Member) -> tuple[object, ...]:
-    return (one.state, bool(one.life), one.wanted, one._failed, one._trying, len(one._failures),
-            bool(one.replacing))
+    return (
+        one.state,
+        bool(one.life),
+        one.wanted,
+        one._failed,
+        one._trying,
+        len(one._failures),
+        bool(one.replacing),
+    )
 
 
 def test_all_orders_of_events() -> None:
@@ -146,8 +153,15 @@
     assert one.state is State.BROKEN, "one try after its rest, not three"
 
 
-@pytest.mark.parametrize(("how", "state"), [(End.CLEAN, State.WAITING), (End.HELD, State.WAITING),
-                                            (End.UNUSABLE, State.BROKEN), (End.CRASH, State.WAITING)])
+@pytest.mark.parametrize(
+    ("how", "state"),
+    [
+        (End.CLEAN, State.WAITING),
+        (End.HELD, State.WAITING),
+        (End.UNUSABLE, State.BROKEN),
+        (End.CRASH, State.WAITING),
+    ],
+)
 def test_how_it_ended_says_what_follows(how: End, state: State) -> None:
     one = serving()
     one.ended(1.0, "a", how)
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -43,8 +43,10 @@
     assert order == ["h-1", "h-2", "h-3"] and plan.restart is not None and plan.restart.phase is Phase.DONE
 
 
-@pytest.mark.parametrize(("after", "why"), [
-    (Fares("new", -1.0, "ended 3 times"), "ended 3 times"), (well("new", 0.5), "served 0.500")])
+@pytest.mark.parametrize(
+    ("after", "why"),
+    [(Fares("new", -1.0, "ended 3 times"), "ended 3 times"), (well("new", 0.5), "served 0.500")],
+)
 def test_a_restart_that_harms_halts_and_the_others_run_on(after: Fares, why: str) -> None:
     plan = Plan(3, 3, restart=Restart(("h-1", "h-2", "h-3"), lives={"h-1": "old1"}))
     step = going_on(plan, {"h-1": after, "h-2": well("old2"), "h-3": well("old3")}, 1.0)
@@ -57,10 +59,19 @@
     assert ended.restart is not None and ended.restart.phase is Phase.ENDED
 
 
-@pytest.mark.parametrize("ask", [
-    Ask("1", "scale", count=11), Ask("1", "scale", count=-1), Ask("1", "drain", names=("x-1",)),
-    Ask("1", "restart", names=("h-9",)), Ask("1", "resume"), Ask("1", "end"), Ask("1", "nonsense"),
-    Ask("1", "restart", names=("h-2",))])
+@pytest.mark.parametrize(
+    "ask",
+    [
+        Ask("1", "scale", count=11),
+        Ask("1", "scale", count=-1),
+        Ask("1", "drain", names=("x-1",)),
+        Ask("1", "restart", names=("h-9",)),
+        Ask("1", "resume"),
+        Ask("1", "end"),
+        Ask("1", "nonsense"),
+        Ask("1", "restart", names=("h-2",)),
+    ],
+)
 def test_what_can_not_be_changes_nothing(ask: Ask) -> None:
     plan = Plan(4, 4, drained=("h-2",))
     after, said = asked(plan, ask, FLEET, 10)
@@ -192,8 +203,11 @@
             now += chance.uniform(0.0, 1.0)
             told.append((now, chance.randint(1, 9)))
             used = peers.told(*told[-1])
-            stood = [n for (at, n), (until, _) in zip(told, [*told[1:], (now + 1, 0)], strict=True)
-                     if until > now - 3.0]
+            stood = [
+                n
+                for (at, n), (until, _) in zip(told, [*told[1:], (now + 1, 0)], strict=True)
+                if until > now - 3.0
+            ]
             assert used == max(stood), "the most that stood at any time in the last 3 s"
 
 
@@ -203,11 +217,19 @@
     good = '[instance]\nplatform = "p.json"\n[store]\nurl = "sqlite:x"\n[fleet]\nname = "shop"\n'
     told = read(good + 'instances = 3\n[fleet.each.shop-2]\nlisten = "127.0.0.1:8000"\n', Path("."))
     assert [told.fleet.address(name) for name in told.fleet.names(3)] == [
-        "127.0.0.1:9100", "127.0.0.1:8000", "127.0.0.1:9102"]
-    for bad, why in (("instances = 1001", "instances: must be"), ('listen = "here"', "listen"),
-                     ("hung_s = 0.0", "hung_s"), ('[fleet.each.other-1]\nsockets = 1', "shop-NUMBER"),
-                     ('[fleet.each.shop-1]\nlisten = "127.0.0.1:9101"', "would listen where"),
-                     ("at_once = 0", "at_once"), ("nonsense = 1", "no such key")):
+        "127.0.0.1:9100",
+        "127.0.0.1:8000",
+        "127.0.0.1:9102",
+    ]
+    for bad, why in (
+        ("instances = 1001", "instances: must be"),
+        ('listen = "here"', "listen"),
+        ("hung_s = 0.0", "hung_s"),
+        ("[fleet.each.other-1]\nsockets = 1", "shop-NUMBER"),
+        ('[fleet.each.shop-1]\nlisten = "127.0.0.1:9101"', "would listen where"),
+        ("at_once = 0", "at_once"),
+        ("nonsense = 1", "no such key"),
+    ):
         with pytest.raises(OperatorFileError, match=why):
             read(good + bad + "\n", Path("."))
     with pytest.raises(OperatorFileError, match="names of their own"):
--- a/tests/fleet/test_snapshot.py
+++ b/tests/fleet/test_snapshot.py
@@ -14,8 +14,15 @@
 from coveport.fleet.snapshot import Disk, Heard, Snapshot, SnapshotError, Taken, decode, encode, known, usable
 
 NOW = Taken(1_700_000_000.0, 500.0, "boot-a")
-HOST = {"host": "n1", "dial": "127.0.0.1:1", "site": "bilbao", "block": 0, "health": "active", "share": 1.0,
-        "born_ms": 5}
+HOST = {
+    "host": "n1",
+    "dial": "127.0.0.1:1",
+    "site": "bilbao",
+    "block": 0,
+    "health": "active",
+    "share": 1.0,
+    "born_ms": 5,
+}
 
 
 def one(seq: int = 3, taken: Taken = NOW, **more: Any) -> Snapshot:
@@ -90,7 +97,7 @@
     data = encode(one(out={"n1": 1.0}))
     for at in range(len(data)):
         for bit in (1, 0x80):
-            turned = data[:at] + bytes([data[at] ^ bit]) + data[at + 1:]
+            turned = data[:at] + bytes([data[at] ^ bit]) + data[at + 1 :]
             with pytest.raises(SnapshotError):
                 usable(turned, "host", "host-1", NOW, 60.0)
     for end in range(len(data)):
@@ -99,13 +106,20 @@
     assert usable(data, "host", "host-1", NOW, 60.0)[0].out == {"n1": 1.0}
 
 
-@pytest.mark.parametrize(("now", "age"), [
-    (Taken(1_600_000_000.0, 510.0, "boot-a"), 10.0),  # the wall clock stepped back by years
-    (Taken(1_700_009_999.0, 510.0, "boot-a"), 10.0),
-    (Taken(1_700_000_020.0, 3.0, "boot-b"), 20.0),  # a reboot
-    (Taken(1_699_999_999.0, 3.0, "boot-b"), None),  # a reboot, and a clock that is behind: from the future
-    (Taken(1_700_000_020.0, 499.0, "boot-a"), None),
-    (Taken(1_700_000_061.0, 561.0, "boot-a"), None)])
+@pytest.mark.parametrize(
+    ("now", "age"),
+    [
+        (Taken(1_600_000_000.0, 510.0, "boot-a"), 10.0),  # the wall clock stepped back by years
+        (Taken(1_700_009_999.0, 510.0, "boot-a"), 10.0),
+        (Taken(1_700_000_020.0, 3.0, "boot-b"), 20.0),  # a reboot
+        (
+            Taken(1_699_999_999.0, 3.0, "boot-b"),
+            None,
+        ),  # a reboot, and a clock that is behind: from the future
+        (Taken(1_700_000_020.0, 499.0, "boot-a"), None),
+        (Taken(1_700_000_061.0, 561.0, "boot-a"), None),
+    ],
+)
 def test_ages_survive_a_reboot_and_a_clock_that_steps(now: Taken, age: float | None) -> None:
     if age is None:
         with pytest.raises(SnapshotError):
--- a/tests/fleet/test_trials_of_fleet.py
+++ b/tests/fleet/test_trials_of_fleet.py
@@ -12,9 +12,20 @@
 # Where each is found among the first 200, by `coveport lab trials --fleet --variant NAME`; to be looked for
 # anew when the draws have changed.
 FOUND_AT = {
-    "no-lock": 0, "forgets-lives": 3, "spends-at-once": 58, "deaf": 83, "rash": 1, "acts-on": 0,
-    "before-the-step": 5, "promises": 1, "in-one-go": 62, "whoever": 5, "at-once": 62, "gives-up": 1,
-    "hopes": 16}
+    "no-lock": 0,
+    "forgets-lives": 3,
+    "spends-at-once": 58,
+    "deaf": 83,
+    "rash": 1,
+    "acts-on": 0,
+    "before-the-step": 5,
+    "promises": 1,
+    "in-one-go": 62,
+    "whoever": 5,
+    "at-once": 62,
+    "gives-up": 1,
+    "hopes": 16,
+}
 
 
 @pytest.mark.parametrize("first", range(0, 40, 8))
@@ -45,8 +56,11 @@
 
 
 def test_a_restart_goes_on_under_a_successor_in_its_middle() -> None:
-    faults = (Fault(5.0, "restart", "0", 0.1), Fault(8.0, "sup_kill", "0", 2.0, 0.1),
-              Fault(13.0, "sup_stall", "0", 6.0, 0.1))
+    faults = (
+        Fault(5.0, "restart", "0", 0.1),
+        Fault(8.0, "sup_kill", "0", 2.0, 0.1),
+        Fault(13.0, "sup_stall", "0", 6.0, 0.1),
+    )
     played = play(FleetTrial(instances=10, faults=faults), 4)
     assert played.findings == [] and played.restarts == {"done": 1} and played.holders >= 3
     assert played.starts == 20, "ten, and each once again"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,24 +10,53 @@
 from micaflow import interface as api
 
 SAFE = api.RequestClass(name="read", aim_ms=1000, deadline_ms=3000, worth=1, effect=api.Effect.SAFE)
-KEYED = api.RequestClass(name="put", aim_ms=1000, deadline_ms=3000, worth=4, effect=api.Effect.KEYED,
-                         group=api.Group.ZONE, window_ms=2000)
+KEYED = api.RequestClass(
+    name="put",
+    aim_ms=1000,
+    deadline_ms=3000,
+    worth=4,
+    effect=api.Effect.KEYED,
+    group=api.Group.ZONE,
+    window_ms=2000,
+)
 # A window on an unsafe class means nothing; sites do state one.
 UNSAFE = api.RequestClass(name="pay", aim_ms=1000, deadline_ms=3000, worth=8, window_ms=5000)
 
 
-def settings(*classes: api.RequestClass, must_ask: bool = False, peers: int = 2, second_copies: bool = True,
-             probes: bool = False, max_attempts: int = 4, **rules: float) -> api.Settings:
+def settings(
+    *classes: api.RequestClass,
+    must_ask: bool = False,
+    peers: int = 2,
+    second_copies: bool = True,
+    probes: bool = False,
+    max_attempts: int = 4,
+    **rules: float,
+) -> api.Settings:
     return api.Settings(
-        classes=classes or (SAFE, KEYED, UNSAFE), peers_total=peers, must_ask=must_ask, tick_ms=5,
+        classes=classes or (SAFE, KEYED, UNSAFE),
+        peers_total=peers,
+        must_ask=must_ask,
+        tick_ms=5,
         limits=api.Limits(max_attempts=max_attempts, second_copies=second_copies, cancel=True, probes=probes),
-        rules=api.Rules(**{"answer_slack_ms": 20, "drain_grace_ms": 500, "cold_from": 0.2,
-                           "warm_after_ms": 10_000, "overload_factor": 2.0, "fall_ms": 1000, **rules}))
+        rules=api.Rules(
+            **{
+                "answer_slack_ms": 20,
+                "drain_grace_ms": 500,
+                "cold_from": 0.2,
+                "warm_after_ms": 10_000,
+                "overload_factor": 2.0,
+                "fall_ms": 1000,
+                **rules,
+            }
+        ),
+    )
 
 
 def hosts(local: int = 3, remote: int = 3, started: float = 0.0) -> tuple[api.HostEntry, ...]:
-    return tuple(api.HostEntry(100 + i, 0 if i < local else 1, i // 2, started_ms=started)
-                 for i in range(local + remote))
+    return tuple(
+        api.HostEntry(100 + i, 0 if i < local else 1, i // 2, started_ms=started)
+        for i in range(local + remote)
+    )
 
 
 @dataclass
@@ -137,7 +166,8 @@
         risky = [s for s, o in self.history.get(action.id, []) if o not in api.NEVER_RAN]
         if isinstance(action, api.Refuse) and risky:
             assert cls.effect is api.Effect.SAFE or (
-                cls.effect is api.Effect.KEYED and cls.group is api.Group.ALL), "refused, may have run"
+                cls.effect is api.Effect.KEYED and cls.group is api.Group.ALL
+            ), "refused, may have run"
         self.answers[action.id] = action
         self.answered_at[action.id] = self.now
 
@@ -148,8 +178,13 @@
         self.feed(event)
         return event.id
 
-    def reply(self, sent: Sent, outcome: api.Outcome = api.Outcome.OK, closed: bool | None = None,
-              load: tuple[float, ...] = ()) -> list[api.Action]:
+    def reply(
+        self,
+        sent: Sent,
+        outcome: api.Outcome = api.Outcome.OK,
+        closed: bool | None = None,
+        load: tuple[float, ...] = (),
+    ) -> list[api.Action]:
         del self.flying[sent.id, sent.attempt]
         self.history[sent.id][sent.attempt] = (sent, outcome)
         over = sent.id in self.answers
@@ -157,8 +192,17 @@
             self.answers[sent.id] = "served"
             self.answered_at[sent.id] = self.now
             over = True
-        return self.feed(api.Reply(sent.id, sent.attempt, sent.host, outcome, self.now - sent.at,
-                                   over if closed is None else closed, load))
+        return self.feed(
+            api.Reply(
+                sent.id,
+                sent.attempt,
+                sent.host,
+                outcome,
+                self.now - sent.at,
+                over if closed is None else closed,
+                load,
+            )
+        )
 
     def end(self, sent: Sent, took: float, outcome: api.Outcome = api.Outcome.OK) -> None:
         """An attempt ends now and is said to have taken so long."""
@@ -180,9 +224,14 @@
         end = self.now + ms
         while self.now < end:
             # Ticks at which nothing is due are passed over.
-            due_at = min([at for at, _ in self.timers] + [
-                min(one.at + one.timeout, self.requests[one.id].deadline_ms) for one in self.flying.values()],
-                default=end)
+            due_at = min(
+                [at for at, _ in self.timers]
+                + [
+                    min(one.at + one.timeout, self.requests[one.id].deadline_ms)
+                    for one in self.flying.values()
+                ],
+                default=end,
+            )
             self.now = min(end, self.now + tick * max(1, math.ceil((due_at - self.now) / tick)))
             for sent in list(self.flying.values()):
                 limit = min(sent.at + sent.timeout, self.requests[sent.id].deadline_ms)
@@ -193,8 +242,9 @@
             for _, token in due:
                 self.feed(api.TimerFired(token))
 
-    def serve(self, requests: int, took: float = 50.0, gap: float = 20.0, cls: int = 0,
-              but: Iterable[int] = ()) -> None:
+    def serve(
+        self, requests: int, took: float = 50.0, gap: float = 20.0, cls: int = 0, but: Iterable[int] = ()
+    ) -> None:
         """A calm stretch: each request is answered after `took`, except at the hosts in `but`."""
         for _ in range(requests):
             self.request(cls)
--- a/tests/lab/bookkeeping.py
+++ b/tests/lab/bookkeeping.py
@@ -16,16 +16,26 @@
 
 BALANCE, EARN, REDEEM, ANY, ZONED = range(5)  # safe; keyed by cell; never; keyed by all; keyed by zone
 WAYS: list[Any] = [("safe", "all"), ("keyed", "cell"), ("never", "all"), ("keyed", "all"), ("keyed", "zone")]
-CLASSES = tuple(Class(name=f"class {i}", share=1, work_ms=50, repeats=repeats, aim_ms=1000, deadline_ms=6000,
-                      scope=scope) for i, (repeats, scope) in enumerate(WAYS))
+CLASSES = tuple(
+    Class(name=f"class {i}", share=1, work_ms=50, repeats=repeats, aim_ms=1000, deadline_ms=6000, scope=scope)
+    for i, (repeats, scope) in enumerate(WAYS)
+)
 SAME, CROSS, CLIENT = 1.0, 10.0, 0.5  # ms, one way
 PLACES = [(0, 0), (0, 0), (0, 1), (1, 2)]  # zone and cell of each node
 UP = [(0, "start"), (1, "ready")]
 
 
 def a_node(number: int, zone: int, cell: int) -> NodeDrawn:
-    told = {"number": number, "name": f"n{number}", "zone": zone, "cell": cell, "kind": "", "cancel": "none",
-            "drops_expired": False, "born": True}
+    told = {
+        "number": number,
+        "name": f"n{number}",
+        "zone": zone,
+        "cell": cell,
+        "kind": "",
+        "cancel": "none",
+        "drops_expired": False,
+        "born": True,
+    }
     return msgspec.convert(dict.fromkeys(NodeDrawn.__struct_fields__, 0) | told, NodeDrawn)
 
 
@@ -34,9 +44,22 @@
 
     def __init__(self, *changes: Change, jitter: float = 0.0, named: bool = True, **rules: Any) -> None:
         nodes = tuple(a_node(i, *place) for i, place in enumerate(PLACES))
-        self.day = Day(Scenario(title="test", classes=CLASSES, rules=Rules(**rules)), 1, nodes,
-                       tuple(SidecarDrawn(i, f"s{i}", 0, i) for i in (0, 1)), (), changes, (), SAME,
-                       ((SAME, CROSS), (CROSS, SAME)), CLIENT, jitter, 2000.0, 1000.0, 4.0)
+        self.day = Day(
+            Scenario(title="test", classes=CLASSES, rules=Rules(**rules)),
+            1,
+            nodes,
+            tuple(SidecarDrawn(i, f"s{i}", 0, i) for i in (0, 1)),
+            (),
+            changes,
+            (),
+            SAME,
+            ((SAME, CROSS), (CROSS, SAME)),
+            CLIENT,
+            jitter,
+            2000.0,
+            1000.0,
+            4.0,
+        )
         self.rows: list[b.AnyRow] = [b.Called(60_000, 0, False)]  # they go on for long enough
         self.asked: dict[str, b.Asked] = {}
         self.attempts = 0
@@ -48,8 +71,16 @@
         self.rows += rows
         return self
 
-    def ask(self, op: str = "a", at: float = 0.0, cls: int = BALANCE, *, sidecar: int = 0, first: str = "",
-            patience: float = 1000.0) -> Self:
+    def ask(
+        self,
+        op: str = "a",
+        at: float = 0.0,
+        cls: int = BALANCE,
+        *,
+        sidecar: int = 0,
+        first: str = "",
+        patience: float = 1000.0,
+    ) -> Self:
         key = f"key {first or op}" if CLASSES[cls].repeats == "keyed" else ""
         self.asked[op] = b.Asked(at, op, first or op, sidecar, cls, key, at, patience, 1, bool(first), op)
         return self.put(self.asked[op])
@@ -57,16 +88,42 @@
     def unasked(self, at: float, why: str = "crossed") -> Self:
         return self.put(b.Unasked(at, "a", "a", 0, BALANCE, 0, why))
 
-    def send(self, at: float, node: int = 0, *, op: str = "a", reply: float | None = None, status: int = 200,
-             whole: bool = True, ran: float | None = None, came: float | None = None, work: float = 50.0,
-             ended: tuple[float, str] | None = None, closed: float | None = None, told: bool = True,
-             changed: dict[str, Any] | None = None) -> Self:
+    def send(
+        self,
+        at: float,
+        node: int = 0,
+        *,
+        op: str = "a",
+        reply: float | None = None,
+        status: int = 200,
+        whole: bool = True,
+        ran: float | None = None,
+        came: float | None = None,
+        work: float = 50.0,
+        ended: tuple[float, str] | None = None,
+        closed: float | None = None,
+        told: bool = True,
+        changed: dict[str, Any] | None = None,
+    ) -> Self:
         """An attempt handed over at `at`; its answer is written at `reply`, `ended` is how else it ended."""
         self.attempts += 1
         number, asked = self.attempts, self.asked[op]
         came = at + (SAME if PLACES[node][0] == 0 else CROSS) if came is None else came
-        row = b.Arrived(came, op, node, asked.sidecar, number, number, came, at if told else came, asked.cls,
-                        asked.key, asked.digest, work, "work")
+        row = b.Arrived(
+            came,
+            op,
+            node,
+            asked.sidecar,
+            number,
+            number,
+            came,
+            at if told else came,
+            asked.cls,
+            asked.key,
+            asked.digest,
+            work,
+            "work",
+        )
         self.put(msgspec.structs.replace(row, **changed or {}))
         if ran is not None:
             self.put(b.Ran(ran, op, node, PLACES[node][1], number, asked.key))
--- a/tests/lab/measure_books.py
+++ b/tests/lab/measure_books.py
@@ -10,18 +10,49 @@
 from coveport.lab.scenario import Scenario
 from coveport.lab.schema import Class
 
-CLASSES = (Class("balance", 0.5, 50, "safe", aim_ms=1000, deadline_ms=4000),
-           Class("earn", 0.5, 100, "keyed", aim_ms=1200, deadline_ms=3000, worth=5))
+CLASSES = (
+    Class("balance", 0.5, 50, "safe", aim_ms=1000, deadline_ms=4000),
+    Class("earn", 0.5, 100, "keyed", aim_ms=1200, deadline_ms=3000, worth=5),
+)
 
 
 def node(number: int, zone: int) -> NodeDrawn:
     return NodeDrawn(
-        number=number, name=f"s-{number}", zone=zone, cell=zone, kind="full-core", cores=1, speed=1.0,
-        slots=4, waiting=30, crowd_at=10, crowd_cost=0.1, cold_from=0.4, warm_ms=5000, pause_every_ms=5000,
-        pause_ms=0, error_rate=0, cancel="waiting", drops_expired=False, connections=600, handshake_ms=1,
-        handshake_trips=2, idle_ms=5000, closes_behind=0, probe_ms=0.3, report_every_ms=500,
-        report_late_ms=100, report_noise=0, jam_at=0, jam_over_ms=0, jam_slower=1,
-        jam_below=0.3, jam_rest_ms=0, jam_most_ms=0, seed=number)
+        number=number,
+        name=f"s-{number}",
+        zone=zone,
+        cell=zone,
+        kind="full-core",
+        cores=1,
+        speed=1.0,
+        slots=4,
+        waiting=30,
+        crowd_at=10,
+        crowd_cost=0.1,
+        cold_from=0.4,
+        warm_ms=5000,
+        pause_every_ms=5000,
+        pause_ms=0,
+        error_rate=0,
+        cancel="waiting",
+        drops_expired=False,
+        connections=600,
+        handshake_ms=1,
+        handshake_trips=2,
+        idle_ms=5000,
+        closes_behind=0,
+        probe_ms=0.3,
+        report_every_ms=500,
+        report_late_ms=100,
+        report_noise=0,
+        jam_at=0,
+        jam_over_ms=0,
+        jam_slower=1,
+        jam_below=0.3,
+        jam_rest_ms=0,
+        jam_most_ms=0,
+        seed=number,
+    )
 
 
 class Builder:
@@ -34,11 +65,21 @@
         self.wishes: list[Wish] = []
         self.attempts = 0
 
-    def ask(self, op: str, due: float, cls: int = 0, *, sidecar: int = 0, first: str = "", key: str = "",
-            late: float = 0.0) -> None:
+    def ask(
+        self,
+        op: str,
+        due: float,
+        cls: int = 0,
+        *,
+        sidecar: int = 0,
+        first: str = "",
+        key: str = "",
+        late: float = 0.0,
+    ) -> None:
         """Hand an operation over `late` ms after it was due."""
-        self.rows.append(books.Asked(due + late, op, first or op, sidecar, cls, key, due, 1000.0, 0,
-                                     bool(first), "d"))
+        self.rows.append(
+            books.Asked(due + late, op, first or op, sidecar, cls, key, due, 1000.0, 0, bool(first), "d")
+        )
 
     def answer(self, op: str, at: float, status: int = 200) -> None:
         self.rows.append(books.Answered(at, op, status, "body", 0.0, at))
@@ -47,9 +88,20 @@
         self.ask(op, due, cls, sidecar=sidecar)
         self.answer(op, due + took)
 
-    def attempt(self, op: str, at: float, to: int = 0, *, sidecar: int = 0, work: float = 50.0, key: str = "",
-                took: str = "work", status: int = 200, replied: float = 0.0,
-                ended: tuple[str, float] = ("", 0)) -> None:
+    def attempt(
+        self,
+        op: str,
+        at: float,
+        to: int = 0,
+        *,
+        sidecar: int = 0,
+        work: float = 50.0,
+        key: str = "",
+        took: str = "work",
+        status: int = 200,
+        replied: float = 0.0,
+        ended: tuple[str, float] = ("", 0),
+    ) -> None:
         """An attempt that arrives at `at`; it runs at once where it is taken to work."""
         self.attempts += 1
         mine = self.attempts
@@ -71,13 +123,26 @@
     def fault(self, kind: str, begin: float, end: float, whom: str = "nodes 1") -> None:
         number = len(self.spans)
         self.spans.append(Span(number, kind, begin, end, whom))
-        self.rows += [books.Fault(begin, number, kind, True, whom),
-                      books.Fault(end, number, kind, False, whom)]
+        self.rows += [
+            books.Fault(begin, number, kind, True, whom),
+            books.Fault(end, number, kind, False, whom),
+        ]
 
     def played(self, **more: Any) -> Played:
         day = Day(
-            scenario=self.scenario, seed=7, nodes=(node(0, 0), node(1, 1)),
-            sidecars=(SidecarDrawn(0, "a", 0, 0), SidecarDrawn(1, "b", 1, 1)), wishes=tuple(self.wishes),
-            changes=(), spans=tuple(self.spans), same_ms=0.2, cross_ms=((0.2, 5.0), (5.0, 0.2)),
-            client_ms=0.05, jitter=0.1, notice_ms=1000, add_ms=1000, capacity=2.0)
+            scenario=self.scenario,
+            seed=7,
+            nodes=(node(0, 0), node(1, 1)),
+            sidecars=(SidecarDrawn(0, "a", 0, 0), SidecarDrawn(1, "b", 1, 1)),
+            wishes=tuple(self.wishes),
+            changes=(),
+            spans=tuple(self.spans),
+            same_ms=0.2,
+            cross_ms=((0.2, 5.0), (5.0, 0.2)),
+            client_ms=0.05,
+            jitter=0.1,
+            notice_ms=1000,
+            add_ms=1000,
+            capacity=2.0,
+        )
         return Played(day, "virtual", sorted(self.rows, key=lambda row: row.at), **more)
--- a/tests/lab/one_host.py
+++ b/tests/lab/one_host.py
@@ -23,8 +23,9 @@
         return (self.net.now_s() - self._began) * 1000
 
     async def listen(self, accept: Accept) -> None:
-        self._listening = await self.net.listen(lambda: accept(0), ("127.0.0.1", 0), accept_most=8,
-                                                waiting_most=64)
+        self._listening = await self.net.listen(
+            lambda: accept(0), ("127.0.0.1", 0), accept_most=8, waiting_most=64
+        )
 
     def refuse(self) -> None:
         self._listening.close()
@@ -41,12 +42,63 @@
 
 def day(scenario: Scenario) -> Day:
     """A day of two sidecars and three nodes, and a fourth to come."""
-    nodes = tuple(NodeDrawn(one, f"s-{one}", one % 3, one % 3, "full-core", 1, 0.9, 4, 40, 9, 0.05, 0.4, 5000,
-                            5000, 30, 0, "waiting", False, 700, 1, 2, 5000, 0, 0.3, 500, 200, 0.02, 0, 2000,
-                            2, 0.3, 3000, 20_000, one, born=one < 3) for one in range(4))
+    nodes = tuple(
+        NodeDrawn(
+            one,
+            f"s-{one}",
+            one % 3,
+            one % 3,
+            "full-core",
+            1,
+            0.9,
+            4,
+            40,
+            9,
+            0.05,
+            0.4,
+            5000,
+            5000,
+            30,
+            0,
+            "waiting",
+            False,
+            700,
+            1,
+            2,
+            5000,
+            0,
+            0.3,
+            500,
+            200,
+            0.02,
+            0,
+            2000,
+            2,
+            0.3,
+            3000,
+            20_000,
+            one,
+            born=one < 3,
+        )
+        for one in range(4)
+    )
     sidecars = tuple(SidecarDrawn(number, f"n{number}", 0, number) for number in range(2))
-    return Day(scenario, 7, nodes, sidecars, (), (), (), 0.2, ((0.2,),), 0.05, 0.1, notice_ms=20, add_ms=10,
-               capacity=5)
+    return Day(
+        scenario,
+        7,
+        nodes,
+        sidecars,
+        (),
+        (),
+        (),
+        0.2,
+        ((0.2,),),
+        0.05,
+        0.1,
+        notice_ms=20,
+        add_ms=10,
+        capacity=5,
+    )
 
 
 async def until(what: Callable[[], object]) -> None:
--- a/tests/lab/real_helpers.py
+++ b/tests/lab/real_helpers.py
@@ -18,7 +18,11 @@
 FOLDER = "LAB_TEST_FOLDER"  # variable: where each process leaves a file named by its pid
 TROUBLE = "LAB_TEST_TROUBLE"  # variable: what goes wrong
 
-SIDECAR = (sys.executable, "-S", "-c", """
+SIDECAR = (
+    sys.executable,
+    "-S",
+    "-c",
+    """
 import json, os, signal, socket, sys, time
 def told():
     return json.load(open(os.environ["LB_CONFIG"]))
@@ -48,21 +52,38 @@
     one.recv(1000)
     one.sendall(b"HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n")
     one.close()
-""")
+""",
+)
 
 
 def tiny_day(*changes: Change, sidecars: int = 2, length_s: float = 0.3, wishes: int = 0) -> Day:
     """A day without nodes."""
     scenario = Scenario(
-        title="tiny", length_s=length_s, settle_s=0, tail_s=0.5, limits=Limits(descriptors=99),
-        classes=(Class(name="balance", share=1, work_ms=1, repeats="safe", aim_ms=50, deadline_ms=100),))
+        title="tiny",
+        length_s=length_s,
+        settle_s=0,
+        tail_s=0.5,
+        limits=Limits(descriptors=99),
+        classes=(Class(name="balance", share=1, work_ms=1, repeats="safe", aim_ms=50, deadline_ms=100),),
+    )
     return Day(
-        scenario=scenario, seed=1, nodes=(), changes=changes, capacity=1,
+        scenario=scenario,
+        seed=1,
+        nodes=(),
+        changes=changes,
+        capacity=1,
         sidecars=tuple(SidecarDrawn(number, f"s{number}", 0, 7) for number in range(sidecars)),
-        wishes=tuple(Wish(number * 1.0, number % 3, 0, f"{number:016x}", "", 1, 0, 0, 1, 1)
-                     for number in range(wishes)),
-        spans=(Span(0, "kill", 100, 200, "sidecar 0"),), same_ms=0.2, cross_ms=((0.2,),), client_ms=0.05,
-        jitter=0, notice_ms=1, add_ms=1)
+        wishes=tuple(
+            Wish(number * 1.0, number % 3, 0, f"{number:016x}", "", 1, 0, 0, 1, 1) for number in range(wishes)
+        ),
+        spans=(Span(0, "kill", 100, 200, "sidecar 0"),),
+        same_ms=0.2,
+        cross_ms=((0.2,),),
+        client_ms=0.05,
+        jitter=0,
+        notice_ms=1,
+        add_ms=1,
+    )
 
 
 def _here() -> None:
--- a/tests/lab/test_at_size.py
+++ b/tests/lab/test_at_size.py
@@ -20,14 +20,19 @@
     """The day's begin and its faults' first seconds, drawn together."""
     whole = load(catalog.find(name))
     assert (whole.fleet.sidecars, whole.fleet.nodes) == (40, 60)
-    faults = tuple(replace(one, at_s=max(0.0, one.at_s - EARLIER_S)) for one in whole.faults
-                   if isinstance(one.at_s, int | float))
+    faults = tuple(
+        replace(one, at_s=max(0.0, one.at_s - EARLIER_S))
+        for one in whole.faults
+        if isinstance(one.at_s, int | float)
+    )
     assert len(faults) == len(whole.faults)
     return replace(whole, length_s=14.0, faults=faults)
 
 
-@pytest.mark.parametrize(("name", "service", "calls"), [
-    ("fleet-herd", 0.87, 2000), ("fleet-zone", 0.83, 2400), ("fleet-join", 0.77, 3500)])
+@pytest.mark.parametrize(
+    ("name", "service", "calls"),
+    [("fleet-herd", 0.87, 2000), ("fleet-zone", 0.83, 2400), ("fleet-join", 0.77, 3500)],
+)
 def test_a_fleet_at_size_keeps_the_rules(name: str, service: float, calls: int) -> None:
     _, outcome = play_and_judge(slice_of(name), name=name, seed=3, ground="virtual")
     assert not outcome.broken and outcome.service >= service and outcome.discovery_calls <= calls
--- a/tests/lab/test_bare.py
+++ b/tests/lab/test_bare.py
@@ -14,14 +14,21 @@
 SLICE = replace(MASS, length_s=9.0, faults=(replace(MASS.faults[0], at_s=2.0, for_s=3.0),))
 
 
-@pytest.mark.parametrize("sets", [
-    (), ("load.level=1.6",), ('faults.0={kind="crash", at_s=2, for_s=3, replaced=true}',),
-    ('faults.0={kind="rolling", at_s=1, every_s=1.5}',), ('faults.0={kind="silent", at_s=2, for_s=3}',),
-    ('faults.0={kind="cut", at_s=2, for_s=3}', 'faults.1={kind="resets", at_s=1, for_s=4}'),
-    ('faults.0={kind="kill", at_s=2, for_s=1, whom={share=0.7}}', 'faults.1={kind="errors", at_s=1}'),
-    ('faults.0={kind="restart", at_s=2, every_s=0.3, whom={all=true}}', "load.impatient=0.2"),
-    ('faults.0={kind="discovery", at_s=1, for_s=5}', 'faults.1={kind="crash", at_s=2, for_s=2}'),
-    ('faults.0={kind="discovery", how="late", at_s=1, for_s=5}', 'faults.1={kind="spoilt", at_s=2}')])
+@pytest.mark.parametrize(
+    "sets",
+    [
+        (),
+        ("load.level=1.6",),
+        ('faults.0={kind="crash", at_s=2, for_s=3, replaced=true}',),
+        ('faults.0={kind="rolling", at_s=1, every_s=1.5}',),
+        ('faults.0={kind="silent", at_s=2, for_s=3}',),
+        ('faults.0={kind="cut", at_s=2, for_s=3}', 'faults.1={kind="resets", at_s=1, for_s=4}'),
+        ('faults.0={kind="kill", at_s=2, for_s=1, whom={share=0.7}}', 'faults.1={kind="errors", at_s=1}'),
+        ('faults.0={kind="restart", at_s=2, every_s=0.3, whom={all=true}}', "load.impatient=0.2"),
+        ('faults.0={kind="discovery", at_s=1, for_s=5}', 'faults.1={kind="crash", at_s=2, for_s=2}'),
+        ('faults.0={kind="discovery", how="late", at_s=1, for_s=5}', 'faults.1={kind="spoilt", at_s=2}'),
+    ],
+)
 def test_the_rules_hold_on_bare_ground(sets: tuple[str, ...]) -> None:
     day = load(catalog.find("calm"), ("length_s=9", "fleet.sidecars=9", "fleet.nodes=12", *sets))
     played, outcome = run.play_and_judge(day, name="bare", seed=2, ground="bare")
@@ -31,8 +38,10 @@
 def test_it_agrees_with_virtual_ground() -> None:
     for name in ("calm", "crash", "slow"):
         day = load(catalog.find(name), ("length_s=10",)) if name == "calm" else load(catalog.find(name))
-        there, here = (run.play_and_judge(day, name=name, seed=3, ground=ground)[1].service
-                       for ground in ("virtual", "bare"))
+        there, here = (
+            run.play_and_judge(day, name=name, seed=3, ground=ground)[1].service
+            for ground in ("virtual", "bare")
+        )
         assert abs(there - here) < 0.05, (name, there, here)
 
 
@@ -52,7 +61,8 @@
 
 
 def test_a_fleet_that_keeps_to_parts_and_turns_retries_away_outlives_a_burst(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Without parts each copy is a stranger everywhere; without the part of what is out nobody holds back."""
     whole = service(SLICE)
     assert whole > 0.75
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -22,8 +22,14 @@
 
 def noisy(draw: random.Random, gain: float = 0.0, seeds: range = range(8)) -> list[Day]:
     """Service differs much between seeds, and by `gain` and a little noise between sides."""
-    return [day(seed, random.Random(f"day {seed}").uniform(0.6, 0.9) + gain + draw.gauss(0, 0.004),
-                waste=draw.gauss(0.1, 0.01)) for seed in seeds]
+    return [
+        day(
+            seed,
+            random.Random(f"day {seed}").uniform(0.6, 0.9) + gain + draw.gauss(0, 0.004),
+            waste=draw.gauss(0.1, 0.01),
+        )
+        for seed in seeds
+    ]
 
 
 def found(told: Comparison) -> list[tuple[str, str]]:
@@ -44,8 +50,10 @@
     draw = random.Random("none")
 
     def called(seeds: range, times: int) -> int:
-        return sum(bool(found(compare.compare(noisy(draw), noisy(draw, seeds=seeds), resamples=500)))
-                   for _ in range(times))
+        return sum(
+            bool(found(compare.compare(noisy(draw), noisy(draw, seeds=seeds), resamples=500)))
+            for _ in range(times)
+        )
 
     assert called(range(8), 100) <= 8  # pairs
     assert called(range(100, 108), 60) <= 6  # no pairs
@@ -75,8 +83,10 @@
 
 
 def test_days_of_one_draw_count_once() -> None:
-    a, b = ([day(seed, service, {"level": level}) for seed in range(6) for level in levels]
-            for service, levels in ((0.5, ("1", "2", "3")), (0.6, ("1", "2"))))
+    a, b = (
+        [day(seed, service, {"level": level}) for seed in range(6) for level in levels]
+        for service, levels in ((0.5, ("1", "2", "3")), (0.6, ("1", "2")))
+    )
     told = compare.compare(a, b)
     assert (told.pairs, told.days, told.left_out) == (12, 6, 6)
     other = compare.compare(a[::3], b[1::2])
--- a/tests/lab/test_discovery_standin.py
+++ b/tests/lab/test_discovery_standin.py
@@ -57,9 +57,15 @@
     def __init__(self, **service: Any) -> None:
         self.books, self.moves, self.host = Books(), list[int](), OneHost()
         scenario = Scenario("t", discovery=DiscoveryService(**{"spread_ms": (5, 15), **service}))
-        super().__init__(day(scenario), self.books, self.host.net, self.host.day_ms,
-                         lambda node, sidecar: (f"127.0.{sidecar}.1", 9000 + node),
-                         unix_ms_of=lambda ms: BORN + ms, on_move=self.moves.append)
+        super().__init__(
+            day(scenario),
+            self.books,
+            self.host.net,
+            self.host.day_ms,
+            lambda node, sidecar: (f"127.0.{sidecar}.1", 9000 + node),
+            unix_ms_of=lambda ms: BORN + ms,
+            on_move=self.moves.append,
+        )
 
     def do(self, what: str, target: int = -1, *, on: bool = True, value: float = 0.0) -> None:
         self.change(Change(self.host.day_ms(), 0, what, on, target, value))
@@ -83,8 +89,16 @@
     one, other = await place.caller(0), await place.caller(1)
     whole = await one.told()
     assert whole["seq"] == 1 and whole["whole"] is True and len(whole["hosts"]) == 3
-    assert whole["hosts"][1] == {"host": "s-1", "dial": "127.0.0.1:9001", "site": "oviedo", "block": 1,
-                                 "class": "full-core", "health": "active", "share": 1.0, "born_ms": 0}
+    assert whole["hosts"][1] == {
+        "host": "s-1",
+        "dial": "127.0.0.1:9001",
+        "site": "oviedo",
+        "block": 1,
+        "class": "full-core",
+        "health": "active",
+        "share": 1.0,
+        "born_ms": 0,
+    }
     assert await one.told(1, wait_ms=10) == {"seq": 1, "whole": False, "hosts": []}
     began = place.host.day_ms()
     place.do("die", 1)
@@ -165,15 +179,17 @@
     assert (await after.told(1))["seq"] == 2
 
 
-@pytest.mark.parametrize("course", [whole_list_and_changes, over_before_it_is_seen, silent_late_empty_garbled,
-                                    moved])
+@pytest.mark.parametrize(
+    "course", [whole_list_and_changes, over_before_it_is_seen, silent_late_empty_garbled, moved]
+)
 def test_a_course(course: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MOVED_MS", 150)
     timeless.run(asyncio.wait_for(course(), 5))
 
 
-@pytest.mark.parametrize(("known", "seq", "active", "real"), [("fresh", 1, 3, 3), ("old", 0, 3, 2),
-                                                              ("none", 0, 0, 0)])
+@pytest.mark.parametrize(
+    ("known", "seq", "active", "real"), [("fresh", 1, 3, 3), ("old", 0, 3, 2), ("none", 0, 0, 0)]
+)
 def test_known_lists_and_lists_of_thousands(known: str, seq: int, active: int, real: int) -> None:
     async def course() -> None:
         place = Place(known=known, extra=1000)
--- a/tests/lab/test_drawing.py
+++ b/tests/lab/test_drawing.py
@@ -36,8 +36,16 @@
 
 
 def test_a_day_is_the_same_in_every_process() -> None:
-    told = [subprocess.run([sys.executable, "-c", WHOLE], env=os.environ | {"PYTHONHASHSEED": seed},
-                           check=True, capture_output=True, text=True).stdout for seed in ("1", "2")]
+    told = [
+        subprocess.run(
+            [sys.executable, "-c", WHOLE],
+            env=os.environ | {"PYTHONHASHSEED": seed},
+            check=True,
+            capture_output=True,
+            text=True,
+        ).stdout
+        for seed in ("1", "2")
+    ]
     assert told[0] == told[1] and len(set(told[0].split())) == 3
 
 
@@ -55,8 +63,15 @@
 
 
 def test_the_fleet_is_as_the_scenario_says() -> None:
-    day = drawn("", 4, "fleet.nodes=25", "fleet.cell_size=3", "fleet.jam.at=7", "fleet.kinds.0.cores=2",
-                "fleet.sidecars=7")
+    day = drawn(
+        "",
+        4,
+        "fleet.nodes=25",
+        "fleet.cell_size=3",
+        "fleet.jam.at=7",
+        "fleet.kinds.0.cores=2",
+        "fleet.sidecars=7",
+    )
     assert Counter(node.kind for node in day.nodes) == {"full-core": 16, "slow-core": 9}
     assert sorted(Counter(node.zone for node in day.nodes).values()) == [8, 8, 9]
     assert sorted(Counter(one.zone for one in day.sidecars).values()) == [2, 2, 3]
@@ -64,17 +79,28 @@
     assert sorted(cells.values()) == [2, 2, 3, 3, 3, 3, 3, 3, 3] and len({cell for cell, _ in cells}) == 9
     assert len({node.name for node in day.nodes}) == 25 and len({node.seed for node in day.nodes}) == 25
     full = [node for node in day.nodes if node.kind == "full-core"]
-    assert all(0.85 <= node.speed <= 1.1 and node.jam_at == 14 and 1200 <= node.connections <= 1800
-               and 4 <= node.slots <= 12 and 52 <= node.waiting <= 114 and 12.2 <= node.crowd_at <= 28
-               for node in full) and len({node.speed for node in full}) == 16
+    assert (
+        all(
+            0.85 <= node.speed <= 1.1
+            and node.jam_at == 14
+            and 1200 <= node.connections <= 1800
+            and 4 <= node.slots <= 12
+            and 52 <= node.waiting <= 114
+            and 12.2 <= node.crowd_at <= 28
+            for node in full
+        )
+        and len({node.speed for node in full}) == 16
+    )
     assert day.capacity == pytest.approx(sum(node.cores * node.speed for node in day.nodes))
     for one, row in enumerate(day.cross_ms):
         assert row[one] == day.same_ms and all(row[other] == day.cross_ms[other][one] for other in range(3))
 
 
 def test_what_is_not_changed_stays_as_it_was() -> None:
-    crash, slow = fault('kind = "crash"; at_s = [3, 9]; for_s = [4, 9]; replaced = true'), fault(
-        'kind = "slow"; at_s = [8, 20]; whom.count = 3')
+    crash, slow = (
+        fault('kind = "crash"; at_s = [3, 9]; for_s = [4, 9]; replaced = true'),
+        fault('kind = "slow"; at_s = [8, 20]; whom.count = 3'),
+    )
     day, other_load = drawn(crash + slow), drawn(crash + slow, 1, "load.rate=20", "classes.0.share=0.1")
     assert (other_load.nodes, other_load.changes) == (day.nodes, day.changes)
     burst, errors = fault('kind = "burst"; at_s = 9; for_s = 9'), fault('kind = "errors"; at_s = 1')
@@ -90,9 +116,19 @@
 
 
 def test_wishes_follow_rate_mix_and_work() -> None:
-    day = drawn("", 2, "load.rate=500", "load.retries.most=1.25", "classes.0.work_ms=60",
-                "classes.1.work_ms=100", "classes.1.cv=0.8", "load.spread=0.5", "load.skew=0.4",
-                "load.impatient=0.1", "load.half_close=0.05")
+    day = drawn(
+        "",
+        2,
+        "load.rate=500",
+        "load.retries.most=1.25",
+        "classes.0.work_ms=60",
+        "classes.1.work_ms=100",
+        "classes.1.cv=0.8",
+        "load.spread=0.5",
+        "load.skew=0.4",
+        "load.impatient=0.1",
+        "load.half_close=0.05",
+    )
     wishes = day.wishes
     assert len(wishes) == pytest.approx(30_000, rel=0.03)
     assert [one.due for one in wishes] == sorted(one.due for one in wishes)
@@ -140,8 +176,12 @@
     wave = drawn("", 1, "load.rate=300", "load.shape=wave", "load.swing=0.5", "load.wave_s=60")
     sixths = [per_second(wave, at * 10_000, at * 10_000 + 10_000) for at in range(6)]
     assert max(sixths) == pytest.approx(440, rel=0.1) and min(sixths) == pytest.approx(160, rel=0.15)
-    burst = drawn(fault('kind = "burst"; at_s = 20; for_s = 20; size = 3; rise_s = 5') + fault(
-        'kind = "burst"; at_s = 50; size = 0.2; rise_s = 0'), 1, "load.rate=300")
+    burst = drawn(
+        fault('kind = "burst"; at_s = 20; for_s = 20; size = 3; rise_s = 5')
+        + fault('kind = "burst"; at_s = 50; size = 0.2; rise_s = 0'),
+        1,
+        "load.rate=300",
+    )
     assert per_second(burst, 0, 20_000) == pytest.approx(300, rel=0.1)
     assert per_second(burst, 20_000, 25_000) == pytest.approx(600, rel=0.1)
     assert per_second(burst, 25_000, 35_000) == pytest.approx(900, rel=0.1)
@@ -153,61 +193,132 @@
     tail = fault('kind = "heavy_tail"; at_s = 10; for_s = 20; share = 0.05; size = 8; cls = "earn"')
     heavy = drawn(tail, 1, "load.rate=300")
     pairs = [(one, other) for one, other in zip(calm.wishes, heavy.wishes, strict=True) if one != other]
-    assert all(other.work_ms == pytest.approx(8 * one.work_ms) and one.cls == 1 and 10_000 <= one.due < 30_000
-               for one, other in pairs)
+    assert all(
+        other.work_ms == pytest.approx(8 * one.work_ms) and one.cls == 1 and 10_000 <= one.due < 30_000
+        for one, other in pairs
+    )
     assert len(pairs) == pytest.approx(0.05 * 0.28 * 300 * 20, rel=0.3)
 
 
 def told(day: Day) -> list[str]:
     """Changes in short: second, what (a minus in front where it is taken back), whom, figures."""
-    return [f"{one.at / 1000:g} {'' if one.on else '-'}{one.what} {one.target} {one.value:g} {one.share:g}"
-            for one in day.changes]
-
-
-@pytest.mark.parametrize(("text", "changes", "span"), [
-    ('kind = "crash"; at_s = 3; for_s = 4; whom.numbers = [1, 6]',
-     ["3 die 1 0 0", "3 die 6 0 0", "7 start 1 0 0", "7 start 6 0 0"], "3 7 nodes 1, 6"),
-    ('kind = "crash"; at_s = 3; whom.numbers = [1]', ["3 die 1 0 0"], "3 60 node 1"),
-    ('kind = "crash"; at_s = 3; for_s = 4; whom.numbers = [1]; replaced = true',
-     ["3 die 1 0 0", "7 start 10 0 0"], "3 7 node 1"),
-    ('kind = "slow"; at_s = 3; for_s = 4; size = 5; whom.numbers = [1]',
-     ["3 slow 1 5 0", "7 -slow 1 0 0"], "3 7 node 1"),
-    ('kind = "silent"; at_s = 3; whom.numbers = [1]', ["3 silent 1 0 0", "60 -silent 1 0 0"], "3 60 node 1"),
-    ('kind = "drain"; at_s = 3; for_s = 9; gone_s = 2; whom.numbers = [1]',
-     ["3 leaving 1 0 0", "5 die 1 0 0", "12 start 1 0 0"], "3 12 node 1"),
-    ('kind = "rolling"; at_s = 3; every_s = 5; whom.zone = "pamplona"',
-     ["3 leaving 2 0 0", "5 die 2 0 0", "6 start 2 0 0", "8 leaving 5 0 0", "10 die 5 0 0", "11 start 5 0 0",
-      "13 leaving 8 0 0", "15 die 8 0 0", "16 start 8 0 0"], "3 16 nodes 2, 5, 8"),
-    ('kind = "errors"; at_s = 3; for_s = 4; size = 0.3; ran = 0.7; whom.numbers = [4]',
-     ["3 errors 4 0.3 0.7", "7 -errors 4 0 0"], "3 7 node 4"),
-    ('kind = "spoilt"; at_s = 3; for_s = 4; size = 0.3; whom = {zone = "bilbao", kind = "slow-core"}',
-     ["3 spoilt 3 0.3 0", "7 -spoilt 3 0 0"], "3 7 node 3"),
-    ('kind = "cut"; at_s = 3; for_s = 4; zone = "oviedo"', ["3 cut 1 0 0", "7 -cut 1 0 0"],
-     "3 7 zone oviedo"),
-    ('kind = "delay"; at_s = 3; for_s = 4; added_ms = 30; within = true',
-     ["3 delay -1 30 1", "7 -delay -1 0 0"], "3 7 all ways"),
-    ('kind = "loss"; at_s = 3; for_s = 4', ["3 loss -1 0.02 0", "7 -loss -1 0 0"], "3 7 all ways"),
-    ('kind = "discovery"; at_s = 3; for_s = 4; how = "late"; size = 2',
-     ["3 discovery-late -1 2000 0", "7 -discovery-late -1 0 0"], "3 7 discovery"),
-    ('kind = "discovery"; at_s = 3; how = "moves"', ["3 discovery-moves -1 0 0"], "3 3 discovery"),
-    ('kind = "kill"; at_s = 3; whom.numbers = [2]', ["3 kill 2 0 0", "4 launch 2 0 0"], "3 4 sidecar 2"),
-    ('kind = "stall"; at_s = 3; for_s = 0.5; whom.zone = "oviedo"',
-     ["3 stall 1 500 0", "3 stall 4 500 0"], "3 3.5 sidecars 1, 4"),
-    ('kind = "restart"; at_s = 3; every_s = 2; whom.numbers = [5, 0]', ["3 term 5 0 0", "5 term 0 0 0"],
-     "3 6 sidecars 0, 5"),
-    ('kind = "full_queue"; at_s = 3; for_s = 4; whom.numbers = [1]',
-     ["3 full-queue 1 0 0", "7 -full-queue 1 0 0"], "3 7 node 1"),
-    ('kind = "clock"; at_s = 3; for_s = 4; size = -2.5; whom.numbers = [1]',
-     ["3 clock 1 -2500 0", "7 -clock 1 0 0"], "3 7 sidecar 1"),
-    ('kind = "starve"; at_s = 3; for_s = 4; size = 0.4; whom.numbers = [1]',
-     ["3 starve 1 0.4 0", "7 -starve 1 0 0"], "3 7 sidecar 1"),
-    ('kind = "descriptors"; at_s = 3; for_s = 4; size = 30; whom.numbers = [1]',
-     ["3 descriptors 1 30 0", "7 -descriptors 1 0 0"], "3 7 sidecar 1"),
-    ('kind = "slow_reader"; at_s = 3; size = 0.5; share = 0.3; whom.numbers = [5]',
-     ["3 slow-reader 5 500 0.3", "60 -slow-reader 5 0 0"], "3 60 sidecar 5"),
-    ('kind = "heavy_tail"; at_s = 3; cls = "earn"', [], "3 60 class earn"),
-    ('kind = "burst"; at_s = 3; for_s = 2', [], "3 5 all tills"),
-])
+    return [
+        f"{one.at / 1000:g} {'' if one.on else '-'}{one.what} {one.target} {one.value:g} {one.share:g}"
+        for one in day.changes
+    ]
+
+
+@pytest.mark.parametrize(
+    ("text", "changes", "span"),
+    [
+        (
+            'kind = "crash"; at_s = 3; for_s = 4; whom.numbers = [1, 6]',
+            ["3 die 1 0 0", "3 die 6 0 0", "7 start 1 0 0", "7 start 6 0 0"],
+            "3 7 nodes 1, 6",
+        ),
+        ('kind = "crash"; at_s = 3; whom.numbers = [1]', ["3 die 1 0 0"], "3 60 node 1"),
+        (
+            'kind = "crash"; at_s = 3; for_s = 4; whom.numbers = [1]; replaced = true',
+            ["3 die 1 0 0", "7 start 10 0 0"],
+            "3 7 node 1",
+        ),
+        (
+            'kind = "slow"; at_s = 3; for_s = 4; size = 5; whom.numbers = [1]',
+            ["3 slow 1 5 0", "7 -slow 1 0 0"],
+            "3 7 node 1",
+        ),
+        (
+            'kind = "silent"; at_s = 3; whom.numbers = [1]',
+            ["3 silent 1 0 0", "60 -silent 1 0 0"],
+            "3 60 node 1",
+        ),
+        (
+            'kind = "drain"; at_s = 3; for_s = 9; gone_s = 2; whom.numbers = [1]',
+            ["3 leaving 1 0 0", "5 die 1 0 0", "12 start 1 0 0"],
+            "3 12 node 1",
+        ),
+        (
+            'kind = "rolling"; at_s = 3; every_s = 5; whom.zone = "pamplona"',
+            [
+                "3 leaving 2 0 0",
+                "5 die 2 0 0",
+                "6 start 2 0 0",
+                "8 leaving 5 0 0",
+                "10 die 5 0 0",
+                "11 start 5 0 0",
+                "13 leaving 8 0 0",
+                "15 die 8 0 0",
+                "16 start 8 0 0",
+            ],
+            "3 16 nodes 2, 5, 8",
+        ),
+        (
+            'kind = "errors"; at_s = 3; for_s = 4; size = 0.3; ran = 0.7; whom.numbers = [4]',
+            ["3 errors 4 0.3 0.7", "7 -errors 4 0 0"],
+            "3 7 node 4",
+        ),
+        (
+            'kind = "spoilt"; at_s = 3; for_s = 4; size = 0.3; whom = {zone = "bilbao", kind = "slow-core"}',
+            ["3 spoilt 3 0.3 0", "7 -spoilt 3 0 0"],
+            "3 7 node 3",
+        ),
+        (
+            'kind = "cut"; at_s = 3; for_s = 4; zone = "oviedo"',
+            ["3 cut 1 0 0", "7 -cut 1 0 0"],
+            "3 7 zone oviedo",
+        ),
+        (
+            'kind = "delay"; at_s = 3; for_s = 4; added_ms = 30; within = true',
+            ["3 delay -1 30 1", "7 -delay -1 0 0"],
+            "3 7 all ways",
+        ),
+        ('kind = "loss"; at_s = 3; for_s = 4', ["3 loss -1 0.02 0", "7 -loss -1 0 0"], "3 7 all ways"),
+        (
+            'kind = "discovery"; at_s = 3; for_s = 4; how = "late"; size = 2',
+            ["3 discovery-late -1 2000 0", "7 -discovery-late -1 0 0"],
+            "3 7 discovery",
+        ),
+        ('kind = "discovery"; at_s = 3; how = "moves"', ["3 discovery-moves -1 0 0"], "3 3 discovery"),
+        ('kind = "kill"; at_s = 3; whom.numbers = [2]', ["3 kill 2 0 0", "4 launch 2 0 0"], "3 4 sidecar 2"),
+        (
+            'kind = "stall"; at_s = 3; for_s = 0.5; whom.zone = "oviedo"',
+            ["3 stall 1 500 0", "3 stall 4 500 0"],
+            "3 3.5 sidecars 1, 4",
+        ),
+        (
+            'kind = "restart"; at_s = 3; every_s = 2; whom.numbers = [5, 0]',
+            ["3 term 5 0 0", "5 term 0 0 0"],
+            "3 6 sidecars 0, 5",
+        ),
+        (
+            'kind = "full_queue"; at_s = 3; for_s = 4; whom.numbers = [1]',
+            ["3 full-queue 1 0 0", "7 -full-queue 1 0 0"],
+            "3 7 node 1",
+        ),
+        (
+            'kind = "clock"; at_s = 3; for_s = 4; size = -2.5; whom.numbers = [1]',
+            ["3 clock 1 -2500 0", "7 -clock 1 0 0"],
+            "3 7 sidecar 1",
+        ),
+        (
+            'kind = "starve"; at_s = 3; for_s = 4; size = 0.4; whom.numbers = [1]',
+            ["3 starve 1 0.4 0", "7 -starve 1 0 0"],
+            "3 7 sidecar 1",
+        ),
+        (
+            'kind = "descriptors"; at_s = 3; for_s = 4; size = 30; whom.numbers = [1]',
+            ["3 descriptors 1 30 0", "7 -descriptors 1 0 0"],
+            "3 7 sidecar 1",
+        ),
+        (
+            'kind = "slow_reader"; at_s = 3; size = 0.5; share = 0.3; whom.numbers = [5]',
+            ["3 slow-reader 5 500 0.3", "60 -slow-reader 5 0 0"],
+            "3 60 sidecar 5",
+        ),
+        ('kind = "heavy_tail"; at_s = 3; cls = "earn"', [], "3 60 class earn"),
+        ('kind = "burst"; at_s = 3; for_s = 2', [], "3 5 all tills"),
+    ],
+)
 def test_faults_become_changes_and_spans(text: str, changes: list[str], span: str) -> None:
     day = drawn(fault(text))
     assert told(day) == changes
@@ -227,33 +338,79 @@
     assert drawing.summary(replaced)["nodes"] == 10
 
 
-@pytest.mark.parametrize(("faults", "changes"), [
-    # Who is down already is left to the fault that did it.
-    (['kind = "crash"; at_s = 3; for_s = 9', 'kind = "crash"; at_s = 5; for_s = 1'], ["3 die", "12 start"]),
-    (['kind = "crash"; at_s = 5; for_s = 1', 'kind = "crash"; at_s = 3; for_s = 9'], ["3 die", "12 start"]),
-    (['kind = "crash"; at_s = 3; for_s = 9', 'kind = "drain"; at_s = 5; for_s = 4'], ["3 die", "12 start"]),
-    (['kind = "drain"; at_s = 3; for_s = 9; gone_s = 5', 'kind = "drain"; at_s = 4; for_s = 3; gone_s = 1'],
-     ["3 leaving", "8 die", "12 start"]),
-    # A crash ends a drain; its own return counts, or none.
-    (['kind = "drain"; at_s = 3; for_s = 5', 'kind = "crash"; at_s = 4; for_s = 9'],
-     ["3 leaving", "4 die", "13 start"]),
-    (['kind = "drain"; at_s = 3; for_s = 5', 'kind = "crash"; at_s = 4'], ["3 leaving", "4 die"]),
-    (['kind = "crash"; at_s = 3; for_s = 2', 'kind = "drain"; at_s = 5; for_s = 4'],
-     ["3 die", "5 start", "5 leaving", "8 die", "9 start"]),
-    (['kind = "crash"; at_s = 3; for_s = 2; replaced = true', 'kind = "slow"; at_s = 9; for_s = 2; size = 4'],
-     ["3 die", "5 start 10", "9 slow 10", "11 -slow 10"]),
-    (['kind = "slow"; at_s = 4; for_s = 2; size = 4', 'kind = "crash"; at_s = 3; for_s = 2; replaced = true'],
-     ["3 die", "4 slow", "5 start 10", "6 -slow"]),
-    (['kind = "kill"; at_s = 3; for_s = 5', 'kind = "kill"; at_s = 4', 'kind = "restart"; at_s = 5',
-      'kind = "stall"; at_s = 6; for_s = 1'], ["3 kill", "8 launch"]),
-    (['kind = "restart"; at_s = 3', 'kind = "kill"; at_s = 5', 'kind = "kill"; at_s = 11'],
-     ["3 term", "11 kill", "12 launch"]),
-    (['kind = "stall"; at_s = 3; for_s = 2', 'kind = "restart"; at_s = 4', 'kind = "kill"; at_s = 4.5'],
-     ["3 stall", "4.5 kill", "5.5 launch"]),
-])
+@pytest.mark.parametrize(
+    ("faults", "changes"),
+    [
+        # Who is down already is left to the fault that did it.
+        (
+            ['kind = "crash"; at_s = 3; for_s = 9', 'kind = "crash"; at_s = 5; for_s = 1'],
+            ["3 die", "12 start"],
+        ),
+        (
+            ['kind = "crash"; at_s = 5; for_s = 1', 'kind = "crash"; at_s = 3; for_s = 9'],
+            ["3 die", "12 start"],
+        ),
+        (
+            ['kind = "crash"; at_s = 3; for_s = 9', 'kind = "drain"; at_s = 5; for_s = 4'],
+            ["3 die", "12 start"],
+        ),
+        (
+            [
+                'kind = "drain"; at_s = 3; for_s = 9; gone_s = 5',
+                'kind = "drain"; at_s = 4; for_s = 3; gone_s = 1',
+            ],
+            ["3 leaving", "8 die", "12 start"],
+        ),
+        # A crash ends a drain; its own return counts, or none.
+        (
+            ['kind = "drain"; at_s = 3; for_s = 5', 'kind = "crash"; at_s = 4; for_s = 9'],
+            ["3 leaving", "4 die", "13 start"],
+        ),
+        (['kind = "drain"; at_s = 3; for_s = 5', 'kind = "crash"; at_s = 4'], ["3 leaving", "4 die"]),
+        (
+            ['kind = "crash"; at_s = 3; for_s = 2', 'kind = "drain"; at_s = 5; for_s = 4'],
+            ["3 die", "5 start", "5 leaving", "8 die", "9 start"],
+        ),
+        (
+            [
+                'kind = "crash"; at_s = 3; for_s = 2; replaced = true',
+                'kind = "slow"; at_s = 9; for_s = 2; size = 4',
+            ],
+            ["3 die", "5 start 10", "9 slow 10", "11 -slow 10"],
+        ),
+        (
+            [
+                'kind = "slow"; at_s = 4; for_s = 2; size = 4',
+                'kind = "crash"; at_s = 3; for_s = 2; replaced = true',
+            ],
+            ["3 die", "4 slow", "5 start 10", "6 -slow"],
+        ),
+        (
+            [
+                'kind = "kill"; at_s = 3; for_s = 5',
+                'kind = "kill"; at_s = 4',
+                'kind = "restart"; at_s = 5',
+                'kind = "stall"; at_s = 6; for_s = 1',
+            ],
+            ["3 kill", "8 launch"],
+        ),
+        (
+            ['kind = "restart"; at_s = 3', 'kind = "kill"; at_s = 5', 'kind = "kill"; at_s = 11'],
+            ["3 term", "11 kill", "12 launch"],
+        ),
+        (
+            [
+                'kind = "stall"; at_s = 3; for_s = 2',
+                'kind = "restart"; at_s = 4',
+                'kind = "kill"; at_s = 4.5',
+            ],
+            ["3 stall", "4.5 kill", "5.5 launch"],
+        ),
+    ],
+)
 def test_faults_that_meet_make_sense(faults: list[str], changes: list[str]) -> None:
     day = drawn("".join(fault(f"{one}; whom.numbers = [3]") for one in faults))
-    assert [" ".join(one.split()[:3 if one.split()[2] == "10" else 2]) for one in told(day)] == changes
+    assert [" ".join(one.split()[: 3 if one.split()[2] == "10" else 2]) for one in told(day)] == changes
     hit = {one.fault for one in day.changes}
     assert [span.whom[:3] == "no " for span in day.spans] == [one not in hit for one in range(len(faults))]
 
@@ -283,13 +440,27 @@
 
 
 @settings(max_examples=60)
-@given(st.lists(st.tuples(st.sampled_from(KINDS), st.integers(0, 20), st.integers(4, 9), st.integers(1, 6),
-                          st.booleans()), max_size=8), st.integers(0, 99))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(KINDS), st.integers(0, 20), st.integers(4, 9), st.integers(1, 6), st.booleans()
+        ),
+        max_size=8,
+    ),
+    st.integers(0, 99),
+)
 def test_any_faults_together_are_sound(faults: list[tuple[str, int, int, int, bool]], seed: int) -> None:
-    day = drawn("".join(fault(
-        f'kind = "{kind}"; at_s = {at}; whom.count = {count}' + (
-            f"; for_s = {length}" * (kind not in ("rolling", "restart"))) + (
-            f"; replaced = {str(new).lower()}" * (kind == "crash")))
-        for kind, at, length, count, new in faults), seed, "load.rate=1")
+    day = drawn(
+        "".join(
+            fault(
+                f'kind = "{kind}"; at_s = {at}; whom.count = {count}'
+                + (f"; for_s = {length}" * (kind not in ("rolling", "restart")))
+                + (f"; replaced = {str(new).lower()}" * (kind == "crash"))
+            )
+            for kind, at, length, count, new in faults
+        ),
+        seed,
+        "load.rate=1",
+    )
     assert_sound(day)
     assert msgspec.json.decode(msgspec.json.encode(day), type=Day) == day
--- a/tests/lab/test_duties_real.py
+++ b/tests/lab/test_duties_real.py
@@ -32,8 +32,12 @@
 
 def staff(one: RealTrial, *words: str) -> subprocess.CompletedProcess[str]:
     config = str(one.instances[0].folder / "coveport.toml")
-    return subprocess.run([sys.executable, "-m", "coveport", words[0], "--config", config, *words[1:]],
-                          capture_output=True, text=True, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "coveport", words[0], "--config", config, *words[1:]],
+        capture_output=True,
+        text=True,
+        check=False,
+    )
 
 
 async def status(one: RealTrial) -> dict[str, Any]:
@@ -54,8 +58,11 @@
 
 def steps(one: RealTrial) -> list[str]:
     """The roll-out's acts as instances wrote them down, that were told as done."""
-    return [record.text("what") for record in one.histories().of("act_ended")
-            if record.text("duty") == "rollout" and record.text("end") == "Done"]
+    return [
+        record.text("what")
+        for record in one.histories().of("act_ended")
+        if record.text("duty") == "rollout" and record.text("end") == "Done"
+    ]
 
 
 def changed(path: Path, **classes: Any) -> Path:
@@ -67,7 +74,8 @@
 
 @pytest.mark.parametrize("how", ["kill", "stall"])
 def test_a_roll_out_goes_on_when_its_holder_goes_in_the_middle_and_no_step_is_done_twice(
-        tmp_path: Path, how: str) -> None:
+    tmp_path: Path, how: str
+) -> None:
     async def work(one: RealTrial) -> None:
         await one.all_in(LONG)
         first = await one.held("rollout", LONG)
@@ -85,8 +93,14 @@
             one.start(first)
         else:
             one.resume(first)
-        found = await when(one, lambda found: found["plan"]["phase"] == "done"
-                           and set(found["instances"].values()) == {found["plan"]["new"]}, "all to have it")
+        found = await when(
+            one,
+            lambda found: (
+                found["plan"]["phase"] == "done"
+                and set(found["instances"].values()) == {found["plan"]["new"]}
+            ),
+            "all to have it",
+        )
         assert len(found["instances"]) == 3
         taken = [what for what in steps(one) if what.startswith("step ")]
         # One whose answer was lost with its holder is in the store's book and not in the histories.
@@ -205,8 +219,11 @@
         for begin in times:
             came = sum(begin <= at <= begin + safe.fall_s for at in times)
             assert came <= safe.operations(begin - born, 0.01), (begin - born, came)
-        granted = [record for record in one.histories().of("act_ended")
-                   if record.text("duty") == "warden@0" and record.text("end") == "Done"]
+        granted = [
+            record
+            for record in one.histories().of("act_ended")
+            if record.text("duty") == "warden@0" and record.text("end") == "Done"
+        ]
         assert {record.instance for record in granted} >= {warden.name}, "it was wished for, and granted"
         assert judge.order(judge.accepted(one.book())) == []
 
--- a/tests/lab/test_explain.py
+++ b/tests/lab/test_explain.py
@@ -24,11 +24,15 @@
     assert len(calm.windows) == 4 == len(calm.heat[0][2]) and len(calm.heat) == 10
 
 
-@pytest.mark.parametrize(("sets", "why"), [
-    (('faults.0={kind="silent", at_s=2, for_s=3, whom={all=true}}',), {"timed out", "turned away"}),
-    (('faults.0={kind="errors", at_s=1, size=1.0}', "rules.most_tries=1"), {"broken"}),
-    (("load.level=2.5",), {"turned away", "timed out"}),
-    (('faults.0={kind="kill", at_s=2, for_s=3, whom={all=true}}',), {"unanswered"})])
+@pytest.mark.parametrize(
+    ("sets", "why"),
+    [
+        (('faults.0={kind="silent", at_s=2, for_s=3, whom={all=true}}',), {"timed out", "turned away"}),
+        (('faults.0={kind="errors", at_s=1, size=1.0}', "rules.most_tries=1"), {"broken"}),
+        (("load.level=2.5",), {"turned away", "timed out"}),
+        (('faults.0={kind="kill", at_s=2, for_s=3, whom={all=true}}',), {"unanswered"}),
+    ],
+)
 def test_what_was_done_to_the_day_is_the_cause(sets: tuple[str, ...], why: set[str]) -> None:
     lost = picture(*sets).lost
     assert max(lost, key=lambda one: lost[one]) in why and sum(lost.values()) > 0.1, lost
--- a/tests/lab/test_eyes.py
+++ b/tests/lab/test_eyes.py
@@ -50,5 +50,3 @@
 @pytest.mark.parametrize("name", LEGAL)
 def test_a_legal_variant_breaks_none(name: str) -> None:
     assert played(3, name) == []
-
-
--- a/tests/lab/test_fuzz.py
+++ b/tests/lab/test_fuzz.py
@@ -23,8 +23,10 @@
 
 MUTATIONS = {"scenarios": 300}  # the others are cheap
 REQUEST = b"GET /balance/7 HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1\r\nX-Deadline: 9m\r\n\r\n"
-LIST = (b'{"seq":%d,"whole":false,"hosts":[{"host":"%s","dial":"10.0.0.1:9","site":"x","block":"y",'
-        b'"health":"%s"}]}')
+LIST = (
+    b'{"seq":%d,"whole":false,"hosts":[{"host":"%s","dial":"10.0.0.1:9","site":"x","block":"y",'
+    b'"health":"%s"}]}'
+)
 
 
 @pytest.mark.parametrize("name", run.TARGETS)
@@ -84,24 +86,33 @@
         return super().read(told, kind)
 
 
-@pytest.mark.parametrize(("name", "place", "fault", "data", "kind"), [
-    ("requests", "codec.RequestParser", Worse, b"GET / HTTP/1.1\r\n\r\n" + REQUEST, "after an error"),
-    ("requests", "codec.RequestParser", Piecemeal, REQUEST, "BadMessageError in test_fuzz.feed"),
-    ("requests", "codec.RequestParser", Hoarder, REQUEST * 600, "held"),
-    ("requests", "codec.write_request", lambda *_: REQUEST, REQUEST.replace(b"7", b"8"), "written"),
-    ("responses", "codec.write_response", lambda *_: b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-     b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "written"),
-    ("operations", "request_of", lambda *_: REQUEST, REQUEST.replace(b"7", b"8"), "changed"),
-    ("loads", "load_of", lambda *_: (1.0, float("nan"), 2.0), b"", "finite"),
-    ("loads", "load_of", lambda *_: (1.0,), b"", "length"),
-    ("lists", "PoolReader", Careless, LIST % (1, b"a", b"left"), "hosts"),
-    ("lists", "PoolReader", Lost, b"\n".join(LIST % (one, b"a", b"active") for one in (1, 2)), "number"),
-    ("config", "platform.read", lambda *_: 1 // 0, b"{}", "ZeroDivisionError in test_fuzz.<lambda>"),
-    ("batches", "writers.batch", lambda *_: b"", bytes(8) + b"\x08" + bytes(11), "stable"),
-    ("scenarios", "writers.toml", lambda _: 'title = "u"', b'title = "t"', "stable"),
-])
-def test_a_broken_invariant_is_found(name: str, place: str, fault: object, data: bytes, kind: str,
-                                     monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("name", "place", "fault", "data", "kind"),
+    [
+        ("requests", "codec.RequestParser", Worse, b"GET / HTTP/1.1\r\n\r\n" + REQUEST, "after an error"),
+        ("requests", "codec.RequestParser", Piecemeal, REQUEST, "BadMessageError in test_fuzz.feed"),
+        ("requests", "codec.RequestParser", Hoarder, REQUEST * 600, "held"),
+        ("requests", "codec.write_request", lambda *_: REQUEST, REQUEST.replace(b"7", b"8"), "written"),
+        (
+            "responses",
+            "codec.write_response",
+            lambda *_: b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+            b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n",
+            "written",
+        ),
+        ("operations", "request_of", lambda *_: REQUEST, REQUEST.replace(b"7", b"8"), "changed"),
+        ("loads", "load_of", lambda *_: (1.0, float("nan"), 2.0), b"", "finite"),
+        ("loads", "load_of", lambda *_: (1.0,), b"", "length"),
+        ("lists", "PoolReader", Careless, LIST % (1, b"a", b"left"), "hosts"),
+        ("lists", "PoolReader", Lost, b"\n".join(LIST % (one, b"a", b"active") for one in (1, 2)), "number"),
+        ("config", "platform.read", lambda *_: 1 // 0, b"{}", "ZeroDivisionError in test_fuzz.<lambda>"),
+        ("batches", "writers.batch", lambda *_: b"", bytes(8) + b"\x08" + bytes(11), "stable"),
+        ("scenarios", "writers.toml", lambda _: 'title = "u"', b'title = "t"', "stable"),
+    ],
+)
+def test_a_broken_invariant_is_found(
+    name: str, place: str, fault: object, data: bytes, kind: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert run.attempt(run.named(name), data) is None
     monkeypatch.setattr(f"coveport.lab.fuzz.targets.{place}", fault)
     find = run.attempt(run.named(name), data)
@@ -131,7 +142,8 @@
     inputs = [long, b"{", short, b"[]", b"\n".join([short, LIST % (2, b"a", b"left")]), b"[ ]"]
     kept = run.minimise("lists", inputs)
     assert set().union(*(run.steps(target, one, files) for one in kept)) == set().union(
-        *(run.steps(target, one, files) for one in inputs))
+        *(run.steps(target, one, files) for one in inputs)
+    )
     assert long not in kept and len(kept) < len(inputs)
     assert run.minimise("lists", kept[::-1]) == kept and run.minimise("lists", inputs, kept) == []
 
@@ -153,10 +165,15 @@
         compare.read(str(tmp_path / "deep.json"))
 
 
-@pytest.mark.parametrize(("text", "sets", "said"), [
-    ("length_s = " + "9" * 5000, [], "day: file: a number is too long"),
-    ("length_s = 0x" + "f" * 5000, [], "day: length_s: what is there will not do"),
-    ("", ["length_s=" + "9" * 5000], "day: length_s"), ("", [f"faults.{'9' * 5000}=1"], "day: set faults.")])
+@pytest.mark.parametrize(
+    ("text", "sets", "said"),
+    [
+        ("length_s = " + "9" * 5000, [], "day: file: a number is too long"),
+        ("length_s = 0x" + "f" * 5000, [], "day: length_s: what is there will not do"),
+        ("", ["length_s=" + "9" * 5000], "day: length_s"),
+        ("", [f"faults.{'9' * 5000}=1"], "day: set faults."),
+    ],
+)
 def test_a_number_of_thousands_of_digits_is_a_mistake(text: str, sets: list[str], said: str) -> None:
     # Seen in fuzzing: Python makes no number of them, and that went past those who expect a ScenarioError.
     with pytest.raises(ScenarioError) as problem:
--- a/tests/lab/test_h11.py
+++ b/tests/lab/test_h11.py
@@ -71,21 +71,37 @@
     return "close" not in options and (version == b"HTTP/1.1" or "keep-alive" in options)
 
 
-@pytest.mark.parametrize(("name", "fault", "data", "rule"), [
-    ("_read_fields", lambda _lines, _what: {"host": ["a"], "transfer-encoding": ["chunked"]},
-     CHUNKED + b"0\r\nhello\r\n\r\n", "h11 refuses"),
-    ("_CHUNK", re.compile(rb"[ \t]*([0-9]+)"), CHUNKED + b" 1\r\nx\r\n" + LAST, "h11 refuses"),
-    ("_CHUNK", re.compile(rb"([1-9]+)"), CHUNKED + LAST, "ours refuses"),
-    ("_VALUE", re.compile(rb"[\x00-\xff]*"), HEAD + b"X: \x00\r\n\r\n", "h11 refuses"),
-    ("_VALUE", re.compile(rb"[a-z]*"), HEAD + b"X: Y\r\n\r\n", "ours refuses"),
-    ("_keeps", keeps_by_any_white_space, HEAD + b"Connection: \xa0close\r\n\r\n", "reads otherwise: keep"),
-    ("_keeps", keeps_by_any_white_space,
-     b"HTTP/1.0 200 x\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + LAST,
-     "reads otherwise: keep"),
-    ("MAX_HEAD", 40, HEAD + b"X: y\r\nZ: yyyyyyy\r\n\r\n", "ours refuses"),
-])
-def test_a_fault_of_ours_shows(name: str, fault: object, data: bytes, rule: str,
-                               monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("name", "fault", "data", "rule"),
+    [
+        (
+            "_read_fields",
+            lambda _lines, _what: {"host": ["a"], "transfer-encoding": ["chunked"]},
+            CHUNKED + b"0\r\nhello\r\n\r\n",
+            "h11 refuses",
+        ),
+        ("_CHUNK", re.compile(rb"[ \t]*([0-9]+)"), CHUNKED + b" 1\r\nx\r\n" + LAST, "h11 refuses"),
+        ("_CHUNK", re.compile(rb"([1-9]+)"), CHUNKED + LAST, "ours refuses"),
+        ("_VALUE", re.compile(rb"[\x00-\xff]*"), HEAD + b"X: \x00\r\n\r\n", "h11 refuses"),
+        ("_VALUE", re.compile(rb"[a-z]*"), HEAD + b"X: Y\r\n\r\n", "ours refuses"),
+        (
+            "_keeps",
+            keeps_by_any_white_space,
+            HEAD + b"Connection: \xa0close\r\n\r\n",
+            "reads otherwise: keep",
+        ),
+        (
+            "_keeps",
+            keeps_by_any_white_space,
+            b"HTTP/1.0 200 x\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + LAST,
+            "reads otherwise: keep",
+        ),
+        ("MAX_HEAD", 40, HEAD + b"X: y\r\nZ: yyyyyyy\r\n\r\n", "ours refuses"),
+    ],
+)
+def test_a_fault_of_ours_shows(
+    name: str, fault: object, data: bytes, rule: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert compared(data) is None
     monkeypatch.setattr(codec, name, fault)
     difference = compared(data)
@@ -93,7 +109,7 @@
 
 
 TOKEN = st.text("abcXYZ-!~09", min_size=1, max_size=8)
-VALUE = st.text("ab,;=\"\\ \t09\xe9\xa0", max_size=12).map(lambda one: one.strip(" \t"))
+VALUE = st.text('ab,;="\\ \t09\xe9\xa0', max_size=12).map(lambda one: one.strip(" \t"))
 FIELDS = st.lists(st.tuples(TOKEN.map("X-{}".format), VALUE), max_size=4)
 BODIES = st.lists(st.binary(max_size=90), max_size=4)
 
@@ -101,8 +117,12 @@
 Lines = list[tuple[bytes, bytes]]
 
 
-def written(start: h11.Request | h11.Response, role: type[h11.CLIENT] | type[h11.SERVER], parts: list[bytes],
-            trailers: Lines) -> bytes:
+def written(
+    start: h11.Request | h11.Response,
+    role: type[h11.CLIENT] | type[h11.SERVER],
+    parts: list[bytes],
+    trailers: Lines,
+) -> bytes:
     conn = h11.Connection(role)
     if role is h11.SERVER:
         conn.receive_data(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -121,15 +141,17 @@
 
 
 @given(FIELDS, BODIES, FIELDS, st.booleans())
-def test_what_h11_writes_is_read(fields: list[tuple[str, str]], parts: list[bytes],
-                                 trailers: list[tuple[str, str]], chunked: bool) -> None:
+def test_what_h11_writes_is_read(
+    fields: list[tuple[str, str]], parts: list[bytes], trailers: list[tuple[str, str]], chunked: bool
+) -> None:
     lines = [(b"Host", b"a"), *encoded(fields), framed(parts, chunked)]
     behind = encoded(trailers) if chunked else []
     request = h11.Request(method="PUT", target="/x?y", headers=lines)
     response = h11.Response(status_code=201, headers=lines)
     parsers: list[tuple[codec.RequestParser | codec.ResponseParser, bytes, Callable[[bytes], object]]] = [
         (codec.RequestParser(), written(request, h11.CLIENT, parts, behind), differ.requests),
-        (codec.ResponseParser(), written(response, h11.SERVER, parts, behind), differ.responses)]
+        (codec.ResponseParser(), written(response, h11.SERVER, parts, behind), differ.responses),
+    ]
     for parser, data, compare in parsers:
         parser.feed(data)
         message = parser.next()
--- a/tests/lab/test_harsh.py
+++ b/tests/lab/test_harsh.py
@@ -58,15 +58,27 @@
 
 
 def rows(played: Played, kind: type[Any], sidecar: int = -1) -> list[Any]:
-    return [row for row in played.rows if isinstance(row, kind)
-            and (sidecar < 0 or getattr(row, "sidecar", sidecar) == sidecar)]
+    return [
+        row
+        for row in played.rows
+        if isinstance(row, kind) and (sidecar < 0 or getattr(row, "sidecar", sidecar) == sidecar)
+    ]
 
 
 def test_a_harsh_day_is_the_same_in_every_process_and_unlike_a_calm_one() -> None:
     script = f"from coveport.lab import run, scenario\nday = scenario.parse({HARSH!r}, 'harsh')\n"
     script += "print(run.play(day, seed=4, ground='virtual').trace)"
-    told = [subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True,
-                           env={**os.environ, "PYTHONHASHSEED": seed}, timeout=60).stdout for seed in "12"]
+    told = [
+        subprocess.run(
+            [sys.executable, "-c", script],
+            capture_output=True,
+            text=True,
+            check=True,
+            env={**os.environ, "PYTHONHASHSEED": seed},
+            timeout=60,
+        ).stdout
+        for seed in "12"
+    ]
     assert told[0] == told[1] and play(TROUBLE, 4).trace != told[0].strip()
 
 
@@ -88,8 +100,9 @@
 
 def test_what_lay_on_a_tills_way_is_not_held_against_the_sidecar() -> None:
     late = CALM + "load.level = 1.3\nload.retries.try_share = 0.2\n[network]\nmerge = 1\nmerge_ms = 60\n"
-    _, outcome = run.play_and_judge(scenario.parse(late.replace("load.rate = 40\n", ""), "late"), name="late",
-                                    seed=1, ground="virtual")
+    _, outcome = run.play_and_judge(
+        scenario.parse(late.replace("load.rate = 40\n", ""), "late"), name="late", seed=1, ground="virtual"
+    )
     assert outcome.kept, outcome.broken[0]
 
 
@@ -112,7 +125,8 @@
 
 
 def test_a_clock_that_steps_moves_the_wall_and_a_process_started_meanwhile_has_it_too(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     from coveport.lab.virtual.wires import VirtualNet
 
     steps: list[float] = []  # seconds off, whenever somebody looked
@@ -142,8 +156,11 @@
 
 
 def test_a_stall_on_top_of_starving_is_one_time_without_cpu() -> None:
-    played = play(CALM + """faults = [{kind = "starve", at_s = 1, for_s = 2, size = 0.5, whom.all = true},
-        {kind = "stall", at_s = 1.52, for_s = 1, whom.all = true}]""")
+    played = play(
+        CALM
+        + """faults = [{kind = "starve", at_s = 1, for_s = 2, size = 0.5, whom.all = true},
+        {kind = "stall", at_s = 1.52, for_s = 1, whom.all = true}]"""
+    )
     lives = [(round(row.at), row.what) for row in rows(played, Life, 0) if row.at > 1460]
     assert lives[:4] == [(1500, "stall"), (2550, "resume"), (2600, "stall"), (2650, "resume")]
 
@@ -153,8 +170,10 @@
     text += 'faults = [{kind = "descriptors", at_s = 1, for_s = 2, size = 12, whom.numbers = [0]}]'
     played = play(text)
     assert "Too many open files" in played.logs[0] and "Too many open files" not in played.logs[1]
-    first, last = (next(float(line.split()[0]) for line in lines if "Too many" in line)
-                   for lines in (played.logs[0].splitlines(), reversed(played.logs[0].splitlines())))
+    first, last = (
+        next(float(line.split()[0]) for line in lines if "Too many" in line)
+        for lines in (played.logs[0].splitlines(), reversed(played.logs[0].splitlines()))
+    )
     assert 1 <= first <= last < 3
 
 
@@ -174,8 +193,9 @@
 
 def test_a_full_queue_lets_nobody_connect() -> None:
     fault = 'faults = [{kind = "full_queue", at_s = 1, for_s = 2, whom.numbers = [0, 1, 2]}]'
-    calm, full = (rows(play(CALM + "fleet.nodes = 6\nfleet.idle_s = 0.2\n" + text), Linked)
-                  for text in ("", fault))
+    calm, full = (
+        rows(play(CALM + "fleet.nodes = 6\nfleet.idle_s = 0.2\n" + text), Linked) for text in ("", fault)
+    )
 
     def up(all_rows: list[Linked], want: Callable[[Linked], bool]) -> int:
         return sum(row.up and 1030 < row.at < 3000 and want(row) for row in all_rows)
@@ -186,7 +206,8 @@
 
 
 def test_what_a_sidecar_holds_after_a_quiet_time_is_told_and_a_leak_shows(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     held = play(CALM + "quiet_s = 8").held
     assert set(held) == {0, 1}
     empty = {name: size for name, size in held[0].items() if name not in ("hosts", "places")}
@@ -207,10 +228,13 @@
     assert leaky[0]["open"] > 5 and leaky[0]["operations"] == 0
 
 
-@pytest.mark.parametrize(("text", "key"), [
-    ("network.read_chunk = 5", "network.read_chunk"),
-    ('faults = [{kind = "slow", at_s = 1}, {kind = "starve", at_s = 1}]', "faults[1].kind"),
-])
+@pytest.mark.parametrize(
+    ("text", "key"),
+    [
+        ("network.read_chunk = 5", "network.read_chunk"),
+        ('faults = [{kind = "slow", at_s = 1}, {kind = "starve", at_s = 1}]', "faults[1].kind"),
+    ],
+)
 def test_real_ground_refuses_in_one_line_what_it_cannot_do(text: str, key: str) -> None:
     from coveport.lab.real import GroundError
 
--- a/tests/lab/test_measures.py
+++ b/tests/lab/test_measures.py
@@ -49,14 +49,27 @@
         day.ask(op, 100.0)
     day.answer("busy", 200.0, 429)
     day.answer("failed", 200.0, 500)
-    day.rows += [books.Broke(200.0, "broken", "reset", 3), books.GaveUp(200.0, "left", "impatient"),
-                 books.GaveUp(201.0, "broken", "impatient"), books.GaveUp(4000.0, "none", "late"),
-                 books.GaveUp(150.0, "half", "half"), books.Unasked(100.0, "u", "u", 0, 0, 100.0, "refused")]
+    day.rows += [
+        books.Broke(200.0, "broken", "reset", 3),
+        books.GaveUp(200.0, "left", "impatient"),
+        books.GaveUp(201.0, "broken", "impatient"),
+        books.GaveUp(4000.0, "none", "late"),
+        books.GaveUp(150.0, "half", "half"),
+        books.Unasked(100.0, "u", "u", 0, 0, 100.0, "refused"),
+    ]
     day.answer("half", 300.0)
     day.wishes = [wish("busy", 100.0), wish("never tried", 200.0)]
     figures = measure(day.played())
     assert figures.answers.by_class["balance"] == {
-        "served": 1, "late": 0, "busy": 1, "failed": 1, "broken": 1, "left": 1, "none": 1, "unreached": 2}
+        "served": 1,
+        "late": 0,
+        "busy": 1,
+        "failed": 1,
+        "broken": 1,
+        "left": 1,
+        "none": 1,
+        "unreached": 2,
+    }
     assert figures.service == pytest.approx(1 / 8)
     assert figures.latency_ms["balance"].unserved == 7
 
@@ -145,14 +158,24 @@
     day.ask("gone", 0.0)
     day.attempt("gone", 5.0, 1, work=20.0, ended=("end", 1000.0))  # waste; it was ended 5 ms before
     day.attempt("gone", 995.5, 0, took="full", status=503, replied=996.0)
-    day.rows += [books.Probed(100.0, 0, 0, 10.0), books.Called(100.0, 0, True),
-                 books.Linked(0.0, 0, 0, 1, True), books.Linked(1.0, 1, 0, 2, True),
-                 books.Linked(2.0, 0, 0, 1, False), books.Linked(3.0, 0, 1, 3, True),
-                 books.Linked(4.0, 0, 1, 4, True)]
+    day.rows += [
+        books.Probed(100.0, 0, 0, 10.0),
+        books.Called(100.0, 0, True),
+        books.Linked(0.0, 0, 0, 1, True),
+        books.Linked(1.0, 1, 0, 2, True),
+        books.Linked(2.0, 0, 0, 1, False),
+        books.Linked(3.0, 0, 1, 3, True),
+        books.Linked(4.0, 0, 1, 4, True),
+    ]
     figures = measure(day.played())
     assert figures.attempts.total == 7 and figures.attempts.per_operation == 7 / 4
     assert {how: count for how, count in figures.attempts.ended.items() if count} == {
-        "answered": 3, "error": 1, "repeat": 1, "given up": 1, "refused": 1}
+        "answered": 3,
+        "error": 1,
+        "repeat": 1,
+        "given up": 1,
+        "refused": 1,
+    }
     assert figures.attempts.second_copies == 1
     assert figures.crossings == 2 / 4
     assert figures.waste == pytest.approx((30 + 20 + 10) / (50 + 30 + 50 + 40 + 20 + 10))
@@ -179,8 +202,15 @@
 
 def test_processes_and_their_restarts() -> None:
     day = Builder(length_s=5.0)
-    day.rows += [books.Sample(at, 0, memory, files, cpu) for at, memory, files, cpu in (
-        (0.0, 10.0, 8, 0.5), (1.0, 30.0, 9, 2.0), (2.0, 5.0, 4, 0.25), (3.0, 6.0, 40, 1.0))]
+    day.rows += [
+        books.Sample(at, 0, memory, files, cpu)
+        for at, memory, files, cpu in (
+            (0.0, 10.0, 8, 0.5),
+            (1.0, 30.0, 9, 2.0),
+            (2.0, 5.0, 4, 0.25),
+            (3.0, 6.0, 40, 1.0),
+        )
+    ]
     one = measure(day.played()).sidecars[0]
     assert (one.memory_mb, one.descriptors, one.cpu_s) == (30.0, 40, 3.0)
 
@@ -190,8 +220,12 @@
     day.steady(0, 1000)
     day.steady(1000, 2000, good=False)
     day.attempt("w0", 2500.0, 0)
-    day.rows += [books.NodeLoad(500.0, 1, 2, 3, 0.5, 4), books.NodeLoad(700.0, 1, 4, 5, 1.0, 4),
-                 books.NodeIs(1500.0, 1, "down", -1, 1, 1, 1, 0, 1, 1), books.Linked(100.0, 0, 0, 1, True)]
+    day.rows += [
+        books.NodeLoad(500.0, 1, 2, 3, 0.5, 4),
+        books.NodeLoad(700.0, 1, 4, 5, 1.0, 4),
+        books.NodeIs(1500.0, 1, "down", -1, 1, 1, 1, 0, 1, 1),
+        books.Linked(100.0, 0, 0, 1, True),
+    ]
     one = series(day.played())
     assert one.offered.tolist() == [10, 10, 0] and one.served.tolist() == [10, 0, 0]
     assert one.service[:2].tolist() == [1, 0] and np.isnan(one.service[2])
@@ -203,8 +237,9 @@
 
 
 def test_expectations() -> None:
-    expect = Expect(service=0.9, worst_10s=0.2, recovery_s=3.0, attempts=1.0,
-                    p99_ms={"balance": 40.0, "earn": 40.0})
+    expect = Expect(
+        service=0.9, worst_10s=0.2, recovery_s=3.0, attempts=1.0, p99_ms={"balance": 40.0, "earn": 40.0}
+    )
     day = Builder(length_s=30.0, expect=expect)
     day.steady(0, 15_000)
     day.steady(15_000, 30_000, good=False)
@@ -212,9 +247,13 @@
     figures = measure(day.played())
     judge_expectations(figures, day.scenario)
     assert {one.name: (one.got, one.met) for one in figures.expectations} == {
-        "service": (0.5, False), "worst_10s": (0.0, False), "recovery_s": (None, False),
-        "attempts": (0.0, True), "p99_ms balance": (pytest.approx(50, rel=1e-3), False),
-        "p99_ms earn": (None, False)}
+        "service": (0.5, False),
+        "worst_10s": (0.0, False),
+        "recovery_s": (None, False),
+        "attempts": (0.0, True),
+        "p99_ms balance": (pytest.approx(50, rel=1e-3), False),
+        "p99_ms earn": (None, False),
+    }
     assert figures.kept and not figures.passed
 
 
@@ -233,9 +272,16 @@
             decode(bad)
 
 
-EVENTS = st.lists(st.tuples(
-    st.sampled_from(["ask", "retry", "unasked", "answer", "broke", "gave up", "attempt"]), st.integers(0, 5),
-    st.floats(0, 20_000), st.sampled_from([200, 429, 500, 503]), st.integers(0, 1)), max_size=60)
+EVENTS = st.lists(
+    st.tuples(
+        st.sampled_from(["ask", "retry", "unasked", "answer", "broke", "gave up", "attempt"]),
+        st.integers(0, 5),
+        st.floats(0, 20_000),
+        st.sampled_from([200, 429, 500, 503]),
+        st.integers(0, 1),
+    ),
+    max_size=60,
+)
 
 
 @given(EVENTS)
