--- a/tests/world.py
+++ b/tests/world.py
@@ -23,12 +23,27 @@
 
 CLASSES = [
     {"name": "balance", "aim_ms": 1000, "deadline_ms": 4000, "gain": 1, "semantics": "idempotent"},
-    {"name": "earn", "aim_ms": 1200, "deadline_ms": 3000, "gain": 5, "semantics": "deduplicated",
-     "key_scope": "cell", "window_ms": 6000},
+    {
+        "name": "earn",
+        "aim_ms": 1200,
+        "deadline_ms": 3000,
+        "gain": 5,
+        "semantics": "deduplicated",
+        "key_scope": "cell",
+        "window_ms": 6000,
+    },
     {"name": "redeem", "aim_ms": 2500, "deadline_ms": 6000, "gain": 3, "semantics": "at_most_once"},
 ]
-LIMITS = {"cancel": True, "connect_timeout_ms": 250, "keepalive_ms": 5000, "max_retry_after_ms": 2000,
-          "most_tries": 3, "probes": False, "retry_after": True, "second_copies": False}
+LIMITS = {
+    "cancel": True,
+    "connect_timeout_ms": 250,
+    "keepalive_ms": 5000,
+    "max_retry_after_ms": 2000,
+    "most_tries": 3,
+    "probes": False,
+    "retry_after": True,
+    "second_copies": False,
+}
 SILENT = b"silent"  # what a handler returns to say nothing and keep the connection
 
 
@@ -61,7 +76,7 @@
     size = end + 4 + int(headers.get("content-length", 0))
     if len(held) < size:
         return None
-    body = bytes(held[end + 4:size])
+    body = bytes(held[end + 4 : size])
     del held[:size]
     return start, headers, body
 
@@ -112,8 +127,16 @@
 
     def put(self, name: str, dial: str, health: str = "active", born_ms: float = 0) -> None:
         self.seq += 1
-        self.hosts[name] = {"host": name, "dial": dial, "site": "bilbao", "class": "m2", "block": 3,
-                            "health": health, "share": 1.0, "born_ms": born_ms}
+        self.hosts[name] = {
+            "host": name,
+            "dial": dial,
+            "site": "bilbao",
+            "class": "m2",
+            "block": 3,
+            "health": health,
+            "share": 1.0,
+            "born_ms": born_ms,
+        }
 
     def text(self) -> dict[str, Any]:
         return {"seq": self.seq, "whole": True, "hosts": list(self.hosts.values())}
@@ -128,21 +151,46 @@
         return self.answer or reply(200, json.dumps(self.text()).encode())
 
 
-def configuration(pool: Pool, discovery: str, *, sockets: int = 1024, known: bool = True,
-                  listen: str = "127.0.0.1:0", told: dict[str, Any] | None = None,
-                  config: dict[str, Any] | None = None, staff: str = "", **limits: Any) -> str:
+def configuration(
+    pool: Pool,
+    discovery: str,
+    *,
+    sockets: int = 1024,
+    known: bool = True,
+    listen: str = "127.0.0.1:0",
+    told: dict[str, Any] | None = None,
+    config: dict[str, Any] | None = None,
+    staff: str = "",
+    **limits: Any,
+) -> str:
     """The program's configuration file.
 
     `known`: the list that it last had is the pool's. `told`, `limits`: instead of the usual settings.
     `config`: instead of all but the address that it listens at. `staff`: the console's address.
     """
-    return json.dumps((config or {
-        "name": "n0", "discovery": discovery, "seed": "8c1f30d2",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-        "known": pool.text() if known else {"seq": 0, "whole": True, "hosts": []},
-        "settings": {"classes": CLASSES, "limits": LIMITS | limits, "localities": ["bilbao"], "round_ms": 5,
-                     "registry_mode": "automatic", "zone": 0} | (told or {})})
-        | {"listen": listen} | ({"console": staff} if staff else {}))
+    return json.dumps(
+        (
+            config
+            or {
+                "name": "n0",
+                "discovery": discovery,
+                "seed": "8c1f30d2",
+                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+                "known": pool.text() if known else {"seq": 0, "whole": True, "hosts": []},
+                "settings": {
+                    "classes": CLASSES,
+                    "limits": LIMITS | limits,
+                    "localities": ["bilbao"],
+                    "round_ms": 5,
+                    "registry_mode": "automatic",
+                    "zone": 0,
+                }
+                | (told or {}),
+            }
+        )
+        | {"listen": listen}
+        | ({"console": staff} if staff else {})
+    )
 
 
 class Server:
@@ -235,8 +283,9 @@
     log = config.with_name("log")
     command = f"ulimit -n {sockets} && exec {sys.executable} -m coveport"
     with log.open("w") as sink:
-        process = subprocess.Popen(["/bin/sh", "-c", command], stderr=sink, text=True,
-                                   env={**os.environ, "LB_CONFIG": str(config)})
+        process = subprocess.Popen(
+            ["/bin/sh", "-c", command], stderr=sink, text=True, env={**os.environ, "LB_CONFIG": str(config)}
+        )
     try:
         yield process, log
     finally:
