--- a/Makefile
+++ b/Makefile
@@ -6,9 +6,6 @@
 BIN := $(VENV)/bin
 MADE := $(VENV)/.made
 
-# Code of the serving system, which the formatter keeps.
-FORMATTED := coveport/system tests/system features
-
 .PHONY: help env try try-system test check
 
 help:
@@ -16,7 +13,7 @@
 	@echo 'make try-system   play a day of twenty seconds of the serving system on loopback'
 	@echo 'make try     play the day "try" of the sidecar on real sockets; its report goes to out/try.html'
 	@echo 'make test    all tests: pytest, then the features'
-	@echo 'make check   ruff, the format of the newer code, mypy, import contracts'
+	@echo 'make check   ruff, its format, mypy, import contracts'
 
 env: $(MADE)
 
@@ -39,7 +36,7 @@
 
 check: $(MADE)
 	$(BIN)/ruff check .
-	$(BIN)/ruff format --check $(FORMATTED)
+	$(BIN)/ruff format --check .
 	$(BIN)/mypy
 	for one in $$(find tests/system -name conftest.py); do $(BIN)/mypy $$one || exit 1; done
 	$(BIN)/lint-imports
