--- a/coveport/lab/virtual/world.py
+++ b/coveport/lab/virtual/world.py
@@ -258,10 +258,10 @@
         """Monotonic seconds."""
         return self.world.now
 
-    def call_soon(
+    def call_soon(  # type: ignore[override]
         self,
         callback: Callable[..., object],
-        *args: Any,  # type: ignore[override]
+        *args: Any,
         context: contextvars.Context | None = None,
     ) -> Handle:
         """Call in this instant."""
@@ -269,21 +269,21 @@
 
     call_soon_threadsafe = call_soon  # type: ignore[assignment]
 
-    def call_later(
+    def call_later(  # type: ignore[override]
         self,
         delay: float,
         callback: Callable[..., object],
-        *args: Any,  # type: ignore[override]
+        *args: Any,
         context: contextvars.Context | None = None,
     ) -> Handle:
         """Call after so many seconds."""
         return self.world.at(self.world.now + max(delay, 0.0), callback, *args, process=self)
 
-    def call_at(
+    def call_at(  # type: ignore[override]
         self,
         when: float,
         callback: Callable[..., object],
-        *args: Any,  # type: ignore[override]
+        *args: Any,
         context: contextvars.Context | None = None,
     ) -> Handle:
         """Call then."""
@@ -293,11 +293,11 @@
         """A future of this loop."""
         return asyncio.Future(loop=self)
 
-    def create_task(
+    def create_task(  # type: ignore[override]
         self,
         coro: Coroutine[Any, Any, T],
         *,
-        name: str | None = None,  # type: ignore[override]
+        name: str | None = None,
         context: contextvars.Context | None = None,
     ) -> asyncio.Task[T]:
         """Run a coroutine."""
@@ -315,10 +315,10 @@
         """Whether it is dead."""
         return not self.alive
 
-    def add_signal_handler(
+    def add_signal_handler(  # type: ignore[override]
         self,
         sig: int,
-        callback: Callable[..., object],  # type: ignore[override]
+        callback: Callable[..., object],
         *args: Any,
     ) -> None:
         """Call it when `deliver` brings this signal."""
