--- a/benchmarks/lab_speed.py
+++ b/benchmarks/lab_speed.py
@@ -211,7 +211,7 @@
             "the lab"
             if where.startswith("coveport/lab/")
             else "the program"
-            if where.startswith(("coveport/", "micaflow/"))
+            if where.startswith("coveport/")
             else "others"
         )
         parts[part].append((own, cumulative, calls, f"{where}:{line} {name}" if line else name))
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -44,7 +44,11 @@
 from queue import SimpleQueue
 
 ROOT = Path(__file__).resolve().parents[1]
-FILES = ("micaflow/decide.py", "micaflow/held.py", "coveport/core/reducer.py")
+FILES = (
+    "coveport/balancing/balancer.py",
+    "coveport/balancing/pending_requests.py",
+    "coveport/core/reducer.py",
+)
 TESTS = (
     "tests/test_decide_*.py",
     "tests/test_reducer*.py",
@@ -52,7 +56,7 @@
     "tests/test_crowd.py",
     "tests/test_rules.py",
 )
-COPIED = ("micaflow", "coveport", "tests", "pyproject.toml")
+COPIED = ("coveport", "tests", "pyproject.toml")
 EQUIVALENT = ROOT / "benchmarks" / "mutants_equivalent.toml"
 MEMORY = 2 << 30  # bytes a run of the tests may take: a change may make a list grow for ever
 WALL = 30  # of the limit, in wall time: a machine that stands still for a while is no verdict
--- a/benchmarks/variant_link.py
+++ b/benchmarks/variant_link.py
@@ -1,22 +1,22 @@
-"""A variant of the decisions on a simulator's wire: what `micaflow.benchlink` is for the shipped ones.
+"""A variant of the decisions on a simulator's wire: as `balancing.simulator_link` for the shipped ones.
 
     python -m benchmarks.variant_link [NAME]
 
 NAME is one of `coveport.lab.broken` that differs in what decides or in what it is told (random-pick, no-
 retries, fourth-attempt, ...); none means the shipped decisions. Reads and writes the wire of
-`micaflow.wire` on standard input and output until the input ends; ends with 2 where NAME is unknown, or
-differs only in the hands, of which the wire knows nothing.
+`coveport.balancing.simulator_codec` on standard input and output until the input ends; ends with 2 where NAME
+is unknown, or differs only in the hands, of which the wire knows nothing.
 """
 
 from __future__ import annotations
 
 import sys
 
+from coveport.balancing import Balancer, simulator_link
+from coveport.balancing import interface as api
 from coveport.core.reducer import Reducer
 from coveport.lab.broken import Variant, variant_named
 from coveport.sidecar.effects import Effects
-from micaflow import Balancer, benchlink
-from micaflow import interface as api
 
 
 def link(variant: Variant) -> int:
@@ -27,8 +27,8 @@
     def balancer(settings: api.Settings, seed: int) -> Balancer:
         return variant.reducer(settings, seed)._balancer
 
-    vars(benchlink)["Balancer"] = balancer
-    return benchlink.main()
+    vars(simulator_link)["Balancer"] = balancer
+    return simulator_link.main()
 
 
 def main() -> int:
--- a/coveport/__init__.py
+++ b/coveport/__init__.py
@@ -1,1 +1,1 @@
-"""coveport: a sidecar on real sockets around the decisions of micaflow."""
+"""coveport: a sidecar on real sockets around the decisions of `balancing`."""
--- a/micaflow/decide.py
+++ b/coveport/balancing/balancer.py
@@ -1,7 +1,7 @@
-"""The decisions of micaflow; events and actions are in interface.py, the order of what is held in held.py.
+"""The decisions; events and actions are in interface.py, pending requests in pending_requests.py.
 
 A request goes to its own zone while any host there is usable, to all hosts otherwise, and there to the less
-busy of two (levels.py). `Balancer.handle` takes one event and returns the actions, always the same; no I/O.
+busy of two (locality.py). `Balancer.handle` takes one event and returns the actions, always the same; no I/O.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 from heapq import heappop, heappush
 from math import exp, inf, sqrt
 
-from micaflow import interface as api
-from micaflow.held import Held, Waiter
-from micaflow.interface import Effect, ListKind, Outcome, State
-from micaflow.levels import first_usable_level, less_busy_of_two
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Effect, ListKind, Outcome, State
+from coveport.balancing.locality import first_usable_level, less_busy_of_two
+from coveport.balancing.pending_requests import Held, Waiter
 
 # Weight of the newest answer in a host's pace (a copy sees few), in the fleet's service time (which should
 MEMORY, SERVICE_MEMORY, LATELY = 0.25, 0.02, 0.1  # outlast one trouble), and in what answers took lately
--- a/micaflow/wire.py
+++ b/coveport/balancing/simulator_codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from micaflow import interface as api
+from coveport.balancing import interface as api
 
 
 class WireError(Exception):
--- a/micaflow/benchlink.py
+++ b/coveport/balancing/simulator_link.py
@@ -6,13 +6,13 @@
 import traceback
 from typing import BinaryIO
 
-from micaflow import interface as api
-from micaflow import wire
-from micaflow.decide import Balancer
+from coveport.balancing import interface as api
+from coveport.balancing import simulator_codec
+from coveport.balancing.balancer import Balancer
 
 
 def answer(
-    balancers: dict[int, Balancer], decoder: wire.Decoder, now: float, count: int, body: bytes
+    balancers: dict[int, Balancer], decoder: simulator_codec.Decoder, now: float, count: int, body: bytes
 ) -> list[bytes]:
     """The records that answer one batch."""
     records: list[bytes] = []
@@ -21,19 +21,19 @@
         actions: list[api.Action] = []
         fault = b""
         try:
-            if isinstance(item, wire.Attach):
-                balancers[instance] = Balancer(wire.parse_settings(item.info), item.seed)
-            elif isinstance(item, wire.Halt):
+            if isinstance(item, simulator_codec.Attach):
+                balancers[instance] = Balancer(simulator_codec.parse_settings(item.info), item.seed)
+            elif isinstance(item, simulator_codec.Halt):
                 balancers.pop(instance, None)
             elif instance in balancers:
                 actions = balancers[instance].handle(now, item)
         except Exception:  # whatever failed in there, its text is what the operators need
-            fault = wire.encode_fault(traceback.format_exc())
+            fault = simulator_codec.encode_fault(traceback.format_exc())
         if actions or fault:
             if instance != selected:
-                records.append(wire.encode_at(instance))
+                records.append(simulator_codec.encode_at(instance))
                 selected = instance
-            records.extend(map(wire.encode_action, actions))
+            records.extend(map(simulator_codec.encode_action, actions))
             if fault:
                 records.append(fault)
     return records
@@ -42,10 +42,10 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
     balancers: dict[int, Balancer] = {}
-    decoder = wire.Decoder()
-    while (batch := wire.read_batch(source)) is not None:
+    decoder = simulator_codec.Decoder()
+    while (batch := simulator_codec.read_batch(source)) is not None:
         now, number, count, body = batch
-        sink.write(wire.encode_reply(number, answer(balancers, decoder, now, count, body)))
+        sink.write(simulator_codec.encode_reply(number, answer(balancers, decoder, now, count, body)))
         sink.flush()
 
 
@@ -53,8 +53,8 @@
     """Run on standard input and output; 2 when the input is not this protocol."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (wire.WireError, ValueError) as problem:
-        print(f"micaflow: malformed input: {problem}", file=sys.stderr)
+    except (simulator_codec.WireError, ValueError) as problem:
+        print(f"coveport.balancing: malformed input: {problem}", file=sys.stderr)
         return 2
     return 0
 
--- a/coveport/config/platform.py
+++ b/coveport/config/platform.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from coveport.balancing import interface as api
+from coveport.balancing import simulator_codec
 from coveport.config import retuning
 from coveport.net.address import Address, parse_address
-from micaflow import interface as api
-from micaflow import wire
 
 
 class ConfigError(Exception):
@@ -51,7 +51,7 @@
 
 
 def _settings(told: Mapping[str, Any]) -> api.Settings:
-    settings = wire.parse_settings(json.dumps(told))
+    settings = simulator_codec.parse_settings(json.dumps(told))
     if type(settings.zone) is not int:
         raise ValueError(f"zone must be a whole number, not {settings.zone!r}")
     # Guards against names that are no texts: nothing that comes by HTTP could be one of them.
--- a/coveport/core/messages.py
+++ b/coveport/core/messages.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from coveport.balancing import interface as api
 from coveport.core.operation import Answer
 from coveport.net.address import Address
-from micaflow import interface as api
 
 
 class Verdict(Enum):
--- a/coveport/core/operation.py
+++ b/coveport/core/operation.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
+from coveport.balancing.interface import Before
 from coveport.core.streams import Upload
-from micaflow.interface import Before
 
 
 @dataclass(slots=True)
--- a/coveport/core/reducer.py
+++ b/coveport/core/reducer.py
@@ -12,6 +12,8 @@
 from dataclasses import dataclass, field
 from math import inf
 
+from coveport.balancing import Balancer
+from coveport.balancing import interface as api
 from coveport.core.messages import (
     AnswerBegan,
     AskPool,
@@ -40,8 +42,6 @@
     TimerDue,
     Verdict,
 )
-from micaflow import Balancer
-from micaflow import interface as api
 
 GUARD_SHARE = 0.25  # part of the answer slack after which an operation that nobody answered is failed
 
--- a/coveport/discovery/reader.py
+++ b/coveport/discovery/reader.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from coveport.balancing import interface as api
 from coveport.core.places import Place
 from coveport.net.address import Address, parse_address
-from micaflow import interface as api
 
 _STATES = {"active": api.State.READY, "leaving": api.State.DRAINING, "left": api.State.GONE}
 
--- a/coveport/fleet/membership.py
+++ b/coveport/fleet/membership.py
@@ -12,6 +12,7 @@
 from dataclasses import replace
 from typing import Any, Protocol
 
+from coveport.balancing import interface as api
 from coveport.config.operator import OperatorFile
 from coveport.config.platform import Config
 from coveport.core import messages as core
@@ -24,7 +25,6 @@
 from coveport.fleet.peers import Peers
 from coveport.leases.clock import boot_id, boot_s
 from coveport.telemetry.counters import ENDS, Counters, ended
-from micaflow import interface as api
 
 __all__ = ["Membership", "NameHeldError"]
 
--- a/coveport/http1/clients.py
+++ b/coveport/http1/clients.py
@@ -8,6 +8,7 @@
 from itertools import islice
 from math import inf
 
+from coveport.balancing import interface as api
 from coveport.core.messages import Verdict
 from coveport.core.operation import Answer, Operation
 from coveport.core.streams import MOST_BODY, Budget, Upload
@@ -18,7 +19,6 @@
 from coveport.nodes.steps import RouteStep
 from coveport.telemetry.counters import Counters
 from coveport.telemetry.log import Log
-from micaflow import interface as api
 
 HEALTH_PATH = "/_health"
 FIRST_S = 2.0  # how long a connection may say nothing before its first request
--- a/coveport/http1/links.py
+++ b/coveport/http1/links.py
@@ -5,13 +5,13 @@
 import asyncio
 from math import isfinite
 
+from coveport.balancing.interface import Outcome
 from coveport.core.operation import Answer
 from coveport.core.places import Place
 from coveport.core.streams import MOST_BODY, Budget, Upload
 from coveport.http1 import codec
 from coveport.nodes.link import Pool
 from coveport.nodes.steps import RouteStep, StepResult
-from micaflow.interface import Outcome
 
 PROBE_PATH = "/ping"
 
--- a/coveport/http1/operations.py
+++ b/coveport/http1/operations.py
@@ -5,9 +5,9 @@
 import math
 import re
 
+from coveport.balancing import interface as api
 from coveport.core.operation import Operation
 from coveport.http1 import codec
-from micaflow import interface as api
 
 _ID = re.compile(r"[A-Za-z0-9._~+/=:-]{1,128}")
 _KEY = re.compile(r"[\x21-\x7e]{1,256}")
--- a/coveport/lab/bare/listing.py
+++ b/coveport/lab/bare/listing.py
@@ -10,12 +10,12 @@
 import random
 from collections.abc import Callable
 
+from coveport.balancing.interface import HostEntry, ListKind, ListUpdate, State
 from coveport.lab.bare.agenda import Agenda
 from coveport.lab.books import Books, Told
 from coveport.lab.chance import ends
 from coveport.lab.day import NEVER, Change, Day
 from coveport.lab.standins.seen_node import SeenNode
-from micaflow.interface import HostEntry, ListKind, ListUpdate, State
 
 EPOCH_MS = 1e9  # the day's begin on the sidecars' clock, on which 0 means long ago
 _STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
--- a/coveport/lab/bare/nodes.py
+++ b/coveport/lab/bare/nodes.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from math import inf, prod
 
+from coveport.balancing.interface import Outcome
 from coveport.lab import model as core
 from coveport.lab.bare.agenda import Agenda, Entry
 from coveport.lab.books import Arrived, Books, Ended, Linked, NodeLoad, Probed, Ran, Replied
@@ -14,7 +15,6 @@
 from coveport.lab.standins.node_state import BusyShare, LoadReports, state_row
 from coveport.lab.standins.nodes import NUMBERS
 from coveport.lab.standins.work_book import WorkBook
-from micaflow.interface import Outcome
 
 LOAD_EVERY_MS = 500.0
 SPOILT = "spoilt"  # a body after which the connection is of no use
--- a/coveport/lab/bare/play.py
+++ b/coveport/lab/bare/play.py
@@ -10,6 +10,8 @@
 import time
 from collections.abc import Callable
 
+from coveport.balancing import interface as api
+from coveport.balancing.balancer import Balancer
 from coveport.lab import stopping
 from coveport.lab.bare.agenda import Agenda
 from coveport.lab.bare.listing import Listing
@@ -24,8 +26,6 @@
 from coveport.lab.playing import Played
 from coveport.lab.standins.work_book import WorkBook
 from coveport.lab.ways import Ways
-from micaflow import interface as api
-from micaflow.decide import Balancer
 
 BEFORE_MS = 2000.0  # the sidecars start so long before the day begins
 SLICE_MS = 250.0
--- a/coveport/lab/bare/sidecars.py
+++ b/coveport/lab/bare/sidecars.py
@@ -10,6 +10,9 @@
 import json
 from collections.abc import Callable
 
+from coveport.balancing import interface as api
+from coveport.balancing.balancer import Balancer
+from coveport.balancing.simulator_codec import parse_settings
 from coveport.core import messages as core
 from coveport.core.operation import Answer
 from coveport.core.reducer import Reducer
@@ -21,9 +24,6 @@
 from coveport.lab.day import Day, SidecarDrawn, sidecar_settings
 from coveport.nodes.destinations import IDLE_SHARE
 from coveport.sidecar.effects import connect_timeout_ms
-from micaflow import interface as api
-from micaflow.decide import Balancer
-from micaflow.wire import parse_settings
 
 DRAIN_MS = 700.0  # how long one that was told to stop takes new work
 START_MS = 200.0  # until the next one is ready
--- a/coveport/lab/broken.py
+++ b/coveport/lab/broken.py
@@ -10,14 +10,15 @@
 from dataclasses import dataclass
 from math import inf
 
+from coveport.balancing import Balancer
+from coveport.balancing import balancer as decide
+from coveport.balancing import interface as api
 from coveport.core import messages as core
 from coveport.core.operation import Answer, Operation
 from coveport.core.reducer import Reducer
 from coveport.discovery.reader import PoolUpdate
 from coveport.nodes.steps import RouteStep
 from coveport.sidecar.effects import Asker, Effects
-from micaflow import Balancer, decide
-from micaflow import interface as api
 
 EVERY = 40  # of so many operations, one meets the fault where it is not a matter of circumstances
 
--- a/coveport/lab/check/chance.py
+++ b/coveport/lab/check/chance.py
@@ -13,8 +13,9 @@
 from math import ceil, floor
 from typing import Any, TypeVar
 
+from coveport.balancing import Balancer
+from coveport.balancing import balancer as decide
 from coveport.lab.check.world import NODE
-from micaflow import Balancer, decide
 
 T = TypeVar("T")
 R = TypeVar("R")
--- a/coveport/lab/check/play.py
+++ b/coveport/lab/check/play.py
@@ -6,14 +6,14 @@
 from collections import deque
 from typing import Any
 
+from coveport.balancing import Balancer
+from coveport.balancing import interface as api
 from coveport.core import messages as core
 from coveport.core.reducer import Reducer
 from coveport.lab.check import rules
 from coveport.lab.check.rules import Breach
 from coveport.lab.check.surroundings import Surroundings
 from coveport.lab.check.world import Move, World
-from micaflow import Balancer
-from micaflow import interface as api
 
 
 class Play:
--- a/coveport/lab/check/replay.py
+++ b/coveport/lab/check/replay.py
@@ -10,12 +10,12 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Any
 
+from coveport.balancing import Balancer
 from coveport.core.reducer import Reducer
 from coveport.lab.check.chance import Drawn
 from coveport.lab.check.play import Play
 from coveport.lab.check.rules import RULES, Breach
 from coveport.lab.check.world import START_MS, Path, Until, World
-from micaflow import Balancer
 
 if TYPE_CHECKING:
     from coveport.lab.check.explore import Found
@@ -92,8 +92,8 @@
         f"from coveport.core.reducer import Reducer\n"
         f"from coveport.lab.check import replay\n"
         f"from coveport.lab.check.world import {used}\n"
-        f"from micaflow import Balancer\n"
-        f"from micaflow import interface as api\n\n\n{body}"
+        f"from coveport.balancing import Balancer\n"
+        f"from coveport.balancing import interface as api\n\n\n{body}"
     )
 
 
@@ -102,7 +102,7 @@
     if isinstance(value, Enum):
         return f"api.{type(value).__name__}.{value.name}"
     if is_dataclass(value):
-        module = "api." if type(value).__module__ == "micaflow.interface" else ""
+        module = "api." if type(value).__module__ == "coveport.balancing.interface" else ""
         told, by_place = [], True
         for one in fields(value):
             if not one.compare:
--- a/coveport/lab/check/rules.py
+++ b/coveport/lab/check/rules.py
@@ -9,14 +9,14 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
+from coveport.balancing import Balancer
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Outcome, State
 from coveport.core import messages as core
 from coveport.core.messages import Verdict
 from coveport.core.reducer import Reducer
 from coveport.lab.check.surroundings import Asked, Step, Surroundings
 from coveport.lab.check.world import NODE, OPERATION
-from micaflow import Balancer
-from micaflow import interface as api
-from micaflow.interface import Outcome, State
 
 RULES = {
     "answer-twice": "an operation got a second final answer, or one after its client had gone",
--- a/coveport/lab/check/surroundings.py
+++ b/coveport/lab/check/surroundings.py
@@ -5,6 +5,8 @@
 from collections.abc import Iterator
 from math import ceil, inf
 
+from coveport.balancing import interface as api
+from coveport.balancing.interface import ListKind, Outcome, State
 from coveport.core import messages as core
 from coveport.core.operation import Answer
 from coveport.lab.check.world import (
@@ -24,8 +26,6 @@
     Word,
     World,
 )
-from micaflow import interface as api
-from micaflow.interface import ListKind, Outcome, State
 
 ELSEWHERE = ("127.0.0.1", 1)  # where a reload says that discovery is
 PROBE_OUTCOMES = (Outcome.OK, Outcome.CONNECT_FAILED)
--- a/coveport/lab/check/world.py
+++ b/coveport/lab/check/world.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from micaflow import interface as api
+from coveport.balancing import interface as api
 
 # Numbers that name something, and instants, are told by their size from counters and spans.
 START_MS = float(2**30)  # when a world begins; a float beyond half of it is an instant
--- a/coveport/lab/check/worlds.py
+++ b/coveport/lab/check/worlds.py
@@ -9,9 +9,9 @@
 import dataclasses
 from typing import Any
 
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Effect, Group, ListKind, Outcome, State
 from coveport.lab.check.world import Line, Node, Wish, Word, World
-from micaflow import interface as api
-from micaflow.interface import Effect, Group, ListKind, Outcome, State
 
 BALANCE, EARN, REDEEM = 0, 1, 2
 FAULTS = (Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET)
--- a/coveport/lab/fuzz/targets.py
+++ b/coveport/lab/fuzz/targets.py
@@ -19,6 +19,9 @@
 
 import msgspec
 
+from coveport.balancing import interface as api
+from coveport.balancing import simulator_codec
+from coveport.balancing.balancer import Balancer
 from coveport.config import platform
 from coveport.core.operation import Operation
 from coveport.discovery.reader import PoolReader
@@ -28,9 +31,6 @@
 from coveport.lab import outcome, scenario
 from coveport.lab.fuzz import writers
 from coveport.net.address import parse_address
-from micaflow import interface as api
-from micaflow import wire
-from micaflow.decide import Balancer
 
 MOST_BODY = 512  # bytes; less than in service, so that short inputs reach the limit
 REFUSALS = (400, 413, 431, 501, 505)  # what a parser may refuse with
@@ -342,20 +342,20 @@
         return super().read(min(3, size) if size is not None and size >= 0 else 3)
 
 
-Taken = list[tuple[int, wire.Item]]
+Taken = list[tuple[int, simulator_codec.Item]]
 
 
 def _batches(stream: io.BytesIO) -> tuple[list[tuple[float, int, Taken]], bool]:
     """The batches of a stream (clock, number, items), and whether it ends in an error."""
-    found, decoder = list[tuple[float, int, Taken]](), wire.Decoder()
+    found, decoder = list[tuple[float, int, Taken]](), simulator_codec.Decoder()
     try:
-        while (batch := wire.read_batch(stream)) is not None:
+        while (batch := simulator_codec.read_batch(stream)) is not None:
             now, number, count, body = batch
             taken = Taken()
             found.append((now, number, taken))
             for one in decoder.decode(body, count):
                 taken.append(one)
-    except wire.WireError:
+    except simulator_codec.WireError:
         return found, True
     return found, False
 
--- a/coveport/lab/fuzz/writers.py
+++ b/coveport/lab/fuzz/writers.py
@@ -10,8 +10,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-from micaflow import interface as api
-from micaflow import wire
+from coveport.balancing import interface as api
+from coveport.balancing import simulator_codec
 
 
 def toml(tables: dict[str, Any]) -> str:
@@ -33,15 +33,15 @@
     return "true" if value is True else "false" if value is False else repr(value)
 
 
-def shown(taken: tuple[int, wire.Item]) -> str:
+def shown(taken: tuple[int, simulator_codec.Item]) -> str:
     """An instance and its item as a text that tells all of them apart, and NaN from nothing."""
     instance, item = taken
-    if isinstance(item, wire.Attach):
+    if isinstance(item, simulator_codec.Attach):
         return f"{instance} Attach {item.seed} {item.info!r}"
-    return f"{instance} {'Halt' if isinstance(item, wire.Halt) else repr(item)}"
+    return f"{instance} {'Halt' if isinstance(item, simulator_codec.Halt) else repr(item)}"
 
 
-def batch(now: float, number: int, taken: Sequence[tuple[int, wire.Item]]) -> bytes:
+def batch(now: float, number: int, taken: Sequence[tuple[int, simulator_codec.Item]]) -> bytes:
     """A batch of events with its header; each host list stands right in front of the event that names it."""
     records = list[bytes]()
     for instance, item in taken:
@@ -59,13 +59,13 @@
     return struct.pack("<dIII", now, len(body) + 8, len(records), number) + body
 
 
-def _record(item: wire.Item) -> bytes:
+def _record(item: simulator_codec.Item) -> bytes:
     match item:
-        case wire.Attach():
+        case simulator_codec.Attach():
             return struct.pack("<HQI", 1, item.seed, len(item.info)) + item.info
         case api.Retuned() | api.Granted():
             raise AssertionError("the wire does not know it")
-        case wire.Halt():
+        case simulator_codec.Halt():
             return struct.pack("<H", 10)
         case api.ListUpdate():
             return struct.pack("<HBIB", 2, item.kind, item.version, 7)
--- a/coveport/lab/search/finds.py
+++ b/coveport/lab/search/finds.py
@@ -228,7 +228,7 @@
 # Processes.
 
 _LINE = re.compile(r"^ *-?\d+\.\d{3} coveport: ", re.MULTILINE)
-_FRAME = re.compile(r'File "[^"]*?(?:coveport|micaflow)/([^"]*)", line \d+, in (\w+)')
+_FRAME = re.compile(r'File "[^"]*?coveport/([^"]*)", line \d+, in (\w+)')
 
 
 def _complaints(played: Played) -> Iterator[Find]:
--- a/coveport/lab/sweep.py
+++ b/coveport/lab/sweep.py
@@ -25,7 +25,6 @@
 from msgspec import Struct, field
 
 import coveport
-import micaflow
 from coveport.lab.lanes import Lane, Worker, each, said, write_whole
 
 FORMAT = 1
@@ -40,7 +39,7 @@
 
     scenario: str
     text_sha256: str  # of the scenario's file
-    code_sha256: str  # of all modules of coveport and micaflow: another program, another sweep
+    code_sha256: str  # of all modules of coveport: another program, another sweep
     ground: str
     grid: dict[str, list[str]]
     variants: list[str]
@@ -242,13 +241,12 @@
 
 
 def code_hash() -> str:
-    """Of all that is played: the modules of coveport and micaflow, in order of their names."""
+    """Of all that is played: the modules of coveport, in order of their names."""
     digest = hashlib.sha256()
-    for package in (coveport, micaflow):
-        top = Path(str(package.__file__)).parent
-        for path in sorted(top.rglob("*.py")):
-            text = path.read_bytes()
-            digest.update(f"{top.name}/{path.relative_to(top).as_posix()} {len(text)}\n".encode() + text)
+    top = Path(str(coveport.__file__)).parent
+    for path in sorted(top.rglob("*.py")):
+        text = path.read_bytes()
+        digest.update(f"{top.name}/{path.relative_to(top).as_posix()} {len(text)}\n".encode() + text)
     return digest.hexdigest()
 
 
--- a/coveport/lab/trials/work/hands.py
+++ b/coveport/lab/trials/work/hands.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from coveport.balancing import interface as api
 from coveport.core import messages as core
 from coveport.core.operation import Answer, Operation
 from coveport.core.reducer import Reducer
 from coveport.lab.trials.ledger import Cell, Ran
 from coveport.lab.virtual.world import Process, World
-from micaflow import interface as api
 
 CONNECT_S = (0.0003, 0.004)
 WIRE_S = (0.0002, 0.003)
--- a/coveport/lab/trials/work/sim.py
+++ b/coveport/lab/trials/work/sim.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
+from coveport.balancing.simulator_codec import parse_settings
 from coveport.config.terms import Terms
 from coveport.core.operation import Operation
 from coveport.lab.trials.judge import Finding
@@ -32,7 +33,6 @@
 from coveport.work.seal import Given, Kept
 from coveport.work.sharing import Pace
 from coveport.work.terms import WorkTerms
-from micaflow.wire import parse_settings
 
 START_S = 1000.0
 PREFIX = "coveport-work/"
--- a/coveport/lab/trials/work/variants.py
+++ b/coveport/lab/trials/work/variants.py
@@ -14,6 +14,8 @@
 
 import msgspec
 
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Effect
 from coveport.leases.store import Done, Entry, Outcome, Put, Refused, Transaction, Unknown
 from coveport.work import again, hand, record_adopter, recorder
 from coveport.work.ages import Ages, Known
@@ -27,8 +29,6 @@
 from coveport.work.seal import Kept
 from coveport.work.takeover import Decision, Do
 from coveport.work.takers import Takers
-from micaflow import interface as api
-from micaflow.interface import Effect
 
 
 def _plain() -> Kept:
--- a/coveport/nodes/steps.py
+++ b/coveport/nodes/steps.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
+from coveport.balancing.interface import Outcome
 from coveport.core.operation import Answer, Operation
 from coveport.core.places import Place
 from coveport.nodes.link import Link
-from micaflow.interface import Outcome
 
 if TYPE_CHECKING:
     from coveport.nodes.destinations import Destinations
--- a/coveport/serving/proxy/levels.py
+++ b/coveport/serving/proxy/levels.py
@@ -22,6 +22,6 @@
 
 from __future__ import annotations
 
-from micaflow.levels import less_busy_of_two
+from coveport.balancing.locality import less_busy_of_two
 
 __all__ = ["less_busy_of_two"]
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -19,6 +19,7 @@
 
 import structlog
 
+from coveport.balancing import interface as api
 from coveport.config import platform as configuration
 from coveport.config.operator import OperatorFile
 from coveport.core import messages as core
@@ -43,7 +44,6 @@
 from coveport.telemetry.counters import ENDS, ended
 from coveport.telemetry.log import Log
 from coveport.work.seal import SealError
-from micaflow import interface as api
 
 YIELD = "ask/yield/"
 FARES_S = 1.0  # how often an instance looks how it fares
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Protocol
 
+from coveport.balancing import interface as api
 from coveport.config.platform import Config
 from coveport.core import messages as core
 from coveport.core.operation import Answer, Operation
@@ -22,7 +23,6 @@
 from coveport.nodes.steps import TURNS_S, RouteStep, StepResult
 from coveport.telemetry.counters import Counters, ended
 from coveport.telemetry.log import Log
-from micaflow import interface as api
 
 # Of the shortest aim: a connection that takes longer leaves no time for a second try, which is harmless, as
 # nothing has run. Machines that vanish refuse nothing; they only show by connections that never come up.
--- a/coveport/sidecar/serve.py
+++ b/coveport/sidecar/serve.py
@@ -10,6 +10,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from coveport.balancing import interface as api
 from coveport.config import platform as configuration
 from coveport.console.codec import Call
 from coveport.console.server import Console, Done
@@ -23,7 +24,6 @@
 from coveport.sidecar.effects import Effects, callers, descriptors
 from coveport.telemetry.counters import Counters
 from coveport.telemetry.log import Log
-from micaflow import interface as api
 
 FIRST_LIST_S = 0.5  # how long to wait for discovery before the known list has to do
 BIND_S, BIND_STEP_S = 5.0, 0.1  # the address may be held by the one before us for a moment
--- a/coveport/work/asking.py
+++ b/coveport/work/asking.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from coveport.balancing import interface as api
 from coveport.core.messages import Verdict
 from coveport.core.operation import Answer, Operation
 from coveport.work.hand import Hand
-from micaflow import interface as api
 
 
 class Hands(Protocol):
--- a/coveport/work/record.py
+++ b/coveport/work/record.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from micaflow.interface import NEVER_RAN, Effect, Group, Outcome, RequestClass
+from coveport.balancing.interface import NEVER_RAN, Effect, Group, Outcome, RequestClass
 
 FORMAT = 1  # of a record; one of a later format is left alone
 
--- a/coveport/work/record_adopter.py
+++ b/coveport/work/record_adopter.py
@@ -10,6 +10,8 @@
 
 import msgspec
 
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Effect
 from coveport.core.messages import Verdict
 from coveport.core.operation import Answer, Operation
 from coveport.leases.store import Done, Entry, Unknown
@@ -20,8 +22,6 @@
 from coveport.work.record_writer import RecordWriter
 from coveport.work.seal import Given
 from coveport.work.takeover import Do, decide
-from micaflow import interface as api
-from micaflow.interface import Effect
 
 TRY_AGAIN_S = 0.2  # between two tries of what was taken over and found no room
 LEAST_MS = 100.0  # of a window: less is not worth a try
--- a/coveport/work/recorder.py
+++ b/coveport/work/recorder.py
@@ -13,6 +13,9 @@
 
 import msgspec
 
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Effect
+from coveport.balancing.interface import Outcome as Ended
 from coveport.core.messages import Verdict
 from coveport.core.operation import Answer, Operation
 from coveport.leases.store import Delete, Done, Entry, Put, Transaction
@@ -23,9 +26,6 @@
 from coveport.work.record_adopter import RecordAdopter, as_ours
 from coveport.work.record_layout import Leaves, digest_of, id_of
 from coveport.work.seal import Asked, Given
-from micaflow import interface as api
-from micaflow.interface import Effect
-from micaflow.interface import Outcome as Ended
 
 POLL_S = (0.015, 0.03)  # how often a record is looked at for whom somebody waits
 LATE_S = 0.03  # so long before its time is over who waits is told what is known
--- a/coveport/work/takeover.py
+++ b/coveport/work/takeover.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from coveport.balancing.interface import Effect, Group
 from coveport.work.record import Attempt, Record, State
-from micaflow.interface import Effect, Group
 
 
 class Do(Enum):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from micaflow import Balancer
-from micaflow import interface as api
+from coveport.balancing import Balancer
+from coveport.balancing import interface as api
 
 SAFE = api.RequestClass(name="read", aim_ms=1000, deadline_ms=3000, worth=1, effect=api.Effect.SAFE)
 KEYED = api.RequestClass(
--- a/tests/lab/test_bare.py
+++ b/tests/lab/test_bare.py
@@ -5,10 +5,10 @@
 import pytest
 from msgspec.structs import replace
 
+from coveport.balancing import balancer
 from coveport.lab import catalog, drawing, run
 from coveport.lab.bare.play import BareError, play_day
 from coveport.lab.scenario import Scenario, load
-from micaflow import decide
 
 MASS = load(catalog.find("mass-jam"))
 SLICE = replace(MASS, length_s=9.0, faults=(replace(MASS.faults[0], at_s=2.0, for_s=3.0),))
@@ -66,9 +66,9 @@
     """Without parts each copy is a stranger everywhere; without the part of what is out nobody holds back."""
     whole = service(SLICE)
     assert whole > 0.75
-    monkeypatch.setattr(decide, "SHARERS", 10_000)
+    monkeypatch.setattr(balancer, "SHARERS", 10_000)
     strangers = service(SLICE)
     monkeypatch.undo()
-    monkeypatch.setattr(decide.Balancer, "_has_its_part", lambda _: False)
+    monkeypatch.setattr(balancer.Balancer, "_has_its_part", lambda _: False)
     unheld = service(SLICE)
     assert whole > strangers + 0.02 and whole > unheld + 0.05, (whole, strangers, unheld)
--- a/tests/lab/test_drawing.py
+++ b/tests/lab/test_drawing.py
@@ -12,10 +12,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from coveport.balancing import simulator_codec
 from coveport.lab import catalog, drawing
 from coveport.lab.day import NODE_CHANGES, SIDECAR_CHANGES, Day, sidecar_settings
 from coveport.lab.scenario import load, parse
-from micaflow import wire
 
 WHOLE = """
 import hashlib, msgspec
@@ -59,7 +59,10 @@
         assert 300 < len(day.wishes) < 30_000 and all(span.whom[:3] != "no " for span in day.spans)
         json.dumps(drawing.summary(day))
         for sidecar in day.sidecars:
-            assert wire.parse_settings(json.dumps(sidecar_settings(day, sidecar))).zone == sidecar.zone
+            assert (
+                simulator_codec.parse_settings(json.dumps(sidecar_settings(day, sidecar))).zone
+                == sidecar.zone
+            )
 
 
 def test_the_fleet_is_as_the_scenario_says() -> None:
--- a/tests/lab/test_model_check.py
+++ b/tests/lab/test_model_check.py
@@ -9,6 +9,9 @@
 import pytest
 from click.testing import CliRunner, Result
 
+from coveport.balancing import Balancer
+from coveport.balancing import balancer as decide
+from coveport.balancing import interface as api
 from coveport.cli.root import root
 from coveport.core import messages as core
 from coveport.core.reducer import Reducer
@@ -16,8 +19,6 @@
 from coveport.lab.check.chance import Chooser
 from coveport.lab.check.world import NODE, OPERATION, World
 from coveport.lab.check.worlds import SMALL, WORLDS, faulty
-from micaflow import Balancer, decide
-from micaflow import interface as api
 
 
 @pytest.mark.parametrize("world", SMALL, ids=lambda world: world.name)
--- a/tests/lab/test_search.py
+++ b/tests/lab/test_search.py
@@ -168,7 +168,7 @@
     2.500 coveport: fault: Traceback (most recent call last):
   File "/somewhere/coveport/sidecar/effects.py", line 77, in feed
     self._carry_out(effect)
-  File "/somewhere/micaflow/decide.py", line 12, in _draw
+  File "/somewhere/coveport/balancing/balancer.py", line 12, in _draw
 KeyError: 17
     3.000 coveport: unexpected: Fatal error 12: OSError(24, 'Too many open files') (3 like it left out)"""
 
@@ -177,7 +177,7 @@
     day, outcome = played("calm", "length_s=9")
     bad = Played(day.day, "virtual", day.rows, logs={0: LOG, 1: LOG}, notes=["the lab: {'x': 0x7f12}"])
     assert {one.signature: one.count for one in finds.finds(bad, outcome).finds} == {
-        "process: fault: KeyError in decide.py _draw": 2,
+        "process: fault: KeyError in balancing/balancer.py _draw": 2,
         "process: note: the lab: {'x': #}": 1,
         "process: unexpected: Fatal error #: OSError(#, 'Too many open files') (# like it left out)": 2,
     }
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from micaflow import Balancer, decide
-from micaflow import interface as api
-from micaflow.interface import Effect, Group, Outcome
+from coveport.balancing import Balancer, balancer
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Effect, Group, Outcome
 
 WORK_MS = 100.0
 ZONES = 3
@@ -210,5 +210,5 @@
 
 
 def test_a_ramp_twice_as_steep_breaks_the_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decide, "COLD_SAFETY", 2 * decide.COLD_SAFETY)
+    monkeypatch.setattr(balancer, "COLD_SAFETY", 2 * balancer.COLD_SAFETY)
     assert all(play(200, RULES["long"], "zone", seed)[0] > 0 for seed in (100, 101, 107))
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -8,10 +8,10 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, Driver, hosts, settings
 
-from micaflow import Balancer
-from micaflow import interface as api
-from micaflow.held import Held, Waiter
-from micaflow.interface import Outcome
+from coveport.balancing import Balancer
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Outcome
+from coveport.balancing.pending_requests import Held, Waiter
 
 FAST = dataclasses.replace(SAFE, aim_ms=1000)
 SLOW = dataclasses.replace(UNSAFE, aim_ms=2500)
--- a/tests/test_decide_health.py
+++ b/tests/test_decide_health.py
@@ -8,8 +8,8 @@
 import pytest
 from helpers import SAFE, UNSAFE, Driver, Sent, hosts, settings
 
-from micaflow import interface as api
-from micaflow.interface import Outcome
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Outcome
 
 AIM = SAFE.aim_ms
 ENDS = {
--- a/tests/test_decide_life.py
+++ b/tests/test_decide_life.py
@@ -9,10 +9,10 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, Driver, Sent, hosts, settings
 
-from micaflow import Balancer
-from micaflow import interface as api
-from micaflow.held import Held
-from micaflow.interface import Effect, Group, Outcome
+from coveport.balancing import Balancer
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Effect, Group, Outcome
+from coveport.balancing.pending_requests import Held
 
 AIM, TICK = SAFE.aim_ms, 5.0
 LAST = 200.0  # so long before its aim a held request must go: two answers' time, as long as none has come
--- a/tests/test_destinations.py
+++ b/tests/test_destinations.py
@@ -8,6 +8,7 @@
 from simulated import Server, run
 from world import served
 
+from coveport.balancing.interface import Outcome
 from coveport.core.operation import Operation
 from coveport.core.places import Place
 from coveport.core.streams import Budget
@@ -19,7 +20,6 @@
 from coveport.nodes.steps import RouteStep, StepResult
 from coveport.telemetry.counters import Counters
 from coveport.telemetry.log import Log
-from micaflow.interface import Outcome
 
 
 class _Loop:
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -8,6 +8,7 @@
 
 from world import CLASSES, Pool, configuration
 
+from coveport.balancing import interface as api
 from coveport.config import platform
 from coveport.core.operation import Operation
 from coveport.net.transport import Net
@@ -15,7 +16,6 @@
 from coveport.sidecar.effects import Effects
 from coveport.telemetry.counters import Counters
 from coveport.telemetry.log import Log
-from micaflow import interface as api
 
 PATIENT = {"classes": [one | {"aim_ms": 20_000, "deadline_ms": 30_000} for one in CLASSES]}
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -10,8 +10,8 @@
 from hypothesis import settings as within
 from hypothesis import strategies as st
 
-from micaflow import decide
-from micaflow import interface as api
+from coveport.balancing import balancer
+from coveport.balancing import interface as api
 
 
 def copy(peers: int, local: int, remote: int = 0, seed: int = 1) -> Driver:
@@ -35,7 +35,7 @@
 ) -> None:
     driver = copy(peers, local, remote, seed)
     before, size = kept(driver), len(driver.balancer.local)
-    assert min(local, decide.FEWEST) <= size <= local and set(before) <= {100 + n for n in range(local)}
+    assert min(local, balancer.FEWEST) <= size <= local and set(before) <= {100 + n for n in range(local)}
     gone = data.draw(st.integers(100, 99 + local))
     driver.feed(api.ListUpdate(api.ListKind.DELTA, (api.HostEntry(gone, 0, state=api.State.GONE),)))
     after = kept(driver)
--- a/tests/test_plain_start.py
+++ b/tests/test_plain_start.py
@@ -25,7 +25,8 @@
 coveport.nodes coveport.nodes.destinations coveport.nodes.link coveport.nodes.steps
 coveport.sidecar coveport.sidecar.effects coveport.sidecar.serve
 coveport.telemetry coveport.telemetry.counters coveport.telemetry.log
-micaflow micaflow.decide micaflow.held micaflow.interface micaflow.levels micaflow.wire
+coveport.balancing coveport.balancing.balancer coveport.balancing.interface coveport.balancing.locality
+coveport.balancing.pending_requests coveport.balancing.simulator_codec
 """
 HELD_MIB = 40  # the whole process, once it has served; it was 23 when this was written
 
--- a/tests/test_pool_config.py
+++ b/tests/test_pool_config.py
@@ -9,13 +9,13 @@
 from simulated import Server, run
 from world import reply
 
+from coveport.balancing import interface as api
 from coveport.discovery import agent as pool_config
 from coveport.discovery.reader import PoolReader
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Factory, Net
 from coveport.telemetry.counters import Counters
 from coveport.telemetry.log import Log
-from micaflow import interface as api
 
 LIST = json.dumps({"seq": 1, "whole": True, "hosts": []}).encode()
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -7,11 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from coveport.balancing import Balancer
+from coveport.balancing import interface as api
 from coveport.core import messages as core
 from coveport.core.operation import Answer
 from coveport.core.reducer import Reducer
-from micaflow import Balancer
-from micaflow import interface as api
 
 FULL = api.ListUpdate(api.ListKind.FULL, hosts())
 
--- a/tests/test_reducer_scripted.py
+++ b/tests/test_reducer_scripted.py
@@ -9,12 +9,12 @@
 import pytest
 from helpers import SAFE, settings
 
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Cancel, Fail, Left, Outcome, Refuse, Reply, Send
 from coveport.core import messages as core
 from coveport.core.messages import CancelStep, GiveAnswer, GuardDeadline, SendStep, StepEnded, Verdict
 from coveport.core.operation import Answer
 from coveport.core.reducer import Reducer
-from micaflow import interface as api
-from micaflow.interface import Cancel, Fail, Left, Outcome, Refuse, Reply, Send
 
 Says = list[api.Action] | Exception
 LIMITS = api.Limits(max_attempts=2, second_copies=True, cancel=True, retry_after=True, max_retry_after_ms=700)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,8 +10,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from micaflow import interface as api
-from micaflow.interface import Outcome
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Outcome
 
 
 def entry(driver: Driver, host: int, state: api.State, started: float = 0.0) -> api.ListUpdate:
--- a/tests/test_shared_levels.py
+++ b/tests/test_shared_levels.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from micaflow.interface import Effect, Group, HostEntry, RequestClass, Rules
-from micaflow.levels import first_usable_level, less_busy_of_two
+from coveport.balancing.interface import Effect, Group, HostEntry, RequestClass, Rules
+from coveport.balancing.locality import first_usable_level, less_busy_of_two
 
 DRAWS = 4000
 
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -9,9 +9,9 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, Driver, hosts, settings
 
-from micaflow import decide
-from micaflow import interface as api
-from micaflow.interface import Outcome
+from coveport.balancing import balancer
+from coveport.balancing import interface as api
+from coveport.balancing.interface import Outcome
 
 
 def shares(driver: Driver, since: int = 0) -> dict[int, int]:
@@ -112,7 +112,7 @@
     for _ in range(200):
         driver.request()
     for held in list(driver.balancer.queue)[50:]:  # these have been tried once
-        held.attempts.append(decide._Attempt(driver.balancer.hosts[100], driver.now))
+        held.attempts.append(balancer._Attempt(driver.balancer.hosts[100], driver.now))
         held.attempts[0].pending = held.attempts[0].may_have_run = False
     looked = 0
     usable = driver.balancer._usable
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from micaflow import benchlink, wire
-from micaflow import interface as api
+from coveport.balancing import interface as api
+from coveport.balancing import simulator_codec, simulator_link
 
 INFO = json.dumps(
     {
@@ -59,7 +59,7 @@
 
 def run(*batches: bytes) -> list[bytes]:
     sink = io.BytesIO()
-    benchlink.serve(io.BytesIO(b"".join(batches)), sink)
+    simulator_link.serve(io.BytesIO(b"".join(batches)), sink)
     data, replies = sink.getvalue(), []
     while data:
         count, length, _ = struct.unpack_from("<III", data)
@@ -74,21 +74,23 @@
 
 
 def test_documented_actions() -> None:
-    assert wire.encode_action(api.Send(0x0006965B5D9A13C4, 0x03124A07, 80.0)) == (
+    assert simulator_codec.encode_action(api.Send(0x0006965B5D9A13C4, 0x03124A07, 80.0)) == (
         struct.pack("<HQId", 68, 0x0006965B5D9A13C4, 0x03124A07, 80.0)
     )
-    assert wire.encode_action(api.SetTimer(500.0, 77)).hex() == "46000000000000407f404d00000000000000"
-    assert wire.encode_at(3).hex() == "4c000300"
-    assert wire.encode_action(api.Cancel(1, 2)) == struct.pack("<HQH", 69, 1, 2)
-    assert wire.encode_action(api.Fail(1)) == struct.pack("<HQ", 72, 1)
-    assert wire.encode_action(api.Refuse(1, 5.0)) == struct.pack("<HQd", 74, 1, 5.0)
-    assert wire.encode_action(api.Probe(9)) == struct.pack("<HI", 77, 9)
-    assert wire.encode_action(api.Subscribe()) == struct.pack("<HB", 75, 1)
-    assert wire.encode_action(api.FetchList()) == struct.pack("<H", 65)
+    assert (
+        simulator_codec.encode_action(api.SetTimer(500.0, 77)).hex() == "46000000000000407f404d00000000000000"
+    )
+    assert simulator_codec.encode_at(3).hex() == "4c000300"
+    assert simulator_codec.encode_action(api.Cancel(1, 2)) == struct.pack("<HQH", 69, 1, 2)
+    assert simulator_codec.encode_action(api.Fail(1)) == struct.pack("<HQ", 72, 1)
+    assert simulator_codec.encode_action(api.Refuse(1, 5.0)) == struct.pack("<HQd", 74, 1, 5.0)
+    assert simulator_codec.encode_action(api.Probe(9)) == struct.pack("<HI", 77, 9)
+    assert simulator_codec.encode_action(api.Subscribe()) == struct.pack("<HB", 75, 1)
+    assert simulator_codec.encode_action(api.FetchList()) == struct.pack("<H", 65)
 
 
 def test_settings_skip_unknown_keys_and_default_absent_ones() -> None:
-    parsed = wire.parse_settings(INFO)
+    parsed = simulator_codec.parse_settings(INFO)
     assert parsed.must_ask and parsed.zone == 1 and parsed.limits.max_attempts == 5
     assert not parsed.limits.probes
     assert parsed.classes[0].effect is api.Effect.KEYED and parsed.classes[0].group is api.Group.ZONE
@@ -96,7 +98,9 @@
 
 
 def test_unknown_effect_and_group_are_read_as_the_strictest() -> None:
-    parsed = wire.parse_settings(json.dumps({"classes": [{"semantics": "magic", "key_scope": "rack"}]}))
+    parsed = simulator_codec.parse_settings(
+        json.dumps({"classes": [{"semantics": "magic", "key_scope": "rack"}]})
+    )
     assert parsed.classes[0].effect is api.Effect.UNSAFE and parsed.classes[0].group is api.Group.CELL
 
 
@@ -112,12 +116,12 @@
 )
 def test_impossible_settings_name_the_key(change: dict[str, object], key: str) -> None:
     with pytest.raises(ValueError, match=key):
-        wire.parse_settings(json.dumps(json.loads(INFO) | change))
+        simulator_codec.parse_settings(json.dumps(json.loads(INFO) | change))
 
 
 def test_a_request_is_sent_to_the_listed_host() -> None:
     (reply,) = run(batch(select(3), attach(), LEDGER, REGISTRY, submit(99)))
-    assert wire.encode_at(3) in reply
+    assert simulator_codec.encode_at(3) in reply
     assert struct.pack("<HQI", 68, 99, 7) in reply
 
 
@@ -141,7 +145,7 @@
         struct.pack("<HHH", 9, 2, 2) + b"hi",
         struct.pack("<HBIB", 2, 3, 8, 99),
     ]
-    items = [item for _, item in wire.Decoder().decode(b"".join(records), len(records))]
+    items = [item for _, item in simulator_codec.Decoder().decode(b"".join(records), len(records))]
     assert items == [
         api.StreamStarted(9, 0, 7),
         api.Reply(9, 0, 7, api.Outcome.OK, 3.0, True, (1.5, 2.0)),
@@ -175,7 +179,10 @@
 )
 def test_malformed_input_ends_with_a_clear_message(data: bytes, message: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "micaflow.benchlink"], input=data, capture_output=True, check=False
+        [sys.executable, "-m", "coveport.balancing.simulator_link"],
+        input=data,
+        capture_output=True,
+        check=False,
     )
     assert done.returncode == 2
     assert message in done.stderr.decode() and b"Traceback" not in done.stderr
--- a/tests/work/test_pure.py
+++ b/tests/work/test_pure.py
@@ -10,6 +10,7 @@
 import pytest
 from test_takeover import attempt, record
 
+from coveport.balancing.interface import Effect, Group, Outcome
 from coveport.config.operator import OperatorFileError, read
 from coveport.leases.store import Delete, Field, Put
 from coveport.work.again import Owner, Then, decide_again, told_late
@@ -19,7 +20,6 @@
 from coveport.work.record_layout import RecordLayout, digest_of, id_of, is_id
 from coveport.work.seal import Asked, Given, Kept, Seal, SealError, read_keys
 from coveport.work.sharing import Pace, rank, wait_s
-from micaflow.interface import Effect, Group, Outcome
 
 UNSAFE = Rules(Effect.UNSAFE, Group.ALL, 0.0, 3)
 
--- a/tests/work/test_takeover.py
+++ b/tests/work/test_takeover.py
@@ -10,6 +10,7 @@
 import msgspec
 import pytest
 
+from coveport.balancing.interface import NEVER_RAN, Effect, Group, Outcome
 from coveport.work.ages import NOTES, Ages, Known
 from coveport.work.record import (
     MOVES,
@@ -24,7 +25,6 @@
     encode,
 )
 from coveport.work.takeover import Do, decide
-from micaflow.interface import NEVER_RAN, Effect, Group, Outcome
 
 KEYED = Rules(Effect.KEYED, Group.CELL, 6000.0, 3)
 
