--- a/benchmarks/fence_gap.py
+++ b/benchmarks/fence_gap.py
@@ -16,7 +16,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from coveport.nodes.steps import RouteStep
+from coveport.sidecar.upstream.route_step import RouteStep
 from coveport.work.hand import Hand
 
 GAPS = HdrHistogram(1, 60_000_000, 3)  # us
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -47,7 +47,7 @@
 FILES = (
     "coveport/balancing/balancer.py",
     "coveport/balancing/pending_requests.py",
-    "coveport/core/reducer.py",
+    "coveport/sidecar/reducer/reducer.py",
 )
 TESTS = (
     "tests/test_decide_*.py",
--- a/benchmarks/variant_link.py
+++ b/benchmarks/variant_link.py
@@ -14,9 +14,9 @@
 
 from coveport.balancing import Balancer, simulator_link
 from coveport.balancing import interface as api
-from coveport.core.reducer import Reducer
 from coveport.lab.broken import Variant, variant_named
 from coveport.sidecar.effects import Effects
+from coveport.sidecar.reducer.reducer import Reducer
 
 
 def link(variant: Variant) -> int:
--- a/coveport/__main__.py
+++ b/coveport/__main__.py
@@ -11,7 +11,7 @@
         from coveport.cli.main import main as command_line
 
         return command_line()
-    from coveport.sidecar.serve import main as run
+    from coveport.sidecar.service import main as run
 
     return run()
 
--- a/coveport/cli/check.py
+++ b/coveport/cli/check.py
@@ -28,7 +28,7 @@
 
     Nothing is started. Exit code 0 where it can be used, 2 where not.
     """
-    from coveport.config import platform
+    from coveport.sidecar.config import platform
 
     environ = dict(os.environ)
     beside, cost = "", ""
--- a/coveport/cli/operator.py
+++ b/coveport/cli/operator.py
@@ -15,8 +15,8 @@
 from coveport.cli.errors import NOT_HELD, OK, Unusable
 
 if TYPE_CHECKING:
-    from coveport.config.operator import OperatorFile
     from coveport.leases.store import Entry, Store
+    from coveport.sidecar.config.operator import OperatorFile
 
 CONFIG = click.option(
     "--config",
@@ -30,7 +30,7 @@
 
 def loaded(path: Path) -> OperatorFile:
     """An operator's file, or all of its faults as the end of the verb."""
-    from coveport.config.operator import OperatorFileError, load
+    from coveport.sidecar.config.operator import OperatorFileError, load
 
     try:
         return load(path)
@@ -201,7 +201,7 @@
 @click.pass_obj
 def start(told: OperatorFile, file: Path) -> int:
     """Roll FILE out: a platform's JSON file, of which `settings` is taken, or such settings by themselves."""
-    from coveport.config import platform
+    from coveport.sidecar.config import platform
 
     try:
         given = json.loads(file.read_text(encoding="utf-8"))
--- a/coveport/cli/run.py
+++ b/coveport/cli/run.py
@@ -38,6 +38,6 @@
         raise Unusable("--as goes with an operator's file that has a fleet")
     if config is not None:
         os.environ["LB_CONFIG"] = str(config)
-    from coveport.sidecar.serve import main
+    from coveport.sidecar.service import main
 
     return main()
--- a/coveport/cli/work.py
+++ b/coveport/cli/work.py
@@ -17,8 +17,8 @@
 from coveport.cli.operator import CONFIG, JSON, loaded
 
 if TYPE_CHECKING:
-    from coveport.config.operator import OperatorFile
     from coveport.leases.store import Entry, Store
+    from coveport.sidecar.config.operator import OperatorFile
     from coveport.work.record import Record
     from coveport.work.record_layout import RecordLayout
 
--- a/coveport/fleet/daemon.py
+++ b/coveport/fleet/daemon.py
@@ -13,8 +13,6 @@
 from pathlib import Path
 from typing import Any
 
-from coveport.config import platform
-from coveport.config.operator import INSTANCES_MOST, OperatorFile, OperatorFileError, load
 from coveport.fleet import stream
 from coveport.fleet.control import Control
 from coveport.fleet.hands import Processes
@@ -23,6 +21,8 @@
 from coveport.leases.clock import boot_s
 from coveport.leases.keeper import DUTY, Keeper
 from coveport.leases.opening import open_store
+from coveport.sidecar.config import platform
+from coveport.sidecar.config.operator import INSTANCES_MOST, OperatorFile, OperatorFileError, load
 
 TURN_S = 5.0  # how often the stream's size is looked at
 FIRST_S = 1.0  # after a start, how long it is waited for whoever holds the duty already
--- a/coveport/fleet/membership.py
+++ b/coveport/fleet/membership.py
@@ -13,18 +13,18 @@
 from typing import Any, Protocol
 
 from coveport.balancing import interface as api
-from coveport.config.operator import OperatorFile
-from coveport.config.platform import Config
-from coveport.core import messages as core
-from coveport.core.phases import Lifecycle, Phase
-from coveport.core.places import Place
 from coveport.fleet import snapshot
 from coveport.fleet.hands import LISTEN_FD
 from coveport.fleet.locks import NameHeldError, NameLock
 from coveport.fleet.notify import Notifier, watchdog_s
 from coveport.fleet.peers import Peers
 from coveport.leases.clock import boot_id, boot_s
-from coveport.telemetry.counters import ENDS, Counters, ended
+from coveport.sidecar.config.operator import OperatorFile
+from coveport.sidecar.config.platform import Config
+from coveport.sidecar.reducer import messages as core
+from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.phases import Lifecycle, Phase
+from coveport.sidecar.telemetry.counters import ENDS, Counters, ended
 
 __all__ = ["Membership", "NameHeldError"]
 
--- a/coveport/fleet/plan.py
+++ b/coveport/fleet/plan.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from coveport.config.operator import Fleet
 from coveport.duties.duty import Step
 from coveport.leases.store import Entry
+from coveport.sidecar.config.operator import Fleet
 
 FLEET = "fleet@"
 WORSE = 0.05  # share served, below that of those not restarted yet, at which a restart halts
--- a/coveport/fleet/stream.py
+++ b/coveport/fleet/stream.py
@@ -17,7 +17,7 @@
 
 import structlog
 
-from coveport.telemetry.log import Log
+from coveport.sidecar.telemetry.log import Log
 
 MOST = 64 * 1024 * 1024  # bytes, after which it is moved aside; the one before that goes
 
--- a/coveport/http1/__init__.py
+++ b/coveport/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: the codec, the client side and the node side."""
+"""HTTP/1.1 as pure bytes, for the sidecar and the serving system alike."""
--- a/coveport/lab/broken.py
+++ b/coveport/lab/broken.py
@@ -13,12 +13,12 @@
 from coveport.balancing import Balancer
 from coveport.balancing import balancer as decide
 from coveport.balancing import interface as api
-from coveport.core import messages as core
-from coveport.core.operation import Answer, Operation
-from coveport.core.reducer import Reducer
-from coveport.discovery.reader import PoolUpdate
-from coveport.nodes.steps import RouteStep
+from coveport.sidecar.discovery.reader import PoolUpdate
 from coveport.sidecar.effects import Asker, Effects
+from coveport.sidecar.reducer import messages as core
+from coveport.sidecar.reducer.operation import Answer, Operation
+from coveport.sidecar.reducer.reducer import Reducer
+from coveport.sidecar.upstream.route_step import RouteStep
 
 EVERY = 40  # of so many operations, one meets the fault where it is not a matter of circumstances
 
--- a/coveport/lab/check/replay.py
+++ b/coveport/lab/check/replay.py
@@ -11,11 +11,11 @@
 from typing import TYPE_CHECKING, Any
 
 from coveport.balancing import Balancer
-from coveport.core.reducer import Reducer
 from coveport.lab.check.chance import Drawn
 from coveport.lab.check.play import Play
 from coveport.lab.check.rules import RULES, Breach
 from coveport.lab.check.world import START_MS, Path, Until, World
+from coveport.sidecar.reducer.reducer import Reducer
 
 if TYPE_CHECKING:
     from coveport.lab.check.explore import Found
@@ -89,7 +89,7 @@
     )
     used = ", ".join(name for name in NAMES if re.search(rf"\b{name}\(", body))
     return (
-        f"from coveport.core.reducer import Reducer\n"
+        f"from coveport.sidecar.reducer.reducer import Reducer\n"
         f"from coveport.lab.check import replay\n"
         f"from coveport.lab.check.world import {used}\n"
         f"from coveport.balancing import Balancer\n"
--- a/coveport/lab/check/surroundings.py
+++ b/coveport/lab/check/surroundings.py
@@ -7,8 +7,6 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import ListKind, Outcome, State
-from coveport.core import messages as core
-from coveport.core.operation import Answer
 from coveport.lab.check.world import (
     NODE,
     OPERATION,
@@ -26,6 +24,8 @@
     Word,
     World,
 )
+from coveport.sidecar.reducer import messages as core
+from coveport.sidecar.reducer.operation import Answer
 
 ELSEWHERE = ("127.0.0.1", 1)  # where a reload says that discovery is
 PROBE_OUTCOMES = (Outcome.OK, Outcome.CONNECT_FAILED)
--- a/coveport/lab/fuzz/__init__.py
+++ b/coveport/lab/fuzz/__init__.py
@@ -7,11 +7,15 @@
 UNDER_TEST: dict[str, tuple[str, ...]] = {
     "requests": HTTP,
     "responses": HTTP,
-    "operations": (*HTTP, "coveport.http1.operations", "coveport.http1.links"),
-    "loads": ("coveport.http1.links",),
-    "lists": ("coveport.discovery.reader", "coveport.net.address"),
+    "operations": (
+        *HTTP,
+        "coveport.sidecar.downstream.operation_reader",
+        "coveport.sidecar.upstream.http1_connection",
+    ),
+    "loads": ("coveport.sidecar.upstream.http1_connection",),
+    "lists": ("coveport.sidecar.discovery.reader", "coveport.net.address"),
     "config": (
-        "coveport.config.platform",
+        "coveport.sidecar.config.platform",
         "coveport.balancing.simulator_codec",
         "coveport.balancing.interface",
         "coveport.net.address",
--- a/coveport/lab/fuzz/targets.py
+++ b/coveport/lab/fuzz/targets.py
@@ -22,15 +22,15 @@
 from coveport.balancing import interface as api
 from coveport.balancing import simulator_codec
 from coveport.balancing.balancer import Balancer
-from coveport.config import platform
-from coveport.core.operation import Operation
-from coveport.discovery.reader import PoolReader
 from coveport.http1 import codec
-from coveport.http1.links import load_of, request_of
-from coveport.http1.operations import read_operation
 from coveport.lab import outcome, scenario
 from coveport.lab.fuzz import writers
 from coveport.net.address import parse_address
+from coveport.sidecar.config import platform
+from coveport.sidecar.discovery.reader import PoolReader
+from coveport.sidecar.downstream.operation_reader import read_operation
+from coveport.sidecar.reducer.operation import Operation
+from coveport.sidecar.upstream.http1_connection import load_of, request_of
 
 MOST_BODY = 512  # bytes; less than in service, so that short inputs reach the limit
 REFUSALS = (400, 413, 431, 501, 505)  # what a parser may refuse with
--- a/coveport/lab/standins/node_link.py
+++ b/coveport/lab/standins/node_link.py
@@ -5,9 +5,9 @@
 import asyncio
 from typing import Protocol
 
-from coveport.core.streams import MOST_BODY
 from coveport.http1.codec import RequestParser
 from coveport.lab.model import Attempt
+from coveport.sidecar.reducer.streams import MOST_BODY
 
 INBOX = memoryview(bytearray(64 * 1024))  # shared: what is read is taken out before the next read
 
--- a/coveport/lab/standins/tills.py
+++ b/coveport/lab/standins/tills.py
@@ -30,7 +30,6 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from coveport.core.streams import MOST_BODY
 from coveport.http1 import codec as http1
 from coveport.lab.books import (
     Answered,
@@ -48,6 +47,7 @@
 from coveport.lab.ids import try_id
 from coveport.lab.ways import asking_ms
 from coveport.net.address import Address
+from coveport.sidecar.reducer.streams import MOST_BODY
 
 LAG_MS = 5.0  # the lab being later than this is written down
 CROSSED_MS = 20.0  # an end later than this after the request's last byte did not cross it
--- a/coveport/lab/trials/days.py
+++ b/coveport/lab/trials/days.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from coveport.config.terms import BadTermsError, Terms
 from coveport.lab.scenario import ScenarioError
 from coveport.lab.trials.schedules import HOLDER, KINDS, TRAPS, Fault, Trial
+from coveport.sidecar.config.terms import BadTermsError, Terms
 
 
 class Told(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/coveport/lab/trials/fleet/sim.py
+++ b/coveport/lab/trials/fleet/sim.py
@@ -8,16 +8,6 @@
 
 import msgspec
 
-from coveport.config.operator import (
-    Duties,
-    Fleet,
-    Instance,
-    Leases,
-    Logged,
-    OperatorFile,
-    Stored,
-    Work,
-)
 from coveport.fleet.life import End
 from coveport.fleet.plan import FLEET, Phase, Plan
 from coveport.fleet.supervisor import Supervisor
@@ -30,6 +20,16 @@
 from coveport.lab.trials.simstore import Host, SimStore, Way
 from coveport.lab.virtual.world import Process, World
 from coveport.leases.keeper import Keeper
+from coveport.sidecar.config.operator import (
+    Duties,
+    Fleet,
+    Instance,
+    Leases,
+    Logged,
+    OperatorFile,
+    Stored,
+    Work,
+)
 
 START_S = 1000.0
 PREFIX = "coveport-fleet/"
--- a/coveport/lab/trials/variants.py
+++ b/coveport/lab/trials/variants.py
@@ -12,7 +12,6 @@
 
 import msgspec
 
-from coveport.config.terms import Terms
 from coveport.duties.drill import Drill
 from coveport.duties.duty import Runner, Step
 from coveport.duties.warden import Books, Warden
@@ -21,6 +20,7 @@
 from coveport.leases.keeper import DUTY, STATE, Keeper
 from coveport.leases.states import Session, State
 from coveport.leases.store import Compare, Delete, Done, Entry, Outcome, Put, Refused, Transaction, Unknown
+from coveport.sidecar.config.terms import Terms
 
 
 @dataclass(frozen=True)
--- a/coveport/lab/trials/virtual.py
+++ b/coveport/lab/trials/virtual.py
@@ -9,7 +9,6 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from coveport.config.terms import Terms
 from coveport.duties.duty import Duty, Runner
 from coveport.duties.rollout import ASK, Rollout
 from coveport.lab.trials import judge
@@ -23,6 +22,7 @@
 from coveport.leases.keeper import Keeper
 from coveport.leases.states import Session
 from coveport.leases.store import Put, Transaction
+from coveport.sidecar.config.terms import Terms
 
 START_S = 1000.0  # the world's time when a trial begins
 LET_GO_S = 1.5  # a planned end may take so long
--- a/coveport/lab/trials/work/sim.py
+++ b/coveport/lab/trials/work/sim.py
@@ -12,8 +12,6 @@
 from functools import partial
 
 from coveport.balancing.simulator_codec import parse_settings
-from coveport.config.terms import Terms
-from coveport.core.operation import Operation
 from coveport.lab.trials.judge import Finding
 from coveport.lab.trials.ledger import Asked, Cell, Ran, judge
 from coveport.lab.trials.quiet_collector import collector_paused
@@ -26,6 +24,8 @@
 from coveport.leases.keeper import INSTANCE, Keeper
 from coveport.leases.states import Session
 from coveport.leases.store import Entry
+from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.reducer.operation import Operation
 from coveport.work.hand import Hand
 from coveport.work.presence import Presence
 from coveport.work.record import Record, RecordError, decode
--- a/coveport/lab/virtual/play.py
+++ b/coveport/lab/virtual/play.py
@@ -13,7 +13,6 @@
 from functools import partial
 from pathlib import Path
 
-from coveport.config import platform as configuration
 from coveport.lab.books import Books, Life, Sample
 from coveport.lab.broken import Variant, variant_named
 from coveport.lab.conductor import (
@@ -42,8 +41,9 @@
 from coveport.lab.virtual.world import Process, World
 from coveport.lab.ways import CLIENT, Ways
 from coveport.net.address import Address
-from coveport.sidecar.serve import serve
-from coveport.telemetry.log import Log
+from coveport.sidecar.config import platform as configuration
+from coveport.sidecar.service import serve
+from coveport.sidecar.telemetry.log import Log
 
 PORT = 9000
 BEFORE_S = 2.0  # the sidecars start so long before the day begins
--- a/coveport/leases/holder.py
+++ b/coveport/leases/holder.py
@@ -23,7 +23,6 @@
 from dataclasses import dataclass
 from math import inf
 
-from coveport.config.terms import RENEWALS, Terms
 from coveport.leases.effects import (
     Arrive,
     AskLease,
@@ -39,6 +38,7 @@
 )
 from coveport.leases.states import ENDS, MOVES, SESSION_MOVES, Session, State
 from coveport.leases.store import Done, Entry, Outcome, Refused, Unknown
+from coveport.sidecar.config.terms import RENEWALS, Terms
 
 AGAIN_S, AGAIN_MOST_S = 0.1, 2.0  # wait after a call without an answer, doubled up to the most
 NAME_TAKEN_S = 1.0  # wait where another of our name is there
--- a/coveport/leases/keeper.py
+++ b/coveport/leases/keeper.py
@@ -13,7 +13,6 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import Any, Protocol
 
-from coveport.config.terms import Terms
 from coveport.leases.effects import (
     Arrive,
     AskLease,
@@ -46,6 +45,7 @@
     WatchLostError,
     fenced,
 )
+from coveport.sidecar.config.terms import Terms
 
 CALL_SHARE = 1 / 3  # of the time to live, after which a call without an answer is given up
 LEAVE_S = 1.0  # how long a planned end waits for the store to hear of it
--- a/coveport/leases/opening.py
+++ b/coveport/leases/opening.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from coveport.config.operator import OperatorFile
 from coveport.leases.store import Store
+from coveport.sidecar.config.operator import OperatorFile
 
 
 def open_store(told: OperatorFile) -> Store:
--- a/coveport/console/server.py
+++ b/coveport/sidecar/admin/server.py
@@ -6,12 +6,12 @@
 import contextlib
 from collections.abc import Callable, Iterable, Mapping
 
-from coveport.console import codec
-from coveport.console.codec import Call
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net
-from coveport.telemetry.counters import Counters
-from coveport.telemetry.log import Log
+from coveport.sidecar.admin import codec
+from coveport.sidecar.admin.codec import Call
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
 
 SILENT_S = 2.0  # how long a caller may take to send its line
 FRESH_S = 0.1  # how long who has just come, or has just been answered, is not taken for somebody who stays
--- a/coveport/config/operator.py
+++ b/coveport/sidecar/config/operator.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from coveport.config.terms import BadTermsError, Terms
 from coveport.net.address import parse_address
+from coveport.sidecar.config.terms import BadTermsError, Terms
 
 INSTANCES_MOST = 1000  # of a host
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9.-]{0,62}")
--- a/coveport/config/platform.py
+++ b/coveport/sidecar/config/platform.py
@@ -10,8 +10,8 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing import simulator_codec
-from coveport.config import retuning
 from coveport.net.address import Address, parse_address
+from coveport.sidecar.config import retuning
 
 
 class ConfigError(Exception):
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -20,11 +20,6 @@
 import structlog
 
 from coveport.balancing import interface as api
-from coveport.config import platform as configuration
-from coveport.config.operator import OperatorFile
-from coveport.core import messages as core
-from coveport.core.phases import Lifecycle, Phase
-from coveport.core.places import Place
 from coveport.duties.drill import Drill
 from coveport.duties.duty import Duty, Runner, Step
 from coveport.duties.looking import LOOK, Looking, Seen
@@ -37,12 +32,17 @@
 from coveport.leases.opening import open_store
 from coveport.leases.store import Entry
 from coveport.net.transport import Net
-from coveport.nodes.steps import StepResult
+from coveport.sidecar.config import platform as configuration
+from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.effects import Effects
 from coveport.sidecar.recording import Recording
-from coveport.sidecar.serve import serve
-from coveport.telemetry.counters import ENDS, ended
-from coveport.telemetry.log import Log
+from coveport.sidecar.reducer import messages as core
+from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.phases import Lifecycle, Phase
+from coveport.sidecar.service import serve
+from coveport.sidecar.telemetry.counters import ENDS, ended
+from coveport.sidecar.telemetry.log import Log
+from coveport.sidecar.upstream.route_step import StepResult
 from coveport.work.seal import SealError
 
 YIELD = "ask/yield/"
--- a/coveport/discovery/agent.py
+++ b/coveport/sidecar/discovery/agent.py
@@ -7,12 +7,12 @@
 import random
 from collections.abc import Callable
 
-from coveport.discovery.reader import PoolReader, PoolUpdate
 from coveport.http1 import codec as http1
 from coveport.net.address import Address
 from coveport.net.transport import Net
-from coveport.telemetry.counters import Counters
-from coveport.telemetry.log import Log
+from coveport.sidecar.discovery.reader import PoolReader, PoolUpdate
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
 
 PATH = "/catalog/members"
 # A change counts as told 6 s after discovery had it and could be reached, whatever failed meanwhile. So a
--- a/coveport/discovery/reader.py
+++ b/coveport/sidecar/discovery/reader.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from coveport.balancing import interface as api
-from coveport.core.places import Place
 from coveport.net.address import Address, parse_address
+from coveport.sidecar.reducer.locality import Place
 
 _STATES = {"active": api.State.READY, "leaving": api.State.DRAINING, "left": api.State.GONE}
 
--- /dev/null
+++ b/coveport/sidecar/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""Clients' connections: operations in, one final answer each out."""
--- a/coveport/http1/clients.py
+++ b/coveport/sidecar/downstream/client_connections.py
@@ -9,16 +9,16 @@
 from math import inf
 
 from coveport.balancing import interface as api
-from coveport.core.messages import Verdict
-from coveport.core.operation import Answer, Operation
-from coveport.core.streams import MOST_BODY, Budget, Upload
 from coveport.http1 import codec
-from coveport.http1.operations import read_operation
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net
-from coveport.nodes.steps import RouteStep
-from coveport.telemetry.counters import Counters
-from coveport.telemetry.log import Log
+from coveport.sidecar.downstream.operation_reader import read_operation
+from coveport.sidecar.reducer.messages import Verdict
+from coveport.sidecar.reducer.operation import Answer, Operation
+from coveport.sidecar.reducer.streams import MOST_BODY, Budget, Upload
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
+from coveport.sidecar.upstream.route_step import RouteStep
 
 HEALTH_PATH = "/_health"
 FIRST_S = 2.0  # how long a connection may say nothing before its first request
--- a/coveport/http1/operations.py
+++ b/coveport/sidecar/downstream/operation_reader.py
@@ -6,8 +6,8 @@
 import re
 
 from coveport.balancing import interface as api
-from coveport.core.operation import Operation
 from coveport.http1 import codec
+from coveport.sidecar.reducer.operation import Operation
 
 _ID = re.compile(r"[A-Za-z0-9._~+/=:-]{1,128}")
 _KEY = re.compile(r"[\x21-\x7e]{1,256}")
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -10,19 +10,19 @@
 from typing import Any, Protocol
 
 from coveport.balancing import interface as api
-from coveport.config.platform import Config
-from coveport.core import messages as core
-from coveport.core.operation import Answer, Operation
-from coveport.core.reducer import Reducer
-from coveport.discovery.agent import PoolConfig
-from coveport.discovery.reader import PoolReader, PoolUpdate
 from coveport.net.clock import Clock
 from coveport.net.transport import Net
-from coveport.nodes.destinations import Destinations
-from coveport.nodes.link import Dial
-from coveport.nodes.steps import TURNS_S, RouteStep, StepResult
-from coveport.telemetry.counters import Counters, ended
-from coveport.telemetry.log import Log
+from coveport.sidecar.config.platform import Config
+from coveport.sidecar.discovery.agent import PoolConfig
+from coveport.sidecar.discovery.reader import PoolReader, PoolUpdate
+from coveport.sidecar.reducer import messages as core
+from coveport.sidecar.reducer.operation import Answer, Operation
+from coveport.sidecar.reducer.reducer import Reducer
+from coveport.sidecar.telemetry.counters import Counters, ended
+from coveport.sidecar.telemetry.log import Log
+from coveport.sidecar.upstream.connection_pool import Destinations
+from coveport.sidecar.upstream.protocol import Dial
+from coveport.sidecar.upstream.route_step import TURNS_S, RouteStep, StepResult
 
 # Of the shortest aim: a connection that takes longer leaves no time for a second try, which is harmless, as
 # nothing has run. Machines that vanish refuse nothing; they only show by connections that never come up.
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from coveport.config.operator import OperatorFile
-from coveport.config.platform import Config
 from coveport.leases.clock import boot_s
 from coveport.leases.keeper import INSTANCE, Keeper
 from coveport.leases.opening import open_work
 from coveport.leases.states import Session
 from coveport.leases.store import Entry
+from coveport.sidecar.config.operator import OperatorFile
+from coveport.sidecar.config.platform import Config
 from coveport.sidecar.effects import Effects
 from coveport.work.journal import Journal
 from coveport.work.presence import Presence
--- a/coveport/core/messages.py
+++ b/coveport/sidecar/reducer/messages.py
@@ -6,8 +6,8 @@
 from enum import Enum
 
 from coveport.balancing import interface as api
-from coveport.core.operation import Answer
 from coveport.net.address import Address
+from coveport.sidecar.reducer.operation import Answer
 
 
 class Verdict(Enum):
--- a/coveport/core/operation.py
+++ b/coveport/sidecar/reducer/operation.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from coveport.balancing.interface import Before
-from coveport.core.streams import Upload
+from coveport.sidecar.reducer.streams import Upload
 
 
 @dataclass(slots=True)
--- a/coveport/core/reducer.py
+++ b/coveport/sidecar/reducer/reducer.py
@@ -14,7 +14,7 @@
 
 from coveport.balancing import Balancer
 from coveport.balancing import interface as api
-from coveport.core.messages import (
+from coveport.sidecar.reducer.messages import (
     AnswerBegan,
     AskPool,
     BeginAnswer,
--- a/coveport/sidecar/serve.py
+++ b/coveport/sidecar/service.py
@@ -11,19 +11,19 @@
 from typing import Any
 
 from coveport.balancing import interface as api
-from coveport.config import platform as configuration
-from coveport.console.codec import Call
-from coveport.console.server import Console, Done
-from coveport.core.phases import Lifecycle, Phase
-from coveport.core.reducer import Reducer
-from coveport.core.streams import Budget
-from coveport.http1.clients import STILL_COMING_S, Listener
-from coveport.http1.links import Dialer
 from coveport.net.address import Address
 from coveport.net.transport import Net
+from coveport.sidecar.admin.codec import Call
+from coveport.sidecar.admin.server import Console, Done
+from coveport.sidecar.config import platform as configuration
+from coveport.sidecar.downstream.client_connections import STILL_COMING_S, Listener
 from coveport.sidecar.effects import Effects, callers, descriptors
-from coveport.telemetry.counters import Counters
-from coveport.telemetry.log import Log
+from coveport.sidecar.reducer.phases import Lifecycle, Phase
+from coveport.sidecar.reducer.reducer import Reducer
+from coveport.sidecar.reducer.streams import Budget
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
+from coveport.sidecar.upstream.http1_connection import Dialer
 
 FIRST_LIST_S = 0.5  # how long to wait for discovery before the known list has to do
 BIND_S, BIND_STEP_S = 5.0, 0.1  # the address may be held by the one before us for a moment
--- a/coveport/nodes/destinations.py
+++ b/coveport/sidecar/upstream/connection_pool.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from coveport.balancing.interface import Outcome
-from coveport.core.operation import Operation
-from coveport.core.places import Place
 from coveport.net.address import Address
 from coveport.net.transport import Net
-from coveport.nodes.link import Dial, Link
-from coveport.nodes.steps import NO_ROOM, Began, Done, RouteStep, StepResult
-from coveport.telemetry.counters import Counters
-from coveport.telemetry.log import Log
+from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.operation import Operation
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
+from coveport.sidecar.upstream.protocol import Dial, Link
+from coveport.sidecar.upstream.route_step import NO_ROOM, Began, Done, RouteStep, StepResult
 
 IDLE_SHARE = 0.8  # part of the keep-alive limit after which we close: theirs must never come first
 RIPE_S = 0.01  # an idle connection has stood so long: some bring a second answer some ms behind the first
--- a/coveport/http1/links.py
+++ b/coveport/sidecar/upstream/http1_connection.py
@@ -6,12 +6,12 @@
 from math import isfinite
 
 from coveport.balancing.interface import Outcome
-from coveport.core.operation import Answer
-from coveport.core.places import Place
-from coveport.core.streams import MOST_BODY, Budget, Upload
 from coveport.http1 import codec
-from coveport.nodes.link import Pool
-from coveport.nodes.steps import RouteStep, StepResult
+from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.operation import Answer
+from coveport.sidecar.reducer.streams import MOST_BODY, Budget, Upload
+from coveport.sidecar.upstream.protocol import Pool
+from coveport.sidecar.upstream.route_step import RouteStep, StepResult
 
 PROBE_PATH = "/ping"
 
@@ -299,7 +299,7 @@
 
 
 class Dialer:
-    """Opens connections by HTTP/1.1 over TCP; see `coveport.nodes.link.Dial`.
+    """Opens connections by HTTP/1.1 over TCP; see `coveport.sidecar.upstream.protocol.Dial`.
 
     `fields`: the names of a load report's figures, in the settings' order. `budget`: of bytes of long bodies.
     """
--- a/coveport/nodes/link.py
+++ b/coveport/sidecar/upstream/protocol.py
@@ -5,13 +5,13 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, Protocol
 
-from coveport.core.places import Place
 from coveport.net.transport import Net
-from coveport.telemetry.counters import Counters
-from coveport.telemetry.log import Log
+from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
 
 if TYPE_CHECKING:
-    from coveport.nodes.steps import RouteStep
+    from coveport.sidecar.upstream.route_step import RouteStep
 
 
 class Link(Protocol):
--- a/coveport/nodes/steps.py
+++ b/coveport/sidecar/upstream/route_step.py
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING, Protocol
 
 from coveport.balancing.interface import Outcome
-from coveport.core.operation import Answer, Operation
-from coveport.core.places import Place
-from coveport.nodes.link import Link
+from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.operation import Answer, Operation
+from coveport.sidecar.upstream.protocol import Link
 
 if TYPE_CHECKING:
-    from coveport.nodes.destinations import Destinations
+    from coveport.sidecar.upstream.connection_pool import Destinations
 
 STALLED_S = 20.0  # how long a long body may stand still where it is the destination that is waited for
 TURNS_S = 0.01  # for what has come already to be looked at
--- a/coveport/work/asking.py
+++ b/coveport/work/asking.py
@@ -6,8 +6,8 @@
 from typing import Any, Protocol
 
 from coveport.balancing import interface as api
-from coveport.core.messages import Verdict
-from coveport.core.operation import Answer, Operation
+from coveport.sidecar.reducer.messages import Verdict
+from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.work.hand import Hand
 
 
--- a/coveport/work/hand.py
+++ b/coveport/work/hand.py
@@ -14,7 +14,7 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect, Outcome
-from coveport.core.operation import Operation
+from coveport.sidecar.reducer.operation import Operation
 from coveport.work.record import Attempt, End, Record, State
 
 EDGE_MS = 20.0  # so long before the end of a window no byte goes any more: the check is not yet the socket
--- a/coveport/work/record_adopter.py
+++ b/coveport/work/record_adopter.py
@@ -12,9 +12,9 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
-from coveport.core.messages import Verdict
-from coveport.core.operation import Answer, Operation
 from coveport.leases.store import Done, Entry, Unknown
+from coveport.sidecar.reducer.messages import Verdict
+from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.work.asking import Answering, Nobody
 from coveport.work.hand import Hand, Stage
 from coveport.work.record import End, Record, State
--- a/coveport/work/recorder.py
+++ b/coveport/work/recorder.py
@@ -16,9 +16,9 @@
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
 from coveport.balancing.interface import Outcome as Ended
-from coveport.core.messages import Verdict
-from coveport.core.operation import Answer, Operation
 from coveport.leases.store import Delete, Done, Entry, Put, Transaction
+from coveport.sidecar.reducer.messages import Verdict
+from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.work.again import Owner, Then, decide_again, told_late
 from coveport.work.asking import Answering
 from coveport.work.hand import Go, Hand, Stage
--- a/tests/ends/test_node_ends.py
+++ b/tests/ends/test_node_ends.py
@@ -16,7 +16,7 @@
 from scripted import Clogged, Peer, ask, figures, halted
 from world import CLASSES, read_message, receive, reply, request, wait_for, world
 
-from coveport.nodes.destinations import RIPE_S
+from coveport.sidecar.upstream.connection_pool import RIPE_S
 
 LONG = "30000m"
 PATIENT: dict[str, Any] = {"classes": [one | {"aim_ms": 20_000, "deadline_ms": 30_000} for one in CLASSES]}
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -12,7 +12,7 @@
 from world import CLASSES, Discovery, World, configuration, program, receive, reply, request, served, wait_for
 from world import Server as Node
 
-from coveport.discovery import agent
+from coveport.sidecar.discovery import agent
 
 TOLD_S = 6.0
 
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -7,11 +7,11 @@
 import msgspec
 import pytest
 
-from coveport.config.operator import Fleet, OperatorFileError, read
 from coveport.fleet.crew import Crew
 from coveport.fleet.life import End, Kill, Start, State
 from coveport.fleet.peers import Peers
 from coveport.fleet.plan import Ask, Fares, FleetDuty, Phase, Plan, Restart, asked, going_on
+from coveport.sidecar.config.operator import Fleet, OperatorFileError, read
 
 FLEET = Fleet(name="h", instances=4, at_once=2, a_second=2.0, hung_s=2.0, hold_s=1.0)
 
--- a/tests/lab/test_fuzz.py
+++ b/tests/lab/test_fuzz.py
@@ -14,12 +14,12 @@
 from click.testing import CliRunner, Result
 
 from coveport.cli.root import root
-from coveport.discovery.reader import PoolReader
 from coveport.http1 import codec
 from coveport.lab import compare, outcome
 from coveport.lab.fuzz import UNDER_TEST, run, writers
 from coveport.lab.fuzz.mutate import Mutator, read_dictionary
 from coveport.lab.scenario import ScenarioError, load, parse
+from coveport.sidecar.discovery.reader import PoolReader
 
 MUTATIONS = {"scenarios": 300}  # the others are cheap
 REQUEST = b"GET /balance/7 HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1\r\nX-Deadline: 9m\r\n\r\n"
--- a/tests/lab/test_staff.py
+++ b/tests/lab/test_staff.py
@@ -12,7 +12,7 @@
 from coveport.lab.oracle import judge
 from coveport.lab.run import play_and_judge
 from coveport.lab.scenario import Scenario, load
-from coveport.telemetry import counters
+from coveport.sidecar.telemetry import counters
 
 
 def slice_of(name: str, *kinds: str, length_s: float = 16.0) -> Scenario:
--- a/tests/leases/test_holder.py
+++ b/tests/leases/test_holder.py
@@ -7,7 +7,6 @@
 
 import pytest
 
-from coveport.config.terms import BadTermsError, Terms
 from coveport.leases.effects import (
     Arrive,
     AskLease,
@@ -24,6 +23,7 @@
 from coveport.leases.holder import Holder
 from coveport.leases.states import Session, State
 from coveport.leases.store import Done, Entry, Refused, Unknown
+from coveport.sidecar.config.terms import BadTermsError, Terms
 
 TERMS = Terms(3.0, 0.2, 0.02)
 
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -22,15 +22,15 @@
 
 from world import SILENT, Message, Pool, Seen, configuration, receive, request, take_message
 
-from coveport.config import platform
 from coveport.lab.day import Day
 from coveport.lab.scenario import Scenario
 from coveport.lab.virtual import wires
 from coveport.lab.virtual.world import Process
 from coveport.lab.virtual.world import World as Time
 from coveport.lab.ways import CLIENT, Ways
-from coveport.sidecar.serve import serve
-from coveport.telemetry.log import Log
+from coveport.sidecar.config import platform
+from coveport.sidecar.service import serve
+from coveport.sidecar.telemetry.log import Log
 
 T = TypeVar("T")
 HOST = "127.0.0.1"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -101,7 +101,7 @@
     assert call("check", example).stdout.startswith("ok: ")
     said(call("check"), 2, "LB_CONFIG is not set")
     vars(serve)["main"] = lambda: 7 if os.environ["LB_CONFIG"] == str(example) else 8
-    monkeypatch.setitem(sys.modules, "coveport.sidecar.serve", serve)
+    monkeypatch.setitem(sys.modules, "coveport.sidecar.service", serve)
     assert call("run").exit_code == 8 and call("run", "--config", example).exit_code == 7
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from coveport.config import platform
+from coveport.sidecar.config import platform
 
 GOOD = json.loads((Path(__file__).parents[1] / "example/config.json").read_text())
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -13,8 +13,8 @@
 from simulated import Conn, Server, World, ground, now, sleep, wait_for, world
 from world import CLASSES, SILENT, Seen, receive, request, served
 
-from coveport.console.codec import BadCallError, Call, read_call, write_no, write_yes
-from coveport.telemetry.counters import Counters
+from coveport.sidecar.admin.codec import BadCallError, Call, read_call, write_no, write_yes
+from coveport.sidecar.telemetry.counters import Counters
 
 CONSOLE = ("127.0.0.1", 9100)
 
--- a/tests/test_destinations.py
+++ b/tests/test_destinations.py
@@ -9,17 +9,17 @@
 from world import served
 
 from coveport.balancing.interface import Outcome
-from coveport.core.operation import Operation
-from coveport.core.places import Place
-from coveport.core.streams import Budget
-from coveport.http1.links import Dialer
 from coveport.lab.virtual.wires import VirtualNet
 from coveport.net.address import parse_address
 from coveport.net.transport import Net
-from coveport.nodes import destinations
-from coveport.nodes.steps import RouteStep, StepResult
-from coveport.telemetry.counters import Counters
-from coveport.telemetry.log import Log
+from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.operation import Operation
+from coveport.sidecar.reducer.streams import Budget
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
+from coveport.sidecar.upstream import connection_pool
+from coveport.sidecar.upstream.http1_connection import Dialer
+from coveport.sidecar.upstream.route_step import RouteStep, StepResult
 
 
 class _Loop:
@@ -63,7 +63,7 @@
     # Many ledger nodes close right behind an answer; a request written meanwhile may have run. Others send a
     # second answer some milliseconds later, which would be taken for the next operation's.
     loop, place = _Loop(), (("127.0.0.1", 9), 0.0)
-    pool = destinations.Destinations(
+    pool = connection_pool.Destinations(
         Net(cast(asyncio.AbstractEventLoop, loop)),
         Counters(),
         Log(loop.time),
@@ -81,7 +81,7 @@
     for _ in range(3):
         pool.send(1, None, 1.0, lambda result: None)
     assert _carried == ["young", "old"]
-    ((delay, (ripe, *of)),) = [one for one in loop.later if one[0] < destinations.RIPE_S]
+    ((delay, (ripe, *of)),) = [one for one in loop.later if one[0] < connection_pool.RIPE_S]
     loop.now += delay
     ripe(*of)  # sooner than another connection would be up
     assert _carried == ["young", "old", "fresh"] and not pool.opening
@@ -93,7 +93,7 @@
 
     async def main(net: VirtualNet) -> Outcome:
         ended, results = asyncio.Event(), list[StepResult]()
-        pool = destinations.Destinations(
+        pool = connection_pool.Destinations(
             net,
             Counters(),
             Log(net.now_s),
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -9,13 +9,13 @@
 from world import CLASSES, Pool, configuration
 
 from coveport.balancing import interface as api
-from coveport.config import platform
-from coveport.core.operation import Operation
 from coveport.net.transport import Net
-from coveport.nodes.steps import RouteStep
+from coveport.sidecar.config import platform
 from coveport.sidecar.effects import Effects
-from coveport.telemetry.counters import Counters
-from coveport.telemetry.log import Log
+from coveport.sidecar.reducer.operation import Operation
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
+from coveport.sidecar.upstream.route_step import RouteStep
 
 PATIENT = {"classes": [one | {"aim_ms": 20_000, "deadline_ms": 30_000} for one in CLASSES]}
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from coveport.http1 import codec as http1
-from coveport.http1.links import load_of
+from coveport.sidecar.upstream.http1_connection import load_of
 
 CUTS = st.lists(st.integers(1, 40), max_size=30)
 
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -8,11 +8,11 @@
 import socket
 from typing import Any
 
-from coveport.core.streams import Budget
-from coveport.http1.clients import Listener
 from coveport.net.transport import Net
-from coveport.telemetry.counters import Counters
-from coveport.telemetry.log import Log
+from coveport.sidecar.downstream.client_connections import Listener
+from coveport.sidecar.reducer.streams import Budget
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
 
 SHARED: Any = {"accept_most": 4, "waiting_most": 64, "shared": True}
 
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -11,8 +11,8 @@
 from simulated import Conn, Server, World, now, sleep, wait_for, world
 from world import Seen, receive, reply, request, served
 
-from coveport.core.streams import READ_LEAST, READ_MOST, Budget, Upload
 from coveport.http1 import codec
+from coveport.sidecar.reducer.streams import READ_LEAST, READ_MOST, Budget, Upload
 
 MIB = 1024 * 1024
 LONG = bytes(range(256)) * (MIB // 256)
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from coveport.config.operator import OperatorFileError, load, read
+from coveport.sidecar.config.operator import OperatorFileError, load, read
 
 ROOT = Path(__file__).resolve().parent.parent
 GOOD = '[instance]\nplatform = "p.json"\n[store]\nurl = "sqlite:x.db"\n'
--- a/tests/test_plain_start.py
+++ b/tests/test_plain_start.py
@@ -15,18 +15,21 @@
 from world import Server, served, world
 
 LOADED = """
-coveport coveport.config coveport.config.platform coveport.config.retuning
-coveport.console coveport.console.codec coveport.console.server
-coveport.core coveport.core.messages coveport.core.operation coveport.core.phases coveport.core.places
-coveport.core.reducer coveport.core.streams
-coveport.discovery coveport.discovery.agent coveport.discovery.reader
-coveport.http1 coveport.http1.clients coveport.http1.codec coveport.http1.links coveport.http1.operations
-coveport.net coveport.net.address coveport.net.clock coveport.net.sockets coveport.net.transport
-coveport.nodes coveport.nodes.destinations coveport.nodes.link coveport.nodes.steps
-coveport.sidecar coveport.sidecar.effects coveport.sidecar.serve
-coveport.telemetry coveport.telemetry.counters coveport.telemetry.log
-coveport.balancing coveport.balancing.balancer coveport.balancing.interface coveport.balancing.locality
-coveport.balancing.pending_requests coveport.balancing.simulator_codec
+coveport coveport.balancing coveport.balancing.balancer coveport.balancing.interface
+coveport.balancing.locality coveport.balancing.pending_requests coveport.balancing.simulator_codec
+coveport.http1 coveport.http1.codec coveport.net coveport.net.address coveport.net.clock
+coveport.net.sockets coveport.net.transport coveport.sidecar coveport.sidecar.admin
+coveport.sidecar.admin.codec coveport.sidecar.admin.server coveport.sidecar.config
+coveport.sidecar.config.platform coveport.sidecar.config.retuning coveport.sidecar.discovery
+coveport.sidecar.discovery.agent coveport.sidecar.discovery.reader coveport.sidecar.downstream
+coveport.sidecar.downstream.client_connections coveport.sidecar.downstream.operation_reader
+coveport.sidecar.effects coveport.sidecar.reducer coveport.sidecar.reducer.locality
+coveport.sidecar.reducer.messages coveport.sidecar.reducer.operation coveport.sidecar.reducer.phases
+coveport.sidecar.reducer.reducer coveport.sidecar.reducer.streams coveport.sidecar.service
+coveport.sidecar.telemetry coveport.sidecar.telemetry.counters coveport.sidecar.telemetry.log
+coveport.sidecar.upstream coveport.sidecar.upstream.connection_pool
+coveport.sidecar.upstream.http1_connection coveport.sidecar.upstream.protocol
+coveport.sidecar.upstream.route_step
 """
 HELD_MIB = 40  # the whole process, once it has served; it was 23 when this was written
 
--- a/tests/test_pool_config.py
+++ b/tests/test_pool_config.py
@@ -10,12 +10,12 @@
 from world import reply
 
 from coveport.balancing import interface as api
-from coveport.discovery import agent as pool_config
-from coveport.discovery.reader import PoolReader
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Factory, Net
-from coveport.telemetry.counters import Counters
-from coveport.telemetry.log import Log
+from coveport.sidecar.discovery import agent as pool_config
+from coveport.sidecar.discovery.reader import PoolReader
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
 
 LIST = json.dumps({"seq": 1, "whole": True, "hosts": []}).encode()
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -9,9 +9,9 @@
 
 from coveport.balancing import Balancer
 from coveport.balancing import interface as api
-from coveport.core import messages as core
-from coveport.core.operation import Answer
-from coveport.core.reducer import Reducer
+from coveport.sidecar.reducer import messages as core
+from coveport.sidecar.reducer.operation import Answer
+from coveport.sidecar.reducer.reducer import Reducer
 
 FULL = api.ListUpdate(api.ListKind.FULL, hosts())
 
--- a/tests/test_reducer_scripted.py
+++ b/tests/test_reducer_scripted.py
@@ -11,10 +11,17 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Cancel, Fail, Left, Outcome, Refuse, Reply, Send
-from coveport.core import messages as core
-from coveport.core.messages import CancelStep, GiveAnswer, GuardDeadline, SendStep, StepEnded, Verdict
-from coveport.core.operation import Answer
-from coveport.core.reducer import Reducer
+from coveport.sidecar.reducer import messages as core
+from coveport.sidecar.reducer.messages import (
+    CancelStep,
+    GiveAnswer,
+    GuardDeadline,
+    SendStep,
+    StepEnded,
+    Verdict,
+)
+from coveport.sidecar.reducer.operation import Answer
+from coveport.sidecar.reducer.reducer import Reducer
 
 Says = list[api.Action] | Exception
 LIMITS = api.Limits(max_attempts=2, second_copies=True, cancel=True, retry_after=True, max_retry_after_ms=700)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -112,7 +112,7 @@
 
 
 def test_the_file_beats_the_variable_only_after_a_reload(tmp_path: Path) -> None:
-    from coveport.config import platform as config
+    from coveport.sidecar.config import platform as config
 
     path = tmp_path / "config.json"
     path.write_text(
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -12,7 +12,7 @@
 from simulated import Discovery, Server, free_port, now, program, reset, sleep, wait_for, world
 from world import SILENT, Seen, configuration, receive, reply, request, served
 
-from coveport.nodes.destinations import RIPE_S
+from coveport.sidecar.upstream.connection_pool import RIPE_S
 
 HOST = b"Host: a\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n"
 
