--- a/coveport/cli/operator.py
+++ b/coveport/cli/operator.py
@@ -15,8 +15,8 @@
 from coveport.cli.errors import NOT_HELD, OK, Unusable
 
 if TYPE_CHECKING:
-    from coveport.leases.store import Entry, Store
     from coveport.sidecar.config.operator import OperatorFile
+    from coveport.sidecar.leases.store import Entry, Store
 
 CONFIG = click.option(
     "--config",
@@ -42,8 +42,8 @@
 
 def at_store(told: OperatorFile, work: Callable[[Store, str], Awaitable[int]]) -> int:
     """Do something at the store that the file names; `work` is given it and the prefix."""
-    from coveport.leases.opening import open_store
-    from coveport.leases.store import StoreError
+    from coveport.sidecar.leases.open_store import open_store
+    from coveport.sidecar.leases.store import StoreError
 
     async def run() -> int:
         store = open_store(told)
@@ -60,7 +60,7 @@
 
 async def standing(store: Store, prefix: str) -> dict[str, Entry]:
     """All that stands there, without the prefix."""
-    from coveport.leases.store import Unknown
+    from coveport.sidecar.leases.store import Unknown
 
     found = await store.read(prefix)
     if isinstance(found, Unknown):
@@ -70,7 +70,7 @@
 
 async def put(store: Store, prefix: str, key: str, value: bytes, only_new: bool = False) -> bool:
     """Write a word for a holder; False where one stands there that was not taken up yet."""
-    from coveport.leases.store import Compare, Field, Put, Refused, Transaction, Unknown
+    from coveport.sidecar.leases.store import Compare, Field, Put, Refused, Transaction, Unknown
 
     compares = (Compare(prefix + key, Field.CREATED, 0),) if only_new else ()
     done = await store.commit(Transaction(compares, (Put(prefix + key, value),)))
@@ -112,7 +112,7 @@
 
 async def rows_of(store: Store, entries: dict[str, Entry], told: OperatorFile) -> list[dict[str, Any]]:
     """A row a duty: name, zone, holder, token, since and until (unix s); held by nobody: holder empty."""
-    from coveport.leases.store import Done
+    from coveport.sidecar.leases.store import Done
 
     zone = int(json.loads(told.platform.read_text(encoding="utf-8"))["settings"].get("zone", 0))
     held = {key.removeprefix("duty/"): one for key, one in entries.items() if key.startswith("duty/")}
--- a/coveport/cli/work.py
+++ b/coveport/cli/work.py
@@ -17,8 +17,8 @@
 from coveport.cli.operator import CONFIG, JSON, loaded
 
 if TYPE_CHECKING:
-    from coveport.leases.store import Entry, Store
     from coveport.sidecar.config.operator import OperatorFile
+    from coveport.sidecar.leases.store import Entry, Store
     from coveport.work.record import Record
     from coveport.work.record_layout import RecordLayout
 
@@ -34,7 +34,7 @@
 
     async def read(self, prefix: str) -> tuple[Entry, ...]:
         """What stands there."""
-        from coveport.leases.store import Unknown
+        from coveport.sidecar.leases.store import Unknown
 
         found = await self.store.read(prefix)
         if isinstance(found, Unknown):
@@ -64,8 +64,8 @@
 
 def with_records(told: OperatorFile, work: Callable[[StaffRecords], Awaitable[int]]) -> int:
     """Do something at the records' store that the file names."""
-    from coveport.leases.opening import open_work
-    from coveport.leases.store import StoreError
+    from coveport.sidecar.leases.open_store import open_work
+    from coveport.sidecar.leases.store import StoreError
     from coveport.work.record_layout import RecordLayout
 
     async def run() -> int:
@@ -209,7 +209,7 @@
     """Say of a record whose end nobody knows how it ended; it is kept with your name and reason."""
 
     async def run(records: StaffRecords) -> int:
-        from coveport.leases.store import Refused, Unknown
+        from coveport.sidecar.leases.store import Refused, Unknown
         from coveport.work.record import End, RecordError
 
         for _ in range(TRIES):
--- a/coveport/duties/drill.py
+++ b/coveport/duties/drill.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 from coveport.duties.duty import Step
-from coveport.leases.store import Entry
+from coveport.sidecar.leases.store import Entry
 
 
 class Drill:
--- a/coveport/duties/duty.py
+++ b/coveport/duties/duty.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from coveport.leases.keeper import STATE, Keeper
-from coveport.leases.store import Compare, Delete, Done, Entry, Field, Put, Refused
+from coveport.sidecar.leases.lease_client import STATE, Keeper
+from coveport.sidecar.leases.store import Compare, Delete, Done, Entry, Field, Put, Refused
 
 AGAIN_S = 0.1  # after a state that could not be read
 
--- a/coveport/duties/looking.py
+++ b/coveport/duties/looking.py
@@ -21,8 +21,8 @@
 import msgspec
 import xxhash
 
-from coveport.leases.keeper import INSTANCE
-from coveport.leases.store import Entry
+from coveport.sidecar.leases.lease_client import INSTANCE
+from coveport.sidecar.leases.store import Entry
 
 LOOK = "look/"
 YOUNG_S = 2.0  # a look is worth something for so long
--- a/coveport/duties/warden.py
+++ b/coveport/duties/warden.py
@@ -31,8 +31,8 @@
 import xxhash
 
 from coveport.duties.duty import Step
-from coveport.leases.keeper import INSTANCE
-from coveport.leases.store import Entry, Put
+from coveport.sidecar.leases.lease_client import INSTANCE
+from coveport.sidecar.leases.store import Entry, Put
 
 NEED, GRANT = "need/", "grant/"
 PART = 0.4  # of what a node bears, that grants may come to
--- a/coveport/fleet/daemon.py
+++ b/coveport/fleet/daemon.py
@@ -18,11 +18,11 @@
 from coveport.fleet.hands import Processes
 from coveport.fleet.notify import Notifier, Receiver, watchdog_s
 from coveport.fleet.supervisor import Supervisor
-from coveport.leases.clock import boot_s
-from coveport.leases.keeper import DUTY, Keeper
-from coveport.leases.opening import open_store
 from coveport.sidecar.config import platform
 from coveport.sidecar.config.operator import INSTANCES_MOST, OperatorFile, OperatorFileError, load
+from coveport.sidecar.leases.clock import boot_s
+from coveport.sidecar.leases.lease_client import DUTY, Keeper
+from coveport.sidecar.leases.open_store import open_store
 
 TURN_S = 5.0  # how often the stream's size is looked at
 FIRST_S = 1.0  # after a start, how long it is waited for whoever holds the duty already
--- a/coveport/fleet/locks.py
+++ b/coveport/fleet/locks.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from coveport.leases.clock import boot_id
+from coveport.sidecar.leases.clock import boot_id
 
 WAIT_S = 1.0  # whoever looks who has a name holds its lock for a moment
 STEP_S = 0.005
--- a/coveport/fleet/membership.py
+++ b/coveport/fleet/membership.py
@@ -18,9 +18,9 @@
 from coveport.fleet.locks import NameHeldError, NameLock
 from coveport.fleet.notify import Notifier, watchdog_s
 from coveport.fleet.peers import Peers
-from coveport.leases.clock import boot_id, boot_s
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.config.platform import Config
+from coveport.sidecar.leases.clock import boot_id, boot_s
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.locality import Place
 from coveport.sidecar.reducer.phases import Lifecycle, Phase
--- a/coveport/fleet/plan.py
+++ b/coveport/fleet/plan.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from coveport.duties.duty import Step
-from coveport.leases.store import Entry
 from coveport.sidecar.config.operator import Fleet
+from coveport.sidecar.leases.store import Entry
 
 FLEET = "fleet@"
 WORSE = 0.05  # share served, below that of those not restarted yet, at which a restart halts
--- a/coveport/fleet/supervisor.py
+++ b/coveport/fleet/supervisor.py
@@ -16,8 +16,8 @@
 from coveport.fleet.hands import Hands
 from coveport.fleet.life import Drain, End, Kill, Order, Start, State
 from coveport.fleet.plan import Ask, FleetDuty, Plan
-from coveport.leases.keeper import Keeper
 from coveport.sidecar.config.operator import OperatorFile
+from coveport.sidecar.leases.lease_client import Keeper
 
 TICK_S = 0.05
 LATE_S = 0.5  # a turn that comes so much too late: we heard nothing meanwhile
--- a/coveport/lab/bare/warded.py
+++ b/coveport/lab/bare/warded.py
@@ -11,7 +11,7 @@
 from coveport.balancing import interface as api
 from coveport.duties.warden import GRANT, NEED, Granted, Safe, Warden
 from coveport.lab.bare.agenda import Agenda
-from coveport.leases.store import Entry, Put
+from coveport.sidecar.leases.store import Entry, Put
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.reducer import Reducer
 
--- a/coveport/lab/standins/etcd/cluster.py
+++ b/coveport/lab/standins/etcd/cluster.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from coveport.lab.standins.etcd.engine import Engine
-from coveport.leases.store import Entry, Outcome
+from coveport.sidecar.leases.store import Entry, Outcome
 
 ELECTION_S = 0.4  # a leader that has no majority for so long is voted out
 
--- a/coveport/lab/standins/etcd/engine.py
+++ b/coveport/lab/standins/etcd/engine.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from coveport.leases.store import (
+from coveport.sidecar.leases.store import (
     Change,
     Compare,
     Delete,
--- a/coveport/lab/standins/etcd/server.py
+++ b/coveport/lab/standins/etcd/server.py
@@ -19,8 +19,8 @@
 from aetcd import rpc
 
 from coveport.lab.standins.etcd.cluster import Cluster
-from coveport.leases.clock import boot_s
-from coveport.leases.store import (
+from coveport.sidecar.leases.clock import boot_s
+from coveport.sidecar.leases.store import (
     Change,
     Compare,
     Delete,
--- a/coveport/lab/trials/fleet/sim.py
+++ b/coveport/lab/trials/fleet/sim.py
@@ -19,7 +19,6 @@
 from coveport.lab.trials.schedules import Fault
 from coveport.lab.trials.simstore import Host, SimStore, Way
 from coveport.lab.virtual.world import Process, World
-from coveport.leases.keeper import Keeper
 from coveport.sidecar.config.operator import (
     Duties,
     Fleet,
@@ -30,6 +29,7 @@
     Stored,
     Work,
 )
+from coveport.sidecar.leases.lease_client import Keeper
 
 START_S = 1000.0
 PREFIX = "coveport-fleet/"
--- a/coveport/lab/trials/judge.py
+++ b/coveport/lab/trials/judge.py
@@ -27,8 +27,8 @@
 from coveport.duties.rollout import Plan, fares_of
 from coveport.duties.warden import PART, Safe
 from coveport.lab.trials.history import Histories, Record
-from coveport.leases.keeper import INSTANCE
-from coveport.leases.store import Change, Entry
+from coveport.sidecar.leases.lease_client import INSTANCE
+from coveport.sidecar.leases.store import Change, Entry
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/lab/trials/model.py
+++ b/coveport/lab/trials/model.py
@@ -19,10 +19,20 @@
 from typing import Any
 
 from coveport.lab.standins.etcd.engine import Engine
-from coveport.leases.effects import Arrive, AskLease, Claim, DropLease, KeepLease, Look, Release
-from coveport.leases.holder import Holder
-from coveport.leases.store import Compare, Delete, Done, Field, Outcome, Put, Transaction, Unknown, fenced
 from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.leases.effects import Arrive, AskLease, Claim, DropLease, KeepLease, Look, Release
+from coveport.sidecar.leases.lease_state import Holder
+from coveport.sidecar.leases.store import (
+    Compare,
+    Delete,
+    Done,
+    Field,
+    Outcome,
+    Put,
+    Transaction,
+    Unknown,
+    fenced,
+)
 
 TERMS = Terms(3.0, 0.2, 0.02)
 DUTY, KEY, STATE = "d", "duty/d", "state/d"
--- a/coveport/lab/trials/real.py
+++ b/coveport/lab/trials/real.py
@@ -31,8 +31,8 @@
 from coveport.lab.trials.relay import Relay
 from coveport.lab.trials.schedules import HOLDER, Fault, Trial
 from coveport.lab.trials.town import Discovery, Town
-from coveport.leases.clock import boot_s
-from coveport.leases.store import Change, Entry
+from coveport.sidecar.leases.clock import boot_s
+from coveport.sidecar.leases.store import Change, Entry
 
 UP_S = 20.0  # how long instances may take to serve, on a busy machine
 LET_GO_S = 6.0  # SIGTERM to the end of the process
--- a/coveport/lab/trials/simstore.py
+++ b/coveport/lab/trials/simstore.py
@@ -14,7 +14,16 @@
 
 from coveport.lab.standins.etcd.engine import Engine
 from coveport.lab.virtual.world import Process, World
-from coveport.leases.store import Change, Done, Field, Outcome, Refused, Transaction, Unknown, WatchLostError
+from coveport.sidecar.leases.store import (
+    Change,
+    Done,
+    Field,
+    Outcome,
+    Refused,
+    Transaction,
+    Unknown,
+    WatchLostError,
+)
 
 TICK_S = 0.01  # between two looks of the store at its leases
 BEAT_S = 0.5  # between two looks of a watch at its way
@@ -97,7 +106,7 @@
 
 
 class SimStore:
-    """What an instance has in its hand; calls as `coveport.leases.store.Store`."""
+    """What an instance has in its hand; calls as `coveport.sidecar.leases.store.Store`."""
 
     def __init__(self, process: Process, host: Host, way: Way, chance: random.Random) -> None:
         self._process, self._host, self._way, self._chance = process, host, way, chance
--- a/coveport/lab/trials/variants.py
+++ b/coveport/lab/trials/variants.py
@@ -15,12 +15,22 @@
 from coveport.duties.drill import Drill
 from coveport.duties.duty import Runner, Step
 from coveport.duties.warden import Books, Warden
-from coveport.leases.effects import Effect
-from coveport.leases.holder import Holder
-from coveport.leases.keeper import DUTY, STATE, Keeper
-from coveport.leases.states import Session, State
-from coveport.leases.store import Compare, Delete, Done, Entry, Outcome, Put, Refused, Transaction, Unknown
 from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.leases.effects import Effect
+from coveport.sidecar.leases.lease_client import DUTY, STATE, Keeper
+from coveport.sidecar.leases.lease_state import Holder
+from coveport.sidecar.leases.states import Session, State
+from coveport.sidecar.leases.store import (
+    Compare,
+    Delete,
+    Done,
+    Entry,
+    Outcome,
+    Put,
+    Refused,
+    Transaction,
+    Unknown,
+)
 
 
 @dataclass(frozen=True)
--- a/coveport/lab/trials/virtual.py
+++ b/coveport/lab/trials/virtual.py
@@ -19,10 +19,10 @@
 from coveport.lab.trials.simstore import Host, SimStore, Trap, Way
 from coveport.lab.trials.variants import SOUND, Variant
 from coveport.lab.virtual.world import Process, World
-from coveport.leases.keeper import Keeper
-from coveport.leases.states import Session
-from coveport.leases.store import Put, Transaction
 from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.leases.lease_client import Keeper
+from coveport.sidecar.leases.states import Session
+from coveport.sidecar.leases.store import Put, Transaction
 
 START_S = 1000.0  # the world's time when a trial begins
 LET_GO_S = 1.5  # a planned end may take so long
--- a/coveport/lab/trials/work/sim.py
+++ b/coveport/lab/trials/work/sim.py
@@ -21,10 +21,10 @@
 from coveport.lab.trials.work.hands import NodeWay, SimHands, SimNode, SimTills
 from coveport.lab.trials.work.variants import SOUND, WorkVariant
 from coveport.lab.virtual.world import Process, World
-from coveport.leases.keeper import INSTANCE, Keeper
-from coveport.leases.states import Session
-from coveport.leases.store import Entry
 from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.leases.lease_client import INSTANCE, Keeper
+from coveport.sidecar.leases.states import Session
+from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.reducer.operation import Operation
 from coveport.work.hand import Hand
 from coveport.work.presence import Presence
--- a/coveport/lab/trials/work/variants.py
+++ b/coveport/lab/trials/work/variants.py
@@ -16,7 +16,7 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
-from coveport.leases.store import Done, Entry, Outcome, Put, Refused, Transaction, Unknown
+from coveport.sidecar.leases.store import Done, Entry, Outcome, Put, Refused, Transaction, Unknown
 from coveport.work import again, hand, record_adopter, recorder
 from coveport.work.ages import Ages, Known
 from coveport.work.hand import Go, Hand, Stage
--- a/coveport/sidecar/config/terms.py
+++ b/coveport/sidecar/config/terms.py
@@ -1,6 +1,6 @@
 """What a lease is asked for, and whether anything could be held under it. Pure.
 
-The inequality that these figures stand in is at the head of `coveport/leases/holder.py`.
+The inequality that these figures stand in is at the head of `coveport/sidecar/leases/lease_state.py`.
 """
 
 from __future__ import annotations
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -27,14 +27,14 @@
 from coveport.duties.warden import GRANT, NEED, Granted, Safe, Warden
 from coveport.fleet.membership import Membership, NameHeldError
 from coveport.fleet.stream import StreamLog, lines
-from coveport.leases.clock import boot_s
-from coveport.leases.keeper import DUTY, INSTANCE, Keeper
-from coveport.leases.opening import open_store
-from coveport.leases.store import Entry
 from coveport.net.transport import Net
 from coveport.sidecar.config import platform as configuration
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.effects import Effects
+from coveport.sidecar.leases.clock import boot_s
+from coveport.sidecar.leases.lease_client import DUTY, INSTANCE, Keeper
+from coveport.sidecar.leases.open_store import open_store
+from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.recording import Recording
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.locality import Place
--- a/coveport/leases/etcd.py
+++ b/coveport/sidecar/leases/etcd.py
@@ -17,7 +17,7 @@
 import grpc
 from aetcd import rpc
 
-from coveport.leases.store import (
+from coveport.sidecar.leases.store import (
     Change,
     Compare,
     Done,
--- a/coveport/leases/keeper.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -13,7 +13,8 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import Any, Protocol
 
-from coveport.leases.effects import (
+from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.leases.effects import (
     Arrive,
     AskLease,
     Began,
@@ -26,9 +27,9 @@
     Release,
     Told,
 )
-from coveport.leases.holder import Holder
-from coveport.leases.states import Session
-from coveport.leases.store import (
+from coveport.sidecar.leases.lease_state import Holder
+from coveport.sidecar.leases.states import Session
+from coveport.sidecar.leases.store import (
     Change,
     Compare,
     Delete,
@@ -45,7 +46,6 @@
     WatchLostError,
     fenced,
 )
-from coveport.sidecar.config.terms import Terms
 
 CALL_SHARE = 1 / 3  # of the time to live, after which a call without an answer is given up
 LEAVE_S = 1.0  # how long a planned end waits for the store to hear of it
--- a/coveport/leases/holder.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -23,7 +23,8 @@
 from dataclasses import dataclass
 from math import inf
 
-from coveport.leases.effects import (
+from coveport.sidecar.config.terms import RENEWALS, Terms
+from coveport.sidecar.leases.effects import (
     Arrive,
     AskLease,
     Began,
@@ -36,9 +37,8 @@
     Release,
     Told,
 )
-from coveport.leases.states import ENDS, MOVES, SESSION_MOVES, Session, State
-from coveport.leases.store import Done, Entry, Outcome, Refused, Unknown
-from coveport.sidecar.config.terms import RENEWALS, Terms
+from coveport.sidecar.leases.states import ENDS, MOVES, SESSION_MOVES, Session, State
+from coveport.sidecar.leases.store import Done, Entry, Outcome, Refused, Unknown
 
 AGAIN_S, AGAIN_MOST_S = 0.1, 2.0  # wait after a call without an answer, doubled up to the most
 NAME_TAKEN_S = 1.0  # wait where another of our name is there
--- a/coveport/leases/sqlite.py
+++ b/coveport/sidecar/leases/sqlite.py
@@ -22,8 +22,8 @@
 from pathlib import Path
 from typing import TypeVar
 
-from coveport.leases import clock
-from coveport.leases.store import (
+from coveport.sidecar.leases import clock
+from coveport.sidecar.leases.store import (
     Change,
     Compare,
     Delete,
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from coveport.leases.clock import boot_s
-from coveport.leases.keeper import INSTANCE, Keeper
-from coveport.leases.opening import open_work
-from coveport.leases.states import Session
-from coveport.leases.store import Entry
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.config.platform import Config
 from coveport.sidecar.effects import Effects
+from coveport.sidecar.leases.clock import boot_s
+from coveport.sidecar.leases.lease_client import INSTANCE, Keeper
+from coveport.sidecar.leases.open_store import open_work
+from coveport.sidecar.leases.states import Session
+from coveport.sidecar.leases.store import Entry
 from coveport.work.journal import Journal
 from coveport.work.presence import Presence
 from coveport.work.record_layout import RecordLayout
--- a/coveport/work/journal.py
+++ b/coveport/work/journal.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import Any
 
-from coveport.leases.store import Done, Outcome, Put, Refused, Store, StoreError, Transaction, Unknown
+from coveport.sidecar.leases.store import Done, Outcome, Put, Refused, Store, StoreError, Transaction, Unknown
 from coveport.work.ages import Ages
 
 MOST_ENTRIES, MOST_BYTES = 1024, 4 * 1024 * 1024  # that wait to be written, over all groups
--- a/coveport/work/late.py
+++ b/coveport/work/late.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from coveport.leases.store import Done
+from coveport.sidecar.leases.store import Done
 from coveport.work.hand import Hand
 from coveport.work.journal import Journal
 from coveport.work.record import End, Record, RecordError, decode
--- a/coveport/work/record_adopter.py
+++ b/coveport/work/record_adopter.py
@@ -12,7 +12,7 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
-from coveport.leases.store import Done, Entry, Unknown
+from coveport.sidecar.leases.store import Done, Entry, Unknown
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.work.asking import Answering, Nobody
--- a/coveport/work/record_layout.py
+++ b/coveport/work/record_layout.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from coveport.leases.store import Compare, Delete, Field, Put, Transaction
+from coveport.sidecar.leases.store import Compare, Delete, Field, Put, Transaction
 from coveport.work.record import End, Record, RecordError, encode
 
 RECORD, OPEN, KEPT, UNKNOWN, LEAVING = "r/", "o/", "k/", "u/", "l/"
--- a/coveport/work/record_writer.py
+++ b/coveport/work/record_writer.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from coveport.leases.store import Outcome, Refused, Transaction, Unknown
+from coveport.sidecar.leases.store import Outcome, Refused, Transaction, Unknown
 from coveport.work.asking import Hands
 from coveport.work.hand import Hand, Stage
 from coveport.work.journal import Journal
--- a/coveport/work/recorder.py
+++ b/coveport/work/recorder.py
@@ -16,7 +16,7 @@
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
 from coveport.balancing.interface import Outcome as Ended
-from coveport.leases.store import Delete, Done, Entry, Put, Transaction
+from coveport.sidecar.leases.store import Delete, Done, Entry, Put, Transaction
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.work.again import Owner, Then, decide_again, told_late
--- a/coveport/work/takers.py
+++ b/coveport/work/takers.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from math import inf
 
-from coveport.leases.store import Delete, Done, Transaction
+from coveport.sidecar.leases.store import Delete, Done, Transaction
 from coveport.work.again import Owner
 from coveport.work.ages import Known
 from coveport.work.record import RecordError, decode
--- a/tests/duties/test_looking.py
+++ b/tests/duties/test_looking.py
@@ -6,7 +6,7 @@
 import pytest
 
 from coveport.duties.looking import LOOK, Looking, Seen, looker, shares
-from coveport.leases.store import Entry
+from coveport.sidecar.leases.store import Entry
 
 NODES = [f"10.0.0.{number}:80@0" for number in range(60)]
 
--- a/tests/duties/test_rollout.py
+++ b/tests/duties/test_rollout.py
@@ -24,7 +24,7 @@
     share,
 )
 from coveport.lab.standins.etcd.engine import Engine
-from coveport.leases.store import Compare, Done, Entry, Field, Put, Transaction
+from coveport.sidecar.leases.store import Compare, Done, Entry, Field, Put, Transaction
 
 NEW, OLD = '{"a": 2}', '{"a": 1}'
 
--- a/tests/duties/test_warden.py
+++ b/tests/duties/test_warden.py
@@ -12,7 +12,7 @@
 from coveport.duties.duty import Step
 from coveport.duties.warden import GRANT_S, PART, Books, Grant, Granted, Need, Safe, Warden, split
 from coveport.lab.standins.etcd.engine import Engine
-from coveport.leases.store import Compare, Done, Entry, Field, Put, Transaction
+from coveport.sidecar.leases.store import Compare, Done, Entry, Field, Put, Transaction
 
 SAFE = Safe()
 STATE = "state/warden@0"
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -14,9 +14,9 @@
 
 from coveport.fleet import locks
 from coveport.lab.trials.fleet.real import FleetTrialReal
-from coveport.leases.keeper import INSTANCE
-from coveport.leases.sqlite import SqliteStore
-from coveport.leases.store import Done
+from coveport.sidecar.leases.lease_client import INSTANCE
+from coveport.sidecar.leases.sqlite import SqliteStore
+from coveport.sidecar.leases.store import Done
 
 LONG = 60.0
 
--- a/tests/lab/test_trials_model.py
+++ b/tests/lab/test_trials_model.py
@@ -8,7 +8,7 @@
 
 from coveport.lab.trials import variants
 from coveport.lab.trials.model import World
-from coveport.leases.holder import Holder
+from coveport.sidecar.leases.lease_state import Holder
 
 
 @pytest.mark.parametrize("warm", [True, False], ids=["one holds", "all begin"])
--- a/tests/leases/conformance.py
+++ b/tests/leases/conformance.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from coveport.leases.store import (
+from coveport.sidecar.leases.store import (
     Change,
     Compare,
     Delete,
--- a/tests/leases/test_holder.py
+++ b/tests/leases/test_holder.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from coveport.leases.effects import (
+from coveport.sidecar.config.terms import BadTermsError, Terms
+from coveport.sidecar.leases.effects import (
     Arrive,
     AskLease,
     Began,
@@ -20,10 +21,9 @@
     Release,
     Told,
 )
-from coveport.leases.holder import Holder
-from coveport.leases.states import Session, State
-from coveport.leases.store import Done, Entry, Refused, Unknown
-from coveport.sidecar.config.terms import BadTermsError, Terms
+from coveport.sidecar.leases.lease_state import Holder
+from coveport.sidecar.leases.states import Session, State
+from coveport.sidecar.leases.store import Done, Entry, Refused, Unknown
 
 TERMS = Terms(3.0, 0.2, 0.02)
 
--- a/tests/leases/test_keeper.py
+++ b/tests/leases/test_keeper.py
@@ -6,9 +6,9 @@
 
 from coveport.lab.trials.simstore import Host, SimStore, Way
 from coveport.lab.virtual.world import Process, World
-from coveport.leases.keeper import Keeper
-from coveport.leases.states import Session
 from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.leases.lease_client import Keeper
+from coveport.sidecar.leases.states import Session
 
 
 def test_what_is_written_as_the_session_ends_is_bound_to_a_lease_or_not_written() -> None:
--- a/tests/leases/test_stores.py
+++ b/tests/leases/test_stores.py
@@ -22,9 +22,19 @@
 from coveport.lab.trials.real import Engine
 from coveport.lab.trials.simstore import Host, SimStore, Way
 from coveport.lab.virtual.world import Process, World
-from coveport.leases.etcd import EtcdStore
-from coveport.leases.sqlite import SqliteStore
-from coveport.leases.store import Compare, Done, Field, Put, Refused, Store, StoreError, Transaction, Unknown
+from coveport.sidecar.leases.etcd import EtcdStore
+from coveport.sidecar.leases.sqlite import SqliteStore
+from coveport.sidecar.leases.store import (
+    Compare,
+    Done,
+    Field,
+    Put,
+    Refused,
+    Store,
+    StoreError,
+    Transaction,
+    Unknown,
+)
 
 
 def named(case: Case) -> str:
@@ -175,8 +185,8 @@
 WRITER = """
 import asyncio, sys
 from pathlib import Path
-from coveport.leases.sqlite import SqliteStore
-from coveport.leases.store import *
+from coveport.sidecar.leases.sqlite import SqliteStore
+from coveport.sidecar.leases.store import *
 
 async def main():
     store = SqliteStore(Path(sys.argv[1]))
--- a/tests/work/test_pure.py
+++ b/tests/work/test_pure.py
@@ -11,8 +11,8 @@
 from test_takeover import attempt, record
 
 from coveport.balancing.interface import Effect, Group, Outcome
-from coveport.leases.store import Delete, Field, Put
 from coveport.sidecar.config.operator import OperatorFileError, read
+from coveport.sidecar.leases.store import Delete, Field, Put
 from coveport.work.again import Owner, Then, decide_again, told_late
 from coveport.work.hand import MOVES, Hand, Stage
 from coveport.work.presence import Presence
