--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -86,7 +86,7 @@
     sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests" / "duties"))
     from test_rollout import NEW, Place  # type: ignore[import-not-found]
 
-    from coveport.duties.rollout import identify
+    from coveport.sidecar.singletons.rollout import identify
 
     rows: list[Row] = []
     for instances in (5, 40, 200):
--- a/coveport/cli/operator.py
+++ b/coveport/cli/operator.py
@@ -235,7 +235,7 @@
     """Show where the roll-out is, and what each instance runs."""
 
     async def work(store: Store, prefix: str) -> int:
-        from coveport.duties.rollout import fares_of
+        from coveport.sidecar.singletons.rollout import fares_of
 
         entries = await standing(store, prefix)
         plan = json.loads(entries["state/rollout"].value) if "state/rollout" in entries else None
--- a/coveport/fleet/plan.py
+++ b/coveport/fleet/plan.py
@@ -2,7 +2,7 @@
 
     state/fleet@NAME    how many there are to be, who is drained, and a rolling restart with its steps
 
-Every change is a step of the duty (`coveport.duties.duty`): one transaction that compares the token and the
+Every change is a step of the duty (`coveport.sidecar.singletons.singleton`): one transaction that compares the token and the
 state's revision. A restart's step names the lives that are to end, and stands there before any is told.
 """
 
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from coveport.duties.duty import Step
 from coveport.sidecar.config.operator import Fleet
 from coveport.sidecar.leases.store import Entry
+from coveport.sidecar.singletons.singleton import Step
 
 FLEET = "fleet@"
 WORSE = 0.05  # share served, below that of those not restarted yet, at which a restart halts
--- a/coveport/fleet/supervisor.py
+++ b/coveport/fleet/supervisor.py
@@ -11,13 +11,13 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from coveport.duties.duty import Runner, Step
 from coveport.fleet.crew import Crew
 from coveport.fleet.hands import Hands
 from coveport.fleet.life import Drain, End, Kill, Order, Start, State
 from coveport.fleet.plan import Ask, FleetDuty, Plan
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.leases.lease_client import Keeper
+from coveport.sidecar.singletons.singleton import Runner, Step
 
 TICK_S = 0.05
 LATE_S = 0.5  # a turn that comes so much too late: we heard nothing meanwhile
--- a/coveport/lab/trials/parts.py
+++ b/coveport/lab/trials/parts.py
@@ -12,11 +12,11 @@
 import random
 from collections.abc import Callable
 
-from coveport.duties.rollout import Follower
-from coveport.duties.warden import GRANT, NEED, Granted, Safe
 from coveport.sidecar.leases.lease_client import History, Keeper
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Entry
+from coveport.sidecar.singletons.rollout import Follower
+from coveport.sidecar.singletons.slow_start_coordinator import GRANT, NEED, Granted, Safe
 
 SAFE = Safe()
 SERVICE_S, RATE = 0.02, 400.0  # of an operation; first tries a second, more than there are grants for
--- a/coveport/lab/trials/variants.py
+++ b/coveport/lab/trials/variants.py
@@ -12,9 +12,6 @@
 
 import msgspec
 
-from coveport.duties.drill import Drill
-from coveport.duties.duty import Runner, Step
-from coveport.duties.warden import Books, Warden
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.leases.effects import Effect
 from coveport.sidecar.leases.lease_client import DUTY, STATE, Keeper
@@ -31,6 +28,9 @@
     Transaction,
     Unknown,
 )
+from coveport.sidecar.singletons.drill import Drill
+from coveport.sidecar.singletons.singleton import Runner, Step
+from coveport.sidecar.singletons.slow_start_coordinator import Books, Warden
 
 
 @dataclass(frozen=True)
--- a/coveport/lab/trials/virtual.py
+++ b/coveport/lab/trials/virtual.py
@@ -9,8 +9,6 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from coveport.duties.duty import Duty, Runner
-from coveport.duties.rollout import ASK, Rollout
 from coveport.lab.trials import judge
 from coveport.lab.trials.history import Histories, Record
 from coveport.lab.trials.parts import BORN_S, SAFE, SERVICE_S, Part, rollout_word
@@ -23,6 +21,8 @@
 from coveport.sidecar.leases.lease_client import Keeper
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Put, Transaction
+from coveport.sidecar.singletons.rollout import ASK, Rollout
+from coveport.sidecar.singletons.singleton import Duty, Runner
 
 START_S = 1000.0  # the world's time when a trial begins
 LET_GO_S = 1.5  # a planned end may take so long
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -20,11 +20,6 @@
 import structlog
 
 from coveport.balancing import interface as api
-from coveport.duties.drill import Drill
-from coveport.duties.duty import Duty, Runner, Step
-from coveport.duties.looking import LOOK, Looking, Seen
-from coveport.duties.rollout import Follower, Rollout, under_way
-from coveport.duties.warden import GRANT, NEED, Granted, Safe, Warden
 from coveport.fleet.membership import Membership, NameHeldError
 from coveport.fleet.stream import StreamLog, lines
 from coveport.net.transport import Net
@@ -40,6 +35,11 @@
 from coveport.sidecar.reducer.locality import Place
 from coveport.sidecar.reducer.phases import Lifecycle, Phase
 from coveport.sidecar.service import serve
+from coveport.sidecar.singletons.drill import Drill
+from coveport.sidecar.singletons.health_checking import LOOK, Looking, Seen
+from coveport.sidecar.singletons.rollout import Follower, Rollout, under_way
+from coveport.sidecar.singletons.singleton import Duty, Runner, Step
+from coveport.sidecar.singletons.slow_start_coordinator import GRANT, NEED, Granted, Safe, Warden
 from coveport.sidecar.telemetry.counters import ENDS, ended
 from coveport.sidecar.telemetry.log import Log
 from coveport.sidecar.upstream.route_step import StepResult
--- a/coveport/duties/drill.py
+++ b/coveport/sidecar/singletons/drill.py
@@ -9,8 +9,8 @@
 import json
 from collections.abc import Mapping
 
-from coveport.duties.duty import Step
 from coveport.sidecar.leases.store import Entry
+from coveport.sidecar.singletons.singleton import Step
 
 
 class Drill:
--- a/coveport/duties/rollout.py
+++ b/coveport/sidecar/singletons/rollout.py
@@ -25,9 +25,9 @@
 
 import msgspec
 
-from coveport.duties.duty import Step
 from coveport.sidecar.leases.lease_client import INSTANCE
 from coveport.sidecar.leases.store import Delete, Entry, Put
+from coveport.sidecar.singletons.singleton import Step
 
 ASK, WANT, SETTINGS, ALL = "ask/rollout", "want/", "settings/", "want/*"
 STEPS = 10  # a plan has so many steps, or one for each instance where there are fewer
--- a/coveport/duties/warden.py
+++ b/coveport/sidecar/singletons/slow_start_coordinator.py
@@ -30,9 +30,9 @@
 import msgspec
 import xxhash
 
-from coveport.duties.duty import Step
 from coveport.sidecar.leases.lease_client import INSTANCE
 from coveport.sidecar.leases.store import Entry, Put
+from coveport.sidecar.singletons.singleton import Step
 
 NEED, GRANT = "need/", "grant/"
 PART = 0.4  # of what a node bears, that grants may come to
--- a/tests/duties/test_looking.py
+++ b/tests/duties/test_looking.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from coveport.duties.looking import LOOK, Looking, Seen, looker, shares
 from coveport.sidecar.leases.store import Entry
+from coveport.sidecar.singletons.health_checking import LOOK, Looking, Seen, looker, shares
 
 NODES = [f"10.0.0.{number}:80@0" for number in range(60)]
 
--- a/tests/duties/test_rollout.py
+++ b/tests/duties/test_rollout.py
@@ -8,7 +8,9 @@
 import msgspec
 import pytest
 
-from coveport.duties.rollout import (
+from coveport.lab.standins.etcd.engine import Engine
+from coveport.sidecar.leases.store import Compare, Done, Entry, Field, Put, Transaction
+from coveport.sidecar.singletons.rollout import (
     ALL,
     ASK,
     MOVES,
@@ -23,8 +25,6 @@
     identify,
     share,
 )
-from coveport.lab.standins.etcd.engine import Engine
-from coveport.sidecar.leases.store import Compare, Done, Entry, Field, Put, Transaction
 
 NEW, OLD = '{"a": 2}', '{"a": 1}'
 
--- a/tests/duties/test_warden.py
+++ b/tests/duties/test_warden.py
@@ -9,10 +9,20 @@
 import msgspec
 import pytest
 
-from coveport.duties.duty import Step
-from coveport.duties.warden import GRANT_S, PART, Books, Grant, Granted, Need, Safe, Warden, split
 from coveport.lab.standins.etcd.engine import Engine
 from coveport.sidecar.leases.store import Compare, Done, Entry, Field, Put, Transaction
+from coveport.sidecar.singletons.singleton import Step
+from coveport.sidecar.singletons.slow_start_coordinator import (
+    GRANT_S,
+    PART,
+    Books,
+    Grant,
+    Granted,
+    Need,
+    Safe,
+    Warden,
+    split,
+)
 
 SAFE = Safe()
 STATE = "state/warden@0"
--- a/tests/lab/test_trials.py
+++ b/tests/lab/test_trials.py
@@ -9,7 +9,6 @@
 import msgspec
 import pytest
 
-from coveport.duties.rollout import Phase, Plan
 from coveport.lab import catalog
 from coveport.lab.scenario import ScenarioError
 from coveport.lab.trials import judge
@@ -20,6 +19,7 @@
 from coveport.lab.trials.search import hunt, shrink
 from coveport.lab.trials.variants import VARIANTS
 from coveport.lab.trials.virtual import play
+from coveport.sidecar.singletons.rollout import Phase, Plan
 
 
 def trial(*faults: Fault, **more: object) -> Trial:
