--- a/benchmarks/fence_gap.py
+++ b/benchmarks/fence_gap.py
@@ -16,8 +16,8 @@
 
 from hdrh.histogram import HdrHistogram
 
+from coveport.sidecar.intent_log.pending_operation import Hand
 from coveport.sidecar.upstream.route_step import RouteStep
-from coveport.work.hand import Hand
 
 GAPS = HdrHistogram(1, 60_000_000, 3)  # us
 
--- a/coveport/cli/work.py
+++ b/coveport/cli/work.py
@@ -18,9 +18,9 @@
 
 if TYPE_CHECKING:
     from coveport.sidecar.config.operator import OperatorFile
+    from coveport.sidecar.intent_log.record import Record
+    from coveport.sidecar.intent_log.record_layout import RecordLayout
     from coveport.sidecar.leases.store import Entry, Store
-    from coveport.work.record import Record
-    from coveport.work.record_layout import RecordLayout
 
 CALL_S = 2.0
 TRIES = 5  # where an instance writes the same record meanwhile
@@ -43,8 +43,8 @@
 
     async def record(self, identity: str) -> tuple[Record, Entry]:
         """One record; Unusable where there is none, or it can't be read."""
-        from coveport.work.record import RecordError, decode
-        from coveport.work.record_layout import is_id
+        from coveport.sidecar.intent_log.record import RecordError, decode
+        from coveport.sidecar.intent_log.record_layout import is_id
 
         if not is_id(identity):
             raise Unusable(f"{identity!r} is no record's id: 32 digits of 0 to 9 and a to f")
@@ -64,9 +64,9 @@
 
 def with_records(told: OperatorFile, work: Callable[[StaffRecords], Awaitable[int]]) -> int:
     """Do something at the records' store that the file names."""
+    from coveport.sidecar.intent_log.record_layout import RecordLayout
     from coveport.sidecar.leases.open_store import open_work
     from coveport.sidecar.leases.store import StoreError
-    from coveport.work.record_layout import RecordLayout
 
     async def run() -> int:
         store = open_work(told, CALL_S)
@@ -157,7 +157,7 @@
     """List records, oldest first."""
 
     async def run(records: StaffRecords) -> int:
-        from coveport.work.record import RecordError, decode
+        from coveport.sidecar.intent_log.record import RecordError, decode
 
         rows, unreadable = [], 0
         ids = set(await records.ids(True)) if unknown else None
@@ -209,8 +209,8 @@
     """Say of a record whose end nobody knows how it ended; it is kept with your name and reason."""
 
     async def run(records: StaffRecords) -> int:
+        from coveport.sidecar.intent_log.record import End, RecordError
         from coveport.sidecar.leases.store import Refused, Unknown
-        from coveport.work.record import End, RecordError
 
         for _ in range(TRIES):
             record, entry = await records.record(identity)
@@ -237,7 +237,7 @@
     """Append the unknown ones to FILE, a JSON line each, each once, also where an earlier run was killed."""
 
     async def run(records: StaffRecords) -> int:
-        from coveport.work.record import RecordError, decode
+        from coveport.sidecar.intent_log.record import RecordError, decode
 
         known = exported(file)
         written = 0
--- a/coveport/lab/trials/work/sim.py
+++ b/coveport/lab/trials/work/sim.py
@@ -22,17 +22,17 @@
 from coveport.lab.trials.work.variants import SOUND, WorkVariant
 from coveport.lab.virtual.world import Process, World
 from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.intent_log.encryption import Asked as KeptAsked
+from coveport.sidecar.intent_log.encryption import Given, Kept
+from coveport.sidecar.intent_log.pending_operation import Hand
+from coveport.sidecar.intent_log.presence import Presence
+from coveport.sidecar.intent_log.record import Record, RecordError, decode
+from coveport.sidecar.intent_log.sharing import Pace
+from coveport.sidecar.intent_log.terms import WorkTerms
 from coveport.sidecar.leases.lease_client import INSTANCE, Keeper
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.reducer.operation import Operation
-from coveport.work.hand import Hand
-from coveport.work.presence import Presence
-from coveport.work.record import Record, RecordError, decode
-from coveport.work.seal import Asked as KeptAsked
-from coveport.work.seal import Given, Kept
-from coveport.work.sharing import Pace
-from coveport.work.terms import WorkTerms
 
 START_S = 1000.0
 PREFIX = "coveport-work/"
--- a/coveport/lab/trials/work/variants.py
+++ b/coveport/lab/trials/work/variants.py
@@ -16,19 +16,19 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
+from coveport.sidecar.intent_log import pending_operation, record_adopter, recorder, replayed_answers
+from coveport.sidecar.intent_log.deferred_writes import Late
+from coveport.sidecar.intent_log.encryption import Kept
+from coveport.sidecar.intent_log.journal import Journal
+from coveport.sidecar.intent_log.observed_age import Ages, Known
+from coveport.sidecar.intent_log.pending_operation import Go, Hand, Stage
+from coveport.sidecar.intent_log.record import End, Record, State
+from coveport.sidecar.intent_log.record_adopter import as_ours
+from coveport.sidecar.intent_log.record_layout import RecordLayout
+from coveport.sidecar.intent_log.recorder import Recorder
+from coveport.sidecar.intent_log.takeover import Decision, Do
+from coveport.sidecar.intent_log.takeover_worker import Takers
 from coveport.sidecar.leases.store import Done, Entry, Outcome, Put, Refused, Transaction, Unknown
-from coveport.work import again, hand, record_adopter, recorder
-from coveport.work.ages import Ages, Known
-from coveport.work.hand import Go, Hand, Stage
-from coveport.work.journal import Journal
-from coveport.work.late import Late
-from coveport.work.record import End, Record, State
-from coveport.work.record_adopter import as_ours
-from coveport.work.record_layout import RecordLayout
-from coveport.work.recorder import Recorder
-from coveport.work.seal import Kept
-from coveport.work.takeover import Decision, Do
-from coveport.work.takers import Takers
 
 
 def _plain() -> Kept:
@@ -125,7 +125,7 @@
     """Who finds a record open begins anew beside it."""
 
     async def _done_with(self, one: Hand, client: Any, record: Record, entry: Entry) -> bool:
-        if record.open and self._owner(record) is not again.Owner.OURS:
+        if record.open and self._owner(record) is not replayed_answers.Owner.OURS:
             ours = msgspec.structs.replace(
                 record,
                 owner=self.incarnation,
@@ -271,7 +271,11 @@
 
     def told(record: Record, *rest: Any) -> Any:
         found = decide_again(record, *rest)
-        return again.Told(again.Then.ANEW, "") if found.then in (again.Then.TOLD, again.Then.TRY) else found
+        return (
+            replayed_answers.Told(replayed_answers.Then.ANEW, "")
+            if found.then in (replayed_answers.Then.TOLD, replayed_answers.Then.TRY)
+            else found
+        )
 
     return told
 
@@ -381,7 +385,8 @@
             "a table that sends what may not run twice, past the module",
             ("twice",),
             while_played=_both(
-                _patched(record_adopter, "decide", _resends), _patched(hand.Hand, "before", _asks_anywhere)
+                _patched(record_adopter, "decide", _resends),
+                _patched(pending_operation.Hand, "before", _asks_anywhere),
             ),
         ),
         WorkVariant(
@@ -394,7 +399,7 @@
             "asks-anywhere",
             "tells the module that nothing of before may have run",
             ("twice",),
-            while_played=_patched(hand.Hand, "before", _asks_anywhere),
+            while_played=_patched(pending_operation.Hand, "before", _asks_anywhere),
         ),
         WorkVariant(
             "takes-again",
@@ -408,7 +413,7 @@
             "no-fence",
             "sends however late it comes to it",
             ("twice", "never-run"),
-            while_played=_patched(hand.Hand, "fence", lambda _: lambda one, now: True),
+            while_played=_patched(pending_operation.Hand, "fence", lambda _: lambda one, now: True),
         ),
         WorkVariant(
             "crossed-keys",
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -26,6 +26,7 @@
 from coveport.sidecar.config import platform as configuration
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.effects import Effects
+from coveport.sidecar.intent_log.encryption import SealError
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.lease_client import DUTY, INSTANCE, Keeper
 from coveport.sidecar.leases.open_store import open_store
@@ -43,7 +44,6 @@
 from coveport.sidecar.telemetry.counters import ENDS, ended
 from coveport.sidecar.telemetry.log import Log
 from coveport.sidecar.upstream.route_step import StepResult
-from coveport.work.seal import SealError
 
 YIELD = "ask/yield/"
 FARES_S = 1.0  # how often an instance looks how it fares
--- a/coveport/work/late.py
+++ b/coveport/sidecar/intent_log/deferred_writes.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
+from coveport.sidecar.intent_log.journal import Journal
+from coveport.sidecar.intent_log.pending_operation import Hand
+from coveport.sidecar.intent_log.record import End, Record, RecordError, decode
+from coveport.sidecar.intent_log.record_layout import RecordLayout
 from coveport.sidecar.leases.store import Done
-from coveport.work.hand import Hand
-from coveport.work.journal import Journal
-from coveport.work.record import End, Record, RecordError, decode
-from coveport.work.record_layout import RecordLayout
 
 MOST = 4096  # that are remembered
 LOOK_S = 0.5
--- a/coveport/work/asking.py
+++ b/coveport/sidecar/intent_log/execution.py
@@ -6,9 +6,9 @@
 from typing import Any, Protocol
 
 from coveport.balancing import interface as api
+from coveport.sidecar.intent_log.pending_operation import Hand
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
-from coveport.work.hand import Hand
 
 
 class Hands(Protocol):
--- a/coveport/work/hand.py
+++ b/coveport/sidecar/intent_log/pending_operation.py
@@ -14,8 +14,8 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect, Outcome
+from coveport.sidecar.intent_log.record import Attempt, End, Record, State
 from coveport.sidecar.reducer.operation import Operation
-from coveport.work.record import Attempt, End, Record, State
 
 EDGE_MS = 20.0  # so long before the end of a window no byte goes any more: the check is not yet the socket
 
--- a/coveport/work/presence.py
+++ b/coveport/sidecar/intent_log/presence.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from coveport.work.again import Owner
+from coveport.sidecar.intent_log.replayed_answers import Owner
 
 
 class Presence:
--- a/coveport/work/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -12,16 +12,16 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
+from coveport.sidecar.intent_log.encryption import Given
+from coveport.sidecar.intent_log.execution import Answering, Nobody
+from coveport.sidecar.intent_log.pending_operation import Hand, Stage
+from coveport.sidecar.intent_log.record import End, Record, State
+from coveport.sidecar.intent_log.record_layout import Leaves
+from coveport.sidecar.intent_log.record_writer import RecordWriter
+from coveport.sidecar.intent_log.takeover import Do, decide
 from coveport.sidecar.leases.store import Done, Entry, Unknown
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
-from coveport.work.asking import Answering, Nobody
-from coveport.work.hand import Hand, Stage
-from coveport.work.record import End, Record, State
-from coveport.work.record_layout import Leaves
-from coveport.work.record_writer import RecordWriter
-from coveport.work.seal import Given
-from coveport.work.takeover import Do, decide
 
 TRY_AGAIN_S = 0.2  # between two tries of what was taken over and found no room
 LEAST_MS = 100.0  # of a window: less is not worth a try
--- a/coveport/work/record_layout.py
+++ b/coveport/sidecar/intent_log/record_layout.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
+from coveport.sidecar.intent_log.record import End, Record, RecordError, encode
 from coveport.sidecar.leases.store import Compare, Delete, Field, Put, Transaction
-from coveport.work.record import End, Record, RecordError, encode
 
 RECORD, OPEN, KEPT, UNKNOWN, LEAVING = "r/", "o/", "k/", "u/", "l/"
 BUCKET_S = 10  # closed records are thrown away by so many seconds at a time
--- a/coveport/work/record_writer.py
+++ b/coveport/sidecar/intent_log/record_writer.py
@@ -12,15 +12,15 @@
 
 import msgspec
 
+from coveport.sidecar.intent_log.deferred_writes import Late
+from coveport.sidecar.intent_log.encryption import Kept
+from coveport.sidecar.intent_log.execution import Hands
+from coveport.sidecar.intent_log.journal import Journal
+from coveport.sidecar.intent_log.pending_operation import Hand, Stage
+from coveport.sidecar.intent_log.presence import Presence
+from coveport.sidecar.intent_log.record_layout import RecordLayout
+from coveport.sidecar.intent_log.terms import WorkTerms
 from coveport.sidecar.leases.store import Outcome, Refused, Transaction, Unknown
-from coveport.work.asking import Hands
-from coveport.work.hand import Hand, Stage
-from coveport.work.journal import Journal
-from coveport.work.late import Late
-from coveport.work.presence import Presence
-from coveport.work.record_layout import RecordLayout
-from coveport.work.seal import Kept
-from coveport.work.terms import WorkTerms
 
 SIZE = 700  # of a record without request and answer
 
--- a/coveport/work/recorder.py
+++ b/coveport/sidecar/intent_log/recorder.py
@@ -16,16 +16,16 @@
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
 from coveport.balancing.interface import Outcome as Ended
+from coveport.sidecar.intent_log.encryption import Asked, Given
+from coveport.sidecar.intent_log.execution import Answering
+from coveport.sidecar.intent_log.pending_operation import Go, Hand, Stage
+from coveport.sidecar.intent_log.record import Attempt, End, Record, RecordError, Rules, decode
+from coveport.sidecar.intent_log.record_adopter import RecordAdopter, as_ours
+from coveport.sidecar.intent_log.record_layout import Leaves, digest_of, id_of
+from coveport.sidecar.intent_log.replayed_answers import Owner, Then, decide_again, told_late
 from coveport.sidecar.leases.store import Delete, Done, Entry, Put, Transaction
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
-from coveport.work.again import Owner, Then, decide_again, told_late
-from coveport.work.asking import Answering
-from coveport.work.hand import Go, Hand, Stage
-from coveport.work.record import Attempt, End, Record, RecordError, Rules, decode
-from coveport.work.record_adopter import RecordAdopter, as_ours
-from coveport.work.record_layout import Leaves, digest_of, id_of
-from coveport.work.seal import Asked, Given
 
 POLL_S = (0.015, 0.03)  # how often a record is looked at for whom somebody waits
 LATE_S = 0.03  # so long before its time is over who waits is told what is known
--- a/coveport/work/again.py
+++ b/coveport/sidecar/intent_log/replayed_answers.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from coveport.work.record import UNRUN, End, Record
+from coveport.sidecar.intent_log.record import UNRUN, End, Record
 
 
 class Then(Enum):
--- a/coveport/work/takeover.py
+++ b/coveport/sidecar/intent_log/takeover.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from coveport.balancing.interface import Effect, Group
-from coveport.work.record import Attempt, Record, State
+from coveport.sidecar.intent_log.record import Attempt, Record, State
 
 
 class Do(Enum):
--- a/coveport/work/takers.py
+++ b/coveport/sidecar/intent_log/takeover_worker.py
@@ -11,14 +11,14 @@
 from collections.abc import Callable
 from math import inf
 
+from coveport.sidecar.intent_log.observed_age import Known
+from coveport.sidecar.intent_log.record import RecordError, decode
+from coveport.sidecar.intent_log.record_adopter import as_ours
+from coveport.sidecar.intent_log.record_layout import BUCKET_S
+from coveport.sidecar.intent_log.recorder import Recorder
+from coveport.sidecar.intent_log.replayed_answers import Owner
+from coveport.sidecar.intent_log.sharing import Pace, rank, wait_s
 from coveport.sidecar.leases.store import Delete, Done, Transaction
-from coveport.work.again import Owner
-from coveport.work.ages import Known
-from coveport.work.record import RecordError, decode
-from coveport.work.record_adopter import as_ours
-from coveport.work.record_layout import BUCKET_S
-from coveport.work.recorder import Recorder
-from coveport.work.sharing import Pace, rank, wait_s
 
 LOOK_S = 0.25  # how often those that are known to be lost are looked at
 SCAN_S = 5.0  # how often all that is open is looked through for owners that nobody is
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -11,19 +11,19 @@
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.config.platform import Config
 from coveport.sidecar.effects import Effects
+from coveport.sidecar.intent_log.encryption import Kept, Seal, read_keys
+from coveport.sidecar.intent_log.journal import Journal
+from coveport.sidecar.intent_log.presence import Presence
+from coveport.sidecar.intent_log.record_layout import RecordLayout
+from coveport.sidecar.intent_log.recorder import Recorder
+from coveport.sidecar.intent_log.sharing import Pace
+from coveport.sidecar.intent_log.takeover_worker import Takers
+from coveport.sidecar.intent_log.terms import WorkTerms
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.lease_client import INSTANCE, Keeper
 from coveport.sidecar.leases.open_store import open_work
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Entry
-from coveport.work.journal import Journal
-from coveport.work.presence import Presence
-from coveport.work.record_layout import RecordLayout
-from coveport.work.recorder import Recorder
-from coveport.work.seal import Kept, Seal, read_keys
-from coveport.work.sharing import Pace
-from coveport.work.takers import Takers
-from coveport.work.terms import WorkTerms
 
 BUSY_MOST = 16  # own operations open, above which others' records wait
 BURST = 16
--- a/tests/work/test_pure.py
+++ b/tests/work/test_pure.py
@@ -12,14 +12,14 @@
 
 from coveport.balancing.interface import Effect, Group, Outcome
 from coveport.sidecar.config.operator import OperatorFileError, read
+from coveport.sidecar.intent_log.encryption import Asked, Given, Kept, Seal, SealError, read_keys
+from coveport.sidecar.intent_log.pending_operation import MOVES, Hand, Stage
+from coveport.sidecar.intent_log.presence import Presence
+from coveport.sidecar.intent_log.record import End, Record, RecordError, Rules, Settled, State
+from coveport.sidecar.intent_log.record_layout import RecordLayout, digest_of, id_of, is_id
+from coveport.sidecar.intent_log.replayed_answers import Owner, Then, decide_again, told_late
+from coveport.sidecar.intent_log.sharing import Pace, rank, wait_s
 from coveport.sidecar.leases.store import Delete, Field, Put
-from coveport.work.again import Owner, Then, decide_again, told_late
-from coveport.work.hand import MOVES, Hand, Stage
-from coveport.work.presence import Presence
-from coveport.work.record import End, Record, RecordError, Rules, Settled, State
-from coveport.work.record_layout import RecordLayout, digest_of, id_of, is_id
-from coveport.work.seal import Asked, Given, Kept, Seal, SealError, read_keys
-from coveport.work.sharing import Pace, rank, wait_s
 
 UNSAFE = Rules(Effect.UNSAFE, Group.ALL, 0.0, 3)
 
--- a/tests/work/test_takeover.py
+++ b/tests/work/test_takeover.py
@@ -11,8 +11,8 @@
 import pytest
 
 from coveport.balancing.interface import NEVER_RAN, Effect, Group, Outcome
-from coveport.work.ages import NOTES, Ages, Known
-from coveport.work.record import (
+from coveport.sidecar.intent_log.observed_age import NOTES, Ages, Known
+from coveport.sidecar.intent_log.record import (
     MOVES,
     UNRUN,
     Attempt,
@@ -24,7 +24,7 @@
     decode,
     encode,
 )
-from coveport.work.takeover import Do, decide
+from coveport.sidecar.intent_log.takeover import Do, decide
 
 KEYED = Rules(Effect.KEYED, Group.CELL, 6000.0, 3)
 
