--- a/coveport/cli/fleet.py
+++ b/coveport/cli/fleet.py
@@ -42,15 +42,15 @@
     reads the file anew. Exit code 1: another supervisor is at work already.
     """
     told = fleet_of(file)
-    from coveport.fleet.daemon import main
+    from coveport.sidecar.supervisor.daemon import main
 
     return main(told, file.resolve(), standby)
 
 
 def ask(told: OperatorFile, **words: Any) -> dict[str, Any]:
     """Ask the supervisor; Unusable where there is none."""
-    from coveport.fleet.control import call
-    from coveport.fleet.daemon import control_path
+    from coveport.sidecar.supervisor.control import call
+    from coveport.sidecar.supervisor.daemon import control_path
 
     path = control_path(told)
     try:
@@ -129,8 +129,8 @@
 @JSON
 def logs(names: tuple[str, ...], config: Path, last: int, json_: bool) -> int:
     """Show the last lines of all instances' stream, or of those named."""
-    from coveport.fleet.daemon import told_lines
-    from coveport.fleet.stream import stream_path
+    from coveport.sidecar.supervisor.daemon import told_lines
+    from coveport.sidecar.supervisor.log_stream import stream_path
 
     told = fleet_of(config)
     for one in told_lines(stream_path(told.fleet_folder), frozenset(names), last):
--- a/coveport/lab/trials/fleet/host.py
+++ b/coveport/lab/trials/fleet/host.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from coveport.fleet.life import End
 from coveport.lab.virtual.world import Process, World
 from coveport.sidecar.config.operator import Fleet
+from coveport.sidecar.supervisor.instance_state import End
 
 BEATS = 4
 SERVED = "1.0/50"
--- a/coveport/lab/trials/fleet/sim.py
+++ b/coveport/lab/trials/fleet/sim.py
@@ -8,9 +8,6 @@
 
 import msgspec
 
-from coveport.fleet.life import End
-from coveport.fleet.plan import FLEET, Phase, Plan
-from coveport.fleet.supervisor import Supervisor
 from coveport.lab.trials.fleet.host import SimHands, SimHost
 from coveport.lab.trials.fleet.judge import Said, judge
 from coveport.lab.trials.fleet.variants import SOUND, FleetVariant
@@ -30,6 +27,9 @@
     Work,
 )
 from coveport.sidecar.leases.lease_client import Keeper
+from coveport.sidecar.supervisor.desired_state import FLEET, Phase, Plan
+from coveport.sidecar.supervisor.instance_state import End
+from coveport.sidecar.supervisor.supervisor import Supervisor
 
 START_S = 1000.0
 PREFIX = "coveport-fleet/"
--- a/coveport/lab/trials/fleet/variants.py
+++ b/coveport/lab/trials/fleet/variants.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from coveport.fleet import crew as crew_module
-from coveport.fleet import plan as plan_module
-from coveport.fleet.crew import Crew
-from coveport.fleet.life import Member, Order, State
-from coveport.fleet.plan import Fares, Plan
-from coveport.fleet.supervisor import Supervisor
+from coveport.sidecar.supervisor import desired_state as plan_module
+from coveport.sidecar.supervisor import instance_set as crew_module
+from coveport.sidecar.supervisor.desired_state import Fares, Plan
+from coveport.sidecar.supervisor.instance_set import Crew
+from coveport.sidecar.supervisor.instance_state import Member, Order, State
+from coveport.sidecar.supervisor.supervisor import Supervisor
 
 
 @dataclass(frozen=True)
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -20,8 +20,6 @@
 import structlog
 
 from coveport.balancing import interface as api
-from coveport.fleet.membership import Membership, NameHeldError
-from coveport.fleet.stream import StreamLog, lines
 from coveport.net.transport import Net
 from coveport.sidecar.config import platform as configuration
 from coveport.sidecar.config.operator import OperatorFile
@@ -41,6 +39,8 @@
 from coveport.sidecar.singletons.rollout import Follower, Rollout, under_way
 from coveport.sidecar.singletons.singleton import Duty, Runner, Step
 from coveport.sidecar.singletons.slow_start_coordinator import GRANT, NEED, Granted, Safe, Warden
+from coveport.sidecar.supervisor.log_stream import StreamLog, lines
+from coveport.sidecar.supervisor.membership import Membership, NameHeldError
 from coveport.sidecar.telemetry.counters import ENDS, ended
 from coveport.sidecar.telemetry.log import Log
 from coveport.sidecar.upstream.route_step import StepResult
--- a/coveport/fleet/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -13,16 +13,16 @@
 from pathlib import Path
 from typing import Any
 
-from coveport.fleet import stream
-from coveport.fleet.control import Control
-from coveport.fleet.hands import Processes
-from coveport.fleet.notify import Notifier, Receiver, watchdog_s
-from coveport.fleet.supervisor import Supervisor
 from coveport.sidecar.config import platform
 from coveport.sidecar.config.operator import INSTANCES_MOST, OperatorFile, OperatorFileError, load
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.lease_client import DUTY, Keeper
 from coveport.sidecar.leases.open_store import open_store
+from coveport.sidecar.supervisor import log_stream
+from coveport.sidecar.supervisor.control import Control
+from coveport.sidecar.supervisor.notify import Notifier, Receiver, watchdog_s
+from coveport.sidecar.supervisor.process_control import Processes
+from coveport.sidecar.supervisor.supervisor import Supervisor
 
 TURN_S = 5.0  # how often the stream's size is looked at
 FIRST_S = 1.0  # after a start, how long it is waited for whoever holds the duty already
@@ -54,7 +54,7 @@
     def __init__(self, told: OperatorFile, config: Path, standby: bool) -> None:
         self._told, self._config, self._standby = told, config, standby
         self.name = f"supervisor-{os.getpid()}-{uuid.uuid4().hex[:6]}"
-        self._lines = stream.lines(told.fleet_folder, told.log.level, supervisor=self.name)
+        self._lines = log_stream.lines(told.fleet_folder, told.log.level, supervisor=self.name)
         self._notifier = Notifier.of(os.environ)
         self._beat_s = watchdog_s(os.environ, os.getpid()) / BEATS
         self._stop = asyncio.Event()
@@ -167,7 +167,7 @@
                 self._notifier.say(WATCHDOG=1)
             if supervisor.holding and boot_s() - turned > TURN_S:
                 turned = boot_s()
-                if stream.turn(self._told.fleet_folder):
+                if log_stream.turn(self._told.fleet_folder):
                     self._say("stream_turned")
             await asyncio.sleep(self._beat_s or 1.0)
 
--- a/coveport/fleet/crew.py
+++ b/coveport/sidecar/supervisor/instance_set.py
@@ -9,9 +9,9 @@
 import random
 from collections.abc import Mapping
 
-from coveport.fleet.life import THERE, End, Member, Order, State
-from coveport.fleet.plan import Fares, Phase, Plan
 from coveport.sidecar.config.operator import Fleet
+from coveport.sidecar.supervisor.desired_state import Fares, Phase, Plan
+from coveport.sidecar.supervisor.instance_state import THERE, End, Member, Order, State
 
 QUIET = 0.5  # of the time after which one counts as hung: signs come four times in it
 MANY_SILENT = 0.5  # share of those that serve that are quiet, above which it is us or the host, not they
--- a/coveport/fleet/membership.py
+++ b/coveport/sidecar/supervisor/membership.py
@@ -13,17 +13,17 @@
 from typing import Any, Protocol
 
 from coveport.balancing import interface as api
-from coveport.fleet import snapshot
-from coveport.fleet.hands import LISTEN_FD
-from coveport.fleet.locks import NameHeldError, NameLock
-from coveport.fleet.notify import Notifier, watchdog_s
-from coveport.fleet.peers import Peers
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.config.platform import Config
 from coveport.sidecar.leases.clock import boot_id, boot_s
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.locality import Place
 from coveport.sidecar.reducer.phases import Lifecycle, Phase
+from coveport.sidecar.supervisor import snapshot
+from coveport.sidecar.supervisor.locks import NameHeldError, NameLock
+from coveport.sidecar.supervisor.notify import Notifier, watchdog_s
+from coveport.sidecar.supervisor.peers import Peers
+from coveport.sidecar.supervisor.process_control import LISTEN_FD
 from coveport.sidecar.telemetry.counters import ENDS, Counters, ended
 
 __all__ = ["Membership", "NameHeldError"]
--- a/coveport/fleet/hands.py
+++ b/coveport/sidecar/supervisor/process_control.py
@@ -14,10 +14,10 @@
 from pathlib import Path
 from typing import Protocol
 
-from coveport.fleet import locks
-from coveport.fleet.life import End
 from coveport.net.address import parse_address
 from coveport.sidecar.config.operator import OperatorFile
+from coveport.sidecar.supervisor import locks
+from coveport.sidecar.supervisor.instance_state import End
 
 LISTEN_FD = "COVEPORT_LISTEN_FD"  # tells an instance the descriptor that it is to accept at
 WAITING_MOST = 512  # connections that wait at an address that nobody takes from at the moment
--- a/coveport/fleet/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -11,13 +11,13 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from coveport.fleet.crew import Crew
-from coveport.fleet.hands import Hands
-from coveport.fleet.life import Drain, End, Kill, Order, Start, State
-from coveport.fleet.plan import Ask, FleetDuty, Plan
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.leases.lease_client import Keeper
 from coveport.sidecar.singletons.singleton import Runner, Step
+from coveport.sidecar.supervisor.desired_state import Ask, FleetDuty, Plan
+from coveport.sidecar.supervisor.instance_set import Crew
+from coveport.sidecar.supervisor.instance_state import Drain, End, Kill, Order, Start, State
+from coveport.sidecar.supervisor.process_control import Hands
 
 TICK_S = 0.05
 LATE_S = 0.5  # a turn that comes so much too late: we heard nothing meanwhile
--- a/tests/fleet/test_host_parts.py
+++ b/tests/fleet/test_host_parts.py
@@ -15,17 +15,17 @@
 
 import pytest
 
-from coveport.fleet import locks, stream
-from coveport.fleet.control import Control, call
-from coveport.fleet.daemon import told_lines
-from coveport.fleet.locks import NameHeldError, NameLock
-from coveport.fleet.notify import Notifier, Receiver, read, watchdog_s
+from coveport.sidecar.supervisor import locks, log_stream
+from coveport.sidecar.supervisor.control import Control, call
+from coveport.sidecar.supervisor.daemon import told_lines
+from coveport.sidecar.supervisor.locks import NameHeldError, NameLock
+from coveport.sidecar.supervisor.notify import Notifier, Receiver, read, watchdog_s
 
 LONG = 30.0
 HOLDS = """
 import sys, time
 from pathlib import Path
-from coveport.fleet.locks import NameLock
+from coveport.sidecar.supervisor.locks import NameLock
 lock = NameLock(Path(sys.argv[1]), "h-1")
 print("held", flush=True)
 time.sleep(60)
@@ -83,7 +83,7 @@
         heard: list[tuple[int, dict[str, str]]] = []
         receiver = Receiver(tmp_path / "n.sock", lambda pid, words: heard.append((pid, words)))
         code = (
-            "import sys; from coveport.fleet.notify import Notifier; "
+            "import sys; from coveport.sidecar.supervisor.notify import Notifier; "
             "print(Notifier(sys.argv[1]).say(READY=1, STATUS='all well', X_SERVED='1.0/5'))"
         )
         done = subprocess.Popen([sys.executable, "-c", code, str(tmp_path / "n.sock")])
@@ -149,15 +149,15 @@
 
 
 def test_the_stream_is_turned_and_all_go_on_in_the_new_one(tmp_path: Path) -> None:
-    one, two = stream.lines(tmp_path, instance="h-1"), stream.lines(tmp_path, supervisor="s")
+    one, two = log_stream.lines(tmp_path, instance="h-1"), log_stream.lines(tmp_path, supervisor="s")
     one.info("said", text="a" * 100)
     two.info("fleet_start", name="h-1")
-    assert not stream.turn(tmp_path, 10_000) and stream.turn(tmp_path, 100)
+    assert not log_stream.turn(tmp_path, 10_000) and log_stream.turn(tmp_path, 100)
     one.info("said", text="later")
-    path = stream.stream_path(tmp_path)
+    path = log_stream.stream_path(tmp_path)
     assert [row["text"] for row in told_lines(path, frozenset({"h-1"}), 5)] == ["later"]
     assert len(told_lines(path.with_suffix(".jsonl.1"), frozenset(), 5)) == 2
-    log = stream.StreamLog(time.monotonic, one)
+    log = log_stream.StreamLog(time.monotonic, one)
     for _ in range(9):
         log.note("bad client", "x")
     log.say("counters {}")
--- a/tests/fleet/test_life.py
+++ b/tests/fleet/test_life.py
@@ -10,8 +10,18 @@
 
 import pytest
 
-from coveport.fleet.life import MOVES, THERE, Drain, End, Kill, Member, Order, Start, State
 from coveport.sidecar.config.operator import Fleet
+from coveport.sidecar.supervisor.instance_state import (
+    MOVES,
+    THERE,
+    Drain,
+    End,
+    Kill,
+    Member,
+    Order,
+    Start,
+    State,
+)
 
 TERMS = Fleet(name="h", loop=3, loop_s=10.0, rest_s=20.0, ready_s=2.0, stop_s=2.0, hung_s=1.0, backoff_s=0.1)
 Event = Callable[[Member, float], list[Order] | None]
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -7,11 +7,20 @@
 import msgspec
 import pytest
 
-from coveport.fleet.crew import Crew
-from coveport.fleet.life import End, Kill, Start, State
-from coveport.fleet.peers import Peers
-from coveport.fleet.plan import Ask, Fares, FleetDuty, Phase, Plan, Restart, asked, going_on
 from coveport.sidecar.config.operator import Fleet, OperatorFileError, read
+from coveport.sidecar.supervisor.desired_state import (
+    Ask,
+    Fares,
+    FleetDuty,
+    Phase,
+    Plan,
+    Restart,
+    asked,
+    going_on,
+)
+from coveport.sidecar.supervisor.instance_set import Crew
+from coveport.sidecar.supervisor.instance_state import End, Kill, Start, State
+from coveport.sidecar.supervisor.peers import Peers
 
 FLEET = Fleet(name="h", instances=4, at_once=2, a_second=2.0, hung_s=2.0, hold_s=1.0)
 
--- a/tests/fleet/test_snapshot.py
+++ b/tests/fleet/test_snapshot.py
@@ -10,8 +10,18 @@
 
 import pytest
 
-from coveport.fleet import snapshot
-from coveport.fleet.snapshot import Disk, Heard, Snapshot, SnapshotError, Taken, decode, encode, known, usable
+from coveport.sidecar.supervisor import snapshot
+from coveport.sidecar.supervisor.snapshot import (
+    Disk,
+    Heard,
+    Snapshot,
+    SnapshotError,
+    Taken,
+    decode,
+    encode,
+    known,
+    usable,
+)
 
 NOW = Taken(1_700_000_000.0, 500.0, "boot-a")
 HOST = {
