--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -21,10 +21,10 @@
 import time
 from pathlib import Path
 
-from coveport.lab.trials import judge
-from coveport.lab.trials.real import RealTrial, Running
-from coveport.lab.trials.schedules import HOLDER, Fault, Trial
-from coveport.lab.trials.virtual import START_S, play
+from coveport.testbed.fault_injection import judge
+from coveport.testbed.fault_injection.real import RealTrial, Running
+from coveport.testbed.fault_injection.schedules import HOLDER, Fault, Trial
+from coveport.testbed.fault_injection.virtual import START_S, play
 
 TERMS = {1.0: 0.08, 3.0: 0.2, 10.0: 0.5}  # time to live: margin, s
 FAULTS = ("kill", "stall", "cut", "leave")
@@ -115,12 +115,12 @@
 
 def fresh_work(told: tuple[int, int, bool]) -> tuple[float, float, int]:
     """Work that fresh nodes did in their first 10 s (ms of it), worth of the day, and cold rules broken."""
-    from coveport.lab import measures, oracle
-    from coveport.lab.bare.play import play_day
-    from coveport.lab.books import NodeIs, Ran
-    from coveport.lab.catalog import find
-    from coveport.lab.drawing import draw
-    from coveport.lab.scenario import load
+    from coveport.testbed import measures, oracle
+    from coveport.testbed.catalog import find
+    from coveport.testbed.discrete_event.play import play_day
+    from coveport.testbed.drawing import draw
+    from coveport.testbed.event_log import NodeIs, Ran
+    from coveport.testbed.scenario import load
 
     copies, seed, warded = told
     day = draw(load(find("fleet-join"), [f"fleet.sidecars={copies}"]), seed)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 
 from benchmarks.common import machine, table
-from coveport.lab.trials.fleet.real import FleetTrialReal
 from coveport.sidecar.supervisor import locks
+from coveport.testbed.fault_injection.fleet.real import FleetTrialReal
 
 Row = dict[str, object]
 IDLE_S = 5.0
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path.insert(0, str(ROOT))
 
-from coveport.lab.fuzz import UNDER_TEST  # noqa: E402
+from coveport.testbed.fuzz import UNDER_TEST  # noqa: E402
 
 MODULES = sorted({one for several in UNDER_TEST.values() for one in several if one != "h11"})
 NOT_OURS = ["tests/lab/test_fuzz.py", "tests/lab/test_h11.py"]  # the tests that fuzz
@@ -41,7 +41,7 @@
 
 def replay() -> None:
     """Play all corpora, and nothing else; this is what coverage is measured of."""
-    from coveport.lab.fuzz import run
+    from coveport.testbed.fuzz import run
 
     for name in run.TARGETS:
         for data in run.load(run.CORPORA / name):
@@ -96,7 +96,7 @@
     if told.replay:
         replay()
         return
-    from coveport.lab.fuzz import run
+    from coveport.testbed.fuzz import run
 
     print(machine(), end="\n\n")
     rows = [["target", "inputs", "bytes", "executions a second", "kinds of finds"]]
--- a/benchmarks/ground_agreement.py
+++ b/benchmarks/ground_agreement.py
@@ -18,11 +18,11 @@
 import msgspec
 
 from benchmarks.common import machine, spread, table
-from coveport.lab.catalog import find
-from coveport.lab.outcome import Outcome
-from coveport.lab.real import GroundError
-from coveport.lab.run import play_and_judge
-from coveport.lab.scenario import Scenario, load
+from coveport.testbed.catalog import find
+from coveport.testbed.loopback import GroundError
+from coveport.testbed.outcome import Outcome
+from coveport.testbed.run import play_and_judge
+from coveport.testbed.scenario import Scenario, load
 
 SOUGHT = 0.05
 SCENARIOS = ("calm", "crash", "slow", "drain-all", "flaky")
--- a/benchmarks/lab_speed.py
+++ b/benchmarks/lab_speed.py
@@ -26,11 +26,11 @@
 import msgspec
 
 from benchmarks.common import ROOT, child, machine, table
-from coveport.lab import measures, oracle
-from coveport.lab.catalog import find
-from coveport.lab.drawing import draw
-from coveport.lab.scenario import Scenario, load
-from coveport.lab.virtual.play import play_day
+from coveport.testbed import measures, oracle
+from coveport.testbed.catalog import find
+from coveport.testbed.drawing import draw
+from coveport.testbed.scenario import Scenario, load
+from coveport.testbed.simulated_network.play import play_day
 
 LIMIT_S = 300.0  # of wall time for one run
 
@@ -209,7 +209,7 @@
             where = Path(file).name
         part = (
             "the lab"
-            if where.startswith("coveport/lab/")
+            if where.startswith("coveport/testbed/")
             else "the program"
             if where.startswith("coveport/")
             else "others"
--- a/benchmarks/load_accuracy.py
+++ b/benchmarks/load_accuracy.py
@@ -21,12 +21,12 @@
 import numpy as np
 
 from benchmarks.common import machine, table
-from coveport.lab import books
-from coveport.lab.measures import measure
-from coveport.lab.oracle import Grace
-from coveport.lab.oracle import judge as judge_rules
-from coveport.lab.run import play
-from coveport.lab.scenario import Scenario, parse
+from coveport.testbed import event_log
+from coveport.testbed.measures import measure
+from coveport.testbed.oracle import Grace
+from coveport.testbed.oracle import judge as judge_rules
+from coveport.testbed.run import play
+from coveport.testbed.scenario import Scenario, parse
 
 SOUGHT_P99_MS = 5.0
 
@@ -97,14 +97,14 @@
     """Play a day and look at its tills' books."""
     played = play(scenario_of(rate, seconds), seed=seed, ground="real")
     late = np.array(
-        [row.at - row.due for row in played.rows if isinstance(row, books.Asked) and not row.repeat]
+        [row.at - row.due for row in played.rows if isinstance(row, event_log.Asked) and not row.repeat]
     )
-    unasked = sum(isinstance(row, books.Unasked) for row in played.rows)
+    unasked = sum(isinstance(row, event_log.Unasked) for row in played.rows)
     broken: dict[str, int] = {}
     for one in judge_rules(played.day, played.rows, grace=Grace.real()):
         broken[one.rule] = broken.get(one.rule, 0) + 1
-    asked = {row.op: row.due for row in played.rows if isinstance(row, books.Asked)}
-    took = np.array([row.at - asked[row.op] for row in played.rows if isinstance(row, books.Answered)])
+    asked = {row.op: row.due for row in played.rows if isinstance(row, event_log.Asked)}
+    took = np.array([row.at - asked[row.op] for row in played.rows if isinstance(row, event_log.Answered)])
     p50, p99, p999, most = (float(one) for one in np.quantile(late, (0.5, 0.99, 0.999, 1)))
     answer_p50, answer_p99 = (float(one) for one in np.quantile(took, (0.5, 0.99)))
     return Accuracy(
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -19,8 +19,8 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from coveport.lab.check import Report, check, printed
-from coveport.lab.check.worlds import LARGE, SMALL, WORLDS
+from coveport.testbed.check import Report, check, printed
+from coveport.testbed.check.worlds import LARGE, SMALL, WORLDS
 
 HEAD = ("world", "states", "paths", "depth", "timers", "seconds", "paths/s", "explored", "doubts", "broken")
 
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -345,7 +345,7 @@
     for name in COPIED:
         source = ROOT / name
         if source.is_dir():
-            shutil.copytree(source, target / name, ignore=shutil.ignore_patterns("__pycache__", "lab"))
+            shutil.copytree(source, target / name, ignore=shutil.ignore_patterns("__pycache__", "testbed"))
         else:
             shutil.copy(source, target / name)
     with (target / "tests" / "conftest.py").open("a") as conftest:
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -22,12 +22,12 @@
 import sys
 import time
 
-from coveport.lab.broken import VARIANTS
-from coveport.lab.catalog import find
-from coveport.lab.scenario import load
-from coveport.lab.search.finds import RULE
-from coveport.lab.search.hunt import look
-from coveport.lab.search.schedules import draw_schedule
+from coveport.testbed.broken import VARIANTS
+from coveport.testbed.catalog import find
+from coveport.testbed.scenario import load
+from coveport.testbed.search.finds import RULE
+from coveport.testbed.search.hunt import look
+from coveport.testbed.search.schedules import draw_schedule
 
 MOST = 200
 
--- a/benchmarks/variant_link.py
+++ b/benchmarks/variant_link.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.variant_link [NAME]
 
-NAME is one of `coveport.lab.broken` that differs in what decides or in what it is told (random-pick, no-
+NAME is one of `coveport.testbed.broken` that differs in what decides or in what it is told (random-pick, no-
 retries, fourth-attempt, ...); none means the shipped decisions. Reads and writes the wire of
 `coveport.balancing.simulator_codec` on standard input and output until the input ends; ends with 2 where NAME
 is unknown, or differs only in the hands, of which the wire knows nothing.
@@ -14,9 +14,9 @@
 
 from coveport.balancing import Balancer, simulator_link
 from coveport.balancing import interface as api
-from coveport.lab.broken import Variant, variant_named
 from coveport.sidecar.effects import Effects
 from coveport.sidecar.reducer.reducer import Reducer
+from coveport.testbed.broken import Variant, variant_named
 
 
 def link(variant: Variant) -> int:
--- a/benchmarks/work_in_hand.py
+++ b/benchmarks/work_in_hand.py
@@ -26,12 +26,12 @@
 from pathlib import Path
 
 from benchmarks.common import machine, table
-from coveport.lab.trials.real import RealTrial, Running
-from coveport.lab.trials.relay import Relay
-from coveport.lab.trials.schedules import Fault, Trial
-from coveport.lab.trials.search import hunt
-from coveport.lab.trials.work.sim import WorkTrial, play
-from coveport.lab.trials.work.variants import VARIANTS
+from coveport.testbed.fault_injection.real import RealTrial, Running
+from coveport.testbed.fault_injection.relay import Relay
+from coveport.testbed.fault_injection.schedules import Fault, Trial
+from coveport.testbed.fault_injection.search import hunt
+from coveport.testbed.fault_injection.work.broken_variants import VARIANTS
+from coveport.testbed.fault_injection.work.sim import WorkTrial, play
 
 Row = dict[str, object]
 DAYS = {
--- a/benchmarks/yardstick.py
+++ b/benchmarks/yardstick.py
@@ -29,9 +29,9 @@
 import msgspec
 
 from benchmarks.common import ROOT, machine, spread, table
-from coveport.lab.catalog import find
-from coveport.lab.run import play_and_judge
-from coveport.lab.scenario import load
+from coveport.testbed.catalog import find
+from coveport.testbed.run import play_and_judge
+from coveport.testbed.scenario import load
 
 LIMIT_S = 120.0  # of wall time for one day of the simulator
 SOUGHT = 0.05  # by so much at most may the service of the calm day differ
--- a/coveport/cli/check_model.py
+++ b/coveport/cli/check_model.py
@@ -43,8 +43,8 @@
 
     Exit code 0 where no order breaks a rule, 1 where one does, 2 where the call can't be used.
     """
-    from coveport.lab.check import check, printed
-    from coveport.lab.check.worlds import SMALL, WORLDS
+    from coveport.testbed.check import check, printed
+    from coveport.testbed.check.worlds import SMALL, WORLDS
 
     if list_:
         for world in WORLDS.values():
--- a/coveport/cli/fuzz.py
+++ b/coveport/cli/fuzz.py
@@ -10,7 +10,7 @@
 from coveport.cli.errors import NOT_HELD, OK, Unusable
 
 if TYPE_CHECKING:
-    from coveport.lab.fuzz.run import Told
+    from coveport.testbed.fuzz.run import Told
 
 FOLDER = click.Path(file_okay=False, path_type=Path)
 
@@ -77,7 +77,7 @@
 
     Exit code 0 where nothing was found, 1 where something was, 2 where the call can't be used.
     """
-    from coveport.lab.fuzz import run
+    from coveport.testbed.fuzz import run
 
     folder = corpus or run.CORPORA / target
     here = out / target
--- a/coveport/cli/lab.py
+++ b/coveport/cli/lab.py
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from rich.table import Table
 
-    from coveport.lab.compare import Comparison
-    from coveport.lab.sweep import Line, Told
+    from coveport.testbed.compare import Comparison
+    from coveport.testbed.sweep import Line, Told
 
 OUT_FILE = click.Path(dir_okay=False, path_type=Path)
 OUT_FOLDER = click.Path(file_okay=False, path_type=Path)
@@ -43,23 +43,23 @@
 @contextlib.contextmanager
 def one_line(ground: str = "virtual", variants: Sequence[str] = ()) -> Iterator[None]:
     """Turns what the lab says of a file or a call into the end of the verb."""
-    from coveport.lab.scenario import ScenarioError
+    from coveport.testbed.scenario import ScenarioError
 
     expected: tuple[type[Exception], ...] = (ScenarioError,)
     if ground == "real":
-        from coveport.lab.real import GroundError
+        from coveport.testbed.loopback import GroundError
 
         expected += (GroundError,)
         if any(variants):
             raise Unusable("variants of the sidecar run on virtual ground only")
     elif ground == "bare":
-        from coveport.lab.bare.play import BareError
+        from coveport.testbed.discrete_event.play import BareError
 
         expected += (BareError,)
         if any(variants):
             raise Unusable("variants of the sidecar run on virtual ground only")
     elif any(variants):
-        from coveport.lab.broken import variant_named
+        from coveport.testbed.broken import variant_named
 
         try:
             for name in variants:
@@ -77,7 +77,7 @@
     if str(path) == "-":
         click.echo(data.rstrip())
         return
-    from coveport.lab.lanes import write_whole
+    from coveport.testbed.worker_pool import write_whole
 
     write_whole(path, data.rstrip() + b"\n")
 
@@ -93,7 +93,7 @@
 def list_() -> int:
     """Show the days that come with the lab, a line each."""
     with one_line():
-        from coveport.lab import catalog
+        from coveport.testbed import catalog
 
         names = catalog.names()
     width = max((len(name) for name, _ in names), default=0)
@@ -127,10 +127,10 @@
     with one_line(ground):
         import msgspec
 
-        from coveport.lab import explain as picturing
-        from coveport.lab.catalog import find
-        from coveport.lab.run import play
-        from coveport.lab.scenario import load
+        from coveport.testbed import explain as picturing
+        from coveport.testbed.catalog import find
+        from coveport.testbed.run import play
+        from coveport.testbed.scenario import load
 
         scenario = load(find(day), sets)
         _make_room(json_)
@@ -179,12 +179,12 @@
     3 where the machine ran late and the run is void.
     """
     with one_line(ground, [variant]):
-        from coveport.lab.catalog import find
-        from coveport.lab.outcome import encode
-        from coveport.lab.report import summary_text, write
-        from coveport.lab.run import play_and_judge
-        from coveport.lab.scenario import load
-        from coveport.lab.trials.days import is_trial
+        from coveport.testbed.catalog import find
+        from coveport.testbed.fault_injection.days import is_trial
+        from coveport.testbed.outcome import encode
+        from coveport.testbed.report import summary_text, write
+        from coveport.testbed.run import play_and_judge
+        from coveport.testbed.scenario import load
 
         path = find(day)
         if is_trial(path):
@@ -266,8 +266,8 @@
     """
     several = list(dict.fromkeys(variants.split(",")))
     with one_line(ground, several):
-        from coveport.lab import sweep as sweeping
-        from coveport.lab.catalog import find
+        from coveport.testbed import sweep as sweeping
+        from coveport.testbed.catalog import find
 
         if ground == "real" and (jobs or 1) > 1:
             raise Unusable("--ground real plays one day at a time: days at once would make each other late")
@@ -419,7 +419,7 @@
     """
     import msgspec
 
-    from coveport.lab import compare as comparing
+    from coveport.testbed import compare as comparing
 
     try:
         told = comparing.compare(comparing.read(a), comparing.read(b), (a, b))
@@ -449,7 +449,7 @@
     from rich.box import SIMPLE_HEAD
     from rich.table import Table
 
-    from coveport.lab.compare import signed
+    from coveport.testbed.compare import signed
 
     table = Table(box=SIMPLE_HEAD)
     for name in ("figure", "days", "A", "B", "B - A", "95% interval", "p (Holm)", "beyond chance"):
--- a/coveport/cli/search.py
+++ b/coveport/cli/search.py
@@ -16,8 +16,8 @@
 from coveport.cli.trials import search_trials
 
 if TYPE_CHECKING:
-    from coveport.lab.scenario import Scenario
-    from coveport.lab.search.hunt import Line, Summary, Told
+    from coveport.testbed.scenario import Scenario
+    from coveport.testbed.search.hunt import Line, Summary, Told
 
 VARIANT = click.option("--variant", default="", metavar="NAME", help="Which variant of the sidecar.")
 
@@ -68,11 +68,11 @@
     Exit code 0 where there is no find, 1 where there is, 2 where the file or the call can't be used.
     """
     with one_line("virtual", [] if day.startswith("trials/") else [variant]):
-        from coveport.lab.catalog import find
-        from coveport.lab.scenario import load
-        from coveport.lab.search.hunt import hunt
-        from coveport.lab.sweep import SweepError
-        from coveport.lab.trials.days import is_trial
+        from coveport.testbed.catalog import find
+        from coveport.testbed.fault_injection.days import is_trial
+        from coveport.testbed.scenario import load
+        from coveport.testbed.search.hunt import hunt
+        from coveport.testbed.sweep import SweepError
 
         path = find(day)
         if is_trial(path):
@@ -214,11 +214,11 @@
     Exit code 0 where it was shrunk, 2 where DAY shows no such find or can't be used.
     """
     with one_line("virtual", [variant]):
-        from coveport.lab.catalog import find
-        from coveport.lab.lanes import write_whole
-        from coveport.lab.scenario import load
-        from coveport.lab.search.shrink import NotShownError
-        from coveport.lab.search.shrink import shrink as smallest
+        from coveport.testbed.catalog import find
+        from coveport.testbed.scenario import load
+        from coveport.testbed.search.shrink import NotShownError
+        from coveport.testbed.search.shrink import shrink as smallest
+        from coveport.testbed.worker_pool import write_whole
 
         scenario = load(find(day))
         out.parent.mkdir(parents=True, exist_ok=True)
--- a/coveport/cli/trials.py
+++ b/coveport/cli/trials.py
@@ -13,8 +13,8 @@
 from coveport.cli.errors import NOT_HELD, OK, Unusable
 
 if TYPE_CHECKING:
-    from coveport.lab.trials.judge import Belief, Finding
-    from coveport.lab.trials.search import Found
+    from coveport.testbed.fault_injection.judge import Belief, Finding
+    from coveport.testbed.fault_injection.search import Found
 
 
 def report(findings: Sequence[Finding], beliefs: Sequence[Belief], acts: int) -> int:
@@ -31,22 +31,22 @@
     path: Path, seed: int | None, ground: str, variant: str, sets: Sequence[str], logs: Path | None
 ) -> int:
     """Play a trial's file on a ground."""
-    from coveport.lab.trials.days import load
-    from coveport.lab.trials.variants import SOUND, VARIANTS
+    from coveport.testbed.fault_injection.broken_variants import SOUND, VARIANTS
+    from coveport.testbed.fault_injection.days import load
 
     day = load(path, tuple(sets))
     seed = day.seed if seed is None else seed
     if variant and variant not in VARIANTS:
         raise Unusable(f"no variant {variant!r}; one of {', '.join(VARIANTS)}")
     if ground == "virtual":
-        from coveport.lab.trials.virtual import play
+        from coveport.testbed.fault_injection.virtual import play
 
         played = play(day.trial, seed, VARIANTS.get(variant, SOUND))
         return report(played.findings, played.beliefs, len(played.acts))
     if ground != "real" or variant:
         raise Unusable("trials run on virtual and real ground, variants on virtual ground only")
-    from coveport.lab.trials.real import TrialError
-    from coveport.lab.trials.real import play as real
+    from coveport.testbed.fault_injection.real import TrialError
+    from coveport.testbed.fault_injection.real import play as real
 
     with tempfile.TemporaryDirectory() as own:
         folder = (logs or Path(own)).resolve()
@@ -61,10 +61,10 @@
     path: Path, runs: int, workers: int, seed: int, out: Path, variant: str, sets: Sequence[str]
 ) -> int:
     """Draw trials for as many instances as a day of trials has; each find is kept as such a day."""
-    from coveport.lab.trials.days import load, write
-    from coveport.lab.trials.schedules import Trial
-    from coveport.lab.trials.search import hunt, shrink
-    from coveport.lab.trials.variants import VARIANTS
+    from coveport.testbed.fault_injection.broken_variants import VARIANTS
+    from coveport.testbed.fault_injection.days import load, write
+    from coveport.testbed.fault_injection.schedules import Trial
+    from coveport.testbed.fault_injection.search import hunt, shrink
 
     day = load(path, tuple(sets))
     if variant and variant not in VARIANTS:
@@ -97,7 +97,7 @@
     runs: int, first_seed: int, instances: int, variant: str, work: bool, fleet: bool, workers: int
 ) -> int:
     """Play drawn trials on simulated ground; print each find with as few faults as show it."""
-    from coveport.lab.trials.search import VARIANTS_OF, hunt, shrink
+    from coveport.testbed.fault_injection.search import VARIANTS_OF, hunt, shrink
 
     if work and fleet:
         raise Unusable("--work and --fleet: one or the other")
--- a/coveport/serving/simulation/places.py
+++ b/coveport/serving/simulation/places.py
@@ -8,14 +8,14 @@
 from random import Random
 from typing import TYPE_CHECKING, Final, cast
 
-from coveport.lab.virtual.wires import Network, Place, VirtualNet
-from coveport.lab.virtual.world import Process, World
 from coveport.serving.simulation.zones import Delays, Zone
+from coveport.testbed.simulated_network.wires import Network, Place, VirtualNet
+from coveport.testbed.simulated_network.world import Process, World
 
 if TYPE_CHECKING:
-    from coveport.lab.virtual.wires import _Dial
-    from coveport.lab.ways import Ways
     from coveport.net.address import Address
+    from coveport.testbed.network_model import Ways
+    from coveport.testbed.simulated_network.wires import _Dial
 
 JITTER: Final = 0.1  # of every delay
 
--- a/coveport/serving/simulation/world.py
+++ b/coveport/serving/simulation/world.py
@@ -9,7 +9,6 @@
 from random import Random
 from typing import Any, Final
 
-from coveport.lab.virtual.world import World
 from coveport.net.address import Address
 from coveport.serving.coordinator.process import Coordinator
 from coveport.serving.proxy.process import Proxy
@@ -48,6 +47,7 @@
     run_nothing,
 )
 from coveport.serving.simulation.zones import Zone
+from coveport.testbed.simulated_network.world import World
 
 FIRST_ORDER_S: Final = 1.0  # after the machines' start
 READ_BACK_S: Final = 4.0
--- a/coveport/lab/catalog.py
+++ b/coveport/testbed/catalog.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 
 import coveport
-from coveport.lab.scenario import ScenarioError, load
-from coveport.lab.trials.days import is_trial
-from coveport.lab.trials.days import load as trial
+from coveport.testbed.fault_injection.days import is_trial
+from coveport.testbed.fault_injection.days import load as trial
+from coveport.testbed.scenario import ScenarioError, load
 
 
 def folder() -> Path:
--- a/coveport/lab/check/__init__.py
+++ b/coveport/testbed/check/__init__.py
@@ -4,9 +4,9 @@
 a path, which `replay` plays.
 """
 
-from coveport.lab.check.explore import Found, Report, check
-from coveport.lab.check.replay import printed, replay
-from coveport.lab.check.rules import RULES, Breach
-from coveport.lab.check.world import World
+from coveport.testbed.check.explore import Found, Report, check
+from coveport.testbed.check.replay import printed, replay
+from coveport.testbed.check.rules import RULES, Breach
+from coveport.testbed.check.world import World
 
 __all__ = ["RULES", "Breach", "Found", "Report", "World", "check", "printed", "replay"]
--- a/coveport/lab/check/chance.py
+++ b/coveport/testbed/check/chance.py
@@ -15,7 +15,7 @@
 
 from coveport.balancing import Balancer
 from coveport.balancing import balancer as decide
-from coveport.lab.check.world import NODE
+from coveport.testbed.check.world import NODE
 
 T = TypeVar("T")
 R = TypeVar("R")
--- a/coveport/lab/check/explore.py
+++ b/coveport/testbed/check/explore.py
@@ -13,13 +13,13 @@
 from random import Random
 
 from coveport.balancing import Balancer
-from coveport.lab.check.chance import Chooser, watched
-from coveport.lab.check.play import Play
-from coveport.lab.check.replay import replay
-from coveport.lab.check.rules import Breach
-from coveport.lab.check.states import Keeper, Keys
-from coveport.lab.check.world import START_MS, Move, World
 from coveport.sidecar.reducer.reducer import Reducer
+from coveport.testbed.check.chance import Chooser, watched
+from coveport.testbed.check.play import Play
+from coveport.testbed.check.replay import replay
+from coveport.testbed.check.rules import Breach
+from coveport.testbed.check.states import Keeper, Keys
+from coveport.testbed.check.world import START_MS, Move, World
 
 Moves = list[tuple[float, Move]]
 TELL_EVERY = 1000  # states
--- a/coveport/lab/check/play.py
+++ b/coveport/testbed/check/play.py
@@ -8,12 +8,12 @@
 
 from coveport.balancing import Balancer
 from coveport.balancing import interface as api
-from coveport.lab.check import rules
-from coveport.lab.check.rules import Breach
-from coveport.lab.check.surroundings import Surroundings
-from coveport.lab.check.world import Move, World
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.reducer import Reducer
+from coveport.testbed.check import rules
+from coveport.testbed.check.rules import Breach
+from coveport.testbed.check.surroundings import Surroundings
+from coveport.testbed.check.world import Move, World
 
 
 class Play:
--- a/coveport/lab/check/replay.py
+++ b/coveport/testbed/check/replay.py
@@ -11,14 +11,14 @@
 from typing import TYPE_CHECKING, Any
 
 from coveport.balancing import Balancer
-from coveport.lab.check.chance import Drawn
-from coveport.lab.check.play import Play
-from coveport.lab.check.rules import RULES, Breach
-from coveport.lab.check.world import START_MS, Path, Until, World
 from coveport.sidecar.reducer.reducer import Reducer
+from coveport.testbed.check.chance import Drawn
+from coveport.testbed.check.play import Play
+from coveport.testbed.check.rules import RULES, Breach
+from coveport.testbed.check.world import START_MS, Path, Until, World
 
 if TYPE_CHECKING:
-    from coveport.lab.check.explore import Found
+    from coveport.testbed.check.explore import Found
 
 WIDTH = 110
 
@@ -90,8 +90,8 @@
     used = ", ".join(name for name in NAMES if re.search(rf"\b{name}\(", body))
     return (
         f"from coveport.sidecar.reducer.reducer import Reducer\n"
-        f"from coveport.lab.check import replay\n"
-        f"from coveport.lab.check.world import {used}\n"
+        f"from coveport.testbed.check import replay\n"
+        f"from coveport.testbed.check.world import {used}\n"
         f"from coveport.balancing import Balancer\n"
         f"from coveport.balancing import interface as api\n\n\n{body}"
     )
--- a/coveport/lab/check/rules.py
+++ b/coveport/testbed/check/rules.py
@@ -12,11 +12,11 @@
 from coveport.balancing import Balancer
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Outcome, State
-from coveport.lab.check.surroundings import Asked, Step, Surroundings
-from coveport.lab.check.world import NODE, OPERATION
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.reducer import Reducer
+from coveport.testbed.check.surroundings import Asked, Step, Surroundings
+from coveport.testbed.check.world import NODE, OPERATION
 
 RULES = {
     "answer-twice": "an operation got a second final answer, or one after its client had gone",
--- a/coveport/lab/check/states.py
+++ b/coveport/testbed/check/states.py
@@ -20,11 +20,11 @@
 from coveport.balancing import Balancer
 from coveport.balancing import balancer as decide
 from coveport.balancing.interface import Effect
-from coveport.lab.check.chance import Chooser, Draw
-from coveport.lab.check.play import Play
-from coveport.lab.check.surroundings import Asked, Surroundings
-from coveport.lab.check.world import NODE, OPERATION, START_MS, World
 from coveport.sidecar.reducer.reducer import Reducer
+from coveport.testbed.check.chance import Chooser, Draw
+from coveport.testbed.check.play import Play
+from coveport.testbed.check.surroundings import Asked, Surroundings
+from coveport.testbed.check.world import NODE, OPERATION, START_MS, World
 
 _INSTANTS = START_MS / 2
 
--- a/coveport/lab/check/surroundings.py
+++ b/coveport/testbed/check/surroundings.py
@@ -7,7 +7,9 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import ListKind, Outcome, State
-from coveport.lab.check.world import (
+from coveport.sidecar.reducer import messages as core
+from coveport.sidecar.reducer.operation import Answer
+from coveport.testbed.check.world import (
     NODE,
     OPERATION,
     START_MS,
@@ -24,8 +26,6 @@
     Word,
     World,
 )
-from coveport.sidecar.reducer import messages as core
-from coveport.sidecar.reducer.operation import Answer
 
 ELSEWHERE = ("127.0.0.1", 1)  # where a reload says that discovery is
 PROBE_OUTCOMES = (Outcome.OK, Outcome.CONNECT_FAILED)
--- a/coveport/lab/check/worlds.py
+++ b/coveport/testbed/check/worlds.py
@@ -11,7 +11,7 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect, Group, ListKind, Outcome, State
-from coveport.lab.check.world import Line, Node, Wish, Word, World
+from coveport.testbed.check.world import Line, Node, Wish, Word, World
 
 BALANCE, EARN, REDEEM = 0, 1, 2
 FAULTS = (Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET)
--- a/coveport/lab/compare.py
+++ b/coveport/testbed/compare.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Struct
 
-from coveport.lab.sweep import Cell, Judged
+from coveport.testbed.sweep import Cell, Judged
 
 HIGHER_IS_BETTER = ("service", "worst_10s", "worst_class", "mark")
 
@@ -179,7 +179,7 @@
 
     `resamples`: of each interval and test; the same days give the same comparison.
     """
-    from coveport.lab import intervals
+    from coveport.testbed import intervals
 
     sides, live = [], []
     for letter, name, days in zip("AB", names, (a, b), strict=True):
@@ -246,7 +246,7 @@
 
 def _differences(first: list[Values], second: list[Values], paired: bool, resamples: int) -> list[Difference]:
     """Of all figures that both sides have; paired: equal places are pairs, and have equal figures."""
-    from coveport.lab import intervals
+    from coveport.testbed import intervals
 
     found = []
     for name in dict.fromkeys(name for values in first for name in values):
@@ -283,7 +283,7 @@
 
 def _verdict(told: Comparison, days_a: int, days_b: int) -> list[str]:
     """What it comes to, in words; a line each."""
-    from coveport.lab import intervals
+    from coveport.testbed import intervals
 
     words = []
     for letter, side in (("A", told.a), ("B", told.b)):
--- a/coveport/lab/conductor.py
+++ b/coveport/testbed/conductor.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Iterable
 
-from coveport.lab.books import Books, Fault
-from coveport.lab.day import (
+from coveport.net.transport import Net
+from coveport.testbed.day import (
     DISCOVERY_CHANGES,
     NETWORK_CHANGES,
     NODE_CHANGES,
@@ -15,7 +15,7 @@
     Change,
     Day,
 )
-from coveport.net.transport import Net
+from coveport.testbed.event_log import Books, Fault
 
 Take = Callable[[Change], None]
 
--- a/coveport/lab/day.py
+++ b/coveport/testbed/day.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from coveport.lab.scenario import Scenario
+from coveport.testbed.scenario import Scenario
 
 NEVER = -1.0
 
--- a/coveport/lab/bare/tills.py
+++ b/coveport/testbed/discrete_event/clients.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from math import inf
 
-from coveport.lab.bare.agenda import Agenda
-from coveport.lab.books import Answered, Asked, Books, Broke, GaveUp, Unasked
-from coveport.lab.chance import ends
-from coveport.lab.day import Day, Wish
-from coveport.lab.ids import try_id
-from coveport.lab.ways import CLIENT
+from coveport.testbed.day import Day, Wish
+from coveport.testbed.discrete_event.scheduler import Agenda
+from coveport.testbed.event_log import Answered, Asked, Books, Broke, GaveUp, Unasked
+from coveport.testbed.ids import try_id
+from coveport.testbed.network_model import CLIENT
+from coveport.testbed.random_streams import ends
 
 LINGER_MS = 50.0  # beyond the answer slack, after which a till no longer waits for an answer that is late
 
--- a/coveport/lab/bare/listing.py
+++ b/coveport/testbed/discrete_event/listing.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 
 from coveport.balancing.interface import HostEntry, ListKind, ListUpdate, State
-from coveport.lab.bare.agenda import Agenda
-from coveport.lab.books import Books, Told
-from coveport.lab.chance import ends
-from coveport.lab.day import NEVER, Change, Day
-from coveport.lab.standins.seen_node import SeenNode
+from coveport.testbed.day import NEVER, Change, Day
+from coveport.testbed.discrete_event.scheduler import Agenda
+from coveport.testbed.event_log import Books, Told
+from coveport.testbed.random_streams import ends
+from coveport.testbed.standins.seen_node import SeenNode
 
 EPOCH_MS = 1e9  # the day's begin on the sidecars' clock, on which 0 means long ago
 _STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
--- a/coveport/lab/bare/nodes.py
+++ b/coveport/testbed/discrete_event/nodes.py
@@ -6,15 +6,15 @@
 from math import inf, prod
 
 from coveport.balancing.interface import Outcome
-from coveport.lab import model as core
-from coveport.lab.bare.agenda import Agenda, Entry
-from coveport.lab.books import Arrived, Books, Ended, Linked, NodeLoad, Probed, Ran, Replied
-from coveport.lab.day import Change, Day, NodeDrawn, Wish
-from coveport.lab.model import Attempt, KeyMemory, NodeModel
-from coveport.lab.standins.fates import UNRUN, Fate, Fates
-from coveport.lab.standins.node_state import BusyShare, LoadReports, state_row
-from coveport.lab.standins.nodes import NUMBERS
-from coveport.lab.standins.work_book import WorkBook
+from coveport.testbed import model as core
+from coveport.testbed.day import Change, Day, NodeDrawn, Wish
+from coveport.testbed.discrete_event.scheduler import Agenda, Entry
+from coveport.testbed.event_log import Arrived, Books, Ended, Linked, NodeLoad, Probed, Ran, Replied
+from coveport.testbed.model import Attempt, KeyMemory, NodeModel
+from coveport.testbed.standins.fates import UNRUN, Fate, Fates
+from coveport.testbed.standins.node_state import BusyShare, LoadReports, state_row
+from coveport.testbed.standins.nodes import NUMBERS
+from coveport.testbed.standins.operation_costs import WorkBook
 
 LOAD_EVERY_MS = 500.0
 SPOILT = "spoilt"  # a body after which the connection is of no use
--- a/coveport/lab/bare/play.py
+++ b/coveport/testbed/discrete_event/play.py
@@ -12,20 +12,20 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.balancer import Balancer
-from coveport.lab import stopping
-from coveport.lab.bare.agenda import Agenda
-from coveport.lab.bare.listing import Listing
-from coveport.lab.bare.nodes import BareNode
-from coveport.lab.bare.sidecars import BareSidecar
-from coveport.lab.bare.tills import Tills, Try
-from coveport.lab.bare.warded import Life, Warded
-from coveport.lab.books import Books
-from coveport.lab.conductor import write_faults
-from coveport.lab.day import NETWORK_CHANGES, NODE_CHANGES, Change, Day
-from coveport.lab.model import KeyMemory
-from coveport.lab.playing import Played
-from coveport.lab.standins.work_book import WorkBook
-from coveport.lab.ways import Ways
+from coveport.testbed import stopping
+from coveport.testbed.conductor import write_faults
+from coveport.testbed.day import NETWORK_CHANGES, NODE_CHANGES, Change, Day
+from coveport.testbed.discrete_event.clients import Tills, Try
+from coveport.testbed.discrete_event.listing import Listing
+from coveport.testbed.discrete_event.nodes import BareNode
+from coveport.testbed.discrete_event.scheduler import Agenda
+from coveport.testbed.discrete_event.sidecars import BareSidecar
+from coveport.testbed.discrete_event.slow_start import Life, Warded
+from coveport.testbed.event_log import Books
+from coveport.testbed.model import KeyMemory
+from coveport.testbed.network_model import Ways
+from coveport.testbed.playing import Played
+from coveport.testbed.standins.operation_costs import WorkBook
 
 BEFORE_MS = 2000.0  # the sidecars start so long before the day begins
 SLICE_MS = 250.0
--- a/coveport/lab/bare/agenda.py
+++ b/coveport/testbed/discrete_event/scheduler.py
@@ -11,7 +11,7 @@
 from math import inf
 from typing import Any
 
-from coveport.lab.ways import Ways
+from coveport.testbed.network_model import Ways
 
 Do = Callable[..., Any]
 
--- a/coveport/lab/bare/sidecars.py
+++ b/coveport/testbed/discrete_event/sidecars.py
@@ -13,17 +13,17 @@
 from coveport.balancing import interface as api
 from coveport.balancing.balancer import Balancer
 from coveport.balancing.simulator_codec import parse_settings
-from coveport.lab.bare.agenda import Agenda, Entry
-from coveport.lab.bare.listing import EPOCH_MS
-from coveport.lab.bare.nodes import SPOILT, BareNode, Link
-from coveport.lab.bare.tills import Try
-from coveport.lab.books import Books, Life
-from coveport.lab.day import Day, SidecarDrawn, sidecar_settings
 from coveport.sidecar.effects import connect_timeout_ms
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer
 from coveport.sidecar.reducer.reducer import Reducer
 from coveport.sidecar.upstream.connection_pool import IDLE_SHARE
+from coveport.testbed.day import Day, SidecarDrawn, sidecar_settings
+from coveport.testbed.discrete_event.clients import Try
+from coveport.testbed.discrete_event.listing import EPOCH_MS
+from coveport.testbed.discrete_event.nodes import SPOILT, BareNode, Link
+from coveport.testbed.discrete_event.scheduler import Agenda, Entry
+from coveport.testbed.event_log import Books, Life
 
 DRAIN_MS = 700.0  # how long one that was told to stop takes new work
 START_MS = 200.0  # until the next one is ready
--- a/coveport/lab/bare/warded.py
+++ b/coveport/testbed/discrete_event/slow_start.py
@@ -9,11 +9,11 @@
 from typing import Protocol
 
 from coveport.balancing import interface as api
-from coveport.lab.bare.agenda import Agenda
 from coveport.sidecar.leases.store import Entry, Put
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.reducer import Reducer
 from coveport.sidecar.singletons.slow_start_coordinator import GRANT, NEED, Granted, Safe, Warden
+from coveport.testbed.discrete_event.scheduler import Agenda
 
 LOOK_MS = 250.0  # how often instances wish, and the warden answers
 STORE_MS = 10.0  # a write, or news of one
--- a/coveport/lab/drawing.py
+++ b/coveport/testbed/drawing.py
@@ -9,12 +9,12 @@
 
 from typing import Any
 
-from coveport.lab.chance import drawn, stream
-from coveport.lab.day import Day
-from coveport.lab.fleet import draw_nodes, draw_sidecars
-from coveport.lab.scenario import Scenario
-from coveport.lab.troubles import Course, draw_trouble
-from coveport.lab.wishes import draw_wishes
+from coveport.testbed.day import Day
+from coveport.testbed.fault_schedule import Course, draw_trouble
+from coveport.testbed.fleet import draw_nodes, draw_sidecars
+from coveport.testbed.random_streams import drawn, stream
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.workload import draw_wishes
 
 
 def draw(scenario: Scenario, seed: int) -> Day:
--- a/coveport/lab/explain.py
+++ b/coveport/testbed/explain.py
@@ -12,9 +12,9 @@
 import numpy as np
 from msgspec import Struct
 
-from coveport.lab import books
-from coveport.lab.day import Day
-from coveport.lab.playing import Played
+from coveport.testbed import event_log
+from coveport.testbed.day import Day
+from coveport.testbed.playing import Played
 
 WINDOW_MS = 2000.0
 IDLE, CROWDED = 0.6, 5.0  # a node's busy share under which it idles; operations above which it is crowded
@@ -63,27 +63,27 @@
 def explain(played: Played) -> Picture:
     """The picture of a day that was played on whatever ground."""
     day, rows = played.day, played.rows
-    tries: dict[str, list[books.Asked]] = defaultdict(list)
-    answers: dict[str, books.Answered] = {}
-    arrived: dict[str, list[books.Arrived]] = defaultdict(list)
-    replied: dict[tuple[int, int], books.Replied] = {}
-    ended: dict[tuple[int, int], books.Ended] = {}
-    loads: list[books.NodeLoad] = []
+    tries: dict[str, list[event_log.Asked]] = defaultdict(list)
+    answers: dict[str, event_log.Answered] = {}
+    arrived: dict[str, list[event_log.Arrived]] = defaultdict(list)
+    replied: dict[tuple[int, int], event_log.Replied] = {}
+    ended: dict[tuple[int, int], event_log.Ended] = {}
+    loads: list[event_log.NodeLoad] = []
     links = 0
     for row in rows:
-        if isinstance(row, books.Asked):
+        if isinstance(row, event_log.Asked):
             tries[row.first].append(row)
-        elif isinstance(row, books.Answered):
+        elif isinstance(row, event_log.Answered):
             answers[row.op] = row
-        elif isinstance(row, books.Arrived):
+        elif isinstance(row, event_log.Arrived):
             arrived[row.op].append(row)
-        elif isinstance(row, books.Replied):
+        elif isinstance(row, event_log.Replied):
             replied[row.node, row.attempt] = row
-        elif isinstance(row, books.Ended):
+        elif isinstance(row, event_log.Ended):
             ended[row.node, row.attempt] = row
-        elif isinstance(row, books.NodeLoad):
+        elif isinstance(row, event_log.NodeLoad):
             loads.append(row)
-        elif isinstance(row, books.Linked):
+        elif isinstance(row, event_log.Linked):
             links += row.up
 
     def cause(first: str, due: float, aim_ms: float) -> str:
@@ -132,7 +132,7 @@
 
 
 def _windows(
-    loads: Iterable[books.NodeLoad],
+    loads: Iterable[event_log.NodeLoad],
     count: int,
     due: np.ndarray,
     wishes: np.ndarray,
@@ -163,7 +163,7 @@
     return windows
 
 
-def _heat(day: Day, loads: Iterable[books.NodeLoad], count: int) -> list[tuple[int, int, str]]:
+def _heat(day: Day, loads: Iterable[event_log.NodeLoad], count: int) -> list[tuple[int, int, str]]:
     held: dict[int, list[list[int]]] = {node.number: [[] for _ in range(count)] for node in day.nodes}
     for row in loads:
         if 0 <= row.at < count * WINDOW_MS:
--- a/coveport/lab/trials/clocked.py
+++ b/coveport/testbed/fault_injection/clocked.py
@@ -1,6 +1,6 @@
 """Runs the program with clocks that are wrong: a process of a trial whose host's time can't be trusted.
 
-    python -m coveport.lab.trials.clocked '{"wall_off_s": 5}' run --config FILE
+    python -m coveport.testbed.fault_injection.clocked '{"wall_off_s": 5}' run --config FILE
 
 The command line behind it is the shipped one; only what the `time` module tells is bent before it is
 imported. The wall clock may be off and may jump; the clocks that run through sleep, or stop in it, may run
--- a/coveport/lab/trials/days.py
+++ b/coveport/testbed/fault_injection/days.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from coveport.lab.scenario import ScenarioError
-from coveport.lab.trials.schedules import HOLDER, KINDS, TRAPS, Fault, Trial
 from coveport.sidecar.config.terms import BadTermsError, Terms
+from coveport.testbed.fault_injection.schedules import HOLDER, KINDS, TRAPS, Fault, Trial
+from coveport.testbed.scenario import ScenarioError
 
 
 class Told(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/coveport/lab/trials/town.py
+++ b/coveport/testbed/fault_injection/environment.py
@@ -163,7 +163,7 @@
     @classmethod
     async def start_ledgers(cls, nodes: int, window_s: float) -> Town:
         """The same with ledgers that keep books, two to a cell."""
-        from coveport.lab.trials.ledger import Cell, LedgerNode
+        from coveport.testbed.fault_injection.recording_nodes import Cell, LedgerNode
 
         cells = [Cell(window_s) for _ in range((nodes + 1) // 2)]
         town = cls([LedgerNode(number, cells[number // 2], number // 2) for number in range(nodes)])
--- a/coveport/lab/trials/fleet/host.py
+++ b/coveport/testbed/fault_injection/fleet/host.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from coveport.lab.virtual.world import Process, World
 from coveport.sidecar.config.operator import Fleet
 from coveport.sidecar.supervisor.instance_state import End
+from coveport.testbed.simulated_network.world import Process, World
 
 BEATS = 4
 SERVED = "1.0/50"
--- a/coveport/lab/trials/fleet/judge.py
+++ b/coveport/testbed/fault_injection/fleet/judge.py
@@ -12,10 +12,10 @@
 from math import inf
 from typing import Any
 
-from coveport.lab.trials.fleet.host import Event, SimLife
-from coveport.lab.trials.judge import Finding
 from coveport.sidecar.config.operator import Fleet
 from coveport.sidecar.supervisor.desired_state import Phase, Plan
+from coveport.testbed.fault_injection.fleet.host import Event, SimLife
+from coveport.testbed.fault_injection.judge import Finding
 
 WINDOW_S = 1.0  # over which starts are counted
 EDGE_S = 0.1  # clocks that part by a little, and the time that a word takes
--- a/coveport/lab/trials/fleet/real.py
+++ b/coveport/testbed/fault_injection/fleet/real.py
@@ -16,10 +16,10 @@
 from pathlib import Path
 from typing import Any
 
-from coveport.lab.trials.real import SETTINGS, TrialError
-from coveport.lab.trials.town import Town
 from coveport.sidecar.supervisor import locks
 from coveport.sidecar.supervisor.control import call
+from coveport.testbed.fault_injection.environment import Town
+from coveport.testbed.fault_injection.real import SETTINGS, TrialError
 
 UP_S = 60.0  # for what takes a second or two on a machine with nothing else to do
 
--- a/coveport/lab/trials/fleet/sim.py
+++ b/coveport/testbed/fault_injection/fleet/sim.py
@@ -8,14 +8,6 @@
 
 import msgspec
 
-from coveport.lab.trials.fleet.host import SimHands, SimHost
-from coveport.lab.trials.fleet.judge import Said, judge
-from coveport.lab.trials.fleet.variants import SOUND, FleetVariant
-from coveport.lab.trials.judge import Finding, accepted, order
-from coveport.lab.trials.quiet_collector import collector_paused
-from coveport.lab.trials.schedules import Fault
-from coveport.lab.trials.simstore import Host, SimStore, Way
-from coveport.lab.virtual.world import Process, World
 from coveport.sidecar.config.operator import (
     Duties,
     Fleet,
@@ -30,6 +22,14 @@
 from coveport.sidecar.supervisor.desired_state import FLEET, Phase, Plan
 from coveport.sidecar.supervisor.instance_state import End
 from coveport.sidecar.supervisor.supervisor import Supervisor
+from coveport.testbed.fault_injection.fleet.broken_variants import SOUND, FleetVariant
+from coveport.testbed.fault_injection.fleet.host import SimHands, SimHost
+from coveport.testbed.fault_injection.fleet.judge import Said, judge
+from coveport.testbed.fault_injection.judge import Finding, accepted, order
+from coveport.testbed.fault_injection.quiet_collector import collector_paused
+from coveport.testbed.fault_injection.schedules import Fault
+from coveport.testbed.fault_injection.simstore import Host, SimStore, Way
+from coveport.testbed.simulated_network.world import Process, World
 
 START_S = 1000.0
 PREFIX = "coveport-fleet/"
--- a/coveport/lab/trials/judge.py
+++ b/coveport/testbed/fault_injection/judge.py
@@ -24,11 +24,11 @@
 
 import msgspec
 
-from coveport.lab.trials.history import Histories, Record
 from coveport.sidecar.leases.lease_client import INSTANCE
 from coveport.sidecar.leases.store import Change, Entry
 from coveport.sidecar.singletons.rollout import Plan, fares_of
 from coveport.sidecar.singletons.slow_start_coordinator import PART, Safe
+from coveport.testbed.fault_injection.history import Histories, Record
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/lab/trials/model.py
+++ b/coveport/testbed/fault_injection/model.py
@@ -18,7 +18,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from coveport.lab.standins.etcd.engine import Engine
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.leases.effects import Arrive, AskLease, Claim, DropLease, KeepLease, Look, Release
 from coveport.sidecar.leases.lease_state import Holder
@@ -33,6 +32,7 @@
     Unknown,
     fenced,
 )
+from coveport.testbed.standins.etcd.engine import Engine
 
 TERMS = Terms(3.0, 0.2, 0.02)
 DUTY, KEY, STATE = "d", "duty/d", "state/d"
--- a/coveport/lab/trials/real.py
+++ b/coveport/testbed/fault_injection/real.py
@@ -24,15 +24,15 @@
 
 import msgspec
 
-from coveport.lab.trials import judge
-from coveport.lab.trials.clocked import Clocks
-from coveport.lab.trials.history import Histories, read_lines
-from coveport.lab.trials.ledger import Tills
-from coveport.lab.trials.relay import Relay
-from coveport.lab.trials.schedules import HOLDER, Fault, Trial
-from coveport.lab.trials.town import Discovery, Town
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.store import Change, Entry
+from coveport.testbed.fault_injection import judge
+from coveport.testbed.fault_injection.clocked import Clocks
+from coveport.testbed.fault_injection.environment import Discovery, Town
+from coveport.testbed.fault_injection.history import Histories, read_lines
+from coveport.testbed.fault_injection.recording_nodes import Tills
+from coveport.testbed.fault_injection.relay import Relay
+from coveport.testbed.fault_injection.schedules import HOLDER, Fault, Trial
 
 UP_S = 20.0  # how long instances may take to serve, on a busy machine
 LET_GO_S = 6.0  # SIGTERM to the end of the process
@@ -125,7 +125,7 @@
 
     def __init__(self, members: int = 3) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "coveport.lab.standins.etcd.server", "--members", str(members)],
+            [sys.executable, "-m", "coveport.testbed.standins.etcd.server", "--members", str(members)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
@@ -308,7 +308,7 @@
         clocks = self._clocks.get(one.number)
         if clocks is None:
             return "-m", "coveport"
-        return "-m", "coveport.lab.trials.clocked", msgspec.json.encode(clocks).decode()
+        return "-m", "coveport.testbed.fault_injection.clocked", msgspec.json.encode(clocks).decode()
 
     def retune(self, settings: Mapping[str, Any]) -> None:
         """Give all instances other settings, by SIGHUP."""
--- a/coveport/lab/trials/ledger.py
+++ b/coveport/testbed/fault_injection/recording_nodes.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from urllib.parse import urlsplit
 
-from coveport.lab.trials.judge import Finding
-from coveport.lab.trials.town import Answer, Request, Stand
+from coveport.testbed.fault_injection.environment import Answer, Request, Stand
+from coveport.testbed.fault_injection.judge import Finding
 
 CLASSES = {"balance": "safe", "earn": "keyed", "redeem": "unsafe"}
 
--- a/coveport/lab/trials/search.py
+++ b/coveport/testbed/fault_injection/search.py
@@ -8,16 +8,16 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
 
-from coveport.lab.trials.fleet import sim as fleet_sim
-from coveport.lab.trials.fleet.variants import SOUND as FLEET_SOUND
-from coveport.lab.trials.fleet.variants import VARIANTS as FLEET_VARIANTS
-from coveport.lab.trials.judge import Finding
-from coveport.lab.trials.schedules import Trial, draw, without
-from coveport.lab.trials.variants import SOUND, VARIANTS
-from coveport.lab.trials.virtual import play
-from coveport.lab.trials.work import sim
-from coveport.lab.trials.work.variants import SOUND as WORK_SOUND
-from coveport.lab.trials.work.variants import VARIANTS as WORK_VARIANTS
+from coveport.testbed.fault_injection.broken_variants import SOUND, VARIANTS
+from coveport.testbed.fault_injection.fleet import sim as fleet_sim
+from coveport.testbed.fault_injection.fleet.broken_variants import SOUND as FLEET_SOUND
+from coveport.testbed.fault_injection.fleet.broken_variants import VARIANTS as FLEET_VARIANTS
+from coveport.testbed.fault_injection.judge import Finding
+from coveport.testbed.fault_injection.schedules import Trial, draw, without
+from coveport.testbed.fault_injection.virtual import play
+from coveport.testbed.fault_injection.work import sim
+from coveport.testbed.fault_injection.work.broken_variants import SOUND as WORK_SOUND
+from coveport.testbed.fault_injection.work.broken_variants import VARIANTS as WORK_VARIANTS
 
 CHUNK = 5  # trials that a worker takes at a time
 
--- a/coveport/lab/trials/simstore.py
+++ b/coveport/testbed/fault_injection/simstore.py
@@ -12,8 +12,6 @@
 from collections.abc import AsyncIterator, Callable, Sequence
 from dataclasses import dataclass, field
 
-from coveport.lab.standins.etcd.engine import Engine
-from coveport.lab.virtual.world import Process, World
 from coveport.sidecar.leases.store import (
     Change,
     Done,
@@ -24,6 +22,8 @@
     Unknown,
     WatchLostError,
 )
+from coveport.testbed.simulated_network.world import Process, World
+from coveport.testbed.standins.etcd.engine import Engine
 
 TICK_S = 0.01  # between two looks of the store at its leases
 BEAT_S = 0.5  # between two looks of a watch at its way
--- a/coveport/lab/trials/virtual.py
+++ b/coveport/testbed/fault_injection/virtual.py
@@ -9,20 +9,20 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from coveport.lab.trials import judge
-from coveport.lab.trials.history import Histories, Record
-from coveport.lab.trials.parts import BORN_S, SAFE, SERVICE_S, Part, rollout_word
-from coveport.lab.trials.quiet_collector import collector_paused
-from coveport.lab.trials.schedules import HOLDER, TRAPS, Fault, Trial
-from coveport.lab.trials.simstore import Host, SimStore, Trap, Way
-from coveport.lab.trials.variants import SOUND, Variant
-from coveport.lab.virtual.world import Process, World
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.leases.lease_client import Keeper
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Put, Transaction
 from coveport.sidecar.singletons.rollout import ASK, Rollout
 from coveport.sidecar.singletons.singleton import Duty, Runner
+from coveport.testbed.fault_injection import judge
+from coveport.testbed.fault_injection.broken_variants import SOUND, Variant
+from coveport.testbed.fault_injection.history import Histories, Record
+from coveport.testbed.fault_injection.parts import BORN_S, SAFE, SERVICE_S, Part, rollout_word
+from coveport.testbed.fault_injection.quiet_collector import collector_paused
+from coveport.testbed.fault_injection.schedules import HOLDER, TRAPS, Fault, Trial
+from coveport.testbed.fault_injection.simstore import Host, SimStore, Trap, Way
+from coveport.testbed.simulated_network.world import Process, World
 
 START_S = 1000.0  # the world's time when a trial begins
 LET_GO_S = 1.5  # a planned end may take so long
--- a/coveport/lab/trials/work/variants.py
+++ b/coveport/testbed/fault_injection/work/broken_variants.py
@@ -32,7 +32,7 @@
 
 
 def _plain() -> Kept:
-    from coveport.lab.trials.work.sim import Plain
+    from coveport.testbed.fault_injection.work.sim import Plain
 
     return Plain()
 
--- a/coveport/lab/trials/work/hands.py
+++ b/coveport/testbed/fault_injection/work/executors.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 from coveport.balancing import interface as api
-from coveport.lab.trials.ledger import Cell, Ran
-from coveport.lab.virtual.world import Process, World
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.reducer.reducer import Reducer
+from coveport.testbed.fault_injection.recording_nodes import Cell, Ran
+from coveport.testbed.simulated_network.world import Process, World
 
 CONNECT_S = (0.0003, 0.004)
 WIRE_S = (0.0002, 0.003)
--- a/coveport/lab/trials/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -12,15 +12,6 @@
 from functools import partial
 
 from coveport.balancing.simulator_codec import parse_settings
-from coveport.lab.trials.judge import Finding
-from coveport.lab.trials.ledger import Asked, Cell, Ran, judge
-from coveport.lab.trials.quiet_collector import collector_paused
-from coveport.lab.trials.real import SETTINGS
-from coveport.lab.trials.schedules import Fault
-from coveport.lab.trials.simstore import Host, SimStore, Way
-from coveport.lab.trials.work.hands import NodeWay, SimHands, SimNode, SimTills
-from coveport.lab.trials.work.variants import SOUND, WorkVariant
-from coveport.lab.virtual.world import Process, World
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.intent_log.encryption import Asked as KeptAsked
 from coveport.sidecar.intent_log.encryption import Given, Kept
@@ -33,6 +24,15 @@
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.reducer.operation import Operation
+from coveport.testbed.fault_injection.judge import Finding
+from coveport.testbed.fault_injection.quiet_collector import collector_paused
+from coveport.testbed.fault_injection.real import SETTINGS
+from coveport.testbed.fault_injection.recording_nodes import Asked, Cell, Ran, judge
+from coveport.testbed.fault_injection.schedules import Fault
+from coveport.testbed.fault_injection.simstore import Host, SimStore, Way
+from coveport.testbed.fault_injection.work.broken_variants import SOUND, WorkVariant
+from coveport.testbed.fault_injection.work.executors import NodeWay, SimHands, SimNode, SimTills
+from coveport.testbed.simulated_network.world import Process, World
 
 START_S = 1000.0
 PREFIX = "coveport-work/"
--- a/coveport/lab/troubles.py
+++ b/coveport/testbed/fault_schedule.py
@@ -8,9 +8,8 @@
 
 import msgspec
 
-from coveport.lab.chance import drawn, stream
-from coveport.lab.day import NEVER, Change, NodeDrawn, Span
-from coveport.lab.faults import (
+from coveport.testbed.day import NEVER, Change, NodeDrawn, Span
+from coveport.testbed.faults import (
     OF_SIDECARS,
     AnyFault,
     Burst,
@@ -41,8 +40,9 @@
     Upgrade,
     Whom,
 )
-from coveport.lab.fleet import draw_node
-from coveport.lab.scenario import Scenario
+from coveport.testbed.fleet import draw_node
+from coveport.testbed.random_streams import drawn, stream
+from coveport.testbed.scenario import Scenario
 
 ENDING_MS = 1000.0  # a sidecar told to stop is taken to be back by then, for a fault's end
 KILLED_MS = 1000.0  # until a killed sidecar is started again where the scenario does not say
--- a/coveport/lab/faults.py
+++ b/coveport/testbed/faults.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from coveport.lab.schema import (
+from coveport.testbed.schema import (
     Above0,
     FigureAbove0,
     FigureClock,
@@ -22,7 +22,7 @@
     Share,
     Strict,
 )
-from coveport.lab.tables import Bounds, Figure
+from coveport.testbed.tables import Bounds, Figure
 
 
 class Whom(Strict, frozen=True):
--- a/coveport/lab/fleet.py
+++ b/coveport/testbed/fleet.py
@@ -4,12 +4,12 @@
 
 import math
 
-from coveport.lab.chance import drawn, stream
-from coveport.lab.day import NodeDrawn, SidecarDrawn
-from coveport.lab.scenario import Scenario
-from coveport.lab.schema import Kind
-from coveport.lab.sense import portions
-from coveport.lab.tables import Figure
+from coveport.testbed.day import NodeDrawn, SidecarDrawn
+from coveport.testbed.random_streams import drawn, stream
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_checks import portions
+from coveport.testbed.schema import Kind
+from coveport.testbed.tables import Figure
 
 
 def draw_sidecars(scenario: Scenario, seed: int) -> tuple[SidecarDrawn, ...]:
--- a/coveport/lab/fuzz/__init__.py
+++ b/coveport/testbed/fuzz/__init__.py
@@ -21,8 +21,8 @@
         "coveport.net.address",
     ),
     "batches": ("coveport.balancing.simulator_codec",),
-    "scenarios": ("coveport.lab.scenario", "coveport.lab.tables"),
-    "outcomes": ("coveport.lab.outcome",),
+    "scenarios": ("coveport.testbed.scenario", "coveport.testbed.tables"),
+    "outcomes": ("coveport.testbed.outcome",),
     "requests-h11": (*HTTP, "h11"),
     "responses-h11": (*HTTP, "h11"),
 }
--- a/coveport/lab/fuzz/guided.py
+++ b/coveport/testbed/fuzz/guided.py
@@ -1,6 +1,6 @@
 """The process in which atheris runs a target.
 
-    python -m coveport.lab.fuzz.guided TARGET FINDS CORPUS [libFuzzer's arguments]
+    python -m coveport.testbed.fuzz.guided TARGET FINDS CORPUS [libFuzzer's arguments]
 
 Each kind of find is written to the file FINDS once, a JSON object a line, and the run goes on.
 """
@@ -15,7 +15,7 @@
 
 import atheris
 
-from coveport.lab.fuzz import UNDER_TEST
+from coveport.testbed.fuzz import UNDER_TEST
 
 OURS = 0.5  # share of mutations that are ours; libFuzzer's know nothing of lines and figures ...
 AFRESH = 0.1  # ... and of those that begin at the corpus: what takes no step of its own is soon forgotten
@@ -28,7 +28,7 @@
     with atheris.instrument_imports(include=list(UNDER_TEST[name])):
         for module in UNDER_TEST[name]:
             importlib.import_module(module)
-    from coveport.lab.fuzz import run
+    from coveport.testbed.fuzz import run
 
     target, met = run.named(name), dict[str, None]()
     mutator = run.Mutator("", run.load(Path(corpus)), run.words(target))
--- a/coveport/lab/fuzz/run.py
+++ b/coveport/testbed/fuzz/run.py
@@ -18,9 +18,9 @@
 from types import FrameType
 from typing import Any
 
-from coveport.lab.fuzz import UNDER_TEST
-from coveport.lab.fuzz.mutate import Mutator, read_dictionary
-from coveport.lab.fuzz.targets import TARGETS, BrokenError, Target
+from coveport.testbed.fuzz import UNDER_TEST
+from coveport.testbed.fuzz.mutate import Mutator, read_dictionary
+from coveport.testbed.fuzz.targets import TARGETS, BrokenError, Target
 
 __all__ = [
     "TARGETS",
@@ -168,7 +168,7 @@
         command = [
             sys.executable,
             "-m",
-            "coveport.lab.fuzz.guided",
+            "coveport.testbed.fuzz.guided",
             name,
             str(report),
             str(corpus),
--- a/coveport/lab/fuzz/targets.py
+++ b/coveport/testbed/fuzz/targets.py
@@ -23,14 +23,14 @@
 from coveport.balancing import simulator_codec
 from coveport.balancing.balancer import Balancer
 from coveport.http1 import codec
-from coveport.lab import outcome, scenario
-from coveport.lab.fuzz import writers
 from coveport.net.address import parse_address
 from coveport.sidecar.config import platform
 from coveport.sidecar.discovery.reader import PoolReader
 from coveport.sidecar.downstream.operation_reader import read_operation
 from coveport.sidecar.reducer.operation import Operation
 from coveport.sidecar.upstream.http1_connection import load_of, request_of
+from coveport.testbed import outcome, scenario
+from coveport.testbed.fuzz import writers
 
 MOST_BODY = 512  # bytes; less than in service, so that short inputs reach the limit
 REFUSALS = (400, 413, 431, 501, 505)  # what a parser may refuse with
@@ -421,14 +421,14 @@
 
 def requests_h11(data: bytes) -> None:
     """RequestParser and h11 as a server."""
-    from coveport.lab.fuzz import differ
+    from coveport.testbed.fuzz import differ
 
     _differ(differ.requests(data))
 
 
 def responses_h11(data: bytes) -> None:
     """ResponseParser and h11 as a client, with an end behind the bytes."""
-    from coveport.lab.fuzz import differ
+    from coveport.testbed.fuzz import differ
 
     _differ(differ.responses(data))
 
--- a/coveport/lab/real/__init__.py
+++ b/coveport/testbed/loopback/__init__.py
@@ -1,5 +1,5 @@
 """The real ground: sidecars as processes, stand-ins around them on loopback sockets."""
 
-from coveport.lab.real.orchestrator import GroundError, play, play_day
+from coveport.testbed.loopback.orchestrator import GroundError, play, play_day
 
 __all__ = ["GroundError", "play", "play_day"]
--- a/coveport/lab/real/hosts.py
+++ b/coveport/testbed/loopback/hosts.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Sequence
 from functools import partial
 
-from coveport.lab.ground import Accept
-from coveport.lab.real.shaping import Wire
-from coveport.lab.real.timing import DayClock
 from coveport.net.address import Address
 from coveport.net.transport import Factory, Net
+from coveport.testbed.backend import Accept
+from coveport.testbed.loopback.shaping import Wire
+from coveport.testbed.loopback.timing import DayClock
 
 WAITING = 1024  # connections that may wait to be accepted
 AT_ONCE = 32  # accepted in one turn of the loop
--- a/coveport/lab/real/orchestrator.py
+++ b/coveport/testbed/loopback/orchestrator.py
@@ -24,19 +24,19 @@
 import msgspec
 
 import coveport
-from coveport.lab.books import Books
-from coveport.lab.conductor import OF_SIDECARS, conduct, write_faults
-from coveport.lab.day import Change, Day
-from coveport.lab.playing import Played
-from coveport.lab.real import control
-from coveport.lab.real.folders import own_folder
-from coveport.lab.real.processes import Brood, Child
-from coveport.lab.real.sidecars import READY_S, Setting, Sidecar, last_line
-from coveport.lab.real.timing import DayClock
-from coveport.lab.scenario import needs_simulation
 from coveport.net.transport import Net
-
-PARTS = "coveport.lab.real.parts"
+from coveport.testbed.conductor import OF_SIDECARS, conduct, write_faults
+from coveport.testbed.day import Change, Day
+from coveport.testbed.event_log import Books
+from coveport.testbed.loopback import control
+from coveport.testbed.loopback.folders import own_folder
+from coveport.testbed.loopback.processes import Brood, Child
+from coveport.testbed.loopback.sidecars import READY_S, Setting, Sidecar, last_line
+from coveport.testbed.loopback.timing import DayClock
+from coveport.testbed.playing import Played
+from coveport.testbed.scenario import needs_simulation
+
+PARTS = "coveport.testbed.loopback.parts"
 SHARE = 300.0  # operations a second, in the busiest one, that one process plays the tills of
 START_S = 20.0  # a worker listens by then
 BOOKS_S = 20.0  # a worker has handed its books over by then
@@ -193,7 +193,10 @@
             log = self._folder / f"lab-{number}.log"
             with its:
                 child = self._brood.start(
-                    [sys.executable, "-m", "coveport.lab.real.worker"], log=log, environ=environ, control=its
+                    [sys.executable, "-m", "coveport.testbed.loopback.worker"],
+                    log=log,
+                    environ=environ,
+                    control=its,
                 )
             worker = _Worker(name, child, log, own)
             self._workers.append(worker)
--- a/coveport/lab/real/parts.py
+++ b/coveport/testbed/loopback/parts.py
@@ -8,19 +8,19 @@
 from functools import partial
 from typing import Any, Protocol
 
-from coveport.lab.books import Books
-from coveport.lab.conductor import OF_DISCOVERY, OF_NETWORK, OF_NODES, conduct
-from coveport.lab.day import Change, Day, NodeDrawn
-from coveport.lab.model import KeyMemory
-from coveport.lab.real.hosts import AGENTS, NODES, CallerHost, RealHost, address_of
-from coveport.lab.real.timing import DayClock
-from coveport.lab.standins.discovery import Discovery
-from coveport.lab.standins.nodes import LedgerNode
-from coveport.lab.standins.tills import Tills
-from coveport.lab.standins.work_book import WorkBook
-from coveport.lab.ways import Ways
 from coveport.net.address import Address
 from coveport.net.transport import Net
+from coveport.testbed.conductor import OF_DISCOVERY, OF_NETWORK, OF_NODES, conduct
+from coveport.testbed.day import Change, Day, NodeDrawn
+from coveport.testbed.event_log import Books
+from coveport.testbed.loopback.hosts import AGENTS, NODES, CallerHost, RealHost, address_of
+from coveport.testbed.loopback.timing import DayClock
+from coveport.testbed.model import KeyMemory
+from coveport.testbed.network_model import Ways
+from coveport.testbed.standins.clients import Tills
+from coveport.testbed.standins.discovery import Discovery
+from coveport.testbed.standins.nodes import LedgerNode
+from coveport.testbed.standins.operation_costs import WorkBook
 
 
 @dataclass(frozen=True)
--- a/coveport/lab/real/sidecars.py
+++ b/coveport/testbed/loopback/sidecars.py
@@ -13,13 +13,13 @@
 from pathlib import Path
 from typing import Any
 
-from coveport.lab.books import Books, Life, Sample
-from coveport.lab.day import Change, Day, SidecarDrawn, sidecar_settings
-from coveport.lab.real.control import Known
-from coveport.lab.real.hosts import SIDECARS, address_of, bound
-from coveport.lab.real.processes import Brood, Child
-from coveport.lab.real.timing import DayClock
 from coveport.net.address import Address
+from coveport.testbed.day import Change, Day, SidecarDrawn, sidecar_settings
+from coveport.testbed.event_log import Books, Life, Sample
+from coveport.testbed.loopback.control import Known
+from coveport.testbed.loopback.hosts import SIDECARS, address_of, bound
+from coveport.testbed.loopback.processes import Brood, Child
+from coveport.testbed.loopback.timing import DayClock
 
 READY_S = 10.0  # how long it may take until it says that it is ready
 POLL_S = 0.03
--- a/coveport/lab/real/timing.py
+++ b/coveport/testbed/loopback/timing.py
@@ -8,7 +8,7 @@
 import selectors
 import time
 
-from coveport.lab.books import Books, Lag
+from coveport.testbed.event_log import Books, Lag
 
 TICK_MS = 10.0
 WRITTEN_MS = 20.0  # lateness from which the books tell of it
--- a/coveport/lab/real/worker.py
+++ b/coveport/testbed/loopback/worker.py
@@ -18,12 +18,12 @@
 
 import msgspec
 
-from coveport.lab.books import Books
-from coveport.lab.day import Day
-from coveport.lab.real import control
-from coveport.lab.real.parts import Clients, Place, World
-from coveport.lab.real.shaping import ShapedNet
-from coveport.lab.real.timing import DayClock, LagWatch, new_loop
+from coveport.testbed.day import Day
+from coveport.testbed.event_log import Books
+from coveport.testbed.loopback import control
+from coveport.testbed.loopback.parts import Clients, Place, World
+from coveport.testbed.loopback.shaping import ShapedNet
+from coveport.testbed.loopback.timing import DayClock, LagWatch, new_loop
 
 LOOK_S = 0.02  # how often tills are asked whether they are done
 
--- a/coveport/lab/measures.py
+++ b/coveport/testbed/measures.py
@@ -16,10 +16,10 @@
 import numpy.typing as npt
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from coveport.lab import books
-from coveport.lab.day import Span
-from coveport.lab.faults import FaultBase
-from coveport.lab.outcome import (
+from coveport.testbed import event_log
+from coveport.testbed.day import Span
+from coveport.testbed.faults import FaultBase
+from coveport.testbed.outcome import (
     CLASS,
     TEN,
     WHOLE,
@@ -33,13 +33,13 @@
     Outcome,
     SidecarFigures,
 )
-from coveport.lab.playing import Played
-from coveport.lab.scenario import Scenario
+from coveport.testbed.playing import Played
+from coveport.testbed.scenario import Scenario
 
 Floats = npt.NDArray[np.float64]
 Ints = npt.NDArray[np.int64]
 Bools = npt.NDArray[np.bool_]
-R = TypeVar("R", bound=books.Row)
+R = TypeVar("R", bound=event_log.Row)
 
 KINDS = {
     "served": "a 200 within the aim",
@@ -88,10 +88,10 @@
         of_op: dict[str, int] = {}
         state: dict[str, int] = {}  # how a try ended, _NONE while it is open
         good_at: dict[int, float] = {}
-        self.good_op: dict[int, books.Answered] = {}  # by wish: its first 200
-        self.asked: dict[str, books.Asked] = {}  # operations that were handed over
+        self.good_op: dict[int, event_log.Answered] = {}  # by wish: its first 200
+        self.asked: dict[str, event_log.Asked] = {}  # operations that were handed over
         for row in played.rows:
-            if isinstance(row, books.Asked | books.Unasked):
+            if isinstance(row, event_log.Asked | event_log.Unasked):
                 wish = index.setdefault(row.first, len(due))
                 if wish == len(due):
                     due.append(row.due)
@@ -102,10 +102,10 @@
                 last[wish] = row.op
                 of_op[row.op] = wish
                 state[row.op] = _UNREACHED
-                if isinstance(row, books.Asked):
+                if isinstance(row, event_log.Asked):
                     self.asked[row.op] = row
                     state[row.op] = _NONE
-            elif isinstance(row, books.Answered):
+            elif isinstance(row, event_log.Answered):
                 found = of_op.get(row.op)
                 if found is None:
                     continue
@@ -116,9 +116,9 @@
                     state[row.op] = (
                         _SERVED if row.status == 200 else _BUSY if row.status in (429, 503) else _FAILED
                     )
-            elif isinstance(row, books.Broke) and state.get(row.op) == _NONE:
+            elif isinstance(row, event_log.Broke) and state.get(row.op) == _NONE:
                 state[row.op] = _BROKEN
-            elif isinstance(row, books.GaveUp) and row.how == "impatient" and state.get(row.op) == _NONE:
+            elif isinstance(row, event_log.GaveUp) and row.how == "impatient" and state.get(row.op) == _NONE:
                 state[row.op] = _LEFT
         for one in day.wishes:
             if one.op not in index:
@@ -227,10 +227,10 @@
         attempts=attempts,
         waste=waste,
         crossings=crossings,
-        connections=_connections(_of(found, books.Linked), settle, operations),
-        probes=sum(1 for row in _of(found, books.Probed) if row.at >= settle),
-        discovery_calls=sum(1 for row in _of(found, books.Called) if row.at >= settle),
-        sidecars=_sidecars(played, wishes, _of(found, books.Sample)),
+        connections=_connections(_of(found, event_log.Linked), settle, operations),
+        probes=sum(1 for row in _of(found, event_log.Probed) if row.at >= settle),
+        discovery_calls=sum(1 for row in _of(found, event_log.Called) if row.at >= settle),
+        sidecars=_sidecars(played, wishes, _of(found, event_log.Sample)),
         recovery_s=recovery,
         trace=played.trace,
         wall_s=played.wall_s,
@@ -271,7 +271,7 @@
     """The day's faults as the books have them, in order."""
     spans: dict[int, Span] = {span.number: span for span in played.day.spans}
     for row in played.rows:
-        if isinstance(row, books.Fault):
+        if isinstance(row, event_log.Fault):
             if row.began:
                 end = spans[row.number].end if row.number in spans else row.at
                 spans[row.number] = Span(row.number, row.kind, row.at, max(end, row.at), row.whom)
@@ -402,16 +402,16 @@
     settle = day.scenario.settle_s * 1000
     zone_of_node = {one.number: one.zone for one in day.nodes}
     zone_of_sidecar = {one.number: one.zone for one in day.sidecars}
-    ran = {row.attempt: row.at for row in _of(found, books.Ran)}
-    replied = {row.attempt: row for row in _of(found, books.Replied)}
-    broke = {row.attempt: row for row in _of(found, books.Ended)}
+    ran = {row.attempt: row.at for row in _of(found, event_log.Ran)}
+    replied = {row.attempt: row for row in _of(found, event_log.Replied)}
+    broke = {row.attempt: row for row in _of(found, event_log.Ended)}
     drawn = {one.number: one for one in day.nodes}
     ended = dict.fromkeys(ENDS, 0)
     total = crossed = tried = copies = 0
     done = lost = 0.0
     out: dict[str, tuple[bool, float]] = {}  # by operation: its first attempt crossed; the latest end so far
-    arrivals = sorted(_of(found, books.Arrived), key=lambda row: row.handed)
-    useful = _useful(wishes, _of(found, books.Replied), _of(found, books.Ran), arrivals)
+    arrivals = sorted(_of(found, event_log.Arrived), key=lambda row: row.handed)
+    useful = _useful(wishes, _of(found, event_log.Replied), _of(found, event_log.Ran), arrivals)
     for row in arrivals:
         wish = wishes.of_op.get(row.op)
         if not (wishes.counts[wish] if wish is not None else row.at >= settle):
@@ -445,7 +445,7 @@
                 work = min(work, max(0.0, end.at - ran[row.attempt]) * drawn[row.node].speed)
             done += work
             lost += 0.0 if row.attempt in useful else work
-    probing = sum(row.work_ms for row in _of(found, books.Probed) if row.at >= settle)
+    probing = sum(row.work_ms for row in _of(found, event_log.Probed) if row.at >= settle)
     attempts = Attempts(total, total / operations if operations else 0.0, ended, copies)
     return (
         attempts,
@@ -455,7 +455,10 @@
 
 
 def _useful(
-    wishes: _Wishes, replies: list[books.Replied], runs: list[books.Ran], arrivals: list[books.Arrived]
+    wishes: _Wishes,
+    replies: list[event_log.Replied],
+    runs: list[event_log.Ran],
+    arrivals: list[event_log.Arrived],
 ) -> set[int]:
     """The attempts whose work served a wish in time.
 
@@ -479,7 +482,7 @@
     return useful
 
 
-def _end(row: books.Arrived, reply: books.Replied | None, end: books.Ended | None) -> str:
+def _end(row: event_log.Arrived, reply: event_log.Replied | None, end: event_log.Ended | None) -> str:
     if reply is None:
         return "open" if end is None else "given up" if end.how in ("end", "reset") else end.how
     if row.took == "bad":
@@ -491,7 +494,7 @@
     return "refused" if row.took in ("full", "drain", "over") else "error"
 
 
-def _connections(rows: list[books.Linked], settle: float, operations: int) -> Connections:
+def _connections(rows: list[event_log.Linked], settle: float, operations: int) -> Connections:
     opened = sum(1 for row in rows if row.up and row.at >= settle)
     now = peak = 0
     for row in rows:
@@ -500,7 +503,7 @@
     return Connections(opened, opened / operations if operations else 0.0, peak)
 
 
-def _sidecars(played: Played, wishes: _Wishes, samples: list[books.Sample]) -> list[SidecarFigures]:
+def _sidecars(played: Played, wishes: _Wishes, samples: list[event_log.Sample]) -> list[SidecarFigures]:
     memory: dict[int, float] = {}
     descriptors: dict[int, int] = {}
     ended: dict[int, float] = {}  # CPU of processes that are no more
@@ -568,7 +571,7 @@
     def slot(at: Floats) -> Ints:
         return np.clip((at / step).astype(np.int64), 0, steps - 1)
 
-    def rate(rows: Iterable[books.Row]) -> Floats:
+    def rate(rows: Iterable[event_log.Row]) -> Floats:
         at: Floats = np.fromiter((row.at for row in rows), np.float64)
         return np.bincount(slot(at), minlength=steps) / step_s
 
@@ -583,16 +586,16 @@
 
     nodes = tuple(
         sorted(
-            {row.node for row in _of(found, books.NodeLoad)}
-            | {row.node for row in _of(found, books.NodeIs)}
+            {row.node for row in _of(found, event_log.NodeLoad)}
+            | {row.node for row in _of(found, event_log.NodeIs)}
             | {one.number for one in day.nodes if one.born}
         )
     )
-    loads, place = _of(found, books.NodeLoad), {node: number for number, node in enumerate(nodes)}
+    loads, place = _of(found, event_log.NodeLoad), {node: number for number, node in enumerate(nodes)}
     node = np.fromiter((place[row.node] for row in loads), np.int64)
     when = slot(np.fromiter((row.at for row in loads), np.float64))
     sidecars = tuple(one.number for one in day.sidecars)
-    samples, seat = _of(found, books.Sample), {one: number for number, one in enumerate(sidecars)}
+    samples, seat = _of(found, event_log.Sample), {one: number for number, one in enumerate(sidecars)}
     sidecar = np.fromiter((seat[row.sidecar] for row in samples), np.int64)
     sampled = slot(np.fromiter((row.at for row in samples), np.float64))
 
@@ -602,7 +605,7 @@
     def by_sidecar(values: Iterable[float]) -> Floats:
         return _means(len(sidecars), steps, sidecar, sampled, np.fromiter(values, np.float64))
 
-    links = _of(found, books.Linked)
+    links = _of(found, event_log.Linked)
     changes = np.bincount(
         slot(np.fromiter((row.at for row in links), np.float64)),
         np.fromiter((1.0 if row.up else -1.0 for row in links), np.float64),
@@ -618,14 +621,14 @@
         p50_ms=p50,
         p99_ms=p99,
         answers=answers,
-        attempts=rate(_of(found, books.Arrived)),
-        probes=rate(_of(found, books.Probed)),
-        busy_replies=rate(row for row in _of(found, books.Answered) if row.status in (429, 503)),
+        attempts=rate(_of(found, event_log.Arrived)),
+        probes=rate(_of(found, event_log.Probed)),
+        busy_replies=rate(row for row in _of(found, event_log.Answered) if row.status in (429, 503)),
         connections=np.cumsum(changes),
         nodes=nodes,
         held=by_node(row.working + row.waiting for row in loads),
         busy=by_node(row.busy for row in loads),
-        away=_away(_of(found, books.NodeIs), place, steps, step),
+        away=_away(_of(found, event_log.NodeIs), place, steps, step),
         sidecars=sidecars,
         memory_mb=by_sidecar(row.memory_mb for row in samples),
         descriptors=by_sidecar(row.descriptors for row in samples),
@@ -653,7 +656,7 @@
     return p50, p99
 
 
-def _away(rows: list[books.NodeIs], place: dict[int, int], steps: int, step: float) -> Bools:
+def _away(rows: list[event_log.NodeIs], place: dict[int, int], steps: int, step: float) -> Bools:
     away: Bools = np.zeros((len(place), steps), dtype=np.bool_)
     for row in rows:  # in order of time: each holds until the next
         away[place[row.node], max(0, int(row.at / step)) :] = row.state in ("down", "silent")
--- a/coveport/lab/model.py
+++ b/coveport/testbed/model.py
@@ -25,8 +25,8 @@
 from math import inf, sqrt
 from typing import Any
 
-from coveport.lab.day import NEVER, NodeDrawn
-from coveport.lab.schema import Class
+from coveport.testbed.day import NEVER, NodeDrawn
+from coveport.testbed.schema import Class
 
 # What became of an attempt.
 RUN = "run"  # it has begun to take effect
--- a/coveport/lab/ways.py
+++ b/coveport/testbed/network_model.py
@@ -5,8 +5,8 @@
 import random
 from collections.abc import Callable
 
-from coveport.lab.day import Change, Day
-from coveport.lab.tables import Figure
+from coveport.testbed.day import Change, Day
+from coveport.testbed.tables import Figure
 
 CLIENT = -1
 """Stands for the zone of tills, who sit beside their sidecar."""
--- a/coveport/lab/oracle/__init__.py
+++ b/coveport/testbed/oracle/__init__.py
@@ -10,15 +10,15 @@
 
 from collections.abc import Sequence
 
-from coveport.lab.books import AnyRow
-from coveport.lab.day import Day
-from coveport.lab.oracle.answers import judge_answers
-from coveport.lab.oracle.attempts import judge_attempts
-from coveport.lab.oracle.case import Case
-from coveport.lab.oracle.grace import RULES, Breach, Grace
-from coveport.lab.oracle.nodes import judge_nodes
-from coveport.lab.oracle.processes import judge_processes
-from coveport.lab.oracle.staff import judge_staff
+from coveport.testbed.day import Day
+from coveport.testbed.event_log import AnyRow
+from coveport.testbed.oracle.answers import judge_answers
+from coveport.testbed.oracle.attempts import judge_attempts
+from coveport.testbed.oracle.case import Case
+from coveport.testbed.oracle.grace import RULES, Breach, Grace
+from coveport.testbed.oracle.nodes import judge_nodes
+from coveport.testbed.oracle.processes import judge_processes
+from coveport.testbed.oracle.staff import judge_staff
 
 __all__ = ["RULES", "Breach", "Grace", "judge"]
 
--- a/coveport/lab/oracle/answers.py
+++ b/coveport/testbed/oracle/answers.py
@@ -4,10 +4,10 @@
 
 from math import inf
 
-from coveport.lab.books import Answered, Asked
-from coveport.lab.oracle.case import Attempt, Case, Operation
-from coveport.lab.oracle.lives import Generation
-from coveport.lab.ways import asking_ms
+from coveport.testbed.event_log import Answered, Asked
+from coveport.testbed.network_model import asking_ms
+from coveport.testbed.oracle.case import Attempt, Case, Operation
+from coveport.testbed.oracle.lives import Generation
 
 LONG = 65536  # bytes of an answer above which its first bytes count
 
--- a/coveport/lab/oracle/attempts.py
+++ b/coveport/testbed/oracle/attempts.py
@@ -14,8 +14,8 @@
 
 from math import inf
 
-from coveport.lab.oracle.case import Attempt, Case, Operation
-from coveport.lab.schema import Class
+from coveport.testbed.oracle.case import Attempt, Case, Operation
+from coveport.testbed.schema import Class
 
 BUSY = (429, 503)
 
--- a/coveport/lab/oracle/case.py
+++ b/coveport/testbed/oracle/case.py
@@ -6,7 +6,8 @@
 from math import inf
 from typing import Any
 
-from coveport.lab.books import (
+from coveport.testbed.day import Day
+from coveport.testbed.event_log import (
     Answered,
     AnyRow,
     Arrived,
@@ -24,11 +25,10 @@
     Told,
     Unasked,
 )
-from coveport.lab.day import Day
-from coveport.lab.oracle.grace import Breach, Grace
-from coveport.lab.oracle.lives import STAFF, Lives
-from coveport.lab.oracle.reach import Reach
-from coveport.lab.schema import Class
+from coveport.testbed.oracle.grace import Breach, Grace
+from coveport.testbed.oracle.lives import STAFF, Lives
+from coveport.testbed.oracle.reach import Reach
+from coveport.testbed.schema import Class
 
 UNRUN = (503, 504)
 """What a node answers, with `X-Not-Run`, to an attempt that it turns away or drops unrun, and to no other."""
--- a/coveport/lab/oracle/lives.py
+++ b/coveport/testbed/oracle/lives.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from math import inf
 
-from coveport.lab.books import Lag, Life
-from coveport.lab.oracle.grace import Grace
+from coveport.testbed.event_log import Lag, Life
+from coveport.testbed.oracle.grace import Grace
 
 STAFF = frozenset({"replace", "replaced", "lameduck", "rejoin", "yes", "no", "asked", "info"})
 
--- a/coveport/lab/oracle/nodes.py
+++ b/coveport/testbed/oracle/nodes.py
@@ -7,9 +7,9 @@
 from itertools import accumulate
 from math import inf
 
-from coveport.lab.books import NodeIs, Told
-from coveport.lab.oracle.case import Case
-from coveport.lab.oracle.lives import Generation
+from coveport.testbed.event_log import NodeIs, Told
+from coveport.testbed.oracle.case import Case
+from coveport.testbed.oracle.lives import Generation
 
 
 def judge_nodes(case: Case) -> None:
--- a/coveport/lab/oracle/processes.py
+++ b/coveport/testbed/oracle/processes.py
@@ -4,8 +4,8 @@
 
 from math import inf
 
-from coveport.lab.oracle.case import Case
-from coveport.lab.oracle.lives import Generation
+from coveport.testbed.oracle.case import Case
+from coveport.testbed.oracle.lives import Generation
 
 STOP_MS = 700.0
 """What a planned stop gives on top of the longest deadline."""
--- a/coveport/lab/oracle/reach.py
+++ b/coveport/testbed/oracle/reach.py
@@ -10,11 +10,11 @@
 import math
 from dataclasses import dataclass
 
-from coveport.lab.books import NodeIs
-from coveport.lab.day import Change, Day
-from coveport.lab.oracle.grace import Grace
-from coveport.lab.oracle.lives import Span
-from coveport.lab.ways import harsh_ms, piece
+from coveport.testbed.day import Change, Day
+from coveport.testbed.event_log import NodeIs
+from coveport.testbed.network_model import harsh_ms, piece
+from coveport.testbed.oracle.grace import Grace
+from coveport.testbed.oracle.lives import Span
 
 _NEVER_LOST = 1e-9  # chance below which so many losses in a row are taken as impossible
 
--- a/coveport/lab/oracle/staff.py
+++ b/coveport/testbed/oracle/staff.py
@@ -5,9 +5,9 @@
 import json
 from math import inf
 
-from coveport.lab.books import Life
-from coveport.lab.oracle.case import Case
-from coveport.lab.oracle.processes import STOP_MS
+from coveport.testbed.event_log import Life
+from coveport.testbed.oracle.case import Case
+from coveport.testbed.oracle.processes import STOP_MS
 
 READY_MS = 6000.0  # until a second process is ready, at the latest
 NO_MS, YES_MS = 4000.0, 2000.0  # until a drain shows at the front, and its end
--- a/coveport/lab/playing.py
+++ b/coveport/testbed/playing.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from coveport.lab.books import AnyRow
-from coveport.lab.day import Day
+from coveport.testbed.day import Day
+from coveport.testbed.event_log import AnyRow
 
 
 @dataclass(slots=True)
--- a/coveport/lab/chance.py
+++ b/coveport/testbed/random_streams.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from coveport.lab.tables import Figure
+from coveport.testbed.tables import Figure
 
 
 def stream(seed: int, *names: object) -> random.Random:
--- a/coveport/lab/report/__init__.py
+++ b/coveport/testbed/report/__init__.py
@@ -4,9 +4,9 @@
 
 from pathlib import Path
 
-from coveport.lab.outcome import Outcome
-from coveport.lab.playing import Played
-from coveport.lab.report.text import summary_text, verdict
+from coveport.testbed.outcome import Outcome
+from coveport.testbed.playing import Played
+from coveport.testbed.report.text import summary_text, verdict
 
 __all__ = ["summary_text", "verdict", "write"]
 
@@ -18,6 +18,6 @@
     names scenario and seed alone.
     """
     # Guards against half a second of loading the plots' library where no report is asked for.
-    from coveport.lab.report.page import render
+    from coveport.testbed.report.page import render
 
     path.write_text(render(played, outcome, command), encoding="utf-8")
--- a/coveport/lab/report/page.py
+++ b/coveport/testbed/report/page.py
@@ -10,13 +10,13 @@
 from jinja2 import Environment, StrictUndefined, Template
 from markupsafe import Markup
 
-from coveport.lab import books
-from coveport.lab.day import Span
-from coveport.lab.measures import ENDS, KINDS, Series, faults, is_mended, series
-from coveport.lab.outcome import Outcome
-from coveport.lab.playing import Played
-from coveport.lab.report.plots import KIND_COLOURS, draw
-from coveport.lab.report.text import expectation, millis, percent, verdict
+from coveport.testbed import event_log
+from coveport.testbed.day import Span
+from coveport.testbed.measures import ENDS, KINDS, Series, faults, is_mended, series
+from coveport.testbed.outcome import Outcome
+from coveport.testbed.playing import Played
+from coveport.testbed.report.plots import KIND_COLOURS, draw
+from coveport.testbed.report.text import expectation, millis, percent, verdict
 
 MOST_BREACHES = 200
 _MOST_EVENTS = 200
@@ -150,7 +150,7 @@
     again: set[int] = set()  # those to whom something has happened
     events = []
     for row in played.rows:
-        if isinstance(row, books.Life) and row.detail != "starve":
+        if isinstance(row, event_log.Life) and row.detail != "starve":
             if row.what not in ("start", "ready"):
                 again.add(row.sidecar)
             if row.sidecar in again:
--- a/coveport/lab/report/plots.py
+++ b/coveport/testbed/report/plots.py
@@ -18,8 +18,8 @@
 from matplotlib.colors import Normalize
 from matplotlib.figure import Figure
 
-from coveport.lab.day import Day, Span
-from coveport.lab.measures import KINDS, Floats, Series
+from coveport.testbed.day import Day, Span
+from coveport.testbed.measures import KINDS, Floats, Series
 
 INK, GRID, CARD, FAULT = "ink", "grid", "card", "fault"
 KIND_COLOURS = dict(
--- a/coveport/lab/report/text.py
+++ b/coveport/testbed/report/text.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from coveport.lab.outcome import Outcome
+from coveport.testbed.outcome import Outcome
 
 EXPECTED = {
     "service": ("service of the whole day", "at least"),
--- a/coveport/lab/run.py
+++ b/coveport/testbed/run.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from coveport.lab import measures, oracle
-from coveport.lab.drawing import draw
-from coveport.lab.outcome import Broken, Outcome
-from coveport.lab.playing import Played
-from coveport.lab.scenario import Scenario
+from coveport.testbed import measures, oracle
+from coveport.testbed.drawing import draw
+from coveport.testbed.outcome import Broken, Outcome
+from coveport.testbed.playing import Played
+from coveport.testbed.scenario import Scenario
 
 GROUNDS = ("virtual", "real", "bare")
 
@@ -26,17 +26,17 @@
     """Draw and play a day; ValueError where there is no such ground or variant."""
     day = draw(scenario, seed)
     if ground == "virtual":
-        from coveport.lab.virtual.play import play_day as virtual
+        from coveport.testbed.simulated_network.play import play_day as virtual
 
         return virtual(day, variant=variant, logs=logs, progress=progress)
     if ground == "bare":
-        from coveport.lab.bare.play import play_day as bare
+        from coveport.testbed.discrete_event.play import play_day as bare
 
         if variant:
             raise ValueError("variants run on virtual ground only")
         return bare(day, progress=progress)
     if ground == "real":
-        from coveport.lab.real import play_day as real
+        from coveport.testbed.loopback import play_day as real
 
         if variant:
             raise ValueError("variants run on virtual ground only")
--- a/coveport/lab/scenario.py
+++ b/coveport/testbed/scenario.py
@@ -12,8 +12,9 @@
 
 from msgspec import field
 
-from coveport.lab.faults import SIMULATED_FAULTS, AnyFault
-from coveport.lab.schema import (
+from coveport.testbed.faults import SIMULATED_FAULTS, AnyFault
+from coveport.testbed.scenario_checks import check_day
+from coveport.testbed.schema import (
     Class,
     DiscoveryService,
     Expect,
@@ -27,8 +28,7 @@
     Title,
     default_classes,
 )
-from coveport.lab.sense import check_day
-from coveport.lab.tables import Bounds, Tables, TablesError
+from coveport.testbed.tables import Bounds, Tables, TablesError
 
 
 class Scenario(Strict, frozen=True):
--- a/coveport/lab/sense.py
+++ b/coveport/testbed/scenario_checks.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Protocol
 
-from coveport.lab.faults import (
+from coveport.testbed.faults import (
     OF_SIDECARS,
     AnyFault,
     Crash,
@@ -20,11 +20,11 @@
     Upgrade,
     Whom,
 )
-from coveport.lab.schema import Fleet, Load
-from coveport.lab.tables import Figure, Place, one_of, shown
+from coveport.testbed.schema import Fleet, Load
+from coveport.testbed.tables import Figure, Place, one_of, shown
 
 if TYPE_CHECKING:
-    from coveport.lab.scenario import Scenario
+    from coveport.testbed.scenario import Scenario
 
 
 def portions(shares: Sequence[float], total: int) -> list[int]:
--- a/coveport/lab/schema.py
+++ b/coveport/testbed/schema.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, field
 
-from coveport.lab.tables import Bounds, Figure, Spelt
+from coveport.testbed.tables import Bounds, Figure, Spelt
 
 POSITIVE, POSSIBLE, PART = Bounds(0, above=True), Bounds(0), Bounds(0, 1)
 Above0 = Annotated[float, POSITIVE]
--- a/coveport/lab/search/aftermath.py
+++ b/coveport/testbed/search/aftermath.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from coveport.lab import books
-from coveport.lab.books import AnyRow
-from coveport.lab.day import Day
-from coveport.lab.faults import Drain, Whom
-from coveport.lab.fleet import draw_nodes
-from coveport.lab.scenario import Scenario
-from coveport.lab.search.reach import Reach
-from coveport.lab.troubles import Trouble, draw_trouble
+from coveport.testbed import event_log
+from coveport.testbed.day import Day
+from coveport.testbed.event_log import AnyRow
+from coveport.testbed.fault_schedule import Trouble, draw_trouble
+from coveport.testbed.faults import Drain, Whom
+from coveport.testbed.fleet import draw_nodes
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.search.reach import Reach
 
 WINDOW_MS = 3000.0  # of the service after the last fault
 BACK = 0.9  # of what was in reach: the service is back ...
@@ -86,9 +86,9 @@
     for row in rows:
         if row.at >= end:
             continue
-        if isinstance(row, books.Life) and row.what in ("start", "ready", "resume"):
+        if isinstance(row, event_log.Life) and row.what in ("start", "ready", "resume"):
             latest = max(latest, row.at)
-        elif isinstance(row, books.NodeIs):
+        elif isinstance(row, event_log.NodeIs):
             if row.state == "up" and states.get(row.node, "up") != "up":
                 latest = max(latest, row.at)
             states[row.node] = row.state
@@ -153,7 +153,7 @@
     for row in rows:
         if row.at > quiet:
             break
-        if isinstance(row, books.Asked | books.Unasked):
+        if isinstance(row, event_log.Asked | event_log.Unasked):
             tried.add(row.first)
     return sum(wish.work_ms for wish in day.wishes if wish.due <= quiet and wish.op not in tried)
 
@@ -174,13 +174,13 @@
     for row in rows:
         if row.at > quiet:
             break
-        if isinstance(row, books.Arrived) and row.took == "work":
+        if isinstance(row, event_log.Arrived) and row.took == "work":
             works[row.attempt] = row.work_ms
-        elif isinstance(row, books.Ran):
+        elif isinstance(row, event_log.Ran):
             backlog[row.node] = row.at, left(row.node, row.at) + works.pop(row.attempt, 0.0)
-        elif isinstance(row, books.Ended):
+        elif isinstance(row, event_log.Ended):
             works.pop(row.attempt, None)
-        elif isinstance(row, books.NodeIs):
+        elif isinstance(row, event_log.NodeIs):
             backlog[row.node] = row.at, 0.0 if row.state == "down" else left(row.node, row.at)
             speeds[row.node] = row.cores * row.speed
     return max((left(node, quiet) / speeds[node] for node in backlog), default=0.0)
--- a/coveport/lab/search/files.py
+++ b/coveport/testbed/search/files.py
@@ -10,7 +10,7 @@
 from msgspec import NODEFAULT, Struct
 from msgspec.structs import FieldInfo
 
-from coveport.lab.scenario import Scenario, parse
+from coveport.testbed.scenario import Scenario, parse
 
 _FIELDS: dict[type[Struct], tuple[FieldInfo, ...]] = {}
 
--- a/coveport/lab/search/finds.py
+++ b/coveport/testbed/search/finds.py
@@ -16,14 +16,14 @@
 
 from msgspec import Struct
 
-from coveport.lab import books
-from coveport.lab.ids import first_id
-from coveport.lab.oracle.case import Attempt, Case, Operation
-from coveport.lab.oracle.grace import Grace
-from coveport.lab.outcome import Broken, Outcome
-from coveport.lab.playing import Played
-from coveport.lab.search.aftermath import GAP, LEAST, LOW_GAP, Aftermath, aftermath, is_low, ratio
-from coveport.lab.search.reach import Reach, reachable
+from coveport.testbed import event_log
+from coveport.testbed.ids import first_id
+from coveport.testbed.oracle.case import Attempt, Case, Operation
+from coveport.testbed.oracle.grace import Grace
+from coveport.testbed.outcome import Broken, Outcome
+from coveport.testbed.playing import Played
+from coveport.testbed.search.aftermath import GAP, LEAST, LOW_GAP, Aftermath, aftermath, is_low, ratio
+from coveport.testbed.search.reach import Reach, reachable
 
 RULE, PROCESS, HELD, NO_RETURN, DIP = "rule", "process", "held", "no-return", "dip"
 """Kinds of finds; a dip is a figure to look at, and counts as none."""
@@ -297,22 +297,24 @@
     ends = dict.fromkeys(wishes, "unreached")
     served: set[str] = set()
     for row in played.rows:
-        if not isinstance(row, books.Asked | books.Unasked | books.Answered | books.Broke | books.GaveUp):
+        if not isinstance(
+            row, event_log.Asked | event_log.Unasked | event_log.Answered | event_log.Broke | event_log.GaveUp
+        ):
             continue
         first = first_id(row.op)
         if first not in wishes:
             continue
-        if isinstance(row, books.Asked):
+        if isinstance(row, event_log.Asked):
             ends[first] = "unanswered"
-        elif isinstance(row, books.Unasked):
+        elif isinstance(row, event_log.Unasked):
             ends[first] = "unreached"
-        elif isinstance(row, books.Answered):
+        elif isinstance(row, event_log.Answered):
             if row.status == 200:
                 served.add(first)
             ends[first] = "late" if row.status == 200 else "busy" if row.status in (429, 503) else "failed"
             if row.status == 200 and row.at <= wishes[first].due + classes[wishes[first].cls].aim_ms + 1e-6:
                 ends[first] = "served"
-        elif isinstance(row, books.Broke):
+        elif isinstance(row, event_log.Broke):
             ends[first] = "broken"
         elif first not in served and row.how != "half":
             ends[first] = "left" if row.how == "impatient" else "unanswered"
--- a/coveport/lab/search/hunt.py
+++ b/coveport/testbed/search/hunt.py
@@ -22,15 +22,15 @@
 import numpy as np
 from msgspec import Struct
 
-from coveport.lab import stopping
-from coveport.lab.lanes import Lane, Worker, each, write_whole
-from coveport.lab.run import play, play_and_judge
-from coveport.lab.scenario import Scenario
-from coveport.lab.search.aftermath import without_faults
-from coveport.lab.search.files import to_toml
-from coveport.lab.search.finds import NO_RETURN, Find, finds, stands, unplayed
-from coveport.lab.search.schedules import draw_schedule
-from coveport.lab.sweep import SweepError, code_hash
+from coveport.testbed import stopping
+from coveport.testbed.run import play, play_and_judge
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.search.aftermath import without_faults
+from coveport.testbed.search.files import to_toml
+from coveport.testbed.search.finds import NO_RETURN, Find, finds, stands, unplayed
+from coveport.testbed.search.schedules import draw_schedule
+from coveport.testbed.sweep import SweepError, code_hash
+from coveport.testbed.worker_pool import Lane, Worker, each, write_whole
 
 FORMAT = 1
 LIMIT_S = 60.0  # of CPU time: a day that takes more hangs
--- a/coveport/lab/search/reach.py
+++ b/coveport/testbed/search/reach.py
@@ -24,10 +24,10 @@
 from scipy import sparse
 from scipy.optimize import linprog
 
-from coveport.lab import books
-from coveport.lab.books import AnyRow
-from coveport.lab.day import Change, Day, Wish
-from coveport.lab.ids import first_id
+from coveport.testbed import event_log
+from coveport.testbed.day import Change, Day, Wish
+from coveport.testbed.event_log import AnyRow
+from coveport.testbed.ids import first_id
 
 Floats = NDArray[np.float64]
 Span = tuple[float, float]
@@ -98,7 +98,7 @@
         offered[group] = work + wish.work_ms, worth + cls.worth
     good: set[str] = set()
     for row in rows:
-        if isinstance(row, books.Answered) and row.status == 200:
+        if isinstance(row, event_log.Answered) and row.status == 200:
             first = first_id(row.op)
             done = by_op.get(first)
             if done is None or first in good:
@@ -166,12 +166,12 @@
     day: Day, rows: Sequence[AnyRow], step: float, slots: int, longest: float
 ) -> tuple[Floats, Floats]:
     """Ms of standard work that can be done by zone and step; and in a ms by the fastest core, by step."""
-    states: dict[int, list[books.NodeIs]] = {}
-    told: dict[int, list[books.Told]] = {}
+    states: dict[int, list[event_log.NodeIs]] = {}
+    told: dict[int, list[event_log.Told]] = {}
     for row in rows:
-        if isinstance(row, books.NodeIs):
+        if isinstance(row, event_log.NodeIs):
             states.setdefault(row.node, []).append(row)
-        elif isinstance(row, books.Told):
+        elif isinstance(row, event_log.Told):
             told.setdefault(row.node, []).append(row)
     total, fastest = np.zeros((len(day.scenario.fleet.zones), slots)), np.zeros(slots)
     # The middle of each tenth of a step is looked at.
@@ -221,7 +221,7 @@
     return speed
 
 
-def _named(told: list[books.Told]) -> list[Span]:
+def _named(told: list[event_log.Told]) -> list[Span]:
     """When at least one sidecar had a node as active."""
     spans: list[Span] = []
     since: dict[int, float] = {}
@@ -238,7 +238,7 @@
     spans: dict[int, list[Span]] = {}
     out: dict[int, float] = {}
     for row in rows:
-        if isinstance(row, books.Life):
+        if isinstance(row, event_log.Life):
             if row.what in ("kill", "exit", "stall"):
                 out.setdefault(row.sidecar, row.at)
             elif row.what in ("start", "resume") and row.sidecar in out:
--- a/coveport/lab/search/schedules.py
+++ b/coveport/testbed/search/schedules.py
@@ -16,14 +16,14 @@
 import msgspec
 from msgspec import NODEFAULT, Struct
 
-from coveport.lab.chance import stream
-from coveport.lab.drawing import draw
-from coveport.lab.faults import OF_SIDECARS, OF_STAFF, AnyFault, Restart, Whom
-from coveport.lab.scenario import Scenario, ScenarioError, nonsense, parse
-from coveport.lab.schema import Expect
-from coveport.lab.search.aftermath import troubles_of
-from coveport.lab.search.files import fields, laid, sparse, to_toml
-from coveport.lab.tables import Bounds
+from coveport.testbed.drawing import draw
+from coveport.testbed.faults import OF_SIDECARS, OF_STAFF, AnyFault, Restart, Whom
+from coveport.testbed.random_streams import stream
+from coveport.testbed.scenario import Scenario, ScenarioError, nonsense, parse
+from coveport.testbed.schema import Expect
+from coveport.testbed.search.aftermath import troubles_of
+from coveport.testbed.search.files import fields, laid, sparse, to_toml
+from coveport.testbed.tables import Bounds
 
 KINDS: tuple[type[Any], ...] = tuple(one for one in get_args(AnyFault) if one not in OF_STAFF)
 MOST_FAULTS = 5
--- a/coveport/lab/search/shrink.py
+++ b/coveport/testbed/search/shrink.py
@@ -18,16 +18,16 @@
 from lithium.strategies import Minimize, ReductionIterator
 from lithium.testcases import Testcase
 
-from coveport.lab.faults import OF_SIDECARS, Whom
-from coveport.lab.fleet import draw_nodes
-from coveport.lab.lanes import said
-from coveport.lab.scenario import Scenario, ScenarioError, parse
-from coveport.lab.schema import Expect
-from coveport.lab.search.aftermath import troubles_of
-from coveport.lab.search.files import fields, sparse, to_toml
-from coveport.lab.search.finds import Find, unplayed
-from coveport.lab.search.hunt import look
-from coveport.lab.troubles import draw_trouble
+from coveport.testbed.fault_schedule import draw_trouble
+from coveport.testbed.faults import OF_SIDECARS, Whom
+from coveport.testbed.fleet import draw_nodes
+from coveport.testbed.scenario import Scenario, ScenarioError, parse
+from coveport.testbed.schema import Expect
+from coveport.testbed.search.aftermath import troubles_of
+from coveport.testbed.search.files import fields, sparse, to_toml
+from coveport.testbed.search.finds import Find, unplayed
+from coveport.testbed.search.hunt import look
+from coveport.testbed.worker_pool import said
 
 MOST_PLAYS = 300
 OTHER_SEEDS = (1, 2, 3)  # tried where a step deals everything anew
--- a/coveport/lab/virtual/harsh.py
+++ b/coveport/testbed/simulated_network/harsh.py
@@ -9,9 +9,9 @@
 import math
 from typing import Self
 
-from coveport.lab.chance import drawn, ends, stream
-from coveport.lab.scenario import SIMULATED_FIGURES
-from coveport.lab.schema import Network
+from coveport.testbed.random_streams import drawn, ends, stream
+from coveport.testbed.scenario import SIMULATED_FIGURES
+from coveport.testbed.schema import Network
 
 MOST_CUTS = 3  # of one message
 
--- a/coveport/lab/virtual/hosts.py
+++ b/coveport/testbed/simulated_network/hosts.py
@@ -1,13 +1,13 @@
-"""A stand-in's place on simulated ground; see `coveport.lab.ground.Host`."""
+"""A stand-in's place on simulated ground; see `coveport.testbed.backend.Host`."""
 
 from __future__ import annotations
 
-from coveport.lab.ground import Accept
-from coveport.lab.virtual.listening import ListeningSocket
-from coveport.lab.virtual.wires import Network, Place, VirtualNet
-from coveport.lab.virtual.world import Process
 from coveport.net.address import Address
 from coveport.net.transport import Factory, Net
+from coveport.testbed.backend import Accept
+from coveport.testbed.simulated_network.listening import ListeningSocket
+from coveport.testbed.simulated_network.wires import Network, Place, VirtualNet
+from coveport.testbed.simulated_network.world import Process
 
 
 class VirtualHost:
--- a/coveport/lab/virtual/listening.py
+++ b/coveport/testbed/simulated_network/listening.py
@@ -12,8 +12,8 @@
 from coveport.net.transport import Factory
 
 if TYPE_CHECKING:
-    from coveport.lab.virtual.side import Side
-    from coveport.lab.virtual.wires import VirtualNet
+    from coveport.testbed.simulated_network.side import Side
+    from coveport.testbed.simulated_network.wires import VirtualNet
 
 RETRY_ACCEPT_S = 1.0  # how long asyncio takes no connections after it ran out of descriptors
 
--- a/coveport/lab/virtual/network.py
+++ b/coveport/testbed/simulated_network/network.py
@@ -6,15 +6,15 @@
 import hashlib
 from typing import TYPE_CHECKING
 
-from coveport.lab.virtual.harsh import Harsh
-from coveport.lab.virtual.world import World
-from coveport.lab.ways import Ways
 from coveport.net.address import Address
+from coveport.testbed.network_model import Ways
+from coveport.testbed.simulated_network.harsh import Harsh
+from coveport.testbed.simulated_network.world import World
 
 if TYPE_CHECKING:
-    from coveport.lab.virtual.listening import ListeningSocket
-    from coveport.lab.virtual.sockets import SimulatedSocket
-    from coveport.lab.virtual.wires import _Dial
+    from coveport.testbed.simulated_network.listening import ListeningSocket
+    from coveport.testbed.simulated_network.sockets import SimulatedSocket
+    from coveport.testbed.simulated_network.wires import _Dial
 
 
 class Place:
--- a/coveport/lab/virtual/play.py
+++ b/coveport/testbed/simulated_network/play.py
@@ -13,9 +13,12 @@
 from functools import partial
 from pathlib import Path
 
-from coveport.lab.books import Books, Life, Sample
-from coveport.lab.broken import Variant, variant_named
-from coveport.lab.conductor import (
+from coveport.net.address import Address
+from coveport.sidecar.config import platform as configuration
+from coveport.sidecar.service import serve
+from coveport.sidecar.telemetry.log import Log
+from coveport.testbed.broken import Variant, variant_named
+from coveport.testbed.conductor import (
     OF_DISCOVERY,
     OF_NETWORK,
     OF_NODES,
@@ -25,25 +28,22 @@
     conduct,
     write_faults,
 )
-from coveport.lab.day import Change, Day, SidecarDrawn, Wish, sidecar_settings
-from coveport.lab.faults import OF_STAFF
-from coveport.lab.model import KeyMemory
-from coveport.lab.playing import Played
-from coveport.lab.standins import staff
-from coveport.lab.standins.discovery import Discovery
-from coveport.lab.standins.health import wait_until_ready
-from coveport.lab.standins.nodes import LedgerNode
-from coveport.lab.standins.tills import Tills
-from coveport.lab.standins.work_book import WorkBook
-from coveport.lab.virtual.harsh import Harsh
-from coveport.lab.virtual.hosts import VirtualHost
-from coveport.lab.virtual.wires import Network, VirtualNet
-from coveport.lab.virtual.world import Process, World
-from coveport.lab.ways import CLIENT, Ways
-from coveport.net.address import Address
-from coveport.sidecar.config import platform as configuration
-from coveport.sidecar.service import serve
-from coveport.sidecar.telemetry.log import Log
+from coveport.testbed.day import Change, Day, SidecarDrawn, Wish, sidecar_settings
+from coveport.testbed.event_log import Books, Life, Sample
+from coveport.testbed.faults import OF_STAFF
+from coveport.testbed.model import KeyMemory
+from coveport.testbed.network_model import CLIENT, Ways
+from coveport.testbed.playing import Played
+from coveport.testbed.simulated_network.harsh import Harsh
+from coveport.testbed.simulated_network.hosts import VirtualHost
+from coveport.testbed.simulated_network.wires import Network, VirtualNet
+from coveport.testbed.simulated_network.world import Process, World
+from coveport.testbed.standins import staff
+from coveport.testbed.standins.clients import Tills
+from coveport.testbed.standins.discovery import Discovery
+from coveport.testbed.standins.health import wait_until_ready
+from coveport.testbed.standins.nodes import LedgerNode
+from coveport.testbed.standins.operation_costs import WorkBook
 
 PORT = 9000
 BEFORE_S = 2.0  # the sidecars start so long before the day begins
@@ -520,7 +520,7 @@
 def play_day(
     day: Day, *, variant: str = "", logs: Path | None = None, progress: Callable[[float], None] | None = None
 ) -> Played:
-    """Play a day; `variant` names a deliberately different sidecar (see `coveport.lab.broken`).
+    """Play a day; `variant` names a deliberately different sidecar (see `coveport.testbed.broken`).
 
     `logs`: a folder that gets what each sidecar printed. ValueError where no such variant is known.
     """
--- a/coveport/lab/virtual/side.py
+++ b/coveport/testbed/simulated_network/side.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from coveport.lab.virtual.sockets import END, SimulatedSocket
+from coveport.testbed.simulated_network.sockets import END, SimulatedSocket
 
 
 class Side(SimulatedSocket):
--- a/coveport/lab/virtual/sockets.py
+++ b/coveport/testbed/simulated_network/sockets.py
@@ -7,12 +7,12 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from coveport.lab.virtual.harsh import Harsh
-from coveport.lab.virtual.network import Place
-from coveport.lab.virtual.world import Handle
+from coveport.testbed.simulated_network.harsh import Harsh
+from coveport.testbed.simulated_network.network import Place
+from coveport.testbed.simulated_network.world import Handle
 
 if TYPE_CHECKING:
-    from coveport.lab.virtual.wires import VirtualNet
+    from coveport.testbed.simulated_network.wires import VirtualNet
 
 WINDOW = 256 * 1024  # bytes of one direction that are sent and not read
 END, RESET = object(), object()
--- a/coveport/lab/virtual/wires.py
+++ b/coveport/testbed/simulated_network/wires.py
@@ -25,13 +25,13 @@
 import errno
 from collections.abc import Callable
 
-from coveport.lab.virtual.listening import ListeningSocket
-from coveport.lab.virtual.network import Network, Place
-from coveport.lab.virtual.side import Side
-from coveport.lab.virtual.sockets import WINDOW, SimulatedSocket
-from coveport.lab.virtual.world import Process
 from coveport.net.address import Address
 from coveport.net.transport import Factory, Listening, Net
+from coveport.testbed.simulated_network.listening import ListeningSocket
+from coveport.testbed.simulated_network.network import Network, Place
+from coveport.testbed.simulated_network.side import Side
+from coveport.testbed.simulated_network.sockets import WINDOW, SimulatedSocket
+from coveport.testbed.simulated_network.world import Process
 
 __all__ = ["WINDOW", "Network", "Place", "Side", "VirtualNet"]
 
--- a/coveport/lab/virtual/world.py
+++ b/coveport/testbed/simulated_network/world.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TypeVar
 
-from coveport.lab import stopping
+from coveport.testbed import stopping
 
 T = TypeVar("T")
 
--- a/coveport/lab/standins/tills.py
+++ b/coveport/testbed/standins/clients.py
@@ -31,7 +31,11 @@
 from collections.abc import Callable, Sequence
 
 from coveport.http1 import codec as http1
-from coveport.lab.books import (
+from coveport.net.address import Address
+from coveport.sidecar.reducer.streams import MOST_BODY
+from coveport.testbed.backend import Host
+from coveport.testbed.day import Change, Day, SidecarDrawn, Wish
+from coveport.testbed.event_log import (
     Answered,
     Asked,
     Books,
@@ -42,12 +46,8 @@
     digest_of_body,
     digest_of_request,
 )
-from coveport.lab.day import Change, Day, SidecarDrawn, Wish
-from coveport.lab.ground import Host
-from coveport.lab.ids import try_id
-from coveport.lab.ways import asking_ms
-from coveport.net.address import Address
-from coveport.sidecar.reducer.streams import MOST_BODY
+from coveport.testbed.ids import try_id
+from coveport.testbed.network_model import asking_ms
 
 LAG_MS = 5.0  # the lab being later than this is written down
 CROSSED_MS = 20.0  # an end later than this after the request's last byte did not cross it
--- a/coveport/lab/standins/discovery.py
+++ b/coveport/testbed/standins/discovery.py
@@ -21,13 +21,13 @@
 import msgspec
 
 from coveport.http1 import codec as http1
-from coveport.lab.books import Books, Called, Told
-from coveport.lab.day import NEVER, Change, Day, NodeDrawn
-from coveport.lab.ground import Host
-from coveport.lab.standins.seen_node import SeenNode
-from coveport.lab.tables import Figure
 from coveport.net.address import Address
 from coveport.net.transport import Net
+from coveport.testbed.backend import Host
+from coveport.testbed.day import NEVER, Change, Day, NodeDrawn
+from coveport.testbed.event_log import Books, Called, Told
+from coveport.testbed.standins.seen_node import SeenNode
+from coveport.testbed.tables import Figure
 
 PATH = "/catalog/members"
 MOST_WAIT_MS = 60_000.0
--- a/coveport/lab/standins/etcd/cluster.py
+++ b/coveport/testbed/standins/etcd/cluster.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from coveport.lab.standins.etcd.engine import Engine
 from coveport.sidecar.leases.store import Entry, Outcome
+from coveport.testbed.standins.etcd.engine import Engine
 
 ELECTION_S = 0.4  # a leader that has no majority for so long is voted out
 
--- a/coveport/lab/standins/etcd/server.py
+++ b/coveport/testbed/standins/etcd/server.py
@@ -1,6 +1,6 @@
 """The members on loopback: KV, Lease and Watch of the published v3 API, and a control for their faults.
 
-    python -m coveport.lab.standins.etcd.server [--members 3]
+    python -m coveport.testbed.standins.etcd.server [--members 3]
 
 prints one line of JSON, {"members": [port, ...], "control": port}, and serves until its standard input
 ends. The control takes a line of JSON and answers with one; `CONTROLS` lists what it does.
@@ -18,7 +18,6 @@
 import grpc
 from aetcd import rpc
 
-from coveport.lab.standins.etcd.cluster import Cluster
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.store import (
     Change,
@@ -33,6 +32,7 @@
     Transaction,
     WatchLostError,
 )
+from coveport.testbed.standins.etcd.cluster import Cluster
 
 TICK_S = 0.02
 ANSWER_S = 5.0  # after which a member says that a request timed out
--- a/coveport/lab/standins/fates.py
+++ b/coveport/testbed/standins/fates.py
@@ -5,7 +5,7 @@
 import random
 from enum import Enum
 
-from coveport.lab.day import Change, NodeDrawn
+from coveport.testbed.day import Change, NodeDrawn
 
 CLAIMED = 10**12  # bytes that a dripping answer claims to have
 
--- a/coveport/lab/standins/health.py
+++ b/coveport/testbed/standins/health.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 from coveport.http1 import codec
-from coveport.lab.ground import Host
 from coveport.net.address import Address
+from coveport.testbed.backend import Host
 
 PATH = "/_health"
 EVERY_S = 0.05
--- a/coveport/lab/standins/node_link.py
+++ b/coveport/testbed/standins/node_link.py
@@ -6,8 +6,8 @@
 from typing import Protocol
 
 from coveport.http1.codec import RequestParser
-from coveport.lab.model import Attempt
 from coveport.sidecar.reducer.streams import MOST_BODY
+from coveport.testbed.model import Attempt
 
 INBOX = memoryview(bytearray(64 * 1024))  # shared: what is read is taken out before the next read
 
--- a/coveport/lab/standins/node_state.py
+++ b/coveport/testbed/standins/node_state.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-from coveport.lab.books import NodeIs
-from coveport.lab.day import NodeDrawn
-from coveport.lab.model import NodeModel
+from coveport.testbed.day import NodeDrawn
+from coveport.testbed.event_log import NodeIs
+from coveport.testbed.model import NodeModel
 
 T = TypeVar("T")
 
--- a/coveport/lab/standins/nodes.py
+++ b/coveport/testbed/standins/nodes.py
@@ -18,8 +18,10 @@
 from math import inf, prod
 
 from coveport.http1.codec import BadMessageError, Request
-from coveport.lab import model as core
-from coveport.lab.books import (
+from coveport.testbed import model as core
+from coveport.testbed.backend import Host
+from coveport.testbed.day import Change, Day, NodeDrawn
+from coveport.testbed.event_log import (
     Arrived,
     Books,
     Ended,
@@ -31,13 +33,11 @@
     digest_of_body,
     digest_of_request,
 )
-from coveport.lab.day import Change, Day, NodeDrawn
-from coveport.lab.ground import Host
-from coveport.lab.model import Attempt, KeyMemory, NodeModel
-from coveport.lab.standins.fates import SPOILT, UNRUN, Fate, Fates, spoilt_answer
-from coveport.lab.standins.node_link import NodeLink
-from coveport.lab.standins.node_state import BusyShare, LoadReports, state_row
-from coveport.lab.standins.work_book import WorkBook
+from coveport.testbed.model import Attempt, KeyMemory, NodeModel
+from coveport.testbed.standins.fates import SPOILT, UNRUN, Fate, Fates, spoilt_answer
+from coveport.testbed.standins.node_link import NodeLink
+from coveport.testbed.standins.node_state import BusyShare, LoadReports, state_row
+from coveport.testbed.standins.operation_costs import WorkBook
 
 LOAD_EVERY_S = 0.5
 TRIP_MS = 0.6  # a round trip where nobody says how far the sidecar is
--- a/coveport/lab/standins/work_book.py
+++ b/coveport/testbed/standins/operation_costs.py
@@ -4,9 +4,9 @@
 
 from math import sqrt
 
-from coveport.lab.day import Day, Wish
-from coveport.lab.ids import first_id, try_number
-from coveport.lab.tables import Figure
+from coveport.testbed.day import Day, Wish
+from coveport.testbed.ids import first_id, try_number
+from coveport.testbed.tables import Figure
 
 
 class WorkBook:
--- a/coveport/lab/standins/seen_node.py
+++ b/coveport/testbed/standins/seen_node.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from coveport.lab.day import NEVER, Change, Day
+from coveport.testbed.day import NEVER, Change, Day
 
 
 class SeenNode:
--- a/coveport/lab/standins/staff.py
+++ b/coveport/testbed/standins/staff.py
@@ -6,9 +6,9 @@
 import json
 from collections.abc import Callable
 
-from coveport.lab.ground import Host
-from coveport.lab.standins.health import ask_health
 from coveport.net.address import Address
+from coveport.testbed.backend import Host
+from coveport.testbed.standins.health import ask_health
 
 FRONT_EVERY_S = 0.1  # how often the front asks
 SILENT_S = 4.0  # how long a caller who says nothing stays
--- a/coveport/lab/sweep.py
+++ b/coveport/testbed/sweep.py
@@ -25,7 +25,7 @@
 from msgspec import Struct, field
 
 import coveport
-from coveport.lab.lanes import Lane, Worker, each, said, write_whole
+from coveport.testbed.worker_pool import Lane, Worker, each, said, write_whole
 
 FORMAT = 1
 
@@ -74,7 +74,7 @@
     """What a worker is given; it must survive pickling."""
 
     name: str
-    scenario: Any  # `coveport.lab.scenario.Scenario`
+    scenario: Any  # `coveport.testbed.scenario.Scenario`
     ground: str
     cell: Cell
 
@@ -105,7 +105,7 @@
 
 
 class Judged(Struct):
-    """What experiments read of an outcome (`coveport.lab.outcome`); its other fields may come and go."""
+    """What experiments read of an outcome (`coveport.testbed.outcome`); its other fields may come and go."""
 
     scenario: Named
     seed: int
@@ -287,7 +287,7 @@
     ground: str = "virtual",
 ) -> Plan:
     """Read the scenario at every place of the grid; ScenarioError or OSError where that can't be."""
-    from coveport.lab.scenario import load
+    from coveport.testbed.scenario import load
 
     text = path.read_bytes()
     scenarios = tuple(
@@ -339,8 +339,8 @@
 
 def play_day(job: Job) -> bytes:
     """Play and judge one day, in whatever process this is called."""
-    from coveport.lab.outcome import encode
-    from coveport.lab.run import play_and_judge
+    from coveport.testbed.outcome import encode
+    from coveport.testbed.run import play_and_judge
 
     _, outcome = play_and_judge(
         job.scenario, name=job.name, seed=job.cell.seed, ground=job.ground, variant=job.cell.variant
@@ -403,7 +403,7 @@
 
 def table(cells: Iterable[tuple[Cell, Judged | None]]) -> list[Line]:
     """A line for each variant and place of the grid, in order of their first cells."""
-    from coveport.lab.intervals import interval
+    from coveport.testbed.intervals import interval
 
     groups: dict[bytes, tuple[Cell, list[Judged | None]]] = {}
     for cell, judged in cells:
--- a/coveport/lab/lanes.py
+++ b/coveport/testbed/worker_pool.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, Protocol, TypeVar
 
-from coveport.lab import stopping
+from coveport.testbed import stopping
 
 LOOK_S = 0.2  # how often it is looked whether somebody wishes to stop
 UNWIND_S = 5.0  # how long a worker that is told to stop may take before it is killed
--- a/coveport/lab/wishes.py
+++ b/coveport/testbed/workload.py
@@ -10,13 +10,13 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from coveport.lab.chance import arrays, drawn, ends, stream
-from coveport.lab.day import NEVER, Wish
-from coveport.lab.faults import Burst, HeavyTail
-from coveport.lab.scenario import Scenario
-from coveport.lab.schema import Class, Load
-from coveport.lab.tables import Figure
-from coveport.lab.troubles import Trouble
+from coveport.testbed.day import NEVER, Wish
+from coveport.testbed.fault_schedule import Trouble
+from coveport.testbed.faults import Burst, HeavyTail
+from coveport.testbed.random_streams import arrays, drawn, ends, stream
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.schema import Class, Load
+from coveport.testbed.tables import Figure
 
 MOST_WISHES = 2_000_000
 
--- a/tests/duties/test_rollout.py
+++ b/tests/duties/test_rollout.py
@@ -8,7 +8,6 @@
 import msgspec
 import pytest
 
-from coveport.lab.standins.etcd.engine import Engine
 from coveport.sidecar.leases.store import Compare, Done, Entry, Field, Put, Transaction
 from coveport.sidecar.singletons.rollout import (
     ALL,
@@ -25,6 +24,7 @@
     identify,
     share,
 )
+from coveport.testbed.standins.etcd.engine import Engine
 
 NEW, OLD = '{"a": 2}', '{"a": 1}'
 
--- a/tests/duties/test_warden.py
+++ b/tests/duties/test_warden.py
@@ -9,7 +9,6 @@
 import msgspec
 import pytest
 
-from coveport.lab.standins.etcd.engine import Engine
 from coveport.sidecar.leases.store import Compare, Done, Entry, Field, Put, Transaction
 from coveport.sidecar.singletons.singleton import Step
 from coveport.sidecar.singletons.slow_start_coordinator import (
@@ -23,6 +22,7 @@
     Warden,
     split,
 )
+from coveport.testbed.standins.etcd.engine import Engine
 
 SAFE = Safe()
 STATE = "state/warden@0"
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 from typing import Any
 
-from coveport.lab.trials.fleet.real import FleetTrialReal
 from coveport.sidecar.leases.lease_client import INSTANCE
 from coveport.sidecar.leases.sqlite import SqliteStore
 from coveport.sidecar.leases.store import Done
 from coveport.sidecar.supervisor import locks
+from coveport.testbed.fault_injection.fleet.real import FleetTrialReal
 
 LONG = 60.0
 
--- a/tests/fleet/test_trials_of_fleet.py
+++ b/tests/fleet/test_trials_of_fleet.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from coveport.lab.trials.fleet.sim import FleetTrial, draw, play
-from coveport.lab.trials.fleet.variants import VARIANTS
-from coveport.lab.trials.schedules import Fault
-from coveport.lab.trials.search import hunt
+from coveport.testbed.fault_injection.fleet.broken_variants import VARIANTS
+from coveport.testbed.fault_injection.fleet.sim import FleetTrial, draw, play
+from coveport.testbed.fault_injection.schedules import Fault
+from coveport.testbed.fault_injection.search import hunt
 
 # Where each is found among the first 200, by `coveport lab trials --fleet --variant NAME`; to be looked for
 # anew when the draws have changed.
--- a/tests/lab/bookkeeping.py
+++ b/tests/lab/bookkeeping.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from coveport.lab import books as b
-from coveport.lab.day import Change, Day, NodeDrawn, SidecarDrawn
-from coveport.lab.oracle import Grace, judge
-from coveport.lab.scenario import Scenario
-from coveport.lab.schema import Class, Rules
+from coveport.testbed import event_log as b
+from coveport.testbed.day import Change, Day, NodeDrawn, SidecarDrawn
+from coveport.testbed.oracle import Grace, judge
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.schema import Class, Rules
 
 BALANCE, EARN, REDEEM, ANY, ZONED = range(5)  # safe; keyed by cell; never; keyed by all; keyed by zone
 WAYS: list[Any] = [("safe", "all"), ("keyed", "cell"), ("never", "all"), ("keyed", "all"), ("keyed", "zone")]
--- a/tests/lab/measure_books.py
+++ b/tests/lab/measure_books.py
@@ -4,11 +4,11 @@
 
 from typing import Any
 
-from coveport.lab import books
-from coveport.lab.day import Day, NodeDrawn, SidecarDrawn, Span, Wish
-from coveport.lab.playing import Played
-from coveport.lab.scenario import Scenario
-from coveport.lab.schema import Class
+from coveport.testbed import event_log
+from coveport.testbed.day import Day, NodeDrawn, SidecarDrawn, Span, Wish
+from coveport.testbed.playing import Played
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.schema import Class
 
 CLASSES = (
     Class("balance", 0.5, 50, "safe", aim_ms=1000, deadline_ms=4000),
@@ -78,11 +78,11 @@
     ) -> None:
         """Hand an operation over `late` ms after it was due."""
         self.rows.append(
-            books.Asked(due + late, op, first or op, sidecar, cls, key, due, 1000.0, 0, bool(first), "d")
+            event_log.Asked(due + late, op, first or op, sidecar, cls, key, due, 1000.0, 0, bool(first), "d")
         )
 
     def answer(self, op: str, at: float, status: int = 200) -> None:
-        self.rows.append(books.Answered(at, op, status, "body", 0.0, at))
+        self.rows.append(event_log.Answered(at, op, status, "body", 0.0, at))
 
     def served(self, op: str, due: float, took: float = 50.0, cls: int = 0, sidecar: int = 0) -> None:
         self.ask(op, due, cls, sidecar=sidecar)
@@ -105,13 +105,13 @@
         """An attempt that arrives at `at`; it runs at once where it is taken to work."""
         self.attempts += 1
         mine = self.attempts
-        self.rows.append(books.Arrived(at, op, to, sidecar, mine, 0, at, at - 1, 0, key, "d", work, took))
+        self.rows.append(event_log.Arrived(at, op, to, sidecar, mine, 0, at, at - 1, 0, key, "d", work, took))
         if took == "work":
-            self.rows.append(books.Ran(at, op, to, to, mine, key))
+            self.rows.append(event_log.Ran(at, op, to, to, mine, key))
         if ended[0]:
-            self.rows.append(books.Ended(ended[1], op, to, mine, ended[0]))
+            self.rows.append(event_log.Ended(ended[1], op, to, mine, ended[0]))
         if replied:
-            self.rows.append(books.Replied(replied, op, to, mine, status, "body", True))
+            self.rows.append(event_log.Replied(replied, op, to, mine, status, "body", True))
 
     def steady(self, begin: float, end: float, every: float = 100.0, *, good: bool = True) -> None:
         """Wishes of class 0, all served or all refused."""
@@ -124,8 +124,8 @@
         number = len(self.spans)
         self.spans.append(Span(number, kind, begin, end, whom))
         self.rows += [
-            books.Fault(begin, number, kind, True, whom),
-            books.Fault(end, number, kind, False, whom),
+            event_log.Fault(begin, number, kind, True, whom),
+            event_log.Fault(end, number, kind, False, whom),
         ]
 
     def played(self, **more: Any) -> Played:
--- a/tests/lab/one_host.py
+++ b/tests/lab/one_host.py
@@ -7,11 +7,11 @@
 
 import timeless
 
-from coveport.lab.day import Day, NodeDrawn, SidecarDrawn
-from coveport.lab.ground import Accept
-from coveport.lab.scenario import Scenario
 from coveport.net.address import Address
 from coveport.net.transport import Factory, Net
+from coveport.testbed.backend import Accept
+from coveport.testbed.day import Day, NodeDrawn, SidecarDrawn
+from coveport.testbed.scenario import Scenario
 
 
 class OneHost:
--- a/tests/lab/real_helpers.py
+++ b/tests/lab/real_helpers.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 from typing import Any
 
-from coveport.lab.conductor import OF_DISCOVERY, conduct
-from coveport.lab.day import Change, Day, SidecarDrawn, Span, Wish
-from coveport.lab.real.parts import Place
-from coveport.lab.scenario import Scenario
-from coveport.lab.schema import Class, Limits
+from coveport.testbed.conductor import OF_DISCOVERY, conduct
+from coveport.testbed.day import Change, Day, SidecarDrawn, Span, Wish
+from coveport.testbed.loopback.parts import Place
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.schema import Class, Limits
 
 FOLDER = "LAB_TEST_FOLDER"  # variable: where each process leaves a file named by its pid
 TROUBLE = "LAB_TEST_TROUBLE"  # variable: what goes wrong
--- a/tests/lab/test_at_size.py
+++ b/tests/lab/test_at_size.py
@@ -9,9 +9,9 @@
 from msgspec.structs import replace
 from test_discovery_standin import Caller, Place
 
-from coveport.lab import catalog
-from coveport.lab.run import play_and_judge
-from coveport.lab.scenario import Scenario, load
+from coveport.testbed import catalog
+from coveport.testbed.run import play_and_judge
+from coveport.testbed.scenario import Scenario, load
 
 EARLIER_S = 4.0
 
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -11,8 +11,8 @@
 import outcomes
 import pytest
 
-from coveport.lab import compare, intervals, sweep
-from coveport.lab.compare import CompareError, Comparison, Day
+from coveport.testbed import compare, intervals, sweep
+from coveport.testbed.compare import CompareError, Comparison, Day
 
 
 def day(seed: int, service: float, params: dict[str, str] | None = None, **more: Any) -> Day:
--- a/tests/lab/test_discovery_standin.py
+++ b/tests/lab/test_discovery_standin.py
@@ -11,12 +11,12 @@
 from one_host import OneHost, day, until
 
 from coveport.http1 import codec as http1
-from coveport.lab.books import Books, Called, Told
-from coveport.lab.day import Change
-from coveport.lab.scenario import Scenario
-from coveport.lab.schema import DiscoveryService
-from coveport.lab.standins import discovery as module
-from coveport.lab.standins.discovery import PATH, Discovery
+from coveport.testbed.day import Change
+from coveport.testbed.event_log import Books, Called, Told
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.schema import DiscoveryService
+from coveport.testbed.standins import discovery as module
+from coveport.testbed.standins.discovery import PATH, Discovery
 
 BORN = 1_700_000_000_000
 
--- a/tests/lab/test_duties_real.py
+++ b/tests/lab/test_duties_real.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from coveport.lab.trials import judge
-from coveport.lab.trials.real import SETTINGS, RealTrial, Running
-from coveport.lab.trials.schedules import Trial
 from coveport.sidecar.singletons.slow_start_coordinator import Safe
+from coveport.testbed.fault_injection import judge
+from coveport.testbed.fault_injection.real import SETTINGS, RealTrial, Running
+from coveport.testbed.fault_injection.schedules import Trial
 
 LONG = 60.0
 
--- a/tests/lab/test_explain.py
+++ b/tests/lab/test_explain.py
@@ -8,8 +8,8 @@
 from click.testing import CliRunner
 
 from coveport.cli.root import root
-from coveport.lab import catalog, explain, run
-from coveport.lab.scenario import load
+from coveport.testbed import catalog, explain, run
+from coveport.testbed.scenario import load
 
 
 def picture(*sets: str) -> explain.Picture:
--- a/tests/lab/test_eyes.py
+++ b/tests/lab/test_eyes.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from coveport.lab import run, scenario
-from coveport.lab.broken import VARIANTS
+from coveport.testbed import run, scenario
+from coveport.testbed.broken import VARIANTS
 
 TROUBLE = """
 title = "Trouble of many kinds"
--- a/tests/lab/test_found.py
+++ b/tests/lab/test_found.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from coveport.lab import catalog
-from coveport.lab.scenario import load
-from coveport.lab.search.hunt import look
+from coveport.testbed import catalog
+from coveport.testbed.scenario import load
+from coveport.testbed.search.hunt import look
 
 FOUND = sorted((catalog.folder() / "found").glob("*.toml"))
 
--- a/tests/lab/test_fuzz.py
+++ b/tests/lab/test_fuzz.py
@@ -15,11 +15,11 @@
 
 from coveport.cli.root import root
 from coveport.http1 import codec
-from coveport.lab import compare, outcome
-from coveport.lab.fuzz import UNDER_TEST, run, writers
-from coveport.lab.fuzz.mutate import Mutator, read_dictionary
-from coveport.lab.scenario import ScenarioError, load, parse
 from coveport.sidecar.discovery.reader import PoolReader
+from coveport.testbed import compare, outcome
+from coveport.testbed.fuzz import UNDER_TEST, run, writers
+from coveport.testbed.fuzz.mutate import Mutator, read_dictionary
+from coveport.testbed.scenario import ScenarioError, load, parse
 
 MUTATIONS = {"scenarios": 300}  # the others are cheap
 REQUEST = b"GET /balance/7 HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1\r\nX-Deadline: 9m\r\n\r\n"
@@ -114,7 +114,7 @@
     name: str, place: str, fault: object, data: bytes, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert run.attempt(run.named(name), data) is None
-    monkeypatch.setattr(f"coveport.lab.fuzz.targets.{place}", fault)
+    monkeypatch.setattr(f"coveport.testbed.fuzz.targets.{place}", fault)
     find = run.attempt(run.named(name), data)
     assert find is not None and find.kind == kind and find.data == data
 
@@ -190,11 +190,11 @@
     good = run.keep(corpus, b"inflight=1,queue=2,util=3")
     done = call("loads", "--seconds", 0, "--corpus", corpus, "--out", tmp_path)
     assert done.exit_code == 0 and "loads: 1 inputs" in done.stdout
-    monkeypatch.setattr("coveport.lab.fuzz.run.can_guide", lambda: False)
+    monkeypatch.setattr("coveport.testbed.fuzz.run.can_guide", lambda: False)
     done = call("loads", "--seconds", 0.01, "--corpus", corpus, "--out", tmp_path, "--minimise")
     assert done.exit_code == 0 and "drawn" in done.stdout and good.exists()
     assert done.stderr == "atheris is not there: mutations are drawn by the seed, not guided\n"
-    monkeypatch.setattr("coveport.lab.fuzz.targets.load_of", lambda *_: (1.0,))
+    monkeypatch.setattr("coveport.testbed.fuzz.targets.load_of", lambda *_: (1.0,))
     done = call("loads", "--seconds", 0, "--corpus", corpus, "--out", tmp_path)
     assert done.exit_code == 1 and "length: (1.0,)" in done.stdout
     assert (tmp_path / "loads/finds" / good.name).read_bytes() == good.read_bytes()
--- a/tests/lab/test_h11.py
+++ b/tests/lab/test_h11.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from coveport.http1 import codec
-from coveport.lab.fuzz import differ
+from coveport.testbed.fuzz import differ
 
 HEAD = b"POST /a HTTP/1.1\r\nHost: a\r\n"
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
--- a/tests/lab/test_harsh.py
+++ b/tests/lab/test_harsh.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from coveport.lab import run, scenario
-from coveport.lab.books import Answered, Arrived, Asked, Life, Linked, Replied, Told
-from coveport.lab.broken import VARIANTS, Variant
-from coveport.lab.playing import Played
-from coveport.lab.scenario import SIMULATED_FIGURES
-from coveport.lab.schema import Network
-from coveport.lab.virtual.harsh import Harsh
 from coveport.sidecar.effects import Effects
+from coveport.testbed import run, scenario
+from coveport.testbed.broken import VARIANTS, Variant
+from coveport.testbed.event_log import Answered, Arrived, Asked, Life, Linked, Replied, Told
+from coveport.testbed.playing import Played
+from coveport.testbed.scenario import SIMULATED_FIGURES
+from coveport.testbed.schema import Network
+from coveport.testbed.simulated_network.harsh import Harsh
 
 TROUBLE = """
 title = "Everything harsh"
@@ -66,7 +66,7 @@
 
 
 def test_a_harsh_day_is_the_same_in_every_process_and_unlike_a_calm_one() -> None:
-    script = f"from coveport.lab import run, scenario\nday = scenario.parse({HARSH!r}, 'harsh')\n"
+    script = f"from coveport.testbed import run, scenario\nday = scenario.parse({HARSH!r}, 'harsh')\n"
     script += "print(run.play(day, seed=4, ground='virtual').trace)"
     told = [
         subprocess.run(
@@ -127,7 +127,7 @@
 def test_a_clock_that_steps_moves_the_wall_and_a_process_started_meanwhile_has_it_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    from coveport.lab.virtual.wires import VirtualNet
+    from coveport.testbed.simulated_network.wires import VirtualNet
 
     steps: list[float] = []  # seconds off, whenever somebody looked
     real = VirtualNet.unix_s
@@ -236,7 +236,7 @@
     ],
 )
 def test_real_ground_refuses_in_one_line_what_it_cannot_do(text: str, key: str) -> None:
-    from coveport.lab.real import GroundError
+    from coveport.testbed.loopback import GroundError
 
     with pytest.raises(GroundError, match=r"^[^\n]*$") as caught:
         run.play(scenario.parse(CALM + text, "harsh"), seed=1, ground="real")
--- a/tests/lab/test_measures.py
+++ b/tests/lab/test_measures.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 from measure_books import Builder
 
-from coveport.lab import books
-from coveport.lab.day import Wish
-from coveport.lab.faults import Crash
-from coveport.lab.measures import KINDS, faults, is_mended, judge_expectations, measure, series
-from coveport.lab.outcome import Broken, decode, encode
-from coveport.lab.schema import Expect
+from coveport.testbed import event_log
+from coveport.testbed.day import Wish
+from coveport.testbed.faults import Crash
+from coveport.testbed.measures import KINDS, faults, is_mended, judge_expectations, measure, series
+from coveport.testbed.outcome import Broken, decode, encode
+from coveport.testbed.schema import Expect
 
 
 def wish(op: str, due: float) -> Wish:
@@ -50,12 +50,12 @@
     day.answer("busy", 200.0, 429)
     day.answer("failed", 200.0, 500)
     day.rows += [
-        books.Broke(200.0, "broken", "reset", 3),
-        books.GaveUp(200.0, "left", "impatient"),
-        books.GaveUp(201.0, "broken", "impatient"),
-        books.GaveUp(4000.0, "none", "late"),
-        books.GaveUp(150.0, "half", "half"),
-        books.Unasked(100.0, "u", "u", 0, 0, 100.0, "refused"),
+        event_log.Broke(200.0, "broken", "reset", 3),
+        event_log.GaveUp(200.0, "left", "impatient"),
+        event_log.GaveUp(201.0, "broken", "impatient"),
+        event_log.GaveUp(4000.0, "none", "late"),
+        event_log.GaveUp(150.0, "half", "half"),
+        event_log.Unasked(100.0, "u", "u", 0, 0, 100.0, "refused"),
     ]
     day.answer("half", 300.0)
     day.wishes = [wish("busy", 100.0), wish("never tried", 200.0)]
@@ -159,13 +159,13 @@
     day.attempt("gone", 5.0, 1, work=20.0, ended=("end", 1000.0))  # waste; it was ended 5 ms before
     day.attempt("gone", 995.5, 0, took="full", status=503, replied=996.0)
     day.rows += [
-        books.Probed(100.0, 0, 0, 10.0),
-        books.Called(100.0, 0, True),
-        books.Linked(0.0, 0, 0, 1, True),
-        books.Linked(1.0, 1, 0, 2, True),
-        books.Linked(2.0, 0, 0, 1, False),
-        books.Linked(3.0, 0, 1, 3, True),
-        books.Linked(4.0, 0, 1, 4, True),
+        event_log.Probed(100.0, 0, 0, 10.0),
+        event_log.Called(100.0, 0, True),
+        event_log.Linked(0.0, 0, 0, 1, True),
+        event_log.Linked(1.0, 1, 0, 2, True),
+        event_log.Linked(2.0, 0, 0, 1, False),
+        event_log.Linked(3.0, 0, 1, 3, True),
+        event_log.Linked(4.0, 0, 1, 4, True),
     ]
     figures = measure(day.played())
     assert figures.attempts.total == 7 and figures.attempts.per_operation == 7 / 4
@@ -203,7 +203,7 @@
 def test_processes_and_their_restarts() -> None:
     day = Builder(length_s=5.0)
     day.rows += [
-        books.Sample(at, 0, memory, files, cpu)
+        event_log.Sample(at, 0, memory, files, cpu)
         for at, memory, files, cpu in (
             (0.0, 10.0, 8, 0.5),
             (1.0, 30.0, 9, 2.0),
@@ -221,10 +221,10 @@
     day.steady(1000, 2000, good=False)
     day.attempt("w0", 2500.0, 0)
     day.rows += [
-        books.NodeLoad(500.0, 1, 2, 3, 0.5, 4),
-        books.NodeLoad(700.0, 1, 4, 5, 1.0, 4),
-        books.NodeIs(1500.0, 1, "down", -1, 1, 1, 1, 0, 1, 1),
-        books.Linked(100.0, 0, 0, 1, True),
+        event_log.NodeLoad(500.0, 1, 2, 3, 0.5, 4),
+        event_log.NodeLoad(700.0, 1, 4, 5, 1.0, 4),
+        event_log.NodeIs(1500.0, 1, "down", -1, 1, 1, 1, 0, 1, 1),
+        event_log.Linked(100.0, 0, 0, 1, True),
     ]
     one = series(day.played())
     assert one.offered.tolist() == [10, 10, 0] and one.served.tolist() == [10, 0, 0]
@@ -293,13 +293,13 @@
         if what in ("ask", "retry"):
             day.ask(op if what == "ask" else f"{op}r", at, cls, first="" if what == "ask" else op)
         elif what == "unasked":
-            day.rows.append(books.Unasked(at, op, op, 0, cls, at, "refused"))
+            day.rows.append(event_log.Unasked(at, op, op, 0, cls, at, "refused"))
         elif what == "answer":
             day.answer(op, at, status)
         elif what == "broke":
-            day.rows.append(books.Broke(at, op, "end", 0))
+            day.rows.append(event_log.Broke(at, op, "end", 0))
         elif what == "gave up":
-            day.rows.append(books.GaveUp(at, op, "impatient"))
+            day.rows.append(event_log.GaveUp(at, op, "impatient"))
         else:
             day.attempt(op, at, cls, replied=at + 50, status=status)
     figures = measure(day.played())
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.lab import model as core
-from coveport.lab.day import NodeDrawn
-from coveport.lab.model import Attempt, KeyMemory, NodeModel
-from coveport.lab.schema import Class
+from coveport.testbed import model as core
+from coveport.testbed.day import NodeDrawn
+from coveport.testbed.model import Attempt, KeyMemory, NodeModel
+from coveport.testbed.schema import Class
 
 CLASSES = [Class("safe", 0.5, 50, "safe", 1000, 4000), Class("keyed", 0.5, 50, "keyed", 1000, 4000)]
 PLAIN: dict[str, Any] = dict.fromkeys(NodeDrawn.__struct_fields__, 0) | dict(
--- a/tests/lab/test_model_check.py
+++ b/tests/lab/test_model_check.py
@@ -13,12 +13,12 @@
 from coveport.balancing import balancer as decide
 from coveport.balancing import interface as api
 from coveport.cli.root import root
-from coveport.lab.check import check, printed
-from coveport.lab.check.chance import Chooser
-from coveport.lab.check.world import NODE, OPERATION, World
-from coveport.lab.check.worlds import SMALL, WORLDS, faulty
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.reducer import Reducer
+from coveport.testbed.check import check, printed
+from coveport.testbed.check.chance import Chooser
+from coveport.testbed.check.world import NODE, OPERATION, World
+from coveport.testbed.check.worlds import SMALL, WORLDS, faulty
 
 
 @pytest.mark.parametrize("world", SMALL, ids=lambda world: world.name)
--- a/tests/lab/test_nodes.py
+++ b/tests/lab/test_nodes.py
@@ -10,16 +10,16 @@
 import timeless
 
 from coveport.http1 import codec as http1
-from coveport.lab import books as b
-from coveport.lab.day import Change, Day, NodeDrawn, Wish
-from coveport.lab.ground import Accept, Host
-from coveport.lab.ids import first_id, try_id, try_number
-from coveport.lab.model import KeyMemory
-from coveport.lab.scenario import Scenario
-from coveport.lab.standins.fates import SPOILT
-from coveport.lab.standins.nodes import LedgerNode
-from coveport.lab.standins.work_book import WorkBook
 from coveport.net.transport import Listening, Net
+from coveport.testbed import event_log as b
+from coveport.testbed.backend import Accept, Host
+from coveport.testbed.day import Change, Day, NodeDrawn, Wish
+from coveport.testbed.ids import first_id, try_id, try_number
+from coveport.testbed.model import KeyMemory
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.standins.fates import SPOILT
+from coveport.testbed.standins.nodes import LedgerNode
+from coveport.testbed.standins.operation_costs import WorkBook
 
 DRAWN: dict[str, Any] = dict.fromkeys(NodeDrawn.__struct_fields__, 0) | dict(
     number=3,
--- a/tests/lab/test_oracle.py
+++ b/tests/lab/test_oracle.py
@@ -11,9 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from coveport.lab import books as b
-from coveport.lab.day import Change
-from coveport.lab.oracle import RULES, Grace, judge
+from coveport.testbed import event_log as b
+from coveport.testbed.day import Change
+from coveport.testbed.oracle import RULES, Grace, judge
 
 G = Grace()
 LIMIT = 1000.0 + 20 + G.extra_ms  # patience and slack
--- a/tests/lab/test_real.py
+++ b/tests/lab/test_real.py
@@ -19,16 +19,16 @@
 import real_helpers
 from real_helpers import SIDECAR, tiny_day
 
-from coveport.lab.books import Books, Fault, Lag, Life, Sample
-from coveport.lab.day import Change
-from coveport.lab.playing import Played
-from coveport.lab.real import GroundError, play_day
-from coveport.lab.real.folders import own_folder
-from coveport.lab.real.hosts import RealHost, address_of
-from coveport.lab.real.orchestrator import check_fits, shares
-from coveport.lab.real.shaping import ShapedNet
-from coveport.lab.real.sidecars import Sidecar
-from coveport.lab.real.timing import DayClock, LagWatch, new_loop
+from coveport.testbed.day import Change
+from coveport.testbed.event_log import Books, Fault, Lag, Life, Sample
+from coveport.testbed.loopback import GroundError, play_day
+from coveport.testbed.loopback.folders import own_folder
+from coveport.testbed.loopback.hosts import RealHost, address_of
+from coveport.testbed.loopback.orchestrator import check_fits, shares
+from coveport.testbed.loopback.shaping import ShapedNet
+from coveport.testbed.loopback.sidecars import Sidecar
+from coveport.testbed.loopback.timing import DayClock, LagWatch, new_loop
+from coveport.testbed.playing import Played
 
 WAY_S = 0.03
 
@@ -404,7 +404,7 @@
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_nothing_is_left_when_the_lab_is_stopped(folder: Path, number: signal.Signals) -> None:
     program = (
-        "from real_helpers import *; from coveport.lab.real import play_day; "
+        "from real_helpers import *; from coveport.testbed.loopback import play_day; "
         "play_day(tiny_day(length_s=30), command=SIDECAR, parts='real_helpers')"
     )
     path = os.pathsep.join([str(Path(__file__).parent), *sys.path])
@@ -435,12 +435,12 @@
 
 
 def test_a_small_day_with_the_lab_s_own_stand_ins(tmp_path: Path) -> None:
-    pytest.importorskip("coveport.lab.standins.nodes")
-    pytest.importorskip("coveport.lab.standins.tills")
-    drawing = pytest.importorskip("coveport.lab.drawing")
-    from coveport.lab.books import Answered, Arrived, Asked
-    from coveport.lab.scenario import Scenario
-    from coveport.lab.schema import Fleet, Load
+    pytest.importorskip("coveport.testbed.standins.nodes")
+    pytest.importorskip("coveport.testbed.standins.clients")
+    drawing = pytest.importorskip("coveport.testbed.drawing")
+    from coveport.testbed.event_log import Answered, Arrived, Asked
+    from coveport.testbed.scenario import Scenario
+    from coveport.testbed.schema import Fleet, Load
 
     scenario = Scenario(
         title="small", length_s=1, tail_s=5, fleet=Fleet(sidecars=2, nodes=4), load=Load(rate=20)
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -11,11 +11,11 @@
 import pytest
 from measure_books import CLASSES, Builder
 
-from coveport.lab import books
-from coveport.lab.measures import judge_expectations, measure
-from coveport.lab.outcome import Broken
-from coveport.lab.report import summary_text, verdict, write
-from coveport.lab.schema import Expect
+from coveport.testbed import event_log
+from coveport.testbed.measures import judge_expectations, measure
+from coveport.testbed.outcome import Broken
+from coveport.testbed.report import summary_text, verdict, write
+from coveport.testbed.schema import Expect
 
 HOSTILE = "</title><script>alert(1)</script> \"quoted\" 'so' & $x_{$ --> 五"
 
@@ -32,13 +32,13 @@
     day.fault("cut", 22_000, 23_000, "zone bilbao")
     day.fault("kill", 39_900, 39_900, f"sidecar 1 {title}")
     for at in range(0, 40_000, 500):
-        day.rows += [books.NodeLoad(at, node, 1, node, 0.5, 3) for node in (0, 1)]
-        day.rows.append(books.Sample(at, 0, 20.0 + at / 10_000, 12, at / 100_000))
+        day.rows += [event_log.NodeLoad(at, node, 1, node, 0.5, 3) for node in (0, 1)]
+        day.rows.append(event_log.Sample(at, 0, 20.0 + at / 10_000, 12, at / 100_000))
     day.rows += [
-        books.NodeIs(5000, 1, "down", -1, 1, 1, 1, 0, 1, 1),
-        books.Life(39_900, 1, "kill"),
-        books.Life(10, 0, "start", "1"),
-        books.Life(39_950, 1, "exit", "-9"),
+        event_log.NodeIs(5000, 1, "down", -1, 1, 1, 1, 0, 1, 1),
+        event_log.Life(39_900, 1, "kill"),
+        event_log.Life(10, 0, "start", "1"),
+        event_log.Life(39_950, 1, "exit", "-9"),
     ]
     return day
 
@@ -122,7 +122,7 @@
 
 def test_the_plots_library_is_loaded_for_a_report_alone() -> None:
     code = (
-        "import sys, coveport.lab, coveport.lab.measures, coveport.lab.report; "
+        "import sys, coveport.testbed, coveport.testbed.measures, coveport.testbed.report; "
         "sys.exit('matplotlib' in sys.modules)"
     )
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
--- a/tests/lab/test_same_day.py
+++ b/tests/lab/test_same_day.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from coveport.lab import catalog, run, scenario
-from coveport.lab.books import Asked, Life, Unasked
+from coveport.testbed import catalog, run, scenario
+from coveport.testbed.event_log import Asked, Life, Unasked
 
 SCRIPT = """
-from coveport.lab import catalog, run, scenario
+from coveport.testbed import catalog, run, scenario
 day = scenario.load(catalog.find("flaky"))
 print(run.play(day, seed={seed}, ground="virtual").trace)
 """
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from coveport.lab import catalog
-from coveport.lab.faults import Crash
-from coveport.lab.scenario import ScenarioError, load, parse
-from coveport.lab.sense import portions
+from coveport.testbed import catalog
+from coveport.testbed.faults import Crash
+from coveport.testbed.scenario import ScenarioError, load, parse
+from coveport.testbed.scenario_checks import portions
 
 FAULT = 'title = "t"\n[[faults]]\nat_s = 3\n'
 CLASS = 'title = "t"\n[[classes]]\nname = "a"\nshare = 1\nwork_ms = 9\nrepeats = "keyed"\naim_ms = 50\n'
--- a/tests/lab/test_search.py
+++ b/tests/lab/test_search.py
@@ -21,18 +21,18 @@
 from hypothesis import strategies as st
 from test_sweep import Inline
 
-from coveport.lab import books, catalog, run, sweep
-from coveport.lab.broken import VARIANTS
-from coveport.lab.faults import FaultBase, Whom
-from coveport.lab.outcome import Outcome
-from coveport.lab.playing import Played
-from coveport.lab.scenario import Scenario, load, parse
-from coveport.lab.schema import FigureShare
-from coveport.lab.search import finds, hunt, reach, schedules
-from coveport.lab.search.aftermath import aftermath, ratio, troubles_of, without_faults
-from coveport.lab.search.files import laid, to_toml
-from coveport.lab.search.schedules import draw_schedule
-from coveport.lab.search.shrink import look_at
+from coveport.testbed import catalog, event_log, run, sweep
+from coveport.testbed.broken import VARIANTS
+from coveport.testbed.faults import FaultBase, Whom
+from coveport.testbed.outcome import Outcome
+from coveport.testbed.playing import Played
+from coveport.testbed.scenario import Scenario, load, parse
+from coveport.testbed.schema import FigureShare
+from coveport.testbed.search import finds, hunt, reach, schedules
+from coveport.testbed.search.aftermath import aftermath, ratio, troubles_of, without_faults
+from coveport.testbed.search.files import laid, to_toml
+from coveport.testbed.search.schedules import draw_schedule
+from coveport.testbed.search.shrink import look_at
 
 CALM = load(catalog.find("calm"))
 
@@ -128,7 +128,7 @@
     whole = reach.reachable(day.day, day.rows)
     after = aftermath(day.day, day.rows, whole)
     assert after.below is None and after.back_s is not None and after.back_s <= 1 and after.quiet >= 5000
-    lost = [row for row in day.rows if not (isinstance(row, books.Answered) and row.at > 6000)]
+    lost = [row for row in day.rows if not (isinstance(row, event_log.Answered) and row.at > 6000)]
     low = aftermath(day.day, lost, reach.reachable(day.day, lost))
     assert low.back_s is None and low.below is not None and low.below < 10_000
     here = finds.finds(Played(day.day, "virtual", lost), played("calm")[1])
--- a/tests/lab/test_shrink.py
+++ b/tests/lab/test_shrink.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from coveport.lab import catalog
-from coveport.lab.faults import Cut, Kill, Slow
-from coveport.lab.scenario import Scenario, load, parse
-from coveport.lab.search.aftermath import troubles_of
-from coveport.lab.search.files import laid, sparse, to_toml
-from coveport.lab.search.finds import Find
-from coveport.lab.search.shrink import NotShownError, shrink
+from coveport.testbed import catalog
+from coveport.testbed.faults import Cut, Kill, Slow
+from coveport.testbed.scenario import Scenario, load, parse
+from coveport.testbed.search.aftermath import troubles_of
+from coveport.testbed.search.files import laid, sparse, to_toml
+from coveport.testbed.search.finds import Find
+from coveport.testbed.search.shrink import NotShownError, shrink
 
 CALM = load(catalog.find("calm"))
 SETS = (
--- a/tests/lab/test_staff.py
+++ b/tests/lab/test_staff.py
@@ -7,12 +7,12 @@
 import pytest
 from msgspec.structs import replace
 
-from coveport.lab import catalog
-from coveport.lab.books import AnyRow, Life
-from coveport.lab.oracle import judge
-from coveport.lab.run import play_and_judge
-from coveport.lab.scenario import Scenario, load
 from coveport.sidecar.telemetry import counters
+from coveport.testbed import catalog
+from coveport.testbed.event_log import AnyRow, Life
+from coveport.testbed.oracle import judge
+from coveport.testbed.run import play_and_judge
+from coveport.testbed.scenario import Scenario, load
 
 
 def slice_of(name: str, *kinds: str, length_s: float = 16.0) -> Scenario:
--- a/tests/lab/test_sweep.py
+++ b/tests/lab/test_sweep.py
@@ -13,7 +13,7 @@
 import outcomes
 import pytest
 
-from coveport.lab import lanes, sweep
+from coveport.testbed import sweep, worker_pool
 
 
 class Inline:
@@ -138,10 +138,10 @@
     def full(*_: object) -> None:
         raise OSError(28, "No space left on device")
 
-    lanes.write_whole(tmp_path / "cell.json", b"old")
+    worker_pool.write_whole(tmp_path / "cell.json", b"old")
     monkeypatch.setattr(os, fails, full)
     with pytest.raises(OSError, match="No space"):
-        lanes.write_whole(tmp_path / "cell.json", b"new" * 1000)
+        worker_pool.write_whole(tmp_path / "cell.json", b"new" * 1000)
     assert (tmp_path / "cell.json").read_bytes() == b"old" and os.listdir(tmp_path) == ["cell.json"]
 
 
--- a/tests/lab/test_tills.py
+++ b/tests/lab/test_tills.py
@@ -12,12 +12,12 @@
 from one_host import OneHost, day, until
 
 from coveport.http1 import codec as http1
-from coveport.lab import ids
-from coveport.lab.books import Answered, Asked, Books, Lag, digest_of_request
-from coveport.lab.day import Wish
-from coveport.lab.scenario import Scenario
-from coveport.lab.schema import Class, Load, Retries, Rules
-from coveport.lab.standins import tills as module
+from coveport.testbed import ids
+from coveport.testbed.day import Wish
+from coveport.testbed.event_log import Answered, Asked, Books, Lag, digest_of_request
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.schema import Class, Load, Retries, Rules
+from coveport.testbed.standins import clients as module
 
 CLASSES = (
     Class("balance", 1, 50, "safe", 200, 300),
--- a/tests/lab/test_trials.py
+++ b/tests/lab/test_trials.py
@@ -9,17 +9,17 @@
 import msgspec
 import pytest
 
-from coveport.lab import catalog
-from coveport.lab.scenario import ScenarioError
-from coveport.lab.trials import judge
-from coveport.lab.trials.days import load, write
-from coveport.lab.trials.history import Histories, Record
-from coveport.lab.trials.linear import Call, linearizable
-from coveport.lab.trials.schedules import HOLDER, Fault, Trial, draw
-from coveport.lab.trials.search import hunt, shrink
-from coveport.lab.trials.variants import VARIANTS
-from coveport.lab.trials.virtual import play
 from coveport.sidecar.singletons.rollout import Phase, Plan
+from coveport.testbed import catalog
+from coveport.testbed.fault_injection import judge
+from coveport.testbed.fault_injection.broken_variants import VARIANTS
+from coveport.testbed.fault_injection.days import load, write
+from coveport.testbed.fault_injection.history import Histories, Record
+from coveport.testbed.fault_injection.linear import Call, linearizable
+from coveport.testbed.fault_injection.schedules import HOLDER, Fault, Trial, draw
+from coveport.testbed.fault_injection.search import hunt, shrink
+from coveport.testbed.fault_injection.virtual import play
+from coveport.testbed.scenario import ScenarioError
 
 
 def trial(*faults: Fault, **more: object) -> Trial:
--- a/tests/lab/test_trials_model.py
+++ b/tests/lab/test_trials_model.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from coveport.lab.trials import variants
-from coveport.lab.trials.model import World
 from coveport.sidecar.leases.lease_state import Holder
+from coveport.testbed.fault_injection import broken_variants
+from coveport.testbed.fault_injection.model import World
 
 
 @pytest.mark.parametrize("warm", [True, False], ids=["one holds", "all begin"])
@@ -32,13 +32,13 @@
     ("world", "what"),
     [
         ({"kinds": ("act", "lost"), "lengths": (9,), "fence": False}, "acts were accepted"),
-        ({"kinds": ("lost",), "lengths": (9,), "holder": variants._NeverOver}, "two believe"),
-        ({"kinds": ("lost",), "lengths": (9,), "holder": variants._UnknownIsDone}, "two believe"),
+        ({"kinds": ("lost",), "lengths": (9,), "holder": broken_variants._NeverOver}, "two believe"),
+        ({"kinds": ("lost",), "lengths": (9,), "holder": broken_variants._UnknownIsDone}, "two believe"),
         (
             {
                 "kinds": ("late", "lost"),
                 "lengths": (1, 4),
-                "holder": variants._UnknownClaimIsOurs,
+                "holder": broken_variants._UnknownClaimIsOurs,
                 "warm": False,
             },
             "two believe",
@@ -47,7 +47,7 @@
             {
                 "kinds": ("unheard",),
                 "lengths": (1,),
-                "holder": variants._UnknownClaimIsRefused,
+                "holder": broken_variants._UnknownClaimIsRefused,
                 "warm": False,
             },
             "nobody holds it",
--- a/tests/lab/test_trials_real.py
+++ b/tests/lab/test_trials_real.py
@@ -16,11 +16,11 @@
 
 import pytest
 
-from coveport.lab.trials import judge, real
-from coveport.lab.trials.clocked import Clocks
-from coveport.lab.trials.real import RealTrial, Running, free_port, play
-from coveport.lab.trials.schedules import HOLDER, Fault, Trial
 from coveport.sidecar.leases.clock import boot_s
+from coveport.testbed.fault_injection import judge, real
+from coveport.testbed.fault_injection.clocked import Clocks
+from coveport.testbed.fault_injection.real import RealTrial, Running, free_port, play
+from coveport.testbed.fault_injection.schedules import HOLDER, Fault, Trial
 
 STARTS_S = 60.0  # for instances to serve, as in the fleet's trials
 LONG = 40.0  # for what comes in a second or two on a machine with nothing else to do
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from coveport.lab.day import Change, Day
-from coveport.lab.scenario import Scenario
-from coveport.lab.schema import Network as Figures
-from coveport.lab.virtual.harsh import Harsh
-from coveport.lab.virtual.wires import WINDOW, Network, Side, VirtualNet
-from coveport.lab.virtual.world import Process, World
-from coveport.lab.ways import Ways
+from coveport.testbed.day import Change, Day
+from coveport.testbed.network_model import Ways
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.schema import Network as Figures
+from coveport.testbed.simulated_network.harsh import Harsh
+from coveport.testbed.simulated_network.wires import WINDOW, Network, Side, VirtualNet
+from coveport.testbed.simulated_network.world import Process, World
 
 DAY = Day(
     scenario=Scenario(title="t"),
--- a/tests/lab/timeless.py
+++ b/tests/lab/timeless.py
@@ -6,12 +6,12 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, TypeVar
 
-from coveport.lab.day import Day
-from coveport.lab.scenario import Scenario
-from coveport.lab.virtual.wires import Network, VirtualNet
-from coveport.lab.virtual.world import Process, World
-from coveport.lab.ways import Ways
 from coveport.net.address import Address
+from coveport.testbed.day import Day
+from coveport.testbed.network_model import Ways
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.simulated_network.wires import Network, VirtualNet
+from coveport.testbed.simulated_network.world import Process, World
 
 T = TypeVar("T")
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
--- a/tests/leases/test_keeper.py
+++ b/tests/leases/test_keeper.py
@@ -4,11 +4,11 @@
 
 import random
 
-from coveport.lab.trials.simstore import Host, SimStore, Way
-from coveport.lab.virtual.world import Process, World
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.leases.lease_client import Keeper
 from coveport.sidecar.leases.states import Session
+from coveport.testbed.fault_injection.simstore import Host, SimStore, Way
+from coveport.testbed.simulated_network.world import Process, World
 
 
 def test_what_is_written_as_the_session_ends_is_bound_to_a_lease_or_not_written() -> None:
--- a/tests/leases/test_stores.py
+++ b/tests/leases/test_stores.py
@@ -18,10 +18,6 @@
 import pytest
 from conformance import CASES, Case, done, put
 
-from coveport.lab.trials.linear import Call, linearizable
-from coveport.lab.trials.real import Engine
-from coveport.lab.trials.simstore import Host, SimStore, Way
-from coveport.lab.virtual.world import Process, World
 from coveport.sidecar.leases.etcd import EtcdStore
 from coveport.sidecar.leases.sqlite import SqliteStore
 from coveport.sidecar.leases.store import (
@@ -35,6 +31,10 @@
     Transaction,
     Unknown,
 )
+from coveport.testbed.fault_injection.linear import Call, linearizable
+from coveport.testbed.fault_injection.real import Engine
+from coveport.testbed.fault_injection.simstore import Host, SimStore, Way
+from coveport.testbed.simulated_network.world import Process, World
 
 
 def named(case: Case) -> str:
--- a/tests/outcomes.py
+++ b/tests/outcomes.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from coveport.lab import scenario, sweep
+from coveport.testbed import scenario, sweep
 
 BROKEN: dict[str, Any] = {"kept": False, "broken": [{"rule": "ran-twice"}]}
 MISSED: dict[str, Any] = {"expectations": [{"met": False}]}
@@ -91,9 +91,9 @@
     }
     vars(scenario).update(load=load, ScenarioError=ScenarioError)
     for name, content in parts.items():
-        module = sys.modules[f"coveport.lab.{name}"] = ModuleType(name)
+        module = sys.modules[f"coveport.testbed.{name}"] = ModuleType(name)
         vars(module).update(content)
-        vars(sys.modules["coveport.lab"])[name] = module
+        vars(sys.modules["coveport.testbed"])[name] = module
 
 
 def command_line() -> None:
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -1,8 +1,8 @@
 """The world around the real program in simulated time: the same face as `world`, and not a real second long.
 
-The program runs as one process of a `coveport.lab.virtual` world, servers and clients in another one. The
-test's own thread drives time: what blocks on a socket (`recv`, `sendall`, `connect`), `sleep` and `wait_for`
-let it pass until there is something, or the wait is over. Between two such calls nothing happens. All that
+The program runs as one process of a `testbed.simulated_network` world, servers and clients in another one.
+The test's own thread drives time: what blocks on a socket (`recv`, `sendall`, `connect`), `sleep` and
+`wait_for` let it pass until there is something, or the wait is over. Between two such calls nothing happens. All that
 one test makes (servers, discoveries, `world`) stands on the same ground; `world` leaves it, so that each
 test begins at the same instant.
 """
@@ -22,15 +22,15 @@
 
 from world import SILENT, Message, Pool, Seen, configuration, receive, request, take_message
 
-from coveport.lab.day import Day
-from coveport.lab.scenario import Scenario
-from coveport.lab.virtual import wires
-from coveport.lab.virtual.world import Process
-from coveport.lab.virtual.world import World as Time
-from coveport.lab.ways import CLIENT, Ways
 from coveport.sidecar.config import platform
 from coveport.sidecar.service import serve
 from coveport.sidecar.telemetry.log import Log
+from coveport.testbed.day import Day
+from coveport.testbed.network_model import CLIENT, Ways
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.simulated_network import wires
+from coveport.testbed.simulated_network.world import Process
+from coveport.testbed.simulated_network.world import World as Time
 
 T = TypeVar("T")
 HOST = "127.0.0.1"
--- a/tests/system/cli/test_core_caller.py
+++ b/tests/system/cli/test_core_caller.py
@@ -10,12 +10,12 @@
 import pytest
 
 from coveport.http1.codec import Request, RequestParser, write_response
-from coveport.lab.virtual.wires import Network, VirtualNet
-from coveport.lab.virtual.world import Process, World
 from coveport.serving.cli.core_caller import Answer, CoreCaller, NoAnswer
 from coveport.serving.cli.http_call import HttpCall
 from coveport.serving.simulation.places import SimulatedWays
 from coveport.serving.simulation.zones import Delays
+from coveport.testbed.simulated_network.wires import Network, VirtualNet
+from coveport.testbed.simulated_network.world import Process, World
 
 T = TypeVar("T")
 PORT = 80
--- a/tests/system/coordinator/test_callers_who_leave.py
+++ b/tests/system/coordinator/test_callers_who_leave.py
@@ -10,13 +10,13 @@
 import pytest
 
 from coveport.http1 import codec
-from coveport.lab.virtual.world import Process, World
 from coveport.serving.coordinator.control import HOLD_S, Control
 from coveport.serving.coordinator.core import STALL_S, TICK_S, CoreHooks, CoreRuntime
 from coveport.serving.coordinator.operator_calls import OperatorCalls
 from coveport.serving.replication.events import Answer, Done, Effect, Event, Submit, Tick, Withdraw
 from coveport.serving.web.calls import CallTable
 from coveport.serving.web.server import CallServer, _Connection
+from coveport.testbed.simulated_network.world import Process, World
 
 EVACUATION = codec.write_request("POST", "/coveport/evacuation/hall", [("Host", "core")])
 
--- a/tests/system/coordinator/test_control.py
+++ b/tests/system/coordinator/test_control.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from coveport.lab.virtual.world import Process, World
 from coveport.serving.configuration.state import ChangeResult, ControlState
 from coveport.serving.coordinator.control import ANSWER_S, PRIMARY_WAIT_S, Control
 from coveport.serving.model.findings import Finding
 from coveport.serving.replication.events import Done, Newest, NotPrimary, Refused, Unclear
+from coveport.testbed.simulated_network.world import Process, World
 
 CALLERS_WAIT_S = 1.0
 
--- a/tests/system/proxy/proxy_ground.py
+++ b/tests/system/proxy/proxy_ground.py
@@ -9,16 +9,16 @@
 
 from scripted_node import Script, ScriptedClient, ScriptedNode
 
-from coveport.lab.day import Day
-from coveport.lab.scenario import Scenario
-from coveport.lab.virtual.wires import Network, VirtualNet
-from coveport.lab.virtual.world import Process, World
-from coveport.lab.ways import CLIENT, Ways
 from coveport.serving.model.configuration import Configuration, Route, RouteKind, Service, WeightedService
 from coveport.serving.model.node import Node, NodeState
 from coveport.serving.model.view import ControlView, KnownNode
 from coveport.serving.proxy.data_path import DataPath
 from coveport.serving.settings.boot import BootSettings, Bounds
+from coveport.testbed.day import Day
+from coveport.testbed.network_model import CLIENT, Ways
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.simulated_network.wires import Network, VirtualNet
+from coveport.testbed.simulated_network.world import Process, World
 
 T = TypeVar("T")
 DAY = Day(
--- a/tests/system/proxy/test_subscription.py
+++ b/tests/system/proxy/test_subscription.py
@@ -8,7 +8,6 @@
 
 import pytest
 
-from coveport.lab.virtual.world import Process, World
 from coveport.net.transport import Net
 from coveport.serving.configuration.commands import PutConfiguration, StartEvacuation, encode_command
 from coveport.serving.configuration.state import ControlState, encode_state
@@ -17,6 +16,7 @@
 from coveport.serving.proxy.coordinator_choice import CoordinatorChoice
 from coveport.serving.proxy.subscription import ANSWER_S, Subscription
 from coveport.serving.wire.messages import StateChange, Update
+from coveport.testbed.simulated_network.world import Process, World
 
 
 class StandingNet(Net):
--- a/tests/system/simulation/stub_core.py
+++ b/tests/system/simulation/stub_core.py
@@ -7,7 +7,6 @@
 from random import Random
 
 from coveport.http1.codec import Request
-from coveport.lab.virtual.world import World
 from coveport.net.address import Address
 from coveport.serving.model.configuration import (
     Configuration,
@@ -31,6 +30,7 @@
 )
 from coveport.serving.simulation.registration import Registration
 from coveport.serving.simulation.zones import Delays, Zone
+from coveport.testbed.simulated_network.world import World
 
 ZONES = (Zone("hall-a", "north"), Zone("hall-b", "south"))
 SERVICE = "scribe"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,9 +18,9 @@
 import pytest
 from click.testing import CliRunner, Result
 
-import coveport.lab
+import coveport.testbed
 from coveport.cli.root import root
-from coveport.lab import scenario, sweep
+from coveport.testbed import scenario, sweep
 
 TOP = Path(__file__).parent.parent
 ENVIRON = {**os.environ, "PYTHONPATH": f"{TOP}{os.pathsep}{TOP / 'tests'}"}
@@ -40,12 +40,14 @@
 def lab(monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[dict[str, Any], dict[str, Any]]]:
     made: dict[str, Any] = {}
     played = outcomes.outcome()
-    before = [(one, dict(one)) for one in (sys.modules, vars(scenario), vars(coveport.lab))]
+    before = [(one, dict(one)) for one in (sys.modules, vars(scenario), vars(coveport.testbed))]
     outcomes.stand_in(made, played)
     monkeypatch.setattr(sweep, "play_day", outcomes.play)
     yield made, played
     for place, content in before:
-        for name in [name for name in place if name.startswith("coveport.lab") or place is not sys.modules]:
+        for name in [
+            name for name in place if name.startswith("coveport.testbed") or place is not sys.modules
+        ]:
             if name not in content:
                 del place[name]
         place.update(content)
--- a/tests/test_destinations.py
+++ b/tests/test_destinations.py
@@ -9,7 +9,6 @@
 from world import served
 
 from coveport.balancing.interface import Outcome
-from coveport.lab.virtual.wires import VirtualNet
 from coveport.net.address import parse_address
 from coveport.net.transport import Net
 from coveport.sidecar.reducer.locality import Place
@@ -20,6 +19,7 @@
 from coveport.sidecar.upstream import connection_pool
 from coveport.sidecar.upstream.http1_connection import Dialer
 from coveport.sidecar.upstream.route_step import RouteStep, StepResult
+from coveport.testbed.simulated_network.wires import VirtualNet
 
 
 class _Loop:
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -11,10 +11,10 @@
 from msgspec.structs import replace
 
 from coveport.balancing import interface as api
-from coveport.lab import scenario
-from coveport.lab.books import Answered, Arrived, Asked
-from coveport.lab.drawing import draw
-from coveport.lab.virtual.play import play_day
+from coveport.testbed import scenario
+from coveport.testbed.drawing import draw
+from coveport.testbed.event_log import Answered, Arrived, Asked
+from coveport.testbed.simulated_network.play import play_day
 
 ROOT = Path(__file__).parent.parent
 DAY = """
@@ -82,7 +82,7 @@
 
 
 SOURCES = [
-    path for folder in ("coveport",) for path in (ROOT / folder).rglob("*.py") if "lab" not in path.parts
+    path for folder in ("coveport",) for path in (ROOT / folder).rglob("*.py") if "testbed" not in path.parts
 ]
 
 
--- a/tests/work/test_processes.py
+++ b/tests/work/test_processes.py
@@ -19,10 +19,10 @@
 
 import pytest
 
-from coveport.lab.trials.clocked import Clocks
-from coveport.lab.trials.ledger import Asked, LedgerNode, judge
-from coveport.lab.trials.real import SETTINGS, RealTrial, Running
-from coveport.lab.trials.schedules import Trial
+from coveport.testbed.fault_injection.clocked import Clocks
+from coveport.testbed.fault_injection.real import SETTINGS, RealTrial, Running
+from coveport.testbed.fault_injection.recording_nodes import Asked, LedgerNode, judge
+from coveport.testbed.fault_injection.schedules import Trial
 
 LONG = 60.0
 TTL_S = 1.0
@@ -433,8 +433,8 @@
 
 def test_the_nodes_of_a_cell_share_their_keys() -> None:
     """The witness itself: a repeat is one in its cell alone."""
-    from coveport.lab.trials.ledger import Cell
-    from coveport.lab.trials.town import Request
+    from coveport.testbed.fault_injection.environment import Request
+    from coveport.testbed.fault_injection.recording_nodes import Cell
 
     async def asks(node: LedgerNode) -> bool:
         headers = {"idempotency-key": "k", "x-request-id": "t"}
--- a/tests/work/test_trials_of_work.py
+++ b/tests/work/test_trials_of_work.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from coveport.lab.trials.schedules import Fault
-from coveport.lab.trials.search import hunt
-from coveport.lab.trials.work.sim import WorkTrial, draw, play
-from coveport.lab.trials.work.variants import VARIANTS
+from coveport.testbed.fault_injection.schedules import Fault
+from coveport.testbed.fault_injection.search import hunt
+from coveport.testbed.fault_injection.work.broken_variants import VARIANTS
+from coveport.testbed.fault_injection.work.sim import WorkTrial, draw, play
 
 FAULTS = [
     Fault(3, kind, "0", lasts, share)
