--- a/coveport/serving/simulation/client.py
+++ b/coveport/serving/simulation/client.py
@@ -13,8 +13,8 @@
 from coveport.http1.codec import write_request
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net
+from coveport.serving.simulation.events import Book, Ending, TryEnded, TrySent
 from coveport.serving.simulation.exchange import CallerConnection, ConnectionBrokenError, call, dial
-from coveport.serving.simulation.happenings import Book, Ending, TryEnded, TrySent
 from coveport.serving.simulation.reading import Patience, read_answer
 from coveport.serving.simulation.texts import digest
 from coveport.serving.wire.names import Header, Lookup, Path
--- a/coveport/serving/simulation/control_rules.py
+++ b/coveport/serving/simulation/control_rules.py
@@ -8,8 +8,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from coveport.serving.simulation.case import Breach, Case, Version
-from coveport.serving.simulation.happenings import (
+from coveport.serving.simulation.events import (
     HeartbeatAnswered,
     NodeCold,
     Order,
@@ -19,6 +18,7 @@
     TrySent,
     Verdict,
 )
+from coveport.serving.simulation.history import Breach, Case, Version
 
 SLOWED_TIMES = 8  # the bound on going back is so many times as long on a machine in trouble
 
--- a/coveport/serving/simulation/documents.py
+++ b/coveport/serving/simulation/documents.py
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from coveport.serving.model.configuration import Configuration, Route, RouteKind, Service, WeightedService
-from coveport.serving.simulation.happenings import RoutePlace
+from coveport.serving.simulation.events import RoutePlace
 from coveport.serving.simulation.texts import digest
 from coveport.serving.wire import configuration as wire
 from coveport.serving.wire.names import Config
--- a/coveport/serving/simulation/troubles.py
+++ b/coveport/serving/simulation/faults.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from coveport.serving.simulation.happenings import TroubleBegan, TroubleEnded
+from coveport.serving.simulation.events import TroubleBegan, TroubleEnded
 from coveport.serving.simulation.machines import RESTART_S, Machine
-from coveport.serving.simulation.places import Cut
 from coveport.serving.simulation.planned_steps import PlannedSteps
 from coveport.serving.simulation.stand_in_programs import SimulatedNode
+from coveport.serving.simulation.topology import Cut
 from coveport.serving.simulation.world import SimulatedDeployment
 
 
--- a/coveport/serving/simulation/figures.py
+++ b/coveport/serving/simulation/figures.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from coveport.serving.simulation.happenings import Book, Ending, TryEnded, TrySent
+from coveport.serving.simulation.events import Book, Ending, TryEnded, TrySent
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/serving/simulation/case.py
+++ b/coveport/serving/simulation/history.py
@@ -8,7 +8,7 @@
 from math import inf
 
 from coveport.serving.settings.boot import Bounds
-from coveport.serving.simulation.happenings import (
+from coveport.serving.simulation.events import (
     Book,
     NodeStarted,
     Order,
--- a/coveport/serving/simulation/judge.py
+++ b/coveport/serving/simulation/judge.py
@@ -9,8 +9,8 @@
 
 from coveport.serving.settings.boot import Bounds
 from coveport.serving.simulation import control_rules, request_rules
-from coveport.serving.simulation.case import Breach, Case
-from coveport.serving.simulation.happenings import Book
+from coveport.serving.simulation.events import Book
+from coveport.serving.simulation.history import Breach, Case
 
 RULES = (
     request_rules.mixed,
--- a/coveport/serving/simulation/local_deployment.py
+++ b/coveport/serving/simulation/local_deployment.py
@@ -17,8 +17,8 @@
     coordinator_settings,
     proxy_settings,
 )
+from coveport.serving.simulation.events import Book, ProxyStarted
 from coveport.serving.simulation.exchange import call
-from coveport.serving.simulation.happenings import Book, ProxyStarted
 from coveport.serving.simulation.local_processes import LocalProcess
 from coveport.serving.simulation.model_server import ModelServer, NodeFigures
 from coveport.serving.simulation.registration import Registration
--- a/coveport/serving/simulation/machines.py
+++ b/coveport/serving/simulation/machines.py
@@ -9,7 +9,7 @@
 from coveport.serving.log import make_log
 from coveport.serving.simulation.deployment import MachineSpot
 from coveport.serving.simulation.disk import SimulatedDisk
-from coveport.serving.simulation.places import PlacedNet, PlacedNetwork, SimulatedProcess, run_in
+from coveport.serving.simulation.topology import PlacedNet, PlacedNetwork, SimulatedProcess, run_in
 from coveport.testbed.simulated_network.wires import Place
 
 RESTART_S: Final = 0.5  # from a process' end to its next start
--- a/coveport/serving/simulation/model_server.py
+++ b/coveport/serving/simulation/model_server.py
@@ -15,8 +15,7 @@
 from coveport.net.transport import Listening, Net
 from coveport.serving.model.node import NodeState
 from coveport.serving.simulation.engine import DEFAULT_PRIORITY, Engine, EngineFigures, PromptPart, Work
-from coveport.serving.simulation.exchange import ACCEPT_MOST, WAITING_MOST, ServerConnection
-from coveport.serving.simulation.happenings import (
+from coveport.serving.simulation.events import (
     Book,
     NodeCold,
     NodeEnded,
@@ -26,6 +25,7 @@
     RequestRan,
     RequestTurnedAway,
 )
+from coveport.serving.simulation.exchange import ACCEPT_MOST, WAITING_MOST, ServerConnection
 from coveport.serving.simulation.node_answers import AnswerFaults, NodeAnswer, NodeFaults
 from coveport.serving.simulation.texts import digest
 from coveport.serving.wire.names import Header, Path, Report
--- a/coveport/serving/simulation/operator.py
+++ b/coveport/serving/simulation/operator.py
@@ -20,8 +20,8 @@
     document_digest,
     route_places,
 )
+from coveport.serving.simulation.events import Book, Order, OrderEnded, OrderSent, RoutePlace, Verdict
 from coveport.serving.simulation.exchange import WholeAnswer
-from coveport.serving.simulation.happenings import Book, Order, OrderEnded, OrderSent, RoutePlace, Verdict
 from coveport.serving.simulation.registration import CoordinatorList, call_following
 from coveport.serving.wire.names import Config, Header, Path
 
--- a/coveport/serving/simulation/planned_steps.py
+++ b/coveport/serving/simulation/planned_steps.py
@@ -10,7 +10,7 @@
 from coveport.serving.simulation.client import RequestKind
 from coveport.serving.simulation.deployment import HOST
 from coveport.serving.simulation.documents import Change, configuration_document
-from coveport.serving.simulation.happenings import Verdict
+from coveport.serving.simulation.events import Verdict
 from coveport.serving.simulation.operator import Operator
 from coveport.serving.simulation.stand_in_programs import ClientProgram
 from coveport.serving.simulation.traffic import drive
--- a/coveport/serving/simulation/reading.py
+++ b/coveport/serving/simulation/reading.py
@@ -8,8 +8,8 @@
 
 from coveport.http1.codec import BadMessageError, Response
 from coveport.net.transport import Net
+from coveport.serving.simulation.events import Ending, Event, TryEnded
 from coveport.serving.simulation.exchange import CallerConnection, ConnectionBrokenError, NotAnAnswerError
-from coveport.serving.simulation.happenings import Ending, Event, TryEnded
 from coveport.serving.simulation.texts import digest
 from coveport.serving.wire.names import Header
 
--- a/coveport/serving/simulation/registration.py
+++ b/coveport/serving/simulation/registration.py
@@ -12,8 +12,8 @@
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net
 from coveport.serving.model.node import NodeState
+from coveport.serving.simulation.events import Book, HeartbeatAnswered
 from coveport.serving.simulation.exchange import WholeAnswer, call
-from coveport.serving.simulation.happenings import Book, HeartbeatAnswered
 from coveport.serving.simulation.model_server import ModelServer
 from coveport.serving.wire.names import Heartbeat, Path
 
--- a/coveport/serving/simulation/request_rules.py
+++ b/coveport/serving/simulation/request_rules.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterator
 
-from coveport.serving.simulation.case import Breach, Case
-from coveport.serving.simulation.happenings import Ending, TroubleBegan, TryEnded, TrySent
+from coveport.serving.simulation.events import Ending, TroubleBegan, TryEnded, TrySent
+from coveport.serving.simulation.history import Breach, Case
 from coveport.serving.simulation.texts import digest, event_text, whole_body
 
 PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
--- a/coveport/serving/simulation/schedules.py
+++ b/coveport/serving/simulation/schedules.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from coveport.serving.simulation.deployment import Deployment
-from coveport.serving.simulation.troubles import Troubles
+from coveport.serving.simulation.faults import Troubles
 from coveport.serving.simulation.world import DayResult, SimulatedDeployment
 
 LENGTH_S: Final = 16.0
--- a/coveport/serving/simulation/try_day.py
+++ b/coveport/serving/simulation/try_day.py
@@ -12,11 +12,9 @@
 
 from coveport.net.transport import Net
 from coveport.serving.model.configuration import Route, RouteKind, WeightedService
-from coveport.serving.simulation.case import Breach
 from coveport.serving.simulation.deployment import HOST, OBJECTIVES, Deployment
 from coveport.serving.simulation.documents import Change
-from coveport.serving.simulation.figures import KindFigures, figures
-from coveport.serving.simulation.happenings import (
+from coveport.serving.simulation.events import (
     Book,
     Ending,
     TroubleBegan,
@@ -25,6 +23,8 @@
     TrySent,
     Verdict,
 )
+from coveport.serving.simulation.figures import KindFigures, figures
+from coveport.serving.simulation.history import Breach
 from coveport.serving.simulation.judge import judge
 from coveport.serving.simulation.local_deployment import LocalDeployment
 from coveport.serving.simulation.local_processes import LocalProcess
--- a/coveport/serving/simulation/world.py
+++ b/coveport/serving/simulation/world.py
@@ -12,7 +12,6 @@
 from coveport.net.address import Address
 from coveport.serving.coordinator.process import Coordinator
 from coveport.serving.proxy.process import Proxy
-from coveport.serving.simulation.case import Breach
 from coveport.serving.simulation.client import Client, ClientFigures
 from coveport.serving.simulation.deployment import (
     OBJECTIVES,
@@ -22,8 +21,7 @@
     proxy_settings,
 )
 from coveport.serving.simulation.disk import SimulatedDisk
-from coveport.serving.simulation.figures import KindFigures, figures
-from coveport.serving.simulation.happenings import (
+from coveport.serving.simulation.events import (
     Book,
     OrderEnded,
     OrderSent,
@@ -32,11 +30,12 @@
     TrySent,
     Verdict,
 )
+from coveport.serving.simulation.figures import KindFigures, figures
+from coveport.serving.simulation.history import Breach
 from coveport.serving.simulation.judge import judge
 from coveport.serving.simulation.machines import Machine
 from coveport.serving.simulation.model_server import ModelServer, NodeFigures
 from coveport.serving.simulation.operator import EditionNumbers, Operator, OrderNumbers
-from coveport.serving.simulation.places import OUTSIDE, PlacedNetwork, SimulatedWays
 from coveport.serving.simulation.registration import Registration
 from coveport.serving.simulation.stand_in_programs import (
     Asks,
@@ -46,6 +45,7 @@
     open_simulated,
     run_nothing,
 )
+from coveport.serving.simulation.topology import OUTSIDE, PlacedNetwork, SimulatedWays
 from coveport.serving.simulation.zones import Zone
 from coveport.testbed.simulated_network.world import World
 
--- a/tests/system/cli/test_core_caller.py
+++ b/tests/system/cli/test_core_caller.py
@@ -12,7 +12,7 @@
 from coveport.http1.codec import Request, RequestParser, write_response
 from coveport.serving.cli.core_caller import Answer, CoreCaller, NoAnswer
 from coveport.serving.cli.http_call import HttpCall
-from coveport.serving.simulation.places import SimulatedWays
+from coveport.serving.simulation.topology import SimulatedWays
 from coveport.serving.simulation.zones import Delays
 from coveport.testbed.simulated_network.wires import Network, VirtualNet
 from coveport.testbed.simulated_network.world import Process, World
--- a/tests/system/coordinator/test_starting_together.py
+++ b/tests/system/coordinator/test_starting_together.py
@@ -9,7 +9,7 @@
 from coveport.serving.membership.leases import LeaseTable, ProxyLease
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.simulation.deployment import Deployment
-from coveport.serving.simulation.troubles import Troubles
+from coveport.serving.simulation.faults import Troubles
 from coveport.serving.simulation.world import SimulatedDeployment
 from coveport.serving.wire.frames import FrameReader
 from coveport.serving.wire.messages import CODEC, CoordinatorPlace, Update, UpdateRequest
--- a/tests/system/simulation/stub_core.py
+++ b/tests/system/simulation/stub_core.py
@@ -17,10 +17,11 @@
     WeightedService,
 )
 from coveport.serving.simulation.client import Client, ClientFigures, RequestKind
+from coveport.serving.simulation.events import Book
 from coveport.serving.simulation.exchange import ServerConnection
-from coveport.serving.simulation.happenings import Book
 from coveport.serving.simulation.model_server import ModelServer, NodeFigures
-from coveport.serving.simulation.places import (
+from coveport.serving.simulation.registration import Registration
+from coveport.serving.simulation.topology import (
     OUTSIDE,
     PlacedNet,
     PlacedNetwork,
@@ -28,7 +29,6 @@
     SimulatedWays,
     run_in,
 )
-from coveport.serving.simulation.registration import Registration
 from coveport.serving.simulation.zones import Delays, Zone
 from coveport.testbed.simulated_network.world import World
 
--- a/tests/system/simulation/test_broken_programs.py
+++ b/tests/system/simulation/test_broken_programs.py
@@ -13,8 +13,8 @@
 from coveport.serving.model.view import ControlView, KnownNode
 from coveport.serving.simulation.deployment import Deployment
 from coveport.serving.simulation.disk import SimulatedFile
-from coveport.serving.simulation.happenings import RequestRan
-from coveport.serving.simulation.troubles import Troubles
+from coveport.serving.simulation.events import RequestRan
+from coveport.serving.simulation.faults import Troubles
 from coveport.serving.simulation.world import DayResult, SimulatedDeployment
 
 Patch = pytest.MonkeyPatch
--- a/tests/system/simulation/test_control_days.py
+++ b/tests/system/simulation/test_control_days.py
@@ -17,10 +17,10 @@
 from coveport.serving.coordinator.process import Coordinator
 from coveport.serving.replication.identity import Epoch
 from coveport.serving.simulation.deployment import Deployment
+from coveport.serving.simulation.events import HeartbeatAnswered, Order, OrderEnded, OrderSent, Verdict
 from coveport.serving.simulation.exchange import call
-from coveport.serving.simulation.happenings import HeartbeatAnswered, Order, OrderEnded, OrderSent, Verdict
+from coveport.serving.simulation.faults import Troubles
 from coveport.serving.simulation.machines import Machine
-from coveport.serving.simulation.troubles import Troubles
 from coveport.serving.simulation.world import DayResult, SimulatedDeployment
 from coveport.serving.wire.frames import write_frame
 from coveport.serving.wire.messages import CODEC, TableRequest
--- a/tests/system/simulation/test_judge_rules.py
+++ b/tests/system/simulation/test_judge_rules.py
@@ -7,7 +7,7 @@
 import pytest
 
 from coveport.serving.settings.boot import Bounds
-from coveport.serving.simulation.happenings import (
+from coveport.serving.simulation.events import (
     Book,
     Ending,
     Event,
--- a/tests/system/simulation/test_on_loopback.py
+++ b/tests/system/simulation/test_on_loopback.py
@@ -11,11 +11,11 @@
 from coveport.http1.codec import Request
 from coveport.net.transport import Net
 from coveport.serving.settings.boot import Bounds
-from coveport.serving.simulation.case import Breach
 from coveport.serving.simulation.client import Client, ClientFigures
+from coveport.serving.simulation.events import Book, HeartbeatAnswered, RequestRan, TryEnded
 from coveport.serving.simulation.exchange import ServerConnection
 from coveport.serving.simulation.figures import KindFigures
-from coveport.serving.simulation.happenings import Book, HeartbeatAnswered, RequestRan, TryEnded
+from coveport.serving.simulation.history import Breach
 from coveport.serving.simulation.judge import judge
 from coveport.serving.simulation.model_server import ModelServer, NodeFigures
 from coveport.serving.simulation.registration import Registration
--- a/tests/system/simulation/test_operator_calls.py
+++ b/tests/system/simulation/test_operator_calls.py
@@ -17,9 +17,9 @@
     configuration_document,
     document_digest,
 )
-from coveport.serving.simulation.happenings import OrderEnded, Verdict
+from coveport.serving.simulation.events import OrderEnded, Verdict
 from coveport.serving.simulation.operator import Operator, OrderAnswer, OrderNumbers
-from coveport.serving.simulation.places import OUTSIDE
+from coveport.serving.simulation.topology import OUTSIDE
 
 
 class Desk:
--- a/tests/system/simulation/test_reading_back.py
+++ b/tests/system/simulation/test_reading_back.py
@@ -10,10 +10,10 @@
 
 from coveport.http1.codec import write_request
 from coveport.serving.simulation.deployment import Deployment
+from coveport.serving.simulation.faults import Troubles
 from coveport.serving.simulation.machines import Machine
 from coveport.serving.simulation.operator import read_edition
 from coveport.serving.simulation.registration import call_following
-from coveport.serving.simulation.troubles import Troubles
 from coveport.serving.simulation.world import SimulatedDeployment
 from coveport.serving.wire.names import Path
 
--- a/tests/system/simulation/test_recorded_days.py
+++ b/tests/system/simulation/test_recorded_days.py
@@ -7,7 +7,7 @@
 import pytest
 
 from coveport.serving.simulation.deployment import Deployment
-from coveport.serving.simulation.happenings import (
+from coveport.serving.simulation.events import (
     NodeCold,
     NodeStarted,
     Order,
@@ -17,7 +17,7 @@
     TrySent,
     Verdict,
 )
-from coveport.serving.simulation.troubles import Troubles
+from coveport.serving.simulation.faults import Troubles
 from coveport.serving.simulation.world import DayResult, SimulatedDeployment
 
 POWER_LOST_S = 14.0  # everywhere
--- a/tests/system/simulation/test_registration_calls.py
+++ b/tests/system/simulation/test_registration_calls.py
@@ -7,7 +7,7 @@
 import pytest
 from stub_core import Town
 
-from coveport.serving.simulation.happenings import HeartbeatAnswered, NodeEnded
+from coveport.serving.simulation.events import HeartbeatAnswered, NodeEnded
 
 
 def bodies(town: Town) -> list[dict[str, object]]:
--- a/tests/system/simulation/test_simulate.py
+++ b/tests/system/simulation/test_simulate.py
@@ -7,8 +7,8 @@
 import pytest
 
 from coveport.serving.simulation import simulate
-from coveport.serving.simulation.case import Breach
-from coveport.serving.simulation.happenings import Book
+from coveport.serving.simulation.events import Book
+from coveport.serving.simulation.history import Breach
 from coveport.serving.simulation.world import DayResult
 
 GOOD = DayResult(Book(), (), {}, (), "trace")
--- a/tests/system/simulation/test_simulated_days.py
+++ b/tests/system/simulation/test_simulated_days.py
@@ -8,15 +8,8 @@
 
 from coveport.serving.simulation.deployment import OFFER, Deployment
 from coveport.serving.simulation.engine import EngineFigures
-from coveport.serving.simulation.happenings import (
-    NodeEnded,
-    NodeStarted,
-    Order,
-    OrderEnded,
-    OrderSent,
-    Verdict,
-)
-from coveport.serving.simulation.troubles import Troubles
+from coveport.serving.simulation.events import NodeEnded, NodeStarted, Order, OrderEnded, OrderSent, Verdict
+from coveport.serving.simulation.faults import Troubles
 from coveport.serving.simulation.world import DayResult, SimulatedDeployment
 
 LENGTH_S = 12.0
--- a/tests/system/simulation/test_stand_ins.py
+++ b/tests/system/simulation/test_stand_ins.py
@@ -10,8 +10,7 @@
 from coveport.serving.settings.boot import Bounds
 from coveport.serving.simulation.documents import configuration_document, document_digest, route_places
 from coveport.serving.simulation.engine import EngineFigures
-from coveport.serving.simulation.figures import Objective, figures
-from coveport.serving.simulation.happenings import (
+from coveport.serving.simulation.events import (
     Ending,
     NodeEnded,
     Order,
@@ -22,6 +21,7 @@
     TryEnded,
     TrySent,
 )
+from coveport.serving.simulation.figures import Objective, figures
 from coveport.serving.simulation.judge import judge
 
 BOUNDS = Bounds(retry_slack=5.0)
