--- a/coveport/sidecar/supervisor/desired_state.py
+++ b/coveport/sidecar/supervisor/desired_state.py
@@ -3,7 +3,8 @@
     state/fleet@NAME    how many there are to be, who is drained, and a rolling restart with its steps
 
 Every change is a step of the duty (`sidecar.singletons.singleton`): one transaction that compares the token
-and the state's revision. A restart's step names the lives that are to end, and stands there before any is told.
+and the state's revision. A restart's step names the lives that are to end, and stands there before any is
+told.
 """
 
 from __future__ import annotations
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -2,9 +2,9 @@
 
 The program runs as one process of a `testbed.simulated_network` world, servers and clients in another one.
 The test's own thread drives time: what blocks on a socket (`recv`, `sendall`, `connect`), `sleep` and
-`wait_for` let it pass until there is something, or the wait is over. Between two such calls nothing happens. All that
-one test makes (servers, discoveries, `world`) stands on the same ground; `world` leaves it, so that each
-test begins at the same instant.
+`wait_for` let it pass until there is something, or the wait is over. Between two such calls nothing
+happens. All that one test makes (servers, discoveries, `world`) stands on the same ground; `world` leaves
+it, so that each test begins at the same instant.
 """
 
 from __future__ import annotations
