--- a/Makefile
+++ b/Makefile
@@ -38,5 +38,5 @@
 	$(BIN)/ruff check .
 	$(BIN)/ruff format --check .
 	$(BIN)/mypy
-	for one in $$(find tests/system -name conftest.py); do $(BIN)/mypy $$one || exit 1; done
+	for one in $$(find tests/serving -name conftest.py); do $(BIN)/mypy $$one || exit 1; done
 	$(BIN)/lint-imports
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -83,7 +83,7 @@
 
 def rollout() -> list[Row]:
     """A bad file: share of the fleet that ever ran it, by how it is bad, in a pure world."""
-    sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests" / "duties"))
+    sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests" / "sidecar" / "singletons"))
     from test_rollout import NEW, Place  # type: ignore[import-not-found]
 
     from coveport.sidecar.singletons.rollout import identify
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -26,7 +26,7 @@
 from coveport.testbed.fuzz import UNDER_TEST  # noqa: E402
 
 MODULES = sorted({one for several in UNDER_TEST.values() for one in several if one != "h11"})
-NOT_OURS = ["tests/lab/test_fuzz.py", "tests/lab/test_h11.py"]  # the tests that fuzz
+NOT_OURS = ["tests/testbed/test_fuzz.py", "tests/testbed/test_h11.py"]  # the tests that fuzz
 
 
 def machine() -> str:
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -50,11 +50,11 @@
     "coveport/sidecar/reducer/reducer.py",
 )
 TESTS = (
-    "tests/test_decide_*.py",
-    "tests/test_reducer*.py",
-    "tests/test_trouble.py",
-    "tests/test_crowd.py",
-    "tests/test_rules.py",
+    "tests/balancing/test_balancer_*.py",
+    "tests/sidecar/reducer/test_reducer*.py",
+    "tests/balancing/test_fault_reactions.py",
+    "tests/balancing/test_crowded_hosts.py",
+    "tests/balancing/test_balancing_rules.py",
 )
 COPIED = ("coveport", "tests", "pyproject.toml")
 EQUIVALENT = ROOT / "benchmarks" / "mutants_equivalent.toml"
--- a/tests/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -22,7 +22,7 @@
 from coveport.cli.root import root
 from coveport.testbed import scenario, sweep
 
-TOP = Path(__file__).parent.parent
+TOP = Path(__file__).parents[2]
 ENVIRON = {**os.environ, "PYTHONPATH": f"{TOP}{os.pathsep}{TOP / 'tests'}"}
 
 
--- a/tests/system/membership/report_explorer.py
+++ b/tests/serving/membership/report_explorer.py
@@ -316,7 +316,7 @@
 
 
 def main() -> None:
-    """By hand: `PYTHONPATH=. python tests/system/membership/report_explorer.py`, deeper than the tests."""
+    """By hand: `PYTHONPATH=. python tests/serving/membership/report_explorer.py`, deeper than the tests."""
     for scenario in SCENARIOS:
         explored = explore(scenario, 150_000)
         print(f"{scenario.name}: {explored}")
--- a/tests/system/replication/core_risk.py
+++ b/tests/serving/replication/core_risk.py
@@ -1,6 +1,6 @@
 """Measures how long the core bears less than before: after a loss, and for a member left behind.
 
-`PYTHONPATH=. python tests/system/replication/core_risk.py --count 10000 --jobs 8` prints the tables of
+`PYTHONPATH=. python tests/serving/replication/core_risk.py --count 10000 --jobs 8` prints the tables of
 docs/design/control-safety.md.
 """
 
--- a/tests/system/replication/core_schedules.py
+++ b/tests/serving/replication/core_schedules.py
@@ -1,6 +1,6 @@
 """Seeded schedules: sites, operators and troubles, each run in a world of its own and judged at its end.
 
-Many at once: `PYTHONPATH=. python tests/system/replication/core_schedules.py --count 10000 --jobs 8`.
+Many at once: `PYTHONPATH=. python tests/serving/replication/core_schedules.py --count 10000 --jobs 8`.
 """
 
 from __future__ import annotations
--- a/tests/system/replication/core_timings.py
+++ b/tests/serving/replication/core_timings.py
@@ -1,6 +1,7 @@
 """Measures, in the simulated world, how long it takes from a loss to the next acknowledgement.
 
-`PYTHONPATH=. python tests/system/replication/core_timings.py` prints the table of docs/design/replication.md.
+`PYTHONPATH=. python tests/serving/replication/core_timings.py` prints the table of
+docs/design/replication.md.
 """
 
 from __future__ import annotations
--- a/tests/system/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -1,7 +1,7 @@
 """Core members on simulated machines, links and disks, in virtual time and from one seed. Nothing sleeps.
 
 The disks here keep whole records, of which a suffix that wasn't synced may be missing after a crash; how the
-ring brings that about on torn bytes is tested in tests/system/storage.
+ring brings that about on torn bytes is tested in tests/serving/storage.
 """
 
 from __future__ import annotations
--- a/tests/system/web/mutated_calls.py
+++ b/tests/serving/web/mutated_calls.py
@@ -1,6 +1,6 @@
 """Callers whose bytes are mutated, beside a sound one, against the real server of calls; no loop, no time.
 
-`PYTHONPATH=. python tests/system/web/mutated_calls.py --count 1000000` for more than the tests play.
+`PYTHONPATH=. python tests/serving/web/mutated_calls.py --count 1000000` for more than the tests play.
 """
 
 from __future__ import annotations
--- a/tests/test_config.py
+++ b/tests/sidecar/config/test_config.py
@@ -10,7 +10,7 @@
 
 from coveport.sidecar.config import platform
 
-GOOD = json.loads((Path(__file__).parents[1] / "example/config.json").read_text())
+GOOD = json.loads((Path(__file__).parents[3] / "example/config.json").read_text())
 
 
 def laid(key: str, value: object) -> str:
--- a/tests/test_operator_file.py
+++ b/tests/sidecar/config/test_operator_file.py
@@ -10,7 +10,7 @@
 
 from coveport.sidecar.config.operator import OperatorFileError, load, read
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[3]
 GOOD = '[instance]\nplatform = "p.json"\n[store]\nurl = "sqlite:x.db"\n'
 
 
@@ -93,7 +93,7 @@
 
 
 def test_check_tells_what_records_cost_a_store_before_one_turns_them_on(tmp_path: Path) -> None:
-    (tmp_path / "p.json").write_text((Path(__file__).parents[1] / "example" / "config.json").read_text())
+    (tmp_path / "p.json").write_text((Path(__file__).parents[3] / "example" / "config.json").read_text())
     path = tmp_path / "x.toml"
     path.write_text(
         '[instance]\nplatform = "p.json"\n[store]\nurl = "sqlite:x.db"\n'
--- a/tests/test_process.py
+++ b/tests/sidecar/test_process.py
@@ -123,7 +123,7 @@
 
 
 def test_the_example_serves(tmp_path: Path) -> None:
-    root = Path(__file__).parent.parent
+    root = Path(__file__).parents[2]
     toy = subprocess.Popen(
         [sys.executable, "example/toy_server.py", "0"],
         cwd=root,
--- a/tests/test_run_line.py
+++ b/tests/sidecar/test_run_line.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
 TRACER = """
 import os, sys
