--- /dev/null
+++ b/tests/golden/golden_wire_cases.py
@@ -0,0 +1,141 @@
+"""One value, or a few, of every message between coordinators and proxies, and of every stored record.
+
+The names of the cases are words of their own: they stand in the golden files and outlive the classes' names.
+"""
+
+from __future__ import annotations
+
+from coveport.system.membership.leases import ProxyLease
+from coveport.system.model.node import Node, NodeState, goodbye
+from coveport.system.replication import messages as core
+from coveport.system.replication import records
+from coveport.system.replication.identity import NO_EPOCH, Epoch, MemberId, Place, View
+from coveport.system.wire import messages as wire
+
+FIRST = MemberId("10.0.0.1:7000", "aa01")
+SECOND = MemberId("10.0.0.2:7000", "bb02")
+THIRD = MemberId("10.0.0.3:7000", "cc03")
+EPOCH = Epoch(3, "aa01")
+LATER_EPOCH = Epoch(300, "bb02")
+VIEW = View(EPOCH, FIRST, (FIRST, SECOND), (FIRST, SECOND, THIRD))
+CHANGED_VIEW = View(LATER_EPOCH, SECOND, (SECOND, THIRD), (SECOND, THIRD), (FIRST, SECOND, THIRD))
+
+ACCEPTING_NODE = Node(
+    "node-1-life-1", 17, "model", "10.1.0.1:8000", "north-a", "north", 64, NodeState.ACCEPTING, 1500.5
+)
+CLOSING_NODE = Node(
+    "node-2-life-9",
+    1 << 40,
+    "modèle",
+    "10.1.0.2:8000",
+    "south-a",
+    "south",
+    8,
+    NodeState.CLOSING,
+    0.0,
+    30000.0,
+)
+LEASE = ProxyLease("proxy-1", "10.2.0.1:80", "north-a", "north", True, 12, 1_700_000_000_123)
+UNREADY_LEASE = ProxyLease("proxy-2", "10.2.0.2:80", "south-a", "south", False, 0, 1)
+
+
+def _update(**changed: object) -> wire.Update:
+    fields: dict[str, object] = {
+        "round": 5,
+        "connected": True,
+        "settled": False,
+        "table": "table-1",
+        "node_revision": 44,
+        "whole_table": True,
+        "nodes": (ACCEPTING_NODE, CLOSING_NODE),
+        "removed": ("node-3-life-1",),
+        "departed": ("node-4-life-2", "node-5-life-1"),
+        "state_sequence": 9,
+        "state": b"\x00whole state\xff",
+        "changes": (),
+        "coordinators": (wire.CoordinatorPlace("10.0.0.1:7000", "north-a", "north"),),
+        "proxies_at_most": 600,
+    }
+    return wire.Update(**(fields | changed))  # type: ignore[arg-type]
+
+
+UPDATE = _update()
+UPDATE_OF_CHANGES = _update(
+    state=None,
+    whole_table=False,
+    nodes=(),
+    changes=(wire.StateChange(10, b"command ten"), wire.StateChange(11, b"")),
+)
+
+MESSAGES: dict[str, object] = {
+    "hello": wire.Hello("10.0.0.1:7000", "aa01"),
+    "node reports": wire.NodeReports(7, (ACCEPTING_NODE, CLOSING_NODE, goodbye("node-3-life-1", 2500.0))),
+    "no node reports": wire.NodeReports(0, ()),
+    "node reports taken": wire.NodeReportsTaken(7, EPOCH),
+    "table request": wire.TableRequest(),
+    "leases renewed": wire.LeasesRenewed((LEASE, UNREADY_LEASE)),
+    "update request": wire.UpdateRequest(LEASE, "table-1", 44, 9, 5, ("node-4-life-2",)),
+    "first update request": wire.UpdateRequest(UNREADY_LEASE, "", 0, -1, 1),
+    "update with the whole state": UPDATE,
+    "update with changes": UPDATE_OF_CHANGES,
+    "asks elsewhere": wire.AsksElsewhere(),
+    "ping": core.Ping(
+        counter=1000,
+        echo=999,
+        place=Place("north-a", "north"),
+        promised=LATER_EPOCH,
+        view_epoch=EPOCH,
+        settled=EPOCH,
+        committed=41,
+        primary="10.0.0.1:7000",
+        is_leading=True,
+        is_well=False,
+        is_leaving=True,
+        may_found=False,
+        reaches=("10.0.0.2:7000", "10.0.0.3:7000"),
+    ),
+    "first ping": core.Ping(
+        counter=1,
+        echo=0,
+        place=Place("", ""),
+        promised=NO_EPOCH,
+        view_epoch=NO_EPOCH,
+        settled=NO_EPOCH,
+        committed=-1,
+        primary="",
+        is_leading=False,
+        is_well=True,
+        is_leaving=False,
+        may_found=True,
+        reaches=(),
+    ),
+    "prepare": core.Prepare(LATER_EPOCH),
+    "promise with a view": core.Promise(LATER_EPOCH, VIEW, EPOCH, EPOCH, 41),
+    "promise without a view": core.Promise(LATER_EPOCH, None, NO_EPOCH, NO_EPOCH, -1),
+    "fenced": core.Fenced(EPOCH, LATER_EPOCH),
+    "fetch": core.Fetch(LATER_EPOCH),
+    "fetched": core.Fetched(LATER_EPOCH, 41, b"the state"),
+    "install": core.Install(LATER_EPOCH, 41, b"the state"),
+    "installed": core.Installed(LATER_EPOCH),
+    "accept the first view": core.Accept(VIEW, True),
+    "accept a changed view": core.Accept(CHANGED_VIEW, False),
+    "accepted": core.Accepted(LATER_EPOCH),
+    "settled": core.Settled(LATER_EPOCH),
+    "append": core.Append(LATER_EPOCH, 42, b"command 42", 41),
+    "appended": core.Appended(LATER_EPOCH, 42),
+    "confirm": core.Confirm(LATER_EPOCH, 8),
+    "confirmed": core.Confirmed(LATER_EPOCH, 8),
+    "committed": core.Committed(LATER_EPOCH, 42),
+    "learn": core.Learn(42, (b"command 42", b"", b"command 44")),
+    "learn the state": core.LearnState(42, b"the state"),
+    "take over": core.TakeOver(LATER_EPOCH),
+}
+
+RECORDS: dict[str, records.Record] = {
+    "identity": records.IdentityRecord("aa01", True),
+    "promise": records.PromiseRecord(EPOCH),
+    "view": records.ViewRecord(CHANGED_VIEW),
+    "settled": records.SettledRecord(EPOCH),
+    "state": records.StateRecord(EPOCH, 41, b"the state"),
+    "command": records.CommandRecord(EPOCH, 42, b"command 42"),
+}
