--- a/tests/golden/write_fixtures.py
+++ b/tests/golden/write_fixtures.py
@@ -8,8 +8,11 @@
 from __future__ import annotations
 
 import sys
+import tempfile
+from pathlib import Path
 
 import golden_files
+import golden_ring_cases
 import golden_wire_cases
 
 from coveport.system.replication.records import RECORDS, Record
@@ -28,7 +31,18 @@
     golden_files.write_cases("stored_records.json", records)
 
 
-GROUPS = {"wire": write_wire}
+def write_rings() -> None:
+    """Ring buffers of a coordinator's disk, and what opening them leaves."""
+    for name, (write, _) in golden_ring_cases.WRITERS.items():
+        with tempfile.TemporaryDirectory() as scratch:
+            folder = Path(scratch) / "disk"
+            write(folder)
+            golden_files.write_folder(name, golden_ring_cases.files_in(folder))
+            golden_ring_cases.reopen(folder)
+            golden_files.write_folder(f"{name}_reopened", golden_ring_cases.files_in(folder))
+
+
+GROUPS = {"wire": write_wire, "rings": write_rings}
 
 if __name__ == "__main__":
     for group in sys.argv[1:]:
