--- a/tests/golden/write_fixtures.py
+++ b/tests/golden/write_fixtures.py
@@ -7,25 +7,33 @@
 
 from __future__ import annotations
 
+import asyncio
 import sys
 import tempfile
 from pathlib import Path
 from unittest import mock
 
+import golden_decision_cases
 import golden_files
 import golden_fleet_cases
+import golden_lease_cases
 import golden_operation_cases
 import golden_ring_cases
+import golden_settings_cases
 import golden_wire_cases
 
 from coveport.fleet import snapshot
+from coveport.system.configuration.commands import encode_command
+from coveport.system.configuration.state import apply, encode_state, initial_state
 from coveport.system.replication.records import RECORDS, Record
+from coveport.system.simulation.settings_file import settings_text
 from coveport.system.wire.codec import MessageCodec
 from coveport.system.wire.frames import write_frame
 from coveport.system.wire.messages import CODEC
 from coveport.work.record import encode
 from coveport.work.record_layout import digest_of, id_of
 from coveport.work.seal import Kept, Seal
+from micaflow import wire as decision_wire
 
 
 def write_wire() -> None:
@@ -106,7 +114,57 @@
     golden_files.write_cases("console.json", {case: line.encode() for case, line in lines.items()})
 
 
+def write_leases() -> None:
+    """A leases file, and its tables as text."""
+    with tempfile.TemporaryDirectory() as scratch:
+        path = Path(scratch) / "leases.sqlite"
+        asyncio.run(golden_lease_cases.write_leases(path))
+        golden_files.write_file("leases/leases.sqlite", path.read_bytes())
+        golden_files.write_file("leases/tables.txt", golden_lease_cases.dump(path).encode())
+
+
+def write_decisions() -> None:
+    """The wire of the decision module."""
+    cases = golden_decision_cases
+    golden_files.write_cases("decision_batches.json", cases.item_batches())
+    golden_files.write_file("decision_settings.json", cases.SETTINGS_TEXT)
+    replies = {case: decision_wire.encode_action(action) for case, action in cases.ACTIONS.items()}
+    selection = decision_wire.encode_at(513)
+    whole = {
+        "selection": selection,
+        "fault": decision_wire.encode_fault("it failed: größe"),
+        "reply": decision_wire.encode_reply(77, [selection, *replies.values()]),
+        "empty reply": decision_wire.encode_reply(78, []),
+    }
+    golden_files.write_cases("decision_replies.json", replies | whole)
+
+
+def write_settings() -> None:
+    """Boot settings, configurations, commands and the acknowledged state."""
+    cases = golden_settings_cases
+    golden_files.write_file("settings/coordinator.toml", cases.COORDINATOR_TEXT.encode())
+    golden_files.write_file("settings/proxy.toml", cases.PROXY_TEXT.encode())
+    golden_files.write_file("settings/coordinator_written.toml", settings_text(cases.COORDINATOR).encode())
+    golden_files.write_file("settings/proxy_written.toml", settings_text(cases.PROXY).encode())
+    golden_files.write_file("configuration/sent.json", cases.CONFIGURATION_SENT.encode())
+    golden_files.write_file("configuration/written.json", cases.CONFIGURATION_WRITTEN.encode())
+    commands = {case: encode_command(command) for case, command in cases.COMMANDS.items()}
+    golden_files.write_cases("commands.json", commands)
+    states = {case: encode_state(state) for case, state in cases.STATES.items()}
+    # A mark and a digest of 16 bytes stand in front of what older programs wrote alone.
+    states["with everything, without its digest"] = states["with everything"][17:]
+    last = initial_state()
+    for case in ("put", "patch", "start an evacuation"):
+        last = apply(last, commands[case]).state  # type: ignore[union-attr]
+    states["after all commands"] = encode_state(last)
+    golden_files.write_file("configuration/patched.json", last.configuration_text or b"")
+    golden_files.write_cases("states.json", states)
+
+
 GROUPS = {
+    "settings": write_settings,
+    "leases": write_leases,
+    "decisions": write_decisions,
     "wire": write_wire,
     "rings": write_rings,
     "operations": write_operations,
