--- a/tests/golden/golden_decision_cases.py
+++ b/tests/golden/golden_decision_cases.py
@@ -49,6 +49,18 @@
         (_request(7),),
         api.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 12.5, 6, True, True),
     ),
+    "request whose cost is known": (
+        (_request(1),),
+        api.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 12.5, 6, False, False),
+    ),
+    "request that is a repeat": (
+        (_request(2),),
+        api.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 0.0, 6, True, False),
+    ),
+    "request that writes": (
+        (_request(4),),
+        api.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 0.0, 6, False, True),
+    ),
     "stream started": (
         (struct.pack("<HQHId", 4, REQUEST_ID, 2, 9, 5.5),),
         api.StreamStarted(REQUEST_ID, 2, 9),
--- /dev/null
+++ b/tests/golden/golden_store_cases.py
@@ -0,0 +1,34 @@
+"""Values that duties and instances keep in the store as JSON, whose names are those of the fields."""
+
+from __future__ import annotations
+
+import msgspec
+
+from coveport.duties import looking, rollout, warden
+from coveport.fleet import plan as fleet
+from coveport.work.record_layout import Leaves
+
+VALUES: dict[str, msgspec.Struct] = {
+    "fleet plan, plain": fleet.Plan(3, 4),
+    "fleet plan, halted restart": fleet.Plan(
+        3,
+        4,
+        ("instance-2",),
+        fleet.Restart(("instance-1", "instance-3"), 2, {"instance-1": "42.7.b"}, fleet.Phase.HALTED, "worse"),
+        "ask-9",
+    ),
+    "rollout plan": rollout.Plan(
+        "new", "old", (("a", "b"), ("c",)), rollout.Phase.BACK, 1, 2, "worse", "staff", "x"
+    ),
+    "rollout, how an instance fares": rollout.Fares("life-1", "new", "other", "no such zone", 0.75, 30),
+    "rollout, what staff ask": rollout.Ask("start", '{"zone": 1}', "staff"),
+    "node as it was seen": looking.Seen("life-1", 1_700_000_000.5, True, 2.25, 7),
+    "wish of an instance": warden.Need("life-1", 5.5, 20.25, 0.125, {"node-1": (2, 3.5)}),
+    "grant": warden.Grant("life-1", 5.5, 6, {"node-1": 4}),
+    "books": warden.Books("life-2", 6, {"node-1": [warden.Out(1.5, 2)]}, {"life-1": 5.5}),
+    "leaving": Leaves(2.5),
+}
+PHASES = {
+    "fleet": {phase.value for phase in fleet.Phase},
+    "rollout": {phase.value for phase in rollout.Phase},
+}
--- a/tests/golden/write_fixtures.py
+++ b/tests/golden/write_fixtures.py
@@ -20,7 +20,9 @@
 import golden_operation_cases
 import golden_ring_cases
 import golden_settings_cases
+import golden_store_cases
 import golden_wire_cases
+import msgspec
 
 from coveport.fleet import snapshot
 from coveport.system.configuration.commands import encode_command
@@ -161,7 +163,14 @@
     golden_files.write_cases("states.json", states)
 
 
+def write_store_values() -> None:
+    """What duties and instances keep in the store as JSON."""
+    values = {case: msgspec.json.encode(value) for case, value in golden_store_cases.VALUES.items()}
+    golden_files.write_cases("store_values.json", values)
+
+
 GROUPS = {
+    "store_values": write_store_values,
     "settings": write_settings,
     "leases": write_leases,
     "decisions": write_decisions,
