--- a/tests/golden/golden_decision_cases.py
+++ b/tests/golden/golden_decision_cases.py
@@ -4,8 +4,8 @@
 
 import struct
 
-from micaflow import interface as api
-from micaflow.wire import Attach, Halt, Item
+from coveport.balancing import interface as api
+from coveport.balancing.simulator_codec import Attach, Halt, Item
 
 INFO = b'{"classes":[{"aim_ms":400}]}'
 
--- a/tests/golden/golden_fleet_cases.py
+++ b/tests/golden/golden_fleet_cases.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from coveport.fleet.snapshot import Snapshot, Taken
+from coveport.sidecar.supervisor.snapshot import Snapshot, Taken
 
 SNAPSHOT = Snapshot(
     fleet="süd",
--- a/tests/golden/golden_lease_cases.py
+++ b/tests/golden/golden_lease_cases.py
@@ -9,8 +9,8 @@
 from typing import TypeVar
 from unittest import mock
 
-from coveport.leases.sqlite import SqliteStore
-from coveport.leases.store import Compare, Delete, Done, Entry, Field, Put, Transaction
+from coveport.sidecar.leases.sqlite import SqliteStore
+from coveport.sidecar.leases.store import Compare, Delete, Done, Entry, Field, Put, Transaction
 
 T = TypeVar("T")
 
--- a/tests/golden/golden_operation_cases.py
+++ b/tests/golden/golden_operation_cases.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from coveport.leases.store import Delete, Put, Transaction
-from coveport.work.record import Attempt, End, Record, Rules, Settled, State
-from coveport.work.record_layout import RecordLayout
-from coveport.work.seal import Asked, Given
-from micaflow.interface import Effect, Group, Outcome
+from coveport.balancing.interface import Effect, Group, Outcome
+from coveport.sidecar.intent_log.encryption import Asked, Given
+from coveport.sidecar.intent_log.record import Attempt, End, Record, Rules, Settled, State
+from coveport.sidecar.intent_log.record_layout import RecordLayout
+from coveport.sidecar.leases.store import Delete, Put, Transaction
 
 ID = "0123456789abcdef0123456789abcdef"
 KEY_FILE = b"# the first one seals\nsecond " + b"11" * 32 + b"\n\nfirst " + b"0a" * 32 + b"\n"
--- a/tests/golden/golden_ring_cases.py
+++ b/tests/golden/golden_ring_cases.py
@@ -9,13 +9,13 @@
 
 from golden_wire_cases import CHANGED_VIEW, EPOCH, LATER_EPOCH, VIEW
 
-from coveport.system.replication import records
-from coveport.system.replication.identity import NO_EPOCH, View
-from coveport.system.storage.disk import OsDisk
-from coveport.system.storage.opening import open_store
-from coveport.system.storage.ring import Ring
-from coveport.system.storage.store import RecordStore
-from coveport.system.wire.codec import MessageCodec
+from coveport.serving.replication import records
+from coveport.serving.replication.identity import NO_EPOCH, View
+from coveport.serving.storage.disk import OsDisk
+from coveport.serving.storage.opening import open_store
+from coveport.serving.storage.ring import Ring
+from coveport.serving.storage.store import RecordStore
+from coveport.serving.wire.codec import MessageCodec
 
 CODEC: MessageCodec[records.Record] = MessageCodec(records.RECORDS)
 SMALL_FILE_BYTES = 1024  # of a folded ring: its four files are soon overwritten
--- a/tests/golden/golden_settings_cases.py
+++ b/tests/golden/golden_settings_cases.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from coveport.system.configuration.commands import (
+from coveport.serving.configuration.commands import (
     Command,
     EndEvacuation,
     PatchConfiguration,
     PutConfiguration,
     StartEvacuation,
 )
-from coveport.system.configuration.state import ControlState, TakenChange
-from coveport.system.model.configuration import (
+from coveport.serving.configuration.state import ControlState, TakenChange
+from coveport.serving.model.configuration import (
     ClientLimits,
     Configuration,
     Engine,
@@ -19,7 +19,7 @@
     Service,
     WeightedService,
 )
-from coveport.system.settings.boot import BootSettings, Bounds, ProcessLimits, Tolerated
+from coveport.serving.settings.boot import BootSettings, Bounds, ProcessLimits, Tolerated
 
 ZONES = {"hall": "south", "mill": "north"}
 COORDINATOR_TEXT = """\
--- a/tests/golden/golden_store_cases.py
+++ b/tests/golden/golden_store_cases.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from coveport.duties import looking, rollout, warden
-from coveport.fleet import plan as fleet
-from coveport.work.record_layout import Leaves
+from coveport.sidecar.intent_log.record_layout import Leaves
+from coveport.sidecar.singletons import health_checking, rollout, slow_start_coordinator
+from coveport.sidecar.supervisor import desired_state as fleet
 
 VALUES: dict[str, msgspec.Struct] = {
     "fleet plan, plain": fleet.Plan(3, 4),
@@ -22,10 +22,12 @@
     ),
     "rollout, how an instance fares": rollout.Fares("life-1", "new", "other", "no such zone", 0.75, 30),
     "rollout, what staff ask": rollout.Ask("start", '{"zone": 1}', "staff"),
-    "node as it was seen": looking.Seen("life-1", 1_700_000_000.5, True, 2.25, 7),
-    "wish of an instance": warden.Need("life-1", 5.5, 20.25, 0.125, {"node-1": (2, 3.5)}),
-    "grant": warden.Grant("life-1", 5.5, 6, {"node-1": 4}),
-    "books": warden.Books("life-2", 6, {"node-1": [warden.Out(1.5, 2)]}, {"life-1": 5.5}),
+    "node as it was seen": health_checking.Seen("life-1", 1_700_000_000.5, True, 2.25, 7),
+    "wish of an instance": slow_start_coordinator.Need("life-1", 5.5, 20.25, 0.125, {"node-1": (2, 3.5)}),
+    "grant": slow_start_coordinator.Grant("life-1", 5.5, 6, {"node-1": 4}),
+    "books": slow_start_coordinator.Books(
+        "life-2", 6, {"node-1": [slow_start_coordinator.Out(1.5, 2)]}, {"life-1": 5.5}
+    ),
     "leaving": Leaves(2.5),
 }
 PHASES = {
--- a/tests/golden/golden_wire_cases.py
+++ b/tests/golden/golden_wire_cases.py
@@ -5,12 +5,12 @@
 
 from __future__ import annotations
 
-from coveport.system.membership.leases import ProxyLease
-from coveport.system.model.node import Node, NodeState, goodbye
-from coveport.system.replication import messages as core
-from coveport.system.replication import records
-from coveport.system.replication.identity import NO_EPOCH, Epoch, MemberId, Place, View
-from coveport.system.wire import messages as wire
+from coveport.serving.membership.leases import ProxyLease
+from coveport.serving.model.node import Node, NodeState, goodbye
+from coveport.serving.replication import messages as core
+from coveport.serving.replication import records
+from coveport.serving.replication.identity import NO_EPOCH, Epoch, MemberId, Place, View
+from coveport.serving.wire import messages as wire
 
 FIRST = MemberId("10.0.0.1:7000", "aa01")
 SECOND = MemberId("10.0.0.2:7000", "bb02")
--- a/tests/golden/test_golden_console.py
+++ b/tests/golden/test_golden_console.py
@@ -5,7 +5,7 @@
 import pytest
 from golden_files import read_cases
 
-from coveport.console.codec import BadCallError, Call, read_call, write_no, write_yes
+from coveport.sidecar.admin.codec import BadCallError, Call, read_call, write_no, write_yes
 
 LINES = read_cases("console.json")
 CALLS = {"ping": Call.PING, "info": Call.INFO, "lame duck": Call.LAMEDUCK, "rejoin": Call.REJOIN}
--- a/tests/golden/test_golden_decisions.py
+++ b/tests/golden/test_golden_decisions.py
@@ -10,27 +10,27 @@
 from golden_decision_cases import ACTIONS, ITEMS, SETTINGS, item_batches
 from golden_files import read_cases, read_file
 
-from micaflow import interface as api
-from micaflow import wire
+from coveport.balancing import interface as api
+from coveport.balancing import simulator_codec
 
 BATCHES = read_cases("decision_batches.json")
 REPLIES = read_cases("decision_replies.json")
 
 
-def comparable(item: wire.Item) -> object:
+def comparable(item: simulator_codec.Item) -> object:
     """Two of the items have no comparison of their own: their kind and their fields stand for them."""
-    if isinstance(item, wire.Attach):
+    if isinstance(item, simulator_codec.Attach):
         return "attach", item.seed, item.info
-    return "halt" if isinstance(item, wire.Halt) else item
+    return "halt" if isinstance(item, simulator_codec.Halt) else item
 
 
 def read(data: bytes) -> list[tuple[int, object]]:
     """The items of one batch, with the instance each is for."""
-    found = wire.read_batch(io.BytesIO(data))
+    found = simulator_codec.read_batch(io.BytesIO(data))
     assert found is not None
     now_ms, number, count, body = found
     assert (now_ms, number) == (240.5, 77)
-    return [(instance, comparable(item)) for instance, item in wire.Decoder().decode(body, count)]
+    return [(instance, comparable(item)) for instance, item in simulator_codec.Decoder().decode(body, count)]
 
 
 def codes(data: bytes) -> set[int]:
@@ -56,13 +56,13 @@
 def test_what_is_no_record_is_refused_as_before() -> None:
     for code in (0, 13, 65):
         body = struct.pack("<HHH", 12, 513, code)
-        with pytest.raises(wire.WireError, match=f"unknown record code {code} at byte 4"):
-            list(wire.Decoder().decode(body, 2))
+        with pytest.raises(simulator_codec.WireError, match=f"unknown record code {code} at byte 4"):
+            list(simulator_codec.Decoder().decode(body, 2))
 
 
 @pytest.mark.parametrize("case", ACTIONS)
 def test_an_action_is_written_as_before(case: str) -> None:
-    assert wire.encode_action(ACTIONS[case]) == REPLIES[case]
+    assert simulator_codec.encode_action(ACTIONS[case]) == REPLIES[case]
 
 
 def test_every_action_has_golden_bytes() -> None:
@@ -71,12 +71,15 @@
 
 
 def test_a_reply_is_written_as_before() -> None:
-    records = [wire.encode_at(513), *(wire.encode_action(action) for action in ACTIONS.values())]
-    assert wire.encode_at(513) == REPLIES["selection"]
-    assert wire.encode_fault("it failed: größe") == REPLIES["fault"]
-    assert wire.encode_reply(77, records) == REPLIES["reply"]
-    assert wire.encode_reply(78, []) == REPLIES["empty reply"]
+    records = [
+        simulator_codec.encode_at(513),
+        *(simulator_codec.encode_action(action) for action in ACTIONS.values()),
+    ]
+    assert simulator_codec.encode_at(513) == REPLIES["selection"]
+    assert simulator_codec.encode_fault("it failed: größe") == REPLIES["fault"]
+    assert simulator_codec.encode_reply(77, records) == REPLIES["reply"]
+    assert simulator_codec.encode_reply(78, []) == REPLIES["empty reply"]
 
 
 def test_settings_are_read_as_before() -> None:
-    assert wire.parse_settings(read_file("decision_settings.json")) == SETTINGS
+    assert simulator_codec.parse_settings(read_file("decision_settings.json")) == SETTINGS
--- a/tests/golden/test_golden_fleet.py
+++ b/tests/golden/test_golden_fleet.py
@@ -10,8 +10,8 @@
 from golden_files import read_cases, read_file
 from golden_fleet_cases import DATAGRAMS, EMPTY_SNAPSHOT, LOCK_LIFE, LOCK_NAME, SNAPSHOT
 
-from coveport.fleet import notify, snapshot
-from coveport.fleet.locks import NameLock, code_of, life_of, lock_path, names_held
+from coveport.sidecar.supervisor import notify, snapshot
+from coveport.sidecar.supervisor.locks import NameLock, code_of, life_of, lock_path, names_held
 
 DATAGRAM_BYTES = read_cases("notifications.json")
 
--- a/tests/golden/test_golden_leases.py
+++ b/tests/golden/test_golden_leases.py
@@ -10,7 +10,7 @@
 from golden_files import read_file
 from golden_lease_cases import ENTRIES, IDENTITY, NOW_S, REVISION, done, dump, store_at, write_leases
 
-from coveport.leases.store import Change, Compare, Entry, Field, Put, Refused, Transaction
+from coveport.sidecar.leases.store import Change, Compare, Entry, Field, Put, Refused, Transaction
 
 
 def golden_file(folder: Path) -> Path:
--- a/tests/golden/test_golden_operations.py
+++ b/tests/golden/test_golden_operations.py
@@ -23,10 +23,10 @@
     transactions,
 )
 
-from coveport.work.record import End, State, decode, encode
-from coveport.work.record_layout import digest_of, id_of
-from coveport.work.seal import Kept, Seal, read_keys
-from micaflow.interface import Outcome
+from coveport.balancing.interface import Outcome
+from coveport.sidecar.intent_log.encryption import Kept, Seal, read_keys
+from coveport.sidecar.intent_log.record import End, State, decode, encode
+from coveport.sidecar.intent_log.record_layout import digest_of, id_of
 
 RECORD_BYTES = read_cases("operations.json")
 SEALED_BYTES = read_cases("sealed.json")
--- a/tests/golden/test_golden_settings.py
+++ b/tests/golden/test_golden_settings.py
@@ -18,10 +18,10 @@
     STATES,
 )
 
-from coveport.system.configuration.commands import decode_command, encode_command
-from coveport.system.configuration.document import Document
-from coveport.system.configuration.reader import keep_document, read_configuration, read_document
-from coveport.system.configuration.state import (
+from coveport.serving.configuration.commands import decode_command, encode_command
+from coveport.serving.configuration.document import Document
+from coveport.serving.configuration.reader import keep_document, read_configuration, read_document
+from coveport.serving.configuration.state import (
     Applied,
     ControlState,
     apply,
@@ -29,9 +29,9 @@
     encode_state,
     initial_state,
 )
-from coveport.system.settings.boot import BootSettings
-from coveport.system.settings.reader import parse_boot_settings
-from coveport.system.simulation.settings_file import settings_text
+from coveport.serving.settings.boot import BootSettings
+from coveport.serving.settings.reader import parse_boot_settings
+from coveport.serving.simulation.settings_file import settings_text
 
 COMMAND_BYTES = read_cases("commands.json")
 STATE_BYTES = read_cases("states.json")
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -8,12 +8,12 @@
 from golden_files import read_cases
 from golden_wire_cases import MESSAGES, RECORDS, UPDATE, UPDATE_OF_CHANGES
 
-from coveport.system.replication.records import RECORDS as RECORD_KINDS
-from coveport.system.replication.records import Record
-from coveport.system.wire.codec import MalformedMessageError, MessageCodec
-from coveport.system.wire.frames import FrameReader, write_frame
-from coveport.system.wire.messages import CODEC
-from coveport.system.wire.shared_update import SharedUpdate
+from coveport.serving.replication.records import RECORDS as RECORD_KINDS
+from coveport.serving.replication.records import Record
+from coveport.serving.wire.codec import MalformedMessageError, MessageCodec
+from coveport.serving.wire.frames import FrameReader, write_frame
+from coveport.serving.wire.messages import CODEC
+from coveport.serving.wire.shared_update import SharedUpdate
 
 RECORD_CODEC: MessageCodec[Record] = MessageCodec(RECORD_KINDS)
 MESSAGE_BYTES = read_cases("messages.json")
--- a/tests/golden/write_fixtures.py
+++ b/tests/golden/write_fixtures.py
@@ -24,18 +24,18 @@
 import golden_wire_cases
 import msgspec
 
-from coveport.fleet import snapshot
-from coveport.system.configuration.commands import encode_command
-from coveport.system.configuration.state import apply, encode_state, initial_state
-from coveport.system.replication.records import RECORDS, Record
-from coveport.system.simulation.settings_file import settings_text
-from coveport.system.wire.codec import MessageCodec
-from coveport.system.wire.frames import write_frame
-from coveport.system.wire.messages import CODEC
-from coveport.work.record import encode
-from coveport.work.record_layout import digest_of, id_of
-from coveport.work.seal import Kept, Seal
-from micaflow import wire as decision_wire
+from coveport.balancing import simulator_codec as decision_wire
+from coveport.serving.configuration.commands import encode_command
+from coveport.serving.configuration.state import apply, encode_state, initial_state
+from coveport.serving.replication.records import RECORDS, Record
+from coveport.serving.simulation.settings_file import settings_text
+from coveport.serving.wire.codec import MessageCodec
+from coveport.serving.wire.frames import write_frame
+from coveport.serving.wire.messages import CODEC
+from coveport.sidecar.intent_log.encryption import Kept, Seal
+from coveport.sidecar.intent_log.record import encode
+from coveport.sidecar.intent_log.record_layout import digest_of, id_of
+from coveport.sidecar.supervisor import snapshot
 
 
 def write_wire() -> None:
