--- a/benchmarks/day_to_day.py
+++ b/benchmarks/day_to_day.py
@@ -55,7 +55,8 @@
     """A ledger node and a discovery, in this process."""
 
     def __init__(self, body: bytes) -> None:
-        self.body, self.servers = body, list[asyncio.Server]()
+        self.body = body
+        self.servers = list[asyncio.Server]()
 
     async def start(self) -> tuple[int, int]:
         """Their ports."""
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -113,7 +113,8 @@
     """Collects the places of a file, each with the changes that can be made there."""
 
     def __init__(self, file: str, source: bytes) -> None:
-        self.file, self.source = file, source
+        self.file = file
+        self.source = source
         self.starts = [0]
         for line in source.splitlines(keepends=True):
             self.starts.append(self.starts[-1] + len(line))
--- a/benchmarks/policy_rounds.py
+++ b/benchmarks/policy_rounds.py
@@ -118,7 +118,9 @@
     """Plays days, so many at once."""
 
     def __init__(self, bench: Path, jobs: int, why: str, more: Sequence[str]) -> None:
-        self._bench, self._why, self._more = bench, why, more
+        self._bench = bench
+        self._why = why
+        self._more = more
         self._places = asyncio.Semaphore(jobs)
 
     async def play(self, tree: Path, site: Path, day: str, seed: int) -> Play | str:
--- a/coveport/balancing/balancer.py
+++ b/coveport/balancing/balancer.py
@@ -40,7 +40,9 @@
     __slots__ = ("host", "may_have_run", "passed", "pending", "sent_at", "share")
 
     def __init__(self, host: _Host, sent_at: float, ended: api.Before | None = None) -> None:
-        self.host, self.sent_at, self.pending = host, sent_at, ended is None
+        self.host = host
+        self.sent_at = sent_at
+        self.pending = ended is None
         self.may_have_run = ended is None or ended.may_have_run
         self.share = len(host.pending) + 1  # how many of ours were in flight with it, itself included
         self.passed = 0  # how many sent there later have been answered already
@@ -54,11 +56,18 @@
     """What one host has shown us."""
 
     def __init__(self, entry: api.HostEntry, mark: float) -> None:
-        self.id, self.zone, self.cell, self.mark = entry.host, entry.zone, entry.cell, mark
+        self.id = entry.host
+        self.zone = entry.zone
+        self.cell = entry.cell
+        self.mark = mark
         self.pending: dict[tuple[int, int], _Attempt] = {}  # by attempt, in the order in which they were sent
-        self.started, self.ready = entry.started_ms, False  # ready: in a level
+        self.started = entry.started_ms
+        self.ready = False  # ready: in a level
         self.cold_at = entry.started_ms if entry.started_ms > 0 else -inf
-        self.pace, self.strikes, self.failures, self.granted = 0.0, 0, 0, 0  # failures since the last answer
+        self.pace = 0.0
+        self.strikes = 0
+        self.failures = 0
+        self.granted = 0  # failures since the last answer
         self.heard_at = self.seen_at = self.paused_until = self.grant_until = -inf
         self.trial_at = self.down_at = inf  # inf: in its level
 
@@ -68,7 +77,8 @@
 
 class _Request(Waiter):
     def __init__(self, event: api.Request, settings: api.Settings, chance: random.Random) -> None:
-        self.cls, self.limits = settings.classes[event.cls], settings.limits  # the rules under which it came
+        self.cls = settings.classes[event.cls]
+        self.limits = settings.limits  # the rules under which it came
         self.id, self.kind, self.deadline, self.long = event.id, self.cls.name, event.deadline_ms, event.long
         self.give_up = self.hold_until = self.cross_at = event.deadline_ms
         self.chill, self.streaming = chance.random(), False  # chill: which cold hosts it may go to
@@ -89,20 +99,32 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.random, self.out = random.Random(seed), list[api.Action]()
-        self.now, self.soon, self.extra, self.lately = 0.0, 0.0, 0.0, 0.0  # lately: mean answer time
-        self.hosts, self.open = dict[int, _Host](), dict[int, _Request]()
+        self.now = 0.0
+        self.soon = 0.0
+        self.extra = 0.0
+        self.lately = 0.0  # lately: mean answer time
+        self.hosts = dict[int, _Host]()
+        self.open = dict[int, _Request]()
         self.flights = dict[tuple[int, int], _Attempt]()
-        self.came, self.came_at, self.keep_at = 0.0, 0.0, inf  # first tries, each worth less with time
-        self.queue, self.took = Held[_Request](), dict[str, float]()
-        self.stuck, self.full = set[tuple[str, bool]](), False  # sorts none of which found a host; no room
+        self.came = 0.0
+        self.came_at = 0.0
+        self.keep_at = inf  # first tries, each worth less with time
+        self.queue = Held[_Request]()
+        self.took = dict[str, float]()
+        self.stuck = set[tuple[str, bool]]()
+        self.full = False  # sorts none of which found a host; no room
         self.due: list[tuple[float, int]] = []  # heap: when to look at which request (-1: at all)
         self.wake_at = self.look_at = inf  # the soonest timer that is set; when held requests are looked at
-        self.ask_at, self.ask_failures, self.answers = -inf if settings.must_ask else inf, 0, 0
+        self.ask_at = -inf if settings.must_ask else inf
+        self.ask_failures = 0
+        self.answers = 0
         self._retune(settings)
         self.service = self.work = self.aim / FIRST_GUESS  # mean answer time and cost hint, until they tell
 
     def _retune(self, settings: api.Settings) -> None:  # what came before keeps its kind and its limits
-        self.settings, self.rules, self.limits = settings, settings.rules, settings.limits
+        self.settings = settings
+        self.rules = settings.rules
+        self.limits = settings.limits
         self.aim, *_, self.longest = sorted([c.aim_ms for c in settings.classes] * 2)
         self.took = {c.name: self.took.get(c.name, self.aim / FIRST_GUESS) for c in settings.classes}
         self._keep()
@@ -113,7 +135,8 @@
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
         """Take one event and say what to do now."""
-        self.now, self.out = now_ms, []
+        self.now = now_ms
+        self.out = []
         self.soon = now_ms + self.settings.tick_ms / 2  # what is due by then is due: timers come rounded
         if isinstance(event, api.Request):
             self._arrive(event)
@@ -162,7 +185,8 @@
                 self._ask_at(self.now + min(wait * self.random.uniform(0.5, 1.5), most))
             return
         if event.kind is not ListKind.CACHED:
-            self.ask_failures, self.ask_at = 0, inf
+            self.ask_failures = 0
+            self.ask_at = inf
         elif self.settings.must_ask and event.entries:
             # All that were started together have a list to begin with, and would ask at the same moment.
             self._ask_at(self.now + self.random.uniform(0, self.rules.ask_within_ms / 16))
@@ -387,7 +411,8 @@
         )
 
     def _dispatch(self) -> None:
-        self.stuck, self.full = set(), False
+        self.stuck = set()
+        self.full = False
         if not self.queue.count:
             return
         for request in self.queue.ended(self.soon):
--- a/coveport/balancing/pending_requests.py
+++ b/coveport/balancing/pending_requests.py
@@ -30,7 +30,8 @@
 
     def __init__(self) -> None:
         self._lines = dict[tuple[str, bool], deque[tuple[int, W]]]()
-        self._ends, self._crossings = list[tuple[float, int, W]](), list[tuple[float, int, W]]()
+        self._ends = list[tuple[float, int, W]]()
+        self._crossings = list[tuple[float, int, W]]()
         self.count = self._entries = 0  # how many are held
 
     def __iter__(self) -> Iterator[W]:
@@ -60,7 +61,9 @@
         self.count -= one.waiting
         one.waiting = False
         if not self.count:  # nothing of a class that is gone stays behind
-            self._lines, self._ends, self._crossings = {}, [], []
+            self._lines = {}
+            self._ends = []
+            self._crossings = []
 
     def ended(self, now: float) -> list[W]:
         """Those whose time is over by now; they stay held until they are removed."""
--- a/coveport/cli/work.py
+++ b/coveport/cli/work.py
@@ -30,7 +30,8 @@
     """The store of records, as staff reach it."""
 
     def __init__(self, store: Store, layout: RecordLayout) -> None:
-        self.store, self.layout = store, layout
+        self.store = store
+        self.layout = layout
 
     async def read(self, prefix: str) -> tuple[Entry, ...]:
         """What stands there."""
--- a/coveport/http1/codec.py
+++ b/coveport/http1/codec.py
@@ -47,7 +47,8 @@
 
     def __init__(self, status: int, text: str, **headers: str) -> None:
         super().__init__(text)
-        self.status, self.headers = status, headers
+        self.status = status
+        self.headers = headers
 
 
 @dataclass(slots=True)
@@ -190,7 +191,9 @@
             self._wrong = True
             raise
         if over:
-            self.long, self._message, self._over = False, None, False
+            self.long = False
+            self._message = None
+            self._over = False
         return data, over
 
     def _read_body(self) -> bytes | None:
@@ -246,7 +249,10 @@
     def _frame(self, headers: dict[str, list[str]], default: int | None) -> None:
         """Find out where the body ends."""
         lengths, codings = headers.get("content-length"), headers.get("transfer-encoding")
-        self._chunks, self._left, self._chunk, self.got = None, default, 0, 0
+        self._chunks = None
+        self._left = default
+        self._chunk = 0
+        self.got = 0
         if codings is not None:
             # Guards against smuggling: a message framed in two ways is read by nobody alike.
             if lengths is not None:
@@ -405,7 +411,8 @@
         if status < 200 or status in (204, 304):
             # Guards against what its headers say of a body: it has none (RFC 9112, 6.3), and what follows
             # would be taken for it.
-            self._chunks, self._left = None, 0
+            self._chunks = None
+            self._left = 0
         else:
             self._frame(headers, None)
         keeps = _keeps(version, headers) and (self._left is not None or self._chunks is not None)
--- a/coveport/net/transport.py
+++ b/coveport/net/transport.py
@@ -49,7 +49,10 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, one: socket.socket, factory: Factory, accept_most: int
     ) -> None:
-        self._loop, self._socket, self._factory, self._most = loop, one, factory, accept_most
+        self._loop = loop
+        self._socket = one
+        self._factory = factory
+        self._most = accept_most
         self._beginning: set[asyncio.Task[object]] = set()
         self._port: int = one.getsockname()[1]
         loop.add_reader(one, self._accept)
--- a/coveport/serving/cli/core_caller.py
+++ b/coveport/serving/cli/core_caller.py
@@ -48,7 +48,8 @@
     """Asks the coordinators at some addresses, in turn."""
 
     def __init__(self, net: Net, addresses: Sequence[Address]) -> None:
-        self._net, self._addresses = net, tuple(addresses)
+        self._net = net
+        self._addresses = tuple(addresses)
 
     async def call(self, call: HttpCall, within_s: float) -> Answer | NoAnswer:
         """Ask until there is a clear answer, unchanged each time, or the time is over."""
--- a/coveport/serving/cli/positions.py
+++ b/coveport/serving/cli/positions.py
@@ -57,7 +57,9 @@
     """An object or list that is being read; `place` is that of its present value."""
 
     def __init__(self, around: str, is_list: bool) -> None:
-        self._around, self._is_list, self._number = around, is_list, 0
+        self._around = around
+        self._is_list = is_list
+        self._number = 0
         self.place = f"{around}[0]" if is_list else around
         self.wants_key = not is_list
 
--- a/coveport/serving/configuration/route_reader.py
+++ b/coveport/serving/configuration/route_reader.py
@@ -19,7 +19,9 @@
 
     def __init__(self, forms: FormReader, findings: Findings, services: frozenset[str] | None) -> None:
         """`services`: the names that routes may use; None: not known, since that list can't be read."""
-        self._forms, self._findings, self._services = forms, findings, services
+        self._forms = forms
+        self._findings = findings
+        self._services = services
         self._names: set[str] = set()
         self._places: dict[tuple[str, str], str] = {}
 
--- a/coveport/serving/coordinator/control.py
+++ b/coveport/serving/coordinator/control.py
@@ -52,7 +52,9 @@
     """Submits commands to the core of this coordinator."""
 
     def __init__(self, net: Net, core: CoreRuntime, describe: Callable[[], dict[str, Any]]) -> None:
-        self._net, self._core, self._describe = net, core, describe
+        self._net = net
+        self._core = core
+        self._describe = describe
 
     def is_primary(self) -> bool:
         """Whether this coordinator leads."""
--- a/coveport/serving/coordinator/core.py
+++ b/coveport/serving/coordinator/core.py
@@ -51,7 +51,11 @@
     def __init__(
         self, net: Net, member: CoreMember, writer: RecordWriter, hooks: CoreHooks, log: Any
     ) -> None:
-        self._net, self.member, self._writer, self._hooks, self._log = net, member, writer, hooks, log
+        self._net = net
+        self.member = member
+        self._writer = writer
+        self._hooks = hooks
+        self._log = log
         self._waiting: dict[int, asyncio.Future[Outcome]] = {}
         self._request = 0
         self._ticking: asyncio.TimerHandle | None = None
--- a/coveport/serving/coordinator/lookup_calls.py
+++ b/coveport/serving/coordinator/lookup_calls.py
@@ -24,7 +24,10 @@
         now_s: Callable[[], float],
         ttl_s: float = TTL_S,
     ) -> None:
-        self._leases, self._lost, self._now_s, self._ttl_s = leases, lost, now_s, ttl_s
+        self._leases = leases
+        self._lost = lost
+        self._now_s = now_s
+        self._ttl_s = ttl_s
 
     @answers("GET", Path.LOOKUP)
     async def lookup(self, call: Call) -> Reply:
--- a/coveport/serving/coordinator/node_calls.py
+++ b/coveport/serving/coordinator/node_calls.py
@@ -27,7 +27,10 @@
         One that isn't takes what nodes say, but sends them to another: nobody else hears of them through it.
         What was confirmed by a majority (`closing`, a goodbye) needs no such check.
         """
-        self._reporting, self._is_connected, self._regions, self._log = reporting, is_connected, regions, log
+        self._reporting = reporting
+        self._is_connected = is_connected
+        self._regions = regions
+        self._log = log
 
     @answers("PUT", Path.NODES)
     async def heartbeat(self, call: Call) -> Reply:
--- a/coveport/serving/coordinator/operator_calls.py
+++ b/coveport/serving/coordinator/operator_calls.py
@@ -55,7 +55,9 @@
     """Handlers of the operators' calls."""
 
     def __init__(self, control: ControlPlane, control_port: int, zones: frozenset[str]) -> None:
-        self._control, self._port, self._zones = control, control_port, zones
+        self._control = control
+        self._port = control_port
+        self._zones = zones
 
     @answers("PUT", Path.CONFIG)
     async def put(self, call: Call) -> Reply:
--- a/coveport/serving/coordinator/peers.py
+++ b/coveport/serving/coordinator/peers.py
@@ -46,7 +46,10 @@
         traffic: Traffic | None = None,
     ) -> None:
         self._traffic = traffic
-        self._net, self._hello, self._on_message, self._on_connected = net, hello, on_message, on_connected
+        self._net = net
+        self._hello = hello
+        self._on_message = on_message
+        self._on_connected = on_connected
         self._peers: dict[str, _Peer] = {}
 
     def keep(self, addresses: Iterable[str]) -> None:
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -59,7 +59,9 @@
     def __init__(
         self, net: Net, settings: BootSettings, opened: Opened, chance: random.Random, log: Any
     ) -> None:
-        self._net, self._settings, self._log = net, settings, log
+        self._net = net
+        self._settings = settings
+        self._log = log
         host, port = settings.inner
         self._address = f"{host}:{port}"
         self._member_id = MemberId(self._address, opened.durable.disk)
--- a/coveport/serving/coordinator/reports.py
+++ b/coveport/serving/coordinator/reports.py
@@ -51,8 +51,11 @@
 
         `view_epoch`: of the view that we know; `is_majority`: whether these, with us, decide in that view.
         """
-        self.send, self.live, self.known = send, live, known
-        self.view_epoch, self.is_majority = view_epoch, is_majority
+        self.send = send
+        self.live = live
+        self.known = known
+        self.view_epoch = view_epoch
+        self.is_majority = is_majority
 
 
 class NodeReporting:
@@ -72,8 +75,11 @@
         `first_number`: drawn at random, so that a confirmation meant for an earlier life of this process,
         which may come late, is not taken for one of this life.
         """
-        self._net, self._table, self._peers = net, table, peers
-        self._copies, self._on_news = copies, on_news
+        self._net = net
+        self._table = table
+        self._peers = peers
+        self._copies = copies
+        self._on_news = on_news
         self._batch: dict[str, Node] = {}
         self._confirmations: dict[int, Confirmation] = {}
         self._number = first_number
--- a/coveport/serving/coordinator/standing.py
+++ b/coveport/serving/coordinator/standing.py
@@ -18,7 +18,9 @@
         coordinators: Callable[[], tuple[CoordinatorPlace, ...]],
     ) -> None:
         """`settle_s`: after so long in touch, every node that lives has been heard of."""
-        self._now_s, self._has_quorum, self._settle_s = now_s, has_quorum, settle_s
+        self._now_s = now_s
+        self._has_quorum = has_quorum
+        self._settle_s = settle_s
         self._coordinators = coordinators
         self._connected_from_s: float | None = None
 
--- a/coveport/serving/coordinator/subscriptions.py
+++ b/coveport/serving/coordinator/subscriptions.py
@@ -55,7 +55,8 @@
             self._changes.clear()
         else:
             self._changes.append(StateChange(sequence, command))
-        self.sequence, self.encoded = sequence, encoded
+        self.sequence = sequence
+        self.encoded = encoded
 
     def changes_since(self, sequence: int) -> tuple[StateChange, ...] | None:
         """What led from that state to the newest; None where the whole state must be told."""
@@ -122,8 +123,12 @@
         standing: Standing,
         on_lease_news: Callable[[], None],
     ) -> None:
-        self._net, self._table, self._table_identity = net, table, table_identity
-        self._leases, self._history, self._standing = leases, history, standing
+        self._net = net
+        self._table = table
+        self._table_identity = table_identity
+        self._leases = leases
+        self._history = history
+        self._standing = standing
         self._on_lease_news = on_lease_news
         self._waiting: dict[Connection, _Waiting] = {}
         self._scheduled = False
--- a/coveport/serving/proxy/client_connection.py
+++ b/coveport/serving/proxy/client_connection.py
@@ -39,7 +39,9 @@
     """Hands requests to its owner, who answers through `begin`, `write`, `finish`, or `answer`."""
 
     def __init__(self, net: Net, owner: ClientOwner, limits: Callable[[], ClientLimits]) -> None:
-        self._net, self._owner, self._limits = net, owner, limits
+        self._net = net
+        self._owner = owner
+        self._limits = limits
         self._parser = codec.RequestParser(limits().body_bytes, most_head=limits().header_bytes)
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
--- a/coveport/serving/proxy/data_path.py
+++ b/coveport/serving/proxy/data_path.py
@@ -48,7 +48,11 @@
     """Everything between clients and nodes."""
 
     def __init__(self, net: Net, settings: BootSettings, view: ControlView, log: Any, random: Random) -> None:
-        self._net, self._settings, self._view, self._log, self._random = net, settings, view, log, random
+        self._net = net
+        self._settings = settings
+        self._view = view
+        self._log = log
+        self._random = random
         self._clients: set[ClientConnection] = set()
         self._serving = 0
         self._listening: Listening | None = None
--- a/coveport/serving/proxy/process.py
+++ b/coveport/serving/proxy/process.py
@@ -27,7 +27,9 @@
 
     def __init__(self, net: Net, settings: BootSettings, chance: random.Random, log: Any) -> None:
         assert settings.clients is not None
-        self._net, self._settings, self._log = net, settings, log
+        self._net = net
+        self._settings = settings
+        self._log = log
         self.view = ControlView()
         self.data_path = DataPath(net, settings, self.view, log, chance)
         self._life = int(net.unix_s() * 1000)
--- a/coveport/serving/proxy/startup_hold.py
+++ b/coveport/serving/proxy/startup_hold.py
@@ -19,7 +19,8 @@
     """Ends for good when the first configuration and nodes are known."""
 
     def __init__(self, net: Net, view: ControlView) -> None:
-        self._net, self._view = net, view
+        self._net = net
+        self._view = view
         self._until_s = net.now_s() + AFTER_START_S
         self._is_over = asyncio.Event()
         view.listeners.append(self._look)
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -45,12 +45,17 @@
         chance: random.Random,
     ) -> None:
         """`make_lease`: the lease for a round."""
-        self._net, self._view, self._make_lease, self._log, self._chance = net, view, make_lease, log, chance
+        self._net = net
+        self._view = view
+        self._make_lease = make_lease
+        self._log = log
+        self._chance = chance
         self._choice = choice
         self._state: ControlState = initial_state()
         self._sequence = -1
         self._wants_whole_state = False  # the last changes did not fit what is held, or could not be read
-        self._table, self._node_revision = "", -1
+        self._table = ""
+        self._node_revision = -1
         self._is_table_confirmed = (
             False  # a settled coordinator has told the whole table since we asked there
         )
@@ -223,7 +228,8 @@
         """Which differences to ask for next; once a table has settled, the whole of it is asked for again."""
         if update.table != self._table:
             self._is_table_confirmed = False
-        self._table, self._node_revision = update.table, update.node_revision
+        self._table = update.table
+        self._node_revision = update.node_revision
         if update.settled and not self._is_table_confirmed:
             self._is_table_confirmed = update.whole_table
             if not update.whole_table:
--- a/coveport/serving/scale/hollow_nodes.py
+++ b/coveport/serving/scale/hollow_nodes.py
@@ -24,7 +24,9 @@
     """One node, incarnation after incarnation."""
 
     def __init__(self, net: Net, told: Line, number: int, counts: NodeCounts) -> None:
-        self._net, self._told, self._counts = net, told, counts
+        self._net = net
+        self._told = told
+        self._counts = counts
         self._address = f"{told['addresses'][number]}:{NODE_PORT}"
         self._service: str = told["services"][number]
         self._coordinators = [parse_address(one) for one in told["coordinators"]]
--- a/coveport/serving/scale/hollow_proxies.py
+++ b/coveport/serving/scale/hollow_proxies.py
@@ -25,7 +25,10 @@
     """One proxy's control side, and what it saw when."""
 
     def __init__(self, net: Net, told: Line, number: int, watched: set[str], log: Any) -> None:
-        self._net, self._told, self._watched, self._log = net, told, watched, log
+        self._net = net
+        self._told = told
+        self._watched = watched
+        self._log = log
         self.number = number
         self._address = f"{told['addresses'][number]}:{CLIENTS_PORT}"
         self._seen: set[str] = set()
@@ -39,7 +42,8 @@
         chance = random.Random()
         seeds = list(self._told["seeds"])
         chance.shuffle(seeds)
-        self._edition, self._evacuated = 0, frozenset()
+        self._edition = 0
+        self._evacuated = frozenset()
         self._seen.clear()
         self.view = ControlView()
         self.view.listeners.append(self._changed)
--- a/coveport/serving/scale/machines.py
+++ b/coveport/serving/scale/machines.py
@@ -46,7 +46,9 @@
     """The processes of one run."""
 
     def __init__(self, net: Net, folder: Path, size: ScaleSize) -> None:
-        self._net, self._folder, self.size = net, folder, size
+        self._net = net
+        self._folder = folder
+        self.size = size
         self._addresses = Addresses(FIRST_SECOND + getpid() % SECONDS)
         losses = LOSSES_OF_SIX if size.coordinators == len(CORE_ZONES) else 1
         self._deployment = Deployment(zones=ZONES, tolerated=Tolerated(losses, 1, 1))
--- a/coveport/serving/scale/processes.py
+++ b/coveport/serving/scale/processes.py
@@ -40,7 +40,10 @@
     """A process of hollow proxies or nodes; `saw` takes what they say unasked."""
 
     def __init__(self, module: str, told: Line, saw: Callable[[Line], None], log: Path) -> None:
-        self._module, self.told, self._saw, self._log = module, told, saw, log
+        self._module = module
+        self.told = told
+        self._saw = saw
+        self._log = log
         self.size = len(told["addresses"])
         self._process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
--- a/coveport/serving/scale/run.py
+++ b/coveport/serving/scale/run.py
@@ -48,9 +48,12 @@
     def __init__(
         self, net: Net, machines: Machines, seconds: float, chance: Random, tell: Callable[[str], None]
     ) -> None:
-        self._net, self._machines, self._seconds = net, machines, seconds
+        self._net = net
+        self._machines = machines
+        self._seconds = seconds
         self._size: ScaleSize = machines.size
-        self._chance, self._tell = chance, tell
+        self._chance = chance
+        self._tell = tell
         self._edition = 0
         self._problems: list[str] = []
         self._faults = FaultCounts()
--- a/coveport/serving/simulation/client.py
+++ b/coveport/serving/simulation/client.py
@@ -77,7 +77,10 @@
     ) -> None:  # fmt: skip
         """`lookups`: coordinators that answer lookups, near ones first."""
         self.figures = figures
-        self._net, self._lookups, self._book, self._chance = net, lookups, book, chance
+        self._net = net
+        self._lookups = lookups
+        self._book = book
+        self._chance = chance
         self._tokens_per_event = tokens_per_event
         self._known: list[Address] = []
         self._known_until_s = 0.0
--- a/coveport/serving/simulation/disk.py
+++ b/coveport/serving/simulation/disk.py
@@ -53,7 +53,8 @@
         for offset, written in self._unsynced:
             kept = chance.choice((0, len(written), chance.randrange(len(written) + 1)))
             self._put(data, offset, written[:kept])
-        self._data, self._synced = bytearray(data), data
+        self._data = bytearray(data)
+        self._synced = data
         self._unsynced.clear()
 
     @staticmethod
@@ -120,7 +121,9 @@
     """Writes records in order, each after the disk's time."""
 
     def __init__(self, net: Net, disk: SimulatedDisk, store: RecordStore) -> None:
-        self._net, self._disk, self._store = net, disk, store
+        self._net = net
+        self._disk = disk
+        self._store = store
         self._queue: deque[tuple[Sequence[Record], Done]] = deque()
         self._is_writing = False
 
--- a/coveport/serving/simulation/exchange.py
+++ b/coveport/serving/simulation/exchange.py
@@ -179,7 +179,8 @@
     """The serving end of a connection: requests are handled one after the other."""
 
     def __init__(self, handler: Handler, ended: Callable[[ServerConnection], None]) -> None:
-        self._handler, self._ended = handler, ended
+        self._handler = handler
+        self._ended = ended
         self._parser = RequestParser(most_body=MOST_BODY)
         self.transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
--- a/coveport/serving/simulation/local_deployment.py
+++ b/coveport/serving/simulation/local_deployment.py
@@ -33,8 +33,11 @@
     """One coordinator and one proxy a zone, and the nodes that the deployment names."""
 
     def __init__(self, net: Net, folder: Path, deployment: Deployment, book: Book, seed: int) -> None:
-        self._net, self._folder, self._deployment = net, folder, deployment
-        self._book, self._seed = book, seed
+        self._net = net
+        self._folder = folder
+        self._deployment = deployment
+        self._book = book
+        self._seed = seed
         # An own block of loopback addresses: two deployments on one machine don't meet.
         drawn = Random(f"{getpid()} {id(self)}")
         self._block = f"127.{drawn.randint(1, 254)}.{drawn.randint(1, 254)}"
--- a/coveport/serving/simulation/local_processes.py
+++ b/coveport/serving/simulation/local_processes.py
@@ -30,7 +30,8 @@
 
     def __init__(self, role: str, folder: Path, settings: Callable[[bool], BootSettings]) -> None:
         """`settings`: from whether it is the first boot."""
-        self._role, self._settings = role, settings
+        self._role = role
+        self._settings = settings
         told = settings(True)
         self.name = told.name
         self._grace_s = told.bounds.grace_s
--- a/coveport/serving/simulation/machines.py
+++ b/coveport/serving/simulation/machines.py
@@ -36,13 +36,17 @@
         self, network: PlacedNetwork, spot: MachineSpot, place: Place, make: MakeProgram, seed: str,
         disk: SimulatedDisk | None = None,
     ) -> None:  # fmt: skip
-        self.spot, self.place, self.disk = spot, place, disk
+        self.spot = spot
+        self.place = place
+        self.disk = disk
         self.log_lines: list[str] = []
         self.problems: list[dict[str, Any]] = []
         self.lives = 0
         self.own_ends = 0  # lives that ended by themselves
         self.is_gone = False  # taken away for good
-        self._network, self._make, self._seed = network, make, seed
+        self._network = network
+        self._make = make
+        self._seed = seed
         self._process: SimulatedProcess | None = None
         self._net: PlacedNet | None = None
         self.program: Program | None = None
--- a/coveport/serving/simulation/model_server.py
+++ b/coveport/serving/simulation/model_server.py
@@ -58,12 +58,15 @@
     """One incarnation of a node."""
 
     def __init__(self, net: Net, figures: NodeFigures, book: Book, chance: Random) -> None:
-        self.figures, self.faults = figures, NodeFaults()
+        self.figures = figures
+        self.faults = NodeFaults()
         self.incarnation = f"i-{chance.getrandbits(32):08x}"
         self.state = NodeState.ACCEPTING
         self.on_end: Callable[[], None] | None = None  # called once, when it has ended
         self.engine = Engine(figures.engine)
-        self._net, self._book, self._chance = net, book, chance
+        self._net = net
+        self._book = book
+        self._chance = chance
         self._listening: Listening | None = None
         self._connections: dict[ServerConnection, None] = {}
         self._answers: dict[str, NodeAnswer] = {}
--- a/coveport/serving/simulation/operator.py
+++ b/coveport/serving/simulation/operator.py
@@ -63,8 +63,11 @@
     def __init__(
         self, net: Net, coordinators: CoordinatorList, book: Book, chance: Random, numbers: OrderNumbers
     ) -> None:
-        self._net, self._coordinators, self._book = net, coordinators, book
-        self._chance, self._numbers = chance, numbers
+        self._net = net
+        self._coordinators = coordinators
+        self._book = book
+        self._chance = chance
+        self._numbers = numbers
         self.configuration = Configuration(0)  # the newest that was acknowledged to this operator
 
     async def put(
@@ -196,7 +199,8 @@
     """Rising edition numbers, in uneven steps."""
 
     def __init__(self, chance: Random) -> None:
-        self._chance, self._last = chance, 0
+        self._chance = chance
+        self._last = 0
 
     def next(self) -> int:
         """A new one, above all before."""
--- a/coveport/serving/simulation/registration.py
+++ b/coveport/serving/simulation/registration.py
@@ -52,8 +52,12 @@
         self, net: Net, node: ModelServer, coordinators: CoordinatorList, heartbeat_ms: float,
         book: Book, chance: Random,
     ) -> None:  # fmt: skip
-        self._net, self._node, self._coordinators = net, node, coordinators
-        self._period_s, self._book, self._chance = heartbeat_ms / 1000, book, chance
+        self._net = net
+        self._node = node
+        self._coordinators = coordinators
+        self._period_s = heartbeat_ms / 1000
+        self._book = book
+        self._chance = chance
         self._forward_to: Address | None = None
         self._sequence = 0
         self._task: asyncio.Task[None] | None = None
--- a/coveport/serving/simulation/stand_in_programs.py
+++ b/coveport/serving/simulation/stand_in_programs.py
@@ -20,7 +20,8 @@
     """A node's machine: its present incarnation and that one's heartbeats."""
 
     def __init__(self, machine: Machine, service: str) -> None:
-        self.machine, self.service = machine, service
+        self.machine = machine
+        self.service = service
         self.server: ModelServer | None = None
         self.registration: Registration | None = None
 
@@ -29,7 +30,9 @@
     """A node's life as a machine's program."""
 
     def __init__(self, server: ModelServer, registration: Registration, cold_s: float) -> None:
-        self._server, self._registration, self._cold_s = server, registration, cold_s
+        self._server = server
+        self._registration = registration
+        self._cold_s = cold_s
 
     async def start(self) -> None:
         """Serve and report."""
@@ -54,7 +57,9 @@
     """A client's asking as a machine's program."""
 
     def __init__(self, client: Client, machine: Machine, asks: Asks) -> None:
-        self.client, self._machine, self._asks = client, machine, asks
+        self.client = client
+        self._machine = machine
+        self._asks = asks
 
     async def start(self) -> None:
         """Ask until the day's traffic ends."""
--- a/coveport/serving/simulation/try_day.py
+++ b/coveport/serving/simulation/try_day.py
@@ -61,7 +61,9 @@
     """Machines, stand-ins and the plan of one day."""
 
     def __init__(self, net: Net, folder: Path, seconds: float, seed: int, say: Say) -> None:
-        self._net, self._seconds, self._say = net, seconds, say
+        self._net = net
+        self._seconds = seconds
+        self._say = say
         self._deployment = Deployment()
         self._seed = seed
         self.book = Book()
--- a/coveport/serving/simulation/world.py
+++ b/coveport/serving/simulation/world.py
@@ -84,7 +84,8 @@
     """All machines of one deployment."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
-        self.deployment, self.seed = deployment, seed
+        self.deployment = deployment
+        self.seed = seed
         self.world = World()
         ways = SimulatedWays(deployment.zones, deployment.delays, Random(f"ways {seed}"))
         self.network = PlacedNetwork(self.world, ways)
--- a/coveport/serving/web/server.py
+++ b/coveport/serving/web/server.py
@@ -24,7 +24,10 @@
         self, net: Net, address: Address, answer: Answer, before_data: Callable[[], None] | None = None
     ) -> None:
         """`before_data` is called before anything that arrived is looked at; it may reset connections."""
-        self.net, self._address, self.answer, self.before_data = net, address, answer, before_data
+        self.net = net
+        self._address = address
+        self.answer = answer
+        self.before_data = before_data
         self._listening: Listening | None = None
         self.connections: set[_Connection] = set()
 
--- a/coveport/serving/wire/connection.py
+++ b/coveport/serving/wire/connection.py
@@ -31,7 +31,9 @@
         on_refused: Callable[[Connection, str], None] | None = None,
     ) -> None:
         """`on_refused`: told why, before a connection ends on which something came that is no message."""
-        self._net, self._on_message, self._on_end = net, on_message, on_end
+        self._net = net
+        self._on_message = on_message
+        self._on_end = on_end
         self._on_refused = on_refused
         self._traffic = traffic if traffic is not None else Traffic()
         self._reader = FrameReader()
--- a/coveport/sidecar/admin/server.py
+++ b/coveport/sidecar/admin/server.py
@@ -107,8 +107,11 @@
     def __init__(
         self, net: Net, counters: Counters, log: Log, *, most: int, calls: Mapping[Call, Callable[[], Done]]
     ) -> None:
-        self.net, self._counters, self._log = net, counters, log
-        self._most, self._calls = most, calls
+        self.net = net
+        self._counters = counters
+        self._log = log
+        self._most = most
+        self._calls = calls
         self._silent: dict[_Caller, None] = {}  # who has not asked yet, the longest connected first
         self._leaving: dict[_Caller, None] = {}  # who has its answer
         self._server: Listening | None = None
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -82,7 +82,10 @@
     def __init__(
         self, told: OperatorFile, config: configuration.Config, log: Log, member: Membership | None = None
     ) -> None:
-        self._told, self._config, self._log, self._member = told, config, log, member
+        self._told = told
+        self._config = config
+        self._log = log
+        self._member = member
         self.name = told.instance.name or config.name
         self.incarnation = f"{self.name}#{uuid.uuid4().hex[:12]}"
         self._lines = logger(told, self.name, self.incarnation, member)
--- a/coveport/sidecar/discovery/agent.py
+++ b/coveport/sidecar/discovery/agent.py
@@ -34,7 +34,8 @@
     """A connection to discovery, which carries one call at a time."""
 
     def __init__(self, ended: Callable[[http1.Response | None], None], log: Log) -> None:
-        self._ended, self._log = ended, log
+        self._ended = ended
+        self._log = log
         self._buffer = memoryview(bytearray(16 * 1024))
         # A list of destinations may be larger than an operation's body.
         self._body = http1.ResponseParser(MOST_BYTES)
@@ -81,8 +82,13 @@
         must_ask: bool,
         chance: random.Random,
     ) -> None:
-        self._net, self._address, self._reader = net, address, reader
-        self._tell, self._counters, self._log, self._must_ask = tell, counters, log, must_ask
+        self._net = net
+        self._address = address
+        self._reader = reader
+        self._tell = tell
+        self._counters = counters
+        self._log = log
+        self._must_ask = must_ask
         self._chance = chance
         self._call: _Call | None = None
         self._dialing: asyncio.Task[None] | None = None  # set while a connect is under way
@@ -91,7 +97,9 @@
         self._garbled = False  # what came last could not be used: the whole list is wanted next
         self._confirmed = False  # it has told us something since we began
         self._watching = self._asked_whole = self._closed = False
-        self._failures, self._older, self._called_at = 0, 0, 0.0
+        self._failures = 0
+        self._older = 0
+        self._called_at = 0.0
         self._bound: asyncio.TimerHandle | None = None
 
     def answers_asked(self) -> None:
@@ -199,7 +207,10 @@
             self._garbled = True
             self._failed(call, f"garbled: {problem}")
             return
-        self._failures, self._busy, self._asked_whole, self._garbled = 0, False, False, False
+        self._failures = 0
+        self._busy = False
+        self._asked_whole = False
+        self._garbled = False
         if not response.keep_alive:
             self._hang_up()
         elif self._bound is not None:
@@ -277,7 +288,11 @@
         must_ask: bool,
         seed: int = 0,
     ) -> None:
-        self._net, self._reader, self._tell, self._counters, self._log = net, reader, tell, counters, log
+        self._net = net
+        self._reader = reader
+        self._tell = tell
+        self._counters = counters
+        self._log = log
         self._must_ask, self._closed, self._chance = must_ask, False, random.Random(seed)
         self._agent = _Agent(
             net, address, reader, tell, counters, log, must_ask=must_ask, chance=self._chance
--- a/coveport/sidecar/downstream/client_connections.py
+++ b/coveport/sidecar/downstream/client_connections.py
@@ -66,12 +66,14 @@
         self._left = 0  # bytes that were unsent when last looked at
         self._transport: asyncio.Transport | None = None
         self._operation: int | None = None  # the one that waits for its answer
-        self._keep, self._used = True, False
+        self._keep = True
+        self._used = False
         self._bare = False  # the answer has no body, whatever its head says: HEAD was asked
         self.extra = False  # came when there were too many already
         self._unsent = self._paused = self._ended = False
         self._drained = 0  # bytes that came after the farewell ...
-        self._drain_most, self._linger_s = LINGER_MOST, LINGER_S  # ... and how much is read, for how long
+        self._drain_most = LINGER_MOST
+        self._linger_s = LINGER_S  # ... and how much is read, for how long
         self.stalled_from: float | None = None  # set while its first request may have waited for us so long
         # When it went idle, or when the request that is coming in began: the first one with the connection.
         self._since = 0.0
@@ -131,7 +133,8 @@
                 self._reject(problem)
 
     def _take(self, request: codec.Request) -> None:
-        self._keep, self._bare = request.keep_alive, request.method == "HEAD"
+        self._keep = request.keep_alive
+        self._bare = request.method == "HEAD"
         if request.target.partition("?")[0] == HEALTH_PATH:
             if request.method not in ("GET", "HEAD"):
                 raise codec.BadMessageError(405, "wrong method", Allow="GET, HEAD")
@@ -234,7 +237,8 @@
         if upload is not None:
             # Guards against a reset that overtakes our answer to who is still sending: it sends on for a
             # while, and reads then. What is too long to be taken was refused by its head.
-            self._drain_most, self._linger_s = MOST_BODY, LINGER_LONG_S
+            self._drain_most = MOST_BODY
+            self._linger_s = LINGER_LONG_S
             upload.close()
             if self._paused and self._transport is not None and not self._transport.is_closing():
                 self._paused = False
@@ -473,13 +477,20 @@
         whole: Callable[[int, float], None],
         budget: Budget,
     ) -> None:
-        self.net, self.counters, self.log = net, counters, log
+        self.net = net
+        self.counters = counters
+        self.log = log
         self.retune(classes)
-        self.ready, self.take, self.gone, self.whole, self.budget = ready, take, gone, whole, budget
+        self.ready = ready
+        self.take = take
+        self.gone = gone
+        self.whole = whole
+        self.budget = budget
         self.closing = False  # the planned end: takes no new connections
         self._draining: asyncio.TimerHandle | None = None  # drained by staff: answers close connections
         self.resting = True  # connections at rest are kept
-        self._most, self._numbers = most_clients, 0
+        self._most = most_clients
+        self._numbers = 0
         self._clients: dict[Client, None] = {}  # the longest connected first
         self._new: dict[Client, None] = {}  # those that have brought no whole request yet, likewise
         self._ending: dict[Client, None] = {}  # those that have had their last answer
@@ -636,7 +647,8 @@
         if self._clients:
             self._sweep_later()
         else:
-            self._sweeper, self._sweep_due = None, inf
+            self._sweeper = None
+            self._sweep_due = inf
 
     @property
     def count(self) -> int:
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -113,7 +113,8 @@
     """A route step that waits to be written down."""
 
     def __init__(self, done: Callable[[StepResult], None]) -> None:
-        self._done, self.over = done, False
+        self._done = done
+        self.over = False
 
     def cancel(self) -> None:
         """Give it up: nothing was sent."""
@@ -156,8 +157,11 @@
         dial: Dial,
         reducer: Callable[[api.Settings, int], Reducer] = Reducer,
     ) -> None:
-        self._net, self._config, self._clock = net, config, Clock(net)
-        self.counters, self._log = counters, log
+        self._net = net
+        self._config = config
+        self._clock = Clock(net)
+        self.counters = counters
+        self._log = log
         self._reducer = reducer(config.settings, config.seed)
         self._inputs: deque[core.Input] = deque()
         self._busy = False
--- a/coveport/sidecar/intent_log/deferred_writes.py
+++ b/coveport/sidecar/intent_log/deferred_writes.py
@@ -30,8 +30,11 @@
         count: Callable[[str], None],
         unix_s: Callable[[], float],
     ) -> None:
-        self._journal, self._layout, self._chance = journal, layout, chance
-        self._count, self._unix_s = count, unix_s
+        self._journal = journal
+        self._layout = layout
+        self._chance = chance
+        self._count = count
+        self._unix_s = unix_s
         self._hands: dict[str, Hand] = {}
 
     def __len__(self) -> int:
--- a/coveport/sidecar/intent_log/encryption.py
+++ b/coveport/sidecar/intent_log/encryption.py
@@ -103,7 +103,8 @@
     """What is kept of requests and answers: sealed, or left out. `most`: bytes of a body."""
 
     def __init__(self, seal: Seal | None, most: int) -> None:
-        self._seal, self._most = seal, most
+        self._seal = seal
+        self._most = most
 
     def asked(self, identity: str, asked: Asked) -> bytes:
         """A request as it is kept; empty: left out."""
--- a/coveport/sidecar/intent_log/execution.py
+++ b/coveport/sidecar/intent_log/execution.py
@@ -50,7 +50,9 @@
     """Stands in a client's place: what it is told goes by the recorder."""
 
     def __init__(self, recorder: Answered, hand: Hand, client: Any) -> None:
-        self._recorder, self.hand, self.client = recorder, hand, client
+        self._recorder = recorder
+        self.hand = hand
+        self.client = client
 
     def begin(self, answer: Answer, source: Any) -> None:
         """A long answer begins."""
@@ -81,7 +83,8 @@
     """The client of what was taken over."""
 
     def __init__(self, recorder: Answered, hand: Hand) -> None:
-        self._recorder, self.hand = recorder, hand
+        self._recorder = recorder
+        self.hand = hand
 
     def begin(self, answer: Answer, source: Any) -> None:
         """Nobody reads it."""
--- a/coveport/sidecar/intent_log/journal.py
+++ b/coveport/sidecar/intent_log/journal.py
@@ -52,14 +52,18 @@
     def __init__(
         self, store: Store, now_s: Callable[[], float], call_s: float, say: Callable[..., None]
     ) -> None:
-        self._store, self._now_s, self._call_s, self._say = store, now_s, call_s, say
+        self._store = store
+        self._now_s = now_s
+        self._call_s = call_s
+        self._say = say
         self._waiting: deque[_Waiting] = deque()
         self._bytes = 0
         self._at_work = False
         self._tasks: set[asyncio.Task[None]] = set()
         self._pulse: asyncio.Task[None] | None = None
         self._missed = 0
-        self._identity, self._floor = "", 0
+        self._identity = ""
+        self._floor = 0
         self.there = There.UP
         self.ages = Ages()
         self.groups = self.written = self.calls = self.bytes = 0  # for figures; bytes of what is put
--- a/coveport/sidecar/intent_log/observed_age.py
+++ b/coveport/sidecar/intent_log/observed_age.py
@@ -56,7 +56,8 @@
     """
 
     def __init__(self, span_s: float) -> None:
-        self._span_s, self._step_s = span_s, span_s / NOTES
+        self._span_s = span_s
+        self._step_s = span_s / NOTES
         self._noted: deque[tuple[float, int]] = deque()  # when it was known, and the revision; both growing
 
     def note(self, now: float, revision: int) -> None:
--- a/coveport/sidecar/intent_log/presence.py
+++ b/coveport/sidecar/intent_log/presence.py
@@ -13,7 +13,8 @@
     """Incarnations by name, from what stands in the store."""
 
     def __init__(self, incarnation: str, ttl_s: float) -> None:
-        self._ours, self._ttl_s = incarnation, ttl_s
+        self._ours = incarnation
+        self._ttl_s = ttl_s
         self._there: dict[str, str] = {}  # by name
         self._missed: dict[str, float] = {}  # incarnations that are not there, and since when we know
         self._leaving: dict[str, float] = {}  # ... that end what they have, and until when at the most
--- a/coveport/sidecar/intent_log/record_layout.py
+++ b/coveport/sidecar/intent_log/record_layout.py
@@ -55,7 +55,8 @@
     """Keys and transactions under a prefix. `kept_s`: how long a closed record is kept at the least."""
 
     def __init__(self, prefix: str, kept_s: float) -> None:
-        self.prefix, self.kept_s = prefix, kept_s
+        self.prefix = prefix
+        self.kept_s = kept_s
 
     def record_key(self, identity: str) -> str:
         """Where a record stands."""
--- a/coveport/sidecar/intent_log/record_writer.py
+++ b/coveport/sidecar/intent_log/record_writer.py
@@ -49,10 +49,19 @@
         say: Callable[..., None],
         unix_s: Callable[[], float] = time.time,
     ) -> None:
-        self._hands, self.journal, self.layout, self.kept = hands, journal, layout, kept
-        self.presence, self._terms, self.incarnation = presence, terms, incarnation
-        self._session, self._now_s, self._chance = session, now_s, chance
-        self._count, self._say, self._unix_s = count, say, unix_s
+        self._hands = hands
+        self.journal = journal
+        self.layout = layout
+        self.kept = kept
+        self.presence = presence
+        self._terms = terms
+        self.incarnation = incarnation
+        self._session = session
+        self._now_s = now_s
+        self._chance = chance
+        self._count = count
+        self._say = say
+        self._unix_s = unix_s
         self._by_number: dict[int, Hand] = {}
         self._by_id: dict[str, Hand] = {}  # ours and open
         self._waiters: dict[int, asyncio.Task[None]] = {}
--- a/coveport/sidecar/intent_log/sharing.py
+++ b/coveport/sidecar/intent_log/sharing.py
@@ -33,8 +33,10 @@
     """How many records are taken up: `most` a second, a quarter of it while there is own work that waits."""
 
     def __init__(self, most: float, burst: int) -> None:
-        self._most, self._burst = most, float(burst)
-        self._saved, self._at = float(burst), 0.0
+        self._most = most
+        self._burst = float(burst)
+        self._saved = float(burst)
+        self._at = 0.0
 
     def wait_s(self, now: float, busy: bool) -> float:
         """0: one may be taken up now, and is counted; else how long to wait before it is asked again."""
--- a/coveport/sidecar/intent_log/takeover_worker.py
+++ b/coveport/sidecar/intent_log/takeover_worker.py
@@ -43,9 +43,15 @@
         count: Callable[[str], None],
         say: Callable[..., None],
     ) -> None:
-        self._recorder, self._name, self._pace = recorder, name, pace
-        self._now_s, self._unix_s, self._chance = now_s, unix_s, chance
-        self._busy, self._count, self._say = busy, count, say
+        self._recorder = recorder
+        self._name = name
+        self._pace = pace
+        self._now_s = now_s
+        self._unix_s = unix_s
+        self._chance = chance
+        self._busy = busy
+        self._count = count
+        self._say = say
         self._lost: dict[str, float] = {}  # incarnations, and since when their records are looked at
         self._unreadable: set[str] = set()  # said once each
         self._known = Known(recorder.layout.kept_s)
--- a/coveport/sidecar/leases/etcd.py
+++ b/coveport/sidecar/leases/etcd.py
@@ -75,7 +75,8 @@
     def __init__(self, endpoints: Sequence[str], call_s: float = 0.5) -> None:
         if not endpoints:
             raise StoreError("no endpoint is named")
-        self._endpoints, self._call_s = tuple(endpoints), call_s
+        self._endpoints = tuple(endpoints)
+        self._call_s = call_s
         self._channels: dict[int, Any] = {}
         self._at = 0
 
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -87,15 +87,21 @@
         unix_s: Callable[[], float] = lambda: 0.0,
         holder: Callable[..., Holder] = Holder,
     ) -> None:
-        self._store, self.name, self._prefix, self._now_s = store, name, prefix, now_s
+        self._store = store
+        self.name = name
+        self._prefix = prefix
+        self._now_s = now_s
         self._unix_s = unix_s
-        self._history, self._terms, self._chance = history, terms, chance
+        self._history = history
+        self._terms = terms
+        self._chance = chance
         self.holder = holder(incarnation, duties, terms, chance)
         self._call_s = terms.ttl_s * CALL_SHARE
         self._tasks: set[asyncio.Task[None]] = set()
         self._watching: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._identity, self._floor = "", 0
+        self._identity = ""
+        self._floor = 0
         self.entries: dict[str, Entry] = {}  # what stands in the store, as far as seen
         self.revision = 0  # up to which `entries` is told
         self.heard_at = -1.0  # when the store last answered or told us something
@@ -365,7 +371,8 @@
             return  # a call that was overtaken
         gone = [key for key in self.entries if key not in entries]
         news = [one for key, one in entries.items() if self.entries.get(key) != one]
-        self.entries, self.revision = entries, revision
+        self.entries = entries
+        self.revision = revision
         self._count()
         for key in gone:
             self.on_change(key, None)
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -80,8 +80,11 @@
         self, incarnation: str, duties: tuple[str, ...], terms: Terms, chance: random.Random
     ) -> None:
         terms.check()
-        self.incarnation, self.terms, self._chance = incarnation, terms, chance
-        self.session, self.lease = Session.OUT, 0
+        self.incarnation = incarnation
+        self.terms = terms
+        self._chance = chance
+        self.session = Session.OUT
+        self.lease = 0
         self.duties = {name: _Duty() for name in duties}
         self.instances = 1  # that are there, as far as is known
         self._asked = -inf  # `a` above
@@ -90,8 +93,10 @@
         self._renewal: tuple[int, float] | None = None  # call and when it was asked
         self._next = 0.0  # OUT: when we ask; IN: when we renew
         self._failures = 0
-        self._look_call, self._look_at = 0, inf
-        self._unwell_until, self._unwell = -inf, ""
+        self._look_call = 0
+        self._look_at = inf
+        self._unwell_until = -inf
+        self._unwell = ""
         self._due = inf  # when we wanted to be woken, for stalls
         self._out: list[Effect] = []
 
@@ -333,7 +338,9 @@
     def _out_again(self, at: float) -> None:
         if self.lease:
             self._out.append(DropLease(self.lease))
-        self.lease, self._session_call, self._renewal = 0, 0, None
+        self.lease = 0
+        self._session_call = 0
+        self._renewal = None
         self._next = at
         self._move(Session.OUT)
 
@@ -348,7 +355,8 @@
         assert self._renewal is not None
         asked, self._renewal = self._renewal[1], None
         if isinstance(outcome, Done):
-            self._asked, self._failures = asked, 0
+            self._asked = asked
+            self._failures = 0
             self._next = asked + self.terms.renew_s
             if now - asked > FAR_SHARE * self.terms.ttl_s:
                 # What we hold we keep: whoever comes next may be as far. We only contend for nothing new.
--- a/coveport/sidecar/leases/sqlite.py
+++ b/coveport/sidecar/leases/sqlite.py
@@ -77,7 +77,10 @@
         watched: bool = True,
     ) -> None:
         """`watched`: False where nobody asks for changes, so that no book of them is kept."""
-        self._path, self._now_s, self._boot, self._lock_s = path, now_s, boot, lock_s
+        self._path = path
+        self._now_s = now_s
+        self._boot = boot
+        self._lock_s = lock_s
         self._watched = watched
         self._thread = ThreadPoolExecutor(1, "leases")
         self._base: sqlite3.Connection | None = None
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -65,8 +65,12 @@
         say: Callable[..., None],
         chance: random.Random,
     ) -> None:
-        self._told, self._config, self._keeper, self._incarnation = told, config, keeper, incarnation
-        self._say, self._chance = say, chance
+        self._told = told
+        self._config = config
+        self._keeper = keeper
+        self._incarnation = incarnation
+        self._say = say
+        self._chance = chance
         self._kept = kept_of(told)
         self._terms = terms_of(told)
         self.presence = Presence(incarnation, told.leases.ttl)
--- a/coveport/sidecar/reducer/streams.py
+++ b/coveport/sidecar/reducer/streams.py
@@ -16,7 +16,8 @@
     """Bytes held for long bodies, by all connections: at most `most`, and READ_LEAST a stream beyond."""
 
     def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+        self.most = most
+        self.held = 0
         self.peak = 0  # the most that was ever held
 
     def take(self, size: int) -> None:
@@ -50,7 +51,9 @@
     """
 
     def __init__(self, budget: Budget, length: int | None, room: Callable[[], None]) -> None:
-        self._budget, self.length, self._room = budget, length, room
+        self._budget = budget
+        self.length = length
+        self._room = room
         self._pieces: deque[bytes] = deque()
         self._first = 0  # number of the first piece that is held
         self._readers: dict[Reader, int] = {}  # the piece that each reads next
--- a/coveport/sidecar/singletons/drill.py
+++ b/coveport/sidecar/singletons/drill.py
@@ -19,7 +19,8 @@
     name = "drill"
 
     def __init__(self, by: str, every_s: float = 0.1) -> None:
-        self.by, self.every_s = by, every_s
+        self.by = by
+        self.every_s = every_s
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
         """One further."""
--- a/coveport/sidecar/singletons/health_checking.py
+++ b/coveport/sidecar/singletons/health_checking.py
@@ -77,7 +77,8 @@
     """
 
     def __init__(self, name: str, incarnation: str) -> None:
-        self._name, self._incarnation = name, incarnation
+        self._name = name
+        self._incarnation = incarnation
         self._heard: dict[str, Heard] = {}
         self._own: dict[
             str, tuple[float, bool, float]
@@ -94,7 +95,8 @@
         present = {key[len(INSTANCE) :] for key in entries if key.startswith(INSTANCE)} | {self._name}
         if present != self._present:
             # Guards against a hash for each pair of node and instance at every look.
-            self._present, self._turns = present, {}
+            self._present = present
+            self._turns = {}
         due = []
         for node in nodes:
             who = self._turns.get(node)
--- a/coveport/sidecar/singletons/rollout.py
+++ b/coveport/sidecar/singletons/rollout.py
@@ -141,14 +141,17 @@
     name = "rollout"
 
     def __init__(self, every_s: float = 0.25, hold_s: float = HOLD_S, apply_s: float = APPLY_S) -> None:
-        self.every_s, self._hold_s, self._apply_s = every_s, hold_s, apply_s
+        self.every_s = every_s
+        self._hold_s = hold_s
+        self._apply_s = apply_s
         self._seen: tuple[bytes | None, float] = (None, 0.0)
         self._well_since: float | None = None
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
         """The next step, if any."""
         if self._seen[0] != state:
-            self._seen, self._well_since = (state, now), None
+            self._seen = (state, now)
+            self._well_since = None
         plan = msgspec.json.decode(state, type=Plan) if state else None
         if ASK in entries:
             return self._asked(plan, entries)
@@ -284,11 +287,14 @@
 
     def took(self, wanted: str) -> None:
         """They hold."""
-        self.runs, self.refused, self.why = wanted, "", ""
+        self.runs = wanted
+        self.refused = ""
+        self.why = ""
 
     def could_not(self, wanted: str, why: str) -> None:
         """They can't be used; what ran before runs on."""
-        self.refused, self.why = wanted, why
+        self.refused = wanted
+        self.why = why
 
     def fares(self, incarnation: str, served: float, ended: int) -> bytes:
         """What is written under our name."""
--- a/coveport/sidecar/singletons/singleton.py
+++ b/coveport/sidecar/singletons/singleton.py
@@ -50,7 +50,10 @@
         now_s: Callable[[], float],
         did: Callable[[Step, int, int], None] = lambda step, token, revision: None,
     ) -> None:
-        self._keeper, self.duty, self._now_s, self._did = keeper, duty, now_s, did
+        self._keeper = keeper
+        self.duty = duty
+        self._now_s = now_s
+        self._did = did
         self._task: asyncio.Task[None] | None = None
 
     def began(self, token: int) -> None:
--- a/coveport/sidecar/singletons/slow_start_coordinator.py
+++ b/coveport/sidecar/singletons/slow_start_coordinator.py
@@ -119,7 +119,9 @@
     def __init__(self, zone: int, by: str, safe: Safe, drift: float, every_s: float = 0.25) -> None:
         self.name = f"warden@{zone}"
         self.every_s = every_s
-        self._zone, self._by, self._safe = zone, by, safe
+        self._zone = zone
+        self._by = by
+        self._safe = safe
         self.use_s = GRANT_S * (1 + drift)  # G'
         self._found: tuple[bytes | None, float] | None = None  # another's state, and when we saw it first
         self._own = False  # whether we have written one since
--- a/coveport/sidecar/supervisor/control.py
+++ b/coveport/sidecar/supervisor/control.py
@@ -22,7 +22,8 @@
     """Answers what staff ask. Only our own user, and root, are listened to."""
 
     def __init__(self, path: Path, answer: Answer) -> None:
-        self.path, self._answer = path, answer
+        self.path = path
+        self._answer = answer
         self._server: asyncio.AbstractServer | None = None
         self._inode = 0
 
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -52,7 +52,9 @@
     """One supervisor's process."""
 
     def __init__(self, told: OperatorFile, config: Path, standby: bool) -> None:
-        self._told, self._config, self._standby = told, config, standby
+        self._told = told
+        self._config = config
+        self._standby = standby
         self.name = f"supervisor-{os.getpid()}-{uuid.uuid4().hex[:6]}"
         self._lines = log_stream.lines(told.fleet_folder, told.log.level, supervisor=self.name)
         self._notifier = Notifier.of(os.environ)
--- a/coveport/sidecar/supervisor/desired_state.py
+++ b/coveport/sidecar/supervisor/desired_state.py
@@ -196,7 +196,10 @@
     ) -> None:
         self.name = FLEET + fleet.name
         self.every_s = every_s
-        self.fleet, self._fares, self._seen, self._most = fleet, fares, seen, most
+        self.fleet = fleet
+        self._fares = fares
+        self._seen = seen
+        self._most = most
         self._asks: deque[tuple[Ask, Callable[[str], None]]] = deque()
 
     def ask(self, ask: Ask, told: Callable[[str], None]) -> None:
--- a/coveport/sidecar/supervisor/instance_set.py
+++ b/coveport/sidecar/supervisor/instance_set.py
@@ -23,10 +23,12 @@
     """The instances. Nothing is ordered before a plan was seen by whoever holds the duty now."""
 
     def __init__(self, fleet: Fleet, chance: random.Random) -> None:
-        self.fleet, self._chance = fleet, chance
+        self.fleet = fleet
+        self._chance = chance
         self.members: dict[str, Member] = {}
         self.plan: Plan | None = None
-        self._tokens, self._spent_at = 0.0, 0.0
+        self._tokens = 0.0
+        self._spent_at = 0.0
         self._served: dict[str, tuple[float, int]] = {}  # by name, as its life last told
 
     # Holding.
@@ -36,7 +38,8 @@
         self.members = {}
         self.plan = None
         self._served = {}
-        self._tokens, self._spent_at = 0.0, now
+        self._tokens = 0.0
+        self._spent_at = now
         for name, life in found.items():
             member = self._member(name)
             member.wanted = True  # until the plan says otherwise
@@ -44,7 +47,8 @@
 
     def let_go(self) -> None:
         """The duty is not ours any more: nothing is ordered."""
-        self.members, self.plan = {}, None
+        self.members = {}
+        self.plan = None
 
     def _member(self, name: str) -> Member:
         if name not in self.members:
--- a/coveport/sidecar/supervisor/instance_state.py
+++ b/coveport/sidecar/supervisor/instance_state.py
@@ -86,7 +86,9 @@
     """An instance."""
 
     def __init__(self, name: str, terms: Fleet, chance: random.Random) -> None:
-        self.name, self._terms, self._chance = name, terms, chance
+        self.name = name
+        self._terms = terms
+        self._chance = chance
         self.state = State.DOWN
         self.since = -inf
         self.life = ""  # empty: no process that we know of
@@ -103,7 +105,9 @@
     def _to(self, now: float, state: State, why: str = "") -> None:
         if state not in MOVES[self.state]:
             raise AssertionError(f"{self.name}: no way from {self.state.value} to {state.value}")
-        self.state, self.since, self.why = state, now, why
+        self.state = state
+        self.since = now
+        self.why = why
 
     def retune(self, terms: Fleet) -> None:
         """Other terms hold from now on."""
@@ -126,7 +130,8 @@
             return []
         if self.state in (State.WAITING, State.BROKEN):
             self._to(now, State.DOWN)
-            self._failures, self._trying = [], False
+            self._failures = []
+            self._trying = False
         elif self.state in (State.STARTING, State.SERVING):
             return self._drain(now, "not wanted")
         return []
@@ -141,7 +146,8 @@
         """What kept it from running may be mended: it need not rest any longer."""
         if self.state is State.BROKEN:
             self._to(now, State.WAITING, self.why)
-            self._failures, self._trying = [], True
+            self._failures = []
+            self._trying = True
         if self.state is State.WAITING:
             self.wait_until = min(self.wait_until, now)
 
@@ -190,10 +196,12 @@
             return []
         if self.state is State.DOWN and not self.wanted:
             self._to(now, State.STARTING)
-            self.life, self.heard_at = life, now
+            self.life = life
+            self.heard_at = now
             return self._drain(now, "not wanted")
         self._to(now, State.STARTING)
-        self.life, self.heard_at = life, now
+        self.life = life
+        self.heard_at = now
         return []
 
     def ready(self, now: float, life: str) -> None:
@@ -256,9 +264,11 @@
             return [Kill(self.name, self.life)] if self.life else []
         if self.state is State.BROKEN and now >= self.wait_until:
             self._to(now, State.WAITING, self.why)
-            self._failures, self._trying = [], True
+            self._failures = []
+            self._trying = True
         if self.state is State.SERVING and spent > self._terms.loop_s:
-            self._failures, self._trying = [], False
+            self._failures = []
+            self._trying = False
         return []
 
     def silent_s(self, now: float) -> float:
--- a/coveport/sidecar/supervisor/membership.py
+++ b/coveport/sidecar/supervisor/membership.py
@@ -65,7 +65,9 @@
 
     def __init__(self, told: OperatorFile, name: str, environ: Mapping[str, str]) -> None:
         fleet = told.fleet
-        self.told, self.name, self._fleet = told, name, fleet
+        self.told = told
+        self.name = name
+        self._fleet = fleet
         self._folder = told.fleet_folder
         self.lock = NameLock(self._folder, name)
         self._notifier = Notifier.of(environ)
@@ -128,7 +130,8 @@
 
     def joined(self, parts: Parts, life: Lifecycle, nodes: Callable[[], Mapping[int, Place]]) -> None:
         """The sidecar's parts are there. `nodes`: where each destination is, by our numbers."""
-        self._parts, self._nodes = parts, nodes
+        self._parts = parts
+        self._nodes = nodes
         parts.hear(self._listed)
         life.listen(self._phase)
 
@@ -136,7 +139,8 @@
         self._heard.told(told, whole)
 
     def _phase(self, phase: Phase) -> None:
-        self._serving, self._ending = phase in (Phase.SERVING, Phase.LAMEDUCK), phase is Phase.DRAINING
+        self._serving = phase in (Phase.SERVING, Phase.LAMEDUCK)
+        self._ending = phase is Phase.DRAINING
         if phase is Phase.SERVING and not self._tasks:
             self._notifier.say(READY=1, STATUS="serving")
             self._tell_out()
--- a/coveport/sidecar/supervisor/notify.py
+++ b/coveport/sidecar/supervisor/notify.py
@@ -75,7 +75,8 @@
     """Hears what instances say. `heard` is called with the sender's pid and its words."""
 
     def __init__(self, path: Path, heard: Callable[[int, dict[str, str]], None]) -> None:
-        self.path, self._heard = path, heard
+        self.path = path
+        self._heard = heard
         path.unlink(missing_ok=True)  # another supervisor's, whose duty is ours now, or a dead one's
         self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
         self._socket.setblocking(False)
--- a/coveport/sidecar/supervisor/peers.py
+++ b/coveport/sidecar/supervisor/peers.py
@@ -14,7 +14,8 @@
     """The count that one instance goes by. `least`: what the platform's file says where nobody is told of."""
 
     def __init__(self, hold_s: float, least: int = 1) -> None:
-        self._hold_s, self._least = hold_s, least
+        self._hold_s = hold_s
+        self._least = least
         self._told: deque[tuple[float, int]] = deque()  # when, and how many; counts that may still be used
 
     def told(self, now: float, count: int) -> int:
--- a/coveport/sidecar/supervisor/process_control.py
+++ b/coveport/sidecar/supervisor/process_control.py
@@ -57,14 +57,18 @@
     __slots__ = ("child", "file", "life", "name")
 
     def __init__(self, name: str, life: str, file: int, child: subprocess.Popen[bytes] | None) -> None:
-        self.name, self.life, self.file, self.child = name, life, file, child
+        self.name = name
+        self.life = life
+        self.file = file
+        self.child = child
 
 
 class Processes:
     """The hands of a real supervisor. `config`: the operator's file, by its path."""
 
     def __init__(self, told: OperatorFile, config: Path) -> None:
-        self._told, self._config = told, config
+        self._told = told
+        self._config = config
         self._folder = told.fleet_folder
         self._watched: dict[str, _Watched] = {}
         self._by_pid: dict[int, str] = {}
--- a/coveport/sidecar/supervisor/snapshot.py
+++ b/coveport/sidecar/supervisor/snapshot.py
@@ -172,7 +172,8 @@
                 self.hosts.pop(one["host"], None)
             else:
                 self.hosts[one["host"]] = dict(one)
-        self.seq, self.changed = told["seq"], True
+        self.seq = told["seq"]
+        self.changed = True
 
 
 def known(told: Snapshot) -> dict[str, Any]:
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -44,8 +44,12 @@
         check: Callable[[], str],
         most: int = 1000,
     ) -> None:
-        self.told, self.keeper, self.hands = told, keeper, hands
-        self._now_s, self._say, self._check = now_s, say, check
+        self.told = told
+        self.keeper = keeper
+        self.hands = hands
+        self._now_s = now_s
+        self._say = say
+        self._check = check
         self.crew = Crew(told.fleet, chance)
         self.duty = FleetDuty(told.fleet, lambda: self.crew.fares(self._now_s()), self._planned, most)
         self._runner = Runner(keeper, self.duty, now_s, self._did)
@@ -112,7 +116,8 @@
     # The duty.
 
     def _began(self, duty: str, token: int) -> None:
-        self.holding, self._token = True, token
+        self.holding = True
+        self._token = token
         now = self._now_s()
         found = self.hands.found()
         self.crew.take_up(now, found)
--- a/coveport/sidecar/telemetry/log.py
+++ b/coveport/sidecar/telemetry/log.py
@@ -21,7 +21,8 @@
     """What one instance has to say."""
 
     def __init__(self, now_s: Callable[[], float], write: Callable[[str], None] = to_stderr) -> None:
-        self._now_s, self._write = now_s, write
+        self._now_s = now_s
+        self._write = write
         self._kinds: dict[str, list[float]] = {}  # kind: start of its span, lines in it, lines left out
 
     def note(self, kind: str, text: str) -> None:
--- a/coveport/sidecar/upstream/connection_pool.py
+++ b/coveport/sidecar/upstream/connection_pool.py
@@ -36,7 +36,10 @@
         connect_timeout_ms: float,
         most_links: int,
     ) -> None:
-        self.net, self.counters, self.log, self.dial = net, counters, log, dial
+        self.net = net
+        self.counters = counters
+        self.log = log
+        self.dial = dial
         self.connect_timeout_s = connect_timeout_ms / 1000
         self._idle_s = keepalive_ms / 1000 * IDLE_SHARE
         self._most = most_links
--- a/coveport/sidecar/upstream/http1_connection.py
+++ b/coveport/sidecar/upstream/http1_connection.py
@@ -70,7 +70,10 @@
         self, pool: Pool, number: int, place: Place, step: RouteStep, fields: tuple[str, ...], budget: Budget
     ) -> None:
         self._budget = budget
-        self._pool, self.number, self.place, self._fields = pool, number, place, fields
+        self._pool = pool
+        self.number = number
+        self.place = place
+        self._fields = fields
         self._step: RouteStep | None = step
         self._parser = codec.ResponseParser(MOST_BODY, codec.MAX_BODY)
         self._upload: Upload | None = None  # the long body that is being sent
@@ -305,7 +308,8 @@
     """
 
     def __init__(self, fields: tuple[str, ...], budget: Budget) -> None:
-        self._fields, self._budget = fields, budget
+        self._fields = fields
+        self._budget = budget
 
     async def __call__(self, pool: Pool, number: int, place: Place, step: RouteStep) -> None:
         """Connect; the link that comes up sends the step."""
--- a/coveport/sidecar/upstream/route_step.py
+++ b/coveport/sidecar/upstream/route_step.py
@@ -57,7 +57,10 @@
         handed: Callable[[], None] | None = None,
         fence: Callable[[], bool] | None = None,
     ) -> None:
-        self._pool, self._done, self._began, self._handed = pool, done, began, handed
+        self._pool = pool
+        self._done = done
+        self._began = began
+        self._handed = handed
         self._fence = fence  # asked right before the first byte; False: it must not go any more
         self.operation = operation  # None: a probe
         self.timeout_s, self._begun_at = timeout_s, pool.net.now_s()
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -160,7 +160,9 @@
     def __init__(
         self, later: Callable[[Callable[[], None]], object], client: Asker, served: bool = True
     ) -> None:
-        self._later, self._client, self._served = later, client, served
+        self._later = later
+        self._client = client
+        self._served = served
 
     def answer(self, verdict: core.Verdict, answer: Answer | None, retry_after_ms: float) -> None:
         if verdict is core.Verdict.SERVED and not self._served:
--- a/coveport/testbed/check/chance.py
+++ b/coveport/testbed/check/chance.py
@@ -32,7 +32,10 @@
     __slots__ = ("chooser", "scale", "shift", "span")
 
     def __init__(self, chooser: Chooser, span: list[float], scale: float = 1.0, shift: float = 0.0) -> None:
-        self.chooser, self.span, self.scale, self.shift = chooser, span, scale, shift
+        self.chooser = chooser
+        self.span = span
+        self.scale = scale
+        self.shift = shift
 
     def __mul__(self, by: float) -> Draw:
         return Draw(self.chooser, self.span, self.scale * by, self.shift * by)
@@ -171,7 +174,9 @@
         ends: dict[Any, list[int]] = {}
         script: list[int] | None = []
         while script is not None:
-            self.script, self.taken, self._undo = script, [], []
+            self.script = script
+            self.taken = []
+            self._undo = []
             self._trial += 1
             found = self._picked(run, orders)
             spans = frozenset((id(span), span[0], span[1]) for span, _, _ in self._undo)
@@ -181,11 +186,13 @@
             if self.drawn is not None:
                 del self.drawn[noted:]
             script = self.next_script()
-        self._trial, self._undo = 0.0, []
+        self._trial = 0.0
+        self._undo = []
         self.script, self.taken = outer
         end = list(ends.values())[self.choose(len(ends))]
         outer = self.script, self.taken
-        self.script, self.taken = end, []
+        self.script = end
+        self.taken = []
         found = self._picked(run, orders)
         self.script, self.taken = outer
         return found
@@ -193,7 +200,8 @@
     def _picked(self, run: Callable[[Sequence[T]], R], orders: Sequence[Sequence[T]]) -> R:
         # A list that is drawn from tells its order only where draws fail and it is looked through.
         order = self.choose(len(orders))
-        self._places, self._again = [], order > 0
+        self._places = []
+        self._again = order > 0
         try:
             return run(orders[order])
         finally:
--- a/coveport/testbed/check/explore.py
+++ b/coveport/testbed/check/explore.py
@@ -144,7 +144,8 @@
         self._keeper = Keeper(
             [world, settings, settings.limits, settings.rules, *settings.classes], [self._balancer, reducer]
         )
-        self._keys, self._told = keys, told
+        self._keys = keys
+        self._told = told
         self._seen: set[bytes] = set()
         # Of each state: where it came from, and which choices were made there.
         self._parents, self.edges = array("l"), list[bytes]()
--- a/coveport/testbed/check/play.py
+++ b/coveport/testbed/check/play.py
@@ -29,7 +29,8 @@
             made[0].random = chance
             return made[0]
 
-        self.around, self.chance = Surroundings(world), chance
+        self.around = Surroundings(world)
+        self.chance = chance
         self.reducer = reducer(world.settings, 0, make)
         self.balancer = made[0]
 
--- a/coveport/testbed/check/states.py
+++ b/coveport/testbed/check/states.py
@@ -165,7 +165,8 @@
     """Makes keys. `exact`: no instant is as good as long ago. `fold`: nodes of a kind are interchangeable."""
 
     def __init__(self, world: World, exact: bool = False, fold: bool = True) -> None:
-        self._world, self._exact = world, exact
+        self._world = world
+        self._exact = exact
         said = [
             (place, line)
             for place, word in enumerate((world.list_known(), *world.words))
--- a/coveport/testbed/check/surroundings.py
+++ b/coveport/testbed/check/surroundings.py
@@ -37,7 +37,10 @@
     __slots__ = ("cancelled", "due_at", "node", "outcome", "ripe_at", "sent_at")
 
     def __init__(self, node: int, sent_at: float, due_at: float, ripe_at: float) -> None:
-        self.node, self.sent_at, self.due_at, self.ripe_at = node, sent_at, due_at, ripe_at
+        self.node = node
+        self.sent_at = sent_at
+        self.due_at = due_at
+        self.ripe_at = ripe_at
         self.outcome: Outcome | None = None  # None: still out
         self.cancelled = False
 
@@ -53,7 +56,9 @@
     __slots__ = ("answered", "deadline_ms", "gone", "guard_at", "steps", "wish")
 
     def __init__(self, wish: int, deadline_ms: float) -> None:
-        self.wish, self.deadline_ms, self.guard_at = wish, deadline_ms, inf
+        self.wish = wish
+        self.deadline_ms = deadline_ms
+        self.guard_at = inf
         self.answered = self.gone = False
         self.steps: dict[int, Step] = {}
 
@@ -80,8 +85,10 @@
         for wish in world.wishes:
             self.wishes[first[wish]] += 1
         self.word = self.lull = 0  # the next ones
-        self.faults, self.leaves = world.faults, world.leaves
-        self.reloads, self.stalls = world.reloads, world.stalls
+        self.faults = world.faults
+        self.leaves = world.leaves
+        self.reloads = world.reloads
+        self.stalls = world.stalls
         self.timers: list[tuple[float, int]] = []
         self.probes: list[tuple[float, float, int]] = []  # due, sent, node
         self.states: dict[int, State] = {}  # of nodes named; gone ones stay
--- a/coveport/testbed/discrete_event/clients.py
+++ b/coveport/testbed/discrete_event/clients.py
@@ -26,7 +26,8 @@
     __slots__ = ("asked", "errand", "limit", "number", "op", "over", "patience")
 
     def __init__(self, errand: Errand, number: int, due: float) -> None:
-        self.errand, self.number = errand, number
+        self.errand = errand
+        self.number = number
         self.op = try_id(errand.wish.op, number)
         self.limit = due + errand.wish.try_share * (errand.end - due)
         self.patience = 0.0
@@ -45,7 +46,9 @@
     __slots__ = ("backoff", "chance", "end", "risky", "wish")
 
     def __init__(self, wish: Wish, end: float) -> None:
-        self.wish, self.end, self.risky = wish, end, inf
+        self.wish = wish
+        self.end = end
+        self.risky = inf
         self.chance: random.Random | None = None
         self.backoff = 0.0
 
@@ -62,9 +65,13 @@
         leave: Callable[[Try], None],
     ) -> None:
         """`ask`: hand a try with its key to its sidecar, False where nobody is there; `leave`: it is gone."""
-        self._agenda, self._write, self._day = agenda, books.write, day
-        self._ask_sidecar, self._leave_sidecar = ask, leave
-        self._classes, self._retries = day.scenario.classes, day.scenario.load.retries
+        self._agenda = agenda
+        self._write = books.write
+        self._day = day
+        self._ask_sidecar = ask
+        self._leave_sidecar = leave
+        self._classes = day.scenario.classes
+        self._retries = day.scenario.load.retries
         self._linger_ms = day.scenario.rules.answer_slack_ms + LINGER_MS
         self._begun = self.open = self._conns = 0
         self._due_next()
--- a/coveport/testbed/discrete_event/listing.py
+++ b/coveport/testbed/discrete_event/listing.py
@@ -28,7 +28,10 @@
         self, agenda: Agenda, books: Books, day: Day, tell: Callable[[int, ListUpdate], None]
     ) -> None:
         """`tell`: hand an update to a sidecar, by its number."""
-        self._agenda, self._write, self._day, self._tell = agenda, books.write, day, tell
+        self._agenda = agenda
+        self._write = books.write
+        self._day = day
+        self._tell = tell
         self._nodes = {node.number: SeenNode(node.born) for node in day.nodes}
         self._places = {node.number: (node.zone, node.cell) for node in day.nodes}
         self._first = [node.number for node in day.nodes if node.born]
--- a/coveport/testbed/discrete_event/nodes.py
+++ b/coveport/testbed/discrete_event/nodes.py
@@ -29,8 +29,12 @@
     __slots__ = ("attempt", "ended", "idle_since", "node", "number", "open", "ready_at", "sidecar", "surplus")
 
     def __init__(self, node: BareNode, sidecar: int, number: int, ready_at: float) -> None:
-        self.node, self.sidecar, self.number, self.ready_at = node, sidecar, number, ready_at
-        self.open, self.surplus = True, False
+        self.node = node
+        self.sidecar = sidecar
+        self.number = number
+        self.ready_at = ready_at
+        self.open = True
+        self.surplus = False
         self.attempt: Attempt | None = None  # seen from the node
         self.ended: Heard | None = None  # the sidecar's, who waits for an answer on it
         self.idle_since = 0.0
@@ -51,8 +55,12 @@
         base_ms: Callable[[int, int], float],
     ) -> None:
         """`zones`: of the sidecars; `base_ms`: one way between two zones in calm."""
-        self.drawn, self.model = drawn, NodeModel(drawn, day.scenario.classes, keys)
-        self._agenda, self._write, self._works, self._zones = agenda, books.write, works, zones
+        self.drawn = drawn
+        self.model = NodeModel(drawn, day.scenario.classes, keys)
+        self._agenda = agenda
+        self._write = books.write
+        self._works = works
+        self._zones = zones
         self._base_ms = base_ms
         self._links: dict[Link, None] = {}
         self._attempts = self._numbers = drawn.number * NUMBERS
@@ -62,7 +70,8 @@
         self._fates = Fates(drawn)
         self._busy = BusyShare(drawn, self.model)  # for the books
         self._reports = LoadReports[tuple[float, ...]](drawn, self.model, (0.0, 0.0), lambda *both: both)
-        self._due, self._due_entry = inf, Entry(None, ())
+        self._due = inf
+        self._due_entry = Entry(None, ())
         self._life = 0  # how often it was started
         self._jammed = False
 
--- a/coveport/testbed/discrete_event/play.py
+++ b/coveport/testbed/discrete_event/play.py
@@ -40,7 +40,8 @@
 
 class _Play:
     def __init__(self, day: Day, balancer: Callable[[api.Settings, int], Balancer]) -> None:
-        self.day, self.books = day, Books()
+        self.day = day
+        self.books = Books()
         ways = self.ways = Ways(day)
         agenda = self.agenda = Agenda(ways, -BEFORE_MS)
         keys, works = KeyMemory(), WorkBook(day)
--- a/coveport/testbed/discrete_event/scheduler.py
+++ b/coveport/testbed/discrete_event/scheduler.py
@@ -22,7 +22,8 @@
     __slots__ = ("args", "do")
 
     def __init__(self, do: Do | None, args: tuple[Any, ...]) -> None:
-        self.do, self.args = do, args
+        self.do = do
+        self.args = args
 
 
 class Agenda:
--- a/coveport/testbed/discrete_event/sidecars.py
+++ b/coveport/testbed/discrete_event/sidecars.py
@@ -55,7 +55,10 @@
     )
 
     def __init__(self, run: _Run, node: BareNode, operation: int, step: int) -> None:
-        self.run, self.node, self.operation, self.step = run, node, operation, step
+        self.run = run
+        self.node = node
+        self.operation = operation
+        self.step = step
         self.asked = run.open.get(operation)  # a try and its key; None: a probe
         self.link: Link | None = None
         self.handed = self.over = False
@@ -75,7 +78,8 @@
 
     def carry(self, link: Link) -> None:
         """Send on it."""
-        self.link, self.handed = link, True
+        self.link = link
+        self.handed = True
         link.ended = self.answered
         run, agenda = self.run, self.run.agenda
         if self.asked is None:
@@ -131,10 +135,13 @@
         self, sidecar: BareSidecar, seed: int, balancer: Callable[[api.Settings, int], Balancer]
     ) -> None:
         day = sidecar.day
-        self.agenda, self.zone, self._nodes = sidecar.agenda, sidecar.drawn.zone, sidecar.nodes
+        self.agenda = sidecar.agenda
+        self.zone = sidecar.drawn.zone
+        self._nodes = sidecar.nodes
         settings = sidecar.settings
         self.reducer = Reducer(settings, seed, balancer)
-        self._sidecar, self.dead = sidecar, False
+        self._sidecar = sidecar
+        self.dead = False
         self.open: dict[int, tuple[Try, str]] = {}
         self._numbers: dict[str, int] = {}  # of open operations, by id
         self.flights: dict[tuple[int, int], _Flight] = {}
@@ -258,9 +265,15 @@
         balancer: Callable[[api.Settings, int], Balancer],
     ) -> None:
         """`answered` and `broke`: what a till is told."""
-        self.agenda, self.day, self.drawn, self.nodes = agenda, day, drawn, nodes
-        self.complaints, self._write = complaints, books.write
-        self._answered, self._broke, self._balancer = answered, broke, balancer
+        self.agenda = agenda
+        self.day = day
+        self.drawn = drawn
+        self.nodes = nodes
+        self.complaints = complaints
+        self._write = books.write
+        self._answered = answered
+        self._broke = broke
+        self._balancer = balancer
         self.settings = parse_settings(json.dumps(sidecar_settings(day, drawn)))
         self.run: _Run | None = None
         self._ending: list[_Run] = []
@@ -281,7 +294,8 @@
         for run in [*self._ending, *([self.run] if self.run is not None else [])]:
             for one in run.die():
                 self._broke(one)
-        self.run, self._ending = None, []
+        self.run = None
+        self._ending = []
 
     def term(self, told: Callable[[int], None] | None = None) -> None:
         """SIGTERM; with `told` it starts again once it has ended."""
--- a/coveport/testbed/discrete_event/slow_start.py
+++ b/coveport/testbed/discrete_event/slow_start.py
@@ -42,7 +42,8 @@
     """Wishes, grants and the store between them."""
 
     def __init__(self, fleet: Fleet, rules: api.Rules, zones: int, drift: float = 0.02) -> None:
-        self._fleet, self._agenda = fleet, fleet.agenda
+        self._fleet = fleet
+        self._agenda = fleet.agenda
         safe = Safe(rules.cold_from, rules.warm_after_ms / 1000, rules.overload_factor, rules.fall_ms / 1000)
         self._wardens = [Warden(zone, "warden#1", safe, drift) for zone in range(zones)]
         self._states: dict[str, bytes] = {}
--- a/coveport/testbed/fault_injection/environment.py
+++ b/coveport/testbed/fault_injection/environment.py
@@ -86,7 +86,8 @@
     """A ledger node: runs what it is sent, after its time, and writes it down."""
 
     def __init__(self, number: int, service_s: float = 0.01) -> None:
-        self.number, self.service_s = number, service_s
+        self.number = number
+        self.service_s = service_s
         self.ran: list[Ran] = []
         self.probes = 0
         self.failing = False
--- a/coveport/testbed/fault_injection/fleet/host.py
+++ b/coveport/testbed/fault_injection/fleet/host.py
@@ -61,7 +61,9 @@
     """The host."""
 
     def __init__(self, world: World, fleet: Fleet, chance: random.Random) -> None:
-        self.world, self.fleet, self._chance = world, fleet, chance
+        self.world = world
+        self.fleet = fleet
+        self._chance = chance
         self.ills = Ills()
         self.lives: dict[str, SimLife] = {}  # by life; those that are alive
         self.book: list[Event] = []
@@ -169,7 +171,9 @@
     """The hands of one supervisor."""
 
     def __init__(self, host: SimHost, process: Process, name: str) -> None:
-        self.host, self.process, self.name = host, process, name
+        self.host = host
+        self.process = process
+        self.name = name
         self.ended: Callable[[str, str, End], None] = lambda name, life, how: None
         self._watched: set[str] = set()
         host.hands.append(self)
--- a/coveport/testbed/fault_injection/fleet/real.py
+++ b/coveport/testbed/fault_injection/fleet/real.py
@@ -37,7 +37,10 @@
         more: str = "",
     ) -> None:
         """`told`: keys of `[fleet]` beside the usual ones. `more`: further sections of the file."""
-        self.folder, self.count, self._nodes, self._more = folder, instances, nodes, more
+        self.folder = folder
+        self.count = instances
+        self._nodes = nodes
+        self._more = more
         self._told = {
             "hold_s": 0.3,
             "hung_s": 3.0,
--- a/coveport/testbed/fault_injection/fleet/sim.py
+++ b/coveport/testbed/fault_injection/fleet/sim.py
@@ -165,7 +165,8 @@
 
 class _Sim:
     def __init__(self, trial: FleetTrial, seed: int, variant: FleetVariant) -> None:
-        self.trial, self.variant = trial, variant
+        self.trial = trial
+        self.variant = variant
         self.chance = random.Random(f"fleet play {seed}")
         self.world = World(START_S)
         self.store = Host(self.world)
--- a/coveport/testbed/fault_injection/parts.py
+++ b/coveport/testbed/fault_injection/parts.py
@@ -39,9 +39,16 @@
         history: History,
         chance: random.Random,
     ) -> None:
-        self._keeper, self._name, self._incarnation, self._duties = keeper, name, incarnation, duties
-        self._now_s, self._world_s, self._history, self._chance = now_s, world_s, history, chance
-        self._follower, self._granted = Follower(name), Granted(incarnation)
+        self._keeper = keeper
+        self._name = name
+        self._incarnation = incarnation
+        self._duties = duties
+        self._now_s = now_s
+        self._world_s = world_s
+        self._history = history
+        self._chance = chance
+        self._follower = Follower(name)
+        self._granted = Granted(incarnation)
         self._tasks: list[asyncio.Task[None]] = []
         keeper.on_change = self._changed
 
--- a/coveport/testbed/fault_injection/real.py
+++ b/coveport/testbed/fault_injection/real.py
@@ -199,10 +199,14 @@
 
         `work`: what stands in `[work]`; the nodes are ledgers with books then, two to a cell.
         """
-        self._work, self._clocks = work, clocks or {}
+        self._work = work
+        self._clocks = clocks or {}
         self.tills = Tills()
         self._relayed = relayed
-        self.folder, self.trial, self.kind, self._nodes = folder, trial, store, nodes
+        self.folder = folder
+        self.trial = trial
+        self.kind = store
+        self._nodes = nodes
         self._duties = duties or trial.duties
         self._settings: Mapping[str, Any] = settings or SETTINGS
         self.instances: list[Running] = []
--- a/coveport/testbed/fault_injection/recording_nodes.py
+++ b/coveport/testbed/fault_injection/recording_nodes.py
@@ -43,7 +43,10 @@
     """A node: runs what it is sent after its time, once it has come whole."""
 
     def __init__(self, number: int, cell: Cell, block: int, service_s: float = 0.01) -> None:
-        self.number, self.cell, self.block, self.service_s = number, cell, block, service_s
+        self.number = number
+        self.cell = cell
+        self.block = block
+        self.service_s = service_s
         self.ran: list[Ran] = []
         self.probes = 0
         self.mute = False  # it runs what comes and says nothing of it
--- a/coveport/testbed/fault_injection/relay.py
+++ b/coveport/testbed/fault_injection/relay.py
@@ -30,7 +30,8 @@
 
     def __init__(self, target: tuple[str, int]) -> None:
         self.target = target
-        self.out, self.back = Way(), Way()
+        self.out = Way()
+        self.back = Way()
         self.out.open.set()
         self.back.open.set()
         self.port = 0
--- a/coveport/testbed/fault_injection/simstore.py
+++ b/coveport/testbed/fault_injection/simstore.py
@@ -109,7 +109,10 @@
     """What an instance has in its hand; calls as `coveport.sidecar.leases.store.Store`."""
 
     def __init__(self, process: Process, host: Host, way: Way, chance: random.Random) -> None:
-        self._process, self._host, self._way, self._chance = process, host, way, chance
+        self._process = process
+        self._host = host
+        self._way = way
+        self._chance = chance
 
     async def read(self, prefix: str) -> Done | Unknown:
         """All keys that begin so."""
--- a/coveport/testbed/fault_injection/virtual.py
+++ b/coveport/testbed/fault_injection/virtual.py
@@ -60,7 +60,8 @@
 
 class _Trial:
     def __init__(self, trial: Trial, seed: int, variant: Variant) -> None:
-        self.trial, self.variant = trial, variant
+        self.trial = trial
+        self.variant = variant
         self.chance = random.Random(f"play {seed}")
         self.world = World(START_S)
         self.host = Host(self.world, rate=self._rate())
--- a/coveport/testbed/fault_injection/work/executors.py
+++ b/coveport/testbed/fault_injection/work/executors.py
@@ -74,8 +74,12 @@
         node: SimNode,
         timeout_ms: float,
     ) -> None:
-        self.hands, self.operation, self.number = hands, operation, number
-        self.asked, self.cls, self.node = asked, cls, node
+        self.hands = hands
+        self.operation = operation
+        self.number = number
+        self.asked = asked
+        self.cls = cls
+        self.node = node
         self.over = self.handed = False
         self.fence: Callable[[], bool] | None = None
         self.timer = hands.process.call_later(timeout_ms / 1000, self.late)
@@ -161,8 +165,12 @@
         way: NodeWay,
         chance: random.Random,
     ) -> None:
-        self.world, self.process, self.nodes, self.way = world, process, nodes, way
-        self.settings, self.chance = settings, chance
+        self.world = world
+        self.process = process
+        self.nodes = nodes
+        self.way = way
+        self.settings = settings
+        self.chance = chance
         self.records: Any = None
         self.pending = 0
         self._reducer = Reducer(settings, chance.randrange(1 << 30))
@@ -318,7 +326,10 @@
     """Tills that ask again, at any instance, until they know."""
 
     def __init__(self, world: World, chance: random.Random, wait_s: float, asks: int) -> None:
-        self._world, self._chance, self._wait_s, self._asks = world, chance, wait_s, asks
+        self._world = world
+        self._chance = chance
+        self._wait_s = wait_s
+        self._asks = asks
         self.wishes: list[Wish] = []
         self.reach: Callable[[], list[SimHands]] = list  # instances that can be asked, alive or not
         self._count = 0
@@ -361,8 +372,11 @@
     """One request on one connection."""
 
     def __init__(self, tills: SimTills, wish: Wish, hands: SimHands, again: bool) -> None:
-        self.tills, self.wish, self.hands = tills, wish, hands
-        self.ended, self.number = False, 0
+        self.tills = tills
+        self.wish = wish
+        self.hands = hands
+        self.ended = False
+        self.number = 0
         world = tills._world
         self.identity, self.again = tills.next_id(), again
         self.arrival = world.now
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -191,7 +191,8 @@
 
 class _Sim:
     def __init__(self, trial: WorkTrial, seed: int, variant: WorkVariant) -> None:
-        self.trial, self.variant = trial, variant
+        self.trial = trial
+        self.variant = variant
         self.chance = random.Random(f"work play {seed}")
         self.world = World(START_S)
         self.host = Host(self.world)
--- a/coveport/testbed/fault_schedule.py
+++ b/coveport/testbed/fault_schedule.py
@@ -144,7 +144,9 @@
     def __init__(
         self, scenario: Scenario, seed: int, nodes: Sequence[NodeDrawn], troubles: Sequence[Trouble]
     ) -> None:
-        self._scenario, self._seed, self._nodes = scenario, seed, nodes
+        self._scenario = scenario
+        self._seed = seed
+        self._nodes = nodes
         self.changes: list[Change] = []
         self.replacements: list[NodeDrawn] = []
         self._hit: dict[int, list[int]] = {}  # by fault
--- a/coveport/testbed/loopback/hosts.py
+++ b/coveport/testbed/loopback/hosts.py
@@ -55,7 +55,8 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, ip: str, take: Callable[[socket.socket], None]
     ) -> None:
-        self._loop, self._take = loop, take
+        self._loop = loop
+        self._take = take
         self._socket = bound(ip)
         self.address: Address = self._socket.getsockname()
         self._filler: socket.socket | None = None
@@ -124,8 +125,10 @@
         passes between that sidecar and here; `update` says that this may have changed. OSError where an
         address can't be had.
         """
-        self.net, self._clock = net, clock
-        self._delay_s, self._between_held = delay_s, held
+        self.net = net
+        self._clock = clock
+        self._delay_s = delay_s
+        self._between_held = held
         self._accept: Accept | None = None
         self._silent = False
         self._wires: dict[Wire, int] = {}
@@ -221,7 +224,8 @@
     """`ground.Host` for a party that only calls: a till, on its sidecar's own machine."""
 
     def __init__(self, net: Net, clock: DayClock) -> None:
-        self.net, self._clock = net, clock
+        self.net = net
+        self._clock = clock
 
     def day_ms(self) -> float:
         """Milliseconds since the day began."""
--- a/coveport/testbed/loopback/orchestrator.py
+++ b/coveport/testbed/loopback/orchestrator.py
@@ -56,7 +56,10 @@
     """A worker's process and what has come from it."""
 
     def __init__(self, name: str, child: Child, log: Path, own: socket.socket) -> None:
-        self.name, self.child, self.log, self._own = name, child, log, own
+        self.name = name
+        self.child = child
+        self.log = log
+        self._own = own
         self.ready, self.done = asyncio.Event(), asyncio.Event()
         self.booked: asyncio.Future[control.Booked] = asyncio.get_running_loop().create_future()
         self.known: dict[int, list[asyncio.Future[control.Known]]] = {}
@@ -124,8 +127,13 @@
         parts: str,
         progress: Callable[[float], None] | None,
     ) -> None:
-        self.day, self._folder, self._brood, self._parts, self._progress = day, folder, brood, parts, progress
-        self.books, self.notes = Books(), list[str]()
+        self.day = day
+        self._folder = folder
+        self._brood = brood
+        self._parts = parts
+        self._progress = progress
+        self.books = Books()
+        self.notes = list[str]()
         loop = asyncio.get_running_loop()
         self._net = Net(loop)
         self._unix_s = time.time() - time.monotonic()
--- a/coveport/testbed/loopback/processes.py
+++ b/coveport/testbed/loopback/processes.py
@@ -40,7 +40,9 @@
     def __init__(
         self, popen: subprocess.Popen[bytes], loop: asyncio.AbstractEventLoop, on_end: Callable[[int], None]
     ) -> None:
-        self._popen, self._loop, self._on_end = popen, loop, on_end
+        self._popen = popen
+        self._loop = loop
+        self._on_end = on_end
         self.pid = popen.pid
         self.ended = asyncio.Event()
         self._watch = os.pidfd_open(popen.pid)
--- a/coveport/testbed/loopback/shaping.py
+++ b/coveport/testbed/loopback/shaping.py
@@ -18,7 +18,8 @@
     __slots__ = ("_loop", "_delay_s", "_queue", "_last", "_timer", "_held", "bytes", "put_s")
 
     def __init__(self, loop: asyncio.AbstractEventLoop, delay_s: Callable[[], float]) -> None:
-        self._loop, self._delay_s = loop, delay_s
+        self._loop = loop
+        self._delay_s = delay_s
         self._queue: deque[tuple[float, float, int, Carry, Any]] = deque()
         self._last = 0.0
         self._timer: asyncio.Handle | None = None
@@ -163,9 +164,15 @@
 
         `gone` is told when it is no more. `day_ms_of` turns loop time into the day's.
         """
-        self._net, self.protocol, self._delay_s, self.day_ms_of = net, protocol, delay_s, day_ms_of
-        self._is_held, self._is_wanted, self._gone = held, wanted, gone
-        self.inward, self.outward = Way(net.loop, delay_s), Way(net.loop, delay_s)
+        self._net = net
+        self.protocol = protocol
+        self._delay_s = delay_s
+        self.day_ms_of = day_ms_of
+        self._is_held = held
+        self._is_wanted = wanted
+        self._gone = gone
+        self.inward = Way(net.loop, delay_s)
+        self.outward = Way(net.loop, delay_s)
         self.shaped = Shaped(self)
         self._up = False  # the stand-in knows of it
         self.over = False  # for the stand-in: it has closed, or was told of the end
@@ -180,7 +187,8 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """It came up, on this machine at once: the ways there, back and there again are made up for here."""
         assert isinstance(transport, asyncio.Transport)
-        self.real, self._made = transport, True
+        self.real = transport
+        self._made = True
         self.hold(self._is_held())
         self.inward.put(self._come_up, None)
         self.inward.wait(self._delay_s() + self._delay_s())
--- a/coveport/testbed/loopback/sidecars.py
+++ b/coveport/testbed/loopback/sidecars.py
@@ -50,7 +50,8 @@
 
     def __init__(self, drawn: SidecarDrawn, setting: Setting) -> None:
         """OSError where no address can be had for it."""
-        self.drawn, self._setting = drawn, setting
+        self.drawn = drawn
+        self._setting = setting
         # Held all day, not listened on: nobody else gets the port while the sidecar is down.
         self._place = bound(address_of(SIDECARS, drawn.number))
         self.address: Address = self._place.getsockname()
@@ -115,7 +116,8 @@
 
     async def stop(self) -> None:
         """End it as a planned stop does, within `end_s`."""
-        self._over, self._again = True, False
+        self._over = True
+        self._again = False
         await self._until_it_can_be_told()
         for task in list(self._tasks):
             task.cancel()
@@ -257,7 +259,8 @@
 
     def _kill(self) -> None:
         if self.running and self._child is not None:
-            self._asked, self._again = True, False
+            self._asked = True
+            self._again = False
             self._live("kill")
             self._child.kill()
 
--- a/coveport/testbed/loopback/timing.py
+++ b/coveport/testbed/loopback/timing.py
@@ -23,7 +23,8 @@
 
     def __init__(self, t0: float, unix_s: float) -> None:
         """`t0`: when the day begins at the latest, monotonic seconds. `unix_s`: Unix time at monotonic 0."""
-        self.t0, self._unix_s = t0, unix_s
+        self.t0 = t0
+        self._unix_s = unix_s
 
     def begin(self, t0: float, books: Books) -> None:
         """Set when the day begins, now that it is known, and the rows written so far right."""
@@ -75,7 +76,11 @@
         self, loop: asyncio.AbstractEventLoop, clock: DayClock, books: Books, who: str, from_ms: float
     ) -> None:
         """Rows say `who`; figures count from `from_ms` of the day."""
-        self._loop, self._clock, self._books, self._who, self._from = loop, clock, books, who, from_ms
+        self._loop = loop
+        self._clock = clock
+        self._books = books
+        self._who = who
+        self._from = from_ms
         self._lags: list[float] = []
         self._due = loop.time() + TICK_MS / 1000
         self._timer = loop.call_at(self._due, self._tick)
--- a/coveport/testbed/loopback/worker.py
+++ b/coveport/testbed/loopback/worker.py
@@ -32,10 +32,12 @@
     """One worker, from its job to its books."""
 
     def __init__(self, job: control.Job, writer: asyncio.StreamWriter) -> None:
-        self._job, self._writer = job, writer
+        self._job = job
+        self._writer = writer
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._unexpected)
-        self._books, self._clock = Books(), DayClock(job.t0, job.unix_s)
+        self._books = Books()
+        self._clock = DayClock(job.t0, job.unix_s)
         day = msgspec.msgpack.decode(Path(job.day).read_bytes(), type=Day)
         place = Place(
             day,
--- a/coveport/testbed/model.py
+++ b/coveport/testbed/model.py
@@ -80,8 +80,13 @@
         `number` is fresh over the whole day, `cls` a position in the scenario's classes, `work_ms` counted on
         a core of speed 1. `owner`, `fate` and `answer` are the caller's own.
         """
-        self.number, self.op, self.key, self.cls = number, op, key, cls
-        self.work_ms, self.expires_at, self.owner = work_ms, expires_at, owner
+        self.number = number
+        self.op = op
+        self.key = key
+        self.cls = cls
+        self.work_ms = work_ms
+        self.expires_at = expires_at
+        self.owner = owner
         self.fate: Any = None
         self.answer = b""
         self.known: Remembered | None = None
@@ -99,7 +104,9 @@
     __slots__ = ("at", "run", "over", "waiters")
 
     def __init__(self, at: float, run: Attempt) -> None:
-        self.at, self.run, self.over = at, run, False
+        self.at = at
+        self.run = run
+        self.over = False
         self.waiters: list[tuple[NodeModel, Attempt]] = []
 
 
@@ -160,7 +167,8 @@
 
     def __init__(self, drawn: NodeDrawn, classes: Sequence[Class], keys: KeyMemory) -> None:
         """A node that is not there yet: `start` it."""
-        self._drawn, self._cores = drawn, drawn.cores
+        self._drawn = drawn
+        self._cores = drawn.cores
         self._keys = [
             (keys.table(number, one.scope, drawn.zone, drawn.cell), one.window_ms)
             if one.repeats == "keyed"
@@ -171,7 +179,8 @@
         self._effects: list[tuple[Attempt, str]] = []
         self._slow = 1.0
         self.speed = drawn.speed  # of a warm core, slow factors and a jam taken off
-        self.draining, self.alive = False, False
+        self.draining = False
+        self.alive = False
         self.jam_changed_at = 0.0
         self.busy_ms = 0.0  # of all cores together, since the day began
         self.conns = 0
@@ -190,8 +199,12 @@
         self._rate = self._core = 0.0
         self._finish_at = self._turn_at = inf
         self.born = NEVER  # when the process started, -1: long before the day
-        self._cold_from, self._warm_at, self._slope = 1.0, -inf, 0.0
-        self._paused, self._pause_from, self._pause_until = False, inf, inf
+        self._cold_from = 1.0
+        self._warm_at = -inf
+        self._slope = 0.0
+        self._paused = False
+        self._pause_from = inf
+        self._pause_until = inf
         self._behind_since = self._jam_until = self._bucket_at = inf
         self._buckets: deque[float] = deque(maxlen=_BUCKETS + 1)
 
@@ -221,7 +234,8 @@
         self._t = max(now, self._t)
         self._reset()
         self._respeed()
-        self.alive, self.draining = True, False
+        self.alive = True
+        self.draining = False
         if cold:
             self.born, self._cold_from = self._t, self._drawn.cold_from
             self._warm_at = self._t + self._drawn.warm_ms
@@ -384,7 +398,8 @@
         if crowd > 0:
             core /= 1 + drawn.crowd_cost * crowd
         cores = self._cores
-        self._core, self._rate = core, core if working <= cores else core * cores / working
+        self._core = core
+        self._rate = core if working <= cores else core * cores / working
         if self._paused:
             self._finish_at = inf
             return
@@ -393,7 +408,8 @@
         elif run:
             need = (run[0][0] - self._v) / self._rate
         else:
-            self._v, self._finish_at = 0.0, inf  # guards against sums that grow all day and lose their digits
+            self._v = 0.0
+            self._finish_at = inf  # guards against sums that grow all day and lose their digits
             return
         if need <= 0:
             need = 0.0  # guards against rounding
@@ -421,9 +437,11 @@
                 self._buckets[-1] - self._buckets[0] < drawn.jam_below * self._cores * drawn.jam_rest_ms
             )
             if rested or now >= self._jam_until:
-                self.jammed, self.jam_changed_at = False, now
+                self.jammed = False
+                self.jam_changed_at = now
         elif now >= self._behind_since + drawn.jam_over_ms:
-            self.jammed, self.jam_changed_at = True, now
+            self.jammed = True
+            self.jam_changed_at = now
             self._behind_since = inf
             self._jam_until = now + drawn.jam_most_ms
             self._bucket_at = now + drawn.jam_rest_ms / _BUCKETS
--- a/coveport/testbed/network_model.py
+++ b/coveport/testbed/network_model.py
@@ -49,7 +49,9 @@
 
     def __init__(self, day: Day) -> None:
         network = day.scenario.network
-        self._cross, self._client, self._jitter = day.cross_ms, day.client_ms, day.jitter
+        self._cross = day.cross_ms
+        self._client = day.client_ms
+        self._jitter = day.jitter
         self._base_loss = network.loss if isinstance(network.loss, float | int) else network.loss[0]
         self._loss_ms = network.loss_ms
         self._random = random.Random(f"ways {day.seed}")
--- a/coveport/testbed/oracle/case.py
+++ b/coveport/testbed/oracle/case.py
@@ -88,7 +88,9 @@
     """A day and its books, indexed once; `breach` collects what is found."""
 
     def __init__(self, day: Day, rows: Sequence[AnyRow], grace: Grace) -> None:
-        self.day, self.grace, self.rules = day, grace, day.scenario.rules
+        self.day = day
+        self.grace = grace
+        self.rules = day.scenario.rules
         self.operations: dict[str, Operation] = {}
         self.arrived: dict[int, list[Attempt]] = {}  # by node
         self.probed: dict[int, list[Probed]] = {}
--- a/coveport/testbed/oracle/reach.py
+++ b/coveport/testbed/oracle/reach.py
@@ -32,7 +32,8 @@
 
     def __init__(self, day: Day, nodes: dict[int, list[NodeIs]], grace: Grace) -> None:
         network = day.scenario.network
-        self._day, self._margin = day, grace.fault_ms
+        self._day = day
+        self._margin = grace.fault_ms
         self._node_zone = {node.number: node.zone for node in day.nodes}
         self._sidecar_zone = {sidecar.number: sidecar.zone for sidecar in day.sidecars}
         self.harsh_ms, self._piece = harsh_ms(day), piece(day)
--- a/coveport/testbed/report/plots.py
+++ b/coveport/testbed/report/plots.py
@@ -73,7 +73,8 @@
         settle_s: float,
         panels: Sequence[tuple[str, float]],
     ) -> None:
-        self.name, self.until_s = name, until_s
+        self.name = name
+        self.until_s = until_s
         lanes = _lanes(spans, until_s)
         strip = _LANE * (max(lanes, default=-1) + 1)
         high = strip + sum(_TITLE + tall + _GAP for _, tall in panels) + _BOTTOM - _GAP
--- a/coveport/testbed/search/shrink.py
+++ b/coveport/testbed/search/shrink.py
@@ -107,9 +107,13 @@
         told: Callable[[int, Scenario], None] | None,
         look: Look,
     ) -> None:
-        self.best, self.find = scenario, find
+        self.best = scenario
+        self.find = find
         self.plays = 0
-        self._variant, self._most, self._told, self._look = variant, most, told, look
+        self._variant = variant
+        self._most = most
+        self._told = told
+        self._look = look
         self._tried: set[str] = set()
 
     def shows(self, scenario: Scenario) -> bool:
@@ -128,7 +132,8 @@
             if one.signature == self.find.signature
         ]
         if same:
-            self.find, self.best = same[0], scenario
+            self.find = same[0]
+            self.best = scenario
         if self._told is not None:
             self._told(self.plays, self.best)
         return bool(same)
--- a/coveport/testbed/simulated_network/harsh.py
+++ b/coveport/testbed/simulated_network/harsh.py
@@ -20,11 +20,13 @@
     """Draws for one run."""
 
     def __init__(self, network: Network, seed: int) -> None:
-        self._network, self._seed = network, seed
+        self._network = network
+        self._seed = seed
         self._split, self._merge, self._window, self._reset, self._end, self._late = (
             stream(seed, "wires", name) for name in ("split", "merge", "window", "reset", "end", "late")
         )
-        self.splits, self.merges = network.split > 0, network.merge > 0
+        self.splits = network.split > 0
+        self.merges = network.merge > 0
         self.breaks = network.reset_mid > 0 or network.end_mid > 0
         self.windows = network.window != Network().window
         self.backlog = network.backlog or 1 << 30
--- a/coveport/testbed/simulated_network/hosts.py
+++ b/coveport/testbed/simulated_network/hosts.py
@@ -16,7 +16,9 @@
     def __init__(self, process: Process, network: Network, place: Place, port: int, start_s: float) -> None:
         self.place = place
         self.net: Net = VirtualNet(process, network, place)
-        self._network, self._port, self._start_s = network, port, start_s
+        self._network = network
+        self._port = port
+        self._start_s = start_s
         self._listening: ListeningSocket | None = None
         self._clogs: dict[int, None] = {}  # faults by which its queue is full
 
--- a/coveport/testbed/simulated_network/listening.py
+++ b/coveport/testbed/simulated_network/listening.py
@@ -33,8 +33,13 @@
         shared: bool = False,
     ) -> None:
         self.shared = shared
-        self.net, self.address, self.most, self._in_turn, self._pace_s = net, address, most, in_turn, pace_s
-        self._factory, self._accept = factory, accept
+        self.net = net
+        self.address = address
+        self.most = most
+        self._in_turn = in_turn
+        self._pace_s = pace_s
+        self._factory = factory
+        self._accept = accept
         self.waiting: deque[Side] = deque()
         self.coming = 0  # connections on their way up, that will wait
         self._beginning = 0  # accepted, and not with their protocols yet
--- a/coveport/testbed/simulated_network/network.py
+++ b/coveport/testbed/simulated_network/network.py
@@ -23,7 +23,10 @@
     __slots__ = ("address", "far", "number", "silent", "zone")
 
     def __init__(self, address: str, zone: int, number: int = -1, far: bool = False) -> None:
-        self.address, self.zone, self.number, self.far = address, zone, number, far
+        self.address = address
+        self.zone = zone
+        self.number = number
+        self.far = far
         self.silent = False
 
 
@@ -31,7 +34,10 @@
     """Who listens where, what is held up, and a hash of all that was exchanged."""
 
     def __init__(self, world: World, ways: Ways, start_s: float = 0.0, harsh: Harsh | None = None) -> None:
-        self.world, self.ways, self.start_s, self.harsh = world, ways, start_s, harsh
+        self.world = world
+        self.ways = ways
+        self.start_s = start_s
+        self.harsh = harsh
         self.listening: dict[Address, ListeningSocket] = {}
         self._beside: dict[Address, list[ListeningSocket]] = {}  # further ones that share an address
         self.places: dict[str, Place] = {}
--- a/coveport/testbed/simulated_network/play.py
+++ b/coveport/testbed/simulated_network/play.py
@@ -83,7 +83,8 @@
     """All sidecars: started, told, killed, and started again."""
 
     def __init__(self, play: _Play, variant: Variant) -> None:
-        self._play, self._variant = play, variant
+        self._play = play
+        self._variant = variant
         self._running: dict[int, _Running] = {}
         self._discovery_at: dict[int, Address] = {}
         self._moves = 0
@@ -390,7 +391,8 @@
     """One run."""
 
     def __init__(self, day: Day, variant: Variant) -> None:
-        self.day, self.books = day, Books()
+        self.day = day
+        self.books = Books()
         self.world = World()
         self.start_s = self.world.now + BEFORE_S
         self.ways = Ways(day)
--- a/coveport/testbed/simulated_network/sockets.py
+++ b/coveport/testbed/simulated_network/sockets.py
@@ -23,15 +23,20 @@
 
     def __init__(self, net: VirtualNet, here: Place, there: Place, number: int) -> None:
         super().__init__()
-        self._net, self.network, self.world = net, net.network, net.network.world
-        self.here, self.there, self.number = here, there, number
+        self._net = net
+        self.network = net.network
+        self.world = net.network.world
+        self.here = here
+        self.there = there
+        self.number = number
         self.peer: SimulatedSocket | None = None
         self._protocol: asyncio.BaseProtocol | None = None
         self._buffered: asyncio.BufferedProtocol | None = None
         # The transport.
         self._unsent: deque[tuple[bytes, float]] = deque()  # with us, as the window is full; since when
         self._unsent_bytes = 0
-        self._high, self._told_pause = 64 * 1024, False
+        self._high = 64 * 1024
+        self._told_pause = False
         self._eof = False  # write_eof was asked for
         self._paused = False
         self._reading = False
@@ -57,7 +62,8 @@
         self._breakable = harsh is not None and harsh.breaks and (here.far or there.far)
         self._window = WINDOW if harsh is None else harsh.window()
         self._unsaid = 0  # bytes read of which the other end does not know
-        self._break_in, self._break_resets = -1, False  # bytes still to be sent before a break; -1: none
+        self._break_in = -1
+        self._break_resets = False  # bytes still to be sent before a break; -1: none
         self._cut_short = False  # something written here never comes whole
         self._broken = self._bounced = False  # by the network; a reset for what was sent since is on its way
         self._merging: tuple[Handle, bytes, float, float] | None = None  # waits for the next until then
--- a/coveport/testbed/simulated_network/wires.py
+++ b/coveport/testbed/simulated_network/wires.py
@@ -42,9 +42,13 @@
     """A connect on its way."""
 
     def __init__(self, network: Network, here: Place, there: Place, done: asyncio.Future[None]) -> None:
-        self.network, self.here, self.there, self.done = network, here, there, done
+        self.network = network
+        self.here = here
+        self.there = there
+        self.done = done
         self.side: Side | None = None  # our end, once the other machine has answered
-        self.began_s, self.tries = network.world.now, 0
+        self.began_s = network.world.now
+        self.tries = 0
         self.late_s = 0.0  # on the way back, until the answer is there
 
     def lost(self, problem: OSError) -> None:
@@ -67,8 +71,12 @@
     ) -> None:
         """`descriptors`: the most it may hold. `read_chunk`: bytes read at once at the most (0: all)."""
         self.loop = process
-        self.process, self.network, self.world, self.place = process, network, network.world, place
-        self.descriptors, self.read_chunk = descriptors, read_chunk
+        self.process = process
+        self.network = network
+        self.world = network.world
+        self.place = place
+        self.descriptors = descriptors
+        self.read_chunk = read_chunk
         self._sides: dict[SimulatedSocket, None] = {}
         self._dials = 0  # connects on their way, which hold descriptors too
         self.listens: list[ListeningSocket] = []
--- a/coveport/testbed/simulated_network/world.py
+++ b/coveport/testbed/simulated_network/world.py
@@ -32,13 +32,17 @@
     def __init__(
         self, process: Process | None, at: float, call: Callable[..., object], args: tuple[object, ...]
     ) -> None:
-        self._process, self._at, self._call, self._args = process, at, call, args
+        self._process = process
+        self._at = at
+        self._call = call
+        self._args = args
         self.gone = False  # cancelled, or run
 
     def cancel(self) -> None:
         """Never call it."""
         self.gone = True
-        self._call, self._args = _nothing, ()  # what it held is free at once, though it stays on the heap
+        self._call = _nothing
+        self._args = ()  # what it held is free at once, though it stays on the heap
 
     def cancelled(self) -> bool:
         """Whether it will not be called."""
@@ -144,7 +148,8 @@
     """One process: an event loop on the world's time."""
 
     def __init__(self, world: World, name: str) -> None:
-        self.world, self.name = world, name
+        self.world = world
+        self.name = name
         self.alive = True
         self.wakes = 0  # callbacks run
         self.cost_s = 0.0  # how long each callback keeps the process busy
--- a/coveport/testbed/standins/clients.py
+++ b/coveport/testbed/standins/clients.py
@@ -64,7 +64,8 @@
     __slots__ = ("wish", "end", "over", "current", "risky", "chance", "backoff")
 
     def __init__(self, wish: Wish, end: float) -> None:
-        self.wish, self.end = wish, end
+        self.wish = wish
+        self.end = end
         self.over = False  # no further try will come of it
         self.current: _Try
         self.risky = math.inf  # when the first try that may have run was asked
@@ -90,7 +91,9 @@
     )
 
     def __init__(self, errand: _Errand, number: int, due: float) -> None:
-        self.errand, self.number, self.due = errand, number, due
+        self.errand = errand
+        self.number = number
+        self.due = due
         self.op = try_id(errand.wish.op, number)
         self.limit = due + errand.wish.try_share * (errand.end - due)
         self.patience = 0
@@ -109,7 +112,8 @@
     """A connection to the sidecar, which carries one operation at a time."""
 
     def __init__(self, tills: Tills, number: int, one: _Try) -> None:
-        self._tills, self.number = tills, number
+        self._tills = tills
+        self.number = number
         self.one: _Try | None = one
         self.parser = http1.ResponseParser(MOST_BODY)
         self.transport: asyncio.Transport | None = None
@@ -118,12 +122,14 @@
         self.unsent = False
         self.slow = False  # its till has read slowly: what it reads may have come earlier
         self.paused = False  # its till reads nothing for now
-        self.seen, self.began = 0, 0.0  # of the answer: bytes, and when the first of them came
+        self.seen = 0
+        self.began = 0.0  # of the answer: bytes, and when the first of them came
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the operation that the connection was opened for."""
         assert isinstance(transport, asyncio.Transport)
-        self.transport, self.opening = transport, None
+        self.transport = transport
+        self.opening = None
         # With no room below, a pause says that bytes are still ours, and resume that all are handed over.
         transport.set_write_buffer_limits(high=0)
         self._tills.opened(self)
@@ -198,12 +204,18 @@
         address: Callable[[], Address],
     ) -> None:
         """`wishes`: this sidecar's, in order of time; `address`: where the sidecar listens, at each dial."""
-        self.host, self._write, self._day, self._sidecar = host, books.write, day, sidecar
-        self._wishes, self._address = wishes, address
+        self.host = host
+        self._write = books.write
+        self._day = day
+        self._sidecar = sidecar
+        self._wishes = wishes
+        self._address = address
         self._loop = host.net.loop
         scenario = day.scenario
-        self._classes, self._rules = scenario.classes, scenario.rules
-        self._retries, self._most = scenario.load.retries, scenario.load.connections
+        self._classes = scenario.classes
+        self._rules = scenario.rules
+        self._retries = scenario.load.retries
+        self._most = scenario.load.connections
         self._linger_ms = [
             scenario.rules.answer_slack_ms + SOCKETS_MS + asking_ms(day, cls)
             for cls in range(len(scenario.classes))
@@ -282,7 +294,8 @@
         now = self.host.day_ms()
         if now - self._armed > LAG_MS:
             self._write(Lag(now, f"tills of sidecar {self._sidecar.number}", now - self._armed))
-        self._timer, self._armed = None, -math.inf  # what is entered meanwhile is looked at below
+        self._timer = None
+        self._armed = -math.inf  # what is entered meanwhile is looked at below
         until, agenda, wishes = now + SOON_MS, self._agenda, self._wishes
         while True:
             due = wishes[self._begun].due if self._begun < len(wishes) else math.inf
--- a/coveport/testbed/standins/discovery.py
+++ b/coveport/testbed/standins/discovery.py
@@ -71,7 +71,9 @@
     """A sidecar's connection to its agent; one call at a time is looked at."""
 
     def __init__(self, discovery: Discovery, view: _View, links: dict[_Connection, None]) -> None:
-        self._discovery, self._view, self._links = discovery, view, links
+        self._discovery = discovery
+        self._view = view
+        self._links = links
         self._parser = http1.RequestParser()
         self.transport: asyncio.Transport | None = None
         self.waiting = False  # a call is on
@@ -122,7 +124,8 @@
             wait_ms = min(max(0.0, float(told.get("wait_ms", "0"))), MOST_WAIT_MS)
         except ValueError:
             raise http1.BadMessageError(400, "bad query") from None
-        self.waiting, self.overdue = True, wait_ms == 0
+        self.waiting = True
+        self.overdue = wait_ms == 0
         self._discovery.called(self._view, self)
         if self.waiting and wait_ms:
             self._timer = self._discovery.net.loop.call_later(wait_ms / 1000, self._wait_over)
@@ -196,8 +199,13 @@
         began into Unix ms, for `born_ms`. `on_move`: called with a sidecar's number when discovery moves for
         it; the ground then calls `move` and reloads the sidecar.
         """
-        self._day, self._write, self.net, self._day_ms = day, books.write, net, day_ms
-        self._address, self._unix_ms_of, self._on_move = node_address, unix_ms_of, on_move
+        self._day = day
+        self._write = books.write
+        self.net = net
+        self._day_ms = day_ms
+        self._address = node_address
+        self._unix_ms_of = unix_ms_of
+        self._on_move = on_move
         self._drawn = {node.number: node for node in day.nodes}
         self._nodes = {node.number: SeenNode(node.born) for node in day.nodes}
         self._first = [node.number for node in day.nodes if node.born]
@@ -208,7 +216,8 @@
         self._agents: dict[int, _Agent] = {}
         self._left: list[_Agent] = []  # agents that sidecars have been told to leave
         self._faults: dict[str, dict[int, Change]] = {}
-        self._closed, self._free_ms = False, 0.0  # when an overbooked discovery has done what waits
+        self._closed = False
+        self._free_ms = 0.0  # when an overbooked discovery has done what waits
         zones = day.scenario.fleet.zones
         self._static = {
             node.number: {
--- a/coveport/testbed/standins/etcd/server.py
+++ b/coveport/testbed/standins/etcd/server.py
@@ -62,7 +62,9 @@
     """One member's services."""
 
     def __init__(self, cluster: Cluster, number: int, faults: Faults) -> None:
-        self._cluster, self._number, self._faults = cluster, number, faults
+        self._cluster = cluster
+        self._number = number
+        self._faults = faults
         self.server: Any = None
         self.port = 0
         self._watches: set[asyncio.Task[None]] = set()
@@ -361,7 +363,9 @@
     """Carries out what a trial asks for."""
 
     def __init__(self, cluster: Cluster, members: list[Member], faults: Faults) -> None:
-        self._cluster, self._members, self._faults = cluster, members, faults
+        self._cluster = cluster
+        self._members = members
+        self._faults = faults
 
     async def do(self, told: dict[str, Any]) -> object:
         """One order; what is answered."""
--- a/coveport/testbed/standins/node_link.py
+++ b/coveport/testbed/standins/node_link.py
@@ -49,7 +49,8 @@
     )
 
     def __init__(self, node: LinkedNode, sidecar: int) -> None:
-        self.node, self.sidecar = node, sidecar
+        self.node = node
+        self.sidecar = sidecar
         self.number = 0
         self.parser = RequestParser(MOST_BODY)
         self.transport: asyncio.Transport
--- a/coveport/testbed/standins/node_state.py
+++ b/coveport/testbed/standins/node_state.py
@@ -36,8 +36,10 @@
     """The share of its cores that a node was busy, from one look to the next."""
 
     def __init__(self, drawn: NodeDrawn, model: NodeModel) -> None:
-        self._cores, self._model = drawn.cores, model
-        self.looked_at, self._busy_ms = 0.0, 0.0
+        self._cores = drawn.cores
+        self._model = model
+        self.looked_at = 0.0
+        self._busy_ms = 0.0
 
     def restart(self, now: float) -> None:
         """Count from now on."""
@@ -62,7 +64,10 @@
     ) -> None:
         self.random = random.Random(f"reports {drawn.seed}")
         self.errors = 0  # since the last report
-        self._drawn, self._busy, self._first, self._write = drawn, BusyShare(drawn, model), first, write
+        self._drawn = drawn
+        self._busy = BusyShare(drawn, model)
+        self._first = first
+        self._write = write
         self._shown = first
         self._made: deque[tuple[float, T]] = deque()  # with when they show
 
--- a/coveport/testbed/standins/nodes.py
+++ b/coveport/testbed/standins/nodes.py
@@ -79,9 +79,11 @@
         `keys` is the one of all nodes. `rtt_ms` tells the round trip to a sidecar by its number, which a
         handshake takes several of; without it each takes `TRIP_MS`.
         """
-        self.host, self.drawn = host, drawn
+        self.host = host
+        self.drawn = drawn
         self.model = NodeModel(drawn, day.scenario.classes, keys)
-        self._write, self._wishes = books.write, wishes
+        self._write = books.write
+        self._wishes = wishes
         self._rtt_ms = rtt_ms
         self._probes = day.scenario.rules.probes
         self._classes = {
@@ -194,7 +196,9 @@
         for timer in (self._due_timer, self._idle_timer, self._load_timer, self._report_timer):
             if timer is not None:
                 timer.cancel()
-        self._due, self._due_timer, self._idle_timer = inf, None, None
+        self._due = inf
+        self._due_timer = None
+        self._idle_timer = None
 
     def _settle(self, now: float) -> None:
         """Carry out what the model has to say, and set the one timer for when it wants to be called."""
@@ -229,7 +233,8 @@
     def _come_due(self) -> None:
         # Guards against a clock that rounds down: the model would ask for the same moment again and again.
         now = max(self.host.day_ms(), self._due)
-        self._due, self._due_timer = inf, None
+        self._due = inf
+        self._due_timer = None
         self.model.advance(now)
         self._settle(now)
 
--- a/coveport/testbed/standins/seen_node.py
+++ b/coveport/testbed/standins/seen_node.py
@@ -11,7 +11,9 @@
     __slots__ = ("alive", "born", "coming", "leaving", "news", "seen", "silent", "version")
 
     def __init__(self, alive: bool) -> None:
-        self.alive, self.born, self.leaving = alive, NEVER, False
+        self.alive = alive
+        self.born = NEVER
+        self.leaving = False
         self.silent: set[int] = set()  # faults
         self.coming = self.seen = self.state  # what will be seen if nothing more happens, what was seen last
         self.news = 0  # tells later news from earlier: what was overtaken is never seen
@@ -30,7 +32,9 @@
         if change.what == "die":
             self.alive, self.leaving, delay = False, False, day.notice_ms
         elif change.what == "start":
-            self.alive, self.leaving, self.born = True, False, now
+            self.alive = True
+            self.leaving = False
+            self.born = now
         elif change.what == "leaving":
             self.leaving = change.on and self.alive
             delay = 0.0 if change.on else delay
--- a/coveport/testbed/standins/staff.py
+++ b/coveport/testbed/standins/staff.py
@@ -21,7 +21,9 @@
     """Says something, or nothing, and takes the answer."""
 
     def __init__(self, line: bytes, told: asyncio.Future[str]) -> None:
-        self._line, self._told, self._held = line, told, bytearray()
+        self._line = line
+        self._told = told
+        self._held = bytearray()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/tests/balancing/test_crowded_hosts.py
+++ b/tests/balancing/test_crowded_hosts.py
@@ -138,7 +138,9 @@
     """What `Held` holds."""
 
     def __init__(self, kind: str, until: float, cross: float) -> None:
-        self.kind, self.hold_until, self.cross_at = kind, until, cross
+        self.kind = kind
+        self.hold_until = until
+        self.cross_at = cross
 
 
 def test_lines_stand_by_kind_the_newest_first_and_those_that_may_go_further_last() -> None:
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -29,7 +29,8 @@
     """A request that has come whole, and what may be done about it."""
 
     def __init__(self, seen: Seen, conn: socket.socket) -> None:
-        self.seen, self.conn = seen, conn
+        self.seen = seen
+        self.conn = conn
         self.over = threading.Event()  # until then nobody reads its connection, which can so be ended at once
 
     @property
--- a/tests/serving/cli/test_core_caller.py
+++ b/tests/serving/cli/test_core_caller.py
@@ -27,7 +27,9 @@
     """Answers what it is told to, the last answer for ever."""
 
     def __init__(self, replies: list[Reply], seen: list[Request]) -> None:
-        self._replies, self._seen, self._parser = replies, seen, RequestParser()
+        self._replies = replies
+        self._seen = seen
+        self._parser = RequestParser()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
--- a/tests/serving/cli/test_operator_verbs.py
+++ b/tests/serving/cli/test_operator_verbs.py
@@ -20,7 +20,10 @@
     def __init__(
         self, core: LoopbackCore, address: str, capsys: pytest.CaptureFixture[str], room: Path
     ) -> None:
-        self.core, self._address, self._capsys, self._room = core, address, capsys, room
+        self.core = core
+        self._address = address
+        self._capsys = capsys
+        self._room = room
         self.out = self.error = ""
 
     def local(self, *words: str) -> int:
--- a/tests/serving/coordinator/test_starting_together.py
+++ b/tests/serving/coordinator/test_starting_together.py
@@ -30,7 +30,9 @@
 
 class Timer:
     def __init__(self, loop: Loop, call: object, arguments: tuple[object, ...]) -> None:
-        self.loop, self.call, self.arguments = loop, call, arguments
+        self.loop = loop
+        self.call = call
+        self.arguments = arguments
 
     def cancel(self) -> None:
         self.loop.timers.remove(self)
@@ -81,7 +83,9 @@
     """A coordinator that has just started, and one proxy that asks it."""
 
     def __init__(self) -> None:
-        self.clock, self.standing, self.history = Clock(), Standing(), StateHistory()
+        self.clock = Clock()
+        self.standing = Standing()
+        self.history = StateHistory()
         self.subscriptions = Subscriptions(
             self.clock, NodeTable(5.0), "t", LeaseTable(), self.history, self.standing, lambda: None
         )
--- a/tests/serving/coordinator/test_subscription_sharing.py
+++ b/tests/serving/coordinator/test_subscription_sharing.py
@@ -65,8 +65,11 @@
 
 class Core:
     def __init__(self) -> None:
-        self.net, self.standing = Clock(), Standing()
-        self.table, self.leases, self.history = NodeTable(5.0), LeaseTable(), StateHistory()
+        self.net = Clock()
+        self.standing = Standing()
+        self.table = NodeTable(5.0)
+        self.leases = LeaseTable()
+        self.history = StateHistory()
         self.subscriptions = Subscriptions(
             self.net, self.table, "t", self.leases, self.history, self.standing, lambda: None
         )
--- a/tests/serving/membership/report_explorer.py
+++ b/tests/serving/membership/report_explorer.py
@@ -65,7 +65,8 @@
     """One life of a coordinator."""
 
     def __init__(self, ground: Ground, name: str, life: int) -> None:
-        self.ground, self.name = ground, name
+        self.ground = ground
+        self.name = name
         self.table = NodeTable(5.0)
         peers = ReportPeers(self.send, self.live, self.known, self.view_epoch, self.is_majority)
         self.reporting = NodeReporting(
--- a/tests/serving/simulation/stub_core.py
+++ b/tests/serving/simulation/stub_core.py
@@ -83,7 +83,8 @@
         self.silent = False
         self.calls: list[Request] = []
         self.at: list[float] = []
-        self._net, self._address = net, address
+        self._net = net
+        self._address = address
 
     async def start(self) -> None:
         """Listen."""
--- a/tests/sidecar/connection_ends/test_node_ends.py
+++ b/tests/sidecar/connection_ends/test_node_ends.py
@@ -97,7 +97,8 @@
     """Sends an answer once more some milliseconds behind it: right before it answers what came meanwhile."""
 
     def __init__(self, late_s: float) -> None:
-        self.late_s, self.crossed = late_s, 0
+        self.late_s = late_s
+        self.crossed = 0
         self.socket = socket.create_server(("127.0.0.1", 0))
         self.address = "{}:{}".format(*self.socket.getsockname())
         threading.Thread(target=self._accept, daemon=True).start()
--- a/tests/sidecar/connection_ends/test_told.py
+++ b/tests/sidecar/connection_ends/test_told.py
@@ -84,7 +84,8 @@
     """A discovery of our own: each call is answered when the test says so."""
 
     def __init__(self) -> None:
-        self.peer, self.list = Peer(), Discovery()
+        self.peer = Peer()
+        self.list = Discovery()
 
     def watch(self) -> Got:
         """Answer until it waits for news."""
--- a/tests/sidecar/downstream/test_long_bodies.py
+++ b/tests/sidecar/downstream/test_long_bodies.py
@@ -22,7 +22,8 @@
     """Reads an upload on, when it is told to."""
 
     def __init__(self, upload: Upload) -> None:
-        self.upload, self.got = upload, bytearray()
+        self.upload = upload
+        self.got = bytearray()
 
     def more(self) -> None:
         while (piece := self.upload.next(self)) is not None:
--- a/tests/sidecar/reducer/test_reducer_scripted.py
+++ b/tests/sidecar/reducer/test_reducer_scripted.py
@@ -34,7 +34,9 @@
     """Says what the script holds for each kind of event, once; keeps what it was told."""
 
     def __init__(self, script: dict[type, list[Says]]) -> None:
-        self.script, self.told, self.out = script, list[tuple[float, api.Event]](), list[api.Action]()
+        self.script = script
+        self.told = list[tuple[float, api.Event]]()
+        self.out = list[api.Action]()
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.told.append((now, event))
--- a/tests/sidecar/singletons/test_rollout.py
+++ b/tests/sidecar/singletons/test_rollout.py
@@ -33,7 +33,8 @@
     """A store, instances that follow, and holders that take turns; every step as the runner would take it."""
 
     def __init__(self, instances: int, hold_s: float = 5.0) -> None:
-        self.engine, self.now = Engine(), 0.0
+        self.engine = Engine()
+        self.now = 0.0
         self.names = [f"s{number}" for number in range(instances)]
         self.followers = {name: Follower(name) for name in self.names}
         self.bad: dict[str, str] = {}  # settings id -> why no instance can take them
--- a/tests/sidecar/supervisor/test_snapshot.py
+++ b/tests/sidecar/supervisor/test_snapshot.py
@@ -47,7 +47,9 @@
     """Breaks at the n-th call: a kill before or after it, a full disk, or writes that take a few bytes."""
 
     def __init__(self, at: int, how: str) -> None:
-        self.calls, self._at, self._how = 0, at, how
+        self.calls = 0
+        self._at = at
+        self._how = how
 
     def _call(self, name: str, *told: Any) -> Any:
         self.calls += 1
--- a/tests/sidecar/test_effects.py
+++ b/tests/sidecar/test_effects.py
@@ -31,7 +31,10 @@
     quiet, waits = True, False
 
     def __init__(self, number: int, place: Any, sent: list[str]) -> None:
-        self.number, self.place, self.sent, self.idle_since = number, place, sent, 0.0
+        self.number = number
+        self.place = place
+        self.sent = sent
+        self.idle_since = 0.0
 
     def carry(self, step: RouteStep) -> None:
         if step.may_go(cast(Any, self)):
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -25,7 +25,9 @@
     """Processes in one place, one after the other, and clients that ask all the time."""
 
     def __init__(self, folder: Path, node: Server) -> None:
-        self.folder, self.discovery, self.number = folder, Discovery(), 0
+        self.folder = folder
+        self.discovery = Discovery()
+        self.number = 0
         self.discovery.put("s-0", node.address)
         self.listen = f"127.0.0.1:{free_port()}"
         self.running: list[subprocess.Popen[str]] = []
--- a/tests/sidecar/upstream/test_connection_pool.py
+++ b/tests/sidecar/upstream/test_connection_pool.py
@@ -24,7 +24,8 @@
 
 class _Loop:
     def __init__(self) -> None:
-        self.now, self.later = 100.0, list[tuple[float, tuple[Any, ...]]]()
+        self.now = 100.0
+        self.later = list[tuple[float, tuple[Any, ...]]]()
 
     def time(self) -> float:
         return self.now
@@ -38,7 +39,10 @@
     quiet, waits = True, False
 
     def __init__(self, name: str, place: Place) -> None:
-        self.name, self.number, self.place, self.idle_since = name, 1, place, 0.0
+        self.name = name
+        self.number = 1
+        self.place = place
+        self.idle_since = 0.0
 
     def carry(self, step: RouteStep) -> None:
         _carried.append(self.name)
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -144,8 +144,10 @@
     """One end of a connection: a blocking socket to the test, awaited by servers."""
 
     def __init__(self, here: Ground) -> None:
-        self._here, self._timeout = here, 10.0
-        self._held, self._over = bytearray(), False
+        self._here = here
+        self._timeout = 10.0
+        self._held = bytearray()
+        self._over = False
         self._problem: Exception | None = None
         self._transport: asyncio.Transport | None = None
         self._waiter: asyncio.Future[None] | None = None
@@ -168,7 +170,8 @@
         return True  # our direction stays open, as a socket's does
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._over, self._problem = True, exc
+        self._over = True
+        self._problem = exc
         self._wake()
 
     def _wake(self) -> None:
@@ -252,7 +255,10 @@
     """Answers each request by a handler: bytes to send, None to reset the connection, either in a while."""
 
     def __init__(self, handler: Callable[[Seen], Answer | Awaitable[Answer]]) -> None:
-        self.handler, self.seen, self.connections, self.ended = handler, list[Seen](), 0, 0
+        self.handler = handler
+        self.seen = list[Seen]()
+        self.connections = 0
+        self.ended = 0
         self.open: list[Conn] = []
         self._here = ground()
         self._listening = self._here.net.accept(self._accept, (HOST, 0))
--- a/tests/testbed/real_helpers.py
+++ b/tests/testbed/real_helpers.py
@@ -93,7 +93,8 @@
 class FakeWorld:
     def __init__(self, place: Place) -> None:
         _here()
-        self.place, self.port = place, 9
+        self.place = place
+        self.port = 9
 
     async def start(self) -> None:
         pass
--- a/tests/testbed/test_clients.py
+++ b/tests/testbed/test_clients.py
@@ -57,7 +57,10 @@
     """Carries a script out, a step for each request that comes; the last one is for all that follow."""
 
     def __init__(self, script: Sequence[Step]) -> None:
-        self.script, self.raw, self.begun, self.ends = script, b"", 0, 0
+        self.script = script
+        self.raw = b""
+        self.begun = 0
+        self.ends = 0
         self.seen: list[tuple[int, http1.Request]] = []  # with the connection's number, from 0
         self.ended = 0  # connections that were over before the tills were closed
 
--- a/tests/testbed/test_discovery_standin.py
+++ b/tests/testbed/test_discovery_standin.py
@@ -55,7 +55,9 @@
     """Discovery of the small day."""
 
     def __init__(self, **service: Any) -> None:
-        self.books, self.moves, self.host = Books(), list[int](), OneHost()
+        self.books = Books()
+        self.moves = list[int]()
+        self.host = OneHost()
         scenario = Scenario("t", discovery=DiscoveryService(**{"spread_ms": (5, 15), **service}))
         super().__init__(
             day(scenario),
--- a/tests/testbed/test_same_socket.py
+++ b/tests/testbed/test_same_socket.py
@@ -23,7 +23,10 @@
     """One end; notes what it sees."""
 
     def __init__(self, net: Net, keep: bool) -> None:
-        self.net, self.keep, self.seen, self.buffer = net, keep, list[str](), bytearray(100_000)
+        self.net = net
+        self.keep = keep
+        self.seen = list[str]()
+        self.buffer = bytearray(100_000)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
--- a/tests/testbed/test_simulated_network.py
+++ b/tests/testbed/test_simulated_network.py
@@ -43,7 +43,10 @@
     def __init__(
         self, world: World, on_data: Callable[[Peer, bytes], None] | None = None, keep: bool = False
     ) -> None:
-        self.world, self.seen, self.on_data, self.keep = world, list[tuple[float, str]](), on_data, keep
+        self.world = world
+        self.seen = list[tuple[float, str]]()
+        self.on_data = on_data
+        self.keep = keep
         self.transport: Side | None = None
         self.buffer = memoryview(bytearray(100))
         self.data = b""
--- a/tests/testbed/test_sweep.py
+++ b/tests/testbed/test_sweep.py
@@ -36,7 +36,8 @@
 
     def __init__(self, stops_at: int = -1, **more: Any) -> None:
         self.cells: list[str] = []
-        self.stops_at, self.more = stops_at, more
+        self.stops_at = stops_at
+        self.more = more
 
     def __call__(self, job: sweep.Job) -> bytes:
         if len(self.cells) == self.stops_at:
--- a/tests/world.py
+++ b/tests/world.py
@@ -197,7 +197,9 @@
     """A ledger node (or discovery): answers each request by a handler, in a thread for each connection."""
 
     def __init__(self, handler: Callable[[Seen], bytes]) -> None:
-        self.handler, self.seen, self.connections = handler, list[Seen](), 0
+        self.handler = handler
+        self.seen = list[Seen]()
+        self.connections = 0
         self.open: list[socket.socket] = []
         self._socket = socket.create_server(("127.0.0.1", 0))
         self.address = "{}:{}".format(*self._socket.getsockname())
