--- /dev/null
+++ b/coveport/serving/wire/message_labels.py
@@ -0,0 +1,41 @@
+"""The label of each kind of message in outputs for people, such as the counts of `status`.
+
+Labels are part of those outputs: they stay when a class is renamed.
+"""
+
+from __future__ import annotations
+
+from typing import Final
+
+from coveport.serving.replication import messages as replication
+from coveport.serving.wire import messages
+
+MESSAGE_LABELS: Final[dict[type, str]] = {
+    messages.Hello: "Hello",
+    messages.NodeReports: "NodeReports",
+    messages.NodeReportsTaken: "NodeReportsTaken",
+    messages.TableRequest: "TableRequest",
+    messages.LeasesRenewed: "LeasesRenewed",
+    messages.UpdateRequest: "UpdateRequest",
+    messages.Update: "Update",
+    messages.AsksElsewhere: "AsksElsewhere",
+    replication.Ping: "Ping",
+    replication.Prepare: "Prepare",
+    replication.Promise: "Promise",
+    replication.Fenced: "Fenced",
+    replication.Fetch: "Fetch",
+    replication.Fetched: "Fetched",
+    replication.Install: "Install",
+    replication.Installed: "Installed",
+    replication.Accept: "Accept",
+    replication.Accepted: "Accepted",
+    replication.Settled: "Settled",
+    replication.Append: "Append",
+    replication.Appended: "Appended",
+    replication.Confirm: "Confirm",
+    replication.Confirmed: "Confirmed",
+    replication.Committed: "Committed",
+    replication.Learn: "Learn",
+    replication.LearnState: "LearnState",
+    replication.TakeOver: "TakeOver",
+}
--- a/coveport/serving/wire/messages.py
+++ b/coveport/serving/wire/messages.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Final
 
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.model.node import Node
@@ -105,16 +106,15 @@
 
 
 Message = object
-CODEC: MessageCodec[Message] = MessageCodec(
-    (
-        Hello,
-        NodeReports,
-        NodeReportsTaken,
-        TableRequest,
-        LeasesRenewed,
-        UpdateRequest,
-        Update,
-        AsksElsewhere,
-        *REPLICATION_MESSAGES,
-    )
+MESSAGES: Final[tuple[type, ...]] = (  # the order gives each kind its number on the wire
+    Hello,
+    NodeReports,
+    NodeReportsTaken,
+    TableRequest,
+    LeasesRenewed,
+    UpdateRequest,
+    Update,
+    AsksElsewhere,
+    *REPLICATION_MESSAGES,
 )
+CODEC: MessageCodec[Message] = MessageCodec(MESSAGES)
--- a/coveport/serving/wire/traffic.py
+++ b/coveport/serving/wire/traffic.py
@@ -4,6 +4,8 @@
 
 from dataclasses import dataclass, field
 
+from coveport.serving.wire.message_labels import MESSAGE_LABELS
+
 
 @dataclass(slots=True)
 class KindCount:
@@ -39,9 +41,10 @@
 
 
 def _count(counts: dict[str, KindCount], kind: type) -> KindCount:
-    count = counts.get(kind.__name__)
+    label = MESSAGE_LABELS[kind]
+    count = counts.get(label)
     if count is None:
-        count = counts[kind.__name__] = KindCount()
+        count = counts[label] = KindCount()
     return count
 
 
--- a/tests/serving/wire/test_traffic.py
+++ b/tests/serving/wire/test_traffic.py
@@ -1,6 +1,7 @@
 from __future__ import annotations
 
-from coveport.serving.wire.messages import Hello, TableRequest
+from coveport.serving.wire.message_labels import MESSAGE_LABELS
+from coveport.serving.wire.messages import MESSAGES, Hello, TableRequest
 from coveport.serving.wire.traffic import Traffic
 
 
@@ -10,3 +11,13 @@
     traffic.note_sent(Hello, 42)
     traffic.note_received(TableRequest, 13)
     assert traffic.describe() == {"sent": {"Hello": [2, 82]}, "received": {"TableRequest": [1, 13]}}
+
+
+def test_labels_of_all_kinds_in_the_order_of_their_numbers_stay_as_they_are() -> None:
+    labels = """
+        Hello NodeReports NodeReportsTaken TableRequest LeasesRenewed UpdateRequest Update AsksElsewhere
+        Ping Prepare Promise Fenced Fetch Fetched Install Installed Accept Accepted Settled Append Appended
+        Confirm Confirmed Committed Learn LearnState TakeOver
+    """
+    assert [MESSAGE_LABELS[kind] for kind in MESSAGES] == labels.split()
+    assert len(MESSAGE_LABELS) == len(MESSAGES)
