--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -26,7 +26,7 @@
 from coveport.sidecar.effects import Effects
 from coveport.sidecar.intent_log.encryption import SealError
 from coveport.sidecar.leases.clock import boot_s
-from coveport.sidecar.leases.lease_client import DUTY, INSTANCE, Keeper
+from coveport.sidecar.leases.lease_client import DUTY, INSTANCE, LeaseClient
 from coveport.sidecar.leases.open_store import open_store
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.recording import Recording
@@ -92,7 +92,7 @@
         chance = random.Random(uuid.uuid4().int)
         zone = config.settings.zone
         self._wished = told.duties.wished(zone)
-        self.keeper = Keeper(
+        self.lease_client = LeaseClient(
             open_store(told),
             name=self.name,
             incarnation=self.incarnation,
@@ -109,13 +109,17 @@
             "rollout": Rollout(),
             f"warden@{zone}": Warden(zone, self.incarnation, _safe(config.settings), told.leases.drift),
         }
-        self._runners = {name: Runner(self.keeper, made[name], boot_s, self._did) for name in self._wished}
-        self.keeper.on_began = lambda duty, token: self._runners[duty].began(token)
-        self.keeper.on_ended = lambda duty, token, why: self._runners[duty].ended()
-        self.keeper.on_change = self._changed
+        self._runners = {
+            name: Runner(self.lease_client, made[name], boot_s, self._did) for name in self._wished
+        }
+        self.lease_client.on_began = lambda duty, token: self._runners[duty].began(token)
+        self.lease_client.on_ended = lambda duty, token, why: self._runners[duty].ended()
+        self.lease_client.on_change = self._changed
         self._recording: Recording | None = None
         if told.work.record:
-            self._recording = Recording(told, config, self.keeper, self.incarnation, self.history, chance)
+            self._recording = Recording(
+                told, config, self.lease_client, self.incarnation, self.history, chance
+            )
         self._follower = Follower(self.name)
         self._looking = Looking(self.name, self.incarnation) if told.duties.looking else None
         self._granted = Granted(self.incarnation) if told.duties.warden else None
@@ -146,12 +150,16 @@
         counters = effects.counters
         counters.gauge(
             "duties_held",
-            lambda: sum(bool(self.keeper.holder.believes(boot_s(), name)) for name in self._wished),
+            lambda: sum(
+                bool(self.lease_client.lease_state.believes(boot_s(), name)) for name in self._wished
+            ),
         )
-        counters.gauge("store_calls", lambda: sum(self.keeper.calls.values()))
+        counters.gauge("store_calls", lambda: sum(self.lease_client.calls.values()))
         counters.gauge(
             "store_unknown",
-            lambda: sum(count for name, count in self.keeper.calls.items() if name.endswith("_unknown")),
+            lambda: sum(
+                count for name, count in self.lease_client.calls.items() if name.endswith("_unknown")
+            ),
         )
         if self._recording is not None:
             self._recording.joined(effects)
@@ -160,11 +168,11 @@
             effects.looks = self
         if self._member is not None:
             self._member.joined(effects, life, lambda: effects.destinations.places)
-        self.keeper.tell(self._fares())
+        self.lease_client.tell(self._fares())
 
     def _phase(self, phase: Phase) -> None:
         if phase is Phase.SERVING and not self._tasks:
-            self.keeper.start()
+            self.lease_client.start()
             if self._recording is not None:
                 self._recording.serving()
             self._tasks = [asyncio.ensure_future(self._watch_ourselves())]
@@ -174,7 +182,7 @@
                 self._tasks.append(asyncio.ensure_future(self._wish_for_grants(self._granted)))
         elif phase in (Phase.SERVING, Phase.LAMEDUCK):
             for duty in self._wished:
-                self.keeper.wish(duty, phase is Phase.SERVING, "lame duck")
+                self.lease_client.wish(duty, phase is Phase.SERVING, "lame duck")
         elif phase is Phase.DRAINING:
             # Handed on before the first connection is closed: the rest of the end may take seconds.
             self._leaving = asyncio.ensure_future(self._leave())
@@ -182,7 +190,7 @@
     async def _leave(self) -> None:
         if self._recording is not None:
             await self._recording.leaving()  # else others would take what we are still at
-        await self.keeper.leave()
+        await self.lease_client.leave()
 
     async def leave(self) -> None:
         """The sidecar has ended."""
@@ -200,12 +208,12 @@
         if self._recording is not None:
             self._recording.changed(key, entry)
         if self._member is not None and key.startswith(INSTANCE):
-            self._member.seen(len(self.keeper.instances))
+            self._member.seen(len(self.lease_client.instances))
         if key.startswith(YIELD) and entry is not None:
             duty = key[len(YIELD) :]
-            held = self.keeper.entries.get(DUTY + duty)
+            held = self.lease_client.entries.get(DUTY + duty)
             if duty in self._runners and held is not None and entry.value == b"%d" % held.created:
-                self.keeper.yield_(duty, "staff")
+                self.lease_client.yield_(duty, "staff")
         elif key.startswith(LOOK) and self._looking is not None:
             seen = self._looking.heard(boot_s(), time.time(), key[len(LOOK) :], entry)
             number = self._nodes().get(key[len(LOOK) :]) if seen is not None else None
@@ -220,7 +228,7 @@
     # Roll-out: our own part.
 
     def _follow(self) -> None:
-        wanted = self._follower.wanted(self.keeper.entries)
+        wanted = self._follower.wanted(self.lease_client.entries)
         if wanted is None or self._effects is None or self._taking is not None:
             return
         self._taking = wanted[0], self._text
@@ -238,7 +246,7 @@
         else:
             self._follower.took(name)
         self.history("settings", wanted=name, fault=fault)
-        self.keeper.tell(self._fares())
+        self.lease_client.tell(self._fares())
         self._follow()  # the next may have come meanwhile
 
     def reread(self, running: configuration.Config) -> configuration.Config:
@@ -281,14 +289,14 @@
             self._ended.append(
                 (served, sum(counters.get(ended(name, how)) for name in names for how in ENDS))
             )
-            if under_way(self.keeper.entries):
-                self.keeper.tell(self._fares())  # else nobody reads it, and nobody pays for it
+            if under_way(self.lease_client.entries):
+                self.lease_client.tell(self._fares())  # else nobody reads it, and nobody pays for it
             self._reached.append((sum(map(counters.get, REACHED)), sum(map(counters.get, MISSED))))
             first, last = self._reached[0], self._reached[-1]
             useless = (
                 len(self._reached) == self._reached.maxlen and last[1] > first[1] and last[0] == first[0]
             )
-            self.keeper.unwell("no destination can be reached" if useless else "")
+            self.lease_client.unwell("no destination can be reached" if useless else "")
 
     # Grants of fresh nodes.
 
@@ -307,7 +315,7 @@
                 now, (has - had) / max(last - first, WISH_S), effects.service_ms / 1000, fresh
             )
             if wish is not None:
-                self.keeper.put(NEED + self.name, wish)
+                self.lease_client.put(NEED + self.name, wish)
 
     def _take_grant(self, granted: Granted, zone: str, entry: Entry | None) -> None:
         now = boot_s()
@@ -333,7 +341,7 @@
             await asyncio.sleep(LOOK_S / 2)
             nodes = self._nodes()
             looking.forget(nodes)
-            for node in looking.mine(boot_s(), nodes, self.keeper.entries, LOOK_S):
+            for node in looking.mine(boot_s(), nodes, self.lease_client.entries, LOOK_S):
                 self._probe(looking, node, nodes[node])
 
     def _probe(self, looking: Looking, node: str, number: int) -> None:
@@ -348,7 +356,7 @@
             effects.feed(core.ProbeEnded(number, result.outcome, took, result.load))
             told = looking.looked(boot_s(), time.time(), node, result.outcome is api.Outcome.OK, took)
             if told is not None:
-                self.keeper.put(LOOK + node, told)
+                self.lease_client.put(LOOK + node, told)
 
         effects.counters.add("probes_by_turn")
         effects.destinations.send(number, None, timeout_s, done)
--- a/coveport/sidecar/leases/effects.py
+++ b/coveport/sidecar/leases/effects.py
@@ -1,6 +1,6 @@
 """What a holder has done, in order. Pure.
 
-A call's answer comes back by `Holder.answered` with its number.
+A call's answer comes back by `LeaseState.answered` with its number.
 """
 
 from __future__ import annotations
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -27,7 +27,7 @@
     Release,
     Told,
 )
-from coveport.sidecar.leases.lease_state import Holder
+from coveport.sidecar.leases.lease_state import LeaseState
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import (
     Change,
@@ -64,7 +64,7 @@
         """Write it down."""
 
 
-class Keeper:
+class LeaseClient:
     """One instance's session and duties at a store.
 
     `prefix`: under which all of an installation stands. `now_s`: a clock that runs through sleep.
@@ -85,7 +85,7 @@
         chance: random.Random,
         prefix: str = "coveport/",
         unix_s: Callable[[], float] = lambda: 0.0,
-        holder: Callable[..., Holder] = Holder,
+        lease_state: Callable[..., LeaseState] = LeaseState,
     ) -> None:
         self._store = store
         self.name = name
@@ -95,7 +95,7 @@
         self._history = history
         self._terms = terms
         self._chance = chance
-        self.holder = holder(incarnation, duties, terms, chance)
+        self.lease_state = lease_state(incarnation, duties, terms, chance)
         self._call_s = terms.ttl_s * CALL_SHARE
         self._tasks: set[asyncio.Task[None]] = set()
         self._watching: asyncio.Task[None] | None = None
@@ -118,7 +118,7 @@
 
     def holds(self, duty: str) -> int:
         """The token, where something new may be begun now; else 0."""
-        return self.holder.holds(self._now_s(), duty)
+        return self.lease_state.holds(self._now_s(), duty)
 
     async def act(
         self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
@@ -148,7 +148,7 @@
             revision=0 if isinstance(outcome, Unknown) else outcome.revision,
         )
         if isinstance(outcome, Refused):
-            self._feed(self.holder.lost_sight(self._now_s()))  # it may be another's by now
+            self._feed(self.lease_state.lost_sight(self._now_s()))  # it may be another's by now
         return outcome
 
     async def read(self, prefix: str) -> Done | None:
@@ -176,14 +176,14 @@
         """Have this stand for as long as our session does. The last one counts."""
         waiting = key in self._puts
         self._puts[key] = value
-        if not waiting and not self._closed and self.holder.session in (Session.IN, Session.WARY):
+        if not waiting and not self._closed and self.lease_state.session in (Session.IN, Session.WARY):
             self._begin(self._put_all(key))
         elif not waiting:
             del self._puts[key]
 
     async def _put_all(self, key: str) -> None:
         while key in self._puts:
-            value, lease = self._puts[key], self.holder.lease
+            value, lease = self._puts[key], self.lease_state.lease
             if not lease:
                 del self._puts[key]  # the session ended in this very turn: unbound it would stand for ever
                 return
@@ -195,15 +195,15 @@
 
     def unwell(self, why: str) -> None:
         """We can't do duties well; empty: we can again."""
-        self._feed(self.holder.unwell(self._now_s(), why))
+        self._feed(self.lease_state.unwell(self._now_s(), why))
 
     def wish(self, duty: str, wished: bool, why: str) -> None:
         """Contend for a duty or keep off it."""
-        self._feed(self.holder.wish(self._now_s(), duty, wished, why))
+        self._feed(self.lease_state.wish(self._now_s(), duty, wished, why))
 
     def yield_(self, duty: str, why: str) -> None:
         """Hand a duty on once."""
-        self._feed(self.holder.yield_(self._now_s(), duty, why))
+        self._feed(self.lease_state.yield_(self._now_s(), duty, why))
 
     @property
     def instances(self) -> Mapping[str, bytes]:
@@ -222,7 +222,7 @@
     async def leave(self) -> None:
         """Hand on all and end; at most a second where the store does not answer."""
         self._closed = True
-        self._feed(self.holder.leave(self._now_s()))
+        self._feed(self.lease_state.leave(self._now_s()))
         if self._timer is not None:
             self._timer.cancel()
         if self._watching is not None:
@@ -243,14 +243,14 @@
 
     def _wake(self) -> None:
         self._timer = None
-        self._feed(self.holder.tick(self._now_s() + LATE_S))
+        self._feed(self.lease_state.tick(self._now_s() + LATE_S))
 
     def _feed(self, effects: list[Effect]) -> None:
         for one in effects:
             if isinstance(one, Told):
                 self._history(one.event, detail=one.detail)
             elif isinstance(one, Began):
-                self._history("began", duty=one.duty, token=one.token, until=round(self.holder.until, 4))
+                self._history("began", duty=one.duty, token=one.token, until=round(self.lease_state.until, 4))
                 self.on_began(one.duty, one.token)
             elif isinstance(one, Ended):
                 self._history("ended", duty=one.duty, token=one.token, why=one.why)
@@ -261,8 +261,8 @@
                 self._begin(self._answer(one))
         if self._timer is not None:
             self._timer.cancel()
-        if not self._closed and self.holder.session not in (Session.LEFT, Session.ESTRANGED):
-            wait = max(self.holder.next_at() - self._now_s(), SOONEST_S)
+        if not self._closed and self.lease_state.session not in (Session.LEFT, Session.ESTRANGED):
+            wait = max(self.lease_state.next_at() - self._now_s(), SOONEST_S)
             self._timer = asyncio.get_running_loop().call_later(min(wait, self._terms.ttl_s), self._wake)
 
     def _begin(self, work: Coroutine[Any, Any, None]) -> None:
@@ -301,18 +301,18 @@
             outcome = await self._call("look", self._store.read(self._prefix + DUTY))
             if isinstance(outcome, Done):
                 found = {entry.key[len(self._prefix + DUTY) :]: entry for entry in outcome.entries}
-                for duty in self.holder.duties:
-                    self._feed(self.holder.seen(self._now_s(), duty, found.get(duty), outcome.revision))
+                for duty in self.lease_state.duties:
+                    self._feed(self.lease_state.seen(self._now_s(), duty, found.get(duty), outcome.revision))
         if self._closed and not isinstance(one, Release):
             return
-        self._feed(self.holder.answered(self._now_s(), one.call, outcome))
+        self._feed(self.lease_state.answered(self._now_s(), one.call, outcome))
         if isinstance(one, KeepLease) and isinstance(outcome, Done):
-            self._history("renewed", until=round(self.holder.until, 4))
+            self._history("renewed", until=round(self.lease_state.until, 4))
         if isinstance(one, Arrive):
             self._write_fares()
 
     def _claim(self) -> bytes:
-        return f"{self.holder.incarnation} {self._unix_s():.3f}".encode()
+        return f"{self.lease_state.incarnation} {self._unix_s():.3f}".encode()
 
     async def _call(self, kind: str, call: Coroutine[Any, Any, Outcome]) -> Outcome:
         """Make a call: bounded in time, counted, and its answer held against what was known before it."""
@@ -342,14 +342,14 @@
         return Unknown("the store is not the one we knew")
 
     def _went_back(self, why: str) -> None:
-        if self.holder.session is not Session.ESTRANGED:
-            self._feed(self.holder.answered(self._now_s(), 0, Unknown(why), floor_broken=why))
+        if self.lease_state.session is not Session.ESTRANGED:
+            self._feed(self.lease_state.answered(self._now_s(), 0, Unknown(why), floor_broken=why))
 
     # What stands there.
 
     async def _watch(self) -> None:
         failures = 0
-        while self.holder.session not in (Session.LEFT, Session.ESTRANGED):
+        while self.lease_state.session not in (Session.LEFT, Session.ESTRANGED):
             whole = await self.read("")
             if whole is not None:
                 failures = 0
@@ -361,7 +361,7 @@
                             self._changed(change)
                 except (WatchLostError, StoreError) as problem:
                     self._history("watch_lost", why=str(problem))
-                self._feed(self.holder.lost_sight(self._now_s()))
+                self._feed(self.lease_state.lost_sight(self._now_s()))
             failures += 1
             wait = min(WATCH_AGAIN_MOST_S, WATCH_AGAIN_S * 2 ** min(failures - 1, 10))
             await asyncio.sleep(wait * self._chance.uniform(0.5, 1.0))
@@ -378,8 +378,8 @@
             self.on_change(key, None)
         for one in news:
             self.on_change(one.key, one)
-        for duty in self.holder.duties:
-            self._feed(self.holder.seen(self._now_s(), duty, entries.get(DUTY + duty), revision))
+        for duty in self.lease_state.duties:
+            self._feed(self.lease_state.seen(self._now_s(), duty, entries.get(DUTY + duty), revision))
 
     def _changed(self, change: Change) -> None:
         key, entry = change.key[len(self._prefix) :], change.entry
@@ -395,19 +395,23 @@
             self._count()
         self.on_change(key, entry)
         if key.startswith(DUTY):
-            self._feed(self.holder.seen(self._now_s(), key[len(DUTY) :], entry, change.revision))
+            self._feed(self.lease_state.seen(self._now_s(), key[len(DUTY) :], entry, change.revision))
 
     def _count(self) -> None:
-        self.holder.instances = max(1, sum(key.startswith(INSTANCE) for key in self.entries))
+        self.lease_state.instances = max(1, sum(key.startswith(INSTANCE) for key in self.entries))
 
     def _write_fares(self) -> None:
-        if not self._fares_out and not self._closed and self.holder.session in (Session.IN, Session.WARY):
+        if (
+            not self._fares_out
+            and not self._closed
+            and self.lease_state.session in (Session.IN, Session.WARY)
+        ):
             self._fares_out = True
             self._begin(self._put_fares())
 
     async def _put_fares(self) -> None:
         key, written = self._prefix + INSTANCE + self.name, self._fares
-        lease = self.holder.lease
+        lease = self.lease_state.lease
         if not lease:
             # Guards against a session that ended in this very turn: unbound, our name would be taken for
             # ever, by ourselves. The next arrival writes it.
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -69,7 +69,7 @@
     wished: bool = True  # False: staff or the operator's file keep us off it
 
 
-class Holder:
+class LeaseState:
     """The beliefs of one instance.
 
     `incarnation`: this process' own word in every key it writes. `now` of all calls: seconds by a clock
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -20,7 +20,7 @@
 from coveport.sidecar.intent_log.takeover_worker import Takers
 from coveport.sidecar.intent_log.terms import WorkTerms
 from coveport.sidecar.leases.clock import boot_s
-from coveport.sidecar.leases.lease_client import INSTANCE, Keeper
+from coveport.sidecar.leases.lease_client import INSTANCE, LeaseClient
 from coveport.sidecar.leases.open_store import open_work
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Entry
@@ -60,14 +60,14 @@
         self,
         told: OperatorFile,
         config: Config,
-        keeper: Keeper,
+        lease_client: LeaseClient,
         incarnation: str,
         say: Callable[..., None],
         chance: random.Random,
     ) -> None:
         self._told = told
         self._config = config
-        self._keeper = keeper
+        self._lease_client = lease_client
         self._incarnation = incarnation
         self._say = say
         self._chance = chance
@@ -98,7 +98,7 @@
         )
         self.takers = Takers(
             recorder,
-            self._keeper.name,
+            self._lease_client.name,
             pace=Pace(self._terms.pace, BURST),
             now_s=boot_s,
             unix_s=time.time,
@@ -117,9 +117,9 @@
         counters.gauge("work_store_away", lambda: int(not journal.up))
 
     def _token(self) -> int:
-        if self._keeper.holder.session not in (Session.IN, Session.WARY):
+        if self._lease_client.lease_state.session not in (Session.IN, Session.WARY):
             return 0
-        entry = self._keeper.entries.get(INSTANCE + self._keeper.name)
+        entry = self._lease_client.entries.get(INSTANCE + self._lease_client.name)
         return entry.created if entry is not None else 0
 
     def serving(self) -> None:
--- a/coveport/sidecar/singletons/singleton.py
+++ b/coveport/sidecar/singletons/singleton.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from coveport.sidecar.leases.lease_client import STATE, Keeper
+from coveport.sidecar.leases.lease_client import STATE, LeaseClient
 from coveport.sidecar.leases.store import Compare, Delete, Done, Entry, Field, Put, Refused
 
 AGAIN_S = 0.1  # after a state that could not be read
@@ -45,12 +45,12 @@
 
     def __init__(
         self,
-        keeper: Keeper,
+        lease_client: LeaseClient,
         duty: Duty,
         now_s: Callable[[], float],
         did: Callable[[Step, int, int], None] = lambda step, token, revision: None,
     ) -> None:
-        self._keeper = keeper
+        self._lease_client = lease_client
         self.duty = duty
         self._now_s = now_s
         self._did = did
@@ -69,7 +69,7 @@
 
     async def read(self) -> tuple[bytes | None, int] | None:
         """The state and its revision; None where the store does not tell."""
-        found = await self._keeper.read(STATE + self.duty.name)
+        found = await self._lease_client.read(STATE + self.duty.name)
         if found is None:
             return None
         entry = next((one for one in found.entries if one.key == STATE + self.duty.name), None)
@@ -84,7 +84,7 @@
                 if known is None:
                     await asyncio.sleep(AGAIN_S)
                     continue
-            if self._keeper.holds(self.duty.name) == token:
+            if self._lease_client.holds(self.duty.name) == token:
                 known = await self._step(token, known)
                 if known is None:
                     continue
@@ -92,11 +92,11 @@
 
     async def _step(self, token: int, known: tuple[bytes | None, int]) -> tuple[bytes | None, int] | None:
         state, modified = known
-        step = self.duty.decide(self._now_s(), state, self._keeper.entries)
+        step = self.duty.decide(self._now_s(), state, self._lease_client.entries)
         if step is None:
             return known
         key = STATE + self.duty.name
-        outcome = await self._keeper.act(
+        outcome = await self._lease_client.act(
             self.duty.name,
             Put(key, step.state),
             *step.changes,
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -16,7 +16,7 @@
 from coveport.sidecar.config import platform
 from coveport.sidecar.config.operator import INSTANCES_MOST, OperatorFile, OperatorFileError, load
 from coveport.sidecar.leases.clock import boot_s
-from coveport.sidecar.leases.lease_client import DUTY, Keeper
+from coveport.sidecar.leases.lease_client import DUTY, LeaseClient
 from coveport.sidecar.leases.open_store import open_store
 from coveport.sidecar.supervisor import log_stream
 from coveport.sidecar.supervisor.control import Control
@@ -75,7 +75,7 @@
     async def run(self) -> int:
         """Until SIGTERM; the exit code."""
         told, chance = self._told, random.Random(uuid.uuid4().int)
-        keeper = Keeper(
+        lease_client = LeaseClient(
             open_store(told),
             name=self.name,
             incarnation=self.name,
@@ -90,7 +90,7 @@
         hands = Processes(told, self._config)
         supervisor = Supervisor(
             told,
-            keeper,
+            lease_client,
             hands,
             now_s=boot_s,
             chance=chance,
@@ -128,8 +128,10 @@
         while not supervisor.holding and not self._stop.is_set():
             # One that was just killed is gone within its time to live; one that is there then is at work.
             late = boot_s() > end
-            others = [name for name in supervisor.keeper.instances if name != supervisor.keeper.name]
-            held = any(key.startswith(DUTY) for key in supervisor.keeper.entries)
+            others = [
+                name for name in supervisor.lease_client.instances if name != supervisor.lease_client.name
+            ]
+            held = any(key.startswith(DUTY) for key in supervisor.lease_client.entries)
             if late and others and held:
                 self._tell(
                     f"{', '.join(sorted(others))} supervises {self._told.fleet.name} already; "
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from coveport.sidecar.config.operator import OperatorFile
-from coveport.sidecar.leases.lease_client import Keeper
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.singletons.singleton import Runner, Step
 from coveport.sidecar.supervisor.desired_state import Ask, FleetDuty, Plan
 from coveport.sidecar.supervisor.instance_set import Crew
@@ -35,7 +35,7 @@
     def __init__(
         self,
         told: OperatorFile,
-        keeper: Keeper,
+        lease_client: LeaseClient,
         hands: Hands,
         *,
         now_s: Callable[[], float],
@@ -45,16 +45,16 @@
         most: int = 1000,
     ) -> None:
         self.told = told
-        self.keeper = keeper
+        self.lease_client = lease_client
         self.hands = hands
         self._now_s = now_s
         self._say = say
         self._check = check
         self.crew = Crew(told.fleet, chance)
         self.duty = FleetDuty(told.fleet, lambda: self.crew.fares(self._now_s()), self._planned, most)
-        self._runner = Runner(keeper, self.duty, now_s, self._did)
-        keeper.on_began = self._began
-        keeper.on_ended = self._over
+        self._runner = Runner(lease_client, self.duty, now_s, self._did)
+        lease_client.on_began = self._began
+        lease_client.on_ended = self._over
         hands.ended = self._life_over
         self.holding = False
         self.on_holding: Callable[[bool], Awaitable[None]] | None = None
@@ -70,13 +70,13 @@
     def start(self) -> None:
         """Begin; there must be a running loop."""
         self._turn_at = self._now_s()
-        self.keeper.start()
+        self.lease_client.start()
         self._tasks.append(asyncio.ensure_future(self._turn()))
 
     async def leave(self) -> None:
         """Hand the duty on; what runs runs on."""
         self._stopping = True
-        await self.keeper.leave()
+        await self.lease_client.leave()
         for task in self._tasks:
             task.cancel()
         self.hands.let_go()
@@ -84,12 +84,12 @@
     @property
     def alone(self) -> bool:
         """Whether no other supervisor stands by."""
-        return not any(name != self.keeper.name for name in self.keeper.instances)
+        return not any(name != self.lease_client.name for name in self.lease_client.instances)
 
     @property
     def acts(self) -> bool:
         """Whether orders may be carried out at this moment."""
-        return self.holding and self.keeper.holds(self.duty.name) == self._token
+        return self.holding and self.lease_client.holds(self.duty.name) == self._token
 
     async def stop_all(self, within_s: float) -> bool:
         """End all instances, as many at a time as want to; whether all have."""
@@ -273,7 +273,7 @@
         fares = self.crew.fares(now)
         return {
             "fleet": self.told.fleet.name,
-            "supervisor": self.keeper.name,
+            "supervisor": self.lease_client.name,
             "holds": self.acts,
             "token": self._token if self.holding else 0,
             "count": plan.count if plan is not None else None,
--- a/coveport/testbed/fault_injection/broken_variants.py
+++ b/coveport/testbed/fault_injection/broken_variants.py
@@ -14,8 +14,8 @@
 
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.leases.effects import Effect
-from coveport.sidecar.leases.lease_client import DUTY, STATE, Keeper
-from coveport.sidecar.leases.lease_state import Holder
+from coveport.sidecar.leases.lease_client import DUTY, STATE, LeaseClient
+from coveport.sidecar.leases.lease_state import LeaseState
 from coveport.sidecar.leases.states import Session, State
 from coveport.sidecar.leases.store import (
     Compare,
@@ -40,8 +40,8 @@
     name: str
     about: str
     rules: tuple[str, ...] = ()
-    holder: Callable[..., Holder] = Holder
-    keeper: type[Keeper] = Keeper
+    holder: Callable[..., LeaseState] = LeaseState
+    lease_client: type[LeaseClient] = LeaseClient
     runner: type[Runner] = Runner
     drill: Callable[[str], Drill] = Drill
     warden: Callable[..., Warden] = Warden
@@ -51,7 +51,7 @@
 # Holders.
 
 
-class _FromTheAnswer(Holder):
+class _FromTheAnswer(LeaseState):
     def answered(self, now: float, call: int, outcome: Outcome, floor_broken: str = "") -> list[Effect]:
         asked = call in (self._session_call, self._renewal[0] if self._renewal else 0)
         done = super().answered(now, call, outcome, floor_broken)
@@ -66,18 +66,18 @@
         return self.ttl_s * 1.05  # no margin, no drift, and a timer's grace as one might grant oneself
 
 
-def _no_margin(incarnation: str, duties: tuple[str, ...], terms: Terms, chance: Any) -> Holder:
-    return Holder(incarnation, duties, _WholeTtl(terms.ttl_s, 1e-6, 0.0), chance)
+def _no_margin(incarnation: str, duties: tuple[str, ...], terms: Terms, chance: Any) -> LeaseState:
+    return LeaseState(incarnation, duties, _WholeTtl(terms.ttl_s, 1e-6, 0.0), chance)
 
 
-class _UnknownIsDone(Holder):
+class _UnknownIsDone(LeaseState):
     def _renewed(self, now: float, outcome: Outcome) -> None:
         if isinstance(outcome, Unknown):
             outcome = Done("", 0)
         super()._renewed(now, outcome)
 
 
-class _UnknownClaimIsOurs(Holder):
+class _UnknownClaimIsOurs(LeaseState):
     def _duty_answered(self, now: float, name: str, one: Any, outcome: Outcome) -> None:
         if one.state is State.CLAIMING and isinstance(outcome, Unknown):
             one.call = 0
@@ -86,7 +86,7 @@
         super()._duty_answered(now, name, one, outcome)
 
 
-class _UnknownClaimIsRefused(Holder):
+class _UnknownClaimIsRefused(LeaseState):
     def _see(self, now: float, name: str, one: Any, entry: Entry | None) -> None:
         # It takes a key that it finds for somebody else's, its own too.
         if entry is not None and one.state is not State.HELD:
@@ -96,14 +96,14 @@
         super()._see(now, name, one, entry)
 
 
-class _NeverOver(Holder):
+class _NeverOver(LeaseState):
     def _pass(self, now: float) -> None:
         if self.session in (Session.IN, Session.WARY) and now >= self._until - self.terms.margin_s:
             self._asked = now  # the clock alone never ends it: only the store's word does
         super()._pass(now)
 
 
-class _TakesOldNews(Holder):
+class _TakesOldNews(LeaseState):
     def seen(self, now: float, duty: str, entry: Entry | None, revision: int) -> list[Effect]:
         one = self.duties.get(duty)
         if one is not None:
@@ -113,13 +113,13 @@
         return super().seen(now, duty, entry, revision)
 
 
-class _NeverTriesAgain(Holder):
+class _NeverTriesAgain(LeaseState):
     def _over(self, now: float, why: str) -> None:
         super()._over(now, why)
         self._next = float("inf")
 
 
-class _KeepsTheLease(Holder):
+class _KeepsTheLease(LeaseState):
     """After its session is over it goes on with the same lease, and believes in what it held."""
 
     def _over(self, now: float, why: str) -> None:
@@ -132,7 +132,7 @@
 # Keepers.
 
 
-class _NoFence(Keeper):
+class _NoFence(LeaseClient):
     async def act(
         self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
     ) -> Outcome | None:
@@ -154,13 +154,13 @@
         return outcome
 
 
-class _ActsOnBelief(Keeper):
+class _ActsOnBelief(LeaseClient):
     """Holds its own word for enough, and fences with whatever token stands."""
 
     async def act(
         self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
     ) -> Outcome | None:
-        token = self.holder.believes(self._now_s(), duty)
+        token = self.lease_state.believes(self._now_s(), duty)
         if not token:
             return None
         self._history("act_sent", duty=duty, token=token, what=what)
@@ -178,26 +178,26 @@
         return outcome
 
 
-class _ClaimsOver(Keeper):
+class _ClaimsOver(LeaseClient):
     """Claims without a compare: whoever holds it loses it."""
 
     async def _call(self, kind: str, call: Any) -> Outcome:
         if kind == "claim":
             call.close()
-            duty = next(name for name, one in self.holder.duties.items() if one.state is State.CLAIMING)
+            duty = next(name for name, one in self.lease_state.duties.items() if one.state is State.CLAIMING)
             key = self._prefix + DUTY + duty
             call = self._store.commit(
-                Transaction((), (Put(key, self.holder.incarnation.encode(), self.holder.lease),))
+                Transaction((), (Put(key, self.lease_state.incarnation.encode(), self.lease_state.lease),))
             )
         return await super()._call(kind, call)
 
 
-class _ReleasesAnybodys(Keeper):
+class _ReleasesAnybodys(LeaseClient):
     """Deletes the key whosoever it is, and keeps no session's end to itself."""
 
     async def _call(self, kind: str, call: Any) -> Outcome:
-        if kind == "look" and self.holder.session is Session.IN:
-            for duty, one in self.holder.duties.items():
+        if kind == "look" and self.lease_state.session is Session.IN:
+            for duty, one in self.lease_state.duties.items():
                 if one.state is State.IDLE and self._chance.random() < 0.2:
                     await super()._call(
                         "release", self._store.commit(Transaction((), (Delete(self._prefix + DUTY + duty),)))
@@ -212,11 +212,11 @@
     """Sends a step whose end is unknown once more, without a look at what stands."""
 
     async def _step(self, token: int, known: tuple[bytes | None, int]) -> tuple[bytes | None, int] | None:
-        step = self.duty.decide(self._now_s(), known[0], self._keeper.entries)
+        step = self.duty.decide(self._now_s(), known[0], self._lease_client.entries)
         assert step is not None
         key = STATE + self.duty.name
         for _ in range(2):
-            outcome = await self._keeper.act(self.duty.name, Put(key, step.state), what=step.what)
+            outcome = await self._lease_client.act(self.duty.name, Put(key, step.state), what=step.what)
             if isinstance(outcome, Done):
                 return step.state, outcome.revision
         return None
@@ -226,9 +226,9 @@
     """After a step without an answer it goes on as if that had been done, or refused, as the draw falls."""
 
     async def _step(self, token: int, known: tuple[bytes | None, int]) -> tuple[bytes | None, int] | None:
-        step = self.duty.decide(self._now_s(), known[0], self._keeper.entries)
+        step = self.duty.decide(self._now_s(), known[0], self._lease_client.entries)
         assert step is not None
-        outcome = await self._keeper.act(
+        outcome = await self._lease_client.act(
             self.duty.name, Put(STATE + self.duty.name, step.state), what=step.what
         )
         return known if isinstance(outcome, Refused) or outcome is None else (step.state, 0)
@@ -238,13 +238,13 @@
     """Takes over from what it saw of the state before the duty was its own, and compares no revision."""
 
     async def read(self) -> tuple[bytes | None, int] | None:
-        entry = self._keeper.entries.get(STATE + self.duty.name)
+        entry = self._lease_client.entries.get(STATE + self.duty.name)
         return (None, 0) if entry is None else (entry.value, entry.modified)
 
     async def _step(self, token: int, known: tuple[bytes | None, int]) -> tuple[bytes | None, int] | None:
-        step = self.duty.decide(self._now_s(), known[0], self._keeper.entries)
+        step = self.duty.decide(self._now_s(), known[0], self._lease_client.entries)
         assert step is not None
-        outcome = await self._keeper.act(
+        outcome = await self._lease_client.act(
             self.duty.name, Put(STATE + self.duty.name, step.state), what=step.what
         )
         return (step.state, outcome.revision) if isinstance(outcome, Done) else None
@@ -293,13 +293,16 @@
     one.name: one
     for one in (
         Variant(
-            "no-fence", "acts compare neither token nor state", ("order", "once", "lost"), keeper=_NoFence
+            "no-fence",
+            "acts compare neither token nor state",
+            ("order", "once", "lost"),
+            lease_client=_NoFence,
         ),
         Variant(
             "acts-on-belief",
             "acts by its own belief, wary or not, without a compare",
             ("order", "once", "lost"),
-            keeper=_ActsOnBelief,
+            lease_client=_ActsOnBelief,
         ),
         Variant(
             "from-the-answer",
@@ -344,9 +347,12 @@
         Variant(
             "clock-stops", "its clock stands still while its machine sleeps", ("overlap",), clock_stops=True
         ),
-        Variant("claims-over", "claims without a compare", ("overlap", "order"), keeper=_ClaimsOver),
+        Variant("claims-over", "claims without a compare", ("overlap", "order"), lease_client=_ClaimsOver),
         Variant(
-            "releases-anybodys", "deletes a key that is not its own", ("overlap",), keeper=_ReleasesAnybodys
+            "releases-anybodys",
+            "deletes a key that is not its own",
+            ("overlap",),
+            lease_client=_ReleasesAnybodys,
         ),
         Variant(
             "steps-twice", "does a step again whose end is unknown", ("once", "lost"), runner=_StepsTwice
--- a/coveport/testbed/fault_injection/fleet/sim.py
+++ b/coveport/testbed/fault_injection/fleet/sim.py
@@ -18,7 +18,7 @@
     Stored,
     Work,
 )
-from coveport.sidecar.leases.lease_client import Keeper
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.supervisor.desired_state import FLEET, Phase, Plan
 from coveport.sidecar.supervisor.instance_state import End
 from coveport.sidecar.supervisor.supervisor import Supervisor
@@ -144,7 +144,7 @@
     number: int
     way: Way = field(default_factory=Way)
     process: Process | None = None
-    keeper: Keeper | None = None
+    lease_client: LeaseClient | None = None
     supervisor: Supervisor | None = None
     lives: int = 0
 
@@ -211,7 +211,7 @@
             if event == "fleet_taken_up":
                 self.began.append(self.world.now)
 
-        one.keeper = keeper = Keeper(
+        one.lease_client = lease_client = LeaseClient(
             SimStore(process, self.store, one.way, chance),
             name=name,
             incarnation=name,
@@ -224,7 +224,7 @@
         )
         hands = SimHands(self.host, process, name)
         one.supervisor = supervisor = self.variant.supervisor(
-            told, keeper, hands, now_s=now_s, chance=chance, say=say, check=lambda: self.fault
+            told, lease_client, hands, now_s=now_s, chance=chance, say=say, check=lambda: self.fault
         )
         if self.variant.crew is not None:
             supervisor.crew = self.variant.crew(told.fleet, chance)
--- a/coveport/testbed/fault_injection/model.py
+++ b/coveport/testbed/fault_injection/model.py
@@ -20,7 +20,7 @@
 
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.leases.effects import Arrive, AskLease, Claim, DropLease, KeepLease, Look, Release
-from coveport.sidecar.leases.lease_state import Holder
+from coveport.sidecar.leases.lease_state import LeaseState
 from coveport.sidecar.leases.store import (
     Compare,
     Delete,
@@ -63,7 +63,7 @@
     """A state of the small world."""
 
     now: float
-    holders: list[Holder]
+    holders: list[LeaseState]
     engine: Engine
     calls: list[tuple[int, Any]] = field(default_factory=list)  # who, and what was sent
     late: list[tuple[int, Any]] = field(
@@ -100,7 +100,7 @@
     kinds: tuple[str, ...] = KINDS
     lengths: tuple[int, ...] = LENGTHS
     terms: Terms = TERMS
-    holder: Callable[..., Holder] = Holder
+    holder: Callable[..., LeaseState] = LeaseState
     fence: bool = True
     warm: bool = True  # begin where one holds; else where all begin, and faults meet the first claims
 
--- a/coveport/testbed/fault_injection/parts.py
+++ b/coveport/testbed/fault_injection/parts.py
@@ -12,7 +12,7 @@
 import random
 from collections.abc import Callable
 
-from coveport.sidecar.leases.lease_client import History, Keeper
+from coveport.sidecar.leases.lease_client import History, LeaseClient
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.singletons.rollout import Follower
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        keeper: Keeper,
+        lease_client: LeaseClient,
         name: str,
         incarnation: str,
         duties: tuple[str, ...],
@@ -39,7 +39,7 @@
         history: History,
         chance: random.Random,
     ) -> None:
-        self._keeper = keeper
+        self._lease_client = lease_client
         self._name = name
         self._incarnation = incarnation
         self._duties = duties
@@ -50,12 +50,12 @@
         self._follower = Follower(name)
         self._granted = Granted(incarnation)
         self._tasks: list[asyncio.Task[None]] = []
-        keeper.on_change = self._changed
+        lease_client.on_change = self._changed
 
     def start(self) -> None:
         """Begin; there is a running loop."""
-        self._keeper.tell(self._follower.fares(self._incarnation, 1.0, 100))
-        self._keeper.start()
+        self._lease_client.tell(self._follower.fares(self._incarnation, 1.0, 100))
+        self._lease_client.start()
         if "warden@0" in self._duties:
             self._tasks.append(asyncio.ensure_future(self._wish()))
 
@@ -68,7 +68,7 @@
                 self._tasks.append(asyncio.ensure_future(self._use(taken[0], taken[1][NODE])))
 
     def _follow(self) -> None:
-        wanted = self._follower.wanted(self._keeper.entries)
+        wanted = self._follower.wanted(self._lease_client.entries)
         if wanted is None:
             return
         if wanted[1] is not None and BAD in wanted[1]:
@@ -76,16 +76,19 @@
         else:
             self._follower.took(wanted[0])
             self._history("runs", settings=wanted[0])
-        self._keeper.tell(self._follower.fares(self._incarnation, 1.0, 100))
+        self._lease_client.tell(self._follower.fares(self._incarnation, 1.0, 100))
 
     async def _wish(self) -> None:
         while True:
             await asyncio.sleep(WISH_S)
             age = self._world_s() - BORN_S
-            if 0 <= age < SAFE.warm_after_s and self._keeper.holder.session in (Session.IN, Session.WARY):
+            if 0 <= age < SAFE.warm_after_s and self._lease_client.lease_state.session in (
+                Session.IN,
+                Session.WARY,
+            ):
                 wish = self._granted.wish(self._now_s(), RATE, SERVICE_S, {NODE: (0, age)})
                 if wish is not None:
-                    self._keeper.put(NEED + self._name, wish)
+                    self._lease_client.put(NEED + self._name, wish)
 
     async def _use(self, until: float, count: int) -> None:
         await asyncio.sleep(max(0.0, until - self._now_s()) * self._chance.random())
--- a/coveport/testbed/fault_injection/virtual.py
+++ b/coveport/testbed/fault_injection/virtual.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from coveport.sidecar.config.terms import Terms
-from coveport.sidecar.leases.lease_client import Keeper
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Put, Transaction
 from coveport.sidecar.singletons.rollout import ASK, Rollout
@@ -36,7 +36,7 @@
     rate: float
     way: Way
     process: Process
-    keeper: Keeper | None = None
+    lease_client: LeaseClient | None = None
     runners: list[Runner] = field(default_factory=list)
     incarnation: str = ""
     lives: int = 0
@@ -97,7 +97,7 @@
         chance = random.Random(self.chance.random())
         terms = Terms(self.trial.ttl_s, self.trial.margin_s, self.trial.drift)
         store = SimStore(process, self.host, one.way, chance)
-        keeper = self.variant.keeper(
+        lease_client = self.variant.lease_client(
             store,
             name=f"s{one.number}",
             incarnation=incarnation,
@@ -106,7 +106,7 @@
             now_s=now_s,
             history=history,
             chance=chance,
-            holder=self.variant.holder,
+            lease_state=self.variant.holder,
         )
         drill = self.variant.drill(incarnation)
         drill.every_s = self.trial.drill_s
@@ -115,12 +115,12 @@
             "rollout": Rollout(hold_s=1.0, apply_s=20.0),
             "warden@0": self.variant.warden(0, incarnation, SAFE, self.trial.drift),
         }
-        runners = {name: self.variant.runner(keeper, duties[name], now_s) for name in self.trial.duties}
-        keeper.on_began = lambda duty, token: runners[duty].began(token)
-        keeper.on_ended = lambda duty, token, why: runners[duty].ended()
-        one.keeper, one.runners = keeper, list(runners.values())
+        runners = {name: self.variant.runner(lease_client, duties[name], now_s) for name in self.trial.duties}
+        lease_client.on_began = lambda duty, token: runners[duty].began(token)
+        lease_client.on_ended = lambda duty, token, why: runners[duty].ended()
+        one.lease_client, one.runners = lease_client, list(runners.values())
         part = Part(
-            keeper,
+            lease_client,
             f"s{one.number}",
             incarnation,
             self.trial.duties,
@@ -138,8 +138,8 @@
             self.faults += [
                 str(problem.get("exception") or problem["message"]) for problem in one.process.problems
             ]
-            if one.keeper is not None:
-                for name, count in one.keeper.calls.items():
+            if one.lease_client is not None:
+                for name, count in one.lease_client.calls.items():
                     self.calls[name] = self.calls.get(name, 0) + count
         one.process.kill()
 
@@ -152,11 +152,11 @@
             self.world.at(START_S + fault.at_s, self.strike, fault)
         self.world.run(START_S + self.trial.lasts_s)
         self.out = [
-            f"s{one.number} is {one.keeper.holder.session.value} at the end"
+            f"s{one.number} is {one.lease_client.lease_state.session.value} at the end"
             for one in self.instances
-            if one.keeper is not None
+            if one.lease_client is not None
             and one.process.alive
-            and one.keeper.holder.session not in (Session.IN, Session.WARY)
+            and one.lease_client.lease_state.session not in (Session.IN, Session.WARY)
         ]
         for one in self.instances:
             self.end(one)
@@ -167,8 +167,8 @@
             for one in self.instances:
                 if (
                     one.process.alive
-                    and one.keeper is not None
-                    and any(one.keeper.holder.believes(1e-9, duty) for duty in self.trial.duties)
+                    and one.lease_client is not None
+                    and any(one.lease_client.lease_state.believes(1e-9, duty) for duty in self.trial.duties)
                 ):
                     return one
             return self.instances[0]
@@ -220,19 +220,19 @@
             self.end(one)
             self.world.at(over, self.again, one)
         elif kind in ("leave", "yield", "unwell"):
-            keeper, process = one.keeper, one.process
-            if keeper is None or not process.alive:
+            lease_client, process = one.lease_client, one.process
+            if lease_client is None or not process.alive:
                 return
             if kind == "leave":
-                process.call_soon(lambda: process.create_task(keeper.leave()))
+                process.call_soon(lambda: process.create_task(lease_client.leave()))
                 self.world.at(self.world.now + LET_GO_S, self.end, one)
                 self.world.at(over + LET_GO_S, self.again, one)
             elif kind == "yield":
                 for duty in self.trial.duties:
-                    process.call_soon(keeper.yield_, duty, "staff")
+                    process.call_soon(lease_client.yield_, duty, "staff")
             else:
-                process.call_soon(keeper.unwell, "can't reach nodes")
-                self.world.at(over, lambda: process.call_soon(keeper.unwell, ""))
+                process.call_soon(lease_client.unwell, "can't reach nodes")
+                self.world.at(over, lambda: process.call_soon(lease_client.unwell, ""))
         else:
             self.way(one, kind, fault.share, over)
 
@@ -298,7 +298,7 @@
         findings += [
             judge.Finding("crash", end, f"s{one.number} is estranged")
             for one in self.instances
-            if one.keeper is not None and one.keeper.holder.session is Session.ESTRANGED
+            if one.lease_client is not None and one.lease_client.lease_state.session is Session.ESTRANGED
         ]
         lived = trial.lasts_s * trial.instances
         return Played(
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -20,7 +20,7 @@
 from coveport.sidecar.intent_log.record import Record, RecordError, decode
 from coveport.sidecar.intent_log.sharing import Pace
 from coveport.sidecar.intent_log.terms import WorkTerms
-from coveport.sidecar.leases.lease_client import INSTANCE, Keeper
+from coveport.sidecar.leases.lease_client import INSTANCE, LeaseClient
 from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.reducer.operation import Operation
@@ -163,7 +163,7 @@
     way: Way
     node_way: NodeWay
     process: Process
-    keeper: Keeper | None = None
+    lease_client: LeaseClient | None = None
     hands: SimHands | None = None
     recorder: object = None
     lives: int = 0
@@ -240,7 +240,7 @@
             self.counts[what] = self.counts.get(what, 0) + 1
 
         variant, trial = self.variant, self.trial
-        keeper = Keeper(
+        lease_client = LeaseClient(
             SimStore(process, self.host, one.way, chance),
             name=name,
             incarnation=incarnation,
@@ -250,15 +250,15 @@
             history=say,
             chance=chance,
         )
-        one.keeper = keeper
+        one.lease_client = lease_client
         one.hands = hands = SimHands(self.world, process, self.nodes, self.settings, one.node_way, chance)
         presence = Presence(incarnation, trial.ttl_s)
         terms = WorkTerms(frozenset({"earn", "redeem"}), frozenset(trial.refuse), call_s=CALL_S)
         journal = variant.journal(SimStore(process, self.host, one.way, chance), now_s, CALL_S, say)
 
         def token() -> int:
-            entry = keeper.entries.get(INSTANCE + name)
-            inside = keeper.holder.session in (Session.IN, Session.WARY)
+            entry = lease_client.entries.get(INSTANCE + name)
+            inside = lease_client.lease_state.session in (Session.IN, Session.WARY)
             return entry.created if inside and entry is not None else 0
 
         layout = variant.layout(PREFIX, trial.kept_s)
@@ -303,18 +303,18 @@
                 takers.gone(presence.gone(now_s(), other))
             presence.here(other, word)
 
-        keeper.on_change = changed
+        lease_client.on_change = changed
 
         def start() -> None:
-            keeper.tell(json.dumps({"incarnation": incarnation}).encode())
-            keeper.start()
+            lease_client.tell(json.dumps({"incarnation": incarnation}).encode())
+            lease_client.start()
             recorder.start()
             takers.start()
 
         async def leave() -> None:
             takers.stop()
             await recorder.leaving(2.0)
-            await keeper.leave()
+            await lease_client.leave()
 
         one.counts = {}
         self._leave = getattr(self, "_leave", {})
--- a/tests/sidecar/leases/test_lease_client.py
+++ b/tests/sidecar/leases/test_lease_client.py
@@ -5,7 +5,7 @@
 import random
 
 from coveport.sidecar.config.terms import Terms
-from coveport.sidecar.leases.lease_client import Keeper
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.states import Session
 from coveport.testbed.fault_injection.simstore import Host, SimStore, Way
 from coveport.testbed.simulated_network.world import Process, World
@@ -16,7 +16,7 @@
     world = World()
     host, process = Host(world), Process.start(world, "one")
     host.start()
-    keeper = Keeper(
+    lease_client = LeaseClient(
         SimStore(process, host, Way(), random.Random(1)),
         name="s0",
         incarnation="s0#1",
@@ -26,20 +26,20 @@
         history=lambda event, **fields: None,
         chance=random.Random(1),
     )
-    process.call_soon(keeper.start)
+    process.call_soon(lease_client.start)
     world.run(world.now + 2)
-    assert keeper.holder.session is Session.IN
+    assert lease_client.lease_state.session is Session.IN
 
     def both() -> None:
-        keeper.put("look/n", b"seen")
-        keeper.tell(b'{"runs": "x"}')
-        keeper.holder._asked = -1e9  # as after a stall far beyond the lease
-        keeper._wake()
-        assert keeper.holder.session is Session.OUT
+        lease_client.put("look/n", b"seen")
+        lease_client.tell(b'{"runs": "x"}')
+        lease_client.lease_state._asked = -1e9  # as after a stall far beyond the lease
+        lease_client._wake()
+        assert lease_client.lease_state.session is Session.OUT
 
     process.call_soon(both)
     world.run(world.now + 1)
     assert all(one.lease for key, one in host.engine.entries.items() if not key.startswith("coveport/state/"))
     world.run(world.now + 10)
-    assert keeper.holder.session is Session.IN
+    assert lease_client.lease_state.session is Session.IN
     assert host.engine.entries["coveport/instance/s0"].value == b'{"runs": "x"}'
--- a/tests/sidecar/leases/test_lease_state.py
+++ b/tests/sidecar/leases/test_lease_state.py
@@ -21,15 +21,15 @@
     Release,
     Told,
 )
-from coveport.sidecar.leases.lease_state import Holder
+from coveport.sidecar.leases.lease_state import LeaseState
 from coveport.sidecar.leases.states import Session, State
 from coveport.sidecar.leases.store import Done, Entry, Refused, Unknown
 
 TERMS = Terms(3.0, 0.2, 0.02)
 
 
-def fresh(seed: int = 1) -> Holder:
-    return Holder("me", ("d",), TERMS, random.Random(seed))
+def fresh(seed: int = 1) -> LeaseState:
+    return LeaseState("me", ("d",), TERMS, random.Random(seed))
 
 
 T = TypeVar("T")
@@ -41,7 +41,7 @@
     return found[0]
 
 
-def arrived(one: Holder, at: float = 10.0, took: float = 0.5) -> float:
+def arrived(one: LeaseState, at: float = 10.0, took: float = 0.5) -> float:
     """In session, asked at `at`; the time of the last answer."""
     ask = only(one.tick(at), AskLease)
     come = only(one.answered(at + took, ask.call, Done("s", 5, lease=7, ttl_s=3.0)), Arrive)
@@ -50,7 +50,7 @@
     return at + 2 * took
 
 
-def held(one: Holder, at: float = 10.0) -> tuple[float, int]:
+def held(one: LeaseState, at: float = 10.0) -> tuple[float, int]:
     """Holding `d`; now, and its token."""
     now = arrived(one, at, 0.1)
     one.seen(now, "d", None, 6)
--- a/tests/testbed/test_fault_injection_model.py
+++ b/tests/testbed/test_fault_injection_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from coveport.sidecar.leases.lease_state import Holder
+from coveport.sidecar.leases.lease_state import LeaseState
 from coveport.testbed.fault_injection import broken_variants
 from coveport.testbed.fault_injection.model import World
 
@@ -56,5 +56,5 @@
     ids=range(5),
 )
 def test_a_broken_one_is_seen(world: dict[str, Any], what: str) -> None:
-    report = World(contenders=2, steps=4, **{"holder": Holder} | world).explore()
+    report = World(contenders=2, steps=4, **{"holder": LeaseState} | world).explore()
     assert any(what in found for found in report.findings)
