--- a/coveport/serving/coordinator/core.py
+++ b/coveport/serving/coordinator/core.py
@@ -110,7 +110,7 @@
         late_s = now - self._ticked_s - TICK_S
         if late_s > STALL_S:
             self._ticked_s = now
-            self._log.warning("stalled", seconds=round(late_s, 2))
+            self._log.warning("process_stalled", seconds=round(late_s, 2))
             self._hooks.stalled(late_s)
 
     def _tick(self) -> None:
@@ -128,7 +128,7 @@
         view = self.member.describe()
         if view != self._said:
             self._said = view
-            self._log.info("core", **view)
+            self._log.info("view_changed", **view)
 
     def _carry_out_all(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -147,9 +147,9 @@
             case CommittedState():
                 self._hooks.committed(effect)
             case Complaint(sender, problem):
-                self._log.error("message_refused", sender=sender, problem=problem)
+                self._log.error("message_rejected", sender=sender, error=problem)
 
     def _persisted(self, token: int, error: OSError | None) -> None:
         if error is not None:
-            self._log.error("disk_refused", problem=str(error))
+            self._log.error("disk_write_failed", error=str(error))
         self._handle(Persisted(token) if error is None else PersistFailed(token))
--- a/coveport/serving/coordinator/node_calls.py
+++ b/coveport/serving/coordinator/node_calls.py
@@ -37,10 +37,10 @@
         """A node says that it lives, and in what state."""
         node = read_heartbeat(call.rest, call.body, self._regions)
         if isinstance(node, Refusal):
-            self._log.warning("heartbeat_refused", node=call.rest, reason=node.reason)
+            self._log.warning("heartbeat_rejected", node=call.rest, reason=node.reason)
             return json_reply(400, {ERROR: node.reason})
         if not await self._reporting.take(node):
-            self._log.warning("heartbeat_unconfirmed", node=node.incarnation, state=node.state.value)
+            self._log.warning("heartbeat_not_replicated", node=node.incarnation, state=node.state.value)
             return json_reply(503, {ERROR: "no other coordinator confirmed it"})
         if node.state is NodeState.ACCEPTING and not self._is_connected():
             return json_reply(503, {ERROR: "out of touch with the core"})
@@ -51,7 +51,7 @@
         """A node leaves."""
         if not await self._reporting.take(goodbye(call.rest)):
             return json_reply(503, {ERROR: "no other coordinator confirmed it"})
-        self._log.info("node_left", node=call.rest)
+        self._log.info("node_deregistered", node=call.rest)
         return json_reply(200, {})
 
 
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -138,7 +138,7 @@
     async def start(self) -> None:
         """Listen, and take part in the core."""
         if self._damage:
-            self._log.error("disk_damaged", problem=self._damage)
+            self._log.error("disk_corrupted", error=self._damage)
         self._listening = await self._net.listen(
             lambda: Connection(self._net, self._came, self._ended, self.traffic, self._refused),
             self._settings.inner,
@@ -219,7 +219,7 @@
     def _greeted(self, connection: Connection, hello: Hello) -> None:
         """A peer says who it is, once a connection; our own identity elsewhere is a copied disk."""
         if hello.disk == self._member_id.disk:
-            self._log.error("identity_of_ours", address=hello.address)
+            self._log.error("duplicate_identity", address=hello.address)
             connection.drop()
         elif connection.peer is not None:
             connection.drop()
@@ -228,7 +228,7 @@
 
     def _refused(self, connection: Connection, problem: str) -> None:
         """What came is no message of this version: the peer is another program, or of another version."""
-        self._log.error("frame_refused", sender=connection.peer_host, problem=problem)
+        self._log.error("frame_rejected", sender=connection.peer_host, error=problem)
 
     def _ended(self, connection: Connection) -> None:
         self.subscriptions.ended(connection)
@@ -279,7 +279,7 @@
         if self.standing.is_connected() != was_connected:
             self.subscriptions.news()
         for incarnation in self.table.expire(now):
-            self._log.warning("node_silent", node=incarnation)
+            self._log.warning("node_timed_out", node=incarnation)
             self.subscriptions.news()
         self.leases.expire(now)
         self._lost.note_alive(self._live_coordinators(), now)
--- a/coveport/serving/log.py
+++ b/coveport/serving/log.py
@@ -47,7 +47,7 @@
             raise structlog.DropEvent
         span[1] += 1
         if span[2]:
-            event["left_out"] = int(span[2])
+            event["suppressed"] = int(span[2])
             span[2] = 0
         return event
 
--- a/coveport/serving/proxy/process.py
+++ b/coveport/serving/proxy/process.py
@@ -94,7 +94,7 @@
 
     def _tell_figures(self) -> None:
         self._figures = self._net.loop.call_later(FIGURES_S, self._tell_figures)
-        self._log.info("figures", **self.data_path.figures())
+        self._log.info("proxy_metrics", **self.data_path.figures())
 
 
 def run(settings_path: str) -> int:
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -120,13 +120,13 @@
             departed = ()
             update = await self._answer_on(connection)
             if update is None:
-                self._log.warning("coordinator_silent", coordinator=address)
+                self._log.warning("coordinator_timed_out", coordinator=address)
                 return None
             self._take(update)
             if self._wants_whole_state and update.state is not None:
                 return None  # what this one holds can't be read
             if not update.connected:
-                self._log.debug("coordinator_out_of_touch", coordinator=address)
+                self._log.debug("coordinator_without_quorum", coordinator=address)
                 return None
             nearer = self._choice.better_than(address, self._net.now_s())
             if nearer is not None:
@@ -191,7 +191,7 @@
         try:
             return decode_state(data)
         except MalformedMessageError as problem:
-            self._log.error("state_unreadable", problem=str(problem))
+            self._log.error("snapshot_rejected", error=str(problem))
             return None
 
     def _replay(self, changes: tuple[StateChange, ...]) -> ControlState | None:
@@ -199,7 +199,7 @@
         for change in changes:
             applied = _applied(state, change.command)
             if applied is None:
-                self._log.error("change_not_applied", sequence=change.sequence)
+                self._log.error("change_rejected", sequence=change.sequence)
                 return None
             state = applied.state
         return state
@@ -213,10 +213,10 @@
             return
         configuration = read_configuration(state.configuration_text)
         if isinstance(configuration, Refusal):
-            self._log.error("configuration_unreadable", edition=state.edition, reason=configuration.reason)
+            self._log.error("configuration_rejected", edition=state.edition, reason=configuration.reason)
             return
         self._view.configuration = configuration
-        self._log.info("configuration_in_force", edition=state.edition, sequence=self._sequence)
+        self._log.info("configuration_activated", edition=state.edition, sequence=self._sequence)
 
     def _take_nodes(self, update: Update, now: float) -> bool:
         before = self._view.nodes
--- a/coveport/serving/settings/reload.py
+++ b/coveport/serving/settings/reload.py
@@ -25,6 +25,6 @@
     """Read the file again and say what the next start will change."""
     after = read_boot_settings(path)
     if isinstance(after, Refusal):
-        log.error("settings_refused", findings=[str(finding) for finding in after.findings])
+        log.error("settings_rejected", findings=[str(finding) for finding in after.findings])
         return
     log.info("settings_changed", at_next_start=list(changed_fields(running, after)))
--- a/tests/serving/cli/test_day_explained.py
+++ b/tests/serving/cli/test_day_explained.py
@@ -99,13 +99,13 @@
 
 def test_warnings_are_counted_by_event() -> None:
     lines = [
-        "  34.1 proxy-1 at=1.000 level=warning event=coordinator_silent coordinator=10.0.0.1:7300",
-        "at=2.000 level=info event=figures requests=4",
-        "at=3.000 level=error event=disk_refused problem=full",
-        "at=4.000 level=warning event=coordinator_silent coordinator=10.0.0.2:7300",
+        "  34.1 proxy-1 at=1.000 level=warning event=coordinator_timed_out coordinator=10.0.0.1:7300",
+        "at=2.000 level=info event=proxy_metrics requests=4",
+        "at=3.000 level=error event=disk_write_failed error=full",
+        "at=4.000 level=warning event=coordinator_timed_out coordinator=10.0.0.2:7300",
         "something else",
     ]
-    assert count_warnings(lines) == {"coordinator_silent": 2, "disk_refused": 1}
+    assert count_warnings(lines) == {"coordinator_timed_out": 2, "disk_write_failed": 1}
 
 
 def run(*words: str) -> int:
@@ -119,7 +119,7 @@
 def test_the_verb_prints_tables(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file, log = tmp_path / "day.json", tmp_path / "log"
     file.write_text(json.dumps(REPORT))
-    log.write_text("at=1.0 level=warning event=stalled seconds=2\n")
+    log.write_text("at=1.0 level=warning event=process_stalled seconds=2\n")
     assert run(str(file), "--log", str(log)) == 0
     printed = capsys.readouterr().out
     assert "worst windows    0.1500" in printed and "processor seconds" not in printed
--- a/tests/serving/coordinator/test_starting_together.py
+++ b/tests/serving/coordinator/test_starting_together.py
@@ -148,7 +148,7 @@
         seconds(line)
         for machine in day.coordinators
         for line in machine.log_lines
-        if "event=core role=primary epoch=2 " in line
+        if "event=view_changed role=primary epoch=2 " in line
     )
     serving_s = [
         max(seconds(line) for line in machine.log_lines if "event=proxy_serving" in line)
--- a/tests/serving/proxy/test_subscription.py
+++ b/tests/serving/proxy/test_subscription.py
@@ -66,7 +66,7 @@
     subscription._take(update(4, None, bad))
     assert view.evacuated_zones == {"a"}, "what it has stays in force"
     assert subscription._request(()).state_sequence == -1
-    assert log.events == ["change_not_applied"]
+    assert log.events == ["change_rejected"]
     subscription._take(update(4, encode_state(ControlState(evacuated=frozenset({"a", "b"})))))
     assert view.evacuated_zones == {"a", "b"}
     assert subscription._request(()).state_sequence == 4
@@ -78,7 +78,7 @@
     subscription._take(update(5, WHOLE[:-1] + bytes([WHOLE[-1] ^ 1])))
     assert view.evacuated_zones == {"a"}
     assert subscription._request(()).state_sequence == -1
-    assert log.events == ["state_unreadable"]
+    assert log.events == ["snapshot_rejected"]
     subscription._take(update(3, WHOLE))
     assert view.evacuated_zones == {"a"}, "it never goes back"
 
--- a/tests/serving/settings/test_settings_reload.py
+++ b/tests/serving/settings/test_settings_reload.py
@@ -38,7 +38,7 @@
     path.write_text(PROXY.replace("BeatMs = 1200", "BeatMs = -1"), encoding="utf-8")
     reload_settings(str(path), taken(PROXY), log)
     [(event, values)] = log.told
-    assert event == "settings_refused"
+    assert event == "settings_rejected"
     assert len(values["findings"]) == 1
     assert "BeatMs" in values["findings"][0]
 
@@ -46,4 +46,4 @@
 def test_a_file_that_is_gone_changes_nothing(tmp_path: Path) -> None:
     log = Lines()
     reload_settings(str(tmp_path / "none.toml"), taken(PROXY), log)
-    assert [event for event, _ in log.told] == ["settings_refused"]
+    assert [event for event, _ in log.told] == ["settings_rejected"]
--- a/tests/serving/simulation/test_control_days.py
+++ b/tests/serving/simulation/test_control_days.py
@@ -363,8 +363,8 @@
 
     told.order(AT_S, speak)
     told.play(AT_S + 4.0)
-    assert sum("frame_refused" in line for line in machine.log_lines) == 1
-    assert not any("frame_refused" in line for line in day.coordinators[0].log_lines)
+    assert sum("frame_rejected" in line for line in machine.log_lines) == 1
+    assert not any("frame_rejected" in line for line in day.coordinators[0].log_lines)
 
 
 def test_a_coordinator_refuses_what_its_own_identity_says_from_elsewhere() -> None:
@@ -383,5 +383,5 @@
 
     told.at(AT_S, impersonate)
     day.play(AT_S + 4.0)
-    assert any("identity_of_ours" in line for line in real.log_lines)
-    assert not any("identity_of_ours" in line for line in day.coordinators[2].log_lines)
+    assert any("duplicate_identity" in line for line in real.log_lines)
+    assert not any("duplicate_identity" in line for line in day.coordinators[2].log_lines)
--- a/tests/serving/simulation/test_recorded_days.py
+++ b/tests/serving/simulation/test_recorded_days.py
@@ -96,7 +96,7 @@
         float(line.split()[0].removeprefix("at=")) - day.traffic_from_s
         for machine in day.coordinators
         for line in machine.log_lines
-        if f"event=core role=primary epoch={epoch} " in line
+        if f"event=view_changed role=primary epoch={epoch} " in line
     ]
     return min(times)
 
@@ -126,7 +126,7 @@
     day, result = play(frozen_primary_and_a_cold_zone, seed)
     assert_changes_answered(result)
     frozen = day.coordinators[0]
-    assert any("event=stalled" in line for line in frozen.log_lines)  # how operators see it
+    assert any("event=process_stalled" in line for line in frozen.log_lines)  # how operators see it
     assert led_from_s(day, 2) - FROZEN_S < TAKEN_OVER_S
     assert served_between(day, result, 4.0, 9.0) > 0.97  # while it stood still, and with a node less
 
--- a/tests/serving/test_log_events.py
+++ b/tests/serving/test_log_events.py
@@ -97,16 +97,37 @@
     assert sorted(told()) == sorted(logged())
 
 
-def test_the_page_has_the_keys_of_the_core() -> None:
+def test_the_page_has_the_keys_of_a_view_change() -> None:
     keys = keys_returned_by(SYSTEM / "replication" / "member.py", "describe")
     assert len(keys) > 5
-    assert table("The keys of `core`") == keys
+    assert table("The keys of `view_changed`") == keys
 
 
 def test_the_page_has_what_a_proxy_counts() -> None:
     assert len(counted()) > 10
     keys = counted() | keys_returned_by(SYSTEM / "proxy" / "data_path.py", "figures")
-    assert table("The figures of a proxy") == keys
+    assert table("The keys of `proxy_metrics`") == keys
+
+
+def renamed(kind: str) -> dict[str, str]:
+    """New names of events or keys by their old ones, as the page has them."""
+    rows = re.findall(r"^\| `(\w+)` \| `(\w+)` \| (\w+) \|", PAGE, re.MULTILINE)
+    return {old: new for old, new, row_kind in rows if row_kind == kind}
+
+
+def test_the_page_has_the_old_names_of_events_that_are_logged() -> None:
+    names = {event.name for event in logged()}
+    events = renamed("event")
+    assert len(events) > 10
+    assert set(events.values()) <= names
+    assert not events.keys() & names
+
+
+def test_no_event_has_a_key_under_its_old_name() -> None:
+    keys = {key for event in logged() for key in event.keys}
+    old_keys = renamed("key").keys()
+    assert len(old_keys) > 1
+    assert not old_keys & keys
 
 
 def test_maps_are_spread_into_keys_only_where_the_page_tells_them() -> None:
