--- a/coveport/serving/configuration/state.py
+++ b/coveport/serving/configuration/state.py
@@ -22,7 +22,8 @@
 from coveport.serving.configuration.reader import check_document, keep_document, read_document
 from coveport.serving.model.findings import Finding, Refusal
 from coveport.serving.replication.outcomes import Applied, Refused
-from coveport.serving.wire.codec import MalformedMessageError, MessageCodec
+from coveport.serving.wire.codec import MessageCodec
+from coveport.serving.wire.errors import MalformedMessageError
 from coveport.serving.wire.names import Config
 
 __all__ = [
--- a/coveport/serving/coordinator/control.py
+++ b/coveport/serving/coordinator/control.py
@@ -22,7 +22,7 @@
     UnreadableStateError,
 )
 from coveport.serving.web.calls import Reply, json_reply
-from coveport.serving.wire.codec import MalformedMessageError
+from coveport.serving.wire.errors import MalformedMessageError
 from coveport.serving.wire.names import ERROR, Config
 
 PRIMARY_WAIT_S = 0.88  # callers move on after a second of silence; the way takes up to 0.1 s of it
--- a/coveport/serving/coordinator/lost_coordinators.py
+++ b/coveport/serving/coordinator/lost_coordinators.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from coveport.serving.wire.messages import CoordinatorPlace
+from coveport.serving.wire.messages import CoordinatorEndpoint
 
 FARTHEST = 2  # the distance of another region; 1: the same region, 0: the same zone
 NOTED_S = 1.0  # who was alive so lately may be back at once: its process was killed, or stopped in turn
@@ -20,11 +20,11 @@
 class LostCoordinators:
     """Places by inner address, and when each was last alive."""
 
-    own: CoordinatorPlace
-    _places: dict[str, CoordinatorPlace] = field(default_factory=dict)
+    own: CoordinatorEndpoint
+    _places: dict[str, CoordinatorEndpoint] = field(default_factory=dict)
     _alive_at_s: dict[str, float] = field(default_factory=dict)
 
-    def note_alive(self, places: Iterable[CoordinatorPlace], now_s: float) -> None:
+    def note_alive(self, places: Iterable[CoordinatorEndpoint], now_s: float) -> None:
         """These are alive now."""
         for place in places:
             self._places[place.address] = place
@@ -42,7 +42,7 @@
         return now_s - self._alive_at_s[address] > NOTED_S
 
     @staticmethod
-    def _distance(place: CoordinatorPlace, zone: str, region: str) -> int:
+    def _distance(place: CoordinatorEndpoint, zone: str, region: str) -> int:
         if place.zone == zone:
             return 0
         return 1 if place.region == region else FARTHEST
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -32,14 +32,14 @@
 from coveport.serving.web.server import CallServer
 from coveport.serving.wire.connection import Connection
 from coveport.serving.wire.messages import (
-    AsksElsewhere,
-    CoordinatorPlace,
+    CoordinatorEndpoint,
     Hello,
     LeasesRenewed,
     Message,
     NodeReports,
-    NodeReportsTaken,
+    NodeReportsAck,
     TableRequest,
+    Unsubscribe,
     UpdateRequest,
 )
 from coveport.serving.wire.traffic import Traffic
@@ -110,7 +110,7 @@
         self._reporting = NodeReporting(
             net, self.table, report_peers, copies, self.subscriptions.news, chance.getrandbits(48)
         )
-        own_place = CoordinatorPlace(self._address, settings.zone, settings.region)
+        own_place = CoordinatorEndpoint(self._address, settings.zone, settings.region)
         self._lost = LostCoordinators(own_place)
         self._damage = opened.damage
         self._servers = self._make_servers()
@@ -199,9 +199,11 @@
             ],
         }
 
-    def _live_coordinators(self) -> tuple[CoordinatorPlace, ...]:
+    def _live_coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
         places = self._member.live_places(self._net.now_s())
-        return tuple(CoordinatorPlace(address, place.zone, place.region) for address, place in places.items())
+        return tuple(
+            CoordinatorEndpoint(address, place.zone, place.region) for address, place in places.items()
+        )
 
     def _came(self, connection: Connection, message: Message) -> None:
         self.core.look_for_stall()
@@ -211,7 +213,7 @@
             case UpdateRequest():
                 self._reporting.told_departed(message.departed)
                 self.subscriptions.ask(connection, message)
-            case AsksElsewhere():
+            case Unsubscribe():
                 self.subscriptions.left(connection)
             case _ if isinstance(connection.peer, Hello):
                 self._peers.heard(connection.peer, message)
@@ -237,7 +239,7 @@
         match message:
             case NodeReports():
                 self._reporting.passed_on(hello.address, message)
-            case NodeReportsTaken():
+            case NodeReportsAck():
                 self._reporting.taken(MemberId(hello.address, hello.disk), message)
             case LeasesRenewed():
                 for lease in message.leases:
--- a/coveport/serving/coordinator/reports.py
+++ b/coveport/serving/coordinator/reports.py
@@ -20,7 +20,7 @@
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.model.node import Node, NodeState, goodbye
 from coveport.serving.replication.identity import Epoch, MemberId
-from coveport.serving.wire.messages import Message, NodeReports, NodeReportsTaken
+from coveport.serving.wire.messages import Message, NodeReports, NodeReportsAck
 
 CONFIRM_S = 0.75  # the node waits a second for the acknowledgement
 ASK_AGAIN_S = 0.25  # what was asked may be lost with a connection, or the views differed for a moment
@@ -100,8 +100,8 @@
     def passed_on(self, sender: str, reports: NodeReports) -> None:
         """Another coordinator took these, or heard of them from a third."""
         self._take_in(reports.nodes, sender)
-        if reports.confirm:
-            self._peers.send(sender, NodeReportsTaken(reports.confirm, self._peers.view_epoch()))
+        if reports.confirmation_id:
+            self._peers.send(sender, NodeReportsAck(reports.confirmation_id, self._peers.view_epoch()))
 
     def told_departed(self, incarnations: Iterable[str]) -> None:
         """A proxy remembers that these have left: after all coordinators were restarted, it alone does."""
@@ -117,9 +117,9 @@
         if leaving:
             self._share(0, leaving, [peer for peer in self._peers.known() if peer != sender])
 
-    def taken(self, sender: MemberId, message: NodeReportsTaken) -> None:
+    def taken(self, sender: MemberId, message: NodeReportsAck) -> None:
         """Another coordinator holds what we shared."""
-        confirmation = self._confirmations.get(message.confirm)
+        confirmation = self._confirmations.get(message.confirmation_id)
         if confirmation is None:
             return
         confirmation.holders[sender] = message.view
@@ -138,9 +138,9 @@
         if nodes:
             self._peers.send(peer, NodeReports(0, nodes))
 
-    def _share(self, confirm: int, nodes: tuple[Node, ...], peers: list[str]) -> None:
+    def _share(self, confirmation_id: int, nodes: tuple[Node, ...], peers: list[str]) -> None:
         for peer in peers:
-            self._peers.send(peer, NodeReports(confirm, nodes))
+            self._peers.send(peer, NodeReports(confirmation_id, nodes))
 
     def begin_confirmation(self, node: Node) -> Confirmation:
         """Share a report with all and ask who holds it."""
--- a/coveport/serving/coordinator/standing.py
+++ b/coveport/serving/coordinator/standing.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from coveport.serving.wire.messages import CoordinatorPlace
+from coveport.serving.wire.messages import CoordinatorEndpoint
 
 
 class CoordinatorStanding:
@@ -15,7 +15,7 @@
         now_s: Callable[[], float],
         has_quorum: Callable[[], bool],
         settle_s: float,
-        coordinators: Callable[[], tuple[CoordinatorPlace, ...]],
+        coordinators: Callable[[], tuple[CoordinatorEndpoint, ...]],
     ) -> None:
         """`settle_s`: after so long in touch, every node that lives has been heard of."""
         self._now_s = now_s
@@ -43,6 +43,6 @@
         """In touch, and for long enough to know every node."""
         return self._connected_from_s is not None and self._now_s() - self._connected_from_s >= self._settle_s
 
-    def coordinators(self) -> tuple[CoordinatorPlace, ...]:
+    def coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
         """The live coordinators, this one included."""
         return self._coordinators()
--- a/coveport/serving/coordinator/subscriptions.py
+++ b/coveport/serving/coordinator/subscriptions.py
@@ -12,7 +12,7 @@
 from coveport.serving.membership.leases import LeaseTable
 from coveport.serving.membership.node_table import NodeTable, TableChanges
 from coveport.serving.wire.connection import Connection
-from coveport.serving.wire.messages import CoordinatorPlace, StateChange, Update, UpdateRequest
+from coveport.serving.wire.messages import CoordinatorEndpoint, StateChange, Update, UpdateRequest
 from coveport.serving.wire.shared_update import SharedUpdate
 
 HOLD_S = 0.4  # an ask without news is answered after so long; the next one renews the lease
@@ -30,7 +30,7 @@
     def is_settled(self) -> bool:
         """Whether it has been so for long enough to know every node."""
 
-    def coordinators(self) -> tuple[CoordinatorPlace, ...]:
+    def coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
         """All live coordinators, this one included."""
 
 
@@ -83,7 +83,7 @@
     settled: bool
     node_revision: int
     state_sequence: int
-    coordinators: tuple[CoordinatorPlace, ...]
+    coordinators: tuple[CoordinatorEndpoint, ...]
 
 
 class _SharedUpdates:
@@ -173,7 +173,7 @@
         if request.state_sequence < 0 and self._history.sequence < 0 and not self._standing.is_connected():
             return False  # both have just started: what it needs will be here in a moment, if anywhere
         return (
-            request.table != self._table_identity
+            request.table_id != self._table_identity
             or request.node_revision < self._table.revision
             or request.state_sequence < self._history.sequence
             or not self._standing.is_connected()
@@ -186,10 +186,10 @@
         waiting.timer.cancel()
         request = waiting.request
         proxies = self._leases.proxies_at_most() if self._standing.is_settled() else 0
-        connection.send_frame(Update, self._update(request).frame(request.round, proxies))
+        connection.send_frame(Update, self._update(request).frame(request.request_number, proxies))
 
     def _update(self, request: UpdateRequest) -> SharedUpdate:
-        revision = request.node_revision if request.table == self._table_identity else -1
+        revision = request.node_revision if request.table_id == self._table_identity else -1
         asked = _Asked(revision, request.state_sequence)
         told = self._told()
         now_s = self._net.now_s()
@@ -209,12 +209,12 @@
         nodes: TableChanges = self._table.changes_since(asked.node_revision, now_s)
         changes = self._history.changes_since(asked.state_sequence)
         return Update(
-            round=0,
-            connected=told.connected,
-            settled=told.settled,
-            table=self._table_identity,
+            request_number=0,
+            has_quorum=told.connected,
+            knows_all_nodes=told.settled,
+            table_id=self._table_identity,
             node_revision=nodes.revision,
-            whole_table=nodes.whole,
+            is_full_table=nodes.whole,
             nodes=nodes.nodes,
             removed=nodes.removed,
             departed=nodes.departed,
--- a/coveport/serving/proxy/coordinator_choice.py
+++ b/coveport/serving/proxy/coordinator_choice.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from coveport.serving.wire.messages import CoordinatorPlace
+from coveport.serving.wire.messages import CoordinatorEndpoint
 
 AVOID_S = 4.0  # how long one that failed is passed over for ones further away
 
@@ -22,10 +22,10 @@
     zone: str
     region: str
     seeds: tuple[str, ...]  # inner addresses, in the order to begin with
-    _places: dict[str, CoordinatorPlace] = field(default_factory=dict)  # those told alive, by address
+    _places: dict[str, CoordinatorEndpoint] = field(default_factory=dict)  # those told alive, by address
     _failed_at_s: dict[str, float] = field(default_factory=dict)
 
-    def learned(self, places: Iterable[CoordinatorPlace]) -> None:
+    def learned(self, places: Iterable[CoordinatorEndpoint]) -> None:
         """A coordinator told who is alive."""
         self._places = {place.address: place for place in places}
 
--- a/coveport/serving/proxy/data_path.py
+++ b/coveport/serving/proxy/data_path.py
@@ -64,7 +64,7 @@
         self._pool = NodePool(net, settings.region)
         self._health = NodeHealth(random)
         self._pace = NodePace()
-        self._warm_up = WarmUpCredit(bounds.cold_overshoot, bounds.cold_slack, random)
+        self._warm_up = WarmUpCredit(bounds.warm_up_overshoot, bounds.warm_up_slack, random)
         self._trials: set[asyncio.Task[None]] = set()
         selection = NodeSelection(
             view, settings.region, random, self._health, self._warm_up, self._pool, self._pace
--- a/coveport/serving/proxy/node_directory.py
+++ b/coveport/serving/proxy/node_directory.py
@@ -35,7 +35,7 @@
             nodes = self._with_report(nodes, node, now_s)
         for incarnation in update.removed:
             nodes = self._with_removal(nodes, incarnation, now_s)
-        if update.whole_table and update.settled:
+        if update.is_full_table and update.knows_all_nodes:
             named = {node.incarnation for node in update.nodes}
             for incarnation in [one for one in nodes if one not in named]:
                 nodes = nodes.delete(incarnation)
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -21,9 +21,9 @@
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.coordinator_choice import CoordinatorChoice
 from coveport.serving.proxy.node_directory import NodeDirectory
-from coveport.serving.wire.codec import MalformedMessageError
 from coveport.serving.wire.connection import Connection, connect
-from coveport.serving.wire.messages import AsksElsewhere, Message, StateChange, Update, UpdateRequest
+from coveport.serving.wire.errors import MalformedMessageError
+from coveport.serving.wire.messages import Message, StateChange, Unsubscribe, Update, UpdateRequest
 
 CONNECT_S = 0.5
 ANSWER_S = 1.2  # a coordinator of which nothing has come for so long is left
@@ -99,7 +99,7 @@
                 return
             other = await self._connect(nearer)
             if other is not None:
-                connection.send(AsksElsewhere())
+                connection.send(Unsubscribe())
                 connection.close()
                 connection, address = other, nearer
 
@@ -125,7 +125,7 @@
             self._take(update)
             if self._wants_whole_state and update.state is not None:
                 return None  # what this one holds can't be read
-            if not update.connected:
+            if not update.has_quorum:
                 self._log.debug("coordinator_without_quorum", coordinator=address)
                 return None
             nearer = self._choice.better_than(address, self._net.now_s())
@@ -151,7 +151,7 @@
     async def _next_answer(self) -> Update:
         while True:
             update = await self._answers.get()
-            if update.round == self._round:
+            if update.request_number == self._round:
                 return update
 
     def _came(self, connection: Connection, message: Message) -> None:
@@ -160,7 +160,7 @@
 
     def _take(self, update: Update) -> None:
         now = self._net.now_s()
-        if update.connected:
+        if update.has_quorum:
             self.answered_at_s = now
         if update.coordinators:
             self._choice.learned(update.coordinators)
@@ -226,13 +226,13 @@
 
     def _note_table(self, update: Update) -> None:
         """Which differences to ask for next; once a table has settled, the whole of it is asked for again."""
-        if update.table != self._table:
+        if update.table_id != self._table:
             self._is_table_confirmed = False
-        self._table = update.table
+        self._table = update.table_id
         self._node_revision = update.node_revision
-        if update.settled and not self._is_table_confirmed:
-            self._is_table_confirmed = update.whole_table
-            if not update.whole_table:
+        if update.knows_all_nodes and not self._is_table_confirmed:
+            self._is_table_confirmed = update.is_full_table
+            if not update.is_full_table:
                 self._node_revision = -1
 
 
--- a/coveport/serving/scale/machines.py
+++ b/coveport/serving/scale/machines.py
@@ -26,7 +26,7 @@
     ScaleSize,
     spread,
 )
-from coveport.serving.settings.boot import BootSettings, Tolerated
+from coveport.serving.settings.boot import BootSettings, FaultTolerance
 from coveport.serving.simulation.deployment import (
     Deployment,
     MachineSpot,
@@ -51,7 +51,7 @@
         self.size = size
         self._addresses = Addresses(FIRST_SECOND + getpid() % SECONDS)
         losses = LOSSES_OF_SIX if size.coordinators == len(CORE_ZONES) else 1
-        self._deployment = Deployment(zones=ZONES, tolerated=Tolerated(losses, 1, 1))
+        self._deployment = Deployment(zones=ZONES, tolerated=FaultTolerance(losses, 1, 1))
         self.sightings = Sightings(net.now_s)
         self.coordinators = [self._coordinator(number) for number in range(size.coordinators)]
         self.real_proxies = [self._real_proxy(number) for number in range(size.real_proxies)]
--- a/coveport/serving/settings/boot.py
+++ b/coveport/serving/settings/boot.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tolerated:
+class FaultTolerance:
     """How much may be lost at one time."""
 
     machines: int = 0
@@ -44,8 +44,8 @@
     retry_ratio: float = 0.2
     retry_window_s: float = 10.0
     retry_slack: float = 0.0
-    cold_overshoot: float = 1.0
-    cold_slack: float = 0.0
+    warm_up_overshoot: float = 1.0
+    warm_up_slack: float = 0.0
     evacuate_ms: float = 5000.0
     recover_s: float = 12.0
     pass_ms: float = 250.0
@@ -73,7 +73,7 @@
     control: Address | None = None  # where operators and nodes call (coordinator)
     lookups: Address | None = None  # where clients ask for proxies (coordinator)
     limits: ProcessLimits = ProcessLimits()
-    tolerated: Tolerated = Tolerated()
+    tolerated: FaultTolerance = FaultTolerance()
     bounds: Bounds = Bounds()
 
     @property
--- a/coveport/serving/settings/reader.py
+++ b/coveport/serving/settings/reader.py
@@ -11,7 +11,7 @@
 
 from coveport.net.address import Address, parse_address
 from coveport.serving.model.findings import Finding, Findings, Refusal
-from coveport.serving.settings.boot import BootSettings, Bounds, ProcessLimits, Tolerated
+from coveport.serving.settings.boot import BootSettings, Bounds, FaultTolerance, ProcessLimits
 from coveport.serving.wire import names
 from coveport.serving.wire import settings as wire
 from coveport.serving.wire.settings import Boot
@@ -19,7 +19,7 @@
 INVALID: Final = "invalid settings"
 UNREADABLE: Final = "unreadable settings"
 
-Numbers = TypeVar("Numbers", ProcessLimits, Tolerated, Bounds)
+Numbers = TypeVar("Numbers", ProcessLimits, FaultTolerance, Bounds)
 Value = TypeVar("Value")
 
 # What a process that serves something listens on.
@@ -83,7 +83,7 @@
             control=listen["control"],
             lookups=listen["lookups"],
             limits=self._numbers(Boot.LIMITS, wire.LIMITS, ProcessLimits()),
-            tolerated=self._numbers(Boot.TOLERATED, wire.TOLERATED, Tolerated()),
+            tolerated=self._numbers(Boot.TOLERATED, wire.TOLERATED, FaultTolerance()),
             bounds=self._numbers(Boot.BOUNDS, wire.BOUNDS, Bounds()),
         )
         self._check_zone(settings)
--- a/coveport/serving/simulation/control_rules.py
+++ b/coveport/serving/simulation/control_rules.py
@@ -69,7 +69,7 @@
     for arrival in case.passed_on():
         by_node[arrival.incarnation].append(arrival)
     for cold in case.book.of(NodeCold):
-        most = cold.rate * case.bounds.cold_overshoot + case.bounds.cold_slack
+        most = cold.rate * case.bounds.warm_up_overshoot + case.bounds.warm_up_slack
         times = [one.at_s for one in by_node[cold.incarnation] if cold.at_s <= one.at_s < cold.until_s]
         for at, when in enumerate(times):
             count = at + 1 - bisect_right(times, when - 1.0)
--- a/coveport/serving/simulation/deployment.py
+++ b/coveport/serving/simulation/deployment.py
@@ -13,7 +13,7 @@
     Service,
     WeightedService,
 )
-from coveport.serving.settings.boot import BootSettings, Bounds, Tolerated
+from coveport.serving.settings.boot import BootSettings, Bounds, FaultTolerance
 from coveport.serving.simulation.client import RequestKind
 from coveport.serving.simulation.engine import EngineFigures
 from coveport.serving.simulation.figures import Objective
@@ -27,7 +27,7 @@
 OFFER = RequestKind(
     "offer", HOST, "/offer/", False, 15.0, 1.0, 0.4, ((40, 119), (147, 79)), 628, 290, 1700
 )  # fmt: skip
-BOUNDS = Bounds(retry_slack=58.0, cold_overshoot=1.5, cold_slack=5.0)
+BOUNDS = Bounds(retry_slack=58.0, warm_up_overshoot=1.5, warm_up_slack=5.0)
 OBJECTIVES = {kind.name: Objective(kind.objective_s, kind.pause_objective_s) for kind in (REVIEW, OFFER)}
 
 
@@ -62,7 +62,7 @@
     engine: EngineFigures = field(default_factory=EngineFigures)
     delays: Delays = field(default_factory=Delays)
     bounds: Bounds = field(default_factory=lambda: BOUNDS)
-    tolerated: Tolerated = field(default_factory=lambda: Tolerated(1, 1, 1))
+    tolerated: FaultTolerance = field(default_factory=lambda: FaultTolerance(1, 1, 1))
     heartbeat_ms: float = 1200.0
     warm_up_s: float = 3.0
     warm_up_rate: float = 9.8
--- a/coveport/serving/simulation/local_deployment.py
+++ b/coveport/serving/simulation/local_deployment.py
@@ -110,7 +110,7 @@
         address = self._ip(FIRST_NODE + NODES_MOST * zone_number + number), told.ports.node
         figures = NodeFigures(
             told.service, address, zone.name, zone.region, told.engine, warm_up_rate=told.warm_up_rate,
-            falls_over_above=told.warm_up_rate * told.bounds.cold_overshoot + told.bounds.cold_slack,
+            falls_over_above=told.warm_up_rate * told.bounds.warm_up_overshoot + told.bounds.warm_up_slack,
         )  # fmt: skip
         chance = Random(f"node {zone_number} {number} {life} {self._seed}")
         server = ModelServer(self._net, figures, self._book, chance)
--- a/coveport/serving/simulation/world.py
+++ b/coveport/serving/simulation/world.py
@@ -156,7 +156,7 @@
         server_figures = NodeFigures(
             node.service, (spot.ip, told.ports.node), spot.zone.name, spot.zone.region, told.engine,
             warm_up_rate=told.warm_up_rate,
-            falls_over_above=told.warm_up_rate * bounds.cold_overshoot + bounds.cold_slack,
+            falls_over_above=told.warm_up_rate * bounds.warm_up_overshoot + bounds.warm_up_slack,
         )  # fmt: skip
         node.server = ModelServer(machine.net, server_figures, self.book, chance)
         node.registration = Registration(
--- a/coveport/serving/wire/codec.py
+++ b/coveport/serving/wire/codec.py
@@ -17,6 +17,8 @@
 
 import construct as c
 
+from coveport.serving.wire.errors import MalformedMessageError
+
 T = TypeVar("T")
 
 _REMEMBERED: set[type] = set()
@@ -26,10 +28,6 @@
 _SCALARS: dict[type, Any] = {int: c.ZigZag, float: c.Float64b, bool: c.Flag, str: _STRING, bytes: _BYTES}
 
 
-class MalformedMessageError(Exception):
-    """Bytes that are no message of ours."""
-
-
 def remembered(kind: type[T]) -> type[T]:
     """Keep the bytes of a dataclass' values, as parts of other messages; for what is sent often.
 
--- a/coveport/serving/wire/connection.py
+++ b/coveport/serving/wire/connection.py
@@ -7,7 +7,7 @@
 
 from coveport.net.address import Address
 from coveport.net.transport import Net
-from coveport.serving.wire.codec import MalformedMessageError
+from coveport.serving.wire.errors import RemoteProtocolError
 from coveport.serving.wire.frames import HEADER_BYTES, FrameReader, write_frame
 from coveport.serving.wire.messages import CODEC, Message
 from coveport.serving.wire.traffic import Traffic
@@ -72,7 +72,7 @@
                 message = CODEC.decode(payload)
                 self._traffic.note_received(type(message), HEADER_BYTES + len(payload))
                 self._on_message(self, message)
-        except MalformedMessageError as problem:
+        except RemoteProtocolError as problem:
             if self._on_refused is not None:
                 self._on_refused(self, str(problem))
             self.drop()
--- a/coveport/serving/wire/frames.py
+++ b/coveport/serving/wire/frames.py
@@ -7,7 +7,7 @@
 
 import construct as c
 
-from coveport.serving.wire.codec import MalformedMessageError
+from coveport.serving.wire.errors import MalformedFrameError
 
 FORMAT_VERSION = 3  # 2: updates tell who has left for good; 3: confirmations tell the sender's view
 MOST_BYTES = 48 * 1024 * 1024  # of one frame: a whole configuration and every node fit well below
@@ -28,7 +28,7 @@
 
 
 class FrameReader:
-    """Takes bytes as they come and hands out whole messages; MalformedMessageError ends the connection."""
+    """Takes bytes as they come and hands out whole messages; MalformedFrameError ends the connection."""
 
     def __init__(self) -> None:
         self._held = bytearray()
@@ -40,14 +40,14 @@
             try:
                 header = _HEADER.parse(bytes(self._held[:HEADER_BYTES]))
             except c.ConstructError as problem:
-                raise MalformedMessageError(str(problem)) from problem
+                raise MalformedFrameError(str(problem)) from problem
             if header.length > MOST_BYTES:
-                raise MalformedMessageError(f"a frame of {header.length} bytes")
+                raise MalformedFrameError(f"a frame of {header.length} bytes")
             end = HEADER_BYTES + header.length
             if len(self._held) < end:
                 return
             payload = bytes(self._held[HEADER_BYTES:end])
             del self._held[:end]
             if zlib.crc32(payload) != header.checksum:
-                raise MalformedMessageError("checksum differs")
+                raise MalformedFrameError("checksum differs")
             yield payload
--- a/coveport/serving/wire/messages.py
+++ b/coveport/serving/wire/messages.py
@@ -27,15 +27,15 @@
 class NodeReports:
     """Reports on nodes, passed on by the coordinator that took them."""
 
-    confirm: int  # not 0: answer with `NodeReportsTaken` of this number
+    confirmation_id: int  # not 0: answer with `NodeReportsAck` of this number
     nodes: tuple[Node, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class NodeReportsTaken:
+class NodeReportsAck:
     """The reports of that number are in the sender's table."""
 
-    confirm: int
+    confirmation_id: int
     view: Epoch  # of the newest view that the sender has accepted: it votes for that view's members alone
 
 
@@ -56,15 +56,15 @@
     """A proxy asks with the versions it has; this renews its lease."""
 
     lease: ProxyLease
-    table: str  # identity of the node table that `node_revision` is of; empty: none
+    table_id: str  # identity of the node table that `node_revision` is of; empty: none
     node_revision: int
     state_sequence: int  # of the acknowledged state; -1: none
-    round: int
+    request_number: int
     departed: tuple[str, ...] = ()  # incarnations known to be gone for good; told once a connection
 
 
 @dataclass(frozen=True, slots=True)
-class AsksElsewhere:
+class Unsubscribe:
     """A proxy's last word on a connection: it has gone to a nearer coordinator; its lease stays."""
 
 
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CoordinatorPlace:
+class CoordinatorEndpoint:
     """Where a live coordinator stands."""
 
     address: str  # its inner address
@@ -89,19 +89,19 @@
 class Update:
     """The answer: what is newer, or nothing after a while."""
 
-    round: int
-    connected: bool  # the sender is in touch with a majority of the core; otherwise ask another
-    settled: bool  # ... and has been long enough to know every node
-    table: str
+    request_number: int
+    has_quorum: bool  # the sender is in touch with a majority of the core; otherwise ask another
+    knows_all_nodes: bool  # ... and has been long enough to know every node
+    table_id: str
     node_revision: int
-    whole_table: bool
+    is_full_table: bool
     nodes: tuple[Node, ...]
     removed: tuple[str, ...]
     departed: tuple[str, ...]  # incarnations that never come back
     state_sequence: int
     state: bytes | None  # the whole acknowledged state
     changes: tuple[StateChange, ...]  # or what led there from the sequence asked with
-    coordinators: tuple[CoordinatorPlace, ...]  # those that are alive, the sender included
+    coordinators: tuple[CoordinatorEndpoint, ...]  # those that are alive, the sender included
     proxies_at_most: int  # 0: not known yet
 
 
@@ -109,12 +109,12 @@
 MESSAGES: Final[tuple[type, ...]] = (  # the order gives each kind its number on the wire
     Hello,
     NodeReports,
-    NodeReportsTaken,
+    NodeReportsAck,
     TableRequest,
     LeasesRenewed,
     UpdateRequest,
     Update,
-    AsksElsewhere,
+    Unsubscribe,
     *REPLICATION_MESSAGES,
 )
 CODEC: MessageCodec[Message] = MessageCodec(MESSAGES)
--- a/tests/golden/golden_settings_cases.py
+++ b/tests/golden/golden_settings_cases.py
@@ -19,7 +19,7 @@
     Service,
     WeightedService,
 )
-from coveport.serving.settings.boot import BootSettings, Bounds, ProcessLimits, Tolerated
+from coveport.serving.settings.boot import BootSettings, Bounds, FaultTolerance, ProcessLimits
 
 ZONES = {"hall": "south", "mill": "north"}
 COORDINATOR_TEXT = """\
@@ -87,7 +87,7 @@
     control=("10.1.0.10", 8263),
     lookups=("10.1.0.10", 8268),
     limits=ProcessLimits(300.5, 4100, 900.0, 64.0),
-    tolerated=Tolerated(1, 2, 3),
+    tolerated=FaultTolerance(1, 2, 3),
     bounds=Bounds(*(number + 0.5 for number in range(1, 21))),
 )
 PROXY_TEXT = """\
--- a/tests/golden/golden_wire_cases.py
+++ b/tests/golden/golden_wire_cases.py
@@ -41,19 +41,19 @@
 
 def _update(**changed: object) -> wire.Update:
     fields: dict[str, object] = {
-        "round": 5,
-        "connected": True,
-        "settled": False,
-        "table": "table-1",
+        "request_number": 5,
+        "has_quorum": True,
+        "knows_all_nodes": False,
+        "table_id": "table-1",
         "node_revision": 44,
-        "whole_table": True,
+        "is_full_table": True,
         "nodes": (ACCEPTING_NODE, CLOSING_NODE),
         "removed": ("node-3-life-1",),
         "departed": ("node-4-life-2", "node-5-life-1"),
         "state_sequence": 9,
         "state": b"\x00whole state\xff",
         "changes": (),
-        "coordinators": (wire.CoordinatorPlace("10.0.0.1:7000", "north-a", "north"),),
+        "coordinators": (wire.CoordinatorEndpoint("10.0.0.1:7000", "north-a", "north"),),
         "proxies_at_most": 600,
     }
     return wire.Update(**(fields | changed))  # type: ignore[arg-type]
@@ -62,7 +62,7 @@
 UPDATE = _update()
 UPDATE_OF_CHANGES = _update(
     state=None,
-    whole_table=False,
+    is_full_table=False,
     nodes=(),
     changes=(wire.StateChange(10, b"command ten"), wire.StateChange(11, b"")),
 )
@@ -71,14 +71,14 @@
     "hello": wire.Hello("10.0.0.1:7000", "aa01"),
     "node reports": wire.NodeReports(7, (ACCEPTING_NODE, CLOSING_NODE, goodbye("node-3-life-1", 2500.0))),
     "no node reports": wire.NodeReports(0, ()),
-    "node reports taken": wire.NodeReportsTaken(7, EPOCH),
+    "node reports taken": wire.NodeReportsAck(7, EPOCH),
     "table request": wire.TableRequest(),
     "leases renewed": wire.LeasesRenewed((LEASE, UNREADY_LEASE)),
     "update request": wire.UpdateRequest(LEASE, "table-1", 44, 9, 5, ("node-4-life-2",)),
     "first update request": wire.UpdateRequest(UNREADY_LEASE, "", 0, -1, 1),
     "update with the whole state": UPDATE,
     "update with changes": UPDATE_OF_CHANGES,
-    "asks elsewhere": wire.AsksElsewhere(),
+    "asks elsewhere": wire.Unsubscribe(),
     "ping": core.Ping(
         counter=1000,
         echo=999,
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -10,7 +10,8 @@
 
 from coveport.serving.replication.records import RECORDS as RECORD_KINDS
 from coveport.serving.replication.records import Record
-from coveport.serving.wire.codec import MalformedMessageError, MessageCodec
+from coveport.serving.wire.codec import MessageCodec
+from coveport.serving.wire.errors import MalformedMessageError
 from coveport.serving.wire.frames import FrameReader, write_frame
 from coveport.serving.wire.messages import CODEC
 from coveport.serving.wire.shared_update import SharedUpdate
--- a/tests/serving/configuration/test_control_state.py
+++ b/tests/serving/configuration/test_control_state.py
@@ -28,7 +28,7 @@
     encode_state,
     initial_state,
 )
-from coveport.serving.wire.codec import MalformedMessageError
+from coveport.serving.wire.errors import MalformedMessageError
 
 
 def put(if_match: int | None, edition: int) -> PutConfiguration:
--- a/tests/serving/coordinator/test_lookup_hold.py
+++ b/tests/serving/coordinator/test_lookup_hold.py
@@ -11,16 +11,16 @@
 from coveport.serving.coordinator.lost_coordinators import NOTED_S, REMEMBERED_S, LostCoordinators
 from coveport.serving.membership.leases import LeaseTable, ProxyLease
 from coveport.serving.web.calls import Call
-from coveport.serving.wire.messages import CoordinatorPlace
+from coveport.serving.wire.messages import CoordinatorEndpoint
 
 NOW = 100.0
 LATER = NOW + NOTED_S + 0.1
-WEST = CoordinatorPlace("10.0.0.1:1", "west-1", "west")
-WEST_TOO = CoordinatorPlace("10.0.0.2:1", "west-2", "west")
-EAST = CoordinatorPlace("10.0.1.1:1", "east-1", "east")
+WEST = CoordinatorEndpoint("10.0.0.1:1", "west-1", "west")
+WEST_TOO = CoordinatorEndpoint("10.0.0.2:1", "west-2", "west")
+EAST = CoordinatorEndpoint("10.0.1.1:1", "east-1", "east")
 
 
-def lost_at(own: CoordinatorPlace, *lost: CoordinatorPlace) -> LostCoordinators:
+def lost_at(own: CoordinatorEndpoint, *lost: CoordinatorEndpoint) -> LostCoordinators:
     """All were alive at `NOW`, and only the others are at `LATER`."""
     known = LostCoordinators(own)
     known.note_alive((WEST, WEST_TOO, EAST), NOW)
@@ -45,7 +45,7 @@
     ],
 )
 def test_a_lost_one_was_called_if_it_is_as_near_as_we_are(
-    own: CoordinatorPlace, lost: CoordinatorPlace, zone: str, region: str, in_vain: bool
+    own: CoordinatorEndpoint, lost: CoordinatorEndpoint, zone: str, region: str, in_vain: bool
 ) -> None:
     assert lost_at(own, lost).were_called_in_vain(zone, region, LATER) is in_vain
 
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(("lost", "ttl_s"), [((), TTL_S), ((WEST,), TTL_WHILE_LOST_S)])
-def test_what_a_client_is_told(lost: tuple[CoordinatorPlace, ...], ttl_s: float) -> None:
+def test_what_a_client_is_told(lost: tuple[CoordinatorEndpoint, ...], ttl_s: float) -> None:
     leases = LeaseTable()
     leases.renew(ProxyLease("p", "10.0.1.9:80", "east-1", "east", True, 1, 1), LATER, here=True)
     calls = LookupCalls(leases, lost_at(EAST, *lost), lambda: LATER)
--- a/tests/serving/coordinator/test_starting_together.py
+++ b/tests/serving/coordinator/test_starting_together.py
@@ -12,7 +12,7 @@
 from coveport.serving.simulation.faults import Troubles
 from coveport.serving.simulation.world import SimulatedDeployment
 from coveport.serving.wire.frames import FrameReader
-from coveport.serving.wire.messages import CODEC, CoordinatorPlace, Update, UpdateRequest
+from coveport.serving.wire.messages import CODEC, CoordinatorEndpoint, Update, UpdateRequest
 
 
 class Standing:
@@ -24,7 +24,7 @@
     def is_settled(self) -> bool:
         return self.connected
 
-    def coordinators(self) -> tuple[CoordinatorPlace, ...]:
+    def coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
         return ()
 
 
@@ -118,23 +118,23 @@
     assert core.ask() == []
     assert core.loop.delays_s == [HOLD_S]
     core.loop.ring()
-    assert [one.connected for one in core.caller.updates] == [False]
+    assert [one.has_quorum for one in core.caller.updates] == [False]
 
 
 def test_a_proxy_that_has_a_state_is_sent_on_at_once() -> None:
-    assert [one.connected for one in Started().ask(sequence=3)] == [False]
+    assert [one.has_quorum for one in Started().ask(sequence=3)] == [False]
 
 
 def test_a_coordinator_with_a_state_but_out_of_touch_sends_on_at_once() -> None:
     core = Started()
     core.history.advance(7, b"state", None)
-    assert [one.connected for one in core.ask()] == [False]
+    assert [one.has_quorum for one in core.ask()] == [False]
 
 
 def test_a_coordinator_in_touch_answers_at_once_even_without_a_state() -> None:
     core = Started()
     core.standing.connected = True
-    assert [one.connected for one in core.ask()] == [True]
+    assert [one.has_quorum for one in core.ask()] == [True]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 4])
--- a/tests/serving/coordinator/test_subscription_sharing.py
+++ b/tests/serving/coordinator/test_subscription_sharing.py
@@ -10,7 +10,7 @@
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.model.node import Node, NodeState
 from coveport.serving.wire.frames import FrameReader
-from coveport.serving.wire.messages import CODEC, CoordinatorPlace, Update, UpdateRequest
+from coveport.serving.wire.messages import CODEC, CoordinatorEndpoint, Update, UpdateRequest
 from coveport.serving.wire.shared_update import SharedUpdate
 
 
@@ -23,8 +23,8 @@
     def is_settled(self) -> bool:
         return True
 
-    def coordinators(self) -> tuple[CoordinatorPlace, ...]:
-        return (CoordinatorPlace("127.0.0.1:7300", "a", "north"),)
+    def coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
+        return (CoordinatorEndpoint("127.0.0.1:7300", "a", "north"),)
 
 
 class Timer:
@@ -108,8 +108,8 @@
     for number in range(20):
         core.table.hear(node(number), 100.0)
     updates = [core.ask(number) for number in range(20)]
-    assert [update.round for update in updates] == list(range(20))
-    assert all(len(update.nodes) == 20 and update.whole_table for update in updates)
+    assert [update.request_number for update in updates] == list(range(20))
+    assert all(len(update.nodes) == 20 and update.is_full_table for update in updates)
     assert [update.proxies_at_most for update in updates] == list(range(1, 21))
     assert len(made) == 1
 
@@ -123,7 +123,7 @@
     core.history.advance(0, b"state", None)
     assert core.ask(1).state == b"state"
     core.standing.connected = False
-    assert not core.ask(1).connected
+    assert not core.ask(1).has_quorum
     assert len(made) == 4
 
 
--- a/tests/serving/membership/report_explorer.py
+++ b/tests/serving/membership/report_explorer.py
@@ -20,7 +20,7 @@
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.model.node import Node, NodeState, goodbye
 from coveport.serving.replication.identity import Epoch, MemberId
-from coveport.serving.wire.messages import Message, NodeReports, NodeReportsTaken, TableRequest
+from coveport.serving.wire.messages import Message, NodeReports, NodeReportsAck, TableRequest
 
 NODE = "i-1"
 HEARTBEAT = Node(NODE, 7, "chat", "10.0.0.1:80", "z1", "r1", 64, NodeState.ACCEPTING)
@@ -102,7 +102,7 @@
         match message:
             case NodeReports():
                 self.reporting.passed_on(sender, message)
-            case NodeReportsTaken():
+            case NodeReportsAck():
                 self.reporting.taken(MemberId(sender, sender), message)
             case TableRequest():
                 self.reporting.tell_all(sender)
--- a/tests/serving/membership/test_report_interleavings.py
+++ b/tests/serving/membership/test_report_interleavings.py
@@ -14,7 +14,7 @@
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.model.node import Node, NodeState, goodbye
 from coveport.serving.replication.identity import MemberId
-from coveport.serving.wire.messages import NodeReports, NodeReportsTaken
+from coveport.serving.wire.messages import NodeReports, NodeReportsAck
 
 STATES = int(os.environ.get("COVEPORT_REPORT_STATES", "4000"))
 VARIANT_STATES = 30_000
@@ -91,11 +91,11 @@
     ground.ends["A"].reporting.begin_confirmation(goodbye(NODE))
     ground.take("restart", "A")
     stale = ground.links["A", "B"][0]
-    assert isinstance(stale, NodeReports) and stale.confirm
+    assert isinstance(stale, NodeReports) and stale.confirmation_id
     asked = ground.ends["A"].reporting.begin_confirmation(goodbye("i-2"))
-    ground.ends["A"].received("B", NodeReportsTaken(stale.confirm, ground.ends["B"].view_epoch()))
+    ground.ends["A"].received("B", NodeReportsAck(stale.confirmation_id, ground.ends["B"].view_epoch()))
     assert not asked.done.done()
-    ground.ends["A"].received("B", NodeReportsTaken(asked.number, ground.ends["B"].view_epoch()))
+    ground.ends["A"].received("B", NodeReportsAck(asked.number, ground.ends["B"].view_epoch()))
     assert asked.done.done()
 
 
--- a/tests/serving/proxy/proxy_ground.py
+++ b/tests/serving/proxy/proxy_ground.py
@@ -84,7 +84,7 @@
             heartbeat_ms=1200,
             regions={"z": "r", "y": "q"},
             clients=(PROXY_IP, PORT),
-            bounds=bounds or Bounds(retry_slack=58, cold_overshoot=1.5, cold_slack=5),
+            bounds=bounds or Bounds(retry_slack=58, warm_up_overshoot=1.5, warm_up_slack=5),
         )
         self.data_path = DataPath(self.net, settings, self.view, None, Random(1))
         self.nodes: list[ScriptedNode] = []
--- a/tests/serving/proxy/test_coordinator_choice.py
+++ b/tests/serving/proxy/test_coordinator_choice.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from coveport.serving.proxy.coordinator_choice import AVOID_S, CoordinatorChoice
-from coveport.serving.wire.messages import CoordinatorPlace
+from coveport.serving.wire.messages import CoordinatorEndpoint
 
 PLACES = (
-    CoordinatorPlace("far", "z3", "r3"),
-    CoordinatorPlace("own-region", "z2", "r1"),
-    CoordinatorPlace("own-zone", "z1", "r1"),
+    CoordinatorEndpoint("far", "z3", "r3"),
+    CoordinatorEndpoint("own-region", "z2", "r1"),
+    CoordinatorEndpoint("own-zone", "z1", "r1"),
 )
 
 
--- a/tests/serving/simulation/test_judge_rules.py
+++ b/tests/serving/simulation/test_judge_rules.py
@@ -34,7 +34,7 @@
 from coveport.serving.simulation.texts import digest, event_text, whole_body
 
 BOUNDS = Bounds(drain_ms=2500, config_apply_ms=2500, evacuate_ms=5000, retry_slack=2.0, retry_ratio=0.2,
-                cold_overshoot=1.5, cold_slack=5.0)  # fmt: skip
+                warm_up_overshoot=1.5, warm_up_slack=5.0)  # fmt: skip
 PROXY = "10.1.0.10:8263"
 
 
--- a/tests/serving/simulation/test_stand_ins.py
+++ b/tests/serving/simulation/test_stand_ins.py
@@ -169,7 +169,7 @@
     assert [one.planned for one in town.book.of(NodeEnded)] == [False]
     assert [
         one.rule
-        for one in judge(town.book, Bounds(cold_overshoot=1.5, cold_slack=4.0))
+        for one in judge(town.book, Bounds(warm_up_overshoot=1.5, warm_up_slack=4.0))
         if one.rule == "FAILBACK"
     ] == ["FAILBACK"]
     assert len(town.book.of(RequestArrived)) == 13
--- a/tests/serving/storage/test_store_crashes.py
+++ b/tests/serving/storage/test_store_crashes.py
@@ -26,7 +26,8 @@
 from coveport.serving.storage import ring
 from coveport.serving.storage.ring import Generation, Ring
 from coveport.serving.storage.store import RecordStore
-from coveport.serving.wire.codec import MalformedMessageError, MessageCodec
+from coveport.serving.wire.codec import MessageCodec
+from coveport.serving.wire.errors import MalformedMessageError
 
 FILE_BYTES = 700  # so small that the ring goes round often
 SEEDS_AT_EACH_CALL = 4
--- a/tests/serving/wire/test_codec.py
+++ b/tests/serving/wire/test_codec.py
@@ -9,7 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.serving.wire.codec import MalformedMessageError, MessageCodec, remembered
+from coveport.serving.wire.codec import MessageCodec, remembered
+from coveport.serving.wire.errors import MalformedFrameError, MalformedMessageError
 from coveport.serving.wire.frames import HEADER_BYTES, FrameReader, write_frame
 
 
@@ -80,7 +81,7 @@
     frame[place] ^= 1 << data.draw(st.integers(0, 7))
     try:
         came = list(FrameReader().feed(bytes(frame)))
-    except MalformedMessageError:
+    except MalformedFrameError:
         return
     assert came == []  # a longer length: it waits for the rest
 
@@ -88,7 +89,7 @@
 def test_a_newer_format_is_refused() -> None:
     frame = bytearray(write_frame(b"x"))
     frame[3] += 1
-    with pytest.raises(MalformedMessageError):
+    with pytest.raises(MalformedFrameError):
         list(FrameReader().feed(bytes(frame)))
     assert HEADER_BYTES == 12
 
--- a/tests/serving/wire/test_shared_update.py
+++ b/tests/serving/wire/test_shared_update.py
@@ -5,29 +5,29 @@
 import pytest
 
 from coveport.serving.wire.frames import write_frame
-from coveport.serving.wire.messages import CODEC, CoordinatorPlace, StateChange, Update
+from coveport.serving.wire.messages import CODEC, CoordinatorEndpoint, StateChange, Update
 from coveport.serving.wire.shared_update import SharedUpdate
 
 UPDATE = Update(
-    round=77,
-    connected=True,
-    settled=False,
-    table="t",
+    request_number=77,
+    has_quorum=True,
+    knows_all_nodes=False,
+    table_id="t",
     node_revision=3,
-    whole_table=True,
+    is_full_table=True,
     nodes=(),
     departed=(),
     removed=("i-1",),
     state_sequence=5,
     state=None,
     changes=(StateChange(5, b"change"),),
-    coordinators=(CoordinatorPlace("127.0.0.1:7300", "a", "north"),),
+    coordinators=(CoordinatorEndpoint("127.0.0.1:7300", "a", "north"),),
     proxies_at_most=340,
 )
 
 
-@pytest.mark.parametrize("round_number", [0, 1, 63, 64, 100_000, 2**40])
-def test_a_shared_update_is_to_the_byte_what_encoding_it_for_the_round_gives(round_number: int) -> None:
+@pytest.mark.parametrize("request_number", [0, 1, 63, 64, 100_000, 2**40])
+def test_a_shared_update_is_to_the_byte_what_encoding_it_for_the_round_gives(request_number: int) -> None:
     for proxies in (0, 1, 340, 10_000):
-        whole = replace(UPDATE, round=round_number, proxies_at_most=proxies)
-        assert SharedUpdate(UPDATE).frame(round_number, proxies) == write_frame(CODEC.encode(whole))
+        whole = replace(UPDATE, request_number=request_number, proxies_at_most=proxies)
+        assert SharedUpdate(UPDATE).frame(request_number, proxies) == write_frame(CODEC.encode(whole))
