--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -21,7 +21,7 @@
 from coveport.serving.membership.leases import LeaseTable
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.replication.events import CommittedState, UnreadableStateError
-from coveport.serving.replication.identity import MemberId, Place
+from coveport.serving.replication.identity import Locality, MemberId
 from coveport.serving.replication.member import CoreMember
 from coveport.serving.replication.messages import Message as ReplicationMessage
 from coveport.serving.role_process import CannotStartError, run_process
@@ -74,7 +74,7 @@
         self._peers = Peers(net, self._hello, self._peer_said, self._peer_connected, self.traffic)
         self._member = CoreMember(
             self._member_id,
-            Place(settings.zone, settings.region),
+            Locality(settings.zone, settings.region),
             seeds,
             settings.tolerated.machines,
             opened.durable,
@@ -200,9 +200,10 @@
         }
 
     def _live_coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
-        places = self._member.live_places(self._net.now_s())
+        localities = self._member.live_localities(self._net.now_s())
         return tuple(
-            CoordinatorEndpoint(address, place.zone, place.region) for address, place in places.items()
+            CoordinatorEndpoint(address, locality.zone, locality.region)
+            for address, locality in localities.items()
         )
 
     def _came(self, connection: Connection, message: Message) -> None:
--- a/coveport/serving/replication/caretaker.py
+++ b/coveport/serving/replication/caretaker.py
@@ -58,10 +58,10 @@
         machines = [parts.machine(member, now_s) for member in steady]
         own = parts.machine(parts.own, now_s)
         wanted = choose_replicas(own, machines, parts.wanted_replicas(len(view.members)), view.replicas)
-        places = {member: parts.place_of(member) for member in (*view.replicas, *wanted)}
+        localities = {member: parts.locality_of(member) for member in (*view.replicas, *wanted)}
         if len(wanted) != len(view.replicas):
             return len(wanted) > len(view.replicas)
-        return spread(wanted, places) > spread(view.replicas, places)
+        return spread(wanted, localities) > spread(view.replicas, localities)
 
     def _is_steady(self, member: MemberId, now_s: float) -> bool:
         if member == self._parts.own:
--- a/coveport/serving/replication/composition.py
+++ b/coveport/serving/replication/composition.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-from coveport.serving.replication.identity import MemberId, Place
+from coveport.serving.replication.identity import Locality, MemberId
 
 MEMBERS_AT_MOST = 7
 POOL_AT_MOST = 10  # that sets of members are drawn from
@@ -17,7 +17,7 @@
     """What the primary knows of a machine that is a member or could be one."""
 
     member: MemberId
-    place: Place
+    locality: Locality
     is_usable: bool  # alive, disk well, not leaving: fit to be a replica
     is_lost: bool  # a member that may be swapped for another; not usable
     is_gone: bool  # a member that may be dropped without one in its place
@@ -39,13 +39,13 @@
     chosen = [primary]
     remaining = [machine for machine in others if machine.is_usable and machine.member != primary.member]
     while remaining and len(chosen) < count:
-        regions = {machine.place.region for machine in chosen}
-        zones = {machine.place.zone for machine in chosen}
+        regions = {machine.locality.region for machine in chosen}
+        zones = {machine.locality.zone for machine in chosen}
         best = min(
             remaining,
             key=lambda machine: (
-                machine.place.region in regions,
-                machine.place.zone in zones,
+                machine.locality.region in regions,
+                machine.locality.zone in zones,
                 machine.member not in present,
                 machine.member,
             ),
@@ -55,10 +55,10 @@
     return tuple(machine.member for machine in chosen)
 
 
-def spread(replicas: Iterable[MemberId], places: dict[MemberId, Place]) -> tuple[int, int]:
+def spread(replicas: Iterable[MemberId], localities: dict[MemberId, Locality]) -> tuple[int, int]:
     """In how many regions and zones the replicas stand."""
-    found = [places[member] for member in replicas if member in places]
-    return len({place.region for place in found}), len({place.zone for place in found})
+    found = [localities[member] for member in replicas if member in localities]
+    return len({locality.region for locality in found}), len({locality.zone for locality in found})
 
 
 def rate(machines: Sequence[Machine], tolerated_losses: int) -> Rating:
@@ -66,8 +66,8 @@
     live = [machine for machine in machines if not machine.is_lost]
     needed = len(machines) // 2 + 1
     spare = len(live) - needed
-    worst_region = _largest(machine.place.region for machine in live)
-    worst_zone = _largest(machine.place.zone for machine in live)
+    worst_region = _largest(machine.locality.region for machine in live)
+    worst_zone = _largest(machine.locality.zone for machine in live)
     return Rating(
         machine_losses=min(spare, max(1, tolerated_losses)),
         region_loss=worst_region <= spare,
--- a/coveport/serving/replication/identity.py
+++ b/coveport/serving/replication/identity.py
@@ -30,14 +30,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Locality:
     """Where a machine stands."""
 
     zone: str
     region: str
 
 
-UNKNOWN_PLACE = Place("", "")
+UNKNOWN_LOCALITY = Locality("", "")
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/serving/replication/learner.py
+++ b/coveport/serving/replication/learner.py
@@ -49,8 +49,8 @@
 
     def learn(self, message: Learn) -> None:
         """Take committed commands, as far as they follow."""
-        for place, command in enumerate(message.commands):
-            sequence = message.first + place
+        for offset, command in enumerate(message.commands):
+            sequence = message.first + offset
             if self.state is not None and sequence == self.sequence + 1:
                 applied = self._code.apply(self.state, command)
                 if not isinstance(applied, Applied):
--- a/coveport/serving/replication/member.py
+++ b/coveport/serving/replication/member.py
@@ -20,7 +20,7 @@
     Tick,
     Withdraw,
 )
-from coveport.serving.replication.identity import Epoch, MemberId, Place, View, has_majorities
+from coveport.serving.replication.identity import Epoch, Locality, MemberId, View, has_majorities
 from coveport.serving.replication.journal import Journal
 from coveport.serving.replication.leading import Leadership
 from coveport.serving.replication.learner import Learner
@@ -63,7 +63,7 @@
     def __init__(
         self,
         identity: MemberId,
-        place: Place,
+        locality: Locality,
         seeds: tuple[str, ...],  # inner addresses
         tolerated_losses: int,  # machines
         durable: DurableState,
@@ -78,7 +78,7 @@
         may_found = durable.born_at_founding
         self._parts = Parts(
             own=identity,
-            place=place,
+            locality=locality,
             tolerated_losses=tolerated_losses,
             timings=timings,
             jitter=jitter,
@@ -144,10 +144,10 @@
         alive = [peer.address for peer in self._parts.peers.alive(now_s)]
         return tuple(sorted([self._parts.own.address, *alive]))
 
-    def live_places(self, now_s: float) -> dict[str, Place]:
+    def live_localities(self, now_s: float) -> dict[str, Locality]:
         """Where each live coordinator stands, by inner address; ourselves included."""
-        places = {peer.address: peer.place for peer in self._parts.peers.alive(now_s)}
-        return places | {self._parts.own.address: self._parts.place}
+        localities = {peer.address: peer.locality for peer in self._parts.peers.alive(now_s)}
+        return localities | {self._parts.own.address: self._parts.locality}
 
     @property
     def contacts(self) -> tuple[str, ...]:
--- a/coveport/serving/replication/messages.py
+++ b/coveport/serving/replication/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from coveport.serving.replication.identity import Epoch, MemberId, Place, View
+from coveport.serving.replication.identity import Epoch, Locality, MemberId, View
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,7 +13,7 @@
 
     counter: int  # rises with each ping of this sender
     echo: int  # the newest counter it heard from the receiver; 0: none
-    place: Place
+    locality: Locality
     promised: Epoch
     view_epoch: Epoch  # of the newest view it accepted
     settled: Epoch
--- a/coveport/serving/replication/parts.py
+++ b/coveport/serving/replication/parts.py
@@ -7,7 +7,7 @@
 
 from coveport.serving.replication.acceptor import Acceptor
 from coveport.serving.replication.composition import Machine
-from coveport.serving.replication.identity import MemberId, Place
+from coveport.serving.replication.identity import Locality, MemberId
 from coveport.serving.replication.journal import Journal
 from coveport.serving.replication.learner import Learner
 from coveport.serving.replication.messages import Message
@@ -21,7 +21,7 @@
     """One member's parts and settings."""
 
     own: MemberId
-    place: Place
+    locality: Locality
     tolerated_losses: int
     timings: Timings
     jitter: Callable[[], float]  # 0 to 1
@@ -43,9 +43,9 @@
         ping = self.peers.ping_of(member, now_s)
         return ping is not None and ping.is_well and not ping.is_leaving
 
-    def place_of(self, member: MemberId) -> Place:
+    def locality_of(self, member: MemberId) -> Locality:
         """Where a member stands, as far as known."""
-        return self.place if member == self.own else self.peers.place_of(member)
+        return self.locality if member == self.own else self.peers.locality_of(member)
 
     def machine(self, member: MemberId, now_s: float) -> Machine:
         """What is known of a member."""
@@ -55,7 +55,7 @@
         is_leaving = ping is not None and ping.is_leaving
         return Machine(
             member=member,
-            place=self.place_of(member),
+            locality=self.locality_of(member),
             is_usable=self.is_usable(member, now_s),
             is_lost=is_replaced or is_leaving or silent_s >= self.timings.replace_s,
             is_gone=is_replaced or silent_s >= self.timings.drop_s,
--- a/coveport/serving/replication/peers.py
+++ b/coveport/serving/replication/peers.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from coveport.serving.replication.identity import UNKNOWN_PLACE, MemberId, Place
+from coveport.serving.replication.identity import UNKNOWN_LOCALITY, Locality, MemberId
 from coveport.serving.replication.messages import Ping
 from coveport.serving.replication.timings import Timings
 
@@ -46,9 +46,9 @@
     pinged_at_s: float = float("-inf")  # when we last sent it a ping
 
     @property
-    def place(self) -> Place:
+    def locality(self) -> Locality:
         """Where it stands, as far as it said."""
-        return self.ping.place if self.ping else UNKNOWN_PLACE
+        return self.ping.locality if self.ping else UNKNOWN_LOCALITY
 
 
 class Peers:
@@ -142,10 +142,10 @@
         peer = self._peers[member.address]
         return peer.ping
 
-    def place_of(self, member: MemberId) -> Place:
+    def locality_of(self, member: MemberId) -> Locality:
         """Where it stands, as far as known."""
         peer = self._peers.get(member.address)
-        return peer.place if peer is not None else UNKNOWN_PLACE
+        return peer.locality if peer is not None else UNKNOWN_LOCALITY
 
     def alive(self, now_s: float) -> list[Peer]:
         """Those alive now."""
--- a/coveport/serving/replication/pinging.py
+++ b/coveport/serving/replication/pinging.py
@@ -49,7 +49,7 @@
             ping = Ping(
                 counter=int(now_s * 1000),
                 echo=peer.heard_counter,
-                place=parts.place,
+                locality=parts.locality,
                 promised=durable.promised,
                 view_epoch=parts.acceptor.view_epoch,
                 settled=durable.settled,
--- a/coveport/serving/replication/records.py
+++ b/coveport/serving/replication/records.py
@@ -132,7 +132,7 @@
         records.append(SettledRecord(durable.settled))
     if durable.has_state:
         records.append(StateRecord(durable.state_epoch, durable.snapshot_sequence, durable.snapshot))
-        for place, command in enumerate(durable.commands or (), start=1):
-            records.append(CommandRecord(durable.state_epoch, durable.snapshot_sequence + place, command))
+        for offset, command in enumerate(durable.commands or (), start=1):
+            records.append(CommandRecord(durable.state_epoch, durable.snapshot_sequence + offset, command))
     records.append(PromiseRecord(durable.promised))
     return tuple(records)
--- a/tests/golden/golden_wire_cases.py
+++ b/tests/golden/golden_wire_cases.py
@@ -9,7 +9,7 @@
 from coveport.serving.model.node import Node, NodeState, goodbye
 from coveport.serving.replication import messages as core
 from coveport.serving.replication import records
-from coveport.serving.replication.identity import NO_EPOCH, Epoch, MemberId, Place, View
+from coveport.serving.replication.identity import NO_EPOCH, Epoch, Locality, MemberId, View
 from coveport.serving.wire import messages as wire
 
 FIRST = MemberId("10.0.0.1:7000", "aa01")
@@ -82,7 +82,7 @@
     "ping": core.Ping(
         counter=1000,
         echo=999,
-        place=Place("north-a", "north"),
+        locality=Locality("north-a", "north"),
         promised=LATER_EPOCH,
         view_epoch=EPOCH,
         settled=EPOCH,
@@ -97,7 +97,7 @@
     "first ping": core.Ping(
         counter=1,
         echo=0,
-        place=Place("", ""),
+        locality=Locality("", ""),
         promised=NO_EPOCH,
         view_epoch=NO_EPOCH,
         settled=NO_EPOCH,
--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -41,7 +41,7 @@
     StateCode,
     Submit,
 )
-from coveport.serving.replication.identity import NO_EPOCH, Epoch, MemberId, Place, View
+from coveport.serving.replication.identity import NO_EPOCH, Epoch, Locality, MemberId, View
 from coveport.serving.replication.member import CoreMember
 from coveport.serving.replication.messages import MESSAGES, Fenced, Learn, LearnState, Message, Ping
 from coveport.serving.replication.parts import Parts
@@ -66,7 +66,7 @@
     *RECORDS,
     MemberId,
     Epoch,
-    Place,
+    Locality,
     View,
     Timings,
     StateCode,
@@ -206,7 +206,7 @@
         name = self.scenario.machines[index]
         member = CoreMember(
             MemberId(name, durable.disk),
-            Place(name, name),
+            Locality(name, name),
             self.scenario.machines[: self.scenario.founders],
             1,
             durable,
@@ -288,9 +288,9 @@
                     point = self._check_committed(point, effect.state, member)
                 case Answer():
                     point = self._check_answer(point, effect)
-        disks = tuple(disk if place == index else other for place, other in enumerate(point.disks))
+        disks = tuple(disk if position == index else other for position, other in enumerate(point.disks))
         members = tuple(
-            pack(member) if place == index else other for place, other in enumerate(point.members)
+            pack(member) if position == index else other for position, other in enumerate(point.members)
         )
         point = replace(
             point,
@@ -354,8 +354,8 @@
             if disk.pending:
                 yield self._sync(point, index)
         budget = point.budget
-        for place, (name, kind) in enumerate(budget.campaigns):
-            left = replace(budget, campaigns=_without(budget.campaigns, place))
+        for position, (name, kind) in enumerate(budget.campaigns):
+            left = replace(budget, campaigns=_without(budget.campaigns, position))
             member: CoreMember = unpack(point.members[self._index(name)])
             if member._leading.attempt is None and member.view is not None:
                 yield self._step(
@@ -365,14 +365,14 @@
                     f"campaign {name} {kind}",
                     budget=left,
                 )
-        for place, name in enumerate(budget.crashes):
-            left = replace(budget, crashes=_without(budget.crashes, place))
+        for position, name in enumerate(budget.crashes):
+            left = replace(budget, crashes=_without(budget.crashes, position))
             yield self._restart(replace(point, budget=left), name, wiped=False)
-        for place, name in enumerate(budget.wipes):
-            left = replace(budget, wipes=_without(budget.wipes, place))
+        for position, name in enumerate(budget.wipes):
+            left = replace(budget, wipes=_without(budget.wipes, position))
             yield self._restart(replace(point, budget=left, wiped=name), name, wiped=True)
-        for place, (name, command) in enumerate(budget.submits):
-            left = replace(budget, submits=_without(budget.submits, place))
+        for position, (name, command) in enumerate(budget.submits):
+            left = replace(budget, submits=_without(budget.submits, position))
             event = Submit(point.request, command)
             yield self._step(
                 point,
@@ -383,8 +383,8 @@
                 request=point.request + 1,
                 submitted=(*point.submitted, (point.request, command.decode(), point.acknowledged)),
             )
-        for place, name in enumerate(budget.reads):
-            left = replace(budget, reads=_without(budget.reads, place))
+        for position, name in enumerate(budget.reads):
+            left = replace(budget, reads=_without(budget.reads, position))
             owed = (*point.reads_owed, (point.request, len(point.acknowledged)))
             yield self._step(
                 point,
@@ -420,7 +420,7 @@
         disk = point.disks[index]
         batch = disk.pending[0]
         synced = Disk((*disk.records, *batch.records), disk.pending[1:])
-        disks = tuple(synced if place == index else other for place, other in enumerate(point.disks))
+        disks = tuple(synced if position == index else other for position, other in enumerate(point.disks))
         note = f"sync {self.scenario.machines[index]}"
         return self._step(point, index, Persisted(batch.token), note, disks=disks)
 
@@ -430,8 +430,10 @@
         member = pack(self._member(index, disk))
         return replace(
             point,
-            members=tuple(member if place == index else other for place, other in enumerate(point.members)),
-            disks=tuple(disk if place == index else other for place, other in enumerate(point.disks)),
+            members=tuple(
+                member if position == index else other for position, other in enumerate(point.members)
+            ),
+            disks=tuple(disk if position == index else other for position, other in enumerate(point.disks)),
             trail=(*point.trail, f"{'wipe' if wiped else 'crash'} {name}"),
         )
 
@@ -554,8 +556,8 @@
     return f"disk-{name}-new"
 
 
-def _without(items: tuple, place: int) -> tuple:  # type: ignore[type-arg]
-    return items[:place] + items[place + 1 :]
+def _without(items: tuple, position: int) -> tuple:  # type: ignore[type-arg]
+    return items[:position] + items[position + 1 :]
 
 
 X = change(0, 1, "x")
--- a/tests/serving/replication/core_history.py
+++ b/tests/serving/replication/core_history.py
@@ -62,18 +62,18 @@
     """All that doesn't fit, in words; empty: nothing."""
     chain = tuple(change for change in final if not is_order(change))
     faults = _chain_faults(chain)
-    place = {change: position for position, change in enumerate(final, start=1)}
+    positions = {change: position for position, change in enumerate(final, start=1)}
     by_change = {call.change: call for call in calls if call.change}
     for call in calls:
-        if call.verdict is Verdict.TAKEN and call.change not in place:
+        if call.verdict is Verdict.TAKEN and call.change not in positions:
             faults.append(f"lost: {call.change} of {call.operator}, acknowledged at {call.ended_s:.3f}")
-        if call.verdict is Verdict.OTHER and call.change in place:
+        if call.verdict is Verdict.OTHER and call.change in positions:
             faults.append(f"in force though refused: {call.change} of {call.operator}")
     faults += [f"never sent: {change}" for change in final if change not in by_change]
     if faults:
         return faults
-    faults += _order_faults(calls, place)
-    faults += _read_faults(calls, place, by_change, final)
+    faults += _order_faults(calls, positions)
+    faults += _read_faults(calls, positions, by_change, final)
     faults += _refusal_faults(calls, chain, by_change)
     faults += _seen_faults(seen, final, by_change)
     return faults
@@ -89,9 +89,11 @@
     return faults
 
 
-def _order_faults(calls: Sequence[Call], place: dict[str, int]) -> list[str]:
+def _order_faults(calls: Sequence[Call], positions: dict[str, int]) -> list[str]:
     """A change acknowledged before another call began comes before that one's change, with all its copies."""
-    taken = sorted((call for call in calls if call.change in place), key=lambda call: place[call.change])
+    taken = sorted(
+        (call for call in calls if call.change in positions), key=lambda call: positions[call.change]
+    )
     faults = []
     for position, call in enumerate(taken):
         for later in taken[position + 1 :]:
@@ -101,11 +103,11 @@
 
 
 def _read_faults(
-    calls: Sequence[Call], place: dict[str, int], by_change: dict[str, Call], final: tuple[str, ...]
+    calls: Sequence[Call], positions: dict[str, int], by_change: dict[str, Call], final: tuple[str, ...]
 ) -> list[str]:
     faults = []
     acknowledged = sorted(
-        (call.ended_s, place[call.change]) for call in calls if call.verdict is Verdict.TAKEN
+        (call.ended_s, positions[call.change]) for call in calls if call.verdict is Verdict.TAKEN
     )
     reads = sorted((call for call in calls if call.verdict is Verdict.READ), key=lambda call: call.began_s)
     for read in reads:
--- a/tests/serving/replication/core_risk.py
+++ b/tests/serving/replication/core_risk.py
@@ -14,7 +14,7 @@
 from core_world import Machine, World, change, edition_of
 
 from coveport.serving.replication.events import Done, Outcome, Submit
-from coveport.serving.replication.identity import Place
+from coveport.serving.replication.identity import Locality
 
 BYTES_A_SECOND = 120e6  # of a link of 1,000 Mbit/s, and of a disk
 MOST_S = 20.0  # beyond which nothing is waited for
@@ -36,8 +36,10 @@
 
 def founded(core: Core, seed: int, size: int) -> World:
     """A core whose state has that size."""
-    places = [Place(f"{region}{at // 3}", region) for at, region in enumerate("abcabc"[: core.machines])]
-    world = World(seed, places, core.losses, core.region_s, bytes_a_second=BYTES_A_SECOND)
+    localities = [
+        Locality(f"{region}{at // 3}", region) for at, region in enumerate("abcabc"[: core.machines])
+    ]
+    world = World(seed, localities, core.losses, core.region_s, bytes_a_second=BYTES_A_SECOND)
     world.start_all()
     world.run_for(6.0, until=lambda: bool(world.primaries()))
     world.run_for(6.0, until=lambda: bears_all(world))
@@ -86,7 +88,7 @@
     victim = _victim(world)
     if kind == "replace":
         victim.remove()
-        back = world.add_machine(victim.place)
+        back = world.add_machine(victim.locality)
     else:
         back = victim
         if kind == "wipe":
--- a/tests/serving/replication/core_schedules.py
+++ b/tests/serving/replication/core_schedules.py
@@ -19,7 +19,7 @@
 from core_world import SYNC_S, Machine, World
 
 from coveport.serving.replication.events import HandOver
-from coveport.serving.replication.identity import Place
+from coveport.serving.replication.identity import Locality
 from coveport.serving.replication.member import CoreMember
 
 CATCH_UP_S = 4.0  # after its return a machine still counts as lost for so long
@@ -31,14 +31,14 @@
 class Site:
     """What stands where."""
 
-    places: tuple[Place, ...]
+    localities: tuple[Locality, ...]
     tolerated_losses: int
     region_s: float
     seeds: int = 3
 
 
-def _places(*regions: str) -> tuple[Place, ...]:
-    return tuple(Place(f"{region}-{number}", region) for number, region in enumerate(regions))
+def _places(*regions: str) -> tuple[Locality, ...]:
+    return tuple(Locality(f"{region}-{number}", region) for number, region in enumerate(regions))
 
 
 SITES = (
@@ -74,7 +74,7 @@
         self.site = self.random.choice(SITES)
         self.world = World(
             seed + 1,
-            list(self.site.places),
+            list(self.site.localities),
             self.site.tolerated_losses,
             self.site.region_s,
             self.site.seeds,
@@ -133,7 +133,7 @@
         """Lose the machine; another with an empty disk comes at a new address."""
         self.note(f"replace {machine.address} after {for_s:.2f}")
         machine.remove()
-        newcomer = self.world.add_machine(machine.place)
+        newcomer = self.world.add_machine(machine.locality)
         self.world.after(for_s, newcomer.start)
 
     def disk(self, machine: Machine, for_s: float) -> None:
@@ -318,7 +318,7 @@
         """A replacement, planned or not, and the next loss as soon as that is to be borne."""
         machine = self._target()
         if self.random.random() < 0.5:
-            newcomer = self.world.add_machine(machine.place)
+            newcomer = self.world.add_machine(machine.locality)
             newcomer.start()
             started_s = self.world.now_s
             self.world.run_for(self.random.choice((0.5, 1.5, 3.0)))
@@ -400,7 +400,7 @@
         self.operators.append(Reader(world, self.calls, "reader", 0.2))
         for operator in self.operators:
             world.after(self.random.uniform(0.0, 0.3), operator.begin)
-        grown_s = 4.0 if len(self.site.places) > self.site.seeds else 1.0
+        grown_s = 4.0 if len(self.site.localities) > self.site.seeds else 1.0
         world.run_for(grown_s)
         course = self.random.choice(self._courses())
         course()
--- a/tests/serving/replication/core_timings.py
+++ b/tests/serving/replication/core_timings.py
@@ -16,10 +16,10 @@
 from core_world import Machine, World
 
 from coveport.serving.replication.events import HandOver
-from coveport.serving.replication.identity import NO_EPOCH, Epoch, Place
+from coveport.serving.replication.identity import NO_EPOCH, Epoch, Locality
 
-THREE = [Place("a1", "a"), Place("b1", "b"), Place("c1", "c")]
-SIX = [*THREE, Place("a2", "a"), Place("b2", "b"), Place("c2", "c")]
+THREE = [Locality("a1", "a"), Locality("b1", "b"), Locality("c1", "c")]
+SIX = [*THREE, Locality("a2", "a"), Locality("b2", "b"), Locality("c2", "c")]
 TRIALS = 30
 TROUBLE_AT_S = 4.0
 WAIT_S = 15.0
@@ -147,13 +147,13 @@
 
 
 def try_once(
-    trouble: Callable[[World, Machine], None] | None, region_s: float, places: list[Place], seed: int
+    trouble: Callable[[World, Machine], None] | None, region_s: float, localities: list[Locality], seed: int
 ) -> Trial:
     """One trouble under an operator who writes on and on.
 
     He gives a coordinator a second to answer before he calls another.
     """
-    world = World(seed, places, 1 if len(places) == 3 else 2, region_s)
+    world = World(seed, localities, 1 if len(localities) == 3 else 2, region_s)
     world.start_all()
     calls: list[Call] = []
     operator = Operator(world, calls, "o", 0.05)
@@ -182,10 +182,10 @@
 
 
 def measure(
-    trouble: Callable[[World, Machine], None] | None, region_s: float, places: list[Place]
+    trouble: Callable[[World, Machine], None] | None, region_s: float, localities: list[Locality]
 ) -> list[Trial]:
     """Thirty trials."""
-    return [try_once(trouble, region_s, places, seed) for seed in range(TRIALS)]
+    return [try_once(trouble, region_s, localities, seed) for seed in range(TRIALS)]
 
 
 def figures(values: list[float]) -> str:
@@ -199,8 +199,8 @@
     print("|---|---|---|---|---|---|---|")
     for trouble in (None, *TROUBLES):
         cells = []
-        for region_s, places in ((0.012, THREE), (0.035, THREE), (0.035, SIX)):
-            trials = measure(trouble, region_s, places)
+        for region_s, localities in ((0.012, THREE), (0.035, THREE), (0.035, SIX)):
+            trials = measure(trouble, region_s, localities)
             cells.append(figures([trial.led_s for trial in trials]) if trouble else "")
             cells.append(figures([trial.waited_s for trial in trials]))
         name = trouble.__name__.replace("_", " ") if trouble else "none (longest of three seconds)"
--- a/tests/serving/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -31,7 +31,7 @@
     UnreadableStateError,
     Withdraw,
 )
-from coveport.serving.replication.identity import MemberId, Place
+from coveport.serving.replication.identity import Locality, MemberId
 from coveport.serving.replication.member import CoreMember
 from coveport.serving.replication.messages import Message
 from coveport.serving.replication.records import IdentityRecord, Record, recover
@@ -124,10 +124,10 @@
 class Machine:
     """A place where a process of the core runs."""
 
-    def __init__(self, world: World, address: str, place: Place) -> None:
+    def __init__(self, world: World, address: str, locality: Locality) -> None:
         self.world = world
         self.address = address
-        self.place = place
+        self.locality = locality
         self.disk = SimDisk()
         self.life: Life | None = None
         self.lives: list[Life] = []
@@ -155,7 +155,7 @@
         disk.synced = len(disk.records)
         member = world.make_member(
             identity=MemberId(self.address, durable.disk),
-            place=self.place,
+            locality=self.locality,
             seeds=world.seeds,
             tolerated_losses=world.tolerated_losses,
             durable=durable,
@@ -267,7 +267,7 @@
     def __init__(
         self,
         seed: int,
-        places: list[Place],
+        localities: list[Locality],
         tolerated_losses: int = 1,
         region_s: float = 0.012,
         seed_count: int = 3,
@@ -295,14 +295,14 @@
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
         self._request = 0
-        for place in places:
-            self.add_machine(place)
+        for locality in localities:
+            self.add_machine(locality)
         self.seeds = tuple(list(self.machines)[:seed_count])
 
-    def add_machine(self, place: Place) -> Machine:
+    def add_machine(self, locality: Locality) -> Machine:
         """A machine at a new address."""
         address = f"10.0.0.{len(self.machines) + 1}:7300"
-        machine = Machine(self, address, place)
+        machine = Machine(self, address, locality)
         self.machines[address] = machine
         return machine
 
@@ -335,10 +335,10 @@
 
     def delay_s(self, one: Machine, other: Machine) -> float:
         """One way between two machines."""
-        if one.place.region != other.place.region:
+        if one.locality.region != other.locality.region:
             base_s = self.region_s
         else:
-            base_s = 0.0014 if one.place.zone != other.place.zone else 0.0002
+            base_s = 0.0014 if one.locality.zone != other.locality.zone else 0.0002
         return base_s * self.random.uniform(1.0, 1.15) + 0.0003
 
     def send(self, sender: Machine, life: Life, to_address: str, message: Message) -> None:
--- a/tests/serving/replication/test_core_basics.py
+++ b/tests/serving/replication/test_core_basics.py
@@ -5,9 +5,9 @@
 from core_world import World, change
 
 from coveport.serving.replication.events import Done, Newest, Outcome, ReadNewest, Submit
-from coveport.serving.replication.identity import Place
+from coveport.serving.replication.identity import Locality
 
-THREE = [Place("a1", "a"), Place("b1", "b"), Place("c1", "c")]
+THREE = [Locality("a1", "a"), Locality("b1", "b"), Locality("c1", "c")]
 
 
 def founded(seed: int = 1, **settings: object) -> World:
--- a/tests/serving/replication/test_core_faults.py
+++ b/tests/serving/replication/test_core_faults.py
@@ -7,15 +7,15 @@
 from core_world import Machine, World, change
 
 from coveport.serving.replication.events import Answer, HandOver, Refused
-from coveport.serving.replication.identity import Place, View
+from coveport.serving.replication.identity import Locality, View
 from coveport.serving.replication.primary import Primary
 
-THREE = [Place("a1", "a"), Place("b1", "b"), Place("c1", "c")]
-SIX = [*THREE, Place("a2", "a"), Place("b2", "b"), Place("c2", "c")]
+THREE = [Locality("a1", "a"), Locality("b1", "b"), Locality("c1", "c")]
+SIX = [*THREE, Locality("a2", "a"), Locality("b2", "b"), Locality("c2", "c")]
 
 
-def founded(places: list[Place], losses: int = 1) -> tuple[World, Machine, View]:
-    world = World(3, places, losses, 0.035)
+def founded(localities: list[Locality], losses: int = 1) -> tuple[World, Machine, View]:
+    world = World(3, localities, losses, 0.035)
     world.start_all()
     world.run_for(4.0, until=lambda: bool(world.primaries()))
     return world, *leader(world)
@@ -83,7 +83,7 @@
     world, machine, view = founded(THREE)
     gone = next(other for other in world.machines.values() if other is not machine)
     gone.remove()
-    newcomer = world.add_machine(gone.place)
+    newcomer = world.add_machine(gone.locality)
     newcomer.start()
     world.run_for(6.0)
     _, view = leader(world)
@@ -110,15 +110,15 @@
     _, view = leader(world)
     assert len(view.members) == 5
     assert len(view.replicas) == 3
-    places = {other.address: other.place.region for other in world.machines.values()}
-    assert {places[member.address] for member in view.replicas} == {"a", "b", "c"}
+    localities = {other.address: other.locality.region for other in world.machines.values()}
+    assert {localities[member.address] for member in view.replicas} == {"a", "b", "c"}
     for lost in (machine, next(other for other in world.machines.values() if other is not machine)):
         lost.wipe()
     assert write_one(world).verdict is Verdict.TAKEN
 
 
 def test_a_spare_stays_out_while_three_bear_what_is_asked() -> None:
-    world, _, _ = founded([*THREE, Place("a2", "a")])
+    world, _, _ = founded([*THREE, Locality("a2", "a")])
     world.run_for(6.0)
     assert len(leader(world)[1].members) == 3
 
--- a/tests/serving/replication/test_cut_coming_or_going.py
+++ b/tests/serving/replication/test_cut_coming_or_going.py
@@ -30,7 +30,7 @@
     _, view = leader(world)
     victim = world.machines[world.random.choice(view.members).address]
     victim.remove()
-    newcomer = world.add_machine(victim.place)
+    newcomer = world.add_machine(victim.locality)
     newcomer.start()
     world.run_for(after_s)
     return newcomer
@@ -41,7 +41,7 @@
     world = schedule.world
     _, view = leader(world)
     member = world.machines[world.random.choice(view.members).address]
-    newcomer = world.add_machine(member.place)
+    newcomer = world.add_machine(member.locality)
     newcomer.start()
     world.run_for(1.5)
     assert member.life is not None
--- a/tests/serving/replication/test_second_losses.py
+++ b/tests/serving/replication/test_second_losses.py
@@ -30,8 +30,8 @@
 
 def is_founded_with_spare(losses: int) -> World:
     """One machine more than there are members."""
-    places = [*THREE, THREE[0]] if losses == 1 else SIX
-    world, _, _ = founded(places, losses)
+    localities = [*THREE, THREE[0]] if losses == 1 else SIX
+    world, _, _ = founded(localities, losses)
     world.run_for(6.0)
     _, view = leader(world)
     assert len(view.members) == 2 * losses + 1 < len(world.machines)
@@ -98,7 +98,7 @@
     world.run_for(1.0)
     _, view = leader(world)
     old = world.machines[view.replicas[1].address]
-    newcomer = world.add_machine(old.place)
+    newcomer = world.add_machine(old.locality)
     newcomer.start()
     world.run_for(2.0)
     stop(world, old)
