--- a/coveport/serving/coordinator/core.py
+++ b/coveport/serving/coordinator/core.py
@@ -28,8 +28,8 @@
     Withdraw,
 )
 from coveport.serving.replication.identity import MemberId
-from coveport.serving.replication.member import CoreMember
 from coveport.serving.replication.messages import Message
+from coveport.serving.replication.replica import Replica
 from coveport.serving.storage.writer import RecordWriter
 
 TICK_S = 0.05
@@ -48,9 +48,7 @@
 class CoreRuntime:
     """One member of the core, alive."""
 
-    def __init__(
-        self, net: Net, member: CoreMember, writer: RecordWriter, hooks: CoreHooks, log: Any
-    ) -> None:
+    def __init__(self, net: Net, member: Replica, writer: RecordWriter, hooks: CoreHooks, log: Any) -> None:
         self._net = net
         self.member = member
         self._writer = writer
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -22,8 +22,8 @@
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.replication.events import CommittedState, UnreadableStateError
 from coveport.serving.replication.identity import Locality, MemberId
-from coveport.serving.replication.member import CoreMember
 from coveport.serving.replication.messages import Message as ReplicationMessage
+from coveport.serving.replication.replica import Replica
 from coveport.serving.role_process import CannotStartError, run_process
 from coveport.serving.settings.boot import BootSettings
 from coveport.serving.storage.opening import Opened, open_storage
@@ -72,7 +72,7 @@
         self.history = StateHistory()
         self.traffic = Traffic()
         self._peers = Peers(net, self._hello, self._peer_said, self._peer_connected, self.traffic)
-        self._member = CoreMember(
+        self._member = Replica(
             self._member_id,
             Locality(settings.zone, settings.region),
             seeds,
--- a/coveport/serving/replication/member.py
+++ b/coveport/serving/replication/replica.py
@@ -57,7 +57,7 @@
 AFTER_WAKING_S = 0.5  # one that stood still waits: what it last heard is old
 
 
-class CoreMember:
+class Replica:
     """Made once in a process' life, from what its disk held."""
 
     def __init__(
--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -42,7 +42,6 @@
     Submit,
 )
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, Locality, MemberId, View
-from coveport.serving.replication.member import CoreMember
 from coveport.serving.replication.messages import MESSAGES, Fenced, Learn, LearnState, Message, Ping
 from coveport.serving.replication.parts import Parts
 from coveport.serving.replication.records import (
@@ -54,6 +53,7 @@
     ViewRecord,
     recover,
 )
+from coveport.serving.replication.replica import Replica
 from coveport.serving.replication.takeover import Wish
 from coveport.serving.replication.timings import Timings
 
@@ -101,10 +101,10 @@
     return stream.getvalue()
 
 
-def unpack(data: bytes) -> CoreMember:
+def unpack(data: bytes) -> Replica:
     """A member to work with."""
     member = _Unpickler(io.BytesIO(data)).load()
-    assert isinstance(member, CoreMember)
+    assert isinstance(member, Replica)
     return member
 
 
@@ -201,10 +201,10 @@
 
     # -- setting up --
 
-    def _member(self, index: int, disk: Disk) -> CoreMember:
+    def _member(self, index: int, disk: Disk) -> Replica:
         durable = recover(disk.records)
         name = self.scenario.machines[index]
-        member = CoreMember(
+        member = Replica(
             MemberId(name, durable.disk),
             Locality(name, name),
             self.scenario.machines[: self.scenario.founders],
@@ -246,7 +246,7 @@
 
     def _step(self, point: Point, index: int, event: Event | Change, note: str, **changes: object) -> Point:
         """Let one member take an event, and apply its effects."""
-        member: CoreMember = unpack(point.members[index])
+        member: Replica = unpack(point.members[index])
         if isinstance(event, Change):
             member._leading.highest_seen = self._highest_promised(point)
             member._leading.start_attempt(NOW_S, event)
@@ -266,7 +266,7 @@
             highest = max(highest, durable.promised)
         return highest
 
-    def _apply(self, point: Point, index: int, member: CoreMember, effects: list[Effect]) -> Point:
+    def _apply(self, point: Point, index: int, member: Replica, effects: list[Effect]) -> Point:
         links = dict(point.links)
         disk = point.disks[index]
         tokens: list[int] = []
@@ -299,13 +299,13 @@
             links=tuple(sorted((key, queue) for key, queue in links.items() if queue)),
         )
         for token in tokens:
-            again: CoreMember = unpack(point.members[index])
+            again: Replica = unpack(point.members[index])
             point = self._apply(point, index, again, again.handle(NOW_S, Persisted(token)))
         return point
 
     # -- what must hold --
 
-    def _check_committed(self, point: Point, state: State, member: CoreMember) -> Point:
+    def _check_committed(self, point: Point, state: State, member: Replica) -> Point:
         shorter, longer = sorted((point.committed, state), key=len)
         if longer[: len(shorter)] != shorter:
             raise FaultError(f"forked: {shorter} and {longer} after {point.trail}")
@@ -356,7 +356,7 @@
         budget = point.budget
         for position, (name, kind) in enumerate(budget.campaigns):
             left = replace(budget, campaigns=_without(budget.campaigns, position))
-            member: CoreMember = unpack(point.members[self._index(name)])
+            member: Replica = unpack(point.members[self._index(name)])
             if member._leading.attempt is None and member.view is not None:
                 yield self._step(
                     point,
@@ -402,7 +402,7 @@
         left = replace(point.budget, losses=_without(losses, losses.index(kind)))
         return replace(point, links=rest, budget=left, trail=(*point.trail, f"lose {note}"))
 
-    def _change(self, member: CoreMember, kind: str) -> Change:
+    def _change(self, member: Replica, kind: str) -> Change:
         view = member.view
         assert view is not None
         words = kind.split()
@@ -482,9 +482,7 @@
             raise FaultError(f"lost {point.acknowledged}, found {found}: {story}")
         return True
 
-    def _deliver_all(
-        self, members: dict[str, CoreMember], leader: str, effects: list[Effect]
-    ) -> State | None:
+    def _deliver_all(self, members: dict[str, Replica], leader: str, effects: list[Effect]) -> State | None:
         """Let every message arrive; the first state that the leader takes for committed."""
         waiting = deque((leader, effect) for effect in effects)
         while waiting:
--- a/tests/serving/replication/core_schedules.py
+++ b/tests/serving/replication/core_schedules.py
@@ -20,7 +20,7 @@
 
 from coveport.serving.replication.events import HandOver
 from coveport.serving.replication.identity import Locality
-from coveport.serving.replication.member import CoreMember
+from coveport.serving.replication.replica import Replica
 
 CATCH_UP_S = 4.0  # after its return a machine still counts as lost for so long
 GRACE_PART_S = 4.0  # for which a stop may wait
@@ -68,7 +68,7 @@
 class Schedule:
     """One world with its troubles."""
 
-    def __init__(self, seed: int, make_member: Callable[..., CoreMember] = CoreMember) -> None:
+    def __init__(self, seed: int, make_member: Callable[..., Replica] = Replica) -> None:
         self.random = random.Random(seed)
         self.seed = seed
         self.site = self.random.choice(SITES)
--- a/tests/serving/replication/core_variants.py
+++ b/tests/serving/replication/core_variants.py
@@ -14,7 +14,6 @@
 from coveport.serving.replication.acceptor import Acceptor
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, MemberId, View
 from coveport.serving.replication.journal import Journal
-from coveport.serving.replication.member import CoreMember
 from coveport.serving.replication.messages import (
     Accepted,
     Append,
@@ -28,6 +27,7 @@
 )
 from coveport.serving.replication.primary import Primary, Unconfirmed
 from coveport.serving.replication.records import PromiseRecord, Record, SettledRecord, ViewRecord
+from coveport.serving.replication.replica import Replica
 from coveport.serving.replication.takeover import Attempt
 
 Patches = list[Any]
@@ -240,12 +240,12 @@
 def shows_uncommitted() -> Patches:
     """A backup takes for committed whatever it holds."""
 
-    def take_append(self: CoreMember, sender: MemberId, message: Append) -> None:
+    def take_append(self: Replica, sender: MemberId, message: Append) -> None:
         original(self, sender, message)
         self._learn_own_state(message.epoch, message.sequence)
 
-    original = CoreMember._take_append
-    return [mock.patch.object(CoreMember, "_take_append", take_append)]
+    original = Replica._take_append
+    return [mock.patch.object(Replica, "_take_append", take_append)]
 
 
 def acceptor_keeps_no_fence() -> Patches:
--- a/tests/serving/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -32,9 +32,9 @@
     Withdraw,
 )
 from coveport.serving.replication.identity import Locality, MemberId
-from coveport.serving.replication.member import CoreMember
 from coveport.serving.replication.messages import Message
 from coveport.serving.replication.records import IdentityRecord, Record, recover
+from coveport.serving.replication.replica import Replica
 from coveport.serving.replication.timings import Timings
 
 TICK_S = 0.05
@@ -116,7 +116,7 @@
 class Life:
     """One life of a machine's process."""
 
-    member: CoreMember
+    member: Replica
     number: int
     committed: list[tuple[float, State]] = field(default_factory=list)
 
@@ -271,7 +271,7 @@
         tolerated_losses: int = 1,
         region_s: float = 0.012,
         seed_count: int = 3,
-        make_member: Callable[..., CoreMember] = CoreMember,
+        make_member: Callable[..., Replica] = Replica,
         timings: Timings = Timings(),  # noqa: B008 - frozen
         loss: float = 0.0,
         bytes_a_second: float = float("inf"),  # of links, and of disks, where everything is written twice
--- a/tests/serving/test_log_events.py
+++ b/tests/serving/test_log_events.py
@@ -98,7 +98,7 @@
 
 
 def test_the_page_has_the_keys_of_a_view_change() -> None:
-    keys = keys_returned_by(SYSTEM / "replication" / "member.py", "describe")
+    keys = keys_returned_by(SYSTEM / "replication" / "replica.py", "describe")
     assert len(keys) > 5
     assert table("The keys of `view_changed`") == keys
 
