--- a/coveport/serving/replication/acceptor.py
+++ b/coveport/serving/replication/acceptor.py
@@ -22,14 +22,14 @@
     Message,
     Prepare,
     Promise,
-    Settled,
+    ViewActivated,
 )
 from coveport.serving.replication.outbox import Outbox
 from coveport.serving.replication.records import (
+    ActiveEpochRecord,
     CommandRecord,
     DurableState,
-    PromiseRecord,
-    SettledRecord,
+    PromisedEpochRecord,
     StateRecord,
     ViewRecord,
 )
@@ -41,11 +41,11 @@
 class Acceptor:
     """Holds the fence. Nothing here knows who leads."""
 
-    def __init__(self, journal: Journal, outbox: Outbox, code: StateCode, may_found: bool) -> None:
+    def __init__(self, journal: Journal, outbox: Outbox, code: StateCode, may_bootstrap: bool) -> None:
         self._journal = journal
         self._outbox = outbox
         self._code = code
-        self._may_found = may_found
+        self._may_bootstrap = may_bootstrap
         self._command_bytes = sum(map(len, journal.durable.commands or ()))
         self._foreseen: tuple[Epoch, int, Any] | None = None
         self.state: Any = self._replay()
@@ -83,9 +83,11 @@
         if self._is_fenced(sender, message.epoch):
             return
         if message.epoch > self.durable.promised:
-            self._journal.write(PromiseRecord(message.epoch))
+            self._journal.write(PromisedEpochRecord(message.epoch))
         durable = self.durable
-        promise = Promise(message.epoch, durable.view, durable.settled, durable.state_epoch, durable.sequence)
+        promise = Promise(
+            message.epoch, durable.view, durable.active_epoch, durable.state_epoch, durable.sequence
+        )
         self._reply_when_synced(sender, promise)
 
     def fetch(self, sender: MemberId, message: Fetch) -> None:
@@ -130,15 +132,15 @@
             return
         own_view = self.durable.view
         if own_view is None or own_view.epoch < view.epoch:
-            if message.is_founding and (own_view is not None or not self._may_found):
+            if message.is_bootstrap and (own_view is not None or not self._may_bootstrap):
                 return
             self._journal.write(ViewRecord(view))
         self._reply_when_synced(sender, Accepted(view.epoch))
 
-    def settled(self, message: Settled) -> None:
+    def record_active_view(self, message: ViewActivated) -> None:
         """Note that the view accepted here is active, no other. Nobody waits for this."""
-        if message.epoch == self.view_epoch and message.epoch > self.durable.settled:
-            self._journal.write(SettledRecord(message.epoch))
+        if message.epoch == self.view_epoch and message.epoch > self.durable.active_epoch:
+            self._journal.write(ActiveEpochRecord(message.epoch))
 
     def append(self, sender: MemberId, message: Append) -> bool:
         """Take the primary's next command; whether the message is of the epoch that this replica serves."""
@@ -177,7 +179,7 @@
     def confirm(self, sender: MemberId, message: Confirm) -> None:
         """Say that nothing higher was promised so far."""
         if not self._is_fenced(sender, message.epoch):
-            self._outbox.send(sender.address, Confirmed(message.epoch, message.round))
+            self._outbox.send(sender.address, Confirmed(message.epoch, message.number))
 
     @property
     def is_blank(self) -> bool:
--- a/coveport/serving/replication/caretaker.py
+++ b/coveport/serving/replication/caretaker.py
@@ -6,7 +6,7 @@
 
 from coveport.serving.replication.composition import Machine, choose_members, choose_replicas, spread
 from coveport.serving.replication.identity import MemberId, View
-from coveport.serving.replication.messages import Accept, Settled
+from coveport.serving.replication.messages import Accept, ViewActivated
 from coveport.serving.replication.parts import Parts
 from coveport.serving.replication.peers import Peer
 from coveport.serving.replication.takeover import Wish
@@ -96,8 +96,8 @@
     def serve(self, view: View, peer: Peer) -> None:
         """Send a peer that pinged what it lacks of the view."""
         ping = peer.ping
-        if ping is None or (ping.view_epoch >= view.epoch and ping.settled >= view.epoch):
+        if ping is None or (ping.view_epoch >= view.epoch and ping.active_epoch >= view.epoch):
             return
         if ping.view_epoch < view.epoch:
-            self._parts.outbox.send(peer.address, Accept(view, is_founding=False))
-        self._parts.outbox.send(peer.address, Settled(view.epoch))
+            self._parts.outbox.send(peer.address, Accept(view, is_bootstrap=False))
+        self._parts.outbox.send(peer.address, ViewActivated(view.epoch))
--- a/coveport/serving/replication/election.py
+++ b/coveport/serving/replication/election.py
@@ -39,13 +39,13 @@
 
     def reaches_majorities(self, view: View, now_s: float) -> bool:
         """Whether we have two-way contact with a majority of each group."""
-        groups = view.groups(self._parts.journal.durable.settled)
+        groups = view.groups(self._parts.journal.durable.active_epoch)
         alive = {member for group in groups for member in group if self._parts.peers.is_alive(member, now_s)}
         return has_majorities(alive, groups)
 
     def hears_majorities_now(self, view: View, now_s: float) -> bool:
         """Whether an attempt started now would be answered."""
-        groups = view.groups(self._parts.journal.durable.settled)
+        groups = view.groups(self._parts.journal.durable.active_epoch)
         fresh = {member for group in groups for member in group if self._is_heard_now(member, now_s)}
         return has_majorities(fresh, groups)
 
--- a/coveport/serving/replication/founding.py
+++ b/coveport/serving/replication/founding.py
@@ -47,7 +47,7 @@
             return
         for member in self.view.members:
             if member not in self._accepted:
-                self._parts.send(member, Accept(self.view, is_founding=True))
+                self._parts.send(member, Accept(self.view, is_bootstrap=True))
 
     def handle(self, now_s: float, sender: MemberId, message: Message) -> None:
         """Take a seed's answer."""
--- a/coveport/serving/replication/identity.py
+++ b/coveport/serving/replication/identity.py
@@ -50,13 +50,13 @@
     members: tuple[MemberId, ...]  # whose majority decides on the next view
     previous_members: tuple[MemberId, ...] = ()  # their majority counts too until this view is known active
 
-    def groups(self, settled: Epoch) -> tuple[tuple[MemberId, ...], ...]:
+    def groups(self, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
         """The groups of which each must give its majority to a next view.
 
         `settled`: epoch of a view that is known active. That a later one is says nothing of this one: it may
         be a branch that never became active, whose members decided on nothing.
         """
-        if not self.previous_members or settled == self.epoch:
+        if not self.previous_members or active_epoch == self.epoch:
             return (self.members,)
         return self.members, self.previous_members
 
--- a/coveport/serving/replication/journal.py
+++ b/coveport/serving/replication/journal.py
@@ -97,7 +97,7 @@
         for batch in self._batches:
             batch.since_s = now_s
 
-    def is_well(self, now_s: float) -> bool:
+    def is_healthy(self, now_s: float) -> bool:
         """Whether the disk has been syncing in time."""
         if self._batches and now_s - self._batches[0].since_s > self._timings.disk_s:
             self._trouble_at_s = now_s
--- a/coveport/serving/replication/leading.py
+++ b/coveport/serving/replication/leading.py
@@ -6,7 +6,7 @@
 from coveport.serving.replication.election import Election
 from coveport.serving.replication.founding import Founding
 from coveport.serving.replication.identity import MemberId, View
-from coveport.serving.replication.messages import Fenced, Message, Ping, Settled, TakeOver
+from coveport.serving.replication.messages import Fenced, Message, Ping, TransferLeadership, ViewActivated
 from coveport.serving.replication.parts import Parts
 from coveport.serving.replication.peers import Peer
 from coveport.serving.replication.primary import Primary
@@ -23,7 +23,7 @@
         parts: Parts,
         now_s: float,
         seeds: tuple[str, ...],
-        may_found: bool,
+        may_bootstrap: bool,
         initial_state: bytes,
     ) -> None:
         self.election = Election(parts, now_s)
@@ -32,7 +32,7 @@
         self.attempt: Attempt | None = None
         self.highest_seen = parts.journal.durable.promised
         self.outvoted_since_s: float | None = None
-        self.may_found = may_found
+        self.may_bootstrap = may_bootstrap
         self._parts = parts
         self._seeds = seeds
         self._initial_state = initial_state
@@ -70,7 +70,7 @@
             return False
         view = self.primary.view
         self.caretaker.serve(view, peer)
-        return ping.view_epoch < view.epoch or ping.settled < view.epoch
+        return ping.view_epoch < view.epoch or ping.active_epoch < view.epoch
 
     def follow_fence(self, now_s: float) -> None:
         """End what a higher promise than its own put an end to."""
@@ -101,7 +101,7 @@
         elif self.primary is not None and message.refused == self.primary.view.epoch:
             self.outvoted_since_s = self.outvoted_since_s or now_s
 
-    def take_over(self, now_s: float, sender: MemberId, message: TakeOver) -> None:
+    def take_over(self, now_s: float, sender: MemberId, message: TransferLeadership) -> None:
         """The primary of our view asks us to lead at once."""
         view = self._parts.journal.durable.view
         if view is None or view.epoch != message.epoch or view.primary != sender or self.attempt is not None:
@@ -147,9 +147,9 @@
         self.primary = Primary(self._parts, view)
         self.outvoted_since_s = None
         self._last_change_s = now_s
-        self._parts.acceptor.settled(Settled(view.epoch))
+        self._parts.acceptor.record_active_view(ViewActivated(view.epoch))
         for member in sorted({*view.members, *view.previous_members} - {self._parts.own}):
-            self._parts.send(member, Settled(view.epoch))
+            self._parts.send(member, ViewActivated(view.epoch))
         self.primary.begin(now_s, before, kept_own_state)
 
     def _give_up_attempt(self, now_s: float) -> None:
@@ -190,10 +190,10 @@
 
     def _tick_primary(self, now_s: float, primary: Primary) -> None:
         primary.tick(now_s)
-        if not self._parts.journal.is_well(now_s):
+        if not self._parts.journal.is_healthy(now_s):
             self._step_down(now_s)
             return
-        if self._parts.is_leaving:
+        if self._parts.is_shutting_down:
             self._hand_over(now_s, primary)
             return
         change = self.caretaker.wanted_change(primary.view, primary.slow_replicas(now_s), now_s)
@@ -215,7 +215,7 @@
         successors = [m for m in primary.view.replicas[1:] if self._parts.is_usable(m, now_s)]
         primary.is_closing = bool(successors)
         if successors and primary.is_idle:
-            self._parts.send(successors[0], TakeOver(primary.view.epoch))
+            self._parts.send(successors[0], TransferLeadership(primary.view.epoch))
 
     def _tick_founding(self, now_s: float) -> None:
         parts = self._parts
@@ -225,7 +225,7 @@
             self._founding.tick(now_s)
             return
         own_address = parts.own.address
-        if not self.may_found or own_address not in self._seeds or own_address != min(self._seeds):
+        if not self.may_bootstrap or own_address not in self._seeds or own_address != min(self._seeds):
             return
         seeds = [parts.own]
         for address in self._seeds:
@@ -234,7 +234,7 @@
                 continue
             if peer is None or peer.identity is None or not parts.is_usable(peer.identity, now_s):
                 return
-            if peer.ping is None or not peer.ping.may_found:
+            if peer.ping is None or not peer.ping.may_bootstrap:
                 return
             seeds.append(peer.identity)
         epoch = self.highest_seen.after(parts.own.disk)
--- a/coveport/serving/replication/learner.py
+++ b/coveport/serving/replication/learner.py
@@ -7,7 +7,7 @@
 
 from coveport.serving.replication.events import Applied, StateCode, UnreadableStateError
 from coveport.serving.replication.identity import MemberId
-from coveport.serving.replication.messages import Learn, LearnState
+from coveport.serving.replication.messages import CatchUpCommands, CatchUpSnapshot
 from coveport.serving.replication.outbox import Outbox
 from coveport.serving.replication.peers import Peer, StateOnItsWay
 
@@ -47,7 +47,7 @@
         while len(self._recent) > RECENT_COMMANDS or self._recent_bytes > RECENT_BYTES:
             self._recent_bytes -= len(self._recent.popleft())
 
-    def learn(self, message: Learn) -> None:
+    def learn(self, message: CatchUpCommands) -> None:
         """Take committed commands, as far as they follow."""
         for offset, command in enumerate(message.commands):
             sequence = message.first + offset
@@ -57,7 +57,7 @@
                     raise ValueError("a committed command was refused here")
                 self.became(sequence, applied.state, command)
 
-    def learn_state(self, sender: MemberId, message: LearnState) -> None:
+    def learn_state(self, sender: MemberId, message: CatchUpSnapshot) -> None:
         """Take a whole committed state."""
         if message.sequence <= self.sequence:
             return
@@ -74,19 +74,19 @@
         if peer.sent_state is not None and peer.sent_state.is_awaited(sequence, now_s):
             return False
         lesson = self.lesson(sequence)
-        if isinstance(lesson, LearnState):
+        if isinstance(lesson, CatchUpSnapshot):
             way_s = LEAST_WAY_S + len(lesson.state) / SLOWEST_BYTES_A_SECOND
             peer.sent_state = StateOnItsWay(lesson.sequence, now_s + way_s)
         if lesson is not None:
             self._outbox.send(peer.address, lesson)
         return lesson is not None
 
-    def lesson(self, sequence: int) -> Learn | LearnState | None:
+    def lesson(self, sequence: int) -> CatchUpCommands | CatchUpSnapshot | None:
         """What one that knows up to `sequence` lacks."""
         lacking = self.sequence - sequence
         if lacking <= 0:
             return None
         if sequence >= 0 and lacking <= len(self._recent):
             commands = tuple(self._recent)[-lacking:]
-            return Learn(sequence + 1, commands)
-        return LearnState(self.sequence, self._code.encode(self.state))
+            return CatchUpCommands(sequence + 1, commands)
+        return CatchUpSnapshot(self.sequence, self._code.encode(self.state))
--- a/coveport/serving/replication/messages.py
+++ b/coveport/serving/replication/messages.py
@@ -1,52 +1,56 @@
-"""What members of the core say to each other. Each answer repeats the epoch that it answers."""
+"""Messages between replicas. Each answer repeats the epoch of what it answers.
+
+A message is encoded as its fields in their order (`wire/codec.py`): a field may be renamed, never moved or
+retyped, and `MESSAGES` gives each kind its number on the wire.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from coveport.serving.replication.identity import Epoch, Locality, MemberId, View
+from coveport.serving.replication.identity import Epoch, Locality, View
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Sent by every coordinator to every other it knows, every `Timings.ping_s`."""
+    """Health check and summary of the sender; every coordinator sends one to each peer every `ping_s`."""
 
-    counter: int  # rises with each ping of this sender
-    echo: int  # the newest counter it heard from the receiver; 0: none
+    counter: int  # the sender's clock in milliseconds; rises with each ping
+    echo: int  # newest counter that the sender received from the receiver; 0: none
     locality: Locality
-    promised: Epoch
-    view_epoch: Epoch  # of the newest view it accepted
-    settled: Epoch
-    committed: int  # sequence of its committed state; -1: has none
-    primary: str  # address of the active primary it hears; empty: none
-    is_leading: bool  # it is the active primary and reaches a majority
-    is_well: bool  # its disk syncs in time
-    is_leaving: bool  # it was told to stop
-    may_found: bool  # blank, and started with the whole system
-    reaches: tuple[str, ...]  # addresses of those that it hears and that hear it
+    promised: Epoch  # the sender rejects all lower epochs
+    view_epoch: Epoch  # of the newest view that it accepted
+    active_epoch: Epoch  # of the newest view that it knows to be active
+    committed: int  # sequence of its committed state; -1: it has none
+    primary: str  # address of the active primary that it is in contact with; empty: none
+    is_leading: bool  # it is the active primary and has two-way contact with a majority
+    is_healthy: bool  # its disk syncs in time
+    is_shutting_down: bool
+    may_bootstrap: bool  # it has accepted no view, and was started with the whole system
+    reaches: tuple[str, ...]  # addresses of the peers with which it has two-way contact
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """A candidate asks not to accept anything below its epoch any more."""
+    """Sent by a candidate: ask the receiver to reject everything below its epoch (Paxos' phase 1a)."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Synced before it is sent: the sender refuses all below `epoch` from now on."""
+    """Answer to Prepare (Paxos' phase 1b): the sender rejects all below `epoch`. Sent once that is synced."""
 
     epoch: Epoch
-    view: View | None
-    settled: Epoch
+    view: View | None  # the newest that the sender accepted
+    active_epoch: Epoch
     state_epoch: Epoch  # under which its state was installed; NO_EPOCH: it has none
     state_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """Refused: `refused` is below what the sender promised."""
+    """Answer to any message whose epoch, `refused`, is below the one that the sender promised."""
 
     refused: Epoch
     promised: Epoch
@@ -54,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """A candidate asks one that promised for its state."""
+    """Sent by a candidate to a replica that promised: ask for its state."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Fetched:
-    """The state as it stood when the promise was given."""
+    """Answer to Fetch: the state as it was when the promise was given."""
 
     epoch: Epoch
     sequence: int
@@ -70,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """A candidate brings up a replica of its view to be."""
+    """Sent by a candidate: replace the state of a replica of the view that it prepares."""
 
     epoch: Epoch
     sequence: int
@@ -79,28 +83,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Installed:
-    """Synced before it is sent."""
+    """Answer to Install, sent once the state is synced."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """A candidate, or the primary to those who missed it, asks to store a view."""
+    """Ask the receiver to store a view. Sent by a candidate, and by the primary to those who missed it."""
 
     view: View
-    is_founding: bool  # the first view of all: only a blank member takes it
+    is_bootstrap: bool  # the first view of all: only a member without a view accepts it
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Synced before it is sent."""
+    """Answer to Accept, sent once the view is synced."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class ViewActivated:
     """The view of this epoch is active: its `previous_members` no longer count."""
 
     epoch: Epoch
@@ -108,17 +112,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """The primary's next command, to its backups."""
+    """Sent by the primary to its backups: the next command."""
 
     epoch: Epoch
     sequence: int
     command: bytes
-    committed: int
+    committed: int  # sequence up to which all commands are committed
 
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """Synced before it is sent: everything up to `sequence`."""
+    """Answer to Append, sent once everything up to `sequence` is synced."""
 
     epoch: Epoch
     sequence: int
@@ -126,30 +130,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """The primary asks whether the receiver promised anything higher by now."""
+    """Sent by the primary to all members before it answers a read: ask whether a higher epoch was promised.
+
+    Raft's ReadIndex asks a majority for the same reason.
+    """
 
     epoch: Epoch
-    round: int
+    number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Confirmed:
-    """Nothing higher was promised when this was sent."""
+    """Answer to Confirm: the sender had promised nothing higher when it sent this."""
 
     epoch: Epoch
-    round: int
+    number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """To backups, which hold the commands already: all up to `sequence` is acknowledged."""
+    """Sent by the primary to backups, which hold the commands already: all up to `sequence` are committed."""
 
     epoch: Epoch
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
-class Learn:
+class CatchUpCommands:
     """Committed commands that follow the receiver's committed state."""
 
     first: int  # sequence of the first command
@@ -157,16 +164,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LearnState:
-    """The whole committed state."""
+class CatchUpSnapshot:
+    """A complete committed state, for a receiver that is too far behind for single commands."""
 
     sequence: int
     state: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class TakeOver:
-    """A primary that leaves asks the receiver to lead at once."""
+class TransferLeadership:
+    """Sent by a primary that shuts down: ask the receiver to lead at once (Raft's TimeoutNow)."""
 
     epoch: Epoch
 
@@ -182,17 +189,18 @@
     | Installed
     | Accept
     | Accepted
-    | Settled
+    | ViewActivated
     | Append
     | Appended
     | Confirm
     | Confirmed
     | Committed
-    | Learn
-    | LearnState
-    | TakeOver
+    | CatchUpCommands
+    | CatchUpSnapshot
+    | TransferLeadership
 )
 
+# In the order of their numbers on the wire.
 MESSAGES = (
     Ping,
     Prepare,
@@ -204,15 +212,13 @@
     Installed,
     Accept,
     Accepted,
-    Settled,
+    ViewActivated,
     Append,
     Appended,
     Confirm,
     Confirmed,
     Committed,
-    Learn,
-    LearnState,
-    TakeOver,
+    CatchUpCommands,
+    CatchUpSnapshot,
+    TransferLeadership,
 )
-
-__all__ = ["MESSAGES", "MemberId", "Message"] + [kind.__name__ for kind in MESSAGES]
--- a/coveport/serving/replication/parts.py
+++ b/coveport/serving/replication/parts.py
@@ -30,7 +30,7 @@
     acceptor: Acceptor
     learner: Learner
     peers: Peers
-    is_leaving: bool = False
+    is_shutting_down: bool = False
 
     def send(self, member: MemberId, message: Message) -> None:
         """Send to a member, ourselves included."""
@@ -39,9 +39,9 @@
     def is_usable(self, member: MemberId, now_s: float) -> bool:
         """Whether it is alive, its disk well, and it stays."""
         if member == self.own:
-            return self.journal.is_well(now_s) and not self.is_leaving
+            return self.journal.is_healthy(now_s) and not self.is_shutting_down
         ping = self.peers.ping_of(member, now_s)
-        return ping is not None and ping.is_well and not ping.is_leaving
+        return ping is not None and ping.is_healthy and not ping.is_shutting_down
 
     def locality_of(self, member: MemberId) -> Locality:
         """Where a member stands, as far as known."""
@@ -52,12 +52,12 @@
         silent_s = self.peers.silent_s(member, now_s)
         is_replaced = self.peers.is_replaced(member)
         ping = self.peers.ping_of(member, now_s)
-        is_leaving = ping is not None and ping.is_leaving
+        is_shutting_down = ping is not None and ping.is_shutting_down
         return Machine(
             member=member,
             locality=self.locality_of(member),
             is_usable=self.is_usable(member, now_s),
-            is_lost=is_replaced or is_leaving or silent_s >= self.timings.replace_s,
+            is_lost=is_replaced or is_shutting_down or silent_s >= self.timings.replace_s,
             is_gone=is_replaced or silent_s >= self.timings.drop_s,
         )
 
--- a/coveport/serving/replication/pinging.py
+++ b/coveport/serving/replication/pinging.py
@@ -41,8 +41,8 @@
         parts = self._parts
         durable = parts.journal.durable
         reaches = tuple(peer.address for peer in parts.peers.alive(now_s))
-        is_well = parts.journal.is_well(now_s)
-        is_leading = is_well and self._leads_majorities(durable.view, now_s)
+        is_healthy = parts.journal.is_healthy(now_s)
+        is_leading = is_healthy and self._leads_majorities(durable.view, now_s)
         primary = parts.own.address if is_leading else self._leading.election.leader(durable.view, now_s)
         for peer in peers:
             peer.pinged_at_s = now_s
@@ -52,13 +52,13 @@
                 locality=parts.locality,
                 promised=durable.promised,
                 view_epoch=parts.acceptor.view_epoch,
-                settled=durable.settled,
+                active_epoch=durable.active_epoch,
                 committed=parts.learner.sequence,
                 primary=primary,
                 is_leading=is_leading,
-                is_well=is_well,
-                is_leaving=parts.is_leaving,
-                may_found=self._leading.may_found and parts.acceptor.is_blank,
+                is_healthy=is_healthy,
+                is_shutting_down=parts.is_shutting_down,
+                may_bootstrap=self._leading.may_bootstrap and parts.acceptor.is_blank,
                 reaches=reaches,
             )
             parts.outbox.send(peer.address, ping)
--- a/coveport/serving/replication/primary.py
+++ b/coveport/serving/replication/primary.py
@@ -8,7 +8,14 @@
 
 from coveport.serving.replication.events import Applied, Done, Newest, NotPrimary, Outcome, Refused, Unclear
 from coveport.serving.replication.identity import MemberId, View, is_majority
-from coveport.serving.replication.messages import Append, Appended, Committed, Confirm, Confirmed, Learn
+from coveport.serving.replication.messages import (
+    Append,
+    Appended,
+    CatchUpCommands,
+    Committed,
+    Confirm,
+    Confirmed,
+)
 from coveport.serving.replication.parts import Parts
 
 ROUNDS_AT_ONCE = 2  # rounds of confirmation on their way
@@ -194,7 +201,7 @@
                 continue
             known = peer.ping.committed if peer.ping else -1
             lesson = parts.learner.lesson(max(known, parts.learner.sequence - 1) if known >= 0 else -1)
-            if isinstance(lesson, Learn):
+            if isinstance(lesson, CatchUpCommands):
                 parts.outbox.send(peer.address, lesson)
 
     def _teach_those_without_state(self, now_s: float) -> None:
@@ -221,7 +228,7 @@
         if message.epoch != self.view.epoch:
             return
         for round_ in self._rounds:
-            if round_.number == message.round:
+            if round_.number == message.number:
                 round_.confirmed.add(sender)
         for round_ in [item for item in self._rounds if is_majority(item.confirmed, self.view.members)]:
             self._rounds.remove(round_)
--- a/coveport/serving/replication/records.py
+++ b/coveport/serving/replication/records.py
@@ -13,11 +13,11 @@
     """The first record of a disk's life."""
 
     disk: str
-    born_at_founding: bool  # drawn while the whole system started for the first time
+    created_at_bootstrap: bool  # drawn while the whole system started for the first time
 
 
 @dataclass(frozen=True, slots=True)
-class PromiseRecord:
+class PromisedEpochRecord:
     """Nothing below `epoch` is accepted any more."""
 
     epoch: Epoch
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SettledRecord:
+class ActiveEpochRecord:
     """The view of this epoch is known to be active."""
 
     epoch: Epoch
@@ -55,8 +55,8 @@
     command: bytes
 
 
-Record = IdentityRecord | PromiseRecord | ViewRecord | SettledRecord | StateRecord | CommandRecord
-RECORDS = (IdentityRecord, PromiseRecord, ViewRecord, SettledRecord, StateRecord, CommandRecord)
+Record = IdentityRecord | PromisedEpochRecord | ViewRecord | ActiveEpochRecord | StateRecord | CommandRecord
+RECORDS = (IdentityRecord, PromisedEpochRecord, ViewRecord, ActiveEpochRecord, StateRecord, CommandRecord)
 
 
 @dataclass(slots=True)
@@ -64,10 +64,10 @@
     """All records added up. `sequence` counts the commands after the snapshot in."""
 
     disk: str = ""  # empty: the disk was found empty
-    born_at_founding: bool = False
+    created_at_bootstrap: bool = False
     promised: Epoch = NO_EPOCH
     view: View | None = None
-    settled: Epoch = NO_EPOCH
+    active_epoch: Epoch = NO_EPOCH
     state_epoch: Epoch = NO_EPOCH
     snapshot: bytes = b""
     snapshot_sequence: int = -1
@@ -88,14 +88,14 @@
         match record:
             case IdentityRecord():
                 self.disk = record.disk
-                self.born_at_founding = record.born_at_founding
-            case PromiseRecord():
+                self.created_at_bootstrap = record.created_at_bootstrap
+            case PromisedEpochRecord():
                 self.promised = max(self.promised, record.epoch)
             case ViewRecord():
                 self.view = record.view
                 self.promised = max(self.promised, record.view.epoch)
-            case SettledRecord():
-                self.settled = max(self.settled, record.epoch)
+            case ActiveEpochRecord():
+                self.active_epoch = max(self.active_epoch, record.epoch)
             case StateRecord():
                 self.state_epoch = record.epoch
                 self.snapshot = record.state
@@ -125,14 +125,14 @@
     """The fewest records that add up to the same."""
     records: list[Record] = []
     if durable.disk:
-        records.append(IdentityRecord(durable.disk, durable.born_at_founding))
+        records.append(IdentityRecord(durable.disk, durable.created_at_bootstrap))
     if durable.view is not None:
         records.append(ViewRecord(durable.view))
-    if durable.settled != NO_EPOCH:
-        records.append(SettledRecord(durable.settled))
+    if durable.active_epoch != NO_EPOCH:
+        records.append(ActiveEpochRecord(durable.active_epoch))
     if durable.has_state:
         records.append(StateRecord(durable.state_epoch, durable.snapshot_sequence, durable.snapshot))
         for offset, command in enumerate(durable.commands or (), start=1):
             records.append(CommandRecord(durable.state_epoch, durable.snapshot_sequence + offset, command))
-    records.append(PromiseRecord(durable.promised))
+    records.append(PromisedEpochRecord(durable.promised))
     return tuple(records)
--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -29,6 +29,8 @@
     Accepted,
     Append,
     Appended,
+    CatchUpCommands,
+    CatchUpSnapshot,
     Committed,
     Confirm,
     Confirmed,
@@ -37,14 +39,12 @@
     Fetched,
     Install,
     Installed,
-    Learn,
-    LearnState,
     Message,
     Ping,
     Prepare,
     Promise,
-    Settled,
-    TakeOver,
+    TransferLeadership,
+    ViewActivated,
 )
 from coveport.serving.replication.outbox import Outbox
 from coveport.serving.replication.parts import Parts
@@ -75,7 +75,7 @@
     ) -> None:
         outbox = Outbox(identity)
         journal = Journal(durable, outbox, timings)
-        may_found = durable.born_at_founding
+        may_bootstrap = durable.created_at_bootstrap
         self._parts = Parts(
             own=identity,
             locality=locality,
@@ -84,11 +84,11 @@
             jitter=jitter,
             outbox=outbox,
             journal=journal,
-            acceptor=Acceptor(journal, outbox, code, may_found),
+            acceptor=Acceptor(journal, outbox, code, may_bootstrap),
             learner=Learner(outbox, code),
             peers=Peers(identity, timings, now_s),
         )
-        self._leading = Leadership(self._parts, now_s, seeds, may_found, initial_state)
+        self._leading = Leadership(self._parts, now_s, seeds, may_bootstrap, initial_state)
         self._leading.election.listen(now_s + AFTER_START_S)
         self._last_tick_s = now_s
         self._pinger = Pinger(self._parts, self._leading)
@@ -136,7 +136,7 @@
         view = self.view
         if view is None:
             return False
-        groups = view.groups(self._parts.journal.durable.settled)
+        groups = view.groups(self._parts.journal.durable.active_epoch)
         return has_majorities({*others, self._parts.own}, groups)
 
     def known_coordinators(self, now_s: float) -> tuple[str, ...]:
@@ -160,7 +160,7 @@
         if view is None:
             return True
         own = self._parts.own
-        if own in view.replicas or self._parts.journal.durable.settled < view.epoch:
+        if own in view.replicas or self._parts.journal.durable.active_epoch < view.epoch:
             return False
         return own not in view.members or not self._is_spare_there(view, now_s)
 
@@ -205,7 +205,7 @@
                 if self._leading.primary is not None:
                     self._leading.primary.withdraw(event.request)
             case HandOver():
-                self._parts.is_leaving = True
+                self._parts.is_shutting_down = True
                 self._pinger.make_due()
                 self._tick(now_s)
         self._settle(now_s)
@@ -249,8 +249,8 @@
                 self._leading.follow_fence(now_s)
             case Accept():
                 self._take_accept(now_s, sender, message)
-            case Settled():
-                acceptor.settled(message)
+            case ViewActivated():
+                acceptor.record_active_view(message)
             case Append():
                 self._take_append(sender, message)
             case Confirm():
@@ -267,11 +267,11 @@
                 self._leading.take_fenced(now_s, message)
             case Committed():
                 self._take_committed(message)
-            case Learn():
+            case CatchUpCommands():
                 self._parts.learner.learn(message)
-            case LearnState():
+            case CatchUpSnapshot():
                 self._parts.learner.learn_state(sender, message)
-            case TakeOver():
+            case TransferLeadership():
                 self._leading.take_over(now_s, sender, message)
 
     def _take_prepare(self, now_s: float, sender: MemberId, message: Prepare) -> None:
--- a/coveport/serving/replication/takeover.py
+++ b/coveport/serving/replication/takeover.py
@@ -74,7 +74,7 @@
         self._wish = wish
         self._avoided = set(avoided)
         self._newest = view
-        self._settled = parts.journal.durable.settled
+        self._active_epoch = parts.journal.durable.active_epoch
         self._promises: dict[MemberId, Promise] = {}
         self._majority_at_s: float | None = None
         self._source: MemberId | None = None
@@ -90,7 +90,7 @@
     # -- step 1 --
 
     def _groups(self) -> tuple[tuple[MemberId, ...], ...]:
-        return self._newest.groups(self._settled)
+        return self._newest.groups(self._active_epoch)
 
     def _asked(self) -> set[MemberId]:
         return {member for group in self._groups() for member in group}
@@ -109,7 +109,7 @@
         asked_before = self._asked()
         is_first = not self._promises
         self._promises[sender] = message
-        self._settled = max(self._settled, message.settled)
+        self._active_epoch = max(self._active_epoch, message.active_epoch)
         if message.view is not None and message.view.epoch > self._newest.epoch:
             self._newest = message.view
         if not self._is_among(self._newest):
@@ -247,7 +247,7 @@
         self._sent_at_s = now_s
         assert self.view is not None
         for member in sorted({*self.view.members, *self.view.previous_members} - self._accepted):
-            self._parts.send(member, Accept(self.view, is_founding=False))
+            self._parts.send(member, Accept(self.view, is_bootstrap=False))
 
     def accepted(self, now_s: float, sender: MemberId, message: Accepted) -> None:
         """A member stored the view."""
--- a/tests/golden/golden_ring_cases.py
+++ b/tests/golden/golden_ring_cases.py
@@ -46,10 +46,10 @@
     """What was read of a disk, in the order above."""
     return (
         durable.disk,
-        durable.born_at_founding,
+        durable.created_at_bootstrap,
         durable.promised,
         durable.view,
-        durable.settled,
+        durable.active_epoch,
         durable.state_epoch,
         durable.snapshot,
         durable.snapshot_sequence,
@@ -71,7 +71,7 @@
 def write_fresh(folder: Path) -> None:
     """A new disk with a few batches, as a coordinator begins it."""
     store = open_store(OsDisk(str(folder)), True, counted_draws()).store
-    store.append([records.ViewRecord(VIEW), records.SettledRecord(EPOCH)])
+    store.append([records.ViewRecord(VIEW), records.ActiveEpochRecord(EPOCH)])
     store.append([records.StateRecord(EPOCH, 0, b"the state")])
     store.append([records.CommandRecord(EPOCH, 1, b"one")])
     store.append([records.CommandRecord(EPOCH, 2, b""), records.CommandRecord(EPOCH, 3, b"three")])
@@ -85,7 +85,7 @@
     store = RecordStore(ring, CODEC.encode, CODEC.decode)
     store.open()
     store.append([records.IdentityRecord(DISK, False), records.ViewRecord(CHANGED_VIEW)])
-    store.append([records.SettledRecord(EPOCH), records.PromiseRecord(LATER_EPOCH)])
+    store.append([records.ActiveEpochRecord(EPOCH), records.PromisedEpochRecord(LATER_EPOCH)])
     for sequence in range(COMMANDS):
         store.append([_state_or_command(sequence)])
     store.close()
@@ -105,7 +105,7 @@
         records.IdentityRecord("aa01", True),
         records.ViewRecord(VIEW),
         records.StateRecord(EPOCH, 7, b"the state"),
-        records.PromiseRecord(EPOCH),
+        records.PromisedEpochRecord(EPOCH),
     ]
     later = [records.CommandRecord(EPOCH, 8, b"eight"), records.CommandRecord(EPOCH, 9, b"nine")]
     generations = {
--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -42,13 +42,20 @@
     Submit,
 )
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, Locality, MemberId, View
-from coveport.serving.replication.messages import MESSAGES, Fenced, Learn, LearnState, Message, Ping
+from coveport.serving.replication.messages import (
+    MESSAGES,
+    CatchUpCommands,
+    CatchUpSnapshot,
+    Fenced,
+    Message,
+    Ping,
+)
 from coveport.serving.replication.parts import Parts
 from coveport.serving.replication.records import (
     RECORDS,
+    ActiveEpochRecord,
     IdentityRecord,
     Record,
-    SettledRecord,
     StateRecord,
     ViewRecord,
     recover,
@@ -58,7 +65,7 @@
 from coveport.serving.replication.timings import Timings
 
 NOW_S = 100.0
-NOT_CARRIED = (Ping, Fenced, Learn, LearnState)  # they matter to speed only, not to safety
+NOT_CARRIED = (Ping, Fenced, CatchUpCommands, CatchUpSnapshot)  # they matter to speed only, not to safety
 
 
 _ATOMS = (
@@ -226,7 +233,7 @@
         for index, identity in enumerate(self.ids):
             records: list[Record] = [IdentityRecord(identity.disk, True)]
             if index < founders:
-                records += [ViewRecord(view), SettledRecord(epoch)]
+                records += [ViewRecord(view), ActiveEpochRecord(epoch)]
             if index < 2:
                 records.append(StateRecord(epoch, 0, b""))
             disks.append(Disk(tuple(records)))
@@ -590,7 +597,7 @@
     "Accept B>C",
     "Accepted C>B",
 )
-B_TAKES_Z = (*B_LEADS_WITH_C, "submit B", "Settled B>C", "Committed B>C", "Append B>C", "Appended C>B")
+B_TAKES_Z = (*B_LEADS_WITH_C, "submit B", "ViewActivated B>C", "Committed B>C", "Append B>C", "Appended C>B")
 
 FROM_THE_START = (
     Scenario(
@@ -659,7 +666,14 @@
     Scenario(
         "an excluded backup campaigns with its old state",
         Budget(campaigns=(("A", "avoid B"), ("B", "avoid A")), submits=(("A", X), ("B", Y))),
-        prefix=(*A_LEADS_WITH_C, "submit A", "Settled A>C", "Committed A>C", "Append A>C", "Appended C>A"),
+        prefix=(
+            *A_LEADS_WITH_C,
+            "submit A",
+            "ViewActivated A>C",
+            "Committed A>C",
+            "Append A>C",
+            "Appended C>A",
+        ),
     ),
     Scenario(
         "a member is taken in while the excluded backup campaigns with the members before",
--- a/tests/serving/replication/core_variants.py
+++ b/tests/serving/replication/core_variants.py
@@ -23,10 +23,10 @@
     Installed,
     Message,
     Promise,
-    Settled,
+    ViewActivated,
 )
 from coveport.serving.replication.primary import Primary, Unconfirmed
-from coveport.serving.replication.records import PromiseRecord, Record, SettledRecord, ViewRecord
+from coveport.serving.replication.records import ActiveEpochRecord, PromisedEpochRecord, Record, ViewRecord
 from coveport.serving.replication.replica import Replica
 from coveport.serving.replication.takeover import Attempt
 
@@ -58,7 +58,7 @@
 
 def promise_not_synced() -> Patches:
     """A promise is given but not kept on disk."""
-    return _forgets(PromiseRecord)
+    return _forgets(PromisedEpochRecord)
 
 
 def view_not_synced() -> Patches:
@@ -141,7 +141,7 @@
     """A witness confirms an epoch below what it promised."""
 
     def confirm(self: Acceptor, sender: MemberId, message: Confirm) -> None:
-        self._outbox.send(sender.address, Confirmed(message.epoch, message.round))
+        self._outbox.send(sender.address, Confirmed(message.epoch, message.number))
 
     return [mock.patch.object(Acceptor, "confirm", confirm)]
 
@@ -186,7 +186,7 @@
 
     def promised(self: Attempt, now_s: float, sender: MemberId, message: Promise) -> None:
         own = self._newest
-        shown = Promise(message.epoch, own, message.settled, message.state_epoch, message.state_sequence)
+        shown = Promise(message.epoch, own, message.active_epoch, message.state_epoch, message.state_sequence)
         original(self, now_s, sender, shown)
 
     original = Attempt.promised
@@ -208,7 +208,7 @@
 def old_members_dont_count() -> Patches:
     """A change of members is decided by the new ones alone, and the old ones aren't asked."""
 
-    def groups(self: View, settled: Epoch) -> tuple[tuple[MemberId, ...], ...]:
+    def groups(self: View, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
         return (self.members,)
 
     return [mock.patch.object(View, "groups", groups)]
@@ -266,16 +266,19 @@
 def later_view_settles_earlier_ones() -> Patches:
     """That some later view is active counts for the view accepted here: as it was on main."""
 
-    def groups(self: View, settled: Epoch) -> tuple[tuple[MemberId, ...], ...]:
-        if not self.previous_members or settled >= self.epoch:
+    def groups(self: View, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
+        if not self.previous_members or active_epoch >= self.epoch:
             return (self.members,)
         return self.members, self.previous_members
 
-    def settled(self: Acceptor, message: Settled) -> None:
-        if message.epoch > self.durable.settled:
-            self._journal.write(SettledRecord(message.epoch))
+    def record_active_view(self: Acceptor, message: ViewActivated) -> None:
+        if message.epoch > self.durable.active_epoch:
+            self._journal.write(ActiveEpochRecord(message.epoch))
 
-    return [mock.patch.object(View, "groups", groups), mock.patch.object(Acceptor, "settled", settled)]
+    return [
+        mock.patch.object(View, "groups", groups),
+        mock.patch.object(Acceptor, "record_active_view", record_active_view),
+    ]
 
 
 VARIANTS: dict[str, Callable[[], Patches]] = {
--- a/tests/serving/replication/test_core_interleavings.py
+++ b/tests/serving/replication/test_core_interleavings.py
@@ -9,7 +9,7 @@
 import pytest
 from core_explorer import FROM_THE_MIDST, SCENARIOS, Explorer, Scenario, standing_still
 
-LOSABLE = ("Prepare", "Promise", "Install", "Accept", "Settled", "Append", "Committed", "Confirm")
+LOSABLE = ("Prepare", "Promise", "Install", "Accept", "ViewActivated", "Append", "Committed", "Confirm")
 WALKS = int(os.environ.get("COVEPORT_CORE_WALKS", "6"))
 STATES = int(os.environ.get("COVEPORT_CORE_STATES", "500"))
 DEPTH = 60
--- a/tests/serving/replication/test_second_losses.py
+++ b/tests/serving/replication/test_second_losses.py
@@ -10,8 +10,8 @@
 from coveport.serving.replication import takeover
 from coveport.serving.replication.events import HandOver, Outcome, ReadNewest, Received, Submit, Withdraw
 from coveport.serving.replication.identity import Epoch, MemberId, View
-from coveport.serving.replication.messages import Promise, Settled
-from coveport.serving.replication.records import PromiseRecord
+from coveport.serving.replication.messages import Promise, ViewActivated
+from coveport.serving.replication.records import PromisedEpochRecord
 from coveport.serving.replication.takeover import Attempt
 
 GRACE_PART_S = 4.0  # that a stop may wait for the view without it
@@ -217,10 +217,10 @@
     machine, view = leader(world)
     other = world.machines[view.replicas[1].address]
     assert other.life is not None
-    settled = other.life.member._parts.journal.durable.settled
+    active_epoch = other.life.member._parts.journal.durable.active_epoch
     later = Epoch(view.epoch.number + 1, "another candidate")
-    other.deliver(other.life, Received(machine.life.member.identity, Settled(later)))  # type: ignore[union-attr]
-    assert other.life.member._parts.journal.durable.settled == settled == view.epoch
+    other.deliver(other.life, Received(machine.life.member.identity, ViewActivated(later)))  # type: ignore[union-attr]
+    assert other.life.member._parts.journal.durable.active_epoch == active_epoch == view.epoch
 
 
 # -- calls that nobody waits for --
@@ -334,7 +334,7 @@
 
 def promises_of(machine: Machine) -> list[Epoch]:
     """All that its disk has ever promised."""
-    return [record.epoch for record in machine.disk.records if isinstance(record, PromiseRecord)]
+    return [record.epoch for record in machine.disk.records if isinstance(record, PromisedEpochRecord)]
 
 
 def test_a_former_member_that_leads_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/serving/replication/test_strangers.py
+++ b/tests/serving/replication/test_strangers.py
@@ -13,10 +13,10 @@
     Accepted,
     Append,
     Appended,
+    CatchUpSnapshot,
     Confirmed,
     Install,
     Installed,
-    LearnState,
     Message,
     Promise,
 )
@@ -121,7 +121,7 @@
     effects = life.member.handle(world.now_s, Received(view.primary, Install(later, 5, UNREADABLE)))
     assert [type(effect) for effect in effects] == [Complaint], "nothing is written, nothing answered"
     assert life.member._parts.journal.durable.state_epoch == before
-    effects = life.member.handle(world.now_s, Received(view.primary, LearnState(99, UNREADABLE)))
+    effects = life.member.handle(world.now_s, Received(view.primary, CatchUpSnapshot(99, UNREADABLE)))
     assert [type(effect) for effect in effects] == [Complaint]
     assert life.member._parts.learner.sequence < 99
 
--- a/tests/serving/storage/test_ring_rot.py
+++ b/tests/serving/storage/test_ring_rot.py
@@ -13,7 +13,7 @@
 from faulty_disk import FaultyDisk, FaultyFile
 
 from coveport.serving.replication.identity import Epoch
-from coveport.serving.replication.records import IdentityRecord, PromiseRecord
+from coveport.serving.replication.records import IdentityRecord, PromisedEpochRecord
 from coveport.serving.storage import opening, ring
 from coveport.serving.storage.folder_lock import FolderHeldError, FolderLock
 from coveport.serving.storage.opening import open_store
@@ -109,9 +109,9 @@
     disk = FaultyDisk()
     with mock.patch.object(ring, "FILE_BYTES", FILE_BYTES):
         opened = open_store(disk, True, chooser.randbytes)
-        assert opened.durable.born_at_founding
+        assert opened.durable.created_at_bootstrap
         for number in range(1, 6):
-            opened.store.append([PromiseRecord(Epoch(number, "a candidate"))])
+            opened.store.append([PromisedEpochRecord(Epoch(number, "a candidate"))])
         data = current(disk)
         places = [place for place in range(len(data)) if data.startswith(b"a candidate", place)]
         assert len(places) == 10, "five promises, each of them twice"
@@ -120,11 +120,11 @@
         again = open_store(disk, True, chooser.randbytes)
         assert "is lost" in again.damage
         assert again.durable.disk not in ("", opened.durable.disk)
-        assert not again.durable.born_at_founding, "it must not found a core beside the one it was in"
+        assert not again.durable.created_at_bootstrap, "it must not found a core beside the one it was in"
         assert again.durable.view is None
         third = open_store(disk.lose_power(3), True, chooser.randbytes)
         assert (third.damage, third.durable.disk) == ("", again.durable.disk)
-        assert not third.durable.born_at_founding
+        assert not third.durable.created_at_bootstrap
 
 
 def test_names_left_unsynced_by_a_killed_process_are_synced_by_the_next() -> None:
--- a/tests/serving/storage/test_store_crashes.py
+++ b/tests/serving/storage/test_store_crashes.py
@@ -18,7 +18,7 @@
     CommandRecord,
     DurableState,
     IdentityRecord,
-    PromiseRecord,
+    PromisedEpochRecord,
     Record,
     StateRecord,
     recover,
@@ -56,7 +56,7 @@
         if number % 7 == 0:
             yield [StateRecord(epoch, number, b"s" * 90)]
         elif number % 3 == 0:
-            yield [PromiseRecord(Epoch(number + 1, "x")), CommandRecord(epoch, number, b"c" * 60)]
+            yield [PromisedEpochRecord(Epoch(number + 1, "x")), CommandRecord(epoch, number, b"c" * 60)]
         else:
             yield [CommandRecord(epoch, number, b"c%d" % number)]
 
--- a/tests/serving/storage/test_writer.py
+++ b/tests/serving/storage/test_writer.py
@@ -10,7 +10,7 @@
 from faulty_disk import FaultyDisk
 
 from coveport.serving.replication.identity import Epoch
-from coveport.serving.replication.records import RECORDS, IdentityRecord, PromiseRecord, Record
+from coveport.serving.replication.records import RECORDS, IdentityRecord, PromisedEpochRecord, Record
 from coveport.serving.storage.ring import Ring
 from coveport.serving.storage.store import RecordStore
 from coveport.serving.storage.writer import InlineWriter, RecordWriter, ThreadWriter
@@ -41,9 +41,9 @@
 
     write(IdentityRecord("disk", True))
     disk.refuses = True
-    write(PromiseRecord(Epoch(3, "x")))
+    write(PromisedEpochRecord(Epoch(3, "x")))
     disk.refuses = False
-    write(PromiseRecord(Epoch(2, "y")))
+    write(PromisedEpochRecord(Epoch(2, "y")))
     assert [type(error) for error in told] == [type(None), OSError, type(None)]
     if isinstance(writer, ThreadWriter):
         writer.close(WAIT_S)
@@ -57,7 +57,7 @@
     told: list[OSError | None] = []
     writer = ThreadWriter(store_on(disk), calls.put)
     for number in range(50):
-        writer.submit([PromiseRecord(Epoch(number, "x"))], told.append)
+        writer.submit([PromisedEpochRecord(Epoch(number, "x"))], told.append)
     writer.close(WAIT_S)
     while not calls.empty():
         calls.get()()
