--- a/coveport/serving/coordinator/control.py
+++ b/coveport/serving/coordinator/control.py
@@ -16,9 +16,9 @@
     Newest,
     NotPrimary,
     Outcome,
+    OutcomeUnknown,
     Refused,
-    StateCode,
-    Unclear,
+    StateMachine,
     UnreadableStateError,
 )
 from coveport.serving.web.calls import Reply, json_reply
@@ -45,7 +45,7 @@
         raise UnreadableStateError(str(problem)) from problem
 
 
-STATE_CODE = StateCode(_apply, encode_state, _decode)
+STATE_MACHINE = StateMachine(_apply, encode_state, _decode)
 
 
 class Control:
@@ -109,7 +109,7 @@
                 outcome: Outcome = await asking
                 return outcome
         except TimeoutError:
-            return Unclear()
+            return OutcomeUnknown()
 
 
 def _reply(outcome: Outcome) -> Reply:
--- a/coveport/serving/coordinator/core.py
+++ b/coveport/serving/coordinator/core.py
@@ -10,12 +10,12 @@
 from coveport.net.transport import Net
 from coveport.serving.replication.events import (
     Answer,
+    CancelCall,
     CommittedState,
-    Complaint,
     Connected,
     Effect,
     Event,
-    HandOver,
+    MessageRejected,
     Outcome,
     Persist,
     Persisted,
@@ -23,9 +23,9 @@
     ReadNewest,
     Received,
     Send,
+    ShutdownRequested,
     Submit,
     Tick,
-    Withdraw,
 )
 from coveport.serving.replication.identity import MemberId
 from coveport.serving.replication.messages import Message
@@ -79,7 +79,7 @@
 
     def hand_over(self) -> None:
         """Another leads from here on: this process is about to stop."""
-        self._handle(HandOver())
+        self._handle(ShutdownRequested())
 
     async def submit(self, command: bytes) -> Outcome:
         """Run a command at the primary."""
@@ -100,7 +100,7 @@
         finally:
             self._waiting.pop(request, None)
             if not answer.done() or answer.cancelled():
-                self._handle(Withdraw(request))
+                self._handle(CancelCall(request))
 
     def look_for_stall(self) -> None:
         """Notice that the process stood still; to be called before anything that came meanwhile is taken."""
@@ -144,7 +144,7 @@
                     waiting.set_result(outcome)
             case CommittedState():
                 self._hooks.committed(effect)
-            case Complaint(sender, problem):
+            case MessageRejected(sender, problem):
                 self._log.error("message_rejected", sender=sender, error=problem)
 
     def _persisted(self, token: int, error: OSError | None) -> None:
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -8,7 +8,7 @@
 
 from coveport.net.transport import Net
 from coveport.serving.configuration.state import encode_state, initial_state
-from coveport.serving.coordinator.control import STATE_CODE, Control
+from coveport.serving.coordinator.control import STATE_MACHINE, Control
 from coveport.serving.coordinator.core import CoreHooks, CoreRuntime
 from coveport.serving.coordinator.lookup_calls import LookupCalls
 from coveport.serving.coordinator.lost_coordinators import LostCoordinators
@@ -78,7 +78,7 @@
             seeds,
             settings.tolerated.machines,
             opened.durable,
-            STATE_CODE,
+            STATE_MACHINE,
             chance.random,
             encode_state(initial_state()),
             net.now_s(),
--- a/coveport/serving/replication/acceptor.py
+++ b/coveport/serving/replication/acceptor.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from coveport.serving.replication.events import Applied, Refused, StateCode, UnreadableStateError
+from coveport.serving.replication.events import Applied, Refused, StateMachine, UnreadableStateError
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, MemberId
 from coveport.serving.replication.journal import Journal
 from coveport.serving.replication.messages import (
@@ -41,10 +41,12 @@
 class Acceptor:
     """Holds the fence. Nothing here knows who leads."""
 
-    def __init__(self, journal: Journal, outbox: Outbox, code: StateCode, may_bootstrap: bool) -> None:
+    def __init__(
+        self, journal: Journal, outbox: Outbox, state_machine: StateMachine, may_bootstrap: bool
+    ) -> None:
         self._journal = journal
         self._outbox = outbox
-        self._code = code
+        self._state_machine = state_machine
         self._may_bootstrap = may_bootstrap
         self._command_bytes = sum(map(len, journal.durable.commands or ()))
         self._foreseen: tuple[Epoch, int, Any] | None = None
@@ -58,13 +60,13 @@
     def _replay(self) -> Any:
         if not self.durable.has_state:
             return None
-        state = self._code.decode(self.durable.snapshot)
+        state = self._state_machine.decode(self.durable.snapshot)
         for command in self.durable.commands or ():
             state = self._applied(state, command)
         return state
 
     def _applied(self, state: Any, command: bytes) -> Any:
-        applied = self._code.apply(state, command)
+        applied = self._state_machine.apply(state, command)
         if not isinstance(applied, Applied):
             raise ValueError("a command that the primary took was refused here")
         return applied.state
@@ -102,7 +104,7 @@
         """The state as it stands here."""
         if not self.durable.commands:
             return self.durable.snapshot
-        return self._code.encode(self.state)
+        return self._state_machine.encode(self.state)
 
     def install(self, sender: MemberId, message: Install) -> None:
         """Replace what is held here, once for an epoch; a state that can't be read counts for nothing."""
@@ -120,9 +122,9 @@
     def read_state(self, sender: MemberId, data: bytes) -> Any | UnreadableStateError:
         """The state that another sent; what is wrong with it is told to people too."""
         try:
-            return self._code.decode(data)
+            return self._state_machine.decode(data)
         except UnreadableStateError as problem:
-            self._outbox.complain(sender, problem)
+            self._outbox.reject_message(sender, problem)
             return problem
 
     def accept(self, sender: MemberId, message: Accept) -> None:
@@ -155,7 +157,7 @@
 
     def try_command(self, command: bytes) -> Applied | Refused:
         """What a command would do to the state held here."""
-        return self._code.apply(self.state, command)
+        return self._state_machine.apply(self.state, command)
 
     def foresee(self, epoch: Epoch, sequence: int, state: Any) -> None:
         """Save this member, as primary, from applying its own command twice."""
@@ -170,7 +172,7 @@
             self.state = self._applied(self.state, message.command)
         self._command_bytes += len(message.command)
         if len(self.durable.commands or ()) >= FOLD_COMMANDS or self._command_bytes > FOLD_BYTES:
-            encoded = self._code.encode(self.state)
+            encoded = self._state_machine.encode(self.state)
             self._journal.write(StateRecord(message.epoch, message.sequence, encoded))
             self._command_bytes = 0
         else:
--- a/coveport/serving/replication/events.py
+++ b/coveport/serving/replication/events.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StateCode:
+class StateMachine:
     """How states are changed and turned into bytes; `decode` raises UnreadableStateError."""
 
     apply: Apply
@@ -92,18 +92,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdraw:
+class CancelCall:
     """Nobody waits for a call any more. What wasn't started is never run; what was started goes on."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class HandOver:
+class ShutdownRequested:
     """The process is about to stop: others should lead and hold the state."""
 
 
-Event = Tick | Connected | Received | Persisted | PersistFailed | Submit | ReadNewest | Withdraw | HandOver
+Event = (
+    Tick
+    | Connected
+    | Received
+    | Persisted
+    | PersistFailed
+    | Submit
+    | ReadNewest
+    | CancelCall
+    | ShutdownRequested
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,11 +139,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unclear:
+class OutcomeUnknown:
     """It may have been done or not, or may yet be."""
 
 
-Outcome = Done | Refused | Newest | NotPrimary | Unclear
+Outcome = Done | Refused | Newest | NotPrimary | OutcomeUnknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -170,11 +180,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Complaint:
+class MessageRejected:
     """A message was refused for a fault that no sound coordinator makes; for the log."""
 
     sender: str  # inner address
     problem: str
 
 
-Effect = Send | Persist | Answer | CommittedState | Complaint
+Effect = Send | Persist | Answer | CommittedState | MessageRejected
--- a/coveport/serving/replication/learner.py
+++ b/coveport/serving/replication/learner.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import Any
 
-from coveport.serving.replication.events import Applied, StateCode, UnreadableStateError
+from coveport.serving.replication.events import Applied, StateMachine, UnreadableStateError
 from coveport.serving.replication.identity import MemberId
 from coveport.serving.replication.messages import CatchUpCommands, CatchUpSnapshot
 from coveport.serving.replication.outbox import Outbox
@@ -20,9 +20,9 @@
 class Learner:
     """Every coordinator has one, member of the core or not."""
 
-    def __init__(self, outbox: Outbox, code: StateCode) -> None:
+    def __init__(self, outbox: Outbox, state_machine: StateMachine) -> None:
         self._outbox = outbox
-        self._code = code
+        self._state_machine = state_machine
         self.sequence = -1
         self.state: Any = None
         self._recent: deque[bytes] = deque()  # the commands that led to `sequence`, the newest last
@@ -52,7 +52,7 @@
         for offset, command in enumerate(message.commands):
             sequence = message.first + offset
             if self.state is not None and sequence == self.sequence + 1:
-                applied = self._code.apply(self.state, command)
+                applied = self._state_machine.apply(self.state, command)
                 if not isinstance(applied, Applied):
                     raise ValueError("a committed command was refused here")
                 self.became(sequence, applied.state, command)
@@ -62,9 +62,9 @@
         if message.sequence <= self.sequence:
             return
         try:
-            self.became(message.sequence, self._code.decode(message.state))
+            self.became(message.sequence, self._state_machine.decode(message.state))
         except UnreadableStateError as problem:
-            self._outbox.complain(sender, problem)
+            self._outbox.reject_message(sender, problem)
 
     def teach(self, now_s: float, peer: Peer, sequence: int) -> bool:
         """Send a peer that knows up to `sequence` what it lacks; not a whole state while one is on its way.
@@ -89,4 +89,4 @@
         if sequence >= 0 and lacking <= len(self._recent):
             commands = tuple(self._recent)[-lacking:]
             return CatchUpCommands(sequence + 1, commands)
-        return CatchUpSnapshot(self.sequence, self._code.encode(self.state))
+        return CatchUpSnapshot(self.sequence, self._state_machine.encode(self.state))
--- a/coveport/serving/replication/outbox.py
+++ b/coveport/serving/replication/outbox.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from coveport.serving.replication.events import Answer, CommittedState, Complaint, Effect, Outcome, Send
+from coveport.serving.replication.events import Answer, CommittedState, Effect, MessageRejected, Outcome, Send
 from coveport.serving.replication.identity import MemberId
 from coveport.serving.replication.messages import Message
 
@@ -32,9 +32,9 @@
         """Tell that a newer committed state is known, and the command that led there, if it is."""
         self._effects.append(CommittedState(sequence, state, command))
 
-    def complain(self, sender: MemberId, problem: Exception) -> None:
+    def reject_message(self, sender: MemberId, problem: Exception) -> None:
         """Tell people that a message was refused."""
-        self._effects.append(Complaint(sender.address, str(problem)))
+        self._effects.append(MessageRejected(sender.address, str(problem)))
 
     def add(self, effect: Effect) -> None:
         """Add any other effect."""
--- a/coveport/serving/replication/primary.py
+++ b/coveport/serving/replication/primary.py
@@ -6,7 +6,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from coveport.serving.replication.events import Applied, Done, Newest, NotPrimary, Outcome, Refused, Unclear
+from coveport.serving.replication.events import (
+    Applied,
+    Done,
+    Newest,
+    NotPrimary,
+    Outcome,
+    OutcomeUnknown,
+    Refused,
+)
 from coveport.serving.replication.identity import MemberId, View, is_majority
 from coveport.serving.replication.messages import (
     Append,
@@ -97,7 +105,7 @@
         self._take_waiting(before)
         if in_flight is not None:
             taken = command is not None
-            parts.outbox.answer(in_flight.request, Done(in_flight.result) if taken else Unclear())
+            parts.outbox.answer(in_flight.request, Done(in_flight.result) if taken else OutcomeUnknown())
 
     def _take_waiting(self, before: Primary) -> None:
         """Take over what waits. A refusal under the view before may not hold under this one."""
@@ -115,7 +123,7 @@
         """Another leads or may lead: answer all that wait."""
         answer = self._parts.outbox.answer
         if self._in_flight is not None:
-            answer(self._in_flight.request, Unclear())
+            answer(self._in_flight.request, OutcomeUnknown())
         for waiting in self._queue:
             answer(waiting.request, NotPrimary(primary_address))
         for item in self._all_unconfirmed():
--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -6,19 +6,19 @@
 
 from coveport.serving.replication.acceptor import Acceptor
 from coveport.serving.replication.events import (
+    CancelCall,
     Connected,
     Effect,
     Event,
-    HandOver,
     NotPrimary,
     Persisted,
     PersistFailed,
     ReadNewest,
     Received,
-    StateCode,
+    ShutdownRequested,
+    StateMachine,
     Submit,
     Tick,
-    Withdraw,
 )
 from coveport.serving.replication.identity import Epoch, Locality, MemberId, View, has_majorities
 from coveport.serving.replication.journal import Journal
@@ -67,7 +67,7 @@
         seeds: tuple[str, ...],  # inner addresses
         tolerated_losses: int,  # machines
         durable: DurableState,
-        code: StateCode,
+        state_machine: StateMachine,
         jitter: Callable[[], float],  # 0 to 1, seeded by the caller
         initial_state: bytes,
         now_s: float,
@@ -84,8 +84,8 @@
             jitter=jitter,
             outbox=outbox,
             journal=journal,
-            acceptor=Acceptor(journal, outbox, code, may_bootstrap),
-            learner=Learner(outbox, code),
+            acceptor=Acceptor(journal, outbox, state_machine, may_bootstrap),
+            learner=Learner(outbox, state_machine),
             peers=Peers(identity, timings, now_s),
         )
         self._leading = Leadership(self._parts, now_s, seeds, may_bootstrap, initial_state)
@@ -201,10 +201,10 @@
                 self._parts.journal.failed(now_s)
             case Submit() | ReadNewest():
                 self._take_call(event)
-            case Withdraw():
+            case CancelCall():
                 if self._leading.primary is not None:
                     self._leading.primary.withdraw(event.request)
-            case HandOver():
+            case ShutdownRequested():
                 self._parts.is_shutting_down = True
                 self._pinger.make_due()
                 self._tick(now_s)
--- a/tests/serving/coordinator/test_callers_who_leave.py
+++ b/tests/serving/coordinator/test_callers_who_leave.py
@@ -13,7 +13,7 @@
 from coveport.serving.coordinator.control import HOLD_S, Control
 from coveport.serving.coordinator.core import STALL_S, TICK_S, CoreHooks, CoreRuntime
 from coveport.serving.coordinator.operator_calls import OperatorCalls
-from coveport.serving.replication.events import Answer, Done, Effect, Event, Submit, Tick, Withdraw
+from coveport.serving.replication.events import Answer, CancelCall, Done, Effect, Event, Submit, Tick
 from coveport.serving.web.calls import CallTable
 from coveport.serving.web.server import CallServer, _Connection
 from coveport.testbed.simulated_network.world import Process, World
@@ -139,7 +139,7 @@
     assert isinstance(submitted, Submit)
     at.process.call_soon(leave, connection, "resets")
     at.run(0.1)
-    assert at.member.of(Withdraw) == [Withdraw(submitted.request)]
+    assert at.member.of(CancelCall) == [CancelCall(submitted.request)]
 
 
 def test_a_submitted_order_that_is_never_decided_is_withdrawn_as_its_caller_is_told() -> None:
@@ -148,7 +148,7 @@
     _, transport = at.call()
     at.run(HOLD_S + 4.2)
     assert b" 503 " in transport.written
-    assert len(at.member.of(Submit)) == len(at.member.of(Withdraw)) == 1
+    assert len(at.member.of(Submit)) == len(at.member.of(CancelCall)) == 1
 
 
 def test_an_order_whose_caller_stays_is_answered() -> None:
@@ -156,7 +156,7 @@
     at.member.outcome = Done(SimpleNamespace(status=200, edition=1, findings=()))
     _, transport = at.call()
     at.run(HOLD_S + 0.1)
-    assert at.member.of(Withdraw) == []
+    assert at.member.of(CancelCall) == []
     assert transport.written
 
 
--- a/tests/serving/coordinator/test_control.py
+++ b/tests/serving/coordinator/test_control.py
@@ -13,7 +13,7 @@
 from coveport.serving.configuration.state import ChangeResult, ControlState
 from coveport.serving.coordinator.control import ANSWER_S, PRIMARY_WAIT_S, Control
 from coveport.serving.model.findings import Finding
-from coveport.serving.replication.events import Done, Newest, NotPrimary, Refused, Unclear
+from coveport.serving.replication.events import Done, Newest, NotPrimary, OutcomeUnknown, Refused
 from coveport.testbed.simulated_network.world import Process, World
 
 CALLERS_WAIT_S = 1.0
@@ -91,7 +91,7 @@
         (Refused(ChangeResult(412, 5, (Finding("If-Match", "stale"),))), 412),
         (Refused(ChangeResult(400, 5, (Finding("Edition", "not above"),))), 400),
         (NotPrimary(None), 503),
-        (Unclear(), 503),
+        (OutcomeUnknown(), 503),
     ],
 )
 def test_an_outcome_becomes_its_answer(outcome: Any, status: int) -> None:
--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -21,7 +21,7 @@
 from random import Random
 from unittest import mock
 
-from core_world import CODE, OTHER, TAKEN, State, change, decode_state, edition_of
+from core_world import OTHER, STATE_MACHINE, TAKEN, State, change, decode_state, edition_of
 
 from coveport.serving.replication import takeover
 from coveport.serving.replication.caretaker import Change
@@ -38,7 +38,7 @@
     Received,
     Refused,
     Send,
-    StateCode,
+    StateMachine,
     Submit,
 )
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, Locality, MemberId, View
@@ -76,7 +76,7 @@
     Locality,
     View,
     Timings,
-    StateCode,
+    StateMachine,
     Wish,
 )
 _interned: dict[object, int] = {}
@@ -217,7 +217,7 @@
             self.scenario.machines[: self.scenario.founders],
             1,
             durable,
-            CODE,
+            STATE_MACHINE,
             steady,
             b"",
             NOW_S,
--- a/tests/serving/replication/core_schedules.py
+++ b/tests/serving/replication/core_schedules.py
@@ -18,7 +18,7 @@
 from core_operators import Operator, Reader
 from core_world import SYNC_S, Machine, World
 
-from coveport.serving.replication.events import HandOver
+from coveport.serving.replication.events import ShutdownRequested
 from coveport.serving.replication.identity import Locality
 from coveport.serving.replication.replica import Replica
 
@@ -194,7 +194,7 @@
         life = machine.life
         if life is None:
             return
-        machine.run(life, lambda: machine.deliver(life, HandOver()))
+        machine.run(life, lambda: machine.deliver(life, ShutdownRequested()))
 
         def end() -> None:
             if machine.life is life:
@@ -209,7 +209,7 @@
         life = machine.life
         if life is None or machine.is_frozen:
             return
-        machine.deliver(life, HandOver())
+        machine.deliver(life, ShutdownRequested())
         began_s = self.world.now_s
         self.world.run_for(GRACE_PART_S, until=lambda: life.member.has_left(self.world.now_s))
         if life.member.has_left(self.world.now_s):
--- a/tests/serving/replication/core_timings.py
+++ b/tests/serving/replication/core_timings.py
@@ -15,7 +15,7 @@
 from core_operators import Operator
 from core_world import Machine, World
 
-from coveport.serving.replication.events import HandOver
+from coveport.serving.replication.events import ShutdownRequested
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, Locality
 
 THREE = [Locality("a1", "a"), Locality("b1", "b"), Locality("c1", "c")]
@@ -100,7 +100,7 @@
     """SIGTERM; gone after 0.7 s, back after two more."""
     life = machine.life
     assert life is not None
-    machine.deliver(life, HandOver())
+    machine.deliver(life, ShutdownRequested())
     world.after(0.7, machine.kill)
     world.after(2.7, machine.start)
 
--- a/tests/serving/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -16,6 +16,7 @@
 from coveport.serving.replication.events import (
     Answer,
     Applied,
+    CancelCall,
     CommittedState,
     Effect,
     Event,
@@ -26,10 +27,9 @@
     Received,
     Refused,
     Send,
-    StateCode,
+    StateMachine,
     Tick,
     UnreadableStateError,
-    Withdraw,
 )
 from coveport.serving.replication.identity import Locality, MemberId
 from coveport.serving.replication.messages import Message
@@ -90,7 +90,7 @@
         raise UnreadableStateError(str(problem)) from problem
 
 
-CODE = StateCode(apply_change, encode_state, decode_state)
+STATE_MACHINE = StateMachine(apply_change, encode_state, decode_state)
 
 
 def bytes_in(thing: object) -> int:
@@ -159,7 +159,7 @@
             seeds=world.seeds,
             tolerated_losses=world.tolerated_losses,
             durable=durable,
-            code=CODE,
+            state_machine=STATE_MACHINE,
             jitter=world.random.random,
             initial_state=b"",
             now_s=world.now_s,
@@ -422,7 +422,7 @@
         def see() -> None:
             self.withdrawn.add(request)
             if life is not None and machine.life is life:
-                machine.deliver(life, Withdraw(request))
+                machine.deliver(life, CancelCall(request))
 
         if life is not None:
             self.after(CLIENT_S, lambda: machine.run(life, see))
--- a/tests/serving/replication/test_core_faults.py
+++ b/tests/serving/replication/test_core_faults.py
@@ -6,7 +6,7 @@
 from core_operators import Operator
 from core_world import Machine, World, change
 
-from coveport.serving.replication.events import Answer, HandOver, Refused
+from coveport.serving.replication.events import Answer, Refused, ShutdownRequested
 from coveport.serving.replication.identity import Locality, View
 from coveport.serving.replication.primary import Primary
 
@@ -127,7 +127,7 @@
     world, machine, view = founded(THREE)
     world.run_for(1.0)
     assert machine.life is not None
-    machine.deliver(machine.life, HandOver())
+    machine.deliver(machine.life, ShutdownRequested())
     began_s = world.now_s
     run_until_led_anew(world, view, 2.0)
     assert world.now_s - began_s < 0.5
--- a/tests/serving/replication/test_cut_coming_or_going.py
+++ b/tests/serving/replication/test_cut_coming_or_going.py
@@ -10,7 +10,7 @@
 from core_world import Machine, World
 from test_core_faults import leader
 
-from coveport.serving.replication.events import HandOver
+from coveport.serving.replication.events import ShutdownRequested
 
 CUT_S = 21.0
 SEEDS = range(4)
@@ -45,7 +45,7 @@
     newcomer.start()
     world.run_for(1.5)
     assert member.life is not None
-    member.deliver(member.life, HandOver())
+    member.deliver(member.life, ShutdownRequested())
     world.run_for(after_s)
     return member
 
--- a/tests/serving/replication/test_second_losses.py
+++ b/tests/serving/replication/test_second_losses.py
@@ -8,7 +8,14 @@
 from test_core_faults import SIX, THREE, founded, leader, write_one
 
 from coveport.serving.replication import takeover
-from coveport.serving.replication.events import HandOver, Outcome, ReadNewest, Received, Submit, Withdraw
+from coveport.serving.replication.events import (
+    CancelCall,
+    Outcome,
+    ReadNewest,
+    Received,
+    ShutdownRequested,
+    Submit,
+)
 from coveport.serving.replication.identity import Epoch, MemberId, View
 from coveport.serving.replication.messages import Promise, ViewActivated
 from coveport.serving.replication.records import PromisedEpochRecord
@@ -22,7 +29,7 @@
     life = machine.life
     assert life is not None
     began_s = world.now_s
-    machine.deliver(life, HandOver())
+    machine.deliver(life, ShutdownRequested())
     world.run_for(GRACE_PART_S, until=lambda: life.member.has_left(world.now_s))
     machine.kill()
     return world.now_s - began_s
@@ -70,7 +77,7 @@
     lives = [world.machines[member.address] for member in view.replicas[:2]]
     for machine in lives:
         assert machine.life is not None
-        machine.deliver(machine.life, HandOver())
+        machine.deliver(machine.life, ShutdownRequested())
     ended = [machine.life for machine in lives]
     world.run_for(
         GRACE_PART_S, until=lambda: all(life and life.member.has_left(world.now_s) for life in ended)
@@ -255,7 +262,7 @@
     assert life.member._leading.primary is not None
     assert len(life.member._leading.primary._queue) == 1, "the situation is reached"
     if is_withdrawn:
-        machine.deliver(life, Withdraw(numbers[0]))
+        machine.deliver(life, CancelCall(numbers[0]))
     world.run_for(4.0)
     _, view = leader(world)
     assert view.epoch.number > 1, "the queue went over into another view"
@@ -272,7 +279,7 @@
     world.call(machine, ReadNewest, seen.append)
     world.run_for(0.01)
     assert world._request
-    machine.deliver(machine.life, Withdraw(world._request))
+    machine.deliver(machine.life, CancelCall(world._request))
     world.run_for(5.0)
     assert seen == []
 
--- a/tests/serving/replication/test_strangers.py
+++ b/tests/serving/replication/test_strangers.py
@@ -7,7 +7,7 @@
 from core_world import Machine, World, change
 from test_core_faults import THREE, founded, leader, write_one
 
-from coveport.serving.replication.events import Complaint, Outcome, ReadNewest, Received, Submit
+from coveport.serving.replication.events import MessageRejected, Outcome, ReadNewest, Received, Submit
 from coveport.serving.replication.identity import Epoch, MemberId, View
 from coveport.serving.replication.messages import (
     Accepted,
@@ -119,10 +119,10 @@
     before = life.member._parts.journal.durable.state_epoch
     later = Epoch(view.epoch.number + 1, "d")
     effects = life.member.handle(world.now_s, Received(view.primary, Install(later, 5, UNREADABLE)))
-    assert [type(effect) for effect in effects] == [Complaint], "nothing is written, nothing answered"
+    assert [type(effect) for effect in effects] == [MessageRejected], "nothing is written, nothing answered"
     assert life.member._parts.journal.durable.state_epoch == before
     effects = life.member.handle(world.now_s, Received(view.primary, CatchUpSnapshot(99, UNREADABLE)))
-    assert [type(effect) for effect in effects] == [Complaint]
+    assert [type(effect) for effect in effects] == [MessageRejected]
     assert life.member._parts.learner.sequence < 99
 
 
