--- a/coveport/serving/coordinator/control.py
+++ b/coveport/serving/coordinator/control.py
@@ -9,7 +9,7 @@
 from coveport.net.transport import Net
 from coveport.serving.configuration.state import Applied as Taken
 from coveport.serving.configuration.state import ChangeResult, ControlState, apply, decode_state, encode_state
-from coveport.serving.coordinator.core import CoreRuntime
+from coveport.serving.coordinator.replica_runtime import ReplicaRuntime
 from coveport.serving.replication.events import (
     Applied,
     Done,
@@ -21,7 +21,7 @@
     StateMachine,
     UnreadableStateError,
 )
-from coveport.serving.web.calls import Reply, json_reply
+from coveport.serving.web.messages import ApiResponse, json_response
 from coveport.serving.wire.errors import MalformedMessageError
 from coveport.serving.wire.names import ERROR, Config
 
@@ -51,7 +51,7 @@
 class Control:
     """Submits commands to the core of this coordinator."""
 
-    def __init__(self, net: Net, core: CoreRuntime, describe: Callable[[], dict[str, Any]]) -> None:
+    def __init__(self, net: Net, core: ReplicaRuntime, describe: Callable[[], dict[str, Any]]) -> None:
         self._net = net
         self._core = core
         self._describe = describe
@@ -85,13 +85,13 @@
         """Wait a moment; ends with the call where its caller leaves meanwhile."""
         await asyncio.sleep(HOLD_S)
 
-    async def submit(self, command: bytes) -> Reply:
+    async def submit(self, command: bytes) -> ApiResponse:
         """Run a command here; 503 where this doesn't lead, or it is unclear what became of it."""
         if not self._leads():
             return _reply(NotPrimary(None))
         return _reply(await self._within(self._core.submit(command)))
 
-    async def read_configuration(self) -> Reply:
+    async def read_configuration(self) -> ApiResponse:
         """The newest configuration; 503 where this doesn't lead."""
         if not self._leads():
             return _reply(NotPrimary(None))
@@ -100,8 +100,8 @@
             return _reply(outcome)
         state: ControlState = outcome.state
         if state.configuration_text is None:
-            return json_reply(404, {ERROR: "there is no configuration yet"})
-        return Reply(200, state.configuration_text, (("Content-Type", "application/json"),))
+            return json_response(404, {ERROR: "there is no configuration yet"})
+        return ApiResponse(200, state.configuration_text, (("Content-Type", "application/json"),))
 
     async def _within(self, asking: Any) -> Outcome:
         try:
@@ -112,15 +112,15 @@
             return OutcomeUnknown()
 
 
-def _reply(outcome: Outcome) -> Reply:
+def _reply(outcome: Outcome) -> ApiResponse:
     match outcome:
         case Done(ChangeResult() as result) | Refused(ChangeResult() as result):
             findings = [str(finding) for finding in result.findings]
             body: dict[str, Any] = {Config.EDITION: result.edition}
             if findings:
                 body[ERROR] = findings
-            return json_reply(result.status, body)
+            return json_response(result.status, body)
         case NotPrimary():
-            return json_reply(503, {ERROR: "no primary for now"})
+            return json_response(503, {ERROR: "no primary for now"})
         case _:
-            return json_reply(503, {ERROR: "it is unclear whether the change was taken; send it again"})
+            return json_response(503, {ERROR: "it is unclear whether the change was taken; send it again"})
--- a/coveport/serving/coordinator/node_calls.py
+++ b/coveport/serving/coordinator/node_api.py
@@ -7,20 +7,25 @@
 from typing import Any
 
 from coveport.net.address import parse_address
-from coveport.serving.coordinator.reports import NodeReporting
+from coveport.serving.coordinator.node_report_replication import NodeReportReplicator
 from coveport.serving.model.findings import Findings, Refusal
 from coveport.serving.model.node import Node, NodeState, goodbye
-from coveport.serving.web.calls import Call, Reply, answers, json_reply
+from coveport.serving.web.messages import ApiRequest, ApiResponse, json_response
+from coveport.serving.web.router import route
 from coveport.serving.wire.names import ERROR, Heartbeat, Path
 
 _STATES = {Heartbeat.ACCEPTING: NodeState.ACCEPTING, Heartbeat.CLOSING: NodeState.CLOSING}
 
 
-class NodeCalls:
+class NodeApi:
     """Handlers of the nodes' calls."""
 
     def __init__(
-        self, reporting: NodeReporting, is_connected: Callable[[], bool], regions: dict[str, str], log: Any
+        self,
+        reporting: NodeReportReplicator,
+        is_connected: Callable[[], bool],
+        regions: dict[str, str],
+        log: Any,
     ) -> None:
         """`is_connected`: whether this coordinator is in touch with the core.
 
@@ -32,27 +37,27 @@
         self._regions = regions
         self._log = log
 
-    @answers("PUT", Path.NODES)
-    async def heartbeat(self, call: Call) -> Reply:
+    @route("PUT", Path.NODES)
+    async def heartbeat(self, call: ApiRequest) -> ApiResponse:
         """A node says that it lives, and in what state."""
         node = read_heartbeat(call.rest, call.body, self._regions)
         if isinstance(node, Refusal):
             self._log.warning("heartbeat_rejected", node=call.rest, reason=node.reason)
-            return json_reply(400, {ERROR: node.reason})
+            return json_response(400, {ERROR: node.reason})
         if not await self._reporting.take(node):
             self._log.warning("heartbeat_not_replicated", node=node.incarnation, state=node.state.value)
-            return json_reply(503, {ERROR: "no other coordinator confirmed it"})
+            return json_response(503, {ERROR: "no other coordinator confirmed it"})
         if node.state is NodeState.ACCEPTING and not self._is_connected():
-            return json_reply(503, {ERROR: "out of touch with the core"})
-        return json_reply(200, {})
+            return json_response(503, {ERROR: "out of touch with the core"})
+        return json_response(200, {})
 
-    @answers("DELETE", Path.NODES)
-    async def goodbye(self, call: Call) -> Reply:
+    @route("DELETE", Path.NODES)
+    async def goodbye(self, call: ApiRequest) -> ApiResponse:
         """A node leaves."""
         if not await self._reporting.take(goodbye(call.rest)):
-            return json_reply(503, {ERROR: "no other coordinator confirmed it"})
+            return json_response(503, {ERROR: "no other coordinator confirmed it"})
         self._log.info("node_deregistered", node=call.rest)
-        return json_reply(200, {})
+        return json_response(200, {})
 
 
 def read_heartbeat(incarnation: str, body: bytes, regions: dict[str, str]) -> Node | Refusal:
--- a/coveport/serving/coordinator/reports.py
+++ b/coveport/serving/coordinator/node_report_replication.py
@@ -58,7 +58,7 @@
         self.is_majority = is_majority
 
 
-class NodeReporting:
+class NodeReportReplicator:
     """Takes reports here and shares them."""
 
     def __init__(
--- a/coveport/serving/coordinator/operator_calls.py
+++ b/coveport/serving/coordinator/operator_api.py
@@ -22,7 +22,8 @@
     StartEvacuation,
     encode_command,
 )
-from coveport.serving.web.calls import Call, Reply, answers, json_reply
+from coveport.serving.web.messages import ApiRequest, ApiResponse, json_response
+from coveport.serving.web.router import route
 from coveport.serving.wire.names import ERROR, Header, Path
 
 NOT_READY = 503
@@ -32,10 +33,10 @@
 class ControlPlane(Protocol):
     """What the handlers need of the core."""
 
-    async def submit(self, command: bytes) -> Reply:
+    async def submit(self, command: bytes) -> ApiResponse:
         """Run a command at the primary; its answer."""
 
-    async def read_configuration(self) -> Reply:
+    async def read_configuration(self) -> ApiResponse:
         """The newest configuration as the core confirms it."""
 
     async def hold(self) -> None:
@@ -51,7 +52,7 @@
         """The core, nodes and proxies, for people."""
 
 
-class OperatorCalls:
+class OperatorApi:
     """Handlers of the operators' calls."""
 
     def __init__(self, control: ControlPlane, control_port: int, zones: frozenset[str]) -> None:
@@ -59,72 +60,72 @@
         self._port = control_port
         self._zones = zones
 
-    @answers("PUT", Path.CONFIG)
-    async def put(self, call: Call) -> Reply:
+    @route("PUT", Path.CONFIG)
+    async def put(self, call: ApiRequest) -> ApiResponse:
         """A whole configuration."""
         if_match = _if_match(call)
-        if isinstance(if_match, Reply):
+        if isinstance(if_match, ApiResponse):
             return if_match
         return await self._change(call, encode_command(PutConfiguration(if_match, call.body)))
 
-    @answers("PATCH", Path.CONFIG)
-    async def patch(self, call: Call) -> Reply:
+    @route("PATCH", Path.CONFIG)
+    async def patch(self, call: ApiRequest) -> ApiResponse:
         """Changes to named items."""
         if_match = _if_match(call)
-        if isinstance(if_match, Reply):
+        if isinstance(if_match, ApiResponse):
             return if_match
         return await self._change(call, encode_command(PatchConfiguration(if_match, call.body)))
 
-    @answers("GET", Path.CONFIG)
-    async def get(self, call: Call) -> Reply:
+    @route("GET", Path.CONFIG)
+    async def get(self, call: ApiRequest) -> ApiResponse:
         """The newest configuration in whole."""
         elsewhere = await self._control.primary_elsewhere()
         if elsewhere is not None:
             return self._sent_on(call, elsewhere)
         return await self._control.read_configuration()
 
-    @answers("POST", Path.EVACUATION)
-    async def evacuate(self, call: Call) -> Reply:
+    @route("POST", Path.EVACUATION)
+    async def evacuate(self, call: ApiRequest) -> ApiResponse:
         """Nothing more is to be sent to a zone's nodes."""
         if call.rest not in self._zones:
-            return json_reply(404, {ERROR: f"unknown zone {call.rest!r}"})
+            return json_response(404, {ERROR: f"unknown zone {call.rest!r}"})
         return await self._change_unversioned(call, encode_command(StartEvacuation(call.rest)))
 
-    @answers("DELETE", Path.EVACUATION)
-    async def end_evacuation(self, call: Call) -> Reply:
+    @route("DELETE", Path.EVACUATION)
+    async def end_evacuation(self, call: ApiRequest) -> ApiResponse:
         """A zone's nodes may be used again."""
         if call.rest not in self._zones:
-            return json_reply(404, {ERROR: f"unknown zone {call.rest!r}"})
+            return json_response(404, {ERROR: f"unknown zone {call.rest!r}"})
         return await self._change_unversioned(call, encode_command(EndEvacuation(call.rest)))
 
-    @answers("GET", Path.STATUS)
-    async def status(self, call: Call) -> Reply:
+    @route("GET", Path.STATUS)
+    async def status(self, call: ApiRequest) -> ApiResponse:
         """The state of the core as this coordinator sees it."""
-        return json_reply(200, self._control.describe())
+        return json_response(200, self._control.describe())
 
-    async def _change(self, call: Call, command: bytes) -> Reply:
+    async def _change(self, call: ApiRequest, command: bytes) -> ApiResponse:
         elsewhere = await self._control.primary_elsewhere()
         if elsewhere is not None:
             return self._sent_on(call, elsewhere)
         return await self._control.submit(command)
 
-    async def _change_unversioned(self, call: Call, command: bytes) -> Reply:
+    async def _change_unversioned(self, call: ApiRequest, command: bytes) -> ApiResponse:
         elsewhere = await self._control.primary_elsewhere()
         if elsewhere is not None:
             return self._sent_on(call, elsewhere)
         await self._control.hold()
         return await self._control.submit(command)
 
-    def _sent_on(self, call: Call, inner_address: str) -> Reply:
+    def _sent_on(self, call: ApiRequest, inner_address: str) -> ApiResponse:
         host, _ = parse_address(inner_address)
-        return Reply(_SENT_ON, b"", (("Location", f"http://{host}:{self._port}{call.path}"),))
+        return ApiResponse(_SENT_ON, b"", (("Location", f"http://{host}:{self._port}{call.path}"),))
 
 
-def _if_match(call: Call) -> int | Reply | None:
+def _if_match(call: ApiRequest) -> int | ApiResponse | None:
     told = call.header(Header.IF_MATCH)
     if told is None:
         return None
     told = told.strip().strip('"')
     if not (told.isascii() and told.isdigit()):
-        return json_reply(400, {ERROR: "If-Match is not a number"})
+        return json_response(400, {ERROR: "If-Match is not a number"})
     return int(told)
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -9,14 +9,14 @@
 from coveport.net.transport import Net
 from coveport.serving.configuration.state import encode_state, initial_state
 from coveport.serving.coordinator.control import STATE_MACHINE, Control
-from coveport.serving.coordinator.core import CoreHooks, CoreRuntime
-from coveport.serving.coordinator.lookup_calls import LookupCalls
-from coveport.serving.coordinator.lost_coordinators import LostCoordinators
-from coveport.serving.coordinator.node_calls import NodeCalls
-from coveport.serving.coordinator.operator_calls import OperatorCalls
+from coveport.serving.coordinator.coordinator_liveness import LostCoordinators
+from coveport.serving.coordinator.lookup_api import LookupApi
+from coveport.serving.coordinator.node_api import NodeApi
+from coveport.serving.coordinator.node_report_replication import NodeReportReplicator, ReportPeers
+from coveport.serving.coordinator.operator_api import OperatorApi
 from coveport.serving.coordinator.peers import Peers
-from coveport.serving.coordinator.reports import NodeReporting, ReportPeers
-from coveport.serving.coordinator.standing import CoordinatorStanding
+from coveport.serving.coordinator.quorum_status import QuorumStatus
+from coveport.serving.coordinator.replica_runtime import ReplicaCallbacks, ReplicaRuntime
 from coveport.serving.coordinator.subscriptions import StateHistory, Subscriptions
 from coveport.serving.membership.leases import LeaseTable
 from coveport.serving.membership.node_table import NodeTable
@@ -28,8 +28,8 @@
 from coveport.serving.settings.boot import BootSettings
 from coveport.serving.storage.opening import Opened, open_storage
 from coveport.serving.storage.ring import NewerFormatError
-from coveport.serving.web.calls import CallTable
-from coveport.serving.web.server import CallServer
+from coveport.serving.web.router import Router
+from coveport.serving.web.server import HttpServer
 from coveport.serving.wire.connection import Connection
 from coveport.serving.wire.messages import (
     CoordinatorEndpoint,
@@ -83,10 +83,10 @@
             encode_state(initial_state()),
             net.now_s(),
         )
-        hooks = CoreHooks(self._peers.send, self._committed, self._stalled)
-        self.core = CoreRuntime(net, self._member, opened.writer, hooks, log)
+        hooks = ReplicaCallbacks(self._peers.send, self._committed, self._stalled)
+        self.core = ReplicaRuntime(net, self._member, opened.writer, hooks, log)
         settle_s = 2.5 * settings.heartbeat_ms / 1000
-        self.standing = CoordinatorStanding(
+        self.standing = QuorumStatus(
             net.now_s, lambda: self._member.has_quorum(net.now_s()), settle_s, self._live_coordinators
         )
         self.subscriptions = Subscriptions(
@@ -107,7 +107,7 @@
             lambda: self._member.view_epoch,
             self._member.is_majority,
         )
-        self._reporting = NodeReporting(
+        self._reporting = NodeReportReplicator(
             net, self.table, report_peers, copies, self.subscriptions.news, chance.getrandbits(48)
         )
         own_place = CoordinatorEndpoint(self._address, settings.zone, settings.region)
@@ -118,20 +118,20 @@
         self._tending: asyncio.TimerHandle | None = None
         self._leases_shared_s = 0.0
 
-    def _make_servers(self) -> list[CallServer]:
+    def _make_servers(self) -> list[HttpServer]:
         settings = self._settings
         servers = []
         if settings.control is not None:
             control = Control(self._net, self.core, self.describe)
-            operators = OperatorCalls(control, settings.control[1], frozenset(settings.regions))
-            nodes = NodeCalls(self._reporting, self.standing.is_connected, settings.regions, self._log)
-            table = CallTable(operators, nodes)
+            operators = OperatorApi(control, settings.control[1], frozenset(settings.regions))
+            nodes = NodeApi(self._reporting, self.standing.is_connected, settings.regions, self._log)
+            router = Router(operators, nodes)
             stall = self.core.look_for_stall
-            servers.append(CallServer(self._net, settings.control, table.answer, stall))
+            servers.append(HttpServer(self._net, settings.control, router.dispatch, stall))
         if settings.lookups is not None:
-            lookups = LookupCalls(self.leases, self._lost, self._net.now_s)
+            lookups = LookupApi(self.leases, self._lost, self._net.now_s)
             servers.append(
-                CallServer(self._net, settings.lookups, CallTable(lookups).answer, self.core.look_for_stall)
+                HttpServer(self._net, settings.lookups, Router(lookups).dispatch, self.core.look_for_stall)
             )
         return servers
 
--- a/coveport/serving/coordinator/standing.py
+++ b/coveport/serving/coordinator/quorum_status.py
@@ -7,7 +7,7 @@
 from coveport.serving.wire.messages import CoordinatorEndpoint
 
 
-class CoordinatorStanding:
+class QuorumStatus:
     """Kept from the replication core's word, looked at several times a second."""
 
     def __init__(
--- a/coveport/serving/coordinator/core.py
+++ b/coveport/serving/coordinator/replica_runtime.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class CoreHooks:
+class ReplicaCallbacks:
     """What the coordinator wants to know of its core."""
 
     send: Callable[[str, object], None]
@@ -45,10 +45,12 @@
     stalled: Callable[[float], None]  # how late, in seconds
 
 
-class CoreRuntime:
+class ReplicaRuntime:
     """One member of the core, alive."""
 
-    def __init__(self, net: Net, member: Replica, writer: RecordWriter, hooks: CoreHooks, log: Any) -> None:
+    def __init__(
+        self, net: Net, member: Replica, writer: RecordWriter, hooks: ReplicaCallbacks, log: Any
+    ) -> None:
         self._net = net
         self.member = member
         self._writer = writer
--- a/coveport/serving/log.py
+++ b/coveport/serving/log.py
@@ -52,7 +52,7 @@
         return event
 
 
-def make_log(
+def create_logger(
     now_s: Callable[[], float], level: int = 20, write: Callable[[str], object] | None = None
 ) -> Any:
     """A logger of `log.info("event_name", key=value)`; `level` as in `logging`."""
--- a/coveport/serving/proxy/process.py
+++ b/coveport/serving/proxy/process.py
@@ -15,8 +15,8 @@
 from coveport.serving.proxy.subscription import Subscription
 from coveport.serving.role_process import run_process
 from coveport.serving.settings.boot import BootSettings
-from coveport.serving.web.calls import CallTable
-from coveport.serving.web.server import CallServer
+from coveport.serving.web.router import Router
+from coveport.serving.web.server import HttpServer
 
 STOP_PART = 0.9  # of the time that the platform grants a stop
 FIGURES_S = 10.0  # between two log lines of figures
@@ -37,10 +37,10 @@
         chance.shuffle(seeds)
         choice = CoordinatorChoice(settings.zone, settings.region, tuple(seeds))
         self.subscription = Subscription(net, self.view, choice, self._make_lease, log, chance)
-        self._readiness: CallServer | None = None
+        self._readiness: HttpServer | None = None
         if settings.readiness is not None:
-            calls = CallTable(ReadinessCalls(self.is_ready))
-            self._readiness = CallServer(net, settings.readiness, calls.answer)
+            router = Router(ReadinessCalls(self.is_ready))
+            self._readiness = HttpServer(net, settings.readiness, router.dispatch)
         self._is_serving = False
         self._is_stopping = False
         self._figures: asyncio.TimerHandle | None = None
--- a/coveport/serving/proxy/readiness.py
+++ b/coveport/serving/proxy/readiness.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Callable
 
-from coveport.serving.web.calls import Call, Reply, answers
+from coveport.serving.web.messages import ApiRequest, ApiResponse
+from coveport.serving.web.router import route
 from coveport.serving.wire.names import Path
 
 
@@ -14,7 +15,7 @@
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
 
-    @answers("GET", Path.READY)
-    async def ready(self, call: Call) -> Reply:
+    @route("GET", Path.READY)
+    async def ready(self, call: ApiRequest) -> ApiResponse:
         """200 where clients are welcome."""
-        return Reply(200 if self._is_ready() else 503)
+        return ApiResponse(200 if self._is_ready() else 503)
--- a/coveport/serving/role_process.py
+++ b/coveport/serving/role_process.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from coveport.net.transport import Net
-from coveport.serving.log import make_log
+from coveport.serving.log import create_logger
 from coveport.serving.model.findings import Refusal
 from coveport.serving.settings.boot import BootSettings
 from coveport.serving.settings.reader import read_boot_settings
@@ -60,7 +60,7 @@
 async def _run(path: str, settings: BootSettings, make: Make) -> None:
     loop = asyncio.get_running_loop()
     net = Net(loop)
-    log = make_log(net.now_s)
+    log = create_logger(net.now_s)
     role = make(net, settings, log)
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/coveport/serving/scale/hollow_proxies.py
+++ b/coveport/serving/scale/hollow_proxies.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from coveport.net.transport import Net
-from coveport.serving.log import make_log
+from coveport.serving.log import create_logger
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.model.node import NodeState
 from coveport.serving.model.view import ControlView
@@ -98,7 +98,7 @@
     def __init__(self, net: Net, told: Line) -> None:
         self._net = net
         self._watched: set[str] = set()
-        log = make_log(net.now_s, LOG_LEVEL)
+        log = create_logger(net.now_s, LOG_LEVEL)
         self._proxies = [
             HollowProxy(net, told, number, self._watched, log) for number in range(len(told["addresses"]))
         ]
--- a/coveport/serving/simulation/machines.py
+++ b/coveport/serving/simulation/machines.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any, Final, Protocol
 
-from coveport.serving.log import make_log
+from coveport.serving.log import create_logger
 from coveport.serving.simulation.deployment import MachineSpot
 from coveport.serving.simulation.disk import SimulatedDisk
 from coveport.serving.simulation.topology import PlacedNet, PlacedNetwork, SimulatedProcess, run_in
@@ -73,7 +73,7 @@
         self._process = process
         self._net = PlacedNet(process, self._network, self.place)
         chance = Random(f"{self._seed} {self.spot.name} {self.lives}")
-        log = make_log(self._net.now_s, write=self.log_lines.append)
+        log = create_logger(self._net.now_s, write=self.log_lines.append)
 
         async def begin() -> None:
             try:
--- a/coveport/serving/web/server.py
+++ b/coveport/serving/web/server.py
@@ -1,87 +1,97 @@
-"""Listens for calls and answers them one after the other on each connection."""
+"""Listens for HTTP/1.1 requests and responds to them, one after the other on each connection."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from typing import Final
 
 from coveport.http1 import codec
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net
-from coveport.serving.web.calls import Reply
+from coveport.serving.web.messages import ApiResponse
 
-BODY_MOST = 8 * 1024 * 1024  # bytes; a configuration has 4 MiB at the most
-IDLE_S = 60.0
-ACCEPT_MOST, WAITING_MOST = 64, 512
+MAX_BODY_BYTES: Final = 8 * 1024 * 1024  # twice the largest configuration, 4 MiB
+IDLE_TIMEOUT_S: Final = 60.0
+ACCEPT_BATCH: Final = 64  # connections accepted in one turn of the loop
+LISTEN_BACKLOG: Final = 512
 
-Answer = Callable[[codec.Request, str], Awaitable[Reply]]
+RequestHandler = Callable[[codec.Request, str], Awaitable[ApiResponse]]
 
 
-class CallServer:
-    """One listening address."""
+class HttpServer:
+    """A listening address and its connections."""
 
     def __init__(
-        self, net: Net, address: Address, answer: Answer, before_data: Callable[[], None] | None = None
+        self,
+        net: Net,
+        address: Address,
+        handle_request: RequestHandler,
+        before_data: Callable[[], None] | None = None,
     ) -> None:
-        """`before_data` is called before anything that arrived is looked at; it may reset connections."""
+        """Create a server that does not listen yet.
+
+        `handle_request` gets a request and the address of ours that the client connected to.
+        `before_data` is called before received bytes are parsed; it may reset connections.
+        """
         self.net = net
         self._address = address
-        self.answer = answer
+        self.handle_request = handle_request
         self.before_data = before_data
         self._listening: Listening | None = None
         self.connections: set[_Connection] = set()
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start to listen; raise OSError where the address can't be bound."""
         self._listening = await self.net.listen(
-            lambda: _Connection(self), self._address, accept_most=ACCEPT_MOST, waiting_most=WAITING_MOST
+            lambda: _Connection(self), self._address, accept_most=ACCEPT_BATCH, waiting_most=LISTEN_BACKLOG
         )
 
     def stop(self) -> None:
-        """Take no further connections, and close those at rest."""
+        """Accept no further connections, close the idle ones, and the others after their response."""
         if self._listening is not None:
             self._listening.close()
         for connection in list(self.connections):
-            connection.leave()
+            connection.close_when_idle()
 
     def reset_all(self) -> None:
-        """Drop every connection: what waits in them may be from before a stall of ours."""
+        """Abort every connection: bytes that wait in them may be from before a stall of this process."""
         for connection in list(self.connections):
-            connection.drop()
+            connection.abort()
 
 
 class _Connection(asyncio.Protocol):
-    """A caller."""
+    """One client's connection."""
 
-    def __init__(self, server: CallServer) -> None:
+    def __init__(self, server: HttpServer) -> None:
         self._server = server
-        self._parser = codec.RequestParser(BODY_MOST)
+        self._parser = codec.RequestParser(MAX_BODY_BYTES)
         self._transport: asyncio.Transport | None = None
-        self._task: asyncio.Task[None] | None = None
-        self._leaving = False
-        self._idle: asyncio.TimerHandle | None = None
+        self._response_task: asyncio.Task[None] | None = None
+        self._is_draining = False
+        self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._server.connections.add(self)
-        self._watch_idle()
+        self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._server.connections.discard(self)
         self._transport = None
-        self._give_up()
-        if self._idle is not None:
-            self._idle.cancel()
+        self._cancel_response()
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
 
     def eof_received(self) -> None:
-        """The caller has left; the transport closes itself."""
-        self._give_up()
+        """Cancel the response: the client has left. The transport closes itself."""
+        self._cancel_response()
 
-    def _give_up(self) -> None:
-        """Nobody waits for the answer: what the call asks for is not begun any more."""
-        if self._task is not None:
-            self._task.cancel()
+    def _cancel_response(self) -> None:
+        """Nobody waits for the response: what the request asks for must not be started any more."""
+        if self._response_task is not None:
+            self._response_task.cancel()
 
     def data_received(self, data: bytes) -> None:
         if self._server.before_data is not None:
@@ -89,55 +99,55 @@
         if self._transport is None or self._transport.is_closing():
             return
         self._parser.feed(data)
-        self._advance()
+        self._start_next_response()
 
-    def _watch_idle(self) -> None:
-        if self._idle is not None:
-            self._idle.cancel()
-        self._idle = self._server.net.loop.call_later(IDLE_S, self.drop)
+    def _restart_idle_timer(self) -> None:
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        self._idle_timer = self._server.net.loop.call_later(IDLE_TIMEOUT_S, self.abort)
 
-    def _advance(self) -> None:
-        if self._task is not None or self._transport is None:
+    def _start_next_response(self) -> None:
+        if self._response_task is not None or self._transport is None:
             return
         try:
             request = self._parser.next_request()
-        except codec.BadMessageError as problem:
-            self._write(Reply(problem.status, str(problem).encode()), keep=False)
+        except codec.BadMessageError as error:
+            self._write(ApiResponse(error.status, str(error).encode()), keep_alive=False)
             return
         if request is None:
             if self._parser.wants_continue:
                 self._transport.write(codec.write_response(100))
             return
-        self._watch_idle()
-        self._task = self._server.net.loop.create_task(self._answer(request))
+        self._restart_idle_timer()
+        self._response_task = self._server.net.loop.create_task(self._respond(request))
 
-    async def _answer(self, request: codec.Request) -> None:
+    async def _respond(self, request: codec.Request) -> None:
         assert self._transport is not None
         local_host = str(self._transport.get_extra_info("sockname")[0])
         try:
-            reply = await self._server.answer(request, local_host)
-        except Exception as problem:  # a fault of ours must not leave the caller without an answer
-            self._server.net.loop.call_exception_handler({"message": "a call", "exception": problem})
-            reply = Reply(500)
-        self._task = None
-        self._write(reply, request.keep_alive and not self._leaving)
-        self._advance()
-
-    def _write(self, reply: Reply, keep: bool) -> None:
+            response = await self._server.handle_request(request, local_host)
+        except Exception as error:  # noqa: BLE001  # a defect of ours must not leave the client without a response
+            self._server.net.loop.call_exception_handler({"message": "a call", "exception": error})
+            response = ApiResponse(500)
+        self._response_task = None
+        self._write(response, request.keep_alive and not self._is_draining)
+        self._start_next_response()
+
+    def _write(self, response: ApiResponse, keep_alive: bool) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        headers = reply.headers if keep else (*reply.headers, ("Connection", "close"))
-        self._transport.write(codec.write_response(reply.status, headers, reply.body))
-        if not keep:
+        headers = response.headers if keep_alive else (*response.headers, ("Connection", "close"))
+        self._transport.write(codec.write_response(response.status, headers, response.body))
+        if not keep_alive:
             self._transport.close()
 
-    def leave(self) -> None:
-        """Close once nothing is owed."""
-        self._leaving = True
-        if self._task is None and self._transport is not None:
+    def close_when_idle(self) -> None:
+        """Close now, or after the response that is being made."""
+        self._is_draining = True
+        if self._response_task is None and self._transport is not None:
             self._transport.close()
 
-    def drop(self) -> None:
-        """Close at once."""
+    def abort(self) -> None:
+        """Close at once, whatever is unsent."""
         if self._transport is not None:
             self._transport.abort()
--- a/tests/serving/cli/loopback_core.py
+++ b/tests/serving/cli/loopback_core.py
@@ -10,9 +10,10 @@
 
 from coveport.net.transport import Net
 from coveport.serving.configuration.state import Applied, apply, initial_state
-from coveport.serving.coordinator.operator_calls import OperatorCalls
-from coveport.serving.web.calls import CallTable, Reply, json_reply
-from coveport.serving.web.server import CallServer
+from coveport.serving.coordinator.operator_api import OperatorApi
+from coveport.serving.web.messages import ApiResponse, json_response
+from coveport.serving.web.router import Router
+from coveport.serving.web.server import HttpServer
 
 HOST = "127.0.0.1"
 STATUS = {
@@ -48,19 +49,19 @@
         self.answers_lost = 0
         self.changes_sent = 0
 
-    async def submit(self, command: bytes) -> Reply:
+    async def submit(self, command: bytes) -> ApiResponse:
         self.changes_sent += 1
         outcome = apply(self.state, command)
         self.state = outcome.state if isinstance(outcome, Applied) else self.state
         if self.answers_lost:
             self.answers_lost -= 1
-            return json_reply(503, {"Error": "unclear"})
+            return json_response(503, {"Error": "unclear"})
         result = outcome.result
-        return json_reply(result.status, {"Error": [str(finding) for finding in result.findings]})
+        return json_response(result.status, {"Error": [str(finding) for finding in result.findings]})
 
-    async def read_configuration(self) -> Reply:
+    async def read_configuration(self) -> ApiResponse:
         text = self.state.configuration_text
-        return json_reply(404, {"Error": "none yet"}) if text is None else Reply(200, text)
+        return json_response(404, {"Error": "none yet"}) if text is None else ApiResponse(200, text)
 
     async def hold(self) -> None:
         """Its callers stay."""
@@ -80,8 +81,8 @@
     """The core answers at the address that is handed out."""
     loop = asyncio.new_event_loop()
     net = Net(loop)
-    table = CallTable(OperatorCalls(core, 0, frozenset({"hall"})))
-    server = CallServer(net, (HOST, 0), table.answer)
+    router = Router(OperatorApi(core, 0, frozenset({"hall"})))
+    server = HttpServer(net, (HOST, 0), router.dispatch)
     loop.run_until_complete(server.start())
     assert server._listening is not None
     port = server._listening.port
--- a/tests/serving/coordinator/test_callers_who_leave.py
+++ b/tests/serving/coordinator/test_callers_who_leave.py
@@ -11,11 +11,11 @@
 
 from coveport.http1 import codec
 from coveport.serving.coordinator.control import HOLD_S, Control
-from coveport.serving.coordinator.core import STALL_S, TICK_S, CoreHooks, CoreRuntime
-from coveport.serving.coordinator.operator_calls import OperatorCalls
+from coveport.serving.coordinator.operator_api import OperatorApi
+from coveport.serving.coordinator.replica_runtime import STALL_S, TICK_S, ReplicaCallbacks, ReplicaRuntime
 from coveport.serving.replication.events import Answer, CancelCall, Done, Effect, Event, Submit, Tick
-from coveport.serving.web.calls import CallTable
-from coveport.serving.web.server import CallServer, _Connection
+from coveport.serving.web.router import Router
+from coveport.serving.web.server import HttpServer, _Connection
 from coveport.testbed.simulated_network.world import Process, World
 
 EVACUATION = codec.write_request("POST", "/coveport/evacuation/hall", [("Host", "core")])
@@ -76,12 +76,12 @@
         self.member = Member()
         self.stalls: list[float] = []
         net: Any = SimpleNamespace(now_s=lambda: self.world.now, loop=self.process)
-        hooks = CoreHooks(lambda address, message: None, lambda effect: None, self.stalled)
+        hooks = ReplicaCallbacks(lambda address, message: None, lambda effect: None, self.stalled)
         log = SimpleNamespace(info=lambda *_, **__: None, warning=lambda *_, **__: None)
-        self.runtime = CoreRuntime(net, self.member, None, hooks, log)  # type: ignore[arg-type]
+        self.runtime = ReplicaRuntime(net, self.member, None, hooks, log)  # type: ignore[arg-type]
         control = Control(net, self.runtime, dict)
-        table = CallTable(OperatorCalls(control, 7000, frozenset({"hall"})))
-        self.server = CallServer(net, ("10.0.0.1", 7000), table.answer, self.runtime.look_for_stall)
+        router = Router(OperatorApi(control, 7000, frozenset({"hall"})))
+        self.server = HttpServer(net, ("10.0.0.1", 7000), router.dispatch, self.runtime.look_for_stall)
 
     def stalled(self, late_s: float) -> None:
         self.stalls.append(late_s)
@@ -192,6 +192,6 @@
     ids=["nobody leads", "with its end", "submitted"],
 )
 def test_going_on_without_the_caller_is_caught(check: Callable[[], None], monkeypatch: Any) -> None:
-    monkeypatch.setattr(_Connection, "_give_up", without_giving_up)
+    monkeypatch.setattr(_Connection, "_cancel_response", without_giving_up)
     with pytest.raises((AssertionError, ValueError)):
         check()
--- a/tests/serving/coordinator/test_lookup_hold.py
+++ b/tests/serving/coordinator/test_lookup_hold.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from coveport.serving.coordinator.lookup_calls import TTL_S, TTL_WHILE_LOST_S, LookupCalls
-from coveport.serving.coordinator.lost_coordinators import NOTED_S, REMEMBERED_S, LostCoordinators
+from coveport.serving.coordinator.coordinator_liveness import NOTED_S, REMEMBERED_S, LostCoordinators
+from coveport.serving.coordinator.lookup_api import TTL_S, TTL_WHILE_LOST_S, LookupApi
 from coveport.serving.membership.leases import LeaseTable, ProxyLease
-from coveport.serving.web.calls import Call
+from coveport.serving.web.messages import ApiRequest
 from coveport.serving.wire.messages import CoordinatorEndpoint
 
 NOW = 100.0
@@ -70,9 +70,9 @@
 def test_what_a_client_is_told(lost: tuple[CoordinatorEndpoint, ...], ttl_s: float) -> None:
     leases = LeaseTable()
     leases.renew(ProxyLease("p", "10.0.1.9:80", "east-1", "east", True, 1, 1), LATER, here=True)
-    calls = LookupCalls(leases, lost_at(EAST, *lost), lambda: LATER)
+    calls = LookupApi(leases, lost_at(EAST, *lost), lambda: LATER)
     query = {"Name": "one.example", "Zone": "west-1", "Region": "west"}
-    call = Call("GET", "/coveport/lookup", "", query, {}, b"", "10.0.1.1")
+    call = ApiRequest("GET", "/coveport/lookup", "", query, {}, b"", "10.0.1.1")
     reply = asyncio.run(calls.lookup(call))
     assert reply.status == 200
     assert json.loads(reply.body) == {"Addresses": ["10.0.1.9:80"], "TtlS": ttl_s}
--- a/tests/serving/coordinator/test_node_calls.py
+++ b/tests/serving/coordinator/test_node_api.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from coveport.serving.coordinator.node_calls import NodeCalls, read_heartbeat
+from coveport.serving.coordinator.node_api import NodeApi, read_heartbeat
 from coveport.serving.model.findings import Refusal
 from coveport.serving.model.node import Node, NodeState
-from coveport.serving.web.calls import Call
+from coveport.serving.web.messages import ApiRequest
 
 REGIONS = {"z1": "r1"}
 HEARTBEAT = {
@@ -45,9 +45,9 @@
 
 
 def put(reporting: Reporting, is_connected: bool = True, **changes: object) -> int:
-    calls = NodeCalls(reporting, lambda: is_connected, REGIONS, Silence())  # type: ignore[arg-type]
+    calls = NodeApi(reporting, lambda: is_connected, REGIONS, Silence())  # type: ignore[arg-type]
     body = json.dumps(HEARTBEAT | changes).encode()
-    call = Call("PUT", "/coveport/nodes/i-1", "i-1", {}, {}, body, "10.0.0.9")
+    call = ApiRequest("PUT", "/coveport/nodes/i-1", "i-1", {}, {}, body, "10.0.0.9")
     return asyncio.run(calls.heartbeat(call)).status
 
 
--- a/tests/serving/membership/report_explorer.py
+++ b/tests/serving/membership/report_explorer.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from coveport.serving.coordinator.reports import NodeReporting, ReportPeers
+from coveport.serving.coordinator.node_report_replication import NodeReportReplicator, ReportPeers
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.model.node import Node, NodeState, goodbye
 from coveport.serving.replication.identity import Epoch, MemberId
@@ -69,7 +69,7 @@
         self.name = name
         self.table = NodeTable(5.0)
         peers = ReportPeers(self.send, self.live, self.known, self.view_epoch, self.is_majority)
-        self.reporting = NodeReporting(
+        self.reporting = NodeReportReplicator(
             StandingNet(),  # type: ignore[arg-type]
             self.table, peers, ground.scenario.copies, self.noted, 1000 * life,
         )  # fmt: skip
--- a/tests/serving/membership/test_report_interleavings.py
+++ b/tests/serving/membership/test_report_interleavings.py
@@ -10,7 +10,7 @@
 import pytest
 from report_explorer import NODE, SCENARIOS, BrokenPromiseError, End, Ground, Scenario, explore
 
-from coveport.serving.coordinator.reports import Confirmation, NodeReporting
+from coveport.serving.coordinator.node_report_replication import Confirmation, NodeReportReplicator
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.model.node import Node, NodeState, goodbye
 from coveport.serving.replication.identity import MemberId
@@ -33,7 +33,7 @@
     return []
 
 
-def not_passed_on(self: NodeReporting, nodes: tuple[Node, ...], sender: str) -> None:
+def not_passed_on(self: NodeReportReplicator, nodes: tuple[Node, ...], sender: str) -> None:
     """Only the coordinator that was called tells others."""
     for node in nodes:
         self._table.hear(node, self._net.now_s())
@@ -44,7 +44,7 @@
     return True
 
 
-def any_view_counts(self: NodeReporting, confirmation: Confirmation) -> bool:
+def any_view_counts(self: NodeReportReplicator, confirmation: Confirmation) -> bool:
     """Whoever holds the report counts as a member of the view known here: as it was on main."""
     holders = list(confirmation.holders)
     return len(holders) >= self._copies and self._peers.is_majority(holders)
@@ -67,9 +67,14 @@
     [
         ("one coordinator is cut off", NodeTable, "departed", no_tombstones_told),
         ("one is restarted", NodeTable, "departed", no_tombstones_told),
-        ("two that see the third don't see each other", NodeReporting, "_take_in", not_passed_on),
+        ("two that see the third don't see each other", NodeReportReplicator, "_take_in", not_passed_on),
         ("a member and an outsider are cut off together", End, "is_majority", is_majority),
-        ("a former member is cut off with one that still is", NodeReporting, "_is_kept", any_view_counts),
+        (
+            "a former member is cut off with one that still is",
+            NodeReportReplicator,
+            "_is_kept",
+            any_view_counts,
+        ),
         ("copies of a heartbeat around a closing", Node, "is_newer_than", closing_is_undone),
         ("copies of a heartbeat around a goodbye", NodeTable, "hear", a_heartbeat_ends_a_tombstone),
     ],
@@ -100,13 +105,13 @@
 
 
 def test_numbers_that_begin_anew_in_each_life_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    original = NodeReporting.__init__
+    original = NodeReportReplicator.__init__
 
-    def begin_at_0(self: NodeReporting, *arguments: Any) -> None:
+    def begin_at_0(self: NodeReportReplicator, *arguments: Any) -> None:
         original(self, *arguments)
         self._number = 0
 
-    monkeypatch.setattr(NodeReporting, "__init__", begin_at_0)
+    monkeypatch.setattr(NodeReportReplicator, "__init__", begin_at_0)
     with pytest.raises(AssertionError):
         test_a_confirmation_meant_for_an_earlier_life_counts_for_nothing()
 
--- a/tests/serving/web/mutated_calls.py
+++ b/tests/serving/web/mutated_requests.py
@@ -1,6 +1,6 @@
 """Callers whose bytes are mutated, beside a sound one, against the real server of calls; no loop, no time.
 
-`PYTHONPATH=. python tests/serving/web/mutated_calls.py --count 1000000` for more than the tests play.
+`PYTHONPATH=. python tests/serving/web/mutated_requests.py --count 1000000` for more than the tests play.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from typing import Any
 
 from coveport.http1 import codec
-from coveport.serving.web.calls import Reply
-from coveport.serving.web.server import CallServer, _Connection
+from coveport.serving.web.messages import ApiResponse
+from coveport.serving.web.server import HttpServer, _Connection
 
 METHODS = ("PUT", "GET", "DELETE", "POST")
 
@@ -108,15 +108,15 @@
         self.chance = Random(seed)
         self.loop = Loop()
         net = SimpleNamespace(loop=self.loop)
-        self.server = CallServer(net, ("x", 80), self._answer)  # type: ignore[arg-type]
+        self.server = HttpServer(net, ("x", 80), self._answer)  # type: ignore[arg-type]
         self.callers = [
             self._caller(f"c{seed}-{number}", number > 0) for number in range(self.chance.choice((2, 3)))
         ]
 
-    async def _answer(self, request: codec.Request, local_host: str) -> Reply:
+    async def _answer(self, request: codec.Request, local_host: str) -> ApiResponse:
         caller = next(one for one in self.callers if one.name == local_host)
         caller.asked.append((request.target, request.body))
-        return Reply(200, f"{caller.name} {len(caller.asked)}".encode())
+        return ApiResponse(200, f"{caller.name} {len(caller.asked)}".encode())
 
     def _caller(self, name: str, is_mutated: bool) -> Caller:
         chance = self.chance
--- a/tests/serving/web/test_mutated_calls.py
+++ b/tests/serving/web/test_mutated_requests.py
@@ -5,18 +5,22 @@
 import os
 
 import pytest
-from mutated_calls import Exchange, PairingError
+from mutated_requests import Exchange, PairingError
 
 from coveport.http1 import codec
 from coveport.serving.web import server
-from coveport.serving.web.calls import Reply
+from coveport.serving.web.messages import ApiResponse
 
 EXCHANGES = int(os.environ.get("COVEPORT_MUTATED_CALLS", "4000"))
 
 
+def play(exchanges: int) -> int:
+    """Play exchanges; how many calls were answered."""
+    return sum(Exchange(seed).run() for seed in range(exchanges))
+
+
 def test_no_mutated_call_gets_anothers_answer_or_harms_a_sound_one() -> None:
-    answered = sum(Exchange(seed).run() for seed in range(EXCHANGES))
-    assert answered > EXCHANGES
+    assert play(EXCHANGES) > EXCHANGES
 
 
 def test_answers_to_whoever_called_last_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -24,14 +28,13 @@
     original = server._Connection._write
     last: list[server._Connection] = []
 
-    def write(self: server._Connection, reply: Reply, keep: bool) -> None:
+    def write(self: server._Connection, response: ApiResponse, keep_alive: bool) -> None:
         last.append(self)
-        original(last[-2] if len(last) > 1 else self, reply, keep)
+        original(last[-2] if len(last) > 1 else self, response, keep_alive)
 
     monkeypatch.setattr(server._Connection, "_write", write)
     with pytest.raises((PairingError, AssertionError)):
-        for seed in range(200):
-            Exchange(seed).run()
+        play(200)
 
 
 def test_a_body_that_is_read_as_the_next_call_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -44,5 +47,4 @@
 
     monkeypatch.setattr(codec.RequestParser, "next_request", next_request)
     with pytest.raises(PairingError):
-        for seed in range(200):
-            Exchange(seed).run()
+        play(200)
