--- a/benchmarks/control_costs.py
+++ b/benchmarks/control_costs.py
@@ -94,7 +94,7 @@
     )  # fmt: skip
     table = NodeTable(5.0)
     for node in nodes:
-        table.hear(node, 0.0)
+        table.apply_report(node, 0.0)
     whole = Update(1, True, True, "t" * 16, 5, True, nodes, (), 1, None, (), (), 340)
     line("whole table, bytes for the first proxy", count, ms(lambda: CODEC.encode(whole), 1))
     line("whole table, bytes for another", count, ms(lambda: CODEC.encode(whole)))
--- a/coveport/serving/cli/output.py
+++ b/coveport/serving/cli/output.py
@@ -24,7 +24,7 @@
 def print_findings(file: str, findings: Iterable[Finding], lines: dict[str, int]) -> None:
     """One finding a line, as compilers do: file, line, place and what is wrong."""
     for finding in findings:
-        print(f"{file}:{line_of(finding.place, finding.message, lines)}: {finding}", file=sys.stderr)
+        print(f"{file}:{line_of(finding.location, finding.message, lines)}: {finding}", file=sys.stderr)
 
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
--- a/coveport/serving/configuration/document.py
+++ b/coveport/serving/configuration/document.py
@@ -1,9 +1,9 @@
 """A configuration with the text of each route apart: a change of some routes leaves the others unread.
 
-Reading a whole configuration takes 50 us a route, and stops the process that does it: with 30,000 routes for
-longer than a primary may be silent. A change names a few routes; what `changed_routes` makes of a document is
-the same, to the byte, as what reading and writing the whole would make. Where a change isn't plainly valid,
-it says None: the whole is read after all, for its findings.
+Reading a whole configuration takes 50 us a route, and blocks the process that does it: with 30,000 routes for
+longer than a primary may be unresponsive. A change names a few routes; what `apply_route_changes` makes of a
+document is the same, to the byte, as what reading and writing the whole would make. Where a change isn't
+plainly valid, it returns None: the whole is read after all, for its findings.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
     return Document(configuration, parts, routes)
 
 
-def changed_routes(document: Document, change: Mapping[str, Any]) -> Document | None:
+def apply_route_changes(document: Document, change: Mapping[str, Any]) -> Document | None:
     """What a valid change of some routes makes of a document; None: it is another, or may be at fault."""
     asked = _read_change(document, change)
     if asked is None:
@@ -124,7 +124,7 @@
     )
 
 
-class NewestDocuments:
+class DocumentCache:
     """The documents read last, by their text.
 
     What checks a change, what stores it and what then uses it read the same text; one change may be applied
--- a/coveport/serving/configuration/forms.py
+++ b/coveport/serving/configuration/forms.py
@@ -17,14 +17,14 @@
     path_prefix: str
     kind: str
     timeout_ms: float
-    objective_ms: float = 0.0
-    precedence: float = 0
+    latency_target_ms: float = 0.0
+    priority: float = 0
     service: str | None = None
     services: list[Any] | None = None
-    attempts: float = 1
-    pinned: bool = False
+    max_attempts: float = 1
+    session_affinity: bool = False
     resumable: bool = False
-    pause_objective_ms: float = 0.0
+    inter_token_target_ms: float = 0.0
     home_regions: list[str] | None = None
 
 
@@ -53,7 +53,7 @@
     """What a service's nodes can hold and run."""
 
     slots: float = 0
-    memory_tokens: float = 0
+    kv_cache_tokens: float = 0
     tokens_per_event: float = 1
 
 
@@ -87,5 +87,5 @@
 }
 """Of each form: the wire name of each field."""
 
-WHOLE_NUMBERS: Final = frozenset({"edition", "precedence", "attempts"})
+WHOLE_NUMBERS: Final = frozenset({"edition", "priority", "max_attempts"})
 """Fields whose numbers have no fraction; 2.0 is as good as 2."""
--- a/coveport/serving/configuration/patch.py
+++ b/coveport/serving/configuration/patch.py
@@ -11,7 +11,7 @@
 INVALID_PATCH = "invalid patch"
 
 
-def patch(current: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any] | Refusal:
+def apply_patch(current: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any] | Refusal:
     """The configuration that `change` makes of `current`, both as JSON objects; neither is altered.
 
     Removals come first, then upserts: an item of a name that is there replaces it in its place, others are
--- a/coveport/serving/configuration/reader.py
+++ b/coveport/serving/configuration/reader.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Final
 
-from coveport.serving.configuration.document import Document, NewestDocuments, make_document
+from coveport.serving.configuration.document import Document, DocumentCache, make_document
 from coveport.serving.configuration.form_reader import FormReader
 from coveport.serving.configuration.forms import ClientLimitsForm, ConfigurationForm, EngineForm, ServiceForm
 from coveport.serving.configuration.json_text import read_object
@@ -16,7 +16,7 @@
 INVALID: Final = "invalid configuration"
 
 
-_NEWEST: Final = NewestDocuments()
+_NEWEST: Final = DocumentCache()
 
 
 def read_configuration(raw: bytes) -> Configuration | Refusal:
@@ -31,20 +31,20 @@
     if known is not None:
         return known
     data = read_object(raw)
-    document = data if isinstance(data, Refusal) else check_document(data)
+    document = data if isinstance(data, Refusal) else validate_document(data)
     if isinstance(document, Document):
         _NEWEST.remember(raw, document)
     return document
 
 
-def keep_document(document: Document) -> bytes:
+def render_document(document: Document) -> bytes:
     """The text of a document, which will not be read again soon."""
     text = document.text()
     _NEWEST.remember(text, document)
     return text
 
 
-def check_document(data: dict[str, Any]) -> Document | Refusal:
+def validate_document(data: dict[str, Any]) -> Document | Refusal:
     """A whole configuration as a JSON object, checked."""
     configuration = _read(data)
     return configuration if isinstance(configuration, Refusal) else make_document(data, configuration)
@@ -105,7 +105,7 @@
     if read is None:
         return None
     form = read.form
-    return Engine(int(form.slots), int(form.memory_tokens), int(form.tokens_per_event))
+    return Engine(int(form.slots), int(form.kv_cache_tokens), int(form.tokens_per_event))
 
 
 def _read_limits(data: dict[str, Any], forms: FormReader) -> ClientLimits:
--- a/coveport/serving/configuration/route_reader.py
+++ b/coveport/serving/configuration/route_reader.py
@@ -49,13 +49,13 @@
             path_prefix=form.path_prefix,
             kind=_KINDS.get(form.kind, RouteKind.UNSAFE),
             timeout_ms=form.timeout_ms,
-            objective_ms=form.objective_ms,
-            precedence=int(form.precedence),
+            latency_target_ms=form.latency_target_ms,
+            priority=int(form.priority),
             services=self._read_services(read, place),
-            attempts=int(form.attempts),
-            pinned=form.pinned,
+            max_attempts=int(form.max_attempts),
+            session_affinity=form.session_affinity,
             resumable=form.resumable,
-            pause_objective_ms=form.pause_objective_ms,
+            inter_token_target_ms=form.inter_token_target_ms,
             home_regions=frozenset(form.home_regions or ()),
         )
 
@@ -117,5 +117,5 @@
         yield "kind", f"must be one of {', '.join(_KINDS)}"
     if form.timeout_ms == 0:
         yield "timeout_ms", "must be above 0"
-    if form.attempts < 1:
-        yield "attempts", "must be at least 1"
+    if form.max_attempts < 1:
+        yield "max_attempts", "must be at least 1"
--- a/coveport/serving/configuration/state.py
+++ b/coveport/serving/configuration/state.py
@@ -16,10 +16,10 @@
     decode_command,
     encode_command,
 )
-from coveport.serving.configuration.document import Document, changed_routes
+from coveport.serving.configuration.document import Document, apply_route_changes
 from coveport.serving.configuration.json_text import read_object
-from coveport.serving.configuration.patch import patch
-from coveport.serving.configuration.reader import check_document, keep_document, read_document
+from coveport.serving.configuration.patch import apply_patch
+from coveport.serving.configuration.reader import read_document, render_document, validate_document
 from coveport.serving.model.findings import Finding, Refusal
 from coveport.serving.replication.outcomes import Applied, Refused
 from coveport.serving.wire.codec import MessageCodec
@@ -28,6 +28,7 @@
 
 __all__ = [
     "Applied",
+    "AppliedChange",
     "ChangeResult",
     "ControlState",
     "EndEvacuation",
@@ -35,7 +36,6 @@
     "PutConfiguration",
     "Refused",
     "StartEvacuation",
-    "TakenChange",
     "apply",
     "apply_command",
     "decode_state",
@@ -44,7 +44,7 @@
     "initial_state",
 ]
 
-MOST_TAKEN: Final = 512  # changes that are known again when they are sent again
+MAX_APPLIED_CHANGES: Final = 512  # changes that are known again when they are sent again
 _DIGEST_BYTES: Final = 16
 _TAKEN: Final = struct.Struct(f">Q{_DIGEST_BYTES}s")
 _SEALED: Final = b"\xd1"  # begins a state with its digest; without one it begins with the codec's number, 0
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakenChange:
+class AppliedChange:
     """A change of the configuration that has been taken."""
 
     edition: int
@@ -71,8 +71,8 @@
         None  # JSON of the newest whole configuration, exactly as it is handed out
     )
     edition: int = 0  # of that configuration; 0: there is none
-    evacuated: frozenset[str] = frozenset()  # zones
-    taken: tuple[TakenChange, ...] = ()  # the newest `MOST_TAKEN`, oldest first
+    evacuated_zones: frozenset[str] = frozenset()  # zones
+    applied_changes: tuple[AppliedChange, ...] = ()  # the newest `MAX_APPLIED_CHANGES`, oldest first
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,8 +90,8 @@
 
     configuration_text: bytes | None
     edition: int
-    evacuated: tuple[str, ...]
-    taken: bytes
+    evacuated_zones: tuple[str, ...]
+    applied_changes: bytes
 
 
 _CODEC: Final[MessageCodec[_StoredState]] = MessageCodec((_StoredState,))
@@ -104,9 +104,9 @@
 
 def encode_state(state: ControlState) -> bytes:
     """A state as bytes, with their digest; equal states give equal bytes."""
-    taken = b"".join(_TAKEN.pack(change.edition, change.digest) for change in state.taken)
+    taken = b"".join(_TAKEN.pack(change.edition, change.digest) for change in state.applied_changes)
     stored = _CODEC.encode(
-        _StoredState(state.configuration_text, state.edition, tuple(sorted(state.evacuated)), taken)
+        _StoredState(state.configuration_text, state.edition, tuple(sorted(state.evacuated_zones)), taken)
     )
     return _SEALED + _digest_of(stored) + stored
 
@@ -117,10 +117,10 @@
     States without a digest were written by programs of before.
     """
     stored = _CODEC.decode(_unsealed(data) if data.startswith(_SEALED) else data)
-    if len(stored.taken) % _TAKEN.size:
+    if len(stored.applied_changes) % _TAKEN.size:
         raise MalformedMessageError("changes taken are cut short")
-    taken = tuple(TakenChange(*one) for one in _TAKEN.iter_unpack(stored.taken))
-    return ControlState(stored.configuration_text, stored.edition, frozenset(stored.evacuated), taken)
+    taken = tuple(AppliedChange(*one) for one in _TAKEN.iter_unpack(stored.applied_changes))
+    return ControlState(stored.configuration_text, stored.edition, frozenset(stored.evacuated_zones), taken)
 
 
 def _digest_of(data: bytes) -> bytes:
@@ -144,9 +144,9 @@
     """As `apply`, of a command that has been decoded."""
     match command:
         case StartEvacuation(zone):
-            return _applied(replace(state, evacuated=state.evacuated | {zone}))
+            return _applied(replace(state, evacuated_zones=state.evacuated_zones | {zone}))
         case EndEvacuation(zone):
-            return _applied(replace(state, evacuated=state.evacuated - {zone}))
+            return _applied(replace(state, evacuated_zones=state.evacuated_zones - {zone}))
         case PutConfiguration() | PatchConfiguration():
             return _change_configuration(state, command)
 
@@ -159,12 +159,13 @@
     state: ControlState, command: PutConfiguration | PatchConfiguration
 ) -> Applied | Refused:
     digest = _digest(command)
-    if any(change.digest == digest for change in state.taken):
+    if any(change.digest == digest for change in state.applied_changes):
         return _applied(state)
     if command.if_match is None:
         return _refused(state, INVALID, Finding("If-Match", "is missing; 0 is the first"))
     if _may_have_been_forgotten(state, command.if_match):
-        message = f"{command.if_match} was in force over {MOST_TAKEN} changes ago: this may have been taken"
+        age = f"over {MAX_APPLIED_CHANGES} changes ago"
+        message = f"{command.if_match} was in force {age}: this may have been taken"
         return _refused(state, UNCLEAR, Finding("If-Match", message))
     if command.if_match != state.edition:
         return _refused(state, STALE, Finding("If-Match", f"the current edition is {state.edition}"))
@@ -175,8 +176,8 @@
     if edition <= state.edition:
         message = f"must be above the current one, which is {state.edition}"
         return _refused(state, INVALID, Finding(Config.EDITION, message))
-    taken = (*state.taken, TakenChange(edition, digest))[-MOST_TAKEN:]
-    return _applied(replace(state, configuration_text=keep_document(made), edition=edition, taken=taken))
+    taken = (*state.applied_changes, AppliedChange(edition, digest))[-MAX_APPLIED_CHANGES:]
+    return _applied(replace(state, configuration_text=render_document(made), edition=edition, taken=taken))
 
 
 def _may_have_been_forgotten(state: ControlState, if_match: int) -> bool:
@@ -184,7 +185,7 @@
 
     One that was taken must not be refused when it is sent again, so it gets no clear answer.
     """
-    return len(state.taken) == MOST_TAKEN and if_match < state.taken[0].edition
+    return len(state.applied_changes) == MAX_APPLIED_CHANGES and if_match < state.applied_changes[0].edition
 
 
 def _refused(state: ControlState, status: int, *findings: Finding) -> Refused:
@@ -200,7 +201,7 @@
 
 def _put(command: PutConfiguration) -> Document | Refusal:
     data = read_object(command.body)
-    return data if isinstance(data, Refusal) else check_document(data)
+    return data if isinstance(data, Refusal) else validate_document(data)
 
 
 def _patch(state: ControlState, command: PatchConfiguration) -> Document | Refusal:
@@ -215,11 +216,11 @@
     if state.configuration_text is None:
         return None
     document = read_document(state.configuration_text)
-    return None if isinstance(document, Refusal) else changed_routes(document, change)
+    return None if isinstance(document, Refusal) else apply_route_changes(document, change)
 
 
 def _change_whole(state: ControlState, change: dict[str, Any]) -> Document | Refusal:
     current = read_object(state.configuration_text or b"{}")
     assert not isinstance(current, Refusal)  # the text of a document
-    patched = patch(current, change)
-    return patched if isinstance(patched, Refusal) else check_document(patched)
+    patched = apply_patch(current, change)
+    return patched if isinstance(patched, Refusal) else validate_document(patched)
--- a/coveport/serving/coordinator/node_api.py
+++ b/coveport/serving/coordinator/node_api.py
@@ -9,12 +9,12 @@
 from coveport.net.address import parse_address
 from coveport.serving.coordinator.node_report_replication import NodeReportReplicator
 from coveport.serving.model.findings import Findings, Refusal
-from coveport.serving.model.node import Node, NodeState, goodbye
+from coveport.serving.model.node import Node, NodeState, deregistration
 from coveport.serving.web.messages import ApiRequest, ApiResponse, json_response
 from coveport.serving.web.router import route
 from coveport.serving.wire.names import ERROR, Heartbeat, Path
 
-_STATES = {Heartbeat.ACCEPTING: NodeState.ACCEPTING, Heartbeat.CLOSING: NodeState.CLOSING}
+_STATES = {Heartbeat.ACCEPTING: NodeState.ACCEPTING, Heartbeat.CLOSING: NodeState.DRAINING}
 
 
 class NodeApi:
@@ -54,7 +54,7 @@
     @route("DELETE", Path.NODES)
     async def goodbye(self, call: ApiRequest) -> ApiResponse:
         """A node leaves."""
-        if not await self._reporting.take(goodbye(call.rest)):
+        if not await self._reporting.take(deregistration(call.rest)):
             return json_response(503, {ERROR: "no other coordinator confirmed it"})
         self._log.info("node_deregistered", node=call.rest)
         return json_response(200, {})
@@ -84,8 +84,8 @@
             findings.add(Heartbeat.ADDRESS, str(problem))
     sequence = _number(told, Heartbeat.SEQUENCE, findings)
     slots = _number(told, Heartbeat.SLOTS, findings)
-    cold_left_ms = _number(told, Heartbeat.COLD_LEFT_MS, findings)
-    leaves_in_ms = _number(told, Heartbeat.LEAVES_IN_MS, findings)
+    warm_up_left_ms = _number(told, Heartbeat.COLD_LEFT_MS, findings)
+    shutdown_in_ms = _number(told, Heartbeat.LEAVES_IN_MS, findings)
     if findings or state is None:
         return Refusal(str(findings), tuple(findings))
     return Node(
@@ -97,8 +97,8 @@
         regions[zone],
         int(slots),
         state,
-        cold_left_ms,
-        leaves_in_ms,
+        warm_up_left_ms,
+        shutdown_in_ms,
     )
 
 
--- a/coveport/serving/coordinator/node_report_replication.py
+++ b/coveport/serving/coordinator/node_report_replication.py
@@ -18,7 +18,7 @@
 
 from coveport.net.transport import Net
 from coveport.serving.membership.node_table import NodeTable
-from coveport.serving.model.node import Node, NodeState, goodbye
+from coveport.serving.model.node import Node, NodeState, deregistration
 from coveport.serving.replication.identity import Epoch, MemberId
 from coveport.serving.wire.messages import Message, NodeReports, NodeReportsAck
 
@@ -86,7 +86,7 @@
 
     async def take(self, node: Node) -> bool:
         """A node reports here; whether it may be acknowledged."""
-        is_news = self._table.hear(node, self._net.now_s())
+        is_news = self._table.apply_report(node, self._net.now_s())
         if is_news:
             self._on_news()
         if node.state is not NodeState.ACCEPTING:
@@ -105,11 +105,11 @@
 
     def told_departed(self, incarnations: Iterable[str]) -> None:
         """A proxy remembers that these have left: after all coordinators were restarted, it alone does."""
-        self._take_in(tuple(goodbye(incarnation) for incarnation in incarnations), "")
+        self._take_in(tuple(deregistration(incarnation) for incarnation in incarnations), "")
 
     def _take_in(self, nodes: tuple[Node, ...], sender: str) -> None:
         now = self._net.now_s()
-        news = tuple(node for node in nodes if self._table.hear(node, now))
+        news = tuple(node for node in nodes if self._table.apply_report(node, now))
         if not news:
             return
         self._on_news()
@@ -134,7 +134,10 @@
     def tell_all(self, peer: str) -> None:
         """Send the whole table to a peer, with who has left."""
         now = self._net.now_s()
-        nodes = (*(entry.as_told_at(now) for entry in self._table.entries()), *self._table.departed(now))
+        nodes = (
+            *(entry.snapshot_at(now) for entry in self._table.entries()),
+            *self._table.deregistrations(now),
+        )
         if nodes:
             self._peers.send(peer, NodeReports(0, nodes))
 
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -184,7 +184,7 @@
             "coordinators": [one.address for one in self._live_coordinators()],
             "proxies": [
                 {"name": lease.name, "address": lease.address, "zone": lease.zone, "ready": lease.ready}
-                for lease in self.leases.live(now)
+                for lease in self.leases.active(now)
             ],
             "nodes": [
                 {
@@ -193,7 +193,7 @@
                     "address": entry.node.address,
                     "zone": entry.node.zone,
                     "state": entry.node.state.value,
-                    "silent_s": round(now - entry.heard_at_s, 2),
+                    "silent_s": round(now - entry.last_seen_s, 2),
                 }
                 for entry in self.table.entries()
             ],
@@ -212,7 +212,7 @@
             case Hello():
                 self._greeted(connection, message)
             case UpdateRequest():
-                self._reporting.told_departed(message.departed)
+                self._reporting.told_departed(message.deregistered)
                 self.subscriptions.ask(connection, message)
             case Unsubscribe():
                 self.subscriptions.left(connection)
@@ -244,7 +244,7 @@
                 self._reporting.taken(MemberId(hello.address, hello.disk), message)
             case LeasesRenewed():
                 for lease in message.leases:
-                    self.leases.renew(lease, self._net.now_s(), here=False)
+                    self.leases.renew(lease, self._net.now_s(), local=False)
             case TableRequest():
                 self._reporting.tell_all(hello.address)
                 self._tell_leases(hello.address)
@@ -266,7 +266,7 @@
     def _stalled(self, late_s: float) -> None:
         """After a standstill: what waits in our connections may be stale, and silence says nothing."""
         self.standing.stalled()
-        self.table.forgive(self._net.now_s())
+        self.table.reset_timeouts(self._net.now_s())
         for server in self._servers:
             server.reset_all()
         for address in self._peers.live(within_s=late_s + 5.0):
@@ -278,7 +278,7 @@
         was_connected = self.standing.is_connected()
         self.standing.look()
         if not self.standing.is_connected():
-            self.table.forgive(now)
+            self.table.reset_timeouts(now)
         if self.standing.is_connected() != was_connected:
             self.subscriptions.news()
         for incarnation in self.table.expire(now):
@@ -293,13 +293,13 @@
 
     def _share_leases(self) -> None:
         since, self._leases_shared_s = self._leases_shared_s, self._net.now_s()
-        leases = tuple(self.leases.renewed_here_since(since))
+        leases = tuple(self.leases.renewed_locally_since(since))
         if leases:
             for address in self._peers.live():
                 self._peers.send(address, LeasesRenewed(leases))
 
     def _tell_leases(self, address: str) -> None:
-        leases = tuple(self.leases.live(self._net.now_s()))
+        leases = tuple(self.leases.active(self._net.now_s()))
         if leases:
             self._peers.send(address, LeasesRenewed(leases))
 
--- a/coveport/serving/coordinator/subscriptions.py
+++ b/coveport/serving/coordinator/subscriptions.py
@@ -103,7 +103,7 @@
 
     def add(self, asked: _Asked, update: Update, now_s: float) -> SharedUpdate:
         """One was made; `find` came before."""
-        is_leaving = any(node.leaves_in_ms for node in update.nodes)
+        is_leaving = any(node.shutdown_in_ms for node in update.nodes)
         until_s = now_s + (SHARED_LEAVING_S if is_leaving else SHARED_S)
         shared = SharedUpdate(update)
         self._made[asked] = shared, until_s
@@ -136,7 +136,7 @@
 
     def ask(self, connection: Connection, request: UpdateRequest) -> None:
         """A proxy asks; the lease that it renews is taken."""
-        if self._leases.renew(request.lease, self._net.now_s(), here=True):
+        if self._leases.renew(request.lease, self._net.now_s(), local=True):
             self._on_lease_news()
         timer = self._net.loop.call_later(HOLD_S, self._answer, connection)
         self._waiting[connection] = _Waiting(connection, request, timer)
@@ -155,7 +155,7 @@
         if waiting is None:
             return
         waiting.timer.cancel()
-        self._leases.end(waiting.request.lease)
+        self._leases.release(waiting.request.lease)
 
     def news(self) -> None:
         """The table or the state has changed: answer, once this turn's changes are all in."""
@@ -185,7 +185,7 @@
             return
         waiting.timer.cancel()
         request = waiting.request
-        proxies = self._leases.proxies_at_most() if self._standing.is_settled() else 0
+        proxies = self._leases.max_proxies() if self._standing.is_settled() else 0
         connection.send_frame(Update, self._update(request).frame(request.request_number, proxies))
 
     def _update(self, request: UpdateRequest) -> SharedUpdate:
@@ -214,13 +214,13 @@
             knows_all_nodes=told.settled,
             table_id=self._table_identity,
             node_revision=nodes.revision,
-            is_full_table=nodes.whole,
+            is_full_table=nodes.is_complete,
             nodes=nodes.nodes,
             removed=nodes.removed,
-            departed=nodes.departed,
+            deregistered=nodes.deregistered,
             state_sequence=told.state_sequence,
             state=self._history.encoded if changes is None else None,
             changes=changes or (),
             coordinators=told.coordinators,
-            proxies_at_most=0,
+            max_proxies=0,
         )
--- a/coveport/serving/model/configuration.py
+++ b/coveport/serving/model/configuration.py
@@ -31,13 +31,13 @@
     path_prefix: str
     kind: RouteKind
     timeout_ms: float  # the longest time the operator wants a request held
-    objective_ms: float = 0.0  # within which an answer earns its full worth
-    precedence: int = 0  # 0 is served first
+    latency_target_ms: float = 0.0  # within which an answer earns its full worth
+    priority: int = 0  # 0 is served first
     services: tuple[WeightedService, ...] = ()
-    attempts: int = 1  # nodes that one try may be sent to
-    pinned: bool = False
+    max_attempts: int = 1  # nodes that one try may be sent to
+    session_affinity: bool = False
     resumable: bool = False
-    pause_objective_ms: float = 0.0  # the longest pause between events that is still in time
+    inter_token_target_ms: float = 0.0  # the longest pause between events that is still in time
     home_regions: frozenset[str] = frozenset()  # empty: anywhere
 
     @property
@@ -51,7 +51,7 @@
     """What a model server can hold and run."""
 
     slots: int = 0  # requests that run at once
-    memory_tokens: int = 0  # shared by running requests and cached prompt parts
+    kv_cache_tokens: int = 0  # shared by running requests and cached prompt parts
     tokens_per_event: int = 1
 
 
--- a/coveport/serving/model/findings.py
+++ b/coveport/serving/model/findings.py
@@ -10,31 +10,31 @@
 class Finding:
     """One fault: where it stands (as a path such as `Routes[3].DeadlineMs`) and what is wrong."""
 
-    place: str
+    location: str
     message: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.message}" if self.place else self.message
+        return f"{self.location}: {self.message}" if self.location else self.message
 
 
 @dataclass(slots=True)
 class Findings:
     """All faults of one reading."""
 
-    found: list[Finding] = field(default_factory=list)
+    items: list[Finding] = field(default_factory=list)
 
-    def add(self, place: str, message: str) -> None:
+    def add(self, location: str, message: str) -> None:
         """Note a fault."""
-        self.found.append(Finding(place, message))
+        self.items.append(Finding(location, message))
 
     def __bool__(self) -> bool:
-        return bool(self.found)
+        return bool(self.items)
 
     def __iter__(self) -> Iterator[Finding]:
-        return iter(self.found)
+        return iter(self.items)
 
     def __str__(self) -> str:
-        return "\n".join(map(str, self.found))
+        return "\n".join(map(str, self.items))
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/serving/model/node.py
+++ b/coveport/serving/model/node.py
@@ -10,8 +10,8 @@
     """Whether a node takes new requests."""
 
     ACCEPTING = "accepting"
-    CLOSING = "closing"  # serves what it has, takes nothing new; never undone within an incarnation
-    GONE = "gone"  # said goodbye, or was silent for too long
+    DRAINING = "closing"  # serves what it has, takes nothing new; never undone within an incarnation
+    DEREGISTERED = "gone"  # said goodbye, or was silent for too long
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,19 +26,29 @@
     region: str
     slots: int  # requests that it runs at once
     state: NodeState
-    cold_left_ms: float = 0.0  # how much longer it is cold, counted from when this was received
-    leaves_in_ms: float = 0.0  # 0: not told; else it is gone after that, whatever it runs
+    warm_up_left_ms: float = 0.0  # how much longer it is cold, counted from when this was received
+    shutdown_in_ms: float = 0.0  # 0: not told; else it is gone after that, whatever it runs
 
     def is_newer_than(self, other: Node) -> bool:
         """Whether this replaces what `other`, of the same incarnation, says."""
-        order = (NodeState.ACCEPTING, NodeState.CLOSING, NodeState.GONE)
+        order = (NodeState.ACCEPTING, NodeState.DRAINING, NodeState.DEREGISTERED)
         rank, other_rank = order.index(self.state), order.index(other.state)
         return rank > other_rank or (rank == other_rank and self.sequence > other.sequence)
 
 
-GOODBYE_SEQUENCE = 1 << 60  # newer than every heartbeat
+DEREGISTRATION_SEQUENCE = 1 << 60  # newer than every heartbeat
 
 
-def goodbye(incarnation: str, remembered_ms: float = 0.0) -> Node:
+def deregistration(incarnation: str, remembered_ms: float = 0.0) -> Node:
     """The report that an incarnation has left for good; 0: remember it for as long as any."""
-    return Node(incarnation, GOODBYE_SEQUENCE, "", "", "", "", 0, NodeState.GONE, leaves_in_ms=remembered_ms)
+    return Node(
+        incarnation,
+        DEREGISTRATION_SEQUENCE,
+        "",
+        "",
+        "",
+        "",
+        0,
+        NodeState.DEREGISTERED,
+        shutdown_in_ms=remembered_ms,
+    )
--- a/coveport/serving/model/view.py
+++ b/coveport/serving/model/view.py
@@ -16,9 +16,9 @@
     """A node with its times on this process' own clock (`Net.now_s`)."""
 
     node: Node
-    told_at_s: float  # when a coordinator told us this
-    cold_until_s: float  # cold before that; 0.0: not cold
-    leaves_at_s: float  # gone from then on; inf: not told
+    received_at_s: float  # when a coordinator told us this
+    warming_until_s: float  # cold before that; 0.0: not cold
+    shutdown_at_s: float  # gone from then on; inf: not told
 
 
 @dataclass(slots=True)
@@ -33,10 +33,10 @@
     evacuated_zones: frozenset[str] = frozenset()
     evacuation_ended_at_s: dict[str, float] = field(default_factory=dict)  # by zone: its nodes may be cold
     nodes: immutables.Map[str, KnownNode] = field(default_factory=immutables.Map)
-    proxies_at_most: int = 1  # how many proxies there may be by now, ourselves included, cut off ones too
+    max_proxies: int = 1  # how many proxies there may be by now, ourselves included, cut off ones too
     listeners: list[Callable[[], None]] = field(default_factory=list)
 
-    def changed(self) -> None:
-        """Tell the listeners."""
+    def notify_listeners(self) -> None:
+        """Call every listener, in the order of registration."""
         for listener in self.listeners:
             listener()
--- a/coveport/serving/proxy/admission.py
+++ b/coveport/serving/proxy/admission.py
@@ -23,9 +23,9 @@
 
 def longest_wait_s(route: Route) -> float:
     """How long a request of this route may wait for a place."""
-    if route.objective_ms <= 0:
+    if route.latency_target_ms <= 0:
         return WAIT_WITHOUT_OBJECTIVE_S
-    return min(LONGEST_WAIT_S, PART_OF_OBJECTIVE * route.objective_ms / 1000)
+    return min(LONGEST_WAIT_S, PART_OF_OBJECTIVE * route.latency_target_ms / 1000)
 
 
 @dataclass(order=True, slots=True)
--- a/coveport/serving/proxy/exchange.py
+++ b/coveport/serving/proxy/exchange.py
@@ -8,8 +8,9 @@
 | ... in the middle of a resumable stream | yes, after the last whole event that the client has |
 | 500 or 502 of the node | only if it may run twice; else the client gets it |
 
-Every further send needs an attempt left (`Route.attempts`) and a place in the retry budget. Who is given up
-gets 503 with Retry-After where nothing ran, else 502 or 504; where the answer has begun, its connection ends.
+Every further send needs an attempt left (`Route.max_attempts`) and a place in the retry budget. Who is given
+up gets 503 with Retry-After where nothing ran, else 502 or 504; where the answer has begun, its connection
+ends.
 """
 
 from __future__ import annotations
@@ -135,11 +136,11 @@
         """Hold one more send, if the route and the budget allow it."""
         if self._holds_repeat:
             return True
-        if self.sends >= self.wanted.route.attempts:
+        if self.sends >= self.wanted.route.max_attempts:
             return False
         tools = self.tools
         now_s = tools.net.now_s()
-        self._holds_repeat = tools.budget.reserve(self.wanted.service.name, tools.view.proxies_at_most, now_s)
+        self._holds_repeat = tools.budget.reserve(self.wanted.service.name, tools.view.max_proxies, now_s)
         return self._holds_repeat
 
     def _release_repeat(self) -> None:
@@ -160,7 +161,7 @@
         now_s = self.tools.net.now_s()
         until_s = min(now_s + longest_wait_s(self.wanted.route), self.deadline_s - LEAST_LEFT_S)
         woken = asyncio.Event()
-        waiting = queue.join(self.wanted.route.precedence, woken.set)
+        waiting = queue.join(self.wanted.route.priority, woken.set)
         if waiting is None:
             return None
         try:
@@ -292,8 +293,8 @@
         tokens = sum(part.tokens for part in self.wanted.parts)
         route = self.wanted.route
         return Patience(
-            max(SILENT_HEAD_S, route.objective_ms / 1000) + SILENT_TOKEN_S * tokens,
-            max(SILENT_EVENTS_S, SILENT_PAUSES * route.pause_objective_ms / 1000),
+            max(SILENT_HEAD_S, route.latency_target_ms / 1000) + SILENT_TOKEN_S * tokens,
+            max(SILENT_EVENTS_S, SILENT_PAUSES * route.inter_token_target_ms / 1000),
             lambda: self._may_leave(known),
         )
 
@@ -329,7 +330,7 @@
         route = self.wanted.route
         spent_s = max(0.0, route.timeout_ms / 1000 - (self.deadline_s - now_s))
         unread_tokens = self.tools.selection.parts.unread_tokens(self.wanted.parts, incarnation)
-        return priority(unread_tokens, route.objective_ms / 1000 - spent_s)
+        return priority(unread_tokens, route.latency_target_ms / 1000 - spent_s)
 
 
 async def _wait(woken: asyncio.Event, within_s: float) -> None:
--- a/coveport/serving/proxy/node_directory.py
+++ b/coveport/serving/proxy/node_directory.py
@@ -28,7 +28,7 @@
 
     def merge(self, nodes: Nodes, update: Update, now_s: float) -> Nodes:
         """What is known after an update; the same object where that changed nothing."""
-        for incarnation in update.departed:
+        for incarnation in update.deregistered:
             self._note_departed(incarnation, now_s)
             nodes = _without(nodes, incarnation)
         for node in update.nodes:
@@ -57,7 +57,7 @@
 
     def _with_removal(self, nodes: Nodes, incarnation: str, now_s: float) -> Nodes:
         known = nodes.get(incarnation)
-        if known is not None and known.node.state is NodeState.CLOSING:
+        if known is not None and known.node.state is NodeState.DRAINING:
             self._note_departed(incarnation, now_s)  # it said that it leaves
         return _without(nodes, incarnation)
 
@@ -72,8 +72,8 @@
 
 
 def _known(node: Node, now_s: float, before: KnownNode | None) -> KnownNode:
-    cold_until_s = now_s + node.cold_left_ms / 1000 if node.cold_left_ms > 0 else 0.0
-    leaves_at_s = now_s + node.leaves_in_ms / 1000 if node.leaves_in_ms > 0 else inf
+    warming_until_s = now_s + node.warm_up_left_ms / 1000 if node.warm_up_left_ms > 0 else 0.0
+    shutdown_at_s = now_s + node.shutdown_in_ms / 1000 if node.shutdown_in_ms > 0 else inf
     if before is not None:
-        leaves_at_s = min(leaves_at_s, before.leaves_at_s)
-    return KnownNode(node, now_s, cold_until_s, leaves_at_s)
+        shutdown_at_s = min(shutdown_at_s, before.shutdown_at_s)
+    return KnownNode(node, now_s, warming_until_s, shutdown_at_s)
--- a/coveport/serving/proxy/process.py
+++ b/coveport/serving/proxy/process.py
@@ -88,8 +88,8 @@
             zone=settings.zone,
             region=settings.region,
             ready=self.is_ready(),
-            round=round_number,
-            life=self._life,
+            renewal=round_number,
+            incarnation=self._life,
         )
 
     def _tell_figures(self) -> None:
--- a/coveport/serving/proxy/retry_budget.py
+++ b/coveport/serving/proxy/retry_budget.py
@@ -47,11 +47,11 @@
         """A client's request for the service has come."""
         self._of(service).requests.add(now_s)
 
-    def reserve(self, service: str, proxies_at_most: int, now_s: float) -> bool:
+    def reserve(self, service: str, max_proxies: int, now_s: float) -> bool:
         """Hold one more send beyond a request's first, if it fits."""
         budget = self._of(service)
         allowed = self.ratio * RATIO_PART * budget.requests.count(now_s)
-        allowed += floor(self.slack * SLACK_PART / max(1, proxies_at_most))
+        allowed += floor(self.slack * SLACK_PART / max(1, max_proxies))
         if budget.repeats.count(now_s) + budget.reserved + 1 > allowed:
             return False
         budget.reserved += 1
--- a/coveport/serving/proxy/routing.py
+++ b/coveport/serving/proxy/routing.py
@@ -66,7 +66,7 @@
     return (
         known.node.state is NodeState.ACCEPTING
         and known.node.zone not in view.evacuated_zones
-        and known.leaves_at_s > now_s
+        and known.shutdown_at_s > now_s
     )
 
 
--- a/coveport/serving/proxy/selection.py
+++ b/coveport/serving/proxy/selection.py
@@ -60,7 +60,7 @@
         nodes = open_nodes(self.view, service.name, wanted.route.home_regions, now_s)
         others = [known for known in nodes if known.node.incarnation not in broke_at]
         levels = split_levels(others or nodes, self.region)
-        longest_pause_s = wanted.route.pause_objective_ms / 1000
+        longest_pause_s = wanted.route.inter_token_target_ms / 1000
 
         def is_usable(known: KnownNode) -> bool:
             return self._has_place(known, service, now_s) and not self._is_out(known, now_s)
@@ -93,7 +93,7 @@
         """Whether the node would read the prompt for so long that its streams pause for too long."""
         if self.parts.unread_tokens(wanted.parts, incarnation) < LONG_READ_TOKENS:
             return False
-        return self.strain.is_strained(incarnation, wanted.route.pause_objective_ms / 1000, now_s)
+        return self.strain.is_strained(incarnation, wanted.route.inter_token_target_ms / 1000, now_s)
 
     def _is_out(self, known: KnownNode, now_s: float) -> bool:
         return self.health.is_out(known.node.incarnation, now_s)
@@ -109,7 +109,7 @@
         """How many connections this proxy may have to a node; 0: not bounded."""
         if service.max_connections <= 0:
             return 0
-        return max(1, service.max_connections // max(1, self.view.proxies_at_most))
+        return max(1, service.max_connections // max(1, self.view.max_proxies))
 
     def _last_resort(self, levels: Levels, service: Service, now_s: float) -> list[KnownNode]:
         """Where bad ends alone keep all nodes out, they are tried rather than none."""
@@ -142,7 +142,7 @@
         incarnation, pause_s = known.node.incarnation, pauses.note_event(now_s)
         self.pace.note_heard(incarnation, pause_s, now_s)
         if pause_s is not None:
-            longest_pause_s = wanted.route.pause_objective_ms / 1000
+            longest_pause_s = wanted.route.inter_token_target_ms / 1000
             self.strain.note_pause(incarnation, pause_s, pauses.mean_s, longest_pause_s, now_s)
 
     def note_end(self, known: KnownNode) -> None:
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -64,7 +64,7 @@
         self._round = 0
         self._task: asyncio.Task[None] | None = None
         self.answered_at_s = -inf  # when a coordinator in touch with the core last answered
-        view.proxies_at_most = PROXIES_UNKNOWN
+        view.max_proxies = PROXIES_UNKNOWN
         self._proxies_known = 0
 
     def start(self) -> None:
@@ -113,11 +113,11 @@
         """Ask on one connection; a nearer coordinator to go to, or None where this one failed."""
         while not self._answers.empty():
             self._answers.get_nowait()
-        departed = self._directory.departed_lately(self._net.now_s())
+        deregistered = self._directory.departed_lately(self._net.now_s())
         while connection.is_open:
             self._round += 1
-            connection.send(self._request(departed))
-            departed = ()
+            connection.send(self._request(deregistered))
+            deregistered = ()
             update = await self._answer_on(connection)
             if update is None:
                 self._log.warning("coordinator_timed_out", coordinator=address)
@@ -133,10 +133,10 @@
                 return nearer
         return None
 
-    def _request(self, departed: tuple[str, ...]) -> UpdateRequest:
+    def _request(self, deregistered: tuple[str, ...]) -> UpdateRequest:
         lease = self._make_lease(self._round)
         sequence = -1 if self._wants_whole_state else self._sequence
-        return UpdateRequest(lease, self._table, self._node_revision, sequence, self._round, departed)
+        return UpdateRequest(lease, self._table, self._node_revision, sequence, self._round, deregistered)
 
     async def _answer_on(self, connection: Connection) -> Update | None:
         """The answer to the present round; None where not even a part of it has come for `ANSWER_S`."""
@@ -168,13 +168,13 @@
         changed |= self._take_nodes(update, now)
         self._take_proxy_count(update)
         if changed:
-            self._view.changed()
+            self._view.notify_listeners()
 
     def _take_proxy_count(self, update: Update) -> None:
         """The count never falls while this proxy lives: others may be cut off and spend their share."""
-        if update.proxies_at_most > self._proxies_known:
-            self._proxies_known = update.proxies_at_most
-            self._view.proxies_at_most = update.proxies_at_most
+        if update.max_proxies > self._proxies_known:
+            self._proxies_known = update.max_proxies
+            self._view.max_proxies = update.max_proxies
 
     def _take_state(self, update: Update, now: float) -> bool:
         if update.state_sequence <= self._sequence:
@@ -206,9 +206,9 @@
 
     def _use(self, before: ControlState, state: ControlState, now: float) -> None:
         """Put a newer acknowledged state in force."""
-        for zone in before.evacuated - state.evacuated:
+        for zone in before.evacuated_zones - state.evacuated_zones:
             self._view.evacuation_ended_at_s[zone] = now
-        self._view.evacuated_zones = state.evacuated
+        self._view.evacuated_zones = state.evacuated_zones
         if state.edition == before.edition or state.configuration_text is None:
             return
         configuration = read_configuration(state.configuration_text)
--- a/coveport/serving/proxy/warm_up.py
+++ b/coveport/serving/proxy/warm_up.py
@@ -26,12 +26,12 @@
 
 def is_cold(known: KnownNode, service: Service, view: ControlView, now_s: float) -> bool:
     """Whether the node is, or may be, in its warm-up."""
-    if known.cold_until_s > now_s:
+    if known.warming_until_s > now_s:
         return True
     ended_s = view.evacuation_ended_at_s.get(known.node.zone)
     if ended_s is None or now_s >= ended_s + service.warm_up_s:
         return False
-    return known.told_at_s <= ended_s  # nothing was heard since: it may have turned cold meanwhile
+    return known.received_at_s <= ended_s  # nothing was heard since: it may have turned cold meanwhile
 
 
 @dataclass(slots=True)
@@ -78,7 +78,7 @@
     def _share(self, service: Service, view: ControlView) -> float:
         """Requests in a span that are this proxy's."""
         bound = service.warm_up_rate * self.overshoot + self.slack
-        return PART * bound / max(1, view.proxies_at_most)
+        return PART * bound / max(1, view.max_proxies)
 
     def forget_all_but(self, incarnations: frozenset[str]) -> None:
         """Drop what is known of nodes that are gone."""
--- a/coveport/serving/scale/hollow_proxies.py
+++ b/coveport/serving/scale/hollow_proxies.py
@@ -57,8 +57,8 @@
                 zone=self._told["zone"],
                 region=self._told["region"],
                 ready=bool(self.view.nodes),
-                round=round_number,
-                life=life,
+                renewal=round_number,
+                incarnation=life,
             )
 
         self._subscription = Subscription(self._net, self.view, choice, make_lease, self._log, chance)
@@ -87,7 +87,7 @@
             write_line({"saw": "evacuated", "what": what, "at": now, "by": self._address})
         for incarnation in self._watched - self._seen:
             known = self.view.nodes.get(incarnation)
-            if known is None or known.node.state is NodeState.CLOSING:
+            if known is None or known.node.state is NodeState.DRAINING:
                 self._seen.add(incarnation)
                 write_line({"saw": "closing", "what": incarnation, "at": now, "by": self._address})
 
--- a/coveport/serving/scale/load.py
+++ b/coveport/serving/scale/load.py
@@ -32,13 +32,13 @@
         path_prefix=f"/tenant-{number:06d}/",
         kind=RouteKind.STREAMING,
         timeout_ms=timeout_ms,
-        objective_ms=1700,
-        precedence=number % 3,
+        latency_target_ms=1700,
+        priority=number % 3,
         services=(WeightedService(service_name(number % size.services), 1.0),),
-        attempts=2,
-        pinned=True,
+        max_attempts=2,
+        session_affinity=True,
         resumable=True,
-        pause_objective_ms=50,
+        inter_token_target_ms=50,
         home_regions=frozenset({"north", "east"}) if is_homed else frozenset(),
     )
 
--- a/coveport/serving/simulation/deployment.py
+++ b/coveport/serving/simulation/deployment.py
@@ -72,7 +72,7 @@
     def configuration(self, edition: int, extra: tuple[Route, ...] = ()) -> Configuration:
         """The configuration that all traffic needs, and further routes."""
         routes = tuple(self.route(kind) for kind, _ in self.rates)
-        engine = Engine(self.engine.slots, self.engine.memory_tokens, self.engine.tokens_per_event)
+        engine = Engine(self.engine.slots, self.engine.kv_cache_tokens, self.engine.tokens_per_event)
         service = Service(self.service, "/health", 370, self.warm_up_s, self.warm_up_rate, engine)
         return Configuration(edition, (*routes, *extra), (service,))
 
@@ -85,13 +85,13 @@
             path_prefix=kind.path_prefix,
             kind=RouteKind.STREAMING,
             timeout_ms=kind.deadline_s * 1000 if timeout_ms is None else timeout_ms,
-            objective_ms=kind.objective_s * 1000,
-            precedence=[one for one, _ in self.rates].index(kind) if kind.name in OBJECTIVES else 2,
+            latency_target_ms=kind.objective_s * 1000,
+            priority=[one for one, _ in self.rates].index(kind) if kind.name in OBJECTIVES else 2,
             services=(WeightedService(self.service, 1.0),),
-            attempts=2 if kind.idempotent else 1,
-            pinned=True,
+            max_attempts=2 if kind.idempotent else 1,
+            session_affinity=True,
             resumable=kind.idempotent,
-            pause_objective_ms=kind.pause_objective_s * 1000,
+            inter_token_target_ms=kind.pause_objective_s * 1000,
             home_regions=frozenset(homes),
         )
 
--- a/coveport/serving/simulation/engine.py
+++ b/coveport/serving/simulation/engine.py
@@ -20,7 +20,7 @@
 
     slots: int = 64
     queue: int = 192
-    memory_tokens: int = 235_335
+    kv_cache_tokens: int = 235_335
     tokens_per_event: int = 5
     token_ms: float = 5.55
     token_ms_per_running: float = 0.029
@@ -150,7 +150,7 @@
         task = _Task(work, self._next(), events=work.resumes_after)
         if work.deadline_ms <= now_ms:
             return TurnedAway.TOO_LATE
-        if task.prompt_tokens + work.answer_tokens > self.figures.memory_tokens:
+        if task.prompt_tokens + work.answer_tokens > self.figures.kv_cache_tokens:
             return TurnedAway.TOO_LARGE
         if len(self._queue) >= self.figures.queue:
             return TurnedAway.FULL
@@ -205,7 +205,7 @@
     def _admit(self) -> None:
         while self._queue and len(self._running) < self.figures.slots:
             task = self._queue[0]
-            if self._running and self._needs(task) > self.figures.memory_tokens - self.memory_used:
+            if self._running and self._needs(task) > self.figures.kv_cache_tokens - self.memory_used:
                 return
             del self._queue[0]
             self._running[task.work.key] = task
@@ -252,14 +252,14 @@
 
     def _make_room(self) -> None:
         """Let the oldest unused parts go, then preempt."""
-        while len(self._running) > 1 and self.memory_used > self.figures.memory_tokens:
+        while len(self._running) > 1 and self.memory_used > self.figures.kv_cache_tokens:
             newest = max(self._running.values(), key=lambda task: (task.work.priority, task.order))
             del self._running[newest.work.key]
             self._queue.append(newest)
             self._order_queue()
             self.preemptions += 1
         held = {chain for task in self._running.values() for chain, _ in task.chains()}
-        room = self.figures.memory_tokens - self.memory_used
+        room = self.figures.kv_cache_tokens - self.memory_used
         unheld = [chain for chain in self._cache if chain not in held]
         surplus = sum(self._cache[chain] for chain in unheld) - room
         for chain in unheld:
--- a/coveport/serving/simulation/model_server.py
+++ b/coveport/serving/simulation/model_server.py
@@ -99,7 +99,7 @@
         self._book.write(NodeCold(now, self.incarnation, self._cold_until_s, self.figures.warm_up_rate))
 
     @property
-    def cold_left_ms(self) -> float:
+    def warm_up_left_ms(self) -> float:
         """How much longer it is cold."""
         return max(0.0, self._cold_until_s - self._net.now_s()) * 1000
 
@@ -110,7 +110,7 @@
 
     def say_closing(self) -> None:
         """From now on answers tell callers to close, and health says that it leaves."""
-        self.state = NodeState.CLOSING
+        self.state = NodeState.DRAINING
         for connection in self._connections:
             connection.closes = True
 
@@ -119,7 +119,7 @@
         if self._stays_ended:
             return
         self._stays_ended = True
-        self.state = NodeState.GONE
+        self.state = NodeState.DEREGISTERED
         self._book.write(NodeEnded(self._net.now_s(), self.incarnation, planned))
         if self._listening is not None:
             self._listening.close()
@@ -135,7 +135,7 @@
 
     def _accept(self) -> ServerConnection:
         connection = ServerConnection(self._handle, self._gone)
-        connection.closes = self.state is NodeState.CLOSING
+        connection.closes = self.state is NodeState.DRAINING
         self._connections[connection] = None
         if len(self._connections) > self.figures.connections_most:
             asyncio.get_running_loop().call_soon(connection.break_off)
@@ -161,13 +161,13 @@
             Report.QUEUED: self.engine.queued,
             Report.RUNNING: self.engine.running,
             Report.MEMORY_USED: self.engine.memory_used,
-            Report.MEMORY_TOTAL: self.figures.engine.memory_tokens,
+            Report.MEMORY_TOTAL: self.figures.engine.kv_cache_tokens,
         }
 
     def _answer_health(self, connection: ServerConnection) -> None:
         full = self.engine.queued >= self.figures.engine.queue
         healthy = self.state is NodeState.ACCEPTING and not full
-        headers = [(Header.INCARNATION, self.incarnation), (Header.COLD_MS, f"{self.cold_left_ms:.0f}")]
+        headers = [(Header.INCARNATION, self.incarnation), (Header.COLD_MS, f"{self.warm_up_left_ms:.0f}")]
         connection.answer(200 if healthy else 503, headers)
 
     # Requests.
--- a/coveport/serving/simulation/planned_steps.py
+++ b/coveport/serving/simulation/planned_steps.py
@@ -81,7 +81,7 @@
         to = (WeightedService(self._day.deployment.service, 1.0),)
         return Route(
             f"r-{name}", HOST, path_prefix or f"/{name}/", RouteKind.STREAMING, 5000.0, 1000.0, 2, to,
-            attempts=2, pinned=True, resumable=True, pause_objective_ms=400.0,
+            max_attempts=2, session_affinity=True, resumable=True, inter_token_target_ms=400.0,
         )  # fmt: skip
 
     def probe_all(self, path_prefix: str) -> None:
--- a/coveport/serving/simulation/registration.py
+++ b/coveport/serving/simulation/registration.py
@@ -142,7 +142,7 @@
             Heartbeat.SOFTWARE: "v1",
             Heartbeat.SLOTS: figures.engine.slots,
             Heartbeat.STATE: Heartbeat.ACCEPTING if node.state is NodeState.ACCEPTING else Heartbeat.CLOSING,
-            Heartbeat.COLD_LEFT_MS: round(node.cold_left_ms),
+            Heartbeat.COLD_LEFT_MS: round(node.warm_up_left_ms),
             Heartbeat.PHASE: "both",
             Heartbeat.MODELS: [MODEL],
             Heartbeat.SEQUENCE: self._sequence,
--- a/coveport/serving/simulation/try_day.py
+++ b/coveport/serving/simulation/try_day.py
@@ -169,7 +169,7 @@
         to = (WeightedService(self._deployment.service, 1.0),)
         route = Route(
             f"r-{edition}", HOST, f"/added-{edition}/", RouteKind.STREAMING, 5000.0, 1000.0, 2, to,
-            attempts=2, pinned=True, resumable=True, pause_objective_ms=400.0,
+            max_attempts=2, session_affinity=True, resumable=True, inter_token_target_ms=400.0,
         )  # fmt: skip
         change = Change(edition, routes=(route,))
         await self._order(
--- a/coveport/serving/wire/configuration.py
+++ b/coveport/serving/wire/configuration.py
@@ -10,14 +10,14 @@
     "path_prefix": "PathPrefix",
     "kind": "Kind",
     "timeout_ms": "DeadlineMs",
-    "objective_ms": "TargetMs",
-    "precedence": "Precedence",
+    "latency_target_ms": "TargetMs",
+    "priority": "Precedence",
     "service": "Service",
     "services": "Shares",
-    "attempts": "Tries",
-    "pinned": "Pinned",
+    "max_attempts": "Tries",
+    "session_affinity": "Pinned",
     "resumable": "Resumable",
-    "pause_objective_ms": "gap_aim_ms",
+    "inter_token_target_ms": "gap_aim_ms",
     "home_regions": "HomeRegions",
 }
 WEIGHTED_SERVICE: Final = {"service": "Service", "weight": "Share"}
@@ -29,7 +29,7 @@
     "warm_up_rate": "ColdRateS",
     "engine": "Engine",
 }
-ENGINE: Final = {"slots": "Berths", "memory_tokens": "KvCapacity", "tokens_per_event": "stride"}
+ENGINE: Final = {"slots": "Berths", "kv_cache_tokens": "KvCapacity", "tokens_per_event": "stride"}
 CLIENT_LIMITS: Final = {
     "header_bytes": "MaxHeaderBytes",
     "body_bytes": "MaxBodyBytes",
--- a/coveport/serving/wire/messages.py
+++ b/coveport/serving/wire/messages.py
@@ -60,7 +60,7 @@
     node_revision: int
     state_sequence: int  # of the acknowledged state; -1: none
     request_number: int
-    departed: tuple[str, ...] = ()  # incarnations known to be gone for good; told once a connection
+    deregistered: tuple[str, ...] = ()  # incarnations known to be gone for good; told once a connection
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,12 +97,12 @@
     is_full_table: bool
     nodes: tuple[Node, ...]
     removed: tuple[str, ...]
-    departed: tuple[str, ...]  # incarnations that never come back
+    deregistered: tuple[str, ...]  # incarnations that never come back
     state_sequence: int
     state: bytes | None  # the whole acknowledged state
     changes: tuple[StateChange, ...]  # or what led there from the sequence asked with
     coordinators: tuple[CoordinatorEndpoint, ...]  # those that are alive, the sender included
-    proxies_at_most: int  # 0: not known yet
+    max_proxies: int  # 0: not known yet
 
 
 Message = object
--- a/coveport/serving/wire/shared_update.py
+++ b/coveport/serving/wire/shared_update.py
@@ -21,14 +21,14 @@
 
     def __init__(self, update: Update) -> None:
         """`update`: its round and its number of proxies do not matter."""
-        encoded = CODEC.encode(replace(update, request_number=_OPEN, proxies_at_most=_OPEN))
+        encoded = CODEC.encode(replace(update, request_number=_OPEN, max_proxies=_OPEN))
         width = len(_encode_number(_OPEN))
         self._kind = encoded[:1]
         self._shared = encoded[1 + width : -width]
 
-    def frame(self, request_number: int, proxies_at_most: int) -> bytes:
+    def frame(self, request_number: int, max_proxies: int) -> bytes:
         """The frame that answers a round."""
-        first, last = _encode_number(request_number), _encode_number(proxies_at_most)
+        first, last = _encode_number(request_number), _encode_number(max_proxies)
         return write_frame(self._kind + first + self._shared + last)
 
 
--- a/features/steps/control_state_steps.py
+++ b/features/steps/control_state_steps.py
@@ -244,10 +244,10 @@
 @then('the evacuated zones are "{words}"')
 def zones_are(context: Any, words: str) -> None:
     """The zones that nothing is sent to."""
-    assert state_of(context).evacuated == frozenset(names(words))
+    assert state_of(context).evacuated_zones == frozenset(names(words))
 
 
 @then("no zone is evacuated")
 def no_zone(context: Any) -> None:
     """All zones are in use."""
-    assert not state_of(context).evacuated
+    assert not state_of(context).evacuated_zones
--- a/tests/golden/golden_settings_cases.py
+++ b/tests/golden/golden_settings_cases.py
@@ -9,7 +9,7 @@
     PutConfiguration,
     StartEvacuation,
 )
-from coveport.serving.configuration.state import ControlState, TakenChange
+from coveport.serving.configuration.state import AppliedChange, ControlState
 from coveport.serving.model.configuration import (
     ClientLimits,
     Configuration,
@@ -177,13 +177,13 @@
     path_prefix="/plain/",
     kind=RouteKind.STREAMING,
     timeout_ms=5000,
-    objective_ms=800.5,
-    precedence=2,
+    latency_target_ms=800.5,
+    priority=2,
     services=(WeightedService("model", 1.0),),
-    attempts=2,
-    pinned=True,
+    max_attempts=2,
+    session_affinity=True,
     resumable=True,
-    pause_objective_ms=400,
+    inter_token_target_ms=400,
     home_regions=frozenset({"south", "north"}),
 )
 SHARED_ROUTE = Route(
@@ -226,6 +226,6 @@
         CONFIGURATION_WRITTEN.encode(),
         7,
         frozenset({"mill", "hall"}),
-        (TakenChange(6, bytes(range(16))), TakenChange(7, b"\xff" * 16)),
+        (AppliedChange(6, bytes(range(16))), AppliedChange(7, b"\xff" * 16)),
     ),
 }
--- a/tests/golden/golden_wire_cases.py
+++ b/tests/golden/golden_wire_cases.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from coveport.serving.membership.leases import ProxyLease
-from coveport.serving.model.node import Node, NodeState, goodbye
+from coveport.serving.model.node import Node, NodeState, deregistration
 from coveport.serving.replication import messages as core
 from coveport.serving.replication import records
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, Locality, MemberId, View
@@ -31,7 +31,7 @@
     "south-a",
     "south",
     8,
-    NodeState.CLOSING,
+    NodeState.DRAINING,
     0.0,
     30000.0,
 )
@@ -49,12 +49,12 @@
         "is_full_table": True,
         "nodes": (ACCEPTING_NODE, CLOSING_NODE),
         "removed": ("node-3-life-1",),
-        "departed": ("node-4-life-2", "node-5-life-1"),
+        "deregistered": ("node-4-life-2", "node-5-life-1"),
         "state_sequence": 9,
         "state": b"\x00whole state\xff",
         "changes": (),
         "coordinators": (wire.CoordinatorEndpoint("10.0.0.1:7000", "north-a", "north"),),
-        "proxies_at_most": 600,
+        "max_proxies": 600,
     }
     return wire.Update(**(fields | changed))  # type: ignore[arg-type]
 
@@ -69,7 +69,9 @@
 
 MESSAGES: dict[str, object] = {
     "hello": wire.Hello("10.0.0.1:7000", "aa01"),
-    "node reports": wire.NodeReports(7, (ACCEPTING_NODE, CLOSING_NODE, goodbye("node-3-life-1", 2500.0))),
+    "node reports": wire.NodeReports(
+        7, (ACCEPTING_NODE, CLOSING_NODE, deregistration("node-3-life-1", 2500.0))
+    ),
     "no node reports": wire.NodeReports(0, ()),
     "node reports taken": wire.NodeReportsAck(7, EPOCH),
     "table request": wire.TableRequest(),
--- a/tests/golden/test_golden_settings.py
+++ b/tests/golden/test_golden_settings.py
@@ -20,7 +20,7 @@
 
 from coveport.serving.configuration.commands import decode_command, encode_command
 from coveport.serving.configuration.document import Document
-from coveport.serving.configuration.reader import keep_document, read_configuration, read_document
+from coveport.serving.configuration.reader import read_configuration, read_document, render_document
 from coveport.serving.configuration.state import (
     Applied,
     ControlState,
@@ -80,7 +80,7 @@
     for name in ("configuration/sent.json", "configuration/written.json"):
         document = read_document(read_file(name))
         assert isinstance(document, Document)
-        assert document.text() == golden == keep_document(document)
+        assert document.text() == golden == render_document(document)
 
 
 def test_every_command_has_its_golden_bytes() -> None:
--- a/tests/serving/cli/test_operator_verbs.py
+++ b/tests/serving/cli/test_operator_verbs.py
@@ -139,10 +139,10 @@
 
 def test_a_zone_is_evacuated_and_used_again(verbs: Verbs) -> None:
     assert verbs.run("evacuate", "hall") == 0
-    assert verbs.core.state.evacuated == {"hall"}
+    assert verbs.core.state.evacuated_zones == {"hall"}
     assert verbs.run("evacuate", "hall") == 0
     assert verbs.run("evacuate", "hall", "--end") == 0
-    assert verbs.core.state.evacuated == frozenset()
+    assert verbs.core.state.evacuated_zones == frozenset()
 
 
 def test_an_unknown_zone_is_refused(verbs: Verbs) -> None:
--- a/tests/serving/configuration/test_changed_routes.py
+++ b/tests/serving/configuration/test_changed_routes.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from coveport.serving.configuration import state as control_state
-from coveport.serving.configuration.document import NewestDocuments, changed_routes
+from coveport.serving.configuration.document import DocumentCache, apply_route_changes
 from coveport.serving.configuration.reader import read_document
 from coveport.serving.configuration.state import (
     Applied,
@@ -110,7 +110,7 @@
         "Upsert": {"Routes": upserts, "Services": []},
         "Remove": {"Routes": ["c"], "Services": []},
     }
-    made = changed_routes(document, change)
+    made = apply_route_changes(document, change)
     assert made is not None
     assert [one.name for one in made.configuration.routes] == ["a", "b", "e"]
     assert list(json.loads(made.text())) == ["Services", "Edition", "Routes", "Note", "Limits"]
@@ -120,17 +120,17 @@
 def test_places_that_clash_are_left_to_the_whole_reading() -> None:
     document = read_document(whole([route("a", "/a/"), route("b", "/b/")]))
     assert not isinstance(document, Refusal)
-    assert changed_routes(document, {"Edition": 9, "Upsert": {"Routes": [route("e", "/a/")]}}) is None
+    assert apply_route_changes(document, {"Edition": 9, "Upsert": {"Routes": [route("e", "/a/")]}}) is None
     taken_over = {
         "Edition": 9,
         "Upsert": {"Routes": [route("e", "/a/")]},
         "Remove": {"Routes": ["a"]},
     }
-    assert changed_routes(document, taken_over) is not None
+    assert apply_route_changes(document, taken_over) is not None
 
 
 def test_the_two_newest_documents_are_kept() -> None:
-    kept = NewestDocuments()
+    kept = DocumentCache()
     document = read_document(whole([]))
     assert not isinstance(document, Refusal)
     for text in (b"1", b"2", b"2", b"3"):
--- a/tests/serving/configuration/test_configuration_patch.py
+++ b/tests/serving/configuration/test_configuration_patch.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.serving.configuration.patch import patch
+from coveport.serving.configuration.patch import apply_patch
 from coveport.serving.model.findings import Refusal
 
 NAMES = st.sampled_from("abcdef")
@@ -46,13 +46,15 @@
     change = {"Edition": 9, "Upsert": upsert, "Remove": remove}
     current = {"Edition": 7, "Kept": {"as": "it is"}, **current}
     before = copy.deepcopy((current, change))
-    assert patch(current, change) == model(current, change)
+    assert apply_patch(current, change) == model(current, change)
     assert (current, change) == before
 
 
 def test_an_item_is_replaced_where_it_stands_and_wholly() -> None:
     current = whole(7, route("a"), route("b"), route("c"))
-    patched = patch(current, {"Edition": 9, "Upsert": {"Routes": [{"Name": "b", "Only": 1}, route("d")]}})
+    patched = apply_patch(
+        current, {"Edition": 9, "Upsert": {"Routes": [{"Name": "b", "Only": 1}, route("d")]}}
+    )
     assert isinstance(patched, dict)
     assert patched["Routes"] == [route("a"), {"Name": "b", "Only": 1}, route("c"), route("d")]
     assert patched["Services"] == [service()]
@@ -61,7 +63,7 @@
 def test_limits_are_replaced_whole_at_either_place() -> None:
     limits = {"IdleMs": 9}
     for change in ({"Edition": 9, "Limits": limits}, {"Edition": 9, "Upsert": {"Limits": limits}}):
-        patched = patch(whole(7), change)
+        patched = apply_patch(whole(7), change)
         assert isinstance(patched, dict)
         assert patched["Limits"] == limits
 
@@ -80,6 +82,6 @@
     ],
 )
 def test_each_fault_of_a_patch_has_its_finding(change: Any, places: list[str]) -> None:
-    patched = patch(whole(7), change)
+    patched = apply_patch(whole(7), change)
     assert isinstance(patched, Refusal)
-    assert [finding.place for finding in patched.findings] == places
+    assert [finding.location for finding in patched.findings] == places
--- a/tests/serving/configuration/test_configuration_reader.py
+++ b/tests/serving/configuration/test_configuration_reader.py
@@ -20,7 +20,7 @@
 def faults(raw: bytes) -> dict[str, str]:
     """The findings by place; none where the text is taken."""
     read = read_configuration(raw)
-    return {one.place: one.message for one in read.findings} if isinstance(read, Refusal) else {}
+    return {one.location: one.message for one in read.findings} if isinstance(read, Refusal) else {}
 
 
 def taken(raw: bytes) -> Configuration:
@@ -35,14 +35,14 @@
     plain, shared = read.routes
     assert (read.edition, len(read.services)) == (7, 1)
     assert (plain.name, plain.host, plain.path_prefix) == ("plain", "shop.example", "/plain/")
-    assert (plain.kind, plain.timeout_ms, plain.attempts) == (RouteKind.STREAMING, 5000, 2)
-    assert (plain.objective_ms, plain.pause_objective_ms) == (800, 400)
+    assert (plain.kind, plain.timeout_ms, plain.max_attempts) == (RouteKind.STREAMING, 5000, 2)
+    assert (plain.latency_target_ms, plain.inter_token_target_ms) == (800, 400)
     assert plain.home_regions == {"south"}
     assert plain.services == (WeightedService("model", 1.0),)
     assert shared.services == (WeightedService("model", 90), WeightedService("model", 10))
     engine = read.services[0].engine
     assert engine is not None
-    assert (engine.slots, engine.memory_tokens, engine.tokens_per_event) == (64, 227616, 5)
+    assert (engine.slots, engine.kv_cache_tokens, engine.tokens_per_event) == (64, 227616, 5)
     assert (read.limits.body_bytes, read.limits.header_read_ms) == (4194304, 3000)
 
 
@@ -50,15 +50,15 @@
     changed = whole(7, route("a", DeadlineMs=1500.5, Tries=2.0, Precedence=1.0))
     changed["Services"] = [service(MaxConns=370.0, WarmupS=3)]
     read = taken(text(changed))
-    assert (read.routes[0].timeout_ms, read.routes[0].attempts) == (1500.5, 2)
-    assert isinstance(read.routes[0].attempts, int)
+    assert (read.routes[0].timeout_ms, read.routes[0].max_attempts) == (1500.5, 2)
+    assert isinstance(read.routes[0].max_attempts, int)
     assert (read.services[0].max_connections, read.services[0].warm_up_s) == (370, 3)
 
 
 def test_what_may_be_missing_has_defaults() -> None:
     needed = {key: route("a")[key] for key in ("Name", "Host", "PathPrefix", "Kind", "DeadlineMs", "Service")}
     read = taken(text({"Edition": 1, "Routes": [needed], "Services": [{"Name": "model"}]}))
-    assert (read.routes[0].attempts, read.routes[0].home_regions) == (1, frozenset())
+    assert (read.routes[0].max_attempts, read.routes[0].home_regions) == (1, frozenset())
     assert read.services[0].engine is None
     assert read.limits.body_bytes == 4 * 1024 * 1024
 
--- a/tests/serving/configuration/test_control_state.py
+++ b/tests/serving/configuration/test_control_state.py
@@ -19,7 +19,7 @@
     encode_command,
 )
 from coveport.serving.configuration.state import (
-    MOST_TAKEN,
+    MAX_APPLIED_CHANGES,
     Applied,
     ControlState,
     Refused,
@@ -120,25 +120,31 @@
 def test_evacuations_are_idempotent_and_leave_the_configuration_alone() -> None:
     state, _ = run(initial_state(), put(0, 5))
     away, statuses = run(state, StartEvacuation("hall"), StartEvacuation("hall"), StartEvacuation("cellar"))
-    assert (away.evacuated, statuses) == (frozenset({"hall", "cellar"}), [200, 200, 200])
+    assert (away.evacuated_zones, statuses) == (frozenset({"hall", "cellar"}), [200, 200, 200])
     back, statuses = run(away, EndEvacuation("hall"), EndEvacuation("hall"), EndEvacuation("cellar"))
     assert (back, statuses) == (state, [200, 200, 200])
 
 
 def test_only_the_newest_changes_are_remembered() -> None:
     state = initial_state()
-    bodies = [text({"Edition": edition, "Routes": [], "Services": []}) for edition in range(MOST_TAKEN + 3)]
-    for edition in range(1, MOST_TAKEN + 2):
+    bodies = [
+        text({"Edition": edition, "Routes": [], "Services": []}) for edition in range(MAX_APPLIED_CHANGES + 3)
+    ]
+    for edition in range(1, MAX_APPLIED_CHANGES + 2):
         state, statuses = run(state, PutConfiguration(edition - 1, bodies[edition]))
         assert statuses == [200]
-    assert len(state.taken) == MOST_TAKEN
+    assert len(state.applied_changes) == MAX_APPLIED_CHANGES
     assert run(state, PutConfiguration(0, bodies[1]))[1] == [503], "it was taken: no refusal, no clear answer"
     assert run(state, PutConfiguration(1, bodies[2]))[1] == [200]
-    assert run(state, PutConfiguration(2, bodies[MOST_TAKEN + 2]))[1] == [412], "that was never taken"
+    assert run(state, PutConfiguration(2, bodies[MAX_APPLIED_CHANGES + 2]))[1] == [412], (
+        "that was never taken"
+    )
     assert decode_state(encode_state(state)) == state
 
 
-@pytest.mark.parametrize("later", [MOST_TAKEN - 1, MOST_TAKEN, MOST_TAKEN + 1, 2 * MOST_TAKEN])
+@pytest.mark.parametrize(
+    "later", [MAX_APPLIED_CHANGES - 1, MAX_APPLIED_CHANGES, MAX_APPLIED_CHANGES + 1, 2 * MAX_APPLIED_CHANGES]
+)
 @pytest.mark.parametrize(
     "order", [put(1, 2), PatchConfiguration(1, text({"Edition": 2, "Upsert": {"Routes": []}}))]
 )
@@ -152,7 +158,7 @@
         state, statuses = run(state, PatchConfiguration(edition - 1, body))
         assert statuses == [200]
     after, statuses = run(state, order)
-    assert statuses == ([200] if later < MOST_TAKEN else [503])
+    assert statuses == ([200] if later < MAX_APPLIED_CHANGES else [503])
     assert after == state
 
 
--- a/tests/serving/coordinator/test_lookup_hold.py
+++ b/tests/serving/coordinator/test_lookup_hold.py
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize(("lost", "ttl_s"), [((), TTL_S), ((WEST,), TTL_WHILE_LOST_S)])
 def test_what_a_client_is_told(lost: tuple[CoordinatorEndpoint, ...], ttl_s: float) -> None:
     leases = LeaseTable()
-    leases.renew(ProxyLease("p", "10.0.1.9:80", "east-1", "east", True, 1, 1), LATER, here=True)
+    leases.renew(ProxyLease("p", "10.0.1.9:80", "east-1", "east", True, 1, 1), LATER, local=True)
     calls = LookupApi(leases, lost_at(EAST, *lost), lambda: LATER)
     query = {"Name": "one.example", "Zone": "west-1", "Region": "west"}
     call = ApiRequest("GET", "/coveport/lookup", "", query, {}, b"", "10.0.1.1")
--- a/tests/serving/coordinator/test_subscription_sharing.py
+++ b/tests/serving/coordinator/test_subscription_sharing.py
@@ -84,10 +84,10 @@
         return update
 
 
-def node(number: int, cold_left_ms: float = 0.0, leaves_in_ms: float = 0.0) -> Node:
+def node(number: int, warm_up_left_ms: float = 0.0, shutdown_in_ms: float = 0.0) -> Node:
     address = f"127.0.1.1:{number}"
-    state = NodeState.CLOSING if leaves_in_ms else NodeState.ACCEPTING
-    return Node(f"i-{number}", 1, "s", address, "a", "north", 8, state, cold_left_ms, leaves_in_ms)
+    state = NodeState.DRAINING if shutdown_in_ms else NodeState.ACCEPTING
+    return Node(f"i-{number}", 1, "s", address, "a", "north", 8, state, warm_up_left_ms, shutdown_in_ms)
 
 
 @pytest.fixture
@@ -106,19 +106,19 @@
 def test_a_whole_table_is_encoded_once_for_all_who_ask(made: list[Update]) -> None:
     core = Core()
     for number in range(20):
-        core.table.hear(node(number), 100.0)
+        core.table.apply_report(node(number), 100.0)
     updates = [core.ask(number) for number in range(20)]
     assert [update.request_number for update in updates] == list(range(20))
     assert all(len(update.nodes) == 20 and update.is_full_table for update in updates)
-    assert [update.proxies_at_most for update in updates] == list(range(1, 21))
+    assert [update.max_proxies for update in updates] == list(range(1, 21))
     assert len(made) == 1
 
 
 def test_whoever_asks_after_a_change_is_told_of_it(made: list[Update]) -> None:
     core = Core()
-    core.table.hear(node(1), 100.0)
+    core.table.apply_report(node(1), 100.0)
     assert [one.incarnation for one in core.ask(1).nodes] == ["i-1"]
-    core.table.hear(node(2), 100.0)
+    core.table.apply_report(node(2), 100.0)
     assert sorted(one.incarnation for one in core.ask(1).nodes) == ["i-1", "i-2"]
     core.history.advance(0, b"state", None)
     assert core.ask(1).state == b"state"
@@ -129,26 +129,26 @@
 
 def test_versions_that_differ_are_told_different_things(made: list[Update]) -> None:
     core = Core()
-    core.table.hear(node(1), 100.0)
+    core.table.apply_report(node(1), 100.0)
     first = core.table.revision
-    core.table.hear(node(2), 100.0)
+    core.table.apply_report(node(2), 100.0)
     assert len(core.ask(1).nodes) == 2
     assert [one.incarnation for one in core.ask(1, revision=first).nodes] == ["i-2"]
     assert len(made) == 2
 
 
 @pytest.mark.parametrize(
-    ("told", "shared_s"), [(node(1, cold_left_ms=3000.0), 0.25), (node(1, leaves_in_ms=3000.0), 0.05)]
+    ("told", "shared_s"), [(node(1, warm_up_left_ms=3000.0), 0.25), (node(1, shutdown_in_ms=3000.0), 0.05)]
 )
 def test_times_that_remain_are_told_anew_after_a_moment(told: Node, shared_s: float) -> None:
     core = Core()
-    core.leases.renew(ProxyLease("p", "127.0.0.2:1", "a", "north", True, 0, 1), 100.0, here=True)
-    core.table.hear(told, 100.0)
+    core.leases.renew(ProxyLease("p", "127.0.0.2:1", "a", "north", True, 0, 1), 100.0, local=True)
+    core.table.apply_report(told, 100.0)
 
     def left_ms(at_s: float) -> float:
         core.net.time_s = at_s
         (one,) = core.ask(1).nodes
-        return one.cold_left_ms + one.leaves_in_ms
+        return one.warm_up_left_ms + one.shutdown_in_ms
 
     assert left_ms(100.02) == pytest.approx(2980.0)
     assert left_ms(100.02 + shared_s * 0.9) == pytest.approx(2980.0)
--- a/tests/serving/membership/report_explorer.py
+++ b/tests/serving/membership/report_explorer.py
@@ -18,13 +18,13 @@
 
 from coveport.serving.coordinator.node_report_replication import NodeReportReplicator, ReportPeers
 from coveport.serving.membership.node_table import NodeTable
-from coveport.serving.model.node import Node, NodeState, goodbye
+from coveport.serving.model.node import Node, NodeState, deregistration
 from coveport.serving.replication.identity import Epoch, MemberId
 from coveport.serving.wire.messages import Message, NodeReports, NodeReportsAck, TableRequest
 
 NODE = "i-1"
 HEARTBEAT = Node(NODE, 7, "chat", "10.0.0.1:80", "z1", "r1", 64, NodeState.ACCEPTING)
-CLOSING = Node(NODE, 8, "chat", "10.0.0.1:80", "z1", "r1", 64, NodeState.CLOSING)
+CLOSING = Node(NODE, 8, "chat", "10.0.0.1:80", "z1", "r1", 64, NodeState.DRAINING)
 
 
 class BrokenPromiseError(Exception):
@@ -118,7 +118,7 @@
     former_members: tuple[str, ...] = ("A", "B", "C")  # as those know them that are members no more
     copies: int = 1
     heartbeats: int = 2
-    leave: Node = field(default_factory=functools.partial(goodbye, NODE))
+    leave: Node = field(default_factory=functools.partial(deregistration, NODE))
     cuts: tuple[tuple[tuple[str, str], ...], ...] = ()  # each a set of links
     restarts: tuple[str, ...] = ()
 
@@ -193,12 +193,12 @@
         self.is_acknowledged |= any(answer.value is True for _, answer in self.asked)
 
     def _heartbeat(self, end: End) -> None:
-        if end.table.hear(HEARTBEAT, 100.0):
+        if end.table.apply_report(HEARTBEAT, 100.0):
             for peer in end.live():
                 end.send(peer, NodeReports(0, (HEARTBEAT,)))
 
     def _leave(self, end: End) -> None:
-        end.table.hear(self.scenario.leave, 100.0)
+        end.table.apply_report(self.scenario.leave, 100.0)
         done = end.reporting.begin_confirmation(self.scenario.leave).done
         assert isinstance(done, Answer)
         self.asked.append((end.name, done))
@@ -240,7 +240,7 @@
             (
                 name,
                 sorted((e.node.incarnation, e.node.state.value) for e in end.table.entries()),
-                [one.incarnation for one in end.table.departed(100.0)],
+                [one.incarnation for one in end.table.deregistrations(100.0)],
                 sorted(
                     (n, sorted(c.holders), c.done.done()) for n, c in end.reporting._confirmations.items()
                 ),
--- a/tests/serving/membership/test_leases.py
+++ b/tests/serving/membership/test_leases.py
@@ -2,51 +2,56 @@
 
 from __future__ import annotations
 
-from coveport.serving.membership.leases import COUNTED_S, LEASE_S, LeaseTable, ProxyLease
+from coveport.serving.membership.leases import LEASE_DURATION_S, QUOTA_RETENTION_S, LeaseTable, ProxyLease
 
 
 def lease(
-    number: int, zone: str = "z1", region: str = "r1", ready: bool = True, round: int = 1, life: int = 1
+    number: int,
+    zone: str = "z1",
+    region: str = "r1",
+    ready: bool = True,
+    renewal: int = 1,
+    incarnation: int = 1,
 ) -> ProxyLease:
-    return ProxyLease(f"p{number}", f"10.0.0.{number}:80", zone, region, ready, round, life)
+    return ProxyLease(f"p{number}", f"10.0.0.{number}:80", zone, region, ready, renewal, incarnation)
 
 
 def test_a_proxy_is_named_while_it_renews_and_no_longer() -> None:
     table = LeaseTable()
-    table.renew(lease(1), 0.0, here=True)
-    assert table.addresses_for("z1", "r1", 64, LEASE_S) == ["10.0.0.1:80"]
-    assert table.addresses_for("z1", "r1", 64, LEASE_S + 0.1) == []
+    table.renew(lease(1), 0.0, local=True)
+    assert table.addresses_for("z1", "r1", 64, LEASE_DURATION_S) == ["10.0.0.1:80"]
+    assert table.addresses_for("z1", "r1", 64, LEASE_DURATION_S + 0.1) == []
 
 
 def test_one_that_left_still_counts_for_the_budgets_for_a_while() -> None:
     table = LeaseTable()
-    table.renew(lease(1), 0.0, here=True)
-    table.renew(lease(2), 20.0, here=True)
-    table.expire(COUNTED_S - 1)
-    assert table.proxies_at_most() == 2
-    table.expire(COUNTED_S + 1)
-    assert table.proxies_at_most() == 1
+    table.renew(lease(1), 0.0, local=True)
+    table.renew(lease(2), 20.0, local=True)
+    table.expire(QUOTA_RETENTION_S - 1)
+    assert table.max_proxies() == 2
+    table.expire(QUOTA_RETENTION_S + 1)
+    assert table.max_proxies() == 1
 
 
 def test_a_late_renewal_does_not_undo_a_newer_one() -> None:
     table = LeaseTable()
-    table.renew(lease(1, ready=False, round=5), 0.0, here=True)
-    assert not table.renew(lease(1, ready=True, round=4), 0.1, here=False)
+    table.renew(lease(1, ready=False, renewal=5), 0.0, local=True)
+    assert not table.renew(lease(1, ready=True, renewal=4), 0.1, local=False)
     assert table.addresses_for("z1", "r1", 64, 0.2) == []
 
 
 def test_a_restarted_proxy_counts_its_rounds_anew() -> None:
     table = LeaseTable()
-    table.renew(lease(1, round=500, ready=False, life=1), 0.0, here=True)
-    assert table.renew(lease(1, round=1, life=2), 0.1, here=True)
+    table.renew(lease(1, renewal=500, ready=False, incarnation=1), 0.0, local=True)
+    assert table.renew(lease(1, renewal=1, incarnation=2), 0.1, local=True)
     assert table.addresses_for("z1", "r1", 64, 0.2) == ["10.0.0.1:80"]
 
 
 def test_clients_are_sent_to_the_nearest_group_that_has_a_ready_proxy() -> None:
     table = LeaseTable()
-    table.renew(lease(1, "z1", "r1", ready=False), 0.0, here=True)
-    table.renew(lease(2, "z2", "r1"), 0.0, here=True)
-    table.renew(lease(3, "z3", "r2"), 0.0, here=True)
+    table.renew(lease(1, "z1", "r1", ready=False), 0.0, local=True)
+    table.renew(lease(2, "z2", "r1"), 0.0, local=True)
+    table.renew(lease(3, "z3", "r2"), 0.0, local=True)
     assert table.addresses_for("z1", "r1", 64, 0.1) == ["10.0.0.2:80"]
     assert table.addresses_for("z3", "r2", 64, 0.1) == ["10.0.0.3:80"]
     assert table.addresses_for("z9", "r9", 64, 0.1) == ["10.0.0.2:80", "10.0.0.3:80"]
@@ -54,42 +59,44 @@
 
 def test_only_what_was_renewed_here_is_passed_on() -> None:
     table = LeaseTable()
-    table.renew(lease(1), 1.0, here=True)
-    table.renew(lease(2), 1.0, here=False)
-    assert [one.name for one in table.renewed_here_since(0.5)] == ["p1"]
-    assert list(table.renewed_here_since(1.0)) == []
+    table.renew(lease(1), 1.0, local=True)
+    table.renew(lease(2), 1.0, local=False)
+    assert [one.name for one in table.renewed_locally_since(0.5)] == ["p1"]
+    assert list(table.renewed_locally_since(1.0)) == []
 
 
 def test_a_broken_connection_ends_the_lease_at_once_and_the_next_asking_renews_it() -> None:
     table = LeaseTable()
-    table.renew(lease(1, round=4), 0.0, here=True)
-    table.end(lease(1, round=4))
+    table.renew(lease(1, renewal=4), 0.0, local=True)
+    table.release(lease(1, renewal=4))
     assert table.addresses_for("z1", "r1", 64, 0.1) == []
-    assert table.proxies_at_most() == 1
-    table.renew(lease(1, round=5), 0.2, here=True)
+    assert table.max_proxies() == 1
+    table.renew(lease(1, renewal=5), 0.2, local=True)
     assert table.addresses_for("z1", "r1", 64, 0.3) == ["10.0.0.1:80"]
 
 
 def test_a_connection_that_breaks_after_the_proxy_asked_elsewhere_ends_nothing() -> None:
     table = LeaseTable()
-    table.renew(lease(1, round=4), 0.0, here=True)
-    table.renew(lease(1, round=5), 0.1, here=False)
-    table.end(lease(1, round=4))
+    table.renew(lease(1, renewal=4), 0.0, local=True)
+    table.renew(lease(1, renewal=5), 0.1, local=False)
+    table.release(lease(1, renewal=4))
     assert table.addresses_for("z1", "r1", 64, 0.2) == ["10.0.0.1:80"]
 
 
 def test_a_proxy_restarted_after_its_clock_stepped_back_is_a_member_at_once_where_it_asks() -> None:
     """Found by review: its renewals were passed over for 30 s, and no client was sent there."""
     table = LeaseTable()
-    table.renew(lease(1, round=500, life=2_000), 0.0, here=True)
-    assert table.renew(lease(1, round=1, life=1_000, ready=False), 0.4, here=True)
+    table.renew(lease(1, renewal=500, incarnation=2_000), 0.0, local=True)
+    assert table.renew(lease(1, renewal=1, incarnation=1_000, ready=False), 0.4, local=True)
     assert table.addresses_for("z1", "r1", 64, 0.5) == []
 
 
 def test_such_a_proxy_is_a_member_elsewhere_once_its_life_before_has_run_out() -> None:
     table = LeaseTable()
-    table.renew(lease(1, round=500, life=2_000), 0.0, here=False)
-    assert not table.renew(lease(1, round=1, life=1_000, ready=False), LEASE_S, here=False)
-    assert table.renew(lease(1, round=9, life=1_000, ready=False), LEASE_S + 0.1, here=False)
-    assert table.addresses_for("z1", "r1", 64, LEASE_S + 0.2) == []
-    assert not table.renew(lease(1, round=8, life=1_000), LEASE_S + 0.3, here=False)
+    table.renew(lease(1, renewal=500, incarnation=2_000), 0.0, local=False)
+    assert not table.renew(lease(1, renewal=1, incarnation=1_000, ready=False), LEASE_DURATION_S, local=False)
+    assert table.renew(
+        lease(1, renewal=9, incarnation=1_000, ready=False), LEASE_DURATION_S + 0.1, local=False
+    )
+    assert table.addresses_for("z1", "r1", 64, LEASE_DURATION_S + 0.2) == []
+    assert not table.renew(lease(1, renewal=8, incarnation=1_000), LEASE_DURATION_S + 0.3, local=False)
--- a/tests/serving/membership/test_node_table.py
+++ b/tests/serving/membership/test_node_table.py
@@ -27,41 +27,41 @@
 
 def test_a_newer_report_wins_and_an_older_one_is_passed_over() -> None:
     table = NodeTable(SILENCE_S)
-    assert table.hear(node(sequence=5), 0.0)
-    assert not table.hear(replace(node(sequence=4), slots=1), 0.1)
+    assert table.apply_report(node(sequence=5), 0.0)
+    assert not table.apply_report(replace(node(sequence=4), slots=1), 0.1)
     [entry] = table.entries()
     assert entry.node.slots == 64
 
 
 def test_closing_is_never_undone_within_an_incarnation() -> None:
     table = NodeTable(SILENCE_S)
-    table.hear(node(sequence=1), 0.0)
-    assert table.hear(node(sequence=2, state=NodeState.CLOSING), 0.1)
-    table.hear(node(sequence=9), 0.2)
+    table.apply_report(node(sequence=1), 0.0)
+    assert table.apply_report(node(sequence=2, state=NodeState.DRAINING), 0.1)
+    table.apply_report(node(sequence=9), 0.2)
     [entry] = table.entries()
-    assert entry.node.state is NodeState.CLOSING
+    assert entry.node.state is NodeState.DRAINING
 
 
 def test_a_late_heartbeat_does_not_bring_back_who_said_goodbye() -> None:
     table = NodeTable(SILENCE_S)
-    table.hear(node(sequence=1), 0.0)
-    assert table.hear(node(state=NodeState.GONE), 0.1)
-    assert not table.hear(node(sequence=7), 0.2)
+    table.apply_report(node(sequence=1), 0.0)
+    assert table.apply_report(node(state=NodeState.DEREGISTERED), 0.1)
+    assert not table.apply_report(node(sequence=7), 0.2)
     assert len(table) == 0
 
 
 def test_a_goodbye_of_one_never_heard_of_is_remembered() -> None:
     table = NodeTable(SILENCE_S)
-    table.hear(node(state=NodeState.GONE), 0.0)
-    assert not table.hear(node(sequence=7), 0.2)
+    table.apply_report(node(state=NodeState.DEREGISTERED), 0.0)
+    assert not table.apply_report(node(sequence=7), 0.2)
     assert len(table) == 0
 
 
 def test_an_unchanged_heartbeat_is_no_news_but_ends_the_silence() -> None:
     table = NodeTable(SILENCE_S)
-    table.hear(node(sequence=1), 0.0)
+    table.apply_report(node(sequence=1), 0.0)
     revision = table.revision
-    assert not table.hear(node(sequence=2), 4.0)
+    assert not table.apply_report(node(sequence=2), 4.0)
     assert table.revision == revision
     assert table.expire(8.0) == []
     assert table.expire(9.1) == ["i-1"]
@@ -69,38 +69,38 @@
 
 def test_silence_says_nothing_to_one_that_could_not_hear() -> None:
     table = NodeTable(SILENCE_S)
-    table.hear(node(), 0.0)
-    table.forgive(20.0)
+    table.apply_report(node(), 0.0)
+    table.reset_timeouts(20.0)
     assert table.expire(20.1) == []
     assert table.expire(25.1) == ["i-1"]
 
 
 def test_one_that_was_silent_comes_back_with_its_next_heartbeat() -> None:
     table = NodeTable(SILENCE_S)
-    table.hear(node(sequence=1), 0.0)
+    table.apply_report(node(sequence=1), 0.0)
     table.expire(6.0)
-    assert table.hear(node(sequence=2), 7.0)
+    assert table.apply_report(node(sequence=2), 7.0)
     assert "i-1" in table
 
 
 def test_the_end_of_a_warm_up_counts_down_and_a_new_one_is_news() -> None:
     table = NodeTable(SILENCE_S)
-    table.hear(node(sequence=1, cold_left_ms=3000.0), 0.0)
-    assert not table.hear(node(sequence=2, cold_left_ms=2000.0), 1.0)
+    table.apply_report(node(sequence=1, warm_up_left_ms=3000.0), 0.0)
+    assert not table.apply_report(node(sequence=2, warm_up_left_ms=2000.0), 1.0)
     [told] = table.changes_since(0, 1.0).nodes
-    assert told.cold_left_ms == 2000.0
-    assert not table.hear(node(sequence=3), 4.0)
-    assert table.hear(node(sequence=4, cold_left_ms=3000.0), 5.0)
+    assert told.warm_up_left_ms == 2000.0
+    assert not table.apply_report(node(sequence=3), 4.0)
+    assert table.apply_report(node(sequence=4, warm_up_left_ms=3000.0), 5.0)
 
 
 def test_a_revision_that_is_too_old_is_answered_with_the_whole_table() -> None:
     table = NodeTable(SILENCE_S)
-    table.hear(node("stays"), 0.0)
+    table.apply_report(node("stays"), 0.0)
     for number in range(REMOVALS_KEPT + 1):
-        table.hear(node(f"i-{number}"), 0.0)
-        table.hear(node(f"i-{number}", state=NodeState.GONE), 0.0)
+        table.apply_report(node(f"i-{number}"), 0.0)
+        table.apply_report(node(f"i-{number}", state=NodeState.DEREGISTERED), 0.0)
     changes = table.changes_since(1, 0.0)
-    assert changes.whole
+    assert changes.is_complete
     assert [one.incarnation for one in changes.nodes] == ["stays"]
 
 
@@ -122,12 +122,12 @@
     table, copy, revision, now = NodeTable(SILENCE_S), dict[str, Node](), -1, 0.0
     for incarnation, sequence, state, pause_ms, does_ask in told:
         now += pause_ms / 1000
-        table.hear(node(incarnation, sequence, state), now)
+        table.apply_report(node(incarnation, sequence, state), now)
         table.expire(now)
         if does_ask:
             changes = table.changes_since(revision, now)
             revision = changes.revision
-            copy = {} if changes.whole else copy
+            copy = {} if changes.is_complete else copy
             copy.update({one.incarnation: one for one in changes.nodes})
             for gone in changes.removed:
                 copy.pop(gone, None)
@@ -143,10 +143,10 @@
     nodes = [node(incarnation, sequence, state) for incarnation, sequence, state, _, _ in told]
     one, other = NodeTable(SILENCE_S), NodeTable(SILENCE_S)
     for report in nodes:
-        one.hear(report, 0.0)
+        one.apply_report(report, 0.0)
     chance.shuffle(nodes)  # type: ignore[attr-defined]
     for report in nodes:
-        other.hear(report, 0.0)
+        other.apply_report(report, 0.0)
 
     def state_of(table: NodeTable) -> dict[str, NodeState]:
         return {entry.node.incarnation: entry.node.state for entry in table.entries()}
@@ -157,9 +157,9 @@
 def test_a_restarted_node_takes_the_place_of_its_incarnation_before() -> None:
     """Found by a day on which a node that came back was still sent to by its old incarnation for 5 s."""
     table = NodeTable(SILENCE_S)
-    table.hear(restarted("before", 8), 0.0)
+    table.apply_report(restarted("before", 8), 0.0)
     revision = table.revision
-    table.hear(restarted("after", 1), 1.0)
+    table.apply_report(restarted("after", 1), 1.0)
     changes = table.changes_since(revision, 1.0)
     assert [one.incarnation for one in changes.nodes] == ["after"]
     assert changes.removed == ("before",)
@@ -167,10 +167,10 @@
 
 def test_a_late_heartbeat_of_the_incarnation_before_does_not_last() -> None:
     table = NodeTable(SILENCE_S)
-    table.hear(restarted("before", 8), 0.0)
-    table.hear(restarted("after", 1), 1.0)
-    table.hear(restarted("before", 9), 1.1)
-    table.hear(restarted("after", 2), 2.0)
+    table.apply_report(restarted("before", 8), 0.0)
+    table.apply_report(restarted("after", 1), 1.0)
+    table.apply_report(restarted("before", 9), 1.1)
+    table.apply_report(restarted("after", 2), 2.0)
     assert [entry.node.incarnation for entry in table.entries()] == ["after"]
 
 
@@ -183,11 +183,11 @@
     for step in range(300):
         if alive and chance.random() < 0.3:
             incarnation = chance.choice(alive)
-            state = chance.choice([NodeState.CLOSING, NodeState.GONE])
+            state = chance.choice([NodeState.DRAINING, NodeState.DEREGISTERED])
         else:
             incarnation, state = f"i-{step}", NodeState.ACCEPTING
         address = f"127.0.0.1:{chance.randrange(1, 12)}" if state is NodeState.ACCEPTING else "127.0.0.1:99"
-        table.hear(Node(incarnation, step, "s", address, "a", "north", 8, state), 0.0)
+        table.apply_report(Node(incarnation, step, "s", address, "a", "north", 8, state), 0.0)
         alive = [entry.node.incarnation for entry in table.entries()]
         heard.setdefault(incarnation, step)
         for revision in (0, chance.randrange(table.revision + 1), table.revision):
--- a/tests/serving/membership/test_report_interleavings.py
+++ b/tests/serving/membership/test_report_interleavings.py
@@ -12,7 +12,7 @@
 
 from coveport.serving.coordinator.node_report_replication import Confirmation, NodeReportReplicator
 from coveport.serving.membership.node_table import NodeTable
-from coveport.serving.model.node import Node, NodeState, goodbye
+from coveport.serving.model.node import Node, NodeState, deregistration
 from coveport.serving.replication.identity import MemberId
 from coveport.serving.wire.messages import NodeReports, NodeReportsAck
 
@@ -36,7 +36,7 @@
 def not_passed_on(self: NodeReportReplicator, nodes: tuple[Node, ...], sender: str) -> None:
     """Only the coordinator that was called tells others."""
     for node in nodes:
-        self._table.hear(node, self._net.now_s())
+        self._table.apply_report(node, self._net.now_s())
 
 
 def is_majority(self: End, others: Collection[MemberId]) -> bool:
@@ -59,14 +59,14 @@
     """A goodbye holds until the next heartbeat that comes in."""
     if node.state is NodeState.ACCEPTING:
         self._tombstones.pop(node.incarnation, None)
-    return ORIGINAL_HEAR(self, node, now_s)
+    return ORIGINAL_APPLY_REPORT(self, node, now_s)
 
 
 @pytest.mark.parametrize(
     ("scenario", "target", "name", "variant"),
     [
-        ("one coordinator is cut off", NodeTable, "departed", no_tombstones_told),
-        ("one is restarted", NodeTable, "departed", no_tombstones_told),
+        ("one coordinator is cut off", NodeTable, "deregistrations", no_tombstones_told),
+        ("one is restarted", NodeTable, "deregistrations", no_tombstones_told),
         ("two that see the third don't see each other", NodeReportReplicator, "_take_in", not_passed_on),
         ("a member and an outsider are cut off together", End, "is_majority", is_majority),
         (
@@ -76,7 +76,7 @@
             any_view_counts,
         ),
         ("copies of a heartbeat around a closing", Node, "is_newer_than", closing_is_undone),
-        ("copies of a heartbeat around a goodbye", NodeTable, "hear", a_heartbeat_ends_a_tombstone),
+        ("copies of a heartbeat around a goodbye", NodeTable, "apply_report", a_heartbeat_ends_a_tombstone),
     ],
 )
 def test_a_broken_variant_is_caught(
@@ -87,17 +87,17 @@
         explore(BY_NAME[scenario], VARIANT_STATES)
 
 
-ORIGINAL_HEAR = NodeTable.hear
+ORIGINAL_APPLY_REPORT = NodeTable.apply_report
 
 
 def test_a_confirmation_meant_for_an_earlier_life_counts_for_nothing() -> None:
     """A peer that stood still answers what the coordinator asked before it was restarted."""
     ground = Ground(SCENARIOS[0])
-    ground.ends["A"].reporting.begin_confirmation(goodbye(NODE))
+    ground.ends["A"].reporting.begin_confirmation(deregistration(NODE))
     ground.take("restart", "A")
     stale = ground.links["A", "B"][0]
     assert isinstance(stale, NodeReports) and stale.confirmation_id
-    asked = ground.ends["A"].reporting.begin_confirmation(goodbye("i-2"))
+    asked = ground.ends["A"].reporting.begin_confirmation(deregistration("i-2"))
     ground.ends["A"].received("B", NodeReportsAck(stale.confirmation_id, ground.ends["B"].view_epoch()))
     assert not asked.done.done()
     ground.ends["A"].received("B", NodeReportsAck(asked.number, ground.ends["B"].view_epoch()))
@@ -134,17 +134,17 @@
 
 def test_a_closing_node_that_fell_silent_is_not_brought_back_by_an_older_heartbeat() -> None:
     table = NodeTable(5.0)
-    table.hear(Node("i-3", 4, "s", "10.0.0.1:1", "z", "r", 8, NodeState.CLOSING), 0.0)
+    table.apply_report(Node("i-3", 4, "s", "10.0.0.1:1", "z", "r", 8, NodeState.DRAINING), 0.0)
     table.expire(6.0)
-    assert not table.hear(Node("i-3", 3, "s", "10.0.0.1:1", "z", "r", 8, NodeState.ACCEPTING), 6.1)
+    assert not table.apply_report(Node("i-3", 3, "s", "10.0.0.1:1", "z", "r", 8, NodeState.ACCEPTING), 6.1)
     assert len(table) == 0
 
 
 def test_what_is_remembered_of_a_goodbye_does_not_grow_by_passing_it_on() -> None:
     """The remaining time is told, so two coordinators that reconnect forever still forget."""
     one, other = NodeTable(5.0), NodeTable(5.0)
-    one.hear(goodbye(NODE), 0.0)
-    [told] = one.departed(500.0)
-    other.hear(told, 500.0)
+    one.apply_report(deregistration(NODE), 0.0)
+    [told] = one.deregistrations(500.0)
+    other.apply_report(told, 500.0)
     other.expire(601.0)
-    assert other.departed(601.0) == []
+    assert other.deregistrations(601.0) == []
--- a/tests/serving/proxy/proxy_ground.py
+++ b/tests/serving/proxy/proxy_ground.py
@@ -46,11 +46,11 @@
     path_prefix="/a/",
     kind=RouteKind.STREAMING,
     timeout_ms=5000,
-    objective_ms=800,
+    latency_target_ms=800,
     services=(WeightedService("s", 1.0),),
-    attempts=2,
+    max_attempts=2,
     resumable=True,
-    pause_objective_ms=400,
+    inter_token_target_ms=400,
 )
 UNSAFE_STREAM = replace(RESUMABLE, name="stream", path_prefix="/u/", resumable=False)
 SAFE = replace(RESUMABLE, name="safe", path_prefix="/safe/", kind=RouteKind.SAFE, resumable=False)
@@ -115,7 +115,7 @@
     def tell(self, known: KnownNode) -> None:
         """Let the proxy know."""
         self.view.nodes = self.view.nodes.set(known.node.incarnation, known)
-        self.view.changed()
+        self.view.notify_listeners()
 
     def dark(self, number: int, is_dark: bool = True) -> None:
         """Let a node's machine say nothing at all."""
--- a/tests/serving/proxy/test_admission_queue.py
+++ b/tests/serving/proxy/test_admission_queue.py
@@ -10,7 +10,7 @@
 from coveport.serving.model.configuration import Route, RouteKind
 from coveport.serving.proxy.admission import WaitingQueue, WaitingQueues, longest_wait_s
 
-ROUTE = Route("r", "h", "/", RouteKind.UNSAFE, 5000, objective_ms=800)
+ROUTE = Route("r", "h", "/", RouteKind.UNSAFE, 5000, latency_target_ms=800)
 
 
 def nothing() -> None:
@@ -19,8 +19,8 @@
 
 def test_nobody_waits_longer_than_a_quarter_of_the_objective() -> None:
     for objective in (100, 800, 1200, 60_000):
-        assert 0 < longest_wait_s(replace(ROUTE, objective_ms=objective)) < objective / 4000
-    assert 0 < longest_wait_s(replace(ROUTE, objective_ms=0)) <= 0.5
+        assert 0 < longest_wait_s(replace(ROUTE, latency_target_ms=objective)) < objective / 4000
+    assert 0 < longest_wait_s(replace(ROUTE, latency_target_ms=0)) <= 0.5
 
 
 @given(st.lists(st.integers(0, 3), max_size=40), st.data())
--- a/tests/serving/proxy/test_forwarding.py
+++ b/tests/serving/proxy/test_forwarding.py
@@ -305,7 +305,7 @@
 
 
 def test_a_connect_that_fails_costs_neither_attempt_nor_budget() -> None:
-    ground = Ground(Bounds(retry_ratio=0.0, retry_slack=0.0), (replace(UNSAFE_STREAM, attempts=1),))
+    ground = Ground(Bounds(retry_ratio=0.0, retry_slack=0.0), (replace(UNSAFE_STREAM, max_attempts=1),))
     for number in range(2):
         ground.node(whole)
         ground.gone(number)
@@ -796,7 +796,7 @@
     ground.sleep(0.002)
     other = ground.node(whole)
     known = ground.view.nodes["i-0"]
-    ground.tell(replace(known, node=replace(known.node, state=NodeState.CLOSING)))
+    ground.tell(replace(known, node=replace(known.node, state=NodeState.DRAINING)))
     answer = ground.run(client.answer())
     assert answer is not None and answer.status == 200
     assert len(closing.connections) == 1  # it was on its way there
@@ -806,7 +806,7 @@
 
 def test_a_cold_node_gets_no_more_than_this_proxys_share() -> None:
     ground = Ground()
-    ground.view.proxies_at_most = 9
+    ground.view.max_proxies = 9
     node = ground.node(whole, cold_s=6.0)
     clients = [ground.client() for _ in range(10)]
     arrivals: list[float] = []
@@ -824,8 +824,8 @@
 
 
 def test_requests_wait_a_moment_for_a_place_by_precedence() -> None:
-    urgent = replace(UNSAFE_STREAM, name="urgent", path_prefix="/first/", precedence=0, objective_ms=2000)
-    other = replace(UNSAFE_STREAM, name="other", path_prefix="/then/", precedence=1, objective_ms=2000)
+    urgent = replace(UNSAFE_STREAM, name="urgent", path_prefix="/first/", priority=0, latency_target_ms=2000)
+    other = replace(UNSAFE_STREAM, name="other", path_prefix="/then/", priority=1, latency_target_ms=2000)
     ground = Ground(routes=(urgent, other))
     assert ground.view.configuration is not None
     ground.view.configuration = Configuration(1, (urgent, other), (replace(SERVICE, max_connections=1),))
--- a/tests/serving/proxy/test_levels.py
+++ b/tests/serving/proxy/test_levels.py
@@ -38,7 +38,7 @@
 
 def known(name: str, region: str = "r", zone: str = "z", **how: object) -> KnownNode:
     node = Node(name, 1, "s", "10.0.0.1:80", zone, region, 64, NodeState.ACCEPTING)
-    times = {key: how.pop(key) for key in ("cold_until_s", "leaves_at_s") if key in how}
+    times = {key: how.pop(key) for key in ("warming_until_s", "shutdown_at_s") if key in how}
     base = KnownNode(replace(node, **how), NOW, 0.0, FOREVER)  # type: ignore[arg-type]
     return replace(base, **times)  # type: ignore[arg-type]
 
@@ -128,7 +128,7 @@
 def test_a_strained_node_belongs_to_no_level_for_long_prompts() -> None:
     one = selection(known("slow"), known("swift"), known("far", "q"))
     one.strain.note_pause("slow", 0.39, None, 0.4, NOW)
-    route = replace(ROUTE, pause_objective_ms=400)
+    route = replace(ROUTE, inter_token_target_ms=400)
     long = Wanted(route, SERVICE, (PromptPart("p", LONG_READ_TOKENS),))
     short = Wanted(route, SERVICE, (PromptPart("p", LONG_READ_TOKENS - 1),))
 
@@ -189,8 +189,8 @@
                 region,
                 f"zone-{region}-{draw(st.integers(1, 2))}",
                 service=draw(st.sampled_from(["s", "s", "s", "other"])),
-                state=draw(st.sampled_from([NodeState.ACCEPTING, NodeState.ACCEPTING, NodeState.CLOSING])),
-                leaves_at_s=draw(st.sampled_from([FOREVER, FOREVER, NOW - 1, NOW + 1])),
+                state=draw(st.sampled_from([NodeState.ACCEPTING, NodeState.ACCEPTING, NodeState.DRAINING])),
+                shutdown_at_s=draw(st.sampled_from([FOREVER, FOREVER, NOW - 1, NOW + 1])),
             )
         )
     one = selection(*nodes, seed=draw(st.integers(0, 1000)))
@@ -217,7 +217,7 @@
         if each.node.service == "s"
         and each.node.state.value == "accepting"
         and each.node.zone not in one.view.evacuated_zones
-        and each.leaves_at_s > NOW
+        and each.shutdown_at_s > NOW
         and (each.node.region in homes or not homes)
     }
     barred = full if allowed.keys() <= out else full | out
--- a/tests/serving/proxy/test_node_directory.py
+++ b/tests/serving/proxy/test_node_directory.py
@@ -14,9 +14,9 @@
 
 
 def update(
-    *nodes: Node, removed: tuple[str, ...] = (), departed: tuple[str, ...] = (), whole: bool = False
+    *nodes: Node, removed: tuple[str, ...] = (), deregistered: tuple[str, ...] = (), whole: bool = False
 ) -> Update:
-    return Update(1, True, True, "t", 1, whole, nodes, removed, departed, 1, None, (), (), 0)
+    return Update(1, True, True, "t", 1, whole, nodes, removed, deregistered, 1, None, (), (), 0)
 
 
 def run(*updates: Update) -> tuple[NodeDirectory, Nodes]:
@@ -32,9 +32,9 @@
 @pytest.mark.parametrize(
     "left",
     [
-        update(departed=("i-1",)),
-        update(removed=("i-1",), departed=("i-1",)),
-        update(departed=("i-1",), whole=True),
+        update(deregistered=("i-1",)),
+        update(removed=("i-1",), deregistered=("i-1",)),
+        update(deregistered=("i-1",), whole=True),
     ],
     ids=["told alone", "with its removal", "in a whole table"],
 )
@@ -46,14 +46,14 @@
 
 
 def test_one_that_left_before_it_was_ever_known_is_not_taken_in() -> None:
-    _, nodes = run(update(departed=("i-1",)), update(node(1)))
+    _, nodes = run(update(deregistered=("i-1",)), update(node(1)))
     assert "i-1" not in nodes
 
 
 def test_closing_is_not_undone_by_an_older_report_nor_by_its_removal_elsewhere() -> None:
-    closing = update(node(5, NodeState.CLOSING))
+    closing = update(node(5, NodeState.DRAINING))
     _, nodes = run(closing, update(node(9)))
-    assert nodes["i-1"].node.state is NodeState.CLOSING
+    assert nodes["i-1"].node.state is NodeState.DRAINING
     _, nodes = run(closing, update(removed=("i-1",)), update(node(4)))
     assert "i-1" not in nodes
 
@@ -65,13 +65,13 @@
 
 def test_an_update_that_says_nothing_new_changes_nothing() -> None:
     directory, nodes = run(update(node(3)))
-    assert directory.merge(nodes, update(node(2), departed=("i-9",)), 2.0) is nodes
+    assert directory.merge(nodes, update(node(2), deregistered=("i-9",)), 2.0) is nodes
 
 
 def test_a_coordinator_asked_anew_is_told_who_left_lately_and_the_memory_is_bounded() -> None:
-    directory, _ = run(update(departed=("i-1",)))
+    directory, _ = run(update(deregistered=("i-1",)))
     assert directory.departed_lately(DEPARTED_TOLD_S) == ("i-1",)
     assert directory.departed_lately(DEPARTED_TOLD_S + 0.1) == ()
     many = tuple(f"i-{number}" for number in range(DEPARTED_MOST + 50))
-    directory, _ = run(update(departed=many))
+    directory, _ = run(update(deregistered=many))
     assert len(directory.departed_lately(0.0)) == DEPARTED_MOST
--- a/tests/serving/proxy/test_real_sockets.py
+++ b/tests/serving/proxy/test_real_sockets.py
@@ -142,7 +142,7 @@
 def test_a_connect_that_is_refused_costs_no_attempt() -> None:
     async def day(ground: RealGround) -> None:
         assert ground.view.configuration is not None
-        once = replace(UNSAFE_STREAM, attempts=1)
+        once = replace(UNSAFE_STREAM, max_attempts=1)
         ground.view.configuration = replace(ground.view.configuration, routes=(once,))
         await ground.node(lambda arrival: arrival.whole())
         known = ground.view.nodes["i-0"]
--- a/tests/serving/proxy/test_subscription.py
+++ b/tests/serving/proxy/test_subscription.py
@@ -54,7 +54,7 @@
     return Update(0, True, True, "t", 1, False, (), (), (), sequence, state, told, (), 1)
 
 
-WHOLE = encode_state(ControlState(evacuated=frozenset({"a"})))
+WHOLE = encode_state(ControlState(evacuated_zones=frozenset({"a"})))
 NO_COMMAND = b"\xff"
 REFUSED = encode_command(PutConfiguration(9, b"{}"))
 
@@ -67,7 +67,7 @@
     assert view.evacuated_zones == {"a"}, "what it has stays in force"
     assert subscription._request(()).state_sequence == -1
     assert log.events == ["change_rejected"]
-    subscription._take(update(4, encode_state(ControlState(evacuated=frozenset({"a", "b"})))))
+    subscription._take(update(4, encode_state(ControlState(evacuated_zones=frozenset({"a", "b"})))))
     assert view.evacuated_zones == {"a", "b"}
     assert subscription._request(()).state_sequence == 4
 
--- a/tests/serving/proxy/test_warm_up_credit.py
+++ b/tests/serving/proxy/test_warm_up_credit.py
@@ -24,7 +24,7 @@
 def arrivals(proxies: int, seed: int, seconds: float, *, turns_cold_at_s: float = 0.0) -> list[float]:
     """Every proxy sends as soon as it may, 50 times a second, each with a way of its own to the node."""
     random = Random(seed)
-    view = ControlView(proxies_at_most=proxies)
+    view = ControlView(max_proxies=proxies)
     credits = [WarmUpCredit(1.5, 5, Random(random.random())) for _ in range(proxies)]
     ways = [random.random() * 0.05 for _ in range(proxies)]
     found = []
@@ -65,7 +65,7 @@
 
 
 def test_a_warm_node_is_not_bounded() -> None:
-    credit, view = WarmUpCredit(1.5, 5, Random(1)), ControlView(proxies_at_most=9)
+    credit, view = WarmUpCredit(1.5, 5, Random(1)), ControlView(max_proxies=9)
     for _ in range(200):
         assert credit.may_send(cold(0.0), SERVICE, view, 10.0)
         credit.note_send(cold(0.0), SERVICE, view, 10.0)
@@ -81,7 +81,7 @@
 
 
 def test_what_is_gone_is_forgotten() -> None:
-    credit, view = WarmUpCredit(1.5, 5, Random(1)), ControlView(proxies_at_most=9)
+    credit, view = WarmUpCredit(1.5, 5, Random(1)), ControlView(max_proxies=9)
     for _ in range(5):
         credit.note_send(cold(20.0), SERVICE, view, 10.0)
     assert not credit.may_send(cold(20.0), SERVICE, view, 10.0)
--- a/tests/serving/settings/test_boot_settings_reader.py
+++ b/tests/serving/settings/test_boot_settings_reader.py
@@ -66,7 +66,7 @@
 def places(text: str) -> list[str]:
     """Where the faults stand; none if the text is taken."""
     read = parse_boot_settings(text)
-    return [finding.place for finding in read.findings] if isinstance(read, Refusal) else []
+    return [finding.location for finding in read.findings] if isinstance(read, Refusal) else []
 
 
 def test_a_proxy_has_no_disk_and_listens_for_clients() -> None:
--- a/tests/serving/simulation/test_broken_programs.py
+++ b/tests/serving/simulation/test_broken_programs.py
@@ -66,7 +66,7 @@
 
 class RepeatsEverything(FalseView):
     def false_configuration(self, configuration: Configuration) -> Configuration:
-        routes = tuple(replace(route, resumable=True, attempts=3) for route in configuration.routes)
+        routes = tuple(replace(route, resumable=True, max_attempts=3) for route in configuration.routes)
         return replace(configuration, routes=routes)
 
 
@@ -77,7 +77,7 @@
 
 class SeesNobodyCold(FalseView):
     def false_nodes(self, nodes: immutables.Map[str, KnownNode]) -> immutables.Map[str, KnownNode]:
-        return immutables.Map({name: replace(known, cold_until_s=0.0) for name, known in nodes.items()})
+        return immutables.Map({name: replace(known, warming_until_s=0.0) for name, known in nodes.items()})
 
 
 def play(day: SimulatedDeployment, length_s: float = LENGTH_S) -> DayResult:
--- a/tests/serving/simulation/test_engine_steps.py
+++ b/tests/serving/simulation/test_engine_steps.py
@@ -14,7 +14,7 @@
     Work,
 )
 
-FIGURES = EngineFigures(slots=2, queue=2, memory_tokens=1000, tokens_per_event=5, token_ms=1.0,
+FIGURES = EngineFigures(slots=2, queue=2, kv_cache_tokens=1000, tokens_per_event=5, token_ms=1.0,
                         token_ms_per_running=0.5, read_tokens_per_ms=10.0, piece_tokens=100)  # fmt: skip
 LATE = 1e9
 
@@ -135,7 +135,7 @@
     while not engine.idle:
         now += engine.step_ms()
         engine.step(now)
-        assert engine.memory_used <= FIGURES.memory_tokens or engine.running == 1
+        assert engine.memory_used <= FIGURES.kv_cache_tokens or engine.running == 1
 
 
 def test_a_deadline_ends_what_waits_and_what_runs() -> None:
--- a/tests/serving/simulation/test_simulated_days.py
+++ b/tests/serving/simulation/test_simulated_days.py
@@ -190,7 +190,7 @@
 
 
 def test_a_burst_beyond_all_slots_is_refused_and_breaks_nothing() -> None:
-    small = EngineFigures(slots=4, queue=4, memory_tokens=80_000)
+    small = EngineFigures(slots=4, queue=4, kv_cache_tokens=80_000)
     result = play(lambda day, troubles: troubles.burst(AT_S, OFFER, 40.0, 4.0), engine=small)
     refused = dict(result.kinds["offer"].statuses).get("complete 503", 0)
     assert refused > 0
--- a/tests/serving/wire/test_shared_update.py
+++ b/tests/serving/wire/test_shared_update.py
@@ -16,18 +16,18 @@
     node_revision=3,
     is_full_table=True,
     nodes=(),
-    departed=(),
+    deregistered=(),
     removed=("i-1",),
     state_sequence=5,
     state=None,
     changes=(StateChange(5, b"change"),),
     coordinators=(CoordinatorEndpoint("127.0.0.1:7300", "a", "north"),),
-    proxies_at_most=340,
+    max_proxies=340,
 )
 
 
 @pytest.mark.parametrize("request_number", [0, 1, 63, 64, 100_000, 2**40])
 def test_a_shared_update_is_to_the_byte_what_encoding_it_for_the_round_gives(request_number: int) -> None:
     for proxies in (0, 1, 340, 10_000):
-        whole = replace(UPDATE, request_number=request_number, proxies_at_most=proxies)
+        whole = replace(UPDATE, request_number=request_number, max_proxies=proxies)
         assert SharedUpdate(UPDATE).frame(request_number, proxies) == write_frame(CODEC.encode(whole))
