--- a/benchmarks/control_costs.py
+++ b/benchmarks/control_costs.py
@@ -15,19 +15,14 @@
 from collections.abc import Callable
 from statistics import median
 
-from coveport.serving.configuration.state import (
-    Applied,
-    ControlState,
-    PatchConfiguration,
-    PutConfiguration,
-    apply_command,
-    decode_state,
-    encode_state,
-    initial_state,
-)
+from coveport.serving.configuration.commands import PatchConfiguration, PutConfiguration
+from coveport.serving.configuration.state import ControlState, initial_state
+from coveport.serving.configuration.state_codec import decode_state, encode_state
+from coveport.serving.configuration.state_machine import apply_command
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.model.node import Node, NodeState
+from coveport.serving.replication.outcomes import Applied
 from coveport.serving.scale.load import change_of_edition, first_configuration
 from coveport.serving.scale.sizes import Addresses, ScaleSize
 from coveport.serving.wire.messages import CODEC, LeasesRenewed, NodeReports, Update
--- /dev/null
+++ b/coveport/serving/configuration/state_codec.py
@@ -0,0 +1,70 @@
+"""Encodes the acknowledged state for the coordinators' disks and for proxies, with a digest in front."""
+
+from __future__ import annotations
+
+import struct
+from dataclasses import dataclass
+from typing import Final
+
+from coveport.serving.configuration.digest import DIGEST_BYTES, digest_of
+from coveport.serving.configuration.state import AppliedChange, ControlState
+from coveport.serving.wire.codec import MessageCodec
+from coveport.serving.wire.errors import MalformedMessageError
+
+_APPLIED_CHANGE: Final = struct.Struct(f">Q{DIGEST_BYTES}s")  # edition, digest
+# First byte of a state with a digest. A state without one begins with the codec's number of its class, 0.
+_DIGEST_MARKER: Final = b"\xd1"
+
+
+@dataclass(frozen=True, slots=True)
+class _StoredState:
+    """The state as it is written. Applied changes are one byte string, as they are many and small."""
+
+    configuration_text: bytes | None
+    edition: int
+    evacuated_zones: tuple[str, ...]
+    applied_changes: bytes
+
+
+_CODEC: Final[MessageCodec[_StoredState]] = MessageCodec((_StoredState,))
+
+
+def encode_state(state: ControlState) -> bytes:
+    """Return a state as bytes, with their digest; equal states give equal bytes."""
+    changes = b"".join(
+        _APPLIED_CHANGE.pack(change.edition, change.digest) for change in state.applied_changes
+    )
+    zones = tuple(sorted(state.evacuated_zones))
+    stored = _CODEC.encode(_StoredState(state.configuration_text, state.edition, zones, changes))
+    return _DIGEST_MARKER + digest_of(stored) + stored
+
+
+def decode_state(data: bytes) -> ControlState:
+    """Return the state in the bytes, with a digest or, as older programs wrote it, without one.
+
+    Raises MalformedMessageError where the bytes hold no state, or not the one that was encoded.
+    """
+    stored = _CODEC.decode(_verified(data) if data.startswith(_DIGEST_MARKER) else data)
+    length = len(stored.applied_changes)
+    if length % _APPLIED_CHANGE.size:
+        raise MalformedMessageError(
+            f"applied changes are cut short: {length} bytes, expected a multiple of {_APPLIED_CHANGE.size}"
+        )
+    changes = (
+        AppliedChange(edition, digest)
+        for edition, digest in _APPLIED_CHANGE.iter_unpack(stored.applied_changes)
+    )
+    return ControlState(
+        stored.configuration_text, stored.edition, frozenset(stored.evacuated_zones), tuple(changes)
+    )
+
+
+def _verified(data: bytes) -> bytes:
+    """Return the encoded state behind the digest. Raises MalformedMessageError where they differ."""
+    start = len(_DIGEST_MARKER) + DIGEST_BYTES
+    expected = data[len(_DIGEST_MARKER) : start]
+    stored = data[start:]
+    actual = digest_of(stored)
+    if actual != expected:
+        raise MalformedMessageError(f"digest of a state: expected {expected.hex()}, got {actual.hex()}")
+    return stored
--- a/coveport/serving/coordinator/control.py
+++ b/coveport/serving/coordinator/control.py
@@ -7,8 +7,9 @@
 from typing import Any
 
 from coveport.net.transport import Net
-from coveport.serving.configuration.state import Applied as Taken
-from coveport.serving.configuration.state import ChangeResult, ControlState, apply, decode_state, encode_state
+from coveport.serving.configuration.state import ChangeResult, ControlState
+from coveport.serving.configuration.state_codec import decode_state, encode_state
+from coveport.serving.configuration.state_machine import apply
 from coveport.serving.coordinator.replica_runtime import ReplicaRuntime
 from coveport.serving.replication.events import (
     Applied,
@@ -21,6 +22,7 @@
     StateMachine,
     UnreadableStateError,
 )
+from coveport.serving.replication.outcomes import Applied as Taken
 from coveport.serving.web.messages import ApiResponse, json_response
 from coveport.serving.wire.errors import MalformedMessageError
 from coveport.serving.wire.names import ERROR, Config
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from coveport.net.transport import Net
-from coveport.serving.configuration.state import encode_state, initial_state
+from coveport.serving.configuration.state import initial_state
+from coveport.serving.configuration.state_codec import encode_state
 from coveport.serving.coordinator.control import STATE_MACHINE, Control
 from coveport.serving.coordinator.coordinator_liveness import LostCoordinators
 from coveport.serving.coordinator.lookup_api import LookupApi
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -15,12 +15,15 @@
 from coveport.net.address import parse_address
 from coveport.net.transport import Net
 from coveport.serving.configuration.reader import read_configuration
-from coveport.serving.configuration.state import Applied, ControlState, apply, decode_state, initial_state
+from coveport.serving.configuration.state import ControlState, initial_state
+from coveport.serving.configuration.state_codec import decode_state
+from coveport.serving.configuration.state_machine import apply
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.model.findings import Refusal
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.coordinator_choice import CoordinatorChoice
 from coveport.serving.proxy.node_directory import NodeDirectory
+from coveport.serving.replication.outcomes import Applied
 from coveport.serving.wire.connection import Connection, connect
 from coveport.serving.wire.errors import MalformedMessageError
 from coveport.serving.wire.messages import Message, StateChange, Unsubscribe, Update, UpdateRequest
--- a/features/steps/control_state_steps.py
+++ b/features/steps/control_state_steps.py
@@ -16,7 +16,9 @@
     StartEvacuation,
     encode_command,
 )
-from coveport.serving.configuration.state import Applied, ChangeResult, apply, initial_state
+from coveport.serving.configuration.state import ChangeResult, initial_state
+from coveport.serving.configuration.state_machine import apply
+from coveport.serving.replication.outcomes import Applied
 
 NUMBERS = {"first": 0, "second": 1, "third": 2}
 
--- a/tests/golden/test_golden_settings.py
+++ b/tests/golden/test_golden_settings.py
@@ -21,14 +21,10 @@
 from coveport.serving.configuration.commands import decode_command, encode_command
 from coveport.serving.configuration.document import Document
 from coveport.serving.configuration.reader import read_configuration, read_document, render_document
-from coveport.serving.configuration.state import (
-    Applied,
-    ControlState,
-    apply,
-    decode_state,
-    encode_state,
-    initial_state,
-)
+from coveport.serving.configuration.state import ControlState, initial_state
+from coveport.serving.configuration.state_codec import decode_state, encode_state
+from coveport.serving.configuration.state_machine import apply
+from coveport.serving.replication.outcomes import Applied
 from coveport.serving.settings.boot import BootSettings
 from coveport.serving.settings.reader import parse_boot_settings
 from coveport.serving.simulation.settings_file import settings_text
--- a/tests/golden/write_fixtures.py
+++ b/tests/golden/write_fixtures.py
@@ -26,7 +26,9 @@
 
 from coveport.balancing import simulator_codec as decision_wire
 from coveport.serving.configuration.commands import encode_command
-from coveport.serving.configuration.state import apply, encode_state, initial_state
+from coveport.serving.configuration.state import initial_state
+from coveport.serving.configuration.state_codec import encode_state
+from coveport.serving.configuration.state_machine import apply
 from coveport.serving.replication.records import RECORDS, Record
 from coveport.serving.simulation.settings_file import settings_text
 from coveport.serving.wire.codec import MessageCodec
--- a/tests/serving/cli/loopback_core.py
+++ b/tests/serving/cli/loopback_core.py
@@ -9,8 +9,10 @@
 from typing import Any
 
 from coveport.net.transport import Net
-from coveport.serving.configuration.state import Applied, apply, initial_state
+from coveport.serving.configuration.state import initial_state
+from coveport.serving.configuration.state_machine import apply
 from coveport.serving.coordinator.operator_api import OperatorApi
+from coveport.serving.replication.outcomes import Applied
 from coveport.serving.web.messages import ApiResponse, json_response
 from coveport.serving.web.router import Router
 from coveport.serving.web.server import HttpServer
--- a/tests/serving/configuration/test_changed_routes.py
+++ b/tests/serving/configuration/test_changed_routes.py
@@ -10,18 +10,13 @@
 from hypothesis import strategies as st
 
 from coveport.serving.configuration import state as control_state
+from coveport.serving.configuration.commands import PatchConfiguration, PutConfiguration
 from coveport.serving.configuration.document import DocumentCache, apply_route_changes
 from coveport.serving.configuration.reader import read_document
-from coveport.serving.configuration.state import (
-    Applied,
-    ControlState,
-    PatchConfiguration,
-    PutConfiguration,
-    Refused,
-    apply_command,
-    initial_state,
-)
+from coveport.serving.configuration.state import ControlState, initial_state
+from coveport.serving.configuration.state_machine import apply_command
 from coveport.serving.model.findings import Refusal
+from coveport.serving.replication.outcomes import Applied, Refused
 
 NAMES = st.sampled_from(["a", "b", "c", "d", "é"])
 ROUTES = st.fixed_dictionaries(
--- a/tests/serving/configuration/test_control_state.py
+++ b/tests/serving/configuration/test_control_state.py
@@ -18,16 +18,10 @@
     decode_command,
     encode_command,
 )
-from coveport.serving.configuration.state import (
-    MAX_APPLIED_CHANGES,
-    Applied,
-    ControlState,
-    Refused,
-    apply,
-    decode_state,
-    encode_state,
-    initial_state,
-)
+from coveport.serving.configuration.state import MAX_APPLIED_CHANGES, ControlState, initial_state
+from coveport.serving.configuration.state_codec import decode_state, encode_state
+from coveport.serving.configuration.state_machine import apply
+from coveport.serving.replication.outcomes import Applied, Refused
 from coveport.serving.wire.errors import MalformedMessageError
 
 
--- a/tests/serving/proxy/test_subscription.py
+++ b/tests/serving/proxy/test_subscription.py
@@ -10,7 +10,8 @@
 
 from coveport.net.transport import Net
 from coveport.serving.configuration.commands import PutConfiguration, StartEvacuation, encode_command
-from coveport.serving.configuration.state import ControlState, encode_state
+from coveport.serving.configuration.state import ControlState
+from coveport.serving.configuration.state_codec import encode_state
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.coordinator_choice import CoordinatorChoice
--- a/tests/serving/simulation/test_control_days.py
+++ b/tests/serving/simulation/test_control_days.py
@@ -225,7 +225,7 @@
     assert ended[1:] == [Verdict.ACKNOWLEDGED.value] * 2
     assert ended[0] == "lost" or frozen_s < 1.0, "the situation is reached"
     for machine in day.coordinators:
-        assert told.state(machine).evacuated == frozenset(), machine.spot.name
+        assert told.state(machine).evacuated_zones == frozenset(), machine.spot.name
 
 
 def test_an_order_whose_caller_resets_while_nobody_leads_takes_no_effect() -> None:
@@ -255,7 +255,7 @@
     told.play(14.0)
     assert reached == [True, True], "nobody led, and the caller left without an answer"
     for machine in day.coordinators:
-        assert told.state(machine).evacuated == frozenset()
+        assert told.state(machine).evacuated_zones == frozenset()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -293,7 +293,7 @@
     result = told.play(16.0)
     assert [one.verdict for one in result.book.of(OrderEnded)][-1] is Verdict.ACKNOWLEDGED, "read back"
     for machine in told.day.coordinators:
-        assert told.state(machine).evacuated == {told.day.deployment.zones[1].name}
+        assert told.state(machine).evacuated_zones == {told.day.deployment.zones[1].name}
     assert result.served_share > 0.4
 
 
