--- a/coveport/serving/cli/__init__.py
+++ b/coveport/serving/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line of the serving system."""
--- a/coveport/serving/cli/app.py
+++ b/coveport/serving/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line: each role, and each verb of the operators, is a subcommand."""
+"""The command line: a subcommand for each role and each verb of the operators."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
     return run_role("proxy", settings)
 
 
-# Imported only when one is called: a role's start must not pay for them.
+# Each is imported when it is called: the start of a role must not load them.
 app.command("coveport.serving.cli.check:app", name="check", help="Check a file before it is used.")
-app.command("coveport.serving.cli.config:app", name="config", help="Read or change the configuration.")
-app.command("coveport.serving.cli.zones:evacuate", name="evacuate", help="Keep requests away from a zone.")
+app.command("coveport.serving.cli.configuration:app", name="config", help="Read or change the configuration.")
+app.command("coveport.serving.cli.evacuate:evacuate", name="evacuate", help="Keep requests away from a zone.")
 app.command("coveport.serving.cli.show:nodes", name="nodes", help="List the nodes.")
 app.command("coveport.serving.cli.show:members", name="members", help="List coordinators and proxies.")
 app.command("coveport.serving.cli.show:status", name="status", help="Show the state of the core.")
@@ -59,6 +59,6 @@
 
 
 def main() -> int:
-    """Carry out `sys.argv`; the exit code."""
+    """Run the subcommand that `sys.argv` names, and return the exit code."""
     result = app()
     return int(result) if result is not None else 0
--- a/coveport/serving/cli/config.py
+++ b/coveport/serving/cli/configuration.py
@@ -1,4 +1,4 @@
-"""`config`: the configuration of a running core."""
+"""`config`: read, change and compare the configuration of a running core."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 import cyclopts
 from cyclopts import Parameter
 
-from coveport.serving.cli.check import ConfigurationFile, read_text
-from coveport.serving.cli.connecting import WITHIN_S, AsJson, Core, Within, ask, read_body, refuse
-from coveport.serving.cli.core_caller import Answer
+from coveport.serving.cli.core_client import CoreResponse
+from coveport.serving.cli.core_options import DEFAULT_WITHIN_S, AsJson, Core, Within
+from coveport.serving.cli.core_requests import decode_body, report_rejection, request_core
 from coveport.serving.cli.exit_codes import ExitCode
-from coveport.serving.cli.http_call import HttpCall
+from coveport.serving.cli.http_client import HttpRequest
+from coveport.serving.cli.input_files import ConfigurationFile, read_text
 from coveport.serving.cli.output import print_error, print_findings, print_json
 from coveport.serving.model.findings import Refusal
 from coveport.serving.wire.names import Config
@@ -34,23 +35,28 @@
 
 
 @app.command
-def get(*, core: Core = None, within: Within = WITHIN_S) -> int:
+def get(*, core: Core = None, within: Within = DEFAULT_WITHIN_S) -> int:
     """Print the newest configuration, as JSON.
 
     Exit codes: 0 printed, 1 refused (there may be none yet), 3 no clear answer.
     """
-    answer = ask(core, HttpCall("GET", WirePath.CONFIG), within)
-    if not isinstance(answer, Answer):
-        return answer
-    if not answer.is_success:
-        return refuse(answer)
-    print_json(read_body(answer))
+    response = request_core(core, HttpRequest("GET", WirePath.CONFIG), within)
+    if not isinstance(response, CoreResponse):
+        return response
+    if not response.is_success:
+        return report_rejection(response)
+    print_json(decode_body(response))
     return ExitCode.DONE
 
 
 @app.command
 def put(
-    file: ConfigurationFile, /, *, core: Core = None, if_match: IfMatch = None, within: Within = WITHIN_S
+    file: ConfigurationFile,
+    /,
+    *,
+    core: Core = None,
+    if_match: IfMatch = None,
+    within: Within = DEFAULT_WITHIN_S,
 ) -> int:
     """Replace the whole configuration. It is checked first; findings have lines.
 
@@ -61,15 +67,15 @@
     text = read_text(file)
     if text is None:
         return ExitCode.WRONG_INPUT
-    read = read_configuration(text.encode())
-    if isinstance(read, Refusal):
-        return _refuse_file(file, text, read)
-    return _change("PUT", text, core, if_match, within)
+    checked = read_configuration(text.encode())
+    if isinstance(checked, Refusal):
+        return _report_findings(file, text, checked)
+    return _send_change("PUT", text, core, if_match, within)
 
 
 @app.command
 def patch(
-    file: PatchFile, /, *, core: Core = None, if_match: IfMatch = None, within: Within = WITHIN_S
+    file: PatchFile, /, *, core: Core = None, if_match: IfMatch = None, within: Within = DEFAULT_WITHIN_S
 ) -> int:
     """Add, replace or remove named items of the configuration.
 
@@ -83,22 +89,27 @@
         return ExitCode.WRONG_INPUT
     change = read_object(text.encode())
     if isinstance(change, Refusal):
-        return _refuse_file(file, text, change)
-    faults = apply_patch({}, change)
-    if isinstance(faults, Refusal):
-        return _refuse_file(file, text, faults)
-    return _change("PATCH", text, core, if_match, within)
+        return _report_findings(file, text, change)
+    patched = apply_patch({}, change)  # finds the faults that a patch has whatever it is applied to
+    if isinstance(patched, Refusal):
+        return _report_findings(file, text, patched)
+    return _send_change("PATCH", text, core, if_match, within)
 
 
 @app.command
 def diff(
-    file: ConfigurationFile, /, *, core: Core = None, within: Within = WITHIN_S, as_json: AsJson = False
+    file: ConfigurationFile,
+    /,
+    *,
+    core: Core = None,
+    within: Within = DEFAULT_WITHIN_S,
+    as_json: AsJson = False,
 ) -> int:
     """Compare a file with the configuration in force: what putting it would change.
 
     Exit codes: 0 no difference, 1 differences, 2 wrong input, 3 no clear answer.
     """
-    from coveport.serving.cli.differences import find_differences
+    from coveport.serving.cli.configuration_diff import find_differences
     from coveport.serving.configuration.json_text import read_object
 
     text = read_text(file)
@@ -106,52 +117,52 @@
         return ExitCode.WRONG_INPUT
     wanted = read_object(text.encode())
     if isinstance(wanted, Refusal):
-        return _refuse_file(file, text, wanted)
-    current = _current(core, within)
+        return _report_findings(file, text, wanted)
+    current = _read_current(core, within)
     if not isinstance(current, dict):
         return current
     differences = find_differences(current, wanted)
     if as_json:
-        print_json([one.as_json() for one in differences])
+        print_json([difference.as_json() for difference in differences])
     else:
-        for one in differences:
-            print(one)
+        for difference in differences:
+            print(difference)
     return ExitCode.REFUSED if differences else ExitCode.DONE
 
 
-def _refuse_file(file: Path, text: str, refusal: Refusal) -> ExitCode:
-    from coveport.serving.cli.positions import json_lines
+def _report_findings(file: Path, text: str, refusal: Refusal) -> ExitCode:
+    from coveport.serving.cli.line_numbers import json_lines
 
     print_findings(str(file), refusal.findings, json_lines(text))
     return ExitCode.WRONG_INPUT
 
 
-def _current(core: Core, within: float) -> dict[str, Any] | ExitCode:
-    """The configuration in force; empty where there is none yet."""
-    answer = ask(core, HttpCall("GET", WirePath.CONFIG), within)
-    if not isinstance(answer, Answer):
-        return answer
-    if answer.status == _NOT_FOUND:
+def _read_current(core: Core, within_s: float) -> dict[str, Any] | ExitCode:
+    """Return the configuration in force; empty where there is none yet."""
+    response = request_core(core, HttpRequest("GET", WirePath.CONFIG), within_s)
+    if not isinstance(response, CoreResponse):
+        return response
+    if response.status == _NOT_FOUND:
         return {}
-    current = read_body(answer)
-    if answer.is_success and isinstance(current, dict):
+    current = decode_body(response)
+    if response.is_success and isinstance(current, dict):
         return current
-    return refuse(answer)
+    return report_rejection(response)
 
 
-def _change(method: str, text: str, core: Core, if_match: int | None, within: float) -> int:
-    """Send a change that builds on an edition, the current one if none is given."""
+def _send_change(method: str, text: str, core: Core, if_match: int | None, within_s: float) -> int:
+    """Send a change that builds on an edition; None: on the current one, which is read first."""
     if if_match is None:
-        current = _current(core, within)
+        current = _read_current(core, within_s)
         if not isinstance(current, dict):
             return current
         if_match = int(current.get(Config.EDITION, 0))
     headers = ((_IF_MATCH, str(if_match)), ("Content-Type", "application/json"))
-    answer = ask(core, HttpCall(method, WirePath.CONFIG, headers, text.encode()), within)
-    if not isinstance(answer, Answer):
+    response = request_core(core, HttpRequest(method, WirePath.CONFIG, headers, text.encode()), within_s)
+    if not isinstance(response, CoreResponse):
         print_error(f"to send the same change again: --if-match {if_match}")
-        return answer
-    if not answer.is_success:
-        return refuse(answer)
+        return response
+    if not response.is_success:
+        return report_rejection(response)
     print(f"taken: edition {json.loads(text)[Config.EDITION]}, on top of {if_match}")
     return ExitCode.DONE
--- a/coveport/serving/cli/day_report.py
+++ b/coveport/serving/cli/day_report.py
@@ -1,128 +1,137 @@
-"""A played day's report (JSON), as far as `explain` reads it, and what follows from it. Pure."""
+"""Reads the report (JSON) of a played day, as far as `explain` needs it. Pure.
+
+The report calls the value that a request earns its worth; this module keeps the report's names to itself.
+"""
 
 from __future__ import annotations
 
 import json
-from collections import defaultdict
-from collections.abc import Sequence
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import Any, Final
 
 import dacite
 
-AFTERMATH_S = 4.0  # what is lost so shortly after a trouble is counted to it ...
-STREAM_S = 4.0  # ... and what came so shortly before it, since its streams still run then
-NO_TROUBLE = "no trouble"
+# Names in the report of what is called otherwise here.
+_DAY_NAMES: Final = {"G": "net_value"}
+_OUTCOME_NAMES: Final = {"n": "requests", "in_aim": "within_target", "worth": "earned_share"}
+_OUTCOME_LISTS: Final = ("classes", "zones", "windows")
 
 
-class ReportFault(Enum):
-    """Why a text is no report."""
+class UnreadableReport(Enum):
+    """Why a text is no report; the value ends a sentence that begins with the file's name."""
 
     NOT_JSON = "is not JSON"
     NOT_A_REPORT = "is not the report of a day"
 
 
 @dataclass(frozen=True, slots=True)
-class Tally:
-    """How the requests of one kind, zone or window ended."""
+class OutcomeCounts:
+    """How the requests of one class, zone or window ended."""
 
     name: str
-    n: int
-    in_aim: int
+    requests: int
+    within_target: int  # answered within their latency target
     late: int
     refused: int
     failed: int
-    worth: float  # earned of what was owed
+    earned_share: float  # of the value of all these requests; between 0 and 1
 
     @property
-    def lost(self) -> float:
-        """In requests: those that earned nothing, and the parts that the late ones did not earn."""
-        return self.n * (1.0 - self.worth)
+    def lost_requests(self) -> float:
+        """Requests that earned nothing, and the fractions that late ones did not earn."""
+        return self.requests * (1.0 - self.earned_share)
 
 
 @dataclass(frozen=True, slots=True)
-class Happening:
-    """A trouble or planned work."""
+class DayEvent:
+    """A fault or a planned operation, in seconds after the traffic's start."""
 
     at_s: float
     to_s: float
     kind: str
 
-    def touches(self, from_s: float, to_s: float) -> bool:
-        """Whether what is lost in this time may be its doing."""
-        return self.at_s < to_s + STREAM_S and from_s < self.to_s + AFTERMATH_S
+
+@dataclass(frozen=True, slots=True)
+class ValuePart:
+    """One part of the day's value: what its requests earned counts by its weight."""
+
+    name: str
+    weight: float  # of all parts, which sum up to 1
+    earned_share: float
+
+    @property
+    def lost_value(self) -> float:
+        """The value that the part lacks, as a share of the whole day's."""
+        return self.weight * (1.0 - self.earned_share)
+
+
+@dataclass(frozen=True, slots=True)
+class Price:
+    """A resource that the day used, and the value taken off for it."""
+
+    name: str
+    amount: float  # in the unit that the name says
+    value: float
 
 
 @dataclass(frozen=True, slots=True)
 class DayReport:
-    """The parts of a report that tell where worth went."""
-
-    G: float  # worth less prices
-    parts: list[tuple[str, float, float]]  # name, weight, share
-    prices: list[tuple[str, float, float]]  # name, amount, worth taken
-    classes: list[Tally]
-    zones: list[Tally]
-    windows: list[Tally]  # named by the second they begin at
-    events: list[Happening] = field(default_factory=list)
+    """The parts of a report that say where value was lost."""
+
+    net_value: float  # of the parts, less the prices
+    parts: list[ValuePart]
+    prices: list[Price]
+    classes: list[OutcomeCounts]
+    zones: list[OutcomeCounts]
+    windows: list[OutcomeCounts]  # named by the second at which they begin
+    events: list[DayEvent] = field(default_factory=list)
     breaks: dict[str, int] = field(default_factory=dict)  # rules, and how often each was broken
-    fault: str | None = None
+    fault: str | None = None  # an error of the programs or of the simulation itself
 
 
-def read_report(text: str) -> DayReport | ReportFault:
-    """Read a report."""
+def read_report(text: str) -> DayReport | UnreadableReport:
+    """Read a report; fields that are not known are ignored."""
     try:
-        data = json.loads(text)
+        document = json.loads(text)
     except ValueError:
-        return ReportFault.NOT_JSON
-    if not isinstance(data, dict):
-        return ReportFault.NOT_A_REPORT
+        return UnreadableReport.NOT_JSON
+    if not isinstance(document, dict):
+        return UnreadableReport.NOT_A_REPORT
+    config = dacite.Config(type_hooks={float: float, ValuePart: _read_part, Price: _read_price})
     try:
-        return dacite.from_dict(DayReport, data, dacite.Config(cast=[tuple], type_hooks={float: float}))
+        return dacite.from_dict(DayReport, _with_own_names(document), config)
     except (dacite.DaciteError, TypeError, ValueError):
-        return ReportFault.NOT_A_REPORT
+        return UnreadableReport.NOT_A_REPORT
 
 
-@dataclass(frozen=True, slots=True)
-class Loss:
-    """Worth that is missing at the end, as a share of the whole day's."""
+def _with_own_names(document: dict[str, Any]) -> dict[str, Any]:
+    renamed = _rename(document, _DAY_NAMES)
+    for name in _OUTCOME_LISTS:
+        counts = renamed.get(name)
+        if isinstance(counts, list):
+            renamed[name] = [_rename(item, _OUTCOME_NAMES) for item in counts]
+    return renamed
 
-    what: str
-    worth: float
-    amount: float | None = None  # of a price: how much of it was used
 
+def _rename(value: Any, names: Mapping[str, str]) -> Any:
+    if not isinstance(value, dict):
+        return value
+    return {names.get(name, name): item for name, item in value.items()}
 
-def losses(report: DayReport) -> list[Loss]:
-    """What the parts of the day's worth lack, and the prices; the largest first."""
-    lacking = [Loss(name, weight * (1.0 - share)) for name, weight, share in report.parts]
-    paid = [Loss(name, worth, amount) for name, amount, worth in report.prices]
-    return sorted(lacking + paid, key=lambda loss: -loss.worth)
 
+def _read_part(row: Any) -> ValuePart:
+    name, weight, earned_share = row
+    return ValuePart(_read_name(name), float(weight), float(earned_share))
 
-@dataclass(frozen=True, slots=True)
-class WindowLoss:
-    """A span of the day, and what happened in it or just before."""
-
-    from_s: float
-    tally: Tally
-    kinds: tuple[str, ...]
-
-
-def window_losses(report: DayReport) -> list[WindowLoss]:
-    """All windows in their order, with the troubles that touch each."""
-    starts_s = [float(window.name) for window in report.windows]
-    length_s = starts_s[1] - starts_s[0] if len(starts_s) > 1 else 0.0
-    found = []
-    for from_s, tally in zip(starts_s, report.windows, strict=True):
-        kinds = (one.kind for one in report.events if one.touches(from_s, from_s + length_s))
-        found.append(WindowLoss(from_s, tally, tuple(dict.fromkeys(kinds))))
-    return found
-
-
-def lost_by_cause(windows: Sequence[WindowLoss]) -> list[tuple[str, float]]:
-    """Requests lost beside each kind of trouble, the largest first; several that touch one share it."""
-    lost: defaultdict[str, float] = defaultdict(float)
-    for window in windows:
-        kinds = window.kinds or (NO_TROUBLE,)
-        for kind in kinds:
-            lost[kind] += window.tally.lost / len(kinds)
-    return sorted(lost.items(), key=lambda item: -item[1])
+
+def _read_price(row: Any) -> Price:
+    name, amount, value = row
+    return Price(_read_name(name), float(amount), float(value))
+
+
+def _read_name(value: Any) -> str:
+    if not isinstance(value, str):
+        raise TypeError(f"a name must be a string, not {value!r}")
+    return value
--- a/coveport/serving/cli/zones.py
+++ b/coveport/serving/cli/evacuate.py
@@ -1,4 +1,4 @@
-"""`evacuate`: nothing more is to be sent to a zone's nodes, or it may be again."""
+"""`evacuate`: stop requests to the nodes of a zone, or allow them again."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 from cyclopts import Parameter
 
-from coveport.serving.cli.connecting import WITHIN_S, Core, Within, ask, refuse
-from coveport.serving.cli.core_caller import Answer
+from coveport.serving.cli.core_client import CoreResponse
+from coveport.serving.cli.core_options import DEFAULT_WITHIN_S, Core, Within
+from coveport.serving.cli.core_requests import report_rejection, request_core
 from coveport.serving.cli.exit_codes import ExitCode
-from coveport.serving.cli.http_call import HttpCall
+from coveport.serving.cli.http_client import HttpRequest
 from coveport.serving.wire.names import Path
 
 
@@ -20,7 +21,7 @@
     *,
     end: Annotated[bool, Parameter(negative="", help="End the evacuation.")] = False,
     core: Core = None,
-    within: Within = WITHIN_S,
+    within: Within = DEFAULT_WITHIN_S,
 ) -> int:
     """Send nothing more to a zone's nodes; --end withdraws that.
 
@@ -28,10 +29,11 @@
     zone), 2 wrong input, 3 no clear answer.
     """
     method = "DELETE" if end else "POST"
-    answer = ask(core, HttpCall(method, Path.EVACUATION + quote(zone, safe="")), within)
-    if not isinstance(answer, Answer):
-        return answer
-    if not answer.is_success:
-        return refuse(answer)
+    request = HttpRequest(method, Path.EVACUATION + quote(zone, safe=""))
+    response = request_core(core, request, within)
+    if not isinstance(response, CoreResponse):
+        return response
+    if not response.is_success:
+        return report_rejection(response)
     print(f"zone {zone}: {'in use again' if end else 'evacuated'}")
     return ExitCode.DONE
--- a/coveport/serving/cli/exit_codes.py
+++ b/coveport/serving/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""What the operators' verbs tell scripts by their exit code."""
+"""Exit codes of the operators' verbs, for scripts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """The meaning of each code; `docs/operators/command-line.md` has them too."""
+    """The codes, as docs/operators/command-line.md lists them."""
 
     DONE = 0
     REFUSED = 1  # the core said no, or `diff` found differences
--- a/coveport/serving/cli/explain.py
+++ b/coveport/serving/cli/explain.py
@@ -1,4 +1,4 @@
-"""`explain`: where the worth of a played day went: by part and price, kind, zone, window and trouble."""
+"""`explain`: where a played day lost value: by part and price, class, zone, window and event."""
 
 from __future__ import annotations
 
@@ -10,20 +10,17 @@
 
 from cyclopts import Parameter
 
-from coveport.serving.cli.check import read_text
-from coveport.serving.cli.connecting import AsJson
-from coveport.serving.cli.day_report import (
-    DayReport,
-    Loss,
-    ReportFault,
-    Tally,
+from coveport.serving.cli.core_options import AsJson
+from coveport.serving.cli.day_losses import (
+    ValueLoss,
     WindowLoss,
-    losses,
-    lost_by_cause,
-    read_report,
+    requests_lost_by_event,
+    value_losses,
     window_losses,
 )
+from coveport.serving.cli.day_report import DayReport, OutcomeCounts, UnreadableReport, read_report
 from coveport.serving.cli.exit_codes import ExitCode
+from coveport.serving.cli.input_files import read_text
 from coveport.serving.cli.output import print_error, print_json, print_table
 
 ReportFile = Annotated[Path, Parameter(help="The report of a played day (JSON).")]
@@ -31,10 +28,10 @@
     Path | None, Parameter(name="--log", help="What the processes of that day logged; warnings are counted.")
 ]
 
-LEAST_WORTH: Final = 0.0005  # smaller losses are left out
-LEAST_LOST: Final = 0.5  # requests; windows and troubles with less are left out
-_TALLY_COLUMNS: Final = ("asked", "in time", "late", "refused", "failed", "worth")
-_NOTABLE_LINE: Final = re.compile(r"\blevel=(?:warning|error)\b.*?\bevent=(\w+)")
+MIN_SHOWN_VALUE: Final = 0.0005  # of the whole day's; smaller losses are left out
+MIN_SHOWN_REQUESTS: Final = 0.5  # lost requests; windows and events with less are left out
+_COUNT_COLUMNS: Final = ("asked", "in time", "late", "refused", "failed", "worth")
+_WARNING_LINE: Final = re.compile(r"\blevel=(?:warning|error)\b.*?\bevent=(\w+)")
 
 
 def explain(report: ReportFile, /, *, log: LogFile = None, as_json: AsJson = False) -> int:
@@ -45,9 +42,9 @@
     text = read_text(report)
     if text is None:
         return ExitCode.WRONG_INPUT
-    read = read_report(text)
-    if isinstance(read, ReportFault):
-        print_error(f"{report} {read.value}")
+    day = read_report(text)
+    if isinstance(day, UnreadableReport):
+        print_error(f"{report} {day.value}")
         return ExitCode.WRONG_INPUT
     warnings: Counter[str] = Counter()
     if log is not None:
@@ -56,73 +53,73 @@
             return ExitCode.WRONG_INPUT
         warnings = count_warnings(log_text.splitlines())
     if as_json:
-        print_json(_told(read, warnings))
+        print_json(_as_json(day, warnings))
     else:
-        _print(read, warnings)
-    return ExitCode.REFUSED if read.breaks or read.fault else ExitCode.DONE
+        _print_tables(day, warnings)
+    return ExitCode.REFUSED if day.breaks or day.fault else ExitCode.DONE
 
 
 def count_warnings(lines: Iterable[str]) -> Counter[str]:
-    """Warnings and errors by event."""
-    return Counter(found[1] for line in lines if (found := _NOTABLE_LINE.search(line)))
+    """Return the number of warnings and errors in a log, by event name."""
+    return Counter(match[1] for line in lines if (match := _WARNING_LINE.search(line)))
 
 
-def _told(report: DayReport, warnings: Counter[str]) -> dict[str, object]:
-    windows = window_losses(report)
+def _as_json(day: DayReport, warnings: Counter[str]) -> dict[str, object]:
+    windows = window_losses(day)
     return {
-        "worth": report.G,
-        "broken_rules": report.breaks,
-        "fault": report.fault,
-        "losses": {loss.what: round(loss.worth, 4) for loss in losses(report)},
-        "lost_requests_by_trouble": {kind: round(lost, 1) for kind, lost in lost_by_cause(windows)},
-        "windows": [
-            {"from_s": one.from_s, "lost": round(one.tally.lost, 1), "troubles": one.kinds} for one in windows
-        ],
+        "worth": day.net_value,
+        "broken_rules": day.breaks,
+        "fault": day.fault,
+        "losses": {loss.name: round(loss.value, 4) for loss in value_losses(day)},
+        "lost_requests_by_trouble": {kind: round(lost, 1) for kind, lost in requests_lost_by_event(windows)},
+        "windows": [_window_as_json(window) for window in windows],
         "warnings": dict(warnings),
     }
 
 
-def _print(report: DayReport, warnings: Counter[str]) -> None:
-    print(f"worth {report.G:.3f}, prices paid")
-    for rule, count in report.breaks.items():
+def _window_as_json(window: WindowLoss) -> dict[str, object]:
+    lost = round(window.counts.lost_requests, 1)
+    return {"from_s": window.from_s, "lost": lost, "troubles": window.event_kinds}
+
+
+def _print_tables(day: DayReport, warnings: Counter[str]) -> None:
+    print(f"worth {day.net_value:.3f}, prices paid")
+    for rule, count in day.breaks.items():
         print(f"rule broken: {rule}, {count} times")
-    if report.fault:
-        print(f"fault: {report.fault}")
-    print()
-    print_table(("lost by", "worth", "amount"), [_loss_row(loss) for loss in _notable(losses(report))])
+    if day.fault:
+        print(f"fault: {day.fault}")
+    losses = [loss for loss in value_losses(day) if loss.value >= MIN_SHOWN_VALUE]
     print()
-    print_table(("kind", *_TALLY_COLUMNS), [_tally_row(one) for one in report.classes])
+    print_table(("lost by", "worth", "amount"), [_loss_row(loss) for loss in losses])
     print()
-    print_table(("zone", *_TALLY_COLUMNS), [_tally_row(one) for one in report.zones])
-    windows = window_losses(report)
+    print_table(("kind", *_COUNT_COLUMNS), [_counts_row(counts) for counts in day.classes])
     print()
-    print_table(
-        ("second", *_TALLY_COLUMNS, "beside"), [_window_row(one) for one in windows if _is_notable(one)]
-    )
+    print_table(("zone", *_COUNT_COLUMNS), [_counts_row(counts) for counts in day.zones])
     print()
-    causes = [(kind, f"{lost:.1f}") for kind, lost in lost_by_cause(windows) if lost >= LEAST_LOST]
-    print_table(("trouble", "requests lost beside it"), causes)
+    _print_windows(window_losses(day))
     if warnings:
         print()
         print_table(("logged", "times"), warnings.most_common())
 
 
-def _notable(found: list[Loss]) -> list[Loss]:
-    return [loss for loss in found if loss.worth >= LEAST_WORTH]
-
-
-def _is_notable(window: WindowLoss) -> bool:
-    return window.tally.lost >= LEAST_LOST
+def _print_windows(windows: list[WindowLoss]) -> None:
+    shown = [window for window in windows if window.counts.lost_requests >= MIN_SHOWN_REQUESTS]
+    print_table(("second", *_COUNT_COLUMNS, "beside"), [_window_row(window) for window in shown])
+    events = [
+        (kind, f"{lost:.1f}") for kind, lost in requests_lost_by_event(windows) if lost >= MIN_SHOWN_REQUESTS
+    ]
+    print()
+    print_table(("trouble", "requests lost beside it"), events)
 
 
-def _loss_row(loss: Loss) -> tuple[str, str, str]:
-    return loss.what, f"{loss.worth:.4f}", "" if loss.amount is None else f"{loss.amount:g}"
+def _loss_row(loss: ValueLoss) -> tuple[str, str, str]:
+    return loss.name, f"{loss.value:.4f}", "" if loss.amount is None else f"{loss.amount:g}"
 
 
-def _tally_row(tally: Tally) -> tuple[object, ...]:
-    counts = (tally.n, tally.in_aim, tally.late, tally.refused, tally.failed)
-    return tally.name, *counts, f"{tally.worth:.3f}"
+def _counts_row(counts: OutcomeCounts) -> tuple[object, ...]:
+    outcomes = (counts.requests, counts.within_target, counts.late, counts.refused, counts.failed)
+    return counts.name, *outcomes, f"{counts.earned_share:.3f}"
 
 
 def _window_row(window: WindowLoss) -> tuple[object, ...]:
-    return *_tally_row(window.tally), ", ".join(window.kinds)
+    return *_counts_row(window.counts), ", ".join(window.event_kinds)
--- a/coveport/serving/cli/output.py
+++ b/coveport/serving/cli/output.py
@@ -1,4 +1,4 @@
-"""What the verbs print: tables for people, JSON for scripts, findings with the line they stand at."""
+"""Prints results: tables for people, JSON for scripts, findings with their lines."""
 
 from __future__ import annotations
 
@@ -7,34 +7,38 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from coveport.serving.cli.positions import line_of
+from coveport.serving.cli.line_numbers import line_of
 from coveport.serving.model.findings import Finding
 
 
 def print_json(value: Any) -> None:
-    """A value, for scripts."""
+    """Print a value as JSON, for scripts."""
     print(json.dumps(value, indent=2, ensure_ascii=False))
 
 
 def print_error(message: str) -> None:
-    """One line on standard error."""
+    """Print one line on standard error."""
     print(f"coveport: {message}", file=sys.stderr)
 
 
 def print_findings(file: str, findings: Iterable[Finding], lines: dict[str, int]) -> None:
-    """One finding a line, as compilers do: file, line, place and what is wrong."""
+    """Print a finding a line on standard error, as compilers do: `FILE:LINE: LOCATION: MESSAGE`.
+
+    `lines`: line by location, as `line_numbers` finds them.
+    """
     for finding in findings:
         print(f"{file}:{line_of(finding.location, finding.message, lines)}: {finding}", file=sys.stderr)
 
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """A table: drawn by `rich` on a terminal, plain columns elsewhere or where it isn't installed."""
+    """Print a table: drawn by `rich` on a terminal, plain columns elsewhere or where it isn't installed."""
     cells = [[str(cell) for cell in row] for row in rows]
     if not (sys.stdout.isatty() and _draw(columns, cells)):
         _print_columns(columns, cells)
 
 
 def _draw(columns: Sequence[str], cells: list[list[str]]) -> bool:
+    """Draw the table and return True; return False where `rich` isn't installed."""
     try:
         from rich.console import Console
         from rich.table import Table
--- a/coveport/serving/cli/roles.py
+++ b/coveport/serving/cli/roles.py
@@ -1,4 +1,4 @@
-"""Starts a role. Imports nothing that a role does not need: its start is counted."""
+"""Starts a role. Imports nothing that the role doesn't need: the time of its start counts."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from coveport.serving.wire.names import SETTINGS_VARIABLE
 
 ROLES = ("coordinator", "proxy")
-NO_SETTINGS = 2  # exit code
+NO_SETTINGS_EXIT_CODE = 2
 
 
 def run_role(role: str, settings: str | None) -> int:
-    """Run a role until it is told to stop; the exit code.
+    """Run a role until a signal stops it, and return its exit code.
 
-    `settings`: its file; None: the variable names it.
+    `settings`: path of the settings file; None: the environment variable names it.
     """
     path = settings or os.environ.get(SETTINGS_VARIABLE)
     if not path:
         print(f"coveport: name a settings file, or set {SETTINGS_VARIABLE}", file=sys.stderr)
-        return NO_SETTINGS
+        return NO_SETTINGS_EXIT_CODE
     if role == "coordinator":
         from coveport.serving.coordinator.process import run as run_coordinator
 
--- a/coveport/serving/scale/machines.py
+++ b/coveport/serving/scale/machines.py
@@ -11,7 +11,7 @@
 
 from coveport.net.address import Address
 from coveport.net.transport import Net
-from coveport.serving.cli.http_call import Failed, HttpCall, send_call
+from coveport.serving.cli.http_client import HttpRequest, RequestFailure, send_request
 from coveport.serving.scale.load import service_name
 from coveport.serving.scale.measures import CoordinatorReading, Counts, Reading
 from coveport.serving.scale.processes import RoleProcess, Worker
@@ -143,8 +143,9 @@
 
     async def status(self, number: int) -> dict[str, Any] | None:
         """What a coordinator says of itself."""
-        answer = await send_call(self._net, self.control(number), HttpCall("GET", WirePath.STATUS), STATUS_S)
-        if isinstance(answer, Failed) or answer.status != 200:
+        request = HttpRequest("GET", WirePath.STATUS)
+        answer = await send_request(self._net, self.control(number), request, STATUS_S)
+        if isinstance(answer, RequestFailure) or answer.status != 200:
             return None
         told: dict[str, Any] = json.loads(answer.body)
         return told
--- a/coveport/serving/scale/run.py
+++ b/coveport/serving/scale/run.py
@@ -11,8 +11,8 @@
 
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net
-from coveport.serving.cli.core_caller import Answer, CoreCaller
-from coveport.serving.cli.http_call import Failed, HttpCall, send_call
+from coveport.serving.cli.core_client import CoreClient, CoreResponse
+from coveport.serving.cli.http_client import HttpRequest, RequestFailure, send_request
 from coveport.serving.scale.faults import plan_day
 from coveport.serving.scale.load import change_of_edition, first_configuration
 from coveport.serving.scale.machines import Machines
@@ -105,10 +105,10 @@
         began_s = self._net.now_s()
         for worker in self._machines.node_workers:
             worker.say({"do": "start"})
-        caller = CoreCaller(self._net, self._control())
-        first = HttpCall("PUT", Path.CONFIG, ((IF_MATCH, "0"), JSON_TYPE), first_configuration(self._size))
-        answer = await caller.call(first, PUT_WITHIN_S)
-        if not isinstance(answer, Answer) or not answer.is_success:
+        client = CoreClient(self._net, self._control())
+        first = HttpRequest("PUT", Path.CONFIG, ((IF_MATCH, "0"), JSON_TYPE), first_configuration(self._size))
+        answer = await client.send(first, PUT_WITHIN_S)
+        if not isinstance(answer, CoreResponse) or not answer.is_success:
             raise NotBegunError(f"the first configuration was not taken: {answer}")
         self._edition = 1
         for worker in self._machines.proxy_workers:
@@ -148,22 +148,22 @@
 
     # Changes.
 
-    def _change(self) -> HttpCall:
+    def _change(self) -> HttpRequest:
         edition = self._edition + 1
         body = change_of_edition(edition, self._size)
-        return HttpCall("PATCH", Path.CONFIG, ((IF_MATCH, str(self._edition)), JSON_TYPE), body)
+        return HttpRequest("PATCH", Path.CONFIG, ((IF_MATCH, str(self._edition)), JSON_TYPE), body)
 
     async def _changes(self) -> tuple[list[float], list[float], int]:
         """How late each change was in force and acknowledged, and how many proxies missed one."""
-        caller = CoreCaller(self._net, self._control())
+        client = CoreClient(self._net, self._control())
         in_force: list[float] = []
         acknowledged: list[float] = []
         missing = 0
         began_s: float | None = None  # when this change was first sent
         for _ in range(CHANGES):
             began_s = self._net.now_s() if began_s is None else began_s
-            answer = await caller.call(self._change(), IN_FORCE_WITHIN_S)
-            if not isinstance(answer, Answer) or not answer.is_success:
+            answer = await client.send(self._change(), IN_FORCE_WITHIN_S)
+            if not isinstance(answer, CoreResponse) or not answer.is_success:
                 self._problems.append(f"a change was not taken: {answer}")
                 continue
             self._edition += 1
@@ -276,7 +276,7 @@
                 return number
         return None
 
-    async def _try_until_taken(self, call: HttpCall, addresses: list[Address], until_s: float) -> bool:
+    async def _try_until_taken(self, call: HttpRequest, addresses: list[Address], until_s: float) -> bool:
         turn = 0
         while self._net.now_s() < until_s:
             if await self._is_taken(addresses[turn % len(addresses)], call):
@@ -285,12 +285,12 @@
             await asyncio.sleep(TRY_AGAIN_S)
         return False
 
-    async def _is_taken(self, address: Address, call: HttpCall) -> bool:
-        answer = await send_call(self._net, address, call, TRY_S)
-        if not isinstance(answer, Failed) and answer.status == 307:
+    async def _is_taken(self, address: Address, call: HttpRequest) -> bool:
+        answer = await send_request(self._net, address, call, TRY_S)
+        if not isinstance(answer, RequestFailure) and answer.status == 307:
             location = answer.headers["location"][0].removeprefix("http://").partition("/")[0]
-            answer = await send_call(self._net, parse_address(location), call, TRY_S)
-        return not isinstance(answer, Failed) and answer.status == 200
+            answer = await send_request(self._net, parse_address(location), call, TRY_S)
+        return not isinstance(answer, RequestFailure) and answer.status == 200
 
     async def _settle(self) -> None:
         if not await self._agreed(SETTLES_S):
--- a/coveport/serving/scale/verb.py
+++ b/coveport/serving/scale/verb.py
@@ -13,7 +13,7 @@
 from cyclopts import App, Parameter
 
 from coveport.net.transport import Net
-from coveport.serving.cli.connecting import AsJson
+from coveport.serving.cli.core_options import AsJson
 from coveport.serving.cli.exit_codes import ExitCode
 from coveport.serving.cli.output import print_error, print_json, print_table
 from coveport.serving.scale.machines import Machines
--- a/tests/serving/cli/test_core_caller.py
+++ b/tests/serving/cli/test_core_client.py
@@ -1,4 +1,4 @@
-"""Calling a core in virtual time: redirects, failures, silence, pauses."""
+"""Requests to a core in virtual time: redirects, failures, time-outs, backoff."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import pytest
 
 from coveport.http1.codec import Request, RequestParser, write_response
-from coveport.serving.cli.core_caller import Answer, CoreCaller, NoAnswer
-from coveport.serving.cli.http_call import HttpCall
+from coveport.serving.cli.core_client import CoreClient, CoreResponse, CoreUnavailable
+from coveport.serving.cli.http_client import HttpRequest
 from coveport.serving.simulation.topology import SimulatedWays
 from coveport.serving.simulation.zones import Delays
 from coveport.testbed.simulated_network.wires import Network, VirtualNet
@@ -19,12 +19,12 @@
 
 T = TypeVar("T")
 PORT = 80
-CALL = HttpCall("PUT", "/coveport/config", (("If-Match", "0"),), b"{}")
-Reply = tuple[int, str]  # status, and where it sends on; status 0: a close; below 0: silence
+REQUEST = HttpRequest("PUT", "/coveport/config", (("If-Match", "0"),), b"{}")
+Reply = tuple[int, str]  # status, and the Location; status 0: closes the connection; below 0: no response
 
 
 class Coordinator(asyncio.Protocol):
-    """Answers what it is told to, the last answer for ever."""
+    """Sends scripted replies, the last one again and again."""
 
     def __init__(self, replies: list[Reply], seen: list[Request]) -> None:
         self._replies = replies
@@ -46,11 +46,11 @@
             self._transport.close()
         elif status > 0:
             headers = [("Location", location)] if location else []
-            self._transport.write(write_response(status, headers, b"told"))
+            self._transport.write(write_response(status, headers, b"body"))
 
 
-class Ground:
-    """Some coordinators with scripted replies, and a caller."""
+class ScriptedCore:
+    """Some coordinators with scripted replies, and a client."""
 
     def __init__(self, *scripts: list[Reply]) -> None:
         self.time = World()
@@ -74,68 +74,68 @@
         assert self.time.run(self.time.now + 1000, task.done)
         return task.result()
 
-    def call(self, within_s: float = 30.0) -> Answer | NoAnswer:
-        """What the caller ends with."""
-        return self._run(CoreCaller(self._net, self._addresses).call(CALL, within_s))
+    def send(self, within_s: float = 30.0) -> CoreResponse | CoreUnavailable:
+        """Return what the client ends with."""
+        return self._run(CoreClient(self._net, self._addresses).send(REQUEST, within_s))
 
 
-def to(number: int) -> Reply:
+def redirect_to(number: int) -> Reply:
     return 307, f"http://10.0.0.{number}:{PORT}/coveport/config"
 
 
-def test_two_redirects_are_followed_and_the_call_is_the_same_each_time() -> None:
-    ground = Ground([to(2)], [to(3)], [(200, "")])
-    assert ground.call() == Answer(200, b"told")
-    requests = [requests[0] for requests in ground.seen]
-    assert {(one.method, one.target, one.body, one.get("if-match")) for one in requests} == {
-        ("PUT", "/coveport/config", b"{}", "0")
-    }
+def test_two_redirects_are_followed_with_the_same_request() -> None:
+    core = ScriptedCore([redirect_to(2)], [redirect_to(3)], [(200, "")])
+    assert core.send() == CoreResponse(200, b"body")
+    requests = [requests[0] for requests in core.seen]
+    assert {
+        (request.method, request.target, request.body, request.get("if-match")) for request in requests
+    } == {("PUT", "/coveport/config", b"{}", "0")}
 
 
-def test_a_third_redirect_is_not_followed_but_another_coordinator_asked() -> None:
-    ground = Ground([to(2)], [to(1)])
-    outcome = ground.call(within_s=2)
-    assert isinstance(outcome, NoAnswer)
+def test_a_third_redirect_leads_to_another_coordinator() -> None:
+    core = ScriptedCore([redirect_to(2)], [redirect_to(1)])
+    outcome = core.send(within_s=2)
+    assert isinstance(outcome, CoreUnavailable)
     assert "more than 2 times" in outcome.reasons["10.0.0.1:80"]
-    assert len(ground.seen[0]) + len(ground.seen[1]) >= 6
+    assert len(core.seen[0]) + len(core.seen[1]) >= 6
 
 
 @pytest.mark.parametrize("status", [400, 404, 409, 412, 413, 422])
-def test_clear_refusals_end_the_call(status: int) -> None:
-    ground = Ground([(status, "")], [(200, "")])
-    assert ground.call() == Answer(status, b"told")
-    assert ground.seen[1] == []
+def test_a_final_rejection_ends_the_request(status: int) -> None:
+    core = ScriptedCore([(status, "")], [(200, "")])
+    assert core.send() == CoreResponse(status, b"body")
+    assert core.seen[1] == []
 
 
 @pytest.mark.parametrize("status", [500, 503, 408, 429, 0, -1])
-def test_failures_and_silence_lead_to_another_coordinator(status: int) -> None:
-    ground = Ground([(status, "")], [(200, "")])
-    assert ground.call() == Answer(200, b"told")
-    assert len(ground.seen[0]) == 1
+def test_a_failure_or_a_time_out_leads_to_another_coordinator(status: int) -> None:
+    core = ScriptedCore([(status, "")], [(200, "")])
+    assert core.send() == CoreResponse(200, b"body")
+    assert len(core.seen[0]) == 1
 
 
 @pytest.mark.parametrize("reply", [(307, ""), (307, "http://nowhere/x"), (307, "http://10.0.0.77:80/x")])
 def test_a_redirect_to_nowhere_is_a_failure(reply: Reply) -> None:
-    assert Ground([reply], [(200, "")]).call() == Answer(200, b"told")
+    assert ScriptedCore([reply], [(200, "")]).send() == CoreResponse(200, b"body")
 
 
-def test_other_refusals_end_the_call_at_the_third() -> None:
-    ground = Ground([(405, "")], [(403, "")])
-    assert ground.call() == Answer(405, b"told")
-    assert (len(ground.seen[0]), len(ground.seen[1])) == (2, 1)
+def test_other_rejections_end_the_request_at_the_third() -> None:
+    core = ScriptedCore([(405, "")], [(403, "")])
+    assert core.send() == CoreResponse(405, b"body")
+    assert (len(core.seen[0]), len(core.seen[1])) == (2, 1)
 
 
-def test_silence_is_left_after_a_second_and_the_call_ends_in_time() -> None:
-    ground = Ground([(-1, "")], [(-1, "")])
-    started = ground.time.now
-    outcome = ground.call(within_s=4)
-    assert isinstance(outcome, NoAnswer)
+def test_a_coordinator_times_out_after_a_second_and_the_request_ends_in_time() -> None:
+    core = ScriptedCore([(-1, "")], [(-1, "")])
+    started = core.time.now
+    outcome = core.send(within_s=4)
+    assert isinstance(outcome, CoreUnavailable)
     assert set(outcome.reasons) == {"10.0.0.1:80", "10.0.0.2:80"}
-    assert 2 < ground.time.now - started <= 4.001
-    assert (len(ground.seen[0]), len(ground.seen[1])) == (2, 2)
+    assert 2 < core.time.now - started <= 4.001
+    assert (len(core.seen[0]), len(core.seen[1])) == (2, 2)
 
 
-def test_pauses_grow() -> None:
-    ground = Ground([(503, "")])
-    ground.call(within_s=10)
-    assert 5 <= len(ground.seen[0]) <= 10
+def test_backoff_grows() -> None:
+    core = ScriptedCore([(503, "")])
+    core.send(within_s=10)
+    assert 5 <= len(core.seen[0]) <= 10
--- a/tests/serving/cli/test_day_explained.py
+++ b/tests/serving/cli/test_day_explained.py
@@ -1,4 +1,4 @@
-"""`explain`: where a played day's worth went."""
+"""`explain`: where a played day lost value."""
 
 from __future__ import annotations
 
@@ -9,22 +9,20 @@
 import pytest
 
 from coveport.serving.cli.app import app
-from coveport.serving.cli.day_report import (
-    NO_TROUBLE,
-    DayReport,
-    ReportFault,
-    losses,
-    lost_by_cause,
-    read_report,
+from coveport.serving.cli.day_losses import (
+    NO_EVENT,
+    requests_lost_by_event,
+    value_losses,
     window_losses,
 )
+from coveport.serving.cli.day_report import DayReport, UnreadableReport, read_report
 from coveport.serving.cli.explain import count_warnings
 
 
-def tally(name: str, n: int, late: int, failed: int, worth: float) -> dict[str, Any]:
+def counts(name: str, n: int, late: int, failed: int, worth: float) -> dict[str, Any]:
     in_aim = n - late - failed
-    counts = {"n": n, "in_aim": in_aim, "late": late, "refused": 0, "failed": failed}
-    return {"name": name, **counts, "worth": worth, "p50_ms": 70.1}
+    outcomes = {"n": n, "in_aim": in_aim, "late": late, "refused": 0, "failed": failed}
+    return {"name": name, **outcomes, "worth": worth, "p50_ms": 70.1}
 
 
 REPORT = {
@@ -33,13 +31,13 @@
     "prices": [["machine-seconds", 672.0, 0.03], ["processor seconds", 9, 0.0001]],
     "breaks": {},
     "fault": None,
-    "classes": [tally("review", 30, 2, 1, 0.92), tally("offer", 70, 0, 9, 0.87)],
-    "zones": [tally("north", 100, 2, 10, 0.88)],
+    "classes": [counts("review", 30, 2, 1, 0.92), counts("offer", 70, 0, 9, 0.87)],
+    "zones": [counts("north", 100, 2, 10, 0.88)],
     "windows": [
-        tally("0", 20, 0, 0, 1.0),
-        tally("2", 20, 2, 0, 0.95),
-        tally("20", 20, 0, 10, 0.5),
-        tally("22", 20, 0, 0, 1.0),
+        counts("0", 20, 0, 0, 1.0),
+        counts("2", 20, 2, 0, 0.95),
+        counts("20", 20, 0, 10, 0.5),
+        counts("22", 20, 0, 0, 1.0),
     ],
     "events": [
         {"at_s": 21.0, "to_s": 21.5, "kind": "node_kill", "what": "one", "planned": False},
@@ -50,14 +48,14 @@
 
 
 def read(**changes: object) -> DayReport:
-    found = read_report(json.dumps(REPORT | changes))
-    assert isinstance(found, DayReport)
-    return found
+    report = read_report(json.dumps(REPORT | changes))
+    assert isinstance(report, DayReport)
+    return report
 
 
-def test_parts_and_prices_are_told_as_worth_the_largest_first() -> None:
-    told = [(loss.what, round(loss.worth, 4), loss.amount) for loss in losses(read())]
-    assert told == [
+def test_value_losses_are_those_of_parts_and_prices_the_largest_first() -> None:
+    losses = [(loss.name, round(loss.value, 4), loss.amount) for loss in value_losses(read())]
+    assert losses == [
         ("worst windows", 0.15, None),
         ("whole day", 0.06, None),
         ("worst class", 0.0375, None),
@@ -66,35 +64,35 @@
     ]
 
 
-def test_a_window_names_the_troubles_that_touch_its_streams() -> None:
-    kinds = {one.from_s: one.kinds for one in window_losses(read())}
+def test_a_window_names_the_events_that_touch_its_streams() -> None:
+    kinds = {window.from_s: window.event_kinds for window in window_losses(read())}
     assert kinds == {0.0: (), 2.0: (), 20.0: ("node_kill", "burst"), 22.0: ("node_kill", "burst")}
 
 
-def test_what_is_lost_beside_several_troubles_is_shared_and_the_rest_is_nobodys() -> None:
-    assert lost_by_cause(window_losses(read())) == [
+def test_losses_beside_several_events_are_shared_and_the_rest_has_none() -> None:
+    assert requests_lost_by_event(window_losses(read())) == [
         ("node_kill", 5.0),
         ("burst", 5.0),
-        (NO_TROUBLE, pytest.approx(1.0)),
+        (NO_EVENT, pytest.approx(1.0)),
     ]
 
 
-def test_a_day_without_windows_has_no_causes() -> None:
-    assert lost_by_cause(window_losses(read(windows=[]))) == []
+def test_a_day_without_windows_has_no_lost_requests() -> None:
+    assert requests_lost_by_event(window_losses(read(windows=[]))) == []
 
 
 @pytest.mark.parametrize(
-    ("text", "fault"),
+    ("text", "reason"),
     [
-        ("{", ReportFault.NOT_JSON),
-        ("[]", ReportFault.NOT_A_REPORT),
-        ("{}", ReportFault.NOT_A_REPORT),
-        (json.dumps(REPORT | {"windows": [{"name": "0"}]}), ReportFault.NOT_A_REPORT),
-        (json.dumps(REPORT | {"parts": [["whole day", "much", 0.9]]}), ReportFault.NOT_A_REPORT),
+        ("{", UnreadableReport.NOT_JSON),
+        ("[]", UnreadableReport.NOT_A_REPORT),
+        ("{}", UnreadableReport.NOT_A_REPORT),
+        (json.dumps(REPORT | {"windows": [{"name": "0"}]}), UnreadableReport.NOT_A_REPORT),
+        (json.dumps(REPORT | {"parts": [["whole day", "much", 0.9]]}), UnreadableReport.NOT_A_REPORT),
     ],
 )
-def test_what_is_no_report_is_said(text: str, fault: ReportFault) -> None:
-    assert read_report(text) is fault
+def test_a_text_that_is_no_report_gives_the_reason(text: str, reason: UnreadableReport) -> None:
+    assert read_report(text) is reason
 
 
 def test_warnings_are_counted_by_event() -> None:
@@ -109,7 +107,7 @@
 
 
 def run(*words: str) -> int:
-    """Run the verb as the command line does; its exit code."""
+    """Run the verb as the command line does, and return its exit code."""
     try:
         return int(app(["explain", *words], result_action="return_value"))
     except SystemExit as ended:
@@ -126,18 +124,20 @@
     assert "node_kill, burst" in printed and "stalled  1" in printed
 
 
-def test_the_verb_prints_json_and_tells_a_broken_rule_by_its_code(
+def test_a_broken_rule_is_in_the_json_and_in_the_exit_code(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "day.json"
     file.write_text(json.dumps(REPORT | {"breaks": {"DRAIN": 2}}))
     assert run(str(file), "--json") == 1
-    told = json.loads(capsys.readouterr().out)
-    assert told["broken_rules"] == {"DRAIN": 2}
-    assert told["lost_requests_by_trouble"] == {"node_kill": 5.0, "burst": 5.0, NO_TROUBLE: 1.0}
+    printed = json.loads(capsys.readouterr().out)
+    assert printed["broken_rules"] == {"DRAIN": 2}
+    assert printed["lost_requests_by_trouble"] == {"node_kill": 5.0, "burst": 5.0, NO_EVENT: 1.0}
 
 
-def test_wrong_input_is_one_line_and_code_two(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_wrong_input_gives_one_line_and_exit_code_two(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     file = tmp_path / "day.json"
     assert run(str(file)) == 2
     file.write_text("{}")
--- a/tests/serving/cli/test_positions.py
+++ b/tests/serving/cli/test_line_numbers.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.serving.cli.positions import json_lines, line_of, toml_lines
+from coveport.serving.cli.line_numbers import json_lines, line_of, toml_lines
 
 JSON_VALUES = st.recursive(
     st.none() | st.integers() | st.text(alphabet='ab"\\{}[],:\n é', max_size=5),
