--- a/coveport/serving/coordinator/peers.py
+++ b/coveport/serving/coordinator/peers.py
@@ -103,7 +103,7 @@
             connection = peer.connection
             silent_s = now - max(peer.heard_s, peer.dialed_s)
             if connection is not None and connection.is_open and silent_s > SILENT_S:
-                connection.drop()
+                connection.abort()
                 peer.connection = None
             if peer.connection is None or not peer.connection.is_open:
                 self._dial(peer)
@@ -118,7 +118,7 @@
         if peer.dialing is not None:
             peer.dialing.cancel()
         if peer.connection is not None:
-            peer.connection.drop()
+            peer.connection.abort()
 
     def _dial(self, peer: _Peer, gap_s: float = REDIAL_S) -> None:
         now = self._net.now_s()
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -32,6 +32,7 @@
 from coveport.serving.web.router import Router
 from coveport.serving.web.server import HttpServer
 from coveport.serving.wire.connection import Connection
+from coveport.serving.wire.errors import RemoteProtocolError
 from coveport.serving.wire.messages import (
     CoordinatorEndpoint,
     Hello,
@@ -224,15 +225,15 @@
         """A peer says who it is, once a connection; our own identity elsewhere is a copied disk."""
         if hello.disk == self._member_id.disk:
             self._log.error("duplicate_identity", address=hello.address)
-            connection.drop()
+            connection.abort()
         elif connection.peer is not None:
-            connection.drop()
+            connection.abort()
         else:
             connection.peer = hello
 
-    def _refused(self, connection: Connection, problem: str) -> None:
+    def _refused(self, connection: Connection, error: RemoteProtocolError) -> None:
         """What came is no message of this version: the peer is another program, or of another version."""
-        self._log.error("frame_rejected", sender=connection.peer_host, error=problem)
+        self._log.error("frame_rejected", sender=connection.peer_host, error=str(error))
 
     def _ended(self, connection: Connection) -> None:
         self.subscriptions.ended(connection)
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -98,7 +98,7 @@
             nearer = await self._ask_on(connection, address)
             if nearer is None:
                 self._choice.failed(address, self._net.now_s())
-                connection.drop()
+                connection.abort()
                 return
             other = await self._connect(nearer)
             if other is not None:
--- a/coveport/serving/wire/frames.py
+++ b/coveport/serving/wire/frames.py
@@ -1,19 +1,23 @@
-"""Frames between our own processes: mark and format version, length, checksum, then the message."""
+"""Frames between this system's own processes: magic and version, length, CRC-32, then one message.
+
+All numbers of the header are big-endian. A peer of another version is refused: its messages may differ.
+"""
 
 from __future__ import annotations
 
 import zlib
 from collections.abc import Iterator
+from typing import Final
 
 import construct as c
 
 from coveport.serving.wire.errors import MalformedFrameError
 
-FORMAT_VERSION = 3  # 2: updates tell who has left for good; 3: confirmations tell the sender's view
-MOST_BYTES = 48 * 1024 * 1024  # of one frame: a whole configuration and every node fit well below
+FORMAT_VERSION: Final = 3  # 2: updates have departed nodes; 3: acknowledgements have the sender's view
+MAX_PAYLOAD_BYTES: Final = 48 * 1024 * 1024  # a whole configuration and every node fit well below
 
 _HEADER = c.Struct(
-    "mark" / c.Const(b"CVP"),
+    "magic" / c.Const(b"CVP"),
     "version" / c.Const(FORMAT_VERSION, c.Int8ub),
     "length" / c.Int32ub,
     "checksum" / c.Int32ub,
@@ -22,32 +26,45 @@
 
 
 def write_frame(payload: bytes) -> bytes:
-    """A frame around a message."""
+    """Return a message's bytes with the header in front."""
     header = {"length": len(payload), "checksum": zlib.crc32(payload)}
     return bytes(_HEADER.build(header)) + payload
 
 
 class FrameReader:
-    """Takes bytes as they come and hands out whole messages; MalformedFrameError ends the connection."""
+    """Cuts a stream of bytes into the payloads of its frames."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Messages that are whole now."""
-        self._held += data
-        while len(self._held) >= HEADER_BYTES:
-            try:
-                header = _HEADER.parse(bytes(self._held[:HEADER_BYTES]))
-            except c.ConstructError as problem:
-                raise MalformedFrameError(str(problem)) from problem
-            if header.length > MOST_BYTES:
-                raise MalformedFrameError(f"a frame of {header.length} bytes")
-            end = HEADER_BYTES + header.length
-            if len(self._held) < end:
+        """Take more bytes of the stream and yield the payloads that are complete.
+
+        Raises MalformedFrameError; the stream can't be read on after it.
+        """
+        self._buffer += data
+        while len(self._buffer) >= HEADER_BYTES:
+            length, checksum = _read_header(bytes(self._buffer[:HEADER_BYTES]))
+            end = HEADER_BYTES + length
+            if len(self._buffer) < end:
                 return
-            payload = bytes(self._held[HEADER_BYTES:end])
-            del self._held[:end]
-            if zlib.crc32(payload) != header.checksum:
-                raise MalformedFrameError("checksum differs")
+            payload = bytes(self._buffer[HEADER_BYTES:end])
+            del self._buffer[:end]
+            if zlib.crc32(payload) != checksum:
+                raise MalformedFrameError(
+                    f"the checksum of a frame of {length} bytes differs from its header's"
+                )
             yield payload
+
+
+def _read_header(data: bytes) -> tuple[int, int]:
+    """Return the payload's length in bytes and its CRC-32."""
+    try:
+        header = _HEADER.parse(data)
+    except c.ConstructError as error:
+        raise MalformedFrameError(str(error)) from error
+    if header.length > MAX_PAYLOAD_BYTES:
+        raise MalformedFrameError(
+            f"a frame of {header.length} bytes; at most {MAX_PAYLOAD_BYTES} are allowed"
+        )
+    return header.length, header.checksum
--- a/coveport/serving/wire/messages.py
+++ b/coveport/serving/wire/messages.py
@@ -1,4 +1,8 @@
-"""Messages between our own processes, beside those of replication."""
+"""Messages between coordinators and from proxies to coordinators, beside those of replication.
+
+Fields are encoded by their order and type (see `dataclass_formats`), classes by their position in `MESSAGES`:
+neither may be moved, and another type or a new field needs a new version of the frames.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +13,16 @@
 from coveport.serving.model.node import Node
 from coveport.serving.replication.identity import Epoch
 from coveport.serving.replication.messages import MESSAGES as REPLICATION_MESSAGES
-from coveport.serving.wire.codec import MessageCodec, remembered
+from coveport.serving.wire.codec import MessageCodec
+from coveport.serving.wire.dataclass_formats import cache_encodings
 
-remembered(Node)
-remembered(ProxyLease)
+cache_encodings(Node)
+cache_encodings(ProxyLease)
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """First on every connection between coordinators: who dialed."""
+    """The first message on every connection between coordinators: the identity of the one that dialed."""
 
     address: str  # its inner address, ip:port
     disk: str  # identity of its disk
@@ -25,15 +30,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeReports:
-    """Reports on nodes, passed on by the coordinator that took them."""
+    """Reports on nodes, forwarded by the coordinator that received them."""
 
-    confirmation_id: int  # not 0: answer with `NodeReportsAck` of this number
+    confirmation_id: int  # not 0: answer with a `NodeReportsAck` of this number
     nodes: tuple[Node, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class NodeReportsAck:
-    """The reports of that number are in the sender's table."""
+    """The sender has stored the reports of that number in its node table."""
 
     confirmation_id: int
     view: Epoch  # of the newest view that the sender has accepted: it votes for that view's members alone
@@ -41,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableRequest:
-    """Asks for the whole node table and all leases (after a start or a stall)."""
+    """Asks for the whole node table and all leases, after a start or a stall."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,19 +58,19 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateRequest:
-    """A proxy asks with the versions it has; this renews its lease."""
+    """A proxy's request for everything newer than the versions it has; it renews the proxy's lease."""
 
     lease: ProxyLease
     table_id: str  # identity of the node table that `node_revision` is of; empty: none
     node_revision: int
     state_sequence: int  # of the acknowledged state; -1: none
     request_number: int
-    deregistered: tuple[str, ...] = ()  # incarnations known to be gone for good; told once a connection
+    deregistered: tuple[str, ...] = ()  # incarnations known to be gone for good; sent once a connection
 
 
 @dataclass(frozen=True, slots=True)
 class Unsubscribe:
-    """A proxy's last word on a connection: it has gone to a nearer coordinator; its lease stays."""
+    """A proxy's last message on a connection: it has gone to a nearer coordinator, its lease stays."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,31 +83,31 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorEndpoint:
-    """Where a live coordinator stands."""
+    """Address and locality of a live coordinator."""
 
-    address: str  # its inner address
+    address: str  # its inner address, ip:port
     zone: str
     region: str
 
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """The answer: what is newer, or nothing after a while."""
+    """The answer to an `UpdateRequest`: what is newer, or nothing once the request has waited for a while."""
 
     request_number: int
     has_quorum: bool  # the sender is in touch with a majority of the core; otherwise ask another
-    knows_all_nodes: bool  # ... and has been long enough to know every node
+    knows_all_nodes: bool  # ... and has been for long enough that every live node has reported
     table_id: str
     node_revision: int
-    is_full_table: bool
+    is_full_table: bool  # `nodes` is the whole table; otherwise what changed since the revision asked with
     nodes: tuple[Node, ...]
-    removed: tuple[str, ...]
+    removed: tuple[str, ...]  # incarnations that are no longer in the table
     deregistered: tuple[str, ...]  # incarnations that never come back
     state_sequence: int
-    state: bytes | None  # the whole acknowledged state
-    changes: tuple[StateChange, ...]  # or what led there from the sequence asked with
+    state: bytes | None  # the whole acknowledged state ...
+    changes: tuple[StateChange, ...]  # ... or what led there from the sequence asked with
     coordinators: tuple[CoordinatorEndpoint, ...]  # those that are alive, the sender included
-    max_proxies: int  # 0: not known yet
+    max_proxies: int  # upper bound of the number of proxies; 0: not known yet
 
 
 Message = object
--- a/coveport/serving/wire/shared_update.py
+++ b/coveport/serving/wire/shared_update.py
@@ -1,36 +1,40 @@
-"""One update for many proxies: encoded once, completed for each one.
+"""One update for many proxies: encoded once, completed for each request.
 
-Hundreds of proxies ask with the same versions and are told the same; with 600 nodes, encoding a whole table
-for each of them would keep a coordinator busy for longer than a primary may be silent.
+Hundreds of proxies ask with the same versions and get the same answer. With 600 nodes, encoding the node
+table for each of them would keep a coordinator busy for longer than its peers wait for a ping of the primary.
 """
 
 from __future__ import annotations
 
 from dataclasses import replace
+from typing import Final
 
 import construct as c
 
 from coveport.serving.wire.frames import write_frame
 from coveport.serving.wire.messages import CODEC, Update
 
-_OPEN = 0
+_PLACEHOLDER: Final = 0
+_KIND_BYTES: Final = 1  # the number of the message's class, in front of its fields
 
 
 class SharedUpdate:
-    """An update without its first field, the round, and its last, the number of proxies."""
+    """The encoding of an update without its first field, `request_number`, and its last, `max_proxies`."""
 
     def __init__(self, update: Update) -> None:
-        """`update`: its round and its number of proxies do not matter."""
-        encoded = CODEC.encode(replace(update, request_number=_OPEN, max_proxies=_OPEN))
-        width = len(_encode_number(_OPEN))
-        self._kind = encoded[:1]
-        self._shared = encoded[1 + width : -width]
+        """Encode `update`, whose values of these two fields don't matter."""
+        encoded = CODEC.encode(replace(update, request_number=_PLACEHOLDER, max_proxies=_PLACEHOLDER))
+        placeholder_bytes = len(_encode_number(_PLACEHOLDER))
+        self._kind = encoded[:_KIND_BYTES]
+        self._shared = encoded[_KIND_BYTES + placeholder_bytes : -placeholder_bytes]
 
     def frame(self, request_number: int, max_proxies: int) -> bytes:
-        """The frame that answers a round."""
-        first, last = _encode_number(request_number), _encode_number(max_proxies)
-        return write_frame(self._kind + first + self._shared + last)
+        """Return the complete frame that answers a request."""
+        first_field = _encode_number(request_number)
+        last_field = _encode_number(max_proxies)
+        return write_frame(self._kind + first_field + self._shared + last_field)
 
 
 def _encode_number(number: int) -> bytes:
+    """Return an integer as `codec` encodes it."""
     return bytes(c.ZigZag.build(number))
--- a/coveport/serving/wire/traffic.py
+++ b/coveport/serving/wire/traffic.py
@@ -1,4 +1,4 @@
-"""Counts messages between our own processes, by kind: what `status` tells, and capacity is reckoned from."""
+"""Counts messages between this system's own processes by kind, for `status` and for capacity planning."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 
 
 @dataclass(slots=True)
-class KindCount:
-    """Of one kind of message, one way."""
+class MessageCount:
+    """Messages of one kind in one direction."""
 
     messages: int = 0
-    frame_bytes: int = 0
+    frame_bytes: int = 0  # with the frames' headers
 
     def add(self, frame_bytes: int) -> None:
-        """One more."""
+        """Count one more message."""
         self.messages += 1
         self.frame_bytes += frame_bytes
 
 
 @dataclass(slots=True)
 class Traffic:
-    """All that one process sent and received since its start."""
+    """All messages that one process sent and received since its start, by label."""
 
-    sent: dict[str, KindCount] = field(default_factory=dict)
-    received: dict[str, KindCount] = field(default_factory=dict)
+    sent: dict[str, MessageCount] = field(default_factory=dict)
+    received: dict[str, MessageCount] = field(default_factory=dict)
 
-    def note_sent(self, kind: type, frame_bytes: int) -> None:
-        """A message went out."""
-        _count(self.sent, kind).add(frame_bytes)
+    def record_sent(self, kind: type, frame_bytes: int) -> None:
+        """Count a sent message of class `kind`."""
+        _count_for(self.sent, kind).add(frame_bytes)
 
-    def note_received(self, kind: type, frame_bytes: int) -> None:
-        """A message came in."""
-        _count(self.received, kind).add(frame_bytes)
+    def record_received(self, kind: type, frame_bytes: int) -> None:
+        """Count a received message of class `kind`."""
+        _count_for(self.received, kind).add(frame_bytes)
 
     def describe(self) -> dict[str, dict[str, list[int]]]:
-        """By direction and kind: messages and bytes."""
+        """Return [messages, bytes] by direction and label."""
         return {"sent": _describe(self.sent), "received": _describe(self.received)}
 
 
-def _count(counts: dict[str, KindCount], kind: type) -> KindCount:
+def _count_for(counts: dict[str, MessageCount], kind: type) -> MessageCount:
     label = MESSAGE_LABELS[kind]
     count = counts.get(label)
     if count is None:
-        count = counts[label] = KindCount()
+        count = counts[label] = MessageCount()
     return count
 
 
-def _describe(counts: dict[str, KindCount]) -> dict[str, list[int]]:
-    return {kind: [count.messages, count.frame_bytes] for kind, count in counts.items()}
+def _describe(counts: dict[str, MessageCount]) -> dict[str, list[int]]:
+    return {label: [count.messages, count.frame_bytes] for label, count in counts.items()}
--- a/tests/serving/simulation/test_control_days.py
+++ b/tests/serving/simulation/test_control_days.py
@@ -379,7 +379,7 @@
         object.__setattr__(hello, "disk", told.program(real)._member_id.disk)
         for peer in list(program._peers._peers.values()):
             if peer.connection is not None:
-                peer.connection.drop()
+                peer.connection.abort()
 
     told.at(AT_S, impersonate)
     day.play(AT_S + 4.0)
--- a/tests/serving/wire/test_codec.py
+++ b/tests/serving/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages become bytes and come back; frames survive any cutting and no damage."""
+"""Messages become bytes and come back; frames survive any chunking and no damage."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.serving.wire.codec import MessageCodec, remembered
-from coveport.serving.wire.errors import MalformedFrameError, MalformedMessageError
+from coveport.serving.wire.codec import MessageCodec
+from coveport.serving.wire.dataclass_formats import cache_encodings
+from coveport.serving.wire.errors import LocalProtocolError, MalformedFrameError, MalformedMessageError
 from coveport.serving.wire.frames import HEADER_BYTES, FrameReader, write_frame
 
 
@@ -59,34 +60,34 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\x63", b"\x00", b"\x01\x01\x02"])
-def test_what_is_no_message_is_refused(data: bytes) -> None:
+def test_bytes_that_are_no_message_are_malformed(data: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         CODEC.decode(data)
 
 
 @given(st.lists(st.binary(max_size=50), max_size=5), st.integers(1, 40))
-def test_frames_survive_any_cutting(payloads: list[bytes], step: int) -> None:
+def test_frames_survive_any_chunking(payloads: list[bytes], step: int) -> None:
     stream = b"".join(map(write_frame, payloads))
     reader = FrameReader()
-    came: list[bytes] = []
+    received: list[bytes] = []
     for start in range(0, len(stream), step):
-        came.extend(reader.feed(stream[start : start + step]))
-    assert came == payloads
+        received.extend(reader.feed(stream[start : start + step]))
+    assert received == payloads
 
 
 @given(st.binary(min_size=1, max_size=50), st.data())
 def test_a_damaged_frame_never_comes_through_as_another(payload: bytes, data: st.DataObject) -> None:
     frame = bytearray(write_frame(payload))
-    place = data.draw(st.integers(0, len(frame) - 1))
-    frame[place] ^= 1 << data.draw(st.integers(0, 7))
+    offset = data.draw(st.integers(0, len(frame) - 1))
+    frame[offset] ^= 1 << data.draw(st.integers(0, 7))
     try:
-        came = list(FrameReader().feed(bytes(frame)))
+        received = list(FrameReader().feed(bytes(frame)))
     except MalformedFrameError:
         return
-    assert came == []  # a longer length: it waits for the rest
+    assert received == []  # a longer length: the reader waits for the rest
 
 
-def test_a_newer_format_is_refused() -> None:
+def test_a_frame_of_a_newer_version_is_malformed() -> None:
     frame = bytearray(write_frame(b"x"))
     frame[3] += 1
     with pytest.raises(MalformedFrameError):
@@ -95,14 +96,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Often:
+class Cached:
     number: int
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class ManyOften:
-    many: tuple[Often, ...]
+class ManyCached:
+    many: tuple[Cached, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,14 +111,30 @@
     many: tuple[Inner, ...]
 
 
-remembered(Often)
+cache_encodings(Cached)
 
 
 @given(st.lists(st.tuples(st.integers(-5, 5), st.sampled_from("ab")), max_size=30))
-def test_remembered_parts_are_written_and_read_as_others_are(pairs: list[tuple[int, str]]) -> None:
-    codec: MessageCodec[object] = MessageCodec((ManyOften, ManyInner))
-    often = ManyOften(tuple(Often(*pair) for pair in pairs))
-    encoded = codec.encode(often)
+def test_cached_values_have_the_same_bytes_as_others(pairs: list[tuple[int, str]]) -> None:
+    codec: MessageCodec[object] = MessageCodec((ManyCached, ManyInner))
+    cached = ManyCached(tuple(Cached(*pair) for pair in pairs))
+    encoded = codec.encode(cached)
     plain = codec.encode(ManyInner(tuple(Inner(*pair) for pair in pairs)))
     assert encoded[1:] == plain[1:]
-    assert codec.decode(encoded) == often
+    assert codec.decode(encoded) == cached
+
+
+@dataclass(frozen=True, slots=True)
+class WithoutFormat:
+    numbers: list[int]
+
+
+def test_a_message_that_the_codec_does_not_have_is_an_error_of_this_process() -> None:
+    with pytest.raises(LocalProtocolError, match="Cached"):
+        CODEC.encode(Cached(1, "a"))
+
+
+def test_a_field_without_a_format_is_an_error_of_this_process() -> None:
+    codec: MessageCodec[object] = MessageCodec((WithoutFormat,))
+    with pytest.raises(LocalProtocolError, match="list"):
+        codec.encode(WithoutFormat([1]))
--- /dev/null
+++ b/tests/serving/wire/test_malformed_frames.py
@@ -0,0 +1,145 @@
+"""A malformed frame ends its connection, and nothing of it is handed to the owner."""
+
+from __future__ import annotations
+
+import asyncio
+import zlib
+from random import Random
+
+import pytest
+
+from coveport.serving.replication.identity import Epoch
+from coveport.serving.replication.messages import Confirm, Confirmed, Prepare
+from coveport.serving.wire import frames
+from coveport.serving.wire.connection import Connection
+from coveport.serving.wire.errors import RemoteProtocolError
+from coveport.serving.wire.frames import write_frame
+from coveport.serving.wire.messages import CODEC, Hello, Message, TableRequest
+
+EPOCH = Epoch(3, "d1")
+SOUND = (Hello("10.0.0.1:7300", "d1"), Prepare(EPOCH), Confirm(EPOCH, 4), TableRequest(), Confirmed(EPOCH, 4))
+
+
+class Transport(asyncio.Transport):
+    """Records whether it was aborted."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.is_aborted = False
+
+    def is_closing(self) -> bool:
+        return self.is_aborted
+
+
+class AbortingNet:
+    """A net whose connections are aborted at once."""
+
+    def now_s(self) -> float:
+        return 1.0
+
+    def reset(self, transport: Transport) -> None:
+        transport.is_aborted = True
+
+
+ERRORS: list[RemoteProtocolError] = []  # of the last connection
+
+
+def receive(*chunks: bytes) -> tuple[list[Message], bool]:
+    """Return the messages that come through, and whether the connection was aborted."""
+    received: list[Message] = []
+    ERRORS.clear()
+    connection = Connection(
+        AbortingNet(),  # type: ignore[arg-type]
+        lambda _, message: received.append(message),
+        on_protocol_error=lambda _, error: ERRORS.append(error),
+    )
+    transport = Transport()
+    connection.connection_made(transport)
+    for chunk in chunks:
+        if not transport.is_aborted:
+            connection.data_received(chunk)
+    return received, transport.is_aborted
+
+
+def frame(message: Message) -> bytes:
+    return write_frame(CODEC.encode(message))
+
+
+def with_version(version: int) -> bytes:
+    data = bytearray(frame(SOUND[1]))
+    data[3] = version
+    return bytes(data)
+
+
+TOO_LONG = (
+    b"CVP" + bytes([frames.FORMAT_VERSION]) + (frames.MAX_PAYLOAD_BYTES + 1).to_bytes(4, "big") + bytes(4)
+)
+UNKNOWN_KIND = write_frame(b"\xff" + CODEC.encode(SOUND[1])[1:])
+TRUNCATED_MESSAGE = write_frame(CODEC.encode(SOUND[0])[:-3])
+
+
+@pytest.mark.parametrize(
+    "bad",
+    [
+        TOO_LONG,
+        UNKNOWN_KIND,
+        TRUNCATED_MESSAGE,
+        with_version(frames.FORMAT_VERSION + 1),
+        with_version(frames.FORMAT_VERSION - 1),
+        write_frame(b""),
+        b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+    ],
+    ids=["too long", "unknown kind", "truncated message", "newer", "older", "empty", "another protocol"],
+)
+def test_a_malformed_frame_aborts_the_connection_and_earlier_messages_count(bad: bytes) -> None:
+    received, is_aborted = receive(frame(SOUND[0]), bad, frame(SOUND[1]))
+    assert received == [SOUND[0]]
+    assert is_aborted
+    assert len(ERRORS) == 1 and str(ERRORS[0]), "the owner gets the reason, once"
+
+
+def test_an_incomplete_frame_is_waited_for_and_gives_no_message() -> None:
+    data = frame(SOUND[0])
+    for end in range(len(data)):
+        assert receive(data[:end]) == ([], False)
+
+
+def test_any_single_flipped_bit_gives_no_false_message() -> None:
+    """The checksum covers the message; a flipped header is another length, magic or version."""
+    data = b"".join(frame(message) for message in SOUND)
+    for offset in range(len(data)):
+        for bit in range(8):
+            flipped = bytearray(data)
+            flipped[offset] ^= 1 << bit
+            received, _ = receive(bytes(flipped))
+            assert received == list(SOUND[: len(received)]), f"byte {offset}, bit {bit}"
+            assert len(received) < len(SOUND)
+
+
+def test_a_hundred_thousand_mutated_streams_give_no_message_that_was_not_sent() -> None:
+    """Bytes dropped, doubled, swapped and flipped, in streams of frames, from one seed."""
+    random = Random(20261202)
+    stream = [frame(message) for message in SOUND]
+    for _ in range(100_000 // 10):  # ten mutations each
+        data = bytearray(b"".join(random.choices(stream, k=4)))
+        original = bytes(data)
+        for _ in range(10):
+            _mutate(data, random)
+        received, _ = receive(bytes(data))
+        allowed = {zlib.crc32(CODEC.encode(message)) for message in SOUND}
+        assert all(zlib.crc32(CODEC.encode(message)) in allowed for message in received), original
+
+
+def _mutate(data: bytearray, random: Random) -> None:
+    offset = random.randrange(len(data))
+    match random.randrange(4):
+        case 0:
+            data[offset] ^= 1 << random.randrange(8)
+        case 1:
+            del data[offset : offset + random.randrange(1, 9)]
+            data.extend(b"\x00")
+        case 2:
+            data[offset:offset] = data[offset : offset + random.randrange(1, 9)]
+        case _:
+            other_offset = random.randrange(len(data))
+            data[offset], data[other_offset] = data[other_offset], data[offset]
--- a/tests/serving/wire/test_shared_update.py
+++ b/tests/serving/wire/test_shared_update.py
@@ -1,3 +1,5 @@
+"""Updates that are encoded once for many proxies."""
+
 from __future__ import annotations
 
 from dataclasses import replace
@@ -27,7 +29,7 @@
 
 
 @pytest.mark.parametrize("request_number", [0, 1, 63, 64, 100_000, 2**40])
-def test_a_shared_update_is_to_the_byte_what_encoding_it_for_the_round_gives(request_number: int) -> None:
+def test_a_shared_update_has_the_bytes_of_an_update_encoded_for_its_request(request_number: int) -> None:
     for proxies in (0, 1, 340, 10_000):
-        whole = replace(UPDATE, request_number=request_number, max_proxies=proxies)
-        assert SharedUpdate(UPDATE).frame(request_number, proxies) == write_frame(CODEC.encode(whole))
+        complete = replace(UPDATE, request_number=request_number, max_proxies=proxies)
+        assert SharedUpdate(UPDATE).frame(request_number, proxies) == write_frame(CODEC.encode(complete))
