--- a/coveport/serving/coordinator/node_api.py
+++ b/coveport/serving/coordinator/node_api.py
@@ -84,8 +84,8 @@
             findings.add(Heartbeat.ADDRESS, str(problem))
     sequence = _number(told, Heartbeat.SEQUENCE, findings)
     slots = _number(told, Heartbeat.SLOTS, findings)
-    warm_up_left_ms = _number(told, Heartbeat.COLD_LEFT_MS, findings)
-    shutdown_in_ms = _number(told, Heartbeat.LEAVES_IN_MS, findings)
+    warm_up_left_ms = _number(told, Heartbeat.WARM_UP_LEFT_MS, findings)
+    shutdown_in_ms = _number(told, Heartbeat.SHUTDOWN_IN_MS, findings)
     if findings or state is None:
         return Refusal(str(findings), tuple(findings))
     return Node(
--- a/coveport/serving/proxy/answer_relay.py
+++ b/coveport/serving/proxy/answer_relay.py
@@ -86,7 +86,7 @@
         """The head of our answer; whole answers to others in front of it are read over."""
         for _ in range(SURPLUS_AT_MOST + 1):
             response = await _patiently(connection.read_head, patience, patience.head_s if patience else 0.0)
-            theirs = first(response.headers, Header.TRY_ID)
+            theirs = first(response.headers, Header.ATTEMPT_ID)
             if theirs == self.try_id:
                 return response
             if theirs is None:
--- a/coveport/serving/proxy/data_path.py
+++ b/coveport/serving/proxy/data_path.py
@@ -24,7 +24,7 @@
 from coveport.serving.proxy.startup_hold import StartupHold
 from coveport.serving.proxy.warm_up import WarmUpCredit
 from coveport.serving.settings.boot import BootSettings
-from coveport.serving.wire.names import Header, Spelled
+from coveport.serving.wire.names import CanonicalHeader, Header
 
 ACCEPT_MOST = 64  # connections taken in one turn of the loop
 WAITING_MOST = 512  # connections that wait below
@@ -136,7 +136,7 @@
             await self._startup.wait()
             table = self._current_table()
             if table is None:  # not told of any configuration yet
-                connection.answer(503, [(Spelled.RETRY_AFTER, str(RETRY_AFTER_S))])
+                connection.answer(503, [(CanonicalHeader.RETRY_AFTER, str(RETRY_AFTER_S))])
                 return
             exchange = self._exchange(table, request, connection, arrived_s)
             if exchange is None:
--- a/coveport/serving/proxy/exchange.py
+++ b/coveport/serving/proxy/exchange.py
@@ -35,7 +35,7 @@
 from coveport.serving.proxy.retry_budget import RetryBudget
 from coveport.serving.proxy.selection import NodeSelection, NoNode, Wanted
 from coveport.serving.proxy.urgency import priority
-from coveport.serving.wire.names import Header, Spelled
+from coveport.serving.wire.names import CanonicalHeader, Header
 
 CONNECTS_AT_MOST = 4  # failed connects of one request
 WAIT_STEP_S = 0.02  # how often the first that waits looks for a place
@@ -95,7 +95,7 @@
 
     def __post_init__(self) -> None:
         self._order.last_id = first(self.request.headers, Header.LAST_EVENT_ID)
-        try_id = first(self.request.headers, Header.TRY_ID)
+        try_id = first(self.request.headers, Header.ATTEMPT_ID)
         resumable = self.wanted.route.resumable
         self._relay = AnswerRelay(self.client, try_id, resumable, self.tools.counters, self._order)
 
@@ -191,7 +191,7 @@
         else:
             counters.add("refused")
             retry_after_s = RETRY_AFTER_S * (0.5 + self.tools.random.random())
-            self.client.answer(503, [(Spelled.RETRY_AFTER, f"{retry_after_s:.2f}")])
+            self.client.answer(503, [(CanonicalHeader.RETRY_AFTER, f"{retry_after_s:.2f}")])
 
     # One send.
 
@@ -319,11 +319,11 @@
     def _headers(self, incarnation: str, now_s: float) -> Iterator[tuple[str, str]]:
         yield from passed_on(self.request.headers, _WRITTEN_ANEW)
         if self._order.last_id is not None:
-            yield Spelled.LAST_EVENT_ID, self._order.last_id
-        yield Spelled.TIME_LEFT, str(max(1, int((self.deadline_s - now_s) * 1000)))
-        yield Spelled.EXPECT_INCARNATION, incarnation
+            yield CanonicalHeader.LAST_EVENT_ID, self._order.last_id
+        yield CanonicalHeader.TIME_LEFT, str(max(1, int((self.deadline_s - now_s) * 1000)))
+        yield CanonicalHeader.EXPECT_INCARNATION, incarnation
         if self.wanted.parts:
-            yield Spelled.PRIORITY, str(self._priority(incarnation, now_s))
+            yield CanonicalHeader.PRIORITY, str(self._priority(incarnation, now_s))
 
     def _priority(self, incarnation: str, now_s: float) -> int:
         """What a client waited before it came here is known by the time that it has left."""
--- a/coveport/serving/scale/hollow_nodes.py
+++ b/coveport/serving/scale/hollow_nodes.py
@@ -95,7 +95,7 @@
             Heartbeat.SOFTWARE: "v1",
             Heartbeat.SLOTS: SLOTS,
             Heartbeat.STATE: state,
-            Heartbeat.COLD_LEFT_MS: round(cold_left_s * 1000),
+            Heartbeat.WARM_UP_LEFT_MS: round(cold_left_s * 1000),
             Heartbeat.PHASE: "both",
             Heartbeat.MODELS: [{Heartbeat.MODEL_NAME: "m", Heartbeat.WEIGHTS: 1, Heartbeat.ADAPTERS: []}],
             Heartbeat.SEQUENCE: self._sequence,
--- a/coveport/serving/simulation/client.py
+++ b/coveport/serving/simulation/client.py
@@ -163,7 +163,7 @@
         prompt_tokens = sum(tokens for _, tokens in prompt)
         headers = [
             ("Host", kind.host),
-            (Header.TRY_ID, try_id),
+            (Header.ATTEMPT_ID, try_id),
             (Header.MODEL, "m"),
             (Header.TOKENS, f"{prompt_tokens},{kind.answer_tokens}"),
             (Header.PROMPT_PREFIX, ",".join(f"{name}:{tokens}" for name, tokens in prompt)),
--- a/coveport/serving/simulation/model_server.py
+++ b/coveport/serving/simulation/model_server.py
@@ -167,14 +167,14 @@
     def _answer_health(self, connection: ServerConnection) -> None:
         full = self.engine.queued >= self.figures.engine.queue
         healthy = self.state is NodeState.ACCEPTING and not full
-        headers = [(Header.INCARNATION, self.incarnation), (Header.COLD_MS, f"{self.warm_up_left_ms:.0f}")]
+        headers = [(Header.INCARNATION, self.incarnation), (Header.WARM_UP_MS, f"{self.warm_up_left_ms:.0f}")]
         connection.answer(200 if healthy else 503, headers)
 
     # Requests.
 
     async def _serve(self, connection: ServerConnection, request: Request) -> None:
         now = self._net.now_s()
-        try_id = request.get(Header.TRY_ID) or ""
+        try_id = request.get(Header.ATTEMPT_ID) or ""
         resumes_after = int(request.get(Header.LAST_EVENT_ID) or 0)
         body = digest(request.body)
         host = request.get("host") or ""
@@ -208,7 +208,7 @@
 
     def _turn_away(self, connection: ServerConnection, try_id: str, status: int) -> None:
         self._book.write(RequestTurnedAway(self._net.now_s(), self.incarnation, try_id, status))
-        headers = [(Header.TRY_ID, try_id), (Header.NOT_RUN, "1"), (Header.INCARNATION, self.incarnation)]
+        headers = [(Header.ATTEMPT_ID, try_id), (Header.NOT_RUN, "1"), (Header.INCARNATION, self.incarnation)]
         if status == 503:
             headers.append((Header.RETRY_AFTER, "0.2"))
         connection.answer(status, headers)
--- a/coveport/serving/simulation/node_answers.py
+++ b/coveport/serving/simulation/node_answers.py
@@ -64,7 +64,7 @@
 
     @property
     def _headers(self) -> list[tuple[str, str]]:
-        return [(Header.TRY_ID, self.try_id), (Header.STAMP, self.stamp), (Header.VERSIONS, "1")]
+        return [(Header.ATTEMPT_ID, self.try_id), (Header.STAMP, self.stamp), (Header.VERSIONS, "1")]
 
     @property
     def _is_stream(self) -> bool:
--- a/coveport/serving/simulation/reading.py
+++ b/coveport/serving/simulation/reading.py
@@ -83,7 +83,7 @@
         headers = {} if head is None else head.headers
         return TryEnded(
             self.net.now_s(), self.try_id, ending, 0 if head is None else head.status,
-            ",".join(headers.get(Header.STAMP, [])), ",".join(headers.get(Header.TRY_ID, [])),
+            ",".join(headers.get(Header.STAMP, [])), ",".join(headers.get(Header.ATTEMPT_ID, [])),
             tuple(self.events), self.first_event_s, self.longest_pause_s,
             "" if self.is_stream else digest(bytes(self.body)), self.is_stream, surplus,
         )  # fmt: skip
--- a/coveport/serving/simulation/registration.py
+++ b/coveport/serving/simulation/registration.py
@@ -142,13 +142,13 @@
             Heartbeat.SOFTWARE: "v1",
             Heartbeat.SLOTS: figures.engine.slots,
             Heartbeat.STATE: Heartbeat.ACCEPTING if node.state is NodeState.ACCEPTING else Heartbeat.CLOSING,
-            Heartbeat.COLD_LEFT_MS: round(node.warm_up_left_ms),
+            Heartbeat.WARM_UP_LEFT_MS: round(node.warm_up_left_ms),
             Heartbeat.PHASE: "both",
             Heartbeat.MODELS: [MODEL],
             Heartbeat.SEQUENCE: self._sequence,
         }
         if gone_at is not None:
-            says[Heartbeat.LEAVES_IN_MS] = round(max(0.0, gone_at - self._net.now_s()) * 1000)
+            says[Heartbeat.SHUTDOWN_IN_MS] = round(max(0.0, gone_at - self._net.now_s()) * 1000)
         headers = [("Host", "{}:{}".format(*address)), ("Content-Type", "application/json")]
         if method == "DELETE":
             return write_request(method, Path.NODES + node.incarnation, headers[:1])
--- a/coveport/serving/wire/__init__.py
+++ b/coveport/serving/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What crosses sockets: the outside world's names, and the frames between our own processes."""
+"""External names of the HTTP interfaces, and the framed messages between this system's own processes."""
--- a/coveport/serving/wire/configuration.py
+++ b/coveport/serving/wire/configuration.py
@@ -1,4 +1,4 @@
-"""The wire names of a configuration's parts, by the names that the system uses for them."""
+"""The external names of a configuration's fields, by the names that this system uses for them."""
 
 from __future__ import annotations
 
--- a/coveport/serving/wire/names.py
+++ b/coveport/serving/wire/names.py
@@ -1,4 +1,7 @@
-"""The outside world's names on the wire, as the operators' protocol gives them. They stand nowhere else."""
+"""The external names of the HTTP interfaces, as the operators' protocol defines them.
+
+No other module repeats them: what this system calls differently is translated here.
+"""
 
 from __future__ import annotations
 
@@ -6,9 +9,9 @@
 
 
 class Header:
-    """HTTP headers, in lower case as the codec hands them out; write them as they stand in `SPELLED`."""
+    """Names of HTTP headers in lower case, as the HTTP codec returns them."""
 
-    TRY_ID: Final = "coveport-try-id"
+    ATTEMPT_ID: Final = "coveport-try-id"
     TIME_LEFT: Final = "coveport-time-left"
     PROMPT_PREFIX: Final = "coveport-prompt-prefix"
     LAST_EVENT_ID: Final = "last-event-id"
@@ -18,15 +21,15 @@
     RETRY_AFTER: Final = "retry-after"
     IF_MATCH: Final = "if-match"
     INCARNATION: Final = "coveport-instance"
-    COLD_MS: Final = "coveport-cold-ms"
+    WARM_UP_MS: Final = "coveport-cold-ms"
     MODEL: Final = "coveport-model"
     TOKENS: Final = "coveport-tokens"
     PRIORITY: Final = "priority"
     VERSIONS: Final = "versions"
 
 
-class Spelled:
-    """Headers that we write, as the protocol spells them."""
+class CanonicalHeader:
+    """Names of headers that this system writes, in the protocol's spelling."""
 
     TIME_LEFT: Final = "Coveport-Time-Left"
     LAST_EVENT_ID: Final = "Last-Event-Id"
@@ -36,7 +39,7 @@
 
 
 class Path:
-    """Paths of the system's own calls and of those to nodes."""
+    """Paths of the HTTP calls to this system and to nodes."""
 
     READY: Final = "/coveport/ready"
     LOOKUP: Final = "/coveport/lookup"
@@ -44,19 +47,19 @@
     CONFIG: Final = "/coveport/config"
     EVACUATION: Final = "/coveport/evacuation/"  # + zone
     REPORT: Final = "/coveport/report"
-    STATUS: Final = "/coveport/status"  # our own: the state of the core, for people
+    STATUS: Final = "/coveport/status"  # beyond the protocol: the state of the core, for people
 
 
 class Heartbeat:
-    """Fields of a node's heartbeat and of its answer."""
+    """Fields of a node's heartbeat and of the response to it."""
 
     SERVICE: Final = "Service"
     ADDRESS: Final = "Address"
     ZONE: Final = "Zone"
     SLOTS: Final = "Berths"
     STATE: Final = "State"
-    COLD_LEFT_MS: Final = "ColdLeftMs"
-    LEAVES_IN_MS: Final = "TimeLeftMs"
+    WARM_UP_LEFT_MS: Final = "ColdLeftMs"
+    SHUTDOWN_IN_MS: Final = "TimeLeftMs"
     SEQUENCE: Final = "CallSeq"
     FORWARD_TO: Final = "ForwardTo"
     ACCEPTING: Final = "accepting"
@@ -70,7 +73,7 @@
 
 
 class Lookup:
-    """Query and answer of a client's lookup."""
+    """Query parameters and response fields of a client's lookup."""
 
     NAME: Final = "Name"
     REGION: Final = "Region"
@@ -80,7 +83,7 @@
 
 
 class Config:
-    """Fields of a configuration."""
+    """Fields of a configuration and of a patch."""
 
     EDITION: Final = "Edition"
     ROUTES: Final = "Routes"
@@ -92,7 +95,7 @@
 
 
 class Report:
-    """Fields of a node's report."""
+    """Fields of a node's load report."""
 
     QUEUED: Final = "Queued"
     RUNNING: Final = "Running"
@@ -100,8 +103,11 @@
     MEMORY_TOTAL: Final = "KvTotal"
 
 
-ERROR: Final = "Error"
-SETTINGS_VARIABLE: Final = "COVEPORT_NODE_FILE"
+ERROR: Final = "Error"  # field of a response that rejects a call: one reason or a list
+
+SETTINGS_VARIABLE: Final = "COVEPORT_NODE_FILE"  # environment variable: path of the settings file
+
+# Values of the setting `Serves`.
 SERVES_CLIENTS: Final = "counter"
 SERVES_CONTROL: Final = "dispatch"
 SERVES_LOOKUPS: Final = "registry"
--- a/coveport/serving/wire/settings.py
+++ b/coveport/serving/wire/settings.py
@@ -1,4 +1,4 @@
-"""The wire names of the boot settings, by the names that the system uses for them."""
+"""The external names of the boot settings, by the names that this system uses for them."""
 
 from __future__ import annotations
 
