--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -27,8 +27,8 @@
 from coveport.serving.replication.replica import Replica
 from coveport.serving.role_process import CannotStartError, run_process
 from coveport.serving.settings.boot import BootSettings
-from coveport.serving.storage.opening import Opened, open_storage
-from coveport.serving.storage.ring import NewerFormatError
+from coveport.serving.storage.errors import UnsupportedFormatError
+from coveport.serving.storage.open_store import OpenedStorage, open_storage
 from coveport.serving.web.router import Router
 from coveport.serving.web.server import HttpServer
 from coveport.serving.wire.connection import Connection
@@ -59,7 +59,7 @@
     """One coordinator's life."""
 
     def __init__(
-        self, net: Net, settings: BootSettings, opened: Opened, chance: random.Random, log: Any
+        self, net: Net, settings: BootSettings, opened: OpenedStorage, chance: random.Random, log: Any
     ) -> None:
         self._net = net
         self._settings = settings
@@ -315,7 +315,7 @@
     assert settings.data_dir is not None
     try:
         opened = open_storage(settings.data_dir, settings.first_boot, net.loop.call_soon_threadsafe)
-    except (NewerFormatError, OSError, ValueError) as problem:
+    except (UnsupportedFormatError, OSError, ValueError) as problem:
         raise CannotStartError(f"{settings.data_dir}: {problem}") from problem
     try:
         return Coordinator(net, settings, opened, random.Random(), log)
--- a/coveport/serving/membership/__init__.py
+++ b/coveport/serving/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: nodes by their heartbeats, proxies by their leases. Pure."""
+"""Membership: nodes by their heartbeats, proxies by their leases. No I/O."""
--- a/coveport/serving/model/__init__.py
+++ b/coveport/serving/model/__init__.py
@@ -1,1 +1,1 @@
-"""What the system knows, typed: configuration, nodes, places. No I/O."""
+"""The types that all parts of the system share: configuration, nodes, a proxy's view, findings. No I/O."""
--- a/coveport/serving/model/configuration.py
+++ b/coveport/serving/model/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the system uses it. Names that end in `_ms` are of milliseconds."""
+"""The operator's configuration, as the system uses it. `wire/configuration.py` has the names of its JSON."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class RouteKind(Enum):
-    """What may be done twice with a route's requests."""
+    """Whether a route's requests may be retried once they may have run."""
 
-    SAFE = "safe"  # may run more than once
-    UNSAFE = "unsafe"  # runs at most once per try
-    STREAMING = "streaming"  # answers with events; at most once unless it may be resumed
+    SAFE = "safe"  # idempotent: may run more than once
+    UNSAFE = "unsafe"  # runs at most once per attempt of the client
+    STREAMING = "streaming"  # answered with events; runs at most once unless the route is resumable
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One of the services that a route divides its requests between."""
+    """One of the services among which a route distributes its requests."""
 
     service: str
     weight: float
@@ -30,46 +30,46 @@
     host: str
     path_prefix: str
     kind: RouteKind
-    timeout_ms: float  # the longest time the operator wants a request held
-    latency_target_ms: float = 0.0  # within which an answer earns its full worth
+    timeout_ms: float  # deadline of a request, unless its client gives an earlier one
+    latency_target_ms: float = 0.0  # an answer within that earns its full value; 0: none
     priority: int = 0  # 0 is served first
     services: tuple[WeightedService, ...] = ()
-    max_attempts: int = 1  # nodes that one try may be sent to
-    session_affinity: bool = False
-    resumable: bool = False
-    inter_token_target_ms: float = 0.0  # the longest pause between events that is still in time
+    max_attempts: int = 1  # nodes that one request may be sent to, one after the other
+    session_affinity: bool = False  # accepted in a configuration, but not acted on
+    resumable: bool = False  # a stream may go on at another node, behind its last event
+    inter_token_target_ms: float = 0.0  # the longest gap between two events that is still in time
     home_regions: frozenset[str] = frozenset()  # empty: anywhere
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.kind is RouteKind.SAFE or (self.kind is RouteKind.STREAMING and self.resumable)
 
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """What a model server can hold and run."""
+    """The capacity of a model server."""
 
-    slots: int = 0  # requests that run at once
-    kv_cache_tokens: int = 0  # shared by running requests and cached prompt parts
+    slots: int = 0  # requests that run concurrently
+    kv_cache_tokens: int = 0  # capacity, for running requests and cached prefixes together
     tokens_per_event: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of nodes that serve the same."""
+    """A group of nodes that serve the same models."""
 
     name: str
     health_path: str = "/health"
-    max_connections: int = 0  # of one node, from all callers together; 0: not told
+    max_connections: int = 0  # of one node, from all proxies together; 0: no limit given
     warm_up_s: float = 0.0
-    warm_up_rate: float = 0.0  # requests a second that a cold node bears; 0: not bounded
+    warm_up_rate: float = 0.0  # requests a second that a node takes while it warms up; 0: no limit
     engine: Engine | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, and how long it may take."""
+    """Limits on what a client sends, and on the time that it takes."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One whole configuration."""
+    """A complete configuration."""
 
     edition: int
     routes: tuple[Route, ...] = ()
--- a/coveport/serving/model/findings.py
+++ b/coveport/serving/model/findings.py
@@ -1,4 +1,4 @@
-"""Faults found in something that was read, collected with their place and reported together."""
+"""Faults found in an input, collected with their location and reported together."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One fault: where it stands (as a path such as `Routes[3].DeadlineMs`) and what is wrong."""
+    """A fault: its location (a path such as `Routes[3].DeadlineMs`) and what is wrong."""
 
     location: str
     message: str
@@ -19,12 +19,12 @@
 
 @dataclass(slots=True)
 class Findings:
-    """All faults of one reading."""
+    """All faults of one input, in the order in which they were found."""
 
     items: list[Finding] = field(default_factory=list)
 
     def add(self, location: str, message: str) -> None:
-        """Note a fault."""
+        """Add a fault."""
         self.items.append(Finding(location, message))
 
     def __bool__(self) -> bool:
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """In place of a result: why there is none. Returned, not raised, as refusing is an ordinary outcome."""
+    """Why there is no result. Returned, not raised, as a refusal is an ordinary outcome; it is falsy."""
 
     reason: str
     findings: tuple[Finding, ...] = ()
--- a/coveport/serving/model/view.py
+++ b/coveport/serving/model/view.py
@@ -1,4 +1,4 @@
-"""What a proxy has been told by the control plane: what its data path reads, and nothing more."""
+"""The state of the control plane that a proxy's data path reads, as its subscription received it."""
 
 from __future__ import annotations
 
@@ -13,27 +13,29 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownNode:
-    """A node with its times on this process' own clock (`Net.now_s`)."""
+    """A node, with its times on this process' own clock (`Net.now_s`)."""
 
     node: Node
-    received_at_s: float  # when a coordinator told us this
-    warming_until_s: float  # cold before that; 0.0: not cold
-    shutdown_at_s: float  # gone from then on; inf: not told
+    received_at_s: float  # when the report came from a coordinator
+    warming_until_s: float  # 0.0: it has warmed up
+    shutdown_at_s: float  # inf: not announced
 
 
 @dataclass(slots=True)
 class ControlView:
     """Replaced field by field by the subscription; read by the data path at any moment.
 
-    `configuration` never goes back to an older one. `nodes` holds accepting and closing nodes by incarnation;
-    those gone are removed. `listeners` are called, without arguments, after any change.
+    `configuration` never goes back to an older one. `nodes` holds accepting and draining nodes by
+    incarnation; deregistered ones are removed. `listeners` are called, without arguments, after any change.
     """
 
     configuration: Configuration | None = None
     evacuated_zones: frozenset[str] = frozenset()
-    evacuation_ended_at_s: dict[str, float] = field(default_factory=dict)  # by zone: its nodes may be cold
+    evacuation_ended_at_s: dict[str, float] = field(
+        default_factory=dict
+    )  # by zone: its nodes may have to warm up
     nodes: immutables.Map[str, KnownNode] = field(default_factory=immutables.Map)
-    max_proxies: int = 1  # how many proxies there may be by now, ourselves included, cut off ones too
+    max_proxies: int = 1  # upper bound of the proxies there are: this one and partitioned ones included
     listeners: list[Callable[[], None]] = field(default_factory=list)
 
     def notify_listeners(self) -> None:
--- a/coveport/serving/simulation/disk.py
+++ b/coveport/serving/simulation/disk.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 from random import Random
 
 from coveport.net.transport import Net
 from coveport.serving.replication.records import Record
 from coveport.serving.storage.store import RecordStore
+from coveport.serving.storage.writer import WriteCallback
 
 
 class SimulatedFile:
@@ -78,7 +79,7 @@
     files: dict[str, SimulatedFile] = field(default_factory=dict)
     unsynced_names: set[str] = field(default_factory=set)  # of files created since names were last synced
 
-    def names(self) -> list[str]:
+    def file_names(self) -> list[str]:
         """Of all files."""
         return list(self.files)
 
@@ -89,7 +90,7 @@
             self.unsynced_names.add(name)
         return self.files[name]
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Created names survive a loss of power from now on."""
         self.check()
         self.unsynced_names.clear()
@@ -114,9 +115,6 @@
         self.unsynced_names.clear()
 
 
-Done = Callable[[OSError | None], None]
-
-
 class SimulatedWriter:
     """Writes records in order, each after the disk's time."""
 
@@ -124,16 +122,16 @@
         self._net = net
         self._disk = disk
         self._store = store
-        self._queue: deque[tuple[Sequence[Record], Done]] = deque()
+        self._queue: deque[tuple[Sequence[Record], WriteCallback]] = deque()
         self._is_writing = False
 
-    def submit(self, records: Sequence[Record], done: Done) -> None:
-        """Write and sync; then call `done`, with the error if the disk refused."""
-        self._queue.append((records, done))
+    def submit(self, records: Sequence[Record], on_written: WriteCallback) -> None:
+        """Write and sync; then call `on_written`, with the error if the disk refused."""
+        self._queue.append((records, on_written))
         if not self._is_writing:
             self._begin()
 
-    def close(self, wait_s: float = 0.0) -> None:
+    def close(self, timeout_s: float = 0.0) -> None:
         """Nothing is held."""
 
     def _begin(self) -> None:
@@ -144,7 +142,7 @@
         if self._disk.hangs:
             self._begin()
             return
-        records, done = self._queue.popleft()
+        records, on_written = self._queue.popleft()
         error = None
         try:
             self._store.append(records)
@@ -154,4 +152,4 @@
             self._begin()
         else:
             self._is_writing = False
-        done(error)
+        on_written(error)
--- a/coveport/serving/simulation/stand_in_programs.py
+++ b/coveport/serving/simulation/stand_in_programs.py
@@ -13,7 +13,7 @@
 from coveport.serving.simulation.model_server import ModelServer
 from coveport.serving.simulation.registration import Registration
 from coveport.serving.simulation.traffic import drive
-from coveport.serving.storage.opening import Opened, open_store
+from coveport.serving.storage.open_store import OpenedStorage, open_store
 
 
 class SimulatedNode:
@@ -87,8 +87,9 @@
     return Nothing()
 
 
-def open_simulated(machine: Machine, first_boot: bool, chance: Random) -> Opened:
+def open_simulated(machine: Machine, first_boot: bool, chance: Random) -> OpenedStorage:
     """What a machine's disk holds, and a writer on it."""
     assert machine.disk is not None
     opened = open_store(machine.disk, first_boot, chance.randbytes)
-    return Opened(opened.durable, SimulatedWriter(machine.net, machine.disk, opened.store), opened.damage)
+    writer = SimulatedWriter(machine.net, machine.disk, opened.store)
+    return OpenedStorage(opened.durable, writer, opened.damage)
--- a/coveport/serving/storage/__init__.py
+++ b/coveport/serving/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a coordinator keeps on its disk: a ring of preallocated files. Torn writes are survived."""
+"""Durable storage of a coordinator: a ring of preallocated files that survives torn writes."""
--- a/coveport/serving/storage/disk.py
+++ b/coveport/serving/storage/disk.py
@@ -1,4 +1,4 @@
-"""The few calls that the ring needs of a disk, and the operating system's."""
+"""The calls that the ring makes to a disk, and the operating system's implementation of them."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 
 class File(Protocol):
-    """One open file. All calls may block, and raise OSError."""
+    """An open file. All calls may block, and raise OSError."""
 
     def read_all(self) -> bytes:
-        """Everything it holds."""
+        """Return the whole content."""
 
     def write(self, offset: int, data: bytes) -> None:
-        """Write all of `data`."""
+        """Write all of `data` at an offset in bytes."""
 
     def set_length(self, length: int) -> None:
-        """Cut or extend with zeros."""
+        """Truncate, or extend with zeros, to a length in bytes."""
 
     def sync(self) -> None:
-        """Return when what was written will survive a loss of power."""
+        """Return when what was written survives a loss of power."""
 
     def close(self) -> None:
-        """Give the descriptor back."""
+        """Close the descriptor."""
 
 
 class Disk(Protocol):
-    """A folder of files."""
+    """A directory of files. All calls may block, and raise OSError."""
 
-    def names(self) -> list[str]:
-        """Of all files."""
+    def file_names(self) -> list[str]:
+        """Return the names of all files."""
 
     def open(self, name: str) -> File:
-        """For reading and writing; created when it isn't there."""
+        """Open a file for reading and writing; create it where there is none."""
 
-    def sync_names(self) -> None:
-        """Make created and removed names survive a loss of power."""
+    def sync_directory(self) -> None:
+        """Return when created and removed names survive a loss of power."""
 
 
 class OsFile:
@@ -46,64 +46,63 @@
         self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
 
     def read_all(self) -> bytes:
-        """Everything it holds."""
-        length = os.lseek(self._descriptor, 0, os.SEEK_END)
+        """Return the whole content."""
+        remaining = os.lseek(self._descriptor, 0, os.SEEK_END)
         os.lseek(self._descriptor, 0, os.SEEK_SET)
-        pieces = []
-        while length > 0:
-            piece = os.read(self._descriptor, length)
-            if not piece:
+        chunks = []
+        while remaining > 0:
+            chunk = os.read(self._descriptor, remaining)
+            if not chunk:
                 break
-            pieces.append(piece)
-            length -= len(piece)
-        return b"".join(pieces)
+            chunks.append(chunk)
+            remaining -= len(chunk)
+        return b"".join(chunks)
 
     def write(self, offset: int, data: bytes) -> None:
-        """Write all of `data`."""
+        """Write all of `data` at an offset in bytes."""
         os.lseek(self._descriptor, offset, os.SEEK_SET)
-        rest = memoryview(data)
-        while rest:
-            written = os.write(self._descriptor, rest)
-            rest = rest[written:]
+        remaining = memoryview(data)
+        while remaining:
+            written = os.write(self._descriptor, remaining)
+            remaining = remaining[written:]
 
     def set_length(self, length: int) -> None:
-        """Cut or extend with zeros."""
+        """Truncate, or extend with zeros, to a length in bytes."""
         os.ftruncate(self._descriptor, length)
 
     def sync(self) -> None:
-        """Return when what was written will survive a loss of power."""
+        """Return when what was written survives a loss of power."""
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
-        """Give the descriptor back."""
+        """Close the descriptor."""
         os.close(self._descriptor)
 
 
 class OsDisk:
-    """A folder of the operating system, created when it isn't there."""
+    """A directory of the operating system, created where there is none."""
 
-    def __init__(self, folder: str) -> None:
-        self._folder = folder
-        os.makedirs(folder, exist_ok=True)
+    def __init__(self, directory: str) -> None:
+        self._directory = directory
+        os.makedirs(directory, exist_ok=True)
 
-    def names(self) -> list[str]:
-        """Of all files."""
-        return os.listdir(self._folder)
+    def file_names(self) -> list[str]:
+        """Return the names of all files."""
+        return os.listdir(self._directory)
 
     def open(self, name: str) -> OsFile:
-        """For reading and writing; created when it isn't there."""
-        return OsFile(os.path.join(self._folder, name))
+        """Open a file for reading and writing; create it where there is none."""
+        return OsFile(os.path.join(self._directory, name))
 
-    def sync_names(self) -> None:
-        """Make created and removed names survive a loss of power, that of the folder itself included."""
-        sync_folder(self._folder)
-        with contextlib.suppress(PermissionError):  # whose folder it stands in may be another's
-            sync_folder(os.path.dirname(os.path.abspath(self._folder)))
+    def sync_directory(self) -> None:
+        """Return when created and removed names survive a loss of power, the directory's own included."""
+        _sync_names_in(self._directory)
+        with contextlib.suppress(PermissionError):  # the parent may belong to another user
+            _sync_names_in(os.path.dirname(os.path.abspath(self._directory)))
 
 
-def sync_folder(folder: str) -> None:
-    """Make the names in a folder survive a loss of power. Raises OSError."""
-    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+def _sync_names_in(directory: str) -> None:
+    descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
     finally:
--- a/coveport/serving/storage/ring_format_1.py
+++ b/coveport/serving/storage/ring_format_1.py
@@ -1,4 +1,4 @@
-"""Reads a generation as programs before format 2 of the ring wrote it: one copy, no mark of batches."""
+"""Reads a generation in format 1 of the ring, which older programs wrote: one copy, without batches."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 _HEADER = struct.Struct(">4sHQ8sI")  # magic, version, generation, salt, records in the snapshot
 _CHECKSUM = struct.Struct(">I")
 _FRAME = struct.Struct(">II")  # length, checksum
-_PLACE = struct.Struct(">Q")
+_POSITION = struct.Struct(">Q")
 _HEADER_BYTES: Final = _HEADER.size + _CHECKSUM.size
 
 
 @dataclass(frozen=True, slots=True)
-class OlderGeneration:
-    """What one file holds."""
+class Format1Generation:
+    """The generation in a file."""
 
     number: int
     records: list[bytes]
-    is_whole: bool  # its snapshot is complete
+    has_complete_snapshot: bool
 
 
-def read(data: bytes) -> OlderGeneration | None:
-    """The generation in a file of that format; None: there is none."""
+def read(data: bytes) -> Format1Generation | None:
+    """Return the generation in a file of that format; None where there is none."""
     if len(data) < _HEADER_BYTES:
         return None
     header = data[: _HEADER.size]
-    magic, version, number, salt, snapshot_count = _HEADER.unpack(header)
-    (header_checksum,) = _CHECKSUM.unpack_from(data, _HEADER.size)
-    if magic != MAGIC or version != FORMAT_VERSION or zlib.crc32(header) != header_checksum:
+    magic, version, number, salt, snapshot_records = _HEADER.unpack(header)
+    (expected,) = _CHECKSUM.unpack_from(data, _HEADER.size)
+    if magic != MAGIC or version != FORMAT_VERSION or zlib.crc32(header) != expected:
         return None
     records = _read_records(data, salt)
-    return OlderGeneration(number, records, len(records) >= snapshot_count)
+    return Format1Generation(number, records, len(records) >= snapshot_records)
 
 
 def _read_records(data: bytes, salt: bytes) -> list[bytes]:
@@ -52,5 +52,5 @@
     return records
 
 
-def _checksum(salt: bytes, place: int, record: bytes) -> int:
-    return zlib.crc32(record, zlib.crc32(_PLACE.pack(place), zlib.crc32(salt)))
+def _checksum(salt: bytes, position: int, record: bytes) -> int:
+    return zlib.crc32(record, zlib.crc32(_POSITION.pack(position), zlib.crc32(salt)))
--- /dev/null
+++ b/coveport/serving/storage/ring_recovery.py
@@ -0,0 +1,85 @@
+"""Reads what a file of a ring holds, and tells a torn tail from lost data.
+
+The records of a generation are read up to the first that is corrupted in both copies. Where no later batch
+follows, it belongs to the batch that was being written when power was lost: it was never synced, and nobody
+relied on it. Where one follows, the disk has lost what it had synced, since a batch is only written after all
+before it were synced.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from coveport.serving.storage import ring_format_1
+from coveport.serving.storage.ring_format import (
+    FRAME_OVERHEAD_BYTES,
+    HEADER_BYTES,
+    Header,
+    decode_frame,
+    decode_header,
+)
+
+
+@dataclass(frozen=True, slots=True)
+class Generation:
+    """The newest generation in a file."""
+
+    file_index: int
+    number: int
+    records: list[bytes]
+    has_complete_snapshot: bool
+    corrupted_position: int | None = None  # of a record that is corrupted though a later batch is valid
+
+
+def read_generation(file_index: int, data: bytes) -> Generation | None:
+    """Return the generation that a file's content holds; None where there is no valid header.
+
+    Raises UnsupportedFormatError.
+    """
+    middle = len(data) // 2
+    copies = (memoryview(data)[:middle], memoryview(data)[middle:])
+    headers = [header for copy in copies if (header := decode_header(copy)) is not None]
+    if not headers:
+        return _read_format_1(file_index, data)
+    header = max(headers, key=lambda header: header.generation)
+    records, end = _read_records(copies, header)
+    corrupted_position = None
+    if _has_later_batch(data, header, end, len(records)):
+        corrupted_position = len(records)
+    has_complete_snapshot = corrupted_position is not None or len(records) >= header.snapshot_records
+    return Generation(file_index, header.generation, records, has_complete_snapshot, corrupted_position)
+
+
+def _read_format_1(file_index: int, data: bytes) -> Generation | None:
+    generation = ring_format_1.read(data)
+    if generation is None:
+        return None
+    return Generation(file_index, generation.number, generation.records, generation.has_complete_snapshot)
+
+
+def _read_records(copies: tuple[memoryview, memoryview], header: Header) -> tuple[list[bytes], int]:
+    """Return the valid records in order, each from either copy, and the offset in a copy where they end."""
+    records: list[bytes] = []
+    offset = HEADER_BYTES
+    while True:
+        decoded = (decode_frame(copy, offset, header) for copy in copies)
+        position = len(records)
+        frame = next((each for each in decoded if each is not None and each.position == position), None)
+        if frame is None:
+            return records, offset
+        records.append(frame.record)
+        offset += FRAME_OVERHEAD_BYTES + len(frame.record)
+
+
+def _has_later_batch(data: bytes, header: Header, end: int, position: int) -> bool:
+    """Return whether a valid frame behind `end` belongs to a batch that begins after `position`."""
+    view = memoryview(data)
+    middle = len(data) // 2
+    for start, stop in ((end, middle), (middle + end, len(data))):
+        offset = data.find(header.tag, start, stop)
+        while offset >= 0:
+            frame = decode_frame(view[:stop], offset, header)
+            if frame is not None and frame.batch > position:
+                return True
+            offset = data.find(header.tag, offset + 1, stop)
+    return False
--- a/coveport/serving/storage/store.py
+++ b/coveport/serving/storage/store.py
@@ -1,4 +1,4 @@
-"""The durable state of a core member in a ring: opened, added to, and folded into a snapshot by itself."""
+"""The durable state of a replica in a ring: opened, appended to, and compacted into a snapshot by itself."""
 
 from __future__ import annotations
 
@@ -17,33 +17,38 @@
         self._ring = ring
         self._encode = encode
         self._decode = decode
-        self._held = DurableState()
+        self._state = DurableState()
 
     def open(self) -> DurableState:
-        """What the disk held, synced by now. Raises OSError, ring.NewerFormatError, ValueError."""
+        """Return the state on the disk, synced by then.
+
+        Raises OSError, UnsupportedFormatError, CorruptedRecordsError, and MalformedMessageError where a
+        record can't be decoded.
+        """
         records = [self._decode(data) for data in self._ring.open()]
-        self._held = recover(records)
+        self._state = recover(records)
         if records:
             self._begin_after_opening()
         return recover(records)
 
     def _begin_after_opening(self) -> None:
-        """What was read may not have been synced: a killed process may have left it so."""
+        """Write what was read once more: a process that was killed may have left it unsynced."""
         self._begin()
 
     def append(self, records: Sequence[Record]) -> None:
-        """Add records, synced when this returns. After an OSError they are written with the next call."""
+        """Append records, synced when this returns. After an OSError they are written with the next call."""
         for record in records:
-            self._held.absorb(record)
+            self._state.absorb(record)
         encoded = [self._encode(record) for record in records]
-        if self._ring.has_room(encoded):
+        if self._ring.has_capacity(encoded):
             self._ring.append(encoded)
         else:
             self._begin()
 
     def _begin(self) -> None:
-        self._ring.begin([self._encode(record) for record in snapshot_records(self._held)])
+        """Begin a generation of the ring whose snapshot is the whole state."""
+        self._ring.begin([self._encode(record) for record in snapshot_records(self._state)])
 
     def close(self) -> None:
-        """Give the descriptors back."""
+        """Close all descriptors."""
         self._ring.close()
--- a/coveport/serving/storage/writer.py
+++ b/coveport/serving/storage/writer.py
@@ -1,92 +1,101 @@
-"""A thread that writes records, so that a slow or hanging disk blocks nobody else."""
+"""Writes records in a thread of its own, so that a slow or hanging disk blocks nothing else."""
 
 from __future__ import annotations
 
 import queue
 import threading
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from typing import Protocol
 
 from coveport.serving.replication.records import Record
 from coveport.serving.storage.store import RecordStore
 
-Done = Callable[[OSError | None], None]
+WriteCallback = Callable[[OSError | None], None]
+"""Called after a write, with the error if the disk refused it."""
 
 
 class RecordWriter(Protocol):
-    """Writes records in the order in which they were handed in."""
+    """Writes records in the order in which they were submitted."""
 
-    def submit(self, records: Sequence[Record], done: Done) -> None:
-        """Write and sync; then call `done`, with the error if the disk refused."""
+    def submit(self, records: Sequence[Record], on_written: WriteCallback) -> None:
+        """Write and sync the records; then call `on_written`."""
 
 
 class InlineWriter:
-    """Writes at once, in the caller's thread: for tests and virtual worlds."""
+    """Writes at once, in the caller's thread: for tests and simulations."""
 
     def __init__(self, store: RecordStore) -> None:
         self._store = store
 
-    def submit(self, records: Sequence[Record], done: Done) -> None:
-        """Write and sync; then call `done`, with the error if the disk refused."""
+    def submit(self, records: Sequence[Record], on_written: WriteCallback) -> None:
+        """Write and sync the records; then call `on_written`."""
         try:
             self._store.append(records)
         except OSError as error:
-            done(error)
+            on_written(error)
             return
-        done(None)
+        on_written(None)
+
+
+@dataclass(frozen=True, slots=True)
+class _Write:
+    records: Sequence[Record]
+    on_written: WriteCallback
 
 
 class ThreadWriter:
-    """Writes in a thread of its own; what waits is written together with one sync.
+    """Writes in a thread of its own; all queued records are written together, with one sync.
 
-    `call_back` brings a call into the submitter's thread, as `loop.call_soon_threadsafe` does.
+    `call_soon` runs a function in the submitter's thread, as `loop.call_soon_threadsafe` does.
     """
 
-    def __init__(self, store: RecordStore, call_back: Callable[[Callable[[], None]], object]) -> None:
+    def __init__(self, store: RecordStore, call_soon: Callable[[Callable[[], None]], object]) -> None:
         self._store = store
-        self._call_back = call_back
-        self._queue: queue.SimpleQueue[tuple[Sequence[Record], Done] | None] = queue.SimpleQueue()
+        self._call_soon = call_soon
+        self._queue: queue.SimpleQueue[_Write | None] = queue.SimpleQueue()  # None: end the thread
         self._thread = threading.Thread(target=self._run, name="record-writer", daemon=True)
         self._thread.start()
 
-    def submit(self, records: Sequence[Record], done: Done) -> None:
-        """Write and sync; then call `done` in the submitter's thread, with the error if the disk refused."""
-        self._queue.put((records, done))
+    def submit(self, records: Sequence[Record], on_written: WriteCallback) -> None:
+        """Write and sync the records; then call `on_written` in the submitter's thread."""
+        self._queue.put(_Write(records, on_written))
 
-    def close(self, wait_s: float) -> None:
-        """End after what was handed in; waits so long at most."""
+    def close(self, timeout_s: float) -> None:
+        """End the thread after everything submitted is written; wait for it that long at most."""
         self._queue.put(None)
-        self._thread.join(wait_s)
+        self._thread.join(timeout_s)
 
     def _run(self) -> None:
         while True:
-            item = self._queue.get()
-            if item is None:
+            write = self._queue.get()
+            if write is None:
                 return
-            items = [item]
-            is_ending = self._drain(items)
-            self._write(items)
+            batch = [write]
+            is_ending = self._drain_queue(batch)
+            self._write(batch)
             if is_ending:
                 return
 
-    def _drain(self, items: list[tuple[Sequence[Record], Done]]) -> bool:
+    def _drain_queue(self, batch: list[_Write]) -> bool:
+        """Move all that is queued to the batch; return whether the thread is to end after it."""
         while True:
             try:
-                item = self._queue.get_nowait()
+                write = self._queue.get_nowait()
             except queue.Empty:
                 return False
-            if item is None:
+            if write is None:
                 return True
-            items.append(item)
+            batch.append(write)
 
-    def _write(self, items: list[tuple[Sequence[Record], Done]]) -> None:
+    def _write(self, batch: list[_Write]) -> None:
         error: OSError | None = None
         try:
-            self._store.append([record for records, _ in items for record in records])
-        except OSError as refused:
-            error = refused
-        for _, done in items:
-            self._tell(done, error)
-
-    def _tell(self, done: Done, error: OSError | None) -> None:
-        self._call_back(lambda: done(error))
+            self._store.append([record for write in batch for record in write.records])
+        except OSError as write_error:
+            error = write_error
+        for write in batch:
+            self._notify(write.on_written, error)
+
+    def _notify(self, on_written: WriteCallback, error: OSError | None) -> None:
+        self._call_soon(lambda: on_written(error))
--- a/tests/golden/golden_ring_cases.py
+++ b/tests/golden/golden_ring_cases.py
@@ -12,7 +12,7 @@
 from coveport.serving.replication import records
 from coveport.serving.replication.identity import NO_EPOCH, View
 from coveport.serving.storage.disk import OsDisk
-from coveport.serving.storage.opening import open_store
+from coveport.serving.storage.open_store import open_store
 from coveport.serving.storage.ring import Ring
 from coveport.serving.storage.store import RecordStore
 from coveport.serving.wire.codec import MessageCodec
--- a/tests/serving/membership/test_node_table.py
+++ b/tests/serving/membership/test_node_table.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.serving.membership.node_table import REMOVALS_KEPT, NodeTable
+from coveport.serving.membership.node_table import MAX_REMOVALS, NodeTable
 from coveport.serving.model.node import Node, NodeState
 
 SILENCE_S = 5.0
@@ -96,7 +96,7 @@
 def test_a_revision_that_is_too_old_is_answered_with_the_whole_table() -> None:
     table = NodeTable(SILENCE_S)
     table.apply_report(node("stays"), 0.0)
-    for number in range(REMOVALS_KEPT + 1):
+    for number in range(MAX_REMOVALS + 1):
         table.apply_report(node(f"i-{number}"), 0.0)
         table.apply_report(node(f"i-{number}", state=NodeState.DEREGISTERED), 0.0)
     changes = table.changes_since(1, 0.0)
--- a/tests/serving/settings/test_role_process.py
+++ b/tests/serving/settings/test_role_process.py
@@ -13,7 +13,7 @@
 from test_boot_settings_reader import COORDINATOR
 
 from coveport.serving.role_process import CANNOT_START
-from coveport.serving.storage.ring import FORMAT_VERSION, MAGIC, SALT_BYTES
+from coveport.serving.storage.ring_format import FORMAT_VERSION, MAGIC, SALT_BYTES
 
 BOUND_S = 60
 
--- a/tests/serving/storage/faulty_disk.py
+++ b/tests/serving/storage/faulty_disk.py
@@ -42,7 +42,7 @@
         self.contents: dict[str, Content] = {}
         self.unsynced_names: set[str] = set()  # created since the folder was last synced
 
-    def names(self) -> list[str]:
+    def file_names(self) -> list[str]:
         return list(self.contents)
 
     def open(self, name: str) -> FaultyFile:
@@ -52,7 +52,7 @@
         content = self.contents[name]
         return FaultyFile(self, content)
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         self.call()
         self.unsynced_names.clear()
 
--- a/tests/serving/storage/test_ring_basics.py
+++ b/tests/serving/storage/test_ring_basics.py
@@ -9,7 +9,9 @@
 import pytest
 
 from coveport.serving.storage.disk import OsDisk
-from coveport.serving.storage.ring import HEADER_BYTES, NewerFormatError, Ring
+from coveport.serving.storage.errors import UnsupportedFormatError
+from coveport.serving.storage.ring import Ring
+from coveport.serving.storage.ring_format import HEADER_BYTES
 
 
 def ring_in(folder: Path, **settings: int) -> Ring:
@@ -34,7 +36,7 @@
     for number in range(100):
         record = f"record {number}".encode()
         held = [*held[-3:], record]
-        if ring.has_room([record]):
+        if ring.has_capacity([record]):
             ring.append([record])
         else:
             ring.begin(held)
@@ -55,6 +57,6 @@
                 checked = bytes(data[copy : copy + HEADER_BYTES - 4])
                 data[copy + HEADER_BYTES - 4 : copy + HEADER_BYTES] = zlib.crc32(checked).to_bytes(4, "big")
             path.write_bytes(data)
-    with pytest.raises(NewerFormatError) as raised:
+    with pytest.raises(UnsupportedFormatError) as raised:
         ring_in(tmp_path).open()
     assert str(raised.value) == "the disk holds format 3; this program knows up to 2"
--- a/tests/serving/storage/test_ring_rot.py
+++ b/tests/serving/storage/test_ring_rot.py
@@ -10,14 +10,17 @@
 from unittest import mock
 
 import pytest
-from faulty_disk import FaultyDisk, FaultyFile
+from faulty_disk import FaultyDisk, FaultyFile, PowerLossError
 
 from coveport.serving.replication.identity import Epoch
 from coveport.serving.replication.records import IdentityRecord, PromisedEpochRecord
-from coveport.serving.storage import opening, ring
-from coveport.serving.storage.folder_lock import FolderHeldError, FolderLock
-from coveport.serving.storage.opening import open_store
-from coveport.serving.storage.ring import DamagedError, Ring
+from coveport.serving.storage import open_store as opening
+from coveport.serving.storage import ring, ring_recovery
+from coveport.serving.storage.directory_lock import DirectoryLock
+from coveport.serving.storage.errors import CorruptedRecordsError, DirectoryLockedError
+from coveport.serving.storage.open_store import open_store
+from coveport.serving.storage.ring import Ring
+from coveport.serving.storage.ring_format import Header
 
 FILE_BYTES = 640
 SNAPSHOT = [b"identity", b"state" * 6]
@@ -84,7 +87,7 @@
     disk = written()
     for place in spot(disk, record):
         current(disk)[place] ^= 1
-    with pytest.raises(DamagedError, match="is lost, later ones are not"):
+    with pytest.raises(CorruptedRecordsError, match="is lost, later ones are not"):
         read(disk)
 
 
@@ -131,7 +134,7 @@
     """Killed between creating its files and syncing their names: the next life must not rest on them."""
     for seed in range(24):
         disk = FaultyDisk(power_lost_at=0)
-        with pytest.raises(BaseException):  # noqa: B017 - the disk's own kind of end
+        with pytest.raises(PowerLossError):
             ring_on(disk).open()
         disk = disk.kill()
         assert disk.unsynced_names, "the situation is reached"
@@ -146,10 +149,10 @@
     """The variant that syncs names only where it created files: the test above fails with it."""
 
     def open_trusting(self: Ring) -> list[bytes]:
-        missing = {f"ring-{index}" for index in range(3)} - set(self._disk.names())
+        missing = {f"ring-{index}" for index in range(3)} - set(self._disk.file_names())
         if missing:
             return original(self)
-        with mock.patch.object(FaultyDisk, "sync_names", lambda self: None):
+        with mock.patch.object(FaultyDisk, "sync_directory", return_value=None):
             return original(self)
 
     original = Ring.open
@@ -161,17 +164,17 @@
     file.write(offset, data)
 
 
-def never_damaged(data: bytes, header: ring.Header, end: int, place: int) -> bool:
+def never_damaged(data: bytes, header: Header, end: int, position: int) -> bool:
     return False
 
 
 @pytest.mark.parametrize(
     ("target", "name", "broken", "check"),
     [
-        (Ring, "_write_twice", one_copy_only, test_every_single_flipped_bit_is_read_over),
+        (Ring, "_write_both_copies", one_copy_only, test_every_single_flipped_bit_is_read_over),
         (
-            ring,
-            "_follows_later_batch",
+            ring_recovery,
+            "_has_later_batch",
             never_damaged,
             lambda: test_a_record_lost_in_both_copies_with_later_ones_sound_is_damage(ALL[2]),
         ),
@@ -209,8 +212,8 @@
 
 
 def test_a_folder_is_held_by_one_process(tmp_path: Path) -> None:
-    lock = FolderLock(str(tmp_path))
-    with pytest.raises(FolderHeldError):
-        FolderLock(str(tmp_path))
+    lock = DirectoryLock(str(tmp_path))
+    with pytest.raises(DirectoryLockedError):
+        DirectoryLock(str(tmp_path))
     lock.release()
-    FolderLock(str(tmp_path)).release()
+    DirectoryLock(str(tmp_path)).release()
--- a/tests/serving/storage/test_store_crashes.py
+++ b/tests/serving/storage/test_store_crashes.py
@@ -23,8 +23,9 @@
     StateRecord,
     recover,
 )
-from coveport.serving.storage import ring
-from coveport.serving.storage.ring import Generation, Ring
+from coveport.serving.storage import ring, ring_format, ring_recovery
+from coveport.serving.storage.ring import Ring
+from coveport.serving.storage.ring_recovery import Generation
 from coveport.serving.storage.store import RecordStore
 from coveport.serving.wire.codec import MessageCodec
 from coveport.serving.wire.errors import MalformedMessageError
@@ -99,7 +100,7 @@
     numbers = {
         generation.number
         for index, content in enumerate(disk.contents.values())
-        if (generation := ring.read_generation(index, bytes(content.now))) is not None
+        if (generation := ring_recovery.read_generation(index, bytes(content.now))) is not None
     }
     assert len(disk.contents) == 3
     assert max(numbers) > 5
@@ -169,10 +170,10 @@
 
 def any_generation(file_index: int, data: bytes) -> Generation | None:
     generation = READ(file_index, data)
-    return replace(generation, is_whole=True) if generation else None
+    return replace(generation, has_complete_snapshot=True) if generation else None
 
 
-BEGIN, APPEND, READ = Ring.begin, Ring.append, ring.read_generation
+BEGIN, APPEND, READ = Ring.begin, Ring.append, ring_recovery.read_generation
 
 
 @pytest.mark.parametrize(
@@ -182,7 +183,7 @@
         (Ring, "append", append_without_sync),
         (Ring, "_next_index", always_the_same_file),
         (ring, "read_generation", any_generation),
-        (ring, "checksum", lambda header, frame, record: len(record)),
+        (ring_format, "checksum", lambda header, frame, record: len(record)),
         (RecordStore, "_begin_after_opening", lambda self: None),
     ],
     ids=lambda value: getattr(value, "__name__", str(value)),
