--- a/coveport/serving/cli/configuration.py
+++ b/coveport/serving/cli/configuration.py
@@ -82,7 +82,7 @@
     Exit codes: 0 taken, 1 refused, 2 wrong input, 3 no clear answer.
     """
     from coveport.serving.configuration.json_text import read_object
-    from coveport.serving.configuration.patch import patch as apply_patch
+    from coveport.serving.configuration.patch import apply_patch
 
     text = read_text(file)
     if text is None:
--- a/coveport/serving/configuration/__init__.py
+++ b/coveport/serving/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: read and checked whole, patched, and kept as acknowledged state. Pure."""
+"""The operator's configuration: read, validated, patched, and kept as acknowledged state. No I/O."""
--- a/coveport/serving/configuration/commands.py
+++ b/coveport/serving/configuration/commands.py
@@ -1,4 +1,4 @@
-"""Commands that change the acknowledged state, and their bytes."""
+"""Commands that change the acknowledged state, and their encoding on the wire and on disk."""
 
 from __future__ import annotations
 
@@ -10,46 +10,47 @@
 
 @dataclass(frozen=True, slots=True)
 class PutConfiguration:
-    """Replace the configuration by a whole one."""
+    """Replace the whole configuration."""
 
-    if_match: int | None  # the edition it builds on; None: the caller gave none
-    body: bytes
+    if_match: int | None  # the edition that the change is based on; None: the caller gave none
+    body: bytes  # JSON
 
 
 @dataclass(frozen=True, slots=True)
 class PatchConfiguration:
-    """Alter named items of the configuration."""
+    """Change named items of the configuration."""
 
-    if_match: int | None
-    body: bytes
+    if_match: int | None  # as in PutConfiguration
+    body: bytes  # JSON
 
 
 @dataclass(frozen=True, slots=True)
 class StartEvacuation:
-    """Nothing more is to be sent to a zone's nodes."""
+    """Send no more requests to a zone's nodes."""
 
     zone: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndEvacuation:
-    """A zone's nodes may be used again."""
+    """Use a zone's nodes again."""
 
     zone: str
 
 
 Command = PutConfiguration | PatchConfiguration | StartEvacuation | EndEvacuation
 
+# The order gives each command its number on the wire and on disk.
 _CODEC: Final[MessageCodec[Command]] = MessageCodec(
     (PutConfiguration, PatchConfiguration, StartEvacuation, EndEvacuation)
 )
 
 
 def encode_command(command: Command) -> bytes:
-    """A command as bytes."""
+    """Return a command as bytes."""
     return _CODEC.encode(command)
 
 
 def decode_command(data: bytes) -> Command:
-    """The command in the bytes; MalformedMessageError where they hold none."""
+    """Return the command in the bytes. Raises MalformedMessageError where they hold none."""
     return _CODEC.decode(data)
--- a/coveport/serving/configuration/json_text.py
+++ b/coveport/serving/configuration/json_text.py
@@ -1,4 +1,4 @@
-"""JSON texts of configurations: read strictly, written in one canonical way."""
+"""JSON texts of configurations: read strictly, written in one canonical form."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 from coveport.serving.model.findings import Finding, Refusal
 
 UNREADABLE: Final = "unreadable JSON"
-# Objects and lists inside one another. How deep Python itself reads depends on the caller's stack, and a
-# primary and its backups must agree.
-DEEPEST: Final = 32
+# Nested objects and lists. How deep Python itself reads depends on the caller's stack, while a primary and
+# its backups must agree.
+MAX_DEPTH: Final = 32
 _CONTAINERS: Final = (dict, list)
 
 
 def read_object(raw: bytes) -> dict[str, Any] | Refusal:
-    """The JSON object in a text; a refusal where it is cut short or anything else."""
+    """Return the JSON object in a text, or a refusal where it is truncated or anything else."""
     try:
         data = json.loads(raw.decode(), parse_constant=_refuse_constant, parse_float=_finite_float)
         if b"\\u" in raw:
-            write_object(data)  # half of a surrogate pair can be read, but not written
+            write_object(data)  # fails on half of a surrogate pair, which can be read but not written
     except RecursionError:
         return _refusal("is nested too deeply")
-    except ValueError as problem:  # among them UnicodeError and JSONDecodeError
-        return _refusal(f"is not JSON: {problem}")
+    except ValueError as error:  # UnicodeError and JSONDecodeError included
+        return _refusal(f"is not JSON: {error}")
     if not isinstance(data, dict):
         return _refusal("must be an object")
-    if _is_deeper_than(data, DEEPEST):
+    if _is_deeper_than(data, MAX_DEPTH):
         return _refusal("is nested too deeply")
     return data
 
 
 class ObjectWriter:
-    """Writes the canonical text of many values: no spaces, fields in the order in which they came."""
+    """Writes the canonical text of many values: no spaces, fields in their order in the input."""
 
     def __init__(self) -> None:
         self._encoder = json.JSONEncoder(ensure_ascii=False, allow_nan=False, separators=(",", ":"))
 
     def write(self, data: Any) -> bytes:
-        """The text of a value."""
+        """Return the text of a value."""
         return self._encoder.encode(data).encode()
 
 
 def write_object(data: Any) -> bytes:
-    """The canonical text of one value."""
+    """Return the canonical text of one value."""
     return ObjectWriter().write(data)
 
 
@@ -63,9 +63,9 @@
     return value
 
 
-def _is_deeper_than(data: Any, most: int) -> bool:
+def _is_deeper_than(data: Any, max_depth: int) -> bool:
     level = [data]
-    for _ in range(most):
+    for _ in range(max_depth):
         level = [
             inner
             for value in level
--- a/coveport/serving/configuration/patch.py
+++ b/coveport/serving/configuration/patch.py
@@ -1,21 +1,21 @@
-"""Alters named items of a configuration: upserts and removals, by list and name. Order is kept."""
+"""Changes named items of a configuration: upserts and removals, by list and name. Order is kept."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, Final
 
 from coveport.serving.model.findings import Findings, Refusal
 from coveport.serving.wire.names import Config
 
-INVALID_PATCH = "invalid patch"
+INVALID_PATCH: Final = "invalid patch"
 
 
 def apply_patch(current: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any] | Refusal:
-    """The configuration that `change` makes of `current`, both as JSON objects; neither is altered.
+    """Return the configuration after a change, or a refusal; all are JSON objects, neither input is altered.
 
-    Removals come first, then upserts: an item of a name that is there replaces it in its place, others are
-    added at the end. The limits are replaced whole. Removing what is not there changes nothing.
+    Removals come first, then upserts: an item replaces the one of its name at the same position, or is added
+    at the end. The limits are replaced as a whole. Removing a name that isn't there changes nothing.
     """
     findings = Findings()
     upserts = _section(change, Config.UPSERT, findings)
@@ -43,13 +43,13 @@
 
 
 def _remove(result: dict[str, Any], key: str, names: Any, findings: Findings) -> None:
-    place = f"{Config.REMOVE}.{key}"
+    location = f"{Config.REMOVE}.{key}"
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        findings.add(place, "must be a list of names")
+        findings.add(location, "must be a list of names")
         return
     items = result.get(key, [])
     if not isinstance(items, list):
-        findings.add(place, "has no items that could be removed by name")
+        findings.add(location, "has no items that could be removed by name")
         return
     removed = frozenset(names)
     if items:
@@ -57,19 +57,19 @@
 
 
 def _upsert(result: dict[str, Any], key: str, items: Any, findings: Findings) -> None:
-    place = f"{Config.UPSERT}.{key}"
+    location = f"{Config.UPSERT}.{key}"
     if isinstance(items, dict) and not isinstance(result.get(key, {}), list):
         result[key] = items
         return
     if not isinstance(items, list) or not isinstance(result.get(key, []), list):
-        findings.add(place, "must be a list of items")
+        findings.add(location, "must be a list of items")
         return
     merged = list(result.get(key, []))
     positions = {_name_of(item): position for position, item in enumerate(merged)}
     for number, item in enumerate(items):
         name = _name_of(item)
         if name is None:
-            findings.add(f"{place}[{number}]", f"must be an object with a {Config.NAME}")
+            findings.add(f"{location}[{number}]", f"must be an object with a {Config.NAME}")
         elif name in positions:
             merged[positions[name]] = item
         else:
--- a/coveport/serving/configuration/forms.py
+++ b/coveport/serving/configuration/raw_types.py
@@ -1,4 +1,7 @@
-"""The form of each part of a configuration as it arrives: fields, types, defaults."""
+"""The objects of a configuration as they arrive: fields, types and defaults, values not yet validated.
+
+Numbers are floats where JSON may write a whole number as 2.0 (`WHOLE_NUMBERS`).
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class RouteForm:
+class RawRoute:
     """A route."""
 
     name: str
@@ -29,15 +32,15 @@
 
 
 @dataclass(slots=True)
-class WeightedServiceForm:
-    """A route's part of one service."""
+class RawWeightedService:
+    """A service of a route, with its weight."""
 
     service: str
     weight: float
 
 
 @dataclass(slots=True)
-class ServiceForm:
+class RawService:
     """A service."""
 
     name: str
@@ -49,8 +52,8 @@
 
 
 @dataclass(slots=True)
-class EngineForm:
-    """What a service's nodes can hold and run."""
+class RawEngine:
+    """The capacity of a service's nodes."""
 
     slots: float = 0
     kv_cache_tokens: float = 0
@@ -58,8 +61,8 @@
 
 
 @dataclass(slots=True)
-class ClientLimitsForm:
-    """What a client may send."""
+class RawClientLimits:
+    """Limits on clients."""
 
     header_bytes: float = 16 * 1024
     body_bytes: float = 4 * 1024 * 1024
@@ -68,8 +71,8 @@
 
 
 @dataclass(slots=True)
-class ConfigurationForm:
-    """A whole configuration, its items not yet looked at."""
+class RawConfiguration:
+    """A configuration, its items not yet checked."""
 
     edition: int
     routes: list[Any]
@@ -77,15 +80,15 @@
     limits: dict[str, Any] = field(default_factory=dict)
 
 
-NAMES: Final[dict[type, dict[str, str]]] = {
-    RouteForm: wire.ROUTE,
-    WeightedServiceForm: wire.WEIGHTED_SERVICE,
-    ServiceForm: wire.SERVICE,
-    EngineForm: wire.ENGINE,
-    ClientLimitsForm: wire.CLIENT_LIMITS,
-    ConfigurationForm: wire.CONFIGURATION,
+FIELD_NAMES: Final[dict[type, dict[str, str]]] = {
+    RawRoute: wire.ROUTE,
+    RawWeightedService: wire.WEIGHTED_SERVICE,
+    RawService: wire.SERVICE,
+    RawEngine: wire.ENGINE,
+    RawClientLimits: wire.CLIENT_LIMITS,
+    RawConfiguration: wire.CONFIGURATION,
 }
-"""Of each form: the wire name of each field."""
+"""The external name of each field, by class."""
 
 WHOLE_NUMBERS: Final = frozenset({"edition", "priority", "max_attempts"})
-"""Fields whose numbers have no fraction; 2.0 is as good as 2."""
+"""Fields whose numbers must not have a fraction; 2.0 is the same as 2."""
--- a/coveport/serving/configuration/route_reader.py
+++ b/coveport/serving/configuration/route_reader.py
@@ -1,12 +1,12 @@
-"""Reads and checks the routes of a configuration."""
+"""Reads and validates the routes of a configuration."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from typing import Any, Final
 
-from coveport.serving.configuration.form_reader import FormReader, ReadForm
-from coveport.serving.configuration.forms import RouteForm, WeightedServiceForm
+from coveport.serving.configuration.raw_types import RawRoute, RawWeightedService
+from coveport.serving.configuration.type_checker import Checked, TypeChecker
 from coveport.serving.model.configuration import Route, RouteKind, WeightedService
 from coveport.serving.model.findings import Findings
 from coveport.serving.wire.configuration import CONFIGURATION, ROUTE, WEIGHTED_SERVICE
@@ -17,105 +17,106 @@
 class RouteReader:
     """Reads all routes of one configuration."""
 
-    def __init__(self, forms: FormReader, findings: Findings, services: frozenset[str] | None) -> None:
-        """`services`: the names that routes may use; None: not known, since that list can't be read."""
-        self._forms = forms
+    def __init__(self, checker: TypeChecker, findings: Findings, services: frozenset[str] | None) -> None:
+        """`services`: the names that routes may use; None: unknown, as that list is invalid."""
+        self._checker = checker
         self._findings = findings
         self._services = services
         self._names: set[str] = set()
-        self._places: dict[tuple[str, str], str] = {}
+        self._first_locations: dict[tuple[str, str], str] = {}  # by host and path prefix
 
     def read(self, items: list[Any]) -> tuple[Route, ...]:
-        """The routes; of no use where there are findings."""
+        """Return the routes in a JSON list; of no use where there are findings."""
         routes = []
         for number, item in enumerate(items):
-            place = f"{CONFIGURATION['routes']}[{number}]"
-            read = self._forms.read(RouteForm, item, place)
-            if read is not None:
-                routes.append(self._read_route(read, place))
+            location = f"{CONFIGURATION['routes']}[{number}]"
+            checked = self._checker.check(RawRoute, item, location)
+            if checked is not None:
+                routes.append(self._read_route(checked, location))
         return tuple(routes)
 
-    def _read_route(self, read: ReadForm[RouteForm], place: str) -> Route:
-        form = read.form
-        faulty = set(read.faulty)
-        for field, message in _faults(form):
-            if field not in faulty:
-                self._findings.add(f"{place}.{ROUTE[field]}", message)
-                faulty.add(field)
-        self._check_unique(form, faulty, place)
+    def _read_route(self, checked: Checked[RawRoute], location: str) -> Route:
+        raw = checked.value
+        invalid_fields = set(checked.invalid_fields)
+        for field, message in _faults(raw):
+            if field not in invalid_fields:
+                self._findings.add(f"{location}.{ROUTE[field]}", message)
+                invalid_fields.add(field)
+        self._check_unique(raw, invalid_fields, location)
         return Route(
-            name=form.name,
-            host=form.host.lower(),
-            path_prefix=form.path_prefix,
-            kind=_KINDS.get(form.kind, RouteKind.UNSAFE),
-            timeout_ms=form.timeout_ms,
-            latency_target_ms=form.latency_target_ms,
-            priority=int(form.priority),
-            services=self._read_services(read, place),
-            max_attempts=int(form.max_attempts),
-            session_affinity=form.session_affinity,
-            resumable=form.resumable,
-            inter_token_target_ms=form.inter_token_target_ms,
-            home_regions=frozenset(form.home_regions or ()),
+            name=raw.name,
+            host=raw.host.lower(),
+            path_prefix=raw.path_prefix,
+            kind=_KINDS.get(raw.kind, RouteKind.UNSAFE),
+            timeout_ms=raw.timeout_ms,
+            latency_target_ms=raw.latency_target_ms,
+            priority=int(raw.priority),
+            services=self._read_services(checked, location),
+            max_attempts=int(raw.max_attempts),
+            session_affinity=raw.session_affinity,
+            resumable=raw.resumable,
+            inter_token_target_ms=raw.inter_token_target_ms,
+            home_regions=frozenset(raw.home_regions or ()),
         )
 
-    def _check_unique(self, form: RouteForm, faulty: set[str], place: str) -> None:
-        """Names and places must differ, those at fault aside: they have their finding."""
-        if "name" not in faulty:
-            if form.name in self._names:
-                self._findings.add(f"{place}.{ROUTE['name']}", f"another route is named {form.name!r} too")
-            self._names.add(form.name)
-        if faulty.isdisjoint(("host", "path_prefix")):
-            first = self._places.setdefault((form.host.lower(), form.path_prefix), place)
-            if first != place:
-                self._findings.add(place, f"has the same host and path prefix as {first}")
+    def _check_unique(self, raw: RawRoute, invalid_fields: set[str], location: str) -> None:
+        """Add a finding where an earlier route has the same name, or the same host and path prefix."""
+        if "name" not in invalid_fields:
+            if raw.name in self._names:
+                self._findings.add(f"{location}.{ROUTE['name']}", f"another route is named {raw.name!r} too")
+            self._names.add(raw.name)
+        if invalid_fields.isdisjoint(("host", "path_prefix")):
+            first = self._first_locations.setdefault((raw.host.lower(), raw.path_prefix), location)
+            if first != location:
+                self._findings.add(location, f"has the same host and path prefix as {first}")
 
-    def _read_services(self, read: ReadForm[RouteForm], place: str) -> tuple[WeightedService, ...]:
-        """The services of a route: the weighted ones where there are any, else the one service, whole."""
-        form = read.form
-        if form.service is not None and "service" not in read.faulty:
-            self._check_known(form.service, f"{place}.{ROUTE['service']}")
-        if form.services:
-            return self._read_weighted(form.services, f"{place}.{ROUTE['services']}")
-        if form.service is not None:
-            return (WeightedService(form.service, 1.0),)
-        if form.services is None:
-            self._findings.add(f"{place}.{ROUTE['service']}", "is missing")
-        elif "services" not in read.faulty:
-            self._findings.add(f"{place}.{ROUTE['services']}", "the weights sum to 0")
+    def _read_services(self, checked: Checked[RawRoute], location: str) -> tuple[WeightedService, ...]:
+        """Return the weighted services of a route where it has some, else its one service."""
+        raw = checked.value
+        if raw.service is not None and "service" not in checked.invalid_fields:
+            self._check_service_exists(raw.service, f"{location}.{ROUTE['service']}")
+        if raw.services:
+            return self._read_weighted_services(raw.services, f"{location}.{ROUTE['services']}")
+        if raw.service is not None:
+            return (WeightedService(raw.service, 1.0),)
+        if raw.services is None:
+            self._findings.add(f"{location}.{ROUTE['service']}", "is missing")
+        elif "services" not in checked.invalid_fields:
+            self._findings.add(f"{location}.{ROUTE['services']}", "the weights sum to 0")
         return ()
 
-    def _read_weighted(self, items: list[Any], place: str) -> tuple[WeightedService, ...]:
-        weighted = []
-        has_fault = False
+    def _read_weighted_services(self, items: list[Any], location: str) -> tuple[WeightedService, ...]:
+        services = []
+        has_invalid_weight = False
         for number, item in enumerate(items):
-            here = f"{place}[{number}]"
-            read = self._forms.read(WeightedServiceForm, item, here)
-            if read is None:
-                has_fault = True
+            item_location = f"{location}[{number}]"
+            checked = self._checker.check(RawWeightedService, item, item_location)
+            if checked is None:
+                has_invalid_weight = True
                 continue
-            if "service" not in read.faulty:
-                self._check_known(read.form.service, f"{here}.{WEIGHTED_SERVICE['service']}")
-            has_fault = has_fault or "weight" in read.faulty
-            weighted.append(WeightedService(read.form.service, read.form.weight))
-        if not has_fault and sum(one.weight for one in weighted) == 0:
-            self._findings.add(place, "the weights sum to 0")
-        return tuple(weighted)
+            raw = checked.value
+            if "service" not in checked.invalid_fields:
+                self._check_service_exists(raw.service, f"{item_location}.{WEIGHTED_SERVICE['service']}")
+            has_invalid_weight = has_invalid_weight or "weight" in checked.invalid_fields
+            services.append(WeightedService(raw.service, raw.weight))
+        if not has_invalid_weight and sum(service.weight for service in services) == 0:
+            self._findings.add(location, "the weights sum to 0")
+        return tuple(services)
 
-    def _check_known(self, service: str, place: str) -> None:
+    def _check_service_exists(self, service: str, location: str) -> None:
         if self._services is not None and service not in self._services:
-            self._findings.add(place, f"there is no service {service!r}")
+            self._findings.add(location, f"there is no service {service!r}")
 
 
-def _faults(form: RouteForm) -> Iterator[tuple[str, str]]:
-    """The faults of a route's own values: the field, and what is wrong."""
-    if not form.host:
+def _faults(raw: RawRoute) -> Iterator[tuple[str, str]]:
+    """Yield the faults of a route's own values: the field and the message."""
+    if not raw.host:
         yield "host", "is empty"
-    if not (form.path_prefix.startswith("/") and form.path_prefix.endswith("/")):
+    if not (raw.path_prefix.startswith("/") and raw.path_prefix.endswith("/")):
         yield "path_prefix", "must begin and end with a slash"
-    if form.kind not in _KINDS:
+    if raw.kind not in _KINDS:
         yield "kind", f"must be one of {', '.join(_KINDS)}"
-    if form.timeout_ms == 0:
+    if raw.timeout_ms == 0:
         yield "timeout_ms", "must be above 0"
-    if form.max_attempts < 1:
+    if raw.max_attempts < 1:
         yield "max_attempts", "must be at least 1"
--- a/coveport/serving/configuration/state_machine.py
+++ b/coveport/serving/configuration/state_machine.py
@@ -14,10 +14,11 @@
     decode_command,
 )
 from coveport.serving.configuration.digest import digest_of
-from coveport.serving.configuration.document import Document, apply_route_changes
+from coveport.serving.configuration.document import Document
 from coveport.serving.configuration.json_text import read_object
 from coveport.serving.configuration.patch import apply_patch
 from coveport.serving.configuration.reader import read_document, render_document, validate_document
+from coveport.serving.configuration.route_changes import apply_route_changes
 from coveport.serving.configuration.state import (
     MAX_APPLIED_CHANGES,
     AppliedChange,
--- a/features/steps/control_state_steps.py
+++ b/features/steps/control_state_steps.py
@@ -198,7 +198,7 @@
 def check_refused(result: ChangeResult, status: int, place: str) -> None:
     """The status, and the places of the findings."""
     assert result.status == status, result
-    assert [finding.place for finding in result.findings] == [place], result
+    assert [finding.location for finding in result.findings] == [place], result
 
 
 @then("it is refused with {status:d}")
@@ -212,7 +212,7 @@
 @then("the findings are")
 def findings_are(context: Any) -> None:
     """The places of all findings, in any order."""
-    told = sorted(finding.place for finding in context.results[-1].findings)
+    told = sorted(finding.location for finding in context.results[-1].findings)
     assert told == sorted(row["place"] for row in context.table), told
 
 
--- a/tests/serving/configuration/test_changed_routes.py
+++ b/tests/serving/configuration/test_changed_routes.py
@@ -9,10 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from coveport.serving.configuration import state as control_state
+from coveport.serving.configuration import state_machine
 from coveport.serving.configuration.commands import PatchConfiguration, PutConfiguration
-from coveport.serving.configuration.document import DocumentCache, apply_route_changes
+from coveport.serving.configuration.document_cache import DocumentCache
 from coveport.serving.configuration.reader import read_document
+from coveport.serving.configuration.route_changes import apply_route_changes
 from coveport.serving.configuration.state import ControlState, initial_state
 from coveport.serving.configuration.state_machine import apply_command
 from coveport.serving.model.findings import Refusal
@@ -75,7 +76,7 @@
 def apply_by_whole(state: ControlState, command: PatchConfiguration) -> Applied | Refused:
     """As `apply_command`, reading and writing everything."""
     with pytest.MonkeyPatch.context() as patched:
-        patched.setattr(control_state, "_change_routes", lambda state, change: None)
+        patched.setattr(state_machine, "_patch_routes", lambda state, change: None)
         return apply_command(state, command)
 
 
@@ -129,7 +130,7 @@
     document = read_document(whole([]))
     assert not isinstance(document, Refusal)
     for text in (b"1", b"2", b"2", b"3"):
-        kept.remember(text, document)
+        kept.add(text, document)
     assert kept.find(b"1") is None
     assert kept.find(b"2") is document
     assert kept.find(b"3") is document
--- a/tests/serving/configuration/test_configuration_reader.py
+++ b/tests/serving/configuration/test_configuration_reader.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.serving.configuration.forms import RouteForm
+from coveport.serving.configuration.raw_types import RawRoute
 from coveport.serving.configuration.reader import read_configuration
 from coveport.serving.model.configuration import Configuration, RouteKind, WeightedService
 from coveport.serving.model.findings import Refusal
@@ -290,5 +290,5 @@
         route(f"s{number}", Service=None, Shares=[{"Service": "model", "Share": 1}]) for number in range(300)
     ]
     assert len(taken(text(whole(7, *alike, *others))).routes) == 600
-    assert calls.count(RouteForm) == 2
+    assert calls.count(RawRoute) == 2
     assert len(calls) <= 8
