--- a/coveport/cli/operator.py
+++ b/coveport/cli/operator.py
@@ -42,8 +42,8 @@
 
 def at_store(told: OperatorFile, work: Callable[[Store, str], Awaitable[int]]) -> int:
     """Do something at the store that the file names; `work` is given it and the prefix."""
+    from coveport.sidecar.leases.errors import StoreError
     from coveport.sidecar.leases.open_store import open_store
-    from coveport.sidecar.leases.store import StoreError
 
     async def run() -> int:
         store = open_store(told)
@@ -129,7 +129,7 @@
         }
         if entry is not None:
             who, _, since = entry.value.decode(errors="replace").partition(" ")
-            left = await store.left(entry.lease)
+            left = await store.time_left(entry.lease)
             row |= {
                 "holder": who.partition("#")[0],
                 "token": entry.created,
--- a/coveport/cli/work.py
+++ b/coveport/cli/work.py
@@ -66,11 +66,11 @@
 def with_records(told: OperatorFile, work: Callable[[StaffRecords], Awaitable[int]]) -> int:
     """Do something at the records' store that the file names."""
     from coveport.sidecar.intent_log.record_layout import RecordLayout
-    from coveport.sidecar.leases.open_store import open_work
-    from coveport.sidecar.leases.store import StoreError
+    from coveport.sidecar.leases.errors import StoreError
+    from coveport.sidecar.leases.open_store import open_record_store
 
     async def run() -> int:
-        store = open_work(told, CALL_S)
+        store = open_record_store(told, CALL_S)
         try:
             return await work(StaffRecords(store, RecordLayout(told.work_prefix, told.work.kept_s)))
         finally:
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -26,7 +26,8 @@
 from coveport.sidecar.effects import Effects
 from coveport.sidecar.intent_log.encryption import SealError
 from coveport.sidecar.leases.clock import boot_s
-from coveport.sidecar.leases.lease_client import DUTY, INSTANCE, LeaseClient
+from coveport.sidecar.leases.keys import INSTANCE_PREFIX, ROLE_PREFIX
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.open_store import open_store
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.recording import Recording
@@ -96,7 +97,7 @@
             open_store(told),
             name=self.name,
             incarnation=self.incarnation,
-            duties=self._wished,
+            roles=self._wished,
             terms=told.terms,
             now_s=boot_s,
             unix_s=time.time,
@@ -112,8 +113,8 @@
         self._runners = {
             name: Runner(self.lease_client, made[name], boot_s, self._did) for name in self._wished
         }
-        self.lease_client.on_began = lambda duty, token: self._runners[duty].began(token)
-        self.lease_client.on_ended = lambda duty, token, why: self._runners[duty].ended()
+        self.lease_client.on_acquired = lambda duty, token: self._runners[duty].began(token)
+        self.lease_client.on_lost = lambda duty, token, why: self._runners[duty].ended()
         self.lease_client.on_change = self._changed
         self._recording: Recording | None = None
         if told.work.record:
@@ -151,14 +152,14 @@
         counters.gauge(
             "duties_held",
             lambda: sum(
-                bool(self.lease_client.lease_state.believes(boot_s(), name)) for name in self._wished
+                bool(self.lease_client.lease_state.held_token(boot_s(), name)) for name in self._wished
             ),
         )
-        counters.gauge("store_calls", lambda: sum(self.lease_client.calls.values()))
+        counters.gauge("store_calls", lambda: sum(self.lease_client.call_counts.values()))
         counters.gauge(
             "store_unknown",
             lambda: sum(
-                count for name, count in self.lease_client.calls.items() if name.endswith("_unknown")
+                count for name, count in self.lease_client.call_counts.items() if name.endswith("_unknown")
             ),
         )
         if self._recording is not None:
@@ -168,7 +169,7 @@
             effects.looks = self
         if self._member is not None:
             self._member.joined(effects, life, lambda: effects.destinations.places)
-        self.lease_client.tell(self._fares())
+        self.lease_client.publish_status(self._fares())
 
     def _phase(self, phase: Phase) -> None:
         if phase is Phase.SERVING and not self._tasks:
@@ -182,7 +183,7 @@
                 self._tasks.append(asyncio.ensure_future(self._wish_for_grants(self._granted)))
         elif phase in (Phase.SERVING, Phase.LAMEDUCK):
             for duty in self._wished:
-                self.lease_client.wish(duty, phase is Phase.SERVING, "lame duck")
+                self.lease_client.set_contending(duty, phase is Phase.SERVING, "lame duck")
         elif phase is Phase.DRAINING:
             # Handed on before the first connection is closed: the rest of the end may take seconds.
             self._leaving = asyncio.ensure_future(self._leave())
@@ -190,7 +191,7 @@
     async def _leave(self) -> None:
         if self._recording is not None:
             await self._recording.leaving()  # else others would take what we are still at
-        await self.lease_client.leave()
+        await self.lease_client.close()
 
     async def leave(self) -> None:
         """The sidecar has ended."""
@@ -207,13 +208,13 @@
     def _changed(self, key: str, entry: Entry | None) -> None:
         if self._recording is not None:
             self._recording.changed(key, entry)
-        if self._member is not None and key.startswith(INSTANCE):
+        if self._member is not None and key.startswith(INSTANCE_PREFIX):
             self._member.seen(len(self.lease_client.instances))
         if key.startswith(YIELD) and entry is not None:
             duty = key[len(YIELD) :]
-            held = self.lease_client.entries.get(DUTY + duty)
+            held = self.lease_client.entries.get(ROLE_PREFIX + duty)
             if duty in self._runners and held is not None and entry.value == b"%d" % held.created:
-                self.lease_client.yield_(duty, "staff")
+                self.lease_client.step_down(duty, "staff")
         elif key.startswith(LOOK) and self._looking is not None:
             seen = self._looking.heard(boot_s(), time.time(), key[len(LOOK) :], entry)
             number = self._nodes().get(key[len(LOOK) :]) if seen is not None else None
@@ -246,7 +247,7 @@
         else:
             self._follower.took(name)
         self.history("settings", wanted=name, fault=fault)
-        self.lease_client.tell(self._fares())
+        self.lease_client.publish_status(self._fares())
         self._follow()  # the next may have come meanwhile
 
     def reread(self, running: configuration.Config) -> configuration.Config:
@@ -290,13 +291,15 @@
                 (served, sum(counters.get(ended(name, how)) for name in names for how in ENDS))
             )
             if under_way(self.lease_client.entries):
-                self.lease_client.tell(self._fares())  # else nobody reads it, and nobody pays for it
+                self.lease_client.publish_status(
+                    self._fares()
+                )  # else nobody reads it, and nobody pays for it
             self._reached.append((sum(map(counters.get, REACHED)), sum(map(counters.get, MISSED))))
             first, last = self._reached[0], self._reached[-1]
             useless = (
                 len(self._reached) == self._reached.maxlen and last[1] > first[1] and last[0] == first[0]
             )
-            self.lease_client.unwell("no destination can be reached" if useless else "")
+            self.lease_client.set_unhealthy("no destination can be reached" if useless else "")
 
     # Grants of fresh nodes.
 
@@ -315,7 +318,7 @@
                 now, (has - had) / max(last - first, WISH_S), effects.service_ms / 1000, fresh
             )
             if wish is not None:
-                self.lease_client.put(NEED + self.name, wish)
+                self.lease_client.publish(NEED + self.name, wish)
 
     def _take_grant(self, granted: Granted, zone: str, entry: Entry | None) -> None:
         now = boot_s()
@@ -356,7 +359,7 @@
             effects.feed(core.ProbeEnded(number, result.outcome, took, result.load))
             told = looking.looked(boot_s(), time.time(), node, result.outcome is api.Outcome.OK, took)
             if told is not None:
-                self.lease_client.put(LOOK + node, told)
+                self.lease_client.publish(LOOK + node, told)
 
         effects.counters.add("probes_by_turn")
         effects.destinations.send(number, None, timeout_s, done)
--- a/coveport/sidecar/intent_log/journal.py
+++ b/coveport/sidecar/intent_log/journal.py
@@ -16,7 +16,8 @@
 from typing import Any
 
 from coveport.sidecar.intent_log.observed_age import Ages
-from coveport.sidecar.leases.store import Done, Outcome, Put, Refused, Store, StoreError, Transaction, Unknown
+from coveport.sidecar.leases.errors import StoreError
+from coveport.sidecar.leases.store import Done, Outcome, Put, Refused, Store, Transaction, Unknown
 
 MOST_ENTRIES, MOST_BYTES = 1024, 4 * 1024 * 1024  # that wait to be written, over all groups
 MOST_WAIT_S = 0.1  # that the first of them has waited: what came now would be late
--- a/coveport/sidecar/leases/effects.py
+++ b/coveport/sidecar/leases/effects.py
@@ -1,6 +1,6 @@
-"""What a holder has done, in order. Pure.
+"""Effects that `LeaseState` asks its client for, in order. Pure.
 
-A call's answer comes back by `LeaseState.answered` with its number.
+Each `StoreCall` carries a number, by which `LeaseState.handle_outcome` takes its outcome.
 """
 
 from __future__ import annotations
@@ -9,84 +9,85 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskLease:
-    """Ask for a lease."""
+class GrantLease:
+    """Ask the store for a new lease."""
 
     call: int
     ttl_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class KeepLease:
-    """Renew."""
+class RenewLease:
+    """Renew the lease for another time to live."""
 
     call: int
     lease: int
 
 
 @dataclass(frozen=True, slots=True)
-class DropLease:
-    """Revoke, as well as can be; nobody waits for it."""
+class RegisterInstance:
+    """Create this instance's key under the lease, if no other process has the name."""
 
+    call: int
     lease: int
 
 
 @dataclass(frozen=True, slots=True)
-class Arrive:
-    """Write our name down under the lease, where it is nobody's."""
+class AcquireRole:
+    """Create the role's key under the lease, if the role has no holder."""
 
     call: int
+    role: str
     lease: int
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
-    """Create the duty's key under the lease, where there is none."""
+class ReleaseRole:
+    """Delete the role's key, if it is still the one with this fencing token."""
 
     call: int
-    duty: str
-    lease: int
+    role: str
+    token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
-    """Delete the duty's key, where it is the one of this token."""
+class ReadRoles:
+    """Read the keys of all roles; they come back by `handle_role_key` before the call's outcome."""
 
     call: int
-    duty: str
-    token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """Read the duties' keys; they come back by `seen`, and `looked`."""
+class RevokeLease:
+    """Revoke the lease, best effort: nothing waits for the outcome."""
 
-    call: int
+    lease: int
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
-    """We hold a duty from here on."""
+class RoleAcquired:
+    """The instance holds the role from now on, under this fencing token."""
 
-    duty: str
+    role: str
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """We do not hold it any more."""
+class RoleLost:
+    """The instance does not hold the role any more."""
 
-    duty: str
+    role: str
     token: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A line for the log."""
+class LogEvent:
+    """Write a line to the log."""
 
     event: str
     detail: str = ""
 
 
-Effect = AskLease | KeepLease | DropLease | Arrive | Claim | Release | Look | Began | Ended | Told
+StoreCall = GrantLease | RenewLease | RegisterInstance | AcquireRole | ReleaseRole | ReadRoles
+Effect = StoreCall | RevokeLease | RoleAcquired | RoleLost | LogEvent
--- a/coveport/sidecar/leases/etcd.py
+++ b/coveport/sidecar/leases/etcd.py
@@ -17,6 +17,7 @@
 import grpc
 from aetcd import rpc
 
+from coveport.sidecar.leases.errors import StoreError, WatchLostError
 from coveport.sidecar.leases.store import (
     Change,
     Compare,
@@ -26,10 +27,8 @@
     Outcome,
     Put,
     Refused,
-    StoreError,
     Transaction,
     Unknown,
-    WatchLostError,
 )
 
 T = TypeVar("T")
@@ -182,7 +181,7 @@
             str(found.header.cluster_id), found.header.revision, lease=found.ID, ttl_s=float(found.TTL)
         )
 
-    async def keep(self, lease: int) -> Outcome:
+    async def renew(self, lease: int) -> Outcome:
         """Renew."""
 
         async def ask(channel: Any) -> Any:
@@ -214,7 +213,7 @@
             return found
         return Done(str(found.header.cluster_id), found.header.revision, lease=lease)
 
-    async def left(self, lease: int) -> Outcome:
+    async def time_left(self, lease: int) -> Outcome:
         """What a lease has left, in whole seconds."""
         request = rpc.LeaseTimeToLiveRequest(ID=lease)
         found: Any = await self._anywhere(lambda channel: rpc.LeaseStub(channel).LeaseTimeToLive(request))
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -15,20 +15,22 @@
 
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.leases.effects import (
-    Arrive,
-    AskLease,
-    Began,
-    Claim,
-    DropLease,
+    AcquireRole,
     Effect,
-    Ended,
-    KeepLease,
-    Look,
-    Release,
-    Told,
+    GrantLease,
+    LogEvent,
+    RegisterInstance,
+    ReleaseRole,
+    RenewLease,
+    RevokeLease,
+    RoleAcquired,
+    RoleLost,
+    StoreCall,
 )
+from coveport.sidecar.leases.errors import StoreError, WatchLostError
+from coveport.sidecar.leases.keys import INSTANCE_PREFIX, ROLE_PREFIX
 from coveport.sidecar.leases.lease_state import LeaseState
-from coveport.sidecar.leases.states import Session
+from coveport.sidecar.leases.states import FINAL_SESSION_STATES, SessionState
 from coveport.sidecar.leases.store import (
     Change,
     Compare,
@@ -40,10 +42,8 @@
     Put,
     Refused,
     Store,
-    StoreError,
     Transaction,
     Unknown,
-    WatchLostError,
     fenced,
 )
 
@@ -54,8 +54,6 @@
 LATE_S = 0.001  # timers come rounded: what is due this soon is due
 SOONEST_S = 0.001
 
-INSTANCE, DUTY, STATE = "instance/", "duty/", "state/"
-
 
 class History(Protocol):
     """Who is told what an instance believes and does, with its own fields."""
@@ -78,7 +76,7 @@
         *,
         name: str,
         incarnation: str,
-        duties: tuple[str, ...],
+        roles: tuple[str, ...],
         terms: Terms,
         now_s: Callable[[], float],
         history: History,
@@ -95,7 +93,7 @@
         self._history = history
         self._terms = terms
         self._chance = chance
-        self.lease_state = lease_state(incarnation, duties, terms, chance)
+        self.lease_state = lease_state(incarnation, roles, terms, chance)
         self._call_s = terms.ttl_s * CALL_SHARE
         self._tasks: set[asyncio.Task[None]] = set()
         self._watching: asyncio.Task[None] | None = None
@@ -104,11 +102,11 @@
         self._floor = 0
         self.entries: dict[str, Entry] = {}  # what stands in the store, as far as seen
         self.revision = 0  # up to which `entries` is told
-        self.heard_at = -1.0  # when the store last answered or told us something
-        self.on_began: Callable[[str, int], None] = lambda duty, token: None
-        self.on_ended: Callable[[str, int, str], None] = lambda duty, token, why: None
+        self.last_answer_at = -1.0  # when the store last answered or told us something
+        self.on_acquired: Callable[[str, int], None] = lambda duty, token: None
+        self.on_lost: Callable[[str, int, str], None] = lambda duty, token, why: None
         self.on_change: Callable[[str, Entry | None], None] = lambda key, entry: None
-        self.calls: dict[str, int] = {}  # store calls by kind, and by how they ended
+        self.call_counts: dict[str, int] = {}  # store calls by kind, and by how they ended
         self._fares = b"{}"
         self._fares_out = False
         self._puts: dict[str, bytes] = {}  # what is being written, or is to be next
@@ -116,11 +114,11 @@
 
     # For those who do duties.
 
-    def holds(self, duty: str) -> int:
+    def usable_token(self, duty: str) -> int:
         """The token, where something new may be begun now; else 0."""
-        return self.lease_state.holds(self._now_s(), duty)
+        return self.lease_state.usable_token(self._now_s(), duty)
 
-    async def act(
+    async def commit_fenced(
         self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
     ) -> Outcome | None:
         """Carry something out as the holder of a duty; None where we do not hold it.
@@ -128,11 +126,11 @@
         Keys are without the prefix. Fenced by the token: the store refuses it where the duty is not ours
         any more.
         """
-        token = self.holds(duty)
+        token = self.usable_token(duty)
         if not token:
             return None
         transaction = fenced(
-            self._prefix + DUTY + duty,
+            self._prefix + ROLE_PREFIX + duty,
             token,
             *(self._whole(one) for one in changes),
             compares=tuple(Compare(self._prefix + one.key, one.field, one.equals) for one in compares),
@@ -148,7 +146,7 @@
             revision=0 if isinstance(outcome, Unknown) else outcome.revision,
         )
         if isinstance(outcome, Refused):
-            self._feed(self.lease_state.lost_sight(self._now_s()))  # it may be another's by now
+            self._feed(self.lease_state.handle_watch_lost(self._now_s()))  # it may be another's by now
         return outcome
 
     async def read(self, prefix: str) -> Done | None:
@@ -166,17 +164,17 @@
             ),
         )
 
-    def tell(self, fares: bytes) -> None:
+    def publish_status(self, fares: bytes) -> None:
         """Have this written under our name, now and after each return. Lost where the session is."""
         if fares != self._fares:
             self._fares = fares
             self._write_fares()
 
-    def put(self, key: str, value: bytes) -> None:
+    def publish(self, key: str, value: bytes) -> None:
         """Have this stand for as long as our session does. The last one counts."""
         waiting = key in self._puts
         self._puts[key] = value
-        if not waiting and not self._closed and self.lease_state.session in (Session.IN, Session.WARY):
+        if not waiting and not self._closed and self.lease_state.in_session:
             self._begin(self._put_all(key))
         elif not waiting:
             del self._puts[key]
@@ -193,23 +191,25 @@
             if self._puts.get(key) is value:
                 del self._puts[key]
 
-    def unwell(self, why: str) -> None:
+    def set_unhealthy(self, why: str) -> None:
         """We can't do duties well; empty: we can again."""
-        self._feed(self.lease_state.unwell(self._now_s(), why))
+        self._feed(self.lease_state.set_unhealthy(self._now_s(), why))
 
-    def wish(self, duty: str, wished: bool, why: str) -> None:
+    def set_contending(self, duty: str, wished: bool, why: str) -> None:
         """Contend for a duty or keep off it."""
-        self._feed(self.lease_state.wish(self._now_s(), duty, wished, why))
+        self._feed(self.lease_state.set_contending(self._now_s(), duty, wished, why))
 
-    def yield_(self, duty: str, why: str) -> None:
+    def step_down(self, duty: str, why: str) -> None:
         """Hand a duty on once."""
-        self._feed(self.lease_state.yield_(self._now_s(), duty, why))
+        self._feed(self.lease_state.step_down(self._now_s(), duty, why))
 
     @property
     def instances(self) -> Mapping[str, bytes]:
         """Who is there, and how it fares, by name."""
         return {
-            key[len(INSTANCE) :]: one.value for key, one in self.entries.items() if key.startswith(INSTANCE)
+            key[len(INSTANCE_PREFIX) :]: one.value
+            for key, one in self.entries.items()
+            if key.startswith(INSTANCE_PREFIX)
         }
 
     # Life.
@@ -219,10 +219,10 @@
         self._watching = asyncio.ensure_future(self._watch())
         self._wake()
 
-    async def leave(self) -> None:
+    async def close(self) -> None:
         """Hand on all and end; at most a second where the store does not answer."""
         self._closed = True
-        self._feed(self.lease_state.leave(self._now_s()))
+        self._feed(self.lease_state.close(self._now_s()))
         if self._timer is not None:
             self._timer.cancel()
         if self._watching is not None:
@@ -243,26 +243,31 @@
 
     def _wake(self) -> None:
         self._timer = None
-        self._feed(self.lease_state.tick(self._now_s() + LATE_S))
+        self._feed(self.lease_state.handle_timer(self._now_s() + LATE_S))
 
     def _feed(self, effects: list[Effect]) -> None:
         for one in effects:
-            if isinstance(one, Told):
+            if isinstance(one, LogEvent):
                 self._history(one.event, detail=one.detail)
-            elif isinstance(one, Began):
-                self._history("began", duty=one.duty, token=one.token, until=round(self.lease_state.until, 4))
-                self.on_began(one.duty, one.token)
-            elif isinstance(one, Ended):
-                self._history("ended", duty=one.duty, token=one.token, why=one.why)
-                self.on_ended(one.duty, one.token, one.why)
-            elif isinstance(one, DropLease):
+            elif isinstance(one, RoleAcquired):
+                self._history(
+                    "began", duty=one.role, token=one.token, until=round(self.lease_state.believed_until, 4)
+                )
+                self.on_acquired(one.role, one.token)
+            elif isinstance(one, RoleLost):
+                self._history("ended", duty=one.role, token=one.token, why=one.reason)
+                self.on_lost(one.role, one.token, one.reason)
+            elif isinstance(one, RevokeLease):
                 self._begin(self._drop(one.lease))
             else:
                 self._begin(self._answer(one))
         if self._timer is not None:
             self._timer.cancel()
-        if not self._closed and self.lease_state.session not in (Session.LEFT, Session.ESTRANGED):
-            wait = max(self.lease_state.next_at() - self._now_s(), SOONEST_S)
+        if not self._closed and self.lease_state.session not in (
+            SessionState.CLOSED,
+            SessionState.STORE_RESET,
+        ):
+            wait = max(self.lease_state.next_timer() - self._now_s(), SOONEST_S)
             self._timer = asyncio.get_running_loop().call_later(min(wait, self._terms.ttl_s), self._wake)
 
     def _begin(self, work: Coroutine[Any, Any, None]) -> None:
@@ -273,42 +278,46 @@
     async def _drop(self, lease: int) -> None:
         await self._call("revoke", self._store.revoke(lease))
 
-    async def _answer(self, one: AskLease | KeepLease | Arrive | Claim | Release | Look) -> None:
-        if isinstance(one, AskLease):
+    async def _answer(self, one: StoreCall) -> None:
+        if isinstance(one, GrantLease):
             outcome = await self._call("grant", self._store.grant(one.ttl_s))
-        elif isinstance(one, KeepLease):
-            outcome = await self._call("keep", self._store.keep(one.lease))
-        elif isinstance(one, Arrive):
-            key = self._prefix + INSTANCE + self.name
+        elif isinstance(one, RenewLease):
+            outcome = await self._call("keep", self._store.renew(one.lease))
+        elif isinstance(one, RegisterInstance):
+            key = self._prefix + INSTANCE_PREFIX + self.name
             outcome = await self._call(
                 "arrive",
                 self._store.commit(
                     Transaction((Compare(key, Field.CREATED, 0),), (Put(key, self._fares, one.lease),))
                 ),
             )
-        elif isinstance(one, Claim):
-            key = self._prefix + DUTY + one.duty
+        elif isinstance(one, AcquireRole):
+            key = self._prefix + ROLE_PREFIX + one.role
             outcome = await self._call(
                 "claim",
                 self._store.commit(
                     Transaction((Compare(key, Field.CREATED, 0),), (Put(key, self._claim(), one.lease),))
                 ),
             )
-        elif isinstance(one, Release):
-            key = self._prefix + DUTY + one.duty
+        elif isinstance(one, ReleaseRole):
+            key = self._prefix + ROLE_PREFIX + one.role
             outcome = await self._call("release", self._store.commit(fenced(key, one.token, Delete(key))))
         else:
-            outcome = await self._call("look", self._store.read(self._prefix + DUTY))
+            outcome = await self._call("look", self._store.read(self._prefix + ROLE_PREFIX))
             if isinstance(outcome, Done):
-                found = {entry.key[len(self._prefix + DUTY) :]: entry for entry in outcome.entries}
-                for duty in self.lease_state.duties:
-                    self._feed(self.lease_state.seen(self._now_s(), duty, found.get(duty), outcome.revision))
-        if self._closed and not isinstance(one, Release):
+                found = {entry.key[len(self._prefix + ROLE_PREFIX) :]: entry for entry in outcome.entries}
+                for duty in self.lease_state.roles:
+                    self._feed(
+                        self.lease_state.handle_role_key(
+                            self._now_s(), duty, found.get(duty), outcome.revision
+                        )
+                    )
+        if self._closed and not isinstance(one, ReleaseRole):
             return
-        self._feed(self.lease_state.answered(self._now_s(), one.call, outcome))
-        if isinstance(one, KeepLease) and isinstance(outcome, Done):
-            self._history("renewed", until=round(self.lease_state.until, 4))
-        if isinstance(one, Arrive):
+        self._feed(self.lease_state.handle_outcome(self._now_s(), one.call, outcome))
+        if isinstance(one, RenewLease) and isinstance(outcome, Done):
+            self._history("renewed", until=round(self.lease_state.believed_until, 4))
+        if isinstance(one, RegisterInstance):
             self._write_fares()
 
     def _claim(self) -> bytes:
@@ -327,11 +336,11 @@
             outcome = Unknown(str(problem))
             self._went_back(str(problem))
         count = f"{kind}_{type(outcome).__name__.lower()}"
-        self.calls[count] = self.calls.get(count, 0) + 1
+        self.call_counts[count] = self.call_counts.get(count, 0) + 1
         if isinstance(outcome, Unknown):
             self._history("unknown", call=kind, why=outcome.why)
             return outcome
-        self.heard_at = self._now_s()
+        self.last_answer_at = self._now_s()
         if identity and outcome.identity != identity:
             self._went_back(f"another store: {outcome.identity}, not {identity}")
         elif outcome.revision < floor:
@@ -342,26 +351,26 @@
         return Unknown("the store is not the one we knew")
 
     def _went_back(self, why: str) -> None:
-        if self.lease_state.session is not Session.ESTRANGED:
-            self._feed(self.lease_state.answered(self._now_s(), 0, Unknown(why), floor_broken=why))
+        if self.lease_state.session is not SessionState.STORE_RESET:
+            self._feed(self.lease_state.handle_outcome(self._now_s(), 0, Unknown(why), store_reset=why))
 
     # What stands there.
 
     async def _watch(self) -> None:
         failures = 0
-        while self.lease_state.session not in (Session.LEFT, Session.ESTRANGED):
+        while self.lease_state.session not in FINAL_SESSION_STATES:
             whole = await self.read("")
             if whole is not None:
                 failures = 0
                 self._stands({one.key: one for one in whole.entries}, whole.revision)
                 try:
                     async for changes in self._store.watch(self._prefix, whole.revision):
-                        self.heard_at = self._now_s()
+                        self.last_answer_at = self._now_s()
                         for change in changes:
                             self._changed(change)
                 except (WatchLostError, StoreError) as problem:
                     self._history("watch_lost", why=str(problem))
-                self._feed(self.lease_state.lost_sight(self._now_s()))
+                self._feed(self.lease_state.handle_watch_lost(self._now_s()))
             failures += 1
             wait = min(WATCH_AGAIN_MOST_S, WATCH_AGAIN_S * 2 ** min(failures - 1, 10))
             await asyncio.sleep(wait * self._chance.uniform(0.5, 1.0))
@@ -378,8 +387,12 @@
             self.on_change(key, None)
         for one in news:
             self.on_change(one.key, one)
-        for duty in self.lease_state.duties:
-            self._feed(self.lease_state.seen(self._now_s(), duty, entries.get(DUTY + duty), revision))
+        for duty in self.lease_state.roles:
+            self._feed(
+                self.lease_state.handle_role_key(
+                    self._now_s(), duty, entries.get(ROLE_PREFIX + duty), revision
+                )
+            )
 
     def _changed(self, change: Change) -> None:
         key, entry = change.key[len(self._prefix) :], change.entry
@@ -391,26 +404,29 @@
         else:
             entry = Entry(key, entry.value, entry.created, entry.modified, entry.lease)
             self.entries[key] = entry
-        if key.startswith(INSTANCE):
+        if key.startswith(INSTANCE_PREFIX):
             self._count()
         self.on_change(key, entry)
-        if key.startswith(DUTY):
-            self._feed(self.lease_state.seen(self._now_s(), key[len(DUTY) :], entry, change.revision))
+        if key.startswith(ROLE_PREFIX):
+            self._feed(
+                self.lease_state.handle_role_key(
+                    self._now_s(), key[len(ROLE_PREFIX) :], entry, change.revision
+                )
+            )
+
+    def _handle_role_key(self, duty: str, entry: Entry | None, revision: int) -> None:
+        self._feed(self.lease_state.handle_role_key(self._now_s(), duty, entry, revision))
 
     def _count(self) -> None:
-        self.lease_state.instances = max(1, sum(key.startswith(INSTANCE) for key in self.entries))
+        self.lease_state.instances = max(1, sum(key.startswith(INSTANCE_PREFIX) for key in self.entries))
 
     def _write_fares(self) -> None:
-        if (
-            not self._fares_out
-            and not self._closed
-            and self.lease_state.session in (Session.IN, Session.WARY)
-        ):
+        if not self._fares_out and not self._closed and self.lease_state.in_session:
             self._fares_out = True
             self._begin(self._put_fares())
 
     async def _put_fares(self) -> None:
-        key, written = self._prefix + INSTANCE + self.name, self._fares
+        key, written = self._prefix + INSTANCE_PREFIX + self.name, self._fares
         lease = self.lease_state.lease
         if not lease:
             # Guards against a session that ended in this very turn: unbound, our name would be taken for
--- a/coveport/sidecar/leases/open_store.py
+++ b/coveport/sidecar/leases/open_store.py
@@ -18,7 +18,7 @@
     return EtcdStore(told.endpoints, told.terms.ttl_s / 3 / (len(told.endpoints) + 1))
 
 
-def open_work(told: OperatorFile, call_s: float) -> Store:
+def open_record_store(told: OperatorFile, call_s: float) -> Store:
     """Where records of work in hand stand: a file of their own beside the leases', or the same engine."""
     if told.sqlite is not None:
         from coveport.sidecar.leases.sqlite import SqliteStore
--- a/coveport/sidecar/leases/sqlite.py
+++ b/coveport/sidecar/leases/sqlite.py
@@ -23,6 +23,7 @@
 from typing import TypeVar
 
 from coveport.sidecar.leases import clock
+from coveport.sidecar.leases.errors import StoreError, WatchLostError
 from coveport.sidecar.leases.store import (
     Change,
     Compare,
@@ -33,10 +34,8 @@
     Outcome,
     Put,
     Refused,
-    StoreError,
     Transaction,
     Unknown,
-    WatchLostError,
 )
 
 T = TypeVar("T")
@@ -153,7 +152,7 @@
         assert not isinstance(outcome, Refused)
         return outcome
 
-    async def keep(self, lease: int) -> Outcome:
+    async def renew(self, lease: int) -> Outcome:
         """Renew it."""
 
         def job(base: sqlite3.Connection) -> Outcome:
@@ -179,7 +178,7 @@
 
         return await self._run(job)
 
-    async def left(self, lease: int) -> Outcome:
+    async def time_left(self, lease: int) -> Outcome:
         """What a lease has left."""
 
         def job(base: sqlite3.Connection) -> Outcome:
--- a/coveport/sidecar/leases/states.py
+++ b/coveport/sidecar/leases/states.py
@@ -5,44 +5,46 @@
 from enum import Enum
 
 
-class Session(Enum):
+class SessionState(Enum):
     """Where an instance stands with the store."""
 
-    OUT = "out"
-    ASKING = "asking"  # for a lease
-    ARRIVING = "arriving"  # its name is being written down
-    IN = "in"
-    WARY = "wary"  # nothing new is begun
-    LEFT = "left"
-    ESTRANGED = "estranged"  # the store went back in time, or is another one
+    DISCONNECTED = "out"
+    REQUESTING_LEASE = "asking"  # for a lease
+    REGISTERING = "arriving"  # its name is being written down
+    ACTIVE = "in"
+    EXPIRING = "wary"  # nothing new is begun
+    CLOSED = "left"
+    STORE_RESET = "estranged"  # the store went back in time, or is another one
 
 
-class State(Enum):
+class RoleState(Enum):
     """Where an instance stands with a duty."""
 
     IDLE = "idle"  # somebody else's, or nobody knows
     WAITING = "waiting"  # nobody's; we come after a wait
-    CLAIMING = "claiming"
-    UNSURE = "unsure"  # our claim had no answer: it may be ours
+    ACQUIRING = "claiming"
+    UNCERTAIN = "unsure"  # our claim had no answer: it may be ours
     HELD = "held"
     RELEASING = "releasing"
 
 
-SESSION_MOVES: dict[Session, frozenset[Session]] = {
-    Session.OUT: frozenset({Session.ASKING}),
-    Session.ASKING: frozenset({Session.ARRIVING, Session.OUT}),
-    Session.ARRIVING: frozenset({Session.IN, Session.OUT}),
-    Session.IN: frozenset({Session.WARY, Session.OUT}),
-    Session.WARY: frozenset({Session.IN, Session.OUT}),
-    Session.LEFT: frozenset(),
-    Session.ESTRANGED: frozenset(),
+SESSION_TRANSITIONS: dict[SessionState, frozenset[SessionState]] = {
+    SessionState.DISCONNECTED: frozenset({SessionState.REQUESTING_LEASE}),
+    SessionState.REQUESTING_LEASE: frozenset({SessionState.REGISTERING, SessionState.DISCONNECTED}),
+    SessionState.REGISTERING: frozenset({SessionState.ACTIVE, SessionState.DISCONNECTED}),
+    SessionState.ACTIVE: frozenset({SessionState.EXPIRING, SessionState.DISCONNECTED}),
+    SessionState.EXPIRING: frozenset({SessionState.ACTIVE, SessionState.DISCONNECTED}),
+    SessionState.CLOSED: frozenset(),
+    SessionState.STORE_RESET: frozenset(),
 }
-ENDS = frozenset({Session.LEFT, Session.ESTRANGED})  # reached from anywhere else
-MOVES: dict[State, frozenset[State]] = {
-    State.IDLE: frozenset({State.WAITING, State.HELD}),
-    State.WAITING: frozenset({State.IDLE, State.CLAIMING, State.HELD}),
-    State.CLAIMING: frozenset({State.HELD, State.IDLE, State.UNSURE}),
-    State.UNSURE: frozenset({State.HELD, State.IDLE, State.WAITING}),
-    State.HELD: frozenset({State.RELEASING, State.IDLE}),
-    State.RELEASING: frozenset({State.IDLE, State.RELEASING}),
+FINAL_SESSION_STATES = frozenset(
+    {SessionState.CLOSED, SessionState.STORE_RESET}
+)  # reached from anywhere else
+ROLE_TRANSITIONS: dict[RoleState, frozenset[RoleState]] = {
+    RoleState.IDLE: frozenset({RoleState.WAITING, RoleState.HELD}),
+    RoleState.WAITING: frozenset({RoleState.IDLE, RoleState.ACQUIRING, RoleState.HELD}),
+    RoleState.ACQUIRING: frozenset({RoleState.HELD, RoleState.IDLE, RoleState.UNCERTAIN}),
+    RoleState.UNCERTAIN: frozenset({RoleState.HELD, RoleState.IDLE, RoleState.WAITING}),
+    RoleState.HELD: frozenset({RoleState.RELEASING, RoleState.IDLE}),
+    RoleState.RELEASING: frozenset({RoleState.IDLE, RoleState.RELEASING}),
 }
--- a/coveport/sidecar/leases/store.py
+++ b/coveport/sidecar/leases/store.py
@@ -13,14 +13,6 @@
 from typing import Protocol
 
 
-class StoreError(Exception):
-    """The store can't be used at all (not its file, of a later version); its text is one line."""
-
-
-class WatchLostError(Exception):
-    """A watch can't go on from where it is; what is held must be read anew."""
-
-
 @dataclass(frozen=True, slots=True)
 class Entry:
     """A key as it stands."""
@@ -130,13 +122,13 @@
     async def grant(self, ttl_s: float) -> Done | Unknown:
         """A new lease."""
 
-    async def keep(self, lease: int) -> Outcome:
+    async def renew(self, lease: int) -> Outcome:
         """Renew a lease for its time to live; refused where it has ended."""
 
     async def revoke(self, lease: int) -> Outcome:
         """End a lease, and delete what is bound to it."""
 
-    async def left(self, lease: int) -> Outcome:
+    async def time_left(self, lease: int) -> Outcome:
         """How much time a lease has left, as `ttl_s`; refused where it has ended. Changes nothing."""
 
     def watch(self, prefix: str, after: int) -> AsyncIterator[Sequence[Change]]:
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -20,9 +20,9 @@
 from coveport.sidecar.intent_log.takeover_worker import Takers
 from coveport.sidecar.intent_log.terms import WorkTerms
 from coveport.sidecar.leases.clock import boot_s
-from coveport.sidecar.leases.lease_client import INSTANCE, LeaseClient
-from coveport.sidecar.leases.open_store import open_work
-from coveport.sidecar.leases.states import Session
+from coveport.sidecar.leases.keys import INSTANCE_PREFIX
+from coveport.sidecar.leases.lease_client import LeaseClient
+from coveport.sidecar.leases.open_store import open_record_store
 from coveport.sidecar.leases.store import Entry
 
 BUSY_MOST = 16  # own operations open, above which others' records wait
@@ -80,7 +80,9 @@
     def joined(self, effects: Effects) -> None:
         """The sidecar's parts are there."""
         counters = effects.counters
-        journal = Journal(open_work(self._told, self._terms.call_s), boot_s, self._terms.call_s, self._say)
+        journal = Journal(
+            open_record_store(self._told, self._terms.call_s), boot_s, self._terms.call_s, self._say
+        )
         layout = RecordLayout(self._told.work_prefix, self._terms.kept_s)
         self.recorder = recorder = Recorder(
             effects,
@@ -117,9 +119,9 @@
         counters.gauge("work_store_away", lambda: int(not journal.up))
 
     def _token(self) -> int:
-        if self._lease_client.lease_state.session not in (Session.IN, Session.WARY):
+        if not self._lease_client.lease_state.in_session:
             return 0
-        entry = self._lease_client.entries.get(INSTANCE + self._lease_client.name)
+        entry = self._lease_client.entries.get(INSTANCE_PREFIX + self._lease_client.name)
         return entry.created if entry is not None else 0
 
     def serving(self) -> None:
@@ -130,9 +132,9 @@
 
     def changed(self, key: str, entry: Entry | None) -> None:
         """Something in the leases' store has changed."""
-        if not key.startswith(INSTANCE):
+        if not key.startswith(INSTANCE_PREFIX):
             return
-        name = key[len(INSTANCE) :]
+        name = key[len(INSTANCE_PREFIX) :]
         if entry is not None:
             try:
                 word = msgspec.json.decode(entry.value, type=_Word).incarnation
--- a/coveport/sidecar/singletons/health_checking.py
+++ b/coveport/sidecar/singletons/health_checking.py
@@ -21,7 +21,7 @@
 import msgspec
 import xxhash
 
-from coveport.sidecar.leases.lease_client import INSTANCE
+from coveport.sidecar.leases.keys import INSTANCE_PREFIX
 from coveport.sidecar.leases.store import Entry
 
 LOOK = "look/"
@@ -92,7 +92,9 @@
         self, now: float, nodes: Iterable[str], entries: Mapping[str, Entry], every_s: float
     ) -> list[str]:
         """The nodes of our own that are to be looked at now."""
-        present = {key[len(INSTANCE) :] for key in entries if key.startswith(INSTANCE)} | {self._name}
+        present = {key[len(INSTANCE_PREFIX) :] for key in entries if key.startswith(INSTANCE_PREFIX)} | {
+            self._name
+        }
         if present != self._present:
             # Guards against a hash for each pair of node and instance at every look.
             self._present = present
--- a/coveport/sidecar/singletons/rollout.py
+++ b/coveport/sidecar/singletons/rollout.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from coveport.sidecar.leases.lease_client import INSTANCE
+from coveport.sidecar.leases.keys import INSTANCE_PREFIX
 from coveport.sidecar.leases.store import Delete, Entry, Put
 from coveport.sidecar.singletons.singleton import Step
 
@@ -111,11 +111,11 @@
     """What each instance that is there tells; who tells nothing that can be read runs nothing of ours."""
     found = {}
     for key, entry in entries.items():
-        if key.startswith(INSTANCE):
+        if key.startswith(INSTANCE_PREFIX):
             try:
-                found[key[len(INSTANCE) :]] = msgspec.json.decode(entry.value, type=Fares)
+                found[key[len(INSTANCE_PREFIX) :]] = msgspec.json.decode(entry.value, type=Fares)
             except msgspec.DecodeError:
-                found[key[len(INSTANCE) :]] = Fares()
+                found[key[len(INSTANCE_PREFIX) :]] = Fares()
     return found
 
 
--- a/coveport/sidecar/singletons/singleton.py
+++ b/coveport/sidecar/singletons/singleton.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from coveport.sidecar.leases.lease_client import STATE, LeaseClient
+from coveport.sidecar.leases.keys import STATE_PREFIX
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.store import Compare, Delete, Done, Entry, Field, Put, Refused
 
 AGAIN_S = 0.1  # after a state that could not be read
@@ -69,10 +70,10 @@
 
     async def read(self) -> tuple[bytes | None, int] | None:
         """The state and its revision; None where the store does not tell."""
-        found = await self._lease_client.read(STATE + self.duty.name)
+        found = await self._lease_client.read(STATE_PREFIX + self.duty.name)
         if found is None:
             return None
-        entry = next((one for one in found.entries if one.key == STATE + self.duty.name), None)
+        entry = next((one for one in found.entries if one.key == STATE_PREFIX + self.duty.name), None)
         return (None, 0) if entry is None else (entry.value, entry.modified)
 
     async def _run(self, token: int) -> None:
@@ -84,7 +85,7 @@
                 if known is None:
                     await asyncio.sleep(AGAIN_S)
                     continue
-            if self._lease_client.holds(self.duty.name) == token:
+            if self._lease_client.usable_token(self.duty.name) == token:
                 known = await self._step(token, known)
                 if known is None:
                     continue
@@ -95,8 +96,8 @@
         step = self.duty.decide(self._now_s(), state, self._lease_client.entries)
         if step is None:
             return known
-        key = STATE + self.duty.name
-        outcome = await self._lease_client.act(
+        key = STATE_PREFIX + self.duty.name
+        outcome = await self._lease_client.commit_fenced(
             self.duty.name,
             Put(key, step.state),
             *step.changes,
--- a/coveport/sidecar/singletons/slow_start_coordinator.py
+++ b/coveport/sidecar/singletons/slow_start_coordinator.py
@@ -30,7 +30,7 @@
 import msgspec
 import xxhash
 
-from coveport.sidecar.leases.lease_client import INSTANCE
+from coveport.sidecar.leases.keys import INSTANCE_PREFIX
 from coveport.sidecar.leases.store import Entry, Put
 from coveport.sidecar.singletons.singleton import Step
 
@@ -170,7 +170,9 @@
         if not given:
             return None
         step = books.step + 1
-        answered = {name: stamp for name, stamp in books.answered.items() if INSTANCE + name in entries}
+        answered = {
+            name: stamp for name, stamp in books.answered.items() if INSTANCE_PREFIX + name in entries
+        }
         answered |= {name: needs[name].stamp for name in given}
         after = Books(self._by, step, {node: line for node, line in out.items() if line}, answered)
         puts = [
@@ -188,7 +190,7 @@
         """Wishes not answered yet, of instances that are there; so many as fit in a step."""
         found: dict[str, Need] = {}
         for key, entry in entries.items():
-            if not key.startswith(NEED) or INSTANCE + key[len(NEED) :] not in entries:
+            if not key.startswith(NEED) or INSTANCE_PREFIX + key[len(NEED) :] not in entries:
                 continue
             try:
                 need = msgspec.json.decode(entry.value, type=Need)
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -16,7 +16,8 @@
 from coveport.sidecar.config import platform
 from coveport.sidecar.config.operator import INSTANCES_MOST, OperatorFile, OperatorFileError, load
 from coveport.sidecar.leases.clock import boot_s
-from coveport.sidecar.leases.lease_client import DUTY, LeaseClient
+from coveport.sidecar.leases.keys import ROLE_PREFIX
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.open_store import open_store
 from coveport.sidecar.supervisor import log_stream
 from coveport.sidecar.supervisor.control import Control
@@ -79,7 +80,7 @@
             open_store(told),
             name=self.name,
             incarnation=self.name,
-            duties=(f"fleet@{told.fleet.name}",),
+            roles=(f"fleet@{told.fleet.name}",),
             terms=told.terms,
             now_s=boot_s,
             unix_s=time.time,
@@ -131,7 +132,7 @@
             others = [
                 name for name in supervisor.lease_client.instances if name != supervisor.lease_client.name
             ]
-            held = any(key.startswith(DUTY) for key in supervisor.lease_client.entries)
+            held = any(key.startswith(ROLE_PREFIX) for key in supervisor.lease_client.entries)
             if late and others and held:
                 self._tell(
                     f"{', '.join(sorted(others))} supervises {self._told.fleet.name} already; "
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -53,8 +53,8 @@
         self.crew = Crew(told.fleet, chance)
         self.duty = FleetDuty(told.fleet, lambda: self.crew.fares(self._now_s()), self._planned, most)
         self._runner = Runner(lease_client, self.duty, now_s, self._did)
-        lease_client.on_began = self._began
-        lease_client.on_ended = self._over
+        lease_client.on_acquired = self._began
+        lease_client.on_lost = self._over
         hands.ended = self._life_over
         self.holding = False
         self.on_holding: Callable[[bool], Awaitable[None]] | None = None
@@ -76,7 +76,7 @@
     async def leave(self) -> None:
         """Hand the duty on; what runs runs on."""
         self._stopping = True
-        await self.lease_client.leave()
+        await self.lease_client.close()
         for task in self._tasks:
             task.cancel()
         self.hands.let_go()
@@ -89,7 +89,7 @@
     @property
     def acts(self) -> bool:
         """Whether orders may be carried out at this moment."""
-        return self.holding and self.lease_client.holds(self.duty.name) == self._token
+        return self.holding and self.lease_client.usable_token(self.duty.name) == self._token
 
     async def stop_all(self, within_s: float) -> bool:
         """End all instances, as many at a time as want to; whether all have."""
--- a/coveport/testbed/fault_injection/broken_variants.py
+++ b/coveport/testbed/fault_injection/broken_variants.py
@@ -14,9 +14,10 @@
 
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.leases.effects import Effect
-from coveport.sidecar.leases.lease_client import DUTY, STATE, LeaseClient
+from coveport.sidecar.leases.keys import ROLE_PREFIX, STATE_PREFIX
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.lease_state import LeaseState
-from coveport.sidecar.leases.states import Session, State
+from coveport.sidecar.leases.states import RoleState, SessionState
 from coveport.sidecar.leases.store import (
     Compare,
     Delete,
@@ -52,11 +53,11 @@
 
 
 class _FromTheAnswer(LeaseState):
-    def answered(self, now: float, call: int, outcome: Outcome, floor_broken: str = "") -> list[Effect]:
+    def handle_outcome(self, now: float, call: int, outcome: Outcome, store_reset: str = "") -> list[Effect]:
         asked = call in (self._session_call, self._renewal[0] if self._renewal else 0)
-        done = super().answered(now, call, outcome, floor_broken)
+        done = super().handle_outcome(now, call, outcome, store_reset)
         if asked and isinstance(outcome, Done):
-            self._asked = now
+            self._renewal_sent_at = now
         return done
 
 
@@ -71,72 +72,72 @@
 
 
 class _UnknownIsDone(LeaseState):
-    def _renewed(self, now: float, outcome: Outcome) -> None:
+    def _handle_renewal(self, now: float, outcome: Outcome) -> None:
         if isinstance(outcome, Unknown):
             outcome = Done("", 0)
-        super()._renewed(now, outcome)
+        super()._handle_renewal(now, outcome)
 
 
 class _UnknownClaimIsOurs(LeaseState):
-    def _duty_answered(self, now: float, name: str, one: Any, outcome: Outcome) -> None:
-        if one.state is State.CLAIMING and isinstance(outcome, Unknown):
+    def _handle_role_outcome(self, now: float, name: str, one: Any, outcome: Outcome) -> None:
+        if one.state is RoleState.ACQUIRING and isinstance(outcome, Unknown):
             one.call = 0
-            self._hold(now, name, one, one.known + 1)
+            self._acquire(now, name, one, one.known_revision + 1)
             return
-        super()._duty_answered(now, name, one, outcome)
+        super()._handle_role_outcome(now, name, one, outcome)
 
 
 class _UnknownClaimIsRefused(LeaseState):
-    def _see(self, now: float, name: str, one: Any, entry: Entry | None) -> None:
+    def _observe_role_key(self, now: float, name: str, one: Any, entry: Entry | None) -> None:
         # It takes a key that it finds for somebody else's, its own too.
-        if entry is not None and one.state is not State.HELD:
-            if one.state in (State.WAITING, State.UNSURE):
-                self._set(one, State.IDLE)
+        if entry is not None and one.state is not RoleState.HELD:
+            if one.state in (RoleState.WAITING, RoleState.UNCERTAIN):
+                self._set_role_state(one, RoleState.IDLE)
             return
-        super()._see(now, name, one, entry)
+        super()._observe_role_key(now, name, one, entry)
 
 
 class _NeverOver(LeaseState):
-    def _pass(self, now: float) -> None:
-        if self.session in (Session.IN, Session.WARY) and now >= self._until - self.terms.margin_s:
-            self._asked = now  # the clock alone never ends it: only the store's word does
-        super()._pass(now)
+    def _advance(self, now: float) -> None:
+        if self.in_session and now >= self.believed_until - self.terms.margin_s:
+            self._renewal_sent_at = now  # the clock alone never ends it: only the store's word does
+        super()._advance(now)
 
 
 class _TakesOldNews(LeaseState):
-    def seen(self, now: float, duty: str, entry: Entry | None, revision: int) -> list[Effect]:
-        one = self.duties.get(duty)
+    def handle_role_key(self, now: float, duty: str, entry: Entry | None, revision: int) -> list[Effect]:
+        one = self.roles.get(duty)
         if one is not None:
-            one.known = 0
-            if entry is None and one.state is State.HELD and revision < one.token:
+            one.known_revision = 0
+            if entry is None and one.state is RoleState.HELD and revision < one.token:
                 revision = one.token
-        return super().seen(now, duty, entry, revision)
+        return super().handle_role_key(now, duty, entry, revision)
 
 
 class _NeverTriesAgain(LeaseState):
-    def _over(self, now: float, why: str) -> None:
-        super()._over(now, why)
-        self._next = float("inf")
+    def _expire_session(self, now: float, why: str) -> None:
+        super()._expire_session(now, why)
+        self._next_request_at = float("inf")
 
 
 class _KeepsTheLease(LeaseState):
     """After its session is over it goes on with the same lease, and believes in what it held."""
 
-    def _over(self, now: float, why: str) -> None:
+    def _expire_session(self, now: float, why: str) -> None:
         if why == "not renewed in time":
-            self._asked = now
+            self._renewal_sent_at = now
             return
-        super()._over(now, why)
+        super()._expire_session(now, why)
 
 
 # Keepers.
 
 
 class _NoFence(LeaseClient):
-    async def act(
+    async def commit_fenced(
         self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
     ) -> Outcome | None:
-        token = self.holds(duty)
+        token = self.usable_token(duty)
         if not token:
             return None
         self._history("act_sent", duty=duty, token=token, what=what)
@@ -157,10 +158,10 @@
 class _ActsOnBelief(LeaseClient):
     """Holds its own word for enough, and fences with whatever token stands."""
 
-    async def act(
+    async def commit_fenced(
         self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
     ) -> Outcome | None:
-        token = self.lease_state.believes(self._now_s(), duty)
+        token = self.lease_state.held_token(self._now_s(), duty)
         if not token:
             return None
         self._history("act_sent", duty=duty, token=token, what=what)
@@ -184,8 +185,10 @@
     async def _call(self, kind: str, call: Any) -> Outcome:
         if kind == "claim":
             call.close()
-            duty = next(name for name, one in self.lease_state.duties.items() if one.state is State.CLAIMING)
-            key = self._prefix + DUTY + duty
+            duty = next(
+                name for name, one in self.lease_state.roles.items() if one.state is RoleState.ACQUIRING
+            )
+            key = self._prefix + ROLE_PREFIX + duty
             call = self._store.commit(
                 Transaction((), (Put(key, self.lease_state.incarnation.encode(), self.lease_state.lease),))
             )
@@ -196,11 +199,12 @@
     """Deletes the key whosoever it is, and keeps no session's end to itself."""
 
     async def _call(self, kind: str, call: Any) -> Outcome:
-        if kind == "look" and self.lease_state.session is Session.IN:
-            for duty, one in self.lease_state.duties.items():
-                if one.state is State.IDLE and self._chance.random() < 0.2:
+        if kind == "look" and self.lease_state.session is SessionState.ACTIVE:
+            for duty, one in self.lease_state.roles.items():
+                if one.state is RoleState.IDLE and self._chance.random() < 0.2:
                     await super()._call(
-                        "release", self._store.commit(Transaction((), (Delete(self._prefix + DUTY + duty),)))
+                        "release",
+                        self._store.commit(Transaction((), (Delete(self._prefix + ROLE_PREFIX + duty),))),
                     )
         return await super()._call(kind, call)
 
@@ -214,9 +218,11 @@
     async def _step(self, token: int, known: tuple[bytes | None, int]) -> tuple[bytes | None, int] | None:
         step = self.duty.decide(self._now_s(), known[0], self._lease_client.entries)
         assert step is not None
-        key = STATE + self.duty.name
+        key = STATE_PREFIX + self.duty.name
         for _ in range(2):
-            outcome = await self._lease_client.act(self.duty.name, Put(key, step.state), what=step.what)
+            outcome = await self._lease_client.commit_fenced(
+                self.duty.name, Put(key, step.state), what=step.what
+            )
             if isinstance(outcome, Done):
                 return step.state, outcome.revision
         return None
@@ -228,8 +234,8 @@
     async def _step(self, token: int, known: tuple[bytes | None, int]) -> tuple[bytes | None, int] | None:
         step = self.duty.decide(self._now_s(), known[0], self._lease_client.entries)
         assert step is not None
-        outcome = await self._lease_client.act(
-            self.duty.name, Put(STATE + self.duty.name, step.state), what=step.what
+        outcome = await self._lease_client.commit_fenced(
+            self.duty.name, Put(STATE_PREFIX + self.duty.name, step.state), what=step.what
         )
         return known if isinstance(outcome, Refused) or outcome is None else (step.state, 0)
 
@@ -238,14 +244,14 @@
     """Takes over from what it saw of the state before the duty was its own, and compares no revision."""
 
     async def read(self) -> tuple[bytes | None, int] | None:
-        entry = self._lease_client.entries.get(STATE + self.duty.name)
+        entry = self._lease_client.entries.get(STATE_PREFIX + self.duty.name)
         return (None, 0) if entry is None else (entry.value, entry.modified)
 
     async def _step(self, token: int, known: tuple[bytes | None, int]) -> tuple[bytes | None, int] | None:
         step = self.duty.decide(self._now_s(), known[0], self._lease_client.entries)
         assert step is not None
-        outcome = await self._lease_client.act(
-            self.duty.name, Put(STATE + self.duty.name, step.state), what=step.what
+        outcome = await self._lease_client.commit_fenced(
+            self.duty.name, Put(STATE_PREFIX + self.duty.name, step.state), what=step.what
         )
         return (step.state, outcome.revision) if isinstance(outcome, Done) else None
 
@@ -283,7 +289,7 @@
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
         if state is not None:
             books = msgspec.json.decode(state, type=Books)
-            state = msgspec.json.encode(Books(books.by, books.step, {}, books.answered))
+            state = msgspec.json.encode(Books(books.by, books.step, {}, books.handle_outcome))
         return super().decide(now, state, entries)
 
 
--- a/coveport/testbed/fault_injection/fleet/sim.py
+++ b/coveport/testbed/fault_injection/fleet/sim.py
@@ -215,7 +215,7 @@
             SimStore(process, self.store, one.way, chance),
             name=name,
             incarnation=name,
-            duties=(FLEET + told.fleet.name,),
+            roles=(FLEET + told.fleet.name,),
             terms=told.terms,
             now_s=now_s,
             history=say,
--- a/coveport/testbed/fault_injection/judge.py
+++ b/coveport/testbed/fault_injection/judge.py
@@ -24,7 +24,7 @@
 
 import msgspec
 
-from coveport.sidecar.leases.lease_client import INSTANCE
+from coveport.sidecar.leases.keys import INSTANCE_PREFIX
 from coveport.sidecar.leases.store import Change, Entry
 from coveport.sidecar.singletons.rollout import Plan, fares_of
 from coveport.sidecar.singletons.slow_start_coordinator import PART, Safe
@@ -223,7 +223,9 @@
             late = [
                 name
                 for name, one in fares_of(there).items()
-                if name in before.given and one.runs != plan.new and at - came[INSTANCE + name] > news_s
+                if name in before.given
+                and one.runs != plan.new
+                and at - came[INSTANCE_PREFIX + name] > news_s
             ]
             if late:
                 found.append(
--- a/coveport/testbed/fault_injection/model.py
+++ b/coveport/testbed/fault_injection/model.py
@@ -19,7 +19,16 @@
 from typing import Any
 
 from coveport.sidecar.config.terms import Terms
-from coveport.sidecar.leases.effects import Arrive, AskLease, Claim, DropLease, KeepLease, Look, Release
+from coveport.sidecar.leases.effects import (
+    AcquireRole,
+    GrantLease,
+    ReadRoles,
+    RegisterInstance,
+    ReleaseRole,
+    RenewLease,
+    RevokeLease,
+    StoreCall,
+)
 from coveport.sidecar.leases.lease_state import LeaseState
 from coveport.sidecar.leases.store import (
     Compare,
@@ -165,7 +174,7 @@
             else:
                 self._act(state, act)
         for who in awake:
-            self._send(state, who, state.holders[who].tick(state.clock(who)))
+            self._send(state, who, state.holders[who].handle_timer(state.clock(who)))
         for _ in range(3):  # calls, and the calls that their answers bring about
             calls, state.calls = state.calls, []
             for who, call in calls:
@@ -184,61 +193,69 @@
         for who in awake:
             if not state.hit("blind", who) and not state.hit("lost", who):
                 self._see(state, who)
-            token = state.holders[who].holds(state.clock(who), DUTY)
+            token = state.holders[who].usable_token(state.clock(who), DUTY)
             if token and not any(act.who == who for act in state.acts):
                 act = Act(who, token)
                 if state.hit("act", who):
                     state.acts.append(act)
                 else:
                     self._act(state, act)
-            state.holders[who].next_at()
+            state.holders[who].next_timer()
         return self.judge(state)
 
     # What happens.
 
     def _send(self, state: State, who: int, effects: list[Any]) -> None:
         for one in effects:
-            if isinstance(one, AskLease | KeepLease | Arrive | Claim | Release | Look):
+            if isinstance(one, StoreCall):
                 state.calls.append((who, one))
-            elif isinstance(one, DropLease):
+            elif isinstance(one, RevokeLease):
                 state.late.append((who, one))
 
     def _deed(self, state: State, who: int, call: Any) -> Outcome:
         engine, now = state.engine, state.now
-        if isinstance(call, AskLease):
+        if isinstance(call, GrantLease):
             return engine.grant(now, call.ttl_s)
-        if isinstance(call, KeepLease):
+        if isinstance(call, RenewLease):
             return engine.keep(now, call.lease)
-        if isinstance(call, DropLease):
+        if isinstance(call, RevokeLease):
             return engine.revoke(now, call.lease)
-        if isinstance(call, Arrive):
+        if isinstance(call, RegisterInstance):
             key = f"instance/{who}"
             return engine.commit(
                 now, Transaction((Compare(key, Field.CREATED, 0),), (Put(key, b"", call.lease),))
             )
-        if isinstance(call, Claim):
+        if isinstance(call, AcquireRole):
             return engine.commit(
                 now,
                 Transaction((Compare(KEY, Field.CREATED, 0),), (Put(KEY, f"h{who}".encode(), call.lease),)),
             )
-        if isinstance(call, Release):
+        if isinstance(call, ReleaseRole):
             return engine.commit(now, fenced(KEY, call.token, Delete(KEY)))
         return engine.read(now, KEY)
 
     def _carry_out(self, state: State, who: int, call: Any) -> None:
         outcome = self._deed(state, who, call)
-        if isinstance(call, Look) and isinstance(outcome, Done):
+        if isinstance(call, ReadRoles) and isinstance(outcome, Done):
             entry = next(iter(outcome.entries), None)
-            self._send(state, who, state.holders[who].seen(state.clock(who), DUTY, entry, outcome.revision))
+            self._send(
+                state,
+                who,
+                state.holders[who].handle_role_key(state.clock(who), DUTY, entry, outcome.revision),
+            )
         self._answer(state, who, call, outcome)
 
     def _answer(self, state: State, who: int, call: Any, outcome: Outcome) -> None:
-        if not isinstance(call, DropLease):
-            self._send(state, who, state.holders[who].answered(state.clock(who), call.call, outcome))
+        if not isinstance(call, RevokeLease):
+            self._send(state, who, state.holders[who].handle_outcome(state.clock(who), call.call, outcome))
 
     def _see(self, state: State, who: int) -> None:
         entry = state.engine.entries.get(KEY)
-        self._send(state, who, state.holders[who].seen(state.clock(who), DUTY, entry, state.engine.revision))
+        self._send(
+            state,
+            who,
+            state.holders[who].handle_role_key(state.clock(who), DUTY, entry, state.engine.revision),
+        )
 
     def _act(self, state: State, act: Act) -> None:
         put = Put(STATE, b"")
@@ -250,7 +267,7 @@
 
     def judge(self, state: State) -> str:
         """What is broken here; empty where nothing is."""
-        tokens = {holder.believes(state.clock(who), DUTY) for who, holder in enumerate(state.holders)} - {0}
+        tokens = {holder.held_token(state.clock(who), DUTY) for who, holder in enumerate(state.holders)} - {0}
         if len(tokens) > 1:
             return f"two believe, under {sorted(tokens)}"
         if state.accepted != sorted(state.accepted):
@@ -263,6 +280,6 @@
             found = self.step(state)
             if found:
                 return f"afterwards: {found}"
-        if not any(holder.believes(state.clock(who), DUTY) for who, holder in enumerate(state.holders)):
+        if not any(holder.held_token(state.clock(who), DUTY) for who, holder in enumerate(state.holders)):
             return f"nobody holds it: {[holder.session.value for holder in state.holders]}"
         return ""
--- a/coveport/testbed/fault_injection/parts.py
+++ b/coveport/testbed/fault_injection/parts.py
@@ -13,7 +13,6 @@
 from collections.abc import Callable
 
 from coveport.sidecar.leases.lease_client import History, LeaseClient
-from coveport.sidecar.leases.states import Session
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.singletons.rollout import Follower
 from coveport.sidecar.singletons.slow_start_coordinator import GRANT, NEED, Granted, Safe
@@ -54,7 +53,7 @@
 
     def start(self) -> None:
         """Begin; there is a running loop."""
-        self._lease_client.tell(self._follower.fares(self._incarnation, 1.0, 100))
+        self._lease_client.publish_status(self._follower.fares(self._incarnation, 1.0, 100))
         self._lease_client.start()
         if "warden@0" in self._duties:
             self._tasks.append(asyncio.ensure_future(self._wish()))
@@ -76,19 +75,16 @@
         else:
             self._follower.took(wanted[0])
             self._history("runs", settings=wanted[0])
-        self._lease_client.tell(self._follower.fares(self._incarnation, 1.0, 100))
+        self._lease_client.publish_status(self._follower.fares(self._incarnation, 1.0, 100))
 
     async def _wish(self) -> None:
         while True:
             await asyncio.sleep(WISH_S)
             age = self._world_s() - BORN_S
-            if 0 <= age < SAFE.warm_after_s and self._lease_client.lease_state.session in (
-                Session.IN,
-                Session.WARY,
-            ):
+            if 0 <= age < SAFE.warm_after_s and self._lease_client.lease_state.in_session:
                 wish = self._granted.wish(self._now_s(), RATE, SERVICE_S, {NODE: (0, age)})
                 if wish is not None:
-                    self._lease_client.put(NEED + self._name, wish)
+                    self._lease_client.publish(NEED + self._name, wish)
 
     async def _use(self, until: float, count: int) -> None:
         await asyncio.sleep(max(0.0, until - self._now_s()) * self._chance.random())
--- a/coveport/testbed/fault_injection/simstore.py
+++ b/coveport/testbed/fault_injection/simstore.py
@@ -12,16 +12,8 @@
 from collections.abc import AsyncIterator, Callable, Sequence
 from dataclasses import dataclass, field
 
-from coveport.sidecar.leases.store import (
-    Change,
-    Done,
-    Field,
-    Outcome,
-    Refused,
-    Transaction,
-    Unknown,
-    WatchLostError,
-)
+from coveport.sidecar.leases.errors import WatchLostError
+from coveport.sidecar.leases.store import Change, Done, Field, Outcome, Refused, Transaction, Unknown
 from coveport.testbed.simulated_network.world import Process, World
 from coveport.testbed.standins.etcd.engine import Engine
 
@@ -142,7 +134,7 @@
         assert not isinstance(outcome, Refused)
         return outcome
 
-    async def keep(self, lease: int) -> Outcome:
+    async def renew(self, lease: int) -> Outcome:
         """Renew."""
         return await self._call(lambda: self._host.engine.keep(self._host.now(), lease), "keep")
 
@@ -150,7 +142,7 @@
         """End a lease."""
         return await self._call(lambda: self._host.engine.revoke(self._host.now(), lease))
 
-    async def left(self, lease: int) -> Outcome:
+    async def time_left(self, lease: int) -> Outcome:
         """What a lease has left."""
         return await self._call(lambda: self._host.engine.left(self._host.now(), lease))
 
--- a/coveport/testbed/fault_injection/virtual.py
+++ b/coveport/testbed/fault_injection/virtual.py
@@ -11,7 +11,7 @@
 
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.leases.lease_client import LeaseClient
-from coveport.sidecar.leases.states import Session
+from coveport.sidecar.leases.states import SessionState
 from coveport.sidecar.leases.store import Put, Transaction
 from coveport.sidecar.singletons.rollout import ASK, Rollout
 from coveport.sidecar.singletons.singleton import Duty, Runner
@@ -101,7 +101,7 @@
             store,
             name=f"s{one.number}",
             incarnation=incarnation,
-            duties=self.trial.duties,
+            roles=self.trial.duties,
             terms=terms,
             now_s=now_s,
             history=history,
@@ -116,8 +116,8 @@
             "warden@0": self.variant.warden(0, incarnation, SAFE, self.trial.drift),
         }
         runners = {name: self.variant.runner(lease_client, duties[name], now_s) for name in self.trial.duties}
-        lease_client.on_began = lambda duty, token: runners[duty].began(token)
-        lease_client.on_ended = lambda duty, token, why: runners[duty].ended()
+        lease_client.on_acquired = lambda duty, token: runners[duty].began(token)
+        lease_client.on_lost = lambda duty, token, why: runners[duty].ended()
         one.lease_client, one.runners = lease_client, list(runners.values())
         part = Part(
             lease_client,
@@ -139,7 +139,7 @@
                 str(problem.get("exception") or problem["message"]) for problem in one.process.problems
             ]
             if one.lease_client is not None:
-                for name, count in one.lease_client.calls.items():
+                for name, count in one.lease_client.call_counts.items():
                     self.calls[name] = self.calls.get(name, 0) + count
         one.process.kill()
 
@@ -156,7 +156,7 @@
             for one in self.instances
             if one.lease_client is not None
             and one.process.alive
-            and one.lease_client.lease_state.session not in (Session.IN, Session.WARY)
+            and not one.lease_client.lease_state.in_session
         ]
         for one in self.instances:
             self.end(one)
@@ -168,7 +168,7 @@
                 if (
                     one.process.alive
                     and one.lease_client is not None
-                    and any(one.lease_client.lease_state.believes(1e-9, duty) for duty in self.trial.duties)
+                    and any(one.lease_client.lease_state.held_token(1e-9, duty) for duty in self.trial.duties)
                 ):
                     return one
             return self.instances[0]
@@ -224,15 +224,15 @@
             if lease_client is None or not process.alive:
                 return
             if kind == "leave":
-                process.call_soon(lambda: process.create_task(lease_client.leave()))
+                process.call_soon(lambda: process.create_task(lease_client.close()))
                 self.world.at(self.world.now + LET_GO_S, self.end, one)
                 self.world.at(over + LET_GO_S, self.again, one)
             elif kind == "yield":
                 for duty in self.trial.duties:
-                    process.call_soon(lease_client.yield_, duty, "staff")
+                    process.call_soon(lease_client.step_down, duty, "staff")
             else:
-                process.call_soon(lease_client.unwell, "can't reach nodes")
-                self.world.at(over, lambda: process.call_soon(lease_client.unwell, ""))
+                process.call_soon(lease_client.set_unhealthy, "can't reach nodes")
+                self.world.at(over, lambda: process.call_soon(lease_client.set_unhealthy, ""))
         else:
             self.way(one, kind, fault.share, over)
 
@@ -298,7 +298,8 @@
         findings += [
             judge.Finding("crash", end, f"s{one.number} is estranged")
             for one in self.instances
-            if one.lease_client is not None and one.lease_client.lease_state.session is Session.ESTRANGED
+            if one.lease_client is not None
+            and one.lease_client.lease_state.session is SessionState.STORE_RESET
         ]
         lived = trial.lasts_s * trial.instances
         return Played(
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -20,8 +20,8 @@
 from coveport.sidecar.intent_log.record import Record, RecordError, decode
 from coveport.sidecar.intent_log.sharing import Pace
 from coveport.sidecar.intent_log.terms import WorkTerms
-from coveport.sidecar.leases.lease_client import INSTANCE, LeaseClient
-from coveport.sidecar.leases.states import Session
+from coveport.sidecar.leases.keys import INSTANCE_PREFIX
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.reducer.operation import Operation
 from coveport.testbed.fault_injection.judge import Finding
@@ -244,7 +244,7 @@
             SimStore(process, self.host, one.way, chance),
             name=name,
             incarnation=incarnation,
-            duties=(),
+            roles=(),
             terms=Terms(trial.ttl_s, 0.2, 0.02),
             now_s=now_s,
             history=say,
@@ -257,8 +257,8 @@
         journal = variant.journal(SimStore(process, self.host, one.way, chance), now_s, CALL_S, say)
 
         def token() -> int:
-            entry = lease_client.entries.get(INSTANCE + name)
-            inside = lease_client.lease_state.session in (Session.IN, Session.WARY)
+            entry = lease_client.entries.get(INSTANCE_PREFIX + name)
+            inside = lease_client.lease_state.in_session
             return entry.created if inside and entry is not None else 0
 
         layout = variant.layout(PREFIX, trial.kept_s)
@@ -292,9 +292,9 @@
         self._watch_unrecorded(recorder, hands)
 
         def changed(key: str, entry: Entry | None) -> None:
-            if not key.startswith(INSTANCE):
+            if not key.startswith(INSTANCE_PREFIX):
                 return
-            other = key[len(INSTANCE) :]
+            other = key[len(INSTANCE_PREFIX) :]
             if entry is None:
                 takers.gone(presence.gone(now_s(), other))
                 return
@@ -306,7 +306,7 @@
         lease_client.on_change = changed
 
         def start() -> None:
-            lease_client.tell(json.dumps({"incarnation": incarnation}).encode())
+            lease_client.publish_status(json.dumps({"incarnation": incarnation}).encode())
             lease_client.start()
             recorder.start()
             takers.start()
@@ -314,7 +314,7 @@
         async def leave() -> None:
             takers.stop()
             await recorder.leaving(2.0)
-            await lease_client.leave()
+            await lease_client.close()
 
         one.counts = {}
         self._leave = getattr(self, "_leave", {})
--- a/coveport/testbed/standins/etcd/engine.py
+++ b/coveport/testbed/standins/etcd/engine.py
@@ -10,6 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
+from coveport.sidecar.leases.errors import WatchLostError
 from coveport.sidecar.leases.store import (
     Change,
     Compare,
@@ -21,7 +22,6 @@
     Put,
     Refused,
     Transaction,
-    WatchLostError,
 )
 
 
--- a/coveport/testbed/standins/etcd/server.py
+++ b/coveport/testbed/standins/etcd/server.py
@@ -19,6 +19,7 @@
 from aetcd import rpc
 
 from coveport.sidecar.leases.clock import boot_s
+from coveport.sidecar.leases.errors import WatchLostError
 from coveport.sidecar.leases.store import (
     Change,
     Compare,
@@ -30,7 +31,6 @@
     Put,
     Refused,
     Transaction,
-    WatchLostError,
 )
 from coveport.testbed.standins.etcd.cluster import Cluster
 
--- a/tests/golden/test_golden_leases.py
+++ b/tests/golden/test_golden_leases.py
@@ -26,9 +26,9 @@
         found = done(await store.read(""))
         assert (found.identity, found.revision, found.entries) == (IDENTITY, REVISION, ENTRIES)
         assert done(await store.read("r/")).entries == ENTRIES[1:]
-        assert done(await store.left(1)).ttl_s == 10.0
-        assert done(await store.left(3)).ttl_s == 2.25
-        assert await store.left(2) == Refused(IDENTITY, REVISION, lease_gone=True)
+        assert done(await store.time_left(1)).ttl_s == 10.0
+        assert done(await store.time_left(3)).ttl_s == 2.25
+        assert await store.time_left(2) == Refused(IDENTITY, REVISION, lease_gone=True)
         await store.close()
 
     asyncio.run(read())
--- a/tests/sidecar/leases/conformance.py
+++ b/tests/sidecar/leases/conformance.py
@@ -5,6 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
+from coveport.sidecar.leases.errors import WatchLostError
 from coveport.sidecar.leases.store import (
     Change,
     Compare,
@@ -15,7 +16,6 @@
     Refused,
     Store,
     Transaction,
-    WatchLostError,
     fenced,
 )
 
@@ -99,12 +99,12 @@
     await done(store.commit(put("bound", b"", lease)))
     await done(store.commit(put("free", b"")))
     await wait(0.6)
-    assert (await done(store.keep(lease))).ttl_s == 1.0
+    assert (await done(store.renew(lease))).ttl_s == 1.0
     await wait(0.6)
     assert len((await done(store.read(""))).entries) == 2, "renewed"
     await wait(1.2)
     assert [one.key for one in (await done(store.read(""))).entries] == ["free"]
-    kept = await store.keep(lease)
+    kept = await store.renew(lease)
     assert isinstance(kept, Refused) and kept.lease_gone
     gone = await store.commit(put("late", b"", lease))
     assert isinstance(gone, Refused) and gone.lease_gone, "nothing binds to a lease that is over"
--- a/tests/sidecar/leases/test_lease_client.py
+++ b/tests/sidecar/leases/test_lease_client.py
@@ -6,7 +6,7 @@
 
 from coveport.sidecar.config.terms import Terms
 from coveport.sidecar.leases.lease_client import LeaseClient
-from coveport.sidecar.leases.states import Session
+from coveport.sidecar.leases.states import SessionState
 from coveport.testbed.fault_injection.simstore import Host, SimStore, Way
 from coveport.testbed.simulated_network.world import Process, World
 
@@ -20,7 +20,7 @@
         SimStore(process, host, Way(), random.Random(1)),
         name="s0",
         incarnation="s0#1",
-        duties=("d",),
+        roles=("d",),
         terms=Terms(3.0, 0.2, 0.02),
         now_s=lambda: world.now,
         history=lambda event, **fields: None,
@@ -28,18 +28,18 @@
     )
     process.call_soon(lease_client.start)
     world.run(world.now + 2)
-    assert lease_client.lease_state.session is Session.IN
+    assert lease_client.lease_state.session is SessionState.ACTIVE
 
     def both() -> None:
-        lease_client.put("look/n", b"seen")
-        lease_client.tell(b'{"runs": "x"}')
-        lease_client.lease_state._asked = -1e9  # as after a stall far beyond the lease
+        lease_client.publish("look/n", b"seen")
+        lease_client.publish_status(b'{"runs": "x"}')
+        lease_client.lease_state._renewal_sent_at = -1e9  # as after a stall far beyond the lease
         lease_client._wake()
-        assert lease_client.lease_state.session is Session.OUT
+        assert lease_client.lease_state.session is SessionState.DISCONNECTED
 
     process.call_soon(both)
     world.run(world.now + 1)
     assert all(one.lease for key, one in host.engine.entries.items() if not key.startswith("coveport/state/"))
     world.run(world.now + 10)
-    assert lease_client.lease_state.session is Session.IN
+    assert lease_client.lease_state.session is SessionState.ACTIVE
     assert host.engine.entries["coveport/instance/s0"].value == b'{"runs": "x"}'
--- a/tests/sidecar/leases/test_lease_state.py
+++ b/tests/sidecar/leases/test_lease_state.py
@@ -9,20 +9,21 @@
 
 from coveport.sidecar.config.terms import BadTermsError, Terms
 from coveport.sidecar.leases.effects import (
-    Arrive,
-    AskLease,
-    Began,
-    Claim,
-    DropLease,
+    AcquireRole,
     Effect,
-    Ended,
-    KeepLease,
-    Look,
-    Release,
-    Told,
+    GrantLease,
+    LogEvent,
+    ReadRoles,
+    RegisterInstance,
+    ReleaseRole,
+    RenewLease,
+    RevokeLease,
+    RoleAcquired,
+    RoleLost,
+    StoreCall,
 )
 from coveport.sidecar.leases.lease_state import LeaseState
-from coveport.sidecar.leases.states import Session, State
+from coveport.sidecar.leases.states import RoleState, SessionState
 from coveport.sidecar.leases.store import Done, Entry, Refused, Unknown
 
 TERMS = Terms(3.0, 0.2, 0.02)
@@ -43,125 +44,132 @@
 
 def arrived(one: LeaseState, at: float = 10.0, took: float = 0.5) -> float:
     """In session, asked at `at`; the time of the last answer."""
-    ask = only(one.tick(at), AskLease)
-    come = only(one.answered(at + took, ask.call, Done("s", 5, lease=7, ttl_s=3.0)), Arrive)
-    one.answered(at + 2 * took, come.call, Done("s", 6))
-    assert one.session is Session.IN
+    ask = only(one.handle_timer(at), GrantLease)
+    come = only(one.handle_outcome(at + took, ask.call, Done("s", 5, lease=7, ttl_s=3.0)), RegisterInstance)
+    one.handle_outcome(at + 2 * took, come.call, Done("s", 6))
+    assert one.session is SessionState.ACTIVE
     return at + 2 * took
 
 
 def held(one: LeaseState, at: float = 10.0) -> tuple[float, int]:
     """Holding `d`; now, and its token."""
     now = arrived(one, at, 0.1)
-    one.seen(now, "d", None, 6)
-    claim = only(one.tick(now + 0.1), Claim)
-    assert only(one.answered(now + 0.2, claim.call, Done("s", 9)), Began) == Began("d", 9)
+    one.handle_role_key(now, "d", None, 6)
+    claim = only(one.handle_timer(now + 0.1), AcquireRole)
+    assert only(one.handle_outcome(now + 0.2, claim.call, Done("s", 9)), RoleAcquired) == RoleAcquired("d", 9)
     return now + 0.2, 9
 
 
 def test_time_counts_from_before_it_asked() -> None:
     one = fresh()
     arrived(one, 10.0, 0.5)
-    assert one.until == pytest.approx(10.0 + 3.0 / 1.02 - 0.2)
+    assert one.believed_until == pytest.approx(10.0 + 3.0 / 1.02 - 0.2)
 
 
 def test_it_is_wary_before_it_is_over_and_over_by_its_clock_alone() -> None:
     one = fresh()
     _, token = held(one)
-    until = one.until
-    assert one.holds(until - 0.21, "d") == token
-    assert one.holds(until - 0.19, "d") == 0 and one.believes(until - 0.19, "d") == token
-    assert one.believes(until, "d") == 0, "without any input"
-    effects = one.tick(until)
-    assert only(effects, Ended) and only(effects, DropLease)
+    believed_until = one.believed_until
+    assert one.usable_token(believed_until - 0.21, "d") == token
+    assert (
+        one.usable_token(believed_until - 0.19, "d") == 0
+        and one.held_token(believed_until - 0.19, "d") == token
+    )
+    assert one.held_token(believed_until, "d") == 0, "without any input"
+    effects = one.handle_timer(believed_until)
+    assert only(effects, RoleLost) and only(effects, RevokeLease)
 
 
 @pytest.mark.parametrize("end", [Unknown("lost"), Refused("s", 9, lease_gone=True)])
 def test_a_renewal_that_was_not_answered_prolongs_nothing(end: Unknown | Refused) -> None:
     one = fresh()
     held(one)
-    until = one.until
-    keep = only(one.tick(11.1), KeepLease)
-    effects = one.answered(11.3, keep.call, end)
-    assert one.until == until if isinstance(end, Unknown) else only(effects, Ended)
+    believed_until = one.believed_until
+    keep = only(one.handle_timer(11.1), RenewLease)
+    effects = one.handle_outcome(11.3, keep.call, end)
+    assert one.believed_until == believed_until if isinstance(end, Unknown) else only(effects, RoleLost)
 
 
 def test_a_claim_without_an_answer_is_taken_up_when_it_is_seen_and_not_before() -> None:
     one = fresh()
     now = arrived(one, 10.0, 0.1)
-    one.seen(now, "d", None, 6)
-    claim = only(one.tick(now + 0.1), Claim)
-    assert not [e for e in one.answered(now + 0.2, claim.call, Unknown("lost")) if isinstance(e, Began)]
-    assert one.holds(now + 0.3, "d") == 0
+    one.handle_role_key(now, "d", None, 6)
+    claim = only(one.handle_timer(now + 0.1), AcquireRole)
+    assert not [
+        e for e in one.handle_outcome(now + 0.2, claim.call, Unknown("lost")) if isinstance(e, RoleAcquired)
+    ]
+    assert one.usable_token(now + 0.3, "d") == 0
     key = Entry("d", b"me", 12, 12, 7)
-    assert only(one.seen(now + 0.4, "d", key, 12), Began) == Began("d", 12)
+    assert only(one.handle_role_key(now + 0.4, "d", key, 12), RoleAcquired) == RoleAcquired("d", 12)
 
 
 def test_a_key_of_an_older_session_of_ours_is_not_ours() -> None:
     one = fresh()
     now = arrived(one)
-    assert not one.seen(now, "d", Entry("d", b"me", 4, 4, 6), 8)
-    assert one.believes(now, "d") == 0
+    assert not one.handle_role_key(now, "d", Entry("d", b"me", 4, 4, 6), 8)
+    assert one.held_token(now, "d") == 0
 
 
 def test_old_news_is_no_news() -> None:
     one = fresh()
     now, token = held(one)
-    assert one.seen(now, "d", None, token - 1) == [] and one.holds(now, "d") == token
+    assert one.handle_role_key(now, "d", None, token - 1) == [] and one.usable_token(now, "d") == token
 
 
 def test_a_store_that_went_back_ends_all_for_good() -> None:
     one = fresh()
     now, _ = held(one)
-    effects = one.answered(now, 0, Unknown("x"), floor_broken="it went back")
-    assert only(effects, Ended) and one.session is Session.ESTRANGED
-    assert one.tick(now + 100) == [] and one.session is Session.ESTRANGED
+    effects = one.handle_outcome(now, 0, Unknown("x"), store_reset="it went back")
+    assert only(effects, RoleLost) and one.session is SessionState.STORE_RESET
+    assert one.handle_timer(now + 100) == [] and one.session is SessionState.STORE_RESET
 
 
 def test_a_store_that_gives_less_time_is_not_believed() -> None:
     one = fresh()
-    ask = only(one.tick(10.0), AskLease)
-    effects = one.answered(10.1, ask.call, Done("s", 5, lease=7, ttl_s=2.0))
-    assert only(effects, DropLease) == DropLease(7) and one.session is Session.OUT
+    ask = only(one.handle_timer(10.0), GrantLease)
+    effects = one.handle_outcome(10.1, ask.call, Done("s", 5, lease=7, ttl_s=2.0))
+    assert only(effects, RevokeLease) == RevokeLease(7) and one.session is SessionState.DISCONNECTED
 
 
 def test_a_name_that_is_taken_keeps_the_later_one_out() -> None:
     one = fresh()
-    ask = only(one.tick(10.0), AskLease)
-    come = only(one.answered(10.1, ask.call, Done("s", 5, lease=7, ttl_s=3.0)), Arrive)
-    effects = one.answered(10.2, come.call, Refused("s", 6))
-    assert only(effects, Told) and one.session is Session.OUT and one.next_at() >= 11.2
+    ask = only(one.handle_timer(10.0), GrantLease)
+    come = only(one.handle_outcome(10.1, ask.call, Done("s", 5, lease=7, ttl_s=3.0)), RegisterInstance)
+    effects = one.handle_outcome(10.2, come.call, Refused("s", 6))
+    assert only(effects, LogEvent) and one.session is SessionState.DISCONNECTED and one.next_timer() >= 11.2
 
 
 def test_who_is_useless_keeps_off_longer_each_time() -> None:
     one = fresh()
     now, _ = held(one)
-    rests = []
+    rest_count = []
     for _ in range(3):
-        release = only(one.unwell(now, "no node"), Release)
-        one.answered(now + 0.01, release.call, Done("s", 20))
-        one.unwell(now + 0.02, "")
-        one.seen(now + 0.02, "d", None, 20)
-        rests.append(one.duties["d"].due - now)
-        one.duties["d"].state, one.duties["d"].token = State.HELD, 9  # as if it had come to it again
-    assert rests[0] >= 2 * TERMS.ttl_s and rests[2] > rests[1] > rests[0]
+        release = only(one.set_unhealthy(now, "no node"), ReleaseRole)
+        one.handle_outcome(now + 0.01, release.call, Done("s", 20))
+        one.set_unhealthy(now + 0.02, "")
+        one.handle_role_key(now + 0.02, "d", None, 20)
+        rest_count.append(one.roles["d"].acquire_at - now)
+        one.roles["d"].state, one.roles["d"].token = RoleState.HELD, 9  # as if it had come to it again
+    assert rest_count[0] >= 2 * TERMS.ttl_s and rest_count[2] > rest_count[1] > rest_count[0]
 
 
 def test_a_late_input_after_a_stall_keeps_it_from_contending() -> None:
     one = fresh()
     now = arrived(one, 10.0, 0.1)
-    one.next_at()
-    effects = one.seen(now + 2.0, "d", None, 8)
-    assert only(effects, Told) == Told("stalled", effects[0].detail if isinstance(effects[0], Told) else "")
-    assert one.duties["d"].due >= now + 2.0 + TERMS.ttl_s
+    one.next_timer()
+    effects = one.handle_role_key(now + 2.0, "d", None, 8)
+    assert only(effects, LogEvent) == LogEvent(
+        "stalled", effects[0].detail if isinstance(effects[0], LogEvent) else ""
+    )
+    assert one.roles["d"].acquire_at >= now + 2.0 + TERMS.ttl_s
 
 
 def test_leaving_ends_the_session_in_one_call() -> None:
     one = fresh()
     now, token = held(one)
-    effects = one.leave(now)
-    assert only(effects, Ended).token == token
-    assert only(effects, DropLease) == DropLease(7) and one.leave(now) == []
+    effects = one.close(now)
+    assert only(effects, RoleLost).token == token
+    assert only(effects, RevokeLease) == RevokeLease(7) and one.close(now) == []
 
 
 @pytest.mark.parametrize("terms", [Terms(1, 0.4, 0.02), Terms(0, 0.1), Terms(3, 0.0), Terms(3, 0.2, 1.0)])
@@ -176,7 +184,7 @@
     chance = random.Random(seed)
     one, now, revision = fresh(seed), 10.0, 10
     promised = {}  # lease -> store time at which it ends, at the soonest
-    out: list[AskLease | KeepLease | Arrive | Claim | Release | Look] = []
+    out: list[GrantLease | RenewLease | RegisterInstance | AcquireRole | ReleaseRole | ReadRoles] = []
     asked: dict[int, float] = {}
     for _ in range(400):
         now += chance.expovariate(4)
@@ -192,30 +200,32 @@
                     if chance.random() < 0.8
                     else Refused("s", revision, lease_gone=chance.random() < 0.5)
                 )
-            if isinstance(end, Done) and isinstance(call, AskLease | KeepLease):
-                promised[end.lease if isinstance(call, AskLease) else call.lease] = asked[number] + 3.0 / 1.02
-            came = one.answered(now, number, end)
+            if isinstance(end, Done) and isinstance(call, GrantLease | RenewLease):
+                promised[end.lease if isinstance(call, GrantLease) else call.lease] = (
+                    asked[number] + 3.0 / 1.02
+                )
+            came = one.handle_outcome(now, number, end)
         elif item < 0.8:
             entry = Entry("d", chance.choice([b"me", b"you"]), revision, revision, one.lease)
-            came = one.seen(now, "d", chance.choice([None, entry]), revision)
+            came = one.handle_role_key(now, "d", chance.choice([None, entry]), revision)
         else:
-            came = one.tick(now)
+            came = one.handle_timer(now)
         for effect in came:
-            if isinstance(effect, AskLease | KeepLease | Arrive | Claim | Release | Look):
+            if isinstance(effect, StoreCall):
                 out.append(effect)
                 asked[effect.call] = now
-        if one.believes(now, "d"):
+        if one.held_token(now, "d"):
             assert now < promised[one.lease] - TERMS.margin_s + 1e-9
-        if one.holds(now, "d"):
+        if one.usable_token(now, "d"):
             assert now < promised[one.lease] - 2 * TERMS.margin_s + 1e-9
 
 
 def test_who_is_far_from_the_store_contends_for_nothing_and_keeps_what_it_has() -> None:
     one = fresh()
     _, token = held(one)
-    keep = only(one.tick(11.1), KeepLease)
-    assert only(one.answered(11.9, keep.call, Done("s", 12, ttl_s=3.0)), Told).event == "far"
-    assert one.holds(11.9, "d") == token
-    one.yield_(11.9, "d", "staff")
-    one.seen(12.0, "d", None, 15)
-    assert one.duties["d"].due >= 11.9 + TERMS.ttl_s
+    keep = only(one.handle_timer(11.1), RenewLease)
+    assert only(one.handle_outcome(11.9, keep.call, Done("s", 12, ttl_s=3.0)), LogEvent).event == "far"
+    assert one.usable_token(11.9, "d") == token
+    one.step_down(11.9, "d", "staff")
+    one.handle_role_key(12.0, "d", None, 15)
+    assert one.roles["d"].acquire_at >= 11.9 + TERMS.ttl_s
--- a/tests/sidecar/leases/test_stores.py
+++ b/tests/sidecar/leases/test_stores.py
@@ -18,19 +18,10 @@
 import pytest
 from conformance import CASES, Case, done, put
 
+from coveport.sidecar.leases.errors import StoreError
 from coveport.sidecar.leases.etcd import EtcdStore
 from coveport.sidecar.leases.sqlite import SqliteStore
-from coveport.sidecar.leases.store import (
-    Compare,
-    Done,
-    Field,
-    Put,
-    Refused,
-    Store,
-    StoreError,
-    Transaction,
-    Unknown,
-)
+from coveport.sidecar.leases.store import Compare, Done, Field, Put, Refused, Store, Transaction, Unknown
 from coveport.testbed.fault_injection.linear import Call, linearizable
 from coveport.testbed.fault_injection.real import Engine
 from coveport.testbed.fault_injection.simstore import Host, SimStore, Way
--- a/tests/sidecar/supervisor/test_fleet_processes.py
+++ b/tests/sidecar/supervisor/test_fleet_processes.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from coveport.sidecar.leases.lease_client import INSTANCE
+from coveport.sidecar.leases.keys import INSTANCE_PREFIX
 from coveport.sidecar.leases.sqlite import SqliteStore
 from coveport.sidecar.leases.store import Done
 from coveport.sidecar.supervisor import locks
@@ -39,7 +39,7 @@
         while time.monotonic() < end:
             read = await store.read("")
             keys = [entry.key for entry in read.entries] if isinstance(read, Done) else []
-            if any(INSTANCE in key and f"-{process.pid}-" in key for key in keys):
+            if any(INSTANCE_PREFIX in key and f"-{process.pid}-" in key for key in keys):
                 return
             await asyncio.sleep(0.1)
     finally:
