--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -86,16 +86,16 @@
     sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests" / "sidecar" / "singletons"))
     from test_rollout import NEW, Place  # type: ignore[import-not-found]
 
-    from coveport.sidecar.singletons.rollout import identify
+    from coveport.sidecar.singletons.rollout_plan import settings_id
 
     rows: list[Row] = []
     for instances in (5, 40, 200):
         for how in ("refused", "serves 0.8 of what others do"):
             place = Place(instances)
             if how == "refused":
-                place.bad[identify(NEW)] = "no"
+                place.bad[settings_id(NEW)] = "no"
             else:
-                place.served[identify(NEW)] = 0.8
+                place.served[settings_id(NEW)] = 0.8
             place.ask("start", NEW)
             ever: set[str] = set()
             for _ in range(120):
--- a/coveport/cli/operator.py
+++ b/coveport/cli/operator.py
@@ -235,11 +235,11 @@
     """Show where the roll-out is, and what each instance runs."""
 
     async def work(store: Store, prefix: str) -> int:
-        from coveport.sidecar.singletons.rollout import fares_of
+        from coveport.sidecar.singletons.rollout_plan import instance_statuses
 
         entries = await standing(store, prefix)
         plan = json.loads(entries["state/rollout"].value) if "state/rollout" in entries else None
-        runs = {name: one.runs for name, one in sorted(fares_of(entries).items())}
+        runs = {name: one.running for name, one in sorted(instance_statuses(entries).items())}
         if json_:
             click.echo(json.dumps({"plan": plan, "instances": runs}, indent=2))
         elif plan is None:
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -36,10 +36,15 @@
 from coveport.sidecar.reducer.phases import Lifecycle, Phase
 from coveport.sidecar.service import serve
 from coveport.sidecar.singletons.drill import Drill
-from coveport.sidecar.singletons.health_checking import LOOK, Looking, Seen
-from coveport.sidecar.singletons.rollout import Follower, Rollout, under_way
-from coveport.sidecar.singletons.singleton import Duty, Runner, Step
-from coveport.sidecar.singletons.slow_start_coordinator import GRANT, NEED, Granted, Safe, Warden
+from coveport.sidecar.singletons.health_checking import RESULT_PREFIX, HealthCheckResult, SharedHealthChecks
+from coveport.sidecar.singletons.rollout import Rollout
+from coveport.sidecar.singletons.rollout_follower import RolloutFollower
+from coveport.sidecar.singletons.rollout_plan import is_rollout_active
+from coveport.sidecar.singletons.singleton import SingletonRole, Step
+from coveport.sidecar.singletons.singleton_runner import SingletonRunner
+from coveport.sidecar.singletons.slow_start_client import CapacityClient
+from coveport.sidecar.singletons.slow_start_coordinator import SlowStartCoordinator
+from coveport.sidecar.singletons.slow_start_messages import GRANT_PREFIX, REQUEST_PREFIX, SafeLoad
 from coveport.sidecar.supervisor.log_stream import StreamLog, lines
 from coveport.sidecar.supervisor.membership import Membership, NameHeldError
 from coveport.sidecar.telemetry.counters import ENDS, ended
@@ -105,25 +110,27 @@
             chance=chance,
             prefix=told.store.prefix,
         )
-        made: dict[str, Duty] = {
+        made: dict[str, SingletonRole] = {
             "drill": Drill(self.incarnation),
             "rollout": Rollout(),
-            f"warden@{zone}": Warden(zone, self.incarnation, _safe(config.settings), told.leases.drift),
+            f"warden@{zone}": SlowStartCoordinator(
+                zone, self.incarnation, _safe(config.settings), told.leases.drift
+            ),
         }
         self._runners = {
-            name: Runner(self.lease_client, made[name], boot_s, self._did) for name in self._wished
+            name: SingletonRunner(self.lease_client, made[name], boot_s, self._did) for name in self._wished
         }
-        self.lease_client.on_acquired = lambda duty, token: self._runners[duty].began(token)
-        self.lease_client.on_lost = lambda duty, token, why: self._runners[duty].ended()
+        self.lease_client.on_acquired = lambda duty, token: self._runners[duty].start(token)
+        self.lease_client.on_lost = lambda duty, token, why: self._runners[duty].stop()
         self.lease_client.on_change = self._changed
         self._recording: Recording | None = None
         if told.work.record:
             self._recording = Recording(
                 told, config, self.lease_client, self.incarnation, self.history, chance
             )
-        self._follower = Follower(self.name)
-        self._looking = Looking(self.name, self.incarnation) if told.duties.looking else None
-        self._granted = Granted(self.incarnation) if told.duties.warden else None
+        self._follower = RolloutFollower(self.name)
+        self._health_checks = SharedHealthChecks(self.name, self.incarnation) if told.duties.looking else None
+        self._capacity = CapacityClient(self.incarnation) if told.duties.warden else None
         self._operations: deque[tuple[float, int]] = deque(maxlen=9)  # when, and how many had come
         self._effects: Effects | None = None
         self._text: str | None = None  # settings that a roll-out has given us; None: our own file's
@@ -165,7 +172,7 @@
         if self._recording is not None:
             self._recording.joined(effects)
         life.listen(self._phase)
-        if self._looking is not None:
+        if self._health_checks is not None:
             effects.looks = self
         if self._member is not None:
             self._member.joined(effects, life, lambda: effects.destinations.places)
@@ -177,10 +184,10 @@
             if self._recording is not None:
                 self._recording.serving()
             self._tasks = [asyncio.ensure_future(self._watch_ourselves())]
-            if self._looking is not None:
-                self._tasks.append(asyncio.ensure_future(self._look_by_turns(self._looking)))
-            if self._granted is not None:
-                self._tasks.append(asyncio.ensure_future(self._wish_for_grants(self._granted)))
+            if self._health_checks is not None:
+                self._tasks.append(asyncio.ensure_future(self._look_by_turns(self._health_checks)))
+            if self._capacity is not None:
+                self._tasks.append(asyncio.ensure_future(self._wish_for_grants(self._capacity)))
         elif phase in (Phase.SERVING, Phase.LAMEDUCK):
             for duty in self._wished:
                 self.lease_client.set_contending(duty, phase is Phase.SERVING, "lame duck")
@@ -215,25 +222,25 @@
             held = self.lease_client.entries.get(ROLE_PREFIX + duty)
             if duty in self._runners and held is not None and entry.value == b"%d" % held.created:
                 self.lease_client.step_down(duty, "staff")
-        elif key.startswith(LOOK) and self._looking is not None:
-            seen = self._looking.heard(boot_s(), time.time(), key[len(LOOK) :], entry)
-            number = self._nodes().get(key[len(LOOK) :]) if seen is not None else None
+        elif key.startswith(RESULT_PREFIX) and self._health_checks is not None:
+            seen = self._health_checks.receive(boot_s(), time.time(), key[len(RESULT_PREFIX) :], entry)
+            number = self._nodes().get(key[len(RESULT_PREFIX) :]) if seen is not None else None
             if seen is not None and number is not None and self._effects is not None:
                 self._effects.counters.add("looks_heard")
                 self._effects.feed(_as_probe(number, seen))
         elif key.startswith(("want/", "settings/")):
             self._follow()
-        elif key.startswith(GRANT) and key.endswith(f"/{self.name}") and self._granted is not None:
-            self._take_grant(self._granted, key[len(GRANT) :].partition("/")[0], entry)
+        elif key.startswith(GRANT_PREFIX) and key.endswith(f"/{self.name}") and self._capacity is not None:
+            self._take_grant(self._capacity, key[len(GRANT_PREFIX) :].partition("/")[0], entry)
 
     # Roll-out: our own part.
 
     def _follow(self) -> None:
-        wanted = self._follower.wanted(self.lease_client.entries)
-        if wanted is None or self._effects is None or self._taking is not None:
+        settings = self._follower.next_settings(self.lease_client.entries)
+        if settings is None or self._effects is None or self._taking is not None:
             return
-        self._taking = wanted[0], self._text
-        self._text = wanted[1]
+        self._taking = settings.id, self._text
+        self._text = settings.text
         # As staff do it by hand: what is checked, kept and said is the same.
         signal.raise_signal(signal.SIGHUP)
 
@@ -243,9 +250,9 @@
         (name, before), self._taking = self._taking, None
         if fault:
             self._text = before
-            self._follower.could_not(name, fault)
+            self._follower.record_rejected(name, fault)
         else:
-            self._follower.took(name)
+            self._follower.record_applied(name)
         self.history("settings", wanted=name, fault=fault)
         self.lease_client.publish_status(self._fares())
         self._follow()  # the next may have come meanwhile
@@ -278,7 +285,7 @@
         if len(self._ended) > 1:
             all_ = self._ended[-1][1] - self._ended[0][1]
             served = (self._ended[-1][0] - self._ended[0][0]) / all_ if all_ else 1.0
-        return self._follower.fares(self.incarnation, served, all_)
+        return self._follower.status(self.incarnation, served, all_)
 
     async def _watch_ourselves(self) -> None:
         assert self._effects is not None
@@ -290,7 +297,7 @@
             self._ended.append(
                 (served, sum(counters.get(ended(name, how)) for name in names for how in ENDS))
             )
-            if under_way(self.lease_client.entries):
+            if is_rollout_active(self.lease_client.entries):
                 self.lease_client.publish_status(
                     self._fares()
                 )  # else nobody reads it, and nobody pays for it
@@ -303,7 +310,7 @@
 
     # Grants of fresh nodes.
 
-    async def _wish_for_grants(self, granted: Granted) -> None:
+    async def _wish_for_grants(self, capacity: CapacityClient) -> None:
         assert self._effects is not None
         while True:
             await asyncio.sleep(WISH_S)
@@ -314,23 +321,23 @@
                 self._name_of(number): (zone, age / 1000) for number, (zone, age) in effects.fresh().items()
             }
             fresh.pop("", None)
-            wish = granted.wish(
+            request = capacity.request(
                 now, (has - had) / max(last - first, WISH_S), effects.service_ms / 1000, fresh
             )
-            if wish is not None:
-                self.lease_client.publish(NEED + self.name, wish)
+            if request is not None:
+                self.lease_client.publish(REQUEST_PREFIX + self.name, request)
 
-    def _take_grant(self, granted: Granted, zone: str, entry: Entry | None) -> None:
+    def _take_grant(self, capacity: CapacityClient, zone: str, entry: Entry | None) -> None:
         now = boot_s()
-        taken = granted.take(now, zone, entry)
-        if taken is None or self._effects is None:
+        grant = capacity.accept(now, zone, entry)
+        if grant is None or self._effects is None:
             return
-        until, counts = taken
+        lasts_ms = (grant.expires_at - now) * 1000
         nodes = self._nodes()
-        for node, count in counts.items():
+        for node, count in grant.operations.items():
             if node in nodes:
                 self._effects.counters.add("granted", count)
-                self._effects.feed(core.Granted(nodes[node], count, (until - now) * 1000))
+                self._effects.feed(core.Granted(nodes[node], count, lasts_ms))
 
     # Looking by turns.
 
@@ -339,27 +346,28 @@
         assert self._effects is not None
         return {_named(place): number for number, place in self._effects.destinations.places.items()}
 
-    async def _look_by_turns(self, looking: Looking) -> None:
+    async def _look_by_turns(self, health_checks: SharedHealthChecks) -> None:
         while True:
             await asyncio.sleep(LOOK_S / 2)
             nodes = self._nodes()
-            looking.forget(nodes)
-            for node in looking.mine(boot_s(), nodes, self.lease_client.entries, LOOK_S):
-                self._probe(looking, node, nodes[node])
+            health_checks.retain(nodes)
+            for node in health_checks.due_checks(boot_s(), nodes, self.lease_client.entries, LOOK_S):
+                self._probe(health_checks, node, nodes[node])
 
-    def _probe(self, looking: Looking, node: str, number: int) -> None:
+    def _probe(self, health_checks: SharedHealthChecks, node: str, number: int) -> None:
         effects = self._effects
         assert effects is not None
         started = boot_s()
         timeout_s = 2 * self._config.settings.limits.connect_timeout_ms / 1000
-        looking.began(started, node)
+        health_checks.check_started(started, node)
 
         def done(result: StepResult) -> None:
             took = (boot_s() - started) * 1000
             effects.feed(core.ProbeEnded(number, result.outcome, took, result.load))
-            told = looking.looked(boot_s(), time.time(), node, result.outcome is api.Outcome.OK, took)
-            if told is not None:
-                self.lease_client.publish(LOOK + node, told)
+            ok = result.outcome is api.Outcome.OK
+            published = health_checks.check_finished(boot_s(), time.time(), node, ok=ok, latency_ms=took)
+            if published is not None:
+                self.lease_client.publish(RESULT_PREFIX + node, published)
 
         effects.counters.add("probes_by_turn")
         effects.destinations.send(number, None, timeout_s, done)
@@ -367,14 +375,17 @@
     def look(self, destination: int) -> core.ProbeEnded | None:
         """Another's look at a destination that the module wishes to look at; None: look yourself."""
         node = self._name_of(destination)
-        word = self._looking.word(boot_s(), node) if self._looking is not None and node else None
-        return None if word is None else _as_probe(destination, word)
+        if self._health_checks is None or not node:
+            return None
+        result = self._health_checks.recent_result(boot_s(), node)
+        return None if result is None else _as_probe(destination, result)
 
     def saw(self, destination: int, outcome: api.Outcome) -> None:
         """What we saw of a destination ourselves."""
         node = self._name_of(destination)
-        if self._looking is not None and node and outcome in TELLING:
-            self._looking.saw(boot_s(), node, outcome in (api.Outcome.OK, api.Outcome.FULL))
+        if self._health_checks is not None and node and outcome in TELLING:
+            ok = outcome in (api.Outcome.OK, api.Outcome.FULL)
+            self._health_checks.operation_observed(boot_s(), node, ok=ok)
 
     def _name_of(self, destination: int) -> str:
         assert self._effects is not None
@@ -382,9 +393,9 @@
         return "" if place is None else _named(place)
 
 
-def _safe(settings: api.Settings) -> Safe:
+def _safe(settings: api.Settings) -> SafeLoad:
     rules = settings.rules
-    return Safe(rules.cold_from, rules.warm_after_ms / 1000, rules.overload_factor, rules.fall_ms / 1000)
+    return SafeLoad(rules.cold_from, rules.warm_after_ms / 1000, rules.overload_factor, rules.fall_ms / 1000)
 
 
 def _named(place: Place) -> str:
@@ -393,8 +404,10 @@
     return f"{host}:{port}@{born:.0f}"
 
 
-def _as_probe(destination: int, seen: Seen) -> core.ProbeEnded:
-    return core.ProbeEnded(destination, api.Outcome.OK if seen.ok else api.Outcome.CONNECT_FAILED, seen.ms)
+def _as_probe(destination: int, seen: HealthCheckResult) -> core.ProbeEnded:
+    return core.ProbeEnded(
+        destination, api.Outcome.OK if seen.ok else api.Outcome.CONNECT_FAILED, seen.latency_ms
+    )
 
 
 async def _serve(
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -119,7 +119,7 @@
         return self.lease_state.usable_token(self._now_s(), duty)
 
     async def commit_fenced(
-        self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
+        self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), description: str = ""
     ) -> Outcome | None:
         """Carry something out as the holder of a duty; None where we do not hold it.
 
@@ -135,13 +135,13 @@
             *(self._whole(one) for one in changes),
             compares=tuple(Compare(self._prefix + one.key, one.field, one.equals) for one in compares),
         )
-        self._history("act_sent", duty=duty, token=token, what=what)
+        self._history("act_sent", duty=duty, token=token, what=description)
         outcome = await self._call("act", self._store.commit(transaction))
         self._history(
             "act_ended",
             duty=duty,
             token=token,
-            what=what,
+            what=description,
             end=type(outcome).__name__,
             revision=0 if isinstance(outcome, Unknown) else outcome.revision,
         )
--- a/coveport/sidecar/singletons/health_checking.py
+++ b/coveport/sidecar/singletons/health_checking.py
@@ -1,22 +1,19 @@
-"""Looking by turns: each ledger node is looked at by one instance, which tells the others what it saw.
+"""Shared health checks: each ledger node is checked by one instance, which publishes the result. Pure.
 
-Pure. Who looks at which node falls out of names alone (rendezvous hashing): all instances that see the same
-names there agree without a word, and when one goes only its own nodes move. Where they see different names
-two look at one node, or nobody does for a moment; neither harms. What was seen stands under `look/NODE`,
-under the author's own session, so it goes with him.
+Which instance checks which node follows from the names alone (rendezvous hashing, Thaler and Ravishankar
+1998): all instances that see the same names agree without a message, and when one leaves only its own nodes
+move. Where they see different names two instances check one node, or none does for a moment; neither does
+harm. A result stands under `look/NODE`, bound to its author's session, so it goes when the author does.
 
-    look/NODE = {"by": incarnation, "rev": its session, "at": unix s, "ok": bool, "ms": answer time, "n":
-    count}
-
-What comes of it: the module's own wish to look at a node is answered from another's look, where that is
-young enough, instead of by a probe of ours. A look may keep a node out or let it in sooner. It never ends
-an operation.
+An instance that would check a node takes another's recent result instead. A result may keep a node out or
+let it in sooner; it never ends an operation.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
+from math import inf
 
 import msgspec
 import xxhash
@@ -24,149 +21,175 @@
 from coveport.sidecar.leases.keys import INSTANCE_PREFIX
 from coveport.sidecar.leases.store import Entry
 
-LOOK = "look/"
-YOUNG_S = 2.0  # a look is worth something for so long
-STEADY_S = 1.0  # a node that does as before is told of again after so long; a change at once
-OWN_S = 5.0  # what we saw ourselves goes before another's word for so long
-AHEAD_S = 5.0  # a look from the future by more than this is of a clock that is wrong: it is left out
+RESULT_PREFIX = "look/"
+RESULT_LIFETIME_S = 2.0  # a result is used for so long after it was received
+REPUBLISH_S = 1.0  # an unchanged result is published again after so long, a change at once
+OWN_OBSERVATION_LIFETIME_S = 5.0  # what our own operations saw overrides a result for so long
+MAX_CLOCK_AHEAD_S = 5.0  # a result dated further into the future comes from a wrong clock: it is ignored
 
 
-class Seen(msgspec.Struct, frozen=True):
-    """What one instance saw of a node."""
+class HealthCheckResult(msgspec.Struct, frozen=True):
+    """Result of one instance's check of a node. Names in the store differ where a `name` is given."""
 
-    by: str  # incarnation
-    at: float  # unix seconds, by the author's clock
+    checked_by: str = msgspec.field(name="by")  # incarnation
+    checked_at: float = msgspec.field(name="at")  # unix s, by the author's clock
     ok: bool
-    ms: float = 0.0
-    n: int = 0  # the author's count: an older word of the same author is dropped
+    latency_ms: float = msgspec.field(default=0.0, name="ms")
+    sequence: int = msgspec.field(default=0, name="n")  # the author's count of results published
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """Somebody's look as it came to us: its age counts from when we heard of it, whatever clocks say."""
+class ReceivedResult:
+    """Another's result as it came to us: its age counts from then, whatever the clocks say."""
 
-    seen: Seen
-    heard_at: float
+    result: HealthCheckResult
+    received_at: float
     revision: int
 
 
-def weight(instance: str, node: str) -> int:
-    """How much an instance is drawn to a node."""
+@dataclass(frozen=True, slots=True)
+class OwnCheck:
+    """The last check of ours of a node; `ok` is the result that was last known."""
+
+    started_at: float
+    ok: bool
+    published_at: float
+
+
+def rendezvous_weight(instance: str, node: str) -> int:
+    """Return the weight of an instance for a node; the highest one checks it."""
     return xxhash.xxh3_64_intdigest(f"{instance}\0{node}".encode())
 
 
-def looker(node: str, instances: Iterable[str]) -> str:
-    """Who looks at a node; empty where nobody is there."""
-    return max(instances, key=lambda name: (weight(name, node), name), default="")
+def assigned_checker(node: str, instances: Iterable[str]) -> str:
+    """Return which instance checks a node; empty if there is none."""
+    return max(instances, key=lambda name: (rendezvous_weight(name, node), name), default="")
 
 
-def shares(nodes: Iterable[str], instances: Sequence[str]) -> dict[str, list[str]]:
-    """Each instance's nodes."""
-    found: dict[str, list[str]] = {name: [] for name in instances}
+def assignments(nodes: Iterable[str], instances: Sequence[str]) -> dict[str, list[str]]:
+    """Return the nodes that each instance checks."""
+    assigned: dict[str, list[str]] = {name: [] for name in instances}
     for node in nodes:
-        who = looker(node, instances)
-        if who:
-            found[who].append(node)
-    return found
+        checker = assigned_checker(node, instances)
+        if checker:
+            assigned[checker].append(node)
+    return assigned
 
 
-class Looking:
-    """One instance's part: what it is to look at, and what it has heard of the rest.
+class SharedHealthChecks:
+    """One instance's part: the nodes it is to check, and the results it has received.
 
-    `now` of all calls is our own clock that never steps; `unix` is only written down for those who read.
+    `now` of all calls is a clock of this instance that never steps, in s; `unix` is only published.
     """
 
     def __init__(self, name: str, incarnation: str) -> None:
         self._name = name
         self._incarnation = incarnation
-        self._heard: dict[str, Heard] = {}
-        self._own: dict[
-            str, tuple[float, bool, float]
-        ] = {}  # node: when we looked last, what, when it was told
-        self._saw: dict[str, tuple[float, bool]] = {}  # by our own operations: when last, and what
-        self._present: set[str] = set()
-        self._turns: dict[str, str] = {}  # who looks at which node, while the same instances are there
-        self._count = 0
-
-    def mine(
-        self, now: float, nodes: Iterable[str], entries: Mapping[str, Entry], every_s: float
+        self._received: dict[str, ReceivedResult] = {}
+        self._own_checks: dict[str, OwnCheck] = {}
+        self._observed: dict[str, tuple[float, bool]] = {}  # by our own operations: when last, and whether ok
+        self._instances: set[str] = set()
+        self._checkers: dict[str, str] = {}  # by node, while the same instances are registered
+        self._sequence = 0
+
+    def due_checks(
+        self, now: float, nodes: Iterable[str], entries: Mapping[str, Entry], interval_s: float
     ) -> list[str]:
-        """The nodes of our own that are to be looked at now."""
-        present = {key[len(INSTANCE_PREFIX) :] for key in entries if key.startswith(INSTANCE_PREFIX)} | {
-            self._name
-        }
-        if present != self._present:
-            # Guards against a hash for each pair of node and instance at every look.
-            self._present = present
-            self._turns = {}
-        due = []
-        for node in nodes:
-            who = self._turns.get(node)
-            if who is None:
-                who = self._turns[node] = looker(node, present)
-            if who == self._name:
-                last = self._own.get(node)
-                if last is None or now - last[0] >= every_s:
-                    due.append(node)
-        return due
-
-    def began(self, now: float, node: str) -> None:
-        """We look at it now."""
-        before = self._own.get(node)
-        self._own[node] = (now, True, -1e9) if before is None else (now, *before[1:])
-
-    def looked(self, now: float, unix: float, node: str, ok: bool, ms: float) -> bytes | None:
-        """We have looked; what is to be told, or None where there is no news in it."""
-        before = self._own.get(node, (now, True, -1e9))
-        news = before[1] is not ok or now - before[2] >= STEADY_S
-        self._own[node] = (now, ok, now if news else before[2])
-        if not news:
+        """Return the nodes assigned to this instance whose last check is `interval_s` ago."""
+        instances = {key.removeprefix(INSTANCE_PREFIX) for key in entries if key.startswith(INSTANCE_PREFIX)}
+        instances.add(self._name)
+        if instances != self._instances:
+            # Assignments are kept: a hash for each pair of node and instance at every check is too much.
+            self._instances = instances
+            self._checkers = {}
+        return [
+            node
+            for node in nodes
+            if self._checker(node) == self._name and self._is_due(now, node, interval_s)
+        ]
+
+    def _checker(self, node: str) -> str:
+        checker = self._checkers.get(node)
+        if checker is None:
+            checker = self._checkers[node] = assigned_checker(node, self._instances)
+        return checker
+
+    def _is_due(self, now: float, node: str, interval_s: float) -> bool:
+        last = self._own_checks.get(node)
+        return last is None or now - last.started_at >= interval_s
+
+    def check_started(self, now: float, node: str) -> None:
+        """Note that a check of a node starts."""
+        before = self._last_check(node)
+        self._own_checks[node] = OwnCheck(now, before.ok, before.published_at)
+
+    def check_finished(
+        self, now: float, unix: float, node: str, *, ok: bool, latency_ms: float
+    ) -> bytes | None:
+        """Return the result to publish; None if it is neither a change nor due again."""
+        before = self._last_check(node)
+        publish = before.ok is not ok or now - before.published_at >= REPUBLISH_S
+        self._own_checks[node] = OwnCheck(now, ok, now if publish else before.published_at)
+        if not publish:
             return None
-        self._count += 1
-        return msgspec.json.encode(Seen(self._incarnation, unix, ok, round(ms, 2), self._count))
+        self._sequence += 1
+        return msgspec.json.encode(
+            HealthCheckResult(self._incarnation, unix, ok, round(latency_ms, 2), self._sequence)
+        )
 
-    def saw(self, now: float, node: str, ok: bool) -> None:
-        """What we saw of a node by our own operations."""
-        self._saw[node] = now, ok
+    def _last_check(self, node: str) -> OwnCheck:
+        return self._own_checks.get(node, OwnCheck(-inf, True, -inf))
 
-    def heard(self, now: float, unix: float, node: str, entry: Entry | None) -> Seen | None:
-        """Somebody told of a node (None: his word is gone with his session); what we are to make of it.
+    def operation_observed(self, now: float, node: str, *, ok: bool) -> None:
+        """Note what an operation of our own saw of a node."""
+        self._observed[node] = now, ok
 
-        None where there is no news in it, where it is our own, and where we know better.
+    def receive(self, now: float, unix: float, node: str, entry: Entry | None) -> HealthCheckResult | None:
+        """Take another's result for a node (None: it went with its author's session).
+
+        Return it if it changes what is known; None if not, if it is our own, or if our own operations saw
+        otherwise lately.
         """
         if entry is None:
-            self._heard.pop(node, None)
+            self._received.pop(node, None)
             return None
         try:
-            seen = msgspec.json.decode(entry.value, type=Seen)
+            result = msgspec.json.decode(entry.value, type=HealthCheckResult)
         except msgspec.DecodeError:
             return None
-        before = self._heard.get(node)
+        before = self._received.get(node)
         if before is not None and entry.modified <= before.revision:
-            return None  # a later word is known: this one's author has been overtaken
-        if seen.at > unix + AHEAD_S:
+            return None  # a later result is known already
+        if result.checked_at > unix + MAX_CLOCK_AHEAD_S:
             return None
-        self._heard[node] = Heard(seen, now, entry.modified)
-        if seen.by == self._incarnation or (before is not None and before.seen.ok is seen.ok):
+        self._received[node] = ReceivedResult(result, now, entry.modified)
+        if result.checked_by == self._incarnation:
             return None
-        return None if self._know_better(now, node, seen.ok) else seen
-
-    def word(self, now: float, node: str) -> Seen | None:
-        """Another's young word on a node that we would else look at ourselves."""
-        found = self._heard.get(node)
-        if found is None or found.seen.by == self._incarnation or now - found.heard_at > YOUNG_S:
+        if before is not None and before.result.ok is result.ok:
             return None
-        return None if self._know_better(now, node, found.seen.ok) else found.seen
-
-    def _know_better(self, now: float, node: str, ok: bool) -> bool:
-        # Guards against an author with another way there than ours: what we saw lately goes before his word.
-        at, was_ok = self._saw.get(node, (-1e9, ok))
-        return was_ok is not ok and now - at < OWN_S
+        return None if self._observed_otherwise(now, node, result.ok) else result
 
-    def forget(self, nodes: Iterable[str]) -> None:
-        """Only these nodes are listed."""
+    def recent_result(self, now: float, node: str) -> HealthCheckResult | None:
+        """Return another's recent result, in place of a check of our own; None if there is none."""
+        received = self._received.get(node)
+        if received is None or received.result.checked_by == self._incarnation:
+            return None
+        if now - received.received_at > RESULT_LIFETIME_S:
+            return None
+        return None if self._observed_otherwise(now, node, received.result.ok) else received.result
+
+    def _observed_otherwise(self, now: float, node: str, ok: bool) -> bool:
+        # The author may reach the node by another path than we do: what our own operations saw counts more.
+        observed = self._observed.get(node)
+        if observed is None:
+            return False
+        at, was_ok = observed
+        return was_ok is not ok and now - at < OWN_OBSERVATION_LIFETIME_S
+
+    def retain(self, nodes: Iterable[str]) -> None:
+        """Forget all nodes but these."""
         kept = set(nodes)
-        self._own = {node: one for node, one in self._own.items() if node in kept}
-        self._heard = {node: one for node, one in self._heard.items() if node in kept}
-        self._saw = {node: one for node, one in self._saw.items() if node in kept}
-        self._turns = {node: one for node, one in self._turns.items() if node in kept}
+        self._own_checks = {node: check for node, check in self._own_checks.items() if node in kept}
+        self._received = {node: result for node, result in self._received.items() if node in kept}
+        self._observed = {node: seen for node, seen in self._observed.items() if node in kept}
+        self._checkers = {node: checker for node, checker in self._checkers.items() if node in kept}
--- /dev/null
+++ b/coveport/sidecar/singletons/slow_start_client.py
@@ -0,0 +1,69 @@
+"""Each instance's part in slow start: what it requests, and which grants it may use. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from math import inf
+
+import msgspec
+
+from coveport.sidecar.leases.store import Entry
+from coveport.sidecar.singletons.slow_start_messages import (
+    GRANT_LIFETIME_S,
+    CapacityGrant,
+    CapacityRequest,
+)
+
+REQUEST_INTERVAL_S = GRANT_LIFETIME_S / 2  # so that a grant follows before the last one expires
+
+
+@dataclass(frozen=True, slots=True)
+class UsableGrant:
+    """Operations by node that may be sent while the instance's own clock is below `expires_at`, in s."""
+
+    expires_at: float
+    operations: Mapping[str, int]
+
+
+class CapacityClient:
+    """Requests capacity of warming nodes, and accepts each grant once."""
+
+    def __init__(self, incarnation: str) -> None:
+        self._incarnation = incarnation
+        self._accepted_steps: dict[str, int] = {}  # by zone: step of the grant that was accepted last
+        self._requested_at = -inf
+        self._requested_nodes = 0  # how many nodes the last request named
+
+    def request(
+        self, now: float, rate_per_s: float, service_s: float, nodes: Mapping[str, tuple[int, float]]
+    ) -> bytes | None:
+        """Return the request to publish now; None if there is nothing to request, or one is recent.
+
+        `nodes`: the warming nodes by name, with zone and age in s.
+        """
+        if not nodes or rate_per_s <= 0:
+            return None
+        if now - self._requested_at < REQUEST_INTERVAL_S and len(nodes) <= self._requested_nodes:
+            return None
+        self._requested_at = now
+        self._requested_nodes = len(nodes)
+        return msgspec.json.encode(
+            CapacityRequest(self._incarnation, now, round(rate_per_s, 2), service_s, dict(nodes))
+        )
+
+    def accept(self, now: float, zone: str, entry: Entry | None) -> UsableGrant | None:
+        """Return what a grant allows; None if it can't be used."""
+        if entry is None:
+            return None
+        try:
+            grant = msgspec.json.decode(entry.value, type=CapacityGrant)
+        except msgspec.DecodeError:
+            return None
+        # A grant is accepted once, and only by the process that requested it: a predecessor of the same
+        # name may have used it.
+        if grant.incarnation != self._incarnation or grant.step <= self._accepted_steps.get(zone, 0):
+            return None
+        self._accepted_steps[zone] = grant.step
+        expires_at = grant.requested_at + GRANT_LIFETIME_S
+        return UsableGrant(expires_at, grant.operations) if now < expires_at else None
--- a/coveport/sidecar/supervisor/desired_state.py
+++ b/coveport/sidecar/supervisor/desired_state.py
@@ -192,10 +192,10 @@
         fares: Callable[[], Mapping[str, Fares]],
         seen: Callable[[Plan], None],
         most: int,
-        every_s: float = 0.1,
+        interval_s: float = 0.1,
     ) -> None:
         self.name = FLEET + fleet.name
-        self.every_s = every_s
+        self.interval_s = interval_s
         self.fleet = fleet
         self._fares = fares
         self._seen = seen
@@ -240,7 +240,7 @@
         """A step stands in the store."""
         plan = msgspec.json.decode(step.state, type=Plan)
         if self._asks and plan.last == self._asks[0][0].id:
-            self._asks.popleft()[1](step.what)
+            self._asks.popleft()[1](step.description)
         self._seen(plan)
 
 
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -13,7 +13,8 @@
 
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.leases.lease_client import LeaseClient
-from coveport.sidecar.singletons.singleton import Runner, Step
+from coveport.sidecar.singletons.singleton import Step
+from coveport.sidecar.singletons.singleton_runner import SingletonRunner
 from coveport.sidecar.supervisor.desired_state import Ask, FleetDuty, Plan
 from coveport.sidecar.supervisor.instance_set import Crew
 from coveport.sidecar.supervisor.instance_state import Drain, End, Kill, Order, Start, State
@@ -52,7 +53,7 @@
         self._check = check
         self.crew = Crew(told.fleet, chance)
         self.duty = FleetDuty(told.fleet, lambda: self.crew.fares(self._now_s()), self._planned, most)
-        self._runner = Runner(lease_client, self.duty, now_s, self._did)
+        self._runner = SingletonRunner(lease_client, self.duty, now_s, self._did)
         lease_client.on_acquired = self._began
         lease_client.on_lost = self._over
         hands.ended = self._life_over
@@ -123,13 +124,13 @@
         self.crew.take_up(now, found)
         self._states = {}
         self._say("fleet_taken_up", duty=duty, token=token, found=sorted(found))
-        self._runner.began(token)
+        self._runner.start(token)
         if self.on_holding is not None:
             self._tasks.append(asyncio.ensure_future(self._tell_holding(True)))
 
     def _over(self, duty: str, token: int, why: str) -> None:
         self.holding = False
-        self._runner.ended()
+        self._runner.stop()
         self.duty.gone()
         if not self._stopping:
             self.crew.let_go()
@@ -147,7 +148,7 @@
             self._carry_out(self.crew.planned(self._now_s(), plan))
 
     def _did(self, step: Step, token: int, revision: int) -> None:
-        self._say("fleet_step", token=token, revision=revision, what=step.what)
+        self._say("fleet_step", token=token, revision=revision, what=step.description)
         self.duty.did(step)
 
     async def _turn(self) -> None:
--- a/coveport/testbed/discrete_event/slow_start.py
+++ b/coveport/testbed/discrete_event/slow_start.py
@@ -1,4 +1,4 @@
-"""A warden on bare ground: the pure halves of `duties.warden`, with a store that is a dictionary and a delay.
+"""Slow start in the discrete-event simulator: its pure halves, and a store that is a dictionary and a delay.
 
 The store, its faults and who holds the duty are other trials' matter; here one warden a zone holds it all
 the day, and what is looked at is what its grants come to at the nodes.
@@ -12,7 +12,9 @@
 from coveport.sidecar.leases.store import Entry, Put
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.reducer import Reducer
-from coveport.sidecar.singletons.slow_start_coordinator import GRANT, NEED, Granted, Safe, Warden
+from coveport.sidecar.singletons.slow_start_client import CapacityClient
+from coveport.sidecar.singletons.slow_start_coordinator import SlowStartCoordinator
+from coveport.sidecar.singletons.slow_start_messages import GRANT_PREFIX, REQUEST_PREFIX, SafeLoad
 from coveport.testbed.discrete_event.scheduler import Agenda
 
 LOOK_MS = 250.0  # how often instances wish, and the warden answers
@@ -44,11 +46,15 @@
     def __init__(self, fleet: Fleet, rules: api.Rules, zones: int, drift: float = 0.02) -> None:
         self._fleet = fleet
         self._agenda = fleet.agenda
-        safe = Safe(rules.cold_from, rules.warm_after_ms / 1000, rules.overload_factor, rules.fall_ms / 1000)
-        self._wardens = [Warden(zone, "warden#1", safe, drift) for zone in range(zones)]
+        safe = SafeLoad(
+            rules.cold_from, rules.warm_after_ms / 1000, rules.overload_factor, rules.fall_ms / 1000
+        )
+        self._wardens = [SlowStartCoordinator(zone, "warden#1", safe, drift) for zone in range(zones)]
         self._states: dict[str, bytes] = {}
         self._entries: dict[str, Entry] = {}
-        self._parts: dict[int, tuple[Granted, int]] = {}  # by life: its half, and how many had come to it
+        self._parts: dict[
+            int, tuple[CapacityClient, int]
+        ] = {}  # by life: its half, and how many had come to it
         self._revision = 1
         self.granted = 0
         self._agenda.at(self._agenda.now, self._look)
@@ -63,13 +69,13 @@
         self._entries = {key: one for key, one in self._entries.items() if not key.startswith("instance/")}
         for name, life in lives:
             self._put(f"instance/{name}", b"")
-            part, had = self._parts.setdefault(id(life), (Granted(f"{name}#{id(life)}"), life.came))
+            part, had = self._parts.setdefault(id(life), (CapacityClient(f"{name}#{id(life)}"), life.came))
             rate = (life.came - had) * 1000 / LOOK_MS
             self._parts[id(life)] = part, life.came
             fresh = {f"n{number}": (zone, age / 1000) for number, (zone, age) in life.reducer.fresh().items()}
-            wish = part.wish(now, max(rate, 0.5), life.reducer.service_ms / 1000, fresh)
+            wish = part.request(now, max(rate, 0.5), life.reducer.service_ms / 1000, fresh)
             if wish is not None:
-                self._agenda.at(self._agenda.now + STORE_MS, self._put, NEED + name, wish)
+                self._agenda.at(self._agenda.now + STORE_MS, self._put, REQUEST_PREFIX + name, wish)
         for warden in self._wardens:
             step = warden.decide(now, self._states.get(warden.name), self._entries)
             if step is not None:
@@ -81,12 +87,13 @@
         self._agenda.at(self._agenda.now + LOOK_MS, self._look)
 
     def _news(self, key: str) -> None:
-        zone, _, name = key[len(GRANT) :].partition("/")
+        zone, _, name = key[len(GRANT_PREFIX) :].partition("/")
         now = self._agenda.now / 1000
         for who, life in self._fleet.lives():
             if who == name and id(life) in self._parts:
-                taken = self._parts[id(life)][0].take(now, zone, self._entries.get(key))
-                if taken is not None:
-                    for node, count in taken[1].items():
+                grant = self._parts[id(life)][0].accept(now, zone, self._entries.get(key))
+                if grant is not None:
+                    lasts_ms = (grant.expires_at - now) * 1000
+                    for node, count in grant.operations.items():
                         self.granted += count
-                        life.feed(core.Granted(int(node[1:]), count, (taken[0] - now) * 1000))
+                        life.feed(core.Granted(int(node[1:]), count, lasts_ms))
--- a/coveport/testbed/fault_injection/broken_variants.py
+++ b/coveport/testbed/fault_injection/broken_variants.py
@@ -30,8 +30,10 @@
     Unknown,
 )
 from coveport.sidecar.singletons.drill import Drill
-from coveport.sidecar.singletons.singleton import Runner, Step
-from coveport.sidecar.singletons.slow_start_coordinator import Books, Warden
+from coveport.sidecar.singletons.singleton import Step, StoredState
+from coveport.sidecar.singletons.singleton_runner import SingletonRunner
+from coveport.sidecar.singletons.slow_start_coordinator import SlowStartCoordinator
+from coveport.sidecar.singletons.slow_start_messages import CoordinatorState
 
 
 @dataclass(frozen=True)
@@ -43,9 +45,9 @@
     rules: tuple[str, ...] = ()
     holder: Callable[..., LeaseState] = LeaseState
     lease_client: type[LeaseClient] = LeaseClient
-    runner: type[Runner] = Runner
+    runner: type[SingletonRunner] = SingletonRunner
     drill: Callable[[str], Drill] = Drill
-    warden: Callable[..., Warden] = Warden
+    warden: Callable[..., SlowStartCoordinator] = SlowStartCoordinator
     clock_stops: bool = False  # its clock stands still while its machine sleeps
 
 
@@ -135,12 +137,12 @@
 
 class _NoFence(LeaseClient):
     async def commit_fenced(
-        self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
+        self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), description: str = ""
     ) -> Outcome | None:
         token = self.usable_token(duty)
         if not token:
             return None
-        self._history("act_sent", duty=duty, token=token, what=what)
+        self._history("act_sent", duty=duty, token=token, what=description)
         outcome = await self._call(
             "act", self._store.commit(Transaction((), tuple(map(self._whole, changes))))
         )
@@ -148,7 +150,7 @@
             "act_ended",
             duty=duty,
             token=token,
-            what=what,
+            what=description,
             end=type(outcome).__name__,
             revision=0 if isinstance(outcome, Unknown) else outcome.revision,
         )
@@ -159,12 +161,12 @@
     """Holds its own word for enough, and fences with whatever token stands."""
 
     async def commit_fenced(
-        self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), what: str = ""
+        self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), description: str = ""
     ) -> Outcome | None:
         token = self.lease_state.held_token(self._now_s(), duty)
         if not token:
             return None
-        self._history("act_sent", duty=duty, token=token, what=what)
+        self._history("act_sent", duty=duty, token=token, what=description)
         outcome = await self._call(
             "act", self._store.commit(Transaction((), tuple(map(self._whole, changes))))
         )
@@ -172,7 +174,7 @@
             "act_ended",
             duty=duty,
             token=token,
-            what=what,
+            what=description,
             end=type(outcome).__name__,
             revision=0 if isinstance(outcome, Unknown) else outcome.revision,
         )
@@ -212,84 +214,85 @@
 # Runners and drills.
 
 
-class _StepsTwice(Runner):
+class _StepsTwice(SingletonRunner):
     """Sends a step whose end is unknown once more, without a look at what stands."""
 
-    async def _step(self, token: int, known: tuple[bytes | None, int]) -> tuple[bytes | None, int] | None:
-        step = self.duty.decide(self._now_s(), known[0], self._lease_client.entries)
+    async def _step(self, token: int, state: StoredState) -> StoredState | None:
+        step = self.role.decide(self._now_s(), state.value, self._lease_client.entries)
         assert step is not None
-        key = STATE_PREFIX + self.duty.name
+        key = STATE_PREFIX + self.role.name
         for _ in range(2):
             outcome = await self._lease_client.commit_fenced(
-                self.duty.name, Put(key, step.state), what=step.what
+                self.role.name, Put(key, step.state), description=step.description
             )
             if isinstance(outcome, Done):
-                return step.state, outcome.revision
+                return StoredState(step.state, outcome.revision)
         return None
 
 
-class _GoesOnFromMemory(Runner):
+class _GoesOnFromMemory(SingletonRunner):
     """After a step without an answer it goes on as if that had been done, or refused, as the draw falls."""
 
-    async def _step(self, token: int, known: tuple[bytes | None, int]) -> tuple[bytes | None, int] | None:
-        step = self.duty.decide(self._now_s(), known[0], self._lease_client.entries)
+    async def _step(self, token: int, state: StoredState) -> StoredState | None:
+        step = self.role.decide(self._now_s(), state.value, self._lease_client.entries)
         assert step is not None
         outcome = await self._lease_client.commit_fenced(
-            self.duty.name, Put(STATE_PREFIX + self.duty.name, step.state), what=step.what
+            self.role.name, Put(STATE_PREFIX + self.role.name, step.state), description=step.description
         )
-        return known if isinstance(outcome, Refused) or outcome is None else (step.state, 0)
+        refused = isinstance(outcome, Refused) or outcome is None
+        return state if refused else StoredState(step.state, 0)
 
 
-class _ReadsTooEarly(Runner):
+class _ReadsTooEarly(SingletonRunner):
     """Takes over from what it saw of the state before the duty was its own, and compares no revision."""
 
-    async def read(self) -> tuple[bytes | None, int] | None:
-        entry = self._lease_client.entries.get(STATE_PREFIX + self.duty.name)
-        return (None, 0) if entry is None else (entry.value, entry.modified)
+    async def read_state(self) -> StoredState | None:
+        entry = self._lease_client.entries.get(STATE_PREFIX + self.role.name)
+        return StoredState(None, 0) if entry is None else StoredState(entry.value, entry.modified)
 
-    async def _step(self, token: int, known: tuple[bytes | None, int]) -> tuple[bytes | None, int] | None:
-        step = self.duty.decide(self._now_s(), known[0], self._lease_client.entries)
+    async def _step(self, token: int, state: StoredState) -> StoredState | None:
+        step = self.role.decide(self._now_s(), state.value, self._lease_client.entries)
         assert step is not None
         outcome = await self._lease_client.commit_fenced(
-            self.duty.name, Put(STATE_PREFIX + self.duty.name, step.state), what=step.what
+            self.role.name, Put(STATE_PREFIX + self.role.name, step.state), description=step.description
         )
-        return (step.state, outcome.revision) if isinstance(outcome, Done) else None
+        return StoredState(step.state, outcome.revision) if isinstance(outcome, Done) else None
 
 
 class _ForgetsGrants(Drill):
     """A successor begins anew: it knows of no count but its own."""
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
-        if state is not None and json.loads(state)["by"] != self.by:
+        if state is not None and json.loads(state)["by"] != self.incarnation:
             state = None
         return super().decide(now, state, entries)
 
 
-class _DeafRunner(Runner):
+class _DeafRunner(SingletonRunner):
     """Goes on with its steps when the duty is not its own any more."""
 
-    def ended(self) -> None:
+    def stop(self) -> None:
         pass
 
 
-class _ForgetsWhatWasGranted(Warden):
+class _ForgetsWhatWasGranted(SlowStartCoordinator):
     """A successor that counts nothing of its predecessor's as in use."""
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
         if state is not None:
-            books = msgspec.json.decode(state, type=Books)
-            if books.by != self._by:
-                state = msgspec.json.encode(Books(books.by, books.step))
+            stored = msgspec.json.decode(state, type=CoordinatorState)
+            if stored.written_by != self._incarnation:
+                state = msgspec.json.encode(CoordinatorState(stored.written_by, stored.step))
         return super().decide(now, state, entries)
 
 
-class _GrantsWithoutEnd(Warden):
+class _GrantsWithoutEnd(SlowStartCoordinator):
     """Counts what it granted as used up at once."""
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
         if state is not None:
-            books = msgspec.json.decode(state, type=Books)
-            state = msgspec.json.encode(Books(books.by, books.step, {}, books.handle_outcome))
+            stored = msgspec.json.decode(state, type=CoordinatorState)
+            state = msgspec.json.encode(CoordinatorState(stored.written_by, stored.step, {}, stored.answered))
         return super().decide(now, state, entries)
 
 
--- a/coveport/testbed/fault_injection/fleet/broken_variants.py
+++ b/coveport/testbed/fault_injection/fleet/broken_variants.py
@@ -66,7 +66,7 @@
 
     def _over(self, duty: str, token: int, why: str) -> None:
         self.holding = False
-        self._runner.ended()
+        self._runner.stop()
 
 
 class _Forgets(Supervisor):
--- a/coveport/testbed/fault_injection/judge.py
+++ b/coveport/testbed/fault_injection/judge.py
@@ -26,8 +26,9 @@
 
 from coveport.sidecar.leases.keys import INSTANCE_PREFIX
 from coveport.sidecar.leases.store import Change, Entry
-from coveport.sidecar.singletons.rollout import Plan, fares_of
-from coveport.sidecar.singletons.slow_start_coordinator import PART, Safe
+from coveport.sidecar.singletons.rollout_plan import RolloutPlan, instance_statuses
+from coveport.sidecar.singletons.slow_start_coordinator import GRANTED_SHARE
+from coveport.sidecar.singletons.slow_start_messages import SafeLoad
 from coveport.testbed.fault_injection.history import Histories, Record
 
 
@@ -205,7 +206,7 @@
     found: list[Finding] = []
     there: dict[str, Entry] = {}
     came: dict[str, float] = {}
-    before: Plan | None = None
+    before: RolloutPlan | None = None
     for at, change in book:
         key = change.key.removeprefix(prefix)
         if key != "state/rollout" or change.entry is None:
@@ -216,38 +217,45 @@
                     came[key] = at
                 there[key] = change.entry
             continue
-        plan = msgspec.json.decode(change.entry.value, type=Plan)
-        if before is not None and before.new == plan.new and plan.done != before.done:
-            if plan.done != before.done + 1:
-                found.append(Finding("tenths", at, f"step {plan.done} after step {before.done}"))
+        plan = msgspec.json.decode(change.entry.value, type=RolloutPlan)
+        if (
+            before is not None
+            and before.new_settings == plan.new_settings
+            and plan.steps_done != before.steps_done
+        ):
+            if plan.steps_done != before.steps_done + 1:
+                found.append(Finding("tenths", at, f"step {plan.steps_done} after step {before.steps_done}"))
             late = [
                 name
-                for name, one in fares_of(there).items()
-                if name in before.given
-                and one.runs != plan.new
+                for name, one in instance_statuses(there).items()
+                if name in before.updated_instances
+                and one.running != plan.new_settings
                 and at - came[INSTANCE_PREFIX + name] > news_s
             ]
             if late:
                 found.append(
-                    Finding("tenths", at, f"step {plan.done} while {late[0]} has not taken the one before")
+                    Finding(
+                        "tenths", at, f"step {plan.steps_done} while {late[0]} has not taken the one before"
+                    )
                 )
         before = plan
     return found
 
 
-def floods(histories: Histories, born: float, service_s: float, safe: Safe) -> list[Finding]:
+def floods(histories: Histories, born: float, service_s: float, safe: SafeLoad) -> list[Finding]:
     """Rule `flood`: what was sent on grants, all instances together."""
     used = [(one.at, one.number("count")) for one in histories.of("used")]
     found = []
     for begin, _ in used:
-        came = sum(count for at, count in used if begin <= at <= begin + safe.fall_s)
-        bears = PART * safe.operations(begin - born, service_s)
+        came = sum(count for at, count in used if begin <= at <= begin + safe.overload_window_s)
+        bears = GRANTED_SHARE * safe.operations(begin - born, service_s)
         if came > bears:
             found.append(
                 Finding(
                     "flood",
                     begin,
-                    f"{came} operations in {safe.fall_s:g} s on grants; {bears:.0f} are their part",
+                    f"{came} operations in {safe.overload_window_s:g} s on grants; "
+                    f"{bears:.0f} are their part",
                 )
             )
     return found
--- a/coveport/testbed/fault_injection/parts.py
+++ b/coveport/testbed/fault_injection/parts.py
@@ -14,10 +14,11 @@
 
 from coveport.sidecar.leases.lease_client import History, LeaseClient
 from coveport.sidecar.leases.store import Entry
-from coveport.sidecar.singletons.rollout import Follower
-from coveport.sidecar.singletons.slow_start_coordinator import GRANT, NEED, Granted, Safe
+from coveport.sidecar.singletons.rollout_follower import RolloutFollower
+from coveport.sidecar.singletons.slow_start_client import CapacityClient
+from coveport.sidecar.singletons.slow_start_messages import GRANT_PREFIX, REQUEST_PREFIX, SafeLoad
 
-SAFE = Safe()
+SAFE = SafeLoad()
 SERVICE_S, RATE = 0.02, 400.0  # of an operation; first tries a second, more than there are grants for
 NODE, BORN_S = "n", 4.0  # the fresh node, and when in the trial it starts
 WISH_S = 0.25
@@ -46,14 +47,14 @@
         self._world_s = world_s
         self._history = history
         self._chance = chance
-        self._follower = Follower(name)
-        self._granted = Granted(incarnation)
+        self._follower = RolloutFollower(name)
+        self._capacity = CapacityClient(incarnation)
         self._tasks: list[asyncio.Task[None]] = []
         lease_client.on_change = self._changed
 
     def start(self) -> None:
         """Begin; there is a running loop."""
-        self._lease_client.publish_status(self._follower.fares(self._incarnation, 1.0, 100))
+        self._lease_client.publish_status(self._follower.status(self._incarnation, 1.0, 100))
         self._lease_client.start()
         if "warden@0" in self._duties:
             self._tasks.append(asyncio.ensure_future(self._wish()))
@@ -61,30 +62,31 @@
     def _changed(self, key: str, entry: Entry | None) -> None:
         if key.startswith(("want/", "settings/")):
             self._follow()
-        elif key == f"{GRANT}0/{self._name}":
-            taken = self._granted.take(self._now_s(), "0", entry)
-            if taken is not None and taken[1].get(NODE):
-                self._tasks.append(asyncio.ensure_future(self._use(taken[0], taken[1][NODE])))
+        elif key == f"{GRANT_PREFIX}0/{self._name}":
+            grant = self._capacity.accept(self._now_s(), "0", entry)
+            if grant is not None and grant.operations.get(NODE):
+                use = self._use(grant.expires_at, grant.operations[NODE])
+                self._tasks.append(asyncio.ensure_future(use))
 
     def _follow(self) -> None:
-        wanted = self._follower.wanted(self._lease_client.entries)
-        if wanted is None:
+        settings = self._follower.next_settings(self._lease_client.entries)
+        if settings is None:
             return
-        if wanted[1] is not None and BAD in wanted[1]:
-            self._follower.could_not(wanted[0], "it is bad")
+        if settings.text is not None and BAD in settings.text:
+            self._follower.record_rejected(settings.id, "it is bad")
         else:
-            self._follower.took(wanted[0])
-            self._history("runs", settings=wanted[0])
-        self._lease_client.publish_status(self._follower.fares(self._incarnation, 1.0, 100))
+            self._follower.record_applied(settings.id)
+            self._history("runs", settings=settings.id)
+        self._lease_client.publish_status(self._follower.status(self._incarnation, 1.0, 100))
 
     async def _wish(self) -> None:
         while True:
             await asyncio.sleep(WISH_S)
             age = self._world_s() - BORN_S
             if 0 <= age < SAFE.warm_after_s and self._lease_client.lease_state.in_session:
-                wish = self._granted.wish(self._now_s(), RATE, SERVICE_S, {NODE: (0, age)})
-                if wish is not None:
-                    self._lease_client.publish(NEED + self._name, wish)
+                request = self._capacity.request(self._now_s(), RATE, SERVICE_S, {NODE: (0, age)})
+                if request is not None:
+                    self._lease_client.publish(REQUEST_PREFIX + self._name, request)
 
     async def _use(self, until: float, count: int) -> None:
         await asyncio.sleep(max(0.0, until - self._now_s()) * self._chance.random())
--- a/coveport/testbed/fault_injection/virtual.py
+++ b/coveport/testbed/fault_injection/virtual.py
@@ -13,8 +13,10 @@
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.states import SessionState
 from coveport.sidecar.leases.store import Put, Transaction
-from coveport.sidecar.singletons.rollout import ASK, Rollout
-from coveport.sidecar.singletons.singleton import Duty, Runner
+from coveport.sidecar.singletons.rollout import Rollout
+from coveport.sidecar.singletons.rollout_plan import COMMAND_KEY
+from coveport.sidecar.singletons.singleton import SingletonRole
+from coveport.sidecar.singletons.singleton_runner import SingletonRunner
 from coveport.testbed.fault_injection import judge
 from coveport.testbed.fault_injection.broken_variants import SOUND, Variant
 from coveport.testbed.fault_injection.history import Histories, Record
@@ -37,7 +39,7 @@
     way: Way
     process: Process
     lease_client: LeaseClient | None = None
-    runners: list[Runner] = field(default_factory=list)
+    runners: list[SingletonRunner] = field(default_factory=list)
     incarnation: str = ""
     lives: int = 0
     slept_s: float = 0.0
@@ -109,15 +111,15 @@
             lease_state=self.variant.holder,
         )
         drill = self.variant.drill(incarnation)
-        drill.every_s = self.trial.drill_s
-        duties: dict[str, Duty] = {
+        drill.interval_s = self.trial.drill_s
+        duties: dict[str, SingletonRole] = {
             "drill": drill,
-            "rollout": Rollout(hold_s=1.0, apply_s=20.0),
+            "rollout": Rollout(soak_s=1.0, apply_timeout_s=20.0),
             "warden@0": self.variant.warden(0, incarnation, SAFE, self.trial.drift),
         }
         runners = {name: self.variant.runner(lease_client, duties[name], now_s) for name in self.trial.duties}
-        lease_client.on_acquired = lambda duty, token: runners[duty].began(token)
-        lease_client.on_lost = lambda duty, token, why: runners[duty].ended()
+        lease_client.on_acquired = lambda duty, token: runners[duty].start(token)
+        lease_client.on_lost = lambda duty, token, why: runners[duty].stop()
         one.lease_client, one.runners = lease_client, list(runners.values())
         part = Part(
             lease_client,
@@ -198,7 +200,7 @@
             self.host.traps.append(Trap(call, how, fault.lasts_s))
         elif kind.startswith("rollout"):
             word = rollout_word(int(fault.at_s * 1000), kind == "rollout-bad")
-            self.host.engine.commit(self.host.now(), Transaction((), (Put("coveport/" + ASK, word),)))
+            self.host.engine.commit(self.host.now(), Transaction((), (Put("coveport/" + COMMAND_KEY, word),)))
         elif kind == "compact":
             self.host.engine.compact(self.host.engine.revision)
         elif kind in ("halves", "lose_answers"):
--- a/tests/golden/golden_store_cases.py
+++ b/tests/golden/golden_store_cases.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from coveport.sidecar.intent_log.record_layout import Leaves
-from coveport.sidecar.singletons import health_checking, rollout, slow_start_coordinator
+from coveport.sidecar.singletons import health_checking, rollout_plan, slow_start_messages
 from coveport.sidecar.supervisor import desired_state as fleet
 
 VALUES: dict[str, msgspec.Struct] = {
@@ -17,20 +17,32 @@
         fleet.Restart(("instance-1", "instance-3"), 2, {"instance-1": "42.7.b"}, fleet.Phase.HALTED, "worse"),
         "ask-9",
     ),
-    "rollout plan": rollout.Plan(
-        "new", "old", (("a", "b"), ("c",)), rollout.Phase.BACK, 1, 2, "worse", "staff", "x"
+    "rollout plan": rollout_plan.RolloutPlan(
+        "new",
+        "old",
+        (("a", "b"), ("c",)),
+        rollout_plan.RolloutPhase.ROLLING_BACK,
+        1,
+        2,
+        "worse",
+        "staff",
+        "x",
     ),
-    "rollout, how an instance fares": rollout.Fares("life-1", "new", "other", "no such zone", 0.75, 30),
-    "rollout, what staff ask": rollout.Ask("start", '{"zone": 1}', "staff"),
-    "node as it was seen": health_checking.Seen("life-1", 1_700_000_000.5, True, 2.25, 7),
-    "wish of an instance": slow_start_coordinator.Need("life-1", 5.5, 20.25, 0.125, {"node-1": (2, 3.5)}),
-    "grant": slow_start_coordinator.Grant("life-1", 5.5, 6, {"node-1": 4}),
-    "books": slow_start_coordinator.Books(
-        "life-2", 6, {"node-1": [slow_start_coordinator.Out(1.5, 2)]}, {"life-1": 5.5}
+    "rollout, how an instance fares": rollout_plan.InstanceStatus(
+        "life-1", "new", "other", "no such zone", 0.75, 30
+    ),
+    "rollout, what staff ask": rollout_plan.RolloutCommand("start", '{"zone": 1}', "staff"),
+    "node as it was seen": health_checking.HealthCheckResult("life-1", 1_700_000_000.5, True, 2.25, 7),
+    "wish of an instance": slow_start_messages.CapacityRequest(
+        "life-1", 5.5, 20.25, 0.125, {"node-1": (2, 3.5)}
+    ),
+    "grant": slow_start_messages.CapacityGrant("life-1", 5.5, 6, {"node-1": 4}),
+    "books": slow_start_messages.CoordinatorState(
+        "life-2", 6, {"node-1": [slow_start_messages.OutstandingGrant(1.5, 2)]}, {"life-1": 5.5}
     ),
     "leaving": Leaves(2.5),
 }
 PHASES = {
     "fleet": {phase.value for phase in fleet.Phase},
-    "rollout": {phase.value for phase in rollout.Phase},
+    "rollout": {phase.value for phase in rollout_plan.RolloutPhase},
 }
--- a/tests/sidecar/singletons/test_slow_start_coordinator.py
+++ b/tests/sidecar/singletons/test_slow_start_coordinator.py
@@ -11,20 +11,18 @@
 
 from coveport.sidecar.leases.store import Compare, Done, Entry, Field, Put, Transaction
 from coveport.sidecar.singletons.singleton import Step
-from coveport.sidecar.singletons.slow_start_coordinator import (
-    GRANT_S,
-    PART,
-    Books,
-    Grant,
-    Granted,
-    Need,
-    Safe,
-    Warden,
-    split,
+from coveport.sidecar.singletons.slow_start_client import CapacityClient, UsableGrant
+from coveport.sidecar.singletons.slow_start_coordinator import GRANTED_SHARE, SlowStartCoordinator, apportion
+from coveport.sidecar.singletons.slow_start_messages import (
+    GRANT_LIFETIME_S,
+    CapacityGrant,
+    CapacityRequest,
+    CoordinatorState,
+    SafeLoad,
 )
 from coveport.testbed.standins.etcd.engine import Engine
 
-SAFE = Safe()
+SAFE = SafeLoad()
 STATE = "state/warden@0"
 
 
@@ -33,11 +31,11 @@
 
     def __init__(self, instances: int, seed: int = 1, drift: float = 0.02) -> None:
         self.engine, self.now, self.chance = Engine(), 0.0, random.Random(seed)
-        self.wardens = [Warden(0, f"w{one}", SAFE, drift) for one in range(2)]
+        self.wardens = [SlowStartCoordinator(0, f"w{one}", SAFE, drift) for one in range(2)]
         self.names = [f"s{one}" for one in range(instances)]
         self.rates = {name: (1 + drift) ** self.chance.uniform(-0.5, 0.5) for name in self.names}
         self.shift = {name: self.chance.uniform(0, 1e6) for name in self.names}
-        self.parts = {name: Granted(f"{name}#1") for name in self.names}
+        self.parts = {name: CapacityClient(f"{name}#1") for name in self.names}
         self.read: dict[int, Entry | None] = {0: None, 1: None}
         self.held: dict[str, tuple[float, int]] = {}  # by instance: until when by its clock, and how many
         self.sent: list[float] = []
@@ -51,7 +49,7 @@
         self.engine.commit(self.now, Transaction((), (Put(key, value),)))
 
     def wish(self, name: str, rate: float = 500.0, service: float = 0.02) -> None:
-        wish = self.parts[name].wish(self.clock(name), rate, service, {"n": (0, self.now)})
+        wish = self.parts[name].request(self.clock(name), rate, service, {"n": (0, self.now)})
         if wish is not None:
             self.put(f"need/{name}", wish)
 
@@ -72,9 +70,9 @@
         return isinstance(done, Done)
 
     def take(self, name: str) -> None:
-        taken = self.parts[name].take(self.clock(name), "0", self.engine.entries.get(f"grant/0/{name}"))
-        if taken is not None:
-            self.held[name] = taken[0], taken[1]["n"]
+        grant = self.parts[name].accept(self.clock(name), "0", self.engine.entries.get(f"grant/0/{name}"))
+        if grant is not None:
+            self.held[name] = grant.expires_at, grant.operations["n"]
 
     def send(self, name: str) -> bool:
         until, left = self.held.get(name, (0.0, 0))
@@ -91,8 +89,8 @@
     def holds(self, service: float = 0.02) -> None:
         """No window sees more of grants than their part of what the node bears at its beginning."""
         for begin in self.sent:
-            came = sum(begin <= at <= begin + SAFE.fall_s for at in self.sent)
-            assert came <= PART * SAFE.operations(begin, service), (begin, came)
+            came = sum(begin <= at <= begin + SAFE.overload_window_s for at in self.sent)
+            assert came <= GRANTED_SHARE * SAFE.operations(begin, service), (begin, came)
 
 
 def test_what_a_node_bears_by_its_age() -> None:
@@ -118,7 +116,7 @@
         elif kind < 0.95:
             place.send_all(name)
         else:
-            place.wardens[chance.randrange(2)] = Warden(0, f"w{chance.random()}", SAFE, 0.02)
+            place.wardens[chance.randrange(2)] = SlowStartCoordinator(0, f"w{chance.random()}", SAFE, 0.02)
     place.holds()
     assert place.sent or "state/warden@0" in place.engine.entries, "something was granted"
 
@@ -127,7 +125,7 @@
     place = Place(5)
     for turn in range(120):
         if turn % 40 == 0:
-            place.wardens[0] = Warden(0, f"w{turn}", SAFE, 0.02)
+            place.wardens[0] = SlowStartCoordinator(0, f"w{turn}", SAFE, 0.02)
         place.now += 0.25
         for name in place.names:
             place.wish(name)
@@ -159,18 +157,18 @@
             elif what == "late":
                 place.now += 1.1
             else:
-                place.wardens[0] = Warden(0, "w9", SAFE, 0.02)
+                place.wardens[0] = SlowStartCoordinator(0, "w9", SAFE, 0.02)
         place.holds()
 
 
-class Forgetful(Warden):
+class Forgetful(SlowStartCoordinator):
     """A successor that takes nothing for used."""
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
         if state:
-            books = msgspec.json.decode(state, type=Books)
-            if books.by != self._by:
-                state = msgspec.json.encode(Books(self._by, books.step))
+            stored = msgspec.json.decode(state, type=CoordinatorState)
+            if stored.written_by != self._incarnation:
+                state = msgspec.json.encode(CoordinatorState(self._incarnation, stored.step))
         return super().decide(now, state, entries)
 
 
@@ -195,15 +193,15 @@
 
 
 def test_a_grant_is_used_once_by_whom_it_was_meant_for_and_in_time() -> None:
-    part = Granted("s0#2")
-    grant = Entry("g", msgspec.json.encode(Grant("s0#2", 10.0, 3, {"n": 4})), 1, 1)
-    assert part.take(10.5, "0", grant) == (10.0 + GRANT_S, {"n": 4})
-    assert part.take(10.6, "0", grant) is None, "taken"
-    later = Grant("s0#2", 10.0, 4, {"n": 4})
-    assert part.take(12.0, "0", Entry("g", msgspec.json.encode(later), 1, 2)) is None, "too late"
-    other = Grant("s0#1", 20.0, 9, {"n": 4})
-    assert part.take(20.1, "0", Entry("g", msgspec.json.encode(other), 1, 3)) is None, "of another life"
-    assert part.take(20.1, "0", Entry("g", b"?", 1, 4)) is None and part.take(20.1, "0", None) is None
+    part = CapacityClient("s0#2")
+    grant = Entry("g", msgspec.json.encode(CapacityGrant("s0#2", 10.0, 3, {"n": 4})), 1, 1)
+    assert part.accept(10.5, "0", grant) == UsableGrant(10.0 + GRANT_LIFETIME_S, {"n": 4})
+    assert part.accept(10.6, "0", grant) is None, "taken"
+    later = CapacityGrant("s0#2", 10.0, 4, {"n": 4})
+    assert part.accept(12.0, "0", Entry("g", msgspec.json.encode(later), 1, 2)) is None, "too late"
+    other = CapacityGrant("s0#1", 20.0, 9, {"n": 4})
+    assert part.accept(20.1, "0", Entry("g", msgspec.json.encode(other), 1, 3)) is None, "of another life"
+    assert part.accept(20.1, "0", Entry("g", b"?", 1, 4)) is None and part.accept(20.1, "0", None) is None
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -211,7 +209,7 @@
     chance = random.Random(seed)
     wishes = {f"s{one}": chance.choice([0.1, 1.0, 30.0]) for one in range(chance.randint(1, 300))}
     most = chance.randint(0, 200)
-    found = split(most, wishes, "x")
+    found = apportion(most, wishes, "x")
     assert sum(found.values()) == (most if most else 0) and all(count >= 1 for count in found.values())
     for name, count in found.items():
         assert abs(count - most * wishes[name] / sum(wishes.values())) < 1
@@ -219,11 +217,11 @@
 
 def test_one_share_of_two_hundred_does_not_always_fall_to_the_same() -> None:
     wishes = {f"s{one}": 1.0 for one in range(200)}
-    assert len({next(iter(split(1, wishes, f"n {step}"))) for step in range(50)}) > 30
+    assert len({next(iter(apportion(1, wishes, f"n {step}"))) for step in range(50)}) > 30
 
 
 def test_a_node_of_another_zone_and_one_that_is_not_there_are_left_alone() -> None:
     place = Place(1)
-    place.put("need/s0", msgspec.json.encode(Need("s0#1", 1.0, 100.0, 0.02, {"m": (1, 0.0)})))
-    place.put("need/s7", msgspec.json.encode(Need("s7#1", 1.0, 100.0, 0.02, {"n": (0, 0.0)})))
+    place.put("need/s0", msgspec.json.encode(CapacityRequest("s0#1", 1.0, 100.0, 0.02, {"m": (1, 0.0)})))
+    place.put("need/s7", msgspec.json.encode(CapacityRequest("s7#1", 1.0, 100.0, 0.02, {"n": (0, 0.0)})))
     assert place.decide(0) is False
--- a/tests/testbed/test_duties_real.py
+++ b/tests/testbed/test_duties_real.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from coveport.sidecar.singletons.slow_start_coordinator import Safe
+from coveport.sidecar.singletons.slow_start_messages import SafeLoad
 from coveport.testbed.fault_injection import judge
 from coveport.testbed.fault_injection.real import SETTINGS, RealTrial, Running
 from coveport.testbed.fault_injection.schedules import Trial
@@ -214,10 +214,10 @@
         going = False
         await asyncio.gather(*tills)
         # What it bears in any two seconds, by its age; an operation here is one of 10 ms.
-        safe = Safe(0.36, 3.0, 4.0, 1.0)
+        safe = SafeLoad(0.36, 3.0, 4.0, 1.0)
         times = [ran.at for ran in node.ran]
         for begin in times:
-            came = sum(begin <= at <= begin + safe.fall_s for at in times)
+            came = sum(begin <= at <= begin + safe.overload_window_s for at in times)
             assert came <= safe.operations(begin - born, 0.01), (begin - born, came)
         granted = [
             record
--- a/tests/testbed/test_fault_injection.py
+++ b/tests/testbed/test_fault_injection.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from coveport.sidecar.singletons.rollout import Phase, Plan
+from coveport.sidecar.singletons.rollout_plan import RolloutPhase, RolloutPlan
 from coveport.testbed import catalog
 from coveport.testbed.fault_injection import judge
 from coveport.testbed.fault_injection.broken_variants import VARIANTS
@@ -159,10 +159,10 @@
     )
     played = play(trial(*faults, duties=("rollout", "drill"), calm_s=30.0), 4)
     assert played.findings == []
-    plans = [msgspec.json.decode(act.state, type=Plan) for act in played.acts if act.duty == "rollout"]
+    plans = [msgspec.json.decode(act.state, type=RolloutPlan) for act in played.acts if act.duty == "rollout"]
     assert [plan.phase for plan in plans if plan.phase.value in ("done", "undone")] == [
-        Phase.DONE,
-        Phase.UNDONE,
+        RolloutPhase.DONE,
+        RolloutPhase.ROLLED_BACK,
     ]
     assert len({record.instance for record in played.histories.of("runs")}) == 5
 
