--- a/coveport/serving/role_process.py
+++ b/coveport/serving/role_process.py
@@ -15,7 +15,7 @@
 from coveport.serving.log import create_logger
 from coveport.serving.model.findings import Refusal
 from coveport.serving.settings.boot import BootSettings
-from coveport.serving.settings.reader import read_boot_settings
+from coveport.serving.settings.reader import RoleSetting, read_boot_settings
 from coveport.serving.settings.reload import reload_settings
 
 CANNOT_START = 1  # exit code: the disk can't be used
@@ -39,7 +39,7 @@
 Make = Callable[[Net, BootSettings, Any], Role]
 
 
-def run_process(settings_path: str, needed: tuple[str, ...], make: Make) -> int:
+def run_process(settings_path: str, needed: tuple[RoleSetting, ...], make: Make) -> int:
     """Run the role that `make` gives (of net, settings and log) until it is told to stop; the exit code.
 
     `needed`: settings that this role can't be without.
--- a/coveport/serving/settings/__init__.py
+++ b/coveport/serving/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The boot settings of a process: typed, checked whole."""
+"""The boot settings of a process: types, reading with all faults, reload."""
--- a/coveport/serving/settings/boot.py
+++ b/coveport/serving/settings/boot.py
@@ -1,4 +1,8 @@
-"""The boot settings as the system uses them; `reader` reads and checks them."""
+"""The boot settings of a process, as the other packages use them; `reader` makes them from a file.
+
+docs/operators/start.md describes each setting under the name that it has in the file; `wire.settings` maps
+the names.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """How much may be lost at one time."""
+    """How many failures at the same time the system must survive."""
 
     machines: int = 0
     zones: int = 0
@@ -18,17 +22,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessLimits:
-    """What the machine gives this process."""
+    """Resources of the machine that this process may use."""
 
     memory_mb: float = 0.0
-    descriptors: int = 1024
-    link_mbps: float = 1000.0
+    descriptors: int = 1024  # open files and sockets
+    link_mbps: float = 1000.0  # megabits a second
     disk_mb: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Figures of the rules; milliseconds and seconds as the names say."""
+    """Bounds of the operators' rules, in the units that the names say.
+
+    A process is steered by `grace_s`, `retry_*` and `warm_up_*`. The others are what its behaviour is
+    measured by: the simulation checks them.
+    """
 
     seed_lag_s: float = 3.0
     address_reuse_s: float = 2.0
@@ -54,29 +62,32 @@
 
 @dataclass(frozen=True, slots=True)
 class BootSettings:
-    """Everything that a process is told at its start."""
+    """All settings of a process; they hold until its next start.
+
+    The log event `settings_changed` has the names of these fields.
+    """
 
     name: str
     ip: str
     zone: str
     region: str
-    inner_ports: tuple[int, int]  # first and last, for our own processes
+    inner_ports: tuple[int, int]  # first and last, for this system's own processes
     seeds: tuple[Address, ...]  # control addresses of coordinators
     first_boot: bool
     loss_counted: bool
     data_dir: str | None  # None: no disk
     serves: tuple[str, ...]
-    heartbeat_ms: float  # how often nodes report
+    heartbeat_ms: float  # interval at which nodes report
     regions: dict[str, str]  # region by zone, of all zones
-    clients: Address | None = None  # where clients call (proxy)
-    readiness: Address | None = None  # where the platform asks (proxy)
-    control: Address | None = None  # where operators and nodes call (coordinator)
-    lookups: Address | None = None  # where clients ask for proxies (coordinator)
+    clients: Address | None = None  # listener for clients (proxy)
+    readiness: Address | None = None  # listener for the platform's readiness checks (proxy)
+    control: Address | None = None  # listener for operators and nodes (coordinator)
+    lookups: Address | None = None  # listener for clients that look up proxies (coordinator)
     limits: ProcessLimits = ProcessLimits()
     tolerated: FaultTolerance = FaultTolerance()
     bounds: Bounds = Bounds()
 
     @property
     def inner(self) -> Address:
-        """Where our own processes reach this one."""
+        """The address at which this system's own processes reach this one."""
         return self.ip, self.inner_ports[0]
--- a/coveport/serving/settings/reader.py
+++ b/coveport/serving/settings/reader.py
@@ -1,82 +1,92 @@
-"""Reads and checks the settings file of a process: settings, or every fault of the file with its place."""
+"""Reads and checks the settings file of a process, described in docs/operators/start.md.
+
+The outcome is the settings, or every fault of the file with its location.
+"""
 
 from __future__ import annotations
 
-import math
 import tomllib
 from collections.abc import Collection, Mapping
 from dataclasses import replace
 from pathlib import Path
-from typing import Any, Final, TypeVar
+from typing import Any, Final, Literal, TypeVar
 
 from coveport.net.address import Address, parse_address
 from coveport.serving.model.findings import Finding, Findings, Refusal
 from coveport.serving.settings.boot import BootSettings, Bounds, FaultTolerance, ProcessLimits
+from coveport.serving.settings.field_reader import FieldReader
 from coveport.serving.wire import names
 from coveport.serving.wire import settings as wire
 from coveport.serving.wire.settings import Boot
 
 INVALID: Final = "invalid settings"
 UNREADABLE: Final = "unreadable settings"
+MAX_PORT: Final = 65535
 
+# Settings that may be left out in general, but that a role may require: its disk and the addresses it listens
+# on.
+RoleSetting = Literal["data_dir", "clients", "readiness", "control", "lookups"]
 Numbers = TypeVar("Numbers", ProcessLimits, FaultTolerance, Bounds)
-Value = TypeVar("Value")
 
-# What a process that serves something listens on.
-_LISTENERS: Final = {
+# The listeners of a process, by what it serves.
+_LISTENERS: Final[dict[str, tuple[RoleSetting, ...]]] = {
     names.SERVES_CLIENTS: ("clients", "readiness"),
     names.SERVES_CONTROL: ("control",),
     names.SERVES_LOOKUPS: ("lookups",),
 }
 
 
-def read_boot_settings(path: str, needed: Collection[str] = ()) -> BootSettings | Refusal:
-    """The settings in a file, or why there are none; `needed` as in `parse_boot_settings`."""
+def read_boot_settings(path: str, needed: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
+    """Return the settings in a file, or why there are none; `needed` as in `parse_boot_settings`."""
     try:
         text = Path(path).read_text(encoding="utf-8")
-    except (OSError, ValueError) as problem:
-        return Refusal(UNREADABLE, (Finding("", f"can't be read: {problem}"),))
+    except (OSError, ValueError) as error:
+        return Refusal(UNREADABLE, (Finding("", f"can't be read: {error}"),))
     return parse_boot_settings(text, needed)
 
 
-def parse_boot_settings(text: str, needed: Collection[str] = ()) -> BootSettings | Refusal:
-    """The settings in a TOML text, or a finding for each fault. Unknown fields are ignored.
+def parse_boot_settings(text: str, needed: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
+    """Return the settings in a TOML text, or a finding for each fault. Unknown fields are ignored.
 
-    `needed`: what the role can't be without, of `data_dir` and the names of addresses to listen on.
+    `needed`: settings that the role can't start without, beside those that are always required.
     """
     try:
         data = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as problem:
-        return Refusal(INVALID, (Finding("", f"is not TOML: {problem}"),))
+    except tomllib.TOMLDecodeError as error:
+        return Refusal(INVALID, (Finding("", f"is not TOML: {error}"),))
     findings = Findings()
-    settings = _Reader(data, findings, needed).read()
+    settings = _BootSettingsReader(data, findings, needed).read()
     return Refusal(INVALID, tuple(findings)) if findings else settings
 
 
-class _Reader:
-    """Reads one file's fields; faults go to the findings and give way to a harmless value."""
+class _BootSettingsReader:
+    """Reads the settings of one file."""
 
-    def __init__(self, data: Mapping[str, Any], findings: Findings, needed: Collection[str]) -> None:
+    def __init__(self, data: Mapping[str, Any], findings: Findings, needed: Collection[RoleSetting]) -> None:
         self._data = data
         self._findings = findings
+        self._fields = FieldReader(data, findings)
         self._needed = needed
 
     def read(self) -> BootSettings:
-        """The settings; of no use where there are findings."""
-        serves = self._strings(Boot.SERVES)
-        listen = self._listen(serves)
+        """Return the settings; they are of no use where there are findings."""
+        fields = self._fields
+        serves = fields.required_strings(Boot.SERVES)
+        listen = self._listen_addresses(serves)
         settings = BootSettings(
-            name=self._field(Boot.NAME, str, ""),
+            name=fields.required(Boot.NAME, str, ""),
             ip=self._ip(),
-            zone=self._field(Boot.ZONE, str, ""),
-            region=self._field(Boot.REGION, str, ""),
-            inner_ports=self._ports(),
+            zone=fields.required(Boot.ZONE, str, ""),
+            region=fields.required(Boot.REGION, str, ""),
+            inner_ports=self._inner_ports(),
             seeds=self._seeds(),
-            first_boot=self._field(Boot.FIRST_BOOT, bool, False),
-            loss_counted=self._field(Boot.LOSS_COUNTED, bool, False),
+            first_boot=fields.required(Boot.FIRST_BOOT, bool, False),
+            loss_counted=fields.required(Boot.LOSS_COUNTED, bool, False),
             data_dir=self._data_dir(),
             serves=serves,
-            heartbeat_ms=self._number(self._data, Boot.HEARTBEAT_MS, Boot.HEARTBEAT_MS, is_0_useful=False),
+            heartbeat_ms=fields.number(
+                self._data, Boot.HEARTBEAT_MS, Boot.HEARTBEAT_MS, is_zero_allowed=False
+            ),
             regions=self._regions(),
             clients=listen["clients"],
             readiness=listen["readiness"],
@@ -86,46 +96,11 @@
             tolerated=self._numbers(Boot.TOLERATED, wire.TOLERATED, FaultTolerance()),
             bounds=self._numbers(Boot.BOUNDS, wire.BOUNDS, Bounds()),
         )
-        self._check_zone(settings)
+        self._check_locality(settings)
         return settings
 
-    def _field(self, name: str, kind: type[Value], default: Value) -> Value:
-        """A field that must be there, of a type; text must not be empty."""
-        if name not in self._data:
-            self._findings.add(name, "is missing")
-            return default
-        value: Value = self._data[name]
-        if not isinstance(value, kind):
-            self._findings.add(name, f"must be {'true or false' if kind is bool else 'a string'}")
-            return default
-        if value == "":
-            self._findings.add(name, "is empty")
-        return value
-
-    def _table(self, name: str) -> Mapping[str, Any]:
-        """A table; empty where it is missing."""
-        value = self._data.get(name, {})
-        if isinstance(value, dict):
-            return value
-        self._findings.add(name, "must be a table")
-        return {}
-
-    def _strings(self, name: str) -> tuple[str, ...]:
-        value = self._data.get(name)
-        if isinstance(value, list) and all(isinstance(item, str) for item in value):
-            return tuple(value)
-        self._findings.add(name, "is missing" if value is None else "must be a list of strings")
-        return ()
-
-    def _address(self, text: object, place: str) -> Address | None:
-        try:
-            return parse_address(text)
-        except ValueError as problem:
-            self._findings.add(place, f"must be an address such as 10.0.0.1:80 ({problem})")
-            return None
-
     def _ip(self) -> str:
-        text = self._field(Boot.IP, str, "")
+        text = self._fields.required(Boot.IP, str, "")
         if text:
             try:
                 parse_address(f"{text}:0")
@@ -133,86 +108,86 @@
                 self._findings.add(Boot.IP, "must be an IP address")
         return text
 
-    def _ports(self) -> tuple[int, int]:
+    def _inner_ports(self) -> tuple[int, int]:
+        """Return the first and the last port of the range for this system's own processes."""
         value = self._data.get(Boot.INNER_PORTS)
         if value is None:
             self._findings.add(Boot.INNER_PORTS, "is missing")
             return 0, 0
-        pair = value if isinstance(value, list) and len(value) == 2 else ()
-        if not pair or not all(type(port) is int and 0 < port < 65536 for port in pair) or pair[0] > pair[1]:
+        if not _is_port_range(value):
             self._findings.add(Boot.INNER_PORTS, "must be the first and the last of a range of ports")
             return 0, 0
-        return pair[0], pair[1]
+        return value[0], value[1]
 
     def _seeds(self) -> tuple[Address, ...]:
-        seeds = []
-        for number, text in enumerate(self._strings(Boot.SEEDS)):
-            address = self._address(text, f"{Boot.SEEDS}[{number}]")
-            if address is not None:
-                seeds.append(address)
-        return tuple(seeds)
-
-    def _listen(self, serves: tuple[str, ...]) -> dict[str, Address | None]:
-        table = self._table(Boot.LISTEN)
-        needed = {field for served in serves for field in _LISTENERS.get(served, ())}.union(self._needed)
-        listen: dict[str, Address | None] = {}
-        for field, name in wire.LISTEN.items():
-            place = f"{Boot.LISTEN}.{name}"
-            listen[field] = self._address(table[name], place) if name in table else None
-            if name not in table and field in needed:
-                self._findings.add(place, "is missing")
-        return listen
+        texts = self._fields.required_strings(Boot.SEEDS)
+        addresses = [self._fields.address(text, f"{Boot.SEEDS}[{index}]") for index, text in enumerate(texts)]
+        return tuple(address for address in addresses if address is not None)
+
+    def _listen_addresses(self, serves: tuple[str, ...]) -> dict[str, Address | None]:
+        """Return the address of each listener; None where the file has none."""
+        table = self._fields.table(Boot.LISTEN)
+        needed = {listener for role in serves for listener in _LISTENERS.get(role, ())}.union(self._needed)
+        addresses: dict[str, Address | None] = {}
+        for listener, name in wire.LISTEN.items():
+            location = f"{Boot.LISTEN}.{name}"
+            addresses[listener] = self._fields.address(table[name], location) if name in table else None
+            if name not in table and listener in needed:
+                self._findings.add(location, "is missing")
+        return addresses
 
     def _data_dir(self) -> str | None:
         if Boot.DATA_DIR in self._data or "data_dir" in self._needed:
-            return self._field(Boot.DATA_DIR, str, "")
+            return self._fields.required(Boot.DATA_DIR, str, "")
         return None
 
     def _regions(self) -> dict[str, str]:
+        """Return the region of each zone."""
         regions = {}
-        for zone, region in self._table(Boot.REGIONS).items():
+        for zone, region in self._fields.table(Boot.REGIONS).items():
             if isinstance(region, str) and region:
                 regions[zone] = region
             else:
                 self._findings.add(f"{Boot.REGIONS}.{zone}", "must be the name of a region")
         return regions
 
-    def _check_zone(self, settings: BootSettings) -> None:
-        """The zone must be one of the zones, of the region that is named with it."""
+    def _check_locality(self, settings: BootSettings) -> None:
+        """Check that the zone is one of all zones, and in the region that is named with it."""
         if Boot.REGIONS not in self._data:
             self._findings.add(Boot.REGIONS, "is missing")
             return
         region = settings.regions.get(settings.zone)
-        if settings.zone and settings.zone not in self._table(Boot.REGIONS):
+        if settings.zone and settings.zone not in self._fields.table(Boot.REGIONS):
             self._findings.add(Boot.ZONE, f"{Boot.REGIONS} does not have {settings.zone!r}")
         if region is not None and settings.region and region != settings.region:
             self._findings.add(Boot.REGION, f"{Boot.REGIONS} has {region!r} for this zone")
 
-    def _number(self, table: Mapping[str, Any], name: str, place: str, is_0_useful: bool = True) -> float:
-        """A number above or equal to 0 that must be there."""
-        if name not in table:
-            self._findings.add(place, "is missing")
-            return 0.0
-        value = table[name]
-        if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-            self._findings.add(place, "must be a number")
-            return 0.0
-        if value < 0:
-            self._findings.add(place, "must not be negative")
-        elif value == 0 and not is_0_useful:
-            self._findings.add(place, "must be above 0")
-        return value
-
-    def _numbers(self, name: str, fields: Mapping[str, str], default: Numbers) -> Numbers:
-        """A table of numbers; those that are missing keep their defaults."""
-        table = self._table(name)
-        read: dict[str, Any] = {}
-        for field, key in fields.items():
+    def _numbers(self, name: str, keys: Mapping[str, str], defaults: Numbers) -> Numbers:
+        """Return a table of numbers; those that are missing keep their defaults.
+
+        `keys`: the keys of the table by field of the result. A field whose default is an int takes whole
+        numbers.
+        """
+        table = self._fields.table(name)
+        values: dict[str, Any] = {}
+        for field, key in keys.items():
             if key not in table:
                 continue
-            value = self._number(table, key, f"{name}.{key}")
-            is_whole = isinstance(getattr(default, field), int)
-            if is_whole and value != int(value):
+            value = self._fields.number(table, key, f"{name}.{key}")
+            is_integer = isinstance(getattr(defaults, field), int)
+            if is_integer and value != int(value):
                 self._findings.add(f"{name}.{key}", "must be a whole number")
-            read[field] = int(value) if is_whole else float(value)
-        return replace(default, **read)
+            values[field] = int(value) if is_integer else float(value)
+        return replace(defaults, **values)
+
+
+def _is_port_range(value: object) -> bool:
+    """Return whether a value is a list of two ports, the first not above the last."""
+    if not isinstance(value, list) or len(value) != 2:
+        return False
+    first, last = value
+    return _is_port(first) and _is_port(last) and first <= last
+
+
+def _is_port(value: object) -> bool:
+    return type(value) is int and 0 < value <= MAX_PORT  # bool is no port, though it is an int
--- a/coveport/serving/settings/reload.py
+++ b/coveport/serving/settings/reload.py
@@ -1,7 +1,7 @@
-"""SIGHUP: the settings file has changed. It is read and checked again; what differs is told.
+"""SIGHUP: reads and checks the settings file again, and logs what the next start will change.
 
-Addresses, places and bounds hold for a process' life: they take effect at its next start, and nothing that is
-being served is touched. A file that can't be used changes nothing and is told with its findings.
+Addresses, localities and bounds hold until the next start: nothing that is being served is touched. A file
+that can't be used changes nothing; its findings are logged.
 """
 
 from __future__ import annotations
@@ -14,17 +14,16 @@
 from coveport.serving.settings.reader import read_boot_settings
 
 
-def changed_fields(before: BootSettings, after: BootSettings) -> tuple[str, ...]:
-    """Names of the settings that differ."""
-    return tuple(
-        field.name for field in fields(before) if getattr(before, field.name) != getattr(after, field.name)
-    )
+def changed_fields(running: BootSettings, candidate: BootSettings) -> tuple[str, ...]:
+    """Return the names of the settings that differ."""
+    names = (field.name for field in fields(running))
+    return tuple(name for name in names if getattr(running, name) != getattr(candidate, name))
 
 
 def reload_settings(path: str, running: BootSettings, log: Any) -> None:
-    """Read the file again and say what the next start will change."""
-    after = read_boot_settings(path)
-    if isinstance(after, Refusal):
-        log.error("settings_rejected", findings=[str(finding) for finding in after.findings])
+    """Read the file again, and log what differs from the running settings or why it can't be used."""
+    candidate = read_boot_settings(path)
+    if isinstance(candidate, Refusal):
+        log.error("settings_rejected", findings=[str(finding) for finding in candidate.findings])
         return
-    log.info("settings_changed", at_next_start=list(changed_fields(running, after)))
+    log.info("settings_changed", at_next_start=list(changed_fields(running, candidate)))
--- a/tests/serving/settings/test_role_process.py
+++ b/tests/serving/settings/test_role_process.py
@@ -1,4 +1,4 @@
-"""A role as a process: what it can't start without is said in one line, with an exit code."""
+"""A role as a process: why it can't start is one line on standard error, and an exit code."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 import zlib
 from pathlib import Path
 
-from test_boot_settings_reader import COORDINATOR
+from settings_examples import COORDINATOR
 
 from coveport.serving.role_process import CANNOT_START
 from coveport.serving.storage.ring_format import FORMAT_VERSION, MAGIC, SALT_BYTES
 
-BOUND_S = 60
+TIMEOUT_S = 60
 
 
 def start(tmp_path: Path, data: Path) -> subprocess.Popen[str]:
@@ -29,7 +29,7 @@
     return subprocess.Popen(command, env=environment, stderr=subprocess.PIPE, text=True)
 
 
-def test_a_newer_format_on_disk_is_refused_in_one_line(tmp_path: Path) -> None:
+def test_a_newer_format_on_disk_gives_one_line(tmp_path: Path) -> None:
     data = tmp_path / "data"
     data.mkdir()
     process = start(tmp_path, data)
@@ -38,11 +38,11 @@
         if "coordinator_started" in line:
             break
     process.send_signal(signal.SIGTERM)
-    process.communicate(timeout=BOUND_S)
+    process.communicate(timeout=TIMEOUT_S)
     _make_newer(data)
-    said = start(tmp_path, data).communicate(timeout=BOUND_S)[1]
-    assert len(said.splitlines()) == 1, said
-    assert said.startswith(f"coveport: {data}: ")
+    error_text = start(tmp_path, data).communicate(timeout=TIMEOUT_S)[1]
+    assert len(error_text.splitlines()) == 1, error_text
+    assert error_text.startswith(f"coveport: {data}: ")
 
 
 def _make_newer(data: Path) -> None:
@@ -50,21 +50,21 @@
     header = struct.Struct(">4sHQ8sI")
     changed = 0
     for path in data.iterdir():
-        raw = bytearray(path.read_bytes())
-        if raw[: len(MAGIC)] != MAGIC:
+        content = bytearray(path.read_bytes())
+        if content[: len(MAGIC)] != MAGIC:
             continue
-        _, _, generation, salt, records = header.unpack_from(raw)
-        made = header.pack(MAGIC, FORMAT_VERSION + 1, generation, salt, records)
-        raw[: header.size + 4] = made + struct.pack(">I", zlib.crc32(made))
-        path.write_bytes(raw)
+        _, _, generation, salt, records = header.unpack_from(content)
+        new_header = header.pack(MAGIC, FORMAT_VERSION + 1, generation, salt, records)
+        content[: header.size + 4] = new_header + struct.pack(">I", zlib.crc32(new_header))
+        path.write_bytes(content)
         changed += 1
     assert changed and SALT_BYTES == 8
 
 
-def test_a_folder_that_cannot_be_made_is_refused_in_one_line(tmp_path: Path) -> None:
+def test_a_folder_that_cannot_be_made_gives_one_line(tmp_path: Path) -> None:
     file = tmp_path / "file"
     file.write_text("", encoding="utf-8")
     process = start(tmp_path, file / "data")
-    said = process.communicate(timeout=BOUND_S)[1]
+    error_text = process.communicate(timeout=TIMEOUT_S)[1]
     assert process.returncode == CANNOT_START
-    assert len(said.splitlines()) == 1, said
+    assert len(error_text.splitlines()) == 1, error_text
