--- a/coveport/serving/cli/day_report.py
+++ b/coveport/serving/cli/day_report.py
@@ -111,14 +111,14 @@
     for name in _OUTCOME_LISTS:
         counts = renamed.get(name)
         if isinstance(counts, list):
-            renamed[name] = [_rename(item, _OUTCOME_NAMES) for item in counts]
+            renamed[name] = [
+                _rename(item, _OUTCOME_NAMES) if isinstance(item, dict) else item for item in counts
+            ]
     return renamed
 
 
-def _rename(value: Any, names: Mapping[str, str]) -> Any:
-    if not isinstance(value, dict):
-        return value
-    return {names.get(name, name): item for name, item in value.items()}
+def _rename(fields: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
+    return {names.get(name, name): value for name, value in fields.items()}
 
 
 def _read_part(row: Any) -> ValuePart:
--- a/coveport/serving/coordinator/node_api.py
+++ b/coveport/serving/coordinator/node_api.py
@@ -40,9 +40,9 @@
     @route("PUT", Path.NODES)
     async def heartbeat(self, call: ApiRequest) -> ApiResponse:
         """A node says that it lives, and in what state."""
-        node = read_heartbeat(call.rest, call.body, self._regions)
+        node = read_heartbeat(call.path_suffix, call.body, self._regions)
         if isinstance(node, Refusal):
-            self._log.warning("heartbeat_rejected", node=call.rest, reason=node.reason)
+            self._log.warning("heartbeat_rejected", node=call.path_suffix, reason=node.reason)
             return json_response(400, {ERROR: node.reason})
         if not await self._reporting.take(node):
             self._log.warning("heartbeat_not_replicated", node=node.incarnation, state=node.state.value)
@@ -54,9 +54,9 @@
     @route("DELETE", Path.NODES)
     async def goodbye(self, call: ApiRequest) -> ApiResponse:
         """A node leaves."""
-        if not await self._reporting.take(deregistration(call.rest)):
+        if not await self._reporting.take(deregistration(call.path_suffix)):
             return json_response(503, {ERROR: "no other coordinator confirmed it"})
-        self._log.info("node_deregistered", node=call.rest)
+        self._log.info("node_deregistered", node=call.path_suffix)
         return json_response(200, {})
 
 
--- a/coveport/serving/coordinator/operator_api.py
+++ b/coveport/serving/coordinator/operator_api.py
@@ -87,16 +87,16 @@
     @route("POST", Path.EVACUATION)
     async def evacuate(self, call: ApiRequest) -> ApiResponse:
         """Nothing more is to be sent to a zone's nodes."""
-        if call.rest not in self._zones:
-            return json_response(404, {ERROR: f"unknown zone {call.rest!r}"})
-        return await self._change_unversioned(call, encode_command(StartEvacuation(call.rest)))
+        if call.path_suffix not in self._zones:
+            return json_response(404, {ERROR: f"unknown zone {call.path_suffix!r}"})
+        return await self._change_unversioned(call, encode_command(StartEvacuation(call.path_suffix)))
 
     @route("DELETE", Path.EVACUATION)
     async def end_evacuation(self, call: ApiRequest) -> ApiResponse:
         """A zone's nodes may be used again."""
-        if call.rest not in self._zones:
-            return json_response(404, {ERROR: f"unknown zone {call.rest!r}"})
-        return await self._change_unversioned(call, encode_command(EndEvacuation(call.rest)))
+        if call.path_suffix not in self._zones:
+            return json_response(404, {ERROR: f"unknown zone {call.path_suffix!r}"})
+        return await self._change_unversioned(call, encode_command(EndEvacuation(call.path_suffix)))
 
     @route("GET", Path.STATUS)
     async def status(self, call: ApiRequest) -> ApiResponse:
