--- a/coveport/sidecar/supervisor/instance_set.py
+++ b/coveport/sidecar/supervisor/instance_set.py
@@ -105,6 +105,12 @@
         if name in self.members:
             self.members[name].could_not(now, why)
 
+    def dropped(self, orders: list[Order]) -> None:
+        """These were not carried out."""
+        for order in orders:
+            if order.name in self.members:
+                self.members[order.name].dropped(order)
+
     def unusable(self, now: float, name: str, why: str) -> None:
         """It was not started, as its files can't be used."""
         if name in self.members:
--- a/coveport/sidecar/supervisor/instance_state.py
+++ b/coveport/sidecar/supervisor/instance_state.py
@@ -101,6 +101,7 @@
         self._failed = False  # what is being ended counts as a failure
         self._trying = False  # after a long rest: the next failure is one too many
         self.replacing = ""  # the life that is being ended for a restart, or for being hung
+        self._untold = ""  # the life whose order to end was dropped: it is to be told again
 
     def _to(self, now: float, state: State, why: str = "") -> None:
         if state not in MOVES[self.state]:
@@ -249,19 +250,30 @@
         self.replacing = self.life
         return [Kill(self.name, self.life)]
 
+    def dropped(self, order: Order) -> None:
+        """It was not carried out. A start shows by its missing process, a kill is repeated anyway."""
+        if isinstance(order, Drain):
+            self._untold = order.life
+
     def tick(self, now: float) -> list[Order]:
-        """Time has passed."""
+        """Time has passed, and each order given before was carried out or dropped."""
+        if self.state in THERE and not self.life:
+            self._after(now, False, "its start was not carried out")
+            return []
+        if self.state is State.STOPPING and self._untold == self.life:
+            self._untold, self.since = "", now
+            return [Drain(self.name, self.life)]
         spent = now - self.since
         if self.state is State.STARTING and spent > self._terms.ready_s:
             self._to(now, State.KILLING, "not ready in time")
             self._failed = True
-            return [Kill(self.name, self.life)] if self.life else []
+            return [Kill(self.name, self.life)]
         if self.state is State.STOPPING and spent > self._terms.stop_s:
             self._to(now, State.KILLING, "it did not end in time")
-            return [Kill(self.name, self.life)] if self.life else []
+            return [Kill(self.name, self.life)]
         if self.state is State.KILLING and spent > KILL_AGAIN_S:
             self.since = now
-            return [Kill(self.name, self.life)] if self.life else []
+            return [Kill(self.name, self.life)]
         if self.state is State.BROKEN and now >= self.wait_until:
             self._to(now, State.WAITING, self.why)
             self._failures = []
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -171,9 +171,11 @@
     # Orders.
 
     def _carry_out(self, orders: list[Order]) -> None:
-        for order in orders:
+        for number, order in enumerate(orders):
             # Each by itself: an order that took long may have cost us the duty.
             if not self.acts:
+                # Not kept for later: once we act again, the crew orders what is due then.
+                self.crew.dropped(orders[number:])
                 return
             if isinstance(order, Start):
                 self._start(order.name)
--- a/tests/sidecar/supervisor/test_instance_state.py
+++ b/tests/sidecar/supervisor/test_instance_state.py
@@ -48,6 +48,8 @@
             yield "started", 0.1, lambda it, now: it.started(now, fresh)
             yield "could not", 0.1, lambda it, now: it.could_not(now, "no room")
             yield "unusable", 0.1, lambda it, now: it.unusable(now, "bad")
+    elif one.state is State.STOPPING:
+        yield "dropped", 0.0, lambda it, now: it.dropped(Drain(it.name, it.life))
     yield "hung", 0.1, lambda it, now: it.hung(now)
 
 
@@ -76,6 +78,7 @@
         one._trying,
         len(one._failures),
         bool(one.replacing),
+        bool(one._untold),
     )
 
 
