--- a/coveport/serving/proxy/admission.py
+++ b/coveport/serving/proxy/admission.py
@@ -1,9 +1,9 @@
-"""Requests that find every node full wait a moment, by precedence, in a bounded queue. Pure.
+"""Admission control: requests that find every node at capacity wait in a bounded priority queue. Pure.
 
-They wait only while an answer within the objective is still possible, and at most a fifth of it; after that
-they are refused, so that the client knows at once. There is one queue for each service and set of homes, so
-that none waits behind a request for which there is no place elsewhere. Nobody waits while a usable node has
-a place.
+They wait only while a response within the route's latency target is still possible, and at most a fifth of
+it; after that they are rejected, so that the client knows at once. There is one queue for each service and
+set of home regions, so that none waits behind a request for which there is no capacity elsewhere. Nobody
+waits while a usable node has capacity.
 """
 
 from __future__ import annotations
@@ -15,86 +15,86 @@
 
 from coveport.serving.model.configuration import Route
 
-MOST_WAITING = 256
-PART_OF_OBJECTIVE = 0.2  # what is held longer than a quarter counts as refused late
-LONGEST_WAIT_S = 0.5
-WAIT_WITHOUT_OBJECTIVE_S = 0.2
+MAX_QUEUED_REQUESTS = 256  # bounds memory and the length of a search for the last; not measured
+MAX_WAIT_TARGET_RATIO = 0.2  # a rejection after a quarter of the target counts as late; not measured
+MAX_WAIT_S = 0.5  # for long targets: a client can retry elsewhere meanwhile; not measured
+MAX_WAIT_WITHOUT_TARGET_S = 0.2  # for routes that have no target; not measured
 
 
-def longest_wait_s(route: Route) -> float:
-    """How long a request of this route may wait for a place."""
+def max_wait_s(route: Route) -> float:
+    """Return how many seconds a request of this route may wait for capacity."""
     if route.latency_target_ms <= 0:
-        return WAIT_WITHOUT_OBJECTIVE_S
-    return min(LONGEST_WAIT_S, PART_OF_OBJECTIVE * route.latency_target_ms / 1000)
+        return MAX_WAIT_WITHOUT_TARGET_S
+    return min(MAX_WAIT_S, MAX_WAIT_TARGET_RATIO * route.latency_target_ms / 1000)
 
 
 @dataclass(order=True, slots=True)
-class Waiting:
-    """A request that waits: the lowest precedence first, then the one that came first."""
+class QueuedRequest:
+    """A request that waits: ordered by priority (lowest number first), then by arrival."""
 
-    precedence: int
+    priority: int
     number: int
-    wake: Callable[[], None] = field(compare=False)  # called when it is first, or has to make room
-    is_over: bool = field(compare=False, default=False)
+    wake: Callable[[], None] = field(compare=False)  # called when it becomes first, or is removed
+    is_removed: bool = field(compare=False, default=False)
 
 
 @dataclass(slots=True)
-class WaitingQueue:
-    """Those that wait, in the order in which they are let in."""
+class AdmissionQueue:
+    """The waiting requests, in the order in which they are admitted."""
 
-    most: int = MOST_WAITING
-    _heap: list[Waiting] = field(default_factory=list)
+    max_length: int = MAX_QUEUED_REQUESTS
+    _heap: list[QueuedRequest] = field(default_factory=list)  # removed ones are dropped when they come first
     _numbers: count[int] = field(default_factory=count)
-    _waiting: int = 0
+    _length: int = 0
 
     def __len__(self) -> int:
-        return self._waiting
+        return self._length
 
-    def join(self, precedence: int, wake: Callable[[], None]) -> Waiting | None:
-        """Wait; None where the queue is full of requests that go before.
+    def enqueue(self, priority: int, wake: Callable[[], None]) -> QueuedRequest | None:
+        """Add a request; None where the queue is full of requests of the same or a higher priority.
 
-        Where it is full, the last of those that come after makes room: it is over for it.
+        Where the queue is full otherwise, the last of those of lower priority is removed and woken.
         """
-        if self._waiting >= self.most:
-            last = max(one for one in self._heap if not one.is_over)
-            if last.precedence <= precedence:
+        if self._length >= self.max_length:
+            last = max(queued for queued in self._heap if not queued.is_removed)
+            if last.priority <= priority:
                 return None
-            self.leave(last)
+            self.remove(last)
             last.wake()
-        waiting = Waiting(precedence, next(self._numbers), wake)
-        heapq.heappush(self._heap, waiting)
-        self._waiting += 1
-        return waiting
-
-    def leave(self, waiting: Waiting) -> None:
-        """No longer wait; who is first then is woken."""
-        if waiting.is_over:
+        queued = QueuedRequest(priority, next(self._numbers), wake)
+        heapq.heappush(self._heap, queued)
+        self._length += 1
+        return queued
+
+    def remove(self, queued: QueuedRequest) -> None:
+        """Remove a request, and wake the one that becomes first. Does nothing where it was removed before."""
+        if queued.is_removed:
             return
-        was_first = self.is_first(waiting)
-        waiting.is_over = True
-        self._waiting -= 1
+        was_first = self.is_first(queued)
+        queued.is_removed = True
+        self._length -= 1
         if was_first and (following := self._first()) is not None:
             following.wake()
 
-    def is_first(self, waiting: Waiting) -> bool:
-        """Whether nobody goes before."""
-        return self._first() is waiting
+    def is_first(self, queued: QueuedRequest) -> bool:
+        """Return whether the request is the next to be admitted."""
+        return self._first() is queued
 
-    def _first(self) -> Waiting | None:
-        while self._heap and self._heap[0].is_over:
+    def _first(self) -> QueuedRequest | None:
+        while self._heap and self._heap[0].is_removed:
             heapq.heappop(self._heap)
         return self._heap[0] if self._heap else None
 
 
 @dataclass(slots=True)
-class WaitingQueues:
-    """The queues by service and homes."""
+class AdmissionQueues:
+    """The queues by service and home regions."""
 
-    _queues: dict[tuple[str, frozenset[str]], WaitingQueue] = field(default_factory=dict)
+    _queues: dict[tuple[str, frozenset[str]], AdmissionQueue] = field(default_factory=dict)
 
-    def of(self, service: str, homes: frozenset[str]) -> WaitingQueue:
-        """The queue of requests that may go to the same nodes."""
-        return self._queues.setdefault((service, homes), WaitingQueue())
+    def of(self, service: str, home_regions: frozenset[str]) -> AdmissionQueue:
+        """Return the queue of requests that may go to the same nodes."""
+        return self._queues.setdefault((service, home_regions), AdmissionQueue())
 
     def __len__(self) -> int:
         return sum(map(len, self._queues.values()))
--- a/coveport/serving/proxy/client_connection.py
+++ b/coveport/serving/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's HTTP/1.1 connection: requests in, one after the other, and their answers out."""
+"""A client's HTTP/1.1 connection: reads requests one after the other, and writes their responses."""
 
 from __future__ import annotations
 
@@ -9,36 +9,37 @@
 from coveport.http1 import codec
 from coveport.net.transport import Net
 from coveport.serving.model.configuration import ClientLimits
-from coveport.serving.proxy.headers import status_line, write_answer
+from coveport.serving.proxy.headers import status_line, write_response
 
-MOST_UNREAD = 64 * 1024  # bytes of further requests that are held while one is answered
-MOST_UNSENT = 64 * 1024  # bytes of an answer that are held for a slow client
-LINGER_S = 1.0  # how long a rejected client may go on sending before the close
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-IDLE_MARGIN_S = 2.0  # clients are told to give an idle connection up so long before we close it
+MAX_PIPELINED_BYTES = 64 * 1024  # of further requests, while one is answered: bounds memory; not measured
+MAX_UNSENT_BYTES = 64 * 1024  # of a response, for a slow client: bounds memory; not measured
+LINGER_S = 1.0  # a client that is still sending reads its rejection before the close; not measured
+IDLE_MARGIN_S = 2.0  # clients are asked to stop using an idle connection so long before it is closed
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"  # RFC 9110, 10.1.1
 
 
-class ClientOwner(Protocol):
-    """What a connection needs of the data path."""
+class ConnectionOwner(Protocol):
+    """What a connection needs of its listener."""
 
-    def joined(self, connection: ClientConnection) -> None:
-        """A client has connected."""
+    def connected(self, connection: ClientConnection) -> None:
+        """Add a new connection."""
 
-    def left(self, connection: ClientConnection) -> None:
-        """... and is gone."""
+    def disconnected(self, connection: ClientConnection) -> None:
+        """Remove a connection that has ended."""
 
-    def serve(self, request: codec.Request, connection: ClientConnection) -> Coroutine[Any, Any, None]:
-        """Answer a request."""
+    @property
+    def handle(self) -> Callable[[codec.Request, ClientConnection], Coroutine[Any, Any, None]]:
+        """The handler that answers a request on its connection."""
 
     @property
     def is_draining(self) -> bool:
-        """Whether connections end with their next answer."""
+        """Whether connections end with their next response."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """Hands requests to its owner, who answers through `begin`, `write`, `finish`, or `answer`."""
+    """Hands requests to a handler, which answers through `begin`, `write` and `finish`, or `answer`."""
 
-    def __init__(self, net: Net, owner: ClientOwner, limits: Callable[[], ClientLimits]) -> None:
+    def __init__(self, net: Net, owner: ConnectionOwner, limits: Callable[[], ClientLimits]) -> None:
         self._net = net
         self._owner = owner
         self._limits = limits
@@ -46,63 +47,67 @@
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._drained = asyncio.Event()
-        self._drained.set()
-        self._discards = False  # rejected: what still comes is thrown away
-        self._paused = False
-        self._begun = False  # the present answer's head is written
-        self._finished = False  # ... and all of it
-        self._chunked = False
-        self._is_framed = False  # its end can be told from the connection's
-        self._keeps = False
-        self._times_head = False  # the timer that runs is that of a head's reading
-
-    # As asyncio calls it.
+        self._writable = asyncio.Event()
+        self._writable.set()
+        self._is_rejected = False  # what still comes is discarded
+        self._is_paused = False
+        self._has_begun = False  # the head of the current response is written
+        self._is_finished = False  # all of the current response is written
+        self._is_chunked = False
+        self._is_framed = False  # the end of the response differs from the end of the connection
+        self._keeps_alive = False
+        self._is_reading_head = False  # the running timer bounds the reading of a head
+
+    # The callbacks of asyncio.Protocol.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client has connected."""
+        """Begin to read requests."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=MOST_UNSENT)
-        self._owner.joined(self)
+        transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
+        self._owner.connected(self)
         self._wait_for_request()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
-        if self._discards:
+        """Parse the bytes, and begin the next request when it is complete."""
+        if self._is_rejected:
             return
         self._parser.feed(data)
         if self._task is None:
             self._advance()
-        elif len(self._parser.held) > MOST_UNREAD and self._transport is not None and not self._paused:
-            self._paused = True
+        elif (
+            len(self._parser.held) > MAX_PIPELINED_BYTES
+            and self._transport is not None
+            and not self._is_paused
+        ):
+            self._is_paused = True
             self._transport.pause_reading()
 
     def pause_writing(self) -> None:
-        """The client reads more slowly than the node sends."""
-        self._drained.clear()
+        """Hold back writers: the client reads more slowly than the node sends."""
+        self._writable.clear()
 
     def resume_writing(self) -> None:
-        """There is room again."""
-        self._drained.set()
+        """Let writers go on."""
+        self._writable.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The client is gone: what is done for it is given up."""
+        """Cancel the request in flight: its client is gone."""
         self._stop_timer()
         self._transport = None
-        self._drained.set()
+        self._writable.set()
         if self._task is not None:
             self._task.cancel()
-        self._owner.left(self)
+        self._owner.disconnected(self)
 
     # Requests.
 
     def _advance(self) -> None:
-        """Take up the next request, if it is whole."""
+        """Begin the next request, if it is complete."""
         try:
             request = self._parser.next_request()
-        except codec.BadMessageError as problem:
-            self._reject(problem.status)
+        except codec.BadMessageError as error:
+            self._reject(error.status)
             return
         if request is None:
             if self._parser.wants_continue and self._transport is not None:
@@ -110,12 +115,13 @@
             self._wait_for_request()
             return
         self._stop_timer()
-        self._begun = self._finished = False
-        self._keeps = request.keep_alive
-        self._task = self._net.loop.create_task(self._owner.serve(request, self))
-        self._task.add_done_callback(self._served)
+        self._has_begun = False
+        self._is_finished = False
+        self._keeps_alive = request.keep_alive
+        self._task = self._net.loop.create_task(self._owner.handle(request, self))
+        self._task.add_done_callback(self._on_handled)
 
-    def _served(self, task: asyncio.Task[None]) -> None:
+    def _on_handled(self, task: asyncio.Task[None]) -> None:
         self._task = None
         failed = not task.cancelled() and task.exception() is not None
         if failed:
@@ -124,56 +130,56 @@
         transport = self._transport
         if transport is None:
             return
-        if failed or not self._finished:
+        if failed or not self._is_finished:
             self.abort()
-        elif not self._keeps or (self._owner.is_draining and not self._parser.begun):
+        elif not self._keeps_alive or (self._owner.is_draining and not self._parser.begun):
             transport.close()
         else:
-            if self._paused:
-                self._paused = False
+            if self._is_paused:
+                self._is_paused = False
                 transport.resume_reading()
             self._advance()
 
     def _reject(self, status: int) -> None:
-        """Answer what is no request that we take, and end the connection."""
+        """Answer an invalid request, and end the connection."""
         transport = self._transport
         if transport is None:
             return
-        self._discards = True
-        transport.write(write_answer(status, [("Connection", "close")]))
+        self._is_rejected = True
+        transport.write(write_response(status, [("Connection", "close")]))
         if transport.can_write_eof():
             transport.write_eof()
         self._start_timer(LINGER_S, self.abort)
 
-    # Time limits.
+    # Timeouts.
 
     def _wait_for_request(self) -> None:
         limits = self._limits()
         if not self._parser.begun:
             self._stop_timer()
             self._start_timer(limits.idle_ms / 1000, self.close_idle)
-        elif self._parser.come:  # its head is read: the body may take as long as it moves
+        elif self._parser.come:  # the head is read: the body may take any time while bytes keep coming
             self._stop_timer()
-            self._start_timer(limits.idle_ms / 1000, self._too_slow)
-        elif self._timer is None or not self._times_head:
+            self._start_timer(limits.idle_ms / 1000, self._on_read_timeout)
+        elif self._timer is None or not self._is_reading_head:
             self._stop_timer()
-            self._start_timer(limits.header_read_ms / 1000, self._too_slow)
-            self._times_head = True
+            self._start_timer(limits.header_read_ms / 1000, self._on_read_timeout)
+            self._is_reading_head = True
 
-    def _too_slow(self) -> None:
+    def _on_read_timeout(self) -> None:
         self._timer = None
         self._reject(408)
 
-    def _start_timer(self, after_s: float, call: Callable[[], None]) -> None:
-        self._timer = self._net.loop.call_later(after_s, call)
+    def _start_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
+        self._timer = self._net.loop.call_later(delay_s, callback)
 
     def _stop_timer(self) -> None:
-        self._times_head = False
+        self._is_reading_head = False
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    # Answers.
+    # Responses.
 
     @property
     def is_idle(self) -> bool:
@@ -182,53 +188,56 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether the client has the head of the present answer."""
-        return self._begun
+        """Whether the client has the head of the current response."""
+        return self._has_begun
 
     def _connection_headers(self) -> list[tuple[str, str]]:
         if self._owner.is_draining:
-            self._keeps = False
-        if not self._keeps:
+            self._keeps_alive = False
+        if not self._keeps_alive:
             return [("Connection", "close")]
         idle_s = int(self._limits().idle_ms / 1000 - IDLE_MARGIN_S)
         return [("Keep-Alive", f"timeout={idle_s}")] if idle_s >= 1 else []
 
     def answer(self, status: int, headers: list[tuple[str, str]], body: bytes = b"") -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         if self._transport is not None:
-            self._begun = self._finished = True
-            self._transport.write(write_answer(status, [*headers, *self._connection_headers()], body))
+            self._has_begun = True
+            self._is_finished = True
+            self._transport.write(write_response(status, [*headers, *self._connection_headers()], body))
 
     def begin(self, status: int, headers: list[tuple[str, str]], length: int | None) -> None:
-        """Write the head of an answer; without a length its body comes in chunks."""
+        """Write the head of a response; without a length its body is chunked."""
         if self._transport is None:
             return
-        self._begun, self._chunked = True, length is None and not self._parser.old
-        self._is_framed = self._chunked or length is not None
+        self._has_begun = True
+        self._is_chunked = length is None and not self._parser.old
+        self._is_framed = self._is_chunked or length is not None
         if length is not None:
             framing = [("Content-Length", str(length))]
-        elif self._chunked:
+        elif self._is_chunked:
             framing = [codec.CHUNKED]
         else:
-            framing, self._keeps = [], False
+            framing = []
+            self._keeps_alive = False
         head = [*headers, *framing, *self._connection_headers()]
         self._transport.write(codec.write_head(status_line(status), head))
 
     def write(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write bytes of the body. Runs for every event: no further calls here."""
         if self._transport is not None and data:
-            self._transport.write(codec.write_chunk(data) if self._chunked else data)
+            self._transport.write(codec.write_chunk(data) if self._is_chunked else data)
 
     def finish(self) -> None:
-        """The body is whole."""
+        """End the body."""
         if self._transport is not None:
-            if self._chunked:
+            if self._is_chunked:
                 self._transport.write(codec.LAST_CHUNK)
-            self._finished = True
+            self._is_finished = True
 
-    async def drained(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait until the client has read enough for more to be written."""
-        await self._drained.wait()
+        await self._writable.wait()
 
     def close_idle(self) -> None:
         """Close the connection unless a request is on it."""
@@ -236,12 +245,15 @@
             self._transport.close()
 
     def abort(self) -> None:
-        """End the connection so that what was sent can't look whole; the client still gets what was sent."""
+        """End the connection so that the response can't look complete.
+
+        The client still gets what was written.
+        """
         transport = self._transport
         if transport is None:
             return
-        self._keeps = False
-        if self._begun and not self._is_framed:  # an end would look like the body's
+        self._keeps_alive = False
+        if self._has_begun and not self._is_framed:  # a close would look like the end of the body
             self._net.reset(transport)
             return
         transport.close()
--- /dev/null
+++ b/coveport/serving/proxy/client_listener.py
@@ -0,0 +1,77 @@
+"""Accepts client connections, and drains them when the proxy stops."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from coveport.http1 import codec
+from coveport.net.address import Address
+from coveport.net.transport import Listening, Net
+from coveport.serving.model.configuration import ClientLimits
+from coveport.serving.proxy.client_connection import ClientConnection
+
+MAX_ACCEPTS_PER_TURN = 64  # so that a burst of connects doesn't hold up requests in flight; not measured
+ACCEPT_BACKLOG = 512  # connections that wait in the kernel; not measured
+DRAIN_ACCEPT_S = 1.0  # clients that have not yet learned of the stop still connect; not measured
+DRAIN_POLL_S = 0.05  # a stop takes this much longer at most
+
+RequestHandler = Callable[[codec.Request, ClientConnection], Coroutine[Any, Any, None]]
+
+
+class ClientListener:
+    """Owns the listening socket and the connections of clients."""
+
+    def __init__(self, net: Net, handle: RequestHandler, limits: Callable[[], ClientLimits]) -> None:
+        """`handle` answers one request; `limits` returns those of the configuration in force."""
+        self._net = net
+        self._limits = limits
+        self._connections: set[ClientConnection] = set()
+        self._listening: Listening | None = None
+        self.handle = handle
+        self.is_draining = False
+
+    def __len__(self) -> int:
+        return len(self._connections)
+
+    async def start(self, address: Address) -> None:
+        """Listen to clients.
+
+        Raises:
+            OSError: the address can't be listened on.
+
+        """
+        self._listening = await self._net.listen(
+            lambda: ClientConnection(self._net, self, self._limits),
+            address,
+            accept_most=MAX_ACCEPTS_PER_TURN,
+            waiting_most=ACCEPT_BACKLOG,
+        )
+
+    def connected(self, connection: ClientConnection) -> None:
+        """Add a new connection."""
+        self._connections.add(connection)
+
+    def disconnected(self, connection: ClientConnection) -> None:
+        """Remove a connection that has ended."""
+        self._connections.discard(connection)
+
+    async def drain(self, until_s: float) -> None:
+        """Answer what was accepted and accept nothing new.
+
+        Returns when no connection is left, at `until_s` (monotonic) at the latest.
+        """
+        self.is_draining = True
+        accepts_until_s = min(until_s, self._net.now_s() + DRAIN_ACCEPT_S)
+        await self._sleep_until(accepts_until_s)
+        if self._listening is not None:
+            self._listening.close()
+        while self._net.now_s() < until_s and self._connections:
+            for connection in list(self._connections):
+                if connection.is_idle:
+                    connection.close_idle()
+            await self._sleep_until(min(until_s, self._net.now_s() + DRAIN_POLL_S))
+
+    async def _sleep_until(self, until_s: float) -> None:
+        await asyncio.sleep(max(0.0, until_s - self._net.now_s()))
--- a/coveport/serving/proxy/node_pool.py
+++ b/coveport/serving/proxy/connection_pool.py
@@ -8,19 +8,15 @@
 from coveport.net.address import parse_address
 from coveport.net.transport import Net
 from coveport.serving.model.node import Node
+from coveport.serving.proxy.errors import ConnectFailedError
 from coveport.serving.proxy.node_connection import NodeConnection
 
-CONNECT_S = 0.4  # in which a connect has to come up, beside the way
-FAR_CONNECT_S = 0.6  # ... to another region
-SWEEP_S = 0.2
+LOCAL_CONNECT_TIMEOUT_S = 0.4  # leaves half of an target of 0.8 s for another node; not measured
+REMOTE_CONNECT_TIMEOUT_S = 0.6  # to another region: round trips are longer; not measured
 
 
-class ConnectFailedError(Exception):
-    """No connection came up; nothing was sent."""
-
-
-class NodePool:
-    """Idle connections by incarnation, and those in use."""
+class ConnectionPool:
+    """Connections by incarnation: idle ones, and those in use."""
 
     def __init__(self, net: Net, region: str) -> None:
         self._net = net
@@ -29,26 +25,32 @@
         self._in_use: dict[str, set[NodeConnection]] = {}
         self.connects = 0
 
-    def has_room(self, incarnation: str, most: int) -> bool:
-        """Whether one more request to the node stays under so many connections; 0: not bounded."""
-        return most <= 0 or len(self._in_use.get(incarnation, ())) < most
+    def has_capacity(self, incarnation: str, max_connections: int) -> bool:
+        """Return whether one more request stays within the node's connections; 0: not bounded."""
+        return max_connections <= 0 or len(self._in_use.get(incarnation, ())) < max_connections
 
-    def last_heard_s(self, incarnation: str) -> float:
-        """When the node last said anything on a connection in use; 0.0: never."""
-        return max((one.heard_at_s for one in self._in_use.get(incarnation, ())), default=0.0)
+    def last_received_s(self, incarnation: str) -> float:
+        """Return when the node last sent anything on a connection in use; 0.0: never."""
+        in_use = self._in_use.get(incarnation, ())
+        return max((connection.last_received_s for connection in in_use), default=0.0)
 
     async def take(self, node: Node) -> NodeConnection:
-        """A connection to the node, idle or new; ConnectFailedError where none comes up."""
+        """Return a connection to the node, idle or new.
+
+        Raises:
+            ConnectFailedError: none came up.
+
+        """
         now_s = self._net.now_s()
         idle = self._idle.get(node.incarnation, [])
         while idle:
             connection = idle.pop()
-            if connection.is_open and not connection.is_stale(now_s):
-                self._use(node, connection)
+            if connection.is_open and not connection.is_expiring(now_s):
+                self._add_to_use(node, connection)
                 return connection
             connection.close()
         connection = NodeConnection(self._net)
-        self._use(node, connection)
+        self._add_to_use(node, connection)
         try:
             await self._connect(node, connection)
         except BaseException:
@@ -56,8 +58,8 @@
             raise
         return connection
 
-    async def try_connect(self, node: Node) -> bool:
-        """Whether a connection to the node comes up; it is kept for the next request."""
+    async def probe_connect(self, node: Node) -> bool:
+        """Return whether a connection to the node comes up; it is kept for the next request."""
         connection = NodeConnection(self._net)
         try:
             await self._connect(node, connection)
@@ -68,31 +70,32 @@
 
     async def _connect(self, node: Node, connection: NodeConnection) -> None:
         self.connects += 1
-        within_s = CONNECT_S if node.region == self._region else FAR_CONNECT_S
+        is_local = node.region == self._region
+        timeout_s = LOCAL_CONNECT_TIMEOUT_S if is_local else REMOTE_CONNECT_TIMEOUT_S
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 await self._net.dial(lambda: connection, parse_address(node.address))
-        except (OSError, TimeoutError, ValueError) as problem:
-            raise ConnectFailedError(str(problem)) from None
+        except (OSError, TimeoutError, ValueError) as error:
+            raise ConnectFailedError(node.address, timeout_s, error) from None
 
-    def give_back(self, node: Node, connection: NodeConnection) -> None:
-        """The answer is whole: keep the connection if it can carry another request."""
-        self._no_longer_use(node, connection)
+    def release(self, node: Node, connection: NodeConnection) -> None:
+        """Return a connection whose response is complete, for reuse if it can carry another request."""
+        self._remove_from_use(node, connection)
         self._keep(node, connection)
 
     def drop(self, node: Node, connection: NodeConnection) -> None:
-        """The answer is not whole or not wanted."""
-        self._no_longer_use(node, connection)
+        """Close a connection whose response is not complete or not wanted."""
+        self._remove_from_use(node, connection)
         connection.close()
 
     def _keep(self, node: Node, connection: NodeConnection) -> None:
         if connection.release(self._net.now_s()):
             self._idle.setdefault(node.incarnation, []).append(connection)
 
-    def _use(self, node: Node, connection: NodeConnection) -> None:
+    def _add_to_use(self, node: Node, connection: NodeConnection) -> None:
         self._in_use.setdefault(node.incarnation, set()).add(connection)
 
-    def _no_longer_use(self, node: Node, connection: NodeConnection) -> None:
+    def _remove_from_use(self, node: Node, connection: NodeConnection) -> None:
         in_use = self._in_use.get(node.incarnation, set())
         in_use.discard(connection)
         if not in_use:
@@ -104,7 +107,7 @@
         for incarnation in list(self._idle):
             kept = []
             for connection in self._idle[incarnation]:
-                if is_known(incarnation) and connection.is_open and not connection.is_stale(now_s):
+                if is_known(incarnation) and connection.is_open and not connection.is_expiring(now_s):
                     kept.append(connection)
                 else:
                     connection.close()
--- a/coveport/serving/proxy/event_stream.py
+++ b/coveport/serving/proxy/event_stream.py
@@ -1,69 +1,82 @@
-"""Cutting a `text/event-stream` at the ends of its events, and joining what another node continues. Pure."""
+"""Splits a `text/event-stream` into events, and checks that a resumed stream continues it. Pure.
+
+The format is that of the WHATWG HTML standard, 9.2 (server-sent events).
+"""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass, field
 
-_END = re.compile(rb"\r?\n\r?\n")
-_LONGEST_END = 4  # bytes
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
+_MAX_EVENT_END_BYTES = 4
 _ID = re.compile(rb"(?:^|\n)id:[ ]?([^\r\n]*)")
 
 
 @dataclass(slots=True)
-class EventCutter:
-    """Bytes in, whole events out; what is left of a broken stream is never handed out."""
+class EventSplitter:
+    """Takes bytes and returns complete events; an event that breaks off is never returned."""
 
-    rest: bytearray = field(default_factory=bytearray)  # a beginning whose end has not come
+    incomplete: bytearray = field(default_factory=bytearray)  # the beginning of an event
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The whole events that this completes, with the blank line at the end of each."""
-        begin, search = 0, max(0, len(self.rest) - _LONGEST_END + 1)
-        self.rest += data
+        """Return the events that these bytes complete, each with the blank line at its end.
+
+        One loop without helpers, since it runs for every read of a stream.
+        """
+        begin = 0
+        search = max(0, len(self.incomplete) - _MAX_EVENT_END_BYTES + 1)
+        self.incomplete += data
         events: list[bytes] = []
-        while (end := _END.search(self.rest, search)) is not None:
-            events.append(bytes(self.rest[begin : end.end()]))
-            begin = search = end.end()
-        del self.rest[:begin]
+        while (end := _EVENT_END.search(self.incomplete, search)) is not None:
+            events.append(bytes(self.incomplete[begin : end.end()]))
+            begin = end.end()
+            search = begin
+        del self.incomplete[:begin]
         return events
 
 
 def event_id(event: bytes) -> str | None:
-    """The id that an event gives, if any."""
+    """Return the id that an event carries, if any."""
     found = _ID.search(event)
     return found[1].decode("latin-1") if found is not None else None
 
 
 @dataclass(slots=True)
-class EventOrder:
-    """The ids passed on so far: what may follow them, also from another node."""
+class EventSequence:
+    """The ids forwarded so far: which events may come next, also from another node."""
+
+    last_id: str | None = None  # of the last complete event that the client has
+    _max_id_step: int = 0  # the most by which ids rose; 0: not known
+    _is_resuming: bool = False  # the next event is the first of another node's stream
 
-    last_id: str | None = None  # of the last whole event that the client has
-    _widest_step: int = 0  # by which ids rose at the most; 0: not known
-    _continues: bool = False  # the next event is the first of another run
+    def begin_stream(self) -> None:
+        """Note that a node's stream begins; one that resumes another may leave nothing out."""
+        self._is_resuming = True
 
-    def begin_run(self) -> None:
-        """Events of a new run follow; one that goes on may leave nothing out."""
-        self._continues = True
+    def may_follow(self, event: bytes) -> bool:
+        """Return whether the event may come next.
 
-    def follows(self, event: bytes) -> bool:
-        """Whether the event may come next: ids that are numbers rise, at a joint no further than before."""
-        found, last = _as_number(event_id(event)), _as_number(self.last_id)
+        Ids that are numbers must rise; where a stream is resumed, by no more than they rose before.
+        """
+        found = _as_number(event_id(event))
+        last = _as_number(self.last_id)
         if found is None or last is None:
             return True
         if found <= last:
             return False
-        return not (self._continues and self._widest_step) or found - last <= self._widest_step
+        return not (self._is_resuming and self._max_id_step) or found - last <= self._max_id_step
 
-    def note_passed(self, event: bytes) -> None:
-        """The event has been passed on."""
-        self._continues = False
+    def record_forwarded(self, event: bytes) -> None:
+        """Record that the event was written to the client."""
+        self._is_resuming = False
         found = event_id(event)
         if found is None:
             return
-        number, last = _as_number(found), _as_number(self.last_id)
+        number = _as_number(found)
+        last = _as_number(self.last_id)
         if number is not None and last is not None:
-            self._widest_step = max(self._widest_step, number - last)
+            self._max_id_step = max(self._max_id_step, number - last)
         self.last_id = found
 
 
--- /dev/null
+++ b/coveport/serving/proxy/forwarded_request.py
@@ -0,0 +1,50 @@
+"""Writes a client's request as one node gets it."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from coveport.http1 import codec
+from coveport.serving.proxy.headers import end_to_end_headers
+from coveport.serving.proxy.in_flight_request import InFlightRequest
+from coveport.serving.proxy.prefix_cache import PrefixCacheIndex
+from coveport.serving.proxy.request_priority import request_priority
+from coveport.serving.wire.names import CanonicalHeader, Header
+
+_REPLACED_HEADERS = frozenset(
+    {Header.TIME_LEFT, Header.EXPECT_INCARNATION, Header.LAST_EVENT_ID, Header.PRIORITY}
+)
+
+
+def write_forwarded_request(
+    request: InFlightRequest, incarnation: str, prefix_cache: PrefixCacheIndex, now_s: float
+) -> bytes:
+    """Return head and body of the request, addressed to one incarnation."""
+    message = request.message
+    headers = _headers(request, incarnation, prefix_cache, now_s)
+    return codec.write_request(message.method, message.target, headers, message.body)
+
+
+def _headers(
+    request: InFlightRequest, incarnation: str, prefix_cache: PrefixCacheIndex, now_s: float
+) -> Iterator[tuple[str, str]]:
+    yield from end_to_end_headers(request.message.headers, _REPLACED_HEADERS)
+    if request.sequence.last_id is not None:
+        yield CanonicalHeader.LAST_EVENT_ID, request.sequence.last_id
+    yield CanonicalHeader.TIME_LEFT, str(max(1, int((request.deadline_s - now_s) * 1000)))
+    yield CanonicalHeader.EXPECT_INCARNATION, incarnation
+    if request.routed.segments:
+        yield CanonicalHeader.PRIORITY, str(_priority(request, incarnation, prefix_cache, now_s))
+
+
+def _priority(
+    request: InFlightRequest, incarnation: str, prefix_cache: PrefixCacheIndex, now_s: float
+) -> int:
+    """Return the priority for the node.
+
+    The time that a client spent before its request came here shows in the time that is left to it.
+    """
+    route = request.routed.route
+    spent_s = max(0.0, route.timeout_ms / 1000 - (request.deadline_s - now_s))
+    uncached_tokens = prefix_cache.uncached_tokens(request.routed.segments, incarnation)
+    return request_priority(uncached_tokens, route.latency_target_ms / 1000 - spent_s)
--- a/coveport/serving/proxy/headers.py
+++ b/coveport/serving/proxy/headers.py
@@ -1,4 +1,4 @@
-"""Which headers are handed on, and how heads are written. Pure."""
+"""Selects the headers that a proxy forwards, and writes responses of its own. Pure."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 Headers = Mapping[str, list[str]]
 
-_ONE_CONNECTION_ONLY = frozenset(
+# RFC 9110, 7.6.1: these concern one connection alone.
+_HOP_BY_HOP = frozenset(
     {
         "connection",
-        "content-length",  # written anew
+        "content-length",  # written by the codec
         "expect",
         "keep-alive",
         "proxy-authenticate",
@@ -41,52 +42,52 @@
 
 
 def connection_options(headers: Headers) -> frozenset[str]:
-    """What the `Connection` headers name, in lower case."""
-    lines = headers.get("connection", ())
-    return frozenset(part.strip(" \t").lower() for line in lines for part in line.split(","))
+    """Return the options that the `Connection` headers name, in lower case."""
+    values = headers.get("connection", ())
+    return frozenset(option.strip(" \t").lower() for value in values for option in value.split(","))
 
 
-def passed_on(headers: Headers, but: frozenset[str] = frozenset()) -> Iterator[tuple[str, str]]:
-    """Headers that concern more than one connection, without those named by `but`."""
-    named = connection_options(headers)
+def end_to_end_headers(headers: Headers, excluded: frozenset[str] = frozenset()) -> Iterator[tuple[str, str]]:
+    """Yield the headers that concern more than one connection, without the excluded ones."""
+    connection_only = connection_options(headers)
     for name, values in headers.items():
-        if name in _ONE_CONNECTION_ONLY or name in named or name in but:
+        if name in _HOP_BY_HOP or name in connection_only or name in excluded:
             continue
         for value in values:
             yield name, value
 
 
 def first(headers: Headers, name: str) -> str | None:
-    """A header's first value."""
+    """Return a header's first value."""
     values = headers.get(name)
     return values[0] if values else None
 
 
 def keep_alive_s(headers: Headers) -> float | None:
-    """How long the other side keeps an idle connection, if it tells."""
-    for line in headers.get("keep-alive", ()):
-        for part in line.split(","):
-            name, _, value = part.strip().partition("=")
+    """Return how many seconds the peer keeps an idle connection, if it says so."""
+    for parameters in headers.get("keep-alive", ()):
+        for parameter in parameters.split(","):
+            name, _, value = parameter.strip().partition("=")
             if name.lower() == "timeout" and value.strip().isdigit():
                 return float(value)
     return None
 
 
 def status_line(status: int) -> str:
-    """The first line of an answer."""
+    """Return the first line of a response."""
     return f"HTTP/1.1 {status} {_REASONS.get(status, 'Unknown')}"
 
 
-def write_answer(status: int, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
-    """A whole answer of our own."""
+def write_response(status: int, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
+    """Return the bytes of a complete response of our own."""
     return codec.write_head(status_line(status), [*headers, ("Content-Length", str(len(body)))]) + body
 
 
 def is_unframed(status: int, headers: Headers) -> bool:
-    """Whether a node's answer claims to end with its connection, without saying that the connection closes.
+    """Return whether a node's response has no framing, and yet doesn't say that the connection closes.
 
-    A node that keeps connections frames its answers: bytes of another answer that came late, in the middle of
-    this one's head, have spoiled the header that does.
+    A node that keeps connections frames its responses: late bytes of another response, in the middle of this
+    one's head, have spoiled the framing header.
     """
     if status in STATUSES_WITHOUT_BODY or "content-length" in headers or "transfer-encoding" in headers:
         return False
--- /dev/null
+++ b/coveport/serving/proxy/in_flight_request.py
@@ -0,0 +1,27 @@
+"""What is known of one client request over all its attempts."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from coveport.http1 import codec
+from coveport.serving.proxy.client_connection import ClientConnection
+from coveport.serving.proxy.event_stream import EventSequence
+from coveport.serving.proxy.routed_request import RoutedRequest
+
+
+@dataclass(slots=True)
+class InFlightRequest:
+    """A client's request between its admission and the end of its response."""
+
+    message: codec.Request
+    client: ClientConnection
+    routed: RoutedRequest
+    deadline_s: float  # on the clock of `Net.now_s`
+    sequence: EventSequence  # of the events that the client has
+    attempts: int = 0  # requests written to nodes
+    failed_connects: int = 0
+    may_have_run: bool = False
+    failed_nodes: set[str] = field(
+        default_factory=set
+    )  # incarnations whose response broke off or was an error
--- /dev/null
+++ b/coveport/serving/proxy/node_acquisition.py
@@ -0,0 +1,61 @@
+"""Acquires a node for the next attempt of a request, through admission control where all are at capacity."""
+
+from __future__ import annotations
+
+import asyncio
+
+from coveport.serving.model.view import KnownNode
+from coveport.serving.proxy.admission import AdmissionQueue, max_wait_s
+from coveport.serving.proxy.in_flight_request import InFlightRequest
+from coveport.serving.proxy.node_selection import NoNode
+from coveport.serving.proxy.proxy_context import ProxyContext
+
+POLL_S = 0.02  # how often the first in the queue looks for capacity: small beside its wait; not measured
+MIN_TIME_LEFT_S = 0.01  # with less time to the deadline no node can answer; not measured
+
+
+async def acquire_node(context: ProxyContext, request: InFlightRequest) -> KnownNode | None:
+    """Return a node for the next attempt, or None where there is none in time."""
+    routed = request.routed
+    queue = context.queues.of(routed.service.name, routed.route.home_regions)
+    if not len(queue):
+        selected = _choose(context, request)
+        if not isinstance(selected, NoNode):
+            return selected
+    return await _wait_in_queue(context, request, queue)
+
+
+async def _wait_in_queue(
+    context: ProxyContext, request: InFlightRequest, queue: AdmissionQueue
+) -> KnownNode | None:
+    route = request.routed.route
+    now_s = context.net.now_s()
+    until_s = min(now_s + max_wait_s(route), request.deadline_s - MIN_TIME_LEFT_S)
+    woken = asyncio.Event()
+    queued = queue.enqueue(route.priority, woken.set)
+    if queued is None:
+        return None
+    try:
+        while now_s < until_s and not queued.is_removed:
+            is_first = queue.is_first(queued)
+            if is_first and not isinstance(selected := _choose(context, request), NoNode):
+                return selected
+            woken.clear()
+            await _wait(woken, min(POLL_S, until_s - now_s) if is_first else until_s - now_s)
+            now_s = context.net.now_s()
+    finally:
+        queue.remove(queued)
+    return None
+
+
+def _choose(context: ProxyContext, request: InFlightRequest) -> KnownNode | NoNode:
+    return context.selector.choose(request.routed, request.failed_nodes, context.net.now_s())
+
+
+async def _wait(woken: asyncio.Event, timeout_s: float) -> None:
+    """Return when woken, or after `timeout_s`."""
+    try:
+        async with asyncio.timeout(timeout_s):
+            await woken.wait()
+    except TimeoutError:
+        pass
--- a/coveport/serving/proxy/node_connection.py
+++ b/coveport/serving/proxy/node_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to a node, with one request on it at a time."""
+"""An HTTP/1.1 connection to a node, with one request on it at a time."""
 
 from __future__ import annotations
 
@@ -7,75 +7,76 @@
 
 from coveport.http1 import codec
 from coveport.net.transport import Net
+from coveport.serving.proxy.errors import BrokenResponseError
 from coveport.serving.proxy.headers import is_unframed, keep_alive_s
 
-MOST_HELD = 64 * 1024  # bytes of an answer that wait for a slow client
-MOST_ANSWER = 1 << 40  # no bound: answers are passed on as they come
-SILENCE_MS = 2000  # after which an unheard-of peer counts as dark
-IDLE_S = 0.4  # how long an idle connection is kept where the node tells nothing: it may be under a second
-IDLE_MARGIN_S = 1.0  # closed so long before the node would ...
-IDLE_MARGIN_PART = 0.4  # ... or such a part of its time
-
-
-class NodeClosedError(Exception):
-    """The connection ended, or carried what is no answer, before the answer was whole."""
+MAX_BUFFERED_BYTES = 64 * 1024  # of a response, for a slow client: bounds memory; not measured
+MAX_RESPONSE_BYTES = 1 << 40  # no bound: responses are forwarded as they come
+UNACKNOWLEDGED_MS = 2000  # until a peer that acknowledges nothing is taken for dead; not measured
+DEFAULT_IDLE_S = 0.4  # where the node names no keep-alive time, which may be under a second; not measured
+IDLE_MARGIN_S = 1.0  # a connection is closed so long before the node would; not measured
+IDLE_MARGIN_RATIO = 0.4  # or by this part of the node's time, if that is less; not measured
 
 
 class NodeConnection(asyncio.Protocol):
-    """Sends a request and reads its answer."""
+    """Sends a request and reads its response."""
 
     def __init__(self, net: Net) -> None:
         self._net = net
         self._transport: asyncio.Transport | None = None
-        self._parser = codec.ResponseParser(MOST_ANSWER, 0)
+        self._parser = codec.ResponseParser(MAX_RESPONSE_BYTES, 0)
         self._waiter: asyncio.Future[None] | None = None
-        self._ended = False
-        self._reset = False
-        self._paused = False
-        self._in_use = False
-        self._keeps = True
-        self._has_carried = False  # another answer than the present one
-        self._silence_ms = 0
-        self._idle_s = IDLE_S
-        self.is_suspect = False  # it brought an answer to another request: used no further
+        self._is_ended = False
+        self._is_reset = False
+        self._is_paused = False
+        self._is_in_use = False
+        self._keeps_alive = True
+        self._has_carried_response = False  # one before the current one
+        self._unacknowledged_ms = 0  # bound that is set on the socket; 0: none
+        self._idle_s = DEFAULT_IDLE_S
+        self.is_desynchronized = False  # it carried a response to another request: not reused
         self.idle_since_s = 0.0
-        self.heard_at_s = 0.0
-        self.on_heard: Callable[[], None] | None = None  # called when bytes of the present answer come
+        self.last_received_s = 0.0
+        self.on_received: Callable[[], None] | None = None  # called for bytes of the current response
 
-    # As asyncio calls it.
+    # The callbacks of asyncio.Protocol.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Keep the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
-        if not self._in_use:  # nothing was asked: they belong to no request
+        """Buffer bytes for the reader. Runs for every read: keep its calls few."""
+        if not self._is_in_use:  # they belong to no request
             self.close()
             return
-        self.heard_at_s = self._net.now_s()
-        if self.on_heard is not None:
-            self.on_heard()
+        self.last_received_s = self._net.now_s()
+        if self.on_received is not None:
+            self.on_received()
         self._parser.feed(data)
-        if len(self._parser.held) > MOST_HELD and self._transport is not None and not self._paused:
-            self._paused = True
+        if (
+            len(self._parser.held) > MAX_BUFFERED_BYTES
+            and self._transport is not None
+            and not self._is_paused
+        ):
+            self._is_paused = True
             self._transport.pause_reading()
         self._wake()
 
     def eof_received(self) -> bool:
-        """The node sends nothing more."""
-        self._ended = True
+        """Note that the node sends nothing more."""
+        self._is_ended = True
         self._wake()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
-        self._ended = True
-        self._reset = self._reset or exc is not None
+        """Note that the connection is gone."""
+        self._is_ended = True
+        self._is_reset = self._is_reset or exc is not None
         self._wake()
 
-    # As the exchange uses it.
+    # The interface of `request_forwarder` and `response_relay`.
 
     @property
     def is_open(self) -> bool:
@@ -83,67 +84,82 @@
         transport = self._transport
         return (
             transport is not None
-            and not self._ended
+            and not self._is_ended
             and not transport.is_closing()
             and not self._net.is_over(transport)
         )
 
-    def send(self, request: bytes, *, notices_dark: bool) -> bool:
-        """Hand a whole request over; False where the connection was broken already and took none of it.
+    def send(self, request: bytes, *, ends_when_unacknowledged: bool) -> bool:
+        """Write a complete request; return False where the connection was broken and took none of it.
+
+        Args:
+            request: head and body.
+            ends_when_unacknowledged: whether the connection ends when the node's machine acknowledges
+                nothing. A request that can't be retried waits instead.
 
-        `notices_dark`: a node whose machine acknowledges nothing counts as gone. Else its silence is borne:
-        what can't be sent again is not ended because of it.
         """
         assert self._transport is not None
-        silence_ms = SILENCE_MS if notices_dark else 0
-        if silence_ms != self._silence_ms:
-            self._silence_ms = silence_ms
-            self._net.bound_silence(self._transport, silence_ms)
-        self._in_use = True
+        unacknowledged_ms = UNACKNOWLEDGED_MS if ends_when_unacknowledged else 0
+        if unacknowledged_ms != self._unacknowledged_ms:
+            self._unacknowledged_ms = unacknowledged_ms
+            self._net.bound_silence(self._transport, unacknowledged_ms)
+        self._is_in_use = True
         if not self.is_open:
             return False
         self._transport.write(request)
-        # A transport that closes within the write found the connection reset: the system took no byte.
+        # A transport that closes within the write found the connection reset: the kernel took no byte.
         return not self._transport.is_closing()
 
     async def read_head(self) -> codec.Response:
-        """The head of the next answer; NodeClosedError where there will be none."""
+        """Return the head of the next response.
+
+        Raises:
+            BrokenResponseError: there will be none.
+
+        """
         while True:
             try:
                 response = self._parser.next_response()
-                if response is None and self._ended and not self._reset:
+                if response is None and self._is_ended and not self._is_reset:
                     response = self._parser.end()
-            except codec.BadMessageError as problem:
-                raise NodeClosedError(f"no answer in the protocol: {problem}") from None
+            except codec.BadMessageError as error:
+                raise BrokenResponseError("head", "HTTP/1.1", str(error)) from None
             if response is not None:
-                if self._has_carried and is_unframed(response.status, response.headers):
-                    raise NodeClosedError("an answer without a length on a kept connection")
-                self._has_carried = True
-                self._keeps = response.keep_alive
-                told_s = keep_alive_s(response.headers)
-                self._idle_s = IDLE_S if told_s is None else told_s
+                if self._has_carried_response and is_unframed(response.status, response.headers):
+                    raise BrokenResponseError("head", "a length or Connection: close", "neither")
+                self._has_carried_response = True
+                self._keeps_alive = response.keep_alive
+                idle_s = keep_alive_s(response.headers)
+                self._idle_s = DEFAULT_IDLE_S if idle_s is None else idle_s
                 return response
-            await self._more()
+            await self._wait_for_bytes()
 
     async def read_data(self) -> tuple[bytes, bool]:
-        """The next bytes of the body, and whether it ends with them; NodeClosedError where it breaks off."""
+        """Return the next bytes of the body, and whether it ends with them.
+
+        One loop without helpers, since it runs for every read.
+
+        Raises:
+            BrokenResponseError: the body breaks off.
+
+        """
         while True:
             try:
-                data, over = self._parser.next_data()
-            except codec.BadMessageError as problem:
-                raise NodeClosedError(f"no body in the protocol: {problem}") from None
-            if data or over:
-                return data, over
-            if self._ended and not self._reset and self._parser.end() is not None:
+                data, is_last = self._parser.next_data()
+            except codec.BadMessageError as error:
+                raise BrokenResponseError("body", "HTTP/1.1", str(error)) from None
+            if data or is_last:
+                return data, is_last
+            if self._is_ended and not self._is_reset and self._parser.end() is not None:
                 return b"", True
-            await self._more()
-
-    async def _more(self) -> None:
-        """Wait until something has come."""
-        if self._ended:
-            raise NodeClosedError("the node closed the connection")
-        if self._paused and self._transport is not None:
-            self._paused = False
+            await self._wait_for_bytes()
+
+    async def _wait_for_bytes(self) -> None:
+        """Wait until the node has sent something."""
+        if self._is_ended:
+            raise BrokenResponseError("body", "more bytes", "the end of the connection")
+        if self._is_paused and self._transport is not None:
+            self._is_paused = False
             self._transport.resume_reading()
         self._waiter = asyncio.get_running_loop().create_future()
         try:
@@ -156,24 +172,24 @@
             self._waiter.set_result(None)
 
     def release(self, now_s: float) -> bool:
-        """The answer is whole: whether the connection can carry another request."""
-        self._in_use = False
-        self.on_heard = None
+        """End the current request, and return whether the connection can carry another."""
+        self._is_in_use = False
+        self.on_received = None
         self.idle_since_s = now_s
-        broken = self._ended or self._paused or self._parser.begun or self.is_suspect
-        if broken or not self._keeps:
+        is_broken = self._is_ended or self._is_paused or self._parser.begun or self.is_desynchronized
+        if is_broken or not self._keeps_alive:
             self.close()
             return False
         return True
 
-    def is_stale(self, now_s: float) -> bool:
-        """Whether the node may close the idle connection soon."""
-        margin_s = min(IDLE_MARGIN_S, IDLE_MARGIN_PART * self._idle_s)
+    def is_expiring(self, now_s: float) -> bool:
+        """Return whether the node may close the idle connection soon."""
+        margin_s = min(IDLE_MARGIN_S, IDLE_MARGIN_RATIO * self._idle_s)
         return now_s >= self.idle_since_s + self._idle_s - margin_s
 
     def close(self) -> None:
-        """Drop the connection, and with it what the node still does for it."""
-        self._ended = True
+        """Abort the connection, and with it what the node still runs for it."""
+        self._is_ended = True
         if self._transport is not None:
             self._transport.abort()
         self._wake()
--- /dev/null
+++ b/coveport/serving/proxy/node_maintenance.py
@@ -0,0 +1,81 @@
+"""Periodic work on what a proxy knows of nodes: expiry, unresponsive nodes, health checks."""
+
+from __future__ import annotations
+
+import asyncio
+
+from coveport.net.transport import Net
+from coveport.serving.model.view import ControlView
+from coveport.serving.proxy.connection_pool import ConnectionPool
+from coveport.serving.proxy.counters import Counters
+from coveport.serving.proxy.node_selection import NodeSelector
+
+SWEEP_INTERVAL_S = 0.2  # small beside the times it looks for (0.4 s and more); not measured
+
+
+class NodeMaintenance:
+    """Sweeps the records of nodes every `SWEEP_INTERVAL_S`."""
+
+    def __init__(
+        self,
+        net: Net,
+        view: ControlView,
+        pool: ConnectionPool,
+        selector: NodeSelector,
+        counters: Counters,
+    ) -> None:
+        self._net = net
+        self._view = view
+        self._pool = pool
+        self._selector = selector
+        self._counters = counters
+        self._timer: asyncio.TimerHandle | None = None
+        self._health_checks: set[asyncio.Task[None]] = set()
+
+    def start(self) -> None:
+        """Sweep now and from then on."""
+        self._sweep()
+
+    def stop(self) -> None:
+        """Sweep no more."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _sweep(self) -> None:
+        self._forget_gone_nodes()
+        self._eject_unresponsive_nodes()
+        self._begin_health_checks()
+        self._timer = self._net.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    def _forget_gone_nodes(self) -> None:
+        known = frozenset(self._view.nodes)
+        self._selector.outliers.forget_all_but(known)
+        self._selector.slow_start.forget_all_but(known)
+        self._pool.sweep(known.__contains__)
+        self._selector.latency.forget_all_but(known)
+        self._selector.overload.forget_all_but(known)
+
+    def _eject_unresponsive_nodes(self) -> None:
+        for incarnation in self._selector.latency.unresponsive(self._net.now_s()):
+            self._counters.add("silent")
+            # The time without a response begins anew, beside the health checks.
+            self._selector.latency.record_reachable(incarnation, self._net.now_s())
+            self._selector.outliers.record_unreachable(incarnation, self._net.now_s())
+
+    def _begin_health_checks(self) -> None:
+        for incarnation in self._selector.outliers.due_health_checks(self._net.now_s()):
+            task = self._net.loop.create_task(self._check_health(incarnation))
+            self._health_checks.add(task)
+            task.add_done_callback(self._health_checks.discard)
+
+    async def _check_health(self, incarnation: str) -> None:
+        """Connect to a node that could not be reached, and record the result."""
+        known = self._view.nodes.get(incarnation)
+        if known is None:
+            return
+        self._counters.add("trials")
+        if await self._pool.probe_connect(known.node):
+            self._selector.outliers.record_recovered(incarnation)
+            self._selector.latency.record_reachable(incarnation, self._net.now_s())
+        else:
+            self._selector.outliers.record_unreachable(incarnation, self._net.now_s())
--- /dev/null
+++ b/coveport/serving/proxy/proxy_context.py
@@ -0,0 +1,28 @@
+"""What all requests of a proxy share."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+
+from coveport.net.transport import Net
+from coveport.serving.model.view import ControlView
+from coveport.serving.proxy.admission import AdmissionQueues
+from coveport.serving.proxy.connection_pool import ConnectionPool
+from coveport.serving.proxy.counters import Counters
+from coveport.serving.proxy.node_selection import NodeSelector
+from coveport.serving.proxy.retry_budget import RetryBudget
+
+
+@dataclass(slots=True)
+class ProxyContext:
+    """The parts of a proxy that outlive a request."""
+
+    net: Net
+    view: ControlView
+    random: Random
+    pool: ConnectionPool
+    selector: NodeSelector
+    budget: RetryBudget
+    queues: AdmissionQueues
+    counters: Counters
--- a/coveport/serving/proxy/readiness.py
+++ b/coveport/serving/proxy/readiness.py
@@ -1,4 +1,4 @@
-"""Answers the platform's question whether this proxy takes clients."""
+"""The readiness check of the platform: whether this proxy serves clients."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from coveport.serving.wire.names import Path
 
 
-class ReadinessCalls:
-    """Handlers of the platform's calls."""
+class ReadinessApi:
+    """Handlers of the platform's requests."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
 
     @route("GET", Path.READY)
-    async def ready(self, call: ApiRequest) -> ApiResponse:
-        """200 where clients are welcome."""
+    async def ready(self, request: ApiRequest) -> ApiResponse:
+        """Return 200 where the proxy serves clients, else 503."""
         return ApiResponse(200 if self._is_ready() else 503)
--- /dev/null
+++ b/coveport/serving/proxy/request_forwarder.py
@@ -0,0 +1,139 @@
+"""Forwards a request to one node: connect, write, relay the response, and record how the node behaved."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from coveport.serving.model.view import KnownNode
+from coveport.serving.proxy.errors import BrokenResponseError, ConnectFailedError
+from coveport.serving.proxy.forwarded_request import write_forwarded_request
+from coveport.serving.proxy.in_flight_request import InFlightRequest
+from coveport.serving.proxy.node_connection import NodeConnection
+from coveport.serving.proxy.overload_estimate import StreamGaps
+from coveport.serving.proxy.proxy_context import ProxyContext
+from coveport.serving.proxy.response_relay import RelayOutcome, ResponseRelay
+from coveport.serving.proxy.retry_policy import AttemptOutcome, RetryPolicy
+from coveport.serving.proxy.stall_policy import stall_timeouts
+
+
+@dataclass(slots=True)
+class RequestForwarder:
+    """Makes the attempts of one request."""
+
+    context: ProxyContext
+    request: InFlightRequest
+    retries: RetryPolicy
+    relay: ResponseRelay
+
+    async def forward(self, known: KnownNode) -> AttemptOutcome:
+        """Send the request to one node, and relay its response."""
+        context = self.context
+        node = known.node
+        selected_s = context.net.now_s()
+        context.selector.record_selected(known, self.request.routed, selected_s)
+        try:
+            connection = await context.pool.take(node)
+        except ConnectFailedError:
+            context.selector.record_finished(known)
+            context.counters.add("connects_failed")
+            context.selector.outliers.record_unreachable(node.incarnation, context.net.now_s())
+            return AttemptOutcome.NOT_SENT
+        except BaseException:
+            context.selector.record_finished(known)
+            raise
+        is_reusable = False
+        try:
+            outcome = await self._exchange(known, connection, selected_s)
+            is_reusable = outcome in (AttemptOutcome.COMPLETE, AttemptOutcome.NOT_RUN)
+            return outcome
+        finally:
+            context.selector.record_finished(known)
+            if is_reusable:
+                context.pool.release(node, connection)
+            else:
+                context.pool.drop(node, connection)
+
+    async def _exchange(
+        self, known: KnownNode, connection: NodeConnection, selected_s: float
+    ) -> AttemptOutcome:
+        """Write the request and relay the response."""
+        if not self._write(known, connection, selected_s):
+            return AttemptOutcome.NOT_SENT
+        self._observe_gaps(known, connection)
+        try:
+            return await self._relay(known, connection)
+        finally:
+            self.context.selector.latency.record_ended(known.node.incarnation)
+
+    def _write(self, known: KnownNode, connection: NodeConnection, selected_s: float) -> bool:
+        """Write the request; return False where nothing was sent after all."""
+        context = self.context
+        request = self.request
+        now_s = context.net.now_s()
+        # The view may have changed while the connection came up.
+        if not context.selector.is_still_eligible(known, now_s):
+            return False
+        incarnation = known.node.incarnation
+        message = write_forwarded_request(request, incarnation, context.selector.prefix_cache, now_s)
+        if not connection.send(message, ends_when_unacknowledged=request.routed.route.is_idempotent):
+            return False
+        context.selector.record_sent(known, request.routed, selected_s, now_s)
+        if request.attempts:
+            self.retries.spend(now_s)
+            context.counters.add("resumed" if request.client.has_begun else "retries")
+        request.attempts += 1
+        return True
+
+    def _observe_gaps(self, known: KnownNode, connection: NodeConnection) -> None:
+        """Record when bytes of this response come. The callback runs for every read: one call deep."""
+        net = self.context.net
+        selector = self.context.selector
+        routed = self.request.routed
+        gaps = StreamGaps()
+
+        def on_received() -> None:
+            selector.record_received(known, routed, gaps, net.now_s())
+
+        connection.on_received = on_received
+
+    async def _relay(self, known: KnownNode, connection: NodeConnection) -> AttemptOutcome:
+        """Relay the response, and record it as a sign of the node's health."""
+        request = self.request
+        may_have_run_before = request.may_have_run
+        request.may_have_run = True
+        is_idempotent = request.routed.route.is_idempotent
+        stall = stall_timeouts(self.context, request, self.retries, known) if is_idempotent else None
+        try:
+            outcome = await self.relay.relay(connection, stall, self.retries.may_retry_error)
+        except BrokenResponseError:
+            self.context.counters.add("broken")
+            self._record_broken_response(known.node.incarnation)
+            return AttemptOutcome.FAILED
+        self._record_outcome(known.node.incarnation, outcome)
+        if outcome is RelayOutcome.SERVER_ERROR:
+            request.failed_nodes.add(known.node.incarnation)
+            return AttemptOutcome.FAILED
+        if outcome in (RelayOutcome.FORWARDED, RelayOutcome.SERVER_ERROR_FORWARDED):
+            return AttemptOutcome.COMPLETE
+        request.may_have_run = may_have_run_before
+        return AttemptOutcome.NOT_RUN
+
+    def _record_broken_response(self, incarnation: str) -> None:
+        self.context.selector.outliers.record_broken_response(incarnation, self.context.net.now_s())
+        self.request.failed_nodes.add(incarnation)
+
+    def _record_outcome(self, incarnation: str, outcome: RelayOutcome) -> None:
+        outliers = self.context.selector.outliers
+        counters = self.context.counters
+        now_s = self.context.net.now_s()
+        if outcome is RelayOutcome.REJECTED:
+            counters.add("full")
+            outliers.record_at_capacity(incarnation, now_s)
+        elif outcome is RelayOutcome.MISDIRECTED:
+            counters.add("misdirected")
+            outliers.record_misdirected(incarnation, now_s)
+        elif outcome is RelayOutcome.FORWARDED:
+            outliers.record_served(incarnation, now_s)
+        else:
+            counters.add("node_failures")
+            outliers.record_server_error(incarnation, now_s)
--- /dev/null
+++ b/coveport/serving/proxy/request_routing.py
@@ -0,0 +1,64 @@
+"""Routes a client's request: its route, its service, the segments of its prompt, and its deadline."""
+
+from __future__ import annotations
+
+from random import Random
+
+from coveport.http1 import codec
+from coveport.serving.model.configuration import Route
+from coveport.serving.model.view import ControlView
+from coveport.serving.proxy.headers import first
+from coveport.serving.proxy.prompt_segments import parse_prompt_segments
+from coveport.serving.proxy.routed_request import RoutedRequest
+from coveport.serving.proxy.routing import RouteTable, choose_service
+from coveport.serving.wire.names import Header
+
+DEFAULT_TIMEOUT_S = 3600.0  # where neither client nor route bounds the time: an hour, to end at some time
+
+
+class RequestRouter:
+    """Routes requests by the configuration in force."""
+
+    def __init__(self, view: ControlView, random: Random) -> None:
+        self._view = view
+        self._random = random
+        self._table: RouteTable | None = None
+
+    @property
+    def has_configuration(self) -> bool:
+        """Whether a configuration is known."""
+        return self._view.configuration is not None
+
+    def route(self, message: codec.Request) -> RoutedRequest | None:
+        """Return the routed request, or None where no route or no service of one takes it.
+
+        Draws the service of the route.
+        """
+        table = self._current_table()
+        if table is None:
+            return None
+        route = table.find(first(message.headers, "host") or "", message.target)
+        if route is None:
+            return None
+        service = table.services.get(choose_service(route, self._random) or "")
+        if service is None:
+            return None
+        segments = parse_prompt_segments(first(message.headers, Header.PROMPT_PREFIX))
+        return RoutedRequest(route, service, segments)
+
+    def _current_table(self) -> RouteTable | None:
+        configuration = self._view.configuration
+        if configuration is None:
+            return None
+        if self._table is None or self._table.configuration is not configuration:
+            self._table = RouteTable.of(configuration)
+        return self._table
+
+
+def request_timeout_s(message: codec.Request, route: Route) -> float:
+    """Return how many seconds the request may take: the least of the client's time left and the route's."""
+    timeout_s = route.timeout_ms / 1000 if route.timeout_ms > 0 else DEFAULT_TIMEOUT_S
+    time_left_ms = first(message.headers, Header.TIME_LEFT)
+    if time_left_ms is not None and time_left_ms.isdigit():
+        timeout_s = min(timeout_s, int(time_left_ms) / 1000)
+    return timeout_s
--- /dev/null
+++ b/coveport/serving/proxy/response_relay.py
@@ -0,0 +1,150 @@
+"""Relays a node's response to the client: never another request's, and never as complete what broke off."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import Enum
+
+from coveport.http1 import codec
+from coveport.serving.proxy.client_connection import ClientConnection
+from coveport.serving.proxy.counters import Counters
+from coveport.serving.proxy.errors import BrokenResponseError
+from coveport.serving.proxy.event_stream import EventSequence, EventSplitter
+from coveport.serving.proxy.headers import end_to_end_headers, first
+from coveport.serving.proxy.node_connection import NodeConnection
+from coveport.serving.proxy.stall_timeouts import StallTimeouts, read_or_abandon
+from coveport.serving.wire.names import Header
+
+REJECTION_STATUSES = frozenset({408, 421, 429, 503})  # a client may take these for "did not run"
+MISDIRECTED = 421
+RETRIABLE_ERROR_STATUSES = frozenset({500, 502})  # ran and failed: another node may succeed
+MAX_STALE_RESPONSES = 2  # to other requests, skipped in front of ours; not measured
+
+
+class RelayOutcome(Enum):
+    """What came of relaying one response."""
+
+    FORWARDED = "the client has the complete response"
+    SERVER_ERROR_FORWARDED = "the client has the node's own error"
+    REJECTED = "the node is at capacity: it did not run the request"
+    MISDIRECTED = "another incarnation answered: it did not run the request"
+    SERVER_ERROR = "the node ran the request and failed, and another node may be tried"
+
+
+@dataclass(slots=True)
+class ResponseRelay:
+    """Relays the responses to one request, over all nodes that it is sent to."""
+
+    client: ClientConnection
+    attempt_id: str | None  # which a response must repeat
+    is_resumable: bool
+    counters: Counters
+    sequence: EventSequence
+    splitter: EventSplitter = field(default_factory=EventSplitter)
+
+    async def relay(
+        self, connection: NodeConnection, stall: StallTimeouts | None, may_retry: Callable[[], bool]
+    ) -> RelayOutcome:
+        """Read a response and forward it.
+
+        Args:
+            connection: the request has been written to it.
+            stall: None where the node is never abandoned.
+            may_retry: asked where the node answers with an error, whether another node may be tried.
+
+        Raises:
+            BrokenResponseError: the response broke off, or is none to this request.
+
+        """
+        response = await self._matching_head(connection, stall)
+        if response.status in REJECTION_STATUSES:
+            return await self._read_rejection(connection, response)
+        if 200 <= response.status < 300:
+            await self._forward_success(connection, response, stall)
+            return RelayOutcome.FORWARDED
+        if self.client.has_begun:
+            raise BrokenResponseError("head", "a stream that is resumed", f"status {response.status}")
+        if response.status in RETRIABLE_ERROR_STATUSES and may_retry():
+            await self._skip_body(connection, response)
+            return RelayOutcome.SERVER_ERROR
+        await self._forward_body(connection, response)
+        is_server_error = response.status in RETRIABLE_ERROR_STATUSES
+        return RelayOutcome.SERVER_ERROR_FORWARDED if is_server_error else RelayOutcome.FORWARDED
+
+    async def _matching_head(self, connection: NodeConnection, stall: StallTimeouts | None) -> codec.Response:
+        """Return the head of the response to this attempt; skip complete ones to others in front of it."""
+        for _ in range(MAX_STALE_RESPONSES + 1):
+            if stall is None:
+                response = await connection.read_head()
+            else:
+                response = await read_or_abandon(connection.read_head, stall, stall.head_s)
+            attempt_id = first(response.headers, Header.ATTEMPT_ID)
+            if attempt_id == self.attempt_id:
+                return response
+            if attempt_id is None:
+                break
+            self.counters.add("surplus")
+            connection.is_desynchronized = True
+            await self._skip_body(connection, response)
+        raise BrokenResponseError("head", f"attempt id {self.attempt_id!r}", f"{attempt_id!r}")
+
+    async def _read_rejection(self, connection: NodeConnection, response: codec.Response) -> RelayOutcome:
+        if response.status != MISDIRECTED and Header.NOT_RUN not in response.headers:
+            raise BrokenResponseError("head", "whether the request ran", f"{response.status} without it")
+        await self._skip_body(connection, response)
+        return RelayOutcome.MISDIRECTED if response.status == MISDIRECTED else RelayOutcome.REJECTED
+
+    async def _skip_body(self, connection: NodeConnection, response: codec.Response) -> None:
+        is_last = not response.long
+        while not is_last:
+            _, is_last = await connection.read_data()
+
+    async def _forward_success(
+        self, connection: NodeConnection, response: codec.Response, stall: StallTimeouts | None
+    ) -> None:
+        if Header.STAMP not in response.headers:
+            raise BrokenResponseError("head", "the node's stamp", "none")
+        if "content-encoding" in response.headers:
+            raise BrokenResponseError("head", "no content encoding", response.headers["content-encoding"][0])
+        if self.is_resumable:
+            await self._forward_events(connection, response, stall)
+        else:
+            await self._forward_body(connection, response)
+
+    async def _forward_body(self, connection: NodeConnection, response: codec.Response) -> None:
+        """Forward a body as it comes."""
+        is_last = not response.long
+        headers = list(end_to_end_headers(response.headers))
+        self.client.begin(response.status, headers, 0 if is_last else response.length)
+        while not is_last:
+            data, is_last = await connection.read_data()
+            self.client.write(data)
+            await self.client.wait_writable()
+        self.client.finish()
+
+    async def _forward_events(
+        self, connection: NodeConnection, response: codec.Response, stall: StallTimeouts | None
+    ) -> None:
+        """Forward complete events, so that another node can resume the stream after any of them."""
+        self.splitter.incomplete.clear()
+        self.sequence.begin_stream()
+        if not self.client.has_begun:
+            self.client.begin(response.status, list(end_to_end_headers(response.headers)), None)
+        is_last = not response.long
+        while not is_last:
+            if stall is None:
+                data, is_last = await connection.read_data()
+            else:
+                data, is_last = await read_or_abandon(connection.read_data, stall, stall.event_s)
+            for event in self.splitter.feed(data):
+                self._forward_event(event)
+            await self.client.wait_writable()
+        self.client.write(bytes(self.splitter.incomplete))
+        self.client.finish()
+
+    def _forward_event(self, event: bytes) -> None:
+        if not self.sequence.may_follow(event):
+            raise BrokenResponseError("body", f"an event after id {self.sequence.last_id!r}", "another")
+        self.client.write(event)
+        self.sequence.record_forwarded(event)
--- a/coveport/serving/proxy/retry_budget.py
+++ b/coveport/serving/proxy/retry_budget.py
@@ -1,12 +1,12 @@
-"""A proxy's share of the budget of second sends. Pure.
+"""A proxy's quota of the retry budget. Pure.
 
-The rule: in each sliding window the arrivals at a service beyond the first of each request, summed over all
-proxies, are at most RetryRatio x requests + RetrySlack. Each proxy keeps to ratio x its own requests, and
-to an equal part of the slack; both with a margin, since windows of the rule begin at other moments than
-ours. A refused send and a 421 count as arrivals; a connection that never came up does not.
+The rule (`settings.boot.Bounds`): in each sliding window the requests that reach nodes of a service beyond
+the first attempt of each request, summed over all proxies, are at most ratio x requests + slack. Each proxy
+keeps to ratio x its own requests, and to an equal share of the slack; both with a margin, since windows of
+the rule begin at other moments than ours. An attempt that was rejected, and a 421, count; a connection that
+never came up does not.
 
-A second send is reserved when it is decided, and spent when it is handed over: in between others decide
-too.
+A retry is reserved when it is decided, and spent when it is sent: others are decided in between.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 from coveport.serving.proxy.sliding_window import SlidingWindow
 
-RATIO_PART = 0.9  # of the ratio that is spent
-SLACK_PART = 0.8  # of the slack that is spent
+RATIO_MARGIN = 0.9  # of the ratio: windows of the rule hold other requests; measurement `retry-windows`
+SLACK_MARGIN = 0.8  # of the slack, likewise; measurement `retry-windows`
 
 
 @dataclass(slots=True)
 class _ServiceBudget:
     requests: SlidingWindow
-    repeats: SlidingWindow
+    retries: SlidingWindow
     reserved: int = 0
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Counts requests and repeats by service."""
+    """Counts requests and retries by service."""
 
     ratio: float
     slack: float
@@ -43,26 +43,26 @@
             self._services[service] = found
         return found
 
-    def note_request(self, service: str, now_s: float) -> None:
-        """A client's request for the service has come."""
+    def record_request(self, service: str, now_s: float) -> None:
+        """Count a client's request for the service."""
         self._of(service).requests.add(now_s)
 
     def reserve(self, service: str, max_proxies: int, now_s: float) -> bool:
-        """Hold one more send beyond a request's first, if it fits."""
+        """Reserve one retry and return True, if the budget has room for it."""
         budget = self._of(service)
-        allowed = self.ratio * RATIO_PART * budget.requests.count(now_s)
-        allowed += floor(self.slack * SLACK_PART / max(1, max_proxies))
-        if budget.repeats.count(now_s) + budget.reserved + 1 > allowed:
+        allowed = self.ratio * RATIO_MARGIN * budget.requests.count(now_s)
+        allowed += floor(self.slack * SLACK_MARGIN / max(1, max_proxies))
+        if budget.retries.count(now_s) + budget.reserved + 1 > allowed:
             return False
         budget.reserved += 1
         return True
 
     def spend(self, service: str, now_s: float) -> None:
-        """A reserved send is handed over."""
+        """Count a reserved retry that is sent."""
         budget = self._of(service)
         budget.reserved -= 1
-        budget.repeats.add(now_s)
+        budget.retries.add(now_s)
 
     def release(self, service: str) -> None:
-        """A reserved send is not made after all."""
+        """Give back a reserved retry that is not sent."""
         self._of(service).reserved -= 1
--- a/coveport/serving/proxy/routing.py
+++ b/coveport/serving/proxy/routing.py
@@ -1,4 +1,8 @@
-"""From a request to its route, from a route to a service, and from a service to its nodes by level. Pure."""
+"""Selects the route of a request, the service of a route, and the nodes that may run it. Pure.
+
+The control plane decides which nodes are eligible; what this proxy observes of them is added by
+`node_selection`.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
 
 def host_name(host: str) -> str:
-    """A Host header's name as routes are compared: lower case, without the port."""
+    """Return a Host header's name as routes are compared: lower case, without the port."""
     name, colon, port = host.strip().rpartition(":")
     if colon and (port.isdigit() or not port) and not name.endswith(":"):
         host = name
@@ -40,7 +44,7 @@
         return cls(configuration, ordered, {service.name: service for service in configuration.services})
 
     def find(self, host: str, target: str) -> Route | None:
-        """The route of the longest prefix that begins the path; None: there is none."""
+        """Return the route with the longest prefix of the path, or None where no route matches."""
         path = target.partition("?")[0]
         for route in self.routes_by_host.get(host_name(host), ()):
             if path.startswith(route.path_prefix):
@@ -49,20 +53,21 @@
 
 
 def choose_service(route: Route, random: Random) -> str | None:
-    """One of the route's services, by weight; None where it has none."""
-    total = sum(one.weight for one in route.services)
+    """Draw one of the route's services by weight, or return None where no service has any."""
+    total = sum(weighted.weight for weighted in route.services)
     if total <= 0:
         return None
-    at = random.random() * total
-    for one in route.services:
-        at -= one.weight
-        if at < 0:
-            return one.service
-    return next(one.service for one in reversed(route.services) if one.weight > 0)
+    remaining = random.random() * total
+    for weighted in route.services:
+        remaining -= weighted.weight
+        if remaining < 0:
+            return weighted.service
+    # Rounding may leave a remainder behind the last weight.
+    return next(weighted.service for weighted in reversed(route.services) if weighted.weight > 0)
 
 
-def is_open(view: ControlView, known: KnownNode, now_s: float) -> bool:
-    """Whether the control plane allows sends to the node."""
+def is_eligible(view: ControlView, known: KnownNode, now_s: float) -> bool:
+    """Return whether the control plane allows new requests to the node."""
     return (
         known.node.state is NodeState.ACCEPTING
         and known.node.zone not in view.evacuated_zones
@@ -70,37 +75,39 @@
     )
 
 
-def open_nodes(view: ControlView, service: str, homes: frozenset[str], now_s: float) -> list[KnownNode]:
-    """The service's nodes that the control plane and the request's homes allow; no homes: anywhere.
+def eligible_nodes(
+    view: ControlView, service: str, home_regions: frozenset[str], now_s: float
+) -> list[KnownNode]:
+    """Return the service's nodes that the control plane and the home regions allow; no regions: any.
 
-    In one order whatever the map's is (it depends on Python's hash seed), so that a seeded draw repeats.
+    Sorted, because the order of the view's map depends on Python's hash seed and seeded draws must repeat.
     """
     found = [
         known
         for known in view.nodes.values()
         if known.node.service == service
-        and is_open(view, known, now_s)
-        and (not homes or known.node.region in homes)
+        and is_eligible(view, known, now_s)
+        and (not home_regions or known.node.region in home_regions)
     ]
     return sorted(found, key=lambda known: known.node.incarnation)
 
 
 @dataclass(frozen=True, slots=True)
-class Levels:
-    """Candidates by level."""
+class NodesByLocality:
+    """Candidates in the proxy's own region, and in all others."""
 
-    own: list[KnownNode] = field(default_factory=list)
-    rest: list[KnownNode] = field(default_factory=list)
+    local: list[KnownNode] = field(default_factory=list)
+    remote: list[KnownNode] = field(default_factory=list)
 
-    def first(self, is_usable: Callable[[KnownNode], bool]) -> list[KnownNode]:
-        """The usable nodes of the first level that has any: [own region, "*"]."""
-        usable = [known for known in self.own if is_usable(known)]
-        return usable or [known for known in self.rest if is_usable(known)]
+    def first_usable(self, is_usable: Callable[[KnownNode], bool]) -> list[KnownNode]:
+        """Return the usable local nodes or, only where there are none, the usable remote ones."""
+        usable = [known for known in self.local if is_usable(known)]
+        return usable or [known for known in self.remote if is_usable(known)]
 
 
-def split_levels(nodes: Iterable[KnownNode], region: str) -> Levels:
-    """Group nodes by level, as seen from a region."""
-    levels = Levels()
+def group_by_locality(nodes: Iterable[KnownNode], region: str) -> NodesByLocality:
+    """Group nodes by locality, as seen from a region."""
+    by_locality = NodesByLocality()
     for known in nodes:
-        (levels.own if known.node.region == region else levels.rest).append(known)
-    return levels
+        (by_locality.local if known.node.region == region else by_locality.remote).append(known)
+    return by_locality
--- a/coveport/serving/proxy/sliding_window.py
+++ b/coveport/serving/proxy/sliding_window.py
@@ -1,4 +1,4 @@
-"""Counting what happened within the last so many seconds. Pure."""
+"""Counts events within the last so many seconds. Pure."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 @dataclass(slots=True)
 class SlidingWindow:
-    """Events of the last `span_s` seconds."""
+    """Times of the events of the last `span_s` seconds."""
 
     span_s: float
-    _times: deque[float] = field(default_factory=deque)
+    _times_s: deque[float] = field(default_factory=deque)
 
     def add(self, now_s: float) -> None:
         """Count one event."""
-        self._times.append(now_s)
+        self._times_s.append(now_s)
 
     def count(self, now_s: float) -> int:
-        """How many happened in the span that ends now."""
-        times = self._times
-        while times and times[0] <= now_s - self.span_s:
-            times.popleft()
-        return len(times)
+        """Return how many events fall into the span that ends now, and drop the older ones."""
+        times_s = self._times_s
+        while times_s and times_s[0] <= now_s - self.span_s:
+            times_s.popleft()
+        return len(times_s)
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -1,248 +1,153 @@
-"""Keeps the proxy's view: asks a coordinator with the versions it has, and another when that one fails.
+"""Subscribes a proxy to updates: asks a coordinator with the versions it has, another when that one fails.
 
-The asking renews the proxy's lease. The view never goes back: states are taken by rising sequence, reports on
-nodes by incarnation and sequence number. When nobody answers, the proxy serves on with what it has.
+Each request renews the proxy's lease. While no coordinator answers, the proxy serves on with what it has.
 """
 
 from __future__ import annotations
 
 import asyncio
-import random
 from collections.abc import Callable
 from math import inf
+from random import Random
 from typing import Any
 
 from coveport.net.address import parse_address
 from coveport.net.transport import Net
-from coveport.serving.configuration.reader import read_configuration
-from coveport.serving.configuration.state import ControlState, initial_state
-from coveport.serving.configuration.state_codec import decode_state
-from coveport.serving.configuration.state_machine import apply
 from coveport.serving.membership.leases import ProxyLease
-from coveport.serving.model.findings import Refusal
 from coveport.serving.model.view import ControlView
-from coveport.serving.proxy.coordinator_choice import CoordinatorChoice
-from coveport.serving.proxy.node_directory import NodeDirectory
-from coveport.serving.replication.outcomes import Applied
+from coveport.serving.proxy.coordinator_selection import CoordinatorSelector
+from coveport.serving.proxy.view_updater import ViewUpdater
 from coveport.serving.wire.connection import Connection, connect
-from coveport.serving.wire.errors import MalformedMessageError
-from coveport.serving.wire.messages import Message, StateChange, Unsubscribe, Update, UpdateRequest
+from coveport.serving.wire.messages import Message, Unsubscribe, Update, UpdateRequest
 
-CONNECT_S = 0.5
-ANSWER_S = 1.2  # a coordinator of which nothing has come for so long is left
-PAUSE_S = 0.05  # before another one is tried, growing ...
-PAUSE_MOST_S = 0.25
-PROXIES_UNKNOWN = 32  # assumed until a coordinator has told how many there may be
+CONNECT_TIMEOUT_S = 0.5  # a round trip between regions and a retransmission fit; not measured
+ANSWER_TIMEOUT_S = (
+    1.2  # in which a coordinator has to send any byte: it answers within a second; not measured
+)
+MIN_BACKOFF_S = 0.05  # after all coordinators were asked in vain, doubling from then on; not measured
+MAX_BACKOFF_S = 0.25  # a new primary is found within this and its jitter; not measured
 
 
 class Subscription:
-    """One proxy's asking."""
+    """One proxy's requests for updates."""
 
     def __init__(
         self,
         net: Net,
         view: ControlView,
-        choice: CoordinatorChoice,
+        selector: CoordinatorSelector,
         make_lease: Callable[[int], ProxyLease],
         log: Any,
-        chance: random.Random,
+        random: Random,
     ) -> None:
-        """`make_lease`: the lease for a round."""
+        """`make_lease` returns the lease for a request number."""
         self._net = net
-        self._view = view
+        self._selector = selector
         self._make_lease = make_lease
         self._log = log
-        self._chance = chance
-        self._choice = choice
-        self._state: ControlState = initial_state()
-        self._sequence = -1
-        self._wants_whole_state = False  # the last changes did not fit what is held, or could not be read
-        self._table = ""
-        self._node_revision = -1
-        self._is_table_confirmed = (
-            False  # a settled coordinator has told the whole table since we asked there
-        )
-        self._directory = NodeDirectory()
-        self._answers: asyncio.Queue[Update] = asyncio.Queue()
-        self._round = 0
+        self._random = random
+        self._updater = ViewUpdater(view, log)
+        self._updates: asyncio.Queue[Update] = asyncio.Queue()
+        self._request_number = 0
         self._task: asyncio.Task[None] | None = None
-        self.answered_at_s = -inf  # when a coordinator in touch with the core last answered
-        view.max_proxies = PROXIES_UNKNOWN
-        self._proxies_known = 0
+        self._answered_at_s = -inf  # when a coordinator with a quorum last answered
 
     def start(self) -> None:
         """Begin to ask."""
         self._task = self._net.loop.create_task(self._run())
 
     def stop(self) -> None:
-        """Ask no more; the lease runs out."""
+        """Ask no more, and let the lease run out."""
         if self._task is not None:
             self._task.cancel()
 
     async def _run(self) -> None:
-        pause_s = PAUSE_S
+        backoff_s = MIN_BACKOFF_S
         while True:
-            before = self.answered_at_s
-            for address in self._choice.order(self._net.now_s()):
-                await self._ask_at(address)
-                if self.answered_at_s > before:
+            before_s = self._answered_at_s
+            for address in self._selector.by_preference(self._net.now_s()):
+                await self._follow(address)
+                if self._answered_at_s > before_s:
                     break
-            is_quick = self.answered_at_s > before or self._sequence < 0  # without a state it serves nothing
-            pause_s = PAUSE_S if is_quick else min(2 * pause_s, PAUSE_MOST_S)
-            await asyncio.sleep(pause_s * self._chance.uniform(0.5, 1.5))
+            # Without a state the proxy serves nothing, so it doesn't back off.
+            is_quick = self._answered_at_s > before_s or not self._updater.has_state
+            backoff_s = MIN_BACKOFF_S if is_quick else min(2 * backoff_s, MAX_BACKOFF_S)
+            await asyncio.sleep(backoff_s * self._random.uniform(0.5, 1.5))
 
-    async def _ask_at(self, address: str) -> None:
-        """Ask one coordinator until it fails, going over to nearer ones as they are told of."""
+    async def _follow(self, address: str) -> None:
+        """Ask one coordinator until it fails, moving on to nearer ones as they become known."""
         connection = await self._connect(address)
         while connection is not None:
-            nearer = await self._ask_on(connection, address)
+            nearer = await self._ask_until_failure(connection, address)
             if nearer is None:
-                self._choice.failed(address, self._net.now_s())
+                self._selector.record_failure(address, self._net.now_s())
                 connection.abort()
                 return
-            other = await self._connect(nearer)
-            if other is not None:
+            nearer_connection = await self._connect(nearer)
+            if nearer_connection is not None:
                 connection.send(Unsubscribe())
                 connection.close()
-                connection, address = other, nearer
+                connection = nearer_connection
+                address = nearer
 
     async def _connect(self, address: str) -> Connection | None:
-        connection = await connect(self._net, parse_address(address), self._came, CONNECT_S)
+        connection = await connect(self._net, parse_address(address), self._on_message, CONNECT_TIMEOUT_S)
         if connection is None:
-            self._choice.failed(address, self._net.now_s())
+            self._selector.record_failure(address, self._net.now_s())
         return connection
 
-    async def _ask_on(self, connection: Connection, address: str) -> str | None:
-        """Ask on one connection; a nearer coordinator to go to, or None where this one failed."""
-        while not self._answers.empty():
-            self._answers.get_nowait()
-        deregistered = self._directory.departed_lately(self._net.now_s())
+    async def _ask_until_failure(self, connection: Connection, address: str) -> str | None:
+        """Ask on one connection; return a nearer coordinator to move to, or None where this one failed."""
+        while not self._updates.empty():
+            self._updates.get_nowait()
+        deregistered = self._updater.recently_deregistered(self._net.now_s())
         while connection.is_open:
-            self._round += 1
+            self._request_number += 1
             connection.send(self._request(deregistered))
             deregistered = ()
-            update = await self._answer_on(connection)
+            update = await self._wait_for_update(connection)
             if update is None:
                 self._log.warning("coordinator_timed_out", coordinator=address)
                 return None
-            self._take(update)
-            if self._wants_whole_state and update.state is not None:
-                return None  # what this one holds can't be read
+            self._apply(update)
+            if self._updater.needs_full_state and update.state is not None:
+                return None  # the state that this coordinator has can't be decoded
             if not update.has_quorum:
                 self._log.debug("coordinator_without_quorum", coordinator=address)
                 return None
-            nearer = self._choice.better_than(address, self._net.now_s())
+            nearer = self._selector.nearer_than(address, self._net.now_s())
             if nearer is not None:
                 return nearer
         return None
 
     def _request(self, deregistered: tuple[str, ...]) -> UpdateRequest:
-        lease = self._make_lease(self._round)
-        sequence = -1 if self._wants_whole_state else self._sequence
-        return UpdateRequest(lease, self._table, self._node_revision, sequence, self._round, deregistered)
+        lease = self._make_lease(self._request_number)
+        return self._updater.request(lease, self._request_number, deregistered)
 
-    async def _answer_on(self, connection: Connection) -> Update | None:
-        """The answer to the present round; None where not even a part of it has come for `ANSWER_S`."""
+    async def _wait_for_update(self, connection: Connection) -> Update | None:
+        """Return the answer to the current request; None where no byte came for `ANSWER_TIMEOUT_S`."""
         while True:
             try:
-                async with asyncio.timeout(ANSWER_S):
-                    return await self._next_answer()
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                    return await self._next_update()
             except TimeoutError:
-                if self._net.now_s() - connection.last_received_s >= ANSWER_S:
+                if self._net.now_s() - connection.last_received_s >= ANSWER_TIMEOUT_S:
                     return None
 
-    async def _next_answer(self) -> Update:
+    async def _next_update(self) -> Update:
         while True:
-            update = await self._answers.get()
-            if update.request_number == self._round:
+            update = await self._updates.get()
+            if update.request_number == self._request_number:
                 return update
 
-    def _came(self, connection: Connection, message: Message) -> None:
+    def _on_message(self, connection: Connection, message: Message) -> None:
         if isinstance(message, Update):
-            self._answers.put_nowait(message)
+            self._updates.put_nowait(message)
 
-    def _take(self, update: Update) -> None:
-        now = self._net.now_s()
+    def _apply(self, update: Update) -> None:
+        now_s = self._net.now_s()
         if update.has_quorum:
-            self.answered_at_s = now
+            self._answered_at_s = now_s
         if update.coordinators:
-            self._choice.learned(update.coordinators)
-        changed = self._take_state(update, now)
-        changed |= self._take_nodes(update, now)
-        self._take_proxy_count(update)
-        if changed:
-            self._view.notify_listeners()
-
-    def _take_proxy_count(self, update: Update) -> None:
-        """The count never falls while this proxy lives: others may be cut off and spend their share."""
-        if update.max_proxies > self._proxies_known:
-            self._proxies_known = update.max_proxies
-            self._view.max_proxies = update.max_proxies
-
-    def _take_state(self, update: Update, now: float) -> bool:
-        if update.state_sequence <= self._sequence:
-            return False
-        state = self._read(update.state) if update.state is not None else self._replay(update.changes)
-        self._wants_whole_state = state is None
-        if state is None:
-            return False
-        before, self._state, self._sequence = self._state, state, update.state_sequence
-        self._use(before, state, now)
-        return True
-
-    def _read(self, data: bytes) -> ControlState | None:
-        try:
-            return decode_state(data)
-        except MalformedMessageError as problem:
-            self._log.error("snapshot_rejected", error=str(problem))
-            return None
-
-    def _replay(self, changes: tuple[StateChange, ...]) -> ControlState | None:
-        state = self._state
-        for change in changes:
-            applied = _applied(state, change.command)
-            if applied is None:
-                self._log.error("change_rejected", sequence=change.sequence)
-                return None
-            state = applied.state
-        return state
-
-    def _use(self, before: ControlState, state: ControlState, now: float) -> None:
-        """Put a newer acknowledged state in force."""
-        for zone in before.evacuated_zones - state.evacuated_zones:
-            self._view.evacuation_ended_at_s[zone] = now
-        self._view.evacuated_zones = state.evacuated_zones
-        if state.edition == before.edition or state.configuration_text is None:
-            return
-        configuration = read_configuration(state.configuration_text)
-        if isinstance(configuration, Refusal):
-            self._log.error("configuration_rejected", edition=state.edition, reason=configuration.reason)
-            return
-        self._view.configuration = configuration
-        self._log.info("configuration_activated", edition=state.edition, sequence=self._sequence)
-
-    def _take_nodes(self, update: Update, now: float) -> bool:
-        before = self._view.nodes
-        self._view.nodes = self._directory.merge(before, update, now)
-        self._note_table(update)
-        return self._view.nodes is not before
-
-    def _note_table(self, update: Update) -> None:
-        """Which differences to ask for next; once a table has settled, the whole of it is asked for again."""
-        if update.table_id != self._table:
-            self._is_table_confirmed = False
-        self._table = update.table_id
-        self._node_revision = update.node_revision
-        if update.knows_all_nodes and not self._is_table_confirmed:
-            self._is_table_confirmed = update.is_full_table
-            if not update.is_full_table:
-                self._node_revision = -1
-
-
-def _applied(state: ControlState, command: bytes) -> Applied | None:
-    """The state after a command; None where it does not fit, or a newer program made it."""
-    try:
-        applied = apply(state, command)
-    except MalformedMessageError:
-        return None
-    return applied if isinstance(applied, Applied) else None
+            self._selector.update_endpoints(update.coordinators)
+        self._updater.apply(update, now_s)
--- a/coveport/serving/scale/hollow_proxies.py
+++ b/coveport/serving/scale/hollow_proxies.py
@@ -13,7 +13,7 @@
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.model.node import NodeState
 from coveport.serving.model.view import ControlView
-from coveport.serving.proxy.coordinator_choice import CoordinatorChoice
+from coveport.serving.proxy.coordinator_selection import CoordinatorSelector
 from coveport.serving.proxy.subscription import Subscription
 from coveport.serving.scale.worker_lines import Line, read_lines, write_line
 
@@ -47,7 +47,7 @@
         self._seen.clear()
         self.view = ControlView()
         self.view.listeners.append(self._changed)
-        choice = CoordinatorChoice(self._told["zone"], self._told["region"], tuple(seeds))
+        selector = CoordinatorSelector(self._told["zone"], self._told["region"], tuple(seeds))
         life = int(self._net.unix_s() * 1000)
 
         def make_lease(round_number: int) -> ProxyLease:
@@ -61,7 +61,7 @@
                 incarnation=life,
             )
 
-        self._subscription = Subscription(self._net, self.view, choice, make_lease, self._log, chance)
+        self._subscription = Subscription(self._net, self.view, selector, make_lease, self._log, chance)
         self._subscription.start()
 
     def stop(self) -> None:
--- a/tests/serving/proxy/proxy_ground.py
+++ b/tests/serving/proxy/proxy_environment.py
@@ -57,7 +57,7 @@
 SERVICE = Service(name="s", max_connections=300, warm_up_s=3.0, warm_up_rate=9.8)
 
 
-class Ground:
+class ProxyEnvironment:
     """Time, a network, one proxy, and a process that its nodes and clients live in."""
 
     def __init__(self, bounds: Bounds | None = None, routes: tuple[Route, ...] = ()) -> None:
@@ -86,7 +86,7 @@
             clients=(PROXY_IP, PORT),
             bounds=bounds or Bounds(retry_slack=58, warm_up_overshoot=1.5, warm_up_slack=5),
         )
-        self.data_path = DataPath(self.net, settings, self.view, None, Random(1))
+        self.data_path = DataPath(self.net, settings, self.view, Random(1))
         self.nodes: list[ScriptedNode] = []
         self.run(self.data_path.start(), process=self.proxy_process)
 
@@ -148,12 +148,12 @@
         """Let time pass."""
         self.time.run(self.time.now + seconds)
 
-    def figure(self, name: str) -> float:
+    def metric(self, name: str) -> float:
         """A count of the data path's."""
-        return self.data_path.figures().get(name, 0.0)
+        return self.data_path.metrics().get(name, 0.0)
 
     def check(self) -> None:
         """Nothing went wrong unseen, and nothing is left over."""
         assert self.proxy_process.problems == []
         assert self.lab.problems == []
-        assert self.figure("in_flight") == 0
+        assert self.metric("in_flight") == 0
--- a/tests/serving/proxy/scripted_node.py
+++ b/tests/serving/proxy/scripted_node.py
@@ -52,6 +52,8 @@
         self.parser = codec.RequestParser(8 << 20, most_head=1 << 20)
         self.transport: asyncio.Transport | None = None
         self.lost = False
+        self._sent = asyncio.Event()
+        self._sent.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -72,6 +74,18 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost = True
 
+    def pause_writing(self) -> None:
+        self._sent.clear()
+
+    def resume_writing(self) -> None:
+        self._sent.set()
+
+    async def wait_until_sent(self) -> None:
+        """Wait until the transport holds nothing more to send."""
+        assert self.transport is not None
+        self.transport.set_write_buffer_limits(high=0)
+        await self._sent.wait()
+
     def write(self, data: bytes) -> None:
         assert self.transport is not None
         self.transport.write(data)
--- /dev/null
+++ b/tests/serving/proxy/test_broken_variants.py
@@ -0,0 +1,274 @@
+"""Programs that are wrong in one place: each is caught by a test beside this one, named here."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+import test_forwarding as forwarding_tests
+import test_node_selection as node_selection_tests
+import test_slow_start as slow_start_tests
+
+from coveport.http1.codec import CHUNKED
+from coveport.serving.proxy import exchange, forwarded_request, node_selection, routing, stall_policy
+from coveport.serving.proxy.client_connection import ClientConnection
+from coveport.serving.proxy.connection_pool import ConnectionPool
+from coveport.serving.proxy.event_stream import EventSequence, EventSplitter
+from coveport.serving.proxy.in_flight_request import InFlightRequest
+from coveport.serving.proxy.node_connection import NodeConnection
+from coveport.serving.proxy.node_selection import NodeSelector
+from coveport.serving.proxy.outlier_ejection import OutlierDetector
+from coveport.serving.proxy.proxy_context import ProxyContext
+from coveport.serving.proxy.response_relay import RelayOutcome, ResponseRelay
+from coveport.serving.proxy.retry_budget import RetryBudget
+from coveport.serving.proxy.retry_policy import RetryPolicy
+from coveport.serving.proxy.routing import NodesByLocality
+from coveport.serving.proxy.slow_start import SlowStartLimiter
+
+Patch = pytest.MonkeyPatch
+Break = Callable[[Patch], None]
+BROKEN_STREAM = (
+    forwarding_tests.test_a_resumable_stream_goes_on_at_another_node_whatever_the_byte_it_breaks_at
+)
+VARIANTS: dict[str, tuple[Break, Callable[[], None]]] = {}
+
+
+def caught_by(check: Callable[[], None]) -> Callable[[Break], Break]:
+    """The variant of that name fails this check."""
+
+    def keep(variant: Break) -> Break:
+        VARIANTS[variant.__name__] = (variant, check)
+        return variant
+
+    return keep
+
+
+def always(value: Any) -> Callable[..., Any]:
+    return lambda *args, **kwargs: value
+
+
+def _extreme(pick: Callable[..., str]) -> Callable[..., str]:
+    """In place of the draw: the one of all with the most or the fewest."""
+    return lambda names, loads, *_: pick(names, key=lambda name: loads.get(name, 0))
+
+
+# Levels.
+
+
+@caught_by(lambda: node_selection_tests.test_everyone_whom_the_model_allows_is_chosen_sometimes(3))
+def draws_the_busier(patch: Patch) -> None:
+    patch.setattr(node_selection, "less_busy_of_two", _extreme(max))
+
+
+@caught_by(lambda: node_selection_tests.test_everyone_whom_the_model_allows_is_chosen_sometimes(3))
+def draws_the_least_busy_of_all(patch: Patch) -> None:
+    patch.setattr(node_selection, "less_busy_of_two", _extreme(min))
+
+
+@caught_by(forwarding_tests.test_the_own_region_is_used_alone_while_it_has_a_usable_node)
+def knows_no_levels(patch: Patch) -> None:
+    patch.setattr(node_selection, "group_by_locality", lambda nodes, _: NodesByLocality(local=list(nodes)))
+
+
+@caught_by(forwarding_tests.test_a_homed_request_never_leaves_its_homes)
+def knows_no_homes(patch: Patch) -> None:
+    allowed = routing.eligible_nodes
+    patch.setattr(
+        node_selection,
+        "eligible_nodes",
+        lambda view, service, _, now: allowed(view, service, frozenset(), now),
+    )
+
+
+@caught_by(forwarding_tests.test_the_own_region_is_used_alone_while_it_has_a_usable_node)
+def sends_to_evacuated_zones(patch: Patch) -> None:
+    patch.setattr(routing, "is_eligible", always(True))
+
+
+@caught_by(forwarding_tests.test_a_node_that_closes_while_a_connect_is_under_way_is_not_sent_to)
+def looks_at_the_view_only_once(patch: Patch) -> None:
+    patch.setattr(NodeSelector, "is_still_eligible", always(True))
+
+
+@caught_by(node_selection_tests.test_bad_ends_empty_the_own_level_and_a_trial_refills_it)
+def never_empties_a_level(patch: Patch) -> None:
+    patch.setattr(OutlierDetector, "is_ejected", always(False))
+
+
+@caught_by(node_selection_tests.test_bad_ends_empty_the_own_level_and_a_trial_refills_it)
+def tries_with_every_request(patch: Patch) -> None:
+    patch.setattr(OutlierDetector, "record_attempt", always(None))
+
+
+@caught_by(node_selection_tests.test_where_bad_ends_alone_keep_all_out_they_are_tried)
+def knows_no_last_resort(patch: Patch) -> None:
+    patch.setattr(NodeSelector, "_panic_candidates", always([]))
+
+
+@caught_by(forwarding_tests.test_a_dark_machine_holds_a_request_for_a_moment_only)
+def never_tries_again(patch: Patch) -> None:
+    patch.setattr(OutlierDetector, "due_health_checks", always([]))
+
+
+# Budgets.
+
+
+@caught_by(forwarding_tests.test_the_budget_bounds_second_sends)
+def knows_no_budget(patch: Patch) -> None:
+    patch.setattr(RetryBudget, "reserve", always(True))
+
+
+@caught_by(forwarding_tests.test_the_budget_bounds_second_sends)
+def counts_no_repeats(patch: Patch) -> None:
+    patch.setattr(RetryBudget, "spend", lambda self, service, _: self.release(service))
+
+
+@caught_by(forwarding_tests.test_a_cold_node_gets_no_more_than_this_proxys_share)
+def knows_no_warm_up(patch: Patch) -> None:
+    patch.setattr(SlowStartLimiter, "may_send", always(True))
+
+
+@caught_by(lambda: slow_start_tests.test_the_sum_over_all_proxies_stays_under_the_rule(89))
+def takes_no_turns_at_a_cold_node(patch: Patch) -> None:
+    patch.setattr("coveport.serving.proxy.slow_start._turn_interval_s", always(0.0))
+
+
+@caught_by(forwarding_tests.test_requests_wait_a_moment_for_a_place_by_precedence)
+def bounds_no_connections(patch: Patch) -> None:
+    patch.setattr(ConnectionPool, "has_capacity", always(True))
+
+
+# At most once.
+
+
+@caught_by(forwarding_tests.test_what_may_have_run_is_not_sent_again)
+def sends_unsafe_requests_again(patch: Patch) -> None:
+    patch.setattr(RetryPolicy, "may_run_twice", property(always(True)))
+
+
+@caught_by(lambda: forwarding_tests.test_a_refusal_that_does_not_say_it_did_not_run_may_have_run(503))
+def believes_every_refusal(patch: Patch) -> None:
+    async def read_rejection(self: ResponseRelay, connection: NodeConnection, response: Any) -> RelayOutcome:
+        await self._skip_body(connection, response)
+        return RelayOutcome.REJECTED
+
+    patch.setattr(ResponseRelay, "_read_rejection", read_rejection)
+
+
+@caught_by(forwarding_tests.test_a_refusal_after_a_send_that_may_have_run_promises_nothing)
+def promises_what_it_cannot_know(patch: Patch) -> None:
+    def send_failure(context: ProxyContext, request: InFlightRequest, *, at_deadline: bool = False) -> None:
+        request.client.answer(503, [])
+
+    patch.setattr(exchange, "send_failure", send_failure)
+
+
+@caught_by(forwarding_tests.test_no_more_sends_than_the_route_allows_and_then_a_refusal_with_a_time)
+def sends_as_often_as_it_likes(patch: Patch) -> None:
+    def reserve(self: RetryPolicy) -> bool:
+        now_s = self.context.net.now_s()
+        self._has_reservation = self._has_reservation or self.context.budget.reserve("s", 1, now_s)
+        return self._has_reservation
+
+    patch.setattr(RetryPolicy, "reserve", reserve)
+
+
+@caught_by(forwarding_tests.test_a_connection_that_the_node_has_closed_is_not_used)
+def uses_connections_unseen(patch: Patch) -> None:
+    send = NodeConnection.send
+    patch.setattr(NodeConnection, "is_open", property(always(True)))
+    patch.setattr(NodeConnection, "send", lambda *args, **options: send(*args, **options) or True)
+
+
+@caught_by(forwarding_tests.test_connections_to_nodes_and_of_clients_are_used_again)
+def keeps_connections_too_long(patch: Patch) -> None:
+    patch.setattr(NodeConnection, "is_expiring", always(False))
+
+
+@caught_by(forwarding_tests.test_connections_to_nodes_and_of_clients_are_used_again)
+def connects_for_every_request(patch: Patch) -> None:
+    patch.setattr(NodeConnection, "release", lambda self, _: self.close())
+
+
+# Answers.
+
+
+@caught_by(forwarding_tests.test_a_late_answer_to_another_request_is_read_over)
+def looks_at_no_try(patch: Patch) -> None:
+    async def matching_head(self: ResponseRelay, connection: NodeConnection, _: Any) -> Any:
+        return await connection.read_head()
+
+    patch.setattr(ResponseRelay, "_matching_head", matching_head)
+
+
+@caught_by(forwarding_tests.test_a_success_without_the_nodes_stamp_does_not_reach_a_client)
+def looks_at_no_stamp(patch: Patch) -> None:
+    async def forward_success(self: ResponseRelay, connection: NodeConnection, response: Any, _: Any) -> None:
+        await self._forward_body(connection, response)
+
+    patch.setattr(ResponseRelay, "_forward_success", forward_success)
+
+
+@caught_by(lambda: forwarding_tests.test_an_answer_that_breaks_off_does_not_look_whole(CHUNKED, "close"))
+def ends_what_broke_off(patch: Patch) -> None:
+    def abort(self: ClientConnection) -> None:
+        self.finish()
+        self.close_idle()
+
+    patch.setattr(ClientConnection, "abort", abort)
+
+
+@caught_by(forwarding_tests.test_a_slow_client_holds_the_node_back_and_little_memory)
+def waits_for_no_client(patch: Patch) -> None:
+    async def wait_writable(self: ClientConnection) -> None:
+        return
+
+    patch.setattr(ClientConnection, "wait_writable", wait_writable)
+
+
+@caught_by(forwarding_tests.test_a_client_that_leaves_frees_the_node)
+def works_on_for_nobody(patch: Patch) -> None:
+    patch.setattr(ClientConnection, "connection_lost", lambda self, _: self._owner.disconnected(self))
+
+
+# Streams.
+
+
+@caught_by(lambda: forwarding_tests.test_another_run_that_does_not_go_on_where_it_should_is_not_joined(1))
+def joins_any_runs(patch: Patch) -> None:
+    patch.setattr(EventSequence, "may_follow", always(True))
+
+
+@caught_by(lambda: forwarding_tests.test_another_run_that_does_not_go_on_where_it_should_is_not_joined(5))
+def leaves_events_out_at_a_joint(patch: Patch) -> None:
+    patch.setattr(EventSequence, "begin_stream", always(None))
+
+
+@caught_by(lambda: BROKEN_STREAM(28))
+def passes_parts_of_events(patch: Patch) -> None:
+    patch.setattr(EventSplitter, "feed", lambda self, data: [data] if data else [])
+
+
+@caught_by(lambda: BROKEN_STREAM(28))
+def does_not_say_where_to_go_on(patch: Patch) -> None:
+    headers = forwarded_request._headers
+    patch.setattr(
+        forwarded_request,
+        "_headers",
+        lambda *args: (header for header in headers(*args) if header[0] != "Last-Event-Id"),
+    )
+
+
+@caught_by(forwarding_tests.test_a_resumable_stream_leaves_a_node_that_went_silent_and_an_unsafe_one_does_not)
+def leaves_no_silent_node(patch: Patch) -> None:
+    patch.setattr(stall_policy, "_may_abandon", always(False))
+
+
+@pytest.mark.parametrize("name", VARIANTS)
+def test_a_broken_variant_is_caught(name: str, monkeypatch: Patch) -> None:
+    variant, check = VARIANTS[name]
+    check()
+    variant(monkeypatch)
+    with pytest.raises((AssertionError, pytest.fail.Exception)):
+        check()
--- a/tests/serving/proxy/test_event_stream_joints.py
+++ b/tests/serving/proxy/test_event_stream.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.serving.proxy.event_stream import EventCutter, EventOrder, event_id
+from coveport.serving.proxy.event_stream import EventSequence, EventSplitter, event_id
 
 LINE = st.binary(min_size=1, max_size=6).filter(lambda line: b"\n" not in line and b"\r" not in line)
 LINES = st.lists(LINE, max_size=4)
@@ -31,20 +31,20 @@
     data, count = stream
     tail = tail.replace(b"\n", b"").replace(b"\r", b"")
     edges = sorted({0, len(data) + len(tail), *(cut for cut in cuts if cut < len(data) + len(tail))})
-    cutter = EventCutter()
+    splitter = EventSplitter()
     events = []
     for begin, end in pairwise(edges):
-        events += cutter.feed((data + tail)[begin:end])
-    assert b"".join(events) == data and bytes(cutter.rest) == tail
+        events += splitter.feed((data + tail)[begin:end])
+    assert b"".join(events) == data and bytes(splitter.incomplete) == tail
     assert len(events) == count
     assert [event_id(event) for event in events] == [str(number) for number in range(count)]
 
 
 def test_a_carriage_return_that_comes_late_belongs_to_its_event() -> None:
-    cutter = EventCutter()
-    assert cutter.feed(b"id: 1\r\n\r") == []
-    assert cutter.feed(b"\nid: 2\r\n") == [b"id: 1\r\n\r\n"]
-    assert bytes(cutter.rest) == b"id: 2\r\n"
+    splitter = EventSplitter()
+    assert splitter.feed(b"id: 1\r\n\r") == []
+    assert splitter.feed(b"\nid: 2\r\n") == [b"id: 1\r\n\r\n"]
+    assert bytes(splitter.incomplete) == b"id: 2\r\n"
 
 
 def test_ids_are_found_at_the_beginning_of_a_line_alone() -> None:
@@ -57,37 +57,37 @@
     return b"id: %d\ndata: x\n\n" % number
 
 
-def passed(*numbers: int, last: str | None = None) -> EventOrder:
-    order = EventOrder(last)
-    order.begin_run()
+def passed(*numbers: int, last: str | None = None) -> EventSequence:
+    sequence = EventSequence(last)
+    sequence.begin_stream()
     for number in numbers:
-        assert order.follows(event(number))
-        order.note_passed(event(number))
-    return order
+        assert sequence.may_follow(event(number))
+        sequence.record_forwarded(event(number))
+    return sequence
 
 
 def test_ids_rise() -> None:
-    order = passed(1, 2, 3)
-    assert not order.follows(event(3)) and not order.follows(event(2))
-    assert order.follows(event(4)) and order.follows(b"data: without an id\n\n")
+    sequence = passed(1, 2, 3)
+    assert not sequence.may_follow(event(3)) and not sequence.may_follow(event(2))
+    assert sequence.may_follow(event(4)) and sequence.may_follow(b"data: without an id\n\n")
 
 
 def test_a_joint_leaves_nothing_out() -> None:
-    order = passed(5, 10, 15)
-    assert order.follows(event(25))  # a run may do as it likes
-    order.begin_run()
-    assert not order.follows(event(25))
-    assert order.follows(event(20)) and order.follows(event(17))  # the last event may hold less
-    order.note_passed(event(20))
-    assert order.last_id == "20" and order.follows(event(40))
+    sequence = passed(5, 10, 15)
+    assert sequence.may_follow(event(25))  # a run may do as it likes
+    sequence.begin_stream()
+    assert not sequence.may_follow(event(25))
+    assert sequence.may_follow(event(20)) and sequence.may_follow(event(17))  # the last event may hold less
+    sequence.record_forwarded(event(20))
+    assert sequence.last_id == "20" and sequence.may_follow(event(40))
 
 
 def test_what_the_client_has_counts() -> None:
-    order = passed(last="12")
-    assert not order.follows(event(12)) and order.follows(event(13))
+    sequence = passed(last="12")
+    assert not sequence.may_follow(event(12)) and sequence.may_follow(event(13))
 
 
 def test_ids_that_are_no_numbers_are_kept_and_not_compared() -> None:
-    order = EventOrder()
-    order.note_passed(b"id: one\n\n")
-    assert order.last_id == "one" and order.follows(b"id: a\n\n")
+    sequence = EventSequence()
+    sequence.record_forwarded(b"id: one\n\n")
+    assert sequence.last_id == "one" and sequence.may_follow(b"id: a\n\n")
--- a/tests/serving/proxy/test_hostile_nodes.py
+++ b/tests/serving/proxy/test_hostile_nodes.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from proxy_ground import Ground
+from proxy_environment import ProxyEnvironment
 from scripted_node import Arrival, ScriptedClient
 
 from coveport.http1 import codec
@@ -89,19 +89,19 @@
 def exchange(seed: int) -> int:
     """Some clients against some hostile nodes; how many answers were whole."""
     random = Random(seed)
-    ground = Ground()
+    environment = ProxyEnvironment()
     hostile = Hostile(random)
     for _ in range(random.randrange(1, 5)):
-        ground.node(hostile.answer)
+        environment.node(hostile.answer)
     asked: list[tuple[ScriptedClient, int, str, str]] = []
     for number in range(random.randrange(1, 4)):
-        client = ground.client()
+        client = environment.client()
         for turn in range(random.randrange(1, 4)):
             try_id, path = f"try{seed}c{number}t{turn}", random.choice(PATHS)
             client.ask(path, try_id=try_id)
             asked.append((client, turn, try_id, path))
-        ground.sleep(random.choice([0.0, 0.01, 0.2]))
-    ground.sleep(12.0)
+        environment.sleep(random.choice([0.0, 0.01, 0.2]))
+    environment.sleep(12.0)
     served = 0
     for client, turn, try_id, path in asked:
         if path == "/u/x":
@@ -119,7 +119,7 @@
                 assert not hostile.runs.get(try_id)
     for client in {id(client): client for client, *_ in asked}.values():
         check_client(client, {try_id for other, _, try_id, _ in asked if other is client})
-    ground.check()
+    environment.check()
     return served
 
 
--- /dev/null
+++ b/tests/serving/proxy/test_latency_estimate.py
@@ -0,0 +1,90 @@
+"""Saturated and silent nodes, told by this proxy's own streams."""
+
+from __future__ import annotations
+
+from coveport.serving.proxy.latency_estimate import UNRESPONSIVE_S, LatencyEstimator
+
+GAP_TARGET_S = 0.4
+
+
+def stream(latency: LatencyEstimator, node: str, gap_s: float, gap_count: int, from_s: float = 0.0) -> float:
+    now_s = from_s
+    latency.record_received(node, None, now_s)
+    for _ in range(gap_count):
+        now_s += gap_s
+        latency.record_received(node, gap_s, now_s)
+    return now_s
+
+
+def test_ordinary_pauses_do_not_saturate() -> None:
+    latency = LatencyEstimator()
+    end_s = stream(latency, "n", 0.03, 60)
+    assert not latency.is_saturated("n", GAP_TARGET_S, end_s)
+
+
+def test_long_pauses_in_a_row_saturate_and_quick_ones_end_it() -> None:
+    latency = LatencyEstimator()
+    end_s = stream(latency, "n", 0.31, 6)
+    assert latency.is_saturated("n", GAP_TARGET_S, end_s)
+    end_s = stream(latency, "n", 0.03, 20, end_s)
+    assert not latency.is_saturated("n", GAP_TARGET_S, end_s)
+
+
+def test_one_long_pause_among_many_events_is_no_saturation() -> None:
+    latency = LatencyEstimator()
+    end_s = stream(latency, "n", 0.03, 30)
+    latency.record_received("n", 0.35, end_s + 0.35)
+    assert not latency.is_saturated("n", GAP_TARGET_S, end_s + 0.35)
+
+
+def test_what_was_seen_long_ago_is_forgotten() -> None:
+    latency = LatencyEstimator()
+    end_s = stream(latency, "n", 0.31, 6)
+    assert not latency.is_saturated("n", GAP_TARGET_S, end_s + 5.0)
+
+
+def test_a_route_without_a_bound_on_pauses_knows_no_saturation() -> None:
+    latency = LatencyEstimator()
+    end_s = stream(latency, "n", 3.0, 6)
+    assert not latency.is_saturated("n", 0.0, end_s)
+
+
+def test_a_node_that_owes_and_says_nothing_is_silent() -> None:
+    latency = LatencyEstimator()
+    latency.record_sent("n", 10.0)
+    assert latency.unresponsive(9.99 + UNRESPONSIVE_S) == []
+    assert latency.unresponsive(10.1 + UNRESPONSIVE_S) == ["n"]
+
+
+def test_whoever_owes_nothing_is_not_silent() -> None:
+    latency = LatencyEstimator()
+    latency.record_sent("n", 10.0)
+    latency.record_ended("n")
+    assert latency.unresponsive(20.0) == []
+
+
+def test_any_bytes_and_a_connect_end_the_silence() -> None:
+    latency = LatencyEstimator()
+    latency.record_sent("n", 10.0)
+    latency.record_received("n", None, 11.0)
+    assert latency.unresponsive(11.5) == []
+    latency.record_reachable("n", 12.0)
+    assert latency.unresponsive(12.5) == []
+    assert latency.unresponsive(12.1 + UNRESPONSIVE_S) == ["n"]
+
+
+def test_further_requests_do_not_put_the_silence_off() -> None:
+    latency = LatencyEstimator()
+    for now_s in (10.0, 10.3, 10.6, 10.9):
+        latency.record_sent("n", now_s)
+    assert latency.unresponsive(10.1 + UNRESPONSIVE_S) == ["n"]
+
+
+def test_a_node_that_is_gone_is_remembered_while_it_owes() -> None:
+    latency = LatencyEstimator()
+    latency.record_sent("n", 10.0)
+    latency.forget_all_but(frozenset())
+    assert latency.unresponsive(12.0) == ["n"]
+    latency.record_ended("n")
+    latency.forget_all_but(frozenset())
+    assert latency.unresponsive(12.0) == []
--- a/tests/serving/proxy/test_node_directory.py
+++ b/tests/serving/proxy/test_node_directory.py
@@ -5,7 +5,7 @@
 import pytest
 
 from coveport.serving.model.node import Node, NodeState
-from coveport.serving.proxy.node_directory import DEPARTED_MOST, DEPARTED_TOLD_S, NodeDirectory, Nodes
+from coveport.serving.proxy.node_directory import MAX_TOMBSTONES, TOMBSTONE_REPORT_S, NodeDirectory, Nodes
 from coveport.serving.wire.messages import Update
 
 
@@ -70,8 +70,8 @@
 
 def test_a_coordinator_asked_anew_is_told_who_left_lately_and_the_memory_is_bounded() -> None:
     directory, _ = run(update(deregistered=("i-1",)))
-    assert directory.departed_lately(DEPARTED_TOLD_S) == ("i-1",)
-    assert directory.departed_lately(DEPARTED_TOLD_S + 0.1) == ()
-    many = tuple(f"i-{number}" for number in range(DEPARTED_MOST + 50))
+    assert directory.recently_deregistered(TOMBSTONE_REPORT_S) == ("i-1",)
+    assert directory.recently_deregistered(TOMBSTONE_REPORT_S + 0.1) == ()
+    many = tuple(f"i-{number}" for number in range(MAX_TOMBSTONES + 50))
     directory, _ = run(update(deregistered=many))
-    assert len(directory.departed_lately(0.0)) == DEPARTED_MOST
+    assert len(directory.recently_deregistered(0.0)) == MAX_TOMBSTONES
--- /dev/null
+++ b/tests/serving/proxy/test_node_selection.py
@@ -0,0 +1,257 @@
+"""Which node takes a request: two draws, localities, and an independent model of both."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import replace
+from random import Random
+from typing import Any
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from coveport.balancing.locality import less_busy_of_two
+from coveport.serving.model.configuration import Route, RouteKind, Service, WeightedService
+from coveport.serving.model.node import Node, NodeState
+from coveport.serving.model.view import ControlView, KnownNode
+from coveport.serving.proxy.latency_estimate import LatencyEstimator
+from coveport.serving.proxy.node_selection import LONG_PREFILL_TOKENS, NodeSelector, NoNode
+from coveport.serving.proxy.outlier_ejection import OutlierDetector
+from coveport.serving.proxy.prompt_segments import PromptSegment
+from coveport.serving.proxy.routed_request import RoutedRequest
+from coveport.serving.proxy.slow_start import SlowStartLimiter
+
+NOW = 100.0
+FOREVER = float("inf")
+SERVICE = Service("s")
+ROUTE = Route("r", "h", "/", RouteKind.SAFE, 1000, services=(WeightedService("s", 1),))
+
+
+class StubPool:
+    """A pool whose nodes have capacity unless a test says otherwise."""
+
+    def __init__(self) -> None:
+        self.full: set[str] = set()
+
+    def has_capacity(self, incarnation: str, max_connections: int) -> bool:
+        return incarnation not in self.full
+
+
+def known(name: str, region: str = "r", zone: str = "z", **how: object) -> KnownNode:
+    node = Node(name, 1, "s", "10.0.0.1:80", zone, region, 64, NodeState.ACCEPTING)
+    times = {key: how.pop(key) for key in ("warming_until_s", "shutdown_at_s") if key in how}
+    base = KnownNode(replace(node, **how), NOW, 0.0, FOREVER)  # type: ignore[arg-type]
+    return replace(base, **times)  # type: ignore[arg-type]
+
+
+def make_selector(*nodes: KnownNode, seed: int = 1, **bounds: float) -> NodeSelector:
+    view = ControlView()
+    for node in nodes:
+        view.nodes = view.nodes.set(node.node.incarnation, node)
+    random = Random(seed)
+    slow_start = SlowStartLimiter(bounds.get("overshoot", 1.0), bounds.get("slack", 0.0), random)
+    pool: Any = StubPool()
+    return NodeSelector(view, "r", random, OutlierDetector(random), slow_start, pool, LatencyEstimator())
+
+
+def choose_once(
+    selector: NodeSelector, routed: RoutedRequest | None = None, now_s: float = NOW
+) -> str | NoNode:
+    found = selector.choose(routed or RoutedRequest(ROUTE, SERVICE), (), now_s)
+    return found if isinstance(found, NoNode) else found.node.incarnation
+
+
+def test_of_two_the_less_busy_takes_the_request() -> None:
+    loads = {"a": 3, "b": 1}
+    assert {less_busy_of_two("ab", loads, Random(seed)) for seed in range(50)} == {"b"}
+
+
+def test_each_pair_is_drawn_alike_and_ties_are_broken_at_random() -> None:
+    random = Random(3)
+    # a has 0, b 1, c 2: of the pairs ab, ac, bc the winners are a, a, b.
+    counts = Counter(less_busy_of_two("abc", {"b": 1, "c": 2}, random) for _ in range(6000))
+    assert counts["c"] == 0
+    assert abs(counts["a"] - 4000) < 200
+    ties = Counter(less_busy_of_two("abcd", {}, random) for _ in range(8000))
+    assert all(abs(ties[name] - 2000) < 200 for name in "abcd")
+
+
+def test_a_tie_break_decides_ties_alone() -> None:
+    random = Random(3)
+    for _ in range(50):
+        assert less_busy_of_two("ab", {}, random, lambda first, second: "a") == "a"
+        assert less_busy_of_two("ab", {"a": 1}, random, lambda first, second: "a") == "b"
+    assert {less_busy_of_two("ab", {}, random, lambda first, second: None) for _ in range(50)} == {"a", "b"}
+
+
+def test_one_candidate_needs_no_draw() -> None:
+    assert less_busy_of_two(["a"], {"a": 9}, Random(1)) == "a"
+
+
+def test_bad_ends_empty_the_own_level_and_a_trial_refills_it() -> None:
+    selector = make_selector(known("near"), known("far", "q"))
+    selector.outliers.record_broken_response("near", NOW)
+    assert choose_once(selector) == "near"  # one alone may be chance
+    selector.outliers.record_broken_response("near", NOW)
+    assert choose_once(selector) == "far"
+    later = NOW + 1.0
+    assert choose_once(selector, now_s=later) == "near"  # a trial is due
+    near = selector.view.nodes["near"]
+    selector.record_selected(near, RoutedRequest(ROUTE, SERVICE), later)
+    assert choose_once(selector, now_s=later) == "far"  # one at a time
+    selector.outliers.record_recovered("near")
+    assert choose_once(selector, now_s=later) == "near"
+
+
+def test_the_wait_before_a_trial_doubles_up_to_a_bound() -> None:
+    outliers = OutlierDetector(Random(1))
+    waits = []
+    now = NOW
+    for _ in range(12):
+        outliers.record_unreachable("a", now)
+        began = now
+        while not outliers.due_health_checks(now):
+            now += 0.01
+        waits.append(now - began)
+        assert outliers.is_ejected("a", now)  # the trial is a connect, no request
+    assert 0.29 < waits[0] < 0.52 and 0.58 < waits[1] < 1.02
+    assert all(2.9 < wait < 5.1 for wait in waits[5:])
+    outliers.record_recovered("a")
+    assert not outliers.is_ejected("a", now)
+    assert outliers.due_health_checks(now + 100) == []
+
+
+def test_a_refusal_takes_a_node_out_for_a_moment_only() -> None:
+    selector = make_selector(known("near"), known("far", "q"))
+    for _ in range(5):
+        selector.outliers.record_at_capacity("near", NOW)
+    assert choose_once(selector) == "far"
+    assert choose_once(selector, now_s=NOW + 0.2) == "near"
+
+
+def test_a_strained_node_belongs_to_no_level_for_long_prompts() -> None:
+    selector = make_selector(known("slow"), known("swift"), known("far", "q"))
+    selector.overload.record_gap("slow", 0.39, None, 0.4, NOW)
+    route = replace(ROUTE, inter_token_target_ms=400)
+    long = RoutedRequest(route, SERVICE, (PromptSegment("p", LONG_PREFILL_TOKENS),))
+    short = RoutedRequest(route, SERVICE, (PromptSegment("p", LONG_PREFILL_TOKENS - 1),))
+
+    def all_chosen(routed: RoutedRequest) -> set[object]:
+        found = [selector.choose(routed, (), NOW) for _ in range(50)]
+        return {known.node.incarnation for known in found if not isinstance(known, NoNode)}
+
+    assert all_chosen(long) == {"swift"}
+    assert all_chosen(short) == {"slow", "swift"}
+    for _ in range(2):
+        selector.outliers.record_broken_response("swift", NOW)
+    assert all_chosen(long) == {"far"}  # its own level is empty for it
+    assert all_chosen(short) == {"slow"}
+    selector.overload.record_gap("far", 0.39, None, 0.4, NOW)
+    assert all_chosen(long) == {"slow"}  # none is fit: as if none were strained
+
+
+def test_where_bad_ends_alone_keep_all_out_they_are_tried() -> None:
+    selector = make_selector(known("near"), known("far", "q"))
+    for name in ("near", "far"):
+        selector.outliers.record_unreachable(name, NOW)
+    assert choose_once(selector) == "near"
+    selector.outliers.record_at_capacity(
+        "near", NOW
+    )  # it lives and is full: not tried, but no reason to try others either
+    assert choose_once(selector) is NoNode.ALL_AT_CAPACITY
+
+
+def test_nodes_that_broke_this_request_off_come_last() -> None:
+    selector = make_selector(known("a"), known("b"))
+    routed = RoutedRequest(ROUTE, SERVICE)
+    for _ in range(20):
+        found = selector.choose(routed, {"a"}, NOW)
+        assert not isinstance(found, NoNode) and found.node.incarnation == "b"
+    alone = make_selector(known("a"))
+    found = alone.choose(routed, {"a"}, NOW)
+    assert not isinstance(found, NoNode) and found.node.incarnation == "a"
+
+
+def test_ties_go_where_the_prompt_was_read() -> None:
+    selector = make_selector(known("a"), known("b"))
+    segments = (PromptSegment("11", 800), PromptSegment("22", 100))
+    routed = RoutedRequest(ROUTE, SERVICE, segments)
+    selector.prefix_cache.record_sent((segments[0],), "a")
+    selector.prefix_cache.record_sent(segments, "b")
+    assert {choose_once(selector, routed) for _ in range(20)} == {"b"}
+    selector.in_flight["b"] = 1
+    assert {choose_once(selector, routed) for _ in range(20)} == {"a"}
+
+
+@st.composite
+def worlds(draw: st.DrawFn) -> tuple[NodeSelector, Route, frozenset[str]]:
+    """Nodes in any state, and a route with or without homes."""
+    nodes = []
+    for number in range(draw(st.integers(0, 7))):
+        region = draw(st.sampled_from(["r", "q", "p"]))
+        nodes.append(
+            known(
+                f"n{number}",
+                region,
+                f"zone-{region}-{draw(st.integers(1, 2))}",
+                service=draw(st.sampled_from(["s", "s", "s", "other"])),
+                state=draw(st.sampled_from([NodeState.ACCEPTING, NodeState.ACCEPTING, NodeState.DRAINING])),
+                shutdown_at_s=draw(st.sampled_from([FOREVER, FOREVER, NOW - 1, NOW + 1])),
+            )
+        )
+    selector = make_selector(*nodes, seed=draw(st.integers(0, 1000)))
+    names = [node.node.incarnation for node in nodes]
+    selector.view.evacuated_zones = frozenset(draw(st.sets(st.sampled_from(["zone-r-1", "zone-q-1"]))))
+    if names:
+        selector.pool.full = draw(st.sets(st.sampled_from(names)))  # type: ignore[attr-defined]
+        for name in draw(st.sets(st.sampled_from(names))):
+            selector.outliers.record_unreachable(name, NOW)
+        for name in draw(st.sets(st.sampled_from(names))):
+            selector.in_flight[name] = draw(st.integers(1, 4))
+        homes = draw(st.sampled_from([frozenset[str](), frozenset({"q"}), frozenset({"r", "p"})]))
+    else:
+        homes = frozenset()
+    return selector, replace(ROUTE, home_regions=homes), homes
+
+
+def model(selector: NodeSelector, homes: frozenset[str]) -> set[str]:
+    """Who may be chosen, restated from the design's page, without the program's own routing."""
+    out, full = {n for n in selector.view.nodes if selector.outliers.is_ejected(n, NOW)}, selector.pool.full  # type: ignore[attr-defined]
+    allowed = {
+        name: each.node.region
+        for name, each in selector.view.nodes.items()
+        if each.node.service == "s"
+        and each.node.state.value == "accepting"
+        and each.node.zone not in selector.view.evacuated_zones
+        and each.shutdown_at_s > NOW
+        and (each.node.region in homes or not homes)
+    }
+    barred = full if allowed.keys() <= out else full | out
+    usable = allowed.keys() - barred
+    level = {name for name in usable if allowed[name] == "r"} or usable
+    if len(level) <= 1:
+        return set(level)
+    loads = {name: selector.in_flight.get(name, 0) for name in level}
+    # Of two drawn the busier never wins: whoever is busier than all others is never chosen.
+    lowest_but_one = sorted(loads.values())[-2]
+    return {name for name in level if loads[name] <= lowest_but_one}
+
+
+@settings(max_examples=300)
+@given(worlds())
+def test_an_independent_model_allows_the_choice(world: tuple[NodeSelector, Route, frozenset[str]]) -> None:
+    selector, route, homes = world
+    allowed = model(selector, homes)
+    seen = {choose_once(selector, RoutedRequest(route, SERVICE)) for _ in range(12)}
+    if not allowed:
+        assert all(isinstance(each, NoNode) for each in seen)
+    else:
+        assert seen <= allowed
+
+
+@pytest.mark.parametrize("nodes", [2, 3, 6])
+def test_everyone_whom_the_model_allows_is_chosen_sometimes(nodes: int) -> None:
+    selector = make_selector(*(known(f"n{number}") for number in range(nodes)), known("far", "q"))
+    selector.in_flight.update({"n0": 2, "n1": 1})
+    assert {choose_once(selector) for _ in range(400)} == model(selector, frozenset())
--- /dev/null
+++ b/tests/serving/proxy/test_prefix_cache.py
@@ -0,0 +1,110 @@
+"""Estimates of the nodes' prefix caches, and affinity."""
+
+from __future__ import annotations
+
+from collections import Counter, defaultdict
+
+from coveport.serving.proxy.prefix_cache import (
+    MAX_SEGMENTS,
+    MIN_AFFINITY_TOKENS,
+    NODES_PER_SEGMENT,
+    PrefixCacheIndex,
+    affinity_candidates,
+)
+from coveport.serving.proxy.prompt_segments import PromptSegment, parse_prompt_segments
+
+SEGMENTS = parse_prompt_segments("5c1e07a2:800,91bd3f06:410, e4402b7d:250")
+
+
+def test_segments_are_parsed_in_order() -> None:
+    assert (
+        PromptSegment("5c1e07a2", 800),
+        PromptSegment("91bd3f06", 410),
+        PromptSegment("e4402b7d", 250),
+    ) == SEGMENTS
+    assert (
+        parse_prompt_segments(None)
+        == parse_prompt_segments("")
+        == parse_prompt_segments("5c:x")
+        == parse_prompt_segments("5c")
+        == ()
+    )
+
+
+def test_a_segment_counts_only_behind_those_before_it() -> None:
+    index = PrefixCacheIndex()
+    index.record_sent(SEGMENTS[1:], "a")
+    assert index.cached_tokens(SEGMENTS, "a") == 0
+    index.record_sent(SEGMENTS[:1], "a")
+    assert index.cached_tokens(SEGMENTS, "a") == 1460
+    index.record_sent(SEGMENTS[:2], "b")
+    assert index.cached_tokens(SEGMENTS, "b") == 1210
+    assert index.preferred_node(SEGMENTS, "a", "b") == "a" == index.preferred_node(SEGMENTS, "b", "a")
+
+
+def test_where_both_have_as_much_cached_all_proxies_prefer_the_same_node_and_segments_spread() -> None:
+    """Each proxy has an index of its own: without an agreed choice every node would prefill every segment."""
+    names = [f"n{number}" for number in range(8)]
+    counts = dict.fromkeys(names, 0)
+    for number in range(400):
+        segments = (PromptSegment(f"p{number}", 100), PromptSegment("own", 10))
+        preferred = {
+            PrefixCacheIndex().preferred_node(segments, "n0", "n1"),
+            PrefixCacheIndex().preferred_node(segments, "n1", "n0"),
+        }
+        assert len(preferred) == 1
+        best = names[0]
+        for name in names[1:]:
+            best = PrefixCacheIndex().preferred_node(segments, best, name) or best
+        counts[best] += 1
+    assert min(counts.values()) > 20
+
+
+def test_a_prompt_without_a_shared_segment_leaves_the_tie_to_the_draw() -> None:
+    assert PrefixCacheIndex().preferred_node((), "a", "b") is None
+    assert PrefixCacheIndex().preferred_node((PromptSegment("own", 10),), "a", "b") is None
+
+
+def test_the_index_is_bounded() -> None:
+    index = PrefixCacheIndex()
+    for number in range(NODES_PER_SEGMENT + 1):
+        index.record_sent(SEGMENTS, f"n{number}")
+    assert index.cached_tokens(SEGMENTS, "n0") == 0
+    assert index.cached_tokens(SEGMENTS, f"n{NODES_PER_SEGMENT}") == 1460
+    for number in range(MAX_SEGMENTS):
+        index.record_sent((PromptSegment(f"p{number}", 1),), "n1")
+    assert index.cached_tokens(SEGMENTS, "n1") == 0
+    assert index.cached_tokens((PromptSegment("p0", 1),), "n1") == 1
+
+
+def test_uncached_tokens_are_the_prompt_less_the_leading_cached_segments() -> None:
+    index = PrefixCacheIndex()
+    assert index.uncached_tokens(SEGMENTS, "a") == 1460
+    index.record_sent(SEGMENTS[:2], "a")
+    assert index.uncached_tokens(SEGMENTS, "a") == 250
+
+
+def test_prompts_with_long_shared_prefixes_keep_to_few_nodes_and_others_go_anywhere() -> None:
+    names = tuple(f"n{number}" for number in range(8))
+    long = (PromptSegment("a", MIN_AFFINITY_TOKENS - 10), PromptSegment("b", 10), PromptSegment("own", 5000))
+    short = (PromptSegment("a", MIN_AFFINITY_TOKENS - 11), PromptSegment("b", 10), PromptSegment("own", 5000))
+    kept = affinity_candidates(long, names, 2)
+    assert len(kept) == 2 and set(kept) == set(affinity_candidates(long, names[::-1], 2))
+    assert affinity_candidates(short, names, 2) == names == affinity_candidates((), names, 2)
+    assert affinity_candidates(long, names[:2], 2) == names[:2]
+
+
+def test_every_node_gets_its_share_of_the_segments_and_their_second_choices_spread() -> None:
+    """A checksum gave one of 36 nodes three times its share, and all segments of a node one second choice."""
+    names = [f"i-{number * 7919:08x}" for number in range(36)]
+    first: Counter[str] = Counter()
+    second: dict[str, Counter[str]] = defaultdict(Counter)
+    for number in range(7200):
+        segments = (PromptSegment(f"{number * 104729:010x}", MIN_AFFINITY_TOKENS), PromptSegment("own", 10))
+        top, other = affinity_candidates(segments, names, 2)
+        first[top] += 1
+        second[top][other] += 1
+    share = 7200 / len(names)
+    assert 0.7 * share < min(first[name] for name in names)
+    assert max(first.values()) < 1.3 * share
+    assert all(max(others.values()) < 0.15 * sum(others.values()) for others in second.values())
--- a/tests/serving/proxy/test_real_sockets.py
+++ b/tests/serving/proxy/test_real_sockets.py
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from proxy_ground import FOREVER, RESUMABLE, SAFE, SERVICE, UNSAFE_STREAM
+from proxy_environment import FOREVER, RESUMABLE, SAFE, SERVICE, UNSAFE_STREAM
 from scripted_node import Arrival, Script, ScriptedClient, ScriptedNode, event_bytes
 
 from coveport.net.transport import Net
@@ -29,7 +29,7 @@
         return port
 
 
-class RealGround:
+class RealEnvironment:
     """One proxy, some nodes and clients in one loop."""
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
             clients=(HOST, self.port),
             bounds=Bounds(retry_slack=58),
         )
-        self.data_path = DataPath(self.net, settings, self.view, None, Random(1))
+        self.data_path = DataPath(self.net, settings, self.view, Random(1))
         self.nodes: list[ScriptedNode] = []
 
     async def node(self, script: Script) -> ScriptedNode:
@@ -72,16 +72,16 @@
         return client
 
 
-def play(day: Callable[[RealGround], Awaitable[None]]) -> None:
+def play(day: Callable[[RealEnvironment], Awaitable[None]]) -> None:
     """Run a test's own day."""
 
     async def run() -> None:
-        ground = RealGround()
+        environment = RealEnvironment()
         problems: list[dict[str, object]] = []
-        ground.net.loop.set_exception_handler(lambda _, context: problems.append(context))
-        await ground.data_path.start()
-        await day(ground)
-        await ground.data_path.drain(ground.net.now_s())
+        environment.net.loop.set_exception_handler(lambda _, context: problems.append(context))
+        await environment.data_path.start()
+        await day(environment)
+        await environment.data_path.drain(environment.net.now_s())
         assert problems == []
 
     asyncio.run(asyncio.wait_for(run(), LONG_S))
@@ -99,9 +99,9 @@
 
 
 def test_a_large_body_goes_through_whole_and_comes_back() -> None:
-    async def day(ground: RealGround) -> None:
-        await ground.node(lambda arrival: arrival.whole(arrival.request.body))
-        client = await ground.client()
+    async def day(environment: RealEnvironment) -> None:
+        await environment.node(lambda arrival: arrival.whole(arrival.request.body))
+        client = await environment.client()
         body = Random(1).randbytes(4 * 1024 * 1024)
         for number in range(2):
             client.ask("/u/x", body=body)
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("cut", [0, 5, 30, 75])
 def test_a_stream_that_is_reset_goes_on_at_another_node(cut: int) -> None:
-    async def day(ground: RealGround) -> None:
+    async def day(environment: RealEnvironment) -> None:
         arrivals: list[Arrival] = []
 
         async def script(arrival: Arrival) -> None:
@@ -126,11 +126,11 @@
                 arrival.connection.write(b"%x\r\n%b\r\n" % (cut, ALL_SIX[:cut]))
             transport = arrival.connection.transport
             assert transport is not None
-            ground.net.reset(transport)
+            environment.net.reset(transport)
 
         for _ in range(2):
-            await ground.node(script)
-        client = await ground.client()
+            await environment.node(script)
+        client = await environment.client()
         client.ask("/a/x")
         answer = await client.answer()
         assert answer is not None and answer.body == ALL_SIX
@@ -140,26 +140,26 @@
 
 
 def test_a_connect_that_is_refused_costs_no_attempt() -> None:
-    async def day(ground: RealGround) -> None:
-        assert ground.view.configuration is not None
+    async def day(environment: RealEnvironment) -> None:
+        assert environment.view.configuration is not None
         once = replace(UNSAFE_STREAM, max_attempts=1)
-        ground.view.configuration = replace(ground.view.configuration, routes=(once,))
-        await ground.node(lambda arrival: arrival.whole())
-        known = ground.view.nodes["i-0"]
+        environment.view.configuration = replace(environment.view.configuration, routes=(once,))
+        await environment.node(lambda arrival: arrival.whole())
+        known = environment.view.nodes["i-0"]
         gone = replace(known.node, incarnation="i-gone", address=f"{HOST}:{free_port()}")
-        ground.view.nodes = ground.view.nodes.set("i-gone", replace(known, node=gone))
-        client = await ground.client()
+        environment.view.nodes = environment.view.nodes.set("i-gone", replace(known, node=gone))
+        client = await environment.client()
         for number in range(8):
             client.ask("/u/x")
             answer = await client.answer(number)
             assert answer is not None and answer.status == 200
-        assert ground.data_path.figures().get("connects_failed", 0) == 1
+        assert environment.data_path.metrics().get("connects_failed", 0) == 1
 
     play(day)
 
 
 def test_a_drain_ends_when_all_is_answered() -> None:
-    async def day(ground: RealGround) -> None:
+    async def day(environment: RealEnvironment) -> None:
         going_on = asyncio.Event()
 
         async def script(arrival: Arrival) -> None:
@@ -168,15 +168,15 @@
             await going_on.wait()
             arrival.end_events()
 
-        await ground.node(script)
-        idle, busy = await ground.client(), await ground.client()
+        await environment.node(script)
+        idle, busy = await environment.client(), await environment.client()
         busy.ask("/u/x")
         await busy.has(event_bytes(1))
-        draining = asyncio.ensure_future(ground.data_path.drain(ground.net.now_s() + 8.0))
+        draining = asyncio.ensure_future(environment.data_path.drain(environment.net.now_s() + 8.0))
         await idle.end()
         assert not draining.done()
-        with pytest.raises(OSError):
-            await ground.client()
+        with pytest.raises(ConnectionRefusedError):
+            await environment.client()
         going_on.set()
         answer = await busy.answer()
         assert answer is not None and answer.body == event_bytes(1)
@@ -187,9 +187,9 @@
 
 
 def test_silence_is_bounded_only_while_a_request_may_be_sent_again() -> None:
-    async def day(ground: RealGround) -> None:
+    async def day(environment: RealEnvironment) -> None:
         seen: list[tuple[int, int]] = []
-        bound = ground.net.bound_silence
+        bound = environment.net.bound_silence
 
         def watched(transport: asyncio.Transport, milliseconds: int) -> None:
             bound(transport, milliseconds)
@@ -201,13 +201,13 @@
                 )
             )
 
-        ground.net.bound_silence = watched  # type: ignore[method-assign]
-        await ground.node(lambda arrival: arrival.whole(b"x", 200, ("Keep-Alive", "timeout=9")))
-        client = await ground.client()
+        environment.net.bound_silence = watched  # type: ignore[method-assign]
+        await environment.node(lambda arrival: arrival.whole(b"x", 200, ("Keep-Alive", "timeout=9")))
+        client = await environment.client()
         for number, path in enumerate(("/u/x", "/a/x", "/a/x", "/u/x")):
             client.ask(path)
             assert await client.answer(number) is not None
         assert seen == [(2000, 1), (0, 0)]
-        assert len(ground.nodes[0].connections) == 1
+        assert len(environment.nodes[0].connections) == 1
 
     play(day)
--- a/tests/serving/proxy/test_retry_budget.py
+++ b/tests/serving/proxy/test_retry_budget.py
@@ -39,7 +39,7 @@
     slack = 58.0 if proxies < 20 else 214.0
     budgets = [RetryBudget(RATIO, slack, WINDOW) for _ in range(proxies)]
     requests: list[float] = []
-    repeats: list[float] = []
+    retries: list[float] = []
     steps = 600 if proxies < 50 else 240  # tenths of a second
     for step in range(steps):
         now = step / 10
@@ -50,16 +50,16 @@
         }[shape]
         for budget in budgets:
             if random.random() < min(1.0, rate):
-                budget.note_request("s", now)
+                budget.record_request("s", now)
                 requests.append(now)
             while budget.reserve("s", proxies, now):  # everything fails, always
                 budget.spend("s", now)
-                repeats.append(now)
-    assert len(repeats) > 10 or proxies > 200
+                retries.append(now)
+    assert len(retries) > 10 or proxies > 200
     for step in range(steps):
         begin = step / 10 + 0.05
         counted = max(within(requests, begin - back) for back in (0.0, WINDOW / 2, WINDOW))
-        assert within(repeats, begin) <= RATIO * counted + slack, begin
+        assert within(retries, begin) <= RATIO * counted + slack, begin
 
 
 def within(times: list[float], begin: float) -> int:
--- a/tests/serving/proxy/test_warm_up_credit.py
+++ b/tests/serving/proxy/test_slow_start.py
@@ -9,7 +9,7 @@
 from coveport.serving.model.configuration import Service
 from coveport.serving.model.node import Node, NodeState
 from coveport.serving.model.view import ControlView, KnownNode
-from coveport.serving.proxy.warm_up import WarmUpCredit, is_cold
+from coveport.serving.proxy.slow_start import SlowStartLimiter, is_warming_up
 
 SERVICE = Service("s", warm_up_s=3.0, warm_up_rate=9.8)
 BOUND = 9.8 * 1.5 + 5
@@ -25,7 +25,7 @@
     """Every proxy sends as soon as it may, 50 times a second, each with a way of its own to the node."""
     random = Random(seed)
     view = ControlView(max_proxies=proxies)
-    credits = [WarmUpCredit(1.5, 5, Random(random.random())) for _ in range(proxies)]
+    credits = [SlowStartLimiter(1.5, 5, Random(random.random())) for _ in range(proxies)]
     ways = [random.random() * 0.05 for _ in range(proxies)]
     found = []
     for step in range(int(seconds * 50)):
@@ -34,7 +34,7 @@
         for credit, way in zip(credits, ways, strict=True):
             warm = now < turns_cold_at_s
             if (not warm or step % 50 == 0) and credit.may_send(node, SERVICE, view, now):
-                credit.note_send(node, SERVICE, view, now)
+                credit.record_send(node, SERVICE, view, now)
                 if not warm:
                     found.append(now + way)
     return sorted(found)
@@ -65,25 +65,25 @@
 
 
 def test_a_warm_node_is_not_bounded() -> None:
-    credit, view = WarmUpCredit(1.5, 5, Random(1)), ControlView(max_proxies=9)
+    credit, view = SlowStartLimiter(1.5, 5, Random(1)), ControlView(max_proxies=9)
     for _ in range(200):
         assert credit.may_send(cold(0.0), SERVICE, view, 10.0)
-        credit.note_send(cold(0.0), SERVICE, view, 10.0)
+        credit.record_send(cold(0.0), SERVICE, view, 10.0)
     assert not credit.may_send(cold(20.0), SERVICE, view, 10.5)  # what it had counts once it is cold
 
 
 def test_after_an_evacuation_a_node_counts_as_cold_until_it_is_heard_of() -> None:
     view = ControlView(evacuation_ended_at_s={"z": 10.0})
-    assert is_cold(KnownNode(NODE, 9.0, 0.0, FOREVER), SERVICE, view, 11.0)
-    assert not is_cold(KnownNode(NODE, 10.5, 0.0, FOREVER), SERVICE, view, 11.0)
-    assert is_cold(KnownNode(NODE, 10.5, 12.0, FOREVER), SERVICE, view, 11.0)
-    assert not is_cold(KnownNode(NODE, 9.0, 0.0, FOREVER), SERVICE, view, 13.0)
+    assert is_warming_up(KnownNode(NODE, 9.0, 0.0, FOREVER), SERVICE, view, 11.0)
+    assert not is_warming_up(KnownNode(NODE, 10.5, 0.0, FOREVER), SERVICE, view, 11.0)
+    assert is_warming_up(KnownNode(NODE, 10.5, 12.0, FOREVER), SERVICE, view, 11.0)
+    assert not is_warming_up(KnownNode(NODE, 9.0, 0.0, FOREVER), SERVICE, view, 13.0)
 
 
 def test_what_is_gone_is_forgotten() -> None:
-    credit, view = WarmUpCredit(1.5, 5, Random(1)), ControlView(max_proxies=9)
+    credit, view = SlowStartLimiter(1.5, 5, Random(1)), ControlView(max_proxies=9)
     for _ in range(5):
-        credit.note_send(cold(20.0), SERVICE, view, 10.0)
+        credit.record_send(cold(20.0), SERVICE, view, 10.0)
     assert not credit.may_send(cold(20.0), SERVICE, view, 10.0)
     credit.forget_all_but(frozenset({"n"}))
     assert not credit.may_send(cold(20.0), SERVICE, view, 10.0)
--- a/tests/serving/proxy/test_subscription.py
+++ b/tests/serving/proxy/test_subscription.py
@@ -14,8 +14,8 @@
 from coveport.serving.configuration.state_codec import encode_state
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.model.view import ControlView
-from coveport.serving.proxy.coordinator_choice import CoordinatorChoice
-from coveport.serving.proxy.subscription import ANSWER_S, Subscription
+from coveport.serving.proxy.coordinator_selection import CoordinatorSelector
+from coveport.serving.proxy.subscription import ANSWER_TIMEOUT_S, Subscription
 from coveport.serving.wire.messages import StateChange, Update
 from coveport.testbed.simulated_network.world import Process, World
 
@@ -42,12 +42,12 @@
 
 def made() -> tuple[Subscription, ControlView, Log]:
     view, log = ControlView(), Log()
-    choice = CoordinatorChoice("z", "r", ("10.0.0.1:7300",))
+    selector = CoordinatorSelector("z", "r", ("10.0.0.1:7300",))
 
     def make_lease(round_number: int) -> ProxyLease:
         return ProxyLease("p", "10.0.0.9:80", "z", "r", True, round_number, 1)
 
-    return Subscription(StandingNet(), view, choice, make_lease, log, random.Random(1)), view, log
+    return Subscription(StandingNet(), view, selector, make_lease, log, random.Random(1)), view, log
 
 
 def update(sequence: int, state: bytes | None, *changes: bytes) -> Update:
@@ -63,31 +63,31 @@
 @pytest.mark.parametrize("bad", [REFUSED, NO_COMMAND])
 def test_changes_that_do_not_fit_are_asked_for_as_a_whole_state_once(bad: bytes) -> None:
     subscription, view, log = made()
-    subscription._take(update(3, WHOLE))
-    subscription._take(update(4, None, bad))
+    subscription._apply(update(3, WHOLE))
+    subscription._apply(update(4, None, bad))
     assert view.evacuated_zones == {"a"}, "what it has stays in force"
     assert subscription._request(()).state_sequence == -1
     assert log.events == ["change_rejected"]
-    subscription._take(update(4, encode_state(ControlState(evacuated_zones=frozenset({"a", "b"})))))
+    subscription._apply(update(4, encode_state(ControlState(evacuated_zones=frozenset({"a", "b"})))))
     assert view.evacuated_zones == {"a", "b"}
     assert subscription._request(()).state_sequence == 4
 
 
 def test_a_whole_state_that_cannot_be_read_changes_nothing() -> None:
     subscription, view, log = made()
-    subscription._take(update(3, WHOLE))
-    subscription._take(update(5, WHOLE[:-1] + bytes([WHOLE[-1] ^ 1])))
+    subscription._apply(update(3, WHOLE))
+    subscription._apply(update(5, WHOLE[:-1] + bytes([WHOLE[-1] ^ 1])))
     assert view.evacuated_zones == {"a"}
     assert subscription._request(()).state_sequence == -1
     assert log.events == ["snapshot_rejected"]
-    subscription._take(update(3, WHOLE))
+    subscription._apply(update(3, WHOLE))
     assert view.evacuated_zones == {"a"}, "it never goes back"
 
 
 def test_changes_that_fit_are_taken_in_order() -> None:
     subscription, view, _ = made()
-    subscription._take(update(3, WHOLE))
-    subscription._take(update(5, None, *(encode_command(StartEvacuation(zone)) for zone in "bc")))
+    subscription._apply(update(3, WHOLE))
+    subscription._apply(update(5, None, *(encode_command(StartEvacuation(zone)) for zone in "bc")))
     assert view.evacuated_zones == {"a", "b", "c"}
     assert subscription._request(()).state_sequence == 5
 
@@ -109,8 +109,8 @@
     if heard_every_s:
         world.at(began_s + heard_every_s, hear, process=process)
     answer = update(0, WHOLE)
-    world.at(began_s + answered_at_s, lambda: subscription._answers.put_nowait(answer), process=process)
-    task = process.create_task(subscription._answer_on(connection))  # type: ignore[arg-type]
+    world.at(began_s + answered_at_s, lambda: subscription._updates.put_nowait(answer), process=process)
+    task = process.create_task(subscription._wait_for_update(connection))  # type: ignore[arg-type]
     ended_s: list[float] = []
     task.add_done_callback(lambda _: ended_s.append(world.now))
     world.run(began_s + 60)
@@ -125,4 +125,4 @@
 
 def test_a_coordinator_of_which_nothing_comes_is_left() -> None:
     answer, took_s = wait_for_answer(heard_every_s=0.0, answered_at_s=9.0)
-    assert answer is None and took_s == pytest.approx(ANSWER_S, abs=0.01)
+    assert answer is None and took_s == pytest.approx(ANSWER_TIMEOUT_S, abs=0.01)
--- a/tests/serving/test_log_events.py
+++ b/tests/serving/test_log_events.py
@@ -15,7 +15,7 @@
 PAGE = (ROOT / "docs" / "operators" / "log-events.md").read_text()
 LEVELS = {"debug", "info", "warning", "error", "critical"}
 # Calls that spread a map into keys, and which keys those are.
-CORE, FIGURES = "**view", "**self.data_path.figures()"
+CORE, METRICS = "**view", "**self.data_path.metrics()"
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -105,7 +105,7 @@
 
 def test_the_page_has_what_a_proxy_counts() -> None:
     assert len(counted()) > 10
-    keys = counted() | keys_returned_by(SYSTEM / "proxy" / "data_path.py", "figures")
+    keys = counted() | keys_returned_by(SYSTEM / "proxy" / "data_path.py", "metrics")
     assert table("The keys of `proxy_metrics`") == keys
 
 
@@ -132,7 +132,7 @@
 
 def test_maps_are_spread_into_keys_only_where_the_page_tells_them() -> None:
     spread = {key for event in logged() for key in event.keys if key.startswith("**")}
-    assert spread == {CORE, FIGURES}
+    assert spread == {CORE, METRICS}
 
 
 @pytest.mark.parametrize(
