--- a/tests/sidecar/supervisor/test_supervisor.py
+++ b/tests/sidecar/supervisor/test_supervisor.py
@@ -21,7 +21,8 @@
     Stored,
     Work,
 )
-from coveport.sidecar.leases.lease_client import STATE, LeaseClient
+from coveport.sidecar.leases.keys import STATE_PREFIX
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.store import Done, Entry
 from coveport.sidecar.supervisor.desired_state import Plan
 from coveport.sidecar.supervisor.instance_state import End, State
@@ -39,23 +40,23 @@
         self.name, self.instances, self.entries = "v", dict[str, bytes](), dict[str, Entry]()
         self.lapsed = False
         self.plan = Plan(2, 2)
-        self.on_began: Callable[[str, int], None] = lambda duty, token: None
-        self.on_ended: Callable[[str, int, str], None] = lambda duty, token, why: None
+        self.on_acquired: Callable[[str, int], None] = lambda duty, token: None
+        self.on_lost: Callable[[str, int, str], None] = lambda duty, token, why: None
 
     def start(self) -> None:
         """The duty is ours at once."""
-        self.on_began(DUTY, TOKEN)
+        self.on_acquired(DUTY, TOKEN)
 
-    async def leave(self) -> None:
+    async def close(self) -> None:
         """Nothing to hand on."""
 
-    def holds(self, duty: str) -> int:
+    def usable_token(self, duty: str) -> int:
         """The token."""
         return 0 if self.lapsed else TOKEN
 
     async def read(self, prefix: str) -> Done:
         """The plan as it stands."""
-        key = STATE + DUTY
+        key = STATE_PREFIX + DUTY
         return Done("store", 1, (Entry(key, msgspec.json.encode(self.plan), 1, 1, 0),))
 
 
@@ -124,7 +125,7 @@
         assert hands.done == ["start h-1"], "the second is dropped, and not tried without a lease"
         assert supervisor.crew.members["h-2"].state is State.STARTING
         await work(supervisor, lease_client, hands)
-        supervisor._runner.ended()
+        supervisor._runner.stop()
         await supervisor.leave()
 
     asyncio.run(whole())
@@ -151,7 +152,7 @@
 
 def test_a_dropped_start_is_not_made_up_for_after_another_took_over() -> None:
     async def work(supervisor: Supervisor, lease_client: LapsingClient, hands: LapsingHands) -> None:
-        lease_client.on_ended(DUTY, TOKEN, "lapsed")
+        lease_client.on_lost(DUTY, TOKEN, "lapsed")
         lease_client.lapsed = False
         await asyncio.sleep(3 * TICK_S)
         assert hands.done == ["start h-1"] and not supervisor.crew.members
@@ -162,7 +163,7 @@
 def test_a_dropped_start_that_is_not_wanted_any_more_is_left() -> None:
     async def work(supervisor: Supervisor, lease_client: LapsingClient, hands: LapsingHands) -> None:
         supervisor.crew.planned(time.monotonic(), Plan(1, 1))
-        supervisor._runner.ended()
+        supervisor._runner.stop()
         lease_client.lapsed = False
         await asyncio.sleep(3 * TICK_S)
         assert hands.done == ["start h-1"] and supervisor.crew.members["h-2"].state is State.DOWN
@@ -174,7 +175,7 @@
     async def work(supervisor: Supervisor, lease_client: LapsingClient, hands: LapsingHands) -> None:
         lease_client.lapsed = False
         await until(lambda: len(hands.done) > 1)
-        supervisor._runner.ended()
+        supervisor._runner.stop()
         lease_client.lapsed = False
         supervisor._planned(Plan(0, 0))
         await asyncio.sleep(3 * TICK_S)
