--- a/coveport/serving/cli/day_losses.py
+++ b/coveport/serving/cli/day_losses.py
@@ -1,4 +1,4 @@
-"""Attributes the value and the requests that a played day lost to parts, prices and events. Pure."""
+"""Attributes the value and the requests that a played day lost to components, prices and events. Pure."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueLoss:
-    """Value that is missing at the end, as a share of the whole day's."""
+    """Value that is missing at the end, as a fraction of the whole day's."""
 
     name: str
     value: float
@@ -33,10 +33,10 @@
 
 
 def value_losses(report: DayReport) -> list[ValueLoss]:
-    """Return what the parts of the day's value lack and what the prices took; the largest first."""
-    of_parts = [ValueLoss(part.name, part.lost_value) for part in report.parts]
+    """Return what the components of the day's value lack and what the prices took; the largest first."""
+    of_components = [ValueLoss(component.name, component.lost_value) for component in report.components]
     of_prices = [ValueLoss(price.name, price.value, price.amount) for price in report.prices]
-    return sorted(of_parts + of_prices, key=lambda loss: -loss.value)
+    return sorted(of_components + of_prices, key=lambda loss: -loss.value)
 
 
 def window_losses(report: DayReport) -> list[WindowLoss]:
--- a/coveport/serving/cli/day_report.py
+++ b/coveport/serving/cli/day_report.py
@@ -14,8 +14,8 @@
 import dacite
 
 # Names in the report of what is called otherwise here.
-_DAY_NAMES: Final = {"G": "net_value"}
-_OUTCOME_NAMES: Final = {"n": "requests", "in_aim": "within_target", "worth": "earned_share"}
+_DAY_NAMES: Final = {"G": "net_value", "parts": "components"}
+_OUTCOME_NAMES: Final = {"n": "requests", "in_aim": "within_target", "worth": "earned_fraction"}
 _OUTCOME_LISTS: Final = ("classes", "zones", "windows")
 
 
@@ -36,12 +36,12 @@
     late: int
     refused: int
     failed: int
-    earned_share: float  # of the value of all these requests; between 0 and 1
+    earned_fraction: float  # of the value of all these requests; between 0 and 1
 
     @property
     def lost_requests(self) -> float:
         """Requests that earned nothing, and the fractions that late ones did not earn."""
-        return self.requests * (1.0 - self.earned_share)
+        return self.requests * (1.0 - self.earned_fraction)
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,17 +54,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ValuePart:
-    """One part of the day's value: what its requests earned counts by its weight."""
+class ValueComponent:
+    """One component of the day's value: what its requests earned counts by its weight."""
 
     name: str
-    weight: float  # of all parts, which sum up to 1
-    earned_share: float
+    weight: float  # of all components, which sum up to 1
+    earned_fraction: float
 
     @property
     def lost_value(self) -> float:
-        """The value that the part lacks, as a share of the whole day's."""
-        return self.weight * (1.0 - self.earned_share)
+        """The value that the component lacks, as a fraction of the whole day's."""
+        return self.weight * (1.0 - self.earned_fraction)
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,15 +80,15 @@
 class DayReport:
     """The parts of a report that say where value was lost."""
 
-    net_value: float  # of the parts, less the prices
-    parts: list[ValuePart]
+    net_value: float  # of the components, less the prices
+    components: list[ValueComponent]
     prices: list[Price]
     classes: list[OutcomeCounts]
     zones: list[OutcomeCounts]
     windows: list[OutcomeCounts]  # named by the second at which they begin
     events: list[DayEvent] = field(default_factory=list)
     breaks: dict[str, int] = field(default_factory=dict)  # rules, and how often each was broken
-    fault: str | None = None  # an error of the programs or of the simulation itself
+    fault: str | None = None  # what failed beside the rules; None: nothing
 
 
 def read_report(text: str) -> DayReport | UnreadableReport:
@@ -99,7 +99,7 @@
         return UnreadableReport.NOT_JSON
     if not isinstance(document, dict):
         return UnreadableReport.NOT_A_REPORT
-    config = dacite.Config(type_hooks={float: float, ValuePart: _read_part, Price: _read_price})
+    config = dacite.Config(type_hooks={float: float, ValueComponent: _read_component, Price: _read_price})
     try:
         return dacite.from_dict(DayReport, _with_own_names(document), config)
     except (dacite.DaciteError, TypeError, ValueError):
@@ -121,9 +121,9 @@
     return {names.get(name, name): value for name, value in fields.items()}
 
 
-def _read_part(row: Any) -> ValuePart:
-    name, weight, earned_share = row
-    return ValuePart(_read_name(name), float(weight), float(earned_share))
+def _read_component(row: Any) -> ValueComponent:
+    name, weight, earned_fraction = row
+    return ValueComponent(_read_name(name), float(weight), float(earned_fraction))
 
 
 def _read_price(row: Any) -> Price:
--- a/coveport/serving/cli/explain.py
+++ b/coveport/serving/cli/explain.py
@@ -1,4 +1,4 @@
-"""`explain`: where a played day lost value: by part and price, class, zone, window and event."""
+"""`explain`: where a played day lost value: by component and price, class, zone, window and event."""
 
 from __future__ import annotations
 
@@ -118,7 +118,7 @@
 
 def _counts_row(counts: OutcomeCounts) -> tuple[object, ...]:
     outcomes = (counts.requests, counts.within_target, counts.late, counts.refused, counts.failed)
-    return counts.name, *outcomes, f"{counts.earned_share:.3f}"
+    return counts.name, *outcomes, f"{counts.earned_fraction:.3f}"
 
 
 def _window_row(window: WindowLoss) -> tuple[object, ...]:
--- a/tests/serving/cli/loopback_core.py
+++ b/tests/serving/cli/loopback_core.py
@@ -1,4 +1,4 @@
-"""Coordinators on loopback in a thread: the real calls over the real state, with no replication beneath."""
+"""A coordinator on loopback in a thread: the real API over the real state, without replication."""
 
 from __future__ import annotations
 
@@ -44,19 +44,22 @@
 
 
 class LoopbackCore:
-    """One coordinator; `answers_lost` counts down calls that are taken and then answered by 503."""
+    """One coordinator.
+
+    `responses_lost` counts down the changes that are applied and then answered with 503.
+    """
 
     def __init__(self) -> None:
         self.state = initial_state()
-        self.answers_lost = 0
+        self.responses_lost = 0
         self.changes_sent = 0
 
     async def submit(self, command: bytes) -> ApiResponse:
         self.changes_sent += 1
         outcome = apply(self.state, command)
         self.state = outcome.state if isinstance(outcome, Applied) else self.state
-        if self.answers_lost:
-            self.answers_lost -= 1
+        if self.responses_lost:
+            self.responses_lost -= 1
             return json_response(503, {"Error": "unclear"})
         result = outcome.result
         return json_response(result.status, {"Error": [str(finding) for finding in result.findings]})
@@ -80,7 +83,7 @@
 
 @contextmanager
 def serving(core: LoopbackCore) -> Iterator[str]:
-    """The core answers at the address that is handed out."""
+    """Serve the core, and yield its control address."""
     loop = asyncio.new_event_loop()
     net = Net(loop)
     router = Router(OperatorApi(core, 0, frozenset({"hall"})))
--- a/tests/serving/cli/test_day_explained.py
+++ b/tests/serving/cli/test_day_explained.py
@@ -53,7 +53,7 @@
     return report
 
 
-def test_value_losses_are_those_of_parts_and_prices_the_largest_first() -> None:
+def test_value_losses_are_those_of_components_and_prices_the_largest_first() -> None:
     losses = [(loss.name, round(loss.value, 4), loss.amount) for loss in value_losses(read())]
     assert losses == [
         ("worst windows", 0.15, None),
--- a/tests/serving/cli/test_line_numbers.py
+++ b/tests/serving/cli/test_line_numbers.py
@@ -1,4 +1,4 @@
-"""The line of a place in a text."""
+"""The line of a location in a text."""
 
 from __future__ import annotations
 
@@ -20,56 +20,56 @@
 )
 
 
-def places(value: Any, place: str = "") -> list[str]:
-    """Every place of a value, in the order of its text."""
-    found = [place]
+def locations(value: Any, location: str = "") -> list[str]:
+    """Return every location in a value, in the order of its text."""
+    collected = [location]
     if isinstance(value, list):
         for number, item in enumerate(value):
-            found += places(item, f"{place}[{number}]")
+            collected += locations(item, f"{location}[{number}]")
     elif isinstance(value, dict):
         for key, item in value.items():
-            found += places(item, f"{place}.{key}" if place else key)
-    return found
+            collected += locations(item, f"{location}.{key}" if location else key)
+    return collected
 
 
 def own_line(value: Any, number: int = 1) -> list[tuple[int, str]]:
-    """The line and place of everything that `json.dumps(value, indent=1)` writes on a line of its own."""
+    """Return the line and location of all that `json.dumps(value, indent=1)` writes on its own line."""
     return list(zip(range(number, number + 1000), _lines(value, ""), strict=False))
 
 
-def _lines(value: Any, place: str) -> list[str]:
+def _lines(value: Any, location: str) -> list[str]:
     inside: list[str] = []
     if isinstance(value, list):
         for number, item in enumerate(value):
-            inside += _lines(item, f"{place}[{number}]")
+            inside += _lines(item, f"{location}[{number}]")
     elif isinstance(value, dict):
         for key, item in value.items():
-            inside += _lines(item, f"{place}.{key}" if place else key)
-    return [place, *inside, ""] if inside else [place]
+            inside += _lines(item, f"{location}.{key}" if location else key)
+    return [location, *inside, ""] if inside else [location]
 
 
 @given(JSON_VALUES)
 def test_every_value_has_the_line_it_begins_at(value: Any) -> None:
     lines = json_lines(json.dumps(value, indent=1))
-    assert set(lines) == set(places(value))
-    for number, place in own_line(value):
-        if place and places(value).count(place) == 1:
-            assert lines[place] == number
+    assert set(lines) == set(locations(value))
+    for number, location in own_line(value):
+        if location and locations(value).count(location) == 1:
+            assert lines[location] == number
 
 
-def test_what_is_missing_has_the_line_of_what_is_around() -> None:
+def test_a_missing_location_has_the_line_of_the_value_around_it() -> None:
     lines = json_lines('{\n"Routes": [\n{"Name": "a"},\n{"Name": "b"}\n]}')
     assert line_of("Routes[1].Host", "is missing", lines) == 4
     assert line_of("Routes[1].Name", "is odd", lines) == 4
     assert line_of("Limits.IdleMs", "is missing", lines) == 1
 
 
-def test_a_text_that_can_not_be_read_has_the_line_of_its_error() -> None:
+def test_a_text_that_can_not_be_parsed_has_the_line_of_its_error() -> None:
     assert line_of("", "is not JSON: Expecting ',' delimiter: line 7 column 3 (char 90)", {}) == 7
     assert line_of("", "must be an object", {"": 1}) == 1
 
 
-def test_texts_that_are_no_json_have_some_lines() -> None:
+def test_a_text_that_is_no_json_has_lines_as_far_as_it_can_be_followed() -> None:
     assert json_lines('{"a": [1,\n2') == {"": 1, "a": 1, "a[0]": 1, "a[1]": 2}
     assert json_lines("]]}},,:") == {}
 
--- a/tests/serving/cli/test_operator_docs.py
+++ b/tests/serving/cli/test_operator_docs.py
@@ -1,4 +1,4 @@
-"""The operators' pages name every field, verb and exit code that there is, and no field that isn't."""
+"""The operators' pages have every field, verb and exit code, and no field that doesn't exist."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def first_cells(text: str, heading: str) -> list[str]:
-    """The first column of the table under a heading."""
+    """Return the first column of the table under a heading."""
     after = text.partition(f"| {heading} |")[2].partition("\n\n")[0]
     return re.findall(r"^\| ([^|]+?) \|", after, re.MULTILINE)
 
@@ -43,29 +43,29 @@
 
 
 def test_every_verb_has_its_line() -> None:
-    told = " ".join(first_cells(COMMAND_LINE, "Verb"))
+    documented = " ".join(first_cells(COMMAND_LINE, "Verb"))
     verbs = [name for name in app if not name.startswith("-")]
     assert len(verbs) >= 8
-    assert [verb for verb in verbs if not re.search(rf"`{verb}\b", told)] == []
-    inner = [
+    assert [verb for verb in verbs if not re.search(rf"`{verb}\b", documented)] == []
+    subverbs = [
         f"{verb} {name}" for verb in ("check", "config") for name in app[verb] if not name.startswith("-")
     ]
-    assert len(inner) == 6
-    assert [verb for verb in inner if f"`{verb}" not in told] == []
+    assert len(subverbs) == 6
+    assert [verb for verb in subverbs if f"`{verb}" not in documented] == []
 
 
 def test_every_exit_code_has_its_line() -> None:
     assert first_cells(COMMAND_LINE, "Exit code") == [str(int(code)) for code in ExitCode]
 
 
-def test_every_setting_is_told() -> None:
+def test_every_setting_is_in_the_page() -> None:
     fields = {value for name, value in vars(settings.Boot).items() if name.isupper()}
     assert len(fields) == 16
     assert set(re.findall(r"`(\w+)`", " ".join(first_cells(START, "Field")))) == fields
 
 
 @pytest.mark.parametrize("names", [settings.LISTEN, settings.LIMITS, settings.TOLERATED, settings.BOUNDS])
-def test_every_setting_of_a_table_is_told(names: dict[str, str]) -> None:
+def test_every_setting_of_a_table_is_in_the_page(names: dict[str, str]) -> None:
     assert [name for name in (*names.values(), SETTINGS_VARIABLE) if f"`{name}`" not in START] == []
 
 
--- a/tests/serving/cli/test_operator_verbs.py
+++ b/tests/serving/cli/test_operator_verbs.py
@@ -15,19 +15,19 @@
 
 
 class Verbs:
-    """Runs verbs against a core, and keeps what they printed."""
+    """Runs verbs against a core and keeps what they printed."""
 
     def __init__(
-        self, core: LoopbackCore, address: str, capsys: pytest.CaptureFixture[str], room: Path
+        self, core: LoopbackCore, address: str, capsys: pytest.CaptureFixture[str], folder: Path
     ) -> None:
         self.core = core
         self._address = address
         self._capsys = capsys
-        self._room = room
+        self._folder = folder
         self.out = self.error = ""
 
-    def local(self, *words: str) -> int:
-        """The exit code of a command line."""
+    def run_without_core(self, *words: str) -> int:
+        """Run a command line and return its exit code."""
         with pytest.raises(SystemExit) as ended:
             app(words)
         self.out, self.error = self._capsys.readouterr()
@@ -35,12 +35,12 @@
         return ended.value.code
 
     def run(self, *words: str, within: str = "5") -> int:
-        """... of one that names the core."""
-        return self.local(*words, "--core", self._address, "--within", within)
+        """Run a command line that names the core and return its exit code."""
+        return self.run_without_core(*words, "--core", self._address, "--within", within)
 
     def file(self, content: Any) -> str:
-        """A file that holds a text, or a value as JSON with a line for each field."""
-        path = self._room / "file"
+        """Write a text, or a value as JSON with a line for each field, and return the file's path."""
+        path = self._folder / "file"
         path.write_text(content if isinstance(content, str) else json.dumps(content, indent=1))
         return str(path)
 
@@ -66,7 +66,7 @@
     assert verbs.run("config", "patch", verbs.file(patch)) == 0
     assert verbs.core.state.edition == 9
     assert verbs.run("config", "get") == 0
-    assert [one["Name"] for one in json.loads(verbs.out)["Routes"]] == ["shared", "new"]
+    assert [item["Name"] for item in json.loads(verbs.out)["Routes"]] == ["shared", "new"]
 
 
 def test_a_faulty_configuration_is_not_sent_and_its_findings_have_lines(verbs: Verbs) -> None:
@@ -80,8 +80,8 @@
         f"{file}:{service_line}: Routes[1].Service: there is no service 'none'",
     ]
     for words in (("config", "put"), ("check", "configuration")):
-        ran = verbs.run(*words, file) if words[0] == "config" else verbs.local(*words, file)
-        assert ran == 2
+        exit_code = verbs.run(*words, file) if words[0] == "config" else verbs.run_without_core(*words, file)
+        assert exit_code == 2
         assert verbs.error.splitlines() == expected
     assert verbs.core.changes_sent == 0
 
@@ -96,34 +96,34 @@
     assert verbs.core.changes_sent == 0
 
 
-def test_a_stale_change_is_refused_with_the_reason(verbs: Verbs) -> None:
+def test_a_stale_change_is_rejected_with_the_reason(verbs: Verbs) -> None:
     assert verbs.run("config", "put", verbs.file(whole(7))) == 0
     assert verbs.run("config", "put", verbs.file(whole(9)), "--if-match", "5") == 1
     assert "refused (412): If-Match: the current edition is 7" in verbs.error
     assert verbs.core.state.edition == 7
 
 
-def test_what_the_core_refuses_after_a_sound_look_is_told(verbs: Verbs) -> None:
+def test_a_change_that_only_the_core_can_reject_gives_its_reasons(verbs: Verbs) -> None:
     assert verbs.run("config", "put", verbs.file(whole(7))) == 0
     assert verbs.run("config", "patch", verbs.file({"Edition": 9, "Remove": {"Services": ["model"]}})) == 1
     assert verbs.error.count("refused (400): Routes[") == 3
     assert verbs.core.state.edition == 7
 
 
-def test_an_unclear_answer_leads_to_the_same_change_again_which_is_a_success(verbs: Verbs) -> None:
-    verbs.core.answers_lost = 2
+def test_a_lost_response_leads_to_the_same_change_again_which_succeeds(verbs: Verbs) -> None:
+    verbs.core.responses_lost = 2
     assert verbs.run("config", "put", verbs.file(whole(7))) == 0
     assert (verbs.core.changes_sent, verbs.core.state.edition) == (3, 7)
 
 
-def test_an_answer_that_never_comes_clear_is_said_to_be_unclear(verbs: Verbs) -> None:
-    verbs.core.answers_lost = 1000
+def test_a_change_without_a_final_response_is_unclear(verbs: Verbs) -> None:
+    verbs.core.responses_lost = 1000
     assert verbs.run("config", "put", verbs.file(whole(7)), within="0.3") == 3
     assert "the change may have been taken or not" in verbs.error
     assert "--if-match 0" in verbs.error
 
 
-def test_a_diff_names_what_differs(verbs: Verbs) -> None:
+def test_a_diff_names_each_value_that_differs(verbs: Verbs) -> None:
     assert verbs.run("config", "put", verbs.file(whole(7, route("a"), route("b")))) == 0
     assert verbs.run("config", "diff", verbs.file(whole(7, route("a"), route("b")))) == 0
     assert verbs.out == ""
@@ -145,7 +145,7 @@
     assert verbs.core.state.evacuated_zones == frozenset()
 
 
-def test_an_unknown_zone_is_refused(verbs: Verbs) -> None:
+def test_an_unknown_zone_is_rejected(verbs: Verbs) -> None:
     assert verbs.run("evacuate", "attic/../hall") == 1
     assert "unknown zone" in verbs.error
     assert verbs.core.changes_sent == 0
@@ -178,7 +178,7 @@
 
 def test_the_core_may_be_named_by_the_environment(verbs: Verbs, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("COVEPORT_CORE", f"127.0.0.1:1,{verbs._address}")
-    assert verbs.local("status") == 0
+    assert verbs.run_without_core("status") == 0
 
 
 @pytest.mark.parametrize(
@@ -199,24 +199,24 @@
     ],
 )
 def test_wrong_input_ends_with_2(verbs: Verbs, words: tuple[str, ...]) -> None:
-    assert verbs.local(*words) == 2
+    assert verbs.run_without_core(*words) == 2
     assert len(verbs.out + verbs.error) > 0
     assert verbs.core.changes_sent == 0
 
 
 def test_a_core_that_does_not_listen_is_named(verbs: Verbs) -> None:
-    assert verbs.local("status", "--core", "127.0.0.1:1", "--within", "0.2") == 3
+    assert verbs.run_without_core("status", "--core", "127.0.0.1:1", "--within", "0.2") == 3
     assert "127.0.0.1:1: " in verbs.error
 
 
 def test_sound_files_pass_the_check(verbs: Verbs) -> None:
-    assert verbs.local("check", "configuration", verbs.file(whole(7))) == 0
+    assert verbs.run_without_core("check", "configuration", verbs.file(whole(7))) == 0
     assert verbs.out.endswith("sound, edition 7, 2 routes, 1 services\n")
 
 
 def test_settings_are_checked_with_lines(verbs: Verbs) -> None:
     file = verbs.file('NodeName = "n"\nIp = "x"\n[Listen]\nControl = "10.0.0.1"\n[Bounds]\nDrainMs = true\n')
-    assert verbs.local("check", "settings", file) == 2
+    assert verbs.run_without_core("check", "settings", file) == 2
     findings = verbs.error.splitlines()
     assert f"{file}:2: Ip: must be an IP address" in findings
     assert any(line.startswith(f"{file}:4: Listen.Control: ") for line in findings)
@@ -230,6 +230,6 @@
 )
 def test_help_fits_80_columns(verbs: Verbs, words: tuple[str, ...], monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("COLUMNS", "80")
-    assert verbs.local(*words, "--help") == 0
+    assert verbs.run_without_core(*words, "--help") == 0
     assert verbs.out.startswith("Usage: ")
     assert max(map(len, verbs.out.splitlines())) <= 80
