--- a/benchmarks/fence_gap.py
+++ b/benchmarks/fence_gap.py
@@ -16,7 +16,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from coveport.sidecar.intent_log.pending_operation import Hand
+from coveport.sidecar.intent_log.pending_operation import PendingOperation
 from coveport.sidecar.upstream.route_step import RouteStep
 
 GAPS = HdrHistogram(1, 60_000_000, 3)  # us
@@ -25,11 +25,11 @@
 def main() -> None:
     """See the head of this file."""
     file = Path(sys.argv[1])
-    fence, hand = Hand.fence, RouteStep.hand
+    is_send_allowed, hand = PendingOperation.is_send_allowed, RouteStep.hand
     looked = [0.0]
 
-    def looks(one: Hand, now: float) -> bool:
-        may = fence(one, now)
+    def looks(pending: PendingOperation, now_s: float) -> bool:
+        may = is_send_allowed(pending, now_s)
         looked[0] = time.perf_counter()
         return may
 
@@ -38,7 +38,7 @@
             GAPS.record_value(max(1, round((time.perf_counter() - looked[0]) * 1e6)))
         hand(step)
 
-    Hand.fence, RouteStep.hand = looks, handed  # type: ignore[method-assign]
+    PendingOperation.is_send_allowed, RouteStep.hand = looks, handed  # type: ignore[method-assign]
     atexit.register(
         lambda: file.write_text(
             json.dumps(
--- a/coveport/cli/check.py
+++ b/coveport/cli/check.py
@@ -37,14 +37,15 @@
 
         told = loaded(file)
         if told.key_file is not None:
-            from coveport.sidecar.intent_log.encryption import SealError, read_keys
+            from coveport.sidecar.intent_log.encryption import read_keys
+            from coveport.sidecar.intent_log.errors import EncryptionError
 
             try:
                 read_keys(told.key_file)
-            except SealError as problem:
+            except EncryptionError as problem:
                 raise Unusable(str(problem)) from problem
         if rate and told.work.record:
-            from coveport.sidecar.intent_log.terms import cost_of
+            from coveport.sidecar.intent_log.settings import cost_of
 
             cost = cost_of(rate, told.work.kept_s, told.work.body_most if told.key_file else 0)
         environ["LB_CONFIG"] = str(told.platform)
--- a/coveport/cli/work.py
+++ b/coveport/cli/work.py
@@ -44,7 +44,8 @@
 
     async def record(self, identity: str) -> tuple[Record, Entry]:
         """One record; Unusable where there is none, or it can't be read."""
-        from coveport.sidecar.intent_log.record import RecordError, decode
+        from coveport.sidecar.intent_log.errors import RecordError
+        from coveport.sidecar.intent_log.record_codec import decode
         from coveport.sidecar.intent_log.record_layout import is_id
 
         if not is_id(identity):
@@ -86,28 +87,28 @@
     """What staff are shown of a record: nothing of what was asked or answered."""
     return {
         "id": record.id,
-        "class": record.cls,
-        "key": record.key,
-        "is": record.said,
-        "settled": None if record.settled is None else record.settled.end.value,
+        "class": record.class_name,
+        "key": record.idempotency_key,
+        "is": record.status,
+        "settled": None if record.resolution is None else record.resolution.final_status.value,
         "owner": record.owner,
-        "taken": record.unix,
-        "closed": record.closed_unix or None,
+        "taken": record.accepted_unix_s,
+        "closed": record.closed_unix_s or None,
         "attempts": [
             {
                 "node": one.node,
                 "zone": one.zone,
                 "cell": one.cell,
-                "by": one.by,
-                "at": one.unix,
-                "ended": None if one.ended is None else one.ended.name.lower(),
+                "by": one.incarnation,
+                "at": one.recorded_unix_s,
+                "ended": None if one.outcome is None else one.outcome.name.lower(),
             }
             for one in record.attempts
         ],
-        "owners": list(record.owners),
-        "lives": record.lives,
-        "why": record.why,
-        "asked": record.asked,
+        "owners": list(record.previous_owners),
+        "lives": record.generation,
+        "why": record.reason,
+        "asked": record.request_id,
     }
 
 
@@ -117,28 +118,31 @@
 
 def life(record: Record) -> Iterator[str]:
     """A record's life, in words."""
-    key = f", key {record.key}" if record.key else ""
-    yield f"{record.id}: {record.cls}{key}, asked last as {record.asked}"
-    yield f"{_at(record.unix)}  taken by {(*record.owners, record.owner)[0]}"
+    key = f", key {record.idempotency_key}" if record.idempotency_key else ""
+    yield f"{record.id}: {record.class_name}{key}, asked last as {record.request_id}"
+    yield f"{_at(record.accepted_unix_s)}  taken by {(*record.previous_owners, record.owner)[0]}"
     for number, one in enumerate(record.attempts, 1):
-        how = "no word of its end: it may have run" if one.ended is None else one.ended.name.lower()
-        if one.ended is not None and not one.may_have_run:
+        how = "no word of its end: it may have run" if one.outcome is None else one.outcome.name.lower()
+        if one.outcome is not None and not one.may_have_run:
             how += ": it never ran"
         where = f"{one.node} (zone {one.zone}, cell {one.cell})"
-        yield f"{_at(one.unix)}  attempt {number} at {where} by {one.by}: {how}"
-    for before, after in zip(record.owners, (*record.owners, record.owner)[1:], strict=False):
+        yield f"{_at(one.recorded_unix_s)}  attempt {number} at {where} by {one.incarnation}: {how}"
+    for before, after in zip(
+        record.previous_owners, (*record.previous_owners, record.owner)[1:], strict=False
+    ):
         yield f"{'':23}  taken over from {before} by {after}"
-    if record.lives > 1:
-        yield f"{'':23}  its client asked again {record.lives - 1} times after it was closed"
-    if record.end is None:
-        yield f"{'':23}  {record.said}: {record.owner} is at it"
+    if record.generation > 1:
+        yield f"{'':23}  its client asked again {record.generation - 1} times after it was closed"
+    if record.final_status is None:
+        yield f"{'':23}  {record.status}: {record.owner} is at it"
     else:
-        why = f": {record.why}" if record.why else ""
-        yield f"{_at(record.closed_unix)}  closed as {record.end.value}{why}"
-    if record.settled is not None:
+        why = f": {record.reason}" if record.reason else ""
+        yield f"{_at(record.closed_unix_s)}  closed as {record.final_status.value}{why}"
+    resolution = record.resolution
+    if resolution is not None:
         yield (
-            f"{_at(record.settled.unix)}  settled as {record.settled.end.value} by {record.settled.by}: "
-            f"{record.settled.why}"
+            f"{_at(resolution.resolved_unix_s)}  settled as {resolution.final_status.value} "
+            f"by {resolution.resolved_by}: {resolution.reason}"
         )
 
 
@@ -158,7 +162,8 @@
     """List records, oldest first."""
 
     async def run(records: StaffRecords) -> int:
-        from coveport.sidecar.intent_log.record import RecordError, decode
+        from coveport.sidecar.intent_log.errors import RecordError
+        from coveport.sidecar.intent_log.record_codec import decode
 
         rows, unreadable = [], 0
         ids = set(await records.ids(True)) if unknown else None
@@ -210,13 +215,14 @@
     """Say of a record whose end nobody knows how it ended; it is kept with your name and reason."""
 
     async def run(records: StaffRecords) -> int:
-        from coveport.sidecar.intent_log.record import End, RecordError
+        from coveport.sidecar.intent_log.errors import RecordError
+        from coveport.sidecar.intent_log.record import FinalStatus
         from coveport.sidecar.leases.store import Refused, Unknown
 
         for _ in range(TRIES):
             record, entry = await records.record(identity)
             try:
-                settled = record.settle(End(end), by or getpass.getuser(), why, time.time())
+                settled = record.resolved(FinalStatus(end), by or getpass.getuser(), why, time.time())
             except RecordError as problem:
                 click.echo(f"coveport: {problem}", err=True)
                 return NOT_HELD
@@ -238,7 +244,8 @@
     """Append the unknown ones to FILE, a JSON line each, each once, also where an earlier run was killed."""
 
     async def run(records: StaffRecords) -> int:
-        from coveport.sidecar.intent_log.record import RecordError, decode
+        from coveport.sidecar.intent_log.errors import RecordError
+        from coveport.sidecar.intent_log.record_codec import decode
 
         known = exported(file)
         written = 0
@@ -253,7 +260,7 @@
                 except RecordError as problem:
                     click.echo(f"coveport: {identity}: {problem}", err=True)
                     continue
-                if (identity, record.lives) in known:
+                if (identity, record.generation) in known:
                     continue
                 # In one write: a kill leaves a line whole, or a piece that the next run takes away.
                 out.write(json.dumps(row(record), sort_keys=True).encode() + b"\n")
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -24,7 +24,7 @@
 from coveport.sidecar.config import platform as configuration
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.effects import Effects
-from coveport.sidecar.intent_log.encryption import SealError
+from coveport.sidecar.intent_log.errors import EncryptionError
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.keys import INSTANCE_PREFIX, ROLE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
@@ -170,7 +170,7 @@
             ),
         )
         if self._recording is not None:
-            self._recording.joined(effects)
+            self._recording.attach(effects)
         life.listen(self._phase)
         if self._health_checks is not None:
             effects.looks = self
@@ -182,7 +182,7 @@
         if phase is Phase.SERVING and not self._tasks:
             self.lease_client.start()
             if self._recording is not None:
-                self._recording.serving()
+                self._recording.start()
             self._tasks = [asyncio.ensure_future(self._watch_ourselves())]
             if self._health_checks is not None:
                 self._tasks.append(asyncio.ensure_future(self._look_by_turns(self._health_checks)))
@@ -197,7 +197,7 @@
 
     async def _leave(self) -> None:
         if self._recording is not None:
-            await self._recording.leaving()  # else others would take what we are still at
+            await self._recording.drain()  # else others would take what we are still at
         await self.lease_client.close()
 
     async def leave(self) -> None:
@@ -208,13 +208,13 @@
             self._leaving = asyncio.ensure_future(self._leave())
         await asyncio.wait([self._leaving], timeout=LEAVE_S)
         if self._recording is not None:
-            await asyncio.wait([asyncio.ensure_future(self._recording.left())], timeout=LEAVE_S)
+            await asyncio.wait([asyncio.ensure_future(self._recording.close())], timeout=LEAVE_S)
 
     # What stands in the store.
 
     def _changed(self, key: str, entry: Entry | None) -> None:
         if self._recording is not None:
-            self._recording.changed(key, entry)
+            self._recording.on_store_change(key, entry)
         if self._member is not None and key.startswith(INSTANCE_PREFIX):
             self._member.seen(len(self.lease_client.instances))
         if key.startswith(YIELD) and entry is not None:
@@ -415,7 +415,7 @@
 ) -> int:
     try:
         beside = Beside(told, config, log, member)
-    except SealError as problem:
+    except EncryptionError as problem:
         log.say(str(problem))
         return 2
     given = None if member is None else member.listening()
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -90,23 +90,23 @@
 
 
 class Records(Protocol):
-    """Who writes operations down before they can run; where nobody does, there is none of it."""
+    """Records operations before they can run (`intent_log.recorder`); optional."""
 
-    def take(self, number: int, client: Asker, asked: Operation) -> Asker | None:
-        """An operation has come: who is to be given its answer; None: it is answered past us."""
+    def accept(self, number: int, client: Asker, operation: Operation) -> Asker | None:
+        """Accept an operation; return who gets its response, None: it is answered past the executor."""
 
-    def send(self, number: int, step: int, destination: int, go: Go) -> bool:
-        """A route step is to be sent. True: at once. Else `go` is called once, in a later turn."""
+    def send(self, number: int, step: int, destination: int, resume: ResumeSend) -> bool:
+        """Ask to send a route step: True: at once; False: `resume` is called once, in a later turn."""
 
-    def ended(self, number: int, step: int, outcome: api.Outcome) -> None:
-        """A route step of it has ended."""
+    def attempt_ended(self, number: int, step: int, outcome: api.Outcome) -> None:
+        """Note the outcome of a route step."""
 
-    def gone(self, number: int) -> None:
-        """Its client has gone away."""
+    def client_gone(self, number: int) -> None:
+        """Note that an operation's client has disconnected."""
 
 
-Go = Callable[[Callable[[], bool] | None], None]
-"""Send it now, and only where this says so right before the first byte; None: it must not be sent."""
+ResumeSend = Callable[[Callable[[], bool] | None], None]
+"""Sends a step, only where the fence check returns True right before the first byte; None: don't send it."""
 
 
 class _Gate:
@@ -272,7 +272,7 @@
     def take(self, number: int, client: Asker, asked: Operation) -> None:
         """A whole operation has come from a client."""
         if self.records is not None:
-            recorded = self.records.take(number, client, asked)
+            recorded = self.records.accept(number, client, asked)
             if recorded is None:
                 return
             client = recorded
@@ -310,7 +310,7 @@
     def gone(self, number: int) -> None:
         """The client of an operation has gone away."""
         if self.records is not None:
-            self.records.gone(number)
+            self.records.client_gone(number)
         if number in self._open:
             self._open[number].client = None
             self._ended(self._open[number], "failed")
@@ -443,7 +443,7 @@
             if self.looks is not None:
                 self.looks.saw(effect.destination, result.outcome)
             if self.records is not None:
-                self.records.ended(effect.operation, effect.step, result.outcome)
+                self.records.attempt_ended(effect.operation, effect.step, result.outcome)
             self.feed(
                 core.StepEnded(effect.operation, effect.step, result.outcome, result.load, result.answer)
             )
--- a/coveport/sidecar/intent_log/__init__.py
+++ b/coveport/sidecar/intent_log/__init__.py
@@ -1,1 +1,1 @@
-"""Work in hand: what was taken and not yet answered, so that another can go on with it, once."""
+"""Write-ahead log of operations: a successor finishes what a lost instance had accepted, once."""
--- a/coveport/sidecar/intent_log/deferred_writes.py
+++ b/coveport/sidecar/intent_log/deferred_writes.py
@@ -1,4 +1,4 @@
-"""What ended while the store did not say: remembered, and written down once it is back."""
+"""Operations that ended while the store did not respond: remembered, and written once it is back."""
 
 from __future__ import annotations
 
@@ -8,98 +8,114 @@
 
 import msgspec
 
+from coveport.sidecar.intent_log.errors import RecordError
 from coveport.sidecar.intent_log.journal import Journal
-from coveport.sidecar.intent_log.pending_operation import Hand
-from coveport.sidecar.intent_log.record import End, Record, RecordError, decode
+from coveport.sidecar.intent_log.pending_operation import PendingOperation
+from coveport.sidecar.intent_log.record import FinalStatus, Record
+from coveport.sidecar.intent_log.record_codec import decode
 from coveport.sidecar.intent_log.record_layout import RecordLayout
-from coveport.sidecar.leases.store import Done
+from coveport.sidecar.leases.store import Done, Entry
 
-MOST = 4096  # that are remembered
-LOOK_S = 0.5
+MAX_REMEMBERED = 4096
+RETRY_INTERVAL_S = 0.5
+RETRY_JITTER = (0.8, 1.2)  # factors of the interval
 FIRST_REVISION = 1  # of every store: whatever is that old has no bound to its age
 
 
-class Late:
-    """Operations that are answered, and the store has not heard how; by their records' ids."""
+class DeferredWrites:
+    """Answered operations whose end isn't durable yet, by the ids of their records."""
 
     def __init__(
         self,
         journal: Journal,
         layout: RecordLayout,
-        chance: random.Random,
+        rng: random.Random,
         count: Callable[[str], None],
         unix_s: Callable[[], float],
     ) -> None:
         self._journal = journal
         self._layout = layout
-        self._chance = chance
+        self._rng = rng
         self._count = count
         self._unix_s = unix_s
-        self._hands: dict[str, Hand] = {}
+        self._pending: dict[str, PendingOperation] = {}
 
     def __len__(self) -> int:
-        return len(self._hands)
+        return len(self._pending)
 
-    def __contains__(self, identity: str) -> bool:
-        return identity in self._hands
+    def __contains__(self, record_id: str) -> bool:
+        return record_id in self._pending
 
-    def get(self, identity: str) -> Hand | None:
-        """What is remembered of one."""
-        return self._hands.get(identity)
+    def get(self, record_id: str) -> PendingOperation | None:
+        """Return the operation of a record, None where it is not remembered."""
+        return self._pending.get(record_id)
 
-    def remember(self, hand: Hand) -> None:
-        """It is answered; how, is to be written down."""
-        self._hands[hand.record.id] = hand
-        if len(self._hands) > MOST:
-            # What stands of it, if anything does, says that it may have run.
-            del self._hands[next(iter(self._hands))]
+    def remember(self, pending: PendingOperation) -> None:
+        """Remember an answered operation, to write its end later; forget the oldest beyond the limit."""
+        self._pending[pending.record.id] = pending
+        if len(self._pending) > MAX_REMEMBERED:
+            # What stands of it in the store, if anything does, says that it may have run.
+            del self._pending[next(iter(self._pending))]
             self._count("work_forgotten")
 
-    async def tend(self, may: Callable[[], bool], say: Callable[..., None]) -> None:
-        """Write down what is remembered whenever we have a session (`may`) and the store is there."""
-        recording = False
+    async def run(self, has_session: Callable[[], bool], log_event: Callable[..., None]) -> None:
+        """Write what is remembered whenever there is a session and the store is available; never returns."""
+        is_recording = False
         while True:
-            if recording is not (may() and self._journal.up):
-                recording = not recording
-                say("recording" if recording else "not_recording")
-            await asyncio.sleep(LOOK_S * self._chance.uniform(0.8, 1.2))
-            for identity, hand in list(self._hands.items()):
-                if not self._journal.up or not may():
+            if is_recording is not (has_session() and self._journal.is_available):
+                is_recording = not is_recording
+                log_event("recording" if is_recording else "not_recording")
+            await asyncio.sleep(RETRY_INTERVAL_S * self._rng.uniform(*RETRY_JITTER))
+            for record_id, pending in list(self._pending.items()):
+                if not self._journal.is_available or not has_session():
                     break
-                if await self.write(hand) and self._hands.get(identity) is hand:
-                    del self._hands[identity]
+                # Another operation may have been remembered under the same id while this one was written.
+                if await self.write(pending) and self._pending.get(record_id) is pending:
+                    del self._pending[record_id]
 
-    async def write(self, hand: Hand) -> bool:
-        """Write down how one ended; False: not now."""
-        record = hand.record
+    async def write(self, pending: PendingOperation) -> bool:
+        """Write how an operation ended; return False where that has to be tried again."""
+        record = pending.record
         found = await self._journal.read(self._layout.record_key(record.id))
         if not isinstance(found, Done):
             return False
         before: Record | None = None
         revision = 0
         if found.entries:
-            try:
-                before = decode(found.entries[0].value)
-            except RecordError:
+            before = _superseded_by(record, found.entries[0])
+            if before is None:
                 return True
             revision = found.entries[0].modified
-            if (before.owner, before.owners, before.lives, before.asked) != (
-                record.owner,
-                record.owners,
-                record.lives,
-                record.asked,
-            ) or not before.open:
-                return True  # another's by now, or another ask's, or closed: it goes by what stands there
-        elif hand.revision:
-            return True  # it was there and was thrown away
-        if record.open:
-            record = record.closed(
-                End.FAILED if record.may_have_run else End.NEVER_RAN, "not answered", self._unix_s()
-            )
-        if record.attempts:
-            # Nobody knows how old they are: their window counts as over.
-            record = msgspec.structs.replace(record, since=hand.since or FIRST_REVISION)
-        outcome = await self._journal.commit(self._layout.write(before, revision, record))
+        elif pending.revision:
+            return True  # it stood there and was deleted
+        outcome = await self._journal.commit(self._layout.write(before, revision, self._closed(pending)))
         if isinstance(outcome, Done):
             self._count("work_written_late")
         return isinstance(outcome, Done)
+
+    def _closed(self, pending: PendingOperation) -> Record:
+        record = pending.record
+        if record.is_open:
+            status = FinalStatus.FAILED if record.may_have_run else FinalStatus.NEVER_RAN
+            record = record.closed(status, "not answered", self._unix_s())
+        if record.attempts:
+            # The age of its attempts is not known: their window counts as over.
+            first_revision = pending.first_attempt_revision or FIRST_REVISION
+            record = msgspec.structs.replace(record, first_attempt_revision=first_revision)
+        return record
+
+
+def _superseded_by(record: Record, entry: Entry) -> Record | None:
+    """Return the stored record that `record` completes.
+
+    None: it can't be read, is closed, or is another owner's, generation's or request's by now.
+    """
+    try:
+        stored = decode(entry.value)
+    except RecordError:
+        return None
+    return stored if stored.is_open and _version(stored) == _version(record) else None
+
+
+def _version(record: Record) -> tuple[str, tuple[str, ...], int, str]:
+    return record.owner, record.previous_owners, record.generation, record.request_id
--- a/coveport/sidecar/intent_log/execution.py
+++ b/coveport/sidecar/intent_log/execution.py
@@ -1,4 +1,4 @@
-"""Between the recorder and who carries operations out: what it asks of them, who stands in for a client."""
+"""Interfaces between recorder and executor, and the recorder's stand-ins for clients."""
 
 from __future__ import annotations
 
@@ -6,100 +6,104 @@
 from typing import Any, Protocol
 
 from coveport.balancing import interface as api
-from coveport.sidecar.intent_log.pending_operation import Hand
+from coveport.sidecar.intent_log.pending_operation import PendingOperation
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
 
 
-class Hands(Protocol):
-    """Whoever carries operations out."""
+class Executor(Protocol):
+    """Executes operations: `coveport.sidecar.effects`, or its simulated double."""
 
     def take(self, number: int, client: Any, asked: Operation) -> None:
-        """An operation is to be carried out; its one answer goes to `client`."""
+        """Execute an operation; its one final response goes to `client`."""
 
     def withdraw(self, number: int) -> None:
-        """It is somebody else's."""
+        """Give up an operation, which is another's; its client gets no response from here."""
 
     def answered_elsewhere(self, cls: str, verdict: Verdict) -> None:
-        """Count an answer that was given past them."""
+        """Count a response that went past the executor."""
 
     def now_ms(self) -> float:
-        """The clock by which they tell the module of time."""
+        """Return the time in ms by the balancer's clock."""
 
     def place_of(self, destination: int) -> tuple[str, int, int]:
-        """Address, zone and cell of a destination."""
+        """Return address, zone and cell of a destination."""
 
     @property
     def settings(self) -> api.Settings:
-        """As they are now."""
+        """The settings as they are now."""
 
 
-class Answered(Protocol):
-    """Who is told of answers before clients are."""
+class ResponseObserver(Protocol):
+    """Gets responses before clients do."""
 
     def answered(
-        self, hand: Hand, verdict: Verdict, answer: Answer | None, deliver: Callable[[], None]
+        self,
+        pending: PendingOperation,
+        verdict: Verdict,
+        answer: Answer | None,
+        deliver: Callable[[], None],
     ) -> None:
-        """The one final answer is there; `deliver` passes it on."""
+        """Handle the one final response; `deliver` passes it on."""
 
-    def finished(self, hand: Hand, whole: bool) -> None:
-        """A long answer has been passed on, or broke."""
+    def finished(self, pending: PendingOperation, complete: bool) -> None:
+        """Handle the end of a streamed response."""
 
 
-class Answering:
-    """Stands in a client's place: what it is told goes by the recorder."""
+class RecordingClient:
+    """Stands in for a client: its responses go by way of the recorder."""
 
-    def __init__(self, recorder: Answered, hand: Hand, client: Any) -> None:
-        self._recorder = recorder
-        self.hand = hand
-        self.client = client
+    def __init__(self, observer: ResponseObserver, pending: PendingOperation, client: Any) -> None:
+        self._observer = observer
+        self._pending = pending
+        self._client = client
 
     def begin(self, answer: Answer, source: Any) -> None:
-        """A long answer begins."""
-        self.client.begin(answer, source)
+        """Begin a streamed response."""
+        self._client.begin(answer, source)
 
     def more(self, data: bytes) -> None:
-        """More of it."""
-        self.client.more(data)
+        """Pass on a part of a streamed response."""
+        self._client.more(data)
 
-    def finish(self, whole: bool) -> None:
-        """It has ended."""
-        self._recorder.finished(self.hand, whole)
-        self.client.finish(whole)
+    def finish(self, complete: bool) -> None:
+        """End a streamed response."""
+        self._observer.finished(self._pending, complete)
+        self._client.finish(complete)
 
     def answer(self, verdict: Verdict, answer: Answer | None, retry_after_ms: float) -> None:
-        """The one final answer."""
-        self._recorder.answered(
-            self.hand, verdict, answer, lambda: self.client.answer(verdict, answer, retry_after_ms)
+        """Take the one final response."""
+        self._observer.answered(
+            self._pending, verdict, answer, lambda: self._client.answer(verdict, answer, retry_after_ms)
         )
 
     def left(self) -> bool:
-        """Whether the client has gone."""
-        gone: bool = self.client.left()
-        return gone
+        """Whether the client has disconnected."""
+        has_left: bool = self._client.left()
+        return has_left
 
 
-class Nobody:
-    """The client of what was taken over."""
+class AbsentClient:
+    """Stands in for the client of an operation that was taken over: nobody reads the response."""
 
-    def __init__(self, recorder: Answered, hand: Hand) -> None:
-        self._recorder = recorder
-        self.hand = hand
+    def __init__(self, observer: ResponseObserver, pending: PendingOperation) -> None:
+        self._observer = observer
+        self._pending = pending
 
     def begin(self, answer: Answer, source: Any) -> None:
-        """Nobody reads it."""
+        """Ignore the begin of a streamed response."""
 
     def more(self, data: bytes) -> None:
-        """Nobody reads it."""
+        """Ignore a part of a streamed response."""
 
-    def finish(self, whole: bool) -> None:
-        """It has ended."""
-        self._recorder.finished(self.hand, whole)
+    def finish(self, complete: bool) -> None:
+        """End a streamed response."""
+        self._observer.finished(self._pending, complete)
 
     def answer(self, verdict: Verdict, answer: Answer | None, retry_after_ms: float) -> None:
-        """The one final answer."""
-        self._recorder.answered(self.hand, verdict, answer, lambda: None)
+        """Take the one final response."""
+        self._observer.answered(self._pending, verdict, answer, lambda: None)
 
     def left(self) -> bool:
-        """Nobody waits for it, and it goes on all the same."""
+        """Return False: a takeover goes on without a client."""
         return False
--- a/coveport/sidecar/intent_log/journal.py
+++ b/coveport/sidecar/intent_log/journal.py
@@ -1,8 +1,8 @@
-"""Writes records, by the group, and knows whether the store is there.
+"""Writes records in groups, and tracks whether the store is available.
 
-What comes while a group is on its way makes the next one, so a store that is quick is asked often and one
-that is slow takes many at a time. What is waited for is bounded in entries, bytes and time: who finds it full
-is told at once.
+Group commit: what comes while a group is being written makes up the next one, so a store that responds fast
+is called often and one that responds slowly takes many records at a time. The queue is bounded in entries,
+bytes and time: whoever finds it full is rejected at once.
 """
 
 from __future__ import annotations
@@ -10,215 +10,239 @@
 import asyncio
 import contextlib
 from collections import deque
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable, Coroutine, Sequence
 from dataclasses import dataclass
 from enum import Enum
 from typing import Any
 
-from coveport.sidecar.intent_log.observed_age import Ages
+from coveport.sidecar.intent_log.observed_age import AgeUpperBound
 from coveport.sidecar.leases.errors import StoreError
 from coveport.sidecar.leases.store import Done, Outcome, Put, Refused, Store, Transaction, Unknown
 
-MOST_ENTRIES, MOST_BYTES = 1024, 4 * 1024 * 1024  # that wait to be written, over all groups
-MOST_WAIT_S = 0.1  # that the first of them has waited: what came now would be late
-GROUP_ENTRIES, GROUP_BYTES = 128, 512 * 1024  # in one group; an engine bears 128 operations and 1.5 MB a call
-AWAY_AFTER = 2  # calls without an answer in a row
-LOOK_AGAIN_S = 0.5  # how often it is looked whether the store is back
-PULSE_S = 1.0  # how often a moment is noted at the least, for the ages of what others write
-LEAVE_S = 1.0
+MAX_QUEUED_ENTRIES = 1024
+MAX_QUEUED_BYTES = 4 * 1024 * 1024
+MAX_QUEUED_S = 0.1  # age of the oldest entry: beyond it what came now would be late
+GROUP_ENTRIES = 128  # an engine bears 128 operations and 1.5 MB a call
+GROUP_BYTES = 512 * 1024
+UNAVAILABLE_AFTER = 2  # calls without a response in a row
+RECHECK_INTERVAL_S = 0.5  # between checks whether an unavailable store responds again
+HEARTBEAT_INTERVAL_S = 1.0  # between observations of the store's revision, for the ages of others' writes
+CLOSE_TIMEOUT_S = 1.0
+_HEARTBEAT_PREFIX = "pulse"  # nothing stands there: the response's revision is what is wanted
 
 
-class There(Enum):
-    """Whether the store is there."""
+class StoreStatus(Enum):
+    """Whether the store is available. The values are suffixes of log events (`records_*`)."""
 
-    UP = "up"
-    AWAY = "away"
-    ANOTHER = "another"  # it went back in time, or is not the one we knew: nothing more is written to it
+    AVAILABLE = "up"
+    UNAVAILABLE = "away"
+    REPLACED = "another"  # it went back in time, or is not the one we knew: nothing more is written to it
 
 
 @dataclass(slots=True)
-class _Waiting:
-    make: Callable[[], Transaction | None]
+class _QueuedWrite:
+    build: Callable[[], Transaction | None]
     done: Callable[[Outcome], None]
-    size: int
-    since: float
+    size: int  # bytes, about
+    queued_s: float
 
 
 class Journal:
-    """One instance's way to where records are kept. `call_s`: after which a call is given up.
+    """One instance's connection to the store of records.
 
-    `now_s`: a clock that runs through sleep.
+    `now_s`: a clock that runs through sleep. `store_timeout_s`: after which a call is given up.
     """
 
     def __init__(
-        self, store: Store, now_s: Callable[[], float], call_s: float, say: Callable[..., None]
+        self,
+        store: Store,
+        now_s: Callable[[], float],
+        store_timeout_s: float,
+        log_event: Callable[..., None],
     ) -> None:
         self._store = store
         self._now_s = now_s
-        self._call_s = call_s
-        self._say = say
-        self._waiting: deque[_Waiting] = deque()
-        self._bytes = 0
-        self._at_work = False
+        self._store_timeout_s = store_timeout_s
+        self._log_event = log_event
+        self._queue: deque[_QueuedWrite] = deque()
+        self._queued_bytes = 0
+        self._is_writing = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._pulse: asyncio.Task[None] | None = None
-        self._missed = 0
-        self._identity = ""
-        self._floor = 0
-        self.there = There.UP
-        self.ages = Ages()
-        self.groups = self.written = self.calls = self.bytes = 0  # for figures; bytes of what is put
+        self._heartbeat: asyncio.Task[None] | None = None
+        self._missed_responses = 0  # in a row
+        self._identity = ""  # of the store; empty: not known yet
+        self._revision = 0
+        self.status = StoreStatus.AVAILABLE
+        self.ages = AgeUpperBound()
+        # Figures.
+        self.groups = 0
+        self.written = 0
+        self.calls = 0
+        self.bytes = 0  # of what was put
 
     def start(self) -> None:
-        """Begin to note moments; there must be a running loop."""
-        self._pulse = asyncio.ensure_future(self._beat())
+        """Begin to observe the store's revision; must be called in a running loop."""
+        self._heartbeat = asyncio.ensure_future(self._run_heartbeat())
 
     @property
-    def full(self) -> bool:
-        """Whether no more can be taken in to be written."""
-        return (
-            len(self._waiting) >= MOST_ENTRIES
-            or self._bytes >= MOST_BYTES
-            or (bool(self._waiting) and self._now_s() - self._waiting[0].since > MOST_WAIT_S)
-        )
+    def is_full(self) -> bool:
+        """Whether no more writes may be queued."""
+        if len(self._queue) >= MAX_QUEUED_ENTRIES or self._queued_bytes >= MAX_QUEUED_BYTES:
+            return True
+        return bool(self._queue) and self._now_s() - self._queue[0].queued_s > MAX_QUEUED_S
 
     @property
     def revision(self) -> int:
-        """The latest that the store is known to have been at."""
-        return self._floor
+        """The latest revision that the store is known to have reached."""
+        return self._revision
 
     @property
-    def up(self) -> bool:
-        """Whether what is written now has a chance to be there soon."""
-        return self.there is There.UP
+    def is_available(self) -> bool:
+        """Whether what is written now is likely to be durable soon."""
+        return self.status is StoreStatus.AVAILABLE
 
     def write(
-        self, make: Callable[[], Transaction | None], done: Callable[[Outcome], None], size: int
+        self, build: Callable[[], Transaction | None], done: Callable[[Outcome], None], size: int
     ) -> None:
-        """Write what `make` says by the time its group goes (None: nothing any more).
+        """Write what `build` returns when its group is written (None: nothing any more).
 
-        `done` is called once, in a later turn. `size`: bytes, about.
+        `done` is called once, in a later turn of the loop. `size`: bytes, about.
         """
-        self._waiting.append(_Waiting(make, done, size, self._now_s()))
-        self._bytes += size
-        if not self._at_work:
-            self._at_work = True
-            # In the next turn: what one turn brings about is one group.
-            asyncio.get_running_loop().call_soon(self._begin)
+        self._queue.append(_QueuedWrite(build, done, size, self._now_s()))
+        self._queued_bytes += size
+        if not self._is_writing:
+            self._is_writing = True
+            # In the next turn: all writes that one turn queues make one group.
+            asyncio.get_running_loop().call_soon(self._start_writing)
 
     async def read(self, prefix: str) -> Done | Unknown:
-        """What stands under a prefix now."""
+        """Return what stands under a prefix now."""
         outcome = await self._call(lambda: self._store.read(prefix))
         assert not isinstance(outcome, Refused)
         return outcome
 
     async def commit(self, transaction: Transaction) -> Outcome:
-        """One transaction by itself: a claim, or something that is thrown away."""
+        """Commit one transaction outside of the groups: a claim, or a deletion."""
         return await self._call(lambda: self._store.commit(transaction))
 
-    async def leave(self) -> None:
-        """Write what waits, and let go of the store."""
-        if self._pulse is not None:
-            self._pulse.cancel()
+    async def close(self) -> None:
+        """Write what is queued, and close the store."""
+        if self._heartbeat is not None:
+            self._heartbeat.cancel()
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=LEAVE_S)
+            await asyncio.wait(self._tasks, timeout=CLOSE_TIMEOUT_S)
         for task in self._tasks:
             task.cancel()
         with contextlib.suppress(OSError, StoreError, TimeoutError):
-            await asyncio.wait_for(self._store.close(), LEAVE_S)
+            await asyncio.wait_for(self._store.close(), CLOSE_TIMEOUT_S)
 
-    # At work.
+    # Groups.
 
-    def _begin(self) -> None:
-        task = asyncio.ensure_future(self._work())
+    def _start_writing(self) -> None:
+        task = asyncio.ensure_future(self._write_queue())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _work(self) -> None:
+    async def _write_queue(self) -> None:
         try:
-            while self._waiting:
-                await self._group()
+            while self._queue:
+                await self._write_group()
         finally:
-            self._at_work = False
+            self._is_writing = False
 
-    async def _group(self) -> None:
-        group: list[_Waiting] = []
+    async def _write_group(self) -> None:
+        group: list[_QueuedWrite] = []
         transactions: list[Transaction] = []
-        size = 0
-        while (
-            self._waiting
-            and len(group) < GROUP_ENTRIES
-            and (not group or size + self._waiting[0].size <= GROUP_BYTES)
-        ):
-            one = self._waiting.popleft()
-            self._bytes -= one.size
-            transaction = one.make()
-            if transaction is not None:
-                group.append(one)
-                transactions.append(transaction)
-                size += one.size
-                self.bytes += sum(
-                    len(put.key) + len(put.value) for put in transaction.changes if isinstance(put, Put)
-                )
+        for write, transaction in self._next_group():
+            group.append(write)
+            transactions.append(transaction)
+            self.bytes += _put_bytes(transaction)
         if not group:
             return
         self.groups += 1
         self.written += len(group)
-        outcomes = await self._call_all(transactions)
-        for one, outcome in zip(group, outcomes, strict=True):
-            one.done(outcome)
-
-    async def _call_all(self, transactions: list[Transaction]) -> list[Outcome]:
-        if self.there is There.ANOTHER:
-            return [Unknown("the store is not the one we knew")] * len(transactions)
-        sent, floor, identity = self._now_s(), self._floor, self._identity
-        self.calls += 1
-        try:
-            outcomes = await asyncio.wait_for(self._store.commit_all(transactions), self._call_s)
-        except TimeoutError:
-            outcomes = [Unknown(f"no answer in {self._call_s:.2f} s")] * len(transactions)
-        except StoreError as problem:
-            outcomes = [Unknown(str(problem))] * len(transactions)
-        return [self._heard(sent, floor, identity, one) for one in outcomes]
+        outcomes = await self._call_all(lambda: self._store.commit_all(transactions), len(transactions))
+        for write, outcome in zip(group, outcomes, strict=True):
+            write.done(outcome)
+
+    def _next_group(self) -> list[tuple[_QueuedWrite, Transaction]]:
+        """Take a group from the queue; what has nothing to write any more is dropped."""
+        group: list[tuple[_QueuedWrite, Transaction]] = []
+        size = 0
+        while self._queue and len(group) < GROUP_ENTRIES:
+            if group and size + self._queue[0].size > GROUP_BYTES:
+                break
+            write = self._queue.popleft()
+            self._queued_bytes -= write.size
+            transaction = write.build()
+            if transaction is not None:
+                group.append((write, transaction))
+                size += write.size
+        return group
+
+    # Calls.
 
     async def _call(self, call: Callable[[], Coroutine[Any, Any, Outcome]]) -> Outcome:
-        if self.there is There.ANOTHER:
-            return Unknown("the store is not the one we knew")
-        sent, floor, identity = self._now_s(), self._floor, self._identity
+        async def call_one() -> list[Outcome]:
+            return [await call()]
+
+        (outcome,) = await self._call_all(call_one, 1)
+        return outcome
+
+    async def _call_all(
+        self, call: Callable[[], Coroutine[Any, Any, Sequence[Outcome]]], count: int
+    ) -> list[Outcome]:
+        """Call the store; return its `count` outcomes, all `Unknown` where it did not respond in time."""
+        if self.status is StoreStatus.REPLACED:
+            return [_replaced()] * count
+        requested_s = self._now_s()
+        revision = self._revision
+        identity = self._identity
         self.calls += 1
-        outcome: Outcome
+        outcomes: Sequence[Outcome]
         try:
-            outcome = await asyncio.wait_for(call(), self._call_s)
+            outcomes = await asyncio.wait_for(call(), self._store_timeout_s)
         except TimeoutError:
-            outcome = Unknown(f"no answer in {self._call_s:.2f} s")
-        except StoreError as problem:
-            outcome = Unknown(str(problem))
-        return self._heard(sent, floor, identity, outcome)
+            outcomes = [Unknown(f"no answer in {self._store_timeout_s:.2f} s")] * count
+        except StoreError as error:
+            outcomes = [Unknown(str(error))] * count
+        return [self._checked(requested_s, revision, identity, outcome) for outcome in outcomes]
 
-    def _heard(self, sent: float, floor: int, identity: str, outcome: Outcome) -> Outcome:
-        """Hold an answer against what was known when its call was sent."""
+    def _checked(self, requested_s: float, revision: int, identity: str, outcome: Outcome) -> Outcome:
+        """Check an outcome against what was known of the store when its call was sent."""
         if isinstance(outcome, Unknown):
-            self._missed += 1
-            if self._missed >= AWAY_AFTER and self.there is There.UP:
-                self._set(There.AWAY, outcome.why)
+            self._missed_responses += 1
+            if self._missed_responses >= UNAVAILABLE_AFTER and self.is_available:
+                self._set_status(StoreStatus.UNAVAILABLE, outcome.why)
             return outcome
-        if (identity and outcome.identity != identity) or outcome.revision < floor:
-            # Guards against a store that was restored: what it says of what ran is of yesterday.
-            self._set(There.ANOTHER, f"revision {outcome.revision} after {floor}, {outcome.identity}")
-            return Unknown("the store is not the one we knew")
-        self._missed = 0
-        self._identity, self._floor = outcome.identity, max(self._floor, outcome.revision)
-        self.ages.told(sent, outcome.revision)
-        if self.there is There.AWAY:
-            self._set(There.UP, "")
+        if (identity and outcome.identity != identity) or outcome.revision < revision:
+            # Guards against a store that was restored: what it reports of operations is out of date.
+            self._set_status(
+                StoreStatus.REPLACED, f"revision {outcome.revision} after {revision}, {outcome.identity}"
+            )
+            return _replaced()
+        self._missed_responses = 0
+        self._identity = outcome.identity
+        self._revision = max(self._revision, outcome.revision)
+        self.ages.observe(requested_s, outcome.revision)
+        if self.status is StoreStatus.UNAVAILABLE:
+            self._set_status(StoreStatus.AVAILABLE, "")
         return outcome
 
-    def _set(self, there: There, why: str) -> None:
-        if self.there is not there and self.there is not There.ANOTHER:
-            self.there = there
-            self._say("records_" + there.value, detail=why)
+    def _set_status(self, status: StoreStatus, detail: str) -> None:
+        if self.status is not status and self.status is not StoreStatus.REPLACED:
+            self.status = status
+            self._log_event("records_" + status.value, detail=detail)
+
+    async def _run_heartbeat(self) -> None:
+        while self.status is not StoreStatus.REPLACED:
+            await self.read(_HEARTBEAT_PREFIX)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S if self.is_available else RECHECK_INTERVAL_S)
+
+
+def _replaced() -> Unknown:
+    return Unknown("the store is not the one we knew")
+
 
-    async def _beat(self) -> None:
-        while self.there is not There.ANOTHER:
-            await self.read("pulse")  # nothing stands there: the answer's revision is what is wanted
-            await asyncio.sleep(PULSE_S if self.up else LOOK_AGAIN_S)
+def _put_bytes(transaction: Transaction) -> int:
+    return sum(len(put.key) + len(put.value) for put in transaction.changes if isinstance(put, Put))
--- a/coveport/sidecar/intent_log/pending_operation.py
+++ b/coveport/sidecar/intent_log/pending_operation.py
@@ -1,6 +1,6 @@
-"""One operation that an instance has in hand and writes down: its stages, and the fence of its attempts.
+"""One operation that an instance executes and records: its stages, and the check before each send. Pure.
 
-Pure: what is written and when is the recorder's matter.
+What is written and when is the matter of `record_writer`.
 """
 
 from __future__ import annotations
@@ -14,116 +14,130 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect, Outcome
-from coveport.sidecar.intent_log.record import Attempt, End, Record, State
+from coveport.sidecar.intent_log.record import Attempt, FinalStatus, Record, RecoveryPoint
 from coveport.sidecar.reducer.operation import Operation
 
-EDGE_MS = 20.0  # so long before the end of a window no byte goes any more: the check is not yet the socket
+# A repeat isn't sent so close to the end of its window: its bytes still have to get to the socket.
+WINDOW_MARGIN_MS = 20.0
 
 
-class Stage(Enum):
-    """Where an operation in hand is, for us."""
+class OperationStage(Enum):
+    """Whose an operation's record is, as far as this instance knows."""
 
-    OURS = "ours"  # its record is ours as far as we know
-    ELSEWHERE = "elsewhere"  # its record is another's, or of an earlier life: its client waits, or is gone
-    UNRECORDED = "unrecorded"  # the store did not say: it goes on as without one, or not at all
-    OVER = "over"  # answered, and what there was to write is written
+    OWNED = "owned"  # this instance's
+    FOREIGN = "foreign"  # another's, or of an earlier generation: its client waits, or is gone
+    UNRECORDED = "unrecorded"  # the store didn't respond: it goes on without a record, or not at all
+    DONE = "done"  # answered, and what there was to write is written
 
 
-MOVES: dict[Stage, frozenset[Stage]] = {
-    Stage.OURS: frozenset({Stage.ELSEWHERE, Stage.UNRECORDED, Stage.OVER}),
-    Stage.ELSEWHERE: frozenset({Stage.OURS, Stage.OVER}),
-    Stage.UNRECORDED: frozenset({Stage.OVER}),
-    Stage.OVER: frozenset(),
+STAGE_TRANSITIONS: dict[OperationStage, frozenset[OperationStage]] = {
+    OperationStage.OWNED: frozenset({OperationStage.FOREIGN, OperationStage.UNRECORDED, OperationStage.DONE}),
+    OperationStage.FOREIGN: frozenset({OperationStage.OWNED, OperationStage.DONE}),
+    OperationStage.UNRECORDED: frozenset({OperationStage.DONE}),
+    OperationStage.DONE: frozenset(),
 }
 
-Go = Callable[[Callable[[], bool] | None], None]
+SendCheck = Callable[[], bool]
+"""Whether bytes may still be sent; called right before the first one."""
+
+ResumeSend = Callable[[SendCheck | None], None]
+"""Sends a route step under a send check; None: the step must not be sent."""
 
 
 @dataclass(slots=True, eq=False)
-class Hand:
-    """See the head of this file. Times in seconds by a clock that runs through sleep."""
-
-    number: int  # by which the operation is known where it is carried out
-    asked: Operation
-    record: Record  # as it is
-    until: float  # its client's time
-    stage: Stage = Stage.OURS
-    written: Record | None = None  # as it stands in the store, as far as we know; None: nowhere
-    target: Record | None = None  # what is on its way there
-    revision: int = 0  # of `written`
-    since: int = 0  # revision at which its first attempt stood there
-    first_at: float = inf  # no later than when the first attempt that may have run was sent
-    writing: bool = False
+class PendingOperation:
+    """State of an operation from its acceptance to the durable end of its record.
+
+    Times are seconds by a monotonic clock that runs through sleep.
+    """
+
+    number: int  # by which the executor knows it
+    operation: Operation
+    record: Record  # as it should be
+    deadline_s: float  # its client's
+    stage: OperationStage = OperationStage.OWNED
+    durable_record: Record | None = None  # as it stands in the store, as far as known; None: nowhere
+    record_in_flight: Record | None = None  # as the latest write has it
+    revision: int = 0  # of `durable_record`
+    first_attempt_revision: int = 0  # at which its first attempt was stored
+    first_attempt_s: float = inf  # no later than the first attempt that may have run was sent
+    is_writing: bool = False
     may_send: bool = True  # UNRECORDED: whether it may be sent all the same
-    took_over: bool = False  # for itself: no client of ours waits for it
-    steps: dict[int, int] = field(default_factory=dict)  # attempts of the record, by route step
-    gates: dict[int, Go] = field(default_factory=dict)  # route steps that wait to be durable
-    numbers: set[int] = field(default_factory=set)  # all by which it was ever known
-    answered: bool = False  # its client has its answer, or is gone
-    deliver: Callable[[], None] | None = None  # an answer that waits to be durable
+    is_takeover: bool = False  # executed for its own sake: no client of this instance waits for it
+    attempt_indexes: dict[int, int] = field(default_factory=dict)  # in the record, by route step
+    waiting_sends: dict[int, ResumeSend] = field(default_factory=dict)  # route steps not durable yet
+    numbers: set[int] = field(default_factory=set)  # all by which the executor has known it
+    is_answered: bool = False  # its client has its response, or is gone
+    deliver_response: Callable[[], None] | None = None  # a response that waits to be durable
 
     def __post_init__(self) -> None:
         self.numbers.add(self.number)
 
-    def to(self, stage: Stage) -> None:
-        """Go on to a stage."""
-        if stage not in MOVES[self.stage]:
+    def move_to(self, stage: OperationStage) -> None:
+        """Go on to a stage that the table allows."""
+        if stage not in STAGE_TRANSITIONS[self.stage]:
             raise AssertionError(f"no way from {self.stage} to {stage}")
         self.stage = stage
 
     def is_durable(self, step: int) -> bool:
         """Whether the attempt of a route step stands in the store."""
-        return self.written is not None and self.steps[step] < len(self.written.attempts)
+        if self.durable_record is None:
+            return False
+        return self.attempt_indexes[step] < len(self.durable_record.attempts)
 
-    def fence(self, now: float) -> bool:
-        """Whether bytes of an attempt may still go.
+    def is_send_allowed(self, now_s: float) -> bool:
+        """Whether bytes of an attempt may still be sent.
 
-        Guards against an owner that stood still: its client's time is over, or the window of what a
-        successor may have sent meanwhile.
+        Guards against an owner that was suspended: its client's deadline is over, or the window within which
+        a cell drops the repeat of what a successor may have sent meanwhile.
         """
-        if self.stage is not Stage.OURS and not (self.stage is Stage.UNRECORDED and self.may_send):
+        is_unrecorded = self.stage is OperationStage.UNRECORDED and self.may_send
+        if self.stage is not OperationStage.OWNED and not is_unrecorded:
             return False
-        if now >= self.until:
+        if now_s >= self.deadline_s:
             return False
-        rules = self.record.rules
-        risky = [one for one in self.record.attempts if one.may_have_run]
-        if rules.effect is not Effect.KEYED or len(risky) < 2:  # the one about to go is among them
+        policy = self.record.policy
+        # The attempt about to be sent is one of them.
+        is_first = len(self.record.uncertain_attempts) < 2
+        if policy.effect is not Effect.KEYED or is_first:
             return True
-        return (now - self.first_at) * 1000 < rules.window_ms - EDGE_MS
+        return (now_s - self.first_attempt_s) * 1000 < policy.window_ms - WINDOW_MARGIN_MS
 
-    def sending(self, step: int, attempt: Attempt, now: float) -> None:
-        """A route step is to be made; RecordError where all tries are made."""
+    def begin_attempt(self, step: int, attempt: Attempt, now_s: float) -> None:
+        """Add the attempt of a route step; RecordError where the policy allows no more."""
         if not self.record.may_have_run:
-            self.first_at = now
-        self.record = self.record.sending(attempt)
-        self.steps[step] = len(self.record.attempts) - 1
+            self.first_attempt_s = now_s
+        self.record = self.record.with_attempt(attempt)
+        self.attempt_indexes[step] = len(self.record.attempts) - 1
 
-    def ended(self, step: int, outcome: Outcome) -> None:
-        """A route step has ended."""
-        index = self.steps.get(step)
+    def end_attempt(self, step: int, outcome: Outcome) -> None:
+        """Note the outcome of a route step."""
+        index = self.attempt_indexes.get(step)
         if index is not None:
-            self.record = self.record.ended(index, outcome)
-
-    def close(self, end: End, why: str, unix: float, answer: bytes = b"") -> None:
-        """Its end, as far as we are concerned: the first word counts."""
-        if self.record.state is not State.CLOSED:
-            self.record = msgspec.structs.replace(self.record, answer=answer).closed(end, why, unix)
-
-    def end_of(self, served: bool, busy: bool) -> tuple[End, str]:
-        """How an operation ends that was answered so."""
-        if served and self.record.state is State.ANSWERED:
-            return End.SERVED, ""
-        if not self.record.may_have_run and self.record.state is not State.ANSWERED:
-            return (End.REFUSED, "") if busy else (End.NEVER_RAN, "told failed")
-        if self.record.state is State.ANSWERED:
-            return End.SERVED, "its client was told that it failed"
-        if self.took_over:
-            return End.UNKNOWN, "taken over, and no answer came"
-        return End.FAILED, "told busy" if busy else ""
-
-    def before(self, now: float, now_ms: float) -> tuple[api.Before, ...]:
-        """The attempts that were made, as the module is told of them."""
-        sent_ms = now_ms - max(0.0, now - self.first_at) * 1000 if self.first_at < inf else now_ms
+            self.record = self.record.with_outcome(index, outcome)
+
+    def close(self, status: FinalStatus, reason: str, unix_s: float, sealed_response: bytes = b"") -> None:
+        """Close its record; the first status stands."""
+        if self.record.recovery_point is not RecoveryPoint.CLOSED:
+            record = msgspec.structs.replace(self.record, sealed_response=sealed_response)
+            self.record = record.closed(status, reason, unix_s)
+
+    def final_status(self, *, served: bool, busy: bool) -> tuple[FinalStatus, str]:
+        """Return status and reason with which its record is closed, by the response its client gets."""
+        has_response = self.record.recovery_point is RecoveryPoint.ANSWERED
+        if has_response:
+            return FinalStatus.SERVED, "" if served else "its client was told that it failed"
+        if not self.record.may_have_run:
+            return (FinalStatus.REFUSED, "") if busy else (FinalStatus.NEVER_RAN, "told failed")
+        if self.is_takeover:
+            return FinalStatus.UNKNOWN, "taken over, and no answer came"
+        return FinalStatus.FAILED, "told busy" if busy else ""
+
+    def earlier_attempts(self, now_s: float, now_ms: float) -> tuple[api.Before, ...]:
+        """Return its attempts as the balancer is given them, at `now_ms` of the balancer's clock."""
+        age_ms = max(0.0, now_s - self.first_attempt_s) * 1000 if self.first_attempt_s < inf else 0.0
+        first_attempt_ms = now_ms - age_ms
         return tuple(
-            api.Before(one.zone, one.cell, sent_ms, one.may_have_run) for one in self.record.attempts
+            api.Before(attempt.zone, attempt.cell, first_attempt_ms, attempt.may_have_run)
+            for attempt in self.record.attempts
         )
--- a/coveport/sidecar/intent_log/presence.py
+++ b/coveport/sidecar/intent_log/presence.py
@@ -1,66 +1,77 @@
-"""Who of the instances is there, is leaving, or is lost, as far as one of them can tell. Pure.
+"""Which instances are alive, draining or lost, as far as one of them can tell. Pure.
 
-It decides about nothing but when somebody begins to try a takeover: what makes one safe is the compare of the
-record. A name that was never seen may be new, so it is given a time to live before it counts as lost.
+It decides only when somebody begins to try a takeover: what makes a takeover safe is the compare of the
+record's revision. An incarnation that was never seen may be new, so it gets one time to live before it counts
+as lost.
 """
 
 from __future__ import annotations
 
-from coveport.sidecar.intent_log.replayed_answers import Owner
+from enum import Enum
+
+
+class OwnerStatus(Enum):
+    """What is known of a record's owner."""
+
+    SELF = "self"
+    ALIVE = "alive"
+    DRAINING = "draining"  # its session is over; it finishes its operations
+    LOST = "lost"
 
 
 class Presence:
-    """Incarnations by name, from what stands in the store."""
+    """Incarnations by instance name, from the sessions in the store. `ttl_s`: of a session."""
 
     def __init__(self, incarnation: str, ttl_s: float) -> None:
-        self._ours = incarnation
+        self._own = incarnation
         self._ttl_s = ttl_s
-        self._there: dict[str, str] = {}  # by name
-        self._missed: dict[str, float] = {}  # incarnations that are not there, and since when we know
-        self._leaving: dict[str, float] = {}  # ... that end what they have, and until when at the most
-        self.sighted = False  # whether we have seen who is there at all
-
-    def here(self, name: str, incarnation: str) -> None:
-        """Somebody is there."""
-        self.sighted = True
-        self._there[name] = incarnation
-        self._missed.pop(incarnation, None)
-
-    def incarnation(self, name: str) -> str:
-        """Whose a name is; empty: nobody's."""
-        return self._there.get(name, "")
-
-    def gone(self, now: float, name: str) -> str:
-        """A name is there no more; whose it was, empty: nobody's that we knew."""
-        incarnation = self._there.pop(name, "")
+        self._present: dict[str, str] = {}  # incarnations by name
+        self._absent_since: dict[str, float] = {}  # by incarnation, own clock in s
+        self._draining_until: dict[str, float] = {}  # by incarnation, own clock in s
+        self.is_initialized = False  # whether any session was seen at all
+
+    def add(self, name: str, incarnation: str) -> None:
+        """Note that an instance has a session."""
+        self.is_initialized = True
+        self._present[name] = incarnation
+        self._absent_since.pop(incarnation, None)
+
+    def remove(self, now_s: float, name: str) -> str:
+        """Note that a session is over; return its incarnation, empty where it was not known."""
+        incarnation = self._present.pop(name, "")
         if incarnation:
-            self._missed[incarnation] = now - self._ttl_s  # it had its time
+            self._absent_since[incarnation] = now_s - self._ttl_s  # its session has had its time to live
         return incarnation
 
-    def leaves(self, incarnation: str, until: float) -> None:
-        """It ends what it has by then; before that nothing of it is taken."""
-        self._leaving.setdefault(incarnation, until)
+    def start_drain(self, incarnation: str, until_s: float) -> None:
+        """Note that an incarnation finishes its operations by then; the first note stands."""
+        self._draining_until.setdefault(incarnation, until_s)
+
+    def end_drain(self, incarnation: str) -> None:
+        """Note that an incarnation is through with draining."""
+        self._draining_until.pop(incarnation, None)
 
-    def left(self, incarnation: str) -> None:
-        """It has handed on what it had."""
-        self._leaving.pop(incarnation, None)
+    def incarnation_of(self, name: str) -> str:
+        """Return the incarnation under a name; empty: none."""
+        return self._present.get(name, "")
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Who is there."""
-        return tuple(self._there)
-
-    def of(self, now: float, incarnation: str) -> Owner:
-        """What is known of an owner."""
-        if incarnation == self._ours:
-            return Owner.OURS
-        if incarnation in self._there.values() or not self.sighted:
-            return Owner.THERE
-        if now - self._missed.setdefault(incarnation, now) < self._ttl_s:
-            return Owner.THERE
-        return Owner.LEAVING if now < self._leaving.get(incarnation, now) else Owner.LOST
+        """The instances that have a session."""
+        return tuple(self._present)
+
+    def status_of(self, now_s: float, incarnation: str) -> OwnerStatus:
+        """Return what is known of an owner; starts the time to live of one that was never seen."""
+        if incarnation == self._own:
+            return OwnerStatus.SELF
+        if incarnation in self._present.values() or not self.is_initialized:
+            return OwnerStatus.ALIVE
+        if now_s - self._absent_since.setdefault(incarnation, now_s) < self._ttl_s:
+            return OwnerStatus.ALIVE
+        is_draining = now_s < self._draining_until.get(incarnation, now_s)
+        return OwnerStatus.DRAINING if is_draining else OwnerStatus.LOST
 
     def forget(self, incarnation: str) -> None:
-        """Nothing of it is left."""
-        self._missed.pop(incarnation, None)
-        self._leaving.pop(incarnation, None)
+        """Drop an incarnation of which no record is left."""
+        self._absent_since.pop(incarnation, None)
+        self._draining_until.pop(incarnation, None)
--- a/coveport/sidecar/intent_log/record.py
+++ b/coveport/sidecar/intent_log/record.py
@@ -1,251 +1,260 @@
-"""An operation's record: named states, one table of transitions. Pure.
+"""Record of an operation: its recovery points and the transitions between them. Pure.
 
-    TAKEN -> SENDING -> ANSWERED -> CLOSED,  and CLOSED from anywhere before it; SENDING -> SENDING for a
-    further attempt
+    ACCEPTED -> SENDING -> ANSWERED -> CLOSED
 
-A record keeps the rules that it was taken under: a reload that changes them does not change it. Times are
-Unix s of whoever wrote them, for people alone; nothing is decided by comparing them (see `ages`). A closed
-one comes back to life only where its client asks again (`again`), as what it was.
+CLOSED follows from every recovery point; SENDING follows SENDING for a further attempt. The table at the head
+of `record_writer` says what has to be durable before which act.
+
+A record keeps the execution policy that it was accepted under: a reload of the settings does not change it.
+Times are Unix seconds by the clock of whoever wrote them, for people alone; nothing is decided by comparing
+them (see `observed_age`). A closed record is reopened only when its client repeats the request
+(`replay_decision`).
+
+Names under which a field is stored differ from its attribute where `msgspec.field(name=...)` says so.
 """
 
 from __future__ import annotations
 
-import zlib
 from enum import Enum
 
 import msgspec
 
 from coveport.balancing.interface import NEVER_RAN, Effect, Group, Outcome, RequestClass
+from coveport.sidecar.intent_log.errors import InvalidTransitionError
 
-FORMAT = 1  # of a record; one of a later format is left alone
-
-
-class RecordError(ValueError):
-    """A record that can't be read, or a step that is none from where it is; one line."""
+FORMAT = 1  # version of the stored form; a record of a later one is left alone
 
 
-class State(Enum):
-    """Where an operation is."""
+class RecoveryPoint(Enum):
+    """How far an operation has come, as far as the store knows."""
 
-    TAKEN = "taken"  # an answer is owed; nothing was sent
-    SENDING = "sending"  # an attempt may be on its way
-    ANSWERED = "answered"  # a node's answer is known
+    ACCEPTED = "taken"  # a response is owed; nothing was sent
+    SENDING = "sending"  # an attempt may be in flight
+    ANSWERED = "answered"  # a node's response is known
     CLOSED = "closed"
 
 
-class End(Enum):
-    """How it was closed."""
+class FinalStatus(Enum):
+    """How an operation was closed."""
 
     SERVED = "served"
-    REFUSED = "refused"  # busy: it never ran, and the client was told so
-    FAILED = "failed"  # the client was told so; it may have run
-    NEVER_RAN = "never-run"  # found by a successor, or settled by staff
-    UNKNOWN = "unknown"  # may have run; for staff to settle
+    REFUSED = "refused"  # rejected as busy: it did not run, and the client was notified
+    FAILED = "failed"  # the client was notified of a failure; it may have run
+    NEVER_RAN = "never-run"  # found by a successor, or resolved by staff
+    UNKNOWN = "unknown"  # may have run; staff resolve it
 
 
-MOVES: dict[State, frozenset[State]] = {
-    State.TAKEN: frozenset({State.SENDING, State.CLOSED}),
-    State.SENDING: frozenset({State.SENDING, State.ANSWERED, State.CLOSED}),
-    State.ANSWERED: frozenset({State.CLOSED}),
-    State.CLOSED: frozenset(),
+TRANSITIONS: dict[RecoveryPoint, frozenset[RecoveryPoint]] = {
+    RecoveryPoint.ACCEPTED: frozenset({RecoveryPoint.SENDING, RecoveryPoint.CLOSED}),
+    RecoveryPoint.SENDING: frozenset({RecoveryPoint.SENDING, RecoveryPoint.ANSWERED, RecoveryPoint.CLOSED}),
+    RecoveryPoint.ANSWERED: frozenset({RecoveryPoint.CLOSED}),
+    RecoveryPoint.CLOSED: frozenset(),
 }
-# Ends that say it did not run: false where an attempt may have.
-UNRUN = frozenset({End.REFUSED, End.NEVER_RAN})
+# Statuses that claim it did not run: false where an attempt may have.
+NOT_EXECUTED = frozenset({FinalStatus.REFUSED, FinalStatus.NEVER_RAN})
 
 
-class Rules(msgspec.Struct, frozen=True):
-    """What of its class an operation was taken under."""
+class ExecutionPolicy(msgspec.Struct, frozen=True):
+    """What an operation's class allowed when it was accepted."""
 
     effect: Effect
     group: Group
-    window_ms: float
-    most_attempts: int
+    window_ms: float  # for how long a cell drops repeats of a key
+    max_attempts: int = msgspec.field(name="most_attempts")
     deadline_ms: float = 1000.0
 
     @classmethod
-    def of(cls, told: RequestClass, most_attempts: int) -> Rules:
-        """Those of a class as it stands."""
-        return cls(told.effect, told.group, told.window_ms, most_attempts, told.deadline_ms)
+    def of(cls, request_class: RequestClass, max_attempts: int) -> ExecutionPolicy:
+        """Return the policy of a class as it is configured now."""
+        return cls(
+            request_class.effect,
+            request_class.group,
+            request_class.window_ms,
+            max_attempts,
+            request_class.deadline_ms,
+        )
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """One attempt, durable before its first byte."""
+    """One attempt; durable before its first byte is sent."""
 
-    node: str
+    node: str  # address
     zone: int
     cell: int
-    by: str  # incarnation
-    ended: Outcome | None = None  # None: not known to us
-    unix: float = 0.0  # when it was written down
+    incarnation: str = msgspec.field(name="by")  # of the instance that made it
+    outcome: Outcome | None = msgspec.field(name="ended", default=None)  # None: not known
+    recorded_unix_s: float = msgspec.field(name="unix", default=0.0)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether nothing proves that it did not."""
-        return self.ended is None or self.ended not in NEVER_RAN
+        """Whether no outcome proves that it did not run."""
+        return self.outcome is None or self.outcome not in NEVER_RAN
 
 
-class Settled(msgspec.Struct, frozen=True):
-    """What staff found out of an operation whose end was not known."""
+class ManualResolution(msgspec.Struct, frozen=True):
+    """What staff found out about an operation whose outcome was not known."""
 
-    end: End  # SERVED or NEVER_RAN
-    by: str
-    why: str
-    unix: float = 0.0
+    final_status: FinalStatus = msgspec.field(name="end")  # SERVED or NEVER_RAN
+    resolved_by: str = msgspec.field(name="by")
+    reason: str = msgspec.field(name="why")
+    resolved_unix_s: float = msgspec.field(name="unix", default=0.0)
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True):
-    """An operation in hand."""
+    """Stored record of one operation; every change returns a new one."""
 
     format: int = FORMAT
     id: str
-    key: str  # Idempotency-Key; empty: none
-    cls: str
-    digest: str  # of method, target and body: who asks again with another is refused; empty: see `request`
-    rules: Rules
+    idempotency_key: str = msgspec.field(name="key")  # Idempotency-Key; empty: none
+    class_name: str = msgspec.field(name="cls")
+    # Of method, target and body: another request under the same key is refused; empty: see `sealed_request`.
+    request_digest: str = msgspec.field(name="digest")
+    policy: ExecutionPolicy = msgspec.field(name="rules")
     owner: str  # incarnation
-    token: int  # the owner's session key, by the revision that it was created at
-    state: State = State.TAKEN
+    owner_token: int = msgspec.field(name="token")  # revision at which the owner's session key was created
+    recovery_point: RecoveryPoint = msgspec.field(name="state", default=RecoveryPoint.ACCEPTED)
     attempts: tuple[Attempt, ...] = ()
-    end: End | None = None
-    why: str = ""
-    request: bytes = b""  # sealed; empty: not kept
-    answer: bytes = b""  # sealed; empty: none, or not kept
-    since: int = 0  # revision at which the first attempt of `attempts` stood here; 0: that of this write
-    lives: int = 1  # how often it was taken
-    owners: tuple[str, ...] = ()  # those before this one
-    asked: str = ""  # X-Request-Id of whoever asked last
-    unix: float = 0.0  # when it was taken
-    closed_unix: float = 0.0
-    settled: Settled | None = None
-
-    def to(self, state: State) -> Record:
-        """The same in another state; RecordError where there is no way."""
-        if state not in MOVES[self.state]:
-            raise RecordError(f"{self.id}: no way from {self.state.value} to {state.value}")
-        return msgspec.structs.replace(self, state=state)
-
-    def sending(self, attempt: Attempt) -> Record:
-        """A further attempt is to be made: durable before its first byte."""
-        if len(self.attempts) >= self.rules.most_attempts:
-            raise RecordError(
+    final_status: FinalStatus | None = msgspec.field(name="end", default=None)
+    reason: str = msgspec.field(name="why", default="")
+    sealed_request: bytes = msgspec.field(name="request", default=b"")  # empty: not kept
+    sealed_response: bytes = msgspec.field(name="answer", default=b"")  # empty: none, or not kept
+    # Revision at which the first of `attempts` was stored; 0: that of this write.
+    first_attempt_revision: int = msgspec.field(name="since", default=0)
+    generation: int = msgspec.field(name="lives", default=1)  # how often it was accepted
+    previous_owners: tuple[str, ...] = msgspec.field(name="owners", default=())
+    request_id: str = msgspec.field(name="asked", default="")  # X-Request-Id of the latest request for it
+    accepted_unix_s: float = msgspec.field(name="unix", default=0.0)
+    closed_unix_s: float = msgspec.field(name="closed_unix", default=0.0)
+    resolution: ManualResolution | None = msgspec.field(name="settled", default=None)
+
+    def moved_to(self, point: RecoveryPoint) -> Record:
+        """Return it at another recovery point; InvalidTransitionError where the table has no such way."""
+        if point not in TRANSITIONS[self.recovery_point]:
+            raise InvalidTransitionError(
+                f"{self.id}: no way from {self.recovery_point.value} to {point.value}"
+            )
+        return msgspec.structs.replace(self, recovery_point=point)
+
+    def with_attempt(self, attempt: Attempt) -> Record:
+        """Return it with a further attempt; InvalidTransitionError where the policy allows no more."""
+        if len(self.attempts) >= self.policy.max_attempts:
+            raise InvalidTransitionError(
                 f"{self.id}: {len(self.attempts)} attempts were made, by all instances together"
             )
-        return msgspec.structs.replace(self.to(State.SENDING), attempts=(*self.attempts, attempt))
+        sending = self.moved_to(RecoveryPoint.SENDING)
+        return msgspec.structs.replace(sending, attempts=(*self.attempts, attempt))
 
-    def ended(self, number: int, outcome: Outcome) -> Record:
-        """How an attempt ended. The first word counts: an answer that is known is not unsaid."""
-        attempt = self.attempts[number]
-        if self.state is State.CLOSED or attempt.ended is not None:
+    def with_outcome(self, index: int, outcome: Outcome) -> Record:
+        """Return it with the outcome of an attempt; the first stands: a response can't be revoked."""
+        attempt = self.attempts[index]
+        if self.recovery_point is RecoveryPoint.CLOSED or attempt.outcome is not None:
             return self
-        told = msgspec.structs.replace(attempt, ended=outcome)
-        attempts = (*self.attempts[:number], told, *self.attempts[number + 1 :])
+        finished = msgspec.structs.replace(attempt, outcome=outcome)
+        attempts = (*self.attempts[:index], finished, *self.attempts[index + 1 :])
         record = msgspec.structs.replace(self, attempts=attempts)
-        return record.to(State.ANSWERED) if outcome is Outcome.OK and self.state is State.SENDING else record
-
-    def closed(self, end: End, why: str = "", unix: float = 0.0) -> Record:
-        """Its end; RecordError for one that can't be true."""
-        if end in UNRUN and self.may_have_run:
-            raise RecordError(f"{self.id}: can't be closed as {end.value}: an attempt may have run")
-        if (end is End.SERVED) is not (self.state is State.ANSWERED):
-            raise RecordError(f"{self.id}: can't be closed as {end.value} from {self.state.value}")
-        return msgspec.structs.replace(self.to(State.CLOSED), end=end, why=why, closed_unix=unix)
-
-    def claimed(self, by: str, token: int) -> Record:
-        """Another's from now on."""
-        if self.state is State.CLOSED:
-            raise RecordError(f"{self.id}: it is closed")
-        return msgspec.structs.replace(self, owner=by, token=token, owners=(*self.owners, self.owner))
-
-    def reopened(self, by: str, token: int) -> Record:
-        """Its client asks again for what was closed: another life of it.
-
-        What never ran begins anew. What may have run keeps its attempts: they count, and hold it to their
-        cell and window.
+        if outcome is Outcome.OK and self.recovery_point is RecoveryPoint.SENDING:
+            return record.moved_to(RecoveryPoint.ANSWERED)
+        return record
+
+    def closed(self, status: FinalStatus, reason: str = "", unix_s: float = 0.0) -> Record:
+        """Return it closed; InvalidTransitionError for a status that its attempts contradict."""
+        if status in NOT_EXECUTED and self.may_have_run:
+            raise InvalidTransitionError(
+                f"{self.id}: can't be closed as {status.value}: an attempt may have run"
+            )
+        if (status is FinalStatus.SERVED) is not (self.recovery_point is RecoveryPoint.ANSWERED):
+            raise InvalidTransitionError(
+                f"{self.id}: can't be closed as {status.value} from {self.recovery_point.value}"
+            )
+        return msgspec.structs.replace(
+            self.moved_to(RecoveryPoint.CLOSED),
+            final_status=status,
+            reason=reason,
+            closed_unix_s=unix_s,
+        )
+
+    def claimed(self, incarnation: str, token: int) -> Record:
+        """Return it under a new owner; InvalidTransitionError where it is closed."""
+        if self.recovery_point is RecoveryPoint.CLOSED:
+            raise InvalidTransitionError(f"{self.id}: it is closed")
+        return msgspec.structs.replace(
+            self,
+            owner=incarnation,
+            owner_token=token,
+            previous_owners=(*self.previous_owners, self.owner),
+        )
+
+    def reopened(self, incarnation: str, token: int) -> Record:
+        """Return a closed one as its next generation, for a client that repeats the request.
+
+        What did not run begins anew. What may have run keeps its attempts: they count, and restrict it to
+        their cell and window. Raises InvalidTransitionError where it is open or may not run again.
         """
-        unrun = self.end in UNRUN or (self.settled is not None and self.settled.end is End.NEVER_RAN)
-        if self.state is not State.CLOSED or not (unrun or self.may_run_again):
-            raise RecordError(f"{self.id}: can't be taken again")
+        not_executed = self.final_status in NOT_EXECUTED or (
+            self.resolution is not None and self.resolution.final_status is FinalStatus.NEVER_RAN
+        )
+        if self.recovery_point is not RecoveryPoint.CLOSED or not (not_executed or self.may_be_retried):
+            raise InvalidTransitionError(f"{self.id}: can't be taken again")
         return msgspec.structs.replace(
             self,
-            owner=by,
-            token=token,
-            state=State.TAKEN if unrun else State.SENDING,
-            attempts=() if unrun else self.attempts,
-            since=0 if unrun else self.since,
-            end=None,
-            why="",
-            settled=None,
-            lives=self.lives + 1,
-            owners=(*self.owners, self.owner),
-            closed_unix=0.0,
+            owner=incarnation,
+            owner_token=token,
+            recovery_point=RecoveryPoint.ACCEPTED if not_executed else RecoveryPoint.SENDING,
+            attempts=() if not_executed else self.attempts,
+            first_attempt_revision=0 if not_executed else self.first_attempt_revision,
+            final_status=None,
+            reason="",
+            resolution=None,
+            generation=self.generation + 1,
+            previous_owners=(*self.previous_owners, self.owner),
+            closed_unix_s=0.0,
         )
 
-    def settle(self, end: End, by: str, why: str, unix: float = 0.0) -> Record:
-        """Staff's word on what is not known; it is kept beside what was written before."""
-        if self.end is not End.UNKNOWN and self.end is not End.FAILED:
-            raise RecordError(f"{self.id}: there is nothing to settle: it is {self.said}")
-        if self.settled is not None:
-            raise RecordError(f"{self.id}: settled as {self.settled.end.value} by {self.settled.by} already")
-        if end not in (End.SERVED, End.NEVER_RAN) or not by.strip() or not why.strip():
-            raise RecordError(f"{self.id}: settled as served or never-run, with a name and a reason")
-        return msgspec.structs.replace(self, settled=Settled(end, by, why, unix))
+    def resolved(self, status: FinalStatus, resolved_by: str, reason: str, unix_s: float = 0.0) -> Record:
+        """Return it with staff's resolution beside its final status.
+
+        Raises InvalidTransitionError where its outcome is known, it was resolved before, or the resolution is
+        not SERVED or NEVER_RAN with a name and a reason.
+        """
+        if self.final_status is not FinalStatus.UNKNOWN and self.final_status is not FinalStatus.FAILED:
+            raise InvalidTransitionError(f"{self.id}: there is nothing to settle: it is {self.status}")
+        if self.resolution is not None:
+            raise InvalidTransitionError(
+                f"{self.id}: settled as {self.resolution.final_status.value} by "
+                f"{self.resolution.resolved_by} already"
+            )
+        is_resolving = status in (FinalStatus.SERVED, FinalStatus.NEVER_RAN)
+        if not is_resolving or not resolved_by.strip() or not reason.strip():
+            raise InvalidTransitionError(
+                f"{self.id}: settled as served or never-run, with a name and a reason"
+            )
+        resolution = ManualResolution(status, resolved_by, reason, unix_s)
+        return msgspec.structs.replace(self, resolution=resolution)
 
     @property
-    def said(self) -> str:
-        """Where it is, in a word."""
-        return self.end.value if self.end is not None else self.state.value
+    def status(self) -> str:
+        """The final status, or the recovery point while it is open, as one word."""
+        return self.final_status.value if self.final_status is not None else self.recovery_point.value
 
     @property
-    def open(self) -> bool:
-        """Whether somebody is to see to it."""
-        return self.state is not State.CLOSED
+    def is_open(self) -> bool:
+        """Whether an instance still has to finish it."""
+        return self.recovery_point is not RecoveryPoint.CLOSED
 
     @property
-    def may_run_again(self) -> bool:
-        """Whether its class allows what may have run to be sent again at all."""
-        told = self.end in (End.FAILED, End.UNKNOWN) and self.settled is None
-        return told and self.rules.effect is not Effect.UNSAFE
+    def may_be_retried(self) -> bool:
+        """Whether its class allows an operation that may have run to be sent again."""
+        is_unresolved = (
+            self.final_status in (FinalStatus.FAILED, FinalStatus.UNKNOWN) and self.resolution is None
+        )
+        return is_unresolved and self.policy.effect is not Effect.UNSAFE
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any attempt may have."""
-        return any(one.may_have_run for one in self.attempts)
+        """Whether any attempt may have run."""
+        return any(attempt.may_have_run for attempt in self.attempts)
 
     @property
-    def risky(self) -> tuple[Attempt, ...]:
+    def uncertain_attempts(self) -> tuple[Attempt, ...]:
         """The attempts that may have run."""
-        return tuple(one for one in self.attempts if one.may_have_run)
-
-
-def encode(record: Record) -> bytes:
-    """As it is kept: a sum of what follows, and that."""
-    data = msgspec.json.encode(record)
-    return b"%08x" % zlib.crc32(data) + data
-
-
-def decode(data: bytes) -> Record:
-    """As it was kept; RecordError for what can't be read, and for what a later version wrote."""
-    body = data[8:]
-    if data[:8] != b"%08x" % zlib.crc32(body):
-        raise RecordError("its sum does not match: it was damaged")
-    try:
-        told = msgspec.json.decode(body, type=Record)
-    except (msgspec.DecodeError, msgspec.ValidationError) as problem:
-        later = _format(body)
-        raise RecordError(
-            f"of format {later}, ours is {FORMAT}" if later > FORMAT else " ".join(str(problem).split())
-        ) from problem
-    if told.format > FORMAT:
-        raise RecordError(f"{told.id}: of format {told.format}, ours is {FORMAT}")
-    return told
-
-
-class _Named(msgspec.Struct):
-    format: int = 0
-
-
-def _format(body: bytes) -> int:
-    try:
-        return msgspec.json.decode(body, type=_Named).format
-    except (msgspec.DecodeError, msgspec.ValidationError):
-        return 0
+        return tuple(attempt for attempt in self.attempts if attempt.may_have_run)
--- a/coveport/sidecar/intent_log/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -1,4 +1,4 @@
-"""Goes on with records that were another's, or ours in an earlier life, as the table of takeovers says."""
+"""Continues, by the takeover table, records of another instance or of an earlier generation."""
 
 from __future__ import annotations
 
@@ -12,236 +12,300 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
-from coveport.sidecar.intent_log.encryption import Given
-from coveport.sidecar.intent_log.execution import Answering, Nobody
-from coveport.sidecar.intent_log.pending_operation import Hand, Stage
-from coveport.sidecar.intent_log.record import End, Record, State
-from coveport.sidecar.intent_log.record_layout import Leaves
+from coveport.sidecar.intent_log.execution import AbsentClient, RecordingClient
+from coveport.sidecar.intent_log.payloads import StoredResponse
+from coveport.sidecar.intent_log.pending_operation import OperationStage, PendingOperation
+from coveport.sidecar.intent_log.record import FinalStatus, Record, RecoveryPoint
+from coveport.sidecar.intent_log.record_layout import DrainNotice
 from coveport.sidecar.intent_log.record_writer import RecordWriter
-from coveport.sidecar.intent_log.takeover import Do, decide
+from coveport.sidecar.intent_log.takeover import (
+    COUNTER_SUFFIXES,
+    TakeoverAction,
+    TakeoverDecision,
+    decide,
+)
 from coveport.sidecar.leases.store import Done, Entry, Unknown
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
 
-TRY_AGAIN_S = 0.2  # between two tries of what was taken over and found no room
-LEAST_MS = 100.0  # of a window: less is not worth a try
+RETRY_DELAY_S = 0.2  # before a takeover that was rejected as busy is tried again
+MIN_RETRY_MS = 100.0  # rest of a window: less is not worth a retry
 
 
-def as_ours(record: Record, entry: Entry, incarnation: str, token: int) -> Record:
-    """A record that stands so, as ours: claimed where it is open, else in another life."""
-    ours = (record.claimed if record.open else record.reopened)(incarnation, token)
-    if not ours.attempts:
-        return ours
-    # Written down by whoever claims first: a later write's revision would make its attempts younger.
-    return msgspec.structs.replace(ours, since=ours.since or entry.modified)
+def as_owned(record: Record, entry: Entry, incarnation: str, token: int) -> Record:
+    """Return a stored record as this instance's: claimed where it is open, else reopened."""
+    owned = (record.claimed if record.is_open else record.reopened)(incarnation, token)
+    if not owned.attempts:
+        return owned
+    # Stored by the first who claims it: the revision of a later write would make its attempts younger.
+    first_revision = owned.first_attempt_revision or entry.modified
+    return msgspec.structs.replace(owned, first_attempt_revision=first_revision)
 
 
 class RecordAdopter(RecordWriter):
-    """Claims records, and does with each what its state allows."""
+    """Claims records, and does with each what its recovery point allows."""
 
-    async def whether_leaving(self, incarnation: str) -> None:
-        """Look whether one whose session is over has said that it ends what it has."""
-        found = await self.journal.read(self.layout.leaving_key(incarnation))
+    async def refresh_drain_notice(self, incarnation: str) -> None:
+        """Read whether an incarnation whose session is over is draining, and note it in `presence`."""
+        found = await self.journal.read(self.layout.drain_key(incarnation))
         if not isinstance(found, Done):
             return
         if not found.entries:
-            self.presence.left(incarnation)
+            self.presence.end_drain(incarnation)
             return
         try:
-            within_s = msgspec.json.decode(found.entries[0].value, type=Leaves).within_s
+            within_s = msgspec.json.decode(found.entries[0].value, type=DrainNotice).within_s
         except (msgspec.DecodeError, msgspec.ValidationError):
             within_s = 0.0
-        self.presence.leaves(incarnation, self._now_s() + within_s)
+        self.presence.start_drain(incarnation, self._now_s() + within_s)
 
-    async def claim(self, record: Record, entry: Entry, ours: Record) -> int | None:
-        """Make a record ours where it still stands so; its revision from then on, None where it is not."""
-        outcome = await self.journal.commit(self.layout.write(record, entry.modified, ours))
+    async def claim(self, record: Record, entry: Entry, owned: Record) -> int | None:
+        """Write a record as this instance's; return its new revision, None where the claim isn't certain."""
+        outcome = await self.journal.commit(self.layout.write(record, entry.modified, owned))
         if isinstance(outcome, Unknown):
-            # It may be ours, and it may become so later: who reads it next as ours and not in hand goes on.
+            # It may be this instance's, now or later: whoever reads it next as its own, yet not pending,
+            # claims it again.
             self._count("work_claims_unknown")
             return None
         return outcome.revision if isinstance(outcome, Done) else None
 
-    def _abandon(self, ours: Record, revision: int) -> None:
-        """What was claimed for a client that is gone: it is seen to as if it were nobody's."""
-        hand = self._own_hand(ours, revision, inf)
-        if hand is not None:
-            self.resume(hand)
-
-    def _take_on(self, hand: Hand, client: Any, ours: Record, revision: int, entry: Entry) -> bool:
-        hand.to(Stage.OURS)
-        hand.record, hand.written, hand.revision = ours, ours, revision
-        hand.since = ours.since
-        hand.first_at = self._first_at(hand)
-        self._by_id[ours.id] = hand
-        return self._go_on(hand, client)
-
-    def _first_at(self, hand: Hand) -> float:
-        """No later than when its first attempt was sent; where that is not known: long ago."""
-        if not hand.record.attempts:
-            return inf
-        return self._now_s() - self.journal.ages.at_most(self._now_s(), hand.since)
-
-    def _go_on(self, hand: Hand, client: Any) -> bool:
-        """Do what the table says with a record that is ours now."""
-        now = self._now_s()
-        record = hand.record
-        age_ms = (now - hand.first_at) * 1000 if hand.first_at < inf else 0.0
-        left_ms = (hand.until - now) * 1000
-        room_ms = self._hands.settings.limits.connect_timeout_ms
-        decision = decide(record, left_ms, age_ms, room_ms)
-        if client is not None and decision.do is Do.NEVER_RAN and left_ms > room_ms:
-            decision = replace(decision, do=Do.SEND, rule="it has not run, and somebody waits for it")
-        self._count(f"work_did_{decision.do.name.lower()}")
-        self._say("work_taken_on", id=record.id, did=decision.do.value, rule=decision.rule)
-        if decision.do in (Do.SEND, Do.ASK_AGAIN):
-            if decision.do is Do.ASK_AGAIN:
-                hand.until = min(hand.until, now + decision.within_ms / 1000)
-            if client is None and self._rebuilt(hand) is None:
-                self._end(
-                    hand,
-                    client,
-                    End.UNKNOWN if record.may_have_run else End.NEVER_RAN,
-                    "what was asked is not kept",
-                )
-                return True
-            self._begin(hand, client, hand.before(now, self._hands.now_ms()))
-            return True
-        if decision.do is Do.KEEP:
-            hand.close(End.SERVED, "found answered", self._unix_s(), record.answer)
-            given = self.kept.read_given(record.id, record.answer)
-            self._end(hand, client, End.SERVED, "", given)
-            return True
-        self._end(hand, client, End.UNKNOWN if decision.do is Do.UNKNOWN else End.NEVER_RAN, decision.rule)
+    # Adoption.
+
+    def adopt(self, owned: Record, revision: int, accepted_age_s: float) -> PendingOperation | None:
+        """Continue a lost instance's record, claimed at `revision`; None where it is pending here already.
+
+        `accepted_age_s`: upper bound of the time since it was accepted.
+        """
+        now_s = self._now_s()
+        pending = self._new_takeover(owned, revision, now_s)
+        if pending is None:
+            return None
+        pending.first_attempt_revision = owned.first_attempt_revision
+        pending.first_attempt_s = self._first_attempt_s(pending)
+        # Never sent: its client's deadline, as nobody waits longer. What may have run is retried for its own
+        # sake, for as long as its window allows.
+        deadline_s = owned.policy.deadline_ms / 1000
+        if not owned.may_have_run:
+            deadline_s = max(0.0, deadline_s - accepted_age_s)
+        pending.deadline_s = now_s + deadline_s
+        self._continue(pending, None)
+        return pending
+
+    def _adopt_for_client(
+        self, pending: PendingOperation, client: Any, owned: Record, revision: int, entry: Entry
+    ) -> bool:
+        """Continue a record that was claimed for a client which repeats its request."""
+        pending.move_to(OperationStage.OWNED)
+        pending.record = owned
+        pending.durable_record = owned
+        pending.revision = revision
+        pending.first_attempt_revision = owned.first_attempt_revision
+        pending.first_attempt_s = self._first_attempt_s(pending)
+        self._by_id[owned.id] = pending
+        self._continue(pending, client)
         return True
 
-    def _rebuilt(self, hand: Hand) -> Operation | None:
-        asked = self.kept.read_asked(hand.record.id, hand.record.request)
-        classes = [one.name for one in self._hands.settings.classes]
-        if asked is None or hand.record.cls not in classes:
+    def _adopt_abandoned(self, owned: Record, revision: int) -> None:
+        """Continue what was claimed for a client that has disconnected meanwhile."""
+        pending = self._new_takeover(owned, revision, inf)
+        if pending is None:
+            return
+        pending.deadline_s = self._now_s() + owned.policy.deadline_ms / 1000
+        pending.first_attempt_revision = owned.first_attempt_revision
+        pending.first_attempt_s = self._first_attempt_s(pending)
+        self._continue(pending, None)
+
+    def _new_takeover(self, owned: Record, revision: int, deadline_s: float) -> PendingOperation | None:
+        if owned.id in self._by_id:
+            return None
+        operation = Operation("", "", b"", owned.request_id, owned.idempotency_key or None, 0, 0.0)
+        pending = PendingOperation(
+            self._next_own_number(),
+            operation,
+            owned,
+            deadline_s,
+            durable_record=owned,
+            revision=revision,
+            is_takeover=True,
+        )
+        self._by_number[pending.number] = pending
+        self._by_id[owned.id] = pending
+        return pending
+
+    def _next_own_number(self) -> int:
+        self._last_own_number -= 1
+        return self._last_own_number
+
+    def _first_attempt_s(self, pending: PendingOperation) -> float:
+        """Return a time no later than its first attempt; -inf where that is not known, inf without one."""
+        if not pending.record.attempts:
+            return inf
+        max_age_s = self.journal.ages.at_most(self._now_s(), pending.first_attempt_revision)
+        return self._now_s() - max_age_s
+
+    # What the takeover table says.
+
+    def _continue(self, pending: PendingOperation, client: Any) -> None:
+        """Do what the takeover table says with an owned record; `client` None: nobody waits for it."""
+        now_s = self._now_s()
+        decision = self._decide(pending, now_s, has_client=client is not None)
+        action = decision.action
+        self._count(f"work_did_{COUNTER_SUFFIXES[action]}")
+        self._log_event("work_taken_on", id=pending.record.id, did=action.value, rule=decision.rule)
+        if action is TakeoverAction.RETRY:
+            pending.deadline_s = min(pending.deadline_s, now_s + decision.within_ms / 1000)
+        if action in (TakeoverAction.SEND, TakeoverAction.RETRY):
+            self._send_again(pending, client, now_s)
+        elif action is TakeoverAction.KEEP_RESPONSE:
+            self._keep_response(pending, client)
+        elif action is TakeoverAction.CLOSE_UNKNOWN:
+            self._close(pending, client, FinalStatus.UNKNOWN, decision.rule)
+        else:
+            self._close(pending, client, FinalStatus.NEVER_RAN, decision.rule)
+
+    def _decide(self, pending: PendingOperation, now_s: float, *, has_client: bool) -> TakeoverDecision:
+        has_attempt = pending.first_attempt_s < inf
+        age_ms = (now_s - pending.first_attempt_s) * 1000 if has_attempt else 0.0
+        left_ms = (pending.deadline_s - now_s) * 1000
+        send_ms = self._executor.settings.limits.connect_timeout_ms
+        decision = decide(pending.record, left_ms, age_ms, send_ms)
+        if has_client and decision.action is TakeoverAction.CLOSE_NEVER_RAN and left_ms > send_ms:
+            return replace(
+                decision, action=TakeoverAction.SEND, rule="it has not run, and somebody waits for it"
+            )
+        return decision
+
+    def _send_again(self, pending: PendingOperation, client: Any, now_s: float) -> None:
+        if client is None and self._restored_operation(pending) is None:
+            may_have_run = pending.record.may_have_run
+            status = FinalStatus.UNKNOWN if may_have_run else FinalStatus.NEVER_RAN
+            self._close(pending, client, status, "what was asked is not kept")
+            return
+        self._execute(pending, client, pending.earlier_attempts(now_s, self._executor.now_ms()))
+
+    def _keep_response(self, pending: PendingOperation, client: Any) -> None:
+        record = pending.record
+        pending.close(FinalStatus.SERVED, "found answered", self._unix_s(), record.sealed_response)
+        response = self.codec.decode_response(record.id, record.sealed_response)
+        self._close(pending, client, FinalStatus.SERVED, "", response)
+
+    def _restored_operation(self, pending: PendingOperation) -> Operation | None:
+        """Return the operation of the recorded request; None where it is not kept or its class is gone."""
+        record = pending.record
+        request = self.codec.decode_request(record.id, record.sealed_request)
+        class_names = [request_class.name for request_class in self._executor.settings.classes]
+        if request is None or record.class_name not in class_names:
             return None
         return Operation(
-            asked.method,
-            asked.target,
-            asked.body,
-            asked.request_id,
-            asked.key,
-            classes.index(hand.record.cls),
-            max(1.0, (hand.until - self._now_s()) * 1000),
-            content_type=asked.content_type,
-            accept=asked.accept,
+            request.method,
+            request.target,
+            request.body,
+            request.request_id,
+            request.idempotency_key,
+            class_names.index(record.class_name),
+            self._wait_ms(pending),
+            content_type=request.content_type,
+            accept=request.accept,
         )
 
-    def _begin(self, hand: Hand, client: Any, before: tuple[api.Before, ...]) -> None:
-        """Have it carried out, under a number of our own."""
-        rebuilt = self._rebuilt(hand) if client is None else None
-        asked = rebuilt or hand.asked
-        # A copy: what came first keeps what it was asked with.
-        asked = Operation(
-            asked.method,
-            asked.target,
-            asked.body,
-            asked.id,
-            asked.key,
-            asked.cls,
-            max(1.0, (hand.until - self._now_s()) * 1000),
-            asked.repeat,
-            asked.cost_ms,
-            asked.content_type,
-            asked.accept,
-            before=before,
+    def _wait_ms(self, pending: PendingOperation) -> float:
+        return max(1.0, (pending.deadline_s - self._now_s()) * 1000)
+
+    def _execute(
+        self, pending: PendingOperation, client: Any, earlier_attempts: tuple[api.Before, ...]
+    ) -> None:
+        """Have the executor execute an owned operation, under a number of the recorder's own."""
+        restored = self._restored_operation(pending) if client is None else None
+        source = restored or pending.operation
+        # A copy: a write or an attempt that was begun with the first one keeps that.
+        operation = Operation(
+            source.method,
+            source.target,
+            source.body,
+            source.id,
+            source.key,
+            source.cls,
+            self._wait_ms(pending),
+            source.repeat,
+            source.cost_ms,
+            source.content_type,
+            source.accept,
+            before=earlier_attempts,
         )
-        self._own -= 1
-        hand.number = self._own
-        hand.numbers.add(hand.number)
-        self._by_number[hand.number] = hand
-        self._by_id[hand.record.id] = hand
-        hand.steps = {number: number for number in range(len(before))}
-        hand.asked = asked
-        asker = Nobody(self, hand) if client is None else Answering(self, hand, client)
+        pending.number = self._next_own_number()
+        pending.numbers.add(pending.number)
+        pending.attempt_indexes = {index: index for index in range(len(earlier_attempts))}
+        pending.operation = operation
+        self._by_number[pending.number] = pending
+        self._by_id[pending.record.id] = pending
         if client is not None:
-            self._clients[hand.number] = client
-        if hand.written is None:
-            self._push(hand)
-        self._hands.take(hand.number, asker, asked)
-
-    def _end(self, hand: Hand, client: Any, end: End, why: str, given: Given | None = None) -> None:
-        """Close what is ours without another try, and tell who waits for it."""
-        if hand.record.open:
-            hand.close(end, why, self._unix_s())
-        hand.answered = True
+            self._clients[pending.number] = client
+        if pending.durable_record is None:
+            self._schedule_write(pending)
+        stand_in = AbsentClient(self, pending) if client is None else RecordingClient(self, pending, client)
+        self._executor.take(pending.number, stand_in, operation)
+
+    def _close(
+        self,
+        pending: PendingOperation,
+        client: Any,
+        status: FinalStatus,
+        reason: str,
+        response: StoredResponse | None = None,
+    ) -> None:
+        """Close an owned record without another attempt, and answer the client that waits for it."""
+        if pending.record.is_open:
+            pending.close(status, reason, self._unix_s())
+        pending.is_answered = True
         if client is not None:
-            verdict, answer = Verdict.FAILED, None
-            if end is End.SERVED and given is not None:
-                verdict, answer = Verdict.SERVED, Answer(given.body, given.content_type)
-            elif end is End.NEVER_RAN:
-                verdict = Verdict.BUSY
-            self._hands.answered_elsewhere(hand.record.cls, verdict)
+            verdict = Verdict.BUSY if status is FinalStatus.NEVER_RAN else Verdict.FAILED
+            answer = None
+            if status is FinalStatus.SERVED and response is not None:
+                verdict = Verdict.SERVED
+                answer = Answer(response.body, response.content_type)
+            self._executor.answered_elsewhere(pending.record.class_name, verdict)
             client.answer(verdict, answer, 0.0)
-        self._push(hand)
-
-    def _own_hand(self, ours: Record, revision: int, until: float) -> Hand | None:
-        if ours.id in self._by_id:
-            return None
-        self._own -= 1
-        asked = Operation("", "", b"", ours.asked, ours.key or None, 0, 0.0)
-        hand = Hand(self._own, asked, ours, until, written=ours, revision=revision, took_over=True)
-        self._by_number[hand.number] = hand
-        self._by_id[ours.id] = hand
-        return hand
+        self._schedule_write(pending)
 
-    def took_over(self, ours: Record, revision: int, taken_age_s: float) -> Hand | None:
-        """A lost one's record is ours now: do with it what the table says.
+    # Retries of takeovers.
 
-        `taken_age_s`: how long ago it was taken, at the most.
-        """
-        now = self._now_s()
-        hand = self._own_hand(ours, revision, now)
-        if hand is None:
-            return None
-        hand.since = ours.since
-        hand.first_at = self._first_at(hand)
-        # Its client's time, where it was never sent: nobody waits longer. What may have run is asked for
-        # again for its own sake, for as long as one may.
-        deadline_s = ours.rules.deadline_ms / 1000
-        hand.until = now + (deadline_s if ours.may_have_run else max(0.0, deadline_s - taken_age_s))
-        self._go_on(hand, None)
-        return hand
-
-    def resume(self, hand: Hand) -> None:
-        """Do what the table says, for nobody."""
-        hand.until = self._now_s() + hand.record.rules.deadline_ms / 1000
-        hand.since = hand.record.since
-        hand.first_at = self._first_at(hand)
-        self._go_on(hand, None)
-
-    def _again_later(self, hand: Hand) -> bool:
-        """Whether what was taken over and found no room is tried again a little later."""
-        rules = hand.record.rules
-        rest_ms = rules.window_ms - (self._now_s() - hand.first_at) * 1000 if hand.first_at < inf else 0.0
-        if (
-            rules.effect is not Effect.KEYED
-            or hand.stage is not Stage.OURS
-            or hand.gates
-            or rest_ms < LEAST_MS + TRY_AGAIN_S * 1000
-            or len(hand.record.attempts) >= rules.most_attempts
-            or hand.record.state is not State.SENDING
-        ):
+    def _schedule_retry(self, pending: PendingOperation) -> bool:
+        """Try a takeover that was rejected as busy again later; False where its class or time forbids it."""
+        if not self._may_retry_later(pending):
             return False
-        self._loop().call_later(TRY_AGAIN_S, self._retry, hand)
+        self._loop().call_later(RETRY_DELAY_S, self._retry, pending)
         return True
 
-    def _retry(self, hand: Hand) -> None:
-        if hand.stage is Stage.OURS and not hand.answered:
-            hand.until = self._now_s() + hand.record.rules.deadline_ms / 1000
-            self._go_on(hand, None)
+    def _may_retry_later(self, pending: PendingOperation) -> bool:
+        policy = pending.record.policy
+        window_left_ms = 0.0
+        if pending.first_attempt_s < inf:
+            window_left_ms = policy.window_ms - (self._now_s() - pending.first_attempt_s) * 1000
+        return (
+            policy.effect is Effect.KEYED
+            and pending.stage is OperationStage.OWNED
+            and not pending.waiting_sends
+            and window_left_ms >= MIN_RETRY_MS + RETRY_DELAY_S * 1000
+            and len(pending.record.attempts) < policy.max_attempts
+            and pending.record.recovery_point is RecoveryPoint.SENDING
+        )
+
+    def _retry(self, pending: PendingOperation) -> None:
+        # Between schedule and now another may have claimed it.
+        if pending.stage is OperationStage.OWNED and not pending.is_answered:
+            pending.deadline_s = self._now_s() + pending.record.policy.deadline_ms / 1000
+            self._continue(pending, None)
 
     @abstractmethod
     def answered(
-        self, hand: Hand, verdict: Verdict, answer: Answer | None, deliver: Callable[[], None]
+        self,
+        pending: PendingOperation,
+        verdict: Verdict,
+        answer: Answer | None,
+        deliver: Callable[[], None],
     ) -> None:
-        """The one final answer is there; pass it on as soon as the class allows."""
+        """Handle the one final response; see `execution.ResponseObserver`."""
 
     @abstractmethod
-    def finished(self, hand: Hand, whole: bool) -> None:
-        """A long answer has been passed on, or broke."""
+    def finished(self, pending: PendingOperation, complete: bool) -> None:
+        """Handle the end of a streamed response; see `execution.ResponseObserver`."""
--- a/coveport/sidecar/intent_log/record_layout.py
+++ b/coveport/sidecar/intent_log/record_layout.py
@@ -1,13 +1,13 @@
-"""How records stand in a store: keys, and the transactions that move them. Pure.
+"""Keys and transactions by which records are kept in a store. Pure.
 
     r/ID                    the record
-    o/OWNER/ID              it is open, and whose it is
-    k/BUCKET/ID             it is closed; may be thrown away after that bucket of time
-    u/ID                    its end is not known: kept until staff have settled it and it is exported
-    l/OWNER                 its owner is leaving: it ends what it has, and hands the rest on
+    o/OWNER/ID              index: open, and whose it is
+    k/BUCKET/ID             index: closed; may be deleted after that bucket of time
+    u/ID                    index: outcome unknown; kept until staff have resolved and exported it
+    l/OWNER                 drain notice: the owner finishes its operations and leaves the rest to others
 
-Every write of a record compares the revision at which its writer knows it. So whoever claims a record ends
-the writing of its owner before, whatever the owner's clock or lease says.
+Every write of a record compares the revision at which its writer knows it. So a claim ends the previous
+owner's writing, whatever that owner's clock or lease says.
 """
 
 from __future__ import annotations
@@ -17,104 +17,117 @@
 
 import msgspec
 
-from coveport.sidecar.intent_log.record import End, Record, RecordError, encode
+from coveport.sidecar.intent_log.errors import RecordError
+from coveport.sidecar.intent_log.record import FinalStatus, Record
+from coveport.sidecar.intent_log.record_codec import encode
 from coveport.sidecar.leases.store import Compare, Delete, Field, Put, Transaction
 
-RECORD, OPEN, KEPT, UNKNOWN, LEAVING = "r/", "o/", "k/", "u/", "l/"
-BUCKET_S = 10  # closed records are thrown away by so many seconds at a time
+RECORD = "r/"
+OPEN = "o/"
+RETAINED = "k/"
+UNKNOWN = "u/"
+DRAINING = "l/"
+BUCKET_S = 10  # closed records are indexed, and deleted, by intervals of so many seconds
 ID_BYTES = 16
 _ID = re.compile(r"[0-9a-f]{32}")
 
 
-class Leaves(msgspec.Struct, frozen=True):
-    """What an owner says that is leaving."""
+class DrainNotice(msgspec.Struct, frozen=True):
+    """What an owner stores when it begins to shut down."""
 
-    within_s: float  # it ends what it has in so long
+    within_s: float  # it finishes its operations within this time
 
 
-def id_of(key: str, request: str) -> str:
-    """A record's id: by its Idempotency-Key, where it has none by its X-Request-Id."""
-    told = f"k {key}" if key else f"r {request}"
-    return hashlib.blake2b(told.encode(), digest_size=ID_BYTES).hexdigest()
+def id_of(idempotency_key: str, request_id: str) -> str:
+    """Return a record's id: made of its Idempotency-Key, or of its X-Request-Id where it has no key."""
+    source = f"k {idempotency_key}" if idempotency_key else f"r {request_id}"
+    return hashlib.blake2b(source.encode(), digest_size=ID_BYTES).hexdigest()
 
 
-def digest_of(identity: str, method: str, target: str, body: bytes) -> str:
-    """Of what was asked, by which it is known again; nobody reads it back out of that."""
-    made = hashlib.blake2b(key=identity.encode(), digest_size=ID_BYTES)
-    for part in (method.encode(), target.encode(), body):
-        made.update(b"%d:" % len(part) + part)
-    return made.hexdigest()
+def digest_of(record_id: str, method: str, target: str, body: bytes) -> str:
+    """Return a keyed digest of a request, by which a repeat is recognized without keeping the request."""
+    digest = hashlib.blake2b(key=record_id.encode(), digest_size=ID_BYTES)
+    for field in (method.encode(), target.encode(), body):
+        digest.update(b"%d:" % len(field) + field)
+    return digest.hexdigest()
 
 
 def is_id(text: str) -> bool:
-    """Whether it can be one."""
+    """Whether a text has the form of a record's id."""
     return _ID.fullmatch(text) is not None
 
 
 class RecordLayout:
-    """Keys and transactions under a prefix. `kept_s`: how long a closed record is kept at the least."""
+    """Keys and transactions under a prefix.
 
-    def __init__(self, prefix: str, kept_s: float) -> None:
+    `retention_s`: how long a closed record is kept at the least.
+    """
+
+    def __init__(self, prefix: str, retention_s: float) -> None:
         self.prefix = prefix
-        self.kept_s = kept_s
+        self.retention_s = retention_s
 
-    def record_key(self, identity: str) -> str:
-        """Where a record stands."""
-        return f"{self.prefix}{RECORD}{identity}"
+    def record_key(self, record_id: str) -> str:
+        """Return the key of a record; for an empty id the prefix of all."""
+        return f"{self.prefix}{RECORD}{record_id}"
 
-    def open_keys(self, owner: str = "") -> str:
-        """Under which the open ones of an owner stand; without one, of all."""
+    def open_prefix(self, owner: str = "") -> str:
+        """Return the prefix of the index of open records: of an owner, or of all."""
         return f"{self.prefix}{OPEN}{owner}/" if owner else f"{self.prefix}{OPEN}"
 
     def owner_and_id(self, key: str) -> tuple[str, str]:
-        """Of a key under `open_keys`."""
-        owner, _, identity = key[len(self.prefix) + len(OPEN) :].rpartition("/")
-        return owner, identity
+        """Return owner and record id of a key under `open_prefix`."""
+        owner, _, record_id = key[len(self.prefix) + len(OPEN) :].rpartition("/")
+        return owner, record_id
 
-    def leaving_key(self, owner: str = "") -> str:
-        """Where an owner says that it is leaving."""
-        return f"{self.prefix}{LEAVING}{owner}"
+    def drain_key(self, owner: str = "") -> str:
+        """Return the key of an owner's drain notice."""
+        return f"{self.prefix}{DRAINING}{owner}"
 
-    def kept_keys(self, bucket: int | None = None) -> str:
-        """Under which closed ones of a bucket of time stand; without one, all."""
-        return f"{self.prefix}{KEPT}" if bucket is None else f"{self.prefix}{KEPT}{bucket:012d}/"
+    def retained_prefix(self, bucket: int | None = None) -> str:
+        """Return the prefix of the index of closed records: of a bucket of time, or of all."""
+        return f"{self.prefix}{RETAINED}" if bucket is None else f"{self.prefix}{RETAINED}{bucket:012d}/"
 
     def bucket_and_id(self, key: str) -> tuple[int, str]:
-        """Of a key under `kept_keys`."""
-        bucket, _, identity = key[len(self.prefix) + len(KEPT) :].partition("/")
-        return int(bucket), identity
-
-    def unknown_key(self, identity: str = "") -> str:
-        """Where one stands whose end is not known."""
-        return f"{self.prefix}{UNKNOWN}{identity}"
-
-    def index(self, record: Record) -> str:
-        """The one key beside the record that tells what is to be done with it."""
-        if record.open:
-            return f"{self.prefix}{OPEN}{record.owner}/{record.id}"
-        told_failed = record.end is End.FAILED and not record.may_run_again
-        if record.settled is None and (record.end is End.UNKNOWN or told_failed):
+        """Return bucket and record id of a key under `retained_prefix`."""
+        bucket, _, record_id = key[len(self.prefix) + len(RETAINED) :].partition("/")
+        return int(bucket), record_id
+
+    def unknown_key(self, record_id: str = "") -> str:
+        """Return the index key of a record whose outcome is unknown; for an empty id the prefix of all."""
+        return f"{self.prefix}{UNKNOWN}{record_id}"
+
+    def index_key(self, record: Record) -> str:
+        """Return the one index key that says what is still to be done with a record."""
+        if record.is_open:
+            return f"{self.open_prefix(record.owner)}{record.id}"
+        is_final_failure = record.final_status is FinalStatus.FAILED and not record.may_be_retried
+        is_uncertain = record.final_status is FinalStatus.UNKNOWN or is_final_failure
+        if record.resolution is None and is_uncertain:
             return self.unknown_key(record.id)
-        bucket = int((record.closed_unix + self.kept_s) // BUCKET_S) + 1
-        return f"{self.kept_keys(bucket)}{record.id}"
+        bucket = int((record.closed_unix_s + self.retention_s) // BUCKET_S) + 1
+        return f"{self.retained_prefix(bucket)}{record.id}"
 
     def write(
         self, before: Record | None, revision: int, after: Record, more: tuple[Put | Delete, ...] = ()
     ) -> Transaction:
-        """Keep it as it is now, where it stands as it did `before`, at that revision (0: nowhere)."""
+        """Return the write of `after` over `before`, which stands at `revision` (None and 0: nowhere).
+
+        `more`: further changes in the same transaction. Raises RecordError where the two differ in their id.
+        """
         if before is not None and before.id != after.id:
             raise RecordError(f"{before.id} can't become {after.id}")
         changes: list[Put | Delete] = [Put(self.record_key(after.id), encode(after))]
-        index = self.index(after)
-        if before is not None and self.index(before) != index:
-            changes.append(Delete(self.index(before)))
-        if before is None or self.index(before) != index:
+        index = self.index_key(after)
+        if before is not None and self.index_key(before) != index:
+            changes.append(Delete(self.index_key(before)))
+        if before is None or self.index_key(before) != index:
             changes.append(Put(index, b""))
         return Transaction((Compare(self.record_key(after.id), Field.MODIFIED, revision),), (*changes, *more))
 
-    def throw_away(self, identity: str, revision: int, index: str) -> Transaction:
-        """Keep it no more, where it still stands at that revision."""
+    def deletion(self, record_id: str, revision: int, index: str) -> Transaction:
+        """Return the deletion of a record and its index key, where it still stands at that revision."""
         return Transaction(
-            (Compare(self.record_key(identity), Field.MODIFIED, revision),),
-            (Delete(self.record_key(identity)), Delete(index)),
+            (Compare(self.record_key(record_id), Field.MODIFIED, revision),),
+            (Delete(self.record_key(record_id)), Delete(index)),
         )
--- a/coveport/sidecar/intent_log/record_writer.py
+++ b/coveport/sidecar/intent_log/record_writer.py
@@ -1,4 +1,32 @@
-"""The records of an instance that are open, and how each comes to stand in the store as it is here."""
+"""Makes the records of pending operations durable, in step with what is sent.
+
+Theory of operation: durable first, act second. An act waits until the store has confirmed the record at the
+recovery point that permits it; so whoever finds a record knows what cannot have happened yet.
+
+    durable at        permits                                    a successor may conclude
+    ---------------   ----------------------------------------   ---------------------------------------------
+    nowhere           nothing                                    -
+    ACCEPTED          nothing; a repeat of the key finds it      it never ran
+    SENDING, with     the first byte of attempt n, where         an attempt without an outcome may still run,
+      attempt n         `is_send_allowed` then agrees              at any later time
+    CLOSED, SERVED    UNSAFE: the response goes to the client    a repeat gets the recorded response, or a
+                        (`RESPONSE_WAIT_S` at the latest)          failure where that is not kept
+
+ANSWERED needs no write of its own: the final status mostly follows in the same turn, and is written with it.
+The response of a SAFE or KEYED operation, and every rejection and failure, goes to the client at once and is
+written right after. What goes unrecorded while the store is unavailable is outside of the table.
+
+Every write compares the revision at which this instance knows the record. Three outcomes are possible:
+
+- Done: the acts that waited for this write go on.
+- Refused: another instance has claimed the record, or created it first. Nothing more of it is written or sent
+  here; its client waits for the owner (`repeated_requests`).
+- Unknown: the write may have happened, and may still. Nothing more is written until `deferred_writes` has
+  read what stands there. Bytes go only where no successor may conclude that it never ran
+  (`_outcome_unknown`).
+
+At most one write of a record is in flight; what changes meanwhile goes with the next one.
+"""
 
 from __future__ import annotations
 
@@ -12,193 +40,224 @@
 
 import msgspec
 
-from coveport.sidecar.intent_log.deferred_writes import Late
-from coveport.sidecar.intent_log.encryption import Kept
-from coveport.sidecar.intent_log.execution import Hands
+from coveport.sidecar.intent_log.deferred_writes import DeferredWrites
+from coveport.sidecar.intent_log.execution import Executor
 from coveport.sidecar.intent_log.journal import Journal
-from coveport.sidecar.intent_log.pending_operation import Hand, Stage
+from coveport.sidecar.intent_log.payloads import PayloadCodec
+from coveport.sidecar.intent_log.pending_operation import OperationStage, PendingOperation, SendCheck
 from coveport.sidecar.intent_log.presence import Presence
 from coveport.sidecar.intent_log.record_layout import RecordLayout
-from coveport.sidecar.intent_log.terms import WorkTerms
+from coveport.sidecar.intent_log.settings import RECORD_BYTES, IntentLogSettings
 from coveport.sidecar.leases.store import Outcome, Refused, Transaction, Unknown
 
-SIZE = 700  # of a record without request and answer
-
 
 class RecordWriter(ABC):
-    """Keeps the tables of what is open, and writes it down; what is refused is another's from then on.
+    """Owns the tables of pending operations and writes their records.
 
-    `session`: the token of our session with the leases' store, 0 where there is none. `now_s`: a clock that
-    runs through sleep. `count`: adds to a figure by its name.
+    `session_token`: returns the token of this instance's session, 0 where it has none. `now_s`: a clock that
+    runs through sleep. `count`: adds one to a counter by its name. `log_event`: logs an event with fields.
     """
 
     def __init__(
         self,
-        hands: Hands,
+        executor: Executor,
         journal: Journal,
         layout: RecordLayout,
-        kept: Kept,
+        codec: PayloadCodec,
         presence: Presence,
-        terms: WorkTerms,
+        settings: IntentLogSettings,
         incarnation: str,
         *,
-        session: Callable[[], int],
+        session_token: Callable[[], int],
         now_s: Callable[[], float],
-        chance: random.Random,
+        rng: random.Random,
         count: Callable[[str], None],
-        say: Callable[..., None],
+        log_event: Callable[..., None],
         unix_s: Callable[[], float] = time.time,
     ) -> None:
-        self._hands = hands
+        self._executor = executor
         self.journal = journal
         self.layout = layout
-        self.kept = kept
+        self.codec = codec
         self.presence = presence
-        self._terms = terms
+        self._settings = settings
         self.incarnation = incarnation
-        self._session = session
+        self._session_token = session_token
         self._now_s = now_s
-        self._chance = chance
+        self._rng = rng
         self._count = count
-        self._say = say
+        self._log_event = log_event
         self._unix_s = unix_s
-        self._by_number: dict[int, Hand] = {}
-        self._by_id: dict[str, Hand] = {}  # ours and open
-        self._waiters: dict[int, asyncio.Task[None]] = {}
-        self._clients: dict[int, Any] = {}  # of those whose operation is elsewhere
-        self._late = Late(journal, layout, chance, count, unix_s)
-        self._own = 0  # operations that we began ourselves, counted down from -1
-        self._token = 0  # while leaving: that of the session before
-        self._tending: asyncio.Task[None] | None = None
-
-    def has(self, identity: str) -> bool:
-        """Whether a record is in hand here."""
-        return identity in self._by_id or identity in self._late
+        self._by_number: dict[int, PendingOperation] = {}
+        self._by_id: dict[str, PendingOperation] = {}  # owned and open
+        self._waiters: dict[int, asyncio.Task[None]] = {}  # repeats that wait for another's attempt
+        self._clients: dict[int, Any] = {}  # by number; for operations whose record may be another's
+        self._deferred = DeferredWrites(journal, layout, rng, count, unix_s)
+        self._last_own_number = 0  # of operations that the recorder begins itself, counted down from -1
+        self._drain_token = 0  # while draining: the token of the session before
+        self._deferred_task: asyncio.Task[None] | None = None
+
+    def has(self, record_id: str) -> bool:
+        """Whether a record is pending on this instance."""
+        return record_id in self._by_id or record_id in self._deferred
 
     @property
     def token(self) -> int:
-        """Under which records are ours now; 0: none may be taken."""
-        return self._token or self._session()
+        """The token under which this instance owns records now; 0: it may own none."""
+        return self._drain_token or self._session_token()
+
+    @property
+    def may_write(self) -> bool:
+        """Whether this instance may claim records now, and the store is available."""
+        return self.journal.is_available and self.token != 0
 
     @staticmethod
     def _loop() -> asyncio.AbstractEventLoop:
         return asyncio.get_running_loop()
 
-    def _fence(self, hand: Hand) -> Callable[[], bool]:
-        return lambda: hand.fence(self._now_s())
+    def _send_check(self, pending: PendingOperation) -> SendCheck:
+        return lambda: pending.is_send_allowed(self._now_s())
 
-    def _push(self, hand: Hand) -> None:
-        if hand.writing or hand.stage is not Stage.OURS or hand.record is hand.written:
+    # Writing.
+
+    def _schedule_write(self, pending: PendingOperation) -> None:
+        """Queue a write of what has changed, unless one is in flight: then its completion does."""
+        is_durable = pending.record is pending.durable_record
+        if pending.is_writing or pending.stage is not OperationStage.OWNED or is_durable:
             return
-        hand.writing = True
+        pending.is_writing = True
         self.journal.write(
-            partial(self._make, hand),
-            partial(self._wrote, hand),
-            SIZE + len(hand.record.request) + len(hand.record.answer),
+            partial(self._build_write, pending),
+            partial(self._write_done, pending),
+            RECORD_BYTES + len(pending.record.sealed_request) + len(pending.record.sealed_response),
         )
 
-    def _make(self, hand: Hand) -> Transaction | None:
-        if hand.stage is not Stage.OURS:
-            hand.writing = False
+    def _build_write(self, pending: PendingOperation) -> Transaction | None:
+        """Return the write of a record as it is when its group is written."""
+        if pending.stage is not OperationStage.OWNED:
+            # Lost to another owner while it was queued.
+            pending.is_writing = False
             return None
-        hand.target = hand.record
-        told = msgspec.structs.replace(hand.record, since=hand.since) if hand.since else hand.record
-        return self.layout.write(hand.written, hand.revision, told)
+        pending.record_in_flight = pending.record
+        record = pending.record
+        if pending.first_attempt_revision:
+            record = msgspec.structs.replace(record, first_attempt_revision=pending.first_attempt_revision)
+        return self.layout.write(pending.durable_record, pending.revision, record)
 
-    def _wrote(self, hand: Hand, outcome: Outcome) -> None:
-        hand.writing = False
-        if hand.stage is not Stage.OURS:
+    def _write_done(self, pending: PendingOperation, outcome: Outcome) -> None:
+        pending.is_writing = False
+        if pending.stage is not OperationStage.OWNED:
+            # Its outcome was settled while the write was in flight.
             return
         if isinstance(outcome, Refused):
-            self._not_ours(hand)
+            self._ownership_lost(pending)
             return
         if isinstance(outcome, Unknown):
-            self._adrift(hand)
+            self._outcome_unknown(pending)
             return
-        hand.revision, hand.written = outcome.revision, hand.target
-        if hand.written is not None and hand.written.attempts and not hand.since:
-            hand.since = outcome.revision
-        for step in [one for one in hand.gates if hand.is_durable(one)]:
-            hand.gates.pop(step)(self._fence(hand))
-        if hand.written is not None and not hand.written.open:
-            self._deliver(hand)
-            self._count(f"work_{hand.written.said.replace('-', '_')}")
-            if hand.record is hand.written:
-                hand.to(Stage.OVER)
-                self._drop(hand)
+        self._set_durable(pending, outcome.revision)
+        for step in [step for step in pending.waiting_sends if pending.is_durable(step)]:
+            pending.waiting_sends.pop(step)(self._send_check(pending))
+        durable = pending.durable_record
+        if durable is not None and not durable.is_open:
+            self._deliver_response(pending)
+            self._count(f"work_{durable.status.replace('-', '_')}")
+            if pending.record is durable:
+                self._finish(pending)
                 return
-        self._push(hand)
-
-    def _not_ours(self, hand: Hand) -> None:
-        """The store refuses our writing: it is recorded already, or another has claimed it."""
-        if hand.answered:
-            self._deliver(hand)  # a node made it: it is true, whosever the record is
-            hand.to(Stage.OVER)
-            self._drop(hand)
-            self._shut(hand)
+        self._schedule_write(pending)
+
+    @staticmethod
+    def _set_durable(pending: PendingOperation, revision: int) -> None:
+        pending.revision = revision
+        pending.durable_record = pending.record_in_flight
+        durable = pending.durable_record
+        if durable is not None and durable.attempts and not pending.first_attempt_revision:
+            pending.first_attempt_revision = revision
+
+    def _ownership_lost(self, pending: PendingOperation) -> None:
+        """Stop writing and sending: the record was created by another, or another has claimed it."""
+        if pending.is_answered:
+            # A node made the response, so it is true whoever owns the record.
+            self._deliver_response(pending)
+            self._finish(pending)
+            self._cancel_waiting_sends(pending)
             return
-        hand.to(Stage.ELSEWHERE)
-        if self._by_id.get(hand.record.id) is hand:
-            del self._by_id[hand.record.id]
-        self._elsewhere(hand)
+        pending.move_to(OperationStage.FOREIGN)
+        if self._by_id.get(pending.record.id) is pending:
+            del self._by_id[pending.record.id]
+        self._wait_for_owner(pending)
+
+    def _outcome_unknown(self, pending: PendingOperation) -> None:
+        """Go on without a record, or not at all: the write may have happened, and may still happen.
 
-    def _adrift(self, hand: Hand) -> None:
-        """The store does not say whether it is written."""
+        Where an earlier write stands, or this one said ACCEPTED alone, a successor may rightly conclude that
+        the operation never ran: so it must not be sent. A first write that bears an attempt permits sending:
+        should it come to stand, it says that the operation may have run.
+        """
         self._count("work_adrift")
-        hand.to(Stage.UNRECORDED)
-        # Where something of it stands there, a successor may say of it that it never ran: so it must not.
-        # What stands nowhere, or as being sent, nobody says that of.
-        on_its_way = hand.target is not None and bool(hand.target.attempts)
-        hand.may_send = hand.revision == 0 and on_its_way and hand.record.cls not in self._terms.refuse
-        if hand.answered:
-            self._deliver(hand)
-            hand.to(Stage.OVER)
-            self._drop(hand)
-            self._late.remember(hand)
-            self._shut(hand)
+        pending.move_to(OperationStage.UNRECORDED)
+        in_flight = pending.record_in_flight
+        has_attempt = in_flight is not None and bool(in_flight.attempts)
+        is_rejected = pending.record.class_name in self._settings.rejected_when_unavailable
+        pending.may_send = pending.revision == 0 and has_attempt and not is_rejected
+        if pending.is_answered:
+            self._deliver_response(pending)
+            self._finish(pending)
+            self._deferred.remember(pending)
+            self._cancel_waiting_sends(pending)
             return
-        gates, hand.gates = hand.gates, {}
-        for go in gates.values():
-            go(self._fence(hand) if hand.may_send else None)
+        waiting_sends = pending.waiting_sends
+        pending.waiting_sends = {}
+        for resume in waiting_sends.values():
+            resume(self._send_check(pending) if pending.may_send else None)
 
     @staticmethod
-    def _shut(hand: Hand) -> None:
-        """Nothing more of it is sent."""
-        gates, hand.gates = hand.gates, {}
-        for go in gates.values():
-            go(None)
+    def _cancel_waiting_sends(pending: PendingOperation) -> None:
+        waiting_sends = pending.waiting_sends
+        pending.waiting_sends = {}
+        for resume in waiting_sends.values():
+            resume(None)
 
     @staticmethod
-    def _deliver(hand: Hand) -> None:
-        deliver, hand.deliver = hand.deliver, None
+    def _deliver_response(pending: PendingOperation) -> None:
+        deliver = pending.deliver_response
+        pending.deliver_response = None
         if deliver is not None:
             deliver()
 
-    def _finish(self, hand: Hand) -> None:
-        """It is answered: what is left is to write it down."""
-        if hand.stage is Stage.UNRECORDED:
-            hand.to(Stage.OVER)
-            self._drop(hand)
-            self._late.remember(hand)
-        elif (
-            hand.stage is Stage.OURS
-            and hand.written is None
-            and not hand.writing
-            and (not hand.record.attempts and not hand.gates)
-        ):
-            # Nothing of it has gone to the store, so nothing need be said there.
-            hand.to(Stage.OVER)
-            self._drop(hand)
+    # The end of an operation.
+
+    def _write_end(self, pending: PendingOperation) -> None:
+        """Write the end of an operation that is answered."""
+        if pending.stage is OperationStage.UNRECORDED:
+            self._finish(pending)
+            self._deferred.remember(pending)
+        elif self._is_unknown_to_store(pending):
+            self._finish(pending)
         else:
-            self._push(hand)
+            self._schedule_write(pending)
+
+    @staticmethod
+    def _is_unknown_to_store(pending: PendingOperation) -> bool:
+        """Whether nothing of it has gone to the store, so that nothing needs to be written there."""
+        return (
+            pending.stage is OperationStage.OWNED
+            and pending.durable_record is None
+            and not pending.is_writing
+            and not pending.record.attempts
+            and not pending.waiting_sends
+        )
 
-    def _drop(self, hand: Hand) -> None:
-        for number in hand.numbers:
+    def _finish(self, pending: PendingOperation) -> None:
+        """Drop an operation from the tables: nothing is left to do for it here."""
+        pending.move_to(OperationStage.DONE)
+        for number in pending.numbers:
             self._by_number.pop(number, None)
             self._clients.pop(number, None)
-        if self._by_id.get(hand.record.id) is hand:
-            del self._by_id[hand.record.id]
+        if self._by_id.get(pending.record.id) is pending:
+            del self._by_id[pending.record.id]
 
     @abstractmethod
-    def _elsewhere(self, hand: Hand) -> None:
-        """Its record is another's: what was begun of it here is withdrawn, and its client waits."""
+    def _wait_for_owner(self, pending: PendingOperation) -> None:
+        """Withdraw what was begun of a record that is another's; its client waits for the owner."""
--- /dev/null
+++ b/coveport/sidecar/intent_log/retention_sweeper.py
@@ -0,0 +1,125 @@
+"""Deletes closed records that were kept long enough."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from math import inf
+
+from coveport.sidecar.intent_log.errors import RecordError
+from coveport.sidecar.intent_log.observed_age import AgeLowerBound
+from coveport.sidecar.intent_log.record_codec import decode
+from coveport.sidecar.intent_log.record_layout import BUCKET_S
+from coveport.sidecar.intent_log.recorder import Recorder
+from coveport.sidecar.intent_log.takeover_order import rank
+from coveport.sidecar.leases.store import Delete, Done, Entry, Transaction
+
+MAX_INTERVAL_S = 10.0  # between two sweeps
+SWEEPS_PER_RETENTION = 8  # at the least
+JITTER = (0.5, 1.5)  # factors of the interval
+PAUSE_S = 0.002  # between two deletions, so that operations don't wait for them
+_NOTHING_SWEPT = -1
+
+
+class RetentionSweeper:
+    """Sweeps for one instance: first all buckets of time, then those that become due, shared by rank.
+
+    The bucket under which a record is indexed is a hint by wall clocks. A record is deleted only after this
+    instance itself has known its revision for the retention time.
+    """
+
+    def __init__(
+        self,
+        recorder: Recorder,
+        name: str,
+        *,
+        now_s: Callable[[], float],
+        unix_s: Callable[[], float],
+        rng: random.Random,
+    ) -> None:
+        self._recorder = recorder
+        self._name = name
+        self._now_s = now_s
+        self._unix_s = unix_s
+        self._rng = rng
+        self._ages = AgeLowerBound(recorder.layout.retention_s)
+        self._swept_bucket = _NOTHING_SWEPT
+        self._resweep_s = inf  # when a record that a sweep has left as too young is old enough
+        self._task: asyncio.Task[None] | None = None
+
+    def start(self) -> None:
+        """Begin; must be called in a running loop."""
+        self._task = asyncio.ensure_future(self._run())
+
+    def stop(self) -> None:
+        """Delete nothing more."""
+        if self._task is not None:
+            self._task.cancel()
+
+    async def _run(self) -> None:
+        recorder = self._recorder
+        interval_s = min(MAX_INTERVAL_S, recorder.layout.retention_s / SWEEPS_PER_RETENTION)
+        while True:
+            await asyncio.sleep(interval_s * self._rng.uniform(*JITTER))
+            if not recorder.may_write:
+                continue
+            now_s = self._now_s()
+            self._ages.observe(now_s, recorder.journal.revision)
+            last_bucket = int(self._unix_s() // BUCKET_S) - 1
+            if now_s >= self._resweep_s:
+                self._swept_bucket = _NOTHING_SWEPT
+                self._resweep_s = inf
+            if await self._sweep(last_bucket):
+                self._swept_bucket = last_bucket
+
+    async def _sweep(self, last_bucket: int) -> bool:
+        """Sweep all that is due and was not swept; return False where the store did not respond."""
+        if self._swept_bucket < 0:
+            return await self._sweep_index(self._recorder.layout.retained_prefix(), last_bucket)
+        for bucket in range(self._swept_bucket + 1, last_bucket + 1):
+            # The first in a bucket's order sweeps it. What it leaves is swept at the next start.
+            names = (*self._recorder.presence.names, self._name)
+            if rank(f"{bucket}", self._name, names) != 0:
+                continue
+            if not await self._sweep_index(self._recorder.layout.retained_prefix(bucket), last_bucket):
+                return False
+        return True
+
+    async def _sweep_index(self, prefix: str, last_bucket: int) -> bool:
+        """Delete what is due under a prefix of the index; return False where the store did not respond."""
+        recorder = self._recorder
+        found = await recorder.journal.read(prefix)
+        if not isinstance(found, Done):
+            return False
+        for index in found.entries:
+            bucket, record_id = recorder.layout.bucket_and_id(index.key)
+            if bucket > last_bucket:
+                continue
+            record = await recorder.journal.read(recorder.layout.record_key(record_id))
+            if not isinstance(record, Done):
+                return False
+            deletion = self._deletion(record_id, index.key, record.entries)
+            if deletion is not None:
+                await recorder.journal.commit(deletion)
+                await asyncio.sleep(PAUSE_S)
+        return True
+
+    def _deletion(self, record_id: str, index: str, entries: tuple[Entry, ...]) -> Transaction | None:
+        """Return the deletion of a record, or of an index key that was left behind; None: it is too young."""
+        layout = self._recorder.layout
+        if not entries or not self._is_indexed_by(entries[0].value, index):
+            return Transaction((), (Delete(index),))
+        now_s = self._now_s()
+        left_s = layout.retention_s - self._ages.at_least(now_s, entries[0].modified)
+        if left_s > 0:
+            # Guards against wall clocks, this instance's and the owner's: by them it may be old at once.
+            self._resweep_s = min(self._resweep_s, now_s + left_s)
+            return None
+        return layout.deletion(record_id, entries[0].modified, index)
+
+    def _is_indexed_by(self, data: bytes, index: str) -> bool:
+        try:
+            return self._recorder.layout.index_key(decode(data)) == index
+        except RecordError:
+            return False
--- a/coveport/sidecar/intent_log/takeover.py
+++ b/coveport/sidecar/intent_log/takeover.py
@@ -1,6 +1,6 @@
-"""What a successor does with a record of a lost instance: the table of docs/design/work-in-hand.md.
+"""Decides what a successor does with a lost instance's record. Pure.
 
-Pure.
+The table stands in docs/design/work-in-hand.md ("What a successor does").
 """
 
 from __future__ import annotations
@@ -9,71 +9,109 @@
 from enum import Enum
 
 from coveport.balancing.interface import Effect, Group
-from coveport.sidecar.intent_log.record import Attempt, Record, State
+from coveport.sidecar.intent_log.record import Attempt, Record, RecoveryPoint
 
 
-class Do(Enum):
-    """What is done."""
+class TakeoverAction(Enum):
+    """What is done. The values stand in log lines (`did`)."""
 
-    SEND = "send"  # it has not run, or may run again: the module picks a node as for any other
-    ASK_AGAIN = "ask again"  # the same key, at a node that drops repeats of the attempts made
-    NEVER_RAN = "never-run"  # closed so
-    UNKNOWN = "unknown"  # closed so, kept for staff and for who asks
-    KEEP = "keep"  # its answer is known, and given to who asks
+    SEND = "send"  # it has not run, or may run again: the balancer picks a node as for any other
+    RETRY = "ask again"  # the same key, at a node that drops repeats of the attempts made
+    CLOSE_NEVER_RAN = "never-run"
+    CLOSE_UNKNOWN = "unknown"  # kept for staff, and for a client that repeats the request
+    KEEP_RESPONSE = "keep"  # returned to a client that repeats the request
     NOTHING = "nothing"
 
 
+# Suffix of the counter of each action (`work_did_*`).
+COUNTER_SUFFIXES: dict[TakeoverAction, str] = {
+    TakeoverAction.SEND: "send",
+    TakeoverAction.RETRY: "ask_again",
+    TakeoverAction.CLOSE_NEVER_RAN: "never_ran",
+    TakeoverAction.CLOSE_UNKNOWN: "unknown",
+    TakeoverAction.KEEP_RESPONSE: "keep",
+    TakeoverAction.NOTHING: "nothing",
+}
+
+
 @dataclass(frozen=True, slots=True)
-class Decision:
-    """What is done, why, and for a further try where and within which time."""
+class TakeoverDecision:
+    """What is done, by which rule, and for a retry where and within which time."""
 
-    do: Do
+    action: TakeoverAction
     rule: str
     group: Group = Group.ALL
-    like: Attempt | None = None  # ASK_AGAIN: a node of its zone or cell, as `group` says
+    previous: Attempt | None = None  # RETRY: a node of its zone or cell, as `group` says
     within_ms: float = 0.0
 
 
-def decide(record: Record, left_ms: float, age_ms: float, room_ms: float) -> Decision:
-    """By state, class, window, tries and time.
+def decide(record: Record, left_ms: float, age_ms: float, send_ms: float) -> TakeoverDecision:
+    """Decide by recovery point, class, window, attempts and time.
 
-    `left_ms`: of the client's time; none: it has not asked again and its deadline is over. `age_ms`: at the
-    most, since the first attempt was written down; inf: not known. `room_ms`: what a try takes until its
-    last byte is handed over.
+    `left_ms`: until the client's deadline; none: its deadline is over and it has not repeated the request.
+    `age_ms`: upper bound of the time since the first attempt was stored; inf: not known. `send_ms`: what an
+    attempt takes until its last byte is handed over.
     """
-    rules = record.rules
-    if record.state is State.CLOSED:
-        return Decision(Do.NOTHING, "it is closed")
-    if record.state is State.ANSWERED:
-        return Decision(Do.KEEP, "one final answer: the one that a node made")
-    in_time = left_ms > room_ms
-    tries = len(record.attempts) < rules.most_attempts
+    if record.recovery_point is RecoveryPoint.CLOSED:
+        return TakeoverDecision(TakeoverAction.NOTHING, "it is closed")
+    if record.recovery_point is RecoveryPoint.ANSWERED:
+        return TakeoverDecision(TakeoverAction.KEEP_RESPONSE, "one final answer: the one that a node made")
     if not record.may_have_run:
-        if rules.effect is Effect.UNSAFE:
-            return Decision(Do.NEVER_RAN, "durable first: it was never sent, or was proven not to have run")
-        if not in_time or not tries:
-            return Decision(Do.NEVER_RAN, "durable first, and there is no time or no try left for it")
-        return Decision(Do.SEND, "durable first: it has not run", within_ms=left_ms)
-    if rules.effect is Effect.UNSAFE:
-        return Decision(Do.UNKNOWN, "never double an effect: an attempt may have run, or may still")
-    if not in_time or not tries:
-        return Decision(Do.UNKNOWN, "no time or no try is left, and it may have run")
-    if rules.effect is Effect.SAFE:
-        return Decision(Do.SEND, "it may be repeated freely", within_ms=left_ms)
-    rest_ms = rules.window_ms - age_ms - room_ms
-    if not record.key or not rest_ms > 0:
-        return Decision(Do.UNKNOWN, "never double an effect: its window is over, or may be")
-    like = record.risky[0]
-    if any(_place(one, rules.group) != _place(like, rules.group) for one in record.risky):
-        return Decision(
-            Do.UNKNOWN, "never double an effect: its attempts were made at nodes that do not share keys"
+        return _decide_not_executed(record, left_ms, send_ms)
+    return _decide_uncertain(record, left_ms, age_ms, send_ms)
+
+
+def _may_send(record: Record, left_ms: float, send_ms: float) -> bool:
+    return left_ms > send_ms and len(record.attempts) < record.policy.max_attempts
+
+
+def _decide_not_executed(record: Record, left_ms: float, send_ms: float) -> TakeoverDecision:
+    if record.policy.effect is Effect.UNSAFE:
+        return TakeoverDecision(
+            TakeoverAction.CLOSE_NEVER_RAN,
+            "durable first: it was never sent, or was proven not to have run",
+        )
+    if not _may_send(record, left_ms, send_ms):
+        return TakeoverDecision(
+            TakeoverAction.CLOSE_NEVER_RAN, "durable first, and there is no time or no try left for it"
+        )
+    return TakeoverDecision(TakeoverAction.SEND, "durable first: it has not run", within_ms=left_ms)
+
+
+def _decide_uncertain(record: Record, left_ms: float, age_ms: float, send_ms: float) -> TakeoverDecision:
+    policy = record.policy
+    if policy.effect is Effect.UNSAFE:
+        return TakeoverDecision(
+            TakeoverAction.CLOSE_UNKNOWN, "never double an effect: an attempt may have run, or may still"
+        )
+    if not _may_send(record, left_ms, send_ms):
+        return TakeoverDecision(
+            TakeoverAction.CLOSE_UNKNOWN, "no time or no try is left, and it may have run"
+        )
+    if policy.effect is Effect.SAFE:
+        return TakeoverDecision(TakeoverAction.SEND, "it may be repeated freely", within_ms=left_ms)
+    window_left_ms = policy.window_ms - age_ms - send_ms
+    if not record.idempotency_key or not window_left_ms > 0:
+        return TakeoverDecision(
+            TakeoverAction.CLOSE_UNKNOWN, "never double an effect: its window is over, or may be"
+        )
+    uncertain = record.uncertain_attempts
+    if len({_key_domain(attempt, policy.group) for attempt in uncertain}) > 1:
+        return TakeoverDecision(
+            TakeoverAction.CLOSE_UNKNOWN,
+            "never double an effect: its attempts were made at nodes that do not share keys",
         )
-    return Decision(
-        Do.ASK_AGAIN, "repeats are dropped there, within the window", rules.group, like, min(left_ms, rest_ms)
+    return TakeoverDecision(
+        TakeoverAction.RETRY,
+        "repeats are dropped there, within the window",
+        policy.group,
+        uncertain[0],
+        min(left_ms, window_left_ms),
     )
 
 
-def _place(attempt: Attempt, group: Group) -> tuple[int, ...]:
+def _key_domain(attempt: Attempt, group: Group) -> tuple[int, ...]:
+    """Return what identifies the nodes that share keys with an attempt's node."""
     if group is Group.ALL:
         return ()
     return (attempt.zone,) if group is Group.ZONE else (attempt.zone, attempt.cell)
--- a/coveport/sidecar/intent_log/takeover_worker.py
+++ b/coveport/sidecar/intent_log/takeover_worker.py
@@ -1,7 +1,7 @@
-"""Takes up the records of instances that are lost, a share each, at a pace that floods nobody.
+"""Takes over the records of lost instances: a share each, at a rate that floods nobody.
 
-A lost one is noticed by the end of its session, or by records that are open under a name that nobody has. Two
-that try the same record meet at its compare: one has it, the other goes on.
+A loss is noticed by the end of a session, or by open records under an owner that no session names. Two
+instances that try the same record meet at the compare of its revision: one gets it, the other goes on.
 """
 
 from __future__ import annotations
@@ -9,203 +9,177 @@
 import asyncio
 import random
 from collections.abc import Callable
-from math import inf
 
-from coveport.sidecar.intent_log.observed_age import Known
-from coveport.sidecar.intent_log.record import RecordError, decode
-from coveport.sidecar.intent_log.record_adopter import as_ours
-from coveport.sidecar.intent_log.record_layout import BUCKET_S
+from coveport.sidecar.intent_log.errors import RecordError
+from coveport.sidecar.intent_log.presence import OwnerStatus
+from coveport.sidecar.intent_log.record import Record
+from coveport.sidecar.intent_log.record_adopter import as_owned
+from coveport.sidecar.intent_log.record_codec import decode
 from coveport.sidecar.intent_log.recorder import Recorder
-from coveport.sidecar.intent_log.replayed_answers import Owner
-from coveport.sidecar.intent_log.sharing import Pace, rank, wait_s
-from coveport.sidecar.leases.store import Delete, Done, Transaction
+from coveport.sidecar.intent_log.takeover_order import takeover_delay_s
+from coveport.sidecar.intent_log.token_bucket import TokenBucket
+from coveport.sidecar.leases.store import Done, Entry
 
-LOOK_S = 0.25  # how often those that are known to be lost are looked at
-SCAN_S = 5.0  # how often all that is open is looked through for owners that nobody is
-SWEEP_S = 10.0  # how often closed ones are thrown away at the least, ...
-SWEEPS = 8  # ... and how often while one is kept
-SWEEP_PAUSE_S = 0.002  # between two of them: nobody is to wait for it
+TAKEOVER_INTERVAL_S = 0.25  # between looks at the records of owners known to be lost
+TAKEOVER_JITTER = (0.8, 1.2)  # factors of the interval
+SCAN_INTERVAL_S = 5.0  # between scans of all open records for owners without a session
+SCAN_JITTER = (0.5, 1.5)
 
 
-class Takers:
-    """What one instance does about records that are nobody's. `busy`: own work waits."""
+class TakeoverWorker:
+    """Finds and takes over lost instances' records for one instance.
+
+    `name`: the instance's, for its rank in a record's order. `is_busy`: whether own operations wait.
+    """
 
     def __init__(
         self,
         recorder: Recorder,
         name: str,
         *,
-        pace: Pace,
+        rate_limit: TokenBucket,
         now_s: Callable[[], float],
-        unix_s: Callable[[], float],
-        chance: random.Random,
-        busy: Callable[[], bool],
+        rng: random.Random,
+        is_busy: Callable[[], bool],
         count: Callable[[str], None],
-        say: Callable[..., None],
+        log_event: Callable[..., None],
     ) -> None:
         self._recorder = recorder
         self._name = name
-        self._pace = pace
+        self._rate_limit = rate_limit
         self._now_s = now_s
-        self._unix_s = unix_s
-        self._chance = chance
-        self._busy = busy
+        self._rng = rng
+        self._is_busy = is_busy
         self._count = count
-        self._say = say
-        self._lost: dict[str, float] = {}  # incarnations, and since when their records are looked at
-        self._unreadable: set[str] = set()  # said once each
-        self._known = Known(recorder.layout.kept_s)
-        self._young_until = inf  # when what a sweep left as too young is old enough
+        self._log_event = log_event
+        self._lost_since: dict[str, float] = {}  # by incarnation: since when its records may be taken over
+        self._unreadable: set[str] = set()  # ids of records that were reported, once each
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin; there must be a running loop."""
-        self._tasks = [asyncio.ensure_future(work()) for work in (self._look, self._scan, self._sweep)]
+        """Begin; must be called in a running loop."""
+        self._tasks = [asyncio.ensure_future(work()) for work in (self._take_over_lost, self._scan)]
 
     def stop(self) -> None:
-        """Take nothing more."""
+        """Take over nothing more."""
         for task in self._tasks:
             task.cancel()
 
-    def gone(self, incarnation: str) -> None:
-        """An instance's session is over."""
+    def owner_lost(self, incarnation: str) -> None:
+        """Note that an instance's session is over; an empty incarnation is ignored."""
         if incarnation:
-            self._lost.setdefault(incarnation, self._now_s())
-
-    @property
-    def _may(self) -> bool:
-        return self._recorder.journal.up and self._recorder.token != 0
+            self._lost_since.setdefault(incarnation, self._now_s())
 
-    async def _look(self) -> None:
+    async def _take_over_lost(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S * self._chance.uniform(0.8, 1.2))
-            for incarnation in list(self._lost):
-                if self._may:
-                    await self._see_to(incarnation)
-
-    async def _see_to(self, incarnation: str) -> None:
-        """Look at what a lost one has left."""
-        recorder, now = self._recorder, self._now_s()
-        if incarnation != recorder.incarnation:
-            await recorder.whether_leaving(incarnation)
-            owner = recorder.presence.of(self._now_s(), incarnation)
-            if owner is Owner.THERE:
-                self._lost.pop(incarnation, None)  # it is back, or was never gone
-                return
-            if owner is Owner.LEAVING:
-                self._lost[incarnation] = now
-                return
-        found = await recorder.journal.read(recorder.layout.open_keys(incarnation))
-        if not isinstance(found, Done):
+            await asyncio.sleep(TAKEOVER_INTERVAL_S * self._rng.uniform(*TAKEOVER_JITTER))
+            for incarnation in list(self._lost_since):
+                if self._recorder.may_write:
+                    await self._take_over_from(incarnation)
+
+    async def _take_over_from(self, incarnation: str) -> None:
+        """Take over what is this instance's share of a lost one's records by now."""
+        now_s = self._now_s()
+        if not await self._is_lost(incarnation, now_s):
+            return
+        record_ids = await self._open_ids(incarnation)
+        if record_ids is None:
             return
-        ids = [recorder.layout.owner_and_id(one.key)[1] for one in found.entries]
-        ids = [one for one in ids if not recorder.has(one) and one not in self._unreadable]
-        if not ids:
-            self._lost.pop(incarnation, None)
-            recorder.presence.forget(incarnation)
+        if not record_ids:
+            self._lost_since.pop(incarnation, None)
+            self._recorder.presence.forget(incarnation)
             return
-        since = self._lost.setdefault(incarnation, now)
-        self._chance.shuffle(ids)  # two that come to the same ones come to them in another order
-        for identity in ids:
-            if not self._may:
+        lost_s = now_s - self._lost_since.setdefault(incarnation, now_s)
+        self._rng.shuffle(record_ids)  # two instances with the same records try them in different orders
+        for record_id in record_ids:
+            if not self._recorder.may_write:
                 return
-            if now - since < wait_s(identity, self._name, (*recorder.presence.names, self._name)):
+            names = (*self._recorder.presence.names, self._name)
+            if lost_s < takeover_delay_s(record_id, self._name, names):
                 continue
-            while (wait := self._pace.wait_s(self._now_s(), self._busy())) > 0:
-                await asyncio.sleep(wait)
-            await self._take(identity, incarnation)
+            await self._wait_for_token()
+            await self._take_over(record_id, incarnation)
+
+    async def _wait_for_token(self) -> None:
+        while True:
+            wait_s = self._rate_limit.wait_s(self._now_s(), self._is_busy())
+            if wait_s <= 0:
+                return
+            await asyncio.sleep(wait_s)
+
+    async def _is_lost(self, incarnation: str, now_s: float) -> bool:
+        """Whether an owner's records may be taken over; an own earlier claim always may."""
+        recorder = self._recorder
+        if incarnation == recorder.incarnation:
+            return True
+        await recorder.refresh_drain_notice(incarnation)
+        status = recorder.presence.status_of(self._now_s(), incarnation)
+        if status is OwnerStatus.ALIVE:
+            self._lost_since.pop(incarnation, None)  # it is back, or was never lost
+            return False
+        if status is OwnerStatus.DRAINING:
+            self._lost_since[incarnation] = now_s
+            return False
+        return True
 
-    async def _take(self, identity: str, owner: str) -> None:
-        """Claim one, and do what the table says."""
+    async def _open_ids(self, incarnation: str) -> list[str] | None:
+        """Return the ids of an owner's open records that may be claimed; None where the store is silent."""
+        recorder = self._recorder
+        found = await recorder.journal.read(recorder.layout.open_prefix(incarnation))
+        if not isinstance(found, Done):
+            return None
+        record_ids = [recorder.layout.owner_and_id(entry.key)[1] for entry in found.entries]
+        return [
+            record_id
+            for record_id in record_ids
+            if not recorder.has(record_id) and record_id not in self._unreadable
+        ]
+
+    async def _take_over(self, record_id: str, owner: str) -> None:
+        """Claim one record, and let the recorder continue it."""
         recorder = self._recorder
-        found = await recorder.journal.read(recorder.layout.record_key(identity))
+        found = await recorder.journal.read(recorder.layout.record_key(record_id))
         if not isinstance(found, Done) or not found.entries:
             return
         entry = found.entries[0]
-        try:
-            record = decode(entry.value)
-        except RecordError as problem:
-            if identity not in self._unreadable:
-                self._unreadable.add(identity)
-                self._count("work_unreadable")
-                self._say("record_unreadable", id=identity, why=str(problem))
+        record = self._decoded(record_id, entry)
+        if record is None or not record.is_open or record.owner != owner or recorder.has(record_id):
             return
-        if not record.open or record.owner != owner or recorder.has(identity):
-            return
-        age_s = recorder.journal.ages.at_most(self._now_s(), entry.modified)
-        ours = as_ours(record, entry, recorder.incarnation, recorder.token)
-        revision = await recorder.claim(record, entry, ours)
+        accepted_age_s = recorder.journal.ages.at_most(self._now_s(), entry.modified)
+        owned = as_owned(record, entry, recorder.incarnation, recorder.token)
+        revision = await recorder.claim(record, entry, owned)
         if revision is None:
             return
         self._count("work_taken_over")
-        recorder.took_over(ours, revision, age_s)
+        recorder.adopt(owned, revision, accepted_age_s)
+
+    def _decoded(self, record_id: str, entry: Entry) -> Record | None:
+        """Return a stored record; None for one that can't be read, which is reported once."""
+        try:
+            return decode(entry.value)
+        except RecordError as error:
+            if record_id not in self._unreadable:
+                self._unreadable.add(record_id)
+                self._count("work_unreadable")
+                self._log_event("record_unreadable", id=record_id, why=str(error))
+            return None
 
     async def _scan(self) -> None:
-        """Look for what is open under a name that nobody has: its end was seen by nobody."""
-        while True:
-            await asyncio.sleep(SCAN_S * self._chance.uniform(0.5, 1.5))
-            if not self._may:
-                continue
-            recorder = self._recorder
-            presence = recorder.presence
-            found = await recorder.journal.read(recorder.layout.open_keys())
-            if isinstance(found, Done):
-                for owner in {recorder.layout.owner_and_id(one.key)[0] for one in found.entries}:
-                    if owner == recorder.incarnation or presence.of(self._now_s(), owner) is not Owner.THERE:
-                        self.gone(owner)
-
-    async def _sweep(self) -> None:
-        """Throw away what was kept long enough: once all that is old, then bucket by bucket, by turns."""
-        swept = -1
-        every_s = min(SWEEP_S, self._recorder.layout.kept_s / SWEEPS)
+        """Find open records of owners without a session, whose end this instance has not seen."""
+        recorder = self._recorder
         while True:
-            await asyncio.sleep(every_s * self._chance.uniform(0.5, 1.5))
-            if not self._may:
+            await asyncio.sleep(SCAN_INTERVAL_S * self._rng.uniform(*SCAN_JITTER))
+            if not recorder.may_write:
                 continue
-            now = self._now_s()
-            self._known.note(now, self._recorder.journal.revision)
-            due = int(self._unix_s() // BUCKET_S) - 1
-            if now >= self._young_until:
-                swept, self._young_until = -1, inf
-            if swept < 0:
-                whole = await self._sweep_one(None, due)
-            else:
-                whole = True
-                for bucket in range(swept + 1, due + 1):
-                    # The first in a bucket's order sees to it. What it leaves goes with the next start.
-                    if rank(f"{bucket}", self._name, (*self._recorder.presence.names, self._name)) == 0:
-                        whole = whole and await self._sweep_one(bucket, due)
-            if whole:
-                swept = due
-
-    async def _sweep_one(self, bucket: int | None, due: int) -> bool:
-        """Throw a bucket away, or all that are due; False where the store did not say."""
-        recorder = self._recorder
-        found = await recorder.journal.read(recorder.layout.kept_keys(bucket))
-        if not isinstance(found, Done):
-            return False
-        for one in found.entries:
-            of, identity = recorder.layout.bucket_and_id(one.key)
-            if of > due:
+            found = await recorder.journal.read(recorder.layout.open_prefix())
+            if not isinstance(found, Done):
                 continue
-            stands = await recorder.journal.read(recorder.layout.record_key(identity))
-            if not isinstance(stands, Done):
-                return False
-            gone = Transaction((), (Delete(one.key),))  # an index that was left behind
-            if stands.entries and self._is_kept_by(stands.entries[0].value, one.key):
-                now = self._now_s()
-                rest_s = recorder.layout.kept_s - self._known.at_least(now, stands.entries[0].modified)
-                if rest_s > 0:
-                    # Guards against wall clocks, ours and its owner's: by them it may be old from the start.
-                    self._young_until = min(self._young_until, now + rest_s)
-                    continue
-                gone = recorder.layout.throw_away(identity, stands.entries[0].modified, one.key)
-            await recorder.journal.commit(gone)
-            await asyncio.sleep(SWEEP_PAUSE_S)
-        return True
-
-    def _is_kept_by(self, data: bytes, key: str) -> bool:
-        try:
-            return self._recorder.layout.index(decode(data)) == key
-        except RecordError:
-            return False
+            for owner in {recorder.layout.owner_and_id(entry.key)[0] for entry in found.entries}:
+                if self._may_be_lost(owner):
+                    self.owner_lost(owner)
+
+    def _may_be_lost(self, owner: str) -> bool:
+        if owner == self._recorder.incarnation:
+            # Records that a claim without a response has left: nothing is pending for them here.
+            return True
+        return self._recorder.presence.status_of(self._now_s(), owner) is not OwnerStatus.ALIVE
--- /dev/null
+++ b/coveport/sidecar/intent_log/token_bucket.py
@@ -0,0 +1,26 @@
+"""Limits how many records are taken over per second. Pure."""
+
+from __future__ import annotations
+
+_BUSY_SHARE = 1 / 4  # of the rate, while own operations wait
+
+
+class TokenBucket:
+    """Allows `rate_per_s`, a quarter of it while the instance is busy, and bursts of `burst`."""
+
+    def __init__(self, rate_per_s: float, burst: int) -> None:
+        self._rate_per_s = rate_per_s
+        self._burst = float(burst)
+        self._tokens = float(burst)
+        self._refilled_s = 0.0
+
+    def wait_s(self, now_s: float, busy: bool) -> float:
+        """Return 0 and spend a token, or else the seconds until the next try."""
+        rate_per_s = self._rate_per_s * _BUSY_SHARE if busy else self._rate_per_s
+        refill = max(0.0, now_s - self._refilled_s) * rate_per_s
+        self._tokens = min(self._burst, self._tokens + refill)
+        self._refilled_s = now_s
+        if self._tokens >= 1:
+            self._tokens -= 1
+            return 0.0
+        return (1 - self._tokens) / rate_per_s
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -1,4 +1,4 @@
-"""Work in hand, wired: recorder and takers beside one sidecar, where an operator's file asks for them."""
+"""Connects a sidecar's intent log to its executor and session, where the operator's file asks for it."""
 
 from __future__ import annotations
 
@@ -11,103 +11,114 @@
 from coveport.sidecar.config.operator import OperatorFile
 from coveport.sidecar.config.platform import Config
 from coveport.sidecar.effects import Effects
-from coveport.sidecar.intent_log.encryption import Kept, Seal, read_keys
+from coveport.sidecar.intent_log.encryption import KeyRing, read_keys
 from coveport.sidecar.intent_log.journal import Journal
+from coveport.sidecar.intent_log.payloads import PayloadCodec
 from coveport.sidecar.intent_log.presence import Presence
 from coveport.sidecar.intent_log.record_layout import RecordLayout
 from coveport.sidecar.intent_log.recorder import Recorder
-from coveport.sidecar.intent_log.sharing import Pace
-from coveport.sidecar.intent_log.takeover_worker import Takers
-from coveport.sidecar.intent_log.terms import WorkTerms
+from coveport.sidecar.intent_log.retention_sweeper import RetentionSweeper
+from coveport.sidecar.intent_log.settings import IntentLogSettings
+from coveport.sidecar.intent_log.takeover_worker import TakeoverWorker
+from coveport.sidecar.intent_log.token_bucket import TokenBucket
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.keys import INSTANCE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.open_store import open_record_store
 from coveport.sidecar.leases.store import Entry
 
-BUSY_MOST = 16  # own operations open, above which others' records wait
-BURST = 16
-MORE_S = 1.0  # beyond the longest deadline: what a planned end takes
+BUSY_ABOVE = 16  # pending operations of its own, above which an instance takes over more slowly
+TAKEOVER_BURST = 16  # records that may be taken over at once
+DRAIN_MARGIN_S = 1.0  # beyond the longest deadline: what a planned shutdown takes
 
 
-class _Word(msgspec.Struct):
+class _InstanceValue(msgspec.Struct):
+    """What of an instance's session key is read here."""
+
     incarnation: str = ""
 
 
-def terms_of(told: OperatorFile) -> WorkTerms:
-    """`[work]` of the file."""
-    work = told.work
-    return WorkTerms(
-        frozenset(work.record),
-        frozenset(work.refuse),
-        work.by_request_id,
-        work.kept_s,
-        work.body_most,
-        work.pace,
+def settings_of(operator_file: OperatorFile) -> IntentLogSettings:
+    """Return the settings of the file's `[work]`."""
+    work = operator_file.work
+    return IntentLogSettings(
+        recorded_classes=frozenset(work.record),
+        rejected_when_unavailable=frozenset(work.refuse),
+        by_request_id=work.by_request_id,
+        retention_s=work.kept_s,
+        max_body_bytes=work.body_most,
+        takeovers_per_s=work.pace,
     )
 
 
-def kept_of(told: OperatorFile) -> Kept:
-    """What is kept of requests and answers; SealError where the key file can't be used."""
-    seal = None if told.key_file is None else Seal(read_keys(told.key_file))
-    return Kept(seal, told.work.body_most)
+def payload_codec_of(operator_file: OperatorFile) -> PayloadCodec:
+    """Return the codec for the file's keys; EncryptionError where the key file can't be used."""
+    path = operator_file.key_file
+    key_ring = None if path is None else KeyRing(read_keys(path))
+    return PayloadCodec(key_ring, operator_file.work.body_most)
 
 
 class Recording:
-    """The recorder and the takers of one instance."""
+    """Owns the intent log of one instance: recorder, takeover worker and retention sweeper.
+
+    Raises EncryptionError where the key file can't be used.
+    """
 
     def __init__(
         self,
-        told: OperatorFile,
+        operator_file: OperatorFile,
         config: Config,
         lease_client: LeaseClient,
         incarnation: str,
-        say: Callable[..., None],
-        chance: random.Random,
+        log_event: Callable[..., None],
+        rng: random.Random,
     ) -> None:
-        self._told = told
+        self._operator_file = operator_file
         self._config = config
         self._lease_client = lease_client
         self._incarnation = incarnation
-        self._say = say
-        self._chance = chance
-        self._kept = kept_of(told)
-        self._terms = terms_of(told)
-        self.presence = Presence(incarnation, told.leases.ttl)
+        self._log_event = log_event
+        self._rng = rng
+        self._codec = payload_codec_of(operator_file)
+        self._settings = settings_of(operator_file)
+        self.presence = Presence(incarnation, operator_file.leases.ttl)
         self.recorder: Recorder | None = None
-        self.takers: Takers | None = None
+        self.takeover_worker: TakeoverWorker | None = None
+        self.sweeper: RetentionSweeper | None = None
 
-    def joined(self, effects: Effects) -> None:
-        """The sidecar's parts are there."""
+    def attach(self, effects: Effects) -> None:
+        """Make the parts, and record the operations that `effects` executes."""
         counters = effects.counters
+        timeout_s = self._settings.store_timeout_s
         journal = Journal(
-            open_record_store(self._told, self._terms.call_s), boot_s, self._terms.call_s, self._say
+            open_record_store(self._operator_file, timeout_s), boot_s, timeout_s, self._log_event
         )
-        layout = RecordLayout(self._told.work_prefix, self._terms.kept_s)
         self.recorder = recorder = Recorder(
             effects,
             journal,
-            layout,
-            self._kept,
+            RecordLayout(self._operator_file.work_prefix, self._settings.retention_s),
+            self._codec,
             self.presence,
-            self._terms,
+            self._settings,
             self._incarnation,
-            session=self._token,
+            session_token=self._session_token,
             now_s=boot_s,
-            chance=self._chance,
+            rng=self._rng,
             count=counters.add,
-            say=self._say,
+            log_event=self._log_event,
         )
-        self.takers = Takers(
+        self.takeover_worker = TakeoverWorker(
             recorder,
             self._lease_client.name,
-            pace=Pace(self._terms.pace, BURST),
+            rate_limit=TokenBucket(self._settings.takeovers_per_s, TAKEOVER_BURST),
             now_s=boot_s,
-            unix_s=time.time,
-            chance=self._chance,
+            rng=self._rng,
+            is_busy=lambda: effects.pending > BUSY_ABOVE,
             count=counters.add,
-            say=self._say,
-            busy=lambda: effects.pending > BUSY_MOST,
+            log_event=self._log_event,
+        )
+        self.sweeper = RetentionSweeper(
+            recorder, self._lease_client.name, now_s=boot_s, unix_s=time.time, rng=self._rng
         )
         effects.records = recorder
         counters.gauge("work_open", lambda: recorder.tables["work_open"])
@@ -116,45 +127,59 @@
         counters.gauge("work_writes", lambda: journal.written)
         counters.gauge("work_bytes", lambda: journal.bytes)
         counters.gauge("work_store_calls", lambda: journal.calls)
-        counters.gauge("work_store_away", lambda: int(not journal.up))
+        counters.gauge("work_store_away", lambda: int(not journal.is_available))
 
-    def _token(self) -> int:
+    def _session_token(self) -> int:
         if not self._lease_client.lease_state.in_session:
             return 0
         entry = self._lease_client.entries.get(INSTANCE_PREFIX + self._lease_client.name)
         return entry.created if entry is not None else 0
 
-    def serving(self) -> None:
-        """Operations come from here on."""
-        if self.recorder is not None and self.takers is not None:
+    def start(self) -> None:
+        """Begin; operations come from here on."""
+        if self.recorder is not None and self.takeover_worker is not None and self.sweeper is not None:
             self.recorder.start()
-            self.takers.start()
+            self.takeover_worker.start()
+            self.sweeper.start()
 
-    def changed(self, key: str, entry: Entry | None) -> None:
-        """Something in the leases' store has changed."""
+    def on_store_change(self, key: str, entry: Entry | None) -> None:
+        """Follow the sessions in the leases' store; `entry` None: the key was deleted."""
         if not key.startswith(INSTANCE_PREFIX):
             return
         name = key[len(INSTANCE_PREFIX) :]
-        if entry is not None:
-            try:
-                word = msgspec.json.decode(entry.value, type=_Word).incarnation
-            except (msgspec.DecodeError, msgspec.ValidationError):
-                word = ""
-            if word:
-                if self.takers is not None and self.presence.incarnation(name) not in ("", word):
-                    self.takers.gone(self.presence.gone(boot_s(), name))
-                self.presence.here(name, word)
-        elif self.takers is not None:
-            self.takers.gone(self.presence.gone(boot_s(), name))
-
-    async def leaving(self) -> None:
-        """The sidecar is told to end; before its session is given back."""
-        if self.takers is not None and self.recorder is not None:
-            self.takers.stop()
-            longest_s = max(one.deadline_ms for one in self._config.settings.classes) / 1000
-            await self.recorder.leaving(longest_s + MORE_S)
-
-    async def left(self) -> None:
-        """It has answered all that it could."""
+        if entry is None:
+            self._note_absent(name)
+            return
+        incarnation = _incarnation_in(entry)
+        if not incarnation:
+            return
+        if self.presence.incarnation_of(name) not in ("", incarnation):
+            self._note_absent(name)
+        self.presence.add(name, incarnation)
+
+    def _note_absent(self, name: str) -> None:
+        if self.takeover_worker is not None:
+            self.takeover_worker.owner_lost(self.presence.remove(boot_s(), name))
+
+    async def drain(self) -> None:
+        """Announce the shutdown; called before the session is given back."""
+        if self.recorder is None or self.takeover_worker is None or self.sweeper is None:
+            return
+        self.takeover_worker.stop()
+        self.sweeper.stop()
+        classes = self._config.settings.classes
+        longest_s = max(request_class.deadline_ms for request_class in classes) / 1000
+        await self.recorder.drain(longest_s + DRAIN_MARGIN_S)
+
+    async def close(self) -> None:
+        """Leave open records to the other instances; called when the sidecar has answered all it could."""
         if self.recorder is not None:
-            await self.recorder.left()
+            await self.recorder.close()
+
+
+def _incarnation_in(entry: Entry) -> str:
+    """Return the incarnation in the value of a session key; empty where it can't be read."""
+    try:
+        return msgspec.json.decode(entry.value, type=_InstanceValue).incarnation
+    except (msgspec.DecodeError, msgspec.ValidationError):
+        return ""
