--- a/coveport/testbed/fault_injection/work/broken_variants.py
+++ b/coveport/testbed/fault_injection/work/broken_variants.py
@@ -16,22 +16,31 @@
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
-from coveport.sidecar.intent_log import pending_operation, record_adopter, recorder, replayed_answers
-from coveport.sidecar.intent_log.deferred_writes import Late
-from coveport.sidecar.intent_log.encryption import Kept
+from coveport.sidecar.intent_log import (
+    pending_operation,
+    record_adopter,
+    recorder,
+    repeated_requests,
+    replay_decision,
+)
+from coveport.sidecar.intent_log.deferred_writes import DeferredWrites
 from coveport.sidecar.intent_log.journal import Journal
-from coveport.sidecar.intent_log.observed_age import Ages, Known
-from coveport.sidecar.intent_log.pending_operation import Go, Hand, Stage
-from coveport.sidecar.intent_log.record import End, Record, State
-from coveport.sidecar.intent_log.record_adopter import as_ours
+from coveport.sidecar.intent_log.observed_age import AgeLowerBound, AgeUpperBound
+from coveport.sidecar.intent_log.payloads import PayloadCodec
+from coveport.sidecar.intent_log.pending_operation import OperationStage, PendingOperation, ResumeSend
+from coveport.sidecar.intent_log.presence import OwnerStatus
+from coveport.sidecar.intent_log.record import FinalStatus, Record, RecoveryPoint
+from coveport.sidecar.intent_log.record_adopter import as_owned
 from coveport.sidecar.intent_log.record_layout import RecordLayout
 from coveport.sidecar.intent_log.recorder import Recorder
-from coveport.sidecar.intent_log.takeover import Decision, Do
-from coveport.sidecar.intent_log.takeover_worker import Takers
+from coveport.sidecar.intent_log.replay_decision import ReplayAction
+from coveport.sidecar.intent_log.retention_sweeper import RetentionSweeper
+from coveport.sidecar.intent_log.takeover import TakeoverAction, TakeoverDecision
+from coveport.sidecar.intent_log.takeover_worker import TakeoverWorker
 from coveport.sidecar.leases.store import Done, Entry, Outcome, Put, Refused, Transaction, Unknown
 
 
-def _plain() -> Kept:
+def _plain() -> PayloadCodec:
     from coveport.testbed.fault_injection.work.sim import Plain
 
     return Plain()
@@ -47,24 +56,25 @@
     recorder: type[Recorder] = Recorder
     journal: type[Journal] = Journal
     layout: type[RecordLayout] = RecordLayout
-    takers: type[Takers] = Takers
-    kept: Callable[[], Kept] = _plain
+    takeover_worker: type[TakeoverWorker] = TakeoverWorker
+    sweeper: type[RetentionSweeper] = RetentionSweeper
+    codec: Callable[[], PayloadCodec] = _plain
     while_played: Callable[[], AbstractContextManager[Any]] = nullcontext
 
 
-class _SweepsByTheWall(Takers):
-    """Throws away what its own wall clock takes for old."""
+class _SweepsByTheWall(RetentionSweeper):
+    """Deletes what its own wall clock takes for old."""
 
-    def __init__(self, *told: Any, **named: Any) -> None:
-        super().__init__(*told, **named)
-        self._known = _AlwaysKnown(0.0)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
+        self._ages = _AlwaysKnown(0.0)
 
 
-class _AlwaysKnown(Known):
+class _AlwaysKnown(AgeLowerBound):
     def __init__(self, span_s: float) -> None:
         super().__init__(1.0)
 
-    def at_least(self, now: float, revision: int) -> float:
+    def at_least(self, now_s: float, revision: int) -> float:
         return inf
 
 
@@ -74,70 +84,75 @@
 class _SendsAtOnce(Recorder):
     """Writes down and does not wait for it."""
 
-    def send(self, number: int, step: int, destination: int, go: Go) -> bool:
+    def send(self, number: int, step: int, destination: int, resume: ResumeSend) -> bool:
         super().send(number, step, destination, lambda fence: None)
         found = self._by_number.get(number)
-        return found is None or found.stage is Stage.OURS
+        return found is None or found.stage is OperationStage.OWNED
 
 
 class _UnknownIsWritten(Recorder):
     """Takes a write without an answer for done."""
 
-    def _adrift(self, one: Hand) -> None:
-        one.revision, one.written = one.revision or 1, one.target
-        for step in [at for at in one.gates if one.is_durable(at)]:
-            one.gates.pop(step)(self._fence(one))
-        self._push(one)
+    def _outcome_unknown(self, pending: PendingOperation) -> None:
+        pending.revision = pending.revision or 1
+        pending.durable_record = pending.record_in_flight
+        for step in [step for step in pending.waiting_sends if pending.is_durable(step)]:
+            pending.waiting_sends.pop(step)(self._send_check(pending))
+        self._schedule_write(pending)
 
 
 class _UnknownIsUnwritten(Recorder):
     """Takes a write without an answer for one that never happens, and goes on sending."""
 
-    def _adrift(self, one: Hand) -> None:
-        super()._adrift(one)
-        one.may_send = True
+    def _outcome_unknown(self, pending: PendingOperation) -> None:
+        super()._outcome_unknown(pending)
+        pending.may_send = True
 
 
 class _ForgetsAttempts(Recorder):
     """Tells the module nothing of the attempts that were made."""
 
-    def _begin(self, one: Hand, client: Any, before: tuple[api.Before, ...]) -> None:
-        super()._begin(one, client, ())
+    def _execute(
+        self, pending: PendingOperation, client: Any, earlier_attempts: tuple[api.Before, ...]
+    ) -> None:
+        super()._execute(pending, client, ())
 
 
 class _AnswersBefore(Recorder):
     """Says of an answer that it was served before a node has made it: from another's record."""
 
-    def _same(self, one: Hand, record: Record) -> bool | None:
+    def _is_same_request(self, pending: PendingOperation, record: Record) -> bool | None:
         return True
 
 
 class _TakesWhatIsOurs(Recorder):
     """Counts a write that is refused as written: the record is its own whatever the store says."""
 
-    def _wrote(self, one: Hand, outcome: Outcome) -> None:
+    def _write_done(self, pending: PendingOperation, outcome: Outcome) -> None:
         if isinstance(outcome, Refused):
             outcome = Done("", outcome.revision)
-        super()._wrote(one, outcome)
+        super()._write_done(pending, outcome)
 
 
 class _AsksOnce(Recorder):
     """Who finds a record open begins anew beside it."""
 
-    async def _done_with(self, one: Hand, client: Any, record: Record, entry: Entry) -> bool:
-        if record.open and self._owner(record) is not replayed_answers.Owner.OURS:
-            ours = msgspec.structs.replace(
+    async def _answer_if_decided(
+        self, pending: PendingOperation, client: Any, record: Record, entry: Entry
+    ) -> bool:
+        if record.is_open and self._owner_status(record) is not OwnerStatus.SELF:
+            owned = msgspec.structs.replace(
                 record,
                 owner=self.incarnation,
-                token=self.token,
+                owner_token=self.token,
                 attempts=(),
-                state=State.TAKEN,
-                since=0,
-                owners=(*record.owners, record.owner),
+                recovery_point=RecoveryPoint.ACCEPTED,
+                first_attempt_revision=0,
+                previous_owners=(*record.previous_owners, record.owner),
             )
-            taken = await self.claim(record, entry, ours)
-            return taken is not None and self._take_on(one, client, ours, taken, entry)
-        return await super()._done_with(one, client, record, entry)
+            revision = await self.claim(record, entry, owned)
+            return revision is not None and self._adopt_for_client(pending, client, owned, revision, entry)
+        return await super()._answer_if_decided(pending, client, record, entry)
 
 
 # Layouts and journals.
@@ -176,10 +191,10 @@
         )
 
 
-class _YoungAges(Ages):
+class _YoungAges(AgeUpperBound):
     """Takes what it reads for as old as the reading."""
 
-    def at_most(self, now: float, revision: int) -> float:
+    def at_most(self, now_s: float, revision: int) -> float:
         return 0.0
 
 
@@ -192,19 +207,19 @@
 class _LosesAnswers(Journal):
     """Tells of what had no answer that it was refused."""
 
-    def _heard(self, sent: float, floor: int, identity: str, outcome: Outcome) -> Outcome:
-        told = super()._heard(sent, floor, identity, outcome)
-        return Refused(self._identity, self._floor) if isinstance(told, Unknown) else told
+    def _checked(self, requested_s: float, revision: int, identity: str, outcome: Outcome) -> Outcome:
+        checked = super()._checked(requested_s, revision, identity, outcome)
+        return Refused(self._identity, self._revision) if isinstance(checked, Unknown) else checked
 
 
-# Takers, and the pure halves.
+# Takeover workers, and the pure modules.
 
 
-class _NeverTakes(Takers):
+class _NeverTakes(TakeoverWorker):
     """Sees to nothing that is lost."""
 
-    async def _see_to(self, incarnation: str) -> None:
-        self._lost.pop(incarnation, None)
+    async def _take_over_from(self, incarnation: str) -> None:
+        self._lost_since.pop(incarnation, None)
 
 
 def _patched(where: Any, name: str, made: Callable[[Any], Any]) -> Callable[[], AbstractContextManager[Any]]:
@@ -224,11 +239,18 @@
 def _says_never_ran(write: Any) -> Any:
     """Writes down late that what it could not record was refused."""
 
-    async def written(late: Late, one: Hand) -> bool:
-        record = one.record
-        attempts = tuple(msgspec.structs.replace(it, ended=api.Outcome.MOOT) for it in record.attempts)
-        one.record = msgspec.structs.replace(record, attempts=attempts, state=State.CLOSED, end=End.REFUSED)
-        return bool(await write(late, one))
+    async def written(deferred: DeferredWrites, pending: PendingOperation) -> bool:
+        record = pending.record
+        attempts = tuple(
+            msgspec.structs.replace(attempt, outcome=api.Outcome.MOOT) for attempt in record.attempts
+        )
+        pending.record = msgspec.structs.replace(
+            record,
+            attempts=attempts,
+            recovery_point=RecoveryPoint.CLOSED,
+            final_status=FinalStatus.REFUSED,
+        )
+        return bool(await write(deferred, pending))
 
     return written
 
@@ -236,10 +258,10 @@
 def _resends(decide: Any) -> Any:
     """A table that sends what may not run twice."""
 
-    def table(record: Record, left_ms: float, age_ms: float, room_ms: float) -> Decision:
-        found: Decision = decide(record, left_ms, age_ms, room_ms)
-        unsafe = record.rules.effect is Effect.UNSAFE and record.may_have_run
-        return replace(found, do=Do.SEND) if unsafe and record.open else found
+    def table(record: Record, left_ms: float, age_ms: float, send_ms: float) -> TakeoverDecision:
+        found: TakeoverDecision = decide(record, left_ms, age_ms, send_ms)
+        unsafe = record.policy.effect is Effect.UNSAFE and record.may_have_run
+        return replace(found, action=TakeoverAction.SEND) if unsafe and record.is_open else found
 
     return table
 
@@ -247,51 +269,56 @@
 def _takes_sending_for_taken(decide: Any) -> Any:
     """A table that takes an attempt of which nothing was heard for one that was never sent."""
 
-    def table(record: Record, left_ms: float, age_ms: float, room_ms: float) -> Decision:
-        ended = tuple(
-            msgspec.structs.replace(one, ended=one.ended or api.Outcome.MOOT) for one in record.attempts
+    def table(record: Record, left_ms: float, age_ms: float, send_ms: float) -> TakeoverDecision:
+        attempts = tuple(
+            msgspec.structs.replace(attempt, outcome=attempt.outcome or api.Outcome.MOOT)
+            for attempt in record.attempts
+        )
+        found: TakeoverDecision = decide(
+            msgspec.structs.replace(record, attempts=attempts), left_ms, age_ms, send_ms
         )
-        found: Decision = decide(msgspec.structs.replace(record, attempts=ended), left_ms, age_ms, room_ms)
         return found
 
     return table
 
 
-def _asks_anywhere(before: Any) -> Any:
+def _asks_anywhere(earlier_attempts: Any) -> Any:
     """Tells the module that all was sent where its nodes are now, and just so."""
 
-    def told(one: Hand, now: float, now_ms: float) -> tuple[api.Before, ...]:
-        return tuple(replace(it, may_have_run=False) for it in before(one, now, now_ms))
+    def attempts(pending: PendingOperation, now_s: float, now_ms: float) -> tuple[api.Before, ...]:
+        return tuple(
+            replace(attempt, may_have_run=False) for attempt in earlier_attempts(pending, now_s, now_ms)
+        )
 
-    return told
+    return attempts
 
 
-def _anew(decide_again: Any) -> Any:
+def _anew(decide_replay: Any) -> Any:
     """Takes what may have run once more, as if it were new."""
 
-    def told(record: Record, *rest: Any) -> Any:
-        found = decide_again(record, *rest)
+    def decision(*args: Any, **kwargs: Any) -> Any:
+        found = decide_replay(*args, **kwargs)
         return (
-            replayed_answers.Told(replayed_answers.Then.ANEW, "")
-            if found.then in (replayed_answers.Then.TOLD, replayed_answers.Then.TRY)
+            replay_decision.ReplayDecision(ReplayAction.RESTART, "")
+            if found.action in (ReplayAction.FAIL, ReplayAction.RETRY)
             else found
         )
 
-    return told
+    return decision
 
 
 def _reopens_all(reopened: Any) -> Any:
-    def anew(record: Record, by: str, token: int) -> Record:
+    def anew(record: Record, incarnation: str, token: int) -> Record:
         return msgspec.structs.replace(
             record,
-            owner=by,
-            token=token,
-            state=State.TAKEN,
+            owner=incarnation,
+            owner_token=token,
+            recovery_point=RecoveryPoint.ACCEPTED,
             attempts=(),
-            since=0,
-            end=None,
-            lives=record.lives + 1,
-            owners=(*record.owners, record.owner),
+            first_attempt_revision=0,
+            final_status=None,
+            generation=record.generation + 1,
+            previous_owners=(*record.previous_owners, record.owner),
         )
 
     return anew
@@ -302,11 +329,12 @@
     return lambda key, request: id_of(key[:2], request)
 
 
-def _young_again(ours: Any) -> Any:
+def _young_again(_as_owned: Any) -> Any:
     """Forgets since when the attempts stand there: each claim makes them young."""
 
     def made(record: Record, entry: Entry, incarnation: str, token: int) -> Record:
-        return msgspec.structs.replace(as_ours(record, entry, incarnation, token), since=entry.modified)
+        owned = as_owned(record, entry, incarnation, token)
+        return msgspec.structs.replace(owned, first_attempt_revision=entry.modified)
 
     return made
 
@@ -335,7 +363,7 @@
             "says-never-ran",
             "writes late that what went unrecorded was refused",
             ("never-run",),
-            while_played=_patched(Late, "write", _says_never_ran),
+            while_played=_patched(DeferredWrites, "write", _says_never_ran),
         ),
         WorkVariant(
             "forgets-attempts",
@@ -368,7 +396,7 @@
             "wall-sweep",
             "throws away by wall clocks alone",
             ("twice", "never-run", "owners"),
-            takers=_SweepsByTheWall,
+            sweeper=_SweepsByTheWall,
         ),
         WorkVariant(
             "young-ages", "takes what it reads for as old as the reading", ("twice",), journal=_Young
@@ -379,14 +407,14 @@
             ("never-run", "twice", "open", "owners"),
             journal=_LosesAnswers,
         ),
-        WorkVariant("never-takes", "sees to nothing that is lost", ("open",), takers=_NeverTakes),
+        WorkVariant("never-takes", "sees to nothing that is lost", ("open",), takeover_worker=_NeverTakes),
         WorkVariant(
             "resends",
             "a table that sends what may not run twice, past the module",
             ("twice",),
             while_played=_both(
                 _patched(record_adopter, "decide", _resends),
-                _patched(pending_operation.Hand, "before", _asks_anywhere),
+                _patched(pending_operation.PendingOperation, "earlier_attempts", _asks_anywhere),
             ),
         ),
         WorkVariant(
@@ -399,21 +427,24 @@
             "asks-anywhere",
             "tells the module that nothing of before may have run",
             ("twice",),
-            while_played=_patched(pending_operation.Hand, "before", _asks_anywhere),
+            while_played=_patched(pending_operation.PendingOperation, "earlier_attempts", _asks_anywhere),
         ),
         WorkVariant(
             "takes-again",
             "takes what may have run as if it were new",
             ("twice",),
             while_played=_both(
-                _patched(recorder, "decide_again", _anew), _patched(Record, "reopened", _reopens_all)
+                _patched(repeated_requests, "decide_replay", _anew),
+                _patched(Record, "reopened", _reopens_all),
             ),
         ),
         WorkVariant(
             "no-fence",
             "sends however late it comes to it",
             ("twice", "never-run"),
-            while_played=_patched(pending_operation.Hand, "fence", lambda _: lambda one, now: True),
+            while_played=_patched(
+                pending_operation.PendingOperation, "is_send_allowed", lambda _: lambda pending, now_s: True
+            ),
         ),
         WorkVariant(
             "crossed-keys",
@@ -426,7 +457,7 @@
             "young-claims",
             "each claim makes what it claims young",
             ("twice",),
-            while_played=_patched(recorder, "as_ours", _young_again),
+            while_played=_patched(repeated_requests, "as_owned", _young_again),
         ),
     )
 }
--- a/coveport/testbed/fault_injection/work/executors.py
+++ b/coveport/testbed/fault_injection/work/executors.py
@@ -200,7 +200,7 @@
     def take(self, number: int, client: Any, asked: Operation) -> None:
         """An operation has come."""
         if self.records is not None:
-            client = self.records.take(number, client, asked)
+            client = self.records.accept(number, client, asked)
             if client is None:
                 return
         self._open[number] = _Open(client, asked)
@@ -230,7 +230,7 @@
     def gone(self, number: int) -> None:
         """The client has gone away."""
         if self.records is not None:
-            self.records.gone(number)
+            self.records.client_gone(number)
         self._close(number)
         self.feed(core.ClientGone(number))
 
@@ -305,7 +305,7 @@
         """A route step has ended."""
         self._open[step.operation].steps.pop(step.number, None)
         if self.records is not None:
-            self.records.ended(step.operation, step.number, outcome)
+            self.records.attempt_ended(step.operation, step.number, outcome)
         self.feed(core.StepEnded(step.operation, step.number, outcome, (), answer))
 
 
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -13,13 +13,15 @@
 
 from coveport.balancing.simulator_codec import parse_settings
 from coveport.sidecar.config.terms import Terms
-from coveport.sidecar.intent_log.encryption import Asked as KeptAsked
-from coveport.sidecar.intent_log.encryption import Given, Kept
-from coveport.sidecar.intent_log.pending_operation import Hand
+from coveport.sidecar.intent_log.errors import RecordError
+from coveport.sidecar.intent_log.payloads import PayloadCodec, StoredRequest, StoredResponse
+from coveport.sidecar.intent_log.pending_operation import PendingOperation
 from coveport.sidecar.intent_log.presence import Presence
-from coveport.sidecar.intent_log.record import Record, RecordError, decode
-from coveport.sidecar.intent_log.sharing import Pace
-from coveport.sidecar.intent_log.terms import WorkTerms
+from coveport.sidecar.intent_log.record import Record
+from coveport.sidecar.intent_log.record_codec import decode
+from coveport.sidecar.intent_log.recorder import Recorder
+from coveport.sidecar.intent_log.settings import IntentLogSettings
+from coveport.sidecar.intent_log.token_bucket import TokenBucket
 from coveport.sidecar.leases.keys import INSTANCE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.store import Entry
@@ -128,32 +130,38 @@
     )
 
 
-class Plain(Kept):
-    """Kept as it is: sealing costs a trial nothing but time."""
+class Plain(PayloadCodec):
+    """Leaves payloads unencrypted: encryption costs a trial nothing but time."""
 
     def __init__(self) -> None:
         super().__init__(None, 65536)
 
-    def asked(self, identity: str, asked: KeptAsked) -> bytes:
-        """A request as it is."""
+    def encode_request(self, record_id: str, request: StoredRequest) -> bytes:
+        """Return a request as JSON."""
         return json.dumps(
-            [asked.method, asked.target, asked.body.decode(), asked.request_id, asked.key]
+            [
+                request.method,
+                request.target,
+                request.body.decode(),
+                request.request_id,
+                request.idempotency_key,
+            ]
         ).encode()
 
-    def given(self, identity: str, given: Given) -> bytes:
-        """An answer as it is."""
-        return given.body
+    def encode_response(self, record_id: str, response: StoredResponse) -> bytes:
+        """Return the body of a response."""
+        return response.body
 
-    def read_asked(self, identity: str, sealed: bytes) -> KeptAsked | None:
-        """A request again."""
+    def decode_request(self, record_id: str, sealed: bytes) -> StoredRequest | None:
+        """Return a stored request."""
         if not sealed:
             return None
         method, target, body, request_id, key = json.loads(sealed)
-        return KeptAsked(method, target, body.encode(), request_id, key)
+        return StoredRequest(method, target, body.encode(), request_id, key)
 
-    def read_given(self, identity: str, sealed: bytes) -> Given | None:
-        """An answer again."""
-        return Given(sealed) if sealed else None
+    def decode_response(self, record_id: str, sealed: bytes) -> StoredResponse | None:
+        """Return a stored response."""
+        return StoredResponse(sealed) if sealed else None
 
 
 @dataclass
@@ -253,7 +261,9 @@
         one.lease_client = lease_client
         one.hands = hands = SimHands(self.world, process, self.nodes, self.settings, one.node_way, chance)
         presence = Presence(incarnation, trial.ttl_s)
-        terms = WorkTerms(frozenset({"earn", "redeem"}), frozenset(trial.refuse), call_s=CALL_S)
+        intent_log_settings = IntentLogSettings(
+            frozenset({"earn", "redeem"}), frozenset(trial.refuse), store_timeout_s=CALL_S
+        )
         journal = variant.journal(SimStore(process, self.host, one.way, chance), now_s, CALL_S, say)
 
         def token() -> int:
@@ -266,42 +276,42 @@
             hands,
             journal,
             layout,
-            variant.kept(),
+            variant.codec(),
             presence,
-            terms,
+            intent_log_settings,
             incarnation,
-            session=token,
+            session_token=token,
             now_s=now_s,
-            chance=chance,
+            rng=chance,
             count=count,
-            say=say,
+            log_event=say,
             unix_s=unix_s,
         )
-        takers = variant.takers(
+        takeover_worker = variant.takeover_worker(
             recorder,
             name,
-            pace=Pace(50.0, 16),
+            rate_limit=TokenBucket(50.0, 16),
             now_s=now_s,
-            unix_s=unix_s,
-            chance=chance,
-            busy=lambda: hands.pending > 16,
+            rng=chance,
+            is_busy=lambda: hands.pending > 16,
             count=count,
-            say=say,
+            log_event=say,
         )
+        sweeper = variant.sweeper(recorder, name, now_s=now_s, unix_s=unix_s, rng=chance)
         one.recorder = recorder
-        self._watch_unrecorded(recorder, hands)
+        self._watch_unrecorded(recorder)
 
         def changed(key: str, entry: Entry | None) -> None:
             if not key.startswith(INSTANCE_PREFIX):
                 return
             other = key[len(INSTANCE_PREFIX) :]
             if entry is None:
-                takers.gone(presence.gone(now_s(), other))
+                takeover_worker.owner_lost(presence.remove(now_s(), other))
                 return
             word = json.loads(entry.value).get("incarnation", "")
-            if presence.incarnation(other) not in ("", word):
-                takers.gone(presence.gone(now_s(), other))
-            presence.here(other, word)
+            if presence.incarnation_of(other) not in ("", word):
+                takeover_worker.owner_lost(presence.remove(now_s(), other))
+            presence.add(other, word)
 
         lease_client.on_change = changed
 
@@ -309,11 +319,13 @@
             lease_client.publish_status(json.dumps({"incarnation": incarnation}).encode())
             lease_client.start()
             recorder.start()
-            takers.start()
+            takeover_worker.start()
+            sweeper.start()
 
         async def leave() -> None:
-            takers.stop()
-            await recorder.leaving(2.0)
+            takeover_worker.stop()
+            sweeper.stop()
+            await recorder.drain(2.0)
             await lease_client.close()
 
         one.counts = {}
@@ -322,28 +334,30 @@
         hands.records = recorder if trial.record else None
         process.call_soon(start)
 
-    def _watch_unrecorded(self, recorder: object, hands: SimHands) -> None:
-        """What is served while the store is gone is as today: the judge promises nothing of it."""
-        take = recorder.take  # type: ignore[attr-defined]
+    def _watch_unrecorded(self, recorder: Recorder) -> None:
+        """Note what is served while the store is unavailable: the judge promises nothing of it."""
+        accept = recorder.accept
+        outcome_unknown = recorder._outcome_unknown
 
-        def taken(number: int, client: object, asked: Operation) -> object:
+        def watched_accept(number: int, client: object, operation: Operation) -> object:
             before = self.counts.get("work_unrecorded", 0)
-            came = take(number, client, asked)
-            if self.counts.get("work_unrecorded", 0) != before and asked.room:
-                self.unrecorded.add(asked.body.decode())
-            return came
-
-        adrift = recorder._adrift  # type: ignore[attr-defined]
-
-        def drifts(hand: Hand) -> None:
-            adrift(hand)
-            # What may go unrecorded is the trial's word, not the recorder's: what stood nowhere, and was not
-            # to be refused.
-            on_its_way = hand.target is not None and bool(hand.target.attempts)
-            if hand.revision == 0 and on_its_way and hand.record.cls not in self.trial.refuse:
-                self.unrecorded.add(hand.asked.body.decode())
-
-        recorder.take, recorder._adrift = taken, drifts  # type: ignore[attr-defined]
+            response_to = accept(number, client, operation)
+            if self.counts.get("work_unrecorded", 0) != before and operation.room:
+                self.unrecorded.add(operation.body.decode())
+            return response_to
+
+        def watched_outcome_unknown(pending: PendingOperation) -> None:
+            outcome_unknown(pending)
+            # What may go unrecorded is the trial's rule, not the recorder's: what stood nowhere, and was not
+            # to be rejected.
+            in_flight = pending.record_in_flight
+            has_attempt = in_flight is not None and bool(in_flight.attempts)
+            is_rejected = pending.record.class_name in self.trial.refuse
+            if pending.revision == 0 and has_attempt and not is_rejected:
+                self.unrecorded.add(pending.operation.body.decode())
+
+        recorder.accept = watched_accept  # type: ignore[method-assign]
+        recorder._outcome_unknown = watched_outcome_unknown  # type: ignore[method-assign]
 
     def end(self, one: _Instance, planned: bool = False) -> None:
         """Its process is gone."""
@@ -398,7 +412,7 @@
                 hands, one.hands = one.hands, None  # tills are led elsewhere
                 self.world.at(
                     self.world.now + LEAVE_S - 0.2,
-                    lambda: process.call_soon(lambda: process.create_task(recorder.left())),
+                    lambda: process.call_soon(lambda: process.create_task(recorder.close())),
                 )
                 self.world.at(self.world.now + LEAVE_S, self.end, one, True)
                 self.world.at(max(over, self.world.now + LEAVE_S + 0.1), self.again, one)
@@ -455,7 +469,7 @@
             if key.startswith(PREFIX + "r/"):
                 try:
                     record = decode(entry.value)
-                    found[record.key] = record
+                    found[record.idempotency_key] = record
                 except RecordError as problem:
                     self.problems.append(f"{key}: {problem}")
         return found
@@ -469,19 +483,19 @@
             for wish in self.tills.wishes
             for at, verdict, body in wish.told
         ]
-        ends = {key: record.said for key, record in records.items() if key not in self.unrecorded}
+        ends = {key: record.status for key, record in records.items() if key not in self.unrecorded}
         findings = judge(asked, ran, ends, frozenset(self.unrecorded))
         end = START_S + self.trial.lasts_s
         findings += [
-            Finding("open", end, f"{key} is {record.said} at the end, of {record.owner}")
+            Finding("open", end, f"{key} is {record.status} at the end, of {record.owner}")
             for key, record in records.items()
-            if record.open
+            if record.is_open
         ]
         findings += self._passed_on()
         findings += [
             Finding("tries", end, f"{key}: {len(record.attempts)} attempts")
             for key, record in records.items()
-            if len(record.attempts) > record.rules.most_attempts
+            if len(record.attempts) > record.policy.max_attempts
         ]
         runs: dict[str, int] = {}
         for one in ran:
@@ -490,12 +504,12 @@
             Finding("tries", end, f"{key} was sent {count} times")
             for key, count in runs.items()
             if key not in self.unrecorded
-            and count > self.settings.limits.max_attempts * (records[key].lives if key in records else 1)
+            and count > self.settings.limits.max_attempts * (records[key].generation if key in records else 1)
         ]
         findings += [Finding("crash", end, what) for what in self.problems]
         said: dict[str, int] = {}
         for record in records.values():
-            said[record.said] = said.get(record.said, 0) + 1
+            said[record.status] = said.get(record.status, 0) + 1
         return Played(
             self.trial,
             seed,
@@ -530,10 +544,17 @@
             except RecordError:
                 continue
             before = last.get(change.key)
-            chain = (*record.owners, record.owner)
-            if before is not None and chain[: len(before.owners) + 1] != (*before.owners, before.owner):
+            chain = (*record.previous_owners, record.owner)
+            if before is not None and chain[: len(before.previous_owners) + 1] != (
+                *before.previous_owners,
+                before.owner,
+            ):
                 found.append(
-                    Finding("owners", at, f"{record.key}: {record.owner} wrote what was {before.owner}'s")
+                    Finding(
+                        "owners",
+                        at,
+                        f"{record.idempotency_key}: {record.owner} wrote what was {before.owner}'s",
+                    )
                 )
             last[change.key] = record
         return found
@@ -544,7 +565,12 @@
         for at, change in self.host.engine.book:
             if change.key.startswith(PREFIX + "r/") and change.entry is not None and self.losses:
                 record = decode(change.entry.value)
-                if not record.open and record.owners and record.lives == 1 and at > self.losses[-1]:
+                if (
+                    not record.is_open
+                    and record.previous_owners
+                    and record.generation == 1
+                    and at > self.losses[-1]
+                ):
                     last = max(last, at - self.losses[-1])
         return last
 
--- a/tests/golden/golden_operation_cases.py
+++ b/tests/golden/golden_operation_cases.py
@@ -3,8 +3,15 @@
 from __future__ import annotations
 
 from coveport.balancing.interface import Effect, Group, Outcome
-from coveport.sidecar.intent_log.encryption import Asked, Given
-from coveport.sidecar.intent_log.record import Attempt, End, Record, Rules, Settled, State
+from coveport.sidecar.intent_log.payloads import StoredRequest, StoredResponse
+from coveport.sidecar.intent_log.record import (
+    Attempt,
+    ExecutionPolicy,
+    FinalStatus,
+    ManualResolution,
+    Record,
+    RecoveryPoint,
+)
 from coveport.sidecar.intent_log.record_layout import RecordLayout
 from coveport.sidecar.leases.store import Delete, Put, Transaction
 
@@ -13,9 +20,9 @@
 SEAL_KEYS = {"second": b"\x11" * 32, "first": b"\x0a" * 32}
 NONCE = bytes(range(12))
 
-KEYED = Rules(Effect.KEYED, Group.ZONE, 900.0, 3, 1200.0)
-SAFE = Rules(Effect.SAFE, Group.ALL, 0.0, 2)
-UNSAFE = Rules(Effect.UNSAFE, Group.CELL, 0.5, 1, 5000.0)
+KEYED = ExecutionPolicy(Effect.KEYED, Group.ZONE, 900.0, 3, 1200.0)
+SAFE = ExecutionPolicy(Effect.SAFE, Group.ALL, 0.0, 2)
+UNSAFE = ExecutionPolicy(Effect.UNSAFE, Group.CELL, 0.5, 1, 5000.0)
 ENDED_ATTEMPTS = tuple(
     Attempt(f"node-{number}", 1, 2, "life-1", outcome, 1_700_000_000.5 + number)
     for number, outcome in enumerate(Outcome)
@@ -24,83 +31,85 @@
 
 TAKEN = Record(
     id=ID,
-    key="order-17",
-    cls="orders",
-    digest="d1",
-    rules=KEYED,
+    idempotency_key="order-17",
+    class_name="orders",
+    request_digest="d1",
+    policy=KEYED,
     owner="life-1",
-    token=12,
-    unix=1_700_000_000.25,
+    owner_token=12,
+    accepted_unix_s=1_700_000_000.25,
 )
 SENDING = Record(
     id=ID,
-    key="",
-    cls="größe",
-    digest="",
-    rules=SAFE,
+    idempotency_key="",
+    class_name="größe",
+    request_digest="",
+    policy=SAFE,
     owner="life-2",
-    token=1 << 40,
-    state=State.SENDING,
+    owner_token=1 << 40,
+    recovery_point=RecoveryPoint.SENDING,
     attempts=(*ENDED_ATTEMPTS, OPEN_ATTEMPT),
-    request=b"\x00sealed request\xff",
-    since=99,
-    lives=3,
-    owners=("life-0", "life-1"),
-    asked="request-5",
+    sealed_request=b"\x00sealed request\xff",
+    first_attempt_revision=99,
+    generation=3,
+    previous_owners=("life-0", "life-1"),
+    request_id="request-5",
 )
 ANSWERED = Record(
     id=ID,
-    key="order-17",
-    cls="orders",
-    digest="d1",
-    rules=KEYED,
+    idempotency_key="order-17",
+    class_name="orders",
+    request_digest="d1",
+    policy=KEYED,
     owner="life-1",
-    token=12,
-    state=State.ANSWERED,
+    owner_token=12,
+    recovery_point=RecoveryPoint.ANSWERED,
     attempts=ENDED_ATTEMPTS[:1],
-    answer=b"sealed answer",
+    sealed_response=b"sealed answer",
 )
 
 
-def _closed(end: End, settled: Settled | None = None) -> Record:
+def _closed(status: FinalStatus, resolution: ManualResolution | None = None) -> Record:
     return Record(
         id=ID,
-        key="order-17",
-        cls="orders",
-        digest="d1",
-        rules=UNSAFE,
+        idempotency_key="order-17",
+        class_name="orders",
+        request_digest="d1",
+        policy=UNSAFE,
         owner="life-1",
-        token=12,
-        state=State.CLOSED,
+        owner_token=12,
+        recovery_point=RecoveryPoint.CLOSED,
         attempts=(OPEN_ATTEMPT,),
-        end=end,
-        why=f"because: {end.name.lower()}",
-        unix=1_700_000_000.0,
-        closed_unix=1_700_000_001.5,
-        settled=settled,
+        final_status=status,
+        reason=f"because: {status.name.lower()}",
+        accepted_unix_s=1_700_000_000.0,
+        closed_unix_s=1_700_000_001.5,
+        resolution=resolution,
     )
 
 
-SETTLED = _closed(End.UNKNOWN, Settled(End.NEVER_RAN, "staff", "looked it up", 1_700_000_100.0))
+SETTLED = _closed(
+    FinalStatus.UNKNOWN, ManualResolution(FinalStatus.NEVER_RAN, "staff", "looked it up", 1_700_000_100.0)
+)
 
 RECORDS: dict[str, Record] = {
     "taken": TAKEN,
     "sending": SENDING,
     "answered": ANSWERED,
-    "closed as served": _closed(End.SERVED),
-    "closed as refused": _closed(End.REFUSED),
-    "closed as failed": _closed(End.FAILED),
-    "closed as never run": _closed(End.NEVER_RAN),
-    "closed as unknown": _closed(End.UNKNOWN),
+    "closed as served": _closed(FinalStatus.SERVED),
+    "closed as refused": _closed(FinalStatus.REFUSED),
+    "closed as failed": _closed(FinalStatus.FAILED),
+    "closed as never run": _closed(FinalStatus.NEVER_RAN),
+    "closed as unknown": _closed(FinalStatus.UNKNOWN),
     "settled": SETTLED,
 }
 
-ASKED = Asked(
+ASKED = StoredRequest(
     "POST", "/orders?x=1", b"\x00body\xff", "request-5", "order-17", ("text/plain",), ("a/b", "*/*")
 )
-ASKED_LITTLE = Asked("GET", "/", b"", "request-6", None)
-GIVEN = Given(b"answer\x00", "application/json")
-GIVEN_LITTLE = Given(b"")
+ASKED_LITTLE = StoredRequest("GET", "/", b"", "request-6", None)
+GIVEN = StoredResponse(b"answer\x00", "application/json")
+GIVEN_LITTLE = StoredResponse(b"")
 
 LAYOUT = RecordLayout("work/", 600.0)
 
@@ -113,7 +122,7 @@
         "closed": LAYOUT.write(ANSWERED, 6, RECORDS["closed as served"]),
         "unknown": LAYOUT.write(ANSWERED, 6, RECORDS["closed as unknown"]),
         "settled": LAYOUT.write(RECORDS["closed as unknown"], 7, SETTLED),
-        "thrown away": LAYOUT.throw_away(ID, 8, LAYOUT.index(SETTLED)),
+        "thrown away": LAYOUT.deletion(ID, 8, LAYOUT.index_key(SETTLED)),
     }
 
 
--- a/tests/golden/golden_store_cases.py
+++ b/tests/golden/golden_store_cases.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from coveport.sidecar.intent_log.record_layout import Leaves
+from coveport.sidecar.intent_log.record_layout import DrainNotice
 from coveport.sidecar.singletons import health_checking, rollout_plan, slow_start_messages
 from coveport.sidecar.supervisor import desired_state as fleet
 
@@ -40,7 +40,7 @@
     "books": slow_start_messages.CoordinatorState(
         "life-2", 6, {"node-1": [slow_start_messages.OutstandingGrant(1.5, 2)]}, {"life-1": 5.5}
     ),
-    "leaving": Leaves(2.5),
+    "leaving": DrainNotice(2.5),
 }
 PHASES = {
     "fleet": {phase.value for phase in fleet.Phase},
--- a/tests/golden/test_golden_operations.py
+++ b/tests/golden/test_golden_operations.py
@@ -24,8 +24,10 @@
 )
 
 from coveport.balancing.interface import Outcome
-from coveport.sidecar.intent_log.encryption import Kept, Seal, read_keys
-from coveport.sidecar.intent_log.record import End, State, decode, encode
+from coveport.sidecar.intent_log.encryption import KeyRing, read_keys
+from coveport.sidecar.intent_log.payloads import PayloadCodec
+from coveport.sidecar.intent_log.record import FinalStatus, RecoveryPoint
+from coveport.sidecar.intent_log.record_codec import decode, encode
 from coveport.sidecar.intent_log.record_layout import digest_of, id_of
 
 RECORD_BYTES = read_cases("operations.json")
@@ -33,15 +35,15 @@
 TRANSACTION_BYTES = read_cases("operation_transactions.json")
 
 
-def kept() -> Kept:
-    return Kept(Seal(SEAL_KEYS), 1000)
+def payload_codec() -> PayloadCodec:
+    return PayloadCodec(KeyRing(SEAL_KEYS), 1000)
 
 
 def test_every_state_and_end_has_a_golden_record() -> None:
     assert RECORD_BYTES.keys() == RECORDS.keys()
-    assert {record.state for record in RECORDS.values()} == set(State)
-    assert {record.end for record in RECORDS.values() if record.end} == set(End)
-    assert {one.ended for one in RECORDS["sending"].attempts} == {*Outcome, None}
+    assert {record.recovery_point for record in RECORDS.values()} == set(RecoveryPoint)
+    assert {record.final_status for record in RECORDS.values() if record.final_status} == set(FinalStatus)
+    assert {one.outcome for one in RECORDS["sending"].attempts} == {*Outcome, None}
 
 
 @pytest.mark.parametrize("case", RECORDS)
@@ -71,20 +73,20 @@
 
 
 def test_what_was_sealed_is_opened_as_before() -> None:
-    assert kept().read_asked(ID, SEALED_BYTES["request"]) == ASKED
-    assert kept().read_asked(ID, SEALED_BYTES["short request"]) == ASKED_LITTLE
-    assert kept().read_given(ID, SEALED_BYTES["answer"]) == GIVEN
-    assert kept().read_given(ID, SEALED_BYTES["short answer"]) == GIVEN_LITTLE
-    assert kept().read_given(ID, SEALED_BYTES["request"]) is None, "a request is no answer"
-    assert kept().read_asked("f" * 32, SEALED_BYTES["request"]) is None, "it is another record's"
+    assert payload_codec().decode_request(ID, SEALED_BYTES["request"]) == ASKED
+    assert payload_codec().decode_request(ID, SEALED_BYTES["short request"]) == ASKED_LITTLE
+    assert payload_codec().decode_response(ID, SEALED_BYTES["answer"]) == GIVEN
+    assert payload_codec().decode_response(ID, SEALED_BYTES["short answer"]) == GIVEN_LITTLE
+    assert payload_codec().decode_response(ID, SEALED_BYTES["request"]) is None, "a request is no answer"
+    assert payload_codec().decode_request("f" * 32, SEALED_BYTES["request"]) is None, "it is another record's"
 
 
 def test_sealing_writes_the_same_bytes() -> None:
     with mock.patch("os.urandom", return_value=NONCE):
-        assert kept().asked(ID, ASKED) == SEALED_BYTES["request"]
-        assert kept().asked(ID, ASKED_LITTLE) == SEALED_BYTES["short request"]
-        assert kept().given(ID, GIVEN) == SEALED_BYTES["answer"]
-        assert kept().given(ID, GIVEN_LITTLE) == SEALED_BYTES["short answer"]
+        assert payload_codec().encode_request(ID, ASKED) == SEALED_BYTES["request"]
+        assert payload_codec().encode_request(ID, ASKED_LITTLE) == SEALED_BYTES["short request"]
+        assert payload_codec().encode_response(ID, GIVEN) == SEALED_BYTES["answer"]
+        assert payload_codec().encode_response(ID, GIVEN_LITTLE) == SEALED_BYTES["short answer"]
 
 
 def test_a_file_of_keys_is_read_as_before(tmp_path: Path) -> None:
--- a/tests/golden/write_fixtures.py
+++ b/tests/golden/write_fixtures.py
@@ -34,8 +34,9 @@
 from coveport.serving.wire.codec import MessageCodec
 from coveport.serving.wire.frames import write_frame
 from coveport.serving.wire.messages import CODEC
-from coveport.sidecar.intent_log.encryption import Kept, Seal
-from coveport.sidecar.intent_log.record import encode
+from coveport.sidecar.intent_log.encryption import KeyRing
+from coveport.sidecar.intent_log.payloads import PayloadCodec
+from coveport.sidecar.intent_log.record_codec import encode
 from coveport.sidecar.intent_log.record_layout import digest_of, id_of
 from coveport.sidecar.supervisor import snapshot
 
@@ -65,13 +66,13 @@
     """Records of operations, what is sealed of them, and the keys under which they stand."""
     cases = golden_operation_cases
     golden_files.write_cases("operations.json", {case: encode(one) for case, one in cases.RECORDS.items()})
-    kept = Kept(Seal(cases.SEAL_KEYS), 1000)
+    codec = PayloadCodec(KeyRing(cases.SEAL_KEYS), 1000)
     with mock.patch("os.urandom", return_value=cases.NONCE):
         sealed = {
-            "request": kept.asked(cases.ID, cases.ASKED),
-            "short request": kept.asked(cases.ID, cases.ASKED_LITTLE),
-            "answer": kept.given(cases.ID, cases.GIVEN),
-            "short answer": kept.given(cases.ID, cases.GIVEN_LITTLE),
+            "request": codec.encode_request(cases.ID, cases.ASKED),
+            "short request": codec.encode_request(cases.ID, cases.ASKED_LITTLE),
+            "answer": codec.encode_response(cases.ID, cases.GIVEN),
+            "short answer": codec.encode_response(cases.ID, cases.GIVEN_LITTLE),
         }
     golden_files.write_cases("sealed.json", sealed)
     moves = {case: cases.transaction_text(told) for case, told in cases.transactions().items()}
