--- a/tests/serving/configuration/test_configuration_patch.py
+++ b/tests/serving/configuration/test_configuration_patch.py
@@ -42,7 +42,7 @@
     st.dictionaries(SECTIONS, st.lists(ITEMS)),
     st.dictionaries(SECTIONS, st.lists(NAMES)),
 )
-def test_a_patch_does_what_the_model_does(current: Json, upsert: Json, remove: Json) -> None:
+def test_a_patch_matches_the_reference_model(current: Json, upsert: Json, remove: Json) -> None:
     change = {"Edition": 9, "Upsert": upsert, "Remove": remove}
     current = {"Edition": 7, "Kept": {"as": "it is"}, **current}
     before = copy.deepcopy((current, change))
@@ -50,7 +50,7 @@
     assert (current, change) == before
 
 
-def test_an_item_is_replaced_where_it_stands_and_wholly() -> None:
+def test_an_item_is_replaced_at_its_position_and_completely() -> None:
     current = whole(7, route("a"), route("b"), route("c"))
     patched = apply_patch(
         current, {"Edition": 9, "Upsert": {"Routes": [{"Name": "b", "Only": 1}, route("d")]}}
@@ -60,7 +60,7 @@
     assert patched["Services"] == [service()]
 
 
-def test_limits_are_replaced_whole_at_either_place() -> None:
+def test_limits_are_replaced_completely_in_either_section() -> None:
     limits = {"IdleMs": 9}
     for change in ({"Edition": 9, "Limits": limits}, {"Edition": 9, "Upsert": {"Limits": limits}}):
         patched = apply_patch(whole(7), change)
@@ -81,7 +81,7 @@
         ({"Edition": 9, "Remove": {"Routes": [3], "Limits": ["x"]}}, ["Remove.Routes", "Remove.Limits"]),
     ],
 )
-def test_each_fault_of_a_patch_has_its_finding(change: Any, places: list[str]) -> None:
+def test_each_fault_of_a_patch_has_a_finding(change: Any, places: list[str]) -> None:
     patched = apply_patch(whole(7), change)
     assert isinstance(patched, Refusal)
     assert [finding.location for finding in patched.findings] == places
--- a/tests/serving/configuration/test_configuration_reader.py
+++ b/tests/serving/configuration/test_configuration_reader.py
@@ -30,7 +30,7 @@
     return read
 
 
-def test_a_whole_configuration_is_read() -> None:
+def test_a_complete_configuration_is_read() -> None:
     read = taken(text(whole(7)))
     plain, shared = read.routes
     assert (read.edition, len(read.services)) == (7, 1)
@@ -46,7 +46,7 @@
     assert (read.limits.body_bytes, read.limits.header_read_ms) == (4194304, 3000)
 
 
-def test_fractions_and_whole_numbers_pass_for_each_other() -> None:
+def test_fractions_and_whole_numbers_are_interchangeable() -> None:
     changed = whole(7, route("a", DeadlineMs=1500.5, Tries=2.0, Precedence=1.0))
     changed["Services"] = [service(MaxConns=370.0, WarmupS=3)]
     read = taken(text(changed))
@@ -55,7 +55,7 @@
     assert (read.services[0].max_connections, read.services[0].warm_up_s) == (370, 3)
 
 
-def test_what_may_be_missing_has_defaults() -> None:
+def test_optional_fields_have_defaults() -> None:
     needed = {key: route("a")[key] for key in ("Name", "Host", "PathPrefix", "Kind", "DeadlineMs", "Service")}
     read = taken(text({"Edition": 1, "Routes": [needed], "Services": [{"Name": "model"}]}))
     assert (read.routes[0].max_attempts, read.routes[0].home_regions) == (1, frozenset())
@@ -67,7 +67,7 @@
     assert taken(text(whole(7, route("a", Host="Shop.Example")))).routes[0].host == "shop.example"
 
 
-def test_a_share_of_0_beside_another_passes() -> None:
+def test_a_weight_of_0_beside_another_is_valid() -> None:
     shares = [{"Service": "model", "Share": 0}, {"Service": "model", "Share": 5}]
     assert taken(text(whole(7, route("a", Shares=shares)))).routes[0].services[0].weight == 0
 
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("kind", BAD_CONFIGURATIONS)
-def test_each_kind_of_bad_configuration_has_its_one_finding(kind: str) -> None:
+def test_each_kind_of_invalid_configuration_has_one_finding(kind: str) -> None:
     configuration, place = BAD_CONFIGURATIONS[kind]
     assert list(faults(text(configuration))) == [place]
 
@@ -167,16 +167,16 @@
         b"[" * 100000,
     ],
 )
-def test_what_is_no_whole_json_object_is_refused_with_one_finding(raw: bytes) -> None:
+def test_anything_but_a_json_object_is_refused_with_one_finding(raw: bytes) -> None:
     assert list(faults(raw)) == [""]
 
 
-def test_every_cut_of_a_configuration_is_refused() -> None:
+def test_every_truncated_configuration_is_refused() -> None:
     raw = text(whole(7))
     assert all(faults(raw[:end]) for end in range(len(raw)))
 
 
-def test_all_faults_are_found_together() -> None:
+def test_all_faults_are_reported_together() -> None:
     bad = whole(0, route("a", DeadlineMs=0, Service="none", Pinned=3, Host=None), route("b", Tries=0))
     bad["Routes"].append(route("c", Shares=[{"Service": "none", "Share": -1}, {"Share": "x"}, 3]))
     bad["Routes"].append(route("b", PathPrefix="/b/"))
@@ -204,12 +204,12 @@
     }
 
 
-def test_services_that_cannot_be_read_do_not_make_every_route_faulty() -> None:
+def test_unreadable_services_do_not_make_every_route_invalid() -> None:
     assert list(faults(text(whole(7, Services=3)))) == ["Services"]
     assert list(faults(text(whole(7, Services=[service(MaxConns="x")])))) == ["Services[0].MaxConns"]
 
 
-def test_a_place_that_is_at_fault_is_not_also_the_same_as_another() -> None:
+def test_an_invalid_path_prefix_is_not_also_a_duplicate() -> None:
     bad = whole(7, route("a", PathPrefix="/x"), route("b", PathPrefix="/x"))
     assert list(faults(text(bad))) == ["Routes[0].PathPrefix", "Routes[1].PathPrefix"]
 
@@ -232,7 +232,7 @@
 
 
 @given(st.data())
-def test_any_set_of_faults_in_routes_of_any_shape_is_found_whole(data: st.DataObject) -> None:
+def test_any_set_of_faults_in_routes_of_any_shape_is_found_completely(data: st.DataObject) -> None:
     """Routes of one shape are looked at once, so sound ones of the same and of other shapes stand around."""
     routes = []
     expected = set()
@@ -255,7 +255,7 @@
 
 
 @given(st.data())
-def test_any_value_anywhere_is_taken_or_refused_but_never_raises(data: st.DataObject) -> None:
+def test_any_value_anywhere_is_accepted_or_refused_but_never_raises(data: st.DataObject) -> None:
     configuration = copy.deepcopy(whole(7))
     inside: Any = configuration
     while isinstance(inside, dict | list) and inside:
@@ -270,7 +270,7 @@
 
 
 @given(JSON_VALUES)
-def test_unknown_fields_pass(value: Any) -> None:
+def test_unknown_fields_are_accepted(value: Any) -> None:
     configuration = whole(7, route("a", Tags=value), Extra=value, Services=[service(New=value)])
     assert taken(text(configuration)).routes[0].name == "a"
 
--- a/tests/serving/configuration/test_control_state.py
+++ b/tests/serving/configuration/test_control_state.py
@@ -42,7 +42,7 @@
     return state, statuses
 
 
-def test_configurations_build_on_one_another() -> None:
+def test_configurations_are_based_on_each_other() -> None:
     state, statuses = run(initial_state(), put(0, 5), put(5, 7))
     assert statuses == [200, 200]
     assert (state.edition, json.loads(state.configuration_text or b"")) == (7, whole(7))
@@ -76,14 +76,14 @@
     assert run(state, command) == (state, [status])
 
 
-def test_the_very_same_change_succeeds_again_even_when_newer_ones_came_after() -> None:
+def test_the_same_change_succeeds_again_even_after_newer_ones() -> None:
     patched = PatchConfiguration(5, text({"Edition": 7, "Upsert": {"Routes": [route("new")]}}))
     state, statuses = run(initial_state(), put(0, 5), patched, put(7, 9))
     assert statuses == [200, 200, 200]
     assert run(state, put(0, 5), patched, put(7, 9)) == (state, [200, 200, 200])
 
 
-def test_a_change_that_differs_in_method_version_or_body_is_not_the_same() -> None:
+def test_a_change_that_differs_in_method_edition_or_body_is_another() -> None:
     body = text({"Edition": 9, "Routes": [], "Services": []})
     state, statuses = run(initial_state(), put(0, 5), PutConfiguration(5, body))
     assert statuses == [200, 200]
@@ -91,13 +91,13 @@
         assert run(state, other) == (state, [412])
 
 
-def test_one_of_two_changes_on_the_same_version_wins() -> None:
+def test_one_of_two_changes_based_on_the_same_edition_wins() -> None:
     first, second = put(5, 7), put(5, 8)
     state, statuses = run(initial_state(), put(0, 5), first, second, second, first)
     assert (state.edition, statuses) == (7, [200, 200, 412, 412, 200])
 
 
-def test_what_was_sent_is_handed_out_whole() -> None:
+def test_a_configuration_is_handed_out_as_it_was_sent() -> None:
     sent = whole(7, route("a", Unknown={"ü": [1.5, 10**20, None, "\U0001f600"]}), Extra=[{"Name": "x"}])
     state, _ = run(initial_state(), PutConfiguration(0, text(sent)))
     assert json.loads(state.configuration_text or b"") == sent
@@ -111,7 +111,7 @@
     assert json.loads(state.configuration_text or b"") == expected
 
 
-def test_evacuations_are_idempotent_and_leave_the_configuration_alone() -> None:
+def test_evacuations_are_idempotent_and_keep_the_configuration() -> None:
     state, _ = run(initial_state(), put(0, 5))
     away, statuses = run(state, StartEvacuation("hall"), StartEvacuation("hall"), StartEvacuation("cellar"))
     assert (away.evacuated_zones, statuses) == (frozenset({"hall", "cellar"}), [200, 200, 200])
@@ -119,7 +119,7 @@
     assert (back, statuses) == (state, [200, 200, 200])
 
 
-def test_only_the_newest_changes_are_remembered() -> None:
+def test_only_the_newest_changes_are_recognised_again() -> None:
     state = initial_state()
     bodies = [
         text({"Edition": edition, "Routes": [], "Services": []}) for edition in range(MAX_APPLIED_CHANGES + 3)
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize(
     "order", [put(1, 2), PatchConfiguration(1, text({"Edition": 2, "Upsert": {"Routes": []}}))]
 )
-def test_an_order_sent_again_after_many_changes_is_never_refused(later: int, order: Command) -> None:
+def test_a_command_sent_again_after_many_changes_is_never_refused(later: int, order: Command) -> None:
     """Taken at first, with `later` changes since: 200 again, or no clear answer, and never twice in force."""
     state, _ = run(initial_state(), put(0, 1))
     state, statuses = run(state, order)
@@ -172,7 +172,7 @@
 
 
 @given(st.lists(COMMANDS, max_size=12))
-def test_states_and_commands_survive_their_bytes_and_editions_only_rise(commands: list[Command]) -> None:
+def test_states_and_commands_survive_encoding_and_editions_only_rise(commands: list[Command]) -> None:
     state = initial_state()
     for command in commands:
         assert decode_command(encode_command(command)) == command
@@ -192,12 +192,12 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\x00", b"\xff", encode_state(initial_state())[:-1]])
-def test_bytes_that_hold_no_state_are_malformed(data: bytes) -> None:
+def test_bytes_without_a_state_are_malformed(data: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         decode_state(data)
 
 
-def test_any_flipped_bit_of_a_state_is_noticed() -> None:
+def test_any_flipped_bit_of_a_state_is_detected() -> None:
     state, _ = run(initial_state(), put(0, 7), StartEvacuation("a"))
     data = encode_state(state)
     for place in range(len(data)):
@@ -208,7 +208,7 @@
                 decode_state(bytes(flipped))
 
 
-def test_a_state_that_a_program_of_before_wrote_without_a_digest_is_read() -> None:
+def test_a_state_of_an_older_program_without_a_digest_is_read() -> None:
     state, _ = run(initial_state(), put(0, 7), StartEvacuation("a"))
     sealed = encode_state(state)
     assert decode_state(sealed[17:]) == state
@@ -225,7 +225,7 @@
 
 
 @given(st.one_of(st.binary(max_size=40), st.builds(text, JSON_VALUES), st.builds(text, PATCHES)))
-def test_any_body_is_answered_by_either_call(body: bytes) -> None:
+def test_any_body_is_answered_by_either_method(body: bytes) -> None:
     """Whatever raised here would end the primary, and then each backup that takes its place."""
     state, _ = run(initial_state(), put(0, 7))
     for command in (PutConfiguration(7, body), PatchConfiguration(7, body)):
@@ -235,7 +235,7 @@
 
 
 @given(st.data())
-def test_any_damage_to_a_sound_body_is_answered(data: st.DataObject) -> None:
+def test_any_corruption_of_a_valid_body_is_answered(data: st.DataObject) -> None:
     body = bytearray(text(whole(9)))
     for _ in range(data.draw(st.integers(1, 3))):
         start = data.draw(st.integers(0, len(body) - 1))
--- a/tests/serving/configuration/test_changed_routes.py
+++ b/tests/serving/configuration/test_route_changes.py
@@ -97,7 +97,7 @@
     return {**plain, "DeadlineMs": 1000, "Service": "s", **more}
 
 
-def test_changes_of_routes_alone_do_not_need_the_whole() -> None:
+def test_a_change_of_routes_alone_leaves_the_rest_unread() -> None:
     document = read_document(whole([route("a", "/a/"), route("b", "/b/"), route("c", "/c/")]))
     assert not isinstance(document, Refusal)
     upserts = [route("b", "/d/", Tries=2), route("e", "/c/")]
@@ -113,7 +113,7 @@
     assert json.loads(made.text())["Routes"] == [route("a", "/a/"), *upserts]
 
 
-def test_places_that_clash_are_left_to_the_whole_reading() -> None:
+def test_routes_with_the_same_host_and_prefix_are_left_to_the_full_validation() -> None:
     document = read_document(whole([route("a", "/a/"), route("b", "/b/")]))
     assert not isinstance(document, Refusal)
     assert apply_route_changes(document, {"Edition": 9, "Upsert": {"Routes": [route("e", "/a/")]}}) is None
@@ -125,7 +125,7 @@
     assert apply_route_changes(document, taken_over) is not None
 
 
-def test_the_two_newest_documents_are_kept() -> None:
+def test_the_two_newest_documents_are_cached() -> None:
     kept = DocumentCache()
     document = read_document(whole([]))
     assert not isinstance(document, Refusal)
@@ -136,7 +136,7 @@
     assert kept.find(b"3") is document
 
 
-def test_a_whole_configuration_is_written_as_it_was_before() -> None:
+def test_a_configuration_is_written_as_it_was_before() -> None:
     state = put([route("a", "/a/", Extra={"z": "ü", "a": [1.50]})])
     assert state is not None
     assert (
--- a/tests/serving/membership/test_leases.py
+++ b/tests/serving/membership/test_leases.py
@@ -16,14 +16,14 @@
     return ProxyLease(f"p{number}", f"10.0.0.{number}:80", zone, region, ready, renewal, incarnation)
 
 
-def test_a_proxy_is_named_while_it_renews_and_no_longer() -> None:
+def test_a_proxy_is_looked_up_while_it_renews_and_no_longer() -> None:
     table = LeaseTable()
     table.renew(lease(1), 0.0, local=True)
     assert table.addresses_for("z1", "r1", 64, LEASE_DURATION_S) == ["10.0.0.1:80"]
     assert table.addresses_for("z1", "r1", 64, LEASE_DURATION_S + 0.1) == []
 
 
-def test_one_that_left_still_counts_for_the_budgets_for_a_while() -> None:
+def test_an_expired_proxy_counts_for_the_budgets_for_a_while() -> None:
     table = LeaseTable()
     table.renew(lease(1), 0.0, local=True)
     table.renew(lease(2), 20.0, local=True)
@@ -33,21 +33,21 @@
     assert table.max_proxies() == 1
 
 
-def test_a_late_renewal_does_not_undo_a_newer_one() -> None:
+def test_a_delayed_renewal_does_not_undo_a_newer_one() -> None:
     table = LeaseTable()
     table.renew(lease(1, ready=False, renewal=5), 0.0, local=True)
     assert not table.renew(lease(1, ready=True, renewal=4), 0.1, local=False)
     assert table.addresses_for("z1", "r1", 64, 0.2) == []
 
 
-def test_a_restarted_proxy_counts_its_rounds_anew() -> None:
+def test_a_restarted_proxy_numbers_its_renewals_from_the_start() -> None:
     table = LeaseTable()
     table.renew(lease(1, renewal=500, ready=False, incarnation=1), 0.0, local=True)
     assert table.renew(lease(1, renewal=1, incarnation=2), 0.1, local=True)
     assert table.addresses_for("z1", "r1", 64, 0.2) == ["10.0.0.1:80"]
 
 
-def test_clients_are_sent_to_the_nearest_group_that_has_a_ready_proxy() -> None:
+def test_clients_get_the_nearest_locality_with_a_ready_proxy() -> None:
     table = LeaseTable()
     table.renew(lease(1, "z1", "r1", ready=False), 0.0, local=True)
     table.renew(lease(2, "z2", "r1"), 0.0, local=True)
@@ -57,15 +57,15 @@
     assert table.addresses_for("z9", "r9", 64, 0.1) == ["10.0.0.2:80", "10.0.0.3:80"]
 
 
-def test_only_what_was_renewed_here_is_passed_on() -> None:
+def test_only_leases_renewed_locally_are_forwarded() -> None:
     table = LeaseTable()
     table.renew(lease(1), 1.0, local=True)
     table.renew(lease(2), 1.0, local=False)
-    assert [one.name for one in table.renewed_locally_since(0.5)] == ["p1"]
+    assert [renewed.name for renewed in table.renewed_locally_since(0.5)] == ["p1"]
     assert list(table.renewed_locally_since(1.0)) == []
 
 
-def test_a_broken_connection_ends_the_lease_at_once_and_the_next_asking_renews_it() -> None:
+def test_a_broken_connection_releases_the_lease_until_the_next_renewal() -> None:
     table = LeaseTable()
     table.renew(lease(1, renewal=4), 0.0, local=True)
     table.release(lease(1, renewal=4))
@@ -75,7 +75,7 @@
     assert table.addresses_for("z1", "r1", 64, 0.3) == ["10.0.0.1:80"]
 
 
-def test_a_connection_that_breaks_after_the_proxy_asked_elsewhere_ends_nothing() -> None:
+def test_a_connection_that_breaks_after_a_renewal_elsewhere_releases_nothing() -> None:
     table = LeaseTable()
     table.renew(lease(1, renewal=4), 0.0, local=True)
     table.renew(lease(1, renewal=5), 0.1, local=False)
@@ -83,7 +83,7 @@
     assert table.addresses_for("z1", "r1", 64, 0.2) == ["10.0.0.1:80"]
 
 
-def test_a_proxy_restarted_after_its_clock_stepped_back_is_a_member_at_once_where_it_asks() -> None:
+def test_a_proxy_restarted_after_its_clock_stepped_back_is_a_member_at_once_where_it_renews() -> None:
     """Found by review: its renewals were passed over for 30 s, and no client was sent there."""
     table = LeaseTable()
     table.renew(lease(1, renewal=500, incarnation=2_000), 0.0, local=True)
@@ -91,7 +91,7 @@
     assert table.addresses_for("z1", "r1", 64, 0.5) == []
 
 
-def test_such_a_proxy_is_a_member_elsewhere_once_its_life_before_has_run_out() -> None:
+def test_such_a_proxy_is_a_member_elsewhere_once_its_previous_incarnation_expired() -> None:
     table = LeaseTable()
     table.renew(lease(1, renewal=500, incarnation=2_000), 0.0, local=False)
     assert not table.renew(lease(1, renewal=1, incarnation=1_000, ready=False), LEASE_DURATION_S, local=False)
--- a/tests/serving/membership/test_report_interleavings.py
+++ b/tests/serving/membership/test_report_interleavings.py
@@ -1,4 +1,4 @@
-"""An acknowledged leave of a node reaches every coordinator in touch, in all interleavings up to a bound."""
+"""An acknowledged deregistration reaches every connected coordinator, in all interleavings up to a bound."""
 
 from __future__ import annotations
 
@@ -8,7 +8,15 @@
 from unittest import mock
 
 import pytest
-from report_explorer import NODE, SCENARIOS, BrokenPromiseError, End, Ground, Scenario, explore
+from report_explorer import (
+    NODE,
+    SCENARIOS,
+    Scenario,
+    SimulatedCluster,
+    SimulatedCoordinator,
+    StaleEntryError,
+    explore,
+)
 
 from coveport.serving.coordinator.node_report_replication import Confirmation, NodeReportReplicator
 from coveport.serving.membership.node_table import NodeTable
@@ -22,41 +30,41 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
-def test_no_coordinator_in_touch_lists_who_left(scenario: Scenario) -> None:
-    explored = explore(scenario, STATES)
-    assert explored.states >= min(STATES, 500)
-    assert explored.acknowledged_at_rest > 0, "the situation is reached"
+def test_no_connected_coordinator_lists_a_deregistered_node(scenario: Scenario) -> None:
+    report = explore(scenario, STATES)
+    assert report.states >= min(STATES, 500)
+    assert report.acknowledged_at_rest > 0, "the situation is reached"
 
 
-def no_tombstones_told(self: NodeTable, now_s: float) -> list[Node]:
-    """The table is told on a new connection, who left is not: as it was on main."""
+def without_tombstones(self: NodeTable, now_s: float) -> list[Node]:
+    """Send no tombstones on a new connection, as an earlier version did."""
     return []
 
 
-def not_passed_on(self: NodeReportReplicator, nodes: tuple[Node, ...], sender: str) -> None:
-    """Only the coordinator that was called tells others."""
+def without_forwarding(self: NodeReportReplicator, nodes: tuple[Node, ...], sender: str) -> None:
+    """Send reports to peers only from the coordinator that was called."""
     for node in nodes:
         self._table.apply_report(node, self._net.now_s())
 
 
-def is_majority(self: End, others: Collection[MemberId]) -> bool:
-    """Copies are counted, not members: as it was on main."""
+def is_majority(self: SimulatedCoordinator, others: Collection[MemberId]) -> bool:
+    """Count copies, not members, as an earlier version did."""
     return True
 
 
 def any_view_counts(self: NodeReportReplicator, confirmation: Confirmation) -> bool:
-    """Whoever holds the report counts as a member of the view known here: as it was on main."""
+    """Count each holder as a member of the view known here, as an earlier version did."""
     holders = list(confirmation.holders)
     return len(holders) >= self._copies and self._peers.is_majority(holders)
 
 
-def closing_is_undone(self: Node, other: Node) -> bool:
-    """The newest word wins whatever it says."""
+def draining_is_undone(self: Node, other: Node) -> bool:
+    """Let the newest report win, whatever its state."""
     return self.sequence >= other.sequence or self.state is NodeState.ACCEPTING
 
 
 def a_heartbeat_ends_a_tombstone(self: NodeTable, node: Node, now_s: float) -> bool:
-    """A goodbye holds until the next heartbeat that comes in."""
+    """Drop a tombstone at the next heartbeat that comes in."""
     if node.state is NodeState.ACCEPTING:
         self._tombstones.pop(node.incarnation, None)
     return ORIGINAL_APPLY_REPORT(self, node, now_s)
@@ -65,46 +73,67 @@
 @pytest.mark.parametrize(
     ("scenario", "target", "name", "variant"),
     [
-        ("one coordinator is cut off", NodeTable, "deregistrations", no_tombstones_told),
-        ("one is restarted", NodeTable, "deregistrations", no_tombstones_told),
-        ("two that see the third don't see each other", NodeReportReplicator, "_take_in", not_passed_on),
-        ("a member and an outsider are cut off together", End, "is_majority", is_majority),
+        ("one coordinator is partitioned", NodeTable, "deregistrations", without_tombstones),
+        ("one coordinator is restarted", NodeTable, "deregistrations", without_tombstones),
+        (
+            "two that reach the third don't reach each other",
+            NodeReportReplicator,
+            "_take_in",
+            without_forwarding,
+        ),
+        (
+            "a member and an outsider are partitioned together",
+            SimulatedCoordinator,
+            "is_majority",
+            is_majority,
+        ),
         (
-            "a former member is cut off with one that still is",
+            "a former member is partitioned with a current one",
             NodeReportReplicator,
             "_is_kept",
             any_view_counts,
         ),
-        ("copies of a heartbeat around a closing", Node, "is_newer_than", closing_is_undone),
-        ("copies of a heartbeat around a goodbye", NodeTable, "apply_report", a_heartbeat_ends_a_tombstone),
+        ("copies of a heartbeat around a drain", Node, "is_newer_than", draining_is_undone),
+        (
+            "copies of a heartbeat around a deregistration",
+            NodeTable,
+            "apply_report",
+            a_heartbeat_ends_a_tombstone,
+        ),
     ],
 )
 def test_a_broken_variant_is_caught(
     scenario: str, target: type, name: str, variant: Callable[..., object]
 ) -> None:
     patched = mock.patch.object(target, name, variant)
-    with patched, pytest.raises(BrokenPromiseError):
+    with patched, pytest.raises(StaleEntryError):
         explore(BY_NAME[scenario], VARIANT_STATES)
 
 
 ORIGINAL_APPLY_REPORT = NodeTable.apply_report
 
 
-def test_a_confirmation_meant_for_an_earlier_life_counts_for_nothing() -> None:
-    """A peer that stood still answers what the coordinator asked before it was restarted."""
-    ground = Ground(SCENARIOS[0])
-    ground.ends["A"].reporting.begin_confirmation(deregistration(NODE))
-    ground.take("restart", "A")
-    stale = ground.links["A", "B"][0]
+def test_a_confirmation_for_an_earlier_incarnation_is_ignored() -> None:
+    """A peer that was frozen answers a request from before the coordinator's restart."""
+    cluster = SimulatedCluster(SCENARIOS[0])
+    cluster.coordinators["A"].reporting.begin_confirmation(deregistration(NODE))
+    cluster.take("restart", "A")
+    stale = cluster.links["A", "B"][0]
     assert isinstance(stale, NodeReports) and stale.confirmation_id
-    asked = ground.ends["A"].reporting.begin_confirmation(deregistration("i-2"))
-    ground.ends["A"].received("B", NodeReportsAck(stale.confirmation_id, ground.ends["B"].view_epoch()))
-    assert not asked.done.done()
-    ground.ends["A"].received("B", NodeReportsAck(asked.number, ground.ends["B"].view_epoch()))
-    assert asked.done.done()
-
-
-def test_numbers_that_begin_anew_in_each_life_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+    pending = cluster.coordinators["A"].reporting.begin_confirmation(deregistration("i-2"))
+    cluster.coordinators["A"].received(
+        "B", NodeReportsAck(stale.confirmation_id, cluster.coordinators["B"].view_epoch())
+    )
+    assert not pending.done.done()
+    cluster.coordinators["A"].received(
+        "B", NodeReportsAck(pending.number, cluster.coordinators["B"].view_epoch())
+    )
+    assert pending.done.done()
+
+
+def test_confirmation_numbers_that_restart_with_each_incarnation_are_caught(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     original = NodeReportReplicator.__init__
 
     def begin_at_0(self: NodeReportReplicator, *arguments: Any) -> None:
@@ -113,26 +142,26 @@
 
     monkeypatch.setattr(NodeReportReplicator, "__init__", begin_at_0)
     with pytest.raises(AssertionError):
-        test_a_confirmation_meant_for_an_earlier_life_counts_for_nothing()
+        test_a_confirmation_for_an_earlier_incarnation_is_ignored()
 
 
-def test_after_all_coordinators_were_restarted_a_proxy_brings_back_who_left() -> None:
-    """Nobody else remembers the goodbye; the heartbeat that was held up comes first and last."""
+def test_after_all_coordinators_restarted_a_proxy_restores_the_tombstones() -> None:
+    """No coordinator has the tombstone; the delayed heartbeat comes before it and after it."""
     for order in ("before", "after"):
-        ground = Ground(SCENARIOS[0])
-        end = ground.ends["A"]
+        cluster = SimulatedCluster(SCENARIOS[0])
+        coordinator = cluster.coordinators["A"]
         if order == "before":
-            ground.take("heartbeat", "A")
-        end.reporting.told_departed((NODE,))
+            cluster.take("heartbeat", "A")
+        coordinator.reporting.told_departed((NODE,))
         if order == "after":
-            ground.take("heartbeat", "A")
-        while any(ground.links.values()):
-            ground.take(*next(step for step in ground.steps() if step[0] == "deliver"))
-        for other in ground.ends.values():
-            assert NODE not in other.table, f"{other.name}, heartbeat {order}"
+            cluster.take("heartbeat", "A")
+        while any(cluster.links.values()):
+            cluster.take(*next(step for step in cluster.steps() if step[0] == "deliver"))
+        for peer in cluster.coordinators.values():
+            assert NODE not in peer.table, f"{peer.name}, heartbeat {order}"
 
 
-def test_a_closing_node_that_fell_silent_is_not_brought_back_by_an_older_heartbeat() -> None:
+def test_a_draining_node_that_timed_out_is_not_brought_back_by_an_older_heartbeat() -> None:
     table = NodeTable(5.0)
     table.apply_report(Node("i-3", 4, "s", "10.0.0.1:1", "z", "r", 8, NodeState.DRAINING), 0.0)
     table.expire(6.0)
@@ -140,11 +169,12 @@
     assert len(table) == 0
 
 
-def test_what_is_remembered_of_a_goodbye_does_not_grow_by_passing_it_on() -> None:
-    """The remaining time is told, so two coordinators that reconnect forever still forget."""
-    one, other = NodeTable(5.0), NodeTable(5.0)
-    one.apply_report(deregistration(NODE), 0.0)
-    [told] = one.deregistrations(500.0)
-    other.apply_report(told, 500.0)
-    other.expire(601.0)
-    assert other.deregistrations(601.0) == []
+def test_forwarding_a_tombstone_does_not_prolong_it() -> None:
+    """The remaining time is sent, so two coordinators that reconnect forever still drop it."""
+    table = NodeTable(5.0)
+    peer_table = NodeTable(5.0)
+    table.apply_report(deregistration(NODE), 0.0)
+    [forwarded] = table.deregistrations(500.0)
+    peer_table.apply_report(forwarded, 500.0)
+    peer_table.expire(601.0)
+    assert peer_table.deregistrations(601.0) == []
--- a/tests/serving/storage/test_ring_basics.py
+++ b/tests/serving/storage/test_ring_basics.py
@@ -18,7 +18,7 @@
     return Ring(OsDisk(str(folder)), salt=lambda: os.urandom(8), **settings)
 
 
-def test_what_was_appended_is_there_after_opening_again(tmp_path: Path) -> None:
+def test_appended_records_are_read_after_reopening(tmp_path: Path) -> None:
     ring = ring_in(tmp_path)
     assert ring.open() == []
     ring.begin([b"identity"])
@@ -28,7 +28,7 @@
     assert ring_in(tmp_path).open() == [b"identity", b"one", b"", b"two"]
 
 
-def test_a_full_file_gives_way_to_the_next(tmp_path: Path) -> None:
+def test_a_full_file_is_followed_by_the_next(tmp_path: Path) -> None:
     ring = ring_in(tmp_path, file_bytes=256)
     ring.open()
     held: list[bytes] = [b"first"]
--- a/tests/serving/storage/test_ring_rot.py
+++ b/tests/serving/storage/test_ring_corruption.py
@@ -60,7 +60,7 @@
     return first, data.index(record, first + 1)
 
 
-def test_every_single_flipped_bit_is_read_over() -> None:
+def test_any_single_flipped_bit_is_read_from_the_other_copy() -> None:
     disk = written()
     data = current(disk)
     for place in range(len(data)):
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("sector", [16, 64, 256])
 @pytest.mark.parametrize("filler", [b"\x00", b"\xff"])
-def test_every_lost_sector_is_read_over(sector: int, filler: bytes) -> None:
+def test_any_lost_sector_is_read_from_the_other_copy(sector: int, filler: bytes) -> None:
     disk = written()
     data = current(disk)
     whole = bytes(data)
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("record", ALL[:-2], ids=lambda record: record.decode()[:12])
-def test_a_record_lost_in_both_copies_with_later_ones_sound_is_damage(record: bytes) -> None:
+def test_a_record_corrupted_in_both_copies_before_valid_ones_is_reported(record: bytes) -> None:
     disk = written()
     for place in spot(disk, record):
         current(disk)[place] ^= 1
@@ -91,7 +91,7 @@
         read(disk)
 
 
-def test_a_batch_that_was_never_synced_is_a_torn_tail_however_it_is_torn() -> None:
+def test_a_batch_that_was_never_synced_is_a_torn_tail_however_it_was_torn() -> None:
     """Its second record may have come to the disk, and its first not."""
     disk = written()
     for place in spot(disk, LATER[-1][0]):
@@ -107,7 +107,7 @@
     assert read(torn) == SNAPSHOT
 
 
-def test_a_disk_with_damage_counts_as_a_new_one_and_stays_so() -> None:
+def test_a_corrupted_disk_gets_a_new_identity_and_keeps_it() -> None:
     chooser = random.Random(7)
     disk = FaultyDisk()
     with mock.patch.object(ring, "FILE_BYTES", FILE_BYTES):
@@ -171,18 +171,18 @@
 @pytest.mark.parametrize(
     ("target", "name", "broken", "check"),
     [
-        (Ring, "_write_both_copies", one_copy_only, test_every_single_flipped_bit_is_read_over),
+        (Ring, "_write_both_copies", one_copy_only, test_any_single_flipped_bit_is_read_from_the_other_copy),
         (
             ring_recovery,
             "_has_later_batch",
             never_damaged,
-            lambda: test_a_record_lost_in_both_copies_with_later_ones_sound_is_damage(ALL[2]),
+            lambda: test_a_record_corrupted_in_both_copies_before_valid_ones_is_reported(ALL[2]),
         ),
         (
             opening,
             "IdentityRecord",
             lambda disk, first_boot: IdentityRecord(disk, True),
-            test_a_disk_with_damage_counts_as_a_new_one_and_stays_so,
+            test_a_corrupted_disk_gets_a_new_identity_and_keeps_it,
         ),
     ],
     ids=["one copy only", "a bad record ends the reading", "a damaged disk may found"],
@@ -194,7 +194,7 @@
         check()
 
 
-def test_what_programs_before_wrote_is_read() -> None:
+def test_format_1_is_read() -> None:
     """Format 1: one copy, checksums over salt and place."""
     salt = b"saltsalt"
     header = struct.pack(">4sHQ8sI", b"CVPR", 1, 9, salt, 1)
@@ -211,7 +211,7 @@
     assert read(disk) == [b"one", b"two", b"three"]
 
 
-def test_a_folder_is_held_by_one_process(tmp_path: Path) -> None:
+def test_a_directory_is_locked_by_one_process(tmp_path: Path) -> None:
     lock = DirectoryLock(str(tmp_path))
     with pytest.raises(DirectoryLockedError):
         DirectoryLock(str(tmp_path))
--- a/tests/serving/storage/test_store_crashes.py
+++ b/tests/serving/storage/test_store_crashes.py
@@ -94,7 +94,7 @@
 CALLS = calls_of(BATCHES)
 
 
-def test_the_ring_goes_round_several_times() -> None:
+def test_the_ring_wraps_several_times() -> None:
     disk = FaultyDisk()
     run(disk, BATCHES)
     numbers = {
@@ -193,7 +193,7 @@
         assert is_found_broken()
 
 
-def test_what_a_refusing_disk_kept_back_is_written_with_the_next() -> None:
+def test_records_of_a_failed_write_are_written_with_the_next() -> None:
     for refused_at, seed in itertools.product(range(1, 20), range(4)):
         disk = FaultyDisk()
         store = store_on(disk)
@@ -212,7 +212,7 @@
         assert found == normal(expected)
 
 
-def test_garbage_in_every_file_is_an_empty_disk() -> None:
+def test_garbage_in_every_file_reads_as_an_empty_disk() -> None:
     disk = FaultyDisk()
     chooser = random.Random(4)
     for index in range(3):
--- a/tests/serving/storage/test_writer.py
+++ b/tests/serving/storage/test_writer.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("kind", ["thread", "inline"])
-def test_records_are_written_in_order_and_refusals_told(kind: str) -> None:
+def test_records_are_written_in_order_and_errors_passed_to_the_callback(kind: str) -> None:
     disk = FaultyDisk()
     calls: queue.Queue[Callable[[], None]] = queue.Queue()
     store = store_on(disk)
@@ -51,7 +51,7 @@
     assert (found.disk, found.promised) == ("disk", Epoch(3, "x"))
 
 
-def test_a_writer_ends_after_what_was_handed_in() -> None:
+def test_a_writer_ends_after_all_submitted_records() -> None:
     disk = FaultyDisk()
     calls: queue.Queue[Callable[[], None]] = queue.Queue()
     told: list[OSError | None] = []
