--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -1,26 +1,30 @@
-"""What one instance believes of its session and its duties. Pure: (time, input) -> effects.
+"""What one instance believes of its session and its roles. Pure: (time, input) -> effects.
 
-The rule that all of it rests on (docs/design/duties.md, Safety). With
+All of it rests on one inequality (docs/design/duties.md, Safety; after Gray and Cheriton, SOSP 1989). With
 
-    T  time to live (s)        as the store counts it, from when it carried the grant or renewal out
-    d  drift (share)           by which any two clocks may part
-    m  margin (s)              for what is under way, and for timers that come late
-    a  asked (s, own clock)    just BEFORE the grant or renewal was sent that was answered last
+    T  Terms.ttl_s         s      time to live, as the store counts it from when it carried the grant or
+                                  renewal out
+    d  Terms.drift         share  by which any two clocks may differ
+    m  Terms.margin_s      s      for what is in flight, and for timers that fire late
+    a  _renewal_sent_at    s      own clock just BEFORE the grant or renewal was sent that was answered last
 
-the session is believed in while  now < a + T/(1+d) - m  and nothing new is begun from m before that on. A
-renewal whose answer did not come moves `a` for the store perhaps, for us never. No duty is safe by this
-alone: each act is a transaction that compares the token, and the store refuses it where the key is not ours
-any more.
+the instance believes in its session while
 
-Session:  OUT -> ASKING -> ARRIVING -> IN <-> WARY -> OUT, and from anywhere LEFT or ESTRANGED, which are
-ends. Duty:     IDLE -> WAITING -> CLAIMING -> HELD -> RELEASING -> IDLE; CLAIMING -> UNSURE where no answer
-came.
+    now < a + T/(1+d) - m         (`believed_until`; T/(1+d) - m is Terms.believed_s)
+
+and starts nothing new from m before that on (EXPIRING). A renewal whose outcome is unknown may have extended
+the lease in the store; it never moves `a`. No role is safe by this alone: each act is a transaction that
+compares the fencing token, and the store refuses it once the role's key is not ours any more.
+
+Session:  DISCONNECTED -> REQUESTING_LEASE -> REGISTERING -> ACTIVE <-> EXPIRING -> DISCONNECTED, and from any
+          state CLOSED or STORE_RESET, which are final.
+Role:     IDLE -> WAITING -> ACQUIRING -> HELD -> RELEASING -> IDLE; ACQUIRING -> UNCERTAIN if the outcome is
+          unknown.
 """
 
 from __future__ import annotations
 
 import random
-from dataclasses import dataclass
 from math import inf
 
 from coveport.sidecar.config.terms import RENEWALS, Terms
@@ -37,51 +41,42 @@
     RoleAcquired,
     RoleLost,
 )
+from coveport.sidecar.leases.role import REST_TTLS, Role
 from coveport.sidecar.leases.states import (
     FINAL_SESSION_STATES,
-    ROLE_TRANSITIONS,
     SESSION_TRANSITIONS,
     RoleState,
     SessionState,
 )
 from coveport.sidecar.leases.store import Done, Entry, Outcome, Refused, Unknown
 
-AGAIN_S, AGAIN_MOST_S = 0.1, 2.0  # wait after a call without an answer, doubled up to the most
-NAME_TAKEN_S = 1.0  # wait where another of our name is there
-SPREAD_EACH_S, SPREAD_MOST_S = 0.001, 0.08  # contenders wait up to so long for each instance there is
-REST_TTLS, REST_DOUBLINGS = 2.0, 5  # in times to live: how long who was useless keeps off
-PROVEN_TTLS = 10.0  # a holding this long wipes out that it once yielded
-FAR_SHARE = 0.25  # of T: a renewal that took longer tells of a store that is too far to hold anything well
-STALL_SHARE, UNWELL_TTLS = 0.2, 1.0  # a timer later than that share of T: keep off for so many times to live
+BACKOFF_S = 0.1  # after a call with an unknown outcome, doubled up to the maximum
+MAX_BACKOFF_S = 2.0
+MAX_BACKOFF_DOUBLINGS = 10  # beyond which the maximum is reached anyway; keeps the power small
+BACKOFF_JITTER = (0.5, 1.0)  # share of the backoff that is waited, drawn
+FIRST_RENEWAL_JITTER = (0.7, 1.0)  # share of the renewal interval: instances started together drift apart
+NAME_TAKEN_BACKOFF_S = 1.0  # least wait while another process has the instance's name
+WAIT_PER_INSTANCE_S = 0.001  # contenders wait up to so long for each registered instance, ...
+MAX_CONTENTION_WAIT_S = 0.08  # ... and up to this at most, so that they don't all come at once
+SLOW_RENEWAL_SHARE = 0.25  # of T: after a renewal that took longer the store is too slow to hold more
+STALL_SHARE = 0.2  # of T: a timer that fires later shows an instance that is short of CPU
+NO_CONTENTION_TTLS = 1.0  # in times to live: how long it contends for nothing after either
+LOST_RENEWAL_SHARE = 0.25  # of the renewal interval: longest wait before a renewal is repeated
+
+NOT_RENEWED = "not renewed in time"
+LEASE_ENDED = "the store ended our lease"
 
 
 def holder_of(value: bytes) -> str:
-    """The incarnation that a duty's key names; behind it stands since when, for staff."""
+    """Return the incarnation that a role's key names; after a space follows since when, for staff."""
     return value.split(b" ")[0].decode(errors="replace")
 
 
-@dataclass(slots=True)
-class Role:
-    """What an instance knows of a role and its own part in it."""
-
-    state: RoleState = RoleState.IDLE
-    token: int = 0
-    lease: int = 0  # under which it is held
-    acquire_at: float = inf  # WAITING: when we claim
-    rest_until: float = -inf
-    rest_count: int = 0  # in a row
-    held_since: float = 0.0
-    call: int = 0
-    known_revision: int = 0  # revision up to which we know of its key
-    release_retry_at: float = inf
-    contending: bool = True  # False: staff or the operator's file keep us off it
-
-
 class LeaseState:
     """The beliefs of one instance.
 
-    `incarnation`: this process' own word in every key it writes. `now` of all calls: seconds by a clock
-    that runs through sleep. Chance is a generator of the caller's.
+    `incarnation` identifies this process in every key it writes. `now` of all calls is in s, by a clock that
+    runs through suspend. `chance` is the caller's random generator.
     """
 
     def __init__(self, incarnation: str, roles: tuple[str, ...], terms: Terms, chance: random.Random) -> None:
@@ -91,77 +86,85 @@
         self._chance = chance
         self.session = SessionState.DISCONNECTED
         self.lease = 0
-        self.roles = {name: Role() for name in roles}
-        self.instances = 1  # that are there, as far as is known
+        self.roles = {name: Role(name) for name in roles}
+        self.instances = 1  # registered, as far as is known
         self._renewal_sent_at = -inf  # `a` above
-        self._calls = 0
-        self._session_call = 0  # the grant or arrival that is out
-        self._renewal: tuple[int, float] | None = None  # call and when it was asked
-        self._next_request_at = 0.0  # OUT: when we ask; IN: when we renew
-        self._failures = 0
+        self._last_call = 0
+        self._session_call = 0  # number of the grant or registration in flight
+        self._renewal: tuple[int, float] | None = None  # in flight: call number, and when it was sent
+        self._next_request_at = 0.0  # DISCONNECTED: of a lease; in session: the next renewal
+        self._failures = 0  # calls in a row whose outcome is unknown
         self._read_call = 0
         self._next_read_at = inf
         self._no_contention_until = -inf
         self._unhealthy_reason = ""
-        self._expected_wakeup_at = inf  # when we wanted to be woken, for stalls
+        self._expected_wakeup_at = inf  # to notice stalls
         self._effects: list[Effect] = []
 
-    # What may be asked of it.
+    # Queries.
 
-    def usable_token(self, now: float, duty: str) -> int:
-        """The token where something new may be begun now, else 0. To be asked at once before each act."""
-        one = self.roles[duty]
-        if (
-            one.state is RoleState.HELD
-            and self.session is SessionState.ACTIVE
-            and now < self.believed_until - self.terms.margin_s
-        ):
-            return one.token
-        return 0
+    def usable_token(self, now: float, name: str) -> int:
+        """Return the fencing token if something new may be started now, else 0. Ask before each act."""
+        token = self._token(name)
+        return token if self.session is SessionState.ACTIVE and now < self._expiring_from else 0
 
-    def held_token(self, now: float, duty: str) -> int:
-        """The token of the holding that we believe in, be it warily; else 0."""
-        one = self.roles[duty]
-        return one.token if one.state is RoleState.HELD and now < self.believed_until else 0
+    def held_token(self, now: float, name: str) -> int:
+        """Return the fencing token while the instance believes that it holds the role, else 0."""
+        token = self._token(name)
+        return token if now < self.believed_until else 0
+
+    def _token(self, name: str) -> int:
+        role = self.roles[name]
+        return role.token if role.state is RoleState.HELD else 0
 
     @property
     def believed_until(self) -> float:
         """The end of the session as this instance believes in it, s of its own clock."""
         return self._renewal_sent_at + self.terms.believed_s
 
+    @property
+    def _expiring_from(self) -> float:
+        return self.believed_until - self.terms.margin_s
+
     @property
     def in_session(self) -> bool:
         """Whether the instance has a session, be it one that expires soon."""
         return self.session in (SessionState.ACTIVE, SessionState.EXPIRING)
 
     def next_timer(self) -> float:
-        """When `tick` wants to be called at the latest."""
-        at = [inf]
+        """Return when `handle_timer` is to be called at the latest."""
+        due = [inf]
         if self.session is SessionState.DISCONNECTED:
-            at.append(self._next_request_at)
+            due.append(self._next_request_at)
         if self.in_session:
-            at += [self.believed_until, self._next_read_at if not self._read_call else inf]
-            if self.session is SessionState.ACTIVE:
-                at.append(self.believed_until - self.terms.margin_s)
-            if self._renewal is None:
-                at.append(self._next_request_at)
-            for one in self.roles.values():
-                at += [one.acquire_at, one.release_retry_at]
-                if one.state is RoleState.IDLE and one.rest_until > -inf:
-                    at.append(one.rest_until)
-        self._expected_wakeup_at = min(at)
+            due += self._session_timers()
+            for role in self.roles.values():
+                due += (role.acquire_at, role.release_retry_at)
+                if role.state is RoleState.IDLE and role.rest_until > -inf:
+                    due.append(role.rest_until)
+        self._expected_wakeup_at = min(due)
         return self._expected_wakeup_at
 
+    def _session_timers(self) -> list[float]:
+        due = [self.believed_until]
+        if not self._read_call:
+            due.append(self._next_read_at)
+        if self.session is SessionState.ACTIVE:
+            due.append(self._expiring_from)
+        if self._renewal is None:
+            due.append(self._next_request_at)
+        return due
+
     # Inputs.
 
     def handle_timer(self, now: float) -> list[Effect]:
-        """Time has passed."""
+        """Take note that time has passed."""
         self._effects = []
         self._advance(now)
         return self._effects
 
     def handle_outcome(self, now: float, call: int, outcome: Outcome, store_reset: str = "") -> list[Effect]:
-        """A call has ended. `floor_broken`: the answer shows that the store went back, and how."""
+        """Take the outcome of a call. `store_reset`: how it shows that the store went back; empty if not."""
         self._effects = []
         self._advance(now)
         if store_reset:
@@ -171,77 +174,80 @@
         elif self._renewal is not None and call == self._renewal[0]:
             self._handle_renewal(now, outcome)
         elif call == self._read_call:
-            # What was found has come by `seen`; where nothing was, look again.
+            # What was read has come by `handle_role_key`. If nothing was, it is read again.
             self._read_call = 0
             self._next_read_at = now + self._next_backoff_s() if isinstance(outcome, Unknown) else inf
         else:
-            for name, one in self.roles.items():
-                if one.call == call:
-                    self._handle_role_outcome(now, name, one, outcome)
+            for role in self.roles.values():
+                if role.call == call:
+                    self._handle_role_outcome(now, role, outcome)
         self._advance(now)
         return self._effects
 
-    def handle_role_key(self, now: float, duty: str, entry: Entry | None, revision: int) -> list[Effect]:
-        """A duty's key as of a revision, from a watch or a look."""
+    def handle_role_key(self, now: float, name: str, entry: Entry | None, revision: int) -> list[Effect]:
+        """Take a role's key as it stood at a revision, from a watch or a read."""
         self._effects = []
         self._advance(now)
-        one = self.roles.get(duty)
-        if one is not None and revision >= one.known_revision:  # what is older is no news
-            one.known_revision = revision
-            self._observe_role_key(now, duty, one, entry)
+        role = self.roles.get(name)
+        if role is not None and revision >= role.known_revision:  # an older one was overtaken
+            role.known_revision = revision
+            self._observe_role_key(now, role, entry)
         return self._effects
 
     def handle_watch_lost(self, now: float) -> list[Effect]:
-        """The watch broke: what stands must be read."""
+        """Take note that the watch broke: the keys must be read."""
         self._effects = []
         self._advance(now)
-        self._next_read_at = min(self._next_read_at, now)
+        self._read_roles_by(now)
         self._advance(now)
         return self._effects
 
-    def set_unhealthy(self, now: float, why: str) -> list[Effect]:
-        """We can't do duties well (empty: we can again): yield what we hold, and contend for none."""
+    def set_unhealthy(self, now: float, reason: str) -> list[Effect]:
+        """Release what is held and contend for nothing, until called again with an empty reason."""
         self._effects = []
-        if why and not self._unhealthy_reason:
-            self._log("unwell", why)
-        self._unhealthy_reason = why
-        if why:
-            for name, one in self.roles.items():
-                if one.state is RoleState.HELD:
-                    self._start_rest(now, one)
-                    self._release_role(name, one, why)
-                elif one.state is RoleState.WAITING:
-                    self._set_role_state(one, RoleState.IDLE)
+        if reason and not self._unhealthy_reason:
+            self._log("unwell", reason)
+        self._unhealthy_reason = reason
+        if reason:
+            self._step_down_unhealthy(now, reason)
         else:
-            self._next_read_at = min(self._next_read_at, now)  # a duty may have been nobody's all along
+            self._read_roles_by(now)  # a role may have had no holder all along
         self._advance(now)
         return self._effects
 
-    def set_contending(self, now: float, duty: str, contending: bool, why: str) -> list[Effect]:
-        """Staff, a drain, or the operator's file: contend for a duty, or let it go and keep off."""
+    def _step_down_unhealthy(self, now: float, reason: str) -> None:
+        for role in self.roles.values():
+            if role.state is RoleState.HELD:
+                role.rest(now, self.terms.ttl_s)
+                self._release_role(role, reason)
+            elif role.state is RoleState.WAITING:
+                role.set_state(RoleState.IDLE)
+
+    def set_contending(self, now: float, name: str, contending: bool, reason: str) -> list[Effect]:
+        """Contend for a role, or release it and keep off: for staff, a drain, or the operator's file."""
         self._effects = []
-        one = self.roles[duty]
-        one.contending = contending
-        if not contending and one.state is RoleState.HELD:
-            self._release_role(duty, one, why)
-        elif not contending and one.state is RoleState.WAITING:
-            self._set_role_state(one, RoleState.IDLE)
-        elif contending:
-            self._next_read_at = min(self._next_read_at, now)
+        role = self.roles[name]
+        role.contending = contending
+        if contending:
+            self._read_roles_by(now)
+        elif role.state is RoleState.HELD:
+            self._release_role(role, reason)
+        elif role.state is RoleState.WAITING:
+            role.set_state(RoleState.IDLE)
         self._advance(now)
         return self._effects
 
-    def step_down(self, now: float, duty: str, why: str) -> list[Effect]:
-        """Hand a duty on once, and let others come first."""
+    def step_down(self, now: float, name: str, reason: str) -> list[Effect]:
+        """Release a role once, and let other instances acquire it first."""
         self._effects = []
-        one = self.roles[duty]
-        if one.state is RoleState.HELD:
-            one.rest_until = now + REST_TTLS * self.terms.ttl_s
-            self._release_role(duty, one, why)
+        role = self.roles[name]
+        if role.state is RoleState.HELD:
+            role.rest_until = now + REST_TTLS * self.terms.ttl_s
+            self._release_role(role, reason)
         return self._effects
 
     def close(self, now: float) -> list[Effect]:
-        """For good: hand on all, at once. The lease's end deletes every key of ours in one go."""
+        """Release all roles for good. Revoking the lease deletes every key of the instance at once."""
         self._effects = []
         if self.session in FINAL_SESSION_STATES:
             return self._effects
@@ -252,106 +258,134 @@
         self.lease = 0
         return self._effects
 
+    # What time brings about.
+
+    def _advance(self, now: float) -> None:
+        """Do what is due by the clock alone."""
+        self._notice_stall(now)
+        self._expire(now)
+        if self.session is SessionState.DISCONNECTED and now >= self._next_request_at:
+            self._request_lease(now)
+        if not self.in_session:
+            return
+        if self._renewal is None and now >= self._next_request_at:
+            self._renewal = self._next_call(), now
+            self._effects.append(RenewLease(self._renewal[0], self.lease))
+        self._read_roles_if_due(now)
+        for role in self.roles.values():
+            self._advance_role(now, role)
+        self._read_roles_if_due(now)  # a role's rest may have ended
+
+    def _notice_stall(self, now: float) -> None:
+        late_s = now - self._expected_wakeup_at
+        if late_s > STALL_SHARE * self.terms.ttl_s:
+            # An instance that is short of CPU must not acquire what it could not look after. Any late input
+            # shows it: after a stall the timer need not come first.
+            self._no_contention_until = now + NO_CONTENTION_TTLS * self.terms.ttl_s
+            self._log("stalled", f"{late_s:.2f} s")
+        self._expected_wakeup_at = inf
+
+    def _expire(self, now: float) -> None:
+        starting = self.session in (SessionState.REQUESTING_LEASE, SessionState.REGISTERING)
+        if starting and now >= self.believed_until > -inf:
+            self._expire_session(now, "the lease was over before we were in")
+        if not self.in_session:
+            return
+        if now >= self.believed_until:
+            self._expire_session(now, NOT_RENEWED)
+        elif now >= self._expiring_from and self.session is SessionState.ACTIVE:
+            self._transition(SessionState.EXPIRING)
+            self._log("wary", f"{self.believed_until - now:.2f} s left")
+
+    def _request_lease(self, now: float) -> None:
+        self._transition(SessionState.REQUESTING_LEASE)
+        self._renewal_sent_at = now
+        self._session_call = self._next_call()
+        self._effects.append(GrantLease(self._session_call, self.terms.ttl_s))
+
+    def _read_roles_by(self, at: float) -> None:
+        self._next_read_at = min(self._next_read_at, at)
+
+    def _read_roles_if_due(self, now: float) -> None:
+        if self._read_call or now < self._next_read_at:
+            return
+        self._read_call = self._next_call()
+        self._next_read_at = inf
+        self._effects.append(ReadRoles(self._read_call))
+
+    def _advance_role(self, now: float, role: Role) -> None:
+        if role.state is RoleState.IDLE and -inf < role.rest_until <= now:
+            role.rest_until = -inf
+            self._read_roles_by(now)  # the role may have no holder
+        elif role.state is RoleState.RELEASING and now >= role.release_retry_at:
+            self._send_release(role)
+        elif role.state is RoleState.WAITING and now >= role.acquire_at:
+            self._try_acquire(now, role)
+
+    def _try_acquire(self, now: float, role: Role) -> None:
+        if not self._may_contend(now, role) or self.session is not SessionState.ACTIVE:
+            role.acquire_at = now + self.terms.ttl_s
+            return
+        role.set_state(RoleState.ACQUIRING)
+        role.call = self._next_call()
+        self._effects.append(AcquireRole(role.call, role.name, self.lease))
+
     # Session.
 
     def _transition(self, to: SessionState) -> None:
-        if to not in SESSION_TRANSITIONS[self.session] and not (
-            to in FINAL_SESSION_STATES and self.session not in FINAL_SESSION_STATES
-        ):
-            raise AssertionError(f"no way from {self.session} to {to}")
+        ends = to in FINAL_SESSION_STATES and self.session not in FINAL_SESSION_STATES
+        if not ends and to not in SESSION_TRANSITIONS[self.session]:
+            raise AssertionError(f"no transition of the session from {self.session} to {to}")
         self.session = to
 
     def _next_call(self) -> int:
-        self._calls += 1
-        return self._calls
+        self._last_call += 1
+        return self._last_call
 
     def _log(self, event: str, detail: str = "") -> None:
         self._effects.append(LogEvent(event, detail))
 
     def _next_backoff_s(self) -> float:
+        doublings = min(self._failures, MAX_BACKOFF_DOUBLINGS)
         self._failures += 1
-        most = min(AGAIN_MOST_S, AGAIN_S * 2 ** min(self._failures - 1, 10))
-        return float(most * self._chance.uniform(0.5, 1.0))
-
-    def _advance(self, now: float) -> None:
-        """What the clock alone brings about."""
-        if now - self._expected_wakeup_at > STALL_SHARE * self.terms.ttl_s:
-            # Guards against an instance that is short of CPU taking up what it could not look after. Whatever
-            # comes in late tells of it: after a stall that need not be the timer.
-            self._no_contention_until = now + UNWELL_TTLS * self.terms.ttl_s
-            self._log("stalled", f"{now - self._expected_wakeup_at:.2f} s")
-        self._expected_wakeup_at = inf
-        if (
-            self.session in (SessionState.REQUESTING_LEASE, SessionState.REGISTERING)
-            and now >= self.believed_until > -inf
-        ):
-            self._expire_session(now, "the lease was over before we were in")
-        if self.in_session:
-            if now >= self.believed_until:
-                self._expire_session(now, "not renewed in time")
-            elif now >= self.believed_until - self.terms.margin_s and self.session is SessionState.ACTIVE:
-                self._transition(SessionState.EXPIRING)
-                self._log("wary", f"{self.believed_until - now:.2f} s left")
-        if self.session is SessionState.DISCONNECTED and now >= self._next_request_at:
-            self._transition(SessionState.REQUESTING_LEASE)
-            self._renewal_sent_at = now
-            self._session_call = self._next_call()
-            self._effects.append(GrantLease(self._session_call, self.terms.ttl_s))
-        if not self.in_session:
-            return
-        if self._renewal is None and now >= self._next_request_at:
-            self._renewal = self._next_call(), now
-            self._effects.append(RenewLease(self._renewal[0], self.lease))
-        if not self._read_call and now >= self._next_read_at:
-            self._read_call, self._next_read_at = self._next_call(), inf
-            self._effects.append(ReadRoles(self._read_call))
-        for name, one in self.roles.items():
-            if one.state is RoleState.IDLE and one.rest_until <= now and one.rest_until > -inf:
-                one.rest_until = -inf
-                self._next_read_at = min(self._next_read_at, now)  # it may be nobody's; the look tells
-            if one.state is RoleState.RELEASING and now >= one.release_retry_at:
-                self._send_release(name, one)
-            if one.state is RoleState.WAITING and now >= one.acquire_at:
-                if self._may_contend(now, one) and self.session is SessionState.ACTIVE:
-                    self._set_role_state(one, RoleState.ACQUIRING)
-                    one.call, one.lease = self._next_call(), self.lease
-                    self._effects.append(AcquireRole(one.call, name, self.lease))
-                else:
-                    one.acquire_at = now + self.terms.ttl_s
-        if not self._read_call and now >= self._next_read_at:
-            self._read_call, self._next_read_at = self._next_call(), inf
-            self._effects.append(ReadRoles(self._read_call))
+        longest_s = min(MAX_BACKOFF_S, BACKOFF_S * 2**doublings)
+        return float(longest_s * self._chance.uniform(*BACKOFF_JITTER))
 
     def _handle_session_outcome(self, now: float, outcome: Outcome) -> None:
         self._session_call = 0
         if self.session is SessionState.REQUESTING_LEASE:
-            if isinstance(outcome, Done) and outcome.ttl_s < self.terms.ttl_s:
-                # Guards against a store that gives less than was asked: all that we believe counts on it.
-                self._log("short_lease", f"{outcome.ttl_s:g} s instead of {self.terms.ttl_s:g} s")
-                self.lease = outcome.lease
-                self._disconnect_until(now + AGAIN_MOST_S)
-            elif isinstance(outcome, Done):
-                self.lease = outcome.lease
-                self._transition(SessionState.REGISTERING)
-                self._session_call = self._next_call()
-                self._effects.append(RegisterInstance(self._session_call, self.lease))
-            else:
-                self._disconnect_until(now + self._next_backoff_s())
+            self._handle_grant(now, outcome)
         elif self.session is SessionState.REGISTERING:
-            if isinstance(outcome, Done):
-                self._transition(SessionState.ACTIVE)
-                self._failures = 0
-                self._next_request_at = self._renewal_sent_at + self.terms.renew_s * self._chance.uniform(
-                    0.7, 1.0
-                )
-                self._next_read_at = now
-                self._log("in", f"lease {self.lease:x}")
-            elif isinstance(outcome, Refused) and not outcome.lease_gone:
-                # Guards against two of one name: the later one holds nothing while the first lives.
-                self._log("name_taken", "another instance has our name")
-                self._disconnect_until(now + max(NAME_TAKEN_S, self.terms.ttl_s / RENEWALS))
-            else:
-                self._disconnect_until(now + self._next_backoff_s())
+            self._handle_registration(now, outcome)
+
+    def _handle_grant(self, now: float, outcome: Outcome) -> None:
+        if not isinstance(outcome, Done):
+            self._disconnect_until(now + self._next_backoff_s())
+        elif outcome.ttl_s < self.terms.ttl_s:
+            # All beliefs count on the time to live that was asked for.
+            self._log("short_lease", f"{outcome.ttl_s:g} s instead of {self.terms.ttl_s:g} s")
+            self.lease = outcome.lease
+            self._disconnect_until(now + MAX_BACKOFF_S)
+        else:
+            self.lease = outcome.lease
+            self._transition(SessionState.REGISTERING)
+            self._session_call = self._next_call()
+            self._effects.append(RegisterInstance(self._session_call, self.lease))
+
+    def _handle_registration(self, now: float, outcome: Outcome) -> None:
+        if isinstance(outcome, Done):
+            self._transition(SessionState.ACTIVE)
+            self._failures = 0
+            share = self._chance.uniform(*FIRST_RENEWAL_JITTER)
+            self._next_request_at = self._renewal_sent_at + self.terms.renew_s * share
+            self._next_read_at = now
+            self._log("in", f"lease {self.lease:x}")
+        elif isinstance(outcome, Refused) and not outcome.lease_gone:
+            # Of two processes with one name the later one holds nothing while the first lives.
+            self._log("name_taken", "another instance has our name")
+            self._disconnect_until(now + max(NAME_TAKEN_BACKOFF_S, self.terms.ttl_s / RENEWALS))
+        else:
+            self._disconnect_until(now + self._next_backoff_s())
 
     def _disconnect_until(self, at: float) -> None:
         if self.lease:
@@ -362,145 +396,129 @@
         self._next_request_at = at
         self._transition(SessionState.DISCONNECTED)
 
-    def _expire_session(self, now: float, why: str) -> None:
-        self._lose_all_roles(why)
-        self._log("session_over", why)
-        # Others may believe that our last renewal was done; what is bound to the lease must not come back
-        # to life under a session of ours that we do not believe in.
-        self._disconnect_until(now + self._chance.uniform(0, AGAIN_S))
+    def _expire_session(self, now: float, reason: str) -> None:
+        self._lose_all_roles(reason)
+        self._log("session_over", reason)
+        # The store may have carried our last renewal out. The lease is revoked all the same: what is bound
+        # to it must not come back to life under a session that we don't believe in.
+        self._disconnect_until(now + self._chance.uniform(0, BACKOFF_S))
 
     def _handle_renewal(self, now: float, outcome: Outcome) -> None:
         assert self._renewal is not None
-        asked, self._renewal = self._renewal[1], None
+        sent_at = self._renewal[1]
+        self._renewal = None
         if isinstance(outcome, Done):
-            self._renewal_sent_at = asked
+            self._renewal_sent_at = sent_at
             self._failures = 0
-            self._next_request_at = asked + self.terms.renew_s
-            if now - asked > FAR_SHARE * self.terms.ttl_s:
-                # What we hold we keep: whoever comes next may be as far. We only contend for nothing new.
-                self._no_contention_until = max(
-                    self._no_contention_until, now + UNWELL_TTLS * self.terms.ttl_s
-                )
-                self._log("far", f"a renewal took {now - asked:.2f} s")
-            if self.session is SessionState.EXPIRING and now < self.believed_until - self.terms.margin_s:
+            self._next_request_at = sent_at + self.terms.renew_s
+            self._notice_slow_store(now, now - sent_at)
+            if self.session is SessionState.EXPIRING and now < self._expiring_from:
                 self._transition(SessionState.ACTIVE)
         elif isinstance(outcome, Refused):
-            self._expire_session(now, "the store ended our lease")
+            self._expire_session(now, LEASE_ENDED)
         else:
-            # Not done, as far as we are concerned; for our rivals it was. Ask again soon, while there is
-            # time.
-            self._next_request_at = now + min(self._next_backoff_s(), self.terms.renew_s / 4)
-
-    def _enter_store_reset(self, why: str) -> None:
+            # To us it did not happen, for our rivals it did. It is repeated soon, while there is time.
+            longest_s = self.terms.renew_s * LOST_RENEWAL_SHARE
+            self._next_request_at = now + min(self._next_backoff_s(), longest_s)
+
+    def _notice_slow_store(self, now: float, took_s: float) -> None:
+        if took_s > SLOW_RENEWAL_SHARE * self.terms.ttl_s:
+            # What is held is kept: a successor may be as far from the store. Nothing new is contended for.
+            pause_s = NO_CONTENTION_TTLS * self.terms.ttl_s
+            self._no_contention_until = max(self._no_contention_until, now + pause_s)
+            self._log("far", f"a renewal took {took_s:.2f} s")
+
+    def _enter_store_reset(self, reason: str) -> None:
         if self.session in FINAL_SESSION_STATES:
             return
         self._lose_all_roles("the store went back")
-        self._log("estranged", why)
+        self._log("estranged", reason)
         self.lease = 0
         self._transition(SessionState.STORE_RESET)
 
-    # Duties.
-
-    def _set_role_state(self, one: Role, to: RoleState) -> None:
-        if to not in ROLE_TRANSITIONS[one.state]:
-            raise AssertionError(f"no way from {one.state} to {to}")
-        one.state = to
-        one.acquire_at = one.release_retry_at = inf
-        if to is RoleState.IDLE:
-            one.token = one.lease = one.call = 0
-
-    def _may_contend(self, now: float, one: Role) -> bool:
-        return (
-            one.contending
-            and not self._unhealthy_reason
-            and now >= self._no_contention_until
-            and now >= one.rest_until
-        )
-
-    def _observe_role_key(self, now: float, name: str, one: Role, entry: Entry | None) -> None:
-        ours = (
-            entry is not None
-            and holder_of(entry.value) == self.incarnation
-            and entry.lease == self.lease != 0
-            and self.in_session
-        )
-        if ours:
-            assert entry is not None
-            if one.state in (RoleState.IDLE, RoleState.WAITING, RoleState.ACQUIRING, RoleState.UNCERTAIN):
-                self._acquire(now, name, one, entry.created)
-        elif one.state in (RoleState.HELD, RoleState.RELEASING):
-            self._lose_role(now, name, one, "the key is not ours")
+    # Roles.
+
+    def _may_contend(self, now: float, role: Role) -> bool:
+        rested = now >= self._no_contention_until and now >= role.rest_until
+        return role.contending and not self._unhealthy_reason and rested
+
+    def _is_ours(self, entry: Entry) -> bool:
+        # Under an older lease of ours the key goes when that lease ends: it is not adopted.
+        ours = holder_of(entry.value) == self.incarnation and entry.lease == self.lease != 0
+        return ours and self.in_session
+
+    def _observe_role_key(self, now: float, role: Role, entry: Entry | None) -> None:
+        if entry is not None and self._is_ours(entry):
+            if role.state not in (RoleState.HELD, RoleState.RELEASING):
+                self._acquire(now, role, entry.created)
+        elif role.state in (RoleState.HELD, RoleState.RELEASING):
+            self._lose_role(now, role, "the key is not ours")
         elif entry is None and self.in_session:
-            # UNSURE: our claim may still come. A further one is then refused, and the look after it finds
-            # ours.
-            if one.state in (RoleState.IDLE, RoleState.UNCERTAIN) and one.contending:
-                self._set_role_state(one, RoleState.WAITING)
-                spread = min(SPREAD_MOST_S, SPREAD_EACH_S * self.instances)
-                one.acquire_at = max(now, one.rest_until, self._no_contention_until) + self._chance.uniform(
-                    0, spread
-                )
-        elif one.state in (RoleState.WAITING, RoleState.UNCERTAIN):
-            self._set_role_state(one, RoleState.IDLE)
-
-    def _acquire(self, now: float, name: str, one: Role, token: int) -> None:
-        self._set_role_state(one, RoleState.HELD)
-        one.token, one.held_since, one.lease = token, now, self.lease
-        if not one.contending or self._unhealthy_reason:
-            self._release_role(name, one, self._unhealthy_reason or "not wished")
+            # UNCERTAIN: our acquisition may still be carried out. A second one is then refused, and the read
+            # after it finds our key.
+            if role.state in (RoleState.IDLE, RoleState.UNCERTAIN) and role.contending:
+                self._wait_to_acquire(now, role)
+        elif role.state in (RoleState.WAITING, RoleState.UNCERTAIN):
+            role.set_state(RoleState.IDLE)
+
+    def _wait_to_acquire(self, now: float, role: Role) -> None:
+        role.set_state(RoleState.WAITING)
+        longest_s = min(MAX_CONTENTION_WAIT_S, WAIT_PER_INSTANCE_S * self.instances)
+        earliest = max(now, role.rest_until, self._no_contention_until)
+        role.acquire_at = earliest + self._chance.uniform(0, longest_s)
+
+    def _acquire(self, now: float, role: Role, token: int) -> None:
+        role.set_state(RoleState.HELD)
+        role.token = token
+        role.held_since = now
+        if not role.contending or self._unhealthy_reason:
+            self._release_role(role, self._unhealthy_reason or "not wished")
         else:
-            self._effects.append(RoleAcquired(name, token))
-
-    def _handle_role_outcome(self, now: float, name: str, one: Role, outcome: Outcome) -> None:
-        one.call = 0
-        if one.state is RoleState.ACQUIRING:
-            if isinstance(outcome, Done):
-                one.known_revision = max(one.known_revision, outcome.revision)
-                self._acquire(now, name, one, outcome.revision)
-            elif isinstance(outcome, Refused):
-                self._set_role_state(one, RoleState.IDLE)
-                if outcome.lease_gone:
-                    self._expire_session(now, "the store ended our lease")
-                else:
-                    self._next_read_at = min(self._next_read_at, now)
-            else:
-                self._set_role_state(one, RoleState.UNCERTAIN)
-                self._next_read_at = min(self._next_read_at, now + self._next_backoff_s())
-        elif one.state is RoleState.RELEASING:
+            self._effects.append(RoleAcquired(role.name, token))
+
+    def _handle_role_outcome(self, now: float, role: Role, outcome: Outcome) -> None:
+        role.call = 0
+        if role.state is RoleState.ACQUIRING:
+            self._handle_acquisition(now, role, outcome)
+        elif role.state is RoleState.RELEASING:
             if isinstance(outcome, Unknown):
-                one.release_retry_at = now + self._next_backoff_s()
+                role.release_retry_at = now + self._next_backoff_s()
+            else:
+                role.set_state(RoleState.IDLE)
+                self._read_roles_by(now)
+
+    def _handle_acquisition(self, now: float, role: Role, outcome: Outcome) -> None:
+        if isinstance(outcome, Done):
+            role.known_revision = max(role.known_revision, outcome.revision)
+            self._acquire(now, role, outcome.revision)
+        elif isinstance(outcome, Unknown):
+            role.set_state(RoleState.UNCERTAIN)
+            self._read_roles_by(now + self._next_backoff_s())
+        else:
+            role.set_state(RoleState.IDLE)
+            if outcome.lease_gone:
+                self._expire_session(now, LEASE_ENDED)
             else:
-                self._set_role_state(one, RoleState.IDLE)
-                self._next_read_at = min(self._next_read_at, now)
-
-    def _release_role(self, name: str, one: Role, why: str) -> None:
-        self._effects.append(RoleLost(name, one.token, why))
-        token = one.token
-        self._set_role_state(one, RoleState.RELEASING)
-        one.token = token
-        self._send_release(name, one)
-
-    def _send_release(self, name: str, one: Role) -> None:
-        one.release_retry_at = inf
-        one.call = self._next_call()
-        self._effects.append(ReleaseRole(one.call, name, one.token))
-
-    def _start_rest(self, now: float, one: Role) -> None:
-        # Guards against two that are useless throwing a duty to and fro.
-        if now - one.held_since > PROVEN_TTLS * self.terms.ttl_s:
-            one.rest_count = 0
-        one.rest_until = now + REST_TTLS * self.terms.ttl_s * 2 ** min(one.rest_count, REST_DOUBLINGS)
-        one.rest_count += 1
-
-    def _lose_role(self, now: float, name: str, one: Role, why: str) -> None:
-        if one.state is RoleState.HELD:
-            self._effects.append(RoleLost(name, one.token, why))
-        self._set_role_state(one, RoleState.IDLE)
-        self._next_read_at = min(self._next_read_at, now)
-
-    def _lose_all_roles(self, why: str) -> None:
-        for name, one in self.roles.items():
-            if one.state is RoleState.HELD:
-                self._effects.append(RoleLost(name, one.token, why))
-            one.state = RoleState.IDLE
-            one.acquire_at = one.release_retry_at = inf
-            one.token = one.lease = one.call = 0
+                self._read_roles_by(now)
+
+    def _release_role(self, role: Role, reason: str) -> None:
+        self._effects.append(RoleLost(role.name, role.token, reason))
+        role.set_state(RoleState.RELEASING)
+        self._send_release(role)
+
+    def _send_release(self, role: Role) -> None:
+        role.release_retry_at = inf
+        role.call = self._next_call()
+        self._effects.append(ReleaseRole(role.call, role.name, role.token))
+
+    def _lose_role(self, now: float, role: Role, reason: str) -> None:
+        if role.state is RoleState.HELD:
+            self._effects.append(RoleLost(role.name, role.token, reason))
+        role.set_state(RoleState.IDLE)
+        self._read_roles_by(now)
+
+    def _lose_all_roles(self, reason: str) -> None:
+        for role in self.roles.values():
+            if role.state is RoleState.HELD:
+                self._effects.append(RoleLost(role.name, role.token, reason))
+            role.reset()
--- a/coveport/sidecar/leases/states.py
+++ b/coveport/sidecar/leases/states.py
@@ -1,4 +1,7 @@
-"""The named states of a session and of a duty, as one instance sees them, and how each may follow. Pure."""
+"""States of a session and of a role, as one instance sees them, and the transitions between them. Pure.
+
+The values are printed in reports of trials and stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -6,24 +9,24 @@
 
 
 class SessionState(Enum):
-    """Where an instance stands with the store."""
+    """An instance's session with the store: a lease, and the instance's key bound to it."""
 
     DISCONNECTED = "out"
-    REQUESTING_LEASE = "asking"  # for a lease
-    REGISTERING = "arriving"  # its name is being written down
+    REQUESTING_LEASE = "asking"
+    REGISTERING = "arriving"  # the instance's key is being created under the lease
     ACTIVE = "in"
-    EXPIRING = "wary"  # nothing new is begun
+    EXPIRING = "wary"  # not renewed in time so far: nothing new is started
     CLOSED = "left"
     STORE_RESET = "estranged"  # the store went back in time, or is another one
 
 
 class RoleState(Enum):
-    """Where an instance stands with a duty."""
+    """An instance's part in a role."""
 
-    IDLE = "idle"  # somebody else's, or nobody knows
-    WAITING = "waiting"  # nobody's; we come after a wait
+    IDLE = "idle"  # another instance holds it, or the holder is not known
+    WAITING = "waiting"  # it has no holder; the instance tries to acquire it after a random wait
     ACQUIRING = "claiming"
-    UNCERTAIN = "unsure"  # our claim had no answer: it may be ours
+    UNCERTAIN = "unsure"  # the outcome of the acquisition is unknown: the role may be held
     HELD = "held"
     RELEASING = "releasing"
 
@@ -37,9 +40,9 @@
     SessionState.CLOSED: frozenset(),
     SessionState.STORE_RESET: frozenset(),
 }
-FINAL_SESSION_STATES = frozenset(
-    {SessionState.CLOSED, SessionState.STORE_RESET}
-)  # reached from anywhere else
+# Reached from any state that is not final itself.
+FINAL_SESSION_STATES = frozenset({SessionState.CLOSED, SessionState.STORE_RESET})
+
 ROLE_TRANSITIONS: dict[RoleState, frozenset[RoleState]] = {
     RoleState.IDLE: frozenset({RoleState.WAITING, RoleState.HELD}),
     RoleState.WAITING: frozenset({RoleState.IDLE, RoleState.ACQUIRING, RoleState.HELD}),
--- a/coveport/testbed/fault_injection/broken_variants.py
+++ b/coveport/testbed/fault_injection/broken_variants.py
@@ -1,4 +1,4 @@
-"""Holders, keepers and runners that are broken on purpose, to show that the judge sees it.
+"""Lease states, lease clients and runners that are broken on purpose, to show that the judge sees it.
 
 Each replaces one part of the shipped program by one that leaves out a single thing.
 """
@@ -16,7 +16,8 @@
 from coveport.sidecar.leases.effects import Effect
 from coveport.sidecar.leases.keys import ROLE_PREFIX, STATE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
-from coveport.sidecar.leases.lease_state import LeaseState
+from coveport.sidecar.leases.lease_state import NOT_RENEWED, LeaseState
+from coveport.sidecar.leases.role import Role
 from coveport.sidecar.leases.states import RoleState, SessionState
 from coveport.sidecar.leases.store import (
     Compare,
@@ -51,7 +52,7 @@
     clock_stops: bool = False  # its clock stands still while its machine sleeps
 
 
-# Holders.
+# States of a lease.
 
 
 class _FromTheAnswer(LeaseState):
@@ -81,22 +82,22 @@
 
 
 class _UnknownClaimIsOurs(LeaseState):
-    def _handle_role_outcome(self, now: float, name: str, one: Any, outcome: Outcome) -> None:
-        if one.state is RoleState.ACQUIRING and isinstance(outcome, Unknown):
-            one.call = 0
-            self._acquire(now, name, one, one.known_revision + 1)
+    def _handle_role_outcome(self, now: float, role: Role, outcome: Outcome) -> None:
+        if role.state is RoleState.ACQUIRING and isinstance(outcome, Unknown):
+            role.call = 0
+            self._acquire(now, role, role.known_revision + 1)
             return
-        super()._handle_role_outcome(now, name, one, outcome)
+        super()._handle_role_outcome(now, role, outcome)
 
 
 class _UnknownClaimIsRefused(LeaseState):
-    def _observe_role_key(self, now: float, name: str, one: Any, entry: Entry | None) -> None:
+    def _observe_role_key(self, now: float, role: Role, entry: Entry | None) -> None:
         # It takes a key that it finds for somebody else's, its own too.
-        if entry is not None and one.state is not RoleState.HELD:
-            if one.state in (RoleState.WAITING, RoleState.UNCERTAIN):
-                self._set_role_state(one, RoleState.IDLE)
+        if entry is not None and role.state is not RoleState.HELD:
+            if role.state in (RoleState.WAITING, RoleState.UNCERTAIN):
+                role.set_state(RoleState.IDLE)
             return
-        super()._observe_role_key(now, name, one, entry)
+        super()._observe_role_key(now, role, entry)
 
 
 class _NeverOver(LeaseState):
@@ -107,32 +108,32 @@
 
 
 class _TakesOldNews(LeaseState):
-    def handle_role_key(self, now: float, duty: str, entry: Entry | None, revision: int) -> list[Effect]:
-        one = self.roles.get(duty)
-        if one is not None:
-            one.known_revision = 0
-            if entry is None and one.state is RoleState.HELD and revision < one.token:
-                revision = one.token
-        return super().handle_role_key(now, duty, entry, revision)
+    def handle_role_key(self, now: float, name: str, entry: Entry | None, revision: int) -> list[Effect]:
+        role = self.roles.get(name)
+        if role is not None:
+            role.known_revision = 0
+            if entry is None and role.state is RoleState.HELD and revision < role.token:
+                revision = role.token
+        return super().handle_role_key(now, name, entry, revision)
 
 
 class _NeverTriesAgain(LeaseState):
-    def _expire_session(self, now: float, why: str) -> None:
-        super()._expire_session(now, why)
+    def _expire_session(self, now: float, reason: str) -> None:
+        super()._expire_session(now, reason)
         self._next_request_at = float("inf")
 
 
 class _KeepsTheLease(LeaseState):
     """After its session is over it goes on with the same lease, and believes in what it held."""
 
-    def _expire_session(self, now: float, why: str) -> None:
-        if why == "not renewed in time":
+    def _expire_session(self, now: float, reason: str) -> None:
+        if reason == NOT_RENEWED:
             self._renewal_sent_at = now
             return
-        super()._expire_session(now, why)
+        super()._expire_session(now, reason)
 
 
-# Keepers.
+# Lease clients.
 
 
 class _NoFence(LeaseClient):
