--- a/tests/serving/membership/report_explorer.py
+++ b/tests/serving/membership/report_explorer.py
@@ -176,7 +176,8 @@
             self.remaining[kind] -= 1
         match kind:
             case "deliver":
-                sender, receiver = target
+                sender = target[0]
+                receiver = target[1]
                 self.coordinators[receiver].received(sender, self.links[sender, receiver].pop(0))
             case "heartbeat":
                 self._heartbeat(self.coordinators[target])
