--- a/coveport/cli/fleet.py
+++ b/coveport/cli/fleet.py
@@ -14,7 +14,7 @@
 from coveport.cli.operator import CONFIG, JSON, loaded
 
 if TYPE_CHECKING:
-    from coveport.sidecar.config.operator import OperatorFile
+    from coveport.sidecar.config.operator_file import OperatorFile
 
 WITHIN_S = 15.0  # a little longer than a supervisor waits for the store
 
--- a/coveport/cli/operator.py
+++ b/coveport/cli/operator.py
@@ -15,7 +15,7 @@
 from coveport.cli.errors import NOT_HELD, OK, Unusable
 
 if TYPE_CHECKING:
-    from coveport.sidecar.config.operator import OperatorFile
+    from coveport.sidecar.config.operator_file import OperatorFile
     from coveport.sidecar.leases.store import Entry, Store
 
 CONFIG = click.option(
@@ -30,7 +30,7 @@
 
 def loaded(path: Path) -> OperatorFile:
     """An operator's file, or all of its faults as the end of the verb."""
-    from coveport.sidecar.config.operator import OperatorFileError, load
+    from coveport.sidecar.config.operator_file import OperatorFileError, load
 
     try:
         return load(path)
--- a/coveport/cli/work.py
+++ b/coveport/cli/work.py
@@ -17,7 +17,7 @@
 from coveport.cli.operator import CONFIG, JSON, loaded
 
 if TYPE_CHECKING:
-    from coveport.sidecar.config.operator import OperatorFile
+    from coveport.sidecar.config.operator_file import OperatorFile
     from coveport.sidecar.intent_log.record import Record
     from coveport.sidecar.intent_log.record_layout import RecordLayout
     from coveport.sidecar.leases.store import Entry, Store
--- a/coveport/sidecar/config/operator.py
+++ b/coveport/sidecar/config/operator_file.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from coveport.net.address import parse_address
-from coveport.sidecar.config.terms import BadTermsError, Terms
+from coveport.sidecar.config.lease_terms import LeaseTerms, LeaseTermsError
 
 INSTANCES_MOST = 1000  # of a host
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9.-]{0,62}")
@@ -143,9 +143,9 @@
     folder: Path
 
     @property
-    def terms(self) -> Terms:
+    def terms(self) -> LeaseTerms:
         """What leases are asked for."""
-        return Terms(self.leases.ttl, self.leases.margin, self.leases.drift)
+        return LeaseTerms(self.leases.ttl, self.leases.margin, self.leases.drift)
 
     @property
     def platform(self) -> Path:
@@ -245,8 +245,8 @@
             faults.append(f"[store] prefix must end with a slash, not {store.prefix!r}")
     if leases is not None:
         try:
-            Terms(leases.ttl, leases.margin, leases.drift).check()
-        except BadTermsError as problem:
+            LeaseTerms(leases.ttl, leases.margin, leases.drift).check()
+        except LeaseTermsError as problem:
             faults.append(f"[leases] {problem}")
         if store is not None and store.url.startswith("etcd:") and leases.ttl != int(leases.ttl):
             faults.append(f"[leases] ttl: such a store counts in whole seconds, not {leases.ttl:g}")
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -22,7 +22,7 @@
 from coveport.balancing import interface as api
 from coveport.net.transport import Net
 from coveport.sidecar.config import platform as configuration
-from coveport.sidecar.config.operator import OperatorFile
+from coveport.sidecar.config.operator_file import OperatorFile
 from coveport.sidecar.effects import Effects
 from coveport.sidecar.intent_log.errors import EncryptionError
 from coveport.sidecar.leases.clock import boot_s
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import Any, Protocol
 
-from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.leases.effects import (
     AcquireRole,
     Effect,
@@ -77,7 +77,7 @@
         name: str,
         incarnation: str,
         roles: tuple[str, ...],
-        terms: Terms,
+        terms: LeaseTerms,
         now_s: Callable[[], float],
         history: History,
         chance: random.Random,
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -27,7 +27,7 @@
 import random
 from math import inf
 
-from coveport.sidecar.config.terms import RENEWALS, Terms
+from coveport.sidecar.config.lease_terms import RENEWALS, LeaseTerms
 from coveport.sidecar.leases.effects import (
     AcquireRole,
     Effect,
@@ -79,7 +79,9 @@
     runs through suspend. `chance` is the caller's random generator.
     """
 
-    def __init__(self, incarnation: str, roles: tuple[str, ...], terms: Terms, chance: random.Random) -> None:
+    def __init__(
+        self, incarnation: str, roles: tuple[str, ...], terms: LeaseTerms, chance: random.Random
+    ) -> None:
         terms.check()
         self.incarnation = incarnation
         self.terms = terms
--- a/coveport/sidecar/leases/open_store.py
+++ b/coveport/sidecar/leases/open_store.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from coveport.sidecar.config.operator import OperatorFile
+from coveport.sidecar.config.operator_file import OperatorFile
 from coveport.sidecar.leases.store import Store
 
 
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from coveport.sidecar.config.operator import OperatorFile
+from coveport.sidecar.config.operator_file import OperatorFile
 from coveport.sidecar.config.platform import Config
 from coveport.sidecar.effects import Effects
 from coveport.sidecar.intent_log.encryption import KeyRing, read_keys
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from coveport.sidecar.config import platform
-from coveport.sidecar.config.operator import INSTANCES_MOST, OperatorFile, OperatorFileError, load
+from coveport.sidecar.config.operator_file import INSTANCES_MOST, OperatorFile, OperatorFileError, load
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.keys import ROLE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
--- a/coveport/sidecar/supervisor/instance_set.py
+++ b/coveport/sidecar/supervisor/instance_set.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Mapping
 
-from coveport.sidecar.config.operator import Fleet
+from coveport.sidecar.config.operator_file import Fleet
 from coveport.sidecar.supervisor.desired_state import Fares, Phase, Plan
 from coveport.sidecar.supervisor.instance_state import THERE, End, Member, Order, State
 
--- a/coveport/sidecar/supervisor/membership.py
+++ b/coveport/sidecar/supervisor/membership.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol
 
 from coveport.balancing import interface as api
-from coveport.sidecar.config.operator import OperatorFile
+from coveport.sidecar.config.operator_file import OperatorFile
 from coveport.sidecar.config.platform import Config
 from coveport.sidecar.leases.clock import boot_id, boot_s
 from coveport.sidecar.reducer import messages as core
--- a/coveport/sidecar/supervisor/process_control.py
+++ b/coveport/sidecar/supervisor/process_control.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from coveport.net.address import parse_address
-from coveport.sidecar.config.operator import OperatorFile
+from coveport.sidecar.config.operator_file import OperatorFile
 from coveport.sidecar.supervisor import locks
 from coveport.sidecar.supervisor.instance_state import End
 
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from coveport.sidecar.config.operator import OperatorFile
+from coveport.sidecar.config.operator_file import OperatorFile
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.singletons.singleton import Step
 from coveport.sidecar.singletons.singleton_runner import SingletonRunner
--- a/coveport/testbed/fault_injection/broken_variants.py
+++ b/coveport/testbed/fault_injection/broken_variants.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.leases.effects import Effect
 from coveport.sidecar.leases.keys import ROLE_PREFIX, STATE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
@@ -64,13 +64,13 @@
         return done
 
 
-class _WholeTtl(Terms):
+class _WholeTtl(LeaseTerms):
     @property
     def believed_s(self) -> float:
         return self.ttl_s * 1.05  # no margin, no drift, and a timer's grace as one might grant oneself
 
 
-def _no_margin(incarnation: str, duties: tuple[str, ...], terms: Terms, chance: Any) -> LeaseState:
+def _no_margin(incarnation: str, duties: tuple[str, ...], terms: LeaseTerms, chance: Any) -> LeaseState:
     return LeaseState(incarnation, duties, _WholeTtl(terms.ttl_s, 1e-6, 0.0), chance)
 
 
--- a/coveport/testbed/fault_injection/days.py
+++ b/coveport/testbed/fault_injection/days.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from coveport.sidecar.config.terms import BadTermsError, Terms
+from coveport.sidecar.config.lease_terms import LeaseTerms, LeaseTermsError
 from coveport.testbed.fault_injection.schedules import HOLDER, KINDS, TRAPS, Fault, Trial
 from coveport.testbed.scenario import ScenarioError
 
@@ -72,8 +72,8 @@
     if told:
         raise ScenarioError(where, f"{', '.join(told)}: a trial has [trial] and [[fault]] alone")
     try:
-        Terms(trial.ttl, trial.margin, trial.drift).check()
-    except BadTermsError as problem:
+        LeaseTerms(trial.ttl, trial.margin, trial.drift).check()
+    except LeaseTermsError as problem:
         raise ScenarioError(where, f"trial: {problem}") from problem
     for place, fault in enumerate(faults):
         if fault.kind not in (*KINDS, *TRAPS, "reset"):
--- a/coveport/testbed/fault_injection/fleet/sim.py
+++ b/coveport/testbed/fault_injection/fleet/sim.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from coveport.sidecar.config.operator import (
+from coveport.sidecar.config.operator_file import (
     Duties,
     Fleet,
     Instance,
--- a/coveport/testbed/fault_injection/model.py
+++ b/coveport/testbed/fault_injection/model.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.leases.effects import (
     AcquireRole,
     GrantLease,
@@ -43,7 +43,7 @@
 )
 from coveport.testbed.standins.etcd.engine import Engine
 
-TERMS = Terms(3.0, 0.2, 0.02)
+TERMS = LeaseTerms(3.0, 0.2, 0.02)
 DUTY, KEY, STATE = "d", "duty/d", "state/d"
 RATES = (1.01, 1.0, 1 / 1.01)  # of the three clocks; with the store's at 1 any two are within the drift
 PART = 6  # steps in a time to live
@@ -108,7 +108,7 @@
     faults: int = 2
     kinds: tuple[str, ...] = KINDS
     lengths: tuple[int, ...] = LENGTHS
-    terms: Terms = TERMS
+    terms: LeaseTerms = TERMS
     holder: Callable[..., LeaseState] = LeaseState
     fence: bool = True
     warm: bool = True  # begin where one holds; else where all begin, and faults meet the first claims
--- a/coveport/testbed/fault_injection/virtual.py
+++ b/coveport/testbed/fault_injection/virtual.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.states import SessionState
 from coveport.sidecar.leases.store import Put, Transaction
@@ -97,7 +97,7 @@
             self.histories.add(Record(self.world.now, f"s{one.number}", incarnation, event, now_s(), fields))
 
         chance = random.Random(self.chance.random())
-        terms = Terms(self.trial.ttl_s, self.trial.margin_s, self.trial.drift)
+        terms = LeaseTerms(self.trial.ttl_s, self.trial.margin_s, self.trial.drift)
         store = SimStore(process, self.host, one.way, chance)
         lease_client = self.variant.lease_client(
             store,
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -12,7 +12,7 @@
 from functools import partial
 
 from coveport.balancing.simulator_codec import parse_settings
-from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.intent_log.errors import RecordError
 from coveport.sidecar.intent_log.payloads import PayloadCodec, StoredRequest, StoredResponse
 from coveport.sidecar.intent_log.pending_operation import PendingOperation
@@ -253,7 +253,7 @@
             name=name,
             incarnation=incarnation,
             roles=(),
-            terms=Terms(trial.ttl_s, 0.2, 0.02),
+            terms=LeaseTerms(trial.ttl_s, 0.2, 0.02),
             now_s=now_s,
             history=say,
             chance=chance,
--- a/tests/sidecar/config/test_operator_file.py
+++ b/tests/sidecar/config/test_operator_file.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from coveport.sidecar.config.operator import OperatorFileError, load, read
+from coveport.sidecar.config.operator_file import OperatorFileError, load, read
 
 ROOT = Path(__file__).resolve().parents[3]
 GOOD = '[instance]\nplatform = "p.json"\n[store]\nurl = "sqlite:x.db"\n'
--- a/tests/sidecar/leases/test_lease_client.py
+++ b/tests/sidecar/leases/test_lease_client.py
@@ -4,7 +4,7 @@
 
 import random
 
-from coveport.sidecar.config.terms import Terms
+from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.states import SessionState
 from coveport.testbed.fault_injection.simstore import Host, SimStore, Way
@@ -21,7 +21,7 @@
         name="s0",
         incarnation="s0#1",
         roles=("d",),
-        terms=Terms(3.0, 0.2, 0.02),
+        terms=LeaseTerms(3.0, 0.2, 0.02),
         now_s=lambda: world.now,
         history=lambda event, **fields: None,
         chance=random.Random(1),
--- a/tests/sidecar/leases/test_lease_state.py
+++ b/tests/sidecar/leases/test_lease_state.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from coveport.sidecar.config.terms import BadTermsError, Terms
+from coveport.sidecar.config.lease_terms import LeaseTerms, LeaseTermsError
 from coveport.sidecar.leases.effects import (
     AcquireRole,
     Effect,
@@ -26,7 +26,7 @@
 from coveport.sidecar.leases.states import RoleState, SessionState
 from coveport.sidecar.leases.store import Done, Entry, Refused, Unknown
 
-TERMS = Terms(3.0, 0.2, 0.02)
+TERMS = LeaseTerms(3.0, 0.2, 0.02)
 
 
 def fresh(seed: int = 1) -> LeaseState:
@@ -172,9 +172,11 @@
     assert only(effects, RevokeLease) == RevokeLease(7) and one.close(now) == []
 
 
-@pytest.mark.parametrize("terms", [Terms(1, 0.4, 0.02), Terms(0, 0.1), Terms(3, 0.0), Terms(3, 0.2, 1.0)])
-def test_terms_under_which_nothing_could_be_held_are_refused(terms: Terms) -> None:
-    with pytest.raises(BadTermsError):
+@pytest.mark.parametrize(
+    "terms", [LeaseTerms(1, 0.4, 0.02), LeaseTerms(0, 0.1), LeaseTerms(3, 0.0), LeaseTerms(3, 0.2, 1.0)]
+)
+def test_terms_under_which_nothing_could_be_held_are_refused(terms: LeaseTerms) -> None:
+    with pytest.raises(LeaseTermsError):
         terms.check()
 
 
--- a/tests/sidecar/supervisor/test_desired_state.py
+++ b/tests/sidecar/supervisor/test_desired_state.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from coveport.sidecar.config.operator import Fleet, OperatorFileError, read
+from coveport.sidecar.config.operator_file import Fleet, OperatorFileError, read
 from coveport.sidecar.supervisor.desired_state import (
     Ask,
     Fares,
--- a/tests/sidecar/supervisor/test_instance_state.py
+++ b/tests/sidecar/supervisor/test_instance_state.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from coveport.sidecar.config.operator import Fleet
+from coveport.sidecar.config.operator_file import Fleet
 from coveport.sidecar.supervisor.instance_state import (
     MOVES,
     THERE,
--- a/tests/sidecar/supervisor/test_supervisor.py
+++ b/tests/sidecar/supervisor/test_supervisor.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from coveport.sidecar.config.operator import (
+from coveport.sidecar.config.operator_file import (
     Duties,
     Fleet,
     Instance,
