--- a/coveport/serving/proxy/connection_pool.py
+++ b/coveport/serving/proxy/connection_pool.py
@@ -58,7 +58,7 @@
             raise
         return connection
 
-    async def probe_connect(self, node: Node) -> bool:
+    async def check_connect(self, node: Node) -> bool:
         """Return whether a connection to the node comes up; it is kept for the next request."""
         connection = NodeConnection(self._net)
         try:
@@ -105,14 +105,14 @@
         """Close idle connections that nodes would close soon, and those to nodes that are gone."""
         now_s = self._net.now_s()
         for incarnation in list(self._idle):
-            kept = []
+            reusable = []
             for connection in self._idle[incarnation]:
                 if is_known(incarnation) and connection.is_open and not connection.is_expiring(now_s):
-                    kept.append(connection)
+                    reusable.append(connection)
                 else:
                     connection.close()
-            if kept:
-                self._idle[incarnation] = kept
+            if reusable:
+                self._idle[incarnation] = reusable
             else:
                 del self._idle[incarnation]
 
--- a/coveport/serving/proxy/latency_estimate.py
+++ b/coveport/serving/proxy/latency_estimate.py
@@ -42,7 +42,7 @@
 
     _nodes: dict[str, _NodeLatency] = field(default_factory=dict)
 
-    def record_sent(self, incarnation: str, now_s: float) -> None:
+    def record_forwarded(self, incarnation: str, now_s: float) -> None:
         """Record that a request was written to the node."""
         node = self._nodes.setdefault(incarnation, _NodeLatency())
         if not node.pending_requests:
--- a/coveport/serving/proxy/node_connection.py
+++ b/coveport/serving/proxy/node_connection.py
@@ -132,7 +132,7 @@
                 idle_s = keep_alive_s(response.headers)
                 self._idle_s = DEFAULT_IDLE_S if idle_s is None else idle_s
                 return response
-            await self._wait_for_bytes()
+            await self._wait_for_bytes("head")
 
     async def read_data(self) -> tuple[bytes, bool]:
         """Return the next bytes of the body, and whether it ends with them.
@@ -152,12 +152,12 @@
                 return data, is_last
             if self._is_ended and not self._is_reset and self._parser.end() is not None:
                 return b"", True
-            await self._wait_for_bytes()
+            await self._wait_for_bytes("body")
 
-    async def _wait_for_bytes(self) -> None:
+    async def _wait_for_bytes(self, stage: str) -> None:
         """Wait until the node has sent something."""
         if self._is_ended:
-            raise BrokenResponseError("body", "more bytes", "the end of the connection")
+            raise BrokenResponseError(stage, "more bytes", "the end of the connection")
         if self._is_paused and self._transport is not None:
             self._is_paused = False
             self._transport.resume_reading()
--- a/coveport/serving/proxy/node_maintenance.py
+++ b/coveport/serving/proxy/node_maintenance.py
@@ -63,7 +63,7 @@
             self._selector.outliers.record_unreachable(incarnation, self._net.now_s())
 
     def _begin_health_checks(self) -> None:
-        for incarnation in self._selector.outliers.due_health_checks(self._net.now_s()):
+        for incarnation in self._selector.outliers.scheduled_health_checks(self._net.now_s()):
             task = self._net.loop.create_task(self._check_health(incarnation))
             self._health_checks.add(task)
             task.add_done_callback(self._health_checks.discard)
@@ -74,7 +74,7 @@
         if known is None:
             return
         self._counters.add("trials")
-        if await self._pool.probe_connect(known.node):
+        if await self._pool.check_connect(known.node):
             self._selector.outliers.record_recovered(incarnation)
             self._selector.latency.record_reachable(incarnation, self._net.now_s())
         else:
--- a/coveport/serving/proxy/node_selection.py
+++ b/coveport/serving/proxy/node_selection.py
@@ -148,12 +148,14 @@
         self.outliers.record_attempt(incarnation, now_s)
         self.slow_start.record_send(known, routed.service, self.view, now_s)
 
-    def record_sent(self, known: KnownNode, routed: RoutedRequest, selected_s: float, now_s: float) -> None:
+    def record_forwarded(
+        self, known: KnownNode, routed: RoutedRequest, selected_s: float, now_s: float
+    ) -> None:
         """Record that the request was written to the node."""
         if now_s > selected_s + DELAYED_SEND_S:
             self.slow_start.record_send(known, routed.service, self.view, now_s)
-        self.prefix_cache.record_sent(routed.segments, known.node.incarnation)
-        self.latency.record_sent(known.node.incarnation, now_s)
+        self.prefix_cache.record_forwarded(routed.segments, known.node.incarnation)
+        self.latency.record_forwarded(known.node.incarnation, now_s)
 
     def record_received(
         self, known: KnownNode, routed: RoutedRequest, gaps: StreamGaps, now_s: float
--- a/coveport/serving/proxy/outlier_ejection.py
+++ b/coveport/serving/proxy/outlier_ejection.py
@@ -79,14 +79,14 @@
         record = self._records.get(incarnation)
         return record.at_capacity_until_s if record is not None else 0.0
 
-    def due_health_checks(self, now_s: float) -> list[str]:
+    def scheduled_health_checks(self, now_s: float) -> list[str]:
         """Return the nodes to connect to now; each is returned once per check."""
-        due = []
+        scheduled = []
         for incarnation, record in self._records.items():
             if record.is_unreachable and now_s >= record.next_check_at_s:
                 record.next_check_at_s = now_s + CHECK_TIMEOUT_S
-                due.append(incarnation)
-        return due
+                scheduled.append(incarnation)
+        return scheduled
 
     def record_attempt(self, incarnation: str, now_s: float) -> None:
         """Record that a request goes to the node: where the circuit is half-open, no other does meanwhile."""
--- a/coveport/serving/proxy/prefix_cache.py
+++ b/coveport/serving/proxy/prefix_cache.py
@@ -28,7 +28,7 @@
 
     _nodes_by_segment: OrderedDict[str, tuple[str, ...]] = field(default_factory=OrderedDict)
 
-    def record_sent(self, segments: tuple[PromptSegment, ...], incarnation: str) -> None:
+    def record_forwarded(self, segments: tuple[PromptSegment, ...], incarnation: str) -> None:
         """Record that a prompt was sent to a node."""
         for segment in segments:
             earlier = self._nodes_by_segment.pop(segment.id, ())
--- a/coveport/serving/proxy/prompt_segments.py
+++ b/coveport/serving/proxy/prompt_segments.py
@@ -13,7 +13,7 @@
     tokens: int
 
 
-def parse_prompt_segments(value: str | None) -> tuple[PromptSegment, ...]:
+def parse_segments(value: str | None) -> tuple[PromptSegment, ...]:
     """Return the segments that `ID:TOKENS,ID:TOKENS` names, in order; empty where it is anything else."""
     if not value:
         return ()
--- a/coveport/serving/proxy/request_forwarder.py
+++ b/coveport/serving/proxy/request_forwarder.py
@@ -77,7 +77,7 @@
         message = write_forwarded_request(request, incarnation, context.selector.prefix_cache, now_s)
         if not connection.send(message, ends_when_unacknowledged=request.routed.route.is_idempotent):
             return False
-        context.selector.record_sent(known, request.routed, selected_s, now_s)
+        context.selector.record_forwarded(known, request.routed, selected_s, now_s)
         if request.attempts:
             self.retries.spend(now_s)
             context.counters.add("resumed" if request.client.has_begun else "retries")
--- a/coveport/serving/proxy/request_routing.py
+++ b/coveport/serving/proxy/request_routing.py
@@ -8,7 +8,7 @@
 from coveport.serving.model.configuration import Route
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.headers import first
-from coveport.serving.proxy.prompt_segments import parse_prompt_segments
+from coveport.serving.proxy.prompt_segments import parse_segments
 from coveport.serving.proxy.routed_request import RoutedRequest
 from coveport.serving.proxy.routing import RouteTable, choose_service
 from coveport.serving.wire.names import Header
@@ -43,7 +43,7 @@
         service = table.services.get(choose_service(route, self._random) or "")
         if service is None:
             return None
-        segments = parse_prompt_segments(first(message.headers, Header.PROMPT_PREFIX))
+        segments = parse_segments(first(message.headers, Header.PROMPT_PREFIX))
         return RoutedRequest(route, service, segments)
 
     def _current_table(self) -> RouteTable | None:
--- a/coveport/serving/proxy/stall_policy.py
+++ b/coveport/serving/proxy/stall_policy.py
@@ -23,9 +23,9 @@
 ) -> StallTimeouts:
     """Return how long the node may send nothing in answer to an idempotent request."""
     route = request.routed.route
-    prompt_tokens = sum(segment.tokens for segment in request.routed.segments)
+    tokens = sum(segment.tokens for segment in request.routed.segments)
     return StallTimeouts(
-        head_s=max(HEAD_STALL_S, route.latency_target_ms / 1000) + HEAD_STALL_PER_TOKEN_S * prompt_tokens,
+        head_s=max(HEAD_STALL_S, route.latency_target_ms / 1000) + HEAD_STALL_PER_TOKEN_S * tokens,
         event_s=max(EVENT_STALL_S, EVENT_STALL_GAPS * route.inter_token_target_ms / 1000),
         may_abandon=partial(_may_abandon, context, request, retries, known),
     )
--- a/tests/serving/proxy/proxy_environment.py
+++ b/tests/serving/proxy/proxy_environment.py
@@ -1,4 +1,4 @@
-"""A proxy's data path on virtual wires, with scripted nodes and clients around it."""
+"""A proxy's data path on a simulated network, with scripted nodes and clients around it."""
 
 from __future__ import annotations
 
@@ -91,14 +91,14 @@
         self.run(self.data_path.start(), process=self.proxy_process)
 
     def node(self, script: Script, *, region: str = "r", cold_s: float = 0.0) -> ScriptedNode:
-        """A node that the proxy knows of."""
+        """Add a node that the proxy knows of."""
         node = ScriptedNode(script)
         number = len(self.nodes)
         self.nodes.append(node)
         address = f"10.0.1.{number + 1}"
         net = VirtualNet(self.lab, self.network, self.network.place(address, 0 if region == "r" else 1))
         self.run(net.listen(node.connection, (address, 80), accept_most=64, waiting_most=512))
-        known = Node(
+        report = Node(
             incarnation=f"i-{number}",
             sequence=1,
             service="s",
@@ -109,39 +109,39 @@
             state=NodeState.ACCEPTING,
         )
         now_s = self.time.now
-        self.tell(KnownNode(known, now_s, now_s + cold_s if cold_s else 0.0, FOREVER))
+        self.update_node(KnownNode(report, now_s, now_s + cold_s if cold_s else 0.0, FOREVER))
         return node
 
-    def tell(self, known: KnownNode) -> None:
-        """Let the proxy know."""
+    def update_node(self, known: KnownNode) -> None:
+        """Put a node into the proxy's view."""
         self.view.nodes = self.view.nodes.set(known.node.incarnation, known)
         self.view.notify_listeners()
 
-    def dark(self, number: int, is_dark: bool = True) -> None:
-        """Let a node's machine say nothing at all."""
-        self.network.places[f"10.0.1.{number + 1}"].silent = is_dark
+    def set_unresponsive(self, number: int, *, is_unresponsive: bool = True) -> None:
+        """Let a node's machine send nothing at all."""
+        self.network.places[f"10.0.1.{number + 1}"].silent = is_unresponsive
 
-    def gone(self, number: int) -> None:
-        """Let a node's machine refuse connects, and reset those that are."""
+    def refuse_connects(self, number: int) -> None:
+        """Let a node's machine refuse connects, and reset its connections."""
         del self.network.listening[f"10.0.1.{number + 1}", 80]
         for connection in self.nodes[number].connections:
-            if not connection.lost:
+            if not connection.is_closed:
                 connection.abort()
 
     def client(self) -> ScriptedClient:
-        """A client that has connected."""
+        """Return a client that has connected."""
         client = ScriptedClient()
         self.run(self.client_net.dial(lambda: client, (PROXY_IP, PORT)))
         return client
 
     def run(self, coro: Coroutine[Any, Any, T], seconds: float = 30.0, process: Process | None = None) -> T:
-        """Run a coroutine to its end."""
+        """Run a coroutine to its end and return its result."""
         task = (process or self.lab).create_task(coro)
         assert self.time.run(self.time.now + seconds, task.done), "it takes too long"
         return task.result()
 
     def until(self, condition: Callable[[], object], seconds: float = 30.0) -> None:
-        """Let time pass until it holds."""
+        """Let time pass until the condition holds."""
         assert self.time.run(self.time.now + seconds, lambda: bool(condition())), "it takes too long"
 
     def sleep(self, seconds: float) -> None:
@@ -149,11 +149,11 @@
         self.time.run(self.time.now + seconds)
 
     def metric(self, name: str) -> float:
-        """A count of the data path's."""
+        """Return a metric of the data path."""
         return self.data_path.metrics().get(name, 0.0)
 
     def check(self) -> None:
-        """Nothing went wrong unseen, and nothing is left over."""
+        """Assert that no exception was lost and no request is in flight."""
         assert self.proxy_process.problems == []
         assert self.lab.problems == []
         assert self.metric("in_flight") == 0
--- a/tests/serving/proxy/scripted_node.py
+++ b/tests/serving/proxy/scripted_node.py
@@ -1,4 +1,4 @@
-"""Stand-ins for tests of the data path: nodes that do as a test says, and a client."""
+"""Test doubles of the data path: nodes that follow a script, and a client."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
             headers.append((STAMP, stamp))
         return codec.write_head(f"HTTP/1.1 {status} X", headers)
 
-    def whole(self, body: bytes = b"hello", status: int = 200, *more: tuple[str, str]) -> None:
+    def respond(self, body: bytes = b"hello", status: int = 200, *more: tuple[str, str]) -> None:
         self.connection.write(self.head(status, *more, ("Content-Length", str(len(body)))) + body)
 
-    def not_run(self, status: int = 503) -> None:
+    def reject(self, status: int = 503) -> None:
         self.connection.write(self.head(status, ("Coveport-Not-Run", "1"), ("Content-Length", "0")))
 
     def begin_events(self) -> None:
         kind = ("Content-Type", "text/event-stream")
         self.connection.write(self.head(200, kind, ("Transfer-Encoding", "chunked")))
 
-    def event(self, number: int) -> None:
+    def send_event(self, number: int) -> None:
         self.connection.write(codec.write_chunk(event_bytes(number)))
 
     def end_events(self) -> None:
@@ -51,7 +51,7 @@
         self.node = node
         self.parser = codec.RequestParser(8 << 20, most_head=1 << 20)
         self.transport: asyncio.Transport | None = None
-        self.lost = False
+        self.is_closed = False
         self._sent = asyncio.Event()
         self._sent.set()
 
@@ -72,7 +72,7 @@
                 task.add_done_callback(self.node.tasks.discard)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost = True
+        self.is_closed = True
 
     def pause_writing(self) -> None:
         self._sent.clear()
@@ -114,14 +114,14 @@
 
 
 class ScriptedClient(asyncio.Protocol):
-    """Sends requests and reads answers, strictly."""
+    """Sends requests and parses responses strictly."""
 
     def __init__(self) -> None:
         self.parser = codec.ResponseParser(1 << 30)
         self.transport: asyncio.Transport | None = None
         self.ended = False
         self.raw = bytearray()
-        self.answers: list[codec.Response] = []
+        self.responses: list[codec.Response] = []
         self._news = asyncio.Event()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -131,8 +131,8 @@
     def data_received(self, data: bytes) -> None:
         self.raw += data
         self.parser.feed(data)
-        while (answer := self.parser.next_response()) is not None:
-            self.answers.append(answer)
+        while (response := self.parser.next_response()) is not None:
+            self.responses.append(response)
         self._news.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -143,7 +143,7 @@
         assert self.transport is not None
         self.transport.write(data)
 
-    def ask(
+    def send_request(
         self,
         path: str = "/a/x",
         *more: tuple[str, str],
@@ -155,23 +155,23 @@
         headers = [("Host", host), ("Coveport-Try-Id", try_id), *more]
         self.send(codec.write_request(method, path, headers, body))
 
-    async def answer(self, number: int = 0) -> codec.Response | None:
-        """The answer of that number; None where the connection ended without it."""
-        while len(self.answers) <= number:
+    async def response(self, number: int = 0) -> codec.Response | None:
+        """Return the response of that number; None where the connection ended without it."""
+        while len(self.responses) <= number:
             if self.ended:
                 return None
             self._news.clear()
             await self._news.wait()
-        return self.answers[number]
+        return self.responses[number]
 
-    async def has(self, data: bytes) -> None:
-        """Wait until these bytes have come."""
+    async def wait_for(self, data: bytes) -> None:
+        """Wait until these bytes were received."""
         while data not in self.raw:
             assert not self.ended, bytes(self.raw)
             self._news.clear()
             await self._news.wait()
 
-    async def end(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the connection has ended."""
         while not self.ended:
             self._news.clear()
--- a/tests/serving/proxy/test_admission.py
+++ b/tests/serving/proxy/test_admission.py
@@ -1,4 +1,4 @@
-"""Who waits for a place, and who is let in first."""
+"""The admission queue: who waits, and who is admitted first."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     pass
 
 
-def test_nobody_waits_longer_than_a_quarter_of_the_objective() -> None:
+def test_wait_of_any_latency_target_is_under_a_quarter_of_it() -> None:
     for objective in (100, 800, 1200, 60_000):
         assert 0 < max_wait_s(replace(ROUTE, latency_target_ms=objective)) < objective / 4000
     assert 0 < max_wait_s(replace(ROUTE, latency_target_ms=0)) <= 0.5
 
 
 @given(st.lists(st.integers(0, 3), max_size=40), st.data())
-def test_the_first_is_the_most_urgent_and_of_those_the_oldest(ranks: list[int], data: st.DataObject) -> None:
+def test_first_is_the_oldest_of_the_highest_priority(ranks: list[int], data: st.DataObject) -> None:
     queue = AdmissionQueue()
     here = []
     for rank in ranks:
@@ -34,11 +34,14 @@
             assert leaving is not None
             queue.remove(leaving)
         assert len(queue) == len(here)
-        order = sorted((one for one in here if one is not None), key=lambda one: (one.priority, one.number))
-        assert [queue.is_first(one) for one in order] == [one is order[0] for one in order]
+        order = sorted(
+            (queued for queued in here if queued is not None),
+            key=lambda queued: (queued.priority, queued.number),
+        )
+        assert [queue.is_first(queued) for queued in order] == [queued is order[0] for queued in order]
 
 
-def test_who_becomes_first_is_woken() -> None:
+def test_request_is_woken_when_it_becomes_first() -> None:
     queue = AdmissionQueue()
     woken: list[str] = []
     first = queue.enqueue(1, lambda: woken.append("first"))
@@ -52,18 +55,18 @@
     assert woken == ["third"] and third is not None and queue.is_first(third)
 
 
-def test_a_full_queue_takes_the_urgent_in_and_lets_the_last_of_the_others_go() -> None:
+def test_full_queue_removes_its_last_for_a_higher_priority() -> None:
     queue = AdmissionQueue(max_length=3)
     woken: list[str] = []
     calm = [queue.enqueue(2, lambda: woken.append("calm")) for _ in range(3)]
     assert queue.enqueue(2, nothing) is None
     urgent = queue.enqueue(0, nothing)
     assert urgent is not None and queue.is_first(urgent) and len(queue) == 3
-    assert [one.is_removed for one in calm if one is not None] == [False, False, True]
+    assert [queued.is_removed for queued in calm if queued is not None] == [False, False, True]
     assert woken == ["calm"]
 
 
-def test_requests_for_other_nodes_wait_in_queues_of_their_own() -> None:
+def test_requests_for_different_nodes_wait_in_separate_queues() -> None:
     queues = AdmissionQueues()
     home = frozenset({"r"})
     assert queues.of("s", home) is queues.of("s", frozenset({"r"}))
--- a/tests/serving/proxy/test_broken_variants.py
+++ b/tests/serving/proxy/test_broken_variants.py
@@ -28,9 +28,7 @@
 
 Patch = pytest.MonkeyPatch
 Break = Callable[[Patch], None]
-BROKEN_STREAM = (
-    forwarding_tests.test_a_resumable_stream_goes_on_at_another_node_whatever_the_byte_it_breaks_at
-)
+BROKEN_STREAM = forwarding_tests.test_resumable_stream_is_resumed_at_any_byte
 VARIANTS: dict[str, tuple[Break, Callable[[], None]]] = {}
 
 
@@ -56,22 +54,22 @@
 # Levels.
 
 
-@caught_by(lambda: node_selection_tests.test_everyone_whom_the_model_allows_is_chosen_sometimes(3))
+@caught_by(lambda: node_selection_tests.test_every_node_that_the_model_allows_is_chosen_sometimes(3))
 def draws_the_busier(patch: Patch) -> None:
     patch.setattr(node_selection, "less_busy_of_two", _extreme(max))
 
 
-@caught_by(lambda: node_selection_tests.test_everyone_whom_the_model_allows_is_chosen_sometimes(3))
+@caught_by(lambda: node_selection_tests.test_every_node_that_the_model_allows_is_chosen_sometimes(3))
 def draws_the_least_busy_of_all(patch: Patch) -> None:
     patch.setattr(node_selection, "less_busy_of_two", _extreme(min))
 
 
-@caught_by(forwarding_tests.test_the_own_region_is_used_alone_while_it_has_a_usable_node)
+@caught_by(forwarding_tests.test_only_the_own_region_is_used_while_it_has_a_usable_node)
 def knows_no_levels(patch: Patch) -> None:
     patch.setattr(node_selection, "group_by_locality", lambda nodes, _: NodesByLocality(local=list(nodes)))
 
 
-@caught_by(forwarding_tests.test_a_homed_request_never_leaves_its_homes)
+@caught_by(forwarding_tests.test_request_with_home_regions_never_leaves_them)
 def knows_no_homes(patch: Patch) -> None:
     allowed = routing.eligible_nodes
     patch.setattr(
@@ -81,60 +79,60 @@
     )
 
 
-@caught_by(forwarding_tests.test_the_own_region_is_used_alone_while_it_has_a_usable_node)
+@caught_by(forwarding_tests.test_only_the_own_region_is_used_while_it_has_a_usable_node)
 def sends_to_evacuated_zones(patch: Patch) -> None:
     patch.setattr(routing, "is_eligible", always(True))
 
 
-@caught_by(forwarding_tests.test_a_node_that_closes_while_a_connect_is_under_way_is_not_sent_to)
+@caught_by(forwarding_tests.test_node_that_begins_to_drain_during_a_connect_gets_no_request)
 def looks_at_the_view_only_once(patch: Patch) -> None:
     patch.setattr(NodeSelector, "is_still_eligible", always(True))
 
 
-@caught_by(node_selection_tests.test_bad_ends_empty_the_own_level_and_a_trial_refills_it)
+@caught_by(node_selection_tests.test_failures_eject_the_local_node_until_a_request_succeeds)
 def never_empties_a_level(patch: Patch) -> None:
     patch.setattr(OutlierDetector, "is_ejected", always(False))
 
 
-@caught_by(node_selection_tests.test_bad_ends_empty_the_own_level_and_a_trial_refills_it)
+@caught_by(node_selection_tests.test_failures_eject_the_local_node_until_a_request_succeeds)
 def tries_with_every_request(patch: Patch) -> None:
     patch.setattr(OutlierDetector, "record_attempt", always(None))
 
 
-@caught_by(node_selection_tests.test_where_bad_ends_alone_keep_all_out_they_are_tried)
+@caught_by(node_selection_tests.test_where_all_are_ejected_they_are_tried)
 def knows_no_last_resort(patch: Patch) -> None:
     patch.setattr(NodeSelector, "_panic_candidates", always([]))
 
 
-@caught_by(forwarding_tests.test_a_dark_machine_holds_a_request_for_a_moment_only)
+@caught_by(forwarding_tests.test_unresponsive_machine_delays_a_request_only_briefly)
 def never_tries_again(patch: Patch) -> None:
-    patch.setattr(OutlierDetector, "due_health_checks", always([]))
+    patch.setattr(OutlierDetector, "scheduled_health_checks", always([]))
 
 
 # Budgets.
 
 
-@caught_by(forwarding_tests.test_the_budget_bounds_second_sends)
+@caught_by(forwarding_tests.test_retries_stay_within_the_budget)
 def knows_no_budget(patch: Patch) -> None:
     patch.setattr(RetryBudget, "reserve", always(True))
 
 
-@caught_by(forwarding_tests.test_the_budget_bounds_second_sends)
+@caught_by(forwarding_tests.test_retries_stay_within_the_budget)
 def counts_no_repeats(patch: Patch) -> None:
     patch.setattr(RetryBudget, "spend", lambda self, service, _: self.release(service))
 
 
-@caught_by(forwarding_tests.test_a_cold_node_gets_no_more_than_this_proxys_share)
+@caught_by(forwarding_tests.test_warming_node_gets_no_more_than_this_proxys_quota)
 def knows_no_warm_up(patch: Patch) -> None:
     patch.setattr(SlowStartLimiter, "may_send", always(True))
 
 
-@caught_by(lambda: slow_start_tests.test_the_sum_over_all_proxies_stays_under_the_rule(89))
+@caught_by(lambda: slow_start_tests.test_sum_over_all_proxies_stays_under_the_rule(89))
 def takes_no_turns_at_a_cold_node(patch: Patch) -> None:
     patch.setattr("coveport.serving.proxy.slow_start._turn_interval_s", always(0.0))
 
 
-@caught_by(forwarding_tests.test_requests_wait_a_moment_for_a_place_by_precedence)
+@caught_by(forwarding_tests.test_requests_wait_for_capacity_by_priority)
 def bounds_no_connections(patch: Patch) -> None:
     patch.setattr(ConnectionPool, "has_capacity", always(True))
 
@@ -142,12 +140,12 @@
 # At most once.
 
 
-@caught_by(forwarding_tests.test_what_may_have_run_is_not_sent_again)
+@caught_by(forwarding_tests.test_unsafe_request_that_may_have_run_is_not_retried)
 def sends_unsafe_requests_again(patch: Patch) -> None:
     patch.setattr(RetryPolicy, "may_run_twice", property(always(True)))
 
 
-@caught_by(lambda: forwarding_tests.test_a_refusal_that_does_not_say_it_did_not_run_may_have_run(503))
+@caught_by(lambda: forwarding_tests.test_rejection_without_a_statement_counts_as_run(503))
 def believes_every_refusal(patch: Patch) -> None:
     async def read_rejection(self: ResponseRelay, connection: NodeConnection, response: Any) -> RelayOutcome:
         await self._skip_body(connection, response)
@@ -156,7 +154,7 @@
     patch.setattr(ResponseRelay, "_read_rejection", read_rejection)
 
 
-@caught_by(forwarding_tests.test_a_refusal_after_a_send_that_may_have_run_promises_nothing)
+@caught_by(forwarding_tests.test_rejection_after_an_attempt_that_may_have_run_gets_502)
 def promises_what_it_cannot_know(patch: Patch) -> None:
     def send_failure(context: ProxyContext, request: InFlightRequest, *, at_deadline: bool = False) -> None:
         request.client.answer(503, [])
@@ -164,7 +162,7 @@
     patch.setattr(exchange, "send_failure", send_failure)
 
 
-@caught_by(forwarding_tests.test_no_more_sends_than_the_route_allows_and_then_a_refusal_with_a_time)
+@caught_by(forwarding_tests.test_attempts_are_bounded_by_the_route_and_end_in_retry_after)
 def sends_as_often_as_it_likes(patch: Patch) -> None:
     def reserve(self: RetryPolicy) -> bool:
         now_s = self.context.net.now_s()
@@ -174,19 +172,19 @@
     patch.setattr(RetryPolicy, "reserve", reserve)
 
 
-@caught_by(forwarding_tests.test_a_connection_that_the_node_has_closed_is_not_used)
+@caught_by(forwarding_tests.test_connection_that_the_node_has_closed_is_not_reused)
 def uses_connections_unseen(patch: Patch) -> None:
     send = NodeConnection.send
     patch.setattr(NodeConnection, "is_open", property(always(True)))
     patch.setattr(NodeConnection, "send", lambda *args, **options: send(*args, **options) or True)
 
 
-@caught_by(forwarding_tests.test_connections_to_nodes_and_of_clients_are_used_again)
+@caught_by(forwarding_tests.test_connections_to_nodes_and_of_clients_are_reused)
 def keeps_connections_too_long(patch: Patch) -> None:
     patch.setattr(NodeConnection, "is_expiring", always(False))
 
 
-@caught_by(forwarding_tests.test_connections_to_nodes_and_of_clients_are_used_again)
+@caught_by(forwarding_tests.test_connections_to_nodes_and_of_clients_are_reused)
 def connects_for_every_request(patch: Patch) -> None:
     patch.setattr(NodeConnection, "release", lambda self, _: self.close())
 
@@ -194,7 +192,7 @@
 # Answers.
 
 
-@caught_by(forwarding_tests.test_a_late_answer_to_another_request_is_read_over)
+@caught_by(forwarding_tests.test_stale_response_to_another_request_is_skipped)
 def looks_at_no_try(patch: Patch) -> None:
     async def matching_head(self: ResponseRelay, connection: NodeConnection, _: Any) -> Any:
         return await connection.read_head()
@@ -202,7 +200,7 @@
     patch.setattr(ResponseRelay, "_matching_head", matching_head)
 
 
-@caught_by(forwarding_tests.test_a_success_without_the_nodes_stamp_does_not_reach_a_client)
+@caught_by(forwarding_tests.test_success_without_the_nodes_stamp_is_not_forwarded)
 def looks_at_no_stamp(patch: Patch) -> None:
     async def forward_success(self: ResponseRelay, connection: NodeConnection, response: Any, _: Any) -> None:
         await self._forward_body(connection, response)
@@ -210,7 +208,7 @@
     patch.setattr(ResponseRelay, "_forward_success", forward_success)
 
 
-@caught_by(lambda: forwarding_tests.test_an_answer_that_breaks_off_does_not_look_whole(CHUNKED, "close"))
+@caught_by(lambda: forwarding_tests.test_response_that_breaks_off_does_not_look_complete(CHUNKED, "close"))
 def ends_what_broke_off(patch: Patch) -> None:
     def abort(self: ClientConnection) -> None:
         self.finish()
@@ -219,7 +217,7 @@
     patch.setattr(ClientConnection, "abort", abort)
 
 
-@caught_by(forwarding_tests.test_a_slow_client_holds_the_node_back_and_little_memory)
+@caught_by(forwarding_tests.test_slow_client_applies_backpressure_to_the_node)
 def waits_for_no_client(patch: Patch) -> None:
     async def wait_writable(self: ClientConnection) -> None:
         return
@@ -227,7 +225,7 @@
     patch.setattr(ClientConnection, "wait_writable", wait_writable)
 
 
-@caught_by(forwarding_tests.test_a_client_that_leaves_frees_the_node)
+@caught_by(forwarding_tests.test_client_that_disconnects_closes_the_node_connection)
 def works_on_for_nobody(patch: Patch) -> None:
     patch.setattr(ClientConnection, "connection_lost", lambda self, _: self._owner.disconnected(self))
 
@@ -235,12 +233,12 @@
 # Streams.
 
 
-@caught_by(lambda: forwarding_tests.test_another_run_that_does_not_go_on_where_it_should_is_not_joined(1))
+@caught_by(lambda: forwarding_tests.test_stream_that_does_not_continue_the_first_is_not_resumed(1))
 def joins_any_runs(patch: Patch) -> None:
     patch.setattr(EventSequence, "may_follow", always(True))
 
 
-@caught_by(lambda: forwarding_tests.test_another_run_that_does_not_go_on_where_it_should_is_not_joined(5))
+@caught_by(lambda: forwarding_tests.test_stream_that_does_not_continue_the_first_is_not_resumed(5))
 def leaves_events_out_at_a_joint(patch: Patch) -> None:
     patch.setattr(EventSequence, "begin_stream", always(None))
 
@@ -260,7 +258,7 @@
     )
 
 
-@caught_by(forwarding_tests.test_a_resumable_stream_leaves_a_node_that_went_silent_and_an_unsafe_one_does_not)
+@caught_by(forwarding_tests.test_resumable_stream_abandons_a_stalled_node_and_an_unsafe_one_does_not)
 def leaves_no_silent_node(patch: Patch) -> None:
     patch.setattr(stall_policy, "_may_abandon", always(False))
 
--- a/tests/serving/proxy/test_coordinator_selection.py
+++ b/tests/serving/proxy/test_coordinator_selection.py
@@ -16,11 +16,11 @@
     return CoordinatorSelector("z1", "r1", ("far", "own-region"))
 
 
-def test_seeds_come_in_their_order_until_places_are_known() -> None:
+def test_seeds_keep_their_order_until_localities_are_known() -> None:
     assert make_selector().by_preference(0.0) == ["far", "own-region"]
 
 
-def test_the_nearest_one_comes_first_once_places_are_known() -> None:
+def test_nearest_comes_first_once_localities_are_known() -> None:
     selector = make_selector()
     selector.update_endpoints(ENDPOINTS)
     assert selector.by_preference(0.0) == ["own-zone", "own-region", "far"]
@@ -28,7 +28,7 @@
     assert selector.nearer_than("own-zone", 0.0) is None
 
 
-def test_one_that_failed_is_passed_over_for_a_while() -> None:
+def test_failed_coordinator_is_passed_over_during_its_backoff() -> None:
     selector = make_selector()
     selector.update_endpoints(ENDPOINTS)
     selector.record_failure("own-zone", 10.0)
@@ -37,7 +37,7 @@
     assert selector.nearer_than("own-region", 10.1 + FAILURE_BACKOFF_S) == "own-zone"
 
 
-def test_where_all_failed_the_one_that_failed_first_is_tried_first() -> None:
+def test_where_all_failed_the_first_to_fail_comes_first() -> None:
     selector = make_selector()
     selector.update_endpoints(ENDPOINTS)
     for number, address in enumerate(("own-region", "far", "own-zone")):
@@ -45,7 +45,7 @@
     assert selector.by_preference(12.1) == ["own-region", "far", "own-zone"]
 
 
-def test_one_that_is_not_told_alive_is_never_gone_over_to() -> None:
+def test_coordinator_that_is_not_live_is_never_moved_to() -> None:
     selector = make_selector()
     selector.update_endpoints(ENDPOINTS[:2])
     assert selector.nearer_than("far", 0.0) == "own-region"
--- a/tests/serving/proxy/test_event_stream.py
+++ b/tests/serving/proxy/test_event_stream.py
@@ -25,7 +25,7 @@
 
 
 @given(streams(), st.lists(st.integers(0, 200)), st.binary(max_size=5))
-def test_whole_events_come_out_however_the_bytes_come_in(
+def test_complete_events_come_out_however_the_bytes_come_in(
     stream: tuple[bytes, int], cuts: list[int], tail: bytes
 ) -> None:
     data, count = stream
@@ -40,14 +40,14 @@
     assert [event_id(event) for event in events] == [str(number) for number in range(count)]
 
 
-def test_a_carriage_return_that_comes_late_belongs_to_its_event() -> None:
+def test_late_carriage_return_belongs_to_its_event() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\r\n\r") == []
     assert splitter.feed(b"\nid: 2\r\n") == [b"id: 1\r\n\r\n"]
     assert bytes(splitter.incomplete) == b"id: 2\r\n"
 
 
-def test_ids_are_found_at_the_beginning_of_a_line_alone() -> None:
+def test_id_is_found_only_at_the_beginning_of_a_line() -> None:
     assert event_id(b"id: 7\ndata: x\n\n") == "7"
     assert event_id(b"versions: 3\nid:8\ndata: id: 9\n\n") == "8"
     assert event_id(b"data: id: 9\n\n") is None
@@ -66,13 +66,13 @@
     return sequence
 
 
-def test_ids_rise() -> None:
+def test_event_whose_id_does_not_rise_may_not_follow() -> None:
     sequence = passed(1, 2, 3)
     assert not sequence.may_follow(event(3)) and not sequence.may_follow(event(2))
     assert sequence.may_follow(event(4)) and sequence.may_follow(b"data: without an id\n\n")
 
 
-def test_a_joint_leaves_nothing_out() -> None:
+def test_resumed_stream_may_leave_no_event_out() -> None:
     sequence = passed(5, 10, 15)
     assert sequence.may_follow(event(25))  # a run may do as it likes
     sequence.begin_stream()
@@ -82,12 +82,12 @@
     assert sequence.last_id == "20" and sequence.may_follow(event(40))
 
 
-def test_what_the_client_has_counts() -> None:
+def test_events_that_the_client_has_may_not_follow() -> None:
     sequence = passed(last="12")
     assert not sequence.may_follow(event(12)) and sequence.may_follow(event(13))
 
 
-def test_ids_that_are_no_numbers_are_kept_and_not_compared() -> None:
+def test_ids_that_are_no_numbers_are_recorded_and_not_compared() -> None:
     sequence = EventSequence()
     sequence.record_forwarded(b"id: one\n\n")
     assert sequence.last_id == "one" and sequence.may_follow(b"id: a\n\n")
--- a/tests/serving/proxy/test_hostile_nodes.py
+++ b/tests/serving/proxy/test_hostile_nodes.py
@@ -29,7 +29,7 @@
     def event(self, try_id: str, number: int) -> bytes:
         return b"id: %d\ndata: %s part %d\n\n" % (number, try_id.encode(), number)
 
-    def whole(self, try_id: str) -> bytes:
+    def complete_body(self, try_id: str) -> bytes:
         return b"".join(self.event(try_id, number) for number in range(1, EVENTS + 1))
 
     def surplus(self, try_id: str) -> bytes:
@@ -37,7 +37,7 @@
         headers = [("Coveport-Try-Id", f"old-{try_id}"), ("Coveport-Postmark", "s")]
         return codec.write_response(200, headers, body)
 
-    async def answer(self, arrival: Arrival) -> None:
+    async def respond(self, arrival: Arrival) -> None:
         """One of many bad ends, or a good one."""
         random, try_id = self.random, arrival.header("Coveport-Try-Id") or ""
         way = random.choice(
@@ -45,10 +45,10 @@
         )
         way = random.choice([way, way, "late surplus", "extra"])
         if way == "refuse":
-            arrival.not_run(random.choice([503, 429]))
+            arrival.reject(random.choice([503, 429]))
             return
         if way == "misdirect":
-            arrival.not_run(421)
+            arrival.reject(421)
             return
         self.runs[try_id] = self.runs.get(try_id, 0) + 1
         if way == "reset":
@@ -77,12 +77,12 @@
             data += self.surplus(try_id)[: random.choice([1, 20, 1000])]
         if way == "cut":
             del data[random.randrange(len(data)) :]
-        while data and not arrival.connection.lost:
+        while data and not arrival.connection.is_closed:
             step = random.randrange(1, 80)
             arrival.connection.write(bytes(data[:step]))
             del data[:step]
             await asyncio.sleep(random.choice([0, 0.001, 0.02]))
-        if way in ("cut", "mangle") and not arrival.connection.lost:
+        if way in ("cut", "mangle") and not arrival.connection.is_closed:
             random.choice([arrival.connection.close, arrival.connection.abort])()
 
 
@@ -92,13 +92,13 @@
     environment = ProxyEnvironment()
     hostile = Hostile(random)
     for _ in range(random.randrange(1, 5)):
-        environment.node(hostile.answer)
+        environment.node(hostile.respond)
     asked: list[tuple[ScriptedClient, int, str, str]] = []
     for number in range(random.randrange(1, 4)):
         client = environment.client()
         for turn in range(random.randrange(1, 4)):
             try_id, path = f"try{seed}c{number}t{turn}", random.choice(PATHS)
-            client.ask(path, try_id=try_id)
+            client.send_request(path, try_id=try_id)
             asked.append((client, turn, try_id, path))
         environment.sleep(random.choice([0.0, 0.01, 0.2]))
     environment.sleep(12.0)
@@ -106,19 +106,19 @@
     for client, turn, try_id, path in asked:
         if path == "/u/x":
             assert hostile.runs.get(try_id, 0) <= 1
-        answer = client.answers[turn] if turn < len(client.answers) else None
+        answer = client.responses[turn] if turn < len(client.responses) else None
         if answer is None:
             continue
         if answer.status == 200:
             served += 1
-            assert answer.body == hostile.whole(try_id)
+            assert answer.body == hostile.complete_body(try_id)
             assert answer.headers["coveport-try-id"] == [try_id] and "coveport-postmark" in answer.headers
         else:
             assert answer.status in (502, 503, 504) and answer.body == b""
             if answer.status == 503:
                 assert not hostile.runs.get(try_id)
     for client in {id(client): client for client, *_ in asked}.values():
-        check_client(client, {try_id for other, _, try_id, _ in asked if other is client})
+        check_client(client, {try_id for sender, _, try_id, _ in asked if sender is client})
     environment.check()
     return served
 
@@ -151,21 +151,21 @@
 
 @settings(max_examples=250)
 @given(st.integers(0, 2**40))
-def test_no_bytes_of_one_answer_reach_another(seed: int) -> None:
+def test_no_bytes_of_one_response_reach_another(seed: int) -> None:
     exchange(seed)
 
 
 @pytest.mark.parametrize("first", range(0, 400, 100))
-def test_hostile_nodes_still_serve_some(first: int) -> None:
+def test_hostile_nodes_still_serve_some_requests(first: int) -> None:
     assert sum(exchange(seed) for seed in range(first, first + 20)) > 10
 
 
-def test_what_comes_late_behind_an_answer_is_not_read_into_the_next_one() -> None:
+def test_late_byte_behind_a_response_is_not_read_into_the_next() -> None:
     """A stray byte 20 ms behind a whole answer, on a connection that carries the next request by then."""
     exchange(204398)
 
 
 @pytest.mark.parametrize("first", range(204_000, 206_000, 500))
-def test_late_bytes_in_the_middle_of_the_next_head(first: int) -> None:
+def test_late_bytes_in_the_middle_of_the_next_head_break_nothing(first: int) -> None:
     for seed in range(first, first + 500):
         exchange(seed)
--- a/tests/serving/proxy/test_latency_estimate.py
+++ b/tests/serving/proxy/test_latency_estimate.py
@@ -16,13 +16,13 @@
     return now_s
 
 
-def test_ordinary_pauses_do_not_saturate() -> None:
+def test_ordinary_gaps_do_not_saturate() -> None:
     latency = LatencyEstimator()
     end_s = stream(latency, "n", 0.03, 60)
     assert not latency.is_saturated("n", GAP_TARGET_S, end_s)
 
 
-def test_long_pauses_in_a_row_saturate_and_quick_ones_end_it() -> None:
+def test_long_gaps_in_a_row_saturate_until_short_ones_follow() -> None:
     latency = LatencyEstimator()
     end_s = stream(latency, "n", 0.31, 6)
     assert latency.is_saturated("n", GAP_TARGET_S, end_s)
@@ -30,42 +30,42 @@
     assert not latency.is_saturated("n", GAP_TARGET_S, end_s)
 
 
-def test_one_long_pause_among_many_events_is_no_saturation() -> None:
+def test_one_long_gap_among_many_events_is_no_saturation() -> None:
     latency = LatencyEstimator()
     end_s = stream(latency, "n", 0.03, 30)
     latency.record_received("n", 0.35, end_s + 0.35)
     assert not latency.is_saturated("n", GAP_TARGET_S, end_s + 0.35)
 
 
-def test_what_was_seen_long_ago_is_forgotten() -> None:
+def test_gaps_of_long_ago_have_decayed() -> None:
     latency = LatencyEstimator()
     end_s = stream(latency, "n", 0.31, 6)
     assert not latency.is_saturated("n", GAP_TARGET_S, end_s + 5.0)
 
 
-def test_a_route_without_a_bound_on_pauses_knows_no_saturation() -> None:
+def test_route_without_a_gap_target_knows_no_saturation() -> None:
     latency = LatencyEstimator()
     end_s = stream(latency, "n", 3.0, 6)
     assert not latency.is_saturated("n", 0.0, end_s)
 
 
-def test_a_node_that_owes_and_says_nothing_is_silent() -> None:
+def test_node_with_a_pending_request_that_sends_nothing_is_unresponsive() -> None:
     latency = LatencyEstimator()
-    latency.record_sent("n", 10.0)
+    latency.record_forwarded("n", 10.0)
     assert latency.unresponsive(9.99 + UNRESPONSIVE_S) == []
     assert latency.unresponsive(10.1 + UNRESPONSIVE_S) == ["n"]
 
 
-def test_whoever_owes_nothing_is_not_silent() -> None:
+def test_node_without_pending_requests_is_not_unresponsive() -> None:
     latency = LatencyEstimator()
-    latency.record_sent("n", 10.0)
+    latency.record_forwarded("n", 10.0)
     latency.record_ended("n")
     assert latency.unresponsive(20.0) == []
 
 
-def test_any_bytes_and_a_connect_end_the_silence() -> None:
+def test_any_bytes_and_a_connect_show_that_a_node_responds() -> None:
     latency = LatencyEstimator()
-    latency.record_sent("n", 10.0)
+    latency.record_forwarded("n", 10.0)
     latency.record_received("n", None, 11.0)
     assert latency.unresponsive(11.5) == []
     latency.record_reachable("n", 12.0)
@@ -73,16 +73,16 @@
     assert latency.unresponsive(12.1 + UNRESPONSIVE_S) == ["n"]
 
 
-def test_further_requests_do_not_put_the_silence_off() -> None:
+def test_further_requests_do_not_postpone_unresponsiveness() -> None:
     latency = LatencyEstimator()
     for now_s in (10.0, 10.3, 10.6, 10.9):
-        latency.record_sent("n", now_s)
+        latency.record_forwarded("n", now_s)
     assert latency.unresponsive(10.1 + UNRESPONSIVE_S) == ["n"]
 
 
-def test_a_node_that_is_gone_is_remembered_while_it_owes() -> None:
+def test_gone_node_is_remembered_while_requests_are_pending() -> None:
     latency = LatencyEstimator()
-    latency.record_sent("n", 10.0)
+    latency.record_forwarded("n", 10.0)
     latency.forget_all_but(frozenset())
     assert latency.unresponsive(12.0) == ["n"]
     latency.record_ended("n")
--- a/tests/serving/proxy/test_node_directory.py
+++ b/tests/serving/proxy/test_node_directory.py
@@ -1,4 +1,4 @@
-"""What a proxy takes in of nodes from coordinators that may be behind."""
+"""Reports on nodes from coordinators that may be behind."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 def run(*updates: Update) -> tuple[NodeDirectory, Nodes]:
     directory, nodes = NodeDirectory(), Nodes()
-    for at, one in enumerate(updates):
-        nodes = directory.merge(nodes, one, float(at))
+    for at_s, single in enumerate(updates):
+        nodes = directory.merge(nodes, single, float(at_s))
     return directory, nodes
 
 
@@ -38,19 +38,17 @@
     ],
     ids=["told alone", "with its removal", "in a whole table"],
 )
-def test_one_that_left_is_not_taken_in_again_from_a_coordinator_that_is_behind(
-    left: Update, behind: Update
-) -> None:
+def test_deregistered_node_is_not_added_by_a_coordinator_that_is_behind(left: Update, behind: Update) -> None:
     _, nodes = run(update(node(1)), left, behind)
     assert "i-1" not in nodes
 
 
-def test_one_that_left_before_it_was_ever_known_is_not_taken_in() -> None:
+def test_node_deregistered_before_it_was_known_is_not_added() -> None:
     _, nodes = run(update(deregistered=("i-1",)), update(node(1)))
     assert "i-1" not in nodes
 
 
-def test_closing_is_not_undone_by_an_older_report_nor_by_its_removal_elsewhere() -> None:
+def test_draining_is_undone_neither_by_an_older_report_nor_by_a_removal() -> None:
     closing = update(node(5, NodeState.DRAINING))
     _, nodes = run(closing, update(node(9)))
     assert nodes["i-1"].node.state is NodeState.DRAINING
@@ -58,17 +56,17 @@
     assert "i-1" not in nodes
 
 
-def test_one_that_was_only_silent_comes_back() -> None:
+def test_node_removed_for_missed_heartbeats_comes_back() -> None:
     _, nodes = run(update(node(1)), update(removed=("i-1",)), update(node(2)))
     assert nodes["i-1"].node.sequence == 2
 
 
-def test_an_update_that_says_nothing_new_changes_nothing() -> None:
+def test_update_without_news_returns_the_same_map() -> None:
     directory, nodes = run(update(node(3)))
     assert directory.merge(nodes, update(node(2), deregistered=("i-9",)), 2.0) is nodes
 
 
-def test_a_coordinator_asked_anew_is_told_who_left_lately_and_the_memory_is_bounded() -> None:
+def test_recent_tombstones_are_reported_and_bounded() -> None:
     directory, _ = run(update(deregistered=("i-1",)))
     assert directory.recently_deregistered(TOMBSTONE_REPORT_S) == ("i-1",)
     assert directory.recently_deregistered(TOMBSTONE_REPORT_S + 0.1) == ()
--- a/tests/serving/proxy/test_node_selection.py
+++ b/tests/serving/proxy/test_node_selection.py
@@ -62,12 +62,12 @@
     return found if isinstance(found, NoNode) else found.node.incarnation
 
 
-def test_of_two_the_less_busy_takes_the_request() -> None:
+def test_less_busy_of_two_takes_the_request() -> None:
     loads = {"a": 3, "b": 1}
     assert {less_busy_of_two("ab", loads, Random(seed)) for seed in range(50)} == {"b"}
 
 
-def test_each_pair_is_drawn_alike_and_ties_are_broken_at_random() -> None:
+def test_pairs_are_drawn_evenly_and_ties_broken_at_random() -> None:
     random = Random(3)
     # a has 0, b 1, c 2: of the pairs ab, ac, bc the winners are a, a, b.
     counts = Counter(less_busy_of_two("abc", {"b": 1, "c": 2}, random) for _ in range(6000))
@@ -77,7 +77,7 @@
     assert all(abs(ties[name] - 2000) < 200 for name in "abcd")
 
 
-def test_a_tie_break_decides_ties_alone() -> None:
+def test_tie_break_decides_only_ties() -> None:
     random = Random(3)
     for _ in range(50):
         assert less_busy_of_two("ab", {}, random, lambda first, second: "a") == "a"
@@ -85,11 +85,11 @@
     assert {less_busy_of_two("ab", {}, random, lambda first, second: None) for _ in range(50)} == {"a", "b"}
 
 
-def test_one_candidate_needs_no_draw() -> None:
+def test_single_candidate_needs_no_draw() -> None:
     assert less_busy_of_two(["a"], {"a": 9}, Random(1)) == "a"
 
 
-def test_bad_ends_empty_the_own_level_and_a_trial_refills_it() -> None:
+def test_failures_eject_the_local_node_until_a_request_succeeds() -> None:
     selector = make_selector(known("near"), known("far", "q"))
     selector.outliers.record_broken_response("near", NOW)
     assert choose_once(selector) == "near"  # one alone may be chance
@@ -104,14 +104,14 @@
     assert choose_once(selector, now_s=later) == "near"
 
 
-def test_the_wait_before_a_trial_doubles_up_to_a_bound() -> None:
+def test_ejection_time_doubles_up_to_a_bound() -> None:
     outliers = OutlierDetector(Random(1))
     waits = []
     now = NOW
     for _ in range(12):
         outliers.record_unreachable("a", now)
         began = now
-        while not outliers.due_health_checks(now):
+        while not outliers.scheduled_health_checks(now):
             now += 0.01
         waits.append(now - began)
         assert outliers.is_ejected("a", now)  # the trial is a connect, no request
@@ -119,10 +119,10 @@
     assert all(2.9 < wait < 5.1 for wait in waits[5:])
     outliers.record_recovered("a")
     assert not outliers.is_ejected("a", now)
-    assert outliers.due_health_checks(now + 100) == []
+    assert outliers.scheduled_health_checks(now + 100) == []
 
 
-def test_a_refusal_takes_a_node_out_for_a_moment_only() -> None:
+def test_rejection_makes_a_node_unusable_only_briefly() -> None:
     selector = make_selector(known("near"), known("far", "q"))
     for _ in range(5):
         selector.outliers.record_at_capacity("near", NOW)
@@ -130,7 +130,7 @@
     assert choose_once(selector, now_s=NOW + 0.2) == "near"
 
 
-def test_a_strained_node_belongs_to_no_level_for_long_prompts() -> None:
+def test_overloaded_node_is_avoided_for_long_prompts() -> None:
     selector = make_selector(known("slow"), known("swift"), known("far", "q"))
     selector.overload.record_gap("slow", 0.39, None, 0.4, NOW)
     route = replace(ROUTE, inter_token_target_ms=400)
@@ -151,7 +151,7 @@
     assert all_chosen(long) == {"slow"}  # none is fit: as if none were strained
 
 
-def test_where_bad_ends_alone_keep_all_out_they_are_tried() -> None:
+def test_where_all_are_ejected_they_are_tried() -> None:
     selector = make_selector(known("near"), known("far", "q"))
     for name in ("near", "far"):
         selector.outliers.record_unreachable(name, NOW)
@@ -162,7 +162,7 @@
     assert choose_once(selector) is NoNode.ALL_AT_CAPACITY
 
 
-def test_nodes_that_broke_this_request_off_come_last() -> None:
+def test_nodes_where_this_request_failed_come_last() -> None:
     selector = make_selector(known("a"), known("b"))
     routed = RoutedRequest(ROUTE, SERVICE)
     for _ in range(20):
@@ -173,12 +173,12 @@
     assert not isinstance(found, NoNode) and found.node.incarnation == "a"
 
 
-def test_ties_go_where_the_prompt_was_read() -> None:
+def test_ties_go_to_the_node_with_the_prefix_cached() -> None:
     selector = make_selector(known("a"), known("b"))
     segments = (PromptSegment("11", 800), PromptSegment("22", 100))
     routed = RoutedRequest(ROUTE, SERVICE, segments)
-    selector.prefix_cache.record_sent((segments[0],), "a")
-    selector.prefix_cache.record_sent(segments, "b")
+    selector.prefix_cache.record_forwarded((segments[0],), "a")
+    selector.prefix_cache.record_forwarded(segments, "b")
     assert {choose_once(selector, routed) for _ in range(20)} == {"b"}
     selector.in_flight["b"] = 1
     assert {choose_once(selector, routed) for _ in range(20)} == {"a"}
@@ -240,7 +240,7 @@
 
 @settings(max_examples=300)
 @given(worlds())
-def test_an_independent_model_allows_the_choice(world: tuple[NodeSelector, Route, frozenset[str]]) -> None:
+def test_choice_is_allowed_by_an_independent_model(world: tuple[NodeSelector, Route, frozenset[str]]) -> None:
     selector, route, homes = world
     allowed = model(selector, homes)
     seen = {choose_once(selector, RoutedRequest(route, SERVICE)) for _ in range(12)}
@@ -251,7 +251,7 @@
 
 
 @pytest.mark.parametrize("nodes", [2, 3, 6])
-def test_everyone_whom_the_model_allows_is_chosen_sometimes(nodes: int) -> None:
+def test_every_node_that_the_model_allows_is_chosen_sometimes(nodes: int) -> None:
     selector = make_selector(*(known(f"n{number}") for number in range(nodes)), known("far", "q"))
     selector.in_flight.update({"n0": 2, "n1": 1})
     assert {choose_once(selector) for _ in range(400)} == model(selector, frozenset())
--- a/tests/serving/proxy/test_outlier_ejection.py
+++ b/tests/serving/proxy/test_outlier_ejection.py
@@ -12,30 +12,30 @@
 NOW = 100.0
 
 
-def test_a_node_that_answers_requests_with_500_is_left_by_those_that_come_after() -> None:
+def test_node_that_answers_500_is_avoided_by_later_requests() -> None:
     environment = ProxyEnvironment()
 
     def fail(arrival: Arrival) -> None:
-        arrival.whole(b"", 500)
+        arrival.respond(b"", 500)
 
     def serve(arrival: Arrival) -> None:
-        arrival.whole()
+        arrival.respond()
 
     environment.node(fail)
     environment.node(serve)
     statuses = []
     for _ in range(40):
         client = environment.client()
-        client.ask("/u/x")
-        answer = environment.run(client.answer())
-        assert answer is not None
-        statuses.append(answer.status)
+        client.send_request("/u/x")
+        response = environment.run(client.response())
+        assert response is not None
+        statuses.append(response.status)
     assert statuses[20:].count(500) <= 4
     assert environment.metric("node_failures") == statuses.count(500)
     environment.check()
 
 
-def test_one_failure_is_no_reason_and_two_are() -> None:
+def test_one_server_error_does_not_eject_and_two_do() -> None:
     outliers = OutlierDetector(Random(1))
     outliers.record_server_error("n", NOW)
     assert not outliers.is_ejected("n", NOW)
@@ -43,7 +43,7 @@
     assert outliers.is_ejected("n", NOW + 0.1)
 
 
-def test_failures_among_many_that_are_served_are_no_reason() -> None:
+def test_errors_among_many_served_requests_do_not_eject() -> None:
     outliers = OutlierDetector(Random(1))
     for _ in range(10):
         outliers.record_server_error("n", NOW)
@@ -52,7 +52,7 @@
     assert not outliers.is_ejected("n", NOW)
 
 
-def test_a_node_that_fails_every_other_request_is_out_whichever_came_last() -> None:
+def test_node_that_fails_every_second_request_is_ejected() -> None:
     outliers = OutlierDetector(Random(1))
     for _ in range(4):
         outliers.record_server_error("n", NOW)
@@ -60,7 +60,7 @@
     assert outliers.is_ejected("n", NOW)
 
 
-def test_trials_that_are_served_bring_it_back() -> None:
+def test_served_requests_end_the_ejection() -> None:
     outliers = OutlierDetector(Random(1))
     outliers.record_server_error("n", NOW)
     outliers.record_server_error("n", NOW)
@@ -73,7 +73,7 @@
     assert 1 <= trials <= 6
 
 
-def test_what_it_failed_long_ago_is_forgotten() -> None:
+def test_errors_of_long_ago_have_decayed() -> None:
     outliers = OutlierDetector(Random(1))
     outliers.record_server_error("n", NOW)
     outliers.record_server_error("n", NOW)
@@ -83,7 +83,7 @@
     assert not outliers.is_ejected("n", NOW + FAILURE_DECAY_S)
 
 
-def test_a_connect_that_comes_up_says_nothing_of_its_answers() -> None:
+def test_connect_does_not_end_an_ejection_for_errors() -> None:
     outliers = OutlierDetector(Random(1))
     outliers.record_server_error("n", NOW)
     outliers.record_server_error("n", NOW)
--- a/tests/serving/proxy/test_overload_estimate.py
+++ b/tests/serving/proxy/test_overload_estimate.py
@@ -32,7 +32,7 @@
     estimator.record_gap(node, gap_s, None, GAP_TARGET_S, now_s)
 
 
-def test_a_mean_is_told_when_there_are_enough_pauses() -> None:
+def test_mean_is_known_after_enough_gaps() -> None:
     gaps = StreamGaps()
     assert [gaps.record_event(float(second)) for second in range(GAPS_PER_MEAN)][:2] == [None, 1.0]
     assert gaps.mean_s is None
@@ -40,7 +40,7 @@
     assert gaps.mean_s == (GAPS_PER_MEAN + 5.0) / GAPS_PER_MEAN
 
 
-def test_a_pause_near_the_longest_in_time_strains_for_a_while_and_an_outage_does_not() -> None:
+def test_gap_near_the_target_overloads_for_a_while_and_an_outage_does_not() -> None:
     estimator = OverloadEstimator()
     worst_seen(estimator, "near", 0.37)
     worst_seen(estimator, "cut off", 5.0)
@@ -50,7 +50,7 @@
     assert not estimator.is_overloaded("near", GAP_TARGET_S, 1.0 + NEAR_LIMIT_TTL_S)
 
 
-def test_what_a_fast_node_took_long_for_a_slower_one_is_expected_to_take_longer_for() -> None:
+def test_worst_gap_of_a_fast_node_predicts_a_longer_one_on_a_slow_node() -> None:
     estimator = OverloadEstimator()
     stream(estimator, "fast", [FAST_S] * ENOUGH_EVENTS)
     stream(estimator, "slow", [SLOW_S] * ENOUGH_EVENTS)
@@ -63,7 +63,7 @@
     assert not estimator.is_overloaded("slow", GAP_TARGET_S, 1.0 + WORST_GAP_TTL_S)
 
 
-def test_an_expected_pause_that_is_in_time_strains_nothing() -> None:
+def test_expected_gap_within_the_target_overloads_nothing() -> None:
     estimator = OverloadEstimator()
     stream(estimator, "fast", [FAST_S] * ENOUGH_EVENTS)
     stream(estimator, "slow", [SLOW_S] * ENOUGH_EVENTS)
@@ -71,7 +71,7 @@
     assert not estimator.is_overloaded("slow", GAP_TARGET_S, 1.0)
 
 
-def test_few_events_tell_no_speed() -> None:
+def test_few_events_show_no_speed() -> None:
     estimator = OverloadEstimator()
     stream(estimator, "fast", [FAST_S] * ENOUGH_EVENTS)
     stream(estimator, "slow", [SLOW_S] * (GAPS_PER_MEAN + MIN_MEANS - 2))
@@ -79,7 +79,7 @@
     assert not estimator.is_overloaded("slow", GAP_TARGET_S, 1.0)
 
 
-def test_neither_long_reads_nor_jitter_make_a_node_look_slow() -> None:
+def test_neither_long_prefills_nor_jitter_make_a_node_look_slow() -> None:
     estimator = OverloadEstimator()
     jitter = [FAST_S - 0.012, FAST_S + 0.012]
     for _ in range(10):
@@ -89,13 +89,13 @@
     assert not estimator.is_overloaded("busy", GAP_TARGET_S, 1.0)
 
 
-def test_routes_that_bound_no_pause_strain_nothing() -> None:
+def test_routes_without_a_gap_target_overload_nothing() -> None:
     estimator = OverloadEstimator()
     estimator.record_gap("n", 9.0, None, 0.0, 1.0)
     assert not estimator.is_overloaded("n", 0.0, 1.0)
 
 
-def test_nodes_that_are_gone_are_forgotten() -> None:
+def test_gone_nodes_are_forgotten() -> None:
     estimator = OverloadEstimator()
     worst_seen(estimator, "n", 0.39)
     estimator.forget_all_but(frozenset())
--- a/tests/serving/proxy/test_prefix_cache.py
+++ b/tests/serving/proxy/test_prefix_cache.py
@@ -11,9 +11,9 @@
     PrefixCacheIndex,
     affinity_candidates,
 )
-from coveport.serving.proxy.prompt_segments import PromptSegment, parse_prompt_segments
+from coveport.serving.proxy.prompt_segments import PromptSegment, parse_segments
 
-SEGMENTS = parse_prompt_segments("5c1e07a2:800,91bd3f06:410, e4402b7d:250")
+SEGMENTS = parse_segments("5c1e07a2:800,91bd3f06:410, e4402b7d:250")
 
 
 def test_segments_are_parsed_in_order() -> None:
@@ -22,22 +22,16 @@
         PromptSegment("91bd3f06", 410),
         PromptSegment("e4402b7d", 250),
     ) == SEGMENTS
-    assert (
-        parse_prompt_segments(None)
-        == parse_prompt_segments("")
-        == parse_prompt_segments("5c:x")
-        == parse_prompt_segments("5c")
-        == ()
-    )
+    assert parse_segments(None) == parse_segments("") == parse_segments("5c:x") == parse_segments("5c") == ()
 
 
-def test_a_segment_counts_only_behind_those_before_it() -> None:
+def test_segment_counts_only_behind_those_before_it() -> None:
     index = PrefixCacheIndex()
-    index.record_sent(SEGMENTS[1:], "a")
+    index.record_forwarded(SEGMENTS[1:], "a")
     assert index.cached_tokens(SEGMENTS, "a") == 0
-    index.record_sent(SEGMENTS[:1], "a")
+    index.record_forwarded(SEGMENTS[:1], "a")
     assert index.cached_tokens(SEGMENTS, "a") == 1460
-    index.record_sent(SEGMENTS[:2], "b")
+    index.record_forwarded(SEGMENTS[:2], "b")
     assert index.cached_tokens(SEGMENTS, "b") == 1210
     assert index.preferred_node(SEGMENTS, "a", "b") == "a" == index.preferred_node(SEGMENTS, "b", "a")
 
@@ -60,19 +54,19 @@
     assert min(counts.values()) > 20
 
 
-def test_a_prompt_without_a_shared_segment_leaves_the_tie_to_the_draw() -> None:
+def test_prompt_without_a_shared_segment_leaves_the_tie_to_the_draw() -> None:
     assert PrefixCacheIndex().preferred_node((), "a", "b") is None
     assert PrefixCacheIndex().preferred_node((PromptSegment("own", 10),), "a", "b") is None
 
 
-def test_the_index_is_bounded() -> None:
+def test_index_is_bounded() -> None:
     index = PrefixCacheIndex()
     for number in range(NODES_PER_SEGMENT + 1):
-        index.record_sent(SEGMENTS, f"n{number}")
+        index.record_forwarded(SEGMENTS, f"n{number}")
     assert index.cached_tokens(SEGMENTS, "n0") == 0
     assert index.cached_tokens(SEGMENTS, f"n{NODES_PER_SEGMENT}") == 1460
     for number in range(MAX_SEGMENTS):
-        index.record_sent((PromptSegment(f"p{number}", 1),), "n1")
+        index.record_forwarded((PromptSegment(f"p{number}", 1),), "n1")
     assert index.cached_tokens(SEGMENTS, "n1") == 0
     assert index.cached_tokens((PromptSegment("p0", 1),), "n1") == 1
 
@@ -80,7 +74,7 @@
 def test_uncached_tokens_are_the_prompt_less_the_leading_cached_segments() -> None:
     index = PrefixCacheIndex()
     assert index.uncached_tokens(SEGMENTS, "a") == 1460
-    index.record_sent(SEGMENTS[:2], "a")
+    index.record_forwarded(SEGMENTS[:2], "a")
     assert index.uncached_tokens(SEGMENTS, "a") == 250
 
 
@@ -88,8 +82,8 @@
     names = tuple(f"n{number}" for number in range(8))
     long = (PromptSegment("a", MIN_AFFINITY_TOKENS - 10), PromptSegment("b", 10), PromptSegment("own", 5000))
     short = (PromptSegment("a", MIN_AFFINITY_TOKENS - 11), PromptSegment("b", 10), PromptSegment("own", 5000))
-    kept = affinity_candidates(long, names, 2)
-    assert len(kept) == 2 and set(kept) == set(affinity_candidates(long, names[::-1], 2))
+    reusable = affinity_candidates(long, names, 2)
+    assert len(reusable) == 2 and set(reusable) == set(affinity_candidates(long, names[::-1], 2))
     assert affinity_candidates(short, names, 2) == names == affinity_candidates((), names, 2)
     assert affinity_candidates(long, names[:2], 2) == names[:2]
 
@@ -101,9 +95,9 @@
     second: dict[str, Counter[str]] = defaultdict(Counter)
     for number in range(7200):
         segments = (PromptSegment(f"{number * 104729:010x}", MIN_AFFINITY_TOKENS), PromptSegment("own", 10))
-        top, other = affinity_candidates(segments, names, 2)
+        top, runner_up = affinity_candidates(segments, names, 2)
         first[top] += 1
-        second[top][other] += 1
+        second[top][runner_up] += 1
     share = 7200 / len(names)
     assert 0.7 * share < min(first[name] for name in names)
     assert max(first.values()) < 1.3 * share
--- a/tests/serving/proxy/test_real_sockets.py
+++ b/tests/serving/proxy/test_real_sockets.py
@@ -24,8 +24,8 @@
 
 
 def free_port() -> int:
-    with socket.create_server((HOST, 0)) as one:
-        port: int = one.getsockname()[1]
+    with socket.create_server((HOST, 0)) as listener:
+        port: int = listener.getsockname()[1]
         return port
 
 
@@ -61,8 +61,8 @@
         port = free_port()
         await self.net.listen(node.connection, (HOST, port), accept_most=64, waiting_most=64)
         name = f"i-{len(self.nodes)}"
-        known = Node(name, 1, "s", f"{HOST}:{port}", "z", "r", 64, NodeState.ACCEPTING)
-        self.view.nodes = self.view.nodes.set(name, KnownNode(known, self.net.now_s(), 0.0, FOREVER))
+        report = Node(name, 1, "s", f"{HOST}:{port}", "z", "r", 64, NodeState.ACCEPTING)
+        self.view.nodes = self.view.nodes.set(name, KnownNode(report, self.net.now_s(), 0.0, FOREVER))
         self.nodes.append(node)
         return node
 
@@ -90,7 +90,7 @@
 async def six_events(arrival: Arrival) -> None:
     arrival.begin_events()
     for number in range(int(arrival.header("Last-Event-Id") or 0) + 1, 7):
-        arrival.event(number)
+        arrival.send_event(number)
         await asyncio.sleep(0)
     arrival.end_events()
 
@@ -98,21 +98,21 @@
 ALL_SIX = b"".join(event_bytes(number) for number in range(1, 7))
 
 
-def test_a_large_body_goes_through_whole_and_comes_back() -> None:
+def test_large_body_is_forwarded_completely_both_ways() -> None:
     async def day(environment: RealEnvironment) -> None:
-        await environment.node(lambda arrival: arrival.whole(arrival.request.body))
+        await environment.node(lambda arrival: arrival.respond(arrival.request.body))
         client = await environment.client()
         body = Random(1).randbytes(4 * 1024 * 1024)
         for number in range(2):
-            client.ask("/u/x", body=body)
-            answer = await client.answer(number)
-            assert answer is not None and answer.status == 200 and answer.body == body
+            client.send_request("/u/x", body=body)
+            response = await client.response(number)
+            assert response is not None and response.status == 200 and response.body == body
 
     play(day)
 
 
 @pytest.mark.parametrize("cut", [0, 5, 30, 75])
-def test_a_stream_that_is_reset_goes_on_at_another_node(cut: int) -> None:
+def test_stream_that_is_reset_is_resumed_at_another_node(cut: int) -> None:
     async def day(environment: RealEnvironment) -> None:
         arrivals: list[Arrival] = []
 
@@ -131,82 +131,82 @@
         for _ in range(2):
             await environment.node(script)
         client = await environment.client()
-        client.ask("/a/x")
-        answer = await client.answer()
-        assert answer is not None and answer.body == ALL_SIX
+        client.send_request("/a/x")
+        response = await client.response()
+        assert response is not None and response.body == ALL_SIX
         assert len(arrivals) == 2
 
     play(day)
 
 
-def test_a_connect_that_is_refused_costs_no_attempt() -> None:
+def test_refused_connect_costs_no_attempt() -> None:
     async def day(environment: RealEnvironment) -> None:
         assert environment.view.configuration is not None
         once = replace(UNSAFE_STREAM, max_attempts=1)
         environment.view.configuration = replace(environment.view.configuration, routes=(once,))
-        await environment.node(lambda arrival: arrival.whole())
+        await environment.node(lambda arrival: arrival.respond())
         known = environment.view.nodes["i-0"]
         gone = replace(known.node, incarnation="i-gone", address=f"{HOST}:{free_port()}")
         environment.view.nodes = environment.view.nodes.set("i-gone", replace(known, node=gone))
         client = await environment.client()
         for number in range(8):
-            client.ask("/u/x")
-            answer = await client.answer(number)
-            assert answer is not None and answer.status == 200
+            client.send_request("/u/x")
+            response = await client.response(number)
+            assert response is not None and response.status == 200
         assert environment.data_path.metrics().get("connects_failed", 0) == 1
 
     play(day)
 
 
-def test_a_drain_ends_when_all_is_answered() -> None:
+def test_drain_ends_when_all_requests_are_answered() -> None:
     async def day(environment: RealEnvironment) -> None:
         going_on = asyncio.Event()
 
         async def script(arrival: Arrival) -> None:
             arrival.begin_events()
-            arrival.event(1)
+            arrival.send_event(1)
             await going_on.wait()
             arrival.end_events()
 
         await environment.node(script)
         idle, busy = await environment.client(), await environment.client()
-        busy.ask("/u/x")
-        await busy.has(event_bytes(1))
+        busy.send_request("/u/x")
+        await busy.wait_for(event_bytes(1))
         draining = asyncio.ensure_future(environment.data_path.drain(environment.net.now_s() + 8.0))
-        await idle.end()
+        await idle.wait_closed()
         assert not draining.done()
         with pytest.raises(ConnectionRefusedError):
             await environment.client()
         going_on.set()
-        answer = await busy.answer()
-        assert answer is not None and answer.body == event_bytes(1)
+        response = await busy.response()
+        assert response is not None and response.body == event_bytes(1)
         await draining
-        await busy.end()
+        await busy.wait_closed()
 
     play(day)
 
 
-def test_silence_is_bounded_only_while_a_request_may_be_sent_again() -> None:
+def test_user_timeout_is_set_only_for_idempotent_requests() -> None:
     async def day(environment: RealEnvironment) -> None:
         seen: list[tuple[int, int]] = []
         bound = environment.net.bound_silence
 
         def watched(transport: asyncio.Transport, milliseconds: int) -> None:
             bound(transport, milliseconds)
-            one = transport.get_extra_info("socket")
+            raw_socket = transport.get_extra_info("socket")
             seen.append(
                 (
-                    one.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT),
-                    one.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE),
+                    raw_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT),
+                    raw_socket.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE),
                 )
             )
 
         environment.net.bound_silence = watched  # type: ignore[method-assign]
-        await environment.node(lambda arrival: arrival.whole(b"x", 200, ("Keep-Alive", "timeout=9")))
+        await environment.node(lambda arrival: arrival.respond(b"x", 200, ("Keep-Alive", "timeout=9")))
         client = await environment.client()
         for number, path in enumerate(("/u/x", "/a/x", "/a/x", "/u/x")):
-            client.ask(path)
-            assert await client.answer(number) is not None
+            client.send_request(path)
+            assert await client.response(number) is not None
         assert seen == [(2000, 1), (0, 0)]
         assert len(environment.nodes[0].connections) == 1
 
--- a/tests/serving/proxy/test_request_priority.py
+++ b/tests/serving/proxy/test_request_priority.py
@@ -1,4 +1,4 @@
-"""The priority that nodes are told: in time before late, short before long."""
+"""The priority that nodes are given: in time before late, short before long."""
 
 from __future__ import annotations
 
@@ -21,33 +21,35 @@
 
 
 @given(st.integers(0, 10**6), st.integers(0, 10**6), st.floats(0.001, 60), st.floats(-60, 0))
-def test_what_can_be_in_time_goes_before_what_is_late(
-    one: int, other: int, spare: float, late: float
+def test_request_that_can_be_in_time_goes_before_a_late_one(
+    timely_tokens: int, late_tokens: int, slack_s: float, late_s: float
 ) -> None:
-    assert 0 <= request_priority(one, spare) < request_priority(other, late) <= 9
+    assert 0 <= request_priority(timely_tokens, slack_s) < request_priority(late_tokens, late_s) <= 9
 
 
-def told(environment: ProxyEnvironment, node_arrivals: list[Arrival], *headers: tuple[str, str]) -> str:
+def forwarded_priority(
+    environment: ProxyEnvironment, node_arrivals: list[Arrival], *headers: tuple[str, str]
+) -> str:
     client = environment.client()
-    client.ask("/a/x", *headers)
-    assert environment.run(client.answer()) is not None
+    client.send_request("/a/x", *headers)
+    assert environment.run(client.response()) is not None
     return node_arrivals[-1].header("Priority") or ""
 
 
-def test_a_node_is_told_by_what_it_has_to_read_and_by_the_time_that_was_spent() -> None:
+def test_priority_depends_on_uncached_tokens_and_time_spent() -> None:
     environment = ProxyEnvironment()
     arrivals: list[Arrival] = []
 
-    def answer(arrival: Arrival) -> None:
+    def respond(arrival: Arrival) -> None:
         arrivals.append(arrival)
-        arrival.whole()
+        arrival.respond()
 
-    environment.node(answer)
+    environment.node(respond)
     long = ("Coveport-Prompt-Prefix", "aa:8000,bb:100")
-    assert told(environment, arrivals, long) == "4"
-    assert told(environment, arrivals, long) == "2", "the node keeps what it has read"
-    assert told(environment, arrivals, long, ("Coveport-Time-Left", "4000")) == "7", (
-        "its objective has passed"
+    assert forwarded_priority(environment, arrivals, long) == "4"
+    assert forwarded_priority(environment, arrivals, long) == "2", "the prefix is cached there"
+    assert forwarded_priority(environment, arrivals, long, ("Coveport-Time-Left", "4000")) == "7", (
+        "its latency target has passed"
     )
-    assert told(environment, arrivals, ("Priority", "0")) == "", "a client sets none"
+    assert forwarded_priority(environment, arrivals, ("Priority", "0")) == "", "a client sets none"
     environment.check()
--- a/tests/serving/proxy/test_retry_budget.py
+++ b/tests/serving/proxy/test_retry_budget.py
@@ -12,7 +12,7 @@
 RATIO, WINDOW = 0.2, 10.0
 
 
-def test_an_idle_proxy_may_spend_its_part_of_the_slack_and_no_more() -> None:
+def test_idle_proxy_may_spend_its_share_of_the_slack_and_no_more() -> None:
     budget = RetryBudget(RATIO, 58.0, WINDOW)
     spent = 0
     while budget.reserve("s", 9, 1.0):
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("proxies", [1, 3, 9, 89, 340])
 @pytest.mark.parametrize("shape", ["even", "bursts", "falls"])
-def test_no_window_of_the_rule_holds_too_many_repeats(proxies: int, shape: str) -> None:
+def test_no_window_of_the_rule_holds_too_many_retries(proxies: int, shape: str) -> None:
     random = Random(f"{proxies} {shape}")
     slack = 58.0 if proxies < 20 else 214.0
     budgets = [RetryBudget(RATIO, slack, WINDOW) for _ in range(proxies)]
--- a/tests/serving/proxy/test_routing.py
+++ b/tests/serving/proxy/test_routing.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "name"),
+    ("header", "name"),
     [
         ("one.example", "one.example"),
         ("ONE.Example:8080", "one.example"),
@@ -28,8 +28,8 @@
         ("", ""),
     ],
 )
-def test_hosts_are_compared_without_case_and_port(told: str, name: str) -> None:
-    assert host_name(told) == name
+def test_hosts_are_compared_without_case_and_port(header: str, name: str) -> None:
+    assert host_name(header) == name
 
 
 @given(
@@ -38,7 +38,7 @@
     st.booleans(),
     st.sampled_from(["", "?q=/a/b/"]),
 )
-def test_the_longest_prefix_that_begins_the_path_wins(
+def test_longest_prefix_of_the_path_wins(
     prefixes: set[str], steps: list[str], slash: bool, query: str
 ) -> None:
     routes = tuple(replace(ROUTE, name=prefix, path_prefix=prefix) for prefix in sorted(prefixes))
--- a/tests/serving/proxy/test_slow_start.py
+++ b/tests/serving/proxy/test_slow_start.py
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("proxies", [1, 3, 7, 9, 19, 20, 89, 340])
-def test_the_sum_over_all_proxies_stays_under_the_rule(proxies: int) -> None:
+def test_sum_over_all_proxies_stays_under_the_rule(proxies: int) -> None:
     for seed in range(5):
         found = arrivals(proxies, seed, 8.0)
         assert most_in_a_second(found) <= BOUND
@@ -58,13 +58,13 @@
 
 
 @pytest.mark.parametrize("proxies", [9, 89])
-def test_a_warm_node_that_turns_cold_is_not_sent_to_by_all_at_once(proxies: int) -> None:
+def test_node_whose_warm_up_begins_anew_is_not_sent_to_by_all_at_once(proxies: int) -> None:
     for seed in range(5):
         found = arrivals(proxies, seed, 6.0, turns_cold_at_s=2.0)
         assert most_in_a_second(found) <= BOUND
 
 
-def test_a_warm_node_is_not_bounded() -> None:
+def test_warm_node_is_not_limited() -> None:
     credit, view = SlowStartLimiter(1.5, 5, Random(1)), ControlView(max_proxies=9)
     for _ in range(200):
         assert credit.may_send(cold(0.0), SERVICE, view, 10.0)
@@ -72,7 +72,7 @@
     assert not credit.may_send(cold(20.0), SERVICE, view, 10.5)  # what it had counts once it is cold
 
 
-def test_after_an_evacuation_a_node_counts_as_cold_until_it_is_heard_of() -> None:
+def test_node_counts_as_warming_up_after_an_evacuation_until_it_reports() -> None:
     view = ControlView(evacuation_ended_at_s={"z": 10.0})
     assert is_warming_up(KnownNode(NODE, 9.0, 0.0, FOREVER), SERVICE, view, 11.0)
     assert not is_warming_up(KnownNode(NODE, 10.5, 0.0, FOREVER), SERVICE, view, 11.0)
@@ -80,7 +80,7 @@
     assert not is_warming_up(KnownNode(NODE, 9.0, 0.0, FOREVER), SERVICE, view, 13.0)
 
 
-def test_what_is_gone_is_forgotten() -> None:
+def test_gone_nodes_are_dropped() -> None:
     credit, view = SlowStartLimiter(1.5, 5, Random(1)), ControlView(max_proxies=9)
     for _ in range(5):
         credit.record_send(cold(20.0), SERVICE, view, 10.0)
--- a/tests/serving/proxy/test_subscription.py
+++ b/tests/serving/proxy/test_subscription.py
@@ -1,4 +1,4 @@
-"""What a proxy makes of updates that it can't use: it keeps what it has, and asks for the whole state."""
+"""Updates that a proxy can't apply: it keeps its state and requests a full one. Time-outs of an answer."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from coveport.testbed.simulated_network.world import Process, World
 
 
-class StandingNet(Net):
-    """Time stands still."""
+class FrozenNet(Net):
+    """A network whose clock does not advance."""
 
     def __init__(self) -> None:
         pass
@@ -31,7 +31,7 @@
 
 
 class Log:
-    """Keeps the names of events."""
+    """Records the names of events."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -40,30 +40,31 @@
         return lambda event, **keys: self.events.append(event)
 
 
-def made() -> tuple[Subscription, ControlView, Log]:
+def make_subscription() -> tuple[Subscription, ControlView, Log]:
     view, log = ControlView(), Log()
     selector = CoordinatorSelector("z", "r", ("10.0.0.1:7300",))
 
-    def make_lease(round_number: int) -> ProxyLease:
-        return ProxyLease("p", "10.0.0.9:80", "z", "r", True, round_number, 1)
+    def make_lease(request_number: int) -> ProxyLease:
+        return ProxyLease("p", "10.0.0.9:80", "z", "r", True, request_number, 1)
 
-    return Subscription(StandingNet(), view, selector, make_lease, log, random.Random(1)), view, log
+    return Subscription(FrozenNet(), view, selector, make_lease, log, random.Random(1)), view, log
 
 
 def update(sequence: int, state: bytes | None, *changes: bytes) -> Update:
-    told = tuple(StateChange(sequence - len(changes) + place + 1, one) for place, one in enumerate(changes))
-    return Update(0, True, True, "t", 1, False, (), (), (), sequence, state, told, (), 1)
+    first = sequence - len(changes) + 1
+    state_changes = tuple(StateChange(first + index, command) for index, command in enumerate(changes))
+    return Update(0, True, True, "t", 1, False, (), (), (), sequence, state, state_changes, (), 1)
 
 
-WHOLE = encode_state(ControlState(evacuated_zones=frozenset({"a"})))
-NO_COMMAND = b"\xff"
-REFUSED = encode_command(PutConfiguration(9, b"{}"))
+SNAPSHOT = encode_state(ControlState(evacuated_zones=frozenset({"a"})))
+INVALID_COMMAND = b"\xff"
+REJECTED_COMMAND = encode_command(PutConfiguration(9, b"{}"))
 
 
-@pytest.mark.parametrize("bad", [REFUSED, NO_COMMAND])
-def test_changes_that_do_not_fit_are_asked_for_as_a_whole_state_once(bad: bytes) -> None:
-    subscription, view, log = made()
-    subscription._apply(update(3, WHOLE))
+@pytest.mark.parametrize("bad", [REJECTED_COMMAND, INVALID_COMMAND])
+def test_rejected_changes_are_requested_as_a_full_state_once(bad: bytes) -> None:
+    subscription, view, log = make_subscription()
+    subscription._apply(update(3, SNAPSHOT))
     subscription._apply(update(4, None, bad))
     assert view.evacuated_zones == {"a"}, "what it has stays in force"
     assert subscription._request(()).state_sequence == -1
@@ -73,42 +74,42 @@
     assert subscription._request(()).state_sequence == 4
 
 
-def test_a_whole_state_that_cannot_be_read_changes_nothing() -> None:
-    subscription, view, log = made()
-    subscription._apply(update(3, WHOLE))
-    subscription._apply(update(5, WHOLE[:-1] + bytes([WHOLE[-1] ^ 1])))
+def test_snapshot_that_cannot_be_decoded_changes_nothing() -> None:
+    subscription, view, log = make_subscription()
+    subscription._apply(update(3, SNAPSHOT))
+    subscription._apply(update(5, SNAPSHOT[:-1] + bytes([SNAPSHOT[-1] ^ 1])))
     assert view.evacuated_zones == {"a"}
     assert subscription._request(()).state_sequence == -1
     assert log.events == ["snapshot_rejected"]
-    subscription._apply(update(3, WHOLE))
+    subscription._apply(update(3, SNAPSHOT))
     assert view.evacuated_zones == {"a"}, "it never goes back"
 
 
-def test_changes_that_fit_are_taken_in_order() -> None:
-    subscription, view, _ = made()
-    subscription._apply(update(3, WHOLE))
+def test_valid_changes_are_applied_in_order() -> None:
+    subscription, view, _ = make_subscription()
+    subscription._apply(update(3, SNAPSHOT))
     subscription._apply(update(5, None, *(encode_command(StartEvacuation(zone)) for zone in "bc")))
     assert view.evacuated_zones == {"a", "b", "c"}
     assert subscription._request(()).state_sequence == 5
 
 
-def wait_for_answer(heard_every_s: float, answered_at_s: float) -> tuple[Update | None, float]:
-    """What comes of a wait in simulated time, and how long it takes."""
-    subscription, _, _ = made()
+def wait_for_answer(received_every_s: float, answered_at_s: float) -> tuple[Update | None, float]:
+    """Return the update of a wait in simulated time, and how many seconds it took."""
+    subscription, _, _ = make_subscription()
     world = World()
     process = Process.start(world, "proxy")
     subscription._net = SimpleNamespace(now_s=lambda: world.now)  # type: ignore[assignment]
     connection = SimpleNamespace(last_received_s=world.now)
     began_s = world.now
 
-    def hear() -> None:
+    def receive() -> None:
         connection.last_received_s = world.now
         if world.now - began_s < answered_at_s:
-            world.at(world.now + heard_every_s, hear, process=process)
+            world.at(world.now + received_every_s, receive, process=process)
 
-    if heard_every_s:
-        world.at(began_s + heard_every_s, hear, process=process)
-    answer = update(0, WHOLE)
+    if received_every_s:
+        world.at(began_s + received_every_s, receive, process=process)
+    answer = update(0, SNAPSHOT)
     world.at(began_s + answered_at_s, lambda: subscription._updates.put_nowait(answer), process=process)
     task = process.create_task(subscription._wait_for_update(connection))  # type: ignore[arg-type]
     ended_s: list[float] = []
@@ -117,12 +118,12 @@
     return task.result(), ended_s[0] - began_s
 
 
-def test_a_large_answer_whose_parts_come_is_waited_for() -> None:
-    """Main left the coordinator after 1.2 s, and so for ever: a state that took longer never came."""
-    answer, took_s = wait_for_answer(heard_every_s=0.3, answered_at_s=9.0)
+def test_large_answer_is_waited_for_while_bytes_come() -> None:
+    """A fixed limit would abandon the coordinator again and again: a longer state would never arrive."""
+    answer, took_s = wait_for_answer(received_every_s=0.3, answered_at_s=9.0)
     assert answer is not None and took_s == pytest.approx(9.0, abs=0.01)
 
 
-def test_a_coordinator_of_which_nothing_comes_is_left() -> None:
-    answer, took_s = wait_for_answer(heard_every_s=0.0, answered_at_s=9.0)
+def test_coordinator_that_sends_nothing_is_abandoned() -> None:
+    answer, took_s = wait_for_answer(received_every_s=0.0, answered_at_s=9.0)
     assert answer is None and took_s == pytest.approx(ANSWER_TIMEOUT_S, abs=0.01)
