--- /dev/null
+++ b/coveport/serving/coordinator/control_state_machine.py
@@ -0,0 +1,29 @@
+"""The state machine that the replicas run: the changes of `configuration.state_machine`."""
+
+from __future__ import annotations
+
+from typing import Any, Final
+
+from coveport.serving.configuration.state import ControlState
+from coveport.serving.configuration.state_codec import decode_state, encode_state
+from coveport.serving.configuration.state_machine import apply
+from coveport.serving.replication.events import Applied, Refused, StateMachine, UnreadableStateError
+from coveport.serving.replication.outcomes import Applied as AppliedChange
+from coveport.serving.wire.errors import MalformedMessageError
+
+
+def _apply(state: Any, command: bytes) -> Applied | Refused:
+    outcome = apply(state, command)
+    if isinstance(outcome, AppliedChange):
+        return Applied(outcome.state, outcome.result)
+    return Refused(outcome.result)
+
+
+def _decode(data: bytes) -> ControlState:
+    try:
+        return decode_state(data)
+    except MalformedMessageError as error:
+        raise UnreadableStateError(str(error)) from error
+
+
+STATE_MACHINE: Final = StateMachine(_apply, encode_state, _decode)
--- /dev/null
+++ b/coveport/serving/coordinator/coordinator.py
@@ -0,0 +1,310 @@
+"""One coordinator: makes its parts, connects them, and starts and stops them."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from typing import Any, Final
+
+from coveport.net.transport import Net
+from coveport.serving.configuration.state import initial_state
+from coveport.serving.configuration.state_codec import encode_state
+from coveport.serving.coordinator.control_service import ControlService
+from coveport.serving.coordinator.control_state_machine import STATE_MACHINE
+from coveport.serving.coordinator.coordinator_liveness import CoordinatorLiveness
+from coveport.serving.coordinator.inner_listener import InnerListener
+from coveport.serving.coordinator.lease_replication import LeaseReplicator
+from coveport.serving.coordinator.lookup_api import LookupApi
+from coveport.serving.coordinator.node_api import NodeApi
+from coveport.serving.coordinator.node_report_replication import NodeReportReplicator, ReportPeers
+from coveport.serving.coordinator.operator_api import OperatorApi
+from coveport.serving.coordinator.peer_connections import PeerConnections
+from coveport.serving.coordinator.quorum_status import QuorumStatus
+from coveport.serving.coordinator.replica_runtime import ReplicaCallbacks, ReplicaRuntime
+from coveport.serving.coordinator.stall_detector import StallDetector
+from coveport.serving.coordinator.state_history import StateHistory
+from coveport.serving.coordinator.status_report import StatusReporter
+from coveport.serving.coordinator.subscriptions import Subscriptions
+from coveport.serving.membership.leases import LeaseTable
+from coveport.serving.membership.node_table import NodeTable
+from coveport.serving.replication.events import CommittedState
+from coveport.serving.replication.identity import Locality, MemberId
+from coveport.serving.replication.messages import Message as ReplicationMessage
+from coveport.serving.replication.replica import Replica
+from coveport.serving.settings.boot import BootSettings
+from coveport.serving.storage.open_store import OpenedStorage
+from coveport.serving.web.router import Router
+from coveport.serving.web.server import HttpServer
+from coveport.serving.wire.connection import Connection
+from coveport.serving.wire.messages import (
+    CoordinatorEndpoint,
+    Hello,
+    LeasesRenewed,
+    Message,
+    NodeReports,
+    NodeReportsAck,
+    TableRequest,
+    Unsubscribe,
+    UpdateRequest,
+)
+from coveport.serving.wire.traffic import Traffic
+
+MAINTENANCE_INTERVAL_S: Final = 0.1
+NODE_TIMEOUT_HEARTBEATS: Final = 4.5  # a node that missed so many is removed
+FULL_TABLE_HEARTBEATS: Final = 2.5  # within so many every live node has reported, to us or to a peer
+HANDOVER_MIN_S: Final = 0.4  # a stop leaves at least so much time for another primary to take over ...
+HANDOVER_MAX_PART: Final = 0.5  # ... and at most this part of the platform's grace period
+HANDOVER_POLL_S: Final = 0.05
+REFRESH_PEERS_S: Final = 5.0  # after a stall, peers heard within so long before it are asked for their tables
+
+
+class Coordinator:
+    """The tables of one coordinator, its replica of the core, and its servers."""
+
+    def __init__(
+        self, net: Net, settings: BootSettings, opened: OpenedStorage, random_source: random.Random, log: Any
+    ) -> None:
+        """Create a coordinator that is not started; `opened` is its disk.
+
+        Raise UnreadableStateError where the state on the disk can't be read.
+        """
+        self._net = net
+        self._settings = settings
+        self._log = log
+        self._disk_damage = opened.damage
+        host, port = settings.inner
+        own_address = f"{host}:{port}"
+        seeds = tuple(f"{seed}:{port}" for seed, _ in settings.seeds)
+        self._endpoint = CoordinatorEndpoint(own_address, settings.zone, settings.region)
+        self._member_id = MemberId(own_address, opened.durable.disk)
+        self._hello = Hello(own_address, self._member_id.disk)
+        self.table = NodeTable(NODE_TIMEOUT_HEARTBEATS * settings.heartbeat_ms / 1000)
+        self.leases = LeaseTable()
+        self.history = StateHistory()
+        self.traffic = Traffic()
+        self._peers = PeerConnections(
+            net, self._hello, self._receive_from_peer, self._on_peer_connected, self.traffic
+        )
+        self._stall_detector = StallDetector(net.now_s, self._on_stall, log)
+        self._replica = self._make_replica(seeds, opened, random_source)
+        self._runtime = ReplicaRuntime(
+            net,
+            self._replica,
+            opened.writer,
+            self._stall_detector,
+            ReplicaCallbacks(self._peers.send, self._on_committed),
+            log,
+        )
+        self._quorum_status = QuorumStatus(
+            net.now_s,
+            lambda: self._replica.has_quorum(net.now_s()),
+            FULL_TABLE_HEARTBEATS * settings.heartbeat_ms / 1000,
+            self._live_coordinators,
+        )
+        self._lease_replicator = LeaseReplicator(self.leases, self._peers, net.now_s)
+        self._subscriptions = Subscriptions(
+            net,
+            self.table,
+            f"{random_source.getrandbits(64):016x}",
+            self.leases,
+            self.history,
+            self._quorum_status,
+            self._lease_replicator.send_renewed,
+        )
+        self._reports = self._make_report_replicator(len(seeds), random_source.getrandbits(48))
+        self._liveness = CoordinatorLiveness(self._endpoint)
+        self._listener = InnerListener(
+            net,
+            self._member_id.disk,
+            self._stall_detector,
+            self._receive,
+            self._subscriptions.connection_lost,
+            self.traffic,
+            log,
+        )
+        self._servers = self._make_servers()
+        self._maintenance_timer: asyncio.TimerHandle | None = None
+
+    def _make_replica(
+        self, seeds: tuple[str, ...], opened: OpenedStorage, random_source: random.Random
+    ) -> Replica:
+        settings = self._settings
+        return Replica(
+            self._member_id,
+            Locality(settings.zone, settings.region),
+            seeds,
+            settings.tolerated.machines,
+            opened.durable,
+            STATE_MACHINE,
+            random_source.random,
+            encode_state(initial_state()),
+            self._net.now_s(),
+        )
+
+    def _make_report_replicator(self, seed_count: int, first_confirmation_id: int) -> NodeReportReplicator:
+        required_acks = min(self._settings.tolerated.machines, max(0, seed_count - 1))
+        peers = ReportPeers(
+            self._peers.send,
+            self._peers.live,
+            self._peers.known,
+            lambda: self._replica.view_epoch,
+            self._replica.is_majority,
+        )
+        return NodeReportReplicator(
+            self._net,
+            self.table,
+            peers,
+            required_acks,
+            self._subscriptions.notify,
+            first_confirmation_id,
+        )
+
+    def _make_servers(self) -> list[HttpServer]:
+        settings = self._settings
+        servers = []
+        if settings.control is not None:
+            _, control_port = settings.control
+            control_service = ControlService(self._net, self._runtime, self._make_status_reporter().describe)
+            operator_api = OperatorApi(control_service, control_port, frozenset(settings.regions))
+            node_api = NodeApi(self._reports, self._quorum_status.has_quorum, settings.regions, self._log)
+            router = Router(operator_api, node_api)
+            servers.append(
+                HttpServer(self._net, settings.control, router.dispatch, self._stall_detector.check)
+            )
+        if settings.lookups is not None:
+            router = Router(LookupApi(self.leases, self._liveness, self._net.now_s))
+            servers.append(
+                HttpServer(self._net, settings.lookups, router.dispatch, self._stall_detector.check)
+            )
+        return servers
+
+    def _make_status_reporter(self) -> StatusReporter:
+        return StatusReporter(
+            self._settings.name,
+            self._net.now_s,
+            self._replica,
+            self._quorum_status,
+            self.history,
+            self.traffic,
+            self.leases,
+            self.table,
+        )
+
+    async def start(self) -> None:
+        """Listen, and join the core; raise OSError where an address can't be bound."""
+        if self._disk_damage:
+            self._log.error("disk_corrupted", error=self._disk_damage)
+        await self._listener.start(self._settings.inner)
+        self._runtime.start()
+        for server in self._servers:
+            await server.start()
+        self._run_maintenance()
+        self._log.info("coordinator_started", name=self._settings.name, zone=self._settings.zone)
+
+    async def stop(self) -> None:
+        """Hand over to another primary and to other replicas, respond to what was received, and close."""
+        self._log.info("coordinator_stopping")
+        self._runtime.request_shutdown()
+        await self._wait_for_handover()
+        for server in self._servers:
+            server.stop()
+        self._listener.close()
+        self._runtime.stop()
+        self._peers.close()
+        if self._maintenance_timer is not None:
+            self._maintenance_timer.cancel()
+        self._log.info("coordinator_stopped")
+
+    async def _wait_for_handover(self) -> None:
+        """Wait until a view without this coordinator is active.
+
+        Half of the grace period at the most: where too few others are there, no such view comes.
+        """
+        until_s = self._net.now_s() + self._settings.bounds.grace_s * HANDOVER_MAX_PART
+        await asyncio.sleep(HANDOVER_MIN_S)
+        while self._net.now_s() < until_s:
+            if self._replica.has_left(self._net.now_s()):
+                return
+            await asyncio.sleep(HANDOVER_POLL_S)
+
+    def _live_coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
+        localities = self._replica.live_localities(self._net.now_s())
+        return tuple(
+            CoordinatorEndpoint(address, locality.zone, locality.region)
+            for address, locality in localities.items()
+        )
+
+    # Input: messages of proxies and of other coordinators, and what the parts report.
+
+    def _receive(self, connection: Connection, message: Message) -> None:
+        match message:
+            case UpdateRequest():
+                self._reports.receive_departed(message.deregistered)
+                self._subscriptions.receive(connection, message)
+            case Unsubscribe():
+                self._subscriptions.unsubscribe(connection)
+            case _ if isinstance(connection.peer, Hello):
+                self._peers.receive(connection.peer, message)
+
+    def _receive_from_peer(self, hello: Hello, message: Message) -> None:
+        match message:
+            case NodeReports():
+                self._reports.receive_reports(hello.address, message)
+            case NodeReportsAck():
+                self._reports.receive_ack(MemberId(hello.address, hello.disk), message)
+            case LeasesRenewed():
+                self._lease_replicator.receive(message)
+            case TableRequest():
+                self._send_tables(hello.address)
+            case _ if isinstance(message, ReplicationMessage):
+                self._runtime.receive(MemberId(hello.address, hello.disk), message)
+
+    def _on_peer_connected(self, address: str) -> None:
+        # The tables go before our first ping: once the peer counts us as live, it has our node table.
+        self._send_tables(address)
+        self._runtime.record_connected(address)
+        self._peers.send(address, TableRequest())
+
+    def _send_tables(self, address: str) -> None:
+        self._reports.send_table(address)
+        self._lease_replicator.send_all(address)
+
+    def _on_committed(self, effect: CommittedState) -> None:
+        self.history.advance(effect.sequence, encode_state(effect.state), effect.command)
+        self._quorum_status.refresh()
+        self._subscriptions.notify()
+
+    def _on_stall(self, stall_s: float) -> None:
+        """Discard what may be stale: bytes in our connections, time-outs of nodes, tables of peers."""
+        self._quorum_status.reset()
+        self.table.reset_timeouts(self._net.now_s())
+        for server in self._servers:
+            server.reset_all()
+        for address in self._peers.live(within_s=stall_s + REFRESH_PEERS_S):
+            self._peers.send(address, TableRequest())
+
+    # Time.
+
+    def _run_maintenance(self) -> None:
+        self._maintenance_timer = self._net.loop.call_later(MAINTENANCE_INTERVAL_S, self._run_maintenance)
+        now_s = self._net.now_s()
+        self._refresh_quorum(now_s)
+        self._remove_timed_out_nodes(now_s)
+        self.leases.expire(now_s)
+        self._liveness.record_live(self._live_coordinators(), now_s)
+        self._peers.set_addresses(self._replica.contacts)
+        self._peers.maintain()
+        self._lease_replicator.send_renewed_if_due()
+
+    def _refresh_quorum(self, now_s: float) -> None:
+        had_quorum = self._quorum_status.has_quorum()
+        self._quorum_status.refresh()
+        if not self._quorum_status.has_quorum():
+            self.table.reset_timeouts(now_s)
+        if self._quorum_status.has_quorum() != had_quorum:
+            self._subscriptions.notify()
+
+    def _remove_timed_out_nodes(self, now_s: float) -> None:
+        for incarnation in self.table.expire(now_s):
+            self._log.warning("node_timed_out", node=incarnation)
+            self._subscriptions.notify()
--- /dev/null
+++ b/coveport/serving/coordinator/heartbeat.py
@@ -0,0 +1,81 @@
+"""Reads the body of a heartbeat."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+from typing import Any, Final
+
+from coveport.net.address import parse_address
+from coveport.serving.model.findings import Findings, Refusal
+from coveport.serving.model.node import Node, NodeState
+from coveport.serving.wire.names import Heartbeat
+
+_STATES: Final = {Heartbeat.ACCEPTING: NodeState.ACCEPTING, Heartbeat.CLOSING: NodeState.DRAINING}
+_NUMBER_LIMIT: Final = 1e15  # numbers below it are exact as floats
+
+
+def read_heartbeat(incarnation: str, body: bytes, regions: Mapping[str, str]) -> Node | Refusal:
+    """Return the node that a heartbeat describes, or a refusal with all findings.
+
+    `regions`: region by zone, of all zones.
+    """
+    try:
+        fields = json.loads(body)
+    except ValueError:
+        return Refusal("the body is not JSON")
+    if not isinstance(fields, dict):
+        return Refusal("the body is not an object")
+    findings = Findings()
+    service = _text(fields, Heartbeat.SERVICE, findings)
+    address = _text(fields, Heartbeat.ADDRESS, findings)
+    zone = _text(fields, Heartbeat.ZONE, findings)
+    state = _STATES.get(str(fields.get(Heartbeat.STATE)))
+    if state is None:
+        findings.add(Heartbeat.STATE, "neither accepting nor closing")
+    if zone and zone not in regions:
+        findings.add(Heartbeat.ZONE, f"unknown zone {zone!r}")
+    if address:
+        _check_address(address, findings)
+    sequence = _number(fields, Heartbeat.SEQUENCE, findings)
+    slots = _number(fields, Heartbeat.SLOTS, findings)
+    warm_up_left_ms = _number(fields, Heartbeat.WARM_UP_LEFT_MS, findings)
+    shutdown_in_ms = _number(fields, Heartbeat.SHUTDOWN_IN_MS, findings)
+    if findings or state is None:
+        return Refusal(str(findings), tuple(findings))
+    return Node(
+        incarnation,
+        int(sequence),
+        service,
+        address,
+        zone,
+        regions[zone],
+        int(slots),
+        state,
+        warm_up_left_ms,
+        shutdown_in_ms,
+    )
+
+
+def _check_address(address: str, findings: Findings) -> None:
+    try:
+        parse_address(address)
+    except ValueError as error:
+        findings.add(Heartbeat.ADDRESS, str(error))
+
+
+def _text(fields: dict[str, Any], name: str, findings: Findings) -> str:
+    value = fields.get(name)
+    if not isinstance(value, str) or not value:
+        findings.add(name, "not a text")
+        return ""
+    return value
+
+
+def _number(fields: dict[str, Any], name: str, findings: Findings) -> float:
+    value = fields.get(name, 0)
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not 0 <= value < _NUMBER_LIMIT:
+        findings.add(name, "not a number")
+        return 0.0
+    return float(value)
--- /dev/null
+++ b/coveport/serving/coordinator/inner_listener.py
@@ -0,0 +1,82 @@
+"""Accepts connections of coordinators and proxies at the inner address, and identifies the coordinators."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, Final
+
+from coveport.net.address import Address
+from coveport.net.transport import Listening, Net
+from coveport.serving.coordinator.stall_detector import StallDetector
+from coveport.serving.wire.connection import Connection
+from coveport.serving.wire.errors import RemoteProtocolError
+from coveport.serving.wire.messages import Hello, Message
+from coveport.serving.wire.traffic import Traffic
+
+ACCEPT_BATCH: Final = 64  # connections accepted in one turn of the loop
+LISTEN_BACKLOG: Final = 1024
+
+MessageHandler = Callable[[Connection, Message], None]
+ClosedHandler = Callable[[Connection], None]
+
+
+class InnerListener:
+    """A listening address; `Connection.peer` is the `Hello` of a coordinator, and None of a proxy."""
+
+    def __init__(
+        self,
+        net: Net,
+        own_disk: str,
+        stall_detector: StallDetector,
+        on_message: MessageHandler,
+        on_closed: ClosedHandler,
+        traffic: Traffic,
+        log: Any,
+    ) -> None:
+        """Create a listener; `own_disk` is the identity of this coordinator's disk.
+
+        `on_message` gets every message but `Hello`, and `on_closed` each connection at its end.
+        """
+        self._net = net
+        self._own_disk = own_disk
+        self._stall_detector = stall_detector
+        self._on_message = on_message
+        self._on_closed = on_closed
+        self._traffic = traffic
+        self._log = log
+        self._listening: Listening | None = None
+
+    async def start(self, address: Address) -> None:
+        """Start to listen; raise OSError where the address can't be bound."""
+        self._listening = await self._net.listen(
+            self._make_connection, address, accept_most=ACCEPT_BATCH, waiting_most=LISTEN_BACKLOG
+        )
+
+    def close(self) -> None:
+        """Accept no further connections; the open ones stay."""
+        if self._listening is not None:
+            self._listening.close()
+
+    def _make_connection(self) -> Connection:
+        return Connection(self._net, self._receive, self._on_closed, self._traffic, self._log_rejected_frame)
+
+    def _receive(self, connection: Connection, message: Message) -> None:
+        self._stall_detector.check()
+        if isinstance(message, Hello):
+            self._identify(connection, message)
+        else:
+            self._on_message(connection, message)
+
+    def _identify(self, connection: Connection, hello: Hello) -> None:
+        """Record who dialed, once a connection. A peer with our own identity runs on a copy of our disk."""
+        if hello.disk == self._own_disk:
+            self._log.error("duplicate_identity", address=hello.address)
+            connection.abort()
+        elif connection.peer is not None:
+            connection.abort()
+        else:
+            connection.peer = hello
+
+    def _log_rejected_frame(self, connection: Connection, error: RemoteProtocolError) -> None:
+        """Log that the peer is another program, or a coordinator or proxy of another version."""
+        self._log.error("frame_rejected", sender=connection.peer_host, error=str(error))
--- a/coveport/serving/coordinator/lookup_api.py
+++ b/coveport/serving/coordinator/lookup_api.py
@@ -1,42 +1,40 @@
-"""What clients call before anything else: where to go."""
+"""The clients' API: which proxies to call."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Final
 
-from coveport.serving.coordinator.coordinator_liveness import LostCoordinators
+from coveport.serving.coordinator.coordinator_liveness import CoordinatorLiveness
 from coveport.serving.membership.leases import LeaseTable
 from coveport.serving.web.messages import ApiRequest, ApiResponse, json_response
 from coveport.serving.web.router import route
 from coveport.serving.wire.names import ERROR, Lookup, Path
 
-ADDRESSES_MOST = 64
-TTL_S = 1.0  # short: a proxy that was lost is not to be called for long
-TTL_WHILE_LOST_S = 4.0  # ... but each look-up costs a client a second while a coordinator near it is lost
+MAX_ADDRESSES: Final = 64
+TTL_S: Final = 1.0  # short: a lost proxy must not be called for long
+TTL_WHILE_DELAYED_S: Final = (
+    4.0  # longer where each look-up costs the client a second; see coordinator_liveness
+)
 
 
 class LookupApi:
-    """Handlers of the clients' calls."""
-
-    def __init__(
-        self,
-        leases: LeaseTable,
-        lost: LostCoordinators,
-        now_s: Callable[[], float],
-        ttl_s: float = TTL_S,
-    ) -> None:
+    """Handlers of the clients' requests."""
+
+    def __init__(self, leases: LeaseTable, liveness: CoordinatorLiveness, now_s: Callable[[], float]) -> None:
         self._leases = leases
-        self._lost = lost
+        self._liveness = liveness
         self._now_s = now_s
-        self._ttl_s = ttl_s
 
     @route("GET", Path.LOOKUP)
-    async def lookup(self, call: ApiRequest) -> ApiResponse:
-        """Proxies that are ready, of the nearest group that has any."""
-        zone, region = call.query.get(Lookup.ZONE, ""), call.query.get(Lookup.REGION, "")
-        addresses = self._leases.addresses_for(zone, region, ADDRESSES_MOST, self._now_s())
+    async def lookup(self, request: ApiRequest) -> ApiResponse:
+        """Return the ready proxies of the nearest group that has any; 503 where none is ready."""
+        zone = request.query.get(Lookup.ZONE, "")
+        region = request.query.get(Lookup.REGION, "")
+        now_s = self._now_s()
+        addresses = self._leases.addresses_for(zone, region, MAX_ADDRESSES, now_s)
         if not addresses:
             return json_response(503, {ERROR: "no proxy is ready"})
-        is_dear = self._lost.were_called_in_vain(zone, region, self._now_s())
-        ttl_s = TTL_WHILE_LOST_S if is_dear else self._ttl_s
+        is_delayed = self._liveness.is_lookup_delayed(zone, region, now_s)
+        ttl_s = TTL_WHILE_DELAYED_S if is_delayed else TTL_S
         return json_response(200, {Lookup.ADDRESSES: addresses, Lookup.TTL_S: ttl_s})
--- a/coveport/serving/coordinator/node_report_replication.py
+++ b/coveport/serving/coordinator/node_report_replication.py
@@ -1,12 +1,13 @@
-"""Heartbeats and goodbyes of nodes: into the table, on to other coordinators, acknowledged when that is safe.
+"""Applies nodes' reports to the node table and replicates them to the other coordinators.
 
-`closing` and a goodbye are acknowledged only once a majority of the core's members hold them, asked after
-the call came, and as many other coordinators as may be lost at one time. Members count only if they know the
-same view as the one that was called: after a cut that one might count a former majority.
+Reports are heartbeats and deregistrations. A deregistration and a heartbeat of a draining node are
+acknowledged only once a majority of the core's members hold them, requested after the report came, and as
+many other coordinators as may be lost at one time. Members count only if they know the same view as this
+coordinator: after a partition it might count a former majority.
 
-Whoever takes one in for the first time passes it on, and a connection that comes up brings the whole table,
-tombstones included, in front of all else. So a coordinator in touch with a majority hears of each that was
-acknowledged, whoever else was cut off, and those that are cut off with the one that was called can't
+Whoever applies a report for the first time replicates it, and a new connection brings the complete table,
+tombstones included, before all else. So a coordinator with a quorum hears of each report that was
+acknowledged, whichever others were cut off; and those that are cut off together with this coordinator can't
 acknowledge among themselves.
 """
 
@@ -15,6 +16,7 @@
 import asyncio
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass, field
+from typing import Final
 
 from coveport.net.transport import Net
 from coveport.serving.membership.node_table import NodeTable
@@ -22,157 +24,150 @@
 from coveport.serving.replication.identity import Epoch, MemberId
 from coveport.serving.wire.messages import Message, NodeReports, NodeReportsAck
 
-CONFIRM_S = 0.75  # the node waits a second for the acknowledgement
-ASK_AGAIN_S = 0.25  # what was asked may be lost with a connection, or the views differed for a moment
-BATCH_S = 0.25  # ordinary heartbeats are passed on together
+ACK_TIMEOUT_S: Final = 0.75  # the node waits a second for its response
+RETRY_INTERVAL_S: Final = 0.25  # a request may be lost with a connection, or the views differ for a moment
+BATCH_INTERVAL_S: Final = 0.25  # ordinary heartbeats are replicated together
+NO_ACK: Final = 0  # as the confirmation id of reports that need no acknowledgement
 
 
 @dataclass(slots=True)
-class Confirmation:
+class PendingReport:
     """A report that waits until enough coordinators hold it."""
 
-    number: int
-    done: asyncio.Future[bool]
-    holders: dict[MemberId, Epoch] = field(default_factory=dict)  # and the view that each knows
+    confirmation_id: int
+    replicated: asyncio.Future[bool]
+    holders: dict[MemberId, Epoch] = field(default_factory=dict)  # and the view that each one knows
 
 
+@dataclass(frozen=True, slots=True)
 class ReportPeers:
-    """What reporting needs of the other coordinators. Addresses are inner ones."""
+    """What replication of reports needs of the other coordinators. Addresses are inner ones."""
 
-    def __init__(
-        self,
-        send: Callable[[str, Message], None],
-        live: Callable[[], list[str]],
-        known: Callable[[], list[str]],
-        view_epoch: Callable[[], Epoch],
-        is_majority: Callable[[Collection[MemberId]], bool],
-    ) -> None:
-        """`live`: who said something lately; `known`: all.
-
-        `view_epoch`: of the view that we know; `is_majority`: whether these, with us, decide in that view.
-        """
-        self.send = send
-        self.live = live
-        self.known = known
-        self.view_epoch = view_epoch
-        self.is_majority = is_majority
+    send: Callable[[str, Message], None]
+    live: Callable[[], list[str]]  # those that sent something lately
+    known: Callable[[], list[str]]  # all
+    view_epoch: Callable[[], Epoch]  # of the view that this coordinator knows
+    is_majority: Callable[[Collection[MemberId]], bool]  # with this coordinator, in that view
 
 
 class NodeReportReplicator:
-    """Takes reports here and shares them."""
+    """Owns the reports that wait for acknowledgements, and the batch of heartbeats to replicate."""
 
     def __init__(
         self,
         net: Net,
         table: NodeTable,
         peers: ReportPeers,
-        copies: int,
-        on_news: Callable[[], None],
-        first_number: int,
+        required_acks: int,
+        on_table_changed: Callable[[], None],
+        first_confirmation_id: int,
     ) -> None:
-        """`copies`: how many other coordinators must hold a `closing` before it is acknowledged.
+        """Create a replicator.
 
-        `first_number`: drawn at random, so that a confirmation meant for an earlier life of this process,
-        which may come late, is not taken for one of this life.
+        `required_acks`: how many other coordinators must hold a `closing` before it is acknowledged.
+        `first_confirmation_id`: drawn at random, so that a late acknowledgement for an earlier incarnation of
+        this process isn't taken for one of this incarnation.
         """
         self._net = net
         self._table = table
         self._peers = peers
-        self._copies = copies
-        self._on_news = on_news
+        self._required_acks = required_acks
+        self._on_table_changed = on_table_changed
         self._batch: dict[str, Node] = {}
-        self._confirmations: dict[int, Confirmation] = {}
-        self._number = first_number
-
-    async def take(self, node: Node) -> bool:
-        """A node reports here; whether it may be acknowledged."""
-        is_news = self._table.apply_report(node, self._net.now_s())
-        if is_news:
-            self._on_news()
+        self._pending: dict[int, PendingReport] = {}
+        self._last_confirmation_id = first_confirmation_id
+
+    async def accept(self, node: Node) -> bool:
+        """Apply and replicate what a node reported here; whether it may be acknowledged to the node."""
+        is_change = self._table.apply_report(node, self._net.now_s())
+        if is_change:
+            self._on_table_changed()
         if node.state is not NodeState.ACCEPTING:
-            return await self._confirmed(node)
-        if is_news:
-            self._share(0, (node,), self._peers.live())
+            return await self._replicate(node)
+        if is_change:
+            self._send(NO_ACK, (node,), self._peers.live())
         else:
             self._add_to_batch(node)
         return True
 
-    def passed_on(self, sender: str, reports: NodeReports) -> None:
-        """Another coordinator took these, or heard of them from a third."""
-        self._take_in(reports.nodes, sender)
-        if reports.confirmation_id:
-            self._peers.send(sender, NodeReportsAck(reports.confirmation_id, self._peers.view_epoch()))
-
-    def told_departed(self, incarnations: Iterable[str]) -> None:
-        """A proxy remembers that these have left: after all coordinators were restarted, it alone does."""
-        self._take_in(tuple(deregistration(incarnation) for incarnation in incarnations), "")
-
-    def _take_in(self, nodes: tuple[Node, ...], sender: str) -> None:
-        now = self._net.now_s()
-        news = tuple(node for node in nodes if self._table.apply_report(node, now))
-        if not news:
-            return
-        self._on_news()
-        leaving = tuple(node for node in news if node.state is not NodeState.ACCEPTING)
-        if leaving:
-            self._share(0, leaving, [peer for peer in self._peers.known() if peer != sender])
-
-    def taken(self, sender: MemberId, message: NodeReportsAck) -> None:
-        """Another coordinator holds what we shared."""
-        confirmation = self._confirmations.get(message.confirmation_id)
-        if confirmation is None:
+    def receive_reports(self, sender: str, message: NodeReports) -> None:
+        """Apply reports that another coordinator replicates, and acknowledge them if it wants that."""
+        self._apply(message.nodes, sender)
+        if message.confirmation_id != NO_ACK:
+            ack = NodeReportsAck(message.confirmation_id, self._peers.view_epoch())
+            self._peers.send(sender, ack)
+
+    def receive_departed(self, incarnations: Iterable[str]) -> None:
+        """Apply what a proxy knows of departed nodes: after all coordinators restarted it alone remembers."""
+        self._apply(tuple(deregistration(incarnation) for incarnation in incarnations), "")
+
+    def receive_ack(self, sender: MemberId, message: NodeReportsAck) -> None:
+        """Record that another coordinator holds a report."""
+        pending = self._pending.get(message.confirmation_id)
+        if pending is None:
             return
-        confirmation.holders[sender] = message.view
-        if self._is_kept(confirmation) and not confirmation.done.done():
-            confirmation.done.set_result(True)
+        pending.holders[sender] = message.view
+        if self._is_replicated(pending) and not pending.replicated.done():
+            pending.replicated.set_result(True)
 
-    def _is_kept(self, confirmation: Confirmation) -> bool:
-        own_view = self._peers.view_epoch()
-        voters = [holder for holder, view in confirmation.holders.items() if view == own_view]
-        return len(confirmation.holders) >= self._copies and self._peers.is_majority(voters)
-
-    def tell_all(self, peer: str) -> None:
-        """Send the whole table to a peer, with who has left."""
-        now = self._net.now_s()
+    def send_table(self, peer: str) -> None:
+        """Send the complete node table to a peer, tombstones included."""
+        now_s = self._net.now_s()
         nodes = (
-            *(entry.snapshot_at(now) for entry in self._table.entries()),
-            *self._table.deregistrations(now),
+            *(entry.snapshot_at(now_s) for entry in self._table.entries()),
+            *self._table.deregistrations(now_s),
         )
         if nodes:
-            self._peers.send(peer, NodeReports(0, nodes))
-
-    def _share(self, confirmation_id: int, nodes: tuple[Node, ...], peers: list[str]) -> None:
-        for peer in peers:
-            self._peers.send(peer, NodeReports(confirmation_id, nodes))
-
-    def begin_confirmation(self, node: Node) -> Confirmation:
-        """Share a report with all and ask who holds it."""
-        self._number += 1
-        confirmation = Confirmation(self._number, self._net.loop.create_future())
-        self._confirmations[self._number] = confirmation
-        if self._is_kept(confirmation):
-            confirmation.done.set_result(True)
-        self._share(self._number, (node,), self._peers.known())
-        return confirmation
-
-    async def _confirmed(self, node: Node) -> bool:
-        confirmation = self.begin_confirmation(node)
+            self._peers.send(peer, NodeReports(NO_ACK, nodes))
+
+    def start_replication(self, node: Node) -> PendingReport:
+        """Send a report to all peers and request their acknowledgements."""
+        self._last_confirmation_id += 1
+        pending = PendingReport(self._last_confirmation_id, self._net.loop.create_future())
+        self._pending[pending.confirmation_id] = pending
+        if self._is_replicated(pending):
+            pending.replicated.set_result(True)
+        self._send(pending.confirmation_id, (node,), self._peers.known())
+        return pending
+
+    async def _replicate(self, node: Node) -> bool:
+        """Replicate a report until enough coordinators hold it; False where that takes too long."""
+        pending = self.start_replication(node)
         try:
-            async with asyncio.timeout(CONFIRM_S):
-                while not (await asyncio.wait([confirmation.done], timeout=ASK_AGAIN_S))[0]:
-                    self._share(confirmation.number, (node,), self._peers.known())
-                return confirmation.done.result()
+            async with asyncio.timeout(ACK_TIMEOUT_S):
+                while not (await asyncio.wait([pending.replicated], timeout=RETRY_INTERVAL_S))[0]:
+                    self._send(pending.confirmation_id, (node,), self._peers.known())
+                return pending.replicated.result()
         except TimeoutError:
             return False
         finally:
-            del self._confirmations[confirmation.number]
+            del self._pending[pending.confirmation_id]
+
+    def _is_replicated(self, pending: PendingReport) -> bool:
+        own_view = self._peers.view_epoch()
+        voters = [holder for holder, view in pending.holders.items() if view == own_view]
+        return len(pending.holders) >= self._required_acks and self._peers.is_majority(voters)
+
+    def _apply(self, nodes: tuple[Node, ...], sender: str) -> None:
+        now_s = self._net.now_s()
+        changed = tuple(node for node in nodes if self._table.apply_report(node, now_s))
+        if not changed:
+            return
+        self._on_table_changed()
+        draining = tuple(node for node in changed if node.state is not NodeState.ACCEPTING)
+        if draining:
+            self._send(NO_ACK, draining, [peer for peer in self._peers.known() if peer != sender])
+
+    def _send(self, confirmation_id: int, nodes: tuple[Node, ...], peers: list[str]) -> None:
+        for peer in peers:
+            self._peers.send(peer, NodeReports(confirmation_id, nodes))
 
     def _add_to_batch(self, node: Node) -> None:
         if not self._batch:
-            self._net.loop.call_later(BATCH_S, self._send_batch)
+            self._net.loop.call_later(BATCH_INTERVAL_S, self._send_batch)
         self._batch[node.incarnation] = node
 
     def _send_batch(self) -> None:
         nodes = tuple(self._batch.values())
         self._batch = {}
-        self._share(0, nodes, self._peers.live())
+        self._send(NO_ACK, nodes, self._peers.live())
--- a/coveport/serving/coordinator/operator_api.py
+++ b/coveport/serving/coordinator/operator_api.py
@@ -1,18 +1,18 @@
-"""What operators call: the configuration, zone evacuations, and the state of the core.
+"""The operators' API: the configuration, evacuations of zones, and the status of a coordinator.
 
-Changes are made by the primary; any other coordinator sends the caller there (307), and waits a moment for
-one while a new primary takes over. Whatever is answered here was confirmed by the core: a refusal too, since
-one that lost touch could refuse what has long been taken.
+Changes are made by the primary. Any other coordinator redirects the caller there (307), and waits for a
+moment for a primary while a new one is elected. Each response was confirmed by the core, a refusal too: a
+coordinator without a quorum could refuse what was accepted long ago.
 
-An order for an evacuation bears no version, so an old copy of it looks like a new one. A copy is old when
-its caller has left: it waited in a queue, a link or a process that stood still. Hence the short hold before
-such an order is submitted, in which the end of the caller's connection is seen; a call whose caller leaves is
-dropped.
+A request for an evacuation has no version, so a delayed duplicate of it looks like a new one. The caller of a
+duplicate has left: it was held up in a queue, in the network or in a process that stood still. Hence the
+short wait before such a request is submitted, in which the end of the caller's connection is noticed; a
+request whose caller has left is cancelled.
 """
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Any, Final, Protocol
 
 from coveport.net.address import parse_address
 from coveport.serving.configuration.commands import (
@@ -26,106 +26,106 @@
 from coveport.serving.web.router import route
 from coveport.serving.wire.names import ERROR, Header, Path
 
-NOT_READY = 503
-_SENT_ON = 307
+_TEMPORARY_REDIRECT: Final = 307  # the caller repeats its method and body there (RFC 9110, 15.4.8)
 
 
 class ControlPlane(Protocol):
     """What the handlers need of the core."""
 
     async def submit(self, command: bytes) -> ApiResponse:
-        """Run a command at the primary; its answer."""
+        """Run a command at the primary, and return the response to its caller."""
 
     async def read_configuration(self) -> ApiResponse:
-        """The newest configuration as the core confirms it."""
+        """Return the newest configuration as the core confirms it."""
 
-    async def hold(self) -> None:
-        """Wait a moment; ends with the call where its caller leaves meanwhile."""
+    async def wait_for_disconnect(self) -> None:
+        """Wait until a caller that has left would have been noticed."""
 
-    async def primary_elsewhere(self) -> str | None:
-        """The inner address of the primary if that is another; None: it is this one, or nobody for now."""
-
-    def is_primary(self) -> bool:
-        """Whether this one is."""
+    async def find_other_primary(self) -> str | None:
+        """Return the inner address of the primary if that is another coordinator; None: this one, or none."""
 
     def describe(self) -> dict[str, Any]:
-        """The core, nodes and proxies, for people."""
+        """Return the status of this coordinator, as JSON-compatible values."""
 
 
 class OperatorApi:
-    """Handlers of the operators' calls."""
+    """Handlers of the operators' requests."""
 
-    def __init__(self, control: ControlPlane, control_port: int, zones: frozenset[str]) -> None:
-        self._control = control
-        self._port = control_port
+    def __init__(self, control_plane: ControlPlane, control_port: int, zones: frozenset[str]) -> None:
+        """Create handlers; `control_port` is where the other coordinators serve this API."""
+        self._control_plane = control_plane
+        self._control_port = control_port
         self._zones = zones
 
     @route("PUT", Path.CONFIG)
-    async def put(self, call: ApiRequest) -> ApiResponse:
-        """A whole configuration."""
-        if_match = _if_match(call)
-        if isinstance(if_match, ApiResponse):
-            return if_match
-        return await self._change(call, encode_command(PutConfiguration(if_match, call.body)))
+    async def put_configuration(self, request: ApiRequest) -> ApiResponse:
+        """Replace the configuration by a complete one."""
+        return await self._change_configuration(request, PutConfiguration)
 
     @route("PATCH", Path.CONFIG)
-    async def patch(self, call: ApiRequest) -> ApiResponse:
-        """Changes to named items."""
-        if_match = _if_match(call)
-        if isinstance(if_match, ApiResponse):
-            return if_match
-        return await self._change(call, encode_command(PatchConfiguration(if_match, call.body)))
+    async def patch_configuration(self, request: ApiRequest) -> ApiResponse:
+        """Change named items of the configuration."""
+        return await self._change_configuration(request, PatchConfiguration)
 
     @route("GET", Path.CONFIG)
-    async def get(self, call: ApiRequest) -> ApiResponse:
-        """The newest configuration in whole."""
-        elsewhere = await self._control.primary_elsewhere()
-        if elsewhere is not None:
-            return self._sent_on(call, elsewhere)
-        return await self._control.read_configuration()
+    async def get_configuration(self, request: ApiRequest) -> ApiResponse:
+        """Return the newest configuration, complete."""
+        other_primary = await self._control_plane.find_other_primary()
+        if other_primary is not None:
+            return self._redirect(request, other_primary)
+        return await self._control_plane.read_configuration()
 
     @route("POST", Path.EVACUATION)
-    async def evacuate(self, call: ApiRequest) -> ApiResponse:
-        """Nothing more is to be sent to a zone's nodes."""
-        if call.path_suffix not in self._zones:
-            return json_response(404, {ERROR: f"unknown zone {call.path_suffix!r}"})
-        return await self._change_unversioned(call, encode_command(StartEvacuation(call.path_suffix)))
+    async def start_evacuation(self, request: ApiRequest) -> ApiResponse:
+        """Stop sending requests to a zone's nodes."""
+        return await self._change_evacuation(request, StartEvacuation)
 
     @route("DELETE", Path.EVACUATION)
-    async def end_evacuation(self, call: ApiRequest) -> ApiResponse:
-        """A zone's nodes may be used again."""
-        if call.path_suffix not in self._zones:
-            return json_response(404, {ERROR: f"unknown zone {call.path_suffix!r}"})
-        return await self._change_unversioned(call, encode_command(EndEvacuation(call.path_suffix)))
+    async def end_evacuation(self, request: ApiRequest) -> ApiResponse:
+        """Send requests to a zone's nodes again."""
+        return await self._change_evacuation(request, EndEvacuation)
 
     @route("GET", Path.STATUS)
-    async def status(self, call: ApiRequest) -> ApiResponse:
-        """The state of the core as this coordinator sees it."""
-        return json_response(200, self._control.describe())
-
-    async def _change(self, call: ApiRequest, command: bytes) -> ApiResponse:
-        elsewhere = await self._control.primary_elsewhere()
-        if elsewhere is not None:
-            return self._sent_on(call, elsewhere)
-        return await self._control.submit(command)
-
-    async def _change_unversioned(self, call: ApiRequest, command: bytes) -> ApiResponse:
-        elsewhere = await self._control.primary_elsewhere()
-        if elsewhere is not None:
-            return self._sent_on(call, elsewhere)
-        await self._control.hold()
-        return await self._control.submit(command)
-
-    def _sent_on(self, call: ApiRequest, inner_address: str) -> ApiResponse:
+    async def status(self, request: ApiRequest) -> ApiResponse:
+        """Return what this coordinator knows, whether it has a quorum or not."""
+        return json_response(200, self._control_plane.describe())
+
+    async def _change_configuration(
+        self, request: ApiRequest, command_type: type[PutConfiguration | PatchConfiguration]
+    ) -> ApiResponse:
+        expected_edition = _expected_edition(request)
+        if isinstance(expected_edition, ApiResponse):
+            return expected_edition
+        other_primary = await self._control_plane.find_other_primary()
+        if other_primary is not None:
+            return self._redirect(request, other_primary)
+        command = command_type(expected_edition, request.body)
+        return await self._control_plane.submit(encode_command(command))
+
+    async def _change_evacuation(
+        self, request: ApiRequest, command_type: type[StartEvacuation | EndEvacuation]
+    ) -> ApiResponse:
+        zone = request.path_suffix
+        if zone not in self._zones:
+            return json_response(404, {ERROR: f"unknown zone {zone!r}"})
+        other_primary = await self._control_plane.find_other_primary()
+        if other_primary is not None:
+            return self._redirect(request, other_primary)
+        await self._control_plane.wait_for_disconnect()
+        return await self._control_plane.submit(encode_command(command_type(zone)))
+
+    def _redirect(self, request: ApiRequest, inner_address: str) -> ApiResponse:
         host, _ = parse_address(inner_address)
-        return ApiResponse(_SENT_ON, b"", (("Location", f"http://{host}:{self._port}{call.path}"),))
+        location = f"http://{host}:{self._control_port}{request.path}"
+        return ApiResponse(_TEMPORARY_REDIRECT, b"", (("Location", location),))
 
 
-def _if_match(call: ApiRequest) -> int | ApiResponse | None:
-    told = call.header(Header.IF_MATCH)
-    if told is None:
+def _expected_edition(request: ApiRequest) -> int | ApiResponse | None:
+    """Return the edition in `If-Match`, None where that is missing, or the response to an invalid one."""
+    value = request.header(Header.IF_MATCH)
+    if value is None:
         return None
-    told = told.strip().strip('"')
-    if not (told.isascii() and told.isdigit()):
+    value = value.strip().strip('"')
+    if not (value.isascii() and value.isdigit()):
         return json_response(400, {ERROR: "If-Match is not a number"})
-    return int(told)
+    return int(value)
--- /dev/null
+++ b/coveport/serving/coordinator/peer_connections.py
@@ -0,0 +1,158 @@
+"""Connections to the other coordinators: this one dials each of them, and each of them dials this one.
+
+Messages may be lost; whoever sends one repeats it where it matters. A connection is dropped and dialed again
+where its peer sent nothing for `PEER_TIMEOUT_S`, though it pings several times in that, so that the end of a
+partition isn't noticed only by TCP's long retransmission time-outs.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Final
+
+from coveport.net.address import parse_address
+from coveport.net.transport import Net
+from coveport.serving.wire.connection import Connection, connect
+from coveport.serving.wire.messages import Hello, Message
+from coveport.serving.wire.traffic import Traffic
+
+CONNECT_TIMEOUT_S: Final = 0.5
+REDIAL_INTERVAL_S: Final = 0.2
+LIVE_REDIAL_INTERVAL_S: Final = 0.02  # to a peer that has just sent something
+PEER_TIMEOUT_S: Final = 1.0
+
+PeerMessageHandler = Callable[[Hello, Message], None]
+PeerConnectedHandler = Callable[[str], None]  # of the peer's inner address
+
+
+@dataclass(slots=True)
+class _Peer:
+    address: str
+    connection: Connection | None = None
+    last_received_s: float = 0.0  # when it last sent anything to us, on any connection
+    dial_task: asyncio.Task[None] | None = None
+    last_dial_s: float = -1.0
+
+
+class PeerConnections:
+    """All other coordinators by inner address."""
+
+    def __init__(
+        self,
+        net: Net,
+        hello: Hello,
+        on_message: PeerMessageHandler,
+        on_connected: PeerConnectedHandler,
+        traffic: Traffic | None = None,
+    ) -> None:
+        """Create an empty set of peers; `hello` is the first message on each connection that is dialed."""
+        self._net = net
+        self._hello = hello
+        self._on_message = on_message
+        self._on_connected = on_connected
+        self._traffic = traffic
+        self._peers: dict[str, _Peer] = {}
+
+    def set_addresses(self, addresses: Iterable[str]) -> None:
+        """Stay connected to these, and to no others."""
+        wanted = set(addresses) - {self._hello.address}
+        for address in wanted - self._peers.keys():
+            self._peers[address] = _Peer(address)
+        for address in self._peers.keys() - wanted:
+            self._disconnect(self._peers.pop(address))
+
+    def send(self, address: str, message: Message) -> None:
+        """Send a message to a peer; it is lost where there is no connection."""
+        peer = self._peers.get(address)
+        if peer is None:
+            self._peers[address] = peer = _Peer(address)
+        if peer.connection is not None and peer.connection.is_open:
+            peer.connection.send(message)
+        else:
+            self._dial(peer)
+
+    def known(self) -> list[str]:
+        """Return the addresses of all peers, connected or not."""
+        return list(self._peers)
+
+    def live(self, within_s: float = PEER_TIMEOUT_S) -> list[str]:
+        """Return the addresses of the connected peers that sent something within the last `within_s`."""
+        since_s = self._net.now_s() - within_s
+        return [
+            peer.address
+            for peer in self._peers.values()
+            if peer.connection is not None and peer.connection.is_open and peer.last_received_s >= since_s
+        ]
+
+    def receive(self, hello: Hello, message: Message) -> None:
+        """Handle a message on a connection that a peer dialed; `hello` was the first one on it."""
+        peer = self._peers.get(hello.address)
+        if peer is not None:
+            self._record_received(peer)
+        self._on_message(hello, message)
+
+    def _record_received(self, peer: _Peer) -> None:
+        """Where we aren't connected to a peer that is live, dial it without waiting for `maintain`."""
+        peer.last_received_s = self._net.now_s()
+        if peer.dial_task is None and (peer.connection is None or not peer.connection.is_open):
+            self._dial(peer, LIVE_REDIAL_INTERVAL_S)
+
+    def maintain(self) -> None:
+        """Dial peers that have no connection or timed out; to be called several times a second."""
+        now_s = self._net.now_s()
+        for peer in self._peers.values():
+            connection = peer.connection
+            idle_s = now_s - max(peer.last_received_s, peer.last_dial_s)
+            if connection is not None and connection.is_open and idle_s > PEER_TIMEOUT_S:
+                connection.abort()
+                peer.connection = None
+            if peer.connection is None or not peer.connection.is_open:
+                self._dial(peer)
+
+    def close(self) -> None:
+        """Drop all connections."""
+        for peer in self._peers.values():
+            self._disconnect(peer)
+        self._peers.clear()
+
+    def _disconnect(self, peer: _Peer) -> None:
+        if peer.dial_task is not None:
+            peer.dial_task.cancel()
+        if peer.connection is not None:
+            peer.connection.abort()
+
+    def _dial(self, peer: _Peer, interval_s: float = REDIAL_INTERVAL_S) -> None:
+        now_s = self._net.now_s()
+        if peer.dial_task is None and now_s - peer.last_dial_s >= interval_s:
+            peer.last_dial_s = now_s
+            peer.dial_task = self._net.loop.create_task(self._connect(peer))
+
+    async def _connect(self, peer: _Peer) -> None:
+        try:
+            connection = await connect(
+                self._net,
+                parse_address(peer.address),
+                self._ignore_message,
+                CONNECT_TIMEOUT_S,
+                self._on_closed,
+                self._traffic,
+            )
+        finally:
+            peer.dial_task = None
+        if connection is None:
+            return
+        connection.peer = peer
+        peer.connection = connection
+        peer.last_dial_s = self._net.now_s()
+        connection.send(self._hello)
+        self._on_connected(peer.address)
+
+    def _ignore_message(self, connection: Connection, message: Message) -> None:
+        """Peers send on the connections that they dial themselves; nothing comes here."""
+
+    def _on_closed(self, connection: Connection) -> None:
+        peer = connection.peer
+        if isinstance(peer, _Peer) and peer.connection is connection:
+            peer.connection = None
--- a/coveport/serving/coordinator/quorum_status.py
+++ b/coveport/serving/coordinator/quorum_status.py
@@ -1,4 +1,4 @@
-"""What a coordinator may say of itself: whether it is in touch with the core, and for long enough."""
+"""Whether this coordinator has a quorum, and for how long: what it may claim in its updates depends on it."""
 
 from __future__ import annotations
 
@@ -8,41 +8,46 @@
 
 
 class QuorumStatus:
-    """Kept from the replication core's word, looked at several times a second."""
+    """The last observation of the replica's quorum; `refresh` is called several times a second."""
 
     def __init__(
         self,
         now_s: Callable[[], float],
-        has_quorum: Callable[[], bool],
-        settle_s: float,
-        coordinators: Callable[[], tuple[CoordinatorEndpoint, ...]],
+        replica_has_quorum: Callable[[], bool],
+        full_table_after_s: float,
+        live_coordinators: Callable[[], tuple[CoordinatorEndpoint, ...]],
     ) -> None:
-        """`settle_s`: after so long in touch, every node that lives has been heard of."""
+        """Create a status without a quorum.
+
+        `full_table_after_s`: a coordinator that has had a quorum for so long has heard of every live node.
+        """
         self._now_s = now_s
-        self._has_quorum = has_quorum
-        self._settle_s = settle_s
-        self._coordinators = coordinators
-        self._connected_from_s: float | None = None
-
-    def look(self) -> None:
-        """Notice a change."""
-        if not self._has_quorum():
-            self._connected_from_s = None
-        elif self._connected_from_s is None:
-            self._connected_from_s = self._now_s()
-
-    def stalled(self) -> None:
-        """Begin anew: for a while this process could not hear."""
-        self._connected_from_s = None
-
-    def is_connected(self) -> bool:
-        """In touch with a majority of the core."""
-        return self._connected_from_s is not None
-
-    def is_settled(self) -> bool:
-        """In touch, and for long enough to know every node."""
-        return self._connected_from_s is not None and self._now_s() - self._connected_from_s >= self._settle_s
-
-    def coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
-        """The live coordinators, this one included."""
-        return self._coordinators()
+        self._replica_has_quorum = replica_has_quorum
+        self._full_table_after_s = full_table_after_s
+        self._live_coordinators = live_coordinators
+        self._quorum_since_s: float | None = None
+
+    def refresh(self) -> None:
+        """Observe whether the replica has a quorum."""
+        if not self._replica_has_quorum():
+            self._quorum_since_s = None
+        elif self._quorum_since_s is None:
+            self._quorum_since_s = self._now_s()
+
+    def reset(self) -> None:
+        """Forget the quorum after a stall: for a while this process could not hear of nodes."""
+        self._quorum_since_s = None
+
+    def has_quorum(self) -> bool:
+        """Whether this coordinator was connected to a majority of the members at the last refresh."""
+        return self._quorum_since_s is not None
+
+    def knows_all_nodes(self) -> bool:
+        """Whether the quorum has lasted long enough to have heard of every live node."""
+        if self._quorum_since_s is None:
+            return False
+        return self._now_s() - self._quorum_since_s >= self._full_table_after_s
+
+    def live_coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
+        """Return the live coordinators, this one included."""
+        return self._live_coordinators()
--- a/coveport/serving/coordinator/replica_runtime.py
+++ b/coveport/serving/coordinator/replica_runtime.py
@@ -1,4 +1,4 @@
-"""Runs the replication core: feeds it time and messages, carries out its effects, hands answers out."""
+"""Runs this coordinator's replica: feeds it time, messages and commands, and carries out its effects."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 from typing import Any
 
 from coveport.net.transport import Net
+from coveport.serving.coordinator.stall_detector import TICK_INTERVAL_S, StallDetector
 from coveport.serving.replication.events import (
     Answer,
     CancelCall,
@@ -32,124 +33,117 @@
 from coveport.serving.replication.replica import Replica
 from coveport.serving.storage.writer import RecordWriter
 
-TICK_S = 0.05
-STALL_S = 0.6  # a tick that comes so much too late: the process was frozen or had no processor
 
-
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class ReplicaCallbacks:
-    """What the coordinator wants to know of its core."""
+    """What the runtime calls when the replica wants something outside of it."""
 
-    send: Callable[[str, object], None]
-    committed: Callable[[CommittedState], None]
-    stalled: Callable[[float], None]  # how late, in seconds
+    send: Callable[[str, object], None]  # inner address, message
+    on_committed: Callable[[CommittedState], None]
 
 
 class ReplicaRuntime:
-    """One member of the core, alive."""
+    """One replica, its timer, its writer, and the calls that wait for it."""
 
     def __init__(
-        self, net: Net, member: Replica, writer: RecordWriter, hooks: ReplicaCallbacks, log: Any
+        self,
+        net: Net,
+        replica: Replica,
+        writer: RecordWriter,
+        stall_detector: StallDetector,
+        callbacks: ReplicaCallbacks,
+        log: Any,
     ) -> None:
         self._net = net
-        self.member = member
+        self.replica = replica
         self._writer = writer
-        self._hooks = hooks
+        self._stall_detector = stall_detector
+        self._callbacks = callbacks
         self._log = log
-        self._waiting: dict[int, asyncio.Future[Outcome]] = {}
-        self._request = 0
-        self._ticking: asyncio.TimerHandle | None = None
-        self._ticked_s = net.now_s()
-        self._said: object = None
+        self._pending_calls: dict[int, asyncio.Future[Outcome]] = {}
+        self._last_call_id = 0
+        self._tick_timer: asyncio.TimerHandle | None = None
+        self._logged_view: object = None
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Start to tick."""
         self._tick()
 
     def stop(self) -> None:
-        """Tick no more."""
-        if self._ticking is not None:
-            self._ticking.cancel()
+        """Stop ticking; nothing is sent or written from here on but in response to input."""
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
 
     def receive(self, sender: MemberId, message: Message) -> None:
-        """A message of replication came from another coordinator."""
+        """Handle a replication message of another coordinator."""
         self._handle(Received(sender, message))
 
-    def connected(self, address: str) -> None:
-        """A connection to another coordinator has come up."""
+    def record_connected(self, address: str) -> None:
+        """Handle a new connection to another coordinator."""
         self._handle(Connected(address))
 
-    def hand_over(self) -> None:
-        """Another leads from here on: this process is about to stop."""
+    def request_shutdown(self) -> None:
+        """Let another replica lead and hold the state: this process is about to stop."""
         self._handle(ShutdownRequested())
 
     async def submit(self, command: bytes) -> Outcome:
-        """Run a command at the primary."""
-        return await self._ask(lambda request: Submit(request, command))
+        """Run a command; cancelled, it is withdrawn where it was not started yet."""
+        return await self._call(lambda call_id: Submit(call_id, command))
 
     async def read_newest(self) -> Outcome:
-        """The newest acknowledged state, confirmed by a majority."""
-        return await self._ask(ReadNewest)
+        """Return the newest acknowledged state, confirmed by a majority."""
+        return await self._call(ReadNewest)
 
-    async def _ask(self, make: Callable[[int], Event]) -> Outcome:
-        self._request += 1
-        request = self._request
+    async def _call(self, make_event: Callable[[int], Event]) -> Outcome:
+        self._last_call_id += 1
+        call_id = self._last_call_id
         answer: asyncio.Future[Outcome] = self._net.loop.create_future()
-        self._waiting[request] = answer
+        self._pending_calls[call_id] = answer
         try:
-            self._handle(make(request))
+            self._handle(make_event(call_id))
             return await answer
         finally:
-            self._waiting.pop(request, None)
+            self._pending_calls.pop(call_id, None)
             if not answer.done() or answer.cancelled():
-                self._handle(CancelCall(request))
-
-    def look_for_stall(self) -> None:
-        """Notice that the process stood still; to be called before anything that came meanwhile is taken."""
-        now = self._net.now_s()
-        late_s = now - self._ticked_s - TICK_S
-        if late_s > STALL_S:
-            self._ticked_s = now
-            self._log.warning("process_stalled", seconds=round(late_s, 2))
-            self._hooks.stalled(late_s)
+                self._handle(CancelCall(call_id))
 
     def _tick(self) -> None:
-        self.look_for_stall()
-        self._ticked_s = self._net.now_s()
+        self._stall_detector.record_tick()
         self._handle(Tick())
-        self._ticking = self._net.loop.call_later(TICK_S, self._tick)
+        self._tick_timer = self._net.loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def _handle(self, event: Event) -> None:
-        self._carry_out_all(self.member.handle(self._net.now_s(), event))
-        self._say()
-
-    def _say(self) -> None:
-        """Log what changed of the view."""
-        view = self.member.describe()
-        if view != self._said:
-            self._said = view
-            self._log.info("view_changed", **view)
-
-    def _carry_out_all(self, effects: list[Effect]) -> None:
-        for effect in effects:
+        for effect in self.replica.handle(self._net.now_s(), event):
             self._carry_out(effect)
+        self._log_view_change()
+
+    def _log_view_change(self) -> None:
+        view = self.replica.describe()
+        if view != self._logged_view:
+            self._logged_view = view
+            self._log.info("view_changed", **view)
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case Send(address, message):
-                self._hooks.send(address, message)
+                self._callbacks.send(address, message)
             case Persist(token, records):
-                self._writer.submit(records, lambda error: self._persisted(token, error))
-            case Answer(request, outcome):
-                waiting = self._waiting.get(request)
-                if waiting is not None and not waiting.done():
-                    waiting.set_result(outcome)
+                self._writer.submit(records, lambda error: self._on_written(token, error))
+            case Answer(call_id, outcome):
+                self._answer(call_id, outcome)
             case CommittedState():
-                self._hooks.committed(effect)
+                self._callbacks.on_committed(effect)
             case MessageRejected(sender, problem):
                 self._log.error("message_rejected", sender=sender, error=problem)
 
-    def _persisted(self, token: int, error: OSError | None) -> None:
-        if error is not None:
-            self._log.error("disk_write_failed", error=str(error))
-        self._handle(Persisted(token) if error is None else PersistFailed(token))
+    def _answer(self, call_id: int, outcome: Outcome) -> None:
+        answer = self._pending_calls.get(call_id)
+        if answer is not None and not answer.done():
+            answer.set_result(outcome)
+
+    def _on_written(self, token: int, error: OSError | None) -> None:
+        if error is None:
+            self._handle(Persisted(token))
+            return
+        self._log.error("disk_write_failed", error=str(error))
+        self._handle(PersistFailed(token))
--- a/coveport/serving/coordinator/subscriptions.py
+++ b/coveport/serving/coordinator/subscriptions.py
@@ -1,226 +1,168 @@
-"""Answers proxies that ask for updates: at once where there is news, after a while otherwise."""
+"""Proxies' subscriptions, by long polling: a request is answered at a change, or after a time-out."""
 
 from __future__ import annotations
 
 import asyncio
-from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
+from typing import Final, Protocol
 
 from coveport.net.transport import Net
+from coveport.serving.coordinator.state_history import StateHistory
+from coveport.serving.coordinator.update_cache import CurrentVersions, RequestedVersions, UpdateCache
 from coveport.serving.membership.leases import LeaseTable
-from coveport.serving.membership.node_table import NodeTable, TableChanges
+from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.wire.connection import Connection
-from coveport.serving.wire.messages import CoordinatorEndpoint, StateChange, Update, UpdateRequest
+from coveport.serving.wire.messages import CoordinatorEndpoint, Update, UpdateRequest
 from coveport.serving.wire.shared_update import SharedUpdate
 
-HOLD_S = 0.4  # an ask without news is answered after so long; the next one renews the lease
-SHARED_S = 0.25  # proxies that ask within this are told the same, times that remain included ...
-SHARED_LEAVING_S = 0.05  # ... or within this, where one of the nodes says when it will be gone
-CHANGES_KEPT = 64  # commands from which differences are told; further back the whole state is
+POLL_TIMEOUT_S: Final = (
+    0.4  # a request is answered after so long without a change; the next one renews the lease
+)
+NO_VERSION: Final = -1  # of a node table or a state: a proxy that has none
 
 
-class Standing(Protocol):
-    """What a coordinator says of itself in each answer."""
+class CoordinatorStatus(Protocol):
+    """What a coordinator says of itself in each update."""
 
-    def is_connected(self) -> bool:
-        """Whether it is in touch with a majority of the core."""
+    def has_quorum(self) -> bool:
+        """Whether it is connected to a majority of the core's members."""
 
-    def is_settled(self) -> bool:
-        """Whether it has been so for long enough to know every node."""
+    def knows_all_nodes(self) -> bool:
+        """Whether it has had a quorum for long enough to have heard of every node."""
 
-    def coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
-        """All live coordinators, this one included."""
+    def live_coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
+        """Return the live coordinators, this one included."""
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _PendingRequest:
     connection: Connection
     request: UpdateRequest
     timer: asyncio.TimerHandle
 
 
-class StateHistory:
-    """The newest committed state, and the commands that led there."""
-
-    def __init__(self) -> None:
-        self.sequence = -1
-        self.encoded = b""
-        self._changes: deque[StateChange] = deque(maxlen=CHANGES_KEPT)
-
-    def advance(self, sequence: int, encoded: bytes, command: bytes | None) -> None:
-        """A newer state is committed; `command` led there from the one before, if it is told."""
-        if command is None or sequence != self.sequence + 1:
-            self._changes.clear()
-        else:
-            self._changes.append(StateChange(sequence, command))
-        self.sequence = sequence
-        self.encoded = encoded
-
-    def changes_since(self, sequence: int) -> tuple[StateChange, ...] | None:
-        """What led from that state to the newest; None where the whole state must be told."""
-        if sequence >= self.sequence:
-            return ()
-        changes = tuple(change for change in self._changes if change.sequence > sequence)
-        is_gapless = len(changes) == self.sequence - sequence
-        return changes if is_gapless and sequence >= 0 else None
-
-
-@dataclass(frozen=True, slots=True)
-class _Asked:
-    """The versions that proxies ask with; who asks with the same is told the same."""
-
-    node_revision: int  # -1: the whole table
-    state_sequence: int
-
-
-@dataclass(frozen=True, slots=True)
-class _Told:
-    """What all answers of a moment say."""
-
-    connected: bool
-    settled: bool
-    node_revision: int
-    state_sequence: int
-    coordinators: tuple[CoordinatorEndpoint, ...]
-
-
-class _SharedUpdates:
-    """Updates that were encoded a moment ago, while they still say what is so."""
-
-    def __init__(self) -> None:
-        self._made: dict[_Asked, tuple[SharedUpdate, float]] = {}  # and until when it holds
-        self._told: _Told | None = None
-
-    def find(self, asked: _Asked, told: _Told, now_s: float) -> SharedUpdate | None:
-        """The update made for others, if nothing has changed since."""
-        if told != self._told:
-            self._made.clear()
-            self._told = told
-        update, until_s = self._made.get(asked, (None, 0.0))
-        return update if now_s <= until_s else None
-
-    def add(self, asked: _Asked, update: Update, now_s: float) -> SharedUpdate:
-        """One was made; `find` came before."""
-        is_leaving = any(node.shutdown_in_ms for node in update.nodes)
-        until_s = now_s + (SHARED_LEAVING_S if is_leaving else SHARED_S)
-        shared = SharedUpdate(update)
-        self._made[asked] = shared, until_s
-        return shared
-
-
 class Subscriptions:
-    """All proxies that wait for an answer here."""
+    """Owns the update requests that wait for an answer, one a connection."""
 
     def __init__(
         self,
         net: Net,
         table: NodeTable,
-        table_identity: str,
+        table_id: str,
         leases: LeaseTable,
         history: StateHistory,
-        standing: Standing,
-        on_lease_news: Callable[[], None],
+        status: CoordinatorStatus,
+        on_lease_changed: Callable[[], None],
     ) -> None:
+        """Create an empty set of subscriptions.
+
+        `table_id`: differs between incarnations of coordinators, since revisions of one node table say
+        nothing of another one. `on_lease_changed`: called where clients should learn of a proxy at once.
+        """
         self._net = net
         self._table = table
-        self._table_identity = table_identity
+        self._table_id = table_id
         self._leases = leases
         self._history = history
-        self._standing = standing
-        self._on_lease_news = on_lease_news
-        self._waiting: dict[Connection, _Waiting] = {}
-        self._scheduled = False
-        self._shared = _SharedUpdates()
-
-    def ask(self, connection: Connection, request: UpdateRequest) -> None:
-        """A proxy asks; the lease that it renews is taken."""
+        self._status = status
+        self._on_lease_changed = on_lease_changed
+        self._pending: dict[Connection, _PendingRequest] = {}
+        self._is_answer_scheduled = False
+        self._cache = UpdateCache()
+
+    def receive(self, connection: Connection, request: UpdateRequest) -> None:
+        """Renew the proxy's lease, and answer its request now or later."""
         if self._leases.renew(request.lease, self._net.now_s(), local=True):
-            self._on_lease_news()
-        timer = self._net.loop.call_later(HOLD_S, self._answer, connection)
-        self._waiting[connection] = _Waiting(connection, request, timer)
-        if self._has_news(request):
+            self._on_lease_changed()
+        timer = self._net.loop.call_later(POLL_TIMEOUT_S, self._answer, connection)
+        self._pending[connection] = _PendingRequest(connection, request, timer)
+        if self._needs_answer(request):
             self._answer(connection)
 
-    def left(self, connection: Connection) -> None:
-        """A proxy asks elsewhere from now on."""
-        waiting = self._waiting.pop(connection, None)
-        if waiting is not None:
-            waiting.timer.cancel()
+    def unsubscribe(self, connection: Connection) -> None:
+        """Forget a proxy that subscribes elsewhere from now on; its lease stays."""
+        pending = self._pending.pop(connection, None)
+        if pending is not None:
+            pending.timer.cancel()
 
-    def ended(self, connection: Connection) -> None:
-        """A connection broke: its proxy was most likely killed."""
-        waiting = self._waiting.pop(connection, None)
-        if waiting is None:
+    def connection_lost(self, connection: Connection) -> None:
+        """Forget a proxy, and end its lease: it was most likely killed."""
+        pending = self._pending.pop(connection, None)
+        if pending is None:
             return
-        waiting.timer.cancel()
-        self._leases.release(waiting.request.lease)
+        pending.timer.cancel()
+        self._leases.release(pending.request.lease)
 
-    def news(self) -> None:
-        """The table or the state has changed: answer, once this turn's changes are all in."""
-        if not self._scheduled:
-            self._scheduled = True
+    def notify(self) -> None:
+        """Answer the pending requests, once all changes of this turn of the loop are applied."""
+        if not self._is_answer_scheduled:
+            self._is_answer_scheduled = True
             self._net.loop.call_soon(self._answer_all)
 
     def _answer_all(self) -> None:
-        self._scheduled = False
-        for waiting in list(self._waiting.values()):
-            if self._has_news(waiting.request):
-                self._answer(waiting.connection)
-
-    def _has_news(self, request: UpdateRequest) -> bool:
-        if request.state_sequence < 0 and self._history.sequence < 0 and not self._standing.is_connected():
-            return False  # both have just started: what it needs will be here in a moment, if anywhere
+        self._is_answer_scheduled = False
+        for pending in list(self._pending.values()):
+            if self._needs_answer(pending.request):
+                self._answer(pending.connection)
+
+    def _needs_answer(self, request: UpdateRequest) -> bool:
+        """Whether there is something that the proxy doesn't have, or it should subscribe elsewhere."""
+        has_quorum = self._status.has_quorum()
+        have_both_just_started = request.state_sequence < 0 and self._history.sequence < 0
+        if have_both_just_started and not has_quorum:
+            return False  # the first state will be here in a moment, if anywhere
         return (
-            request.table_id != self._table_identity
+            request.table_id != self._table_id
             or request.node_revision < self._table.revision
             or request.state_sequence < self._history.sequence
-            or not self._standing.is_connected()
+            or not has_quorum
         )
 
     def _answer(self, connection: Connection) -> None:
-        waiting = self._waiting.pop(connection, None)
-        if waiting is None:
+        pending = self._pending.pop(connection, None)
+        if pending is None:
             return
-        waiting.timer.cancel()
-        request = waiting.request
-        proxies = self._leases.max_proxies() if self._standing.is_settled() else 0
-        connection.send_frame(Update, self._update(request).frame(request.request_number, proxies))
-
-    def _update(self, request: UpdateRequest) -> SharedUpdate:
-        revision = request.node_revision if request.table_id == self._table_identity else -1
-        asked = _Asked(revision, request.state_sequence)
-        told = self._told()
+        pending.timer.cancel()
+        request = pending.request
+        max_proxies = self._leases.max_proxies() if self._status.knows_all_nodes() else 0
+        frame = self._shared_update(request).frame(request.request_number, max_proxies)
+        connection.send_frame(Update, frame)
+
+    def _shared_update(self, request: UpdateRequest) -> SharedUpdate:
+        node_revision = request.node_revision if request.table_id == self._table_id else NO_VERSION
+        requested = RequestedVersions(node_revision, request.state_sequence)
+        current = self._current_versions()
         now_s = self._net.now_s()
-        shared = self._shared.find(asked, told, now_s)
-        return shared or self._shared.add(asked, self._make(asked, told, now_s), now_s)
+        cached = self._cache.find(requested, current, now_s)
+        return cached or self._cache.add(requested, self._make_update(requested, current, now_s), now_s)
 
-    def _told(self) -> _Told:
-        return _Told(
-            self._standing.is_connected(),
-            self._standing.is_settled(),
+    def _current_versions(self) -> CurrentVersions:
+        return CurrentVersions(
+            self._status.has_quorum(),
+            self._status.knows_all_nodes(),
             self._table.revision,
             self._history.sequence,
-            self._standing.coordinators(),
+            self._status.live_coordinators(),
         )
 
-    def _make(self, asked: _Asked, told: _Told, now_s: float) -> Update:
-        nodes: TableChanges = self._table.changes_since(asked.node_revision, now_s)
-        changes = self._history.changes_since(asked.state_sequence)
+    def _make_update(self, requested: RequestedVersions, current: CurrentVersions, now_s: float) -> Update:
+        """Make an update whose request number and proxy count are filled in for each proxy."""
+        nodes = self._table.changes_since(requested.node_revision, now_s)
+        changes = self._history.changes_since(requested.state_sequence)
         return Update(
             request_number=0,
-            has_quorum=told.connected,
-            knows_all_nodes=told.settled,
-            table_id=self._table_identity,
+            has_quorum=current.has_quorum,
+            knows_all_nodes=current.knows_all_nodes,
+            table_id=self._table_id,
             node_revision=nodes.revision,
             is_full_table=nodes.is_complete,
             nodes=nodes.nodes,
             removed=nodes.removed,
             deregistered=nodes.deregistered,
-            state_sequence=told.state_sequence,
-            state=self._history.encoded if changes is None else None,
+            state_sequence=current.state_sequence,
+            state=self._history.encoded_state if changes is None else None,
             changes=changes or (),
-            coordinators=told.coordinators,
+            coordinators=current.coordinators,
             max_proxies=0,
         )
--- /dev/null
+++ b/coveport/serving/coordinator/update_cache.py
@@ -0,0 +1,57 @@
+"""Caches encoded updates for a moment, since most proxies request updates from the same versions."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Final
+
+from coveport.serving.wire.messages import CoordinatorEndpoint, Update
+from coveport.serving.wire.shared_update import SharedUpdate
+
+LIFETIME_S: Final = 0.25  # for so long the remaining times in an update may be out of date ...
+DRAINING_LIFETIME_S: Final = 0.05  # ... or so long, where a node says when it will be gone
+
+
+@dataclass(frozen=True, slots=True)
+class RequestedVersions:
+    """The versions that a proxy has; proxies with the same ones get the same update."""
+
+    node_revision: int  # -1: none, the full table is needed
+    state_sequence: int
+
+
+@dataclass(frozen=True, slots=True)
+class CurrentVersions:
+    """What each update of a moment says of this coordinator and its newest versions."""
+
+    has_quorum: bool
+    knows_all_nodes: bool
+    node_revision: int
+    state_sequence: int
+    coordinators: tuple[CoordinatorEndpoint, ...]
+
+
+class UpdateCache:
+    """Updates by requested versions, valid while the current versions stay the same."""
+
+    def __init__(self) -> None:
+        self._updates: dict[RequestedVersions, tuple[SharedUpdate, float]] = {}  # and until when it is valid
+        self._current: CurrentVersions | None = None
+
+    def find(
+        self, requested: RequestedVersions, current: CurrentVersions, now_s: float
+    ) -> SharedUpdate | None:
+        """Return a valid update, or None; a change of the current versions empties the cache."""
+        if current != self._current:
+            self._updates.clear()
+            self._current = current
+        update, valid_until_s = self._updates.get(requested, (None, 0.0))
+        return update if now_s <= valid_until_s else None
+
+    def add(self, requested: RequestedVersions, update: Update, now_s: float) -> SharedUpdate:
+        """Encode and keep an update that `find` has just not found."""
+        is_draining = any(node.shutdown_in_ms for node in update.nodes)
+        valid_until_s = now_s + (DRAINING_LIFETIME_S if is_draining else LIFETIME_S)
+        shared = SharedUpdate(update)
+        self._updates[requested] = shared, valid_until_s
+        return shared
--- a/coveport/serving/simulation/world.py
+++ b/coveport/serving/simulation/world.py
@@ -10,7 +10,7 @@
 from typing import Any, Final
 
 from coveport.net.address import Address
-from coveport.serving.coordinator.process import Coordinator
+from coveport.serving.coordinator.coordinator import Coordinator
 from coveport.serving.proxy.process import Proxy
 from coveport.serving.simulation.client import Client, ClientFigures
 from coveport.serving.simulation.deployment import (
--- a/tests/serving/cli/loopback_core.py
+++ b/tests/serving/cli/loopback_core.py
@@ -68,15 +68,12 @@
         text = self.state.configuration_text
         return json_response(404, {"Error": "none yet"}) if text is None else ApiResponse(200, text)
 
-    async def hold(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Its callers stay."""
 
-    async def primary_elsewhere(self) -> str | None:
+    async def find_other_primary(self) -> str | None:
         return None
 
-    def is_primary(self) -> bool:
-        return True
-
     def describe(self) -> dict[str, Any]:
         return STATUS
 
--- a/tests/serving/coordinator/test_control.py
+++ b/tests/serving/coordinator/test_control_service.py
@@ -11,7 +11,7 @@
 import pytest
 
 from coveport.serving.configuration.state import ChangeResult, ControlState
-from coveport.serving.coordinator.control import ANSWER_S, PRIMARY_WAIT_S, Control
+from coveport.serving.coordinator.control_service import OUTCOME_TIMEOUT_S, PRIMARY_TIMEOUT_S, ControlService
 from coveport.serving.model.findings import Finding
 from coveport.serving.replication.events import Done, Newest, NotPrimary, OutcomeUnknown, Refused
 from coveport.testbed.simulated_network.world import Process, World
@@ -19,13 +19,13 @@
 CALLERS_WAIT_S = 1.0
 
 
-class Core:
-    """A core whose word a test decides; without an outcome it never answers."""
+class ScriptedRuntime:
+    """A replica runtime whose outcome a test sets; without one it never answers."""
 
     def __init__(self) -> None:
-        self.hears_majority = True
-        self.member = SimpleNamespace(
-            is_primary=False, primary_address=None, has_quorum=lambda now_s: self.hears_majority
+        self.has_quorum = True
+        self.replica = SimpleNamespace(
+            is_primary=False, primary_address=None, has_quorum=lambda now_s: self.has_quorum
         )
         self.outcome: Any = None
 
@@ -33,19 +33,21 @@
         return await self.read_newest()
 
     async def read_newest(self) -> Any:
-        while self.outcome is None:
-            await asyncio.sleep(0.1)
+        if self.outcome is None:
+            await asyncio.Event().wait()
         return self.outcome
 
 
-def run(core: Core, ask: Callable[[Control], Coroutine[Any, Any, Any]], at: Any = None) -> tuple[Any, float]:
+def run(
+    runtime: ScriptedRuntime, ask: Callable[[ControlService], Coroutine[Any, Any, Any]], at: Any = None
+) -> tuple[Any, float]:
     """What a call gives in simulated time, and after how long; `at`: when something happens, and what."""
     world = World()
     process = Process.start(world, "coordinator")
     net = SimpleNamespace(now_s=lambda: world.now)
-    control = Control(net, core, dict)  # type: ignore[arg-type]
+    service = ControlService(net, runtime, dict)  # type: ignore[arg-type]
     began = world.now
-    task = process.create_task(ask(control))
+    task = process.create_task(ask(service))
     if at is not None:
         world.at(began + at[0], at[1], process=process)
     ended: list[float] = []
@@ -55,31 +57,31 @@
 
 
 def test_the_primary_itself_is_not_elsewhere() -> None:
-    core = Core()
-    core.member.is_primary = True
-    assert run(core, Control.primary_elsewhere) == (None, 0.0)
+    runtime = ScriptedRuntime()
+    runtime.replica.is_primary = True
+    assert run(runtime, ControlService.find_other_primary) == (None, 0.0)
 
 
 def test_another_primary_is_told_at_once() -> None:
-    core = Core()
-    core.member.primary_address = "10.0.0.2:7300"
-    assert run(core, Control.primary_elsewhere) == ("10.0.0.2:7300", 0.0)
+    runtime = ScriptedRuntime()
+    runtime.replica.primary_address = "10.0.0.2:7300"
+    assert run(runtime, ControlService.find_other_primary) == ("10.0.0.2:7300", 0.0)
 
 
 def test_where_nobody_leads_a_call_waits_for_a_primary_but_not_longer_than_its_caller() -> None:
-    core = Core()
-    found, took_s = run(core, Control.primary_elsewhere)
+    runtime = ScriptedRuntime()
+    found, took_s = run(runtime, ControlService.find_other_primary)
     assert found is None
-    assert PRIMARY_WAIT_S <= took_s < CALLERS_WAIT_S - 0.08
+    assert PRIMARY_TIMEOUT_S <= took_s < CALLERS_WAIT_S - 0.08
 
 
 def test_a_primary_that_comes_up_meanwhile_is_told() -> None:
-    core = Core()
+    runtime = ScriptedRuntime()
 
     def elected() -> None:
-        core.member.primary_address = "10.0.0.3:7300"
+        runtime.replica.primary_address = "10.0.0.3:7300"
 
-    found, took_s = run(core, Control.primary_elsewhere, (0.5, elected))
+    found, took_s = run(runtime, ControlService.find_other_primary, (0.5, elected))
     assert found == "10.0.0.3:7300"
     assert 0.5 <= took_s < 0.55
 
@@ -95,69 +97,69 @@
     ],
 )
 def test_an_outcome_becomes_its_answer(outcome: Any, status: int) -> None:
-    core = Core()
-    core.member.is_primary = True
-    core.outcome = outcome
-    reply, _ = run(core, lambda control: control.submit(b""))
+    runtime = ScriptedRuntime()
+    runtime.replica.is_primary = True
+    runtime.outcome = outcome
+    reply, _ = run(runtime, lambda service: service.submit(b""))
     assert reply.status == status
 
 
 def test_what_is_refused_is_told_with_its_findings() -> None:
-    core = Core()
-    core.member.is_primary = True
-    core.outcome = Refused(ChangeResult(412, 5, (Finding("If-Match", "the current edition is 5"),)))
-    reply, _ = run(core, lambda control: control.submit(b""))
+    runtime = ScriptedRuntime()
+    runtime.replica.is_primary = True
+    runtime.outcome = Refused(ChangeResult(412, 5, (Finding("If-Match", "the current edition is 5"),)))
+    reply, _ = run(runtime, lambda service: service.submit(b""))
     assert json.loads(reply.body) == {"Edition": 5, "Error": ["If-Match: the current edition is 5"]}
 
 
 def test_a_command_that_is_never_decided_is_unclear_and_not_refused() -> None:
     """Any 4xx would end the operator's tries though the change may be taken."""
-    core = Core()
-    core.member.is_primary = True
-    reply, took_s = run(core, lambda control: control.submit(b""))
+    runtime = ScriptedRuntime()
+    runtime.replica.is_primary = True
+    reply, took_s = run(runtime, lambda service: service.submit(b""))
     assert reply.status == 503
-    assert took_s == pytest.approx(ANSWER_S)
+    assert took_s == pytest.approx(OUTCOME_TIMEOUT_S)
 
 
 def test_the_newest_configuration_is_handed_out_as_it_was_sent() -> None:
-    core = Core()
-    core.member.is_primary = True
-    core.outcome = Newest(3, ControlState(configuration_text=b'{"Edition":7}', edition=7))
-    reply, _ = run(core, Control.read_configuration)
+    runtime = ScriptedRuntime()
+    runtime.replica.is_primary = True
+    runtime.outcome = Newest(3, ControlState(configuration_text=b'{"Edition":7}', edition=7))
+    reply, _ = run(runtime, ControlService.read_configuration)
     assert (reply.status, reply.body) == (200, b'{"Edition":7}')
 
 
 def test_without_a_configuration_there_is_none_to_read() -> None:
-    core = Core()
-    core.member.is_primary = True
-    core.outcome = Newest(0, ControlState())
-    reply, _ = run(core, Control.read_configuration)
+    runtime = ScriptedRuntime()
+    runtime.replica.is_primary = True
+    runtime.outcome = Newest(0, ControlState())
+    reply, _ = run(runtime, ControlService.read_configuration)
     assert reply.status == 404
 
 
 def test_a_primary_that_hears_no_majority_starts_nothing_and_says_so_before_its_caller_gives_up() -> None:
     """It could only hold the caller, and the command might come into force after a later one elsewhere."""
-    core = Core()
-    core.member.is_primary = True
-    core.member.primary_address = "10.0.0.1:7300"  # its own
-    core.hears_majority = False
-    core.outcome = Done(ChangeResult(200, 7))
-    found, took_s = run(core, Control.primary_elsewhere)
+    runtime = ScriptedRuntime()
+    runtime.replica.is_primary = True
+    runtime.replica.primary_address = "10.0.0.1:7300"  # its own
+    runtime.has_quorum = False
+    runtime.outcome = Done(ChangeResult(200, 7))
+    found, took_s = run(runtime, ControlService.find_other_primary)
     assert found is None
-    assert PRIMARY_WAIT_S <= took_s < CALLERS_WAIT_S
-    for ask in (lambda control: control.submit(b""), Control.read_configuration):
-        reply, took_s = run(core, ask)
+    assert PRIMARY_TIMEOUT_S <= took_s < CALLERS_WAIT_S
+    for ask in (lambda service: service.submit(b""), ControlService.read_configuration):
+        reply, took_s = run(runtime, ask)
         assert (reply.status, took_s) == (503, 0.0)
 
 
 def test_a_primary_that_hears_a_majority_again_takes_the_call_that_waited() -> None:
-    core = Core()
-    core.member.is_primary = True
-    core.hears_majority = False
+    runtime = ScriptedRuntime()
+    runtime.replica.is_primary = True
+    runtime.has_quorum = False
 
     def heal() -> None:
-        core.hears_majority = True
+        runtime.has_quorum = True
 
-    found, took_s = run(core, Control.primary_elsewhere, (0.4, heal))
+    found, took_s = run(runtime, ControlService.find_other_primary, (0.4, heal))
     assert found is None
     assert 0.4 <= took_s < 0.45
--- a/tests/serving/coordinator/test_callers_who_leave.py
+++ b/tests/serving/coordinator/test_disconnected_callers.py
@@ -10,9 +10,10 @@
 import pytest
 
 from coveport.http1 import codec
-from coveport.serving.coordinator.control import HOLD_S, Control
+from coveport.serving.coordinator.control_service import DISCONNECT_WAIT_S, ControlService
 from coveport.serving.coordinator.operator_api import OperatorApi
-from coveport.serving.coordinator.replica_runtime import STALL_S, TICK_S, ReplicaCallbacks, ReplicaRuntime
+from coveport.serving.coordinator.replica_runtime import ReplicaCallbacks, ReplicaRuntime
+from coveport.serving.coordinator.stall_detector import STALL_THRESHOLD_S, TICK_INTERVAL_S, StallDetector
 from coveport.serving.replication.events import Answer, CancelCall, Done, Effect, Event, Submit, Tick
 from coveport.serving.web.router import Router
 from coveport.serving.web.server import HttpServer, _Connection
@@ -42,8 +43,8 @@
         self.is_over = True
 
 
-class Member:
-    """A core member that notes events; it answers submits with `outcome` where there is one."""
+class ScriptedReplica:
+    """A replica that records events; it answers submits with `outcome` where there is one."""
 
     def __init__(self) -> None:
         self.is_primary = True
@@ -73,15 +74,18 @@
     def __init__(self) -> None:
         self.world = World()
         self.process = Process.start(self.world, "coordinator")
-        self.member = Member()
+        self.replica = ScriptedReplica()
         self.stalls: list[float] = []
         net: Any = SimpleNamespace(now_s=lambda: self.world.now, loop=self.process)
-        hooks = ReplicaCallbacks(lambda address, message: None, lambda effect: None, self.stalled)
+        callbacks = ReplicaCallbacks(lambda address, message: None, lambda effect: None)
         log = SimpleNamespace(info=lambda *_, **__: None, warning=lambda *_, **__: None)
-        self.runtime = ReplicaRuntime(net, self.member, None, hooks, log)  # type: ignore[arg-type]
-        control = Control(net, self.runtime, dict)
-        router = Router(OperatorApi(control, 7000, frozenset({"hall"})))
-        self.server = HttpServer(net, ("10.0.0.1", 7000), router.dispatch, self.runtime.look_for_stall)
+        detector = StallDetector(net.now_s, self.stalled, log)
+        replica: Any = self.replica
+        writer: Any = None
+        self.runtime = ReplicaRuntime(net, replica, writer, detector, callbacks, log)
+        control_service = ControlService(net, self.runtime, dict)
+        router = Router(OperatorApi(control_service, 7000, frozenset({"hall"})))
+        self.server = HttpServer(net, ("10.0.0.1", 7000), router.dispatch, detector.check)
 
     def stalled(self, late_s: float) -> None:
         self.stalls.append(late_s)
@@ -109,18 +113,18 @@
 def test_an_order_whose_caller_left_while_nobody_led_is_never_submitted(how: str) -> None:
     """Shown before: the coordinator waited on for a primary and submitted it to itself 0.8 s later."""
     at = Coordinator()
-    at.member.is_primary = False
+    at.replica.is_primary = False
     connection, _ = at.call()
     at.run(0.4)
     at.process.call_soon(leave, connection, how)
     at.run(0.1)
-    at.member.is_primary = True
+    at.replica.is_primary = True
     at.run(5.0)
-    assert at.member.of(Submit) == []
+    assert at.replica.of(Submit) == []
 
 
 @pytest.mark.parametrize("how", ["closes", "resets"])
-@pytest.mark.parametrize("after_s", [0.0, HOLD_S / 2])
+@pytest.mark.parametrize("after_s", [0.0, DISCONNECT_WAIT_S / 2])
 def test_an_old_copy_that_comes_with_its_callers_end_is_never_submitted(how: str, after_s: float) -> None:
     """As a link brings them that held both up."""
     at = Coordinator()
@@ -128,35 +132,35 @@
     at.run(after_s)
     at.process.call_soon(leave, connection, how)
     at.run(5.0)
-    assert at.member.of(Submit) == []
+    assert at.replica.of(Submit) == []
 
 
 def test_a_submitted_order_whose_caller_leaves_is_withdrawn() -> None:
     at = Coordinator()
     connection, _ = at.call()
-    at.run(HOLD_S + 0.1)
-    (submitted,) = at.member.of(Submit)
+    at.run(DISCONNECT_WAIT_S + 0.1)
+    (submitted,) = at.replica.of(Submit)
     assert isinstance(submitted, Submit)
     at.process.call_soon(leave, connection, "resets")
     at.run(0.1)
-    assert at.member.of(CancelCall) == [CancelCall(submitted.request)]
+    assert at.replica.of(CancelCall) == [CancelCall(submitted.request)]
 
 
 def test_a_submitted_order_that_is_never_decided_is_withdrawn_as_its_caller_is_told() -> None:
     """Shown before: it stayed in the primary's queue, which the next view takes over."""
     at = Coordinator()
     _, transport = at.call()
-    at.run(HOLD_S + 4.2)
+    at.run(DISCONNECT_WAIT_S + 4.2)
     assert b" 503 " in transport.written
-    assert len(at.member.of(Submit)) == len(at.member.of(CancelCall)) == 1
+    assert len(at.replica.of(Submit)) == len(at.replica.of(CancelCall)) == 1
 
 
 def test_an_order_whose_caller_stays_is_answered() -> None:
     at = Coordinator()
-    at.member.outcome = Done(SimpleNamespace(status=200, edition=1, findings=()))
+    at.replica.outcome = Done(SimpleNamespace(status=200, edition=1, findings=()))
     _, transport = at.call()
-    at.run(HOLD_S + 0.1)
-    assert at.member.of(CancelCall) == []
+    at.run(DISCONNECT_WAIT_S + 0.1)
+    assert at.replica.of(CancelCall) == []
     assert transport.written
 
 
@@ -169,13 +173,13 @@
     at.process.call_soon(connection.connection_made, transport)
     at.run(0.01)
     at.runtime.stop()  # no tick comes in front of the bytes
-    at.run(STALL_S + 2 * TICK_S)
+    at.run(STALL_THRESHOLD_S + 2 * TICK_INTERVAL_S)
     at.process.call_soon(connection.data_received, EVACUATION)
     at.run(5.0)
     assert len(at.stalls) == 1
     assert transport.is_over
-    assert at.member.of(Submit) == []
-    assert len(at.member.of(Tick)) > 10
+    assert at.replica.of(Submit) == []
+    assert len(at.replica.of(Tick)) > 10
 
 
 def without_giving_up(self: _Connection) -> None:
--- a/tests/serving/coordinator/test_lookup_hold.py
+++ b/tests/serving/coordinator/test_lookup_ttl.py
@@ -7,30 +7,34 @@
 
 import pytest
 
-from coveport.serving.coordinator.coordinator_liveness import NOTED_S, REMEMBERED_S, LostCoordinators
-from coveport.serving.coordinator.lookup_api import TTL_S, TTL_WHILE_LOST_S, LookupApi
+from coveport.serving.coordinator.coordinator_liveness import (
+    FORGET_AFTER_S,
+    RESTART_ALLOWANCE_S,
+    CoordinatorLiveness,
+)
+from coveport.serving.coordinator.lookup_api import TTL_S, TTL_WHILE_DELAYED_S, LookupApi
 from coveport.serving.membership.leases import LeaseTable, ProxyLease
 from coveport.serving.web.messages import ApiRequest
 from coveport.serving.wire.messages import CoordinatorEndpoint
 
 NOW = 100.0
-LATER = NOW + NOTED_S + 0.1
+LATER = NOW + RESTART_ALLOWANCE_S + 0.1
 WEST = CoordinatorEndpoint("10.0.0.1:1", "west-1", "west")
 WEST_TOO = CoordinatorEndpoint("10.0.0.2:1", "west-2", "west")
 EAST = CoordinatorEndpoint("10.0.1.1:1", "east-1", "east")
 
 
-def lost_at(own: CoordinatorEndpoint, *lost: CoordinatorEndpoint) -> LostCoordinators:
+def lost_at(own: CoordinatorEndpoint, *lost: CoordinatorEndpoint) -> CoordinatorLiveness:
     """All were alive at `NOW`, and only the others are at `LATER`."""
-    known = LostCoordinators(own)
-    known.note_alive((WEST, WEST_TOO, EAST), NOW)
-    known.note_alive([place for place in (WEST, WEST_TOO, EAST) if place not in lost], LATER)
+    known = CoordinatorLiveness(own)
+    known.record_live((WEST, WEST_TOO, EAST), NOW)
+    known.record_live([place for place in (WEST, WEST_TOO, EAST) if place not in lost], LATER)
     return known
 
 
 def test_while_all_live_nobody_was_called_in_vain() -> None:
     known = lost_at(EAST)
-    assert not known.were_called_in_vain("west-1", "west", LATER)
+    assert not known.is_lookup_delayed("west-1", "west", LATER)
 
 
 @pytest.mark.parametrize(
@@ -47,26 +51,26 @@
 def test_a_lost_one_was_called_if_it_is_as_near_as_we_are(
     own: CoordinatorEndpoint, lost: CoordinatorEndpoint, zone: str, region: str, in_vain: bool
 ) -> None:
-    assert lost_at(own, lost).were_called_in_vain(zone, region, LATER) is in_vain
+    assert lost_at(own, lost).is_lookup_delayed(zone, region, LATER) is in_vain
 
 
 def test_one_that_is_back_counts_no_longer_and_one_that_stays_away_is_forgotten() -> None:
     known = lost_at(EAST, WEST)
-    known.note_alive((WEST, WEST_TOO, EAST), LATER)
-    assert not known.were_called_in_vain("west-1", "west", LATER)
+    known.record_live((WEST, WEST_TOO, EAST), LATER)
+    assert not known.is_lookup_delayed("west-1", "west", LATER)
     known = lost_at(EAST, WEST)
-    known.note_alive((WEST_TOO, EAST), NOW + REMEMBERED_S + 0.1)
-    assert not known.were_called_in_vain("west-1", "west", NOW + REMEMBERED_S + 0.1)
+    known.record_live((WEST_TOO, EAST), NOW + FORGET_AFTER_S + 0.1)
+    assert not known.is_lookup_delayed("west-1", "west", NOW + FORGET_AFTER_S + 0.1)
 
 
 def test_one_that_was_alive_a_moment_ago_is_not_lost() -> None:
-    known = LostCoordinators(EAST)
-    known.note_alive((WEST, EAST), NOW)
-    known.note_alive((EAST,), NOW + 0.1)
-    assert not known.were_called_in_vain("west-1", "west", NOW + 0.1)
+    known = CoordinatorLiveness(EAST)
+    known.record_live((WEST, EAST), NOW)
+    known.record_live((EAST,), NOW + 0.1)
+    assert not known.is_lookup_delayed("west-1", "west", NOW + 0.1)
 
 
-@pytest.mark.parametrize(("lost", "ttl_s"), [((), TTL_S), ((WEST,), TTL_WHILE_LOST_S)])
+@pytest.mark.parametrize(("lost", "ttl_s"), [((), TTL_S), ((WEST,), TTL_WHILE_DELAYED_S)])
 def test_what_a_client_is_told(lost: tuple[CoordinatorEndpoint, ...], ttl_s: float) -> None:
     leases = LeaseTable()
     leases.renew(ProxyLease("p", "10.0.1.9:80", "east-1", "east", True, 1, 1), LATER, local=True)
--- a/tests/serving/coordinator/test_node_api.py
+++ b/tests/serving/coordinator/test_node_api.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from coveport.serving.coordinator.node_api import NodeApi, read_heartbeat
+from coveport.serving.coordinator.heartbeat import read_heartbeat
+from coveport.serving.coordinator.node_api import NodeApi
 from coveport.serving.model.findings import Refusal
 from coveport.serving.model.node import Node, NodeState
 from coveport.serving.web.messages import ApiRequest
@@ -32,7 +33,7 @@
         self.taken: list[Node] = []
         self.confirms = confirms
 
-    async def take(self, node: Node) -> bool:
+    async def accept(self, node: Node) -> bool:
         self.taken.append(node)
         return self.confirms
 
--- /dev/null
+++ b/tests/serving/coordinator/test_update_cache.py
@@ -0,0 +1,110 @@
+"""Proxies that ask with the same versions share one encoded update, and nobody is told something old."""
+
+from __future__ import annotations
+
+import pytest
+from subscription_fakes import FakeConnection, FakeNet, FakeStatus
+
+from coveport.serving.coordinator.state_history import StateHistory
+from coveport.serving.coordinator.subscriptions import Subscriptions
+from coveport.serving.membership.leases import LeaseTable, ProxyLease
+from coveport.serving.membership.node_table import NodeTable
+from coveport.serving.model.node import Node, NodeState
+from coveport.serving.wire.messages import CoordinatorEndpoint, Update, UpdateRequest
+from coveport.serving.wire.shared_update import SharedUpdate
+
+
+class Coordinator:
+    """A coordinator's subscriptions, and the tables that they read."""
+
+    def __init__(self) -> None:
+        self.net = FakeNet()
+        endpoint = CoordinatorEndpoint("127.0.0.1:7300", "a", "north")
+        self.status = FakeStatus(quorum=True, all_nodes=True, coordinators=(endpoint,))
+        self.table = NodeTable(5.0)
+        self.leases = LeaseTable()
+        self.history = StateHistory()
+        self.subscriptions = Subscriptions(
+            self.net, self.table, "t", self.leases, self.history, self.status, lambda: None
+        )
+
+    def request(self, number: int, revision: int = -1, sequence: int = -1) -> Update:
+        lease = ProxyLease(f"p{number}", f"127.0.0.2:{number}", "a", "north", True, number, 1)
+        connection = FakeConnection()
+        table = "t" if revision >= 0 else ""
+        request = UpdateRequest(lease, table, revision, sequence, number)
+        self.subscriptions.receive(connection, request)  # type: ignore[arg-type]
+        (update,) = connection.updates
+        return update
+
+
+def node(number: int, warm_up_left_ms: float = 0.0, shutdown_in_ms: float = 0.0) -> Node:
+    address = f"127.0.1.1:{number}"
+    state = NodeState.DRAINING if shutdown_in_ms else NodeState.ACCEPTING
+    return Node(f"i-{number}", 1, "s", address, "a", "north", 8, state, warm_up_left_ms, shutdown_in_ms)
+
+
+@pytest.fixture
+def made(monkeypatch: pytest.MonkeyPatch) -> list[Update]:
+    """Updates that were encoded."""
+    encoded: list[Update] = []
+
+    def note(update: Update) -> object:
+        encoded.append(update)
+        return SharedUpdate(update)
+
+    monkeypatch.setattr("coveport.serving.coordinator.update_cache.SharedUpdate", note)
+    return encoded
+
+
+def test_a_whole_table_is_encoded_once_for_all_who_ask(made: list[Update]) -> None:
+    coordinator = Coordinator()
+    for number in range(20):
+        coordinator.table.apply_report(node(number), 100.0)
+    updates = [coordinator.request(number) for number in range(20)]
+    assert [update.request_number for update in updates] == list(range(20))
+    assert all(len(update.nodes) == 20 and update.is_full_table for update in updates)
+    assert [update.max_proxies for update in updates] == list(range(1, 21))
+    assert len(made) == 1
+
+
+def test_whoever_asks_after_a_change_is_told_of_it(made: list[Update]) -> None:
+    coordinator = Coordinator()
+    coordinator.table.apply_report(node(1), 100.0)
+    assert [one.incarnation for one in coordinator.request(1).nodes] == ["i-1"]
+    coordinator.table.apply_report(node(2), 100.0)
+    assert sorted(one.incarnation for one in coordinator.request(1).nodes) == ["i-1", "i-2"]
+    coordinator.history.advance(0, b"state", None)
+    assert coordinator.request(1).state == b"state"
+    coordinator.status.quorum = False
+    assert not coordinator.request(1).has_quorum
+    assert len(made) == 4
+
+
+def test_versions_that_differ_are_told_different_things(made: list[Update]) -> None:
+    coordinator = Coordinator()
+    coordinator.table.apply_report(node(1), 100.0)
+    first = coordinator.table.revision
+    coordinator.table.apply_report(node(2), 100.0)
+    assert len(coordinator.request(1).nodes) == 2
+    assert [one.incarnation for one in coordinator.request(1, revision=first).nodes] == ["i-2"]
+    assert len(made) == 2
+
+
+@pytest.mark.parametrize(
+    ("told", "shared_s"), [(node(1, warm_up_left_ms=3000.0), 0.25), (node(1, shutdown_in_ms=3000.0), 0.05)]
+)
+def test_times_that_remain_are_told_anew_after_a_moment(told: Node, shared_s: float) -> None:
+    coordinator = Coordinator()
+    coordinator.leases.renew(ProxyLease("p", "127.0.0.2:1", "a", "north", True, 0, 1), 100.0, local=True)
+    coordinator.table.apply_report(told, 100.0)
+
+    def left_ms(at_s: float) -> float:
+        coordinator.net.time_s = at_s
+        (one,) = coordinator.request(1).nodes
+        return one.warm_up_left_ms + one.shutdown_in_ms
+
+    assert left_ms(100.02) == pytest.approx(2980.0)
+    assert left_ms(100.02 + shared_s * 0.9) == pytest.approx(2980.0)
+    later_s = 100.02 + shared_s * 1.2
+    assert left_ms(later_s) == pytest.approx((103.0 - later_s) * 1000)
--- a/tests/serving/membership/report_explorer.py
+++ b/tests/serving/membership/report_explorer.py
@@ -95,17 +95,17 @@
 
     def connected(self, peer: str) -> None:
         """Do as a coordinator does when a connection has come up."""
-        self.reporting.tell_all(peer)
+        self.reporting.send_table(peer)
         self.send(peer, TableRequest())
 
     def received(self, sender: str, message: Message) -> None:
         match message:
             case NodeReports():
-                self.reporting.passed_on(sender, message)
+                self.reporting.receive_reports(sender, message)
             case NodeReportsAck():
-                self.reporting.taken(MemberId(sender, sender), message)
+                self.reporting.receive_ack(MemberId(sender, sender), message)
             case TableRequest():
-                self.reporting.tell_all(sender)
+                self.reporting.send_table(sender)
 
 
 @dataclass(frozen=True, slots=True)
@@ -200,7 +200,7 @@
 
     def _deregister(self, coordinator: SimulatedCoordinator) -> None:
         coordinator.table.apply_report(self.scenario.departure, 100.0)
-        done = coordinator.reporting.begin_confirmation(self.scenario.departure).done
+        done = coordinator.reporting.start_replication(self.scenario.departure).replicated
         assert isinstance(done, StubFuture)
         self.pending.append((coordinator.name, done))
 
@@ -249,8 +249,8 @@
                 ),
                 [node.incarnation for node in coordinator.table.deregistrations(100.0)],
                 sorted(
-                    (number, sorted(confirmation.holders), confirmation.done.done())
-                    for number, confirmation in coordinator.reporting._confirmations.items()
+                    (confirmation_id, sorted(report.holders), report.replicated.done())
+                    for confirmation_id, report in coordinator.reporting._pending.items()
                 ),
             )
             for name, coordinator in self.coordinators.items()
--- a/tests/serving/membership/test_report_interleavings.py
+++ b/tests/serving/membership/test_report_interleavings.py
@@ -18,7 +18,7 @@
     explore,
 )
 
-from coveport.serving.coordinator.node_report_replication import Confirmation, NodeReportReplicator
+from coveport.serving.coordinator.node_report_replication import NodeReportReplicator, PendingReport
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.model.node import Node, NodeState, deregistration
 from coveport.serving.replication.identity import MemberId
@@ -52,10 +52,10 @@
     return True
 
 
-def any_view_counts(self: NodeReportReplicator, confirmation: Confirmation) -> bool:
+def any_view_counts(self: NodeReportReplicator, pending: PendingReport) -> bool:
     """Count each holder as a member of the view known here, as an earlier version did."""
-    holders = list(confirmation.holders)
-    return len(holders) >= self._copies and self._peers.is_majority(holders)
+    holders = list(pending.holders)
+    return len(holders) >= self._required_acks and self._peers.is_majority(holders)
 
 
 def draining_is_undone(self: Node, other: Node) -> bool:
@@ -78,7 +78,7 @@
         (
             "two that reach the third don't reach each other",
             NodeReportReplicator,
-            "_take_in",
+            "_apply",
             without_forwarding,
         ),
         (
@@ -90,7 +90,7 @@
         (
             "a former member is partitioned with a current one",
             NodeReportReplicator,
-            "_is_kept",
+            "_is_replicated",
             any_view_counts,
         ),
         ("copies of a heartbeat around a drain", Node, "is_newer_than", draining_is_undone),
@@ -116,19 +116,19 @@
 def test_a_confirmation_for_an_earlier_incarnation_is_ignored() -> None:
     """A peer that was frozen answers a request from before the coordinator's restart."""
     cluster = SimulatedCluster(SCENARIOS[0])
-    cluster.coordinators["A"].reporting.begin_confirmation(deregistration(NODE))
+    cluster.coordinators["A"].reporting.start_replication(deregistration(NODE))
     cluster.take("restart", "A")
     stale = cluster.links["A", "B"][0]
     assert isinstance(stale, NodeReports) and stale.confirmation_id
-    pending = cluster.coordinators["A"].reporting.begin_confirmation(deregistration("i-2"))
+    pending = cluster.coordinators["A"].reporting.start_replication(deregistration("i-2"))
     cluster.coordinators["A"].received(
         "B", NodeReportsAck(stale.confirmation_id, cluster.coordinators["B"].view_epoch())
     )
-    assert not pending.done.done()
+    assert not pending.replicated.done()
     cluster.coordinators["A"].received(
-        "B", NodeReportsAck(pending.number, cluster.coordinators["B"].view_epoch())
+        "B", NodeReportsAck(pending.confirmation_id, cluster.coordinators["B"].view_epoch())
     )
-    assert pending.done.done()
+    assert pending.replicated.done()
 
 
 def test_confirmation_numbers_that_restart_with_each_incarnation_are_caught(
@@ -138,7 +138,7 @@
 
     def begin_at_0(self: NodeReportReplicator, *arguments: Any) -> None:
         original(self, *arguments)
-        self._number = 0
+        self._last_confirmation_id = 0
 
     monkeypatch.setattr(NodeReportReplicator, "__init__", begin_at_0)
     with pytest.raises(AssertionError):
@@ -152,7 +152,7 @@
         coordinator = cluster.coordinators["A"]
         if order == "before":
             cluster.take("heartbeat", "A")
-        coordinator.reporting.told_departed((NODE,))
+        coordinator.reporting.receive_departed((NODE,))
         if order == "after":
             cluster.take("heartbeat", "A")
         while any(cluster.links.values()):
--- a/tests/serving/simulation/test_control_days.py
+++ b/tests/serving/simulation/test_control_days.py
@@ -14,7 +14,7 @@
 from coveport.http1.codec import write_request
 from coveport.net.address import Address
 from coveport.serving.configuration.state import ControlState
-from coveport.serving.coordinator.process import Coordinator
+from coveport.serving.coordinator.coordinator import Coordinator
 from coveport.serving.replication.identity import Epoch
 from coveport.serving.simulation.deployment import Deployment
 from coveport.serving.simulation.events import HeartbeatAnswered, Order, OrderEnded, OrderSent, Verdict
@@ -56,11 +56,11 @@
         return machine.program
 
     def state(self, machine: Machine) -> ControlState:
-        state: ControlState = self.program(machine)._member._parts.learner.state
+        state: ControlState = self.program(machine)._replica._parts.learner.state
         return state
 
     def primary(self) -> Machine:
-        return next(one for one in self.day.coordinators if self.program(one)._member.is_primary)
+        return next(one for one in self.day.coordinators if self.program(one)._replica.is_primary)
 
     def control(self, machine: Machine) -> Address:
         return (machine.spot.ip, self.day.deployment.ports.control)
@@ -176,8 +176,8 @@
         told.troubles.cut_off(AT_S + 7.9, behind + with_it, 5.0, from_machines=rest)
 
     async def leave() -> None:
-        view = told.program(behind[0])._member.view
-        newer = told.program(with_it[0])._member.view
+        view = told.program(behind[0])._replica.view
+        newer = told.program(with_it[0])._replica.view
         assert view is not None and newer is not None
         epochs.append((view.epoch, newer.epoch))
         assert told.program(behind[0])._member_id not in newer.members
@@ -246,7 +246,7 @@
 
     async def give() -> None:
         request = write_request("POST", Path.EVACUATION + zone, [("Host", "core")])
-        reached.append(told.program(left[0])._member.primary_address is None)
+        reached.append(told.program(left[0])._replica.primary_address is None)
         answer = await call(day.operators[0]._net, told.control(left[0]), request, 0.3)
         reached.append(answer is None)
 
