--- a/coveport/serving/__main__.py
+++ b/coveport/serving/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m coveport.serving ROLE` starts a role; other words go to the command line."""
+"""Entry point: `python -m coveport.serving ROLE` runs a role; other arguments go to the command line."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def main() -> int:
-    """Carry out `sys.argv`; the exit code.
+    """Run what `sys.argv` says, and return the exit code.
 
-    A role by its name alone is started without the command line's library.
+    A role without options is run without the command line's library: each process keeps its memory.
     """
     if len(sys.argv) == 2 and sys.argv[1] in ROLES:
         return run_role(sys.argv[1], None)
--- a/coveport/serving/log.py
+++ b/coveport/serving/log.py
@@ -1,76 +1,92 @@
-"""One line of key=value pairs an event, on standard error, rendered by structlog.
+"""The log: one line of key=value pairs an event, on standard error, rendered by structlog.
 
-At most `BURST` lines of one event are written in `SPAN_S`.
+The lines of each event are limited to `MAX_LINES_PER_WINDOW` in `WINDOW_S`; see docs/operators/log-events.md.
 """
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from types import ModuleType
-from typing import Any
+from typing import Any, Final
 
 
 def _import_structlog() -> ModuleType:
     """Import it without rich, which it would load for tracebacks: 70 ms and 6 MB that no role uses."""
-    hidden = "rich" not in sys.modules
-    if hidden:
+    hide_rich = "rich" not in sys.modules
+    if hide_rich:
         sys.modules["rich"] = None  # type: ignore[assignment]  # an import of it fails, which structlog expects
     try:
         import structlog
     finally:
-        if hidden:
+        if hide_rich:
             del sys.modules["rich"]
     return structlog
 
 
 structlog: Any = _import_structlog()
 
-BURST = 20  # lines of one event ...
-SPAN_S = 10.0  # ... in this long; what is left out is counted and said with the next one
-
-
-class _Limit:
-    """Counts lines by event."""
-
-    def __init__(self, now_s: Callable[[], float]) -> None:
-        self._now_s = now_s
-        self._spans: dict[str, list[float]] = {}  # event: start of its span, lines in it, lines left out
-
-    def __call__(self, logger: Any, method: str, event: Any) -> Any:
-        now = self._now_s()
-        span = self._spans.setdefault(event["event"], [now, 0, 0])
-        if now - span[0] >= SPAN_S:
-            span[0], span[1] = now, 0
-        if span[1] >= BURST:
-            span[2] += 1
-            raise structlog.DropEvent
-        span[1] += 1
-        if span[2]:
-            event["suppressed"] = int(span[2])
-            span[2] = 0
-        return event
+INFO_LEVEL: Final = 20  # as in `logging`, which isn't imported for one number
+MAX_LINES_PER_WINDOW: Final = 20  # of one event
+WINDOW_S: Final = 10.0
 
 
 def create_logger(
-    now_s: Callable[[], float], level: int = 20, write: Callable[[str], object] | None = None
+    now_s: Callable[[], float], level: int = INFO_LEVEL, write: Callable[[str], object] | None = None
 ) -> Any:
-    """A logger of `log.info("event_name", key=value)`; `level` as in `logging`."""
+    """Return a logger that is called as `log.info("event_name", key=value)`.
+
+    `now_s`: the clock of the key `at`. `level`: as in `logging`; events below it are not written.
+    `write`: gets each line without its end; by default it goes to standard error.
+    """
     renderer = structlog.processors.LogfmtRenderer(key_order=["at", "level", "event"], drop_missing=True)
 
-    def stamp(logger: Any, method: str, event: Any) -> Any:
+    def add_time(logger: Any, method: str, event: Any) -> Any:
         event["at"] = f"{now_s():.3f}"
         return event
 
     return structlog.wrap_logger(
-        _Writer(write or _to_stderr),
-        processors=[structlog.processors.add_log_level, _Limit(now_s), stamp, renderer],
+        _LineWriter(write or _write_to_stderr),
+        processors=[structlog.processors.add_log_level, _RateLimiter(now_s), add_time, renderer],
         wrapper_class=structlog.make_filtering_bound_logger(level),
     )
 
 
-class _Writer:
-    """What structlog hands finished lines to."""
+@dataclass(slots=True)
+class _Window:
+    """The lines of one event in the current window."""
+
+    start_s: float
+    written: int = 0
+    suppressed: int = 0  # since the last line that was written, in this window and earlier ones
+
+
+class _RateLimiter:
+    """A structlog processor that drops events beyond the limit; the next line says how many were dropped."""
+
+    def __init__(self, now_s: Callable[[], float]) -> None:
+        self._now_s = now_s
+        self._windows: dict[str, _Window] = {}  # by event name
+
+    def __call__(self, logger: Any, method: str, event: Any) -> Any:
+        now_s = self._now_s()
+        window = self._windows.setdefault(event["event"], _Window(now_s))
+        if now_s - window.start_s >= WINDOW_S:
+            window.start_s = now_s
+            window.written = 0
+        if window.written >= MAX_LINES_PER_WINDOW:
+            window.suppressed += 1
+            raise structlog.DropEvent
+        window.written += 1
+        if window.suppressed:
+            event["suppressed"] = window.suppressed
+            window.suppressed = 0
+        return event
+
+
+class _LineWriter:
+    """The innermost logger, which structlog gives the rendered lines."""
 
     def __init__(self, write: Callable[[str], object]) -> None:
         self._write = write
@@ -82,9 +98,9 @@
     debug = info = warning = error = critical = msg
 
 
-def _to_stderr(line: str) -> None:
+def _write_to_stderr(line: str) -> None:
     try:
         sys.stderr.write(line + "\n")
         sys.stderr.flush()
     except OSError:
-        pass  # a log line is not worth a crash
+        pass  # where standard error can't be written to, the process serves on without a log
--- a/coveport/serving/role_process.py
+++ b/coveport/serving/role_process.py
@@ -1,6 +1,6 @@
-"""Runs a role as a process: settings read and checked, signals, an exit code.
+"""Runs a role as a process: reads and checks its settings, handles signals, and returns an exit code.
 
-SIGTERM and SIGINT begin the planned end; SIGHUP has the settings file read again (`settings.reload`).
+SIGTERM and SIGINT start the graceful shutdown; SIGHUP reads the settings file again (`settings.reload`).
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import signal
 import sys
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any, Final, Protocol
 
 from coveport.net.transport import Net
 from coveport.serving.log import create_logger
@@ -18,54 +18,54 @@
 from coveport.serving.settings.reader import RoleSetting, read_boot_settings
 from coveport.serving.settings.reload import reload_settings
 
-CANNOT_START = 1  # exit code: the disk can't be used
-WRONG_SETTINGS = 2  # exit code
+EXIT_CANNOT_START: Final = 1  # the disk can't be used
+EXIT_INVALID_SETTINGS: Final = 2
 
 
 class CannotStartError(Exception):
-    """Something that a role needs can't be used; its text is the one line that is said."""
+    """Something that a role needs can't be used; its text is the one line on standard error."""
 
 
 class Role(Protocol):
-    """What is run."""
+    """A program that is run until a signal stops it."""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve; raise OSError where an address can't be bound."""
 
     async def stop(self) -> None:
-        """The planned end; returns when nothing is owed."""
+        """Shut down gracefully; return once nothing is in flight."""
 
 
-Make = Callable[[Net, BootSettings, Any], Role]
+RoleFactory = Callable[[Net, BootSettings, Any], Role]  # of the net, the settings, and the logger
 
 
-def run_process(settings_path: str, needed: tuple[RoleSetting, ...], make: Make) -> int:
-    """Run the role that `make` gives (of net, settings and log) until it is told to stop; the exit code.
+def run_process(settings_path: str, required: tuple[RoleSetting, ...], make_role: RoleFactory) -> int:
+    """Run a role until a signal stops it; return the exit code.
 
-    `needed`: settings that this role can't be without.
+    `required`: the settings that this role can't do without.
     """
-    settings = read_boot_settings(settings_path, needed=needed)
+    settings = read_boot_settings(settings_path, needed=required)
     if isinstance(settings, Refusal):
         for finding in settings.findings:
             print(f"coveport: settings: {finding}", file=sys.stderr)
-        return WRONG_SETTINGS
+        return EXIT_INVALID_SETTINGS
     try:
-        asyncio.run(_run(settings_path, settings, make))
-    except CannotStartError as problem:
-        print(f"coveport: {problem}", file=sys.stderr)
-        return CANNOT_START
+        asyncio.run(_run(settings_path, settings, make_role))
+    except CannotStartError as error:
+        print(f"coveport: {error}", file=sys.stderr)
+        return EXIT_CANNOT_START
     return 0
 
 
-async def _run(path: str, settings: BootSettings, make: Make) -> None:
+async def _run(settings_path: str, settings: BootSettings, make_role: RoleFactory) -> None:
     loop = asyncio.get_running_loop()
     net = Net(loop)
     log = create_logger(net.now_s)
-    role = make(net, settings, log)
-    stopping = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    loop.add_signal_handler(signal.SIGHUP, reload_settings, path, settings, log)
+    role = make_role(net, settings, log)
+    shutdown_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, shutdown_requested.set)
+    loop.add_signal_handler(signal.SIGHUP, reload_settings, settings_path, settings, log)
     await role.start()
-    await stopping.wait()
+    await shutdown_requested.wait()
     await role.stop()
--- a/tests/serving/settings/test_role_process.py
+++ b/tests/serving/settings/test_role_process.py
@@ -12,7 +12,7 @@
 
 from settings_examples import COORDINATOR
 
-from coveport.serving.role_process import CANNOT_START
+from coveport.serving.role_process import EXIT_CANNOT_START
 from coveport.serving.storage.ring_format import FORMAT_VERSION, MAGIC, SALT_BYTES
 
 TIMEOUT_S = 60
@@ -66,5 +66,5 @@
     file.write_text("", encoding="utf-8")
     process = start(tmp_path, file / "data")
     error_text = process.communicate(timeout=TIMEOUT_S)[1]
-    assert process.returncode == CANNOT_START
+    assert process.returncode == EXIT_CANNOT_START
     assert len(error_text.splitlines()) == 1, error_text
