--- a/coveport/serving/membership/leases.py
+++ b/coveport/serving/membership/leases.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 LEASE_DURATION_S: Final = 1.2  # after its last renewal a proxy's address is no longer handed out to clients
-# So long after its last renewal a proxy's quota is still reserved; longer than a partitioned one goes on.
+# So long after its last renewal a proxy's quota is still reserved, as it may only be partitioned.
 QUOTA_RETENTION_S: Final = 30.0
 
 
--- a/features/steps/control_state_steps.py
+++ b/features/steps/control_state_steps.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from behave import given, then, when
-from configuration_examples import route, text, whole
+from configuration_examples import encode_json, make_configuration, route
 
 from coveport.serving.configuration.commands import (
     Command,
@@ -54,18 +54,18 @@
 @given("version {version:d} is in force")
 def given_version(context: Any, version: int) -> None:
     """A configuration stands before the scenario begins."""
-    put_before(context, whole(version))
+    put_before(context, make_configuration(version))
 
 
 @given('version {version:d} is in force with the routes "{words}"')
 def given_routes(context: Any, version: int, words: str) -> None:
     """A configuration of these routes stands before the scenario begins."""
-    put_before(context, whole(version, *map(route, names(words))))
+    put_before(context, make_configuration(version, *map(route, names(words))))
 
 
 def put_before(context: Any, configuration: Any) -> None:
     """Put a configuration that is no part of what the scenario looks at."""
-    assert send(context, PutConfiguration(0, text(configuration))).status == 200
+    assert send(context, PutConfiguration(0, encode_json(configuration))).status == 200
     context.sent.clear()
     context.results.clear()
 
@@ -74,19 +74,19 @@
 @when("another operator puts version {version:d} on top of {base:d}")
 def put_version(context: Any, version: int, base: int) -> None:
     """Send a whole configuration."""
-    send(context, PutConfiguration(base, text(whole(version))))
+    send(context, PutConfiguration(base, encode_json(make_configuration(version))))
 
 
 @when("an operator puts version {version:d} on top of nothing")
 def put_without_base(context: Any, version: int) -> None:
     """Send a whole configuration without If-Match."""
-    send(context, PutConfiguration(None, text(whole(version))))
+    send(context, PutConfiguration(None, encode_json(make_configuration(version))))
 
 
 @when('another operator puts version {version:d} with the route "{name}" on top of {base:d}')
 def put_route(context: Any, version: int, name: str, base: int) -> None:
     """Send a whole configuration of one route."""
-    send(context, PutConfiguration(base, text(whole(version, route(name)))))
+    send(context, PutConfiguration(base, encode_json(make_configuration(version, route(name)))))
 
 
 @when("an operator puts this on top of {base:d}")
@@ -99,20 +99,25 @@
 def put_changed_route(context: Any, version: int, field: str, value: str) -> None:
     """Send a configuration whose one route differs in a field."""
     changed = route("a") | {field: json.loads(value)}
-    send(context, PutConfiguration(state_of(context).edition, text(whole(version, changed))))
+    send(
+        context,
+        PutConfiguration(state_of(context).edition, encode_json(make_configuration(version, changed))),
+    )
 
 
 @when("an operator puts version {version:d} with two routes at the same host and prefix")
 def put_same_place(context: Any, version: int) -> None:
     """Send a configuration whose routes can't be told apart."""
     both = route("a"), route("b", PathPrefix="/a/")
-    send(context, PutConfiguration(state_of(context).edition, text(whole(version, *both))))
+    send(
+        context, PutConfiguration(state_of(context).edition, encode_json(make_configuration(version, *both)))
+    )
 
 
 @when("an operator puts version {version:d} cut short")
 def put_cut_short(context: Any, version: int) -> None:
     """Send half a body."""
-    body = text(whole(version))
+    body = encode_json(make_configuration(version))
     send(context, PutConfiguration(state_of(context).edition, body[: len(body) // 2]))
 
 
@@ -140,7 +145,7 @@
             body = {"Upsert": {"Routes": [route(name) | {field: json.loads(value)}]}}
         case _:
             raise AssertionError(f"no such change: {change}")
-    send(context, PatchConfiguration(base, text({"Edition": version} | body)))
+    send(context, PatchConfiguration(base, encode_json({"Edition": version} | body)))
 
 
 @when("the same is sent again")
--- a/tests/configuration_examples.py
+++ b/tests/configuration_examples.py
@@ -9,7 +9,7 @@
 
 
 def route(name: str, **changed: Any) -> Json:
-    """A route of its own path to the one service."""
+    """Return a route with a path of its own to the only service."""
     fields: Json = {
         "Name": name,
         "Host": "shop.example",
@@ -30,7 +30,7 @@
 
 
 def service(name: str = "model", **changed: Any) -> Json:
-    """A service of model servers."""
+    """Return a service of model servers."""
     engine = {
         "Berths": 64,
         "KvCapacity": 227616,
@@ -51,8 +51,8 @@
     return fields | changed
 
 
-def whole(edition: int = 7, *routes: Json, **changed: Any) -> Json:
-    """A configuration of these routes, or of one with a service and one with shares."""
+def make_configuration(edition: int = 7, *routes: Json, **changed: Any) -> Json:
+    """Return a configuration with these routes, or with one to a service and one to weighted services."""
     shares = [{"Service": "model", "Share": 90}, {"Service": "model", "Share": 10}]
     shared = {key: value for key, value in route("shared", Shares=shares).items() if key != "Service"}
     fields: Json = {
@@ -64,6 +64,6 @@
     return fields | changed
 
 
-def text(value: Any) -> bytes:
-    """A body."""
+def encode_json(value: Any) -> bytes:
+    """Return a value as the body of a request."""
     return json.dumps(value).encode()
--- a/tests/serving/cli/test_operator_verbs.py
+++ b/tests/serving/cli/test_operator_verbs.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from configuration_examples import route, whole
+from configuration_examples import make_configuration, route
 from loopback_core import STATUS, LoopbackCore, serving
 
 from coveport.serving.cli.app import app
@@ -58,10 +58,10 @@
 def test_a_configuration_is_put_read_patched_and_read_again(verbs: Verbs) -> None:
     assert verbs.run("config", "get") == 1
     assert "none yet" in verbs.error
-    assert verbs.run("config", "put", verbs.file(whole(7))) == 0
+    assert verbs.run("config", "put", verbs.file(make_configuration(7))) == 0
     assert verbs.out == "taken: edition 7, on top of 0\n"
     assert verbs.run("config", "get") == 0
-    assert json.loads(verbs.out) == whole(7)
+    assert json.loads(verbs.out) == make_configuration(7)
     patch = {"Edition": 9, "Upsert": {"Routes": [route("new")]}, "Remove": {"Routes": ["plain"]}}
     assert verbs.run("config", "patch", verbs.file(patch)) == 0
     assert verbs.core.state.edition == 9
@@ -70,7 +70,7 @@
 
 
 def test_a_faulty_configuration_is_not_sent_and_its_findings_have_lines(verbs: Verbs) -> None:
-    bad = whole(7, route("a", DeadlineMs=0), route("b", Service="none"))
+    bad = make_configuration(7, route("a", DeadlineMs=0), route("b", Service="none"))
     file = verbs.file(bad)
     lines = Path(file).read_text().splitlines()
     timeout_line = lines.index('   "DeadlineMs": 0,') + 1
@@ -97,14 +97,14 @@
 
 
 def test_a_stale_change_is_rejected_with_the_reason(verbs: Verbs) -> None:
-    assert verbs.run("config", "put", verbs.file(whole(7))) == 0
-    assert verbs.run("config", "put", verbs.file(whole(9)), "--if-match", "5") == 1
+    assert verbs.run("config", "put", verbs.file(make_configuration(7))) == 0
+    assert verbs.run("config", "put", verbs.file(make_configuration(9)), "--if-match", "5") == 1
     assert "refused (412): If-Match: the current edition is 7" in verbs.error
     assert verbs.core.state.edition == 7
 
 
 def test_a_change_that_only_the_core_can_reject_gives_its_reasons(verbs: Verbs) -> None:
-    assert verbs.run("config", "put", verbs.file(whole(7))) == 0
+    assert verbs.run("config", "put", verbs.file(make_configuration(7))) == 0
     assert verbs.run("config", "patch", verbs.file({"Edition": 9, "Remove": {"Services": ["model"]}})) == 1
     assert verbs.error.count("refused (400): Routes[") == 3
     assert verbs.core.state.edition == 7
@@ -112,22 +112,22 @@
 
 def test_a_lost_response_leads_to_the_same_change_again_which_succeeds(verbs: Verbs) -> None:
     verbs.core.responses_lost = 2
-    assert verbs.run("config", "put", verbs.file(whole(7))) == 0
+    assert verbs.run("config", "put", verbs.file(make_configuration(7))) == 0
     assert (verbs.core.changes_sent, verbs.core.state.edition) == (3, 7)
 
 
 def test_a_change_without_a_final_response_is_unclear(verbs: Verbs) -> None:
     verbs.core.responses_lost = 1000
-    assert verbs.run("config", "put", verbs.file(whole(7)), within="0.3") == 3
+    assert verbs.run("config", "put", verbs.file(make_configuration(7)), within="0.3") == 3
     assert "the change may have been taken or not" in verbs.error
     assert "--if-match 0" in verbs.error
 
 
 def test_a_diff_names_each_value_that_differs(verbs: Verbs) -> None:
-    assert verbs.run("config", "put", verbs.file(whole(7, route("a"), route("b")))) == 0
-    assert verbs.run("config", "diff", verbs.file(whole(7, route("a"), route("b")))) == 0
+    assert verbs.run("config", "put", verbs.file(make_configuration(7, route("a"), route("b")))) == 0
+    assert verbs.run("config", "diff", verbs.file(make_configuration(7, route("a"), route("b")))) == 0
     assert verbs.out == ""
-    wanted = verbs.file(whole(8, route("a", DeadlineMs=9), route("c")))
+    wanted = verbs.file(make_configuration(8, route("a", DeadlineMs=9), route("c")))
     assert verbs.run("config", "diff", wanted) == 1
     lines = verbs.out.splitlines()
     assert lines[:3] == ["~ Edition: 7 -> 8", "~ Routes.a.DeadlineMs: 5000 -> 9", "- Routes.b"]
@@ -210,7 +210,7 @@
 
 
 def test_sound_files_pass_the_check(verbs: Verbs) -> None:
-    assert verbs.run_without_core("check", "configuration", verbs.file(whole(7))) == 0
+    assert verbs.run_without_core("check", "configuration", verbs.file(make_configuration(7))) == 0
     assert verbs.out.endswith("sound, edition 7, 2 routes, 1 services\n")
 
 
--- a/tests/serving/configuration/test_configuration_patch.py
+++ b/tests/serving/configuration/test_configuration_patch.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from configuration_examples import Json, route, service, whole
+from configuration_examples import Json, make_configuration, route, service
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -51,7 +51,7 @@
 
 
 def test_an_item_is_replaced_at_its_position_and_completely() -> None:
-    current = whole(7, route("a"), route("b"), route("c"))
+    current = make_configuration(7, route("a"), route("b"), route("c"))
     patched = apply_patch(
         current, {"Edition": 9, "Upsert": {"Routes": [{"Name": "b", "Only": 1}, route("d")]}}
     )
@@ -63,13 +63,13 @@
 def test_limits_are_replaced_completely_in_either_section() -> None:
     limits = {"IdleMs": 9}
     for change in ({"Edition": 9, "Limits": limits}, {"Edition": 9, "Upsert": {"Limits": limits}}):
-        patched = apply_patch(whole(7), change)
+        patched = apply_patch(make_configuration(7), change)
         assert isinstance(patched, dict)
         assert patched["Limits"] == limits
 
 
 @pytest.mark.parametrize(
-    ("change", "places"),
+    ("change", "locations"),
     [
         ({}, ["Edition"]),
         ({"Edition": 9, "Upsert": []}, ["Upsert"]),
@@ -81,7 +81,7 @@
         ({"Edition": 9, "Remove": {"Routes": [3], "Limits": ["x"]}}, ["Remove.Routes", "Remove.Limits"]),
     ],
 )
-def test_each_fault_of_a_patch_has_a_finding(change: Any, places: list[str]) -> None:
-    patched = apply_patch(whole(7), change)
+def test_each_fault_of_a_patch_has_a_finding(change: Any, locations: list[str]) -> None:
+    patched = apply_patch(make_configuration(7), change)
     assert isinstance(patched, Refusal)
-    assert [finding.location for finding in patched.findings] == places
+    assert [finding.location for finding in patched.findings] == locations
--- a/tests/serving/configuration/test_configuration_reader.py
+++ b/tests/serving/configuration/test_configuration_reader.py
@@ -7,7 +7,7 @@
 
 import dacite
 import pytest
-from configuration_examples import route, service, text, whole
+from configuration_examples import encode_json, make_configuration, route, service
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -18,12 +18,14 @@
 
 
 def faults(raw: bytes) -> dict[str, str]:
-    """The findings by place; none where the text is taken."""
+    """Return the messages by location; none where the configuration is valid."""
     read = read_configuration(raw)
-    return {one.location: one.message for one in read.findings} if isinstance(read, Refusal) else {}
+    return (
+        {finding.location: finding.message for finding in read.findings} if isinstance(read, Refusal) else {}
+    )
 
 
-def taken(raw: bytes) -> Configuration:
+def read_valid(raw: bytes) -> Configuration:
     """The configuration, which must be taken."""
     read = read_configuration(raw)
     assert isinstance(read, Configuration), read
@@ -31,7 +33,7 @@
 
 
 def test_a_complete_configuration_is_read() -> None:
-    read = taken(text(whole(7)))
+    read = read_valid(encode_json(make_configuration(7)))
     plain, shared = read.routes
     assert (read.edition, len(read.services)) == (7, 1)
     assert (plain.name, plain.host, plain.path_prefix) == ("plain", "shop.example", "/plain/")
@@ -47,9 +49,9 @@
 
 
 def test_fractions_and_whole_numbers_are_interchangeable() -> None:
-    changed = whole(7, route("a", DeadlineMs=1500.5, Tries=2.0, Precedence=1.0))
+    changed = make_configuration(7, route("a", DeadlineMs=1500.5, Tries=2.0, Precedence=1.0))
     changed["Services"] = [service(MaxConns=370.0, WarmupS=3)]
-    read = taken(text(changed))
+    read = read_valid(encode_json(changed))
     assert (read.routes[0].timeout_ms, read.routes[0].max_attempts) == (1500.5, 2)
     assert isinstance(read.routes[0].max_attempts, int)
     assert (read.services[0].max_connections, read.services[0].warm_up_s) == (370, 3)
@@ -57,29 +59,35 @@
 
 def test_optional_fields_have_defaults() -> None:
     needed = {key: route("a")[key] for key in ("Name", "Host", "PathPrefix", "Kind", "DeadlineMs", "Service")}
-    read = taken(text({"Edition": 1, "Routes": [needed], "Services": [{"Name": "model"}]}))
+    read = read_valid(encode_json({"Edition": 1, "Routes": [needed], "Services": [{"Name": "model"}]}))
     assert (read.routes[0].max_attempts, read.routes[0].home_regions) == (1, frozenset())
     assert read.services[0].engine is None
     assert read.limits.body_bytes == 4 * 1024 * 1024
 
 
 def test_hosts_are_compared_without_case() -> None:
-    assert taken(text(whole(7, route("a", Host="Shop.Example")))).routes[0].host == "shop.example"
+    assert (
+        read_valid(encode_json(make_configuration(7, route("a", Host="Shop.Example")))).routes[0].host
+        == "shop.example"
+    )
 
 
 def test_a_weight_of_0_beside_another_is_valid() -> None:
     shares = [{"Service": "model", "Share": 0}, {"Service": "model", "Share": 5}]
-    assert taken(text(whole(7, route("a", Shares=shares)))).routes[0].services[0].weight == 0
+    assert (
+        read_valid(encode_json(make_configuration(7, route("a", Shares=shares)))).routes[0].services[0].weight
+        == 0
+    )
 
 
 def changed_route(**changed: Any) -> dict[str, Any]:
     """A configuration whose one route differs."""
-    return whole(7, route("a", **changed))
+    return make_configuration(7, route("a", **changed))
 
 
 def without(name: str) -> dict[str, Any]:
     """A configuration whose one route lacks a field."""
-    return whole(7, {key: value for key, value in route("a").items() if key != name})
+    return make_configuration(7, {key: value for key, value in route("a").items() if key != name})
 
 
 BAD_CONFIGURATIONS = {
@@ -88,13 +96,13 @@
         changed_route(Shares=[{"Service": "model", "Share": 1}, {"Service": "none", "Share": 1}]),
         "Routes[0].Shares[1].Service",
     ),
-    "same place": (whole(7, route("a"), route("b", PathPrefix="/a/")), "Routes[1]"),
+    "same place": (make_configuration(7, route("a"), route("b", PathPrefix="/a/")), "Routes[1]"),
     "same place in other case": (
-        whole(7, route("a"), route("b", PathPrefix="/a/", Host="SHOP.example")),
+        make_configuration(7, route("a"), route("b", PathPrefix="/a/", Host="SHOP.example")),
         "Routes[1]",
     ),
-    "same name": (whole(7, route("a"), route("a", Host="other.example")), "Routes[1].Name"),
-    "same service": (whole(7, Services=[service(), service()]), "Services[1].Name"),
+    "same name": (make_configuration(7, route("a"), route("a", Host="other.example")), "Routes[1].Name"),
+    "same service": (make_configuration(7, Services=[service(), service()]), "Services[1].Name"),
     "no weight": (changed_route(Shares=[{"Service": "model", "Share": 0}]), "Routes[0].Shares"),
     "no shares": (
         {**without("Service"), "Routes": [{**without("Service")["Routes"][0], "Shares": []}]},
@@ -123,38 +131,38 @@
     "no attempt": (changed_route(Tries=0), "Routes[0].Tries"),
     "pinned as number": (changed_route(Pinned=1), "Routes[0].Pinned"),
     "regions as numbers": (changed_route(HomeRegions=[1]), "Routes[0].HomeRegions"),
-    "a route that is a list": (whole(7, Routes=[[]]), "Routes[0]"),
-    "routes that are an object": (whole(7, Routes={}), "Routes"),
+    "a route that is a list": (make_configuration(7, Routes=[[]]), "Routes[0]"),
+    "routes that are an object": (make_configuration(7, Routes={}), "Routes"),
     "no routes": ({"Edition": 7, "Services": [service()]}, "Routes"),
     "no services": ({"Edition": 7, "Routes": []}, "Services"),
-    "limits that are a list": (whole(7, Limits=[]), "Limits"),
-    "a limit that is text": (whole(7, Limits={"IdleMs": "long"}), "Limits.IdleMs"),
-    "an engine that is a list": (whole(7, Services=[service(Engine=[])]), "Services[0].Engine"),
+    "limits that are a list": (make_configuration(7, Limits=[]), "Limits"),
+    "a limit that is text": (make_configuration(7, Limits={"IdleMs": "long"}), "Limits.IdleMs"),
+    "an engine that is a list": (make_configuration(7, Services=[service(Engine=[])]), "Services[0].Engine"),
     "slots that are text": (
-        whole(7, Services=[service(Engine={"Berths": "x"})]),
+        make_configuration(7, Services=[service(Engine={"Berths": "x"})]),
         "Services[0].Engine.Berths",
     ),
     "no edition": ({"Routes": [], "Services": []}, "Edition"),
-    "edition 0": (whole(0), "Edition"),
-    "edition below 0": (whole(-3), "Edition"),
-    "edition true": (whole(True), "Edition"),
-    "edition as text": (whole(7, Edition="7"), "Edition"),
-    "edition beyond all numbers": (whole(10**30), "Edition"),
+    "edition 0": (make_configuration(0), "Edition"),
+    "edition below 0": (make_configuration(-3), "Edition"),
+    "edition true": (make_configuration(True), "Edition"),
+    "edition as text": (make_configuration(7, Edition="7"), "Edition"),
+    "edition beyond all numbers": (make_configuration(10**30), "Edition"),
 }
 
 
 @pytest.mark.parametrize("kind", BAD_CONFIGURATIONS)
 def test_each_kind_of_invalid_configuration_has_one_finding(kind: str) -> None:
-    configuration, place = BAD_CONFIGURATIONS[kind]
-    assert list(faults(text(configuration))) == [place]
+    configuration, location = BAD_CONFIGURATIONS[kind]
+    assert list(faults(encode_json(configuration))) == [location]
 
 
 @pytest.mark.parametrize(
     "raw",
     [
         b"",
-        text(whole(7))[:300],
-        text(whole(7)) + b"}",
+        encode_json(make_configuration(7))[:300],
+        encode_json(make_configuration(7)) + b"}",
         b"[]",
         b"7",
         b"null",
@@ -172,17 +180,19 @@
 
 
 def test_every_truncated_configuration_is_refused() -> None:
-    raw = text(whole(7))
+    raw = encode_json(make_configuration(7))
     assert all(faults(raw[:end]) for end in range(len(raw)))
 
 
 def test_all_faults_are_reported_together() -> None:
-    bad = whole(0, route("a", DeadlineMs=0, Service="none", Pinned=3, Host=None), route("b", Tries=0))
+    bad = make_configuration(
+        0, route("a", DeadlineMs=0, Service="none", Pinned=3, Host=None), route("b", Tries=0)
+    )
     bad["Routes"].append(route("c", Shares=[{"Service": "none", "Share": -1}, {"Share": "x"}, 3]))
     bad["Routes"].append(route("b", PathPrefix="/b/"))
     bad["Services"].append({"Engine": {"Berths": -1, "stride": "x"}})
     bad["Limits"] = {"IdleMs": -1, "MaxBodyBytes": "x"}
-    assert set(faults(text(bad))) == {
+    assert set(faults(encode_json(bad))) == {
         "Edition",
         "Routes[0].DeadlineMs",
         "Routes[0].Service",
@@ -205,13 +215,15 @@
 
 
 def test_unreadable_services_do_not_make_every_route_invalid() -> None:
-    assert list(faults(text(whole(7, Services=3)))) == ["Services"]
-    assert list(faults(text(whole(7, Services=[service(MaxConns="x")])))) == ["Services[0].MaxConns"]
+    assert list(faults(encode_json(make_configuration(7, Services=3)))) == ["Services"]
+    assert list(faults(encode_json(make_configuration(7, Services=[service(MaxConns="x")])))) == [
+        "Services[0].MaxConns"
+    ]
 
 
 def test_an_invalid_path_prefix_is_not_also_a_duplicate() -> None:
-    bad = whole(7, route("a", PathPrefix="/x"), route("b", PathPrefix="/x"))
-    assert list(faults(text(bad))) == ["Routes[0].PathPrefix", "Routes[1].PathPrefix"]
+    bad = make_configuration(7, route("a", PathPrefix="/x"), route("b", PathPrefix="/x"))
+    assert list(faults(encode_json(bad))) == ["Routes[0].PathPrefix", "Routes[1].PathPrefix"]
 
 
 FIELD_FAULTS: dict[str, list[Any]] = {
@@ -237,14 +249,14 @@
     routes = []
     expected = set()
     for number in range(data.draw(st.integers(1, 5))):
-        one = route(f"r{number}")
+        fields = route(f"r{number}")
         dropped = data.draw(st.sets(st.sampled_from(["TargetMs", "Tries", "HomeRegions", "Pinned"])))
-        one = {key: value for key, value in one.items() if key not in dropped}
+        fields = {key: value for key, value in fields.items() if key not in dropped}
         for name in sorted(data.draw(st.sets(st.sampled_from(sorted(FIELD_FAULTS)), max_size=4))):
-            one[name] = data.draw(st.sampled_from(FIELD_FAULTS[name]))
+            fields[name] = data.draw(st.sampled_from(FIELD_FAULTS[name]))
             expected.add(f"Routes[{number}].{name}")
-        routes.append(one)
-    assert set(faults(text(whole(7, *routes)))) == expected
+        routes.append(fields)
+    assert set(faults(encode_json(make_configuration(7, *routes)))) == expected
 
 
 JSON_VALUES = st.recursive(
@@ -256,7 +268,7 @@
 
 @given(st.data())
 def test_any_value_anywhere_is_accepted_or_refused_but_never_raises(data: st.DataObject) -> None:
-    configuration = copy.deepcopy(whole(7))
+    configuration = copy.deepcopy(make_configuration(7))
     inside: Any = configuration
     while isinstance(inside, dict | list) and inside:
         keys = sorted(inside) if isinstance(inside, dict) else range(len(inside))
@@ -265,14 +277,14 @@
             inside[key] = data.draw(JSON_VALUES)
             break
         inside = inside[key]
-    read = read_configuration(text(configuration))
+    read = read_configuration(encode_json(configuration))
     assert isinstance(read, Configuration) or read.findings
 
 
 @given(JSON_VALUES)
 def test_unknown_fields_are_accepted(value: Any) -> None:
-    configuration = whole(7, route("a", Tags=value), Extra=value, Services=[service(New=value)])
-    assert taken(text(configuration)).routes[0].name == "a"
+    configuration = make_configuration(7, route("a", Tags=value), Extra=value, Services=[service(New=value)])
+    assert read_valid(encode_json(configuration)).routes[0].name == "a"
 
 
 def test_the_slow_check_is_made_once_for_each_shape_of_route(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -289,6 +301,6 @@
     others = [
         route(f"s{number}", Service=None, Shares=[{"Service": "model", "Share": 1}]) for number in range(300)
     ]
-    assert len(taken(text(whole(7, *alike, *others))).routes) == 600
+    assert len(read_valid(encode_json(make_configuration(7, *alike, *others))).routes) == 600
     assert calls.count(RawRoute) == 2
     assert len(calls) <= 8
--- a/tests/serving/configuration/test_control_state.py
+++ b/tests/serving/configuration/test_control_state.py
@@ -1,11 +1,11 @@
-"""The acknowledged state under commands."""
+"""The acknowledged state: commands applied to it, and its encoding."""
 
 from __future__ import annotations
 
 import json
 
 import pytest
-from configuration_examples import route, text, whole
+from configuration_examples import encode_json, make_configuration, route
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -26,11 +26,11 @@
 
 
 def put(if_match: int | None, edition: int) -> PutConfiguration:
-    return PutConfiguration(if_match, text(whole(edition)))
+    return PutConfiguration(if_match, encode_json(make_configuration(edition)))
 
 
 def run(state: ControlState, *commands: Command) -> tuple[ControlState, list[int]]:
-    """The state after the commands, and the status of each."""
+    """Return the state after the commands, and the status of each."""
     statuses = []
     for command in commands:
         answer = apply(state, encode_command(command))
@@ -45,7 +45,7 @@
 def test_configurations_are_based_on_each_other() -> None:
     state, statuses = run(initial_state(), put(0, 5), put(5, 7))
     assert statuses == [200, 200]
-    assert (state.edition, json.loads(state.configuration_text or b"")) == (7, whole(7))
+    assert (state.edition, json.loads(state.configuration_text or b"")) == (7, make_configuration(7))
 
 
 @pytest.mark.parametrize(
@@ -57,15 +57,15 @@
         (put(None, 9), 400),
         (put(7, 7), 400),
         (put(7, 6), 400),
-        (PutConfiguration(7, text(whole(9))[:200]), 400),
-        (PutConfiguration(7, text(whole(9, route("a", DeadlineMs=0)))), 400),
-        (PatchConfiguration(6, text({"Edition": 9})), 412),
-        (PatchConfiguration(7, text({"Edition": 7})), 400),
-        (PatchConfiguration(7, text([])), 400),
-        (PatchConfiguration(7, text({"Edition": 9, "Remove": {"Services": ["model"]}})), 400),
+        (PutConfiguration(7, encode_json(make_configuration(9))[:200]), 400),
+        (PutConfiguration(7, encode_json(make_configuration(9, route("a", DeadlineMs=0)))), 400),
+        (PatchConfiguration(6, encode_json({"Edition": 9})), 412),
+        (PatchConfiguration(7, encode_json({"Edition": 7})), 400),
+        (PatchConfiguration(7, encode_json([])), 400),
+        (PatchConfiguration(7, encode_json({"Edition": 9, "Remove": {"Services": ["model"]}})), 400),
         (
             PatchConfiguration(
-                7, text({"Edition": 9, "Upsert": {"Routes": [route("x", PathPrefix="/plain/")]}})
+                7, encode_json({"Edition": 9, "Upsert": {"Routes": [route("x", PathPrefix="/plain/")]}})
             ),
             400,
         ),
@@ -77,18 +77,18 @@
 
 
 def test_the_same_change_succeeds_again_even_after_newer_ones() -> None:
-    patched = PatchConfiguration(5, text({"Edition": 7, "Upsert": {"Routes": [route("new")]}}))
+    patched = PatchConfiguration(5, encode_json({"Edition": 7, "Upsert": {"Routes": [route("new")]}}))
     state, statuses = run(initial_state(), put(0, 5), patched, put(7, 9))
     assert statuses == [200, 200, 200]
     assert run(state, put(0, 5), patched, put(7, 9)) == (state, [200, 200, 200])
 
 
 def test_a_change_that_differs_in_method_edition_or_body_is_another() -> None:
-    body = text({"Edition": 9, "Routes": [], "Services": []})
+    body = encode_json({"Edition": 9, "Routes": [], "Services": []})
     state, statuses = run(initial_state(), put(0, 5), PutConfiguration(5, body))
     assert statuses == [200, 200]
-    for other in (PatchConfiguration(5, body), PutConfiguration(0, body), PutConfiguration(5, body + b" ")):
-        assert run(state, other) == (state, [412])
+    for changed in (PatchConfiguration(5, body), PutConfiguration(0, body), PutConfiguration(5, body + b" ")):
+        assert run(state, changed) == (state, [412])
 
 
 def test_one_of_two_changes_based_on_the_same_edition_wins() -> None:
@@ -98,15 +98,17 @@
 
 
 def test_a_configuration_is_handed_out_as_it_was_sent() -> None:
-    sent = whole(7, route("a", Unknown={"ü": [1.5, 10**20, None, "\U0001f600"]}), Extra=[{"Name": "x"}])
-    state, _ = run(initial_state(), PutConfiguration(0, text(sent)))
+    sent = make_configuration(
+        7, route("a", Unknown={"ü": [1.5, 10**20, None, "\U0001f600"]}), Extra=[{"Name": "x"}]
+    )
+    state, _ = run(initial_state(), PutConfiguration(0, encode_json(sent)))
     assert json.loads(state.configuration_text or b"") == sent
     change = {
         "Edition": 9,
         "Upsert": {"Routes": [route("b")], "Extra": [{"Name": "y"}]},
         "Remove": {"Routes": ["a"]},
     }
-    state, _ = run(state, PatchConfiguration(7, text(change)))
+    state, _ = run(state, PatchConfiguration(7, encode_json(change)))
     expected = sent | {"Edition": 9, "Routes": [route("b")], "Extra": [{"Name": "x"}, {"Name": "y"}]}
     assert json.loads(state.configuration_text or b"") == expected
 
@@ -122,7 +124,8 @@
 def test_only_the_newest_changes_are_recognised_again() -> None:
     state = initial_state()
     bodies = [
-        text({"Edition": edition, "Routes": [], "Services": []}) for edition in range(MAX_APPLIED_CHANGES + 3)
+        encode_json({"Edition": edition, "Routes": [], "Services": []})
+        for edition in range(MAX_APPLIED_CHANGES + 3)
     ]
     for edition in range(1, MAX_APPLIED_CHANGES + 2):
         state, statuses = run(state, PutConfiguration(edition - 1, bodies[edition]))
@@ -140,14 +143,14 @@
     "later", [MAX_APPLIED_CHANGES - 1, MAX_APPLIED_CHANGES, MAX_APPLIED_CHANGES + 1, 2 * MAX_APPLIED_CHANGES]
 )
 @pytest.mark.parametrize(
-    "order", [put(1, 2), PatchConfiguration(1, text({"Edition": 2, "Upsert": {"Routes": []}}))]
+    "order", [put(1, 2), PatchConfiguration(1, encode_json({"Edition": 2, "Upsert": {"Routes": []}}))]
 )
 def test_a_command_sent_again_after_many_changes_is_never_refused(later: int, order: Command) -> None:
     """Taken at first, with `later` changes since: 200 again, or no clear answer, and never twice in force."""
     state, _ = run(initial_state(), put(0, 1))
     state, statuses = run(state, order)
     assert statuses == [200]
-    empty = [text({"Edition": edition, "Upsert": {"Routes": []}}) for edition in range(3, later + 3)]
+    empty = [encode_json({"Edition": edition, "Upsert": {"Routes": []}}) for edition in range(3, later + 3)]
     for edition, body in enumerate(empty, start=3):
         state, statuses = run(state, PatchConfiguration(edition - 1, body))
         assert statuses == [200]
@@ -160,7 +163,7 @@
     st.builds(put, st.integers(0, 4), st.integers(0, 5)),
     st.builds(
         lambda if_match, edition, name: PatchConfiguration(
-            if_match, text({"Edition": edition, "Upsert": {"Routes": [route(name)]}})
+            if_match, encode_json({"Edition": edition, "Upsert": {"Routes": [route(name)]}})
         ),
         st.integers(0, 4),
         st.integers(0, 5),
@@ -186,9 +189,9 @@
 
 
 def test_equal_states_have_equal_bytes() -> None:
-    one, _ = run(initial_state(), *[StartEvacuation(zone) for zone in "abcdefgh"])
-    other, _ = run(initial_state(), *[StartEvacuation(zone) for zone in "hgfedcba"])
-    assert encode_state(one) == encode_state(other)
+    state, _ = run(initial_state(), *[StartEvacuation(zone) for zone in "abcdefgh"])
+    same_state, _ = run(initial_state(), *[StartEvacuation(zone) for zone in "hgfedcba"])
+    assert encode_state(state) == encode_state(same_state)
 
 
 @pytest.mark.parametrize("data", [b"", b"\x00", b"\xff", encode_state(initial_state())[:-1]])
@@ -200,10 +203,10 @@
 def test_any_flipped_bit_of_a_state_is_detected() -> None:
     state, _ = run(initial_state(), put(0, 7), StartEvacuation("a"))
     data = encode_state(state)
-    for place in range(len(data)):
+    for offset in range(len(data)):
         for bit in range(8):
             flipped = bytearray(data)
-            flipped[place] ^= 1 << bit
+            flipped[offset] ^= 1 << bit
             with pytest.raises(MalformedMessageError):
                 decode_state(bytes(flipped))
 
@@ -224,7 +227,9 @@
 PATCHES = st.fixed_dictionaries({"Edition": st.just(9)}, optional={"Upsert": SECTIONS, "Remove": SECTIONS})
 
 
-@given(st.one_of(st.binary(max_size=40), st.builds(text, JSON_VALUES), st.builds(text, PATCHES)))
+@given(
+    st.one_of(st.binary(max_size=40), st.builds(encode_json, JSON_VALUES), st.builds(encode_json, PATCHES))
+)
 def test_any_body_is_answered_by_either_method(body: bytes) -> None:
     """Whatever raised here would end the primary, and then each backup that takes its place."""
     state, _ = run(initial_state(), put(0, 7))
@@ -236,7 +241,7 @@
 
 @given(st.data())
 def test_any_corruption_of_a_valid_body_is_answered(data: st.DataObject) -> None:
-    body = bytearray(text(whole(9)))
+    body = bytearray(encode_json(make_configuration(9)))
     for _ in range(data.draw(st.integers(1, 3))):
         start = data.draw(st.integers(0, len(body) - 1))
         end = data.draw(st.integers(start, min(len(body), start + 8)))
--- a/tests/serving/configuration/test_route_changes.py
+++ b/tests/serving/configuration/test_route_changes.py
@@ -1,4 +1,4 @@
-"""A change of some routes makes the same of a configuration as reading and writing the whole does."""
+"""A change of some routes gives the same configuration as reading and writing the whole does."""
 
 from __future__ import annotations
 
@@ -62,19 +62,19 @@
 )
 
 
-def whole(routes: list[dict[str, Any]]) -> bytes:
+def configuration_text(routes: list[dict[str, Any]]) -> bytes:
     return json.dumps(
         {"Services": SERVICES, "Edition": 7, "Routes": routes, "Note": "kept", "Limits": {}}
     ).encode()
 
 
 def put(routes: list[dict[str, Any]]) -> ControlState | None:
-    outcome = apply_command(initial_state(), PutConfiguration(0, whole(routes)))
+    outcome = apply_command(initial_state(), PutConfiguration(0, configuration_text(routes)))
     return outcome.state if isinstance(outcome, Applied) else None
 
 
-def apply_by_whole(state: ControlState, command: PatchConfiguration) -> Applied | Refused:
-    """As `apply_command`, reading and writing everything."""
+def apply_by_full_validation(state: ControlState, command: PatchConfiguration) -> Applied | Refused:
+    """Do as `apply_command`, reading and writing everything."""
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr(state_machine, "_patch_routes", lambda state, change: None)
         return apply_command(state, command)
@@ -89,7 +89,7 @@
     if state is None:
         return
     command = PatchConfiguration(7, json.dumps(change, ensure_ascii=False).encode())
-    assert apply_command(state, command) == apply_by_whole(state, command)
+    assert apply_command(state, command) == apply_by_full_validation(state, command)
 
 
 def route(name: str, prefix: str, **more: Any) -> dict[str, Any]:
@@ -98,7 +98,7 @@
 
 
 def test_a_change_of_routes_alone_leaves_the_rest_unread() -> None:
-    document = read_document(whole([route("a", "/a/"), route("b", "/b/"), route("c", "/c/")]))
+    document = read_document(configuration_text([route("a", "/a/"), route("b", "/b/"), route("c", "/c/")]))
     assert not isinstance(document, Refusal)
     upserts = [route("b", "/d/", Tries=2), route("e", "/c/")]
     change = {
@@ -106,15 +106,15 @@
         "Upsert": {"Routes": upserts, "Services": []},
         "Remove": {"Routes": ["c"], "Services": []},
     }
-    made = apply_route_changes(document, change)
-    assert made is not None
-    assert [one.name for one in made.configuration.routes] == ["a", "b", "e"]
-    assert list(json.loads(made.text())) == ["Services", "Edition", "Routes", "Note", "Limits"]
-    assert json.loads(made.text())["Routes"] == [route("a", "/a/"), *upserts]
+    changed = apply_route_changes(document, change)
+    assert changed is not None
+    assert [route.name for route in changed.configuration.routes] == ["a", "b", "e"]
+    assert list(json.loads(changed.text())) == ["Services", "Edition", "Routes", "Note", "Limits"]
+    assert json.loads(changed.text())["Routes"] == [route("a", "/a/"), *upserts]
 
 
 def test_routes_with_the_same_host_and_prefix_are_left_to_the_full_validation() -> None:
-    document = read_document(whole([route("a", "/a/"), route("b", "/b/")]))
+    document = read_document(configuration_text([route("a", "/a/"), route("b", "/b/")]))
     assert not isinstance(document, Refusal)
     assert apply_route_changes(document, {"Edition": 9, "Upsert": {"Routes": [route("e", "/a/")]}}) is None
     taken_over = {
@@ -126,14 +126,14 @@
 
 
 def test_the_two_newest_documents_are_cached() -> None:
-    kept = DocumentCache()
-    document = read_document(whole([]))
+    cache = DocumentCache()
+    document = read_document(configuration_text([]))
     assert not isinstance(document, Refusal)
     for text in (b"1", b"2", b"2", b"3"):
-        kept.add(text, document)
-    assert kept.find(b"1") is None
-    assert kept.find(b"2") is document
-    assert kept.find(b"3") is document
+        cache.add(text, document)
+    assert cache.find(b"1") is None
+    assert cache.find(b"2") is document
+    assert cache.find(b"3") is document
 
 
 def test_a_configuration_is_written_as_it_was_before() -> None:
--- a/tests/serving/storage/faulty_disk.py
+++ b/tests/serving/storage/faulty_disk.py
@@ -33,7 +33,7 @@
 
 
 class FaultyDisk:
-    """Counts calls; raises PowerLossError at the one that it was told, and OSError while it refuses."""
+    """Counts calls; raises PowerLossError at the given one, and OSError while `refuses`."""
 
     def __init__(self, power_lost_at: int = -1) -> None:
         self.power_lost_at = power_lost_at
@@ -66,28 +66,28 @@
 
     def lose_power(self, seed: int) -> FaultyDisk:
         """The disk after the loss: what wasn't synced, writes and names, is there, missing or torn."""
-        chooser = random.Random(seed)
-        style = chooser.choice(("none", "all", "any", "torn"))
+        random_source = random.Random(seed)
+        style = random_source.choice(("none", "all", "any", "torn"))
         survivor = FaultyDisk()
         for name, content in self.contents.items():
-            if name in self.unsynced_names and chooser.random() < 0.5:
+            if name in self.unsynced_names and random_source.random() < 0.5:
                 continue
-            left = bytearray(content.synced)
+            survived = bytearray(content.synced)
             for step in content.pending:
-                if style == "none" or (style in ("any", "torn") and chooser.random() < 0.5):
+                if style == "none" or (style in ("any", "torn") and random_source.random() < 0.5):
                     continue
                 if style == "torn" and isinstance(step, tuple):
-                    self._apply_torn(chooser, left, step)
+                    self._apply_torn(random_source, survived, step)
                 else:
-                    _apply(left, step)
-            survivor.contents[name] = Content(bytearray(left), [], bytearray(left))
+                    _apply(survived, step)
+            survivor.contents[name] = Content(bytearray(survived), [], bytearray(survived))
         return survivor
 
-    def _apply_torn(self, chooser: random.Random, left: bytearray, step: tuple[int, bytes]) -> None:
+    def _apply_torn(self, random_source: random.Random, survived: bytearray, step: tuple[int, bytes]) -> None:
         offset, data = step
         for start in range(0, len(data), SECTOR):
-            if chooser.random() < 0.5:
-                _apply(left, (offset + start, data[start : start + SECTOR]))
+            if random_source.random() < 0.5:
+                _apply(survived, (offset + start, data[start : start + SECTOR]))
 
     def kill(self) -> FaultyDisk:
         """The process died, the machine goes on: everything written is there, but not synced yet."""
--- a/tests/serving/storage/test_ring_basics.py
+++ b/tests/serving/storage/test_ring_basics.py
@@ -31,17 +31,17 @@
 def test_a_full_file_is_followed_by_the_next(tmp_path: Path) -> None:
     ring = ring_in(tmp_path, file_bytes=256)
     ring.open()
-    held: list[bytes] = [b"first"]
-    ring.begin(held)
+    records: list[bytes] = [b"first"]
+    ring.begin(records)
     for number in range(100):
         record = f"record {number}".encode()
-        held = [*held[-3:], record]
+        records = [*records[-3:], record]
         if ring.has_capacity([record]):
             ring.append([record])
         else:
-            ring.begin(held)
+            ring.begin(records)
     ring.close()
-    assert ring_in(tmp_path, file_bytes=256).open()[-4:] == held
+    assert ring_in(tmp_path, file_bytes=256).open()[-4:] == records
 
 
 def test_a_newer_format_is_refused_in_one_line(tmp_path: Path) -> None:
--- a/tests/serving/storage/test_ring_corruption.py
+++ b/tests/serving/storage/test_ring_corruption.py
@@ -1,4 +1,4 @@
-"""Flipped bits and lost sectors: read over where one copy is left, else never taken for a torn tail."""
+"""Flipped bits and lost sectors: read from the other copy, and never taken for a torn tail without one."""
 
 from __future__ import annotations
 
@@ -29,23 +29,23 @@
 
 
 def ring_on(disk: FaultyDisk, seed: int = 1) -> Ring:
-    chooser = random.Random(seed)
-    return Ring(disk, lambda: chooser.randbytes(8), files=3, file_bytes=FILE_BYTES)
+    random_source = random.Random(seed)
+    return Ring(disk, lambda: random_source.randbytes(8), files=3, file_bytes=FILE_BYTES)
 
 
-def written() -> FaultyDisk:
-    """A disk with one generation, all of it synced."""
+def written_disk() -> FaultyDisk:
+    """Return a disk with one generation, all of it synced."""
     disk = FaultyDisk()
-    made = ring_on(disk)
-    made.open()
-    made.begin(SNAPSHOT)
+    ring = ring_on(disk)
+    ring.open()
+    ring.begin(SNAPSHOT)
     for batch in LATER:
-        made.append(batch)
+        ring.append(batch)
     return disk
 
 
 def current(disk: FaultyDisk) -> bytearray:
-    """The bytes of the one file that holds a generation."""
+    """Return the bytes of the only file with a generation."""
     return next(content.now for content in disk.contents.values() if content.now)
 
 
@@ -53,100 +53,100 @@
     return ring_on(disk, 2).open()
 
 
-def spot(disk: FaultyDisk, record: bytes) -> tuple[int, int]:
-    """Where a record stands in the first and in the second half."""
+def offsets_of(disk: FaultyDisk, record: bytes) -> tuple[int, int]:
+    """Return the offsets of a record in the first and in the second copy."""
     data = bytes(current(disk))
     first = data.index(record)
     return first, data.index(record, first + 1)
 
 
 def test_any_single_flipped_bit_is_read_from_the_other_copy() -> None:
-    disk = written()
+    disk = written_disk()
     data = current(disk)
-    for place in range(len(data)):
+    for offset in range(len(data)):
         for bit in range(8):
-            data[place] ^= 1 << bit
-            assert read(disk) == ALL, f"byte {place}, bit {bit}"
-            data[place] ^= 1 << bit
+            data[offset] ^= 1 << bit
+            assert read(disk) == ALL, f"byte {offset}, bit {bit}"
+            data[offset] ^= 1 << bit
 
 
 @pytest.mark.parametrize("sector", [16, 64, 256])
 @pytest.mark.parametrize("filler", [b"\x00", b"\xff"])
 def test_any_lost_sector_is_read_from_the_other_copy(sector: int, filler: bytes) -> None:
-    disk = written()
+    disk = written_disk()
     data = current(disk)
-    whole = bytes(data)
+    original = bytes(data)
     for start in range(0, len(data), sector):
         data[start : start + sector] = filler * len(data[start : start + sector])
         assert read(disk) == ALL, f"sector at {start}"
-        data[:] = whole
+        data[:] = original
 
 
 @pytest.mark.parametrize("record", ALL[:-2], ids=lambda record: record.decode()[:12])
 def test_a_record_corrupted_in_both_copies_before_valid_ones_is_reported(record: bytes) -> None:
-    disk = written()
-    for place in spot(disk, record):
-        current(disk)[place] ^= 1
+    disk = written_disk()
+    for offset in offsets_of(disk, record):
+        current(disk)[offset] ^= 1
     with pytest.raises(CorruptedRecordsError, match="is lost, later ones are not"):
         read(disk)
 
 
 def test_a_batch_that_was_never_synced_is_a_torn_tail_however_it_was_torn() -> None:
-    """Its second record may have come to the disk, and its first not."""
-    disk = written()
-    for place in spot(disk, LATER[-1][0]):
-        current(disk)[place] ^= 1
+    """Its second record may have reached the disk, and its first not."""
+    disk = written_disk()
+    for offset in offsets_of(disk, LATER[-1][0]):
+        current(disk)[offset] ^= 1
     assert read(disk) == ALL[:-1]
     torn = FaultyDisk()
-    made = ring_on(torn)
-    made.open()
-    made.begin(SNAPSHOT)
-    made.append([b"first of a batch", b"second of a batch"])
-    for place in spot(torn, b"first of a batch"):
-        current(torn)[place] ^= 1
+    ring = ring_on(torn)
+    ring.open()
+    ring.begin(SNAPSHOT)
+    ring.append([b"first of a batch", b"second of a batch"])
+    for offset in offsets_of(torn, b"first of a batch"):
+        current(torn)[offset] ^= 1
     assert read(torn) == SNAPSHOT
 
 
 def test_a_corrupted_disk_gets_a_new_identity_and_keeps_it() -> None:
-    chooser = random.Random(7)
+    random_source = random.Random(7)
     disk = FaultyDisk()
     with mock.patch.object(ring, "FILE_BYTES", FILE_BYTES):
-        opened = open_store(disk, True, chooser.randbytes)
+        opened = open_store(disk, True, random_source.randbytes)
         assert opened.durable.created_at_bootstrap
         for number in range(1, 6):
             opened.store.append([PromisedEpochRecord(Epoch(number, "a candidate"))])
         data = current(disk)
-        places = [place for place in range(len(data)) if data.startswith(b"a candidate", place)]
-        assert len(places) == 10, "five promises, each of them twice"
-        for place in places[1], places[6]:
-            data[place] ^= 1
-        again = open_store(disk, True, chooser.randbytes)
+        offsets = [offset for offset in range(len(data)) if data.startswith(b"a candidate", offset)]
+        assert len(offsets) == 10, "five promises, each of them twice"
+        for offset in offsets[1], offsets[6]:
+            data[offset] ^= 1
+        again = open_store(disk, True, random_source.randbytes)
         assert "is lost" in again.damage
         assert again.durable.disk not in ("", opened.durable.disk)
         assert not again.durable.created_at_bootstrap, "it must not found a core beside the one it was in"
         assert again.durable.view is None
-        third = open_store(disk.lose_power(3), True, chooser.randbytes)
+        third = open_store(disk.lose_power(3), True, random_source.randbytes)
         assert (third.damage, third.durable.disk) == ("", again.durable.disk)
         assert not third.durable.created_at_bootstrap
 
 
 def test_names_left_unsynced_by_a_killed_process_are_synced_by_the_next() -> None:
-    """Killed between creating its files and syncing their names: the next life must not rest on them."""
+    """Killed between creating files and syncing their names: the next process must not rely on them."""
     for seed in range(24):
         disk = FaultyDisk(power_lost_at=0)
         with pytest.raises(PowerLossError):
             ring_on(disk).open()
         disk = disk.kill()
         assert disk.unsynced_names, "the situation is reached"
-        made = ring_on(disk, 3)
-        made.open()
-        made.begin(SNAPSHOT)
-        made.append([b"a promise"])
+        ring = ring_on(disk, 3)
+        ring.open()
+        ring.begin(SNAPSHOT)
+        ring.append([b"a promise"])
         assert read(disk.lose_power(seed)) == [*SNAPSHOT, b"a promise"], f"seed {seed}"
 
 
 def test_a_ring_that_trusts_names_it_did_not_create_is_caught() -> None:
-    """The variant that syncs names only where it created files: the test above fails with it."""
+    """Check that the test above catches a variant that syncs names only where it created files."""
 
     def open_trusting(self: Ring) -> list[bytes]:
         missing = {f"ring-{index}" for index in range(3)} - set(self._disk.file_names())
@@ -160,22 +160,27 @@
         test_names_left_unsynced_by_a_killed_process_are_synced_by_the_next()
 
 
-def one_copy_only(self: Ring, file: FaultyFile, offset: int, data: bytes) -> None:
+def without_second_copy(self: Ring, file: FaultyFile, offset: int, data: bytes) -> None:
     file.write(offset, data)
 
 
-def never_damaged(data: bytes, header: Header, end: int, position: int) -> bool:
+def without_damage(data: bytes, header: Header, end: int, position: int) -> bool:
     return False
 
 
 @pytest.mark.parametrize(
     ("target", "name", "broken", "check"),
     [
-        (Ring, "_write_both_copies", one_copy_only, test_any_single_flipped_bit_is_read_from_the_other_copy),
+        (
+            Ring,
+            "_write_both_copies",
+            without_second_copy,
+            test_any_single_flipped_bit_is_read_from_the_other_copy,
+        ),
         (
             ring_recovery,
             "_has_later_batch",
-            never_damaged,
+            without_damage,
             lambda: test_a_record_corrupted_in_both_copies_before_valid_ones_is_reported(ALL[2]),
         ),
         (
@@ -195,19 +200,19 @@
 
 
 def test_format_1_is_read() -> None:
-    """Format 1: one copy, checksums over salt and place."""
+    """Format 1 has one copy, and checksums over salt and position."""
     salt = b"saltsalt"
     header = struct.pack(">4sHQ8sI", b"CVPR", 1, 9, salt, 1)
     data = header + struct.pack(">I", zlib.crc32(header))
-    for place, record in enumerate((b"one", b"two")):
-        check = zlib.crc32(record, zlib.crc32(struct.pack(">Q", place), zlib.crc32(salt)))
+    for position, record in enumerate((b"one", b"two")):
+        check = zlib.crc32(record, zlib.crc32(struct.pack(">Q", position), zlib.crc32(salt)))
         data += struct.pack(">II", len(record), check) + record
     disk = FaultyDisk()
     disk.open("ring-2").write(0, data + bytes(400))
-    made = ring_on(disk)
-    assert made.open() == [b"one", b"two"]
-    made.begin([b"one", b"two"])
-    made.append([b"three"])
+    ring = ring_on(disk)
+    assert ring.open() == [b"one", b"two"]
+    ring.begin([b"one", b"two"])
+    ring.append([b"three"])
     assert read(disk) == [b"one", b"two", b"three"]
 
 
--- a/tests/serving/storage/test_store_crashes.py
+++ b/tests/serving/storage/test_store_crashes.py
@@ -40,8 +40,8 @@
 
 
 def salts(seed: int) -> Callable[[], bytes]:
-    chooser = random.Random(seed)
-    return lambda: chooser.randbytes(8)
+    random_source = random.Random(seed)
+    return lambda: random_source.randbytes(8)
 
 
 def store_on(disk: FaultyDisk, seed: int = 0) -> RecordStore:
@@ -76,10 +76,10 @@
             store.append(batch)
             synced += batch
             batch = []
-    return [normal(recover(synced + batch[:part])) for part in range(len(batch) + 1)]
+    return [normalized(recover(synced + batch[:part])) for part in range(len(batch) + 1)]
 
 
-def normal(durable: DurableState) -> DurableState:
+def normalized(durable: DurableState) -> DurableState:
     durable.commands = list(durable.commands or [])
     return durable
 
@@ -112,11 +112,11 @@
         disk = FaultyDisk(power_lost_at=call)
         allowed = run(disk, BATCHES)
         survivor = disk.lose_power(call * 100 + seed)
-        found = normal(store_on(survivor, seed).open())
-        assert found in allowed, f"call {call}, seed {seed}"
+        recovered = normalized(store_on(survivor, seed).open())
+        assert recovered in allowed, f"call {call}, seed {seed}"
         # the opening itself is synced: another loss right after changes nothing
-        again = normal(store_on(survivor.lose_power(seed + 1000), seed).open())
-        assert again == found
+        again = normalized(store_on(survivor.lose_power(seed + 1000), seed).open())
+        assert again == recovered
 
 
 @pytest.mark.parametrize("call", range(0, CALLS, 9))
@@ -130,8 +130,8 @@
             once.power_lost_at = second
             with contextlib.suppress(PowerLossError):
                 store_on(once, seed + 7).open()
-            found = normal(store_on(once.lose_power(seed + second), seed + 9).open())
-            assert found in allowed, f"call {call}, seed {seed}, {dies}, then at {second}"
+            recovered = normalized(store_on(once.lose_power(seed + second), seed + 9).open())
+            assert recovered in allowed, f"call {call}, seed {seed}, {dies}, then at {second}"
 
 
 def is_found_broken() -> bool:
@@ -141,11 +141,11 @@
         allowed = run(disk, BATCHES)
         survivor = disk.kill() if seed % 2 else disk.lose_power(call * 100 + seed)
         try:
-            found = normal(store_on(survivor, seed).open())
-            again = normal(store_on(survivor.lose_power(call * 100 + seed + 50), seed).open())
+            recovered = normalized(store_on(survivor, seed).open())
+            again = normalized(store_on(survivor.lose_power(call * 100 + seed + 50), seed).open())
         except (ValueError, MalformedMessageError):
             return True
-        if found not in allowed or again != found:
+        if recovered not in allowed or again != recovered:
             return True
     return False
 
@@ -208,15 +208,15 @@
                     store.append(batch)
             else:
                 store.append(batch)
-        found = normal(store_on(disk.lose_power(seed), 5).open())
-        assert found == normal(expected)
+        recovered = normalized(store_on(disk.lose_power(seed), 5).open())
+        assert recovered == normalized(expected)
 
 
 def test_garbage_in_every_file_reads_as_an_empty_disk() -> None:
     disk = FaultyDisk()
-    chooser = random.Random(4)
+    random_source = random.Random(4)
     for index in range(3):
-        disk.open(f"ring-{index}").write(0, chooser.randbytes(500))
+        disk.open(f"ring-{index}").write(0, random_source.randbytes(500))
     assert store_on(disk).open() == DurableState()
 
 
@@ -228,5 +228,5 @@
     for number in range(12):
         store.append([StateRecord(epoch, number, bytes(5_000_000))])
     assert sum(len(content.now) for content in disk.contents.values()) < 100_000_000
-    found = RecordStore(Ring(disk, salts(2)), CODEC.encode, decode).open()
-    assert (found.sequence, len(found.snapshot)) == (11, 5_000_000)
+    recovered = RecordStore(Ring(disk, salts(2)), CODEC.encode, decode).open()
+    assert (recovered.sequence, len(recovered.snapshot)) == (11, 5_000_000)
--- a/tests/serving/storage/test_writer.py
+++ b/tests/serving/storage/test_writer.py
@@ -1,4 +1,4 @@
-"""The writer's thread: in order, told of refusals, and what was refused is written with the next."""
+"""Writers: records in order, errors passed on, and records of a failed write written with the next."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     calls: queue.Queue[Callable[[], None]] = queue.Queue()
     store = store_on(disk)
     writer: RecordWriter = ThreadWriter(store, calls.put) if kind == "thread" else InlineWriter(store)
-    told: list[OSError | None] = []
+    results: list[OSError | None] = []
 
     def write(record: Record) -> None:
-        writer.submit([record], told.append)
+        writer.submit([record], results.append)
         if kind == "thread":
             calls.get(timeout=WAIT_S)()
 
@@ -44,22 +44,22 @@
     write(PromisedEpochRecord(Epoch(3, "x")))
     disk.refuses = False
     write(PromisedEpochRecord(Epoch(2, "y")))
-    assert [type(error) for error in told] == [type(None), OSError, type(None)]
+    assert [type(error) for error in results] == [type(None), OSError, type(None)]
     if isinstance(writer, ThreadWriter):
         writer.close(WAIT_S)
-    found = store_on(disk.lose_power(0)).open()
-    assert (found.disk, found.promised) == ("disk", Epoch(3, "x"))
+    recovered = store_on(disk.lose_power(0)).open()
+    assert (recovered.disk, recovered.promised) == ("disk", Epoch(3, "x"))
 
 
 def test_a_writer_ends_after_all_submitted_records() -> None:
     disk = FaultyDisk()
     calls: queue.Queue[Callable[[], None]] = queue.Queue()
-    told: list[OSError | None] = []
+    results: list[OSError | None] = []
     writer = ThreadWriter(store_on(disk), calls.put)
     for number in range(50):
-        writer.submit([PromisedEpochRecord(Epoch(number, "x"))], told.append)
+        writer.submit([PromisedEpochRecord(Epoch(number, "x"))], results.append)
     writer.close(WAIT_S)
     while not calls.empty():
         calls.get()()
-    assert told == [None] * 50
+    assert results == [None] * 50
     assert store_on(disk.lose_power(0)).open().promised == Epoch(49, "x")
