--- a/coveport/serving/replication/founding.py
+++ b/coveport/serving/replication/bootstrap.py
@@ -6,24 +6,24 @@
 
 from __future__ import annotations
 
-from coveport.serving.replication.composition import choose_replicas
 from coveport.serving.replication.identity import Epoch, MemberId, View
 from coveport.serving.replication.messages import Accept, Accepted, Install, Installed, Message
-from coveport.serving.replication.parts import Parts
+from coveport.serving.replication.placement import choose_replicas
+from coveport.serving.replication.replica_context import ReplicaContext
 
 
-class Founding:
+class Bootstrap:
     """The founder's side."""
 
     def __init__(
-        self, parts: Parts, now_s: float, seeds: tuple[MemberId, ...], epoch: Epoch, state: bytes
+        self, context: ReplicaContext, now_s: float, seeds: tuple[MemberId, ...], epoch: Epoch, state: bytes
     ) -> None:
-        machines = [parts.machine(member, now_s) for member in seeds]
-        own = parts.machine(parts.own, now_s)
-        replicas = choose_replicas(own, machines, parts.wanted_replicas(len(seeds)), ())
-        self.view = View(epoch, parts.own, replicas, seeds)
+        machines = [context.machine(member, now_s) for member in seeds]
+        own_machine = context.machine(context.own_id, now_s)
+        replicas = choose_replicas(own_machine, machines, context.wanted_replicas(len(seeds)), ())
+        self.view = View(epoch, context.own_id, replicas, seeds)
         self.is_active = False
-        self._parts = parts
+        self._context = context
         self._state = state
         self._installed: set[MemberId] = set()
         self._accepted: set[MemberId] = set()
@@ -43,11 +43,11 @@
         if not self._is_installed():
             for member in self.view.replicas:
                 if member not in self._installed:
-                    self._parts.send(member, Install(self.view.epoch, 0, self._state))
+                    self._context.send(member, Install(self.view.epoch, 0, self._state))
             return
         for member in self.view.members:
             if member not in self._accepted:
-                self._parts.send(member, Accept(self.view, is_bootstrap=True))
+                self._context.send(member, Accept(self.view, is_bootstrap=True))
 
     def handle(self, now_s: float, sender: MemberId, message: Message) -> None:
         """Take a seed's answer."""
@@ -61,5 +61,5 @@
 
     def tick(self, now_s: float) -> None:
         """Repeat what wasn't answered."""
-        if now_s - self._sent_at_s >= self._parts.timings.resend_s:
+        if now_s - self._sent_at_s >= self._context.timings.resend_s:
             self._send(now_s)
--- a/coveport/serving/replication/learner.py
+++ b/coveport/serving/replication/committed_log.py
@@ -17,7 +17,7 @@
 RECENT_BYTES = 1024 * 1024
 
 
-class Learner:
+class CommittedLog:
     """Every coordinator has one, member of the core or not."""
 
     def __init__(self, outbox: Outbox, state_machine: StateMachine) -> None:
--- a/coveport/serving/replication/leading.py
+++ b/coveport/serving/replication/leader_role.py
@@ -2,41 +2,41 @@
 
 from __future__ import annotations
 
-from coveport.serving.replication.caretaker import Caretaker, Change
+from coveport.serving.replication.bootstrap import Bootstrap
 from coveport.serving.replication.election import Election
-from coveport.serving.replication.founding import Founding
 from coveport.serving.replication.identity import MemberId, View
 from coveport.serving.replication.messages import Fenced, Message, Ping, TransferLeadership, ViewActivated
-from coveport.serving.replication.parts import Parts
 from coveport.serving.replication.peers import Peer
 from coveport.serving.replication.primary import Primary
-from coveport.serving.replication.takeover import Attempt, Step
+from coveport.serving.replication.reconfiguration import Reconfigurer, ViewChangeRequest
+from coveport.serving.replication.replica_context import ReplicaContext
+from coveport.serving.replication.view_change import Step, ViewChangeAttempt
 
 OUTVOTED_S = 0.6  # after a member promised a higher epoch and nobody led, the primary leads anew
 
 
-class Leadership:
+class LeaderRole:
     """At most one attempt, one founding and one primaryship at a time."""
 
     def __init__(
         self,
-        parts: Parts,
+        context: ReplicaContext,
         now_s: float,
         seeds: tuple[str, ...],
         may_bootstrap: bool,
         initial_state: bytes,
     ) -> None:
-        self.election = Election(parts, now_s)
-        self.caretaker = Caretaker(parts)
+        self.election = Election(context, now_s)
+        self.reconfigurer = Reconfigurer(context)
         self.primary: Primary | None = None
-        self.attempt: Attempt | None = None
-        self.highest_seen = parts.journal.durable.promised
+        self.attempt: ViewChangeAttempt | None = None
+        self.highest_seen = context.journal.durable.promised
         self.outvoted_since_s: float | None = None
         self.may_bootstrap = may_bootstrap
-        self._parts = parts
+        self._context = context
         self._seeds = seeds
         self._initial_state = initial_state
-        self._founding: Founding | None = None
+        self._bootstrap: Bootstrap | None = None
         self._excluded_by: View | None = None  # seen in an attempt; we are no member of it
         self._last_change_s = now_s
 
@@ -48,8 +48,8 @@
     def address(self, now_s: float) -> str | None:
         """Inner address of the active primary; None: none is heard."""
         if self.is_active:
-            return self._parts.own.address
-        return self.election.leader(self._parts.journal.durable.view, now_s) or None
+            return self._context.own_id.address
+        return self.election.leader(self._context.journal.durable.view, now_s) or None
 
     # -- what arrives --
 
@@ -69,17 +69,17 @@
         if self.primary is None or not self.is_active:
             return False
         view = self.primary.view
-        self.caretaker.serve(view, peer)
+        self.reconfigurer.serve(view, peer)
         return ping.view_epoch < view.epoch or ping.active_epoch < view.epoch
 
     def follow_fence(self, now_s: float) -> None:
         """End what a higher promise than its own put an end to."""
-        promised = self._parts.journal.durable.promised
+        promised = self._context.journal.durable.promised
         self.highest_seen = max(self.highest_seen, promised)
         if self.attempt is not None and promised > self.attempt.epoch:
             self.attempt = None
-        if self._founding is not None and promised > self._founding.view.epoch:
-            self._founding = None
+        if self._bootstrap is not None and promised > self._bootstrap.view.epoch:
+            self._bootstrap = None
         own_epoch = self.attempt.epoch if self.attempt else None
         if self.primary is not None and promised > self.primary.view.epoch and promised != own_epoch:
             self.end_primary(now_s)
@@ -96,38 +96,42 @@
         self.highest_seen = max(self.highest_seen, message.promised)
         if self.attempt is not None and message.refused == self.attempt.epoch:
             self._give_up_attempt(now_s)
-        elif self._founding is not None and message.refused == self._founding.view.epoch:
-            self._founding = None
+        elif self._bootstrap is not None and message.refused == self._bootstrap.view.epoch:
+            self._bootstrap = None
         elif self.primary is not None and message.refused == self.primary.view.epoch:
             self.outvoted_since_s = self.outvoted_since_s or now_s
 
     def take_over(self, now_s: float, sender: MemberId, message: TransferLeadership) -> None:
         """The primary of our view asks us to lead at once."""
-        view = self._parts.journal.durable.view
+        view = self._context.journal.durable.view
         if view is None or view.epoch != message.epoch or view.primary != sender or self.attempt is not None:
             return
-        if self._parts.own in view.members:
-            self.start_attempt(now_s, Change("asked by the primary", True, avoided=frozenset({sender})))
+        if self._context.own_id in view.members:
+            self.start_attempt(
+                now_s, ViewChangeRequest("asked by the primary", True, avoided=frozenset({sender}))
+            )
 
-    def start_attempt(self, now_s: float, change: Change) -> None:
+    def start_attempt(self, now_s: float, change: ViewChangeRequest) -> None:
         """Try to bring a next view up."""
-        view = self._parts.journal.durable.view
+        view = self._context.journal.durable.view
         if view is None:
             return
-        epoch = max(self.highest_seen, self._parts.journal.durable.promised).after(self._parts.own.disk)
+        epoch = max(self.highest_seen, self._context.journal.durable.promised).after(
+            self._context.own_id.disk
+        )
         self.highest_seen = epoch
         if self.primary is not None:
             self.primary.is_paused = True
-        self.attempt = Attempt(self._parts, now_s, epoch, view, change.wish, change.avoided)
+        self.attempt = ViewChangeAttempt(self._context, now_s, epoch, view, change.proposal, change.avoided)
 
     def take_answer(self, now_s: float, sender: MemberId, message: Message) -> None:
         """Take an answer to the founding or the attempt."""
-        if self._founding is not None:
-            self._founding.handle(now_s, sender, message)
-            if self._founding.is_active:
-                founding = self._founding
-                self._founding = None
-                self.begin_primary(now_s, founding.view, kept_own_state=True)
+        if self._bootstrap is not None:
+            self._bootstrap.handle(now_s, sender, message)
+            if self._bootstrap.is_active:
+                bootstrap = self._bootstrap
+                self._bootstrap = None
+                self.begin_primary(now_s, bootstrap.view, kept_own_state=True)
         elif self.attempt is not None:
             self.attempt.handle(now_s, sender, message)
             self._follow_attempt(now_s)
@@ -144,19 +148,19 @@
     def begin_primary(self, now_s: float, view: View, kept_own_state: bool) -> None:
         """A view of ours is active."""
         before = self.primary
-        self.primary = Primary(self._parts, view)
+        self.primary = Primary(self._context, view)
         self.outvoted_since_s = None
         self._last_change_s = now_s
-        self._parts.acceptor.record_active_view(ViewActivated(view.epoch))
-        for member in sorted({*view.members, *view.previous_members} - {self._parts.own}):
-            self._parts.send(member, ViewActivated(view.epoch))
+        self._context.acceptor.record_active_view(ViewActivated(view.epoch))
+        for member in sorted({*view.members, *view.previous_members} - {self._context.own_id}):
+            self._context.send(member, ViewActivated(view.epoch))
         self.primary.begin(now_s, before, kept_own_state)
 
     def _give_up_attempt(self, now_s: float) -> None:
         """Fenced, or nothing moved: try again later, if still nobody leads."""
         self.attempt = None
-        timings = self._parts.timings
-        self.election.hold_off(now_s + 0.1 + timings.backoff_s * self._parts.jitter())
+        timings = self._context.timings
+        self.election.hold_off(now_s + 0.1 + timings.backoff_s * self._context.jitter())
         self.end_primary(now_s)
 
     # -- time --
@@ -164,7 +168,7 @@
     def tick(self, now_s: float) -> None:
         """Let time pass."""
         self._tick_attempt(now_s)
-        self._tick_founding(now_s)
+        self._tick_bootstrap(now_s)
         if self.primary is not None and not self.primary.is_paused:
             self._tick_primary(now_s, self.primary)
         else:
@@ -172,13 +176,13 @@
 
     def stand_if_called(self, now_s: float) -> None:
         """Start an attempt where nobody leads and it is this member's turn."""
-        if self.primary is not None or self.attempt is not None or self._founding is not None:
+        if self.primary is not None or self.attempt is not None or self._bootstrap is not None:
             return
-        view = self._parts.journal.durable.view
+        view = self._context.journal.durable.view
         if view is not None and self._excluded_by is not None and self._excluded_by.epoch > view.epoch:
             return  # others are members by now: they lead, and will tell us of the view
         if self.election.is_called(view, now_s):
-            self.start_attempt(now_s, Change("nobody leads", True))
+            self.start_attempt(now_s, ViewChangeRequest("nobody leads", True))
 
     def _tick_attempt(self, now_s: float) -> None:
         attempt = self.attempt
@@ -190,52 +194,52 @@
 
     def _tick_primary(self, now_s: float, primary: Primary) -> None:
         primary.tick(now_s)
-        if not self._parts.journal.is_healthy(now_s):
+        if not self._context.journal.is_healthy(now_s):
             self._step_down(now_s)
             return
-        if self._parts.is_shutting_down:
+        if self._context.is_shutting_down:
             self._hand_over(now_s, primary)
             return
-        change = self.caretaker.wanted_change(primary.view, primary.slow_replicas(now_s), now_s)
+        change = self.reconfigurer.needed_view_change(primary.view, primary.slow_replicas(now_s), now_s)
         is_outvoted = self.outvoted_since_s is not None and now_s - self.outvoted_since_s >= OUTVOTED_S
         if change is None and is_outvoted:
-            change = Change("a member promised a higher epoch", True)
+            change = ViewChangeRequest("a member promised a higher epoch", True)
         if change is None or not self.election.hears_majorities_now(primary.view, now_s):
             return
-        if change.is_urgent or now_s - self._last_change_s >= self._parts.timings.change_gap_s:
+        if change.is_urgent or now_s - self._last_change_s >= self._context.timings.change_gap_s:
             self.start_attempt(now_s, change)
 
     def _step_down(self, now_s: float) -> None:
         """The own disk doesn't sync: others must lead. The last view keeps being fenced by them."""
-        self.election.hold_off(now_s + self._parts.timings.disk_rest_s)
+        self.election.hold_off(now_s + self._context.timings.disk_rest_s)
         self.end_primary(now_s)
 
     def _hand_over(self, now_s: float, primary: Primary) -> None:
         """Ask the best other replica, again and again until it leads; without one go on."""
-        successors = [m for m in primary.view.replicas[1:] if self._parts.is_usable(m, now_s)]
+        successors = [m for m in primary.view.replicas[1:] if self._context.is_usable(m, now_s)]
         primary.is_closing = bool(successors)
         if successors and primary.is_idle:
-            self._parts.send(successors[0], TransferLeadership(primary.view.epoch))
+            self._context.send(successors[0], TransferLeadership(primary.view.epoch))
 
-    def _tick_founding(self, now_s: float) -> None:
-        parts = self._parts
-        if not parts.acceptor.is_blank and self._founding is None:
+    def _tick_bootstrap(self, now_s: float) -> None:
+        context = self._context
+        if not context.acceptor.is_blank and self._bootstrap is None:
             return
-        if self._founding is not None:
-            self._founding.tick(now_s)
+        if self._bootstrap is not None:
+            self._bootstrap.tick(now_s)
             return
-        own_address = parts.own.address
+        own_address = context.own_id.address
         if not self.may_bootstrap or own_address not in self._seeds or own_address != min(self._seeds):
             return
-        seeds = [parts.own]
+        seeds = [context.own_id]
         for address in self._seeds:
-            peer = parts.peers.get(address)
+            peer = context.peers.get(address)
             if address == own_address:
                 continue
-            if peer is None or peer.identity is None or not parts.is_usable(peer.identity, now_s):
+            if peer is None or peer.identity is None or not context.is_usable(peer.identity, now_s):
                 return
             if peer.ping is None or not peer.ping.may_bootstrap:
                 return
             seeds.append(peer.identity)
-        epoch = self.highest_seen.after(parts.own.disk)
-        self._founding = Founding(parts, now_s, tuple(seeds), epoch, self._initial_state)
+        epoch = self.highest_seen.after(context.own_id.disk)
+        self._bootstrap = Bootstrap(context, now_s, tuple(seeds), epoch, self._initial_state)
--- a/coveport/serving/replication/outbox.py
+++ b/coveport/serving/replication/outbox.py
@@ -12,14 +12,14 @@
 class Outbox:
     """Filled by all parts of a member; emptied at the end of each step."""
 
-    def __init__(self, own: MemberId) -> None:
-        self.own = own
+    def __init__(self, own_id: MemberId) -> None:
+        self.own_id = own_id
         self.to_self: deque[Message] = deque()
         self._effects: list[Effect] = []
 
     def send(self, to_address: str, message: Message) -> None:
         """Send to another, or to oneself within this step."""
-        if to_address == self.own.address:
+        if to_address == self.own_id.address:
             self.to_self.append(message)
         else:
             self._effects.append(Send(to_address, message))
--- a/coveport/serving/replication/peers.py
+++ b/coveport/serving/replication/peers.py
@@ -54,15 +54,15 @@
 class Peers:
     """All addresses other than our own."""
 
-    def __init__(self, own: MemberId, timings: Timings, now_s: float) -> None:
-        self._own = own
+    def __init__(self, own_id: MemberId, timings: Timings, now_s: float) -> None:
+        self._own_id = own_id
         self._timings = timings
         self._peers: dict[str, Peer] = {}
         self.awake_since_s = now_s
 
     def add(self, address: str, now_s: float) -> None:
         """Know of an address from now on."""
-        if address and address != self._own.address and address not in self._peers:
+        if address and address != self._own_id.address and address not in self._peers:
             self._peers[address] = Peer(address, now_s)
 
     def forget(self, kept: set[str], now_s: float) -> None:
@@ -104,7 +104,7 @@
 
     def is_alive(self, member: MemberId, now_s: float) -> bool:
         """Whether this very member hears us and we it. We ourselves are."""
-        if member == self._own:
+        if member == self._own_id:
             return True
         peer = self._peers.get(member.address)
         return peer is not None and peer.identity == member and self._is_alive(peer, now_s)
@@ -115,7 +115,7 @@
         One that hears nobody any more loses its peers one after the other; the last ones look alive a little
         longer, and an attempt with them would only hold the others up.
         """
-        return member == self._own or self.silent_s(member, now_s) < self._timings.fresh_s
+        return member == self._own_id or self.silent_s(member, now_s) < self._timings.fresh_s
 
     def is_suspect(self, member: MemberId, now_s: float) -> bool:
         """Whether it has been silent for too long, counted only while we were awake."""
@@ -124,7 +124,7 @@
 
     def silent_s(self, member: MemberId, now_s: float) -> float:
         """For how long it has been silent while we were awake."""
-        if member == self._own:
+        if member == self._own_id:
             return 0.0
         peer = self._peers.get(member.address)
         last_s = peer.echoed_at_s if peer is not None and peer.identity == member else float("-inf")
@@ -137,7 +137,7 @@
 
     def ping_of(self, member: MemberId, now_s: float) -> Ping | None:
         """What a live member last said."""
-        if member == self._own or not self.is_alive(member, now_s):
+        if member == self._own_id or not self.is_alive(member, now_s):
             return None
         peer = self._peers[member.address]
         return peer.ping
--- a/coveport/serving/replication/pinging.py
+++ b/coveport/serving/replication/ping_sender.py
@@ -5,20 +5,20 @@
 from collections.abc import Iterable
 
 from coveport.serving.replication.identity import View
-from coveport.serving.replication.leading import Leadership
+from coveport.serving.replication.leader_role import LeaderRole
 from coveport.serving.replication.messages import Ping
-from coveport.serving.replication.parts import Parts
 from coveport.serving.replication.peers import Peer
+from coveport.serving.replication.replica_context import ReplicaContext
 
 ANSWER_GAP_S = 0.02  # a peer that comes up is answered out of turn, but no more often than this
 
 
-class Pinger:
+class PingSender:
     """Sends one member's pings."""
 
-    def __init__(self, parts: Parts, leading: Leadership) -> None:
-        self._parts = parts
-        self._leading = leading
+    def __init__(self, context: ReplicaContext, leader_role: LeaderRole) -> None:
+        self._context = context
+        self._leader_role = leader_role
         self._sent_at_s = float("-inf")
 
     def make_due(self) -> None:
@@ -27,9 +27,9 @@
 
     def tick(self, now_s: float) -> None:
         """Tell all, when it is time."""
-        if now_s - self._sent_at_s >= self._parts.timings.ping_s:
+        if now_s - self._sent_at_s >= self._context.timings.ping_s:
             self._sent_at_s = now_s
-            self.send(now_s, self._parts.peers)
+            self.send(now_s, self._context.peers)
 
     def answer(self, now_s: float, peer: Peer) -> None:
         """Let a peer that just came up know at once that it is heard."""
@@ -38,32 +38,34 @@
 
     def send(self, now_s: float, peers: Iterable[Peer]) -> None:
         """Tell these now."""
-        parts = self._parts
-        durable = parts.journal.durable
-        reaches = tuple(peer.address for peer in parts.peers.alive(now_s))
-        is_healthy = parts.journal.is_healthy(now_s)
+        context = self._context
+        durable = context.journal.durable
+        reaches = tuple(peer.address for peer in context.peers.alive(now_s))
+        is_healthy = context.journal.is_healthy(now_s)
         is_leading = is_healthy and self._leads_majorities(durable.view, now_s)
-        primary = parts.own.address if is_leading else self._leading.election.leader(durable.view, now_s)
+        primary = (
+            context.own_id.address if is_leading else self._leader_role.election.leader(durable.view, now_s)
+        )
         for peer in peers:
             peer.pinged_at_s = now_s
             ping = Ping(
                 counter=int(now_s * 1000),
                 echo=peer.heard_counter,
-                locality=parts.locality,
+                locality=context.locality,
                 promised=durable.promised,
-                view_epoch=parts.acceptor.view_epoch,
+                view_epoch=context.acceptor.view_epoch,
                 active_epoch=durable.active_epoch,
-                committed=parts.learner.sequence,
+                committed=context.committed_log.sequence,
                 primary=primary,
                 is_leading=is_leading,
                 is_healthy=is_healthy,
-                is_shutting_down=parts.is_shutting_down,
-                may_bootstrap=self._leading.may_bootstrap and parts.acceptor.is_blank,
+                is_shutting_down=context.is_shutting_down,
+                may_bootstrap=self._leader_role.may_bootstrap and context.acceptor.is_blank,
                 reaches=reaches,
             )
-            parts.outbox.send(peer.address, ping)
+            context.outbox.send(peer.address, ping)
 
     def _leads_majorities(self, view: View | None, now_s: float) -> bool:
-        if view is None or not self._leading.is_active:
+        if view is None or not self._leader_role.is_active:
             return False
-        return self._leading.election.reaches_majorities(view, now_s)
+        return self._leader_role.election.reaches_majorities(view, now_s)
--- a/coveport/serving/replication/composition.py
+++ b/coveport/serving/replication/placement.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Machine:
+class MachineStatus:
     """What the primary knows of a machine that is a member or could be one."""
 
     member: MemberId
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Rating:
+class FaultTolerance:
     """How much a set of members bears; more is better, the first field first."""
 
     machine_losses: int  # how many more machines may be lost, as far as asked for
@@ -33,7 +33,7 @@
 
 
 def choose_replicas(
-    primary: Machine, others: Iterable[Machine], count: int, present: Sequence[MemberId]
+    primary: MachineStatus, others: Iterable[MachineStatus], count: int, present: Sequence[MemberId]
 ) -> tuple[MemberId, ...]:
     """`count` replicas, the primary first; in other regions, then other zones, then present ones."""
     chosen = [primary]
@@ -55,20 +55,22 @@
     return tuple(machine.member for machine in chosen)
 
 
-def spread(replicas: Iterable[MemberId], localities: dict[MemberId, Locality]) -> tuple[int, int]:
+def count_failure_domains(
+    replicas: Iterable[MemberId], localities: dict[MemberId, Locality]
+) -> tuple[int, int]:
     """In how many regions and zones the replicas stand."""
     found = [localities[member] for member in replicas if member in localities]
     return len({locality.region for locality in found}), len({locality.zone for locality in found})
 
 
-def rate(machines: Sequence[Machine], tolerated_losses: int) -> Rating:
+def rate_fault_tolerance(machines: Sequence[MachineStatus], tolerated_losses: int) -> FaultTolerance:
     """What a set of members bears on top of what is lost already."""
     live = [machine for machine in machines if not machine.is_lost]
     needed = len(machines) // 2 + 1
     spare = len(live) - needed
     worst_region = _largest(machine.locality.region for machine in live)
     worst_zone = _largest(machine.locality.zone for machine in live)
-    return Rating(
+    return FaultTolerance(
         machine_losses=min(spare, max(1, tolerated_losses)),
         region_loss=worst_region <= spare,
         zone_loss=worst_zone <= spare,
@@ -83,36 +85,39 @@
 
 
 def choose_members(
-    own: MemberId, present: Sequence[Machine], newcomers: Sequence[Machine], tolerated_losses: int
+    own_id: MemberId,
+    present: Sequence[MachineStatus],
+    newcomers: Sequence[MachineStatus],
+    tolerated_losses: int,
 ) -> tuple[MemberId, ...] | None:
     """Members that bear strictly more than the present ones, with as few changes as go; None: there are none.
 
     A lost member may be swapped for another; one that is gone may be dropped without another in its place.
     """
-    now = rate(present, tolerated_losses)
+    now = rate_fault_tolerance(present, tolerated_losses)
     pool = (list(present) + list(newcomers))[:POOL_AT_MOST]
     kept = {machine.member for machine in present}
     best: tuple[MemberId, ...] | None = None
-    best_key: tuple[Rating, bool, int, int] | None = None
+    best_key: tuple[FaultTolerance, bool, int, int] | None = None
     for size in range(1, min(len(pool), MEMBERS_AT_MOST) + 1):
         for subset in combinations(pool, size):
-            if not _is_allowed(own, present, subset):
+            if not _is_allowed(own_id, present, subset):
                 continue
-            rating = rate(subset, tolerated_losses)
-            if rating <= now:
+            tolerance = rate_fault_tolerance(subset, tolerated_losses)
+            if tolerance <= now:
                 continue
             members = tuple(machine.member for machine in subset)
             changes = len(kept.symmetric_difference(members))
-            key = (rating, size % 2 == 1, -changes, size)
+            key = (tolerance, size % 2 == 1, -changes, size)
             if best_key is None or key > best_key:
                 best = members
                 best_key = key
     return best
 
 
-def _is_allowed(own: MemberId, present: Sequence[Machine], subset: Sequence[Machine]) -> bool:
+def _is_allowed(own_id: MemberId, present: Sequence[MachineStatus], subset: Sequence[MachineStatus]) -> bool:
     members = {machine.member for machine in subset}
-    if own not in members:
+    if own_id not in members:
         return False
     left_out = [machine for machine in present if machine.member not in members]
     if any(not machine.is_lost for machine in left_out) and len(subset) < len(present):
--- a/coveport/serving/replication/primary.py
+++ b/coveport/serving/replication/primary.py
@@ -24,7 +24,7 @@
     Confirm,
     Confirmed,
 )
-from coveport.serving.replication.parts import Parts
+from coveport.serving.replication.replica_context import ReplicaContext
 
 ROUNDS_AT_ONCE = 2  # rounds of confirmation on their way
 BYTES_A_SECOND = 10e6  # at which a command is surely sent and synced
@@ -75,11 +75,11 @@
 class Primary:
     """Lives as long as its view is the newest promised here."""
 
-    def __init__(self, parts: Parts, view: View) -> None:
+    def __init__(self, context: ReplicaContext, view: View) -> None:
         self.view = view
         self.is_paused = False  # while it brings its own next view up
         self.is_closing = False  # starts nothing new, for another is about to take over
-        self._parts = parts
+        self._context = context
         self._queue: deque[Waiting] = deque()
         self._in_flight: InFlight | None = None
         self._unconfirmed: list[Unconfirmed] = []
@@ -93,11 +93,11 @@
 
         With `kept_own_state` that includes the command that was in flight under the view `before`.
         """
-        parts = self._parts
-        sequence = parts.acceptor.durable.sequence
+        context = self._context
+        sequence = context.acceptor.durable.sequence
         in_flight = before._in_flight if before else None
         command = in_flight.command if in_flight and kept_own_state else None
-        parts.learner.became(sequence, parts.acceptor.state, command)
+        context.committed_log.became(sequence, context.acceptor.state, command)
         self._tell_committed(now_s)
         self._teach_those_without_state(now_s)
         if before is None:
@@ -105,7 +105,7 @@
         self._take_waiting(before)
         if in_flight is not None:
             taken = command is not None
-            parts.outbox.answer(in_flight.request, Done(in_flight.result) if taken else OutcomeUnknown())
+            context.outbox.answer(in_flight.request, Done(in_flight.result) if taken else OutcomeUnknown())
 
     def _take_waiting(self, before: Primary) -> None:
         """Take over what waits. A refusal under the view before may not hold under this one."""
@@ -121,7 +121,7 @@
 
     def end(self, primary_address: str | None) -> None:
         """Another leads or may lead: answer all that wait."""
-        answer = self._parts.outbox.answer
+        answer = self._context.outbox.answer
         if self._in_flight is not None:
             answer(self._in_flight.request, OutcomeUnknown())
         for waiting in self._queue:
@@ -163,8 +163,8 @@
             self._start_round(now_s)
 
     def _start(self, waiting: Waiting, now_s: float) -> None:
-        acceptor = self._parts.acceptor
-        applied = self._parts.acceptor.try_command(waiting.command)
+        acceptor = self._context.acceptor
+        applied = self._context.acceptor.try_command(waiting.command)
         if not isinstance(applied, Applied):
             self._unconfirmed.append(Unconfirmed(waiting.request, waiting.command, applied))
             return
@@ -180,10 +180,12 @@
         if in_flight is None:
             return
         in_flight.sent_at_s = now_s
-        message = Append(self.view.epoch, in_flight.sequence, in_flight.command, self._parts.learner.sequence)
+        message = Append(
+            self.view.epoch, in_flight.sequence, in_flight.command, self._context.committed_log.sequence
+        )
         for member in self.view.replicas:
             if member not in in_flight.appended:
-                self._parts.send(member, message)
+                self._context.send(member, message)
 
     def appended(self, now_s: float, sender: MemberId, message: Appended) -> None:
         """A replica has synced a command."""
@@ -194,32 +196,34 @@
         if not in_flight.appended.issuperset(self.view.replicas):
             return
         self._in_flight = None
-        self._parts.learner.became(in_flight.sequence, in_flight.state, in_flight.command)
-        self._parts.outbox.answer(in_flight.request, Done(in_flight.result))
+        self._context.committed_log.became(in_flight.sequence, in_flight.state, in_flight.command)
+        self._context.outbox.answer(in_flight.request, Done(in_flight.result))
         self._tell_committed(now_s)
 
     def _tell_committed(self, now_s: float) -> None:
-        parts = self._parts
-        committed = Committed(self.view.epoch, parts.learner.sequence)
+        context = self._context
+        committed = Committed(self.view.epoch, context.committed_log.sequence)
         for member in self.view.replicas[1:]:
-            parts.send(member, committed)
+            context.send(member, committed)
         replica_addresses = {member.address for member in self.view.replicas}
-        for peer in parts.peers.alive(now_s):
+        for peer in context.peers.alive(now_s):
             if peer.address in replica_addresses:
                 continue
             known = peer.ping.committed if peer.ping else -1
-            lesson = parts.learner.lesson(max(known, parts.learner.sequence - 1) if known >= 0 else -1)
+            lesson = context.committed_log.lesson(
+                max(known, context.committed_log.sequence - 1) if known >= 0 else -1
+            )
             if isinstance(lesson, CatchUpCommands):
-                parts.outbox.send(peer.address, lesson)
+                context.outbox.send(peer.address, lesson)
 
     def _teach_those_without_state(self, now_s: float) -> None:
         """Send the whole state to coordinators that just started: their proxies serve nothing without it."""
-        parts = self._parts
-        for peer in parts.peers.alive(now_s):
+        context = self._context
+        for peer in context.peers.alive(now_s):
             is_replica = peer.identity in self.view.replicas
             if is_replica or peer.ping is None or peer.ping.committed >= 0:
                 continue
-            if parts.learner.teach(now_s, peer, peer.ping.committed):
+            if context.committed_log.teach(now_s, peer, peer.ping.committed):
                 peer.served_at_s = now_s
 
     # -- confirmation --
@@ -229,7 +233,7 @@
         self._rounds.append(Round(self._last_round, now_s, now_s, self._unconfirmed))
         self._unconfirmed = []
         for member in self.view.members:
-            self._parts.send(member, Confirm(self.view.epoch, self._last_round))
+            self._context.send(member, Confirm(self.view.epoch, self._last_round))
 
     def confirmed(self, sender: MemberId, message: Confirmed) -> None:
         """A member promised nothing higher."""
@@ -241,43 +245,43 @@
         for round_ in [item for item in self._rounds if is_majority(item.confirmed, self.view.members)]:
             self._rounds.remove(round_)
             for item in round_.waiting:
-                self._parts.outbox.answer(item.request, self._confirmed_outcome(item))
+                self._context.outbox.answer(item.request, self._confirmed_outcome(item))
 
     def _confirmed_outcome(self, item: Unconfirmed) -> Outcome:
         if item.refusal is not None:
             return item.refusal
-        return Newest(self._parts.learner.sequence, self._parts.learner.state)
+        return Newest(self._context.committed_log.sequence, self._context.committed_log.state)
 
     # -- time --
 
     def tick(self, now_s: float) -> None:
         """Repeat what wasn't answered; give up on rounds that got no majority."""
         in_flight = self._in_flight
-        resend_s = self._parts.timings.resend_s
+        resend_s = self._context.timings.resend_s
         if in_flight is not None:
             wait_s = resend_s + len(in_flight.command) / BYTES_A_SECOND
             if now_s - in_flight.sent_at_s >= wait_s:
                 self._send_append(now_s)
         for round_ in list(self._rounds):
-            if now_s - round_.since_s >= self._parts.timings.confirm_s:
+            if now_s - round_.since_s >= self._context.timings.confirm_s:
                 self._rounds.remove(round_)
                 for item in round_.waiting:
-                    self._parts.outbox.answer(item.request, NotPrimary(None))
+                    self._context.outbox.answer(item.request, NotPrimary(None))
             elif now_s - round_.sent_at_s >= resend_s:
                 round_.sent_at_s = now_s
                 for member in self.view.members:
                     if member not in round_.confirmed:
-                        self._parts.send(member, Confirm(self.view.epoch, round_.number))
+                        self._context.send(member, Confirm(self.view.epoch, round_.number))
 
     def slow_replicas(self, now_s: float) -> set[MemberId]:
         """Backups that have owed the command in flight for too long."""
         in_flight = self._in_flight
         if in_flight is None:
             return set()
-        patience_s = self._parts.timings.suspect_s + len(in_flight.command) / BYTES_A_SECOND
+        patience_s = self._context.timings.suspect_s + len(in_flight.command) / BYTES_A_SECOND
         if now_s - in_flight.since_s < patience_s:
             return set()
-        return set(self.view.replicas) - in_flight.appended - {self._parts.own}
+        return set(self.view.replicas) - in_flight.appended - {self._context.own_id}
 
     def slept(self, now_s: float) -> None:
         """The process stood still: nobody else is to blame for the time."""
--- a/coveport/serving/replication/parts.py
+++ b/coveport/serving/replication/replica_context.py
@@ -6,21 +6,21 @@
 from dataclasses import dataclass
 
 from coveport.serving.replication.acceptor import Acceptor
-from coveport.serving.replication.composition import Machine
+from coveport.serving.replication.committed_log import CommittedLog
 from coveport.serving.replication.identity import Locality, MemberId
 from coveport.serving.replication.journal import Journal
-from coveport.serving.replication.learner import Learner
 from coveport.serving.replication.messages import Message
 from coveport.serving.replication.outbox import Outbox
 from coveport.serving.replication.peers import Peers
+from coveport.serving.replication.placement import MachineStatus
 from coveport.serving.replication.timings import Timings
 
 
 @dataclass(slots=True)
-class Parts:
+class ReplicaContext:
     """One member's parts and settings."""
 
-    own: MemberId
+    own_id: MemberId
     locality: Locality
     tolerated_losses: int
     timings: Timings
@@ -28,7 +28,7 @@
     outbox: Outbox
     journal: Journal
     acceptor: Acceptor
-    learner: Learner
+    committed_log: CommittedLog
     peers: Peers
     is_shutting_down: bool = False
 
@@ -38,22 +38,22 @@
 
     def is_usable(self, member: MemberId, now_s: float) -> bool:
         """Whether it is alive, its disk well, and it stays."""
-        if member == self.own:
+        if member == self.own_id:
             return self.journal.is_healthy(now_s) and not self.is_shutting_down
         ping = self.peers.ping_of(member, now_s)
         return ping is not None and ping.is_healthy and not ping.is_shutting_down
 
     def locality_of(self, member: MemberId) -> Locality:
         """Where a member stands, as far as known."""
-        return self.locality if member == self.own else self.peers.locality_of(member)
+        return self.locality if member == self.own_id else self.peers.locality_of(member)
 
-    def machine(self, member: MemberId, now_s: float) -> Machine:
+    def machine(self, member: MemberId, now_s: float) -> MachineStatus:
         """What is known of a member."""
         silent_s = self.peers.silent_s(member, now_s)
         is_replaced = self.peers.is_replaced(member)
         ping = self.peers.ping_of(member, now_s)
         is_shutting_down = ping is not None and ping.is_shutting_down
-        return Machine(
+        return MachineStatus(
             member=member,
             locality=self.locality_of(member),
             is_usable=self.is_usable(member, now_s),
--- a/coveport/serving/replication/takeover.py
+++ b/coveport/serving/replication/view_change.py
@@ -13,7 +13,6 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from coveport.serving.replication.composition import choose_replicas
 from coveport.serving.replication.events import UnreadableStateError
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, MemberId, View, has_majorities
 from coveport.serving.replication.messages import (
@@ -27,7 +26,8 @@
     Prepare,
     Promise,
 )
-from coveport.serving.replication.parts import Parts
+from coveport.serving.replication.placement import choose_replicas
+from coveport.serving.replication.replica_context import ReplicaContext
 
 MORE_PROMISES_S = 0.12  # after a majority, for the promises of others alive, to choose among
 INSTALL_PATIENCE_S = 0.45  # after which another replica is chosen, plus the time for the bytes
@@ -45,23 +45,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class MembershipProposal:
     """Members to change to, if the newest view is still the one of `base` and settled."""
 
     base: Epoch
     members: tuple[MemberId, ...]
 
 
-class Attempt:
+class ViewChangeAttempt:
     """One epoch's attempt. `step` is ACTIVE when it has won; its owner gives it up when it stands still."""
 
     def __init__(
         self,
-        parts: Parts,
+        context: ReplicaContext,
         now_s: float,
         epoch: Epoch,
         view: View,
-        wish: Wish | None,
+        proposal: MembershipProposal | None,
         avoided: Iterable[MemberId],
     ) -> None:
         self.epoch = epoch
@@ -70,11 +70,11 @@
         self.view: View | None = None  # the view to be, once proposed
         self.excluded_by: View | None = None  # a newer view of which the candidate is no member
         self.sequence = -1
-        self._parts = parts
-        self._wish = wish
+        self._context = context
+        self._proposal = proposal
         self._avoided = set(avoided)
         self._newest = view
-        self._active_epoch = parts.journal.durable.active_epoch
+        self._active_epoch = context.journal.durable.active_epoch
         self._promises: dict[MemberId, Promise] = {}
         self._majority_at_s: float | None = None
         self._source: MemberId | None = None
@@ -85,7 +85,7 @@
         self._accepted: set[MemberId] = set()
         self._sent_at_s = now_s
         self._chosen_at_s = now_s
-        parts.send(parts.own, Prepare(epoch))
+        context.send(context.own_id, Prepare(epoch))
 
     # -- step 1 --
 
@@ -97,10 +97,10 @@
 
     def _send_prepares(self, now_s: float) -> None:
         self._sent_at_s = now_s
-        if self._parts.own not in self._promises:
+        if self._context.own_id not in self._promises:
             return  # our own promise is synced before anyone hears of the epoch
         for member in sorted(self._asked() - self._promises.keys()):
-            self._parts.send(member, Prepare(self.epoch))
+            self._context.send(member, Prepare(self.epoch))
 
     def promised(self, now_s: float, sender: MemberId, message: Promise) -> None:
         """Take a promise."""
@@ -124,7 +124,7 @@
 
         A primary is a replica, and only members are asked for the state: at one that is no member it is lost.
         """
-        return self._parts.own in view.members
+        return self._context.own_id in view.members
 
     def _advance_from_promises(self, now_s: float) -> None:
         if not has_majorities(self._promises, self._groups()) or not self._sources():
@@ -164,20 +164,20 @@
     # -- step 2 --
 
     def _begin_fetch(self, now_s: float) -> None:
-        own = self._parts.own
+        own_id = self._context.own_id
         best = max(
             self._sources(),
-            key=lambda member: (self._promises[member].state_sequence, member == own, member),
+            key=lambda member: (self._promises[member].state_sequence, member == own_id, member),
         )
         self._source = best
         self._move(Step.FETCHING, now_s)
-        self._parts.send(best, Fetch(self.epoch))
+        self._context.send(best, Fetch(self.epoch))
 
     def fetched(self, now_s: float, sender: MemberId, message: Fetched) -> None:
         """Take the state."""
         if message.epoch != self.epoch or self.step is not Step.FETCHING or sender != self._source:
             return
-        if isinstance(self._parts.acceptor.read_state(sender, message.state), UnreadableStateError):
+        if isinstance(self._context.acceptor.read_state(sender, message.state), UnreadableStateError):
             self._unreadable.add(sender)
             self._move(Step.PREPARING, now_s)
             self._advance_from_promises(now_s)
@@ -191,21 +191,23 @@
 
     def _members_to_be(self) -> tuple[MemberId, ...]:
         is_settled = len(self._groups()) == 1
-        wish = self._wish
-        if wish is not None and is_settled and wish.base == self._newest.epoch:
-            return wish.members
+        proposal = self._proposal
+        if proposal is not None and is_settled and proposal.base == self._newest.epoch:
+            return proposal.members
         return self._newest.members
 
     def _is_usable(self, member: MemberId, now_s: float) -> bool:
-        return member not in self._avoided and self._parts.is_usable(member, now_s)
+        return member not in self._avoided and self._context.is_usable(member, now_s)
 
     def _choose_replicas(self, now_s: float) -> None:
-        parts = self._parts
+        context = self._context
         members = self._members_to_be()
-        machines = [parts.machine(member, now_s) for member in members if self._is_usable(member, now_s)]
-        own = parts.machine(parts.own, now_s)
-        replicas = choose_replicas(own, machines, parts.wanted_replicas(len(members)), self._newest.replicas)
-        if len(replicas) < parts.least_replicas(len(members)):
+        machines = [context.machine(member, now_s) for member in members if self._is_usable(member, now_s)]
+        own_machine = context.machine(context.own_id, now_s)
+        replicas = choose_replicas(
+            own_machine, machines, context.wanted_replicas(len(members)), self._newest.replicas
+        )
+        if len(replicas) < context.least_replicas(len(members)):
             self._avoided.clear()
             self._chosen_at_s = now_s
             return
@@ -217,7 +219,7 @@
         self._sent_at_s = now_s
         for member in self._replicas:
             if member not in self._installed:
-                self._parts.send(member, Install(self.epoch, self.sequence, self._state))
+                self._context.send(member, Install(self.epoch, self.sequence, self._state))
 
     def installed(self, now_s: float, sender: MemberId, message: Installed) -> None:
         """A replica is up."""
@@ -238,7 +240,7 @@
             previous = newest.previous_members
         else:
             previous = ()
-        self.view = View(self.epoch, self._parts.own, self._replicas, members, previous)
+        self.view = View(self.epoch, self._context.own_id, self._replicas, members, previous)
         self._state = b""
         self._move(Step.ACCEPTING, now_s)
         self._send_accepts(now_s)
@@ -247,7 +249,7 @@
         self._sent_at_s = now_s
         assert self.view is not None
         for member in sorted({*self.view.members, *self.view.previous_members} - self._accepted):
-            self._parts.send(member, Accept(self.view, is_bootstrap=False))
+            self._context.send(member, Accept(self.view, is_bootstrap=False))
 
     def accepted(self, now_s: float, sender: MemberId, message: Accepted) -> None:
         """A member stored the view."""
@@ -260,7 +262,7 @@
     @property
     def kept_own_state(self) -> bool:
         """Whether the view goes on from what the candidate itself held."""
-        return self._source == self._parts.own
+        return self._source == self._context.own_id
 
     # -- time --
 
@@ -271,14 +273,14 @@
 
     def tick(self, now_s: float) -> None:
         """Repeat what wasn't answered; choose another replica for one that is slow."""
-        is_resend_due = now_s - self._sent_at_s >= self._parts.timings.resend_s
+        is_resend_due = now_s - self._sent_at_s >= self._context.timings.resend_s
         if self.step is Step.PREPARING:
             self._advance_from_promises(now_s)
             if self.step is Step.PREPARING and is_resend_due:
                 self._send_prepares(now_s)
         elif self.step is Step.FETCHING and is_resend_due and self._source is not None:
             self._sent_at_s = now_s
-            self._parts.send(self._source, Fetch(self.epoch))
+            self._context.send(self._source, Fetch(self.epoch))
         elif self.step is Step.INSTALLING:
             self._tick_installing(now_s)
         elif self.step is Step.ACCEPTING and is_resend_due:
@@ -287,16 +289,16 @@
     def _tick_installing(self, now_s: float) -> None:
         bytes_s = len(self._state) / BYTES_A_SECOND
         if now_s - self._chosen_at_s >= INSTALL_PATIENCE_S + bytes_s:
-            self._avoided.update(set(self._replicas) - self._installed - {self._parts.own})
+            self._avoided.update(set(self._replicas) - self._installed - {self._context.own_id})
             self._choose_replicas(now_s)
-        elif now_s - self._sent_at_s >= self._parts.timings.resend_s + bytes_s:
+        elif now_s - self._sent_at_s >= self._context.timings.resend_s + bytes_s:
             self._send_installs(now_s)
 
     @property
     def patience_s(self) -> float:
         """How long the present step may stand still."""
         bytes_s = len(self._state) / BYTES_A_SECOND
-        return self._parts.timings.attempt_s + bytes_s
+        return self._context.timings.attempt_s + bytes_s
 
     def handle(self, now_s: float, sender: MemberId, message: Message) -> None:
         """Take any answer."""
--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -23,8 +23,7 @@
 
 from core_world import OTHER, STATE_MACHINE, TAKEN, State, change, decode_state, edition_of
 
-from coveport.serving.replication import takeover
-from coveport.serving.replication.caretaker import Change
+from coveport.serving.replication import view_change
 from coveport.serving.replication.events import (
     Answer,
     CommittedState,
@@ -50,7 +49,7 @@
     Message,
     Ping,
 )
-from coveport.serving.replication.parts import Parts
+from coveport.serving.replication.reconfiguration import ViewChangeRequest
 from coveport.serving.replication.records import (
     RECORDS,
     ActiveEpochRecord,
@@ -61,8 +60,9 @@
     recover,
 )
 from coveport.serving.replication.replica import Replica
-from coveport.serving.replication.takeover import Wish
+from coveport.serving.replication.replica_context import ReplicaContext
 from coveport.serving.replication.timings import Timings
+from coveport.serving.replication.view_change import MembershipProposal
 
 NOW_S = 100.0
 NOT_CARRIED = (Ping, Fenced, CatchUpCommands, CatchUpSnapshot)  # they matter to speed only, not to safety
@@ -77,7 +77,7 @@
     View,
     Timings,
     StateMachine,
-    Wish,
+    MembershipProposal,
 )
 _interned: dict[object, int] = {}
 _values: list[object] = []
@@ -238,8 +238,8 @@
                 records.append(StateRecord(epoch, 0, b""))
             disks.append(Disk(tuple(records)))
         members = [self._member(index, disk) for index, disk in enumerate(disks)]
-        members[0]._leading.begin_primary(NOW_S, view, kept_own_state=True)
-        members[0]._parts.outbox.take()
+        members[0]._leader_role.begin_primary(NOW_S, view, kept_own_state=True)
+        members[0]._context.outbox.take()
         packed = tuple(pack(member) for member in members)
         point = Point(packed, tuple(disks), (), self.scenario.budget)
         for note in self.scenario.prefix:
@@ -251,14 +251,16 @@
     def _index(self, name: str) -> int:
         return self.scenario.machines.index(name)
 
-    def _step(self, point: Point, index: int, event: Event | Change, note: str, **changes: object) -> Point:
+    def _step(
+        self, point: Point, index: int, event: Event | ViewChangeRequest, note: str, **changes: object
+    ) -> Point:
         """Let one member take an event, and apply its effects."""
         member: Replica = unpack(point.members[index])
-        if isinstance(event, Change):
-            member._leading.highest_seen = self._highest_promised(point)
-            member._leading.start_attempt(NOW_S, event)
+        if isinstance(event, ViewChangeRequest):
+            member._leader_role.highest_seen = self._highest_promised(point)
+            member._leader_role.start_attempt(NOW_S, event)
             member._settle(NOW_S)
-            effects = member._parts.outbox.take()
+            effects = member._context.outbox.take()
         else:
             effects = member.handle(NOW_S, event)
         point = replace(point, trail=(*point.trail, note), **changes)  # type: ignore[arg-type]
@@ -364,7 +366,7 @@
         for position, (name, kind) in enumerate(budget.campaigns):
             left = replace(budget, campaigns=_without(budget.campaigns, position))
             member: Replica = unpack(point.members[self._index(name)])
-            if member._leading.attempt is None and member.view is not None:
+            if member._leader_role.attempt is None and member.view is not None:
                 yield self._step(
                     point,
                     self._index(name),
@@ -409,19 +411,19 @@
         left = replace(point.budget, losses=_without(losses, losses.index(kind)))
         return replace(point, links=rest, budget=left, trail=(*point.trail, f"lose {note}"))
 
-    def _change(self, member: Replica, kind: str) -> Change:
+    def _change(self, member: Replica, kind: str) -> ViewChangeRequest:
         view = member.view
         assert view is not None
         words = kind.split()
         avoided: frozenset[MemberId] = frozenset()
-        wish = None
+        proposal = None
         for word, names in zip(words[::2], words[1::2], strict=True):
             named = tuple(self.ids[self._index(name)] for name in names)
             if word == "avoid":
                 avoided = frozenset(named)
             else:
-                wish = Wish(view.epoch, named)
-        return Change("explored", True, wish, avoided)
+                proposal = MembershipProposal(view.epoch, named)
+        return ViewChangeRequest("explored", True, proposal, avoided)
 
     def _sync(self, point: Point, index: int) -> Point:
         disk = point.disks[index]
@@ -474,13 +476,15 @@
         if leader.view is None or leader.identity not in leader.view.members:
             return False
         self.closings += 1
-        leader._leading.highest_seen = max(member._leading.highest_seen for member in members.values())
+        leader._leader_role.highest_seen = max(
+            member._leader_role.highest_seen for member in members.values()
+        )
         wiped = {self.ids[self._index(gone)] for gone in (lost, point.wiped) if gone}
-        leader._leading.start_attempt(NOW_S, Change("closing", True, avoided=frozenset(wiped)))
+        leader._leader_role.start_attempt(NOW_S, ViewChangeRequest("closing", True, avoided=frozenset(wiped)))
         leader._settle(NOW_S)
-        found = self._deliver_all(members, name, leader._parts.outbox.take())
+        found = self._deliver_all(members, name, leader._context.outbox.take())
         story = f"all lose power, {lost or 'none'} its disk, {name} leads, after {point.trail}"
-        newer = leader._leading._excluded_by
+        newer = leader._leader_role._excluded_by
         if found is None and newer is not None and leader.identity not in newer.members:
             return False
         if found is None:
@@ -550,8 +554,8 @@
 def standing_still() -> Iterator[None]:
     """Nobody waits for time to pass or judges others by it."""
     with (
-        mock.patch.object(takeover, "MORE_PROMISES_S", 0.0),
-        mock.patch.object(Parts, "is_usable", lambda parts, member, now_s: True),
+        mock.patch.object(view_change, "MORE_PROMISES_S", 0.0),
+        mock.patch.object(ReplicaContext, "is_usable", lambda context, member, now_s: True),
     ):
         yield
 
--- a/tests/serving/replication/core_risk.py
+++ b/tests/serving/replication/core_risk.py
@@ -70,7 +70,7 @@
     if machine is None or machine.life is None:
         return False
     view = machine.life.member.view
-    if view is None or machine.life.member._leading.primary is None:
+    if view is None or machine.life.member._leader_role.primary is None:
         return False
     running = {
         other.life.member.identity
@@ -128,7 +128,7 @@
 
     def has_all() -> bool:
         life = behind.life
-        return life is not None and life.member._parts.learner.sequence >= newest
+        return life is not None and life.member._context.committed_log.sequence >= newest
 
     world.run_for(MOST_S, until=has_all)
     assert has_all(), "it catches up"
@@ -140,13 +140,13 @@
         assert _submit(world, change(edition, edition + 1, "small"))
     machine = world.primary()
     assert machine is not None and machine.life is not None
-    assert edition_of(machine.life.member._parts.learner.state) == changes + 1
+    assert edition_of(machine.life.member._context.committed_log.state) == changes + 1
 
 
 def _sequence(world: World) -> int:
     machine = world.primary()
     assert machine is not None and machine.life is not None
-    return machine.life.member._parts.learner.sequence
+    return machine.life.member._context.committed_log.sequence
 
 
 class Sent:
--- a/tests/serving/replication/core_variants.py
+++ b/tests/serving/replication/core_variants.py
@@ -10,7 +10,7 @@
 import core_explorer
 from core_world import Machine
 
-from coveport.serving.replication import election, takeover
+from coveport.serving.replication import election, view_change
 from coveport.serving.replication.acceptor import Acceptor
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, MemberId, View
 from coveport.serving.replication.journal import Journal
@@ -28,7 +28,7 @@
 from coveport.serving.replication.primary import Primary, Unconfirmed
 from coveport.serving.replication.records import ActiveEpochRecord, PromisedEpochRecord, Record, ViewRecord
 from coveport.serving.replication.replica import Replica
-from coveport.serving.replication.takeover import Attempt
+from coveport.serving.replication.view_change import ViewChangeAttempt
 
 Patches = list[Any]
 
@@ -103,7 +103,7 @@
     """The primary answers reads from its own belief."""
 
     def read(self: Primary, request: int) -> None:
-        self._parts.outbox.answer(request, self._confirmed_outcome(Unconfirmed(request)))
+        self._context.outbox.answer(request, self._confirmed_outcome(Unconfirmed(request)))
 
     return [mock.patch.object(Primary, "read", read)]
 
@@ -116,7 +116,7 @@
         for round_ in self._rounds:
             for item in [item for item in round_.waiting if item.refusal is not None]:
                 round_.waiting.remove(item)
-                self._parts.outbox.answer(item.request, self._confirmed_outcome(item))
+                self._context.outbox.answer(item.request, self._confirmed_outcome(item))
 
     original = Primary.advance
     return [mock.patch.object(Primary, "advance", advance)]
@@ -149,31 +149,31 @@
 def takes_any_state() -> Patches:
     """A candidate goes on from the first state that it finds, of whatever view."""
 
-    def sources(self: Attempt) -> list[MemberId]:
+    def sources(self: ViewChangeAttempt) -> list[MemberId]:
         return [member for member, promise in self._promises.items() if promise.state_epoch != NO_EPOCH][:1]
 
-    return [mock.patch.object(Attempt, "_sources", sources)]
+    return [mock.patch.object(ViewChangeAttempt, "_sources", sources)]
 
 
 def state_by_sequence_alone() -> Patches:
     """A candidate goes on from the longest state, of whatever view."""
 
-    def sources(self: Attempt) -> list[MemberId]:
+    def sources(self: ViewChangeAttempt) -> list[MemberId]:
         return [member for member, promise in self._promises.items() if promise.state_epoch != NO_EPOCH]
 
-    return [mock.patch.object(Attempt, "_sources", sources)]
+    return [mock.patch.object(ViewChangeAttempt, "_sources", sources)]
 
 
 def own_state_preferred() -> Patches:
     """A candidate goes on from what it holds itself, if it holds any."""
 
-    def sources(self: Attempt) -> list[MemberId]:
-        own = self._promises.get(self._parts.own)
+    def sources(self: ViewChangeAttempt) -> list[MemberId]:
+        own = self._promises.get(self._context.own_id)
         has_own = own is not None and own.state_epoch != NO_EPOCH
-        return [self._parts.own] if has_own else original(self)
+        return [self._context.own_id] if has_own else original(self)
 
-    original = Attempt._sources
-    return [mock.patch.object(Attempt, "_sources", sources)]
+    original = ViewChangeAttempt._sources
+    return [mock.patch.object(ViewChangeAttempt, "_sources", sources)]
 
 
 def install_answered_before_sync() -> Patches:
@@ -184,13 +184,13 @@
 def ignores_newer_views() -> Patches:
     """A candidate doesn't widen to a newer view that a promise shows."""
 
-    def promised(self: Attempt, now_s: float, sender: MemberId, message: Promise) -> None:
+    def promised(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Promise) -> None:
         own = self._newest
         shown = Promise(message.epoch, own, message.active_epoch, message.state_epoch, message.state_sequence)
         original(self, now_s, sender, shown)
 
-    original = Attempt.promised
-    return [mock.patch.object(Attempt, "promised", promised)]
+    original = ViewChangeAttempt.promised
+    return [mock.patch.object(ViewChangeAttempt, "promised", promised)]
 
 
 def half_is_enough() -> Patches:
@@ -200,7 +200,7 @@
         return all(2 * sum(member in present for member in group) >= len(group) - 1 for group in groups)
 
     return [
-        mock.patch.object(takeover, "has_majorities", has_majorities),
+        mock.patch.object(view_change, "has_majorities", has_majorities),
         mock.patch.object(election, "has_majorities", has_majorities),
     ]
 
@@ -217,24 +217,24 @@
 def replicas_not_awaited() -> Patches:
     """A view is proposed before all its replicas hold the state."""
 
-    def installed(self: Attempt, now_s: float, sender: MemberId, message: Installed) -> None:
+    def installed(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Installed) -> None:
         self._installed.update(self._replicas)
         original(self, now_s, sender, message)
 
-    original = Attempt.installed
-    return [mock.patch.object(Attempt, "installed", installed)]
+    original = ViewChangeAttempt.installed
+    return [mock.patch.object(ViewChangeAttempt, "installed", installed)]
 
 
 def view_not_awaited() -> Patches:
     """A candidate takes its view for active before a majority has it."""
 
-    def accepted(self: Attempt, now_s: float, sender: MemberId, message: Accepted) -> None:
+    def accepted(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Accepted) -> None:
         if self.view is not None:
             self._accepted.update(self.view.members)
         original(self, now_s, sender, message)
 
-    original = Attempt.accepted
-    return [mock.patch.object(Attempt, "accepted", accepted)]
+    original = ViewChangeAttempt.accepted
+    return [mock.patch.object(ViewChangeAttempt, "accepted", accepted)]
 
 
 def shows_uncommitted() -> Patches:
--- a/tests/serving/replication/test_core_faults.py
+++ b/tests/serving/replication/test_core_faults.py
@@ -54,7 +54,7 @@
 def test_a_refusal_under_one_view_is_computed_again_under_the_next() -> None:
     world, machine, view = founded(THREE)
     assert machine.life is not None
-    parts = machine.life.member._parts
+    parts = machine.life.member._context
     before = Primary(parts, view)
     before.submit(1, change(5, 7, "y"))
     before.advance(world.now_s)
--- a/tests/serving/replication/test_cut_coming_or_going.py
+++ b/tests/serving/replication/test_cut_coming_or_going.py
@@ -76,6 +76,6 @@
     assert schedule._finish().faults == []
     newest = leader(world)[0].life
     assert newest is not None and machine.life is not None
-    assert machine.life.member._parts.learner.sequence == newest.member._parts.learner.sequence, (
-        "it caught up"
-    )
+    assert (
+        machine.life.member._context.committed_log.sequence == newest.member._context.committed_log.sequence
+    ), "it caught up"
--- a/tests/serving/replication/test_left_behind.py
+++ b/tests/serving/replication/test_left_behind.py
@@ -70,7 +70,7 @@
 def newest_known_to(machine: Machine) -> int:
     """The edition that a coordinator takes for committed."""
     assert machine.life is not None
-    state = machine.life.member._parts.learner.state
+    state = machine.life.member._context.committed_log.state
     return edition_of(state) if state else 0
 
 
--- a/tests/serving/replication/test_second_losses.py
+++ b/tests/serving/replication/test_second_losses.py
@@ -7,7 +7,7 @@
 from core_world import Machine, World, change
 from test_core_faults import SIX, THREE, founded, leader, write_one
 
-from coveport.serving.replication import takeover
+from coveport.serving.replication import view_change
 from coveport.serving.replication.events import (
     CancelCall,
     Outcome,
@@ -19,7 +19,7 @@
 from coveport.serving.replication.identity import Epoch, MemberId, View
 from coveport.serving.replication.messages import Promise, ViewActivated
 from coveport.serving.replication.records import PromisedEpochRecord
-from coveport.serving.replication.takeover import Attempt
+from coveport.serving.replication.view_change import ViewChangeAttempt
 
 GRACE_PART_S = 4.0  # that a stop may wait for the view without it
 
@@ -126,7 +126,7 @@
 
 def sources(newest: View, promises: dict[MemberId, Promise]) -> list[MemberId]:
     """Whom an attempt of epoch 9 would begin from."""
-    attempt = Attempt.__new__(Attempt)
+    attempt = ViewChangeAttempt.__new__(ViewChangeAttempt)
     attempt._newest, attempt._promises, attempt._unreadable = newest, promises, set()
     return attempt._sources()
 
@@ -162,7 +162,7 @@
     slow = world.machines[view.replicas[1].address]
     slow.disk.hangs_until_s = world.now_s + 0.7
     assert machine.life is not None
-    machine.life.member._leading.outvoted_since_s = world.now_s - 1.0
+    machine.life.member._leader_role.outvoted_since_s = world.now_s - 1.0
     world.run_for(0.1)
     world.run_for(3.0, until=lambda: bool(world.primaries()))
     machine, after = leader(world)
@@ -172,7 +172,7 @@
     assert machine.life is not None
     taken = machine.life.committed[-1][1]
     assert slow.life is not None
-    assert slow.life.member._parts.journal.durable.state_epoch == after.epoch, "the situation is reached"
+    assert slow.life.member._context.journal.durable.state_epoch == after.epoch, "the situation is reached"
     assert len(taken) == 1
     for member in after.replicas:
         world.machines[member.address].kill(power=True)
@@ -191,20 +191,20 @@
     assert machine.life.committed[-1][1][:1] == taken
 
 
-def first_that_promised(self: Attempt) -> list[MemberId]:
+def first_that_promised(self: ViewChangeAttempt) -> list[MemberId]:
     """The variant that takes whoever installed under the view's epoch for a replica: as it was on main."""
     return [m for m, given in self._promises.items() if given.state_epoch >= self._newest.epoch]
 
 
 def test_taking_any_state_of_the_views_epoch_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(takeover.Attempt, "_sources", first_that_promised)
+    monkeypatch.setattr(view_change.ViewChangeAttempt, "_sources", first_that_promised)
     with pytest.raises(AssertionError):
         test_one_that_installed_a_views_state_but_is_no_replica_of_it_is_no_source()
     world, _, taken = led_without_a_slow_backup()
     world.run_for(6.0)
     leading = leader(world)[0].life
     assert leading is not None
-    assert leading.member._parts.acceptor.state[:1] != taken, "an acknowledged change is lost"
+    assert leading.member._context.acceptor.state[:1] != taken, "an acknowledged change is lost"
 
 
 # -- which members decide --
@@ -224,10 +224,10 @@
     machine, view = leader(world)
     other = world.machines[view.replicas[1].address]
     assert other.life is not None
-    active_epoch = other.life.member._parts.journal.durable.active_epoch
+    active_epoch = other.life.member._context.journal.durable.active_epoch
     later = Epoch(view.epoch.number + 1, "another candidate")
     other.deliver(other.life, Received(machine.life.member.identity, ViewActivated(later)))  # type: ignore[union-attr]
-    assert other.life.member._parts.journal.durable.active_epoch == active_epoch == view.epoch
+    assert other.life.member._context.journal.durable.active_epoch == active_epoch == view.epoch
 
 
 # -- calls that nobody waits for --
@@ -259,8 +259,8 @@
 
     world.call(machine, submit, lambda outcome: None)
     world.run_for(0.05)
-    assert life.member._leading.primary is not None
-    assert len(life.member._leading.primary._queue) == 1, "the situation is reached"
+    assert life.member._leader_role.primary is not None
+    assert len(life.member._leader_role.primary._queue) == 1, "the situation is reached"
     if is_withdrawn:
         machine.deliver(life, CancelCall(numbers[0]))
     world.run_for(4.0)
@@ -319,7 +319,7 @@
 
 def active_view(machine: Machine) -> View | None:
     """The view that it leads, as far as it knows."""
-    leading = machine.life.member._leading if machine.life else None
+    leading = machine.life.member._leader_role if machine.life else None
     return leading.primary.view if leading and leading.primary and leading.is_active else None
 
 
@@ -345,6 +345,6 @@
 
 
 def test_a_former_member_that_leads_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Attempt, "_is_among", lambda self, view: True)
+    monkeypatch.setattr(ViewChangeAttempt, "_is_among", lambda self, view: True)
     with pytest.raises(AssertionError):
         test_a_former_member_that_finds_newer_members_leaves_leading_to_them(0)
--- a/tests/serving/replication/test_strangers.py
+++ b/tests/serving/replication/test_strangers.py
@@ -76,7 +76,7 @@
     world.run_for(1.5)
     assert machine.life is not None
     member = machine.life.member
-    attempt = member._leading.attempt
+    attempt = member._leader_role.attempt
     epoch = attempt.epoch if attempt is not None else Epoch(view.epoch.number + 1, view.primary.disk)
     for sender in (STRANGER, MemberId(view.replicas[1].address, "another disk")):
         tell(machine, sender, Promise(epoch, view, view.epoch, view.epoch, 99))
@@ -94,7 +94,7 @@
     _, view = leader(world)
     backup = world.machines[view.replicas[1].address]
     assert backup.life is not None
-    before = backup.life.member._parts.journal.durable
+    before = backup.life.member._context.journal.durable
     held = (before.state_epoch, before.sequence, before.snapshot)
     old = Epoch(0, "a former primary")
     message: Message = Append(old, before.sequence + 1, change(0, 9, "old"), 0)
@@ -102,7 +102,7 @@
         message = Install(old, 50, b"0|1|old")
     tell(backup, STRANGER, message)
     world.run_for(0.2)
-    after = backup.life.member._parts.journal.durable
+    after = backup.life.member._context.journal.durable
     assert (after.state_epoch, after.sequence, after.snapshot) == held
 
 
@@ -116,14 +116,14 @@
     witness = next(member for member in view.members if member not in view.replicas)
     life = world.machines[witness.address].life
     assert life is not None
-    before = life.member._parts.journal.durable.state_epoch
+    before = life.member._context.journal.durable.state_epoch
     later = Epoch(view.epoch.number + 1, "d")
     effects = life.member.handle(world.now_s, Received(view.primary, Install(later, 5, UNREADABLE)))
     assert [type(effect) for effect in effects] == [MessageRejected], "nothing is written, nothing answered"
-    assert life.member._parts.journal.durable.state_epoch == before
+    assert life.member._context.journal.durable.state_epoch == before
     effects = life.member.handle(world.now_s, Received(view.primary, CatchUpSnapshot(99, UNREADABLE)))
     assert [type(effect) for effect in effects] == [MessageRejected]
-    assert life.member._parts.learner.sequence < 99
+    assert life.member._context.committed_log.sequence < 99
 
 
 def test_nobody_leads_with_a_state_that_cannot_be_read_and_another_copy_is_used() -> None:
@@ -134,9 +134,9 @@
     backup = world.machines[view.replicas[1].address]
     assert backup.life is not None and machine.life is not None
     taken = machine.life.committed[-1][1]
-    durable = backup.life.member._parts.journal.durable
+    durable = backup.life.member._context.journal.durable
     durable.snapshot, durable.commands = UNREADABLE, [b""] * (durable.sequence - durable.snapshot_sequence)
-    backup.life.member._parts.acceptor.encoded_state = lambda: UNREADABLE  # type: ignore[method-assign]
+    backup.life.member._context.acceptor.encoded_state = lambda: UNREADABLE  # type: ignore[method-assign]
     machine.kill(power=True)
     world.run_for(4.0)
     assert world.primaries() == [], "the only copy that is there can't be read"
--- a/tests/serving/simulation/test_control_days.py
+++ b/tests/serving/simulation/test_control_days.py
@@ -56,7 +56,7 @@
         return machine.program
 
     def state(self, machine: Machine) -> ControlState:
-        state: ControlState = self.program(machine)._replica._parts.learner.state
+        state: ControlState = self.program(machine)._replica._context.committed_log.state
         return state
 
     def primary(self) -> Machine:
