--- a/benchmarks/control_costs.py
+++ b/benchmarks/control_costs.py
@@ -22,7 +22,7 @@
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.model.node import Node, NodeState
-from coveport.serving.replication.outcomes import Applied
+from coveport.serving.replication.state_machine import Applied
 from coveport.serving.scale.load import change_of_edition, first_configuration
 from coveport.serving.scale.sizes import Addresses, ScaleSize
 from coveport.serving.wire.messages import CODEC, LeasesRenewed, NodeReports, Update
--- a/coveport/serving/configuration/state_machine.py
+++ b/coveport/serving/configuration/state_machine.py
@@ -26,7 +26,7 @@
     ControlState,
 )
 from coveport.serving.model.findings import Finding, Refusal
-from coveport.serving.replication.outcomes import Applied, Refused
+from coveport.serving.replication.state_machine import Applied, Refused
 from coveport.serving.wire.names import Config
 
 STATUS_OK: Final = 200
--- a/coveport/serving/coordinator/control_service.py
+++ b/coveport/serving/coordinator/control_service.py
@@ -9,7 +9,8 @@
 from coveport.net.transport import Net
 from coveport.serving.configuration.state import ChangeResult, ControlState
 from coveport.serving.coordinator.replica_runtime import ReplicaRuntime
-from coveport.serving.replication.events import Done, Newest, NotPrimary, Outcome, OutcomeUnknown, Refused
+from coveport.serving.replication.events import Done, Newest, NotPrimary, Outcome, OutcomeUnknown
+from coveport.serving.replication.state_machine import Refused
 from coveport.serving.web.messages import ApiResponse, json_response
 from coveport.serving.wire.names import ERROR, Config
 
--- a/coveport/serving/coordinator/control_state_machine.py
+++ b/coveport/serving/coordinator/control_state_machine.py
@@ -7,8 +7,9 @@
 from coveport.serving.configuration.state import ControlState
 from coveport.serving.configuration.state_codec import decode_state, encode_state
 from coveport.serving.configuration.state_machine import apply
-from coveport.serving.replication.events import Applied, Refused, StateMachine, UnreadableStateError
-from coveport.serving.replication.outcomes import Applied as AppliedChange
+from coveport.serving.replication.errors import UnreadableStateError
+from coveport.serving.replication.state_machine import Applied, Refused, StateMachine
+from coveport.serving.replication.state_machine import Applied as AppliedChange
 from coveport.serving.wire.errors import MalformedMessageError
 
 
--- a/coveport/serving/coordinator/coordinator.py
+++ b/coveport/serving/coordinator/coordinator.py
@@ -223,7 +223,7 @@
         until_s = self._net.now_s() + self._settings.bounds.grace_s * HANDOVER_MAX_PART
         await asyncio.sleep(HANDOVER_MIN_S)
         while self._net.now_s() < until_s:
-            if self._replica.has_left(self._net.now_s()):
+            if self._replica.is_safe_to_stop(self._net.now_s()):
                 return
             await asyncio.sleep(HANDOVER_POLL_S)
 
@@ -292,7 +292,7 @@
         self._remove_timed_out_nodes(now_s)
         self.leases.expire(now_s)
         self._liveness.record_live(self._live_coordinators(), now_s)
-        self._peers.set_addresses(self._replica.contacts)
+        self._peers.set_addresses(self._replica.peer_addresses)
         self._peers.maintain()
         self._lease_replicator.send_renewed_if_due()
 
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -7,7 +7,7 @@
 
 from coveport.net.transport import Net
 from coveport.serving.coordinator.coordinator import Coordinator
-from coveport.serving.replication.events import UnreadableStateError
+from coveport.serving.replication.errors import UnreadableStateError
 from coveport.serving.role_process import CannotStartError, run_process
 from coveport.serving.settings.boot import BootSettings
 from coveport.serving.storage.errors import UnsupportedFormatError
--- a/coveport/serving/proxy/view_updater.py
+++ b/coveport/serving/proxy/view_updater.py
@@ -16,7 +16,7 @@
 from coveport.serving.model.findings import Refusal
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.node_directory import NodeDirectory
-from coveport.serving.replication.outcomes import Applied
+from coveport.serving.replication.state_machine import Applied
 from coveport.serving.wire.errors import MalformedMessageError
 from coveport.serving.wire.messages import StateChange, Update, UpdateRequest
 
--- a/coveport/serving/replication/acceptor.py
+++ b/coveport/serving/replication/acceptor.py
@@ -1,10 +1,15 @@
-"""What every member does as witness and backup, each thing synced before it answers."""
+"""Owns the promise and the state held here; does what every member does as a witness or backup.
+
+A member answers only once what it says is synced. It rejects every message whose epoch is below its promise:
+that is the one rule which keeps a deposed primary or candidate from doing anything.
+"""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Any
 
-from coveport.serving.replication.events import Applied, Refused, StateMachine, UnreadableStateError
+from coveport.serving.replication.errors import UnreadableStateError
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, MemberId
 from coveport.serving.replication.journal import Journal
 from coveport.serving.replication.messages import (
@@ -33,13 +38,25 @@
     StateRecord,
     ViewRecord,
 )
+from coveport.serving.replication.state_machine import Applied, Refused, StateMachine
+
+# The log is compacted: after so many commands, or bytes of commands, the complete state is written instead,
+# so that a start replays little and the disk's ring of files always has room.
+COMPACT_COMMANDS = 64
+COMPACT_BYTES = 256 * 1024
+
+
+@dataclass(frozen=True, slots=True)
+class PrecomputedState:
+    """The state after a command that the primary here has applied but not yet appended."""
 
-FOLD_COMMANDS = 64  # after so many commands the whole state is written instead
-FOLD_BYTES = 256 * 1024  # ... or after so many bytes of commands
+    epoch: Epoch
+    sequence: int
+    state: Any
 
 
 class Acceptor:
-    """Holds the fence. Nothing here knows who leads."""
+    """Knows nothing of who leads."""
 
     def __init__(
         self, journal: Journal, outbox: Outbox, state_machine: StateMachine, may_bootstrap: bool
@@ -49,7 +66,7 @@
         self._state_machine = state_machine
         self._may_bootstrap = may_bootstrap
         self._command_bytes = sum(map(len, journal.durable.commands or ()))
-        self._foreseen: tuple[Epoch, int, Any] | None = None
+        self._precomputed: PrecomputedState | None = None
         self.state: Any = self._replay()
 
     @property
@@ -57,21 +74,26 @@
         """What this member has written, synced or not yet."""
         return self._journal.durable
 
+    @property
+    def has_no_view(self) -> bool:
+        """Whether no view was ever accepted here."""
+        return self.durable.view is None
+
+    @property
+    def view_epoch(self) -> Epoch:
+        """Epoch of the newest accepted view; NO_EPOCH: there is none."""
+        return self.durable.view.epoch if self.durable.view else NO_EPOCH
+
     def _replay(self) -> Any:
         if not self.durable.has_state:
             return None
         state = self._state_machine.decode(self.durable.snapshot)
         for command in self.durable.commands or ():
-            state = self._applied(state, command)
+            state = self._state_machine.replay(state, command)
         return state
 
-    def _applied(self, state: Any, command: bytes) -> Any:
-        applied = self._state_machine.apply(state, command)
-        if not isinstance(applied, Applied):
-            raise ValueError("a command that the primary took was refused here")
-        return applied.state
-
     def _is_fenced(self, sender: MemberId, epoch: Epoch) -> bool:
+        """Return whether `epoch` is below the promise; the sender is told so."""
         if epoch >= self.durable.promised:
             return False
         self._outbox.send(sender.address, Fenced(epoch, self.durable.promised))
@@ -80,34 +102,36 @@
     def _reply_when_synced(self, sender: MemberId, message: Message) -> None:
         self._journal.send_when_synced(sender.address, message)
 
+    # -- a view change --
+
     def prepare(self, sender: MemberId, message: Prepare) -> None:
-        """Promise to refuse all lower epochs, and tell what is held."""
+        """Promise to reject all lower epochs, and say what is held here."""
         if self._is_fenced(sender, message.epoch):
             return
         if message.epoch > self.durable.promised:
             self._journal.write(PromisedEpochRecord(message.epoch))
         durable = self.durable
-        promise = Promise(
+        answer = Promise(
             message.epoch, durable.view, durable.active_epoch, durable.state_epoch, durable.sequence
         )
-        self._reply_when_synced(sender, promise)
+        self._reply_when_synced(sender, answer)
 
     def fetch(self, sender: MemberId, message: Fetch) -> None:
-        """Hand out the state, to the candidate that holds the promise."""
+        """Send the state to the candidate to which the newest promise was given."""
         if self._is_fenced(sender, message.epoch) or message.epoch != self.durable.promised:
             return
         if self.durable.has_state:
-            fetched = Fetched(message.epoch, self.durable.sequence, self.encoded_state())
-            self._outbox.send(sender.address, fetched)
+            answer = Fetched(message.epoch, self.durable.sequence, self.encoded_state())
+            self._outbox.send(sender.address, answer)
 
     def encoded_state(self) -> bytes:
-        """The state as it stands here."""
+        """Return the state held here as bytes."""
         if not self.durable.commands:
             return self.durable.snapshot
         return self._state_machine.encode(self.state)
 
     def install(self, sender: MemberId, message: Install) -> None:
-        """Replace what is held here, once for an epoch; a state that can't be read counts for nothing."""
+        """Replace the state held here, once for an epoch. A state that can't be read is not answered."""
         if self._is_fenced(sender, message.epoch):
             return
         if self.durable.state_epoch != message.epoch:
@@ -120,7 +144,7 @@
         self._reply_when_synced(sender, Installed(message.epoch))
 
     def read_state(self, sender: MemberId, data: bytes) -> Any | UnreadableStateError:
-        """The state that another sent; what is wrong with it is told to people too."""
+        """Return the state that another member sent. An unreadable one is reported and the error returned."""
         try:
             return self._state_machine.decode(data)
         except UnreadableStateError as problem:
@@ -128,7 +152,7 @@
             return problem
 
     def accept(self, sender: MemberId, message: Accept) -> None:
-        """Store a view."""
+        """Store a view. The first view of all is stored only by a member that may bootstrap and has none."""
         view = message.view
         if self._is_fenced(sender, view.epoch):
             return
@@ -140,55 +164,51 @@
         self._reply_when_synced(sender, Accepted(view.epoch))
 
     def record_active_view(self, message: ViewActivated) -> None:
-        """Note that the view accepted here is active, no other. Nobody waits for this."""
+        """Record that the view accepted here is active, and no other. No answer is sent."""
         if message.epoch == self.view_epoch and message.epoch > self.durable.active_epoch:
             self._journal.write(ActiveEpochRecord(message.epoch))
 
-    def append(self, sender: MemberId, message: Append) -> bool:
-        """Take the primary's next command; whether the message is of the epoch that this replica serves."""
+    # -- commands --
+
+    def append(self, sender: MemberId, message: Append) -> None:
+        """Apply and store the primary's next command, if it is of the epoch that this replica serves."""
         if self._is_fenced(sender, message.epoch) or message.epoch != self.durable.state_epoch:
-            return False
+            return
         if message.sequence > self.durable.sequence + 1:
-            return False
+            return
         if message.sequence == self.durable.sequence + 1:
             self._append(message)
         self._reply_when_synced(sender, Appended(message.epoch, message.sequence))
-        return True
 
-    def try_command(self, command: bytes) -> Applied | Refused:
-        """What a command would do to the state held here."""
+    def apply_tentatively(self, command: bytes) -> Applied | Refused:
+        """Return what a command would do to the state held here."""
         return self._state_machine.apply(self.state, command)
 
-    def foresee(self, epoch: Epoch, sequence: int, state: Any) -> None:
-        """Save this member, as primary, from applying its own command twice."""
-        self._foreseen = (epoch, sequence, state)
+    def precompute(self, epoch: Epoch, sequence: int, state: Any) -> None:
+        """Keep the state after a command, so that the primary doesn't apply its own command twice."""
+        self._precomputed = PrecomputedState(epoch, sequence, state)
 
     def _append(self, message: Append) -> None:
-        foreseen = self._foreseen
-        self._foreseen = None
-        if foreseen is not None and foreseen[:2] == (message.epoch, message.sequence):
-            self.state = foreseen[2]
-        else:
-            self.state = self._applied(self.state, message.command)
+        self.state = self._state_after(message)
         self._command_bytes += len(message.command)
-        if len(self.durable.commands or ()) >= FOLD_COMMANDS or self._command_bytes > FOLD_BYTES:
+        if len(self.durable.commands or ()) >= COMPACT_COMMANDS or self._command_bytes > COMPACT_BYTES:
             encoded = self._state_machine.encode(self.state)
             self._journal.write(StateRecord(message.epoch, message.sequence, encoded))
             self._command_bytes = 0
         else:
             self._journal.write(CommandRecord(message.epoch, message.sequence, message.command))
 
+    def _state_after(self, message: Append) -> Any:
+        precomputed = self._precomputed
+        self._precomputed = None
+        if precomputed is not None and (precomputed.epoch, precomputed.sequence) == (
+            message.epoch,
+            message.sequence,
+        ):
+            return precomputed.state
+        return self._state_machine.replay(self.state, message.command)
+
     def confirm(self, sender: MemberId, message: Confirm) -> None:
-        """Say that nothing higher was promised so far."""
+        """Answer that nothing higher was promised so far."""
         if not self._is_fenced(sender, message.epoch):
             self._outbox.send(sender.address, Confirmed(message.epoch, message.number))
-
-    @property
-    def is_blank(self) -> bool:
-        """Whether no view was ever accepted here."""
-        return self.durable.view is None
-
-    @property
-    def view_epoch(self) -> Epoch:
-        """Of the newest accepted view."""
-        return self.durable.view.epoch if self.durable.view else NO_EPOCH
--- /dev/null
+++ b/coveport/serving/replication/catch_up.py
@@ -0,0 +1,40 @@
+"""Keeps peers, and the committed log here, up to date with what the primary has committed."""
+
+from __future__ import annotations
+
+from coveport.serving.replication.identity import Epoch
+from coveport.serving.replication.leader_role import LeaderRole
+from coveport.serving.replication.messages import Ping
+from coveport.serving.replication.peers import Peer
+from coveport.serving.replication.replica_context import ReplicaContext
+
+
+class CatchUp:
+    """Sends a peer the view and the committed state that its pings show to be missing."""
+
+    def __init__(self, context: ReplicaContext, leader_role: LeaderRole) -> None:
+        self._context = context
+        self._leader_role = leader_role
+
+    def on_ping(self, now_s: float, peer: Peer, ping: Ping) -> None:
+        """Send a peer what it lacks, at most every `catch_up_gap_s`.
+
+        The active primary does so for all; any coordinator does for a peer that has contact with no primary.
+        """
+        context = self._context
+        if now_s - peer.catch_up_at_s < context.timings.catch_up_gap_s:
+            return
+        was_behind = self._leader_role.send_view_if_missing(peer, ping)
+        is_responsible = self._leader_role.is_active or not ping.primary
+        if is_responsible and ping.committed < context.committed_log.sequence:
+            was_behind |= context.committed_log.catch_up(now_s, peer, ping.committed)
+        if was_behind:
+            peer.catch_up_at_s = now_s
+
+    def commit_own_state(self, epoch: Epoch, committed: int) -> None:
+        """Take the state held here for committed, if the primary of its epoch said that it is."""
+        acceptor = self._context.acceptor
+        durable = acceptor.durable
+        if durable.state_epoch == epoch and durable.sequence == committed:
+            command = durable.commands[-1] if durable.commands else None
+            self._context.committed_log.advance(committed, acceptor.state, command)
--- a/coveport/serving/replication/events.py
+++ b/coveport/serving/replication/events.py
@@ -1,62 +1,36 @@
-"""What a core member is told, and what it wants done."""
+"""Events that a replica takes, outcomes of calls, and effects that it asks for.
+
+`Replica.handle` turns one event into effects; its caller carries them out in their order.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
 from coveport.serving.replication.identity import MemberId
 from coveport.serving.replication.messages import Message
 from coveport.serving.replication.records import Record
+from coveport.serving.replication.state_machine import Refused
 
-
-@dataclass(frozen=True, slots=True)
-class Applied:
-    """A command was taken: the state after it and what its caller is told."""
-
-    state: Any
-    result: Any
-
-
-@dataclass(frozen=True, slots=True)
-class Refused:
-    """A command isn't taken, for a reason that its caller is told. Also the outcome of a Submit."""
-
-    result: Any
-
-
-Apply = Callable[[Any, bytes], "Applied | Refused"]  # must depend on nothing but its arguments
-
-
-class UnreadableStateError(Exception):
-    """Bytes that hold no state, or not the one that was encoded."""
-
-
-@dataclass(frozen=True, slots=True)
-class StateMachine:
-    """How states are changed and turned into bytes; `decode` raises UnreadableStateError."""
-
-    apply: Apply
-    encode: Callable[[Any], bytes]
-    decode: Callable[[bytes], Any]
+# -- events --
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; to be told every 50 ms or so."""
+    """Time has passed. Due every 50 ms or so."""
 
 
 @dataclass(frozen=True, slots=True)
 class Connected:
-    """Messages to this coordinator arrive from now on."""
+    """A connection to this coordinator has come up; earlier messages to it may be lost."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A message arrived. Messages may be lost, doubled and late."""
+    """A message arrived. Messages may be lost, duplicated and late."""
 
     sender: MemberId
     message: Message
@@ -71,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistFailed:
-    """The disk refused; nothing of this token counts as synced."""
+    """The disk failed to write; nothing of this token counts as synced."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """A caller wants a command run. `request` is repeated in the answer."""
+    """A caller wants a command run. The answer repeats `request`."""
 
     request: int
     command: bytes
@@ -86,14 +60,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadNewest:
-    """A caller wants the newest acknowledged state."""
+    """A caller wants the newest acknowledged state (a linearizable read). The answer repeats `request`."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelCall:
-    """Nobody waits for a call any more. What wasn't started is never run; what was started goes on."""
+    """Nobody waits for a call any more. It isn't run if it has not been started; otherwise it goes on."""
 
     request: int
 
@@ -115,10 +89,12 @@
     | ShutdownRequested
 )
 
+# -- outcomes of Submit and ReadNewest --
+
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The command is acknowledged by all replicas; it can't be lost any more."""
+    """The command is synced by all replicas and can't be lost any more."""
 
     result: Any
 
@@ -140,15 +116,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """It may have been done or not, or may yet be."""
+    """The command may have been run or not, or may yet be run."""
 
 
 Outcome = Done | Refused | Newest | NotPrimary | OutcomeUnknown
 
+# -- effects --
+
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message, as well as it goes."""
+    """Send a message, at most once."""
 
     to_address: str
     message: Message
@@ -156,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write the records and sync, in the order of the tokens; then tell Persisted or PersistFailed."""
+    """Write the records and sync, in the order of the tokens; answer with Persisted or PersistFailed."""
 
     token: int
     records: tuple[Record, ...]
@@ -164,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The answer to a Submit or ReadNewest."""
+    """The outcome of a Submit or ReadNewest."""
 
     request: int
     outcome: Outcome
@@ -176,12 +154,12 @@
 
     sequence: int
     state: Any
-    command: bytes | None = None  # led there from the state before, if that was known here
+    command: bytes | None = None  # that led there from the state before, if that was known here
 
 
 @dataclass(frozen=True, slots=True)
 class MessageRejected:
-    """A message was refused for a fault that no sound coordinator makes; for the log."""
+    """A message was rejected for a fault that no correct coordinator makes; for the log."""
 
     sender: str  # inner address
     problem: str
--- a/coveport/serving/replication/identity.py
+++ b/coveport/serving/replication/identity.py
@@ -1,4 +1,4 @@
-"""Who takes part: members of the core, epochs and views."""
+"""Members of the core, epochs and views, and which of them form a quorum."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class MemberId:
-    """A machine with one life of its disk: a wiped or replaced machine is another member."""
+    """A machine with one incarnation of its disk: a wiped or replaced machine is another member."""
 
     address: str  # ip:port of its inner port
     disk: str  # random hex, drawn when the disk was found empty
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Epoch:
-    """Orders the attempts to lead. No two candidates share one, nor does one candidate use one twice."""
+    """Orders the view changes, as a ballot number does. No two candidates share one or use one twice."""
 
     number: int
     candidate: str  # the candidate's disk id
 
     def after(self, candidate: str) -> Epoch:
-        """A higher epoch, of `candidate`."""
+        """Return a higher epoch, for `candidate`."""
         return Epoch(self.number + 1, candidate)
 
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Locality:
-    """Where a machine stands."""
+    """The failure domains in which a machine runs."""
 
     zone: str
     region: str
@@ -50,11 +50,11 @@
     members: tuple[MemberId, ...]  # whose majority decides on the next view
     previous_members: tuple[MemberId, ...] = ()  # their majority counts too until this view is known active
 
-    def groups(self, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
-        """The groups of which each must give its majority to a next view.
+    def quorum_groups(self, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
+        """Return the groups of which each must give its majority to a next view (Raft's joint consensus).
 
-        `settled`: epoch of a view that is known active. That a later one is says nothing of this one: it may
-        be a branch that never became active, whose members decided on nothing.
+        `active_epoch` is the epoch of a view that is known to be active. A later active view proves nothing
+        about this one: this may be a branch that never became active, whose members decided on nothing.
         """
         if not self.previous_members or active_epoch == self.epoch:
             return (self.members,)
@@ -62,10 +62,10 @@
 
 
 def is_majority(present: Collection[MemberId], group: Collection[MemberId]) -> bool:
-    """Whether `present` holds more than half of `group`."""
+    """Return whether `present` holds more than half of `group`."""
     return 2 * sum(member in present for member in group) > len(group)
 
 
 def has_majorities(present: Collection[MemberId], groups: Collection[Collection[MemberId]]) -> bool:
-    """Whether `present` holds more than half of each group."""
+    """Return whether `present` holds more than half of each group."""
     return all(is_majority(present, group) for group in groups)
--- a/coveport/serving/replication/journal.py
+++ b/coveport/serving/replication/journal.py
@@ -1,4 +1,4 @@
-"""The durable state in memory, what of it is synced, and whether the disk is well."""
+"""Owns the durable state: what is written, what of it is synced, and whether the disk is healthy."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 from coveport.serving.replication.records import DurableState, Record
 from coveport.serving.replication.timings import Timings
 
-PROBE_S = 0.5  # how often a disk that refused is tried again
+RETRY_S = 0.5  # how often an empty write tells whether a disk that failed works again
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """A message that waits until what it tells is synced."""
+class PendingMessage:
+    """A message that is sent once what it says is synced."""
 
     to_address: str
     message: Message
 
 
 @dataclass(slots=True)
-class Batch:
-    """Records on their way to the disk, and what waits for them."""
+class PendingBatch:
+    """Records on their way to the disk, and the messages that wait for them."""
 
     token: int
-    since_s: float
-    replies: list[Reply]
+    started_at_s: float
+    messages: list[PendingMessage]
 
 
 class Journal:
     """Changes `durable` at once and sends what depends on it only when it is synced.
 
-    Storage syncs in the order of the tokens. After a refusal it keeps the records and writes them with the
-    next token, so that a synced token says that all before it are synced too.
+    Storage syncs in the order of the tokens. After a failure it keeps the records and writes them with the
+    next token, so that a synced token proves that all before it are synced too.
     """
 
     def __init__(self, durable: DurableState, outbox: Outbox, timings: Timings) -> None:
@@ -43,62 +43,62 @@
         self._outbox = outbox
         self._timings = timings
         self._records: list[Record] = []
-        self._replies: list[Reply] = []
-        self._batches: deque[Batch] = deque()
+        self._messages: list[PendingMessage] = []  # that wait for `_records`
+        self._batches: deque[PendingBatch] = deque()
         self._last_token = 0
-        self._is_refusing = False
-        self._trouble_at_s = float("-inf")
-        self._probed_at_s = float("-inf")
+        self._is_failing = False
+        self._fault_at_s = float("-inf")
+        self._flushed_at_s = float("-inf")
 
     def write(self, record: Record) -> None:
-        """Take a record into the durable state; it is synced some time later."""
+        """Add a record to the durable state; it is synced some time later."""
         self.durable.absorb(record)
         self._records.append(record)
 
     def send_when_synced(self, to_address: str, message: Message) -> None:
-        """Send when all that was written so far is synced."""
+        """Send once all that was written so far is synced."""
         if not self._records and not self._batches:
             self._outbox.send(to_address, message)
         elif self._records:
-            self._replies.append(Reply(to_address, message))
+            self._messages.append(PendingMessage(to_address, message))
         else:
-            self._batches[-1].replies.append(Reply(to_address, message))
+            self._batches[-1].messages.append(PendingMessage(to_address, message))
 
     def flush(self, now_s: float) -> Persist | None:
-        """What must go to the disk now."""
-        is_probe_due = self._is_refusing and now_s - self._probed_at_s >= PROBE_S
-        if not self._records and not is_probe_due:
+        """Return what must be written to the disk now, if anything."""
+        must_retry = self._is_failing and now_s - self._flushed_at_s >= RETRY_S
+        if not self._records and not must_retry:
             return None
         self._last_token += 1
-        self._probed_at_s = now_s
-        self._batches.append(Batch(self._last_token, now_s, self._replies))
+        self._flushed_at_s = now_s
+        self._batches.append(PendingBatch(self._last_token, now_s, self._messages))
         persist = Persist(self._last_token, tuple(self._records))
         self._records = []
-        self._replies = []
+        self._messages = []
         return persist
 
     def persisted(self, token: int, now_s: float) -> None:
-        """All up to `token` is synced."""
-        self._is_refusing = False
+        """Note that all up to `token` is synced, and send what waited for it."""
+        self._is_failing = False
         while self._batches and self._batches[0].token <= token:
             batch = self._batches.popleft()
-            if now_s - batch.since_s > self._timings.disk_s:
-                self._trouble_at_s = now_s
-            for reply in batch.replies:
-                self._outbox.send(reply.to_address, reply.message)
+            if now_s - batch.started_at_s > self._timings.disk_s:
+                self._fault_at_s = now_s
+            for pending in batch.messages:
+                self._outbox.send(pending.to_address, pending.message)
 
     def failed(self, now_s: float) -> None:
-        """The disk refused; what waits goes on waiting."""
-        self._is_refusing = True
-        self._trouble_at_s = now_s
+        """Note that the disk failed to write; what waits for it goes on waiting."""
+        self._is_failing = True
+        self._fault_at_s = now_s
 
-    def slept(self, now_s: float) -> None:
-        """The process stood still: the disk isn't to blame for the time."""
+    def restart_timers(self, now_s: float) -> None:
+        """Count the time of pending batches from now: the process was frozen, not the disk slow."""
         for batch in self._batches:
-            batch.since_s = now_s
+            batch.started_at_s = now_s
 
     def is_healthy(self, now_s: float) -> bool:
-        """Whether the disk has been syncing in time."""
-        if self._batches and now_s - self._batches[0].since_s > self._timings.disk_s:
-            self._trouble_at_s = now_s
-        return not self._is_refusing and now_s - self._trouble_at_s >= self._timings.disk_rest_s
+        """Return whether the disk has been syncing in time."""
+        if self._batches and now_s - self._batches[0].started_at_s > self._timings.disk_s:
+            self._fault_at_s = now_s
+        return not self._is_failing and now_s - self._fault_at_s >= self._timings.disk_rest_s
--- a/coveport/serving/replication/leader_role.py
+++ b/coveport/serving/replication/leader_role.py
@@ -1,22 +1,47 @@
-"""Which of its roles a member has: follower, candidate or primary, and what leads from one to the other."""
+"""Owns the role of a replica: follower, candidate or primary, and what leads from one to the other.
+
+| role | on | becomes |
+| --- | --- | --- |
+| follower | nobody leads and its election time-out is over; TransferLeadership of its primary | candidate |
+| candidate | its view is active | primary |
+| candidate | Fenced, a higher promise, a step that takes too long | follower, after a backoff |
+| primary | its replicas or members must change; it was outvoted | candidate, keeps its queue |
+| primary | a higher promise, a newer view led by another, its own disk unhealthy | follower |
+"""
 
 from __future__ import annotations
 
-from coveport.serving.replication.bootstrap import Bootstrap
+from coveport.serving.replication.bootstrap import Bootstrap, ready_seeds
 from coveport.serving.replication.election import Election
+from coveport.serving.replication.events import CancelCall, NotPrimary, ReadNewest, Submit
 from coveport.serving.replication.identity import MemberId, View
-from coveport.serving.replication.messages import Fenced, Message, Ping, TransferLeadership, ViewActivated
+from coveport.serving.replication.messages import (
+    Accepted,
+    Appended,
+    Confirmed,
+    Fenced,
+    Fetched,
+    Installed,
+    Message,
+    Ping,
+    Promise,
+    TransferLeadership,
+    ViewActivated,
+)
 from coveport.serving.replication.peers import Peer
 from coveport.serving.replication.primary import Primary
 from coveport.serving.replication.reconfiguration import Reconfigurer, ViewChangeRequest
 from coveport.serving.replication.replica_context import ReplicaContext
 from coveport.serving.replication.view_change import Step, ViewChangeAttempt
 
-OUTVOTED_S = 0.6  # after a member promised a higher epoch and nobody led, the primary leads anew
+# If nobody leads for so long after a member promised a higher epoch, the primary leads anew, higher still.
+OUTVOTED_S = 0.6
+# The least time between two attempts; `retry_backoff_s` times the jitter comes on top.
+RETRY_GAP_S = 0.1
 
 
 class LeaderRole:
-    """At most one attempt, one founding and one primaryship at a time."""
+    """At most one view change, one bootstrap and one primary role at a time."""
 
     def __init__(
         self,
@@ -27,53 +52,117 @@
         initial_state: bytes,
     ) -> None:
         self.election = Election(context, now_s)
-        self.reconfigurer = Reconfigurer(context)
         self.primary: Primary | None = None
         self.attempt: ViewChangeAttempt | None = None
         self.highest_seen = context.journal.durable.promised
         self.outvoted_since_s: float | None = None
         self.may_bootstrap = may_bootstrap
         self._context = context
+        self._reconfigurer = Reconfigurer(context)
         self._seeds = seeds
         self._initial_state = initial_state
         self._bootstrap: Bootstrap | None = None
         self._excluded_by: View | None = None  # seen in an attempt; we are no member of it
-        self._last_change_s = now_s
+        self._view_changed_at_s = now_s
 
     @property
     def is_active(self) -> bool:
         """Whether we are the active primary, as far as we know."""
         return self.primary is not None and not self.primary.is_paused
 
-    def address(self, now_s: float) -> str | None:
-        """Inner address of the active primary; None: none is heard."""
+    def primary_address(self, now_s: float) -> str | None:
+        """Return the inner address of the active primary; None if we have contact with none."""
         if self.is_active:
             return self._context.own_id.address
-        return self.election.leader(self._context.journal.durable.view, now_s) or None
+        return self.election.leader_address(self._context.journal.durable.view, now_s) or None
+
+    def leads_majorities(self, now_s: float) -> bool:
+        """Return whether we are the active primary and have two-way contact with a majority."""
+        view = self._context.journal.durable.view
+        if view is None or not self.is_active:
+            return False
+        return self.election.reaches_majorities(view, now_s)
+
+    # -- calls --
 
-    # -- what arrives --
+    def on_call(self, now_s: float, call: Submit | ReadNewest) -> None:
+        """Queue a call at the primary; elsewhere answer who it is."""
+        if self.primary is None:
+            self._context.outbox.answer(call.request, NotPrimary(self.primary_address(now_s)))
+        elif isinstance(call, Submit):
+            self.primary.submit(call.request, call.command)
+        else:
+            self.primary.read(call.request)
 
-    def take_ping(self, now_s: float, sender: MemberId, ping: Ping) -> None:
-        """See from a ping whether another leads or was promised to."""
+    def on_cancel(self, event: CancelCall) -> None:
+        """Remove a call that nobody waits for any more."""
+        if self.primary is not None:
+            self.primary.cancel(event.request)
+
+    # -- messages --
+
+    def on_message(self, now_s: float, sender: MemberId, message: Message) -> None:
+        """Take a message to a candidate or primary, or one that asks for this role."""
+        match message:
+            case Promise() | Fetched() | Installed() | Accepted():
+                self._on_candidate_answer(now_s, sender, message)
+            case Appended() if self.primary is not None:
+                self.primary.on_appended(now_s, sender, message)
+            case Confirmed() if self.primary is not None:
+                self.primary.on_confirmed(sender, message)
+            case Fenced():
+                self._on_fenced(now_s, message)
+            case TransferLeadership():
+                self._on_transfer_leadership(now_s, sender, message)
+
+    def on_ping(self, now_s: float, sender: MemberId, ping: Ping) -> None:
+        """Find out from a ping whether another leads, or a higher epoch was promised to another."""
         self.highest_seen = max(self.highest_seen, ping.promised)
         primary = self.primary
         if primary is None:
             return
         if ping.view_epoch > primary.view.epoch and ping.primary:
-            self.end_primary(now_s)  # another leads by now
+            self.step_down(now_s)
         elif self.is_active and ping.promised > primary.view.epoch and sender in primary.view.members:
-            self.outvoted_since_s = self.outvoted_since_s or now_s
+            self._note_outvoted(now_s)
 
-    def serve(self, peer: Peer, ping: Ping) -> bool:
-        """As active primary, send a peer that pinged the view that it lacks; whether it lacked it."""
-        if self.primary is None or not self.is_active:
-            return False
-        view = self.primary.view
-        self.reconfigurer.serve(view, peer)
-        return ping.view_epoch < view.epoch or ping.active_epoch < view.epoch
+    def _on_fenced(self, now_s: float, message: Fenced) -> None:
+        """Give up what a member rejected, for it promised a higher epoch."""
+        self.highest_seen = max(self.highest_seen, message.promised)
+        if self.attempt is not None and message.refused == self.attempt.epoch:
+            self._give_up_attempt(now_s)
+        elif self._bootstrap is not None and message.refused == self._bootstrap.view.epoch:
+            self._bootstrap = None
+        elif self.primary is not None and message.refused == self.primary.view.epoch:
+            self._note_outvoted(now_s)
+
+    def _note_outvoted(self, now_s: float) -> None:
+        if self.outvoted_since_s is None:
+            self.outvoted_since_s = now_s
+
+    def _on_transfer_leadership(self, now_s: float, sender: MemberId, message: TransferLeadership) -> None:
+        """Lead at once, if the primary of our view asks for it."""
+        view = self._context.journal.durable.view
+        if view is None or view.epoch != message.epoch or view.primary != sender or self.attempt is not None:
+            return
+        if self._context.own_id in view.members:
+            request = ViewChangeRequest("leadership is transferred", True, avoided=frozenset({sender}))
+            self.start_view_change(now_s, request)
 
-    def follow_fence(self, now_s: float) -> None:
-        """End what a higher promise than its own put an end to."""
+    def _on_candidate_answer(self, now_s: float, sender: MemberId, message: Message) -> None:
+        """Take an answer to the bootstrap or the view change."""
+        if self._bootstrap is not None:
+            self._bootstrap.handle(now_s, sender, message)
+            if self._bootstrap.is_active:
+                view = self._bootstrap.view
+                self._bootstrap = None
+                self.become_primary(now_s, view, continues_own_state=True)
+        elif self.attempt is not None:
+            self.attempt.handle(now_s, sender, message)
+            self._follow_attempt(now_s)
+
+    def on_own_promise(self, now_s: float) -> None:
+        """End the roles whose epoch is below what this member has promised by now."""
         promised = self._context.journal.durable.promised
         self.highest_seen = max(self.highest_seen, promised)
         if self.attempt is not None and promised > self.attempt.epoch:
@@ -82,37 +171,28 @@
             self._bootstrap = None
         own_epoch = self.attempt.epoch if self.attempt else None
         if self.primary is not None and promised > self.primary.view.epoch and promised != own_epoch:
-            self.end_primary(now_s)
+            self.step_down(now_s)
 
-    def end_primary(self, now_s: float) -> None:
-        """Another leads or may lead."""
-        if self.primary is not None:
-            primary = self.primary
-            self.primary = None
-            primary.end(self.address(now_s))
+    def send_view_if_missing(self, peer: Peer, ping: Ping) -> bool:
+        """As active primary, send a peer that pinged the view; return whether it lacked something of it."""
+        if self.primary is None or not self.is_active:
+            return False
+        return self._reconfigurer.send_view_if_missing(self.primary.view, peer, ping)
 
-    def take_fenced(self, now_s: float, message: Fenced) -> None:
-        """Someone promised higher."""
-        self.highest_seen = max(self.highest_seen, message.promised)
-        if self.attempt is not None and message.refused == self.attempt.epoch:
-            self._give_up_attempt(now_s)
-        elif self._bootstrap is not None and message.refused == self._bootstrap.view.epoch:
-            self._bootstrap = None
-        elif self.primary is not None and message.refused == self.primary.view.epoch:
-            self.outvoted_since_s = self.outvoted_since_s or now_s
+    # -- transitions --
 
-    def take_over(self, now_s: float, sender: MemberId, message: TransferLeadership) -> None:
-        """The primary of our view asks us to lead at once."""
-        view = self._context.journal.durable.view
-        if view is None or view.epoch != message.epoch or view.primary != sender or self.attempt is not None:
+    def start_election_if_needed(self, now_s: float) -> None:
+        """Start a view change where nobody leads and it is this member's turn."""
+        if self.primary is not None or self.attempt is not None or self._bootstrap is not None:
             return
-        if self._context.own_id in view.members:
-            self.start_attempt(
-                now_s, ViewChangeRequest("asked by the primary", True, avoided=frozenset({sender}))
-            )
+        view = self._context.journal.durable.view
+        if view is not None and self._excluded_by is not None and self._excluded_by.epoch > view.epoch:
+            return  # others are members by now: they lead, and will send us the view
+        if self.election.must_start(view, now_s):
+            self.start_view_change(now_s, ViewChangeRequest("nobody leads", True))
 
-    def start_attempt(self, now_s: float, change: ViewChangeRequest) -> None:
-        """Try to bring a next view up."""
+    def start_view_change(self, now_s: float, request: ViewChangeRequest) -> None:
+        """Become a candidate, under a higher epoch than any seen. A primary keeps its queue meanwhile."""
         view = self._context.journal.durable.view
         if view is None:
             return
@@ -122,49 +202,52 @@
         self.highest_seen = epoch
         if self.primary is not None:
             self.primary.is_paused = True
-        self.attempt = ViewChangeAttempt(self._context, now_s, epoch, view, change.proposal, change.avoided)
-
-    def take_answer(self, now_s: float, sender: MemberId, message: Message) -> None:
-        """Take an answer to the founding or the attempt."""
-        if self._bootstrap is not None:
-            self._bootstrap.handle(now_s, sender, message)
-            if self._bootstrap.is_active:
-                bootstrap = self._bootstrap
-                self._bootstrap = None
-                self.begin_primary(now_s, bootstrap.view, kept_own_state=True)
-        elif self.attempt is not None:
-            self.attempt.handle(now_s, sender, message)
-            self._follow_attempt(now_s)
+        self.attempt = ViewChangeAttempt(self._context, now_s, epoch, view, request.proposal, request.avoided)
 
     def _follow_attempt(self, now_s: float) -> None:
         attempt = self.attempt
-        if attempt is not None and attempt.excluded_by is not None:
+        if attempt is None:
+            return
+        if attempt.excluded_by is not None:
             self._excluded_by = attempt.excluded_by
             self._give_up_attempt(now_s)
-        elif attempt is not None and attempt.step is Step.ACTIVE and attempt.view is not None:
+        elif attempt.step is Step.ACTIVE and attempt.view is not None:
             self.attempt = None
-            self.begin_primary(now_s, attempt.view, attempt.kept_own_state)
+            self.become_primary(now_s, attempt.view, attempt.continues_own_state)
 
-    def begin_primary(self, now_s: float, view: View, kept_own_state: bool) -> None:
-        """A view of ours is active."""
-        before = self.primary
+    def become_primary(self, now_s: float, view: View, continues_own_state: bool) -> None:
+        """Lead a view that is active by now, and tell its members and those before so."""
+        predecessor = self.primary
         self.primary = Primary(self._context, view)
         self.outvoted_since_s = None
-        self._last_change_s = now_s
+        self._view_changed_at_s = now_s
         self._context.acceptor.record_active_view(ViewActivated(view.epoch))
         for member in sorted({*view.members, *view.previous_members} - {self._context.own_id}):
             self._context.send(member, ViewActivated(view.epoch))
-        self.primary.begin(now_s, before, kept_own_state)
+        self.primary.begin(now_s, predecessor, continues_own_state)
+
+    def step_down(self, now_s: float) -> None:
+        """End the primary role, if we have it: another leads or may lead."""
+        if self.primary is not None:
+            primary = self.primary
+            self.primary = None
+            primary.end(self.primary_address(now_s))
 
     def _give_up_attempt(self, now_s: float) -> None:
-        """Fenced, or nothing moved: try again later, if still nobody leads."""
+        """End the view change; the next election waits for a random time, so that two candidates part."""
         self.attempt = None
-        timings = self._context.timings
-        self.election.hold_off(now_s + 0.1 + timings.backoff_s * self._context.jitter())
-        self.end_primary(now_s)
+        backoff_s = self._context.timings.retry_backoff_s * self._context.jitter()
+        self.election.delay_election_until(now_s + RETRY_GAP_S + backoff_s)
+        self.step_down(now_s)
 
     # -- time --
 
+    def on_stall(self, now_s: float, no_election_until_s: float) -> None:
+        """Take note that the process was frozen."""
+        self.election.delay_election_until(no_election_until_s)
+        if self.primary is not None:
+            self.primary.restart_timers(now_s)
+
     def tick(self, now_s: float) -> None:
         """Let time pass."""
         self._tick_attempt(now_s)
@@ -172,74 +255,57 @@
         if self.primary is not None and not self.primary.is_paused:
             self._tick_primary(now_s, self.primary)
         else:
-            self.stand_if_called(now_s)
-
-    def stand_if_called(self, now_s: float) -> None:
-        """Start an attempt where nobody leads and it is this member's turn."""
-        if self.primary is not None or self.attempt is not None or self._bootstrap is not None:
-            return
-        view = self._context.journal.durable.view
-        if view is not None and self._excluded_by is not None and self._excluded_by.epoch > view.epoch:
-            return  # others are members by now: they lead, and will tell us of the view
-        if self.election.is_called(view, now_s):
-            self.start_attempt(now_s, ViewChangeRequest("nobody leads", True))
+            self.start_election_if_needed(now_s)
 
     def _tick_attempt(self, now_s: float) -> None:
         attempt = self.attempt
         if attempt is None:
             return
         attempt.tick(now_s)
-        if now_s - attempt.moved_at_s >= attempt.patience_s:
+        if now_s - attempt.step_began_at_s >= attempt.timeout_s:
             self._give_up_attempt(now_s)
 
+    def _tick_bootstrap(self, now_s: float) -> None:
+        if self._bootstrap is not None:
+            self._bootstrap.tick(now_s)
+            return
+        if not self.may_bootstrap or not self._context.acceptor.has_no_view:
+            return
+        members = ready_seeds(self._context, self._seeds, now_s)
+        if members is not None:
+            epoch = self.highest_seen.after(self._context.own_id.disk)
+            self._bootstrap = Bootstrap(self._context, now_s, members, epoch, self._initial_state)
+
     def _tick_primary(self, now_s: float, primary: Primary) -> None:
         primary.tick(now_s)
         if not self._context.journal.is_healthy(now_s):
-            self._step_down(now_s)
-            return
-        if self._context.is_shutting_down:
-            self._hand_over(now_s, primary)
-            return
-        change = self.reconfigurer.needed_view_change(primary.view, primary.slow_replicas(now_s), now_s)
-        is_outvoted = self.outvoted_since_s is not None and now_s - self.outvoted_since_s >= OUTVOTED_S
-        if change is None and is_outvoted:
-            change = ViewChangeRequest("a member promised a higher epoch", True)
-        if change is None or not self.election.hears_majorities_now(primary.view, now_s):
-            return
-        if change.is_urgent or now_s - self._last_change_s >= self._context.timings.change_gap_s:
-            self.start_attempt(now_s, change)
+            self._step_down_with_unhealthy_disk(now_s)
+        elif self._context.is_shutting_down:
+            self._transfer_leadership(now_s, primary)
+        else:
+            self._change_view_if_needed(now_s, primary)
 
-    def _step_down(self, now_s: float) -> None:
-        """The own disk doesn't sync: others must lead. The last view keeps being fenced by them."""
-        self.election.hold_off(now_s + self._context.timings.disk_rest_s)
-        self.end_primary(now_s)
+    def _step_down_with_unhealthy_disk(self, now_s: float) -> None:
+        """Let others lead, and start no election before the disk had time to recover."""
+        self.election.delay_election_until(now_s + self._context.timings.disk_rest_s)
+        self.step_down(now_s)
 
-    def _hand_over(self, now_s: float, primary: Primary) -> None:
-        """Ask the best other replica, again and again until it leads; without one go on."""
-        successors = [m for m in primary.view.replicas[1:] if self._context.is_usable(m, now_s)]
+    def _transfer_leadership(self, now_s: float, primary: Primary) -> None:
+        """Ask the best other replica, again and again until it leads; without one go on leading."""
+        successors = [
+            member for member in primary.view.replicas[1:] if self._context.is_usable(member, now_s)
+        ]
         primary.is_closing = bool(successors)
         if successors and primary.is_idle:
             self._context.send(successors[0], TransferLeadership(primary.view.epoch))
 
-    def _tick_bootstrap(self, now_s: float) -> None:
-        context = self._context
-        if not context.acceptor.is_blank and self._bootstrap is None:
-            return
-        if self._bootstrap is not None:
-            self._bootstrap.tick(now_s)
-            return
-        own_address = context.own_id.address
-        if not self.may_bootstrap or own_address not in self._seeds or own_address != min(self._seeds):
+    def _change_view_if_needed(self, now_s: float, primary: Primary) -> None:
+        slow = primary.slow_replicas(now_s)
+        request = self._reconfigurer.needed_view_change(primary.view, slow, now_s)
+        is_outvoted = self.outvoted_since_s is not None and now_s - self.outvoted_since_s >= OUTVOTED_S
+        if request is None and is_outvoted:
+            request = ViewChangeRequest("a member promised a higher epoch", True)
+        if request is None or not self.election.reaches_majorities_now(primary.view, now_s):
             return
-        seeds = [context.own_id]
-        for address in self._seeds:
-            peer = context.peers.get(address)
-            if address == own_address:
-                continue
-            if peer is None or peer.identity is None or not context.is_usable(peer.identity, now_s):
-                return
-            if peer.ping is None or not peer.ping.may_bootstrap:
-                return
-            seeds.append(peer.identity)
-        epoch = self.highest_seen.after(context.own_id.disk)
-        self._bootstrap = Bootstrap(context, now_s, tuple(seeds), epoch, self._initial_state)
+        if request.is_urgent or now_s - self._view_changed_at_s >= self._context.timings.change_gap_s:
+            self.start_view_change(now_s, request)
--- a/coveport/serving/replication/placement.py
+++ b/coveport/serving/replication/placement.py
@@ -1,15 +1,16 @@
-"""Which machines should be members of the core, and which of them replicas."""
+"""Chooses which machines are members of the core, and which of those are replicas. Pure functions."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Sequence
+from collections import Counter
+from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from itertools import combinations
 
 from coveport.serving.replication.identity import Locality, MemberId
 
-MEMBERS_AT_MOST = 7
-POOL_AT_MOST = 10  # that sets of members are drawn from
+MAX_MEMBERS = 7  # a larger core waits for more syncs, and tolerates no more than is ever asked for
+MAX_POOL = 10  # machines of which all subsets are rated: 1,023 at most
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,14 +19,14 @@
 
     member: MemberId
     locality: Locality
-    is_usable: bool  # alive, disk well, not leaving: fit to be a replica
-    is_lost: bool  # a member that may be swapped for another; not usable
-    is_gone: bool  # a member that may be dropped without one in its place
+    is_usable: bool  # fit to be a replica: alive, disk healthy, not shutting down
+    is_lost: bool  # a member that may be swapped for another machine; never usable
+    is_droppable: bool  # a member that may be removed without another in its stead
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class FaultTolerance:
-    """How much a set of members bears; more is better, the first field first."""
+    """How much a set of members tolerates; more is better, the first field first."""
 
     machine_losses: int  # how many more machines may be lost, as far as asked for
     region_loss: bool
@@ -35,7 +36,10 @@
 def choose_replicas(
     primary: MachineStatus, others: Iterable[MachineStatus], count: int, present: Sequence[MemberId]
 ) -> tuple[MemberId, ...]:
-    """`count` replicas, the primary first; in other regions, then other zones, then present ones."""
+    """Return up to `count` replicas, the primary first.
+
+    Prefers machines in other regions, then in other zones, then those of `present`.
+    """
     chosen = [primary]
     remaining = [machine for machine in others if machine.is_usable and machine.member != primary.member]
     while remaining and len(chosen) < count:
@@ -56,32 +60,29 @@
 
 
 def count_failure_domains(
-    replicas: Iterable[MemberId], localities: dict[MemberId, Locality]
+    replicas: Iterable[MemberId], localities: Mapping[MemberId, Locality]
 ) -> tuple[int, int]:
-    """In how many regions and zones the replicas stand."""
+    """Return in how many regions and zones the replicas run."""
     found = [localities[member] for member in replicas if member in localities]
     return len({locality.region for locality in found}), len({locality.zone for locality in found})
 
 
 def rate_fault_tolerance(machines: Sequence[MachineStatus], tolerated_losses: int) -> FaultTolerance:
-    """What a set of members bears on top of what is lost already."""
+    """Return what a set of members tolerates on top of what is lost already."""
     live = [machine for machine in machines if not machine.is_lost]
-    needed = len(machines) // 2 + 1
-    spare = len(live) - needed
-    worst_region = _largest(machine.locality.region for machine in live)
-    worst_zone = _largest(machine.locality.zone for machine in live)
+    quorum = len(machines) // 2 + 1
+    spare = len(live) - quorum
+    largest_region = _largest_group(machine.locality.region for machine in live)
+    largest_zone = _largest_group(machine.locality.zone for machine in live)
     return FaultTolerance(
         machine_losses=min(spare, max(1, tolerated_losses)),
-        region_loss=worst_region <= spare,
-        zone_loss=worst_zone <= spare,
+        region_loss=largest_region <= spare,
+        zone_loss=largest_zone <= spare,
     )
 
 
-def _largest(names: Iterable[str]) -> int:
-    counts: dict[str, int] = {}
-    for name in names:
-        counts[name] = counts.get(name, 0) + 1
-    return max(counts.values(), default=0)
+def _largest_group(names: Iterable[str]) -> int:
+    return max(Counter(names).values(), default=0)
 
 
 def choose_members(
@@ -90,31 +91,36 @@
     newcomers: Sequence[MachineStatus],
     tolerated_losses: int,
 ) -> tuple[MemberId, ...] | None:
-    """Members that bear strictly more than the present ones, with as few changes as go; None: there are none.
+    """Return members that tolerate strictly more than the present ones; None if there are none.
 
-    A lost member may be swapped for another; one that is gone may be dropped without another in its place.
+    Of several such sets it takes an odd number of members, then the fewest changes. A lost member may be
+    swapped for another machine; a droppable one may be removed without another in its stead.
     """
-    now = rate_fault_tolerance(present, tolerated_losses)
-    pool = (list(present) + list(newcomers))[:POOL_AT_MOST]
-    kept = {machine.member for machine in present}
+    present_tolerance = rate_fault_tolerance(present, tolerated_losses)
+    pool = (list(present) + list(newcomers))[:MAX_POOL]
+    present_members = {machine.member for machine in present}
     best: tuple[MemberId, ...] | None = None
     best_key: tuple[FaultTolerance, bool, int, int] | None = None
-    for size in range(1, min(len(pool), MEMBERS_AT_MOST) + 1):
-        for subset in combinations(pool, size):
-            if not _is_allowed(own_id, present, subset):
-                continue
-            tolerance = rate_fault_tolerance(subset, tolerated_losses)
-            if tolerance <= now:
-                continue
-            members = tuple(machine.member for machine in subset)
-            changes = len(kept.symmetric_difference(members))
-            key = (tolerance, size % 2 == 1, -changes, size)
-            if best_key is None or key > best_key:
-                best = members
-                best_key = key
+    for subset in _subsets(pool):
+        if not _is_allowed(own_id, present, subset):
+            continue
+        tolerance = rate_fault_tolerance(subset, tolerated_losses)
+        if tolerance <= present_tolerance:
+            continue
+        members = tuple(machine.member for machine in subset)
+        changes = len(present_members.symmetric_difference(members))
+        key = (tolerance, len(subset) % 2 == 1, -changes, len(subset))
+        if best_key is None or key > best_key:
+            best = members
+            best_key = key
     return best
 
 
+def _subsets(pool: Sequence[MachineStatus]) -> Iterable[Sequence[MachineStatus]]:
+    for size in range(1, min(len(pool), MAX_MEMBERS) + 1):
+        yield from combinations(pool, size)
+
+
 def _is_allowed(own_id: MemberId, present: Sequence[MachineStatus], subset: Sequence[MachineStatus]) -> bool:
     members = {machine.member for machine in subset}
     if own_id not in members:
@@ -123,5 +129,5 @@
     if any(not machine.is_lost for machine in left_out) and len(subset) < len(present):
         return False
     added = len(subset) + len(left_out) - len(present)
-    dropped_without_one = len(left_out) - added
-    return dropped_without_one <= sum(machine.is_gone for machine in left_out)
+    dropped = len(left_out) - added
+    return dropped <= sum(machine.is_droppable for machine in left_out)
--- a/coveport/serving/replication/reconfiguration.py
+++ b/coveport/serving/replication/reconfiguration.py
@@ -1,11 +1,11 @@
-"""What the active primary does for the core unasked: it changes who takes part, and tells others the view."""
+"""Decides, at the active primary, when a next view with other replicas or members is needed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from coveport.serving.replication.identity import MemberId, View
-from coveport.serving.replication.messages import Accept, ViewActivated
+from coveport.serving.replication.messages import Accept, Ping, ViewActivated
 from coveport.serving.replication.peers import Peer
 from coveport.serving.replication.placement import (
     MachineStatus,
@@ -19,57 +19,63 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewChangeRequest:
-    """Why the primary wants a next view, and with whom."""
+    """Why a next view is needed, and with whom."""
 
     reason: str
-    is_urgent: bool
+    is_urgent: bool  # an urgent one doesn't wait for `change_gap_s`
     proposal: MembershipProposal | None = None
-    avoided: frozenset[MemberId] = frozenset()
+    avoided: frozenset[MemberId] = frozenset()  # that shouldn't be replicas of the next view
+
+
+@dataclass(frozen=True, slots=True)
+class MachineStatuses:
+    """What members are chosen from."""
+
+    present: list[MachineStatus]
+    newcomers: list[MachineStatus]
 
 
 class Reconfigurer:
-    """Looks at every tick whether another view would be better."""
+    """Compares the view with what the machines allow; to be asked at every tick."""
 
     def __init__(self, context: ReplicaContext) -> None:
         self._context = context
-        self._weighed: tuple[list[MachineStatus], list[MachineStatus]] | None = (
-            None  # what members were chosen from last
-        )
+        # The choice of members rates up to 1,023 sets, so it is made only when a status has changed.
+        self._rated: MachineStatuses | None = None
         self._chosen: tuple[MemberId, ...] | None = None
 
     def needed_view_change(self, view: View, slow: set[MemberId], now_s: float) -> ViewChangeRequest | None:
-        """The next change of the view, if one is needed."""
-        silent = {member for member in view.replicas if self._context.peers.is_suspect(member, now_s)}
-        unwell = {member for member in view.replicas if not self._context.is_usable(member, now_s)} - silent
+        """Return the next change of the view, if one is needed. `slow` are backups that owe an answer."""
+        context = self._context
+        suspects = {member for member in view.replicas if context.peers.is_suspect(member, now_s)}
+        impaired = {member for member in view.replicas if not context.is_usable(member, now_s)} - suspects
         proposal = self._proposal(view, now_s)
-        if silent or slow:
-            return ViewChangeRequest("replica silent or slow", True, proposal, frozenset(silent | slow))
+        if suspects or slow:
+            return ViewChangeRequest("replica suspect or slow", True, proposal, frozenset(suspects | slow))
         if proposal is not None:
             return ViewChangeRequest("members change", False, proposal)
-        unwell.discard(self._context.own_id)
-        if unwell and self._has_other_replicas(view, unwell, now_s):
-            return ViewChangeRequest("replica unwell or leaving", True, None, frozenset(unwell))
-        if self._is_better_spread(view, now_s):
-            return ViewChangeRequest("replicas spread better", False)
+        impaired.discard(context.own_id)
+        if impaired and self._can_replace(view, impaired, now_s):
+            return ViewChangeRequest("replica unhealthy or shutting down", True, None, frozenset(impaired))
+        if self._has_better_replicas(view, now_s):
+            return ViewChangeRequest("replicas in more failure domains", False)
         return None
 
-    def _has_other_replicas(self, view: View, unwell: set[MemberId], now_s: float) -> bool:
-        usable = [member for member in view.members if self._context.is_usable(member, now_s)]
-        return len(usable) >= self._context.least_replicas(len(view.members)) and not unwell.intersection(
-            usable
-        )
+    def _can_replace(self, view: View, impaired: set[MemberId], now_s: float) -> bool:
+        usable = {member for member in view.members if self._context.is_usable(member, now_s)}
+        return len(usable) >= self._context.least_replicas(len(view.members)) and usable.isdisjoint(impaired)
 
-    def _is_better_spread(self, view: View, now_s: float) -> bool:
+    def _has_better_replicas(self, view: View, now_s: float) -> bool:
+        """Return whether there could be more replicas, or as many in more regions or zones."""
         context = self._context
         steady = [member for member in view.members if self._is_steady(member, now_s)]
         machines = [context.machine(member, now_s) for member in steady]
         own_machine = context.machine(context.own_id, now_s)
-        wanted = choose_replicas(
-            own_machine, machines, context.wanted_replicas(len(view.members)), view.replicas
-        )
-        localities = {member: context.locality_of(member) for member in (*view.replicas, *wanted)}
+        count = context.wanted_replicas(len(view.members))
+        wanted = choose_replicas(own_machine, machines, count, view.replicas)
         if len(wanted) != len(view.replicas):
             return len(wanted) > len(view.replicas)
+        localities = {member: context.locality_of(member) for member in (*view.replicas, *wanted)}
         return count_failure_domains(wanted, localities) > count_failure_domains(view.replicas, localities)
 
     def _is_steady(self, member: MemberId, now_s: float) -> bool:
@@ -83,30 +89,37 @@
     def _proposal(self, view: View, now_s: float) -> MembershipProposal | None:
         context = self._context
         present = [context.machine(member, now_s) for member in view.members]
-        newcomers = self._newcomers(view, now_s)
-        if (present, newcomers) != self._weighed:
-            self._weighed = present, newcomers
-            self._chosen = choose_members(context.own_id, present, newcomers, context.tolerated_losses)
-        members = self._chosen
-        return MembershipProposal(view.epoch, tuple(sorted(members))) if members is not None else None
+        statuses = MachineStatuses(present, self._newcomers(view, now_s))
+        if statuses != self._rated:
+            self._rated = statuses
+            self._chosen = choose_members(
+                context.own_id, statuses.present, statuses.newcomers, context.tolerated_losses
+            )
+        if self._chosen is None:
+            return None
+        return MembershipProposal(view.epoch, tuple(sorted(self._chosen)))
 
     def _newcomers(self, view: View, now_s: float) -> list[MachineStatus]:
+        """Return usable coordinators that could become members.
+
+        One at a member's address has replaced that member, and need not have been alive for long.
+        """
         context = self._context
-        known_addresses = {member.address for member in view.members}
-        found = []
+        member_addresses = {member.address for member in view.members}
+        newcomers = []
         for peer in context.peers.alive(now_s):
-            member = peer.identity
-            if member is None or member in view.members or not context.is_usable(member, now_s):
+            candidate = peer.identity
+            if candidate is None or candidate in view.members or not context.is_usable(candidate, now_s):
                 continue
-            if member.address in known_addresses or self._is_steady(member, now_s):
-                found.append(context.machine(member, now_s))
-        return sorted(found, key=lambda machine: machine.member)
-
-    def serve(self, view: View, peer: Peer) -> None:
-        """Send a peer that pinged what it lacks of the view."""
-        ping = peer.ping
-        if ping is None or (ping.view_epoch >= view.epoch and ping.active_epoch >= view.epoch):
-            return
+            if candidate.address in member_addresses or self._is_steady(candidate, now_s):
+                newcomers.append(context.machine(candidate, now_s))
+        return sorted(newcomers, key=lambda machine: machine.member)
+
+    def send_view_if_missing(self, view: View, peer: Peer, ping: Ping) -> bool:
+        """Send a peer that pinged the active view, or that it is active; return whether it lacked that."""
+        if ping.view_epoch >= view.epoch and ping.active_epoch >= view.epoch:
+            return False
         if ping.view_epoch < view.epoch:
             self._context.outbox.send(peer.address, Accept(view, is_bootstrap=False))
         self._context.outbox.send(peer.address, ViewActivated(view.epoch))
+        return True
--- a/coveport/serving/replication/records.py
+++ b/coveport/serving/replication/records.py
@@ -1,24 +1,29 @@
-"""What a member keeps on its disk, as records, and the durable state that they add up to."""
+"""Records that a replica keeps on its disk, and the durable state that they add up to.
+
+A record is stored as its fields in their order: a field may be renamed, never moved or retyped, and `RECORDS`
+gives each kind its number on the disk.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from coveport.serving.replication.errors import InconsistentRecordsError
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, View
 
 
 @dataclass(frozen=True, slots=True)
 class IdentityRecord:
-    """The first record of a disk's life."""
+    """The first record on an empty disk."""
 
     disk: str
-    created_at_bootstrap: bool  # drawn while the whole system started for the first time
+    created_at_bootstrap: bool  # written while the whole system started for the first time
 
 
 @dataclass(frozen=True, slots=True)
 class PromisedEpochRecord:
-    """Nothing below `epoch` is accepted any more."""
+    """Everything below `epoch` is rejected from now on."""
 
     epoch: Epoch
 
@@ -39,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRecord:
-    """The whole state; replaces all states and commands before."""
+    """A complete state; replaces all states and commands before it."""
 
     epoch: Epoch
     sequence: int
@@ -56,12 +61,20 @@
 
 
 Record = IdentityRecord | PromisedEpochRecord | ViewRecord | ActiveEpochRecord | StateRecord | CommandRecord
-RECORDS = (IdentityRecord, PromisedEpochRecord, ViewRecord, ActiveEpochRecord, StateRecord, CommandRecord)
+# In the order of their numbers on the disk.
+RECORDS = (
+    IdentityRecord,
+    PromisedEpochRecord,
+    ViewRecord,
+    ActiveEpochRecord,
+    StateRecord,
+    CommandRecord,
+)
 
 
 @dataclass(slots=True)
 class DurableState:
-    """All records added up. `sequence` counts the commands after the snapshot in."""
+    """The sum of all records."""
 
     disk: str = ""  # empty: the disk was found empty
     created_at_bootstrap: bool = False
@@ -71,11 +84,11 @@
     state_epoch: Epoch = NO_EPOCH
     snapshot: bytes = b""
     snapshot_sequence: int = -1
-    commands: list[bytes] | None = None
+    commands: list[bytes] | None = None  # those after the snapshot
 
     @property
     def sequence(self) -> int:
-        """Of the newest command held; -1 without a state."""
+        """Sequence of the newest command; -1 without a state."""
         return self.snapshot_sequence + len(self.commands or ())
 
     @property
@@ -84,7 +97,7 @@
         return self.snapshot_sequence >= 0
 
     def absorb(self, record: Record) -> None:
-        """Add one record."""
+        """Add one record. Raises InconsistentRecordsError for a command that doesn't follow."""
         match record:
             case IdentityRecord():
                 self.disk = record.disk
@@ -107,14 +120,14 @@
 
     def _absorb_command(self, record: CommandRecord) -> None:
         if record.epoch != self.state_epoch or record.sequence != self.sequence + 1:
-            raise ValueError(f"command {record.sequence} doesn't follow {self.sequence}")
+            raise InconsistentRecordsError(f"command {record.sequence} doesn't follow {self.sequence}")
         if self.commands is None:
             self.commands = []
         self.commands.append(record.command)
 
 
 def recover(records: Iterable[Record]) -> DurableState:
-    """Add up what a disk held. Raises ValueError when the records don't fit together."""
+    """Return what the records of a disk add up to. Raises InconsistentRecordsError."""
     durable = DurableState()
     for record in records:
         durable.absorb(record)
@@ -122,7 +135,7 @@
 
 
 def snapshot_records(durable: DurableState) -> tuple[Record, ...]:
-    """The fewest records that add up to the same."""
+    """Return the fewest records that add up to the same."""
     records: list[Record] = []
     if durable.disk:
         records.append(IdentityRecord(durable.disk, durable.created_at_bootstrap))
@@ -132,7 +145,8 @@
         records.append(ActiveEpochRecord(durable.active_epoch))
     if durable.has_state:
         records.append(StateRecord(durable.state_epoch, durable.snapshot_sequence, durable.snapshot))
-        for offset, command in enumerate(durable.commands or (), start=1):
-            records.append(CommandRecord(durable.state_epoch, durable.snapshot_sequence + offset, command))
+        first = durable.snapshot_sequence + 1
+        for sequence, command in enumerate(durable.commands or (), start=first):
+            records.append(CommandRecord(durable.state_epoch, sequence, command))
     records.append(PromisedEpochRecord(durable.promised))
     return tuple(records)
--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -1,23 +1,31 @@
-"""One coordinator's part in the core: takes events, returns effects. All the logic is in the parts beside."""
+"""One replica of the control state: hands each event to the module that decides, returns the effects.
+
+Nothing is decided here. Who owns what:
+
+- `acceptor.py`: the promise and the state held here; `journal.py`: the disk
+- `committed_log.py`: the committed state; `catch_up.py`: what others lack of it
+- `peers.py`: who is alive; `ping_sender.py`: what they are told of this replica
+- `leader_role.py`: follower, candidate or primary; with `election.py`, `view_change.py`, `bootstrap.py`,
+  `primary.py`, `quorum_check.py` and `reconfiguration.py`
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Collection
 
 from coveport.serving.replication.acceptor import Acceptor
+from coveport.serving.replication.catch_up import CatchUp
 from coveport.serving.replication.committed_log import CommittedLog
 from coveport.serving.replication.events import (
     CancelCall,
     Connected,
     Effect,
     Event,
-    NotPrimary,
     Persisted,
     PersistFailed,
     ReadNewest,
     Received,
     ShutdownRequested,
-    StateMachine,
     Submit,
     Tick,
 )
@@ -26,24 +34,16 @@
 from coveport.serving.replication.leader_role import LeaderRole
 from coveport.serving.replication.messages import (
     Accept,
-    Accepted,
     Append,
-    Appended,
     CatchUpCommands,
     CatchUpSnapshot,
     Committed,
     Confirm,
-    Confirmed,
-    Fenced,
     Fetch,
-    Fetched,
     Install,
-    Installed,
     Message,
     Ping,
     Prepare,
-    Promise,
-    TransferLeadership,
     ViewActivated,
 )
 from coveport.serving.replication.outbox import Outbox
@@ -51,14 +51,18 @@
 from coveport.serving.replication.ping_sender import PingSender
 from coveport.serving.replication.records import DurableState
 from coveport.serving.replication.replica_context import ReplicaContext
+from coveport.serving.replication.shutdown import is_safe_to_stop
+from coveport.serving.replication.state_machine import StateMachine
 from coveport.serving.replication.timings import Timings
 
-AFTER_START_S = 0.25  # a member that just started listens who leads, unless all members said it before that
-AFTER_WAKING_S = 0.5  # one that stood still waits: what it last heard is old
+# A member that has just started first finds out who leads, unless all members answered before that.
+AFTER_START_S = 0.25
+# One that was frozen waits before it starts an election: what it knows of the others is old.
+AFTER_STALL_S = 0.5
 
 
 class Replica:
-    """Made once in a process' life, from what its disk held."""
+    """Created once in a process, from what its disk held. Raises UnreadableStateError, DivergedStateError."""
 
     def __init__(
         self,
@@ -89,19 +93,20 @@
             peers=Peers(identity, timings, now_s),
         )
         self._leader_role = LeaderRole(self._context, now_s, seeds, may_bootstrap, initial_state)
-        self._leader_role.election.listen(now_s + AFTER_START_S)
-        self._last_tick_s = now_s
+        self._leader_role.election.need_all_members_until(now_s + AFTER_START_S)
         self._ping_sender = PingSender(self._context, self._leader_role)
+        self._catch_up = CatchUp(self._context, self._leader_role)
+        self._last_tick_s = now_s
         self._now_s = now_s
         for seed in seeds:
-            self._context.peers.add(seed, now_s)
+            self._context.peers.add(seed)
         self._add_peers_of_view()
 
-    # -- what a caller may ask --
+    # -- queries --
 
     @property
     def identity(self) -> MemberId:
-        """Who this is."""
+        """Identity of this replica."""
         return self._context.own_id
 
     @property
@@ -109,6 +114,11 @@
         """The newest accepted view."""
         return self._context.journal.durable.view
 
+    @property
+    def view_epoch(self) -> Epoch:
+        """Epoch of the newest accepted view; NO_EPOCH: none is known."""
+        return self._context.acceptor.view_epoch
+
     @property
     def is_primary(self) -> bool:
         """Whether this is the active primary, as far as it knows."""
@@ -116,61 +126,40 @@
 
     @property
     def primary_address(self) -> str | None:
-        """Inner address of the active primary; None: none is heard."""
-        return self._leader_role.address(self._now_s)
+        """Inner address of the active primary; None if there is contact with none."""
+        return self._leader_role.primary_address(self._now_s)
+
+    @property
+    def peer_addresses(self) -> tuple[str, ...]:
+        """Inner addresses to stay connected to, alive or not."""
+        return tuple(peer.address for peer in self._context.peers)
 
     def has_quorum(self, now_s: float) -> bool:
-        """Whether we have two-way contact with a majority of the members and with an active primary."""
+        """Return whether we have two-way contact with a majority and with an active primary."""
         view = self.view
         if view is None or not self._leader_role.election.reaches_majorities(view, now_s):
             return False
-        return self.is_primary or bool(self._leader_role.election.leader(view, now_s))
-
-    @property
-    def view_epoch(self) -> Epoch:
-        """Of the newest accepted view; NO_EPOCH: none is known."""
-        return self._context.acceptor.view_epoch
+        return self.is_primary or bool(self._leader_role.election.leader_address(view, now_s))
 
     def is_majority(self, others: Collection[MemberId]) -> bool:
-        """Whether these, with us, are a majority of each group that decides; never where no view is known."""
+        """Return whether these, with us, are a majority of each group that decides; False without a view."""
         view = self.view
         if view is None:
             return False
-        groups = view.groups(self._context.journal.durable.active_epoch)
+        groups = view.quorum_groups(self._context.journal.durable.active_epoch)
         return has_majorities({*others, self._context.own_id}, groups)
 
-    def known_coordinators(self, now_s: float) -> tuple[str, ...]:
-        """Inner addresses of live coordinators, ourselves included, members of the core or not."""
-        alive = [peer.address for peer in self._context.peers.alive(now_s)]
-        return tuple(sorted([self._context.own_id.address, *alive]))
-
     def live_localities(self, now_s: float) -> dict[str, Locality]:
-        """Where each live coordinator stands, by inner address; ourselves included."""
+        """Return the locality of each live coordinator, by inner address; ourselves included."""
         localities = {peer.address: peer.locality for peer in self._context.peers.alive(now_s)}
         return localities | {self._context.own_id.address: self._context.locality}
 
-    @property
-    def contacts(self) -> tuple[str, ...]:
-        """Inner addresses to stay connected to, alive or not."""
-        return tuple(peer.address for peer in self._context.peers)
-
-    def has_left(self, now_s: float) -> bool:
-        """Whether this process may end: no view needs what it holds, and another has its vote if one can."""
-        view = self.view
-        if view is None:
-            return True
-        own_id = self._context.own_id
-        if own_id in view.replicas or self._context.journal.durable.active_epoch < view.epoch:
-            return False
-        return own_id not in view.members or not self._is_spare_there(view, now_s)
-
-    def _is_spare_there(self, view: View, now_s: float) -> bool:
-        """Whether a live coordinator could take our vote."""
-        others = [peer.identity for peer in self._context.peers.alive(now_s) if peer.identity is not None]
-        return any(one not in view.members and self._context.is_usable(one, now_s) for one in others)
+    def is_safe_to_stop(self, now_s: float) -> bool:
+        """Return whether this process may end: no view needs what it holds."""
+        return is_safe_to_stop(self._context, now_s)
 
     def describe(self) -> dict[str, object]:
-        """For a line of the log."""
+        """Return role, view and progress, for the log and for `status`."""
         durable = self._context.journal.durable
         view = durable.view
         return {
@@ -190,165 +179,129 @@
     # -- events --
 
     def handle(self, now_s: float, event: Event) -> list[Effect]:
-        """Take one event; returns what is to be done, in order."""
+        """Take one event; return the effects to carry out, in order. Raises DivergedStateError."""
         self._now_s = now_s
         match event:
             case Tick():
-                self._tick(now_s)
+                self._on_tick(now_s)
             case Connected():
-                self._connected(now_s, event.address)
+                self._on_connected(now_s, event.address)
             case Received():
-                self._received(now_s, event.sender, event.message)
+                self._on_message(now_s, event.sender, event.message)
             case Persisted():
                 self._context.journal.persisted(event.token, now_s)
             case PersistFailed():
                 self._context.journal.failed(now_s)
             case Submit() | ReadNewest():
-                self._take_call(event)
+                self._leader_role.on_call(now_s, event)
             case CancelCall():
-                if self._leader_role.primary is not None:
-                    self._leader_role.primary.withdraw(event.request)
+                self._leader_role.on_cancel(event)
             case ShutdownRequested():
-                self._context.is_shutting_down = True
-                self._ping_sender.make_due()
-                self._tick(now_s)
-        self._settle(now_s)
+                self._on_shutdown_requested(now_s)
+        self._run_to_fixpoint(now_s)
         return self._context.outbox.take()
 
-    def _settle(self, now_s: float) -> None:
-        """Run what this step led to, until nothing more follows."""
+    def _run_to_fixpoint(self, now_s: float) -> None:
+        """Take the messages of this replica to itself and start calls, until nothing more follows."""
         outbox = self._context.outbox
         while True:
             while outbox.to_self:
-                self._received(now_s, self._context.own_id, outbox.to_self.popleft())
+                self._on_message(now_s, self._context.own_id, outbox.to_self.popleft())
             if self._leader_role.primary is not None:
                 self._leader_role.primary.advance(now_s)
             persist = self._context.journal.flush(now_s)
             if persist is not None:
-                outbox.add(persist)
+                outbox.persist(persist)
             if not outbox.to_self:
                 return
 
-    def _take_call(self, event: Submit | ReadNewest) -> None:
-        if self._leader_role.primary is None:
-            self._context.outbox.answer(event.request, NotPrimary(self.primary_address))
-        elif isinstance(event, Submit):
-            self._leader_role.primary.submit(event.request, event.command)
-        else:
-            self._leader_role.primary.read(event.request)
+    def _on_connected(self, now_s: float, address: str) -> None:
+        """Send a ping at once: what was sent on the connection before is lost."""
+        peer = self._context.peers.get(address)
+        if peer is not None:
+            peer.snapshot = None
+            self._ping_sender.send(now_s, [peer])
+
+    def _on_shutdown_requested(self, now_s: float) -> None:
+        self._context.is_shutting_down = True
+        self._ping_sender.expedite()
+        self._on_tick(now_s)
+
+    def _on_tick(self, now_s: float) -> None:
+        if now_s - self._last_tick_s >= self._context.timings.stall_s:
+            self._on_stall(now_s)
+        self._last_tick_s = now_s
+        self._ping_sender.tick(now_s)
+        self._leader_role.tick(now_s)
+
+    def _on_stall(self, now_s: float) -> None:
+        """Blame neither disk nor peers for the time during which this process was frozen."""
+        self._context.journal.restart_timers(now_s)
+        self._context.peers.restart_timers(now_s)
+        self._leader_role.on_stall(now_s, now_s + AFTER_STALL_S)
 
     # -- messages --
 
-    def _received(self, now_s: float, sender: MemberId, message: Message) -> None:
-        acceptor = self._context.acceptor
+    def _on_message(self, now_s: float, sender: MemberId, message: Message) -> None:
         match message:
             case Ping():
-                self._take_ping(now_s, sender, message)
+                self._on_ping(now_s, sender, message)
             case Prepare():
-                self._take_prepare(now_s, sender, message)
-            case Fetch():
-                acceptor.fetch(sender, message)
+                self._on_prepare(now_s, sender, message)
             case Install():
-                acceptor.install(sender, message)
-                self._leader_role.follow_fence(now_s)
+                self._context.acceptor.install(sender, message)
+                self._leader_role.on_own_promise(now_s)
             case Accept():
-                self._take_accept(now_s, sender, message)
+                self._on_accept(now_s, sender, message)
+            case Fetch():
+                self._context.acceptor.fetch(sender, message)
             case ViewActivated():
-                acceptor.record_active_view(message)
+                self._context.acceptor.record_active_view(message)
             case Append():
-                self._take_append(sender, message)
+                self._on_append(sender, message)
             case Confirm():
-                acceptor.confirm(sender, message)
-            case Promise() | Fetched() | Installed() | Accepted():
-                self._leader_role.take_answer(now_s, sender, message)
-            case Appended():
-                if self._leader_role.primary is not None:
-                    self._leader_role.primary.appended(now_s, sender, message)
-            case Confirmed():
-                if self._leader_role.primary is not None:
-                    self._leader_role.primary.confirmed(sender, message)
-            case Fenced():
-                self._leader_role.take_fenced(now_s, message)
-            case Committed():
-                self._take_committed(message)
-            case CatchUpCommands():
-                self._context.committed_log.learn(message)
-            case CatchUpSnapshot():
-                self._context.committed_log.learn_state(sender, message)
-            case TransferLeadership():
-                self._leader_role.take_over(now_s, sender, message)
+                self._context.acceptor.confirm(sender, message)
+            case Committed() | CatchUpCommands() | CatchUpSnapshot():
+                self._on_committed(sender, message)
+            case _:
+                self._leader_role.on_message(now_s, sender, message)
+
+    def _on_ping(self, now_s: float, sender: MemberId, ping: Ping) -> None:
+        peer = self._context.peers.record_ping(now_s, sender, ping)
+        if peer.alive_since_s == now_s:
+            self._ping_sender.answer(now_s, peer)
+        self._leader_role.on_ping(now_s, sender, ping)
+        self._leader_role.start_election_if_needed(now_s)
+        self._catch_up.on_ping(now_s, peer, ping)
 
-    def _take_prepare(self, now_s: float, sender: MemberId, message: Prepare) -> None:
+    def _on_prepare(self, now_s: float, sender: MemberId, message: Prepare) -> None:
         self._context.acceptor.prepare(sender, message)
         if sender != self._context.own_id and message.epoch == self._context.journal.durable.promised:
-            self._leader_role.election.hold_off(now_s + self._context.timings.courtesy_s)
-        self._leader_role.follow_fence(now_s)
+            backoff_s = self._context.timings.election_backoff_s
+            self._leader_role.election.delay_election_until(now_s + backoff_s)
+        self._leader_role.on_own_promise(now_s)
 
-    def _take_accept(self, now_s: float, sender: MemberId, message: Accept) -> None:
+    def _on_accept(self, now_s: float, sender: MemberId, message: Accept) -> None:
         self._context.acceptor.accept(sender, message)
-        self._leader_role.follow_fence(now_s)
+        self._leader_role.on_own_promise(now_s)
         self._add_peers_of_view()
 
-    def _take_append(self, sender: MemberId, message: Append) -> None:
-        acceptor = self._context.acceptor
+    def _on_append(self, sender: MemberId, message: Append) -> None:
         if sender != self._context.own_id:
-            self._learn_own_state(message.epoch, message.committed)
-        acceptor.append(sender, message)
-
-    def _take_committed(self, message: Committed) -> None:
-        self._learn_own_state(message.epoch, message.sequence)
+            self._catch_up.commit_own_state(message.epoch, message.committed)
+        self._context.acceptor.append(sender, message)
 
-    def _learn_own_state(self, epoch: Epoch, committed: int) -> None:
-        """What a replica holds is committed up to `committed`: the primary of this epoch said so."""
-        acceptor = self._context.acceptor
-        durable = acceptor.durable
-        if durable.state_epoch == epoch and durable.sequence == committed:
-            command = durable.commands[-1] if durable.commands else None
-            self._context.committed_log.became(committed, acceptor.state, command)
-
-    # -- pings --
-
-    def _take_ping(self, now_s: float, sender: MemberId, ping: Ping) -> None:
-        peer = self._context.peers.heard(now_s, sender, ping)
-        if peer.alive_since_s == now_s:
-            self._ping_sender.answer(now_s, peer)
-        self._leader_role.take_ping(now_s, sender, ping)
-        self._leader_role.stand_if_called(now_s)
-        if now_s - peer.served_at_s < self._context.timings.learn_again_s:
-            return
-        is_served = self._leader_role.serve(peer, ping)
-        if ping.committed < self._context.committed_log.sequence and (self.is_primary or not ping.primary):
-            is_served |= self._context.committed_log.teach(now_s, peer, ping.committed)
-        if is_served:
-            peer.served_at_s = now_s
-
-    def _connected(self, now_s: float, address: str) -> None:
-        """What was sent to it before is lost: say at once who and how we are."""
-        peer = self._context.peers.get(address)
-        if peer is not None:
-            peer.sent_state = None
-            self._ping_sender.send(now_s, [peer])
+    def _on_committed(self, sender: MemberId, message: Committed | CatchUpCommands | CatchUpSnapshot) -> None:
+        match message:
+            case Committed():
+                self._catch_up.commit_own_state(message.epoch, message.sequence)
+            case CatchUpCommands():
+                self._context.committed_log.apply_commands(message)
+            case CatchUpSnapshot():
+                self._context.committed_log.install_snapshot(sender, message)
 
     def _add_peers_of_view(self) -> None:
         view = self.view
         if view is not None:
             for member in (*view.members, *view.previous_members):
-                self._context.peers.add(member.address, self._now_s)
-
-    # -- time --
-
-    def _tick(self, now_s: float) -> None:
-        context = self._context
-        if now_s - self._last_tick_s >= context.timings.slept_s:
-            self._wake(now_s)
-        self._last_tick_s = now_s
-        self._ping_sender.tick(now_s)
-        self._leader_role.tick(now_s)
-
-    def _wake(self, now_s: float) -> None:
-        """The process stood still: judge nobody by that time."""
-        self._context.journal.slept(now_s)
-        self._context.peers.awake_since_s = now_s
-        self._leader_role.election.hold_off(now_s + AFTER_WAKING_S)
-        if self._leader_role.primary is not None:
-            self._leader_role.primary.slept(now_s)
+                self._context.peers.add(member.address)
--- a/coveport/serving/replication/replica_context.py
+++ b/coveport/serving/replication/replica_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one member share."""
+"""What the modules of one replica share: its settings, its state holders, and what is known of a member."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @dataclass(slots=True)
 class ReplicaContext:
-    """One member's parts and settings."""
+    """Shared by the roles of one replica."""
 
     own_id: MemberId
     locality: Locality
-    tolerated_losses: int
+    tolerated_losses: int  # machines
     timings: Timings
     jitter: Callable[[], float]  # 0 to 1
     outbox: Outbox
@@ -37,19 +37,19 @@
         self.outbox.send(member.address, message)
 
     def is_usable(self, member: MemberId, now_s: float) -> bool:
-        """Whether it is alive, its disk well, and it stays."""
+        """Return whether a member is alive, its disk healthy, and it isn't shutting down."""
         if member == self.own_id:
             return self.journal.is_healthy(now_s) and not self.is_shutting_down
         ping = self.peers.ping_of(member, now_s)
         return ping is not None and ping.is_healthy and not ping.is_shutting_down
 
     def locality_of(self, member: MemberId) -> Locality:
-        """Where a member stands, as far as known."""
+        """Return where a member runs, as far as known."""
         return self.locality if member == self.own_id else self.peers.locality_of(member)
 
     def machine(self, member: MemberId, now_s: float) -> MachineStatus:
-        """What is known of a member."""
-        silent_s = self.peers.silent_s(member, now_s)
+        """Return what is known of a member's machine."""
+        since_contact_s = self.peers.since_contact_s(member, now_s)
         is_replaced = self.peers.is_replaced(member)
         ping = self.peers.ping_of(member, now_s)
         is_shutting_down = ping is not None and ping.is_shutting_down
@@ -57,14 +57,14 @@
             member=member,
             locality=self.locality_of(member),
             is_usable=self.is_usable(member, now_s),
-            is_lost=is_replaced or is_shutting_down or silent_s >= self.timings.replace_s,
-            is_gone=is_replaced or silent_s >= self.timings.drop_s,
+            is_lost=is_replaced or is_shutting_down or since_contact_s >= self.timings.replace_s,
+            is_droppable=is_replaced or since_contact_s >= self.timings.drop_s,
         )
 
     def least_replicas(self, member_count: int) -> int:
-        """Fewer than this never hold the state; as many are alive whenever a majority is."""
+        """Return how many replicas a view has at least; as many are alive whenever a majority is."""
         return min(self.tolerated_losses + 1, member_count // 2 + 1)
 
     def wanted_replicas(self, member_count: int) -> int:
-        """So many hold the state when they are there."""
+        """Return how many replicas a view has when enough members are usable."""
         return min(self.tolerated_losses + 1, member_count)
--- /dev/null
+++ b/coveport/serving/replication/state_machine.py
@@ -0,0 +1,48 @@
+"""The state machine that is replicated, as the core sees it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from coveport.serving.replication.errors import DivergedStateError
+
+
+@dataclass(frozen=True, slots=True)
+class Applied:
+    """The command is valid: the state after it, and the result for its caller."""
+
+    state: Any
+    result: Any
+
+
+@dataclass(frozen=True, slots=True)
+class Refused:
+    """The command is invalid in this state: the reason, for its caller. Also the outcome of a Submit."""
+
+    result: Any
+
+
+Apply = Callable[[Any, bytes], "Applied | Refused"]  # deterministic: depends on its arguments alone
+
+
+@dataclass(frozen=True, slots=True)
+class StateMachine:
+    """How commands change a state, and how a state is encoded. `decode` raises UnreadableStateError."""
+
+    apply: Apply
+    encode: Callable[[Any], bytes]
+    decode: Callable[[bytes], Any]
+
+    def replay(self, state: Any, command: bytes) -> Any:
+        """Return the state after a command that another replica applied.
+
+        Raises DivergedStateError if the command is refused here.
+        """
+        applied = self.apply(state, command)
+        if not isinstance(applied, Applied):
+            raise DivergedStateError(
+                f"expected a command that every replica applies, but it was refused: {applied.result!r}"
+            )
+        return applied.state
--- a/coveport/serving/replication/view_change.py
+++ b/coveport/serving/replication/view_change.py
@@ -1,10 +1,15 @@
 """One attempt of one candidate to bring a view into force: prepare, fetch, install, accept.
 
-The steps, each repeated to those that don't answer:
-1. Promises of a majority of each group of the newest view seen; a newer view in a promise widens the asking.
-2. The state of one that promised: a replica of the newest view, or one whose state is of a later epoch.
-3. The state synced at all replicas of the view to be.
-4. The view synced at a majority of its members and, when these changed, of the members before.
+Each step is repeated to those that don't answer:
+
+1. PREPARING: promises of a majority of each group of the newest view seen. A newer view in a promise widens
+   the groups that are asked.
+2. FETCHING: the state of one that promised and holds all that was acknowledged: a replica of the newest
+   view, or one whose state was installed under a later epoch.
+3. INSTALLING: the state synced at all replicas of the new view.
+4. ACCEPTING: the view synced at a majority of its members and, if these changed, of the members before.
+
+Then the view is active. docs/design/replication.md, 'Invariants', says why this loses nothing.
 """
 
 from __future__ import annotations
@@ -13,7 +18,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from coveport.serving.replication.events import UnreadableStateError
+from coveport.serving.replication.errors import UnreadableStateError
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, MemberId, View, has_majorities
 from coveport.serving.replication.messages import (
     Accept,
@@ -29,9 +34,9 @@
 from coveport.serving.replication.placement import choose_replicas
 from coveport.serving.replication.replica_context import ReplicaContext
 
-MORE_PROMISES_S = 0.12  # after a majority, for the promises of others alive, to choose among
-INSTALL_PATIENCE_S = 0.45  # after which another replica is chosen, plus the time for the bytes
-BYTES_A_SECOND = 10e6  # at which a state is surely sent and synced
+MORE_PROMISES_S = 0.12  # after a majority promised, for the promises of others alive, to choose among
+INSTALL_TIMEOUT_S = 0.45  # plus the time for the bytes; then another replica is chosen
+TRANSFER_BYTES_PER_S = 10e6  # at which a state is surely sent and synced
 
 
 class Step(Enum):
@@ -46,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipProposal:
-    """Members to change to, if the newest view is still the one of `base` and settled."""
+    """Members to change to, if the newest view is still the one of `base` and is active."""
 
     base: Epoch
     members: tuple[MemberId, ...]
 
 
 class ViewChangeAttempt:
-    """One epoch's attempt. `step` is ACTIVE when it has won; its owner gives it up when it stands still."""
+    """The attempt of one epoch. Its owner gives it up when a step takes longer than `timeout_s`."""
 
     def __init__(
         self,
@@ -66,63 +71,95 @@
     ) -> None:
         self.epoch = epoch
         self.step = Step.PREPARING
-        self.moved_at_s = now_s
-        self.view: View | None = None  # the view to be, once proposed
+        self.step_began_at_s = now_s
+        self.view: View | None = None  # the new view, once it is proposed
         self.excluded_by: View | None = None  # a newer view of which the candidate is no member
-        self.sequence = -1
         self._context = context
         self._proposal = proposal
         self._avoided = set(avoided)
-        self._newest = view
+        self._newest = view  # the newest view seen
         self._active_epoch = context.journal.durable.active_epoch
         self._promises: dict[MemberId, Promise] = {}
         self._majority_at_s: float | None = None
         self._source: MemberId | None = None
-        self._unreadable: set[MemberId] = set()  # whose state can't be read
+        self._unreadable: set[MemberId] = set()  # members whose state can't be read
+        self._sequence = -1
         self._state = b""
         self._replicas: tuple[MemberId, ...] = ()
         self._installed: set[MemberId] = set()
         self._accepted: set[MemberId] = set()
         self._sent_at_s = now_s
-        self._chosen_at_s = now_s
+        self._replicas_chosen_at_s = now_s
         context.send(context.own_id, Prepare(epoch))
 
-    # -- step 1 --
+    @property
+    def continues_own_state(self) -> bool:
+        """Whether the view goes on from what the candidate itself held."""
+        return self._source == self._context.own_id
+
+    @property
+    def timeout_s(self) -> float:
+        """How long the present step may take."""
+        return self._context.timings.attempt_s + self._transfer_s
+
+    @property
+    def _transfer_s(self) -> float:
+        return len(self._state) / TRANSFER_BYTES_PER_S
+
+    def handle(self, now_s: float, sender: MemberId, message: Message) -> None:
+        """Take an answer. One of another epoch or step is ignored."""
+        match message:
+            case Promise():
+                self.on_promise(now_s, sender, message)
+            case Fetched():
+                self.on_fetched(now_s, sender, message)
+            case Installed():
+                self.on_installed(now_s, sender, message)
+            case Accepted():
+                self.on_accepted(now_s, sender, message)
+
+    def _enter(self, step: Step, now_s: float) -> None:
+        self.step = step
+        self.step_began_at_s = now_s
+        self._sent_at_s = now_s
+
+    # -- step 1: promises --
 
     def _groups(self) -> tuple[tuple[MemberId, ...], ...]:
-        return self._newest.groups(self._active_epoch)
+        return self._newest.quorum_groups(self._active_epoch)
 
-    def _asked(self) -> set[MemberId]:
+    def _voters(self) -> set[MemberId]:
         return {member for group in self._groups() for member in group}
 
     def _send_prepares(self, now_s: float) -> None:
         self._sent_at_s = now_s
         if self._context.own_id not in self._promises:
-            return  # our own promise is synced before anyone hears of the epoch
-        for member in sorted(self._asked() - self._promises.keys()):
+            return  # our own promise must be synced before anyone learns of the epoch
+        for member in sorted(self._voters() - self._promises.keys()):
             self._context.send(member, Prepare(self.epoch))
 
-    def promised(self, now_s: float, sender: MemberId, message: Promise) -> None:
-        """Take a promise."""
+    def on_promise(self, now_s: float, sender: MemberId, message: Promise) -> None:
+        """Count a promise; a newer view in it may bring in further voters, or exclude the candidate."""
         if message.epoch != self.epoch or self.step is not Step.PREPARING:
             return
-        asked_before = self._asked()
+        voters_before = self._voters()
         is_first = not self._promises
         self._promises[sender] = message
         self._active_epoch = max(self._active_epoch, message.active_epoch)
         if message.view is not None and message.view.epoch > self._newest.epoch:
             self._newest = message.view
-        if not self._is_among(self._newest):
+        if not self._may_lead_after(self._newest):
             self.excluded_by = self._newest
             return
-        if is_first or self._asked() - asked_before:
+        if is_first or self._voters() - voters_before:
             self._send_prepares(now_s)
         self._advance_from_promises(now_s)
 
-    def _is_among(self, view: View) -> bool:
-        """Whether the candidate may lead the next view after this one.
+    def _may_lead_after(self, view: View) -> bool:
+        """Return whether the candidate may lead the next view after this one.
 
-        A primary is a replica, and only members are asked for the state: at one that is no member it is lost.
+        A primary is a replica, and only members are asked for the state: at one that is no member it would
+        be lost.
         """
         return self._context.own_id in view.members
 
@@ -134,14 +171,14 @@
             self._majority_at_s = now_s
         waited_s = now_s - self._majority_at_s
         missing = [
-            member for member in self._asked() - self._promises.keys() if self._is_usable(member, now_s)
+            member for member in self._voters() - self._promises.keys() if self._is_usable(member, now_s)
         ]
         if missing and waited_s < MORE_PROMISES_S:
             return
         self._begin_fetch(now_s)
 
     def _sources(self) -> list[MemberId]:
-        """Those that promised and hold all that was acknowledged in the newest view and before."""
+        """Return those that promised and hold all that was acknowledged in the newest view and before."""
         return [
             member
             for member, promise in self._promises.items()
@@ -149,10 +186,11 @@
         ]
 
     def _holds_all(self, member: MemberId, promise: Promise) -> bool:
-        """A replica of the newest view does, and who installed a state under a later epoch.
+        """Return whether a member holds all that the newest view acknowledged.
 
-        Who installed under the view's own epoch but was given up as too slow before the view was proposed
-        holds only what there was then: the view's commands never went there.
+        A replica of that view does, and one that installed a state under a later epoch. One that installed
+        under the view's own epoch, but was given up as too slow before the view was proposed, holds only what
+        there was then: the view's commands were never sent to it.
         """
         newest = self._newest
         if promise.state_epoch == NO_EPOCH:
@@ -161,7 +199,7 @@
             return member in newest.replicas
         return promise.state_epoch > newest.epoch
 
-    # -- step 2 --
+    # -- step 2: the state --
 
     def _begin_fetch(self, now_s: float) -> None:
         own_id = self._context.own_id
@@ -170,29 +208,29 @@
             key=lambda member: (self._promises[member].state_sequence, member == own_id, member),
         )
         self._source = best
-        self._move(Step.FETCHING, now_s)
+        self._enter(Step.FETCHING, now_s)
         self._context.send(best, Fetch(self.epoch))
 
-    def fetched(self, now_s: float, sender: MemberId, message: Fetched) -> None:
-        """Take the state."""
+    def on_fetched(self, now_s: float, sender: MemberId, message: Fetched) -> None:
+        """Take the state; after an unreadable one another source is asked."""
         if message.epoch != self.epoch or self.step is not Step.FETCHING or sender != self._source:
             return
         if isinstance(self._context.acceptor.read_state(sender, message.state), UnreadableStateError):
             self._unreadable.add(sender)
-            self._move(Step.PREPARING, now_s)
+            self._enter(Step.PREPARING, now_s)
             self._advance_from_promises(now_s)
             return
-        self.sequence = message.sequence
+        self._sequence = message.sequence
         self._state = message.state
-        self._move(Step.INSTALLING, now_s)
+        self._enter(Step.INSTALLING, now_s)
         self._choose_replicas(now_s)
 
-    # -- step 3 --
+    # -- step 3: the replicas --
 
-    def _members_to_be(self) -> tuple[MemberId, ...]:
-        is_settled = len(self._groups()) == 1
+    def _next_members(self) -> tuple[MemberId, ...]:
+        is_newest_active = len(self._groups()) == 1
         proposal = self._proposal
-        if proposal is not None and is_settled and proposal.base == self._newest.epoch:
+        if proposal is not None and is_newest_active and proposal.base == self._newest.epoch:
             return proposal.members
         return self._newest.members
 
@@ -201,113 +239,91 @@
 
     def _choose_replicas(self, now_s: float) -> None:
         context = self._context
-        members = self._members_to_be()
+        members = self._next_members()
         machines = [context.machine(member, now_s) for member in members if self._is_usable(member, now_s)]
         own_machine = context.machine(context.own_id, now_s)
-        replicas = choose_replicas(
-            own_machine, machines, context.wanted_replicas(len(members)), self._newest.replicas
-        )
+        wanted = context.wanted_replicas(len(members))
+        replicas = choose_replicas(own_machine, machines, wanted, self._newest.replicas)
+        self._replicas_chosen_at_s = now_s
         if len(replicas) < context.least_replicas(len(members)):
-            self._avoided.clear()
-            self._chosen_at_s = now_s
+            self._avoided.clear()  # too few are left: try those again that were too slow
             return
         self._replicas = replicas
-        self._chosen_at_s = now_s
         self._send_installs(now_s)
 
     def _send_installs(self, now_s: float) -> None:
         self._sent_at_s = now_s
         for member in self._replicas:
             if member not in self._installed:
-                self._context.send(member, Install(self.epoch, self.sequence, self._state))
+                self._context.send(member, Install(self.epoch, self._sequence, self._state))
 
-    def installed(self, now_s: float, sender: MemberId, message: Installed) -> None:
-        """A replica is up."""
+    def on_installed(self, now_s: float, sender: MemberId, message: Installed) -> None:
+        """Count a replica that has synced the state; once all have, propose the view."""
         if message.epoch != self.epoch or self.step is not Step.INSTALLING:
             return
         self._installed.add(sender)
         if self._replicas and self._installed.issuperset(self._replicas):
             self._propose(now_s)
 
-    # -- step 4 --
+    # -- step 4: the view --
 
     def _propose(self, now_s: float) -> None:
-        members = self._members_to_be()
-        newest = self._newest
-        if members != newest.members:
-            previous = newest.members
-        elif len(self._groups()) > 1:
-            previous = newest.previous_members
-        else:
-            previous = ()
-        self.view = View(self.epoch, self._context.own_id, self._replicas, members, previous)
+        members = self._next_members()
+        self.view = View(
+            epoch=self.epoch,
+            primary=self._context.own_id,
+            replicas=self._replicas,
+            members=members,
+            previous_members=self._previous_members(members),
+        )
         self._state = b""
-        self._move(Step.ACCEPTING, now_s)
+        self._enter(Step.ACCEPTING, now_s)
         self._send_accepts(now_s)
 
+    def _previous_members(self, members: tuple[MemberId, ...]) -> tuple[MemberId, ...]:
+        newest = self._newest
+        if members != newest.members:
+            return newest.members
+        if len(self._groups()) > 1:
+            return newest.previous_members
+        return ()
+
     def _send_accepts(self, now_s: float) -> None:
         self._sent_at_s = now_s
         assert self.view is not None
         for member in sorted({*self.view.members, *self.view.previous_members} - self._accepted):
             self._context.send(member, Accept(self.view, is_bootstrap=False))
 
-    def accepted(self, now_s: float, sender: MemberId, message: Accepted) -> None:
-        """A member stored the view."""
+    def on_accepted(self, now_s: float, sender: MemberId, message: Accepted) -> None:
+        """Count a member that has synced the view; with a majority of each group it is active."""
         if message.epoch != self.epoch or self.view is None or self.step is not Step.ACCEPTING:
             return
         self._accepted.add(sender)
-        if has_majorities(self._accepted, self.view.groups(NO_EPOCH)):
-            self._move(Step.ACTIVE, now_s)
-
-    @property
-    def kept_own_state(self) -> bool:
-        """Whether the view goes on from what the candidate itself held."""
-        return self._source == self._context.own_id
+        if has_majorities(self._accepted, self.view.quorum_groups(NO_EPOCH)):
+            self._enter(Step.ACTIVE, now_s)
 
     # -- time --
 
-    def _move(self, step: Step, now_s: float) -> None:
-        self.step = step
-        self.moved_at_s = now_s
-        self._sent_at_s = now_s
-
     def tick(self, now_s: float) -> None:
         """Repeat what wasn't answered; choose another replica for one that is slow."""
-        is_resend_due = now_s - self._sent_at_s >= self._context.timings.resend_s
-        if self.step is Step.PREPARING:
-            self._advance_from_promises(now_s)
-            if self.step is Step.PREPARING and is_resend_due:
-                self._send_prepares(now_s)
-        elif self.step is Step.FETCHING and is_resend_due and self._source is not None:
-            self._sent_at_s = now_s
-            self._context.send(self._source, Fetch(self.epoch))
-        elif self.step is Step.INSTALLING:
-            self._tick_installing(now_s)
-        elif self.step is Step.ACCEPTING and is_resend_due:
-            self._send_accepts(now_s)
+        must_resend = now_s - self._sent_at_s >= self._context.timings.resend_s
+        match self.step:
+            case Step.PREPARING:
+                self._advance_from_promises(now_s)
+                if self.step is Step.PREPARING and must_resend:
+                    self._send_prepares(now_s)
+            case Step.FETCHING if must_resend and self._source is not None:
+                self._sent_at_s = now_s
+                self._context.send(self._source, Fetch(self.epoch))
+            case Step.INSTALLING:
+                self._tick_installing(now_s)
+            case Step.ACCEPTING if must_resend:
+                self._send_accepts(now_s)
 
     def _tick_installing(self, now_s: float) -> None:
-        bytes_s = len(self._state) / BYTES_A_SECOND
-        if now_s - self._chosen_at_s >= INSTALL_PATIENCE_S + bytes_s:
-            self._avoided.update(set(self._replicas) - self._installed - {self._context.own_id})
+        if now_s - self._replicas_chosen_at_s >= INSTALL_TIMEOUT_S + self._transfer_s:
+            slow = set(self._replicas) - self._installed - {self._context.own_id}
+            self._avoided.update(slow)
             self._choose_replicas(now_s)
-        elif now_s - self._sent_at_s >= self._context.timings.resend_s + bytes_s:
+        elif now_s - self._sent_at_s >= self._context.timings.resend_s + self._transfer_s:
             self._send_installs(now_s)
-
-    @property
-    def patience_s(self) -> float:
-        """How long the present step may stand still."""
-        bytes_s = len(self._state) / BYTES_A_SECOND
-        return self._context.timings.attempt_s + bytes_s
-
-    def handle(self, now_s: float, sender: MemberId, message: Message) -> None:
-        """Take any answer."""
-        match message:
-            case Promise():
-                self.promised(now_s, sender, message)
-            case Fetched():
-                self.fetched(now_s, sender, message)
-            case Installed():
-                self.installed(now_s, sender, message)
-            case Accepted():
-                self.accepted(now_s, sender, message)
--- a/features/steps/control_state_steps.py
+++ b/features/steps/control_state_steps.py
@@ -18,7 +18,7 @@
 )
 from coveport.serving.configuration.state import ChangeResult, initial_state
 from coveport.serving.configuration.state_machine import apply
-from coveport.serving.replication.outcomes import Applied
+from coveport.serving.replication.state_machine import Applied
 
 NUMBERS = {"first": 0, "second": 1, "third": 2}
 
--- a/tests/golden/test_golden_settings.py
+++ b/tests/golden/test_golden_settings.py
@@ -24,7 +24,7 @@
 from coveport.serving.configuration.state import ControlState, initial_state
 from coveport.serving.configuration.state_codec import decode_state, encode_state
 from coveport.serving.configuration.state_machine import apply
-from coveport.serving.replication.outcomes import Applied
+from coveport.serving.replication.state_machine import Applied
 from coveport.serving.settings.boot import BootSettings
 from coveport.serving.settings.reader import parse_boot_settings
 from coveport.serving.simulation.settings_file import settings_text
--- a/tests/serving/cli/loopback_core.py
+++ b/tests/serving/cli/loopback_core.py
@@ -12,7 +12,7 @@
 from coveport.serving.configuration.state import initial_state
 from coveport.serving.configuration.state_machine import apply
 from coveport.serving.coordinator.operator_api import OperatorApi
-from coveport.serving.replication.outcomes import Applied
+from coveport.serving.replication.state_machine import Applied
 from coveport.serving.web.messages import ApiResponse, json_response
 from coveport.serving.web.router import Router
 from coveport.serving.web.server import HttpServer
--- a/tests/serving/configuration/test_control_state.py
+++ b/tests/serving/configuration/test_control_state.py
@@ -21,7 +21,7 @@
 from coveport.serving.configuration.state import MAX_APPLIED_CHANGES, ControlState, initial_state
 from coveport.serving.configuration.state_codec import decode_state, encode_state
 from coveport.serving.configuration.state_machine import apply
-from coveport.serving.replication.outcomes import Applied, Refused
+from coveport.serving.replication.state_machine import Applied, Refused
 from coveport.serving.wire.errors import MalformedMessageError
 
 
--- a/tests/serving/configuration/test_route_changes.py
+++ b/tests/serving/configuration/test_route_changes.py
@@ -17,7 +17,7 @@
 from coveport.serving.configuration.state import ControlState, initial_state
 from coveport.serving.configuration.state_machine import apply_command
 from coveport.serving.model.findings import Refusal
-from coveport.serving.replication.outcomes import Applied, Refused
+from coveport.serving.replication.state_machine import Applied, Refused
 
 NAMES = st.sampled_from(["a", "b", "c", "d", "é"])
 ROUTES = st.fixed_dictionaries(
--- a/tests/serving/coordinator/test_control_service.py
+++ b/tests/serving/coordinator/test_control_service.py
@@ -13,7 +13,8 @@
 from coveport.serving.configuration.state import ChangeResult, ControlState
 from coveport.serving.coordinator.control_service import OUTCOME_TIMEOUT_S, PRIMARY_TIMEOUT_S, ControlService
 from coveport.serving.model.findings import Finding
-from coveport.serving.replication.events import Done, Newest, NotPrimary, OutcomeUnknown, Refused
+from coveport.serving.replication.events import Done, Newest, NotPrimary, OutcomeUnknown
+from coveport.serving.replication.state_machine import Refused
 from coveport.testbed.simulated_network.world import Process, World
 
 CALLERS_WAIT_S = 1.0
--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -35,9 +35,7 @@
     Persisted,
     ReadNewest,
     Received,
-    Refused,
     Send,
-    StateMachine,
     Submit,
 )
 from coveport.serving.replication.identity import NO_EPOCH, Epoch, Locality, MemberId, View
@@ -61,6 +59,7 @@
 )
 from coveport.serving.replication.replica import Replica
 from coveport.serving.replication.replica_context import ReplicaContext
+from coveport.serving.replication.state_machine import Refused, StateMachine
 from coveport.serving.replication.timings import Timings
 from coveport.serving.replication.view_change import MembershipProposal
 
@@ -211,7 +210,7 @@
     def _member(self, index: int, disk: Disk) -> Replica:
         durable = recover(disk.records)
         name = self.scenario.machines[index]
-        member = Replica(
+        return Replica(
             MemberId(name, durable.disk),
             Locality(name, name),
             self.scenario.machines[: self.scenario.founders],
@@ -222,7 +221,6 @@
             b"",
             NOW_S,
         )
-        return member
 
     def first_point(self) -> Point:
         """A core is founded; A leads, B is its backup, others are witnesses or blank."""
@@ -238,7 +236,7 @@
                 records.append(StateRecord(epoch, 0, b""))
             disks.append(Disk(tuple(records)))
         members = [self._member(index, disk) for index, disk in enumerate(disks)]
-        members[0]._leader_role.begin_primary(NOW_S, view, kept_own_state=True)
+        members[0]._leader_role.become_primary(NOW_S, view, continues_own_state=True)
         members[0]._context.outbox.take()
         packed = tuple(pack(member) for member in members)
         point = Point(packed, tuple(disks), (), self.scenario.budget)
@@ -258,8 +256,8 @@
         member: Replica = unpack(point.members[index])
         if isinstance(event, ViewChangeRequest):
             member._leader_role.highest_seen = self._highest_promised(point)
-            member._leader_role.start_attempt(NOW_S, event)
-            member._settle(NOW_S)
+            member._leader_role.start_view_change(NOW_S, event)
+            member._run_to_fixpoint(NOW_S)
             effects = member._context.outbox.take()
         else:
             effects = member.handle(NOW_S, event)
@@ -349,6 +347,16 @@
 
     def next_points(self, point: Point) -> Iterator[Point]:
         """All that may happen next."""
+        yield from self._deliveries(point)
+        for index, disk in enumerate(point.disks):
+            if disk.pending:
+                yield self._sync(point, index)
+        yield from self._campaigns(point)
+        yield from self._restarts(point)
+        yield from self._calls(point)
+
+    def _deliveries(self, point: Point) -> Iterator[Point]:
+        """The first message of each link arrives, or is lost."""
         for key, queue in point.links:
             rest = tuple((other, kept) for other, kept in point.links if other != key)
             if queue[1:]:
@@ -359,9 +367,9 @@
             yield self._step(point, key[1], Received(sender, message), note, links=rest)
             if type(message).__name__ in point.budget.losses:
                 yield self._lose(point, rest, type(message).__name__, note)
-        for index, disk in enumerate(point.disks):
-            if disk.pending:
-                yield self._sync(point, index)
+
+    def _campaigns(self, point: Point) -> Iterator[Point]:
+        """A member starts a view change."""
         budget = point.budget
         for position, (name, kind) in enumerate(budget.campaigns):
             left = replace(budget, campaigns=_without(budget.campaigns, position))
@@ -374,12 +382,20 @@
                     f"campaign {name} {kind}",
                     budget=left,
                 )
+
+    def _restarts(self, point: Point) -> Iterator[Point]:
+        """A machine loses power, or its disk too, and is back at once."""
+        budget = point.budget
         for position, name in enumerate(budget.crashes):
             left = replace(budget, crashes=_without(budget.crashes, position))
             yield self._restart(replace(point, budget=left), name, wiped=False)
         for position, name in enumerate(budget.wipes):
             left = replace(budget, wipes=_without(budget.wipes, position))
             yield self._restart(replace(point, budget=left, wiped=name), name, wiped=True)
+
+    def _calls(self, point: Point) -> Iterator[Point]:
+        """A caller submits a command or reads."""
+        budget = point.budget
         for position, (name, command) in enumerate(budget.submits):
             left = replace(budget, submits=_without(budget.submits, position))
             event = Submit(point.request, command)
@@ -480,8 +496,10 @@
             member._leader_role.highest_seen for member in members.values()
         )
         wiped = {self.ids[self._index(gone)] for gone in (lost, point.wiped) if gone}
-        leader._leader_role.start_attempt(NOW_S, ViewChangeRequest("closing", True, avoided=frozenset(wiped)))
-        leader._settle(NOW_S)
+        leader._leader_role.start_view_change(
+            NOW_S, ViewChangeRequest("closing", True, avoided=frozenset(wiped))
+        )
+        leader._run_to_fixpoint(NOW_S)
         found = self._deliver_all(members, name, leader._context.outbox.take())
         story = f"all lose power, {lost or 'none'} its disk, {name} leads, after {point.trail}"
         newer = leader._leader_role._excluded_by
@@ -550,12 +568,17 @@
             return point
 
 
+def always_usable(context: ReplicaContext, member: MemberId, now_s: float) -> bool:
+    """In place of what depends on time."""
+    return True
+
+
 @contextmanager
 def standing_still() -> Iterator[None]:
     """Nobody waits for time to pass or judges others by it."""
     with (
         mock.patch.object(view_change, "MORE_PROMISES_S", 0.0),
-        mock.patch.object(ReplicaContext, "is_usable", lambda context, member, now_s: True),
+        mock.patch.object(ReplicaContext, "is_usable", always_usable),
     ):
         yield
 
--- a/tests/serving/replication/core_history.py
+++ b/tests/serving/replication/core_history.py
@@ -96,9 +96,11 @@
     )
     faults = []
     for position, call in enumerate(taken):
-        for later in taken[position + 1 :]:
-            if later.ended_s < call.began_s:
-                faults.append(f"{call.change} began after {later.change} ended, yet came before it")
+        faults += [
+            f"{call.change} began after {later.change} ended, yet came before it"
+            for later in taken[position + 1 :]
+            if later.ended_s < call.began_s
+        ]
     return faults
 
 
--- a/tests/serving/replication/core_operators.py
+++ b/tests/serving/replication/core_operators.py
@@ -7,16 +7,8 @@
 from core_history import Call, Verdict
 from core_world import OTHER, TAKEN, Machine, World, change, edition_of, order
 
-from coveport.serving.replication.events import (
-    Done,
-    Event,
-    Newest,
-    NotPrimary,
-    Outcome,
-    ReadNewest,
-    Refused,
-    Submit,
-)
+from coveport.serving.replication.events import Done, Event, Newest, NotPrimary, Outcome, ReadNewest, Submit
+from coveport.serving.replication.state_machine import Refused
 
 SILENCE_S = 1.0  # after which a call is sent to another
 REDIRECTS = 2
--- a/tests/serving/replication/core_schedules.py
+++ b/tests/serving/replication/core_schedules.py
@@ -211,8 +211,8 @@
             return
         machine.deliver(life, ShutdownRequested())
         began_s = self.world.now_s
-        self.world.run_for(GRACE_PART_S, until=lambda: life.member.has_left(self.world.now_s))
-        if life.member.has_left(self.world.now_s):
+        self.world.run_for(GRACE_PART_S, until=lambda: life.member.is_safe_to_stop(self.world.now_s))
+        if life.member.is_safe_to_stop(self.world.now_s):
             self.world.situations["3: a planned leave ended before its time was over"] += 1
         self.note(f"left after {self.world.now_s - began_s:.2f}")
         machine.remove()
@@ -472,7 +472,7 @@
     """One schedule from its seed."""
     try:
         return Schedule(seed).run()
-    except Exception as error:  # a crash of a member is a fault of that seed, to be told with it
+    except Exception as error:  # noqa: BLE001 - whatever a member raises is a fault of that seed
         return Report(seed, [f"{type(error).__name__}: {error}"], [], 0, 0)
 
 
--- a/tests/serving/replication/core_variants.py
+++ b/tests/serving/replication/core_variants.py
@@ -25,7 +25,8 @@
     Promise,
     ViewActivated,
 )
-from coveport.serving.replication.primary import Primary, Unconfirmed
+from coveport.serving.replication.primary import Primary
+from coveport.serving.replication.quorum_check import UnconfirmedAnswer
 from coveport.serving.replication.records import ActiveEpochRecord, PromisedEpochRecord, Record, ViewRecord
 from coveport.serving.replication.replica import Replica
 from coveport.serving.replication.view_change import ViewChangeAttempt
@@ -74,14 +75,14 @@
 def primary_answers_alone() -> Patches:
     """The primary doesn't wait for its backups."""
 
-    def appended(self: Primary, now_s: float, sender: MemberId, message: Appended) -> None:
+    def on_appended(self: Primary, now_s: float, sender: MemberId, message: Appended) -> None:
         in_flight = self._in_flight
         if in_flight is not None and message.sequence == in_flight.sequence:
             in_flight.appended.update(self.view.replicas)
         original(self, now_s, sender, message)
 
-    original = Primary.appended
-    return [mock.patch.object(Primary, "appended", appended)]
+    original = Primary.on_appended
+    return [mock.patch.object(Primary, "on_appended", on_appended)]
 
 
 def wiped_member_counts() -> Patches:
@@ -89,13 +90,13 @@
 
     def start(self: Machine, first_boot: bool = False) -> None:
         number = int(self.address.split(":")[0].split(".")[-1])
-        with mock.patch.object(self.world.random, "getrandbits", lambda bits: number):
+        with mock.patch.object(self.world.random, "getrandbits", return_value=number):
             original(self, first_boot)
 
     original = Machine.start
     return [
         mock.patch.object(Machine, "start", start),
-        mock.patch.object(core_explorer, "new_disk_id", lambda name: f"disk-{name}"),
+        mock.patch.object(core_explorer, "new_disk_id", "disk-{}".format),
     ]
 
 
@@ -103,7 +104,8 @@
     """The primary answers reads from its own belief."""
 
     def read(self: Primary, request: int) -> None:
-        self._context.outbox.answer(request, self._confirmed_outcome(Unconfirmed(request)))
+        outcome = self._quorum_checks.confirmed_outcome(UnconfirmedAnswer(request))
+        self._context.outbox.answer(request, outcome)
 
     return [mock.patch.object(Primary, "read", read)]
 
@@ -113,10 +115,11 @@
 
     def advance(self: Primary, now_s: float) -> None:
         original(self, now_s)
-        for round_ in self._rounds:
-            for item in [item for item in round_.waiting if item.refusal is not None]:
-                round_.waiting.remove(item)
-                self._context.outbox.answer(item.request, self._confirmed_outcome(item))
+        checks = self._quorum_checks
+        for check in checks._checks:
+            for answer in [answer for answer in check.answers if answer.refusal is not None]:
+                check.answers.remove(answer)
+                self._context.outbox.answer(answer.request, checks.confirmed_outcome(answer))
 
     original = Primary.advance
     return [mock.patch.object(Primary, "advance", advance)]
@@ -125,14 +128,13 @@
 def backup_skips_the_fence() -> Patches:
     """A backup takes commands below what it promised, and whatever epoch its state is of."""
 
-    def append(self: Acceptor, sender: MemberId, message: Append) -> bool:
+    def append(self: Acceptor, sender: MemberId, message: Append) -> None:
         if message.sequence == self.durable.sequence + 1:
             own = Append(self.durable.state_epoch, message.sequence, message.command, message.committed)
-            applied = self.try_command(message.command)
+            applied = self.apply_tentatively(message.command)
             if hasattr(applied, "state"):
                 self._append(own)
         self._reply_when_synced(sender, Appended(message.epoch, message.sequence))
-        return True
 
     return [mock.patch.object(Acceptor, "append", append)]
 
@@ -184,13 +186,13 @@
 def ignores_newer_views() -> Patches:
     """A candidate doesn't widen to a newer view that a promise shows."""
 
-    def promised(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Promise) -> None:
+    def on_promise(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Promise) -> None:
         own = self._newest
         shown = Promise(message.epoch, own, message.active_epoch, message.state_epoch, message.state_sequence)
         original(self, now_s, sender, shown)
 
-    original = ViewChangeAttempt.promised
-    return [mock.patch.object(ViewChangeAttempt, "promised", promised)]
+    original = ViewChangeAttempt.on_promise
+    return [mock.patch.object(ViewChangeAttempt, "on_promise", on_promise)]
 
 
 def half_is_enough() -> Patches:
@@ -208,56 +210,60 @@
 def old_members_dont_count() -> Patches:
     """A change of members is decided by the new ones alone, and the old ones aren't asked."""
 
-    def groups(self: View, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
+    def quorum_groups(self: View, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
         return (self.members,)
 
-    return [mock.patch.object(View, "groups", groups)]
+    return [mock.patch.object(View, "quorum_groups", quorum_groups)]
 
 
 def replicas_not_awaited() -> Patches:
     """A view is proposed before all its replicas hold the state."""
 
-    def installed(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Installed) -> None:
+    def on_installed(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Installed) -> None:
         self._installed.update(self._replicas)
         original(self, now_s, sender, message)
 
-    original = ViewChangeAttempt.installed
-    return [mock.patch.object(ViewChangeAttempt, "installed", installed)]
+    original = ViewChangeAttempt.on_installed
+    return [mock.patch.object(ViewChangeAttempt, "on_installed", on_installed)]
 
 
 def view_not_awaited() -> Patches:
     """A candidate takes its view for active before a majority has it."""
 
-    def accepted(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Accepted) -> None:
+    def on_accepted(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Accepted) -> None:
         if self.view is not None:
             self._accepted.update(self.view.members)
         original(self, now_s, sender, message)
 
-    original = ViewChangeAttempt.accepted
-    return [mock.patch.object(ViewChangeAttempt, "accepted", accepted)]
+    original = ViewChangeAttempt.on_accepted
+    return [mock.patch.object(ViewChangeAttempt, "on_accepted", on_accepted)]
 
 
 def shows_uncommitted() -> Patches:
     """A backup takes for committed whatever it holds."""
 
-    def take_append(self: Replica, sender: MemberId, message: Append) -> None:
+    def on_append(self: Replica, sender: MemberId, message: Append) -> None:
         original(self, sender, message)
-        self._learn_own_state(message.epoch, message.sequence)
+        self._catch_up.commit_own_state(message.epoch, message.sequence)
 
-    original = Replica._take_append
-    return [mock.patch.object(Replica, "_take_append", take_append)]
+    original = Replica._on_append
+    return [mock.patch.object(Replica, "_on_append", on_append)]
 
 
 def acceptor_keeps_no_fence() -> Patches:
     """A member stores views and states of epochs below what it promised."""
-    return [mock.patch.object(Acceptor, "_is_fenced", lambda self, sender, epoch: False)]
+
+    def is_fenced(self: Acceptor, sender: MemberId, epoch: Epoch) -> bool:
+        return False
+
+    return [mock.patch.object(Acceptor, "_is_fenced", is_fenced)]
 
 
 def in_flight_counts_as_done() -> Patches:
     """A primary that leads again takes its command for done whatever state it goes on from."""
 
-    def begin(self: Primary, now_s: float, before: Primary | None, kept_own_state: bool) -> None:
-        original(self, now_s, before, True)
+    def begin(self: Primary, now_s: float, predecessor: Primary | None, continues_own_state: bool) -> None:
+        original(self, now_s, predecessor, True)
 
     original = Primary.begin
     return [mock.patch.object(Primary, "begin", begin)]
@@ -266,7 +272,7 @@
 def later_view_settles_earlier_ones() -> Patches:
     """That some later view is active counts for the view accepted here: as it was on main."""
 
-    def groups(self: View, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
+    def quorum_groups(self: View, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
         if not self.previous_members or active_epoch >= self.epoch:
             return (self.members,)
         return self.members, self.previous_members
@@ -276,7 +282,7 @@
             self._journal.write(ActiveEpochRecord(message.epoch))
 
     return [
-        mock.patch.object(View, "groups", groups),
+        mock.patch.object(View, "quorum_groups", quorum_groups),
         mock.patch.object(Acceptor, "record_active_view", record_active_view),
     ]
 
--- a/tests/serving/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from coveport.serving.replication.errors import UnreadableStateError
 from coveport.serving.replication.events import (
     Answer,
-    Applied,
     CancelCall,
     CommittedState,
     Effect,
@@ -25,16 +25,14 @@
     Persisted,
     PersistFailed,
     Received,
-    Refused,
     Send,
-    StateMachine,
     Tick,
-    UnreadableStateError,
 )
 from coveport.serving.replication.identity import Locality, MemberId
 from coveport.serving.replication.messages import Message
 from coveport.serving.replication.records import IdentityRecord, Record, recover
 from coveport.serving.replication.replica import Replica
+from coveport.serving.replication.state_machine import Applied, Refused, StateMachine
 from coveport.serving.replication.timings import Timings
 
 TICK_S = 0.05
--- a/tests/serving/replication/test_core_faults.py
+++ b/tests/serving/replication/test_core_faults.py
@@ -6,9 +6,10 @@
 from core_operators import Operator
 from core_world import Machine, World, change
 
-from coveport.serving.replication.events import Answer, Refused, ShutdownRequested
+from coveport.serving.replication.events import Answer, ShutdownRequested
 from coveport.serving.replication.identity import Locality, View
 from coveport.serving.replication.primary import Primary
+from coveport.serving.replication.state_machine import Refused
 
 THREE = [Locality("a1", "a"), Locality("b1", "b"), Locality("c1", "c")]
 SIX = [*THREE, Locality("a2", "a"), Locality("b2", "b"), Locality("c2", "c")]
@@ -60,7 +61,7 @@
     before.advance(world.now_s)
     parts.acceptor.state = ("0|5|x",)  # what the next view goes on from
     after = Primary(parts, view)
-    after.begin(world.now_s, before, kept_own_state=False)
+    after.begin(world.now_s, before, continues_own_state=False)
     after.advance(world.now_s)
     assert not after.is_idle  # it's on its way to the replicas now
     answers = [effect for effect in parts.outbox.take() if isinstance(effect, Answer)]
--- a/tests/serving/replication/test_left_behind.py
+++ b/tests/serving/replication/test_left_behind.py
@@ -9,7 +9,8 @@
 from core_world import SYNC_S, TAKEN, Machine, World, change, edition_of
 from test_core_faults import THREE, founded, leader
 
-from coveport.serving.replication.events import Done, Outcome, Refused, Submit
+from coveport.serving.replication.events import Done, Outcome, Submit
+from coveport.serving.replication.state_machine import Refused
 
 CHANGES = 1_000
 CATCH_UP_S = 4.0  # the least that the pages give a machine that is back
--- a/tests/serving/replication/test_second_losses.py
+++ b/tests/serving/replication/test_second_losses.py
@@ -30,7 +30,7 @@
     assert life is not None
     began_s = world.now_s
     machine.deliver(life, ShutdownRequested())
-    world.run_for(GRACE_PART_S, until=lambda: life.member.has_left(world.now_s))
+    world.run_for(GRACE_PART_S, until=lambda: life.member.is_safe_to_stop(world.now_s))
     machine.kill()
     return world.now_s - began_s
 
@@ -80,9 +80,9 @@
         machine.deliver(machine.life, ShutdownRequested())
     ended = [machine.life for machine in lives]
     world.run_for(
-        GRACE_PART_S, until=lambda: all(life and life.member.has_left(world.now_s) for life in ended)
+        GRACE_PART_S, until=lambda: all(life and life.member.is_safe_to_stop(world.now_s) for life in ended)
     )
-    assert all(life and life.member.has_left(world.now_s) for life in ended)
+    assert all(life and life.member.is_safe_to_stop(world.now_s) for life in ended)
     for machine in lives:
         machine.wipe()
     assert write_one(world).verdict is Verdict.TAKEN
@@ -213,9 +213,9 @@
 def test_a_view_is_settled_by_word_of_itself_alone() -> None:
     """A later view that is active may descend from the members before, not from this one."""
     branch = View(E5, IDS[1], (IDS[1], IDS[2]), (IDS[1], IDS[2], IDS[3]), (IDS[0], IDS[1], IDS[2]))
-    assert branch.groups(E5) == (branch.members,)
-    assert branch.groups(E4) == (branch.members, branch.previous_members)
-    assert branch.groups(E6) == (branch.members, branch.previous_members)
+    assert branch.quorum_groups(E5) == (branch.members,)
+    assert branch.quorum_groups(E4) == (branch.members, branch.previous_members)
+    assert branch.quorum_groups(E6) == (branch.members, branch.previous_members)
 
 
 def test_that_a_view_is_active_is_not_noted_by_one_that_has_not_accepted_it() -> None:
@@ -345,6 +345,6 @@
 
 
 def test_a_former_member_that_leads_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ViewChangeAttempt, "_is_among", lambda self, view: True)
+    monkeypatch.setattr(ViewChangeAttempt, "_may_lead_after", lambda self, view: True)
     with pytest.raises(AssertionError):
         test_a_former_member_that_finds_newer_members_leaves_leading_to_them(0)
--- a/tests/serving/scale/test_scale_sizes.py
+++ b/tests/serving/scale/test_scale_sizes.py
@@ -10,7 +10,7 @@
 from coveport.serving.configuration.state import initial_state
 from coveport.serving.configuration.state_machine import apply_command
 from coveport.serving.model.findings import Refusal
-from coveport.serving.replication.outcomes import Applied
+from coveport.serving.replication.state_machine import Applied
 from coveport.serving.scale.faults import plan_day
 from coveport.serving.scale.load import change_of_edition, first_configuration
 from coveport.serving.scale.sizes import NODE_WEIGHTS, Addresses, ScaleSize, spread
