--- a/coveport/serving/proxy/node_selection.py
+++ b/coveport/serving/proxy/node_selection.py
@@ -38,7 +38,7 @@
 from coveport.serving.proxy.routing import NodesByLocality, eligible_nodes, group_by_locality, is_eligible
 from coveport.serving.proxy.slow_start import SlowStartLimiter
 
-LONG_PREFILL_TOKENS = 4000  # several steps in a row; what steps of nodes take sets it; not measured
+LONG_PREFILL_TOKENS = 4000  # takes a node several steps in a row; not measured alone
 DELAYED_SEND_S = 0.1  # a send so long after its choice may fall into another window; not measured
 
 
--- a/coveport/serving/proxy/stall_policy.py
+++ b/coveport/serving/proxy/stall_policy.py
@@ -11,7 +11,7 @@
 from coveport.serving.proxy.retry_policy import RetryPolicy
 from coveport.serving.proxy.stall_timeouts import StallTimeouts
 
-HEAD_STALL_S = 2.0  # to the first byte: a long queue is no fault; measurement `head-stall`
+HEAD_STALL_S = 2.0  # to the first byte: shorter, it would move requests out of a long queue; not measured
 HEAD_STALL_PER_TOKEN_S = 0.00005  # of the prompt, which is prefilled first; not measured
 EVENT_STALL_S = 1.2  # between events, where the route's target for gaps is short; not measured
 EVENT_STALL_GAPS = 3  # or so many times that target; not measured
