--- a/coveport/serving/proxy/request_forwarder.py
+++ b/coveport/serving/proxy/request_forwarder.py
@@ -43,7 +43,9 @@
             raise
         is_reusable = False
         try:
-            outcome = await self._exchange(known, connection, selected_s)
+            if not self._write(known, connection, selected_s):
+                return AttemptOutcome.NOT_SENT
+            outcome = await self._relay(known, connection)
             is_reusable = outcome in (AttemptOutcome.COMPLETE, AttemptOutcome.NOT_RUN)
             return outcome
         finally:
@@ -53,18 +55,6 @@
             else:
                 context.pool.drop(node, connection)
 
-    async def _exchange(
-        self, known: KnownNode, connection: NodeConnection, selected_s: float
-    ) -> AttemptOutcome:
-        """Write the request and relay the response."""
-        if not self._write(known, connection, selected_s):
-            return AttemptOutcome.NOT_SENT
-        self._observe_gaps(known, connection)
-        try:
-            return await self._relay(known, connection)
-        finally:
-            self.context.selector.latency.record_ended(known.node.incarnation)
-
     def _write(self, known: KnownNode, connection: NodeConnection, selected_s: float) -> bool:
         """Write the request; return False where nothing was sent after all."""
         context = self.context
@@ -97,21 +87,28 @@
         connection.on_received = on_received
 
     async def _relay(self, known: KnownNode, connection: NodeConnection) -> AttemptOutcome:
-        """Relay the response, and record it as a sign of the node's health."""
+        """Relay the response, and record it as a sign of the node's health.
+
+        Each read of the response resumes all coroutines down to here, so this is one and not several.
+        """
         request = self.request
+        incarnation = known.node.incarnation
         may_have_run_before = request.may_have_run
         request.may_have_run = True
+        self._observe_gaps(known, connection)
         is_idempotent = request.routed.route.is_idempotent
         stall = stall_timeouts(self.context, request, self.retries, known) if is_idempotent else None
         try:
             outcome = await self.relay.relay(connection, stall, self.retries.may_retry_error)
         except BrokenResponseError:
-            self.context.counters.add("broken")
-            self._record_broken_response(known.node.incarnation)
+            self._record_broken_response(incarnation)
             return AttemptOutcome.FAILED
-        self._record_outcome(known.node.incarnation, outcome)
+        else:
+            self._record_outcome(incarnation, outcome)
+        finally:
+            self.context.selector.latency.record_ended(incarnation)
         if outcome is RelayOutcome.SERVER_ERROR:
-            request.failed_nodes.add(known.node.incarnation)
+            request.failed_nodes.add(incarnation)
             return AttemptOutcome.FAILED
         if outcome in (RelayOutcome.FORWARDED, RelayOutcome.SERVER_ERROR_FORWARDED):
             return AttemptOutcome.COMPLETE
@@ -119,6 +116,7 @@
         return AttemptOutcome.NOT_RUN
 
     def _record_broken_response(self, incarnation: str) -> None:
+        self.context.counters.add("broken")
         self.context.selector.outliers.record_broken_response(incarnation, self.context.net.now_s())
         self.request.failed_nodes.add(incarnation)
 
