--- a/tests/serving/coordinator/test_control_service.py
+++ b/tests/serving/coordinator/test_control_service.py
@@ -1,4 +1,4 @@
-"""Operators' commands where this coordinator leads, another does, or nobody does for now."""
+"""Operators' commands where this coordinator is primary, another one is, or there is none for now."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from coveport.serving.replication.state_machine import Refused
 from coveport.testbed.simulated_network.world import Process, World
 
-CALLERS_WAIT_S = 1.0
+CALLER_TIMEOUT_S = 1.0
 
 
 class ScriptedRuntime:
@@ -40,50 +40,53 @@
 
 
 def run(
-    runtime: ScriptedRuntime, ask: Callable[[ControlService], Coroutine[Any, Any, Any]], at: Any = None
+    runtime: ScriptedRuntime,
+    call: Callable[[ControlService], Coroutine[Any, Any, Any]],
+    step: tuple[float, Callable[[], None]] | None = None,
 ) -> tuple[Any, float]:
-    """What a call gives in simulated time, and after how long; `at`: when something happens, and what."""
+    """Return a call's result and its duration in simulated seconds; `step`: what happens when meanwhile."""
     world = World()
     process = Process.start(world, "coordinator")
     net = SimpleNamespace(now_s=lambda: world.now)
     service = ControlService(net, runtime, dict)  # type: ignore[arg-type]
-    began = world.now
-    task = process.create_task(ask(service))
-    if at is not None:
-        world.at(began + at[0], at[1], process=process)
-    ended: list[float] = []
-    task.add_done_callback(lambda _: ended.append(world.now))
-    world.run(began + 100)
-    return task.result(), ended[0] - began
-
-
-def test_the_primary_itself_is_not_elsewhere() -> None:
+    started_s = world.now
+    task = process.create_task(call(service))
+    if step is not None:
+        delay_s, change = step
+        world.at(started_s + delay_s, change, process=process)
+    ended_s: list[float] = []
+    task.add_done_callback(lambda _: ended_s.append(world.now))
+    world.run(started_s + 100)
+    return task.result(), ended_s[0] - started_s
+
+
+def test_no_other_primary_is_found_at_the_primary_itself() -> None:
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
     assert run(runtime, ControlService.find_other_primary) == (None, 0.0)
 
 
-def test_another_primary_is_told_at_once() -> None:
+def test_another_primary_is_found_at_once() -> None:
     runtime = ScriptedRuntime()
     runtime.replica.primary_address = "10.0.0.2:7300"
     assert run(runtime, ControlService.find_other_primary) == ("10.0.0.2:7300", 0.0)
 
 
-def test_where_nobody_leads_a_call_waits_for_a_primary_but_not_longer_than_its_caller() -> None:
+def test_without_a_primary_a_call_waits_for_one_but_not_longer_than_its_caller() -> None:
     runtime = ScriptedRuntime()
-    found, took_s = run(runtime, ControlService.find_other_primary)
-    assert found is None
-    assert PRIMARY_TIMEOUT_S <= took_s < CALLERS_WAIT_S - 0.08
+    address, took_s = run(runtime, ControlService.find_other_primary)
+    assert address is None
+    assert PRIMARY_TIMEOUT_S <= took_s < CALLER_TIMEOUT_S - 0.08
 
 
-def test_a_primary_that_comes_up_meanwhile_is_told() -> None:
+def test_a_primary_that_is_elected_meanwhile_is_found() -> None:
     runtime = ScriptedRuntime()
 
     def elected() -> None:
         runtime.replica.primary_address = "10.0.0.3:7300"
 
-    found, took_s = run(runtime, ControlService.find_other_primary, (0.5, elected))
-    assert found == "10.0.0.3:7300"
+    address, took_s = run(runtime, ControlService.find_other_primary, (0.5, elected))
+    assert address == "10.0.0.3:7300"
     assert 0.5 <= took_s < 0.55
 
 
@@ -97,63 +100,63 @@
         (OutcomeUnknown(), 503),
     ],
 )
-def test_an_outcome_becomes_its_answer(outcome: Any, status: int) -> None:
+def test_outcome_becomes_its_response(outcome: Any, status: int) -> None:
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
     runtime.outcome = outcome
-    reply, _ = run(runtime, lambda service: service.submit(b""))
-    assert reply.status == status
+    response, _ = run(runtime, lambda service: service.submit(b""))
+    assert response.status == status
 
 
-def test_what_is_refused_is_told_with_its_findings() -> None:
+def test_refused_command_returns_its_findings() -> None:
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
     runtime.outcome = Refused(ChangeResult(412, 5, (Finding("If-Match", "the current edition is 5"),)))
-    reply, _ = run(runtime, lambda service: service.submit(b""))
-    assert json.loads(reply.body) == {"Edition": 5, "Error": ["If-Match: the current edition is 5"]}
+    response, _ = run(runtime, lambda service: service.submit(b""))
+    assert json.loads(response.body) == {"Edition": 5, "Error": ["If-Match: the current edition is 5"]}
 
 
-def test_a_command_that_is_never_decided_is_unclear_and_not_refused() -> None:
-    """Any 4xx would end the operator's tries though the change may be taken."""
+def test_command_without_an_outcome_returns_503_after_the_time_out() -> None:
+    """Any 4xx would end the operator's retries though the change may be committed."""
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
-    reply, took_s = run(runtime, lambda service: service.submit(b""))
-    assert reply.status == 503
+    response, took_s = run(runtime, lambda service: service.submit(b""))
+    assert response.status == 503
     assert took_s == pytest.approx(OUTCOME_TIMEOUT_S)
 
 
-def test_the_newest_configuration_is_handed_out_as_it_was_sent() -> None:
+def test_newest_configuration_is_returned_as_it_was_submitted() -> None:
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
     runtime.outcome = Newest(3, ControlState(configuration_text=b'{"Edition":7}', edition=7))
-    reply, _ = run(runtime, ControlService.read_configuration)
-    assert (reply.status, reply.body) == (200, b'{"Edition":7}')
+    response, _ = run(runtime, ControlService.read_configuration)
+    assert (response.status, response.body) == (200, b'{"Edition":7}')
 
 
-def test_without_a_configuration_there_is_none_to_read() -> None:
+def test_read_without_a_configuration_returns_404() -> None:
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
     runtime.outcome = Newest(0, ControlState())
-    reply, _ = run(runtime, ControlService.read_configuration)
-    assert reply.status == 404
+    response, _ = run(runtime, ControlService.read_configuration)
+    assert response.status == 404
 
 
-def test_a_primary_that_hears_no_majority_starts_nothing_and_says_so_before_its_caller_gives_up() -> None:
-    """It could only hold the caller, and the command might come into force after a later one elsewhere."""
+def test_primary_without_quorum_starts_nothing_and_responds_before_its_caller_times_out() -> None:
+    """It could only let the caller wait, and the command might be committed after a later one elsewhere."""
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
     runtime.replica.primary_address = "10.0.0.1:7300"  # its own
     runtime.has_quorum = False
     runtime.outcome = Done(ChangeResult(200, 7))
-    found, took_s = run(runtime, ControlService.find_other_primary)
-    assert found is None
-    assert PRIMARY_TIMEOUT_S <= took_s < CALLERS_WAIT_S
-    for ask in (lambda service: service.submit(b""), ControlService.read_configuration):
-        reply, took_s = run(runtime, ask)
-        assert (reply.status, took_s) == (503, 0.0)
+    address, took_s = run(runtime, ControlService.find_other_primary)
+    assert address is None
+    assert PRIMARY_TIMEOUT_S <= took_s < CALLER_TIMEOUT_S
+    for call in (lambda service: service.submit(b""), ControlService.read_configuration):
+        response, took_s = run(runtime, call)
+        assert (response.status, took_s) == (503, 0.0)
 
 
-def test_a_primary_that_hears_a_majority_again_takes_the_call_that_waited() -> None:
+def test_primary_that_has_a_quorum_again_accepts_the_call_that_waited() -> None:
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
     runtime.has_quorum = False
@@ -161,6 +164,6 @@
     def heal() -> None:
         runtime.has_quorum = True
 
-    found, took_s = run(runtime, ControlService.find_other_primary, (0.4, heal))
-    assert found is None
+    address, took_s = run(runtime, ControlService.find_other_primary, (0.4, heal))
+    assert address is None
     assert 0.4 <= took_s < 0.45
--- a/tests/serving/coordinator/test_disconnected_callers.py
+++ b/tests/serving/coordinator/test_disconnected_callers.py
@@ -1,4 +1,4 @@
-"""A call whose caller has left is not begun any more, wherever it waits: its copy was sent elsewhere."""
+"""A request whose caller has disconnected is not started any more: the caller retried it elsewhere."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 EVACUATION = codec.write_request("POST", "/coveport/evacuation/hall", [("Host", "core")])
 
 
-class Transport(asyncio.Transport):
+class FakeTransport(asyncio.Transport):
     """A caller's connection, with what was written to it."""
 
     def __init__(self) -> None:
@@ -64,45 +64,45 @@
     def describe(self) -> dict[str, object]:
         return {}
 
-    def of(self, kind: type) -> list[Event]:
+    def events_of(self, kind: type) -> list[Event]:
         return [event for event in self.events if isinstance(event, kind)]
 
 
-class Coordinator:
-    """The operators' side of one coordinator in virtual time, around a scripted member."""
+class ControlServer:
+    """The operators' API of one coordinator in simulated time, around a scripted replica."""
 
     def __init__(self) -> None:
         self.world = World()
         self.process = Process.start(self.world, "coordinator")
         self.replica = ScriptedReplica()
-        self.stalls: list[float] = []
+        self.stalls_s: list[float] = []
         net: Any = SimpleNamespace(now_s=lambda: self.world.now, loop=self.process)
         callbacks = ReplicaCallbacks(lambda address, message: None, lambda effect: None)
         log = SimpleNamespace(info=lambda *_, **__: None, warning=lambda *_, **__: None)
-        detector = StallDetector(net.now_s, self.stalled, log)
+        detector = StallDetector(net.now_s, self.on_stall, log)
         replica: Any = self.replica
         writer: Any = None
         self.runtime = ReplicaRuntime(net, replica, writer, detector, callbacks, log)
         control_service = ControlService(net, self.runtime, dict)
         router = Router(OperatorApi(control_service, 7000, frozenset({"hall"})))
-        self.server = HttpServer(net, ("10.0.0.1", 7000), router.dispatch, detector.check)
+        self.http_server = HttpServer(net, ("10.0.0.1", 7000), router.dispatch, detector.check)
 
-    def stalled(self, late_s: float) -> None:
-        self.stalls.append(late_s)
-        self.server.reset_all()
+    def on_stall(self, stall_s: float) -> None:
+        self.stalls_s.append(stall_s)
+        self.http_server.reset_all()
 
-    def call(self) -> tuple[_Connection, Transport]:
-        """A caller connects and sends an order without a version."""
-        connection, transport = _Connection(self.server), Transport()
+    def call(self) -> tuple[_Connection, FakeTransport]:
+        """Connect, and send a request without a version."""
+        connection, transport = _Connection(self.http_server), FakeTransport()
         self.process.call_soon(connection.connection_made, transport)
         self.process.call_soon(connection.data_received, EVACUATION)
         return connection, transport
 
-    def run(self, seconds: float) -> None:
-        self.world.run(self.world.now + seconds)
+    def run(self, duration_s: float) -> None:
+        self.world.run(self.world.now + duration_s)
 
 
-def leave(connection: _Connection, how: str) -> None:
+def disconnect(connection: _Connection, how: str) -> None:
     if how == "closes":
         connection.eof_received()
     else:
@@ -110,92 +110,94 @@
 
 
 @pytest.mark.parametrize("how", ["closes", "resets"])
-def test_an_order_whose_caller_left_while_nobody_led_is_never_submitted(how: str) -> None:
-    """Shown before: the coordinator waited on for a primary and submitted it to itself 0.8 s later."""
-    at = Coordinator()
-    at.replica.is_primary = False
-    connection, _ = at.call()
-    at.run(0.4)
-    at.process.call_soon(leave, connection, how)
-    at.run(0.1)
-    at.replica.is_primary = True
-    at.run(5.0)
-    assert at.replica.of(Submit) == []
+def test_request_whose_caller_left_while_there_was_no_primary_is_never_submitted(how: str) -> None:
+    """An earlier version waited on for a primary and submitted it to itself 0.8 s later."""
+    server = ControlServer()
+    server.replica.is_primary = False
+    connection, _ = server.call()
+    server.run(0.4)
+    server.process.call_soon(disconnect, connection, how)
+    server.run(0.1)
+    server.replica.is_primary = True
+    server.run(5.0)
+    assert server.replica.events_of(Submit) == []
 
 
 @pytest.mark.parametrize("how", ["closes", "resets"])
 @pytest.mark.parametrize("after_s", [0.0, DISCONNECT_WAIT_S / 2])
-def test_an_old_copy_that_comes_with_its_callers_end_is_never_submitted(how: str, after_s: float) -> None:
-    """As a link brings them that held both up."""
-    at = Coordinator()
-    connection, _ = at.call()
-    at.run(after_s)
-    at.process.call_soon(leave, connection, how)
-    at.run(5.0)
-    assert at.replica.of(Submit) == []
-
-
-def test_a_submitted_order_whose_caller_leaves_is_withdrawn() -> None:
-    at = Coordinator()
-    connection, _ = at.call()
-    at.run(DISCONNECT_WAIT_S + 0.1)
-    (submitted,) = at.replica.of(Submit)
+def test_delayed_duplicate_that_comes_with_its_callers_end_is_never_submitted(
+    how: str, after_s: float
+) -> None:
+    """A link that held up both delivers them together."""
+    server = ControlServer()
+    connection, _ = server.call()
+    server.run(after_s)
+    server.process.call_soon(disconnect, connection, how)
+    server.run(5.0)
+    assert server.replica.events_of(Submit) == []
+
+
+def test_submitted_request_whose_caller_leaves_is_cancelled() -> None:
+    server = ControlServer()
+    connection, _ = server.call()
+    server.run(DISCONNECT_WAIT_S + 0.1)
+    (submitted,) = server.replica.events_of(Submit)
     assert isinstance(submitted, Submit)
-    at.process.call_soon(leave, connection, "resets")
-    at.run(0.1)
-    assert at.replica.of(CancelCall) == [CancelCall(submitted.request)]
+    server.process.call_soon(disconnect, connection, "resets")
+    server.run(0.1)
+    assert server.replica.events_of(CancelCall) == [CancelCall(submitted.request)]
 
 
-def test_a_submitted_order_that_is_never_decided_is_withdrawn_as_its_caller_is_told() -> None:
-    """Shown before: it stayed in the primary's queue, which the next view takes over."""
-    at = Coordinator()
-    _, transport = at.call()
-    at.run(DISCONNECT_WAIT_S + 4.2)
+def test_submitted_request_without_an_outcome_is_cancelled_when_its_caller_gets_503() -> None:
+    """An earlier version left it in the primary's queue, which the next view takes over."""
+    server = ControlServer()
+    _, transport = server.call()
+    server.run(DISCONNECT_WAIT_S + 4.2)
     assert b" 503 " in transport.written
-    assert len(at.replica.of(Submit)) == len(at.replica.of(CancelCall)) == 1
+    assert len(server.replica.events_of(Submit)) == len(server.replica.events_of(CancelCall)) == 1
 
 
-def test_an_order_whose_caller_stays_is_answered() -> None:
-    at = Coordinator()
-    at.replica.outcome = Done(SimpleNamespace(status=200, edition=1, findings=()))
-    _, transport = at.call()
-    at.run(DISCONNECT_WAIT_S + 0.1)
-    assert at.replica.of(CancelCall) == []
+def test_request_whose_caller_stays_gets_a_response() -> None:
+    server = ControlServer()
+    server.replica.outcome = Done(SimpleNamespace(status=200, edition=1, findings=()))
+    _, transport = server.call()
+    server.run(DISCONNECT_WAIT_S + 0.1)
+    assert server.replica.events_of(CancelCall) == []
     assert transport.written
 
 
-def test_what_waited_in_connections_while_the_process_stood_still_is_dropped_unread() -> None:
-    """The loop reads sockets before it runs the tick that would notice the standstill."""
-    at = Coordinator()
-    at.runtime.start()
-    at.run(1.0)
-    connection, transport = _Connection(at.server), Transport()
-    at.process.call_soon(connection.connection_made, transport)
-    at.run(0.01)
-    at.runtime.stop()  # no tick comes in front of the bytes
-    at.run(STALL_THRESHOLD_S + 2 * TICK_INTERVAL_S)
-    at.process.call_soon(connection.data_received, EVACUATION)
-    at.run(5.0)
-    assert len(at.stalls) == 1
+def test_bytes_that_waited_during_a_stall_are_dropped_unread() -> None:
+    """The loop reads sockets before it runs the tick that would detect the stall."""
+    server = ControlServer()
+    server.runtime.start()
+    server.run(1.0)
+    connection, transport = _Connection(server.http_server), FakeTransport()
+    server.process.call_soon(connection.connection_made, transport)
+    server.run(0.01)
+    server.runtime.stop()  # no tick comes in front of the bytes
+    server.run(STALL_THRESHOLD_S + 2 * TICK_INTERVAL_S)
+    server.process.call_soon(connection.data_received, EVACUATION)
+    server.run(5.0)
+    assert len(server.stalls_s) == 1
     assert transport.is_over
-    assert at.replica.of(Submit) == []
-    assert len(at.replica.of(Tick)) > 10
+    assert server.replica.events_of(Submit) == []
+    assert len(server.replica.events_of(Tick)) > 10
 
 
-def without_giving_up(self: _Connection) -> None:
-    """The variant that goes on with a call whose caller has left: as it was on main."""
+def without_cancelling(self: _Connection) -> None:
+    """The variant that goes on with a request whose caller has left."""
 
 
 @pytest.mark.parametrize(
     "check",
     [
-        lambda: test_an_order_whose_caller_left_while_nobody_led_is_never_submitted("resets"),
-        lambda: test_an_old_copy_that_comes_with_its_callers_end_is_never_submitted("closes", 0.0),
-        test_a_submitted_order_whose_caller_leaves_is_withdrawn,
+        lambda: test_request_whose_caller_left_while_there_was_no_primary_is_never_submitted("resets"),
+        lambda: test_delayed_duplicate_that_comes_with_its_callers_end_is_never_submitted("closes", 0.0),
+        test_submitted_request_whose_caller_leaves_is_cancelled,
     ],
-    ids=["nobody leads", "with its end", "submitted"],
+    ids=["no primary", "with its end", "submitted"],
 )
-def test_going_on_without_the_caller_is_caught(check: Callable[[], None], monkeypatch: Any) -> None:
-    monkeypatch.setattr(_Connection, "_cancel_response", without_giving_up)
+def test_variant_that_never_cancels_is_caught(check: Callable[[], None], monkeypatch: Any) -> None:
+    monkeypatch.setattr(_Connection, "_cancel_response", without_cancelling)
     with pytest.raises((AssertionError, ValueError)):
         check()
--- a/tests/serving/coordinator/test_lookup_ttl.py
+++ b/tests/serving/coordinator/test_lookup_ttl.py
@@ -1,4 +1,4 @@
-"""How long clients hold what a look-up told: longer while each further one would cost them a second."""
+"""The TTL of look-ups: longer while each further look-up would cost the client a second."""
 
 from __future__ import annotations
 
@@ -20,63 +20,63 @@
 NOW = 100.0
 LATER = NOW + RESTART_ALLOWANCE_S + 0.1
 WEST = CoordinatorEndpoint("10.0.0.1:1", "west-1", "west")
-WEST_TOO = CoordinatorEndpoint("10.0.0.2:1", "west-2", "west")
+WEST_2 = CoordinatorEndpoint("10.0.0.2:1", "west-2", "west")
 EAST = CoordinatorEndpoint("10.0.1.1:1", "east-1", "east")
 
 
-def lost_at(own: CoordinatorEndpoint, *lost: CoordinatorEndpoint) -> CoordinatorLiveness:
-    """All were alive at `NOW`, and only the others are at `LATER`."""
-    known = CoordinatorLiveness(own)
-    known.record_live((WEST, WEST_TOO, EAST), NOW)
-    known.record_live([place for place in (WEST, WEST_TOO, EAST) if place not in lost], LATER)
-    return known
+def liveness_without(own: CoordinatorEndpoint, *lost: CoordinatorEndpoint) -> CoordinatorLiveness:
+    """All coordinators were live at `NOW`, and all but the lost ones at `LATER`."""
+    liveness = CoordinatorLiveness(own)
+    liveness.record_live((WEST, WEST_2, EAST), NOW)
+    liveness.record_live([endpoint for endpoint in (WEST, WEST_2, EAST) if endpoint not in lost], LATER)
+    return liveness
 
 
-def test_while_all_live_nobody_was_called_in_vain() -> None:
-    known = lost_at(EAST)
-    assert not known.is_lookup_delayed("west-1", "west", LATER)
+def test_lookup_is_not_delayed_while_all_coordinators_are_live() -> None:
+    liveness = liveness_without(EAST)
+    assert not liveness.is_lookup_delayed("west-1", "west", LATER)
 
 
 @pytest.mark.parametrize(
-    ("own", "lost", "zone", "region", "in_vain"),
+    ("own", "lost", "zone", "region", "is_delayed"),
     [
-        (EAST, WEST, "west-1", "west", True),  # the one in the client's zone
-        (EAST, WEST, "west-9", "west", True),  # the one in its region
-        (WEST_TOO, WEST, "west-1", "west", True),
-        (WEST_TOO, WEST, "west-2", "west", False),  # we are nearer, and were called first
+        (EAST, WEST, "west-1", "west", True),  # the coordinator in the client's zone
+        (EAST, WEST, "west-9", "west", True),  # the coordinator in its region
+        (WEST_2, WEST, "west-1", "west", True),
+        (WEST_2, WEST, "west-2", "west", False),  # ours is nearer, and was called first
         (EAST, WEST, "east-1", "east", False),
-        (WEST, EAST, "north-1", "north", True),  # equally far: the lost one may have come first
+        (WEST, EAST, "north-1", "north", True),  # equally far: the lost one may have been called first
     ],
 )
-def test_a_lost_one_was_called_if_it_is_as_near_as_we_are(
-    own: CoordinatorEndpoint, lost: CoordinatorEndpoint, zone: str, region: str, in_vain: bool
+def test_lookup_is_delayed_when_a_lost_coordinator_is_as_near(
+    own: CoordinatorEndpoint, lost: CoordinatorEndpoint, zone: str, region: str, is_delayed: bool
 ) -> None:
-    assert lost_at(own, lost).is_lookup_delayed(zone, region, LATER) is in_vain
+    assert liveness_without(own, lost).is_lookup_delayed(zone, region, LATER) is is_delayed
 
 
-def test_one_that_is_back_counts_no_longer_and_one_that_stays_away_is_forgotten() -> None:
-    known = lost_at(EAST, WEST)
-    known.record_live((WEST, WEST_TOO, EAST), LATER)
-    assert not known.is_lookup_delayed("west-1", "west", LATER)
-    known = lost_at(EAST, WEST)
-    known.record_live((WEST_TOO, EAST), NOW + FORGET_AFTER_S + 0.1)
-    assert not known.is_lookup_delayed("west-1", "west", NOW + FORGET_AFTER_S + 0.1)
+def test_lookup_is_not_delayed_when_a_coordinator_is_back_or_forgotten() -> None:
+    liveness = liveness_without(EAST, WEST)
+    liveness.record_live((WEST, WEST_2, EAST), LATER)
+    assert not liveness.is_lookup_delayed("west-1", "west", LATER)
+    liveness = liveness_without(EAST, WEST)
+    liveness.record_live((WEST_2, EAST), NOW + FORGET_AFTER_S + 0.1)
+    assert not liveness.is_lookup_delayed("west-1", "west", NOW + FORGET_AFTER_S + 0.1)
 
 
-def test_one_that_was_alive_a_moment_ago_is_not_lost() -> None:
-    known = CoordinatorLiveness(EAST)
-    known.record_live((WEST, EAST), NOW)
-    known.record_live((EAST,), NOW + 0.1)
-    assert not known.is_lookup_delayed("west-1", "west", NOW + 0.1)
+def test_coordinator_that_was_live_a_moment_ago_is_not_lost() -> None:
+    liveness = CoordinatorLiveness(EAST)
+    liveness.record_live((WEST, EAST), NOW)
+    liveness.record_live((EAST,), NOW + 0.1)
+    assert not liveness.is_lookup_delayed("west-1", "west", NOW + 0.1)
 
 
 @pytest.mark.parametrize(("lost", "ttl_s"), [((), TTL_S), ((WEST,), TTL_WHILE_DELAYED_S)])
-def test_what_a_client_is_told(lost: tuple[CoordinatorEndpoint, ...], ttl_s: float) -> None:
+def test_lookup_returns_addresses_and_ttl(lost: tuple[CoordinatorEndpoint, ...], ttl_s: float) -> None:
     leases = LeaseTable()
     leases.renew(ProxyLease("p", "10.0.1.9:80", "east-1", "east", True, 1, 1), LATER, local=True)
-    calls = LookupApi(leases, lost_at(EAST, *lost), lambda: LATER)
+    api = LookupApi(leases, liveness_without(EAST, *lost), lambda: LATER)
     query = {"Name": "one.example", "Zone": "west-1", "Region": "west"}
-    call = ApiRequest("GET", "/coveport/lookup", "", query, {}, b"", "10.0.1.1")
-    reply = asyncio.run(calls.lookup(call))
-    assert reply.status == 200
-    assert json.loads(reply.body) == {"Addresses": ["10.0.1.9:80"], "TtlS": ttl_s}
+    request = ApiRequest("GET", "/coveport/lookup", "", query, {}, b"", "10.0.1.1")
+    response = asyncio.run(api.lookup(request))
+    assert response.status == 200
+    assert json.loads(response.body) == {"Addresses": ["10.0.1.9:80"], "TtlS": ttl_s}
--- a/tests/serving/coordinator/test_node_api.py
+++ b/tests/serving/coordinator/test_node_api.py
@@ -1,4 +1,4 @@
-"""Heartbeats and goodbyes as a coordinator takes them."""
+"""Heartbeats as the API of nodes accepts and rejects them."""
 
 from __future__ import annotations
 
@@ -26,49 +26,49 @@
 }
 
 
-class Reporting:
-    """Takes reports, and confirms them or not."""
+class FakeReplicator:
+    """Accepts reports; `replicates`: whether other coordinators acknowledge them."""
 
-    def __init__(self, confirms: bool = True) -> None:
-        self.taken: list[Node] = []
-        self.confirms = confirms
+    def __init__(self, replicates: bool = True) -> None:
+        self.accepted: list[Node] = []
+        self.replicates = replicates
 
     async def accept(self, node: Node) -> bool:
-        self.taken.append(node)
-        return self.confirms
+        self.accepted.append(node)
+        return self.replicates
 
 
-class Silence:
-    """A log that nobody reads."""
+class NullLogger:
+    """Drops all events."""
 
     def __getattr__(self, name: str) -> Any:
         return lambda *_, **__: None
 
 
-def put(reporting: Reporting, is_connected: bool = True, **changes: object) -> int:
-    calls = NodeApi(reporting, lambda: is_connected, REGIONS, Silence())  # type: ignore[arg-type]
+def put(replicator: FakeReplicator, has_quorum: bool = True, **changes: object) -> int:
+    api = NodeApi(replicator, lambda: has_quorum, REGIONS, NullLogger())  # type: ignore[arg-type]
     body = json.dumps(HEARTBEAT | changes).encode()
-    call = ApiRequest("PUT", "/coveport/nodes/i-1", "i-1", {}, {}, body, "10.0.0.9")
-    return asyncio.run(calls.heartbeat(call)).status
+    request = ApiRequest("PUT", "/coveport/nodes/i-1", "i-1", {}, {}, body, "10.0.0.9")
+    return asyncio.run(api.heartbeat(request)).status
 
 
-def test_a_heartbeat_is_taken_and_acknowledged() -> None:
-    reporting = Reporting()
-    assert put(reporting) == 200
-    assert reporting.taken == [
+def test_heartbeat_is_accepted_and_acknowledged() -> None:
+    replicator = FakeReplicator()
+    assert put(replicator) == 200
+    assert replicator.accepted == [
         Node("i-1", 4, "chat", "10.0.0.1:80", "z1", "r1", 64, NodeState.ACCEPTING, 0.0, 0.0)
     ]
 
 
-def test_one_out_of_touch_with_the_core_takes_a_heartbeat_and_sends_the_node_elsewhere() -> None:
-    """Others would hear nothing of a node that reports to a coordinator that is cut off, and drop it."""
-    reporting = Reporting()
-    assert put(reporting, is_connected=False) == 503
-    assert len(reporting.taken) == 1
+def test_heartbeat_without_quorum_is_accepted_and_not_acknowledged() -> None:
+    """Other coordinators would hear nothing of a node that reports to a partitioned one, and remove it."""
+    replicator = FakeReplicator()
+    assert put(replicator, has_quorum=False) == 503
+    assert len(replicator.accepted) == 1
 
 
-def test_what_no_other_coordinator_confirmed_is_not_acknowledged() -> None:
-    assert put(Reporting(confirms=False), State="closing") == 503
+def test_heartbeat_that_is_not_replicated_is_not_acknowledged() -> None:
+    assert put(FakeReplicator(replicates=False), State="closing") == 503
 
 
 @pytest.mark.parametrize(
@@ -82,18 +82,18 @@
         ("Berths", -1),
     ],
 )
-def test_a_senseless_field_is_refused_and_named(field: str, value: object) -> None:
+def test_heartbeat_with_an_invalid_field_is_rejected_with_its_name(field: str, value: object) -> None:
     refusal = read_heartbeat("i-1", json.dumps(HEARTBEAT | {field: value}).encode(), REGIONS)
     assert isinstance(refusal, Refusal)
     assert field in refusal.reason
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"\xff"])
-def test_what_is_no_object_is_refused(body: bytes) -> None:
+def test_heartbeat_that_is_no_object_is_rejected(body: bytes) -> None:
     assert isinstance(read_heartbeat("i-1", body, REGIONS), Refusal)
 
 
-def test_all_faults_are_told_together() -> None:
+def test_heartbeat_with_several_faults_is_rejected_with_all_of_them() -> None:
     refusal = read_heartbeat("i-1", b'{"State": "odd", "Zone": "z9"}', REGIONS)
     assert isinstance(refusal, Refusal)
     assert len(refusal.findings) >= 4
--- a/tests/serving/coordinator/test_update_cache.py
+++ b/tests/serving/coordinator/test_update_cache.py
@@ -1,4 +1,4 @@
-"""Proxies that ask with the same versions share one encoded update, and nobody is told something old."""
+"""Requests with the same versions share one encoded update, and no update is out of date."""
 
 from __future__ import annotations
 
@@ -45,19 +45,19 @@
 
 
 @pytest.fixture
-def made(monkeypatch: pytest.MonkeyPatch) -> list[Update]:
-    """Updates that were encoded."""
-    encoded: list[Update] = []
+def encoded_updates(monkeypatch: pytest.MonkeyPatch) -> list[Update]:
+    """All updates that are encoded from here on."""
+    updates: list[Update] = []
 
-    def note(update: Update) -> object:
-        encoded.append(update)
+    def encode(update: Update) -> object:
+        updates.append(update)
         return SharedUpdate(update)
 
-    monkeypatch.setattr("coveport.serving.coordinator.update_cache.SharedUpdate", note)
-    return encoded
+    monkeypatch.setattr("coveport.serving.coordinator.update_cache.SharedUpdate", encode)
+    return updates
 
 
-def test_a_whole_table_is_encoded_once_for_all_who_ask(made: list[Update]) -> None:
+def test_full_table_is_encoded_once_for_all_requests(encoded_updates: list[Update]) -> None:
     coordinator = Coordinator()
     for number in range(20):
         coordinator.table.apply_report(node(number), 100.0)
@@ -65,46 +65,47 @@
     assert [update.request_number for update in updates] == list(range(20))
     assert all(len(update.nodes) == 20 and update.is_full_table for update in updates)
     assert [update.max_proxies for update in updates] == list(range(1, 21))
-    assert len(made) == 1
+    assert len(encoded_updates) == 1
 
 
-def test_whoever_asks_after_a_change_is_told_of_it(made: list[Update]) -> None:
+def test_request_after_a_change_gets_the_change(encoded_updates: list[Update]) -> None:
     coordinator = Coordinator()
     coordinator.table.apply_report(node(1), 100.0)
-    assert [one.incarnation for one in coordinator.request(1).nodes] == ["i-1"]
+    assert [sent.incarnation for sent in coordinator.request(1).nodes] == ["i-1"]
     coordinator.table.apply_report(node(2), 100.0)
-    assert sorted(one.incarnation for one in coordinator.request(1).nodes) == ["i-1", "i-2"]
+    assert sorted(sent.incarnation for sent in coordinator.request(1).nodes) == ["i-1", "i-2"]
     coordinator.history.advance(0, b"state", None)
     assert coordinator.request(1).state == b"state"
     coordinator.status.quorum = False
     assert not coordinator.request(1).has_quorum
-    assert len(made) == 4
+    assert len(encoded_updates) == 4
 
 
-def test_versions_that_differ_are_told_different_things(made: list[Update]) -> None:
+def test_requests_with_different_versions_get_different_updates(encoded_updates: list[Update]) -> None:
     coordinator = Coordinator()
     coordinator.table.apply_report(node(1), 100.0)
     first = coordinator.table.revision
     coordinator.table.apply_report(node(2), 100.0)
     assert len(coordinator.request(1).nodes) == 2
-    assert [one.incarnation for one in coordinator.request(1, revision=first).nodes] == ["i-2"]
-    assert len(made) == 2
+    assert [sent.incarnation for sent in coordinator.request(1, revision=first).nodes] == ["i-2"]
+    assert len(encoded_updates) == 2
 
 
 @pytest.mark.parametrize(
-    ("told", "shared_s"), [(node(1, warm_up_left_ms=3000.0), 0.25), (node(1, shutdown_in_ms=3000.0), 0.05)]
+    ("reported", "lifetime_s"),
+    [(node(1, warm_up_left_ms=3000.0), 0.25), (node(1, shutdown_in_ms=3000.0), 0.05)],
 )
-def test_times_that_remain_are_told_anew_after_a_moment(told: Node, shared_s: float) -> None:
+def test_remaining_times_are_computed_again_after_the_lifetime(reported: Node, lifetime_s: float) -> None:
     coordinator = Coordinator()
     coordinator.leases.renew(ProxyLease("p", "127.0.0.2:1", "a", "north", True, 0, 1), 100.0, local=True)
-    coordinator.table.apply_report(told, 100.0)
+    coordinator.table.apply_report(reported, 100.0)
 
     def left_ms(at_s: float) -> float:
         coordinator.net.time_s = at_s
-        (one,) = coordinator.request(1).nodes
-        return one.warm_up_left_ms + one.shutdown_in_ms
+        (sent,) = coordinator.request(1).nodes
+        return sent.warm_up_left_ms + sent.shutdown_in_ms
 
     assert left_ms(100.02) == pytest.approx(2980.0)
-    assert left_ms(100.02 + shared_s * 0.9) == pytest.approx(2980.0)
-    later_s = 100.02 + shared_s * 1.2
+    assert left_ms(100.02 + lifetime_s * 0.9) == pytest.approx(2980.0)
+    later_s = 100.02 + lifetime_s * 1.2
     assert left_ms(later_s) == pytest.approx((103.0 - later_s) * 1000)
--- a/tests/serving/web/mutated_requests.py
+++ b/tests/serving/web/mutated_requests.py
@@ -1,6 +1,6 @@
-"""Callers whose bytes are mutated, beside a sound one, against the real server of calls; no loop, no time.
+"""Clients whose bytes are mutated, beside a valid one, against the real HTTP server; no event loop, no time.
 
-`PYTHONPATH=. python tests/serving/web/mutated_requests.py --count 1000000` for more than the tests play.
+`PYTHONPATH=. python tests/serving/web/mutated_requests.py --count 1000000` for more than the tests run.
 """
 
 from __future__ import annotations
@@ -21,40 +21,40 @@
 
 
 class PairingError(Exception):
-    """A caller got what belongs to another call."""
+    """A client got what belongs to another request."""
 
 
 @dataclass
-class Work:
-    """A call that is being answered, in place of a task."""
+class FakeTask:
+    """A response that is being made, in place of an asyncio task."""
 
     coroutine: Coroutine[Any, Any, None]
-    is_over: bool = False
+    is_done: bool = False
 
     def cancel(self) -> None:
-        if not self.is_over:
-            self.is_over = True
+        if not self.is_done:
+            self.is_done = True
             self.coroutine.close()
 
     def run(self) -> None:
-        if not self.is_over:
-            self.is_over = True
+        if not self.is_done:
+            self.is_done = True
             try:
                 self.coroutine.send(None)
             except StopIteration:
                 return
-            raise AssertionError("the answer does not wait for anything")
+            raise AssertionError("the response does not wait for anything")
 
 
-class Loop:
-    """Runs what was begun in any order."""
+class FakeLoop:
+    """Keeps tasks, which are run in any order."""
 
     def __init__(self) -> None:
-        self.begun: list[Work] = []
+        self.tasks: list[FakeTask] = []
 
-    def create_task(self, coroutine: Coroutine[Any, Any, None]) -> Work:
-        self.begun.append(Work(coroutine))
-        return self.begun[-1]
+    def create_task(self, coroutine: Coroutine[Any, Any, None]) -> FakeTask:
+        self.tasks.append(FakeTask(coroutine))
+        return self.tasks[-1]
 
     def call_later(self, wait_s: float, call: object) -> Any:
         return SimpleNamespace(cancel=lambda: None)
@@ -63,145 +63,154 @@
         raise context["exception"]
 
 
-class Transport(asyncio.Transport):
+class FakeTransport(asyncio.Transport):
     """Keeps what is written."""
 
     def __init__(self, name: str) -> None:
         super().__init__()
         self.name = name
         self.written = bytearray()
-        self.is_over = False
+        self.is_done = False
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return (self.name, 80)
 
     def is_closing(self) -> bool:
-        return self.is_over
+        return self.is_done
 
     def write(self, data: Any) -> None:
-        assert not self.is_over, "nothing is written behind the end"
+        assert not self.is_done, "nothing is written after the close"
         self.written += data
 
     def close(self) -> None:
-        self.is_over = True
+        self.is_done = True
 
     def abort(self) -> None:
-        self.is_over = True
+        self.is_done = True
 
 
 @dataclass
-class Caller:
-    """One connection, and what the server was asked on it."""
+class Client:
+    """One connection, and the requests that the server received on it."""
 
     name: str
     sent: list[tuple[str, bytes]]  # target and body, before any mutation
     data: bytes
-    transport: Transport
+    transport: FakeTransport
     connection: _Connection
-    asked: list[tuple[str, bytes]] = field(default_factory=list)
+    received: list[tuple[str, bytes]] = field(default_factory=list)
 
 
 class Exchange:
-    """Some callers at once."""
+    """Some clients at the same time."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = Random(seed)
-        self.loop = Loop()
+        self.random_source = Random(seed)
+        self.loop = FakeLoop()
         net = SimpleNamespace(loop=self.loop)
         self.server = HttpServer(net, ("x", 80), self._answer)  # type: ignore[arg-type]
-        self.callers = [
-            self._caller(f"c{seed}-{number}", number > 0) for number in range(self.chance.choice((2, 3)))
+        self.clients = [
+            self._make_client(f"c{seed}-{number}", number > 0)
+            for number in range(self.random_source.choice((2, 3)))
         ]
 
     async def _answer(self, request: codec.Request, local_host: str) -> ApiResponse:
-        caller = next(one for one in self.callers if one.name == local_host)
-        caller.asked.append((request.target, request.body))
-        return ApiResponse(200, f"{caller.name} {len(caller.asked)}".encode())
+        client = next(other for other in self.clients if other.name == local_host)
+        client.received.append((request.target, request.body))
+        return ApiResponse(200, f"{client.name} {len(client.received)}".encode())
 
-    def _caller(self, name: str, is_mutated: bool) -> Caller:
-        chance = self.chance
+    def _make_client(self, name: str, is_mutated: bool) -> Client:
+        random_source = self.random_source
         sent = []
         data = bytearray()
-        for number in range(chance.randrange(1, 4)):
+        for number in range(random_source.randrange(1, 4)):
             target = f"/{name}/{number}"
-            body = f"body of {target}".encode() * chance.choice((0, 1, 3))
+            body = f"body of {target}".encode() * random_source.choice((0, 1, 3))
             sent.append((target, body))
-            data += codec.write_request(chance.choice(METHODS), target, [("Host", "h")], body)
+            data += codec.write_request(random_source.choice(METHODS), target, [("Host", "h")], body)
         if is_mutated:
-            for _ in range(chance.randrange(1, 5)):
-                mutate(data, chance)
-        transport = Transport(name)
+            for _ in range(random_source.randrange(1, 5)):
+                mutate(data, random_source)
+        transport = FakeTransport(name)
         connection = _Connection(self.server)
         connection.connection_made(transport)
-        return Caller(name, sent, bytes(data), transport, connection)
+        return Client(name, sent, bytes(data), transport, connection)
 
     def run(self) -> int:
-        """Feed all in pieces, in any order; how many calls were answered. Raises PairingError."""
-        left = [(caller, bytearray(caller.data)) for caller in self.callers]
-        while left:
-            caller, data = self.chance.choice(left)
-            step = self.chance.randrange(1, 120)
-            if not caller.transport.is_over:
-                caller.connection.data_received(bytes(data[:step]))
+        """Send all bytes in chunks, in any order; return the number of responses. Raise PairingError."""
+        remaining = [(client, bytearray(client.data)) for client in self.clients]
+        while remaining:
+            client, data = self.random_source.choice(remaining)
+            step = self.random_source.randrange(1, 120)
+            if not client.transport.is_done:
+                client.connection.data_received(bytes(data[:step]))
             del data[:step]
-            if not data or (caller is not self.callers[0] and self.chance.random() < 0.01):
-                left.remove((caller, data))
-                if self.chance.random() < 0.3 and caller is not self.callers[0]:
-                    caller.connection.connection_lost(None)
-            self._work()
-        self._work(all_of_it=True)
-        return sum(self._judge(caller) for caller in self.callers)
-
-    def _work(self, all_of_it: bool = False) -> None:
-        while self.loop.begun and (all_of_it or self.chance.random() < 0.5):
-            self.loop.begun.pop(self.chance.randrange(len(self.loop.begun))).run()
-
-    def _judge(self, caller: Caller) -> int:
-        own = f"{caller.name} ".encode()
-        others = [f"{one.name} ".encode() for one in self.callers if one is not caller]
-        if any(other in caller.transport.written for other in others):
-            raise PairingError(f"{caller.name} got another's answer")
-        answered = caller.transport.written.count(own)
-        if answered > len(caller.asked):
-            raise PairingError(f"{caller.name} got {answered} answers to {len(caller.asked)} calls")
-        if caller is self.callers[0] and (caller.asked != caller.sent or answered != len(caller.sent)):
-            raise PairingError(f"the sound {caller.name} asked {caller.sent}, was heard as {caller.asked}")
-        places = [caller.transport.written.find(own + str(number + 1).encode()) for number in range(answered)]
-        if places != sorted(places) or -1 in places:
-            raise PairingError(f"{caller.name} got its answers in another order")
-        return answered
-
-
-def mutate(data: bytearray, chance: Random) -> None:
-    """One mutation."""
+            if not data or (client is not self.clients[0] and self.random_source.random() < 0.01):
+                remaining.remove((client, data))
+                if self.random_source.random() < 0.3 and client is not self.clients[0]:
+                    client.connection.connection_lost(None)
+            self._run_tasks()
+        self._run_tasks(run_all=True)
+        return sum(self._check(client) for client in self.clients)
+
+    def _run_tasks(self, run_all: bool = False) -> None:
+        while self.loop.tasks and (run_all or self.random_source.random() < 0.5):
+            self.loop.tasks.pop(self.random_source.randrange(len(self.loop.tasks))).run()
+
+    def _check(self, client: Client) -> int:
+        own_prefix = f"{client.name} ".encode()
+        other_prefixes = [f"{other.name} ".encode() for other in self.clients if other is not client]
+        if any(prefix in client.transport.written for prefix in other_prefixes):
+            raise PairingError(f"{client.name} got another's response")
+        responses = client.transport.written.count(own_prefix)
+        if responses > len(client.received):
+            raise PairingError(f"{client.name} got {responses} responses to {len(client.received)} requests")
+        if client is self.clients[0] and (client.received != client.sent or responses != len(client.sent)):
+            raise PairingError(
+                f"the valid {client.name} sent {client.sent}, but the server received {client.received}"
+            )
+        positions = [
+            client.transport.written.find(own_prefix + str(number + 1).encode())
+            for number in range(responses)
+        ]
+        if positions != sorted(positions) or -1 in positions:
+            raise PairingError(f"{client.name} got its responses in another order")
+        return responses
+
+
+def mutate(data: bytearray, random_source: Random) -> None:
+    """Change bytes at one position in place."""
     if not data:
         return
-    place, length = chance.randrange(len(data)), chance.randrange(1, 30)
-    match chance.randrange(6):
+    position = random_source.randrange(len(data))
+    length = random_source.randrange(1, 30)
+    match random_source.randrange(6):
         case 0:
-            data[place] ^= 1 << chance.randrange(8)
+            data[position] ^= 1 << random_source.randrange(8)
         case 1:
-            del data[place : place + length]
+            del data[position : position + length]
         case 2:
-            data[place:place] = data[place : place + length]
+            data[position:position] = data[position : position + length]
         case 3:
-            data[place:place] = chance.randbytes(length)
+            data[position:position] = random_source.randbytes(length)
         case 4:
-            data[place:place] = chance.choice(
+            data[position:position] = random_source.choice(
                 (b"\r\n", b"\r\n\r\n", b"0\r\n\r\n", b"Transfer-Encoding: chunked\r\n")
             )
         case _:
-            data[place:place] = b"Content-Length: %d\r\n" % chance.randrange(200)
+            data[position:position] = b"Content-Length: %d\r\n" % random_source.randrange(200)
 
 
 def main() -> None:
-    """Run as told on the command line."""
+    """Run the exchanges that the command line names."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--count", type=int, default=100_000)
     arguments = parser.parse_args()
-    answered = sum(Exchange(seed).run() for seed in range(arguments.first, arguments.first + arguments.count))
-    print(f"{arguments.count} exchanges, {answered} calls answered, each to its caller")
+    responses = sum(
+        Exchange(seed).run() for seed in range(arguments.first, arguments.first + arguments.count)
+    )
+    print(f"{arguments.count} exchanges, {responses} responses, each to its client")
 
 
 if __name__ == "__main__":
--- a/tests/serving/web/test_mutated_requests.py
+++ b/tests/serving/web/test_mutated_requests.py
@@ -1,4 +1,4 @@
-"""Whatever comes on one connection, each answer goes to its own call, and sound callers are served."""
+"""Whatever one connection sends, each response goes to its own request, and valid clients are served."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 
 def play(exchanges: int) -> int:
-    """Play exchanges; how many calls were answered."""
+    """Run exchanges; return how many requests got a response."""
     return sum(Exchange(seed).run() for seed in range(exchanges))
 
 
-def test_no_mutated_call_gets_anothers_answer_or_harms_a_sound_one() -> None:
+def test_mutated_request_never_gets_anothers_response_or_harms_a_valid_one() -> None:
     assert play(EXCHANGES) > EXCHANGES
 
 
-def test_answers_to_whoever_called_last_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The variant in which a connection forgets whose call it answers."""
+def test_variant_that_responds_to_the_last_caller_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The connection forgets whose request it responds to."""
     original = server._Connection._write
-    last: list[server._Connection] = []
+    writers: list[server._Connection] = []
 
     def write(self: server._Connection, response: ApiResponse, keep_alive: bool) -> None:
-        last.append(self)
-        original(last[-2] if len(last) > 1 else self, response, keep_alive)
+        writers.append(self)
+        original(writers[-2] if len(writers) > 1 else self, response, keep_alive)
 
     monkeypatch.setattr(server._Connection, "_write", write)
     with pytest.raises((PairingError, AssertionError)):
         play(200)
 
 
-def test_a_body_that_is_read_as_the_next_call_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The variant that takes a body's length for nothing: what is behind the head is another call."""
+def test_variant_that_reads_a_body_as_the_next_request_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The length of a body is ignored: what follows the head is read as another request."""
     original = codec.RequestParser.next_request
 
     def next_request(self: codec.RequestParser) -> codec.Request | None:
