--- a/coveport/sidecar/intent_log/deferred_writes.py
+++ b/coveport/sidecar/intent_log/deferred_writes.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import random
 from collections.abc import Callable
 
 import msgspec
@@ -14,6 +13,7 @@
 from coveport.sidecar.intent_log.record import FinalStatus, Record
 from coveport.sidecar.intent_log.record_codec import decode
 from coveport.sidecar.intent_log.record_layout import RecordLayout
+from coveport.sidecar.intent_log.runtime import Runtime
 from coveport.sidecar.leases.store import Done, Entry
 
 MAX_REMEMBERED = 4096
@@ -25,19 +25,10 @@
 class DeferredWrites:
     """Answered operations whose end isn't durable yet, by the ids of their records."""
 
-    def __init__(
-        self,
-        journal: Journal,
-        layout: RecordLayout,
-        rng: random.Random,
-        count: Callable[[str], None],
-        unix_s: Callable[[], float],
-    ) -> None:
+    def __init__(self, journal: Journal, layout: RecordLayout, runtime: Runtime) -> None:
         self._journal = journal
         self._layout = layout
-        self._rng = rng
-        self._count = count
-        self._unix_s = unix_s
+        self._runtime = runtime
         self._pending: dict[str, PendingOperation] = {}
 
     def __len__(self) -> int:
@@ -56,16 +47,16 @@
         if len(self._pending) > MAX_REMEMBERED:
             # What stands of it in the store, if anything does, says that it may have run.
             del self._pending[next(iter(self._pending))]
-            self._count("work_forgotten")
+            self._runtime.count("work_forgotten")
 
-    async def run(self, has_session: Callable[[], bool], log_event: Callable[..., None]) -> None:
+    async def run(self, has_session: Callable[[], bool]) -> None:
         """Write what is remembered whenever there is a session and the store is available; never returns."""
         is_recording = False
         while True:
             if is_recording is not (has_session() and self._journal.is_available):
                 is_recording = not is_recording
-                log_event("recording" if is_recording else "not_recording")
-            await asyncio.sleep(RETRY_INTERVAL_S * self._rng.uniform(*RETRY_JITTER))
+                self._runtime.log_event("recording" if is_recording else "not_recording")
+            await asyncio.sleep(RETRY_INTERVAL_S * self._runtime.rng.uniform(*RETRY_JITTER))
             for record_id, pending in list(self._pending.items()):
                 if not self._journal.is_available or not has_session():
                     break
@@ -90,14 +81,14 @@
             return True  # it stood there and was deleted
         outcome = await self._journal.commit(self._layout.write(before, revision, self._closed(pending)))
         if isinstance(outcome, Done):
-            self._count("work_written_late")
+            self._runtime.count("work_written_late")
         return isinstance(outcome, Done)
 
     def _closed(self, pending: PendingOperation) -> Record:
         record = pending.record
         if record.is_open:
             status = FinalStatus.FAILED if record.may_have_run else FinalStatus.NEVER_RAN
-            record = record.closed(status, "not answered", self._unix_s())
+            record = record.closed(status, "not answered", self._runtime.unix_s())
         if record.attempts:
             # The age of its attempts is not known: their window counts as over.
             first_revision = pending.first_attempt_revision or FIRST_REVISION
--- a/coveport/sidecar/intent_log/journal.py
+++ b/coveport/sidecar/intent_log/journal.py
@@ -32,11 +32,11 @@
 
 
 class StoreStatus(Enum):
-    """Whether the store is available. The values are suffixes of log events (`records_*`)."""
+    """Whether the store is available. The values are suffixes of log events (`record_store_*`)."""
 
-    AVAILABLE = "up"
-    UNAVAILABLE = "away"
-    REPLACED = "another"  # it went back in time, or is not the one we knew: nothing more is written to it
+    AVAILABLE = "available"
+    UNAVAILABLE = "unavailable"
+    REPLACED = "replaced"  # it went back in time, or is not the one we knew: nothing more is written to it
 
 
 @dataclass(slots=True)
@@ -232,7 +232,7 @@
     def _set_status(self, status: StoreStatus, detail: str) -> None:
         if self.status is not status and self.status is not StoreStatus.REPLACED:
             self.status = status
-            self._log_event("records_" + status.value, detail=detail)
+            self._log_event(f"record_store_{status.value}", detail=detail)
 
     async def _run_heartbeat(self) -> None:
         while self.status is not StoreStatus.REPLACED:
--- a/coveport/sidecar/intent_log/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -151,7 +151,7 @@
         decision = self._decide(pending, now_s, has_client=client is not None)
         action = decision.action
         self._count(f"work_did_{COUNTER_SUFFIXES[action]}")
-        self._log_event("work_taken_on", id=pending.record.id, did=action.value, rule=decision.rule)
+        self._log_event("operation_taken_over", id=pending.record.id, action=action.value, rule=decision.rule)
         if action is TakeoverAction.RETRY:
             pending.deadline_s = min(pending.deadline_s, now_s + decision.within_ms / 1000)
         if action in (TakeoverAction.SEND, TakeoverAction.RETRY):
--- a/coveport/sidecar/intent_log/record_writer.py
+++ b/coveport/sidecar/intent_log/record_writer.py
@@ -31,10 +31,7 @@
 from __future__ import annotations
 
 import asyncio
-import random
-import time
 from abc import ABC, abstractmethod
-from collections.abc import Callable
 from functools import partial
 from typing import Any
 
@@ -47,16 +44,13 @@
 from coveport.sidecar.intent_log.pending_operation import OperationStage, PendingOperation, SendCheck
 from coveport.sidecar.intent_log.presence import Presence
 from coveport.sidecar.intent_log.record_layout import RecordLayout
+from coveport.sidecar.intent_log.runtime import Runtime
 from coveport.sidecar.intent_log.settings import RECORD_BYTES, IntentLogSettings
 from coveport.sidecar.leases.store import Outcome, Refused, Transaction, Unknown
 
 
 class RecordWriter(ABC):
-    """Owns the tables of pending operations and writes their records.
-
-    `session_token`: returns the token of this instance's session, 0 where it has none. `now_s`: a clock that
-    runs through sleep. `count`: adds one to a counter by its name. `log_event`: logs an event with fields.
-    """
+    """Owns the tables of pending operations and writes their records."""
 
     def __init__(
         self,
@@ -66,14 +60,7 @@
         codec: PayloadCodec,
         presence: Presence,
         settings: IntentLogSettings,
-        incarnation: str,
-        *,
-        session_token: Callable[[], int],
-        now_s: Callable[[], float],
-        rng: random.Random,
-        count: Callable[[str], None],
-        log_event: Callable[..., None],
-        unix_s: Callable[[], float] = time.time,
+        runtime: Runtime,
     ) -> None:
         self._executor = executor
         self.journal = journal
@@ -81,18 +68,17 @@
         self.codec = codec
         self.presence = presence
         self._settings = settings
-        self.incarnation = incarnation
-        self._session_token = session_token
-        self._now_s = now_s
-        self._rng = rng
-        self._count = count
-        self._log_event = log_event
-        self._unix_s = unix_s
+        self._runtime = runtime
+        self.incarnation = runtime.incarnation
+        self._now_s = runtime.now_s
+        self._unix_s = runtime.unix_s
+        self._count = runtime.count
+        self._log_event = runtime.log_event
         self._by_number: dict[int, PendingOperation] = {}
         self._by_id: dict[str, PendingOperation] = {}  # owned and open
         self._waiters: dict[int, asyncio.Task[None]] = {}  # repeats that wait for another's attempt
         self._clients: dict[int, Any] = {}  # by number; for operations whose record may be another's
-        self._deferred = DeferredWrites(journal, layout, rng, count, unix_s)
+        self._deferred = DeferredWrites(journal, layout, runtime)
         self._last_own_number = 0  # of operations that the recorder begins itself, counted down from -1
         self._drain_token = 0  # while draining: the token of the session before
         self._deferred_task: asyncio.Task[None] | None = None
@@ -104,7 +90,7 @@
     @property
     def token(self) -> int:
         """The token under which this instance owns records now; 0: it may own none."""
-        return self._drain_token or self._session_token()
+        return self._drain_token or self._runtime.session_token()
 
     @property
     def may_write(self) -> bool:
--- a/coveport/sidecar/intent_log/recorder.py
+++ b/coveport/sidecar/intent_log/recorder.py
@@ -39,14 +39,12 @@
     def start(self) -> None:
         """Begin."""
         self.journal.start()
-        self._deferred_task = asyncio.ensure_future(
-            self._deferred.run(lambda: self.token != 0, self._log_event)
-        )
+        self._deferred_task = asyncio.ensure_future(self._deferred.run(lambda: self.token != 0))
 
     async def drain(self, within_s: float) -> None:
         """Announce the shutdown: this instance keeps its records for so long, to finish them."""
         # Kept, as the session is given back before the last operations are finished.
-        self._drain_token = self._session_token()
+        self._drain_token = self._runtime.session_token()
         if self._drain_token:
             notice = msgspec.json.encode(DrainNotice(within_s))
             put = Put(self.layout.drain_key(self.incarnation), notice)
--- a/coveport/sidecar/intent_log/repeated_requests.py
+++ b/coveport/sidecar/intent_log/repeated_requests.py
@@ -85,7 +85,7 @@
         return pending.stage is OperationStage.FOREIGN and is_in_time
 
     async def _wait_for_next_poll(self) -> None:
-        await asyncio.sleep(self._rng.uniform(*POLL_INTERVAL_S))
+        await asyncio.sleep(self._runtime.rng.uniform(*POLL_INTERVAL_S))
 
     async def _answer_if_decided(
         self, pending: PendingOperation, client: Any, record: Record, entry: Entry
--- a/coveport/sidecar/intent_log/retention_sweeper.py
+++ b/coveport/sidecar/intent_log/retention_sweeper.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import random
-from collections.abc import Callable
 from math import inf
 
 from coveport.sidecar.intent_log.errors import RecordError
@@ -12,6 +10,7 @@
 from coveport.sidecar.intent_log.record_codec import decode
 from coveport.sidecar.intent_log.record_layout import BUCKET_S
 from coveport.sidecar.intent_log.recorder import Recorder
+from coveport.sidecar.intent_log.runtime import Runtime
 from coveport.sidecar.intent_log.takeover_order import rank
 from coveport.sidecar.leases.store import Delete, Done, Entry, Transaction
 
@@ -29,20 +28,11 @@
     instance itself has known its revision for the retention time.
     """
 
-    def __init__(
-        self,
-        recorder: Recorder,
-        name: str,
-        *,
-        now_s: Callable[[], float],
-        unix_s: Callable[[], float],
-        rng: random.Random,
-    ) -> None:
+    def __init__(self, recorder: Recorder, runtime: Runtime) -> None:
         self._recorder = recorder
-        self._name = name
-        self._now_s = now_s
-        self._unix_s = unix_s
-        self._rng = rng
+        self._runtime = runtime
+        self._name = runtime.name
+        self._now_s = runtime.now_s
         self._ages = AgeLowerBound(recorder.layout.retention_s)
         self._swept_bucket = _NOTHING_SWEPT
         self._resweep_s = inf  # when a record that a sweep has left as too young is old enough
@@ -61,12 +51,12 @@
         recorder = self._recorder
         interval_s = min(MAX_INTERVAL_S, recorder.layout.retention_s / SWEEPS_PER_RETENTION)
         while True:
-            await asyncio.sleep(interval_s * self._rng.uniform(*JITTER))
+            await asyncio.sleep(interval_s * self._runtime.rng.uniform(*JITTER))
             if not recorder.may_write:
                 continue
             now_s = self._now_s()
             self._ages.observe(now_s, recorder.journal.revision)
-            last_bucket = int(self._unix_s() // BUCKET_S) - 1
+            last_bucket = int(self._runtime.unix_s() // BUCKET_S) - 1
             if now_s >= self._resweep_s:
                 self._swept_bucket = _NOTHING_SWEPT
                 self._resweep_s = inf
--- a/coveport/sidecar/intent_log/takeover.py
+++ b/coveport/sidecar/intent_log/takeover.py
@@ -13,13 +13,13 @@
 
 
 class TakeoverAction(Enum):
-    """What is done. The values stand in log lines (`did`)."""
+    """What is done. The values stand in log lines (`operation_taken_over`)."""
 
     SEND = "send"  # it has not run, or may run again: the balancer picks a node as for any other
-    RETRY = "ask again"  # the same key, at a node that drops repeats of the attempts made
+    RETRY = "retry"  # the same key, at a node that drops repeats of the attempts made
     CLOSE_NEVER_RAN = "never-run"
     CLOSE_UNKNOWN = "unknown"  # kept for staff, and for a client that repeats the request
-    KEEP_RESPONSE = "keep"  # returned to a client that repeats the request
+    KEEP_RESPONSE = "keep response"  # returned to a client that repeats the request
     NOTHING = "nothing"
 
 
--- a/coveport/sidecar/intent_log/takeover_worker.py
+++ b/coveport/sidecar/intent_log/takeover_worker.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import asyncio
-import random
 from collections.abc import Callable
 
 from coveport.sidecar.intent_log.errors import RecordError
@@ -16,6 +15,7 @@
 from coveport.sidecar.intent_log.record_adopter import as_owned
 from coveport.sidecar.intent_log.record_codec import decode
 from coveport.sidecar.intent_log.recorder import Recorder
+from coveport.sidecar.intent_log.runtime import Runtime
 from coveport.sidecar.intent_log.takeover_order import takeover_delay_s
 from coveport.sidecar.intent_log.token_bucket import TokenBucket
 from coveport.sidecar.leases.store import Done, Entry
@@ -29,29 +29,22 @@
 class TakeoverWorker:
     """Finds and takes over lost instances' records for one instance.
 
-    `name`: the instance's, for its rank in a record's order. `is_busy`: whether own operations wait.
+    `is_busy`: whether own operations wait.
     """
 
     def __init__(
         self,
         recorder: Recorder,
-        name: str,
-        *,
         rate_limit: TokenBucket,
-        now_s: Callable[[], float],
-        rng: random.Random,
         is_busy: Callable[[], bool],
-        count: Callable[[str], None],
-        log_event: Callable[..., None],
+        runtime: Runtime,
     ) -> None:
         self._recorder = recorder
-        self._name = name
         self._rate_limit = rate_limit
-        self._now_s = now_s
-        self._rng = rng
         self._is_busy = is_busy
-        self._count = count
-        self._log_event = log_event
+        self._runtime = runtime
+        self._name = runtime.name
+        self._now_s = runtime.now_s
         self._lost_since: dict[str, float] = {}  # by incarnation: since when its records may be taken over
         self._unreadable: set[str] = set()  # ids of records that were reported, once each
         self._tasks: list[asyncio.Task[None]] = []
@@ -72,7 +65,7 @@
 
     async def _take_over_lost(self) -> None:
         while True:
-            await asyncio.sleep(TAKEOVER_INTERVAL_S * self._rng.uniform(*TAKEOVER_JITTER))
+            await asyncio.sleep(TAKEOVER_INTERVAL_S * self._runtime.rng.uniform(*TAKEOVER_JITTER))
             for incarnation in list(self._lost_since):
                 if self._recorder.may_write:
                     await self._take_over_from(incarnation)
@@ -90,7 +83,8 @@
             self._recorder.presence.forget(incarnation)
             return
         lost_s = now_s - self._lost_since.setdefault(incarnation, now_s)
-        self._rng.shuffle(record_ids)  # two instances with the same records try them in different orders
+        # Two instances with the same records try them in different orders.
+        self._runtime.rng.shuffle(record_ids)
         for record_id in record_ids:
             if not self._recorder.may_write:
                 return
@@ -150,7 +144,7 @@
         revision = await recorder.claim(record, entry, owned)
         if revision is None:
             return
-        self._count("work_taken_over")
+        self._runtime.count("work_taken_over")
         recorder.adopt(owned, revision, accepted_age_s)
 
     def _decoded(self, record_id: str, entry: Entry) -> Record | None:
@@ -160,15 +154,15 @@
         except RecordError as error:
             if record_id not in self._unreadable:
                 self._unreadable.add(record_id)
-                self._count("work_unreadable")
-                self._log_event("record_unreadable", id=record_id, why=str(error))
+                self._runtime.count("work_unreadable")
+                self._runtime.log_event("record_unreadable", id=record_id, why=str(error))
             return None
 
     async def _scan(self) -> None:
         """Find open records of owners without a session, whose end this instance has not seen."""
         recorder = self._recorder
         while True:
-            await asyncio.sleep(SCAN_INTERVAL_S * self._rng.uniform(*SCAN_JITTER))
+            await asyncio.sleep(SCAN_INTERVAL_S * self._runtime.rng.uniform(*SCAN_JITTER))
             if not recorder.may_write:
                 continue
             found = await recorder.journal.read(recorder.layout.open_prefix())
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import random
-import time
 from collections.abc import Callable
 
 import msgspec
@@ -18,6 +17,7 @@
 from coveport.sidecar.intent_log.record_layout import RecordLayout
 from coveport.sidecar.intent_log.recorder import Recorder
 from coveport.sidecar.intent_log.retention_sweeper import RetentionSweeper
+from coveport.sidecar.intent_log.runtime import Runtime
 from coveport.sidecar.intent_log.settings import IntentLogSettings
 from coveport.sidecar.intent_log.takeover_worker import TakeoverWorker
 from coveport.sidecar.intent_log.token_bucket import TokenBucket
@@ -89,37 +89,29 @@
     def attach(self, effects: Effects) -> None:
         """Make the parts, and record the operations that `effects` executes."""
         counters = effects.counters
-        timeout_s = self._settings.store_timeout_s
-        journal = Journal(
-            open_record_store(self._operator_file, timeout_s), boot_s, timeout_s, self._log_event
-        )
-        self.recorder = recorder = Recorder(
-            effects,
-            journal,
-            RecordLayout(self._operator_file.work_prefix, self._settings.retention_s),
-            self._codec,
-            self.presence,
-            self._settings,
-            self._incarnation,
+        runtime = Runtime(
+            name=self._lease_client.name,
+            incarnation=self._incarnation,
             session_token=self._session_token,
             now_s=boot_s,
             rng=self._rng,
             count=counters.add,
             log_event=self._log_event,
         )
+        timeout_s = self._settings.store_timeout_s
+        store = open_record_store(self._operator_file, timeout_s)
+        journal = Journal(store, boot_s, timeout_s, self._log_event)
+        layout = RecordLayout(self._operator_file.work_prefix, self._settings.retention_s)
+        self.recorder = recorder = Recorder(
+            effects, journal, layout, self._codec, self.presence, self._settings, runtime
+        )
         self.takeover_worker = TakeoverWorker(
             recorder,
-            self._lease_client.name,
-            rate_limit=TokenBucket(self._settings.takeovers_per_s, TAKEOVER_BURST),
-            now_s=boot_s,
-            rng=self._rng,
-            is_busy=lambda: effects.pending > BUSY_ABOVE,
-            count=counters.add,
-            log_event=self._log_event,
-        )
-        self.sweeper = RetentionSweeper(
-            recorder, self._lease_client.name, now_s=boot_s, unix_s=time.time, rng=self._rng
+            TokenBucket(self._settings.takeovers_per_s, TAKEOVER_BURST),
+            lambda: effects.pending > BUSY_ABOVE,
+            runtime,
         )
+        self.sweeper = RetentionSweeper(recorder, runtime)
         effects.records = recorder
         counters.gauge("work_open", lambda: recorder.tables["work_open"])
         counters.gauge("work_later", lambda: recorder.tables["work_later"])
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -20,6 +20,7 @@
 from coveport.sidecar.intent_log.record import Record
 from coveport.sidecar.intent_log.record_codec import decode
 from coveport.sidecar.intent_log.recorder import Recorder
+from coveport.sidecar.intent_log.runtime import Runtime
 from coveport.sidecar.intent_log.settings import IntentLogSettings
 from coveport.sidecar.intent_log.token_bucket import TokenBucket
 from coveport.sidecar.leases.keys import INSTANCE_PREFIX
@@ -271,15 +272,9 @@
             inside = lease_client.lease_state.in_session
             return entry.created if inside and entry is not None else 0
 
-        layout = variant.layout(PREFIX, trial.kept_s)
-        recorder = variant.recorder(
-            hands,
-            journal,
-            layout,
-            variant.codec(),
-            presence,
-            intent_log_settings,
-            incarnation,
+        runtime = Runtime(
+            name=name,
+            incarnation=incarnation,
             session_token=token,
             now_s=now_s,
             rng=chance,
@@ -287,17 +282,14 @@
             log_event=say,
             unix_s=unix_s,
         )
+        layout = variant.layout(PREFIX, trial.kept_s)
+        recorder = variant.recorder(
+            hands, journal, layout, variant.codec(), presence, intent_log_settings, runtime
+        )
         takeover_worker = variant.takeover_worker(
-            recorder,
-            name,
-            rate_limit=TokenBucket(50.0, 16),
-            now_s=now_s,
-            rng=chance,
-            is_busy=lambda: hands.pending > 16,
-            count=count,
-            log_event=say,
+            recorder, TokenBucket(50.0, 16), lambda: hands.pending > 16, runtime
         )
-        sweeper = variant.sweeper(recorder, name, now_s=now_s, unix_s=unix_s, rng=chance)
+        sweeper = variant.sweeper(recorder, runtime)
         one.recorder = recorder
         self._watch_unrecorded(recorder)
 
