--- a/coveport/cli/fleet.py
+++ b/coveport/cli/fleet.py
@@ -129,11 +129,11 @@
 @JSON
 def logs(names: tuple[str, ...], config: Path, last: int, json_: bool) -> int:
     """Show the last lines of all instances' stream, or of those named."""
-    from coveport.sidecar.supervisor.daemon import told_lines
+    from coveport.sidecar.supervisor.daemon import read_stream
     from coveport.sidecar.supervisor.log_stream import stream_path
 
     told = fleet_of(config)
-    for one in told_lines(stream_path(told.fleet_folder), frozenset(names), last):
+    for one in read_stream(stream_path(told.fleet_folder), frozenset(names), last):
         if json_:
             click.echo(json.dumps(one))
             continue
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -45,8 +45,8 @@
 from coveport.sidecar.singletons.slow_start_client import CapacityClient
 from coveport.sidecar.singletons.slow_start_coordinator import SlowStartCoordinator
 from coveport.sidecar.singletons.slow_start_messages import GRANT_PREFIX, REQUEST_PREFIX, SafeLoad
-from coveport.sidecar.supervisor.log_stream import StreamLog, lines
-from coveport.sidecar.supervisor.membership import Membership, NameHeldError
+from coveport.sidecar.supervisor.instance_agent import InstanceAgent, NameLockedError
+from coveport.sidecar.supervisor.log_stream import StreamLog, stream_logger
 from coveport.sidecar.telemetry.counters import ENDS, ended
 from coveport.sidecar.telemetry.log import Log
 from coveport.sidecar.upstream.route_step import StepResult
@@ -66,10 +66,10 @@
 DEBUG = frozenset({"renewed", "act_sent", "act_ended", "unknown"})
 
 
-def logger(told: OperatorFile, name: str, incarnation: str, member: Membership | None) -> Any:
+def logger(told: OperatorFile, name: str, incarnation: str, agent: InstanceAgent | None) -> Any:
     """What writes JSON lines of what this instance holds and does."""
-    if member is not None and not told.log.path:
-        return lines(told.fleet_folder, told.log.level, instance=name, incarnation=incarnation)
+    if agent is not None and not told.log.path:
+        return stream_logger(told.fleet_folder, told.log.level, instance=name, incarnation=incarnation)
     file: TextIO = sys.stderr
     if told.log.path:
         file = open(told.folder / told.log.path, "a", encoding="utf-8")  # noqa: SIM115 - as long as we live
@@ -86,15 +86,15 @@
     """What stands beside one sidecar: its keeper, its duties, and its part in others' duties."""
 
     def __init__(
-        self, told: OperatorFile, config: configuration.Config, log: Log, member: Membership | None = None
+        self, told: OperatorFile, config: configuration.Config, log: Log, agent: InstanceAgent | None = None
     ) -> None:
         self._told = told
         self._config = config
         self._log = log
-        self._member = member
+        self._agent = agent
         self.name = told.instance.name or config.name
         self.incarnation = f"{self.name}#{uuid.uuid4().hex[:12]}"
-        self._lines = logger(told, self.name, self.incarnation, member)
+        self._lines = logger(told, self.name, self.incarnation, agent)
         chance = random.Random(uuid.uuid4().int)
         zone = config.settings.zone
         self._wished = told.duties.wished(zone)
@@ -174,8 +174,8 @@
         life.listen(self._phase)
         if self._health_checks is not None:
             effects.looks = self
-        if self._member is not None:
-            self._member.joined(effects, life, lambda: effects.destinations.places)
+        if self._agent is not None:
+            self._agent.attach(effects, life, lambda: effects.destinations.places)
         self.lease_client.publish_status(self._fares())
 
     def _phase(self, phase: Phase) -> None:
@@ -215,8 +215,8 @@
     def _changed(self, key: str, entry: Entry | None) -> None:
         if self._recording is not None:
             self._recording.on_store_change(key, entry)
-        if self._member is not None and key.startswith(INSTANCE_PREFIX):
-            self._member.seen(len(self.lease_client.instances))
+        if self._agent is not None and key.startswith(INSTANCE_PREFIX):
+            self._agent.on_session_count(len(self.lease_client.instances))
         if key.startswith(YIELD) and entry is not None:
             duty = key[len(YIELD) :]
             held = self.lease_client.entries.get(ROLE_PREFIX + duty)
@@ -266,7 +266,7 @@
             loop.call_soon(self._followed, str(problem))
             raise
         loop.call_soon(self._followed, "")
-        return config if self._member is None else self._member.shared(config)
+        return config if self._agent is None else self._agent.with_peer_count(config)
 
     def _read(self, running: configuration.Config) -> configuration.Config:
         if self._text is None:
@@ -411,14 +411,14 @@
 
 
 async def _serve(
-    told: OperatorFile, config: configuration.Config, log: Log, member: Membership | None
+    told: OperatorFile, config: configuration.Config, log: Log, agent: InstanceAgent | None
 ) -> int:
     try:
-        beside = Beside(told, config, log, member)
+        beside = Beside(told, config, log, agent)
     except EncryptionError as problem:
         log.say(str(problem))
         return 2
-    given = None if member is None else member.listening()
+    given = None if agent is None else agent.inherited_listener()
     try:
         return await serve(
             config, Net(asyncio.get_running_loop(), given), log, reread=beside.reread, joined=beside.joined
@@ -437,22 +437,22 @@
         return _run(told, Log(time.monotonic), None)
     # Guards against a SIGTERM before there is a handler, which would end us as a crash does.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
-    log = StreamLog(time.monotonic, lines(told.fleet_folder, instance=name))
+    log = StreamLog(time.monotonic, stream_logger(told.fleet_folder, instance=name))
     try:
-        member = Membership(told, name, os.environ)
-    except NameHeldError as problem:
+        agent = InstanceAgent(told, name, os.environ)
+    except NameLockedError as problem:
         log.say(str(problem))
         return 3
     os.environ["LB_NAME"], os.environ["LB_LISTEN"] = name, told.fleet.address(name)
     code = 1
     try:
-        code = _run(told, log, member)
+        code = _run(told, log, agent)
         return code
     finally:
-        member.leave(code)
+        agent.leave(code)
 
 
-def _run(told: OperatorFile, log: Log, member: Membership | None) -> int:
+def _run(told: OperatorFile, log: Log, agent: InstanceAgent | None) -> int:
     os.environ["LB_CONFIG"] = str(told.platform)
     if told.instance.name:
         os.environ["LB_NAME"] = told.instance.name
@@ -465,8 +465,8 @@
     if unknown:
         log.say(f"[work] record: there is no class {', '.join(sorted(unknown))}")
         return 2
-    if member is not None:
-        config = member.configured(config)
-        if member.remembered is not None or member.why_not:
-            log.say(f"{config.name}: snapshot: {member.why_not or 'begins from it'}")
-    return asyncio.run(_serve(told, config, log, member))
+    if agent is not None:
+        config = agent.instance_config(config)
+        if agent.restored_snapshot is not None or agent.snapshot_error:
+            log.say(f"{config.name}: snapshot: {agent.snapshot_error or 'begins from it'}")
+    return asyncio.run(_serve(told, config, log, agent))
--- a/coveport/sidecar/supervisor/control.py
+++ b/coveport/sidecar/supervisor/control.py
@@ -18,7 +18,7 @@
 Answer = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
-class Control:
+class ControlServer:
     """Answers what staff ask. Only our own user, and root, are listened to."""
 
     def __init__(self, path: Path, answer: Answer) -> None:
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -20,8 +20,8 @@
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.open_store import open_store
 from coveport.sidecar.supervisor import log_stream
-from coveport.sidecar.supervisor.control import Control
-from coveport.sidecar.supervisor.notify import Notifier, Receiver, watchdog_s
+from coveport.sidecar.supervisor.control import ControlServer
+from coveport.sidecar.supervisor.notify import NotificationReceiver, Notifier, watchdog_interval_s
 from coveport.sidecar.supervisor.process_control import Processes
 from coveport.sidecar.supervisor.supervisor import Supervisor
 
@@ -57,13 +57,13 @@
         self._config = config
         self._standby = standby
         self.name = f"supervisor-{os.getpid()}-{uuid.uuid4().hex[:6]}"
-        self._lines = log_stream.lines(told.fleet_folder, told.log.level, supervisor=self.name)
+        self._lines = log_stream.stream_logger(told.fleet_folder, told.log.level, supervisor=self.name)
         self._notifier = Notifier.of(os.environ)
-        self._beat_s = watchdog_s(os.environ, os.getpid()) / BEATS
+        self._beat_s = watchdog_interval_s(os.environ, os.getpid()) / BEATS
         self._stop = asyncio.Event()
         self._detach = False
-        self._control: Control | None = None
-        self._receiver: Receiver | None = None
+        self._control: ControlServer | None = None
+        self._receiver: NotificationReceiver | None = None
 
     def _say(self, event: str, **fields: object) -> None:
         if event in ("renewed", "act_sent", "act_ended", "unknown"):
@@ -88,22 +88,22 @@
             chance=chance,
             prefix=told.fleet_prefix,
         )
-        hands = Processes(told, self._config)
+        processes = Processes(told, self._config)
         supervisor = Supervisor(
             told,
             lease_client,
-            hands,
+            processes,
             now_s=boot_s,
             chance=chance,
             say=self._say,
             check=lambda: checked(self._told, self._config),
             most=INSTANCES_MOST,
         )
-        supervisor.on_holding = lambda holding: self._holds(supervisor, hands, holding)
+        supervisor.on_holding = lambda holding: self._holds(supervisor, processes, holding)
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGINT, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reread, supervisor, hands)
+        loop.add_signal_handler(signal.SIGHUP, self._reread, supervisor, processes)
         loop.add_signal_handler(signal.SIGUSR2, self._leave_them)
         supervisor.start()
         if not self._standby and not await self._first(supervisor):
@@ -149,11 +149,11 @@
     def _tell(text: str) -> None:
         print(f"coveport: {text}", file=sys.stderr, flush=True)
 
-    async def _holds(self, supervisor: Supervisor, hands: Processes, holding: bool) -> None:
+    async def _holds(self, supervisor: Supervisor, processes: Processes, holding: bool) -> None:
         await self._close()
         if holding:
-            self._receiver = Receiver(hands.notify_path, supervisor.heard)
-            self._control = Control(control_path(self._told), supervisor.asked)
+            self._receiver = NotificationReceiver(processes.notify_path, supervisor.heard)
+            self._control = ControlServer(control_path(self._told), supervisor.asked)
             await self._control.open()
         self._notifier.say(STATUS="supervises" if holding else "stands by")
 
@@ -172,7 +172,7 @@
                 self._notifier.say(WATCHDOG=1)
             if supervisor.holding and boot_s() - turned > TURN_S:
                 turned = boot_s()
-                if log_stream.turn(self._told.fleet_folder):
+                if log_stream.rotate(self._told.fleet_folder):
                     self._say("stream_turned")
             await asyncio.sleep(self._beat_s or 1.0)
 
@@ -181,13 +181,13 @@
         self._detach = True
         self._stop.set()
 
-    def _reread(self, supervisor: Supervisor, hands: Processes) -> None:
+    def _reread(self, supervisor: Supervisor, processes: Processes) -> None:
         fault = checked(self._told, self._config)
         if fault:
             self._say("fleet_file", fault=fault)
             return
         self._told = load(self._config)
-        hands.retune(self._told)
+        processes.retune(self._told)
         supervisor.retune(self._told)
         self._say("fleet_file", fault="")
 
@@ -205,7 +205,7 @@
     return asyncio.run(run())
 
 
-def told_lines(path: Path, names: frozenset[str], most: int) -> list[dict[str, Any]]:
+def read_stream(path: Path, names: frozenset[str], most: int) -> list[dict[str, Any]]:
     """The last lines of a stream that are of these instances (none named: of all)."""
     found: list[dict[str, Any]] = []
     try:
--- a/coveport/sidecar/supervisor/desired_state.py
+++ b/coveport/sidecar/supervisor/desired_state.py
@@ -24,7 +24,7 @@
 ENOUGH = 20  # operations, below which a share says nothing
 
 
-class Phase(Enum):
+class RestartPhase(Enum):
     """Where a rolling restart is."""
 
     RUNNING = "running"
@@ -33,26 +33,26 @@
     DONE = "done"
 
 
-MOVES: dict[Phase, frozenset[Phase]] = {
-    Phase.RUNNING: frozenset({Phase.HALTED, Phase.ENDED, Phase.DONE}),
-    Phase.HALTED: frozenset({Phase.RUNNING, Phase.ENDED}),
-    Phase.ENDED: frozenset(),
-    Phase.DONE: frozenset(),
+TRANSITIONS: dict[RestartPhase, frozenset[RestartPhase]] = {
+    RestartPhase.RUNNING: frozenset({RestartPhase.HALTED, RestartPhase.ENDED, RestartPhase.DONE}),
+    RestartPhase.HALTED: frozenset({RestartPhase.RUNNING, RestartPhase.ENDED}),
+    RestartPhase.ENDED: frozenset(),
+    RestartPhase.DONE: frozenset(),
 }
 
 
-class Restart(msgspec.Struct, frozen=True):
+class RollingRestart(msgspec.Struct, frozen=True):
     """A rolling restart."""
 
     order: tuple[str, ...]  # instances by name
     at_once: int = 1
     lives: dict[str, str] = {}  # of each whose step was taken: the life that is to end
-    phase: Phase = Phase.RUNNING
+    phase: RestartPhase = RestartPhase.RUNNING
     why: str = ""
 
-    def to(self, phase: Phase, why: str = "") -> Restart:
+    def to(self, phase: RestartPhase, why: str = "") -> RollingRestart:
         """The same in another phase; AssertionError where there is no way."""
-        if phase not in MOVES[self.phase]:
+        if phase not in TRANSITIONS[self.phase]:
             raise AssertionError(f"no way from {self.phase} to {phase}")
         return msgspec.structs.replace(self, phase=phase, why=why)
 
@@ -62,13 +62,13 @@
         return tuple(name for name in self.order if name not in self.lives)
 
 
-class Plan(msgspec.Struct, frozen=True):
+class DesiredState(msgspec.Struct, frozen=True):
     """What is to be."""
 
     count: int  # instances 1 to so many
     told: int  # how many the file told when that was last looked at
     drained: tuple[str, ...] = ()
-    restart: Restart | None = None
+    restart: RollingRestart | None = None
     last: str = ""  # id of the last thing asked that was done
 
     def wanted(self, fleet: Fleet) -> frozenset[str]:
@@ -76,7 +76,7 @@
         return frozenset(fleet.names(self.count)) - frozenset(self.drained)
 
 
-class Ask(msgspec.Struct, frozen=True):
+class StaffRequest(msgspec.Struct, frozen=True):
     """What staff ask for."""
 
     id: str
@@ -86,7 +86,7 @@
     at_once: int = 1
 
 
-class Fares(msgspec.Struct, frozen=True):
+class InstanceHealth(msgspec.Struct, frozen=True):
     """How an instance fares, as far as the supervisor knows."""
 
     life: str = ""
@@ -96,7 +96,7 @@
     ended: int = 0
 
 
-def asked(plan: Plan, ask: Ask, fleet: Fleet, most: int) -> tuple[Plan, str]:
+def asked(plan: DesiredState, ask: StaffRequest, fleet: Fleet, most: int) -> tuple[DesiredState, str]:
     """The plan with what staff ask for, and a word on it; the same plan where it is refused."""
     names = fleet.names(plan.count)
     if ask.do == "scale":
@@ -115,71 +115,77 @@
     if ask.do == "back":
         drained = tuple(name for name in plan.drained if name not in ask.names)
         return msgspec.structs.replace(plan, drained=drained), f"back: {', '.join(ask.names)}"
-    at_work = plan.restart is not None and plan.restart.phase in (Phase.RUNNING, Phase.HALTED)
+    at_work = plan.restart is not None and plan.restart.phase in (RestartPhase.RUNNING, RestartPhase.HALTED)
     if ask.do == "restart":
         if at_work:
             return plan, "refused: a restart is under way; end it first"
         order = tuple(name for name in ask.names or names if name not in plan.drained)
         if not order:
             return plan, "refused: there is nobody to restart"
-        restart = Restart(order, max(1, ask.at_once))
+        restart = RollingRestart(order, max(1, ask.at_once))
         return msgspec.structs.replace(plan, restart=restart), f"restart of {len(order)} begun"
     if ask.do in ("resume", "end") and plan.restart is not None and at_work:
-        phase = Phase.RUNNING if ask.do == "resume" else Phase.ENDED
-        if phase not in MOVES[plan.restart.phase]:
+        phase = RestartPhase.RUNNING if ask.do == "resume" else RestartPhase.ENDED
+        if phase not in TRANSITIONS[plan.restart.phase]:
             return plan, f"refused: the restart is {plan.restart.phase.value}"
         restart = plan.restart.to(phase)
-        if phase is Phase.RUNNING:
+        if phase is RestartPhase.RUNNING:
             # The ones that went wrong are steps that were taken; they are tried as any other that is down.
             restart = msgspec.structs.replace(restart, why="")
         return msgspec.structs.replace(plan, restart=restart), f"restart: {phase.value}"
     return plan, f"refused: {ask.do}: there is no restart under way"
 
 
-def going_on(plan: Plan, fares: Mapping[str, Fares], hold_s: float) -> tuple[Plan, str] | None:
+def next_restart_step(
+    plan: DesiredState, health: Mapping[str, InstanceHealth], hold_s: float
+) -> tuple[DesiredState, str] | None:
     """The next step of a rolling restart, and a word on it; None where it is not time for one."""
     restart = plan.restart
-    if restart is None or restart.phase is not Phase.RUNNING:
+    if restart is None or restart.phase is not RestartPhase.RUNNING:
         return None
 
-    def step(after: Restart, what: str) -> tuple[Plan, str]:
+    def step(after: RollingRestart, what: str) -> tuple[DesiredState, str]:
         return msgspec.structs.replace(plan, restart=after), what
 
-    gone = [name for name in restart.order if name not in fares or name in plan.drained]
+    gone = [name for name in restart.order if name not in health or name in plan.drained]
     taken = [name for name in restart.lives if name not in gone]
     for name in taken:
-        one = fares[name]
+        one = health[name]
         if one.life != restart.lives[name] and one.trouble:
-            return step(restart.to(Phase.HALTED, f"{name}: {one.trouble}"), f"restart halted by {name}")
-    with_new = _share(fares[name] for name in taken if fares[name].life != restart.lives[name])
-    with_old = _share(one for name, one in fares.items() if name not in restart.lives)
+            return step(
+                restart.to(RestartPhase.HALTED, f"{name}: {one.trouble}"), f"restart halted by {name}"
+            )
+    with_new = _share(health[name] for name in taken if health[name].life != restart.lives[name])
+    with_old = _share(one for name, one in health.items() if name not in restart.lives)
     if min(with_new[1], with_old[1]) >= ENOUGH and with_new[0] < with_old[0] - WORSE:
         why = f"served {with_new[0]:.3f} by those restarted, {with_old[0]:.3f} by the others"
-        return step(restart.to(Phase.HALTED, why), "restart halted")
+        return step(restart.to(RestartPhase.HALTED, why), "restart halted")
     settled = [
-        name for name in taken if fares[name].life != restart.lives[name] and fares[name].serving_s >= hold_s
+        name
+        for name in taken
+        if health[name].life != restart.lives[name] and health[name].serving_s >= hold_s
     ]
     under_way = len(taken) - len(settled)
     left = [name for name in restart.left if name not in gone]
     if not left:
-        return step(restart.to(Phase.DONE), "restart done") if not under_way else None
+        return step(restart.to(RestartPhase.DONE), "restart done") if not under_way else None
     if under_way >= restart.at_once:
         return None
     # Who does not serve now is not in its turn's way: it is started anew in any case.
     now = left[: restart.at_once - under_way]
-    lives = {**restart.lives, **{name: fares[name].life for name in now}}
+    lives = {**restart.lives, **{name: health[name].life for name in now}}
     return step(msgspec.structs.replace(restart, lives=lives), f"restart of {', '.join(now)}")
 
 
-def _share(fares: object) -> tuple[float, int]:
+def _share(health: object) -> tuple[float, int]:
     served, ended = 0.0, 0
-    for one in fares:  # type: ignore[attr-defined]
+    for one in health:  # type: ignore[attr-defined]
         served += one.served * one.ended
         ended += one.ended
     return (served / ended if ended else 1.0), ended
 
 
-class FleetDuty:
+class DesiredStateRole:
     """The duty of one host's supervisor. `fares`: asked of how the instances fare now.
 
     `seen`: told of each plan as it stands in the store while the duty is ours. `most`: instances at the
@@ -189,20 +195,20 @@
     def __init__(
         self,
         fleet: Fleet,
-        fares: Callable[[], Mapping[str, Fares]],
-        seen: Callable[[Plan], None],
+        health: Callable[[], Mapping[str, InstanceHealth]],
+        seen: Callable[[DesiredState], None],
         most: int,
         interval_s: float = 0.1,
     ) -> None:
         self.name = FLEET + fleet.name
         self.interval_s = interval_s
         self.fleet = fleet
-        self._fares = fares
+        self._fares = health
         self._seen = seen
         self._most = most
-        self._asks: deque[tuple[Ask, Callable[[str], None]]] = deque()
+        self._asks: deque[tuple[StaffRequest, Callable[[str], None]]] = deque()
 
-    def ask(self, ask: Ask, told: Callable[[str], None]) -> None:
+    def ask(self, ask: StaffRequest, told: Callable[[str], None]) -> None:
         """Staff ask for something; `told` is called with a word once it stands, or is refused."""
         self._asks.append((ask, told))
 
@@ -214,8 +220,8 @@
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
         """The next change of the plan, if any."""
         if state is None:
-            return _step(Plan(self.fleet.instances, self.fleet.instances), "first plan")
-        plan = msgspec.json.decode(state, type=Plan)
+            return _step(DesiredState(self.fleet.instances, self.fleet.instances), "first plan")
+        plan = msgspec.json.decode(state, type=DesiredState)
         self._seen(plan)
         if plan.told != self.fleet.instances:
             # The file was changed by hand: what it says counts from then on, until staff scale again.
@@ -233,16 +239,16 @@
                 told(said)
                 continue
             return _step(msgspec.structs.replace(after, last=ask.id), said)
-        next_ = going_on(plan, self._fares(), self.fleet.hold_s)
+        next_ = next_restart_step(plan, self._fares(), self.fleet.hold_s)
         return None if next_ is None else _step(*next_)
 
     def did(self, step: Step) -> None:
         """A step stands in the store."""
-        plan = msgspec.json.decode(step.state, type=Plan)
+        plan = msgspec.json.decode(step.state, type=DesiredState)
         if self._asks and plan.last == self._asks[0][0].id:
             self._asks.popleft()[1](step.description)
         self._seen(plan)
 
 
-def _step(plan: Plan, what: str) -> Step:
+def _step(plan: DesiredState, what: str) -> Step:
     return Step(msgspec.json.encode(plan), what)
--- a/coveport/sidecar/supervisor/membership.py
+++ b/coveport/sidecar/supervisor/instance_agent.py
@@ -20,13 +20,13 @@
 from coveport.sidecar.reducer.locality import Place
 from coveport.sidecar.reducer.phases import Lifecycle, Phase
 from coveport.sidecar.supervisor import snapshot
-from coveport.sidecar.supervisor.locks import NameHeldError, NameLock
-from coveport.sidecar.supervisor.notify import Notifier, watchdog_s
+from coveport.sidecar.supervisor.locks import NameLock, NameLockedError
+from coveport.sidecar.supervisor.notify import Notifier, watchdog_interval_s
 from coveport.sidecar.supervisor.peers import Peers
 from coveport.sidecar.supervisor.process_control import LISTEN_FD
 from coveport.sidecar.telemetry.counters import ENDS, Counters, ended
 
-__all__ = ["Membership", "NameHeldError"]
+__all__ = ["InstanceAgent", "NameLockedError"]
 
 BEATS = 4  # signs in the time after which we would be taken for hung
 FARES_S = 1.0
@@ -60,8 +60,8 @@
         """How many share the destinations."""
 
 
-class Membership:
-    """One instance of a fleet. NameHeldError where another life has its name."""
+class InstanceAgent:
+    """One instance of a fleet. NameLockedError where another life has its name."""
 
     def __init__(self, told: OperatorFile, name: str, environ: Mapping[str, str]) -> None:
         fleet = told.fleet
@@ -71,13 +71,13 @@
         self._folder = told.fleet_folder
         self.lock = NameLock(self._folder, name)
         self._notifier = Notifier.of(environ)
-        self._beat_s = (watchdog_s(environ, os.getpid()) or fleet.hung_s) / BEATS
+        self._beat_s = (watchdog_interval_s(environ, os.getpid()) or fleet.hung_s) / BEATS
         self._listen_fd = int(environ.get(LISTEN_FD) or -1)
         self._path = self._folder / "snapshots" / f"{name}.snap"
-        self.remembered: snapshot.Snapshot | None = None
+        self.restored_snapshot: snapshot.Snapshot | None = None
         self._age_s = 0.0
-        self.why_not = ""  # why there is no snapshot to begin from
-        self._heard = snapshot.Heard()
+        self.snapshot_error = ""  # why there is no snapshot to begin from
+        self._heard = snapshot.NodeList()
         self._peers = Peers(told.leases.ttl) if fleet.peers else None
         self._ended: list[tuple[int, int]] = []
         self._serving = self._ending = False
@@ -87,7 +87,7 @@
 
     # Before the start.
 
-    def configured(self, config: Config) -> Config:
+    def instance_config(self, config: Config) -> Config:
         """The platform's configuration, as this instance's."""
         own = self._fleet.each.get(self.name)
         # Guards against copies that draw the same: the file's seed is one for all of them.
@@ -100,22 +100,22 @@
         )
         if self._fleet.young_s > 0:
             self._remember()
-        if self.remembered is not None and self.remembered.seq > _seq(config.known):
-            config = replace(config, known=snapshot.known(self.remembered))
-            self._heard.told({"hosts": self.remembered.hosts, "seq": self.remembered.seq}, True)
+        if self.restored_snapshot is not None and self.restored_snapshot.seq > _seq(config.known):
+            config = replace(config, known=snapshot.known(self.restored_snapshot))
+            self._heard.told({"hosts": self.restored_snapshot.hosts, "seq": self.restored_snapshot.seq}, True)
             self._heard.changed = False
         return config
 
     def _remember(self) -> None:
-        now = snapshot.Taken(time.time(), boot_s(), boot_id())
+        now = snapshot.Timestamp(time.time(), boot_s(), boot_id())
         try:
-            self.remembered, self._age_s = snapshot.usable(
+            self.restored_snapshot, self._age_s = snapshot.usable(
                 snapshot.read(self._path), self._fleet.name, self.name, now, self._fleet.young_s
             )
         except snapshot.SnapshotError as problem:
-            self.why_not = str(problem)
+            self.snapshot_error = str(problem)
 
-    def listening(self) -> socket.socket | None:
+    def inherited_listener(self) -> socket.socket | None:
         """The address that our supervisor holds for us; None where it gave us none."""
         if self._listen_fd < 0:
             return None
@@ -128,7 +128,7 @@
 
     # Beside the sidecar.
 
-    def joined(self, parts: Parts, life: Lifecycle, nodes: Callable[[], Mapping[int, Place]]) -> None:
+    def attach(self, parts: Parts, life: Lifecycle, nodes: Callable[[], Mapping[int, Place]]) -> None:
         """The sidecar's parts are there. `nodes`: where each destination is, by our numbers."""
         self._parts = parts
         self._nodes = nodes
@@ -158,12 +158,12 @@
         self.lock.left(code)
         self._notifier.close()
 
-    def seen(self, instances: int) -> None:
+    def on_session_count(self, instances: int) -> None:
         """So many have a session."""
         if self._peers is not None and self._parts is not None:
             self._parts.share(self._peers.told(boot_s(), instances))
 
-    def shared(self, config: Config) -> Config:
+    def with_peer_count(self, config: Config) -> Config:
         """A configuration that was read anew, with as many sharing the nodes as there are."""
         if self._peers is None:
             return config
@@ -204,7 +204,7 @@
 
     def _tell_out(self) -> None:
         """Who was out when the life before ours last looked: as a look of ours, no more."""
-        told = self.remembered
+        told = self.restored_snapshot
         if told is None or self._parts is None or self._age_s > OUT_S:
             return
         where = {f"{place[0][0]}:{place[0][1]}": number for number, place in self._nodes().items()}
@@ -226,7 +226,7 @@
         by = {
             number: names.get(f"{place[0][0]}:{place[0][1]}", "") for number, place in self._nodes().items()
         }
-        now = snapshot.Taken(time.time(), boot_s(), boot_id())
+        now = snapshot.Timestamp(time.time(), boot_s(), boot_id())
         told = snapshot.Snapshot(
             self._fleet.name,
             self.name,
--- a/coveport/sidecar/supervisor/instance_state.py
+++ b/coveport/sidecar/supervisor/instance_state.py
@@ -33,7 +33,7 @@
     BROKEN = "broken"  # it ended too often: left alone for long
 
 
-MOVES: dict[State, frozenset[State]] = {
+TRANSITIONS: dict[State, frozenset[State]] = {
     State.DOWN: frozenset({State.WAITING, State.STARTING}),
     State.WAITING: frozenset({State.DOWN, State.STARTING}),
     State.STARTING: frozenset(
@@ -44,10 +44,10 @@
     State.KILLING: frozenset({State.WAITING, State.DOWN, State.BROKEN}),
     State.BROKEN: frozenset({State.WAITING, State.DOWN, State.STARTING}),
 }
-THERE = frozenset({State.STARTING, State.SERVING, State.STOPPING, State.KILLING})
+ACTIVE_STATES = frozenset({State.STARTING, State.SERVING, State.STOPPING, State.KILLING})
 
 
-class End(Enum):
+class ExitReason(Enum):
     """How a life ended."""
 
     CLEAN = "clean"  # of its own accord or told to, with nothing owed
@@ -79,10 +79,10 @@
     life: str
 
 
-Order = Start | Drain | Kill
+Command = Start | Drain | Kill
 
 
-class Member:
+class Instance:
     """An instance."""
 
     def __init__(self, name: str, terms: Fleet, chance: random.Random) -> None:
@@ -104,7 +104,7 @@
         self._untold = ""  # the life whose order to end was dropped: it is to be told again
 
     def _to(self, now: float, state: State, why: str = "") -> None:
-        if state not in MOVES[self.state]:
+        if state not in TRANSITIONS[self.state]:
             raise AssertionError(f"{self.name}: no way from {self.state.value} to {state.value}")
         self.state = state
         self.since = now
@@ -121,7 +121,7 @@
 
     # What is wanted.
 
-    def want(self, now: float, wanted: bool) -> list[Order]:
+    def want(self, now: float, wanted: bool) -> list[Command]:
         """It is to be there, or not."""
         self.wanted = wanted
         if wanted:
@@ -137,7 +137,7 @@
             return self._drain(now, "not wanted")
         return []
 
-    def replace(self, now: float, life: str) -> list[Order]:
+    def replace(self, now: float, life: str) -> list[Command]:
         """That life is to end for another one; nothing is done where it has ended."""
         if life and life == self.life and self.state in (State.STARTING, State.SERVING):
             return self._drain(now, "restart")
@@ -152,7 +152,7 @@
         if self.state is State.WAITING:
             self.wait_until = min(self.wait_until, now)
 
-    def _drain(self, now: float, why: str) -> list[Order]:
+    def _drain(self, now: float, why: str) -> list[Command]:
         self._to(now, State.STOPPING, why)
         self._failed = False
         # While the process is being started there is none to tell: it is told once it is there.
@@ -160,28 +160,28 @@
 
     # What happens.
 
-    def may_start(self, now: float) -> bool:
+    def can_start(self, now: float) -> bool:
         """Whether it waits for nothing but its turn."""
         return self.state is State.WAITING and now >= self.wait_until
 
-    def start(self, now: float) -> list[Order]:
+    def start(self, now: float) -> list[Command]:
         """Its turn has come."""
         self._to(now, State.STARTING)
         self.heard_at = now
         return [Start(self.name)]
 
-    def started(self, now: float, life: str) -> list[Order]:
+    def started(self, now: float, life: str) -> list[Command]:
         """The process that we asked for is there."""
-        if self.life or self.state not in THERE:
+        if self.life or self.state not in ACTIVE_STATES:
             return []
         self.life = life
         if self.state is State.STOPPING:
             return [Drain(self.name, life)]
         return [Kill(self.name, life)] if self.state is State.KILLING else []
 
-    def could_not(self, now: float, why: str) -> None:
+    def on_start_failed(self, now: float, why: str) -> None:
         """No process could be started."""
-        if self.state in THERE and not self.life:
+        if self.state in ACTIVE_STATES and not self.life:
             self._after(now, True, why)
 
     def unusable(self, now: float, why: str) -> None:
@@ -189,11 +189,11 @@
         if self.state is State.STARTING and not self.life:
             self._break(now, why)
         else:
-            self.could_not(now, why)
+            self.on_start_failed(now, why)
 
-    def found(self, now: float, life: str) -> list[Order]:
+    def found(self, now: float, life: str) -> list[Command]:
         """A process of that name is there that we did not start, or took for gone."""
-        if self.life or self.state in THERE:
+        if self.life or self.state in ACTIVE_STATES:
             return []
         if self.state is State.DOWN and not self.wanted:
             self._to(now, State.STARTING)
@@ -223,7 +223,7 @@
             self._to(now, State.STOPPING, "it was told to end")
             self._failed = False
 
-    def ended(self, now: float, life: str, how: End) -> None:
+    def ended(self, now: float, life: str, how: ExitReason) -> None:
         """A life is over."""
         if life != self.life or not life:
             return
@@ -231,17 +231,17 @@
         self.lives += 1
         if self.state in (State.STOPPING, State.KILLING):
             self._after(now, self._failed, self.why)
-        elif how is End.HELD:
+        elif how is ExitReason.HELD:
             # Whoever has the name is found by its lock; a short while, and it is looked at again.
             self._rest(now, self._terms.backoff_s, "its name is held")
-        elif how is End.CLEAN and self.state is State.SERVING:
+        elif how is ExitReason.CLEAN and self.state is State.SERVING:
             self._rest(now, self._terms.backoff_s, "it ended by itself")
-        elif how is End.UNUSABLE:
+        elif how is ExitReason.UNUSABLE:
             self._break(now, "its files can't be used")
         else:
             self._after(now, True, f"it ended: {how.value}")
 
-    def hung(self, now: float) -> list[Order]:
+    def hung(self, now: float) -> list[Command]:
         """It gives no sign any more: it is to be replaced."""
         if self.state is not State.SERVING:
             return []
@@ -250,14 +250,14 @@
         self.replacing = self.life
         return [Kill(self.name, self.life)]
 
-    def dropped(self, order: Order) -> None:
+    def dropped(self, order: Command) -> None:
         """It was not carried out. A start shows by its missing process, a kill is repeated anyway."""
         if isinstance(order, Drain):
             self._untold = order.life
 
-    def tick(self, now: float) -> list[Order]:
+    def tick(self, now: float) -> list[Command]:
         """Time has passed, and each order given before was carried out or dropped."""
-        if self.state in THERE and not self.life:
+        if self.state in ACTIVE_STATES and not self.life:
             self._after(now, False, "its start was not carried out")
             return []
         if self.state is State.STOPPING and self._untold == self.life:
@@ -283,11 +283,11 @@
             self._trying = False
         return []
 
-    def silent_s(self, now: float) -> float:
+    def heartbeat_age_s(self, now: float) -> float:
         """How long nothing was heard of it; 0 where it owes no sign."""
         return now - self.heard_at if self.state is State.SERVING else 0.0
 
-    def hear_anew(self, now: float) -> None:
+    def reset_timeouts(self, now: float) -> None:
         """Nothing could be heard up to now, whatever it said."""
         self.heard_at = max(self.heard_at, now)
         if self.state in (State.STARTING, State.STOPPING):
--- a/coveport/sidecar/supervisor/locks.py
+++ b/coveport/sidecar/supervisor/locks.py
@@ -19,11 +19,11 @@
 READS = 20  # of a lock file whose holder has not written yet
 
 
-class NameHeldError(Exception):
+class NameLockedError(Exception):
     """Another life has the name; one line."""
 
 
-def life_of(pid: int) -> str:
+def incarnation_of(pid: int) -> str:
     """The life that a pid is now; empty where there is none."""
     try:
         told = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8", errors="replace")
@@ -46,7 +46,7 @@
 
 
 class NameLock:
-    """A name that is ours until we end. NameHeldError where another life has it."""
+    """A name that is ours until we end. NameLockedError where another life has it."""
 
     def __init__(self, folder: Path, name: str) -> None:
         path = lock_path(folder, name)
@@ -61,9 +61,9 @@
             except BlockingIOError:
                 if time.monotonic() > give_up:
                     os.close(self._file)
-                    raise NameHeldError(f"{name}: another process has this name ({path})") from None
+                    raise NameLockedError(f"{name}: another process has this name ({path})") from None
                 time.sleep(STEP_S)
-        self._write({"life": life_of(os.getpid())})
+        self._write({"life": incarnation_of(os.getpid())})
 
     def _write(self, told: dict[str, object]) -> None:
         data = json.dumps(told).encode() + b"\n"
@@ -72,14 +72,14 @@
 
     def left(self, code: int) -> None:
         """We end with this code: for a supervisor that is not our parent."""
-        self._write({"life": life_of(os.getpid()), "code": code})
+        self._write({"life": incarnation_of(os.getpid()), "code": code})
 
     def close(self) -> None:
         """Let go of the name."""
         os.close(self._file)
 
 
-def who_has(folder: Path, name: str) -> str:
+def lock_holder(folder: Path, name: str) -> str:
     """The life that has a name now; empty where nobody has."""
     try:
         file = os.open(lock_path(folder, name), os.O_RDONLY | os.O_CLOEXEC)
@@ -92,7 +92,7 @@
                 return ""
             except BlockingIOError:
                 life = str(_told(os.pread(file, 4096, 0)).get("life", ""))
-                if life and life_of(pid_of(life)) == life:
+                if life and incarnation_of(pid_of(life)) == life:
                     return life
             time.sleep(STEP_S)  # it has the lock and has not written yet, or it is just ending
         return ""
@@ -100,7 +100,7 @@
         os.close(file)
 
 
-def code_of(folder: Path, name: str, life: str) -> int | None:
+def exit_code_of(folder: Path, name: str, life: str) -> int | None:
     """With which code a life says that it ended; None where it did not say."""
     try:
         told = _told(lock_path(folder, name).read_bytes())
@@ -118,11 +118,11 @@
     return told if isinstance(told, dict) else {}
 
 
-def names_held(folder: Path) -> dict[str, str]:
+def locked_names(folder: Path) -> dict[str, str]:
     """All names that somebody has, and the lives."""
     try:
         names = sorted(path.stem for path in (folder / "run").iterdir() if path.suffix == ".lock")
     except OSError:
         return {}
-    found = {name: who_has(folder, name) for name in names}
+    found = {name: lock_holder(folder, name) for name in names}
     return {name: life for name, life in found.items() if life}
--- a/coveport/sidecar/supervisor/log_stream.py
+++ b/coveport/sidecar/supervisor/log_stream.py
@@ -44,7 +44,7 @@
     return folder / "log" / "fleet.jsonl"
 
 
-def lines(folder: Path, level: str = "info", **who: object) -> Any:
+def stream_logger(folder: Path, level: str = "info", **who: object) -> Any:
     """What writes events into the stream, each with who it is and when."""
 
     def when(_logger: object, _method: str, event: Any) -> Any:
@@ -81,7 +81,7 @@
         level(kind.replace(" ", "_"), text=text)
 
 
-def turn(folder: Path, most: int = MOST) -> bool:
+def rotate(folder: Path, most: int = MOST) -> bool:
     """Move the stream aside where it is large; whether it was."""
     path = stream_path(folder)
     with contextlib.suppress(OSError):
--- a/coveport/sidecar/supervisor/notify.py
+++ b/coveport/sidecar/supervisor/notify.py
@@ -53,7 +53,7 @@
             self._socket = None
 
 
-def watchdog_s(environ: Mapping[str, str], pid: int) -> float:
+def watchdog_interval_s(environ: Mapping[str, str], pid: int) -> float:
     """How often a sign of us is wanted at the least, s; 0: it is not."""
     usec = environ.get("WATCHDOG_USEC", "")
     if not usec.isdigit() or environ.get("WATCHDOG_PID", str(pid)) != str(pid):
@@ -71,7 +71,7 @@
     return words
 
 
-class Receiver:
+class NotificationReceiver:
     """Hears what instances say. `heard` is called with the sender's pid and its words."""
 
     def __init__(self, path: Path, heard: Callable[[int, dict[str, str]], None]) -> None:
--- a/coveport/sidecar/supervisor/process_control.py
+++ b/coveport/sidecar/supervisor/process_control.py
@@ -17,17 +17,21 @@
 from coveport.net.address import parse_address
 from coveport.sidecar.config.operator_file import OperatorFile
 from coveport.sidecar.supervisor import locks
-from coveport.sidecar.supervisor.instance_state import End
+from coveport.sidecar.supervisor.instance_state import ExitReason
 
 LISTEN_FD = "COVEPORT_LISTEN_FD"  # tells an instance the descriptor that it is to accept at
 WAITING_MOST = 512  # connections that wait at an address that nobody takes from at the moment
-ENDS = {0: End.CLEAN, 2: End.UNUSABLE, 3: End.HELD}  # exit codes of an instance; any other is a crash
+ENDS = {
+    0: ExitReason.CLEAN,
+    2: ExitReason.UNUSABLE,
+    3: ExitReason.HELD,
+}  # exit codes of an instance; any other is a crash
 
 
-class Hands(Protocol):
+class ProcessControl(Protocol):
     """What a supervisor does to the world. The lab has another, on simulated time."""
 
-    ended: Callable[[str, str, End], None]  # name, life, how
+    ended: Callable[[str, str, ExitReason], None]  # name, life, how
 
     def found(self) -> dict[str, str]:
         """Names that somebody has, and the lives; each is watched from then on."""
@@ -41,13 +45,13 @@
     def kill(self, life: str) -> None:
         """End it; nothing where it is gone."""
 
-    def unhold(self, name: str) -> None:
+    def close_listener(self, name: str) -> None:
         """Nobody is to serve at this one's address for now: who connects is refused."""
 
-    def life_of(self, pid: int) -> tuple[str, str]:
+    def incarnation_of(self, pid: int) -> tuple[str, str]:
         """Name and life of a process of ours that speaks; empty where it is none."""
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Watch nothing more; what runs runs on."""
 
 
@@ -75,7 +79,7 @@
         self._sockets: dict[str, socket.socket] = {}
         self._children: list[subprocess.Popen[bytes]] = []  # that ended before they were watched
         self.notify_path = self._folder / "notify.sock"
-        self.ended: Callable[[str, str, End], None] = lambda name, life, how: None
+        self.ended: Callable[[str, str, ExitReason], None] = lambda name, life, how: None
         (self._folder / "run").mkdir(parents=True, exist_ok=True)
         (self._folder / "log").mkdir(parents=True, exist_ok=True)
 
@@ -88,7 +92,7 @@
     def found(self) -> dict[str, str]:
         """By their locks, whoever started them."""
         fleet = self._told.fleet
-        found = {name: life for name, life in locks.names_held(self._folder).items() if fleet.number(name)}
+        found = {name: life for name, life in locks.locked_names(self._folder).items() if fleet.number(name)}
         return {
             name: life
             for name, life in found.items()
@@ -102,7 +106,7 @@
         except OSError:
             return False
         # Only now, as the descriptor holds on to whatever has the pid.
-        if locks.life_of(pid) != life:
+        if locks.incarnation_of(pid) != life:
             os.close(file)
             return False
         self._watched[life] = _Watched(name, life, file, child)
@@ -115,8 +119,8 @@
         if one is None:
             return
         # A child has ended by now, so this does not wait.
-        code = one.child.wait() if one.child is not None else locks.code_of(self._folder, one.name, life)
-        self.ended(one.name, life, End.CRASH if code is None else ENDS.get(code, End.CRASH))
+        code = one.child.wait() if one.child is not None else locks.exit_code_of(self._folder, one.name, life)
+        self.ended(one.name, life, ExitReason.CRASH if code is None else ENDS.get(code, ExitReason.CRASH))
 
     def _forget(self, life: str) -> _Watched | None:
         one = self._watched.pop(life, None)
@@ -126,7 +130,7 @@
             os.close(one.file)
         return one
 
-    def life_of(self, pid: int) -> tuple[str, str]:
+    def incarnation_of(self, pid: int) -> tuple[str, str]:
         """By its pid, which is known to be alive, as it speaks."""
         one = self._watched.get(self._by_pid.get(pid, ""))
         return ("", "") if one is None else (one.name, one.life)
@@ -154,7 +158,7 @@
                 pass_fds=(held.fileno(),),
                 start_new_session=True,
             )  # a Ctrl-C at our terminal is ours to pass on
-        life = locks.life_of(child.pid)
+        life = locks.incarnation_of(child.pid)
         own = fleet.each.get(name)
         sockets = (own.sockets if own is not None else 0) or fleet.sockets
         if sockets:
@@ -167,7 +171,7 @@
         return life
 
     def _was_over(self, name: str, life: str, child: subprocess.Popen[bytes]) -> None:
-        self.ended(name, life, ENDS.get(child.wait(), End.CRASH))
+        self.ended(name, life, ENDS.get(child.wait(), ExitReason.CRASH))
 
     def drain(self, life: str) -> None:
         """SIGTERM."""
@@ -189,7 +193,7 @@
         one = self._sockets.get(name)
         address = parse_address(self._told.fleet.address(name))
         if one is not None and one.getsockname()[:2] != address and address[1]:
-            self.unhold(name)  # the file has it elsewhere by now
+            self.close_listener(name)  # the file has it elsewhere by now
             one = None
         if one is None:
             family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
@@ -198,15 +202,15 @@
             self._sockets[name] = one
         return one
 
-    def unhold(self, name: str) -> None:
+    def close_listener(self, name: str) -> None:
         """Close its address."""
         one = self._sockets.pop(name, None)
         if one is not None:
             one.close()
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Watch nothing more."""
         for life in list(self._watched):
             self._forget(life)
         for name in list(self._sockets):
-            self.unhold(name)
+            self.close_listener(name)
--- a/coveport/sidecar/supervisor/snapshot.py
+++ b/coveport/sidecar/supervisor/snapshot.py
@@ -27,7 +27,7 @@
     """Not to be used; one line says why."""
 
 
-class Taken(msgspec.Struct, frozen=True):
+class Timestamp(msgspec.Struct, frozen=True):
     """When it was taken, by both clocks."""
 
     unix_s: float
@@ -40,7 +40,7 @@
 
     fleet: str
     name: str
-    taken: Taken
+    taken: Timestamp
     seq: int  # version of the list
     hosts: list[dict[str, Any]]  # in discovery's form
     out: dict[str, float] = {}  # hosts that get nothing: for how long already, s
@@ -69,7 +69,7 @@
         raise SnapshotError(" ".join(str(problem).split())) from problem
 
 
-def age_s(taken: Taken, now: Taken) -> float:
+def age_s(taken: Timestamp, now: Timestamp) -> float:
     """How old it is; SnapshotError where that can't be told, or it is from the future.
 
     Within a boot by the clock that never steps; over a reboot by the wall clock, which is all there is.
@@ -81,7 +81,7 @@
     return age
 
 
-def usable(data: bytes, fleet: str, name: str, now: Taken, young_s: float) -> tuple[Snapshot, float]:
+def usable(data: bytes, fleet: str, name: str, now: Timestamp, young_s: float) -> tuple[Snapshot, float]:
     """A snapshot to begin from, and its age in s; SnapshotError where it is not to be used."""
     told = decode(data)
     if (told.fleet, told.name) != (fleet, name):
@@ -155,7 +155,7 @@
         raise SnapshotError(problem.strerror or str(problem)) from problem
 
 
-class Heard:
+class NodeList:
     """The list as discovery has told it so far, in its own form, put together from wholes and changes."""
 
     def __init__(self) -> None:
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -15,10 +15,10 @@
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.singletons.singleton import Step
 from coveport.sidecar.singletons.singleton_runner import SingletonRunner
-from coveport.sidecar.supervisor.desired_state import Ask, FleetDuty, Plan
-from coveport.sidecar.supervisor.instance_set import Crew
-from coveport.sidecar.supervisor.instance_state import Drain, End, Kill, Order, Start, State
-from coveport.sidecar.supervisor.process_control import Hands
+from coveport.sidecar.supervisor.desired_state import DesiredState, DesiredStateRole, StaffRequest
+from coveport.sidecar.supervisor.instance_set import InstanceSet
+from coveport.sidecar.supervisor.instance_state import Command, Drain, ExitReason, Kill, Start, State
+from coveport.sidecar.supervisor.process_control import ProcessControl
 
 TICK_S = 0.05
 LATE_S = 0.5  # a turn that comes so much too late: we heard nothing meanwhile
@@ -37,7 +37,7 @@
         self,
         told: OperatorFile,
         lease_client: LeaseClient,
-        hands: Hands,
+        processes: ProcessControl,
         *,
         now_s: Callable[[], float],
         chance: random.Random,
@@ -47,16 +47,18 @@
     ) -> None:
         self.told = told
         self.lease_client = lease_client
-        self.hands = hands
+        self.processes = processes
         self._now_s = now_s
         self._say = say
         self._check = check
-        self.crew = Crew(told.fleet, chance)
-        self.duty = FleetDuty(told.fleet, lambda: self.crew.fares(self._now_s()), self._planned, most)
+        self.instances = InstanceSet(told.fleet, chance)
+        self.duty = DesiredStateRole(
+            told.fleet, lambda: self.instances.health(self._now_s()), self._planned, most
+        )
         self._runner = SingletonRunner(lease_client, self.duty, now_s, self._did)
         lease_client.on_acquired = self._began
         lease_client.on_lost = self._over
-        hands.ended = self._life_over
+        processes.ended = self._life_over
         self.holding = False
         self.on_holding: Callable[[bool], Awaitable[None]] | None = None
         self._token = 0
@@ -80,7 +82,7 @@
         await self.lease_client.close()
         for task in self._tasks:
             task.cancel()
-        self.hands.let_go()
+        self.processes.release()
 
     @property
     def alone(self) -> bool:
@@ -96,23 +98,23 @@
         """End all instances, as many at a time as want to; whether all have."""
         self._stopping = True
         end = self._now_s() + within_s
-        orders: list[Order] = []
+        orders: list[Command] = []
         now = self._now_s()
-        for name in sorted(self.crew.members, key=self.told.fleet.number, reverse=True):
-            orders += self.crew.members[name].want(now, False)
+        for name in sorted(self.instances.by_name, key=self.told.fleet.number, reverse=True):
+            orders += self.instances.by_name[name].want(now, False)
         self._carry_out(orders)
-        while not self.crew.empty and self._now_s() < end:
+        while not self.instances.empty and self._now_s() < end:
             now = self._now_s()
-            self._carry_out([order for one in self.crew.members.values() for order in one.tick(now)])
+            self._carry_out([order for one in self.instances.by_name.values() for order in one.tick(now)])
             self._tell()
             await asyncio.sleep(TICK_S)
-        return self.crew.empty
+        return self.instances.empty
 
     def retune(self, told: OperatorFile) -> None:
         """The file was read anew."""
         self.told = told
         self.duty.fleet = told.fleet
-        self.crew.retune(self._now_s(), told.fleet)
+        self.instances.retune(self._now_s(), told.fleet)
 
     # The duty.
 
@@ -120,8 +122,8 @@
         self.holding = True
         self._token = token
         now = self._now_s()
-        found = self.hands.found()
-        self.crew.take_up(now, found)
+        found = self.processes.found()
+        self.instances.acquire(now, found)
         self._states = {}
         self._say("fleet_taken_up", duty=duty, token=token, found=sorted(found))
         self._runner.start(token)
@@ -133,8 +135,8 @@
         self._runner.stop()
         self.duty.gone()
         if not self._stopping:
-            self.crew.let_go()
-            self.hands.let_go()
+            self.instances.release()
+            self.processes.release()
         self._say("fleet_let_go", duty=duty, token=token, why=why)
         if self.on_holding is not None:
             self._tasks.append(asyncio.ensure_future(self._tell_holding(False)))
@@ -143,9 +145,9 @@
         if self.on_holding is not None and holding is self.holding:
             await self.on_holding(holding)
 
-    def _planned(self, plan: Plan) -> None:
+    def _planned(self, plan: DesiredState) -> None:
         if self.acts and not self._stopping:
-            self._carry_out(self.crew.planned(self._now_s(), plan))
+            self._carry_out(self.instances.planned(self._now_s(), plan))
 
     def _did(self, step: Step, token: int, revision: int) -> None:
         self._say("fleet_step", token=token, revision=revision, what=step.description)
@@ -156,75 +158,78 @@
             now = self._now_s()
             if now - self._turn_at > TICK_S + LATE_S:
                 self._say("fleet_stalled", lasted=round(now - self._turn_at, 2))
-                self.crew.stalled(now)
+                self.instances.stalled(now)
                 await asyncio.sleep(0)  # what was said meanwhile is heard first
             self._turn_at = now
             if self.acts and not self._stopping:
                 if now - self._scan_at >= SCAN_S:
                     self._scan_at = now
-                    for name, life in self.hands.found().items():
-                        self._carry_out(self.crew.found(now, name, life))
-                self._carry_out(self.crew.tick(now))
+                    for name, life in self.processes.found().items():
+                        self._carry_out(self.instances.found(now, name, life))
+                self._carry_out(self.instances.tick(now))
             self._tell()
             await asyncio.sleep(TICK_S)
 
     # Orders.
 
-    def _carry_out(self, orders: list[Order]) -> None:
+    def _carry_out(self, orders: list[Command]) -> None:
         for number, order in enumerate(orders):
             # Each by itself: an order that took long may have cost us the duty.
             if not self.acts:
                 # Not kept for later: once we act again, the crew orders what is due then.
-                self.crew.dropped(orders[number:])
+                self.instances.dropped(orders[number:])
                 return
             if isinstance(order, Start):
                 self._start(order.name)
             elif isinstance(order, Drain):
                 self._say("fleet_drain", name=order.name, life=order.life)
-                self.hands.drain(order.life)
+                self.processes.drain(order.life)
             elif isinstance(order, Kill):
                 self._say(
-                    "fleet_kill", name=order.name, life=order.life, why=self.crew.members[order.name].why
+                    "fleet_kill",
+                    name=order.name,
+                    life=order.life,
+                    why=self.instances.by_name[order.name].why,
                 )
-                self.hands.kill(order.life)
+                self.processes.kill(order.life)
 
     def _start(self, name: str) -> None:
         now = self._now_s()
         fault = self._check()
         if fault:
             # Guards against a file that ends every life at its start: nothing is started to find that out.
-            self.crew.unusable(now, name, fault)
+            self.instances.unusable(now, name, fault)
             return
         try:
-            life = self.hands.start(name)
+            life = self.processes.start(name)
         except OSError as problem:
-            self.crew.could_not(now, name, problem.strerror or str(problem))
+            self.instances.on_start_failed(now, name, problem.strerror or str(problem))
             return
         self._say("fleet_start", name=name, life=life)
-        self._carry_out(self.crew.started(now, name, life))
+        self._carry_out(self.instances.started(now, name, life))
 
-    def _life_over(self, name: str, life: str, how: End) -> None:
+    def _life_over(self, name: str, life: str, how: ExitReason) -> None:
         self._say("fleet_ended", name=name, life=life, how=how.value)
-        self.crew.ended(self._now_s(), name, life, how)
+        self.instances.ended(self._now_s(), name, life, how)
 
     # What instances say.
 
     def heard(self, pid: int, words: dict[str, str]) -> None:
         """A datagram of an instance."""
-        name, life = self.hands.life_of(pid)
+        name, life = self.processes.incarnation_of(pid)
         if not name:
             return
         now = self._now_s()
         if words.get("STOPPING") == "1":
-            self.crew.stopping(now, name, life)
+            self.instances.stopping(now, name, life)
         if words.get("READY") == "1":
-            self.crew.ready(now, name, life)
+            self.instances.ready(now, name, life)
         if words.get("WATCHDOG") == "1" or "X_SERVED" in words:
-            self.crew.beat(now, name, life, _served(words.get("X_SERVED", "")))
+            self.instances.beat(now, name, life, _served(words.get("X_SERVED", "")))
 
     def _tell(self) -> None:
         """Write down which instances have come to another state, and let go of addresses nobody serves at."""
-        for name, one in self.crew.members.items():
+        for name, one in self.instances.by_name.items():
             if self._states.get(name) is not one.state:
                 self._states[name] = one.state
                 self._say(
@@ -235,10 +240,10 @@
                     why=one.why,
                 )
                 if one.state in (State.DOWN, State.BROKEN):
-                    self.hands.unhold(name)
-        for name in [name for name in self._states if name not in self.crew.members]:
+                    self.processes.close_listener(name)
+        for name in [name for name in self._states if name not in self.instances.by_name]:
             del self._states[name]
-            self.hands.unhold(name)
+            self.processes.close_listener(name)
 
     # Staff.
 
@@ -250,7 +255,7 @@
         if not self.acts:
             return {"ok": False, "said": "refused: this supervisor does not hold the duty"}
         try:
-            ask = Ask(
+            ask = StaffRequest(
                 str(told["id"]),
                 str(do),
                 int(told.get("count", 0)),
@@ -272,8 +277,8 @@
 
     def status(self) -> dict[str, Any]:
         """What staff are shown."""
-        now, plan = self._now_s(), self.crew.plan
-        fares = self.crew.fares(now)
+        now, plan = self._now_s(), self.instances.plan
+        health = self.instances.health(now)
         return {
             "fleet": self.told.fleet.name,
             "supervisor": self.lease_client.name,
@@ -299,10 +304,10 @@
                     "why": one.why,
                     "wanted": one.wanted,
                     "ended": one.lives,
-                    "served": round(fares[name].served, 4),
+                    "served": round(health[name].served, 4),
                 }
                 for name, one in sorted(
-                    self.crew.members.items(), key=lambda it: self.told.fleet.number(it[0])
+                    self.instances.by_name.items(), key=lambda it: self.told.fleet.number(it[0])
                 )
             ],
         }
--- a/coveport/testbed/fault_injection/fleet/broken_variants.py
+++ b/coveport/testbed/fault_injection/fleet/broken_variants.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from coveport.sidecar.supervisor import desired_state as plan_module
-from coveport.sidecar.supervisor import instance_set as crew_module
-from coveport.sidecar.supervisor.desired_state import Fares, Plan
-from coveport.sidecar.supervisor.instance_set import Crew
-from coveport.sidecar.supervisor.instance_state import Member, Order, State
+from coveport.sidecar.supervisor import desired_state as desired_state_module
+from coveport.sidecar.supervisor import instance_set as instance_set_module
+from coveport.sidecar.supervisor.desired_state import DesiredState, InstanceHealth
+from coveport.sidecar.supervisor.instance_set import InstanceSet
+from coveport.sidecar.supervisor.instance_state import Command, Instance, State
 from coveport.sidecar.supervisor.supervisor import Supervisor
 
 
@@ -26,33 +26,33 @@
     about: str
     rules: tuple[str, ...] = ()
     supervisor: type[Supervisor] = Supervisor
-    crew: Callable[..., Crew] | None = None
+    instance_set: Callable[..., InstanceSet] | None = None
     locked: bool = True
     while_played: Callable[[], AbstractContextManager[Any]] = nullcontext
 
 
-class _SpendsAtOnce(Crew):
+class _SpendsAtOnce(InstanceSet):
     """Starts all that wait."""
 
-    def _start(self, now: float) -> list[Order]:
-        return [order for one in self.members.values() if one.may_start(now) for order in one.start(now)]
+    def _start(self, now: float) -> list[Command]:
+        return [order for one in self.by_name.values() if one.can_start(now) for order in one.start(now)]
 
 
-class _Deaf(Crew):
+class _Deaf(InstanceSet):
     """Takes what it could not hear for silence."""
 
     def stalled(self, now: float) -> None:
         self._spent_at = now
 
 
-class _Rash(Crew):
+class _Rash(InstanceSet):
     """Replaces whoever is silent, however many are."""
 
-    def _replace_hung(self, now: float) -> list[Order]:
+    def _replace_hung(self, now: float) -> list[Command]:
         return [
             order
-            for one in self.members.values()
-            if one.silent_s(now) > self.fleet.hung_s
+            for one in self.by_name.values()
+            if one.heartbeat_age_s(now) > self.fleet.hung_s
             for order in one.hung(now)
         ]
 
@@ -62,7 +62,7 @@
 
     @property
     def acts(self) -> bool:
-        return bool(self._token) and self.crew.plan is not None
+        return bool(self._token) and self.instances.plan is not None
 
     def _over(self, duty: str, token: int, why: str) -> None:
         self.holding = False
@@ -73,10 +73,10 @@
     """Takes nothing over: what runs is none of its business."""
 
     def _began(self, duty: str, token: int) -> None:
-        found, self.hands.found = self.hands.found, dict  # type: ignore[method-assign]
+        found, self.processes.found = self.processes.found, dict  # type: ignore[method-assign]
         super()._began(duty, token)
         self._scan_at = float("inf")
-        self.hands.found = found  # type: ignore[method-assign]
+        self.processes.found = found  # type: ignore[method-assign]
 
 
 class _Before(Supervisor):
@@ -85,8 +85,8 @@
     async def asked(self, told: dict[str, Any]) -> dict[str, Any]:
         if told.get("do") == "restart" and self.acts:
             now = self._now_s()
-            for name in list(self.crew.members)[:1]:
-                self._carry_out(self.crew.members[name].replace(now, self.crew.members[name].life))
+            for name in list(self.instances.by_name)[:1]:
+                self._carry_out(self.instances.by_name[name].replace(now, self.instances.by_name[name].life))
         return await super().asked(told)
 
 
@@ -103,35 +103,37 @@
     return lambda: mock.patch.object(where, name, other)
 
 
-def _in_one_go(plan: Plan, fares: Mapping[str, Fares], hold_s: float) -> tuple[Plan, str] | None:
+def _in_one_go(
+    plan: DesiredState, health: Mapping[str, InstanceHealth], hold_s: float
+) -> tuple[DesiredState, str] | None:
     restart = plan.restart
-    if restart is None or restart.phase is not plan_module.Phase.RUNNING:
+    if restart is None or restart.phase is not desired_state_module.RestartPhase.RUNNING:
         return None
-    left = [name for name in restart.left if name in fares][:1]
+    left = [name for name in restart.left if name in health][:1]
     after = (
-        restart.to(plan_module.Phase.DONE)
+        restart.to(desired_state_module.RestartPhase.DONE)
         if not left
-        else msgspec.structs.replace(restart, lives={**restart.lives, left[0]: fares[left[0]].life})
+        else msgspec.structs.replace(restart, lives={**restart.lives, left[0]: health[left[0]].life})
     )
     return msgspec.structs.replace(plan, restart=after), "on"
 
 
-_REPLACE = Member.replace
+_REPLACE = Instance.replace
 
 
-def _whoever(one: Member, now: float, life: str) -> list[Order]:
+def _whoever(one: Instance, now: float, life: str) -> list[Command]:
     """Ends whoever has the name, whichever life the step names."""
     return _REPLACE(one, now, one.life)
 
 
-def _at_once(one: Member, now: float, failed: bool, why: str) -> None:
+def _at_once(one: Instance, now: float, failed: bool, why: str) -> None:
     """Starts again at once, however often."""
     one.replacing = ""
     one._to(now, State.WAITING if one.wanted else State.DOWN, why)
     one.wait_until = now
 
 
-def _gives_up(one: Member, now: float, failed: bool, why: str) -> None:
+def _gives_up(one: Instance, now: float, failed: bool, why: str) -> None:
     """Never starts again what ended by itself."""
     one.replacing = ""
     one._to(now, State.WAITING if one.wanted else State.DOWN, why)
@@ -150,10 +152,15 @@
             ("back", "loop", "flood", "step"),
             supervisor=_Forgets,
         ),
-        FleetVariant("spends-at-once", "starts all that wait at once", ("flood",), crew=_SpendsAtOnce),
-        FleetVariant("deaf", "takes its own stall for theirs", ("healthy",), crew=_Deaf),
         FleetVariant(
-            "rash", "ends all that are silent, though the host stood still", ("mass", "healthy"), crew=_Rash
+            "spends-at-once", "starts all that wait at once", ("flood",), instance_set=_SpendsAtOnce
+        ),
+        FleetVariant("deaf", "takes its own stall for theirs", ("healthy",), instance_set=_Deaf),
+        FleetVariant(
+            "rash",
+            "ends all that are silent, though the host stood still",
+            ("mass", "healthy"),
+            instance_set=_Rash,
         ),
         FleetVariant("acts-on", "goes on without the duty", ("holder", "back"), supervisor=_Acts),
         FleetVariant(
@@ -164,31 +171,31 @@
             "in-one-go",
             "a restart that waits for nobody",
             ("turns",),
-            while_played=_patched(plan_module, "going_on", _in_one_go),
+            while_played=_patched(desired_state_module, "next_restart_step", _in_one_go),
         ),
         FleetVariant(
             "whoever",
             "a restart's step ends whoever has the name",
             ("step", "back"),
-            while_played=_patched(Member, "replace", _whoever),
+            while_played=_patched(Instance, "replace", _whoever),
         ),
         FleetVariant(
             "at-once",
             "starts again at once, however often it ends",
             ("loop",),
-            while_played=_patched(Member, "_after", _at_once),
+            while_played=_patched(Instance, "_after", _at_once),
         ),
         FleetVariant(
             "gives-up",
             "starts nothing again that ended by itself",
             ("back",),
-            while_played=_patched(Member, "_after", _gives_up),
+            while_played=_patched(Instance, "_after", _gives_up),
         ),
         FleetVariant(
             "hopes",
             "waits for ever for one that gives no sign",
             ("back",),
-            while_played=_patched(crew_module.Crew, "_replace_hung", lambda self, now: []),
+            while_played=_patched(instance_set_module.InstanceSet, "_replace_hung", lambda self, now: []),
         ),
     )
 }
--- a/coveport/testbed/fault_injection/fleet/host.py
+++ b/coveport/testbed/fault_injection/fleet/host.py
@@ -12,7 +12,7 @@
 from math import inf
 
 from coveport.sidecar.config.operator_file import Fleet
-from coveport.sidecar.supervisor.instance_state import End
+from coveport.sidecar.supervisor.instance_state import ExitReason
 from coveport.testbed.simulated_network.world import Process, World
 
 BEATS = 4
@@ -67,7 +67,7 @@
         self.ills = Ills()
         self.lives: dict[str, SimLife] = {}  # by life; those that are alive
         self.book: list[Event] = []
-        self.hands: list[SimHands] = []
+        self.processes: list[SimProcessControl] = []
         self.ear: tuple[Process, Callable[[int, dict[str, str]], None]] | None = None
         self.locked = True  # whether names have locks at all
         self._count = 1000
@@ -90,14 +90,16 @@
         if self.locked and before is not None and before is not one:
             one.holds = False
             self.note("held", one)
-            self.world.at(self.world.now + 0.1, self.end, one, End.HELD)
+            self.world.at(self.world.now + 0.1, self.end, one, ExitReason.HELD)
             return one
         if self.ills.unusable:
-            self.world.at(self.world.now + 0.15, self.end, one, End.UNUSABLE)
+            self.world.at(self.world.now + 0.15, self.end, one, ExitReason.UNUSABLE)
             return one
         crash = self.ills.crash.get(name, self.ills.crash.get("", inf))
         if crash < inf:
-            self.world.at(self.world.now + crash * self._chance.uniform(0.5, 1.5), self.end, one, End.CRASH)
+            self.world.at(
+                self.world.now + crash * self._chance.uniform(0.5, 1.5), self.end, one, ExitReason.CRASH
+            )
         ready = self.ills.start_s * self._chance.uniform(0.5, 1.5)
         self.world.at(
             self.world.now + ready,
@@ -151,32 +153,32 @@
         if self.world.now < one.frozen:
             self.world.at(one.frozen, self._drained, one)
         else:
-            self.world.at(self.world.now + self._chance.uniform(0.3, 1.2), self.end, one, End.CLEAN)
+            self.world.at(self.world.now + self._chance.uniform(0.3, 1.2), self.end, one, ExitReason.CLEAN)
 
-    def end(self, one: SimLife, how: End) -> None:
+    def end(self, one: SimLife, how: ExitReason) -> None:
         """It is over: its lock is free, and who watches it hears of it."""
         if not one.alive:
             return
-        if how is not End.CRASH and self.world.now < one.frozen:
+        if how is not ExitReason.CRASH and self.world.now < one.frozen:
             self.world.at(one.frozen, self.end, one, how)  # who stands still does not end by itself
             return
         one.alive = False
         del self.lives[one.life]
         self.note("ended", one)
-        for hands in self.hands:
-            hands.over(one, how)
+        for processes in self.processes:
+            processes.over(one, how)
 
 
-class SimHands:
+class SimProcessControl:
     """The hands of one supervisor."""
 
     def __init__(self, host: SimHost, process: Process, name: str) -> None:
         self.host = host
         self.process = process
         self.name = name
-        self.ended: Callable[[str, str, End], None] = lambda name, life, how: None
+        self.ended: Callable[[str, str, ExitReason], None] = lambda name, life, how: None
         self._watched: set[str] = set()
-        host.hands.append(self)
+        host.processes.append(self)
 
     def found(self) -> dict[str, str]:
         """By their locks."""
@@ -202,27 +204,27 @@
         one = self.host.lives.get(life)
         if one is not None and life in self._watched:
             self.host.note("kill", one, self.name)
-            self.host.end(one, End.CRASH)
+            self.host.end(one, ExitReason.CRASH)
 
-    def unhold(self, name: str) -> None:
+    def close_listener(self, name: str) -> None:
         """Nothing is held here."""
 
-    def life_of(self, pid: int) -> tuple[str, str]:
+    def incarnation_of(self, pid: int) -> tuple[str, str]:
         """Whose word it is."""
         one = next(
             (it for it in self.host.lives.values() if it.pid == pid and it.life in self._watched), None
         )
         return ("", "") if one is None else (one.name, one.life)
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Watch nothing more."""
         self._watched.clear()
 
-    def over(self, one: SimLife, how: End) -> None:
+    def over(self, one: SimLife, how: ExitReason) -> None:
         """A life has ended."""
         if one.life in self._watched and self.process.alive:
             self._watched.discard(one.life)
             self.host.world.soon(self._tell, (one.name, one.life, how), self.process)
 
-    def _tell(self, name: str, life: str, how: End) -> None:
+    def _tell(self, name: str, life: str, how: ExitReason) -> None:
         self.ended(name, life, how)
--- a/coveport/testbed/fault_injection/fleet/judge.py
+++ b/coveport/testbed/fault_injection/fleet/judge.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from coveport.sidecar.config.operator_file import Fleet
-from coveport.sidecar.supervisor.desired_state import Phase, Plan
+from coveport.sidecar.supervisor.desired_state import DesiredState, RestartPhase
 from coveport.testbed.fault_injection.fleet.host import Event, SimLife
 from coveport.testbed.fault_injection.judge import Finding
 
@@ -71,7 +71,7 @@
 
 def judge(
     book: Sequence[Event],
-    plans: Sequence[tuple[float, Plan]],
+    plans: Sequence[tuple[float, DesiredState]],
     holders: Sequence[tuple[float, str]],
     fleet: Fleet,
     end: float,
@@ -203,7 +203,7 @@
     return found
 
 
-def _steps(book: Sequence[Event], plans: Sequence[tuple[float, Plan]]) -> list[Finding]:
+def _steps(book: Sequence[Event], plans: Sequence[tuple[float, DesiredState]]) -> list[Finding]:
     """Who is told to end was to: unwanted, or named by a step of a restart that stood in the store before."""
     found = []
     times = [at for at, _ in plans]
@@ -224,14 +224,14 @@
     return found
 
 
-def _names(plan: Plan) -> set[str]:
+def _names(plan: DesiredState) -> set[str]:
     return {f"host-{number}" for number in range(1, plan.count + 1)} - set(plan.drained)
 
 
-def _turns(plans: Sequence[tuple[float, Plan]], lives: dict[str, _Life]) -> list[Finding]:
+def _turns(plans: Sequence[tuple[float, DesiredState]], lives: dict[str, _Life]) -> list[Finding]:
     """A restart takes the next ones only once those before serve."""
     found = []
-    before: Plan | None = None
+    before: DesiredState | None = None
     for at, plan in plans:
         restart = plan.restart
         if restart is None:
@@ -244,7 +244,7 @@
             else set()
         )
         new = taken - old if len(taken) >= len(old) else taken
-        if new and restart.phase is Phase.RUNNING and len(taken) > len(new):
+        if new and restart.phase is RestartPhase.RUNNING and len(taken) > len(new):
             down = [
                 name
                 for name in taken - new
@@ -260,7 +260,7 @@
 
 
 def _back(
-    plans: Sequence[tuple[float, Plan]], left: Sequence[SimLife], fleet: Fleet, end: float
+    plans: Sequence[tuple[float, DesiredState]], left: Sequence[SimLife], fleet: Fleet, end: float
 ) -> list[Finding]:
     """In the end all that are to be there serve, and nobody else does."""
     if not plans:
@@ -273,12 +273,12 @@
         for name in sorted({one.name for one in left if one.draining == inf} - wanted)
     ]
     restart = plans[-1][1].restart
-    if restart is not None and restart.phase is Phase.RUNNING:
+    if restart is not None and restart.phase is RestartPhase.RUNNING:
         found.append(Finding("back", end, f"a restart is at {len(restart.lives)} of {len(restart.order)}"))
     return found
 
 
-def _verbs(plans: Sequence[tuple[float, Plan]], said: Sequence[Said]) -> list[Finding]:
+def _verbs(plans: Sequence[tuple[float, DesiredState]], said: Sequence[Said]) -> list[Finding]:
     """What staff were told to be done stood in the store by then."""
     found = []
     for one in said:
--- a/coveport/testbed/fault_injection/fleet/real.py
+++ b/coveport/testbed/fault_injection/fleet/real.py
@@ -63,7 +63,7 @@
             if one.poll() is None:
                 one.kill()  # a stopped one ends by it too
                 one.wait()
-        for life in locks.names_held(self.folder / "fleet").values():
+        for life in locks.locked_names(self.folder / "fleet").values():
             with contextlib.suppress(ProcessLookupError):
                 os.kill(locks.pid_of(life), signal.SIGKILL)
         self.town.stop()
@@ -164,7 +164,7 @@
 
     def lives(self) -> dict[str, str]:
         """Who has which name, by the locks alone."""
-        return locks.names_held(self.folder / "fleet")
+        return locks.locked_names(self.folder / "fleet")
 
 
 def _ports(count: int) -> int:
--- a/coveport/testbed/fault_injection/fleet/sim.py
+++ b/coveport/testbed/fault_injection/fleet/sim.py
@@ -19,11 +19,11 @@
     Work,
 )
 from coveport.sidecar.leases.lease_client import LeaseClient
-from coveport.sidecar.supervisor.desired_state import FLEET, Phase, Plan
-from coveport.sidecar.supervisor.instance_state import End
+from coveport.sidecar.supervisor.desired_state import FLEET, DesiredState, RestartPhase
+from coveport.sidecar.supervisor.instance_state import ExitReason
 from coveport.sidecar.supervisor.supervisor import Supervisor
 from coveport.testbed.fault_injection.fleet.broken_variants import SOUND, FleetVariant
-from coveport.testbed.fault_injection.fleet.host import SimHands, SimHost
+from coveport.testbed.fault_injection.fleet.host import SimHost, SimProcessControl
 from coveport.testbed.fault_injection.fleet.judge import Said, judge
 from coveport.testbed.fault_injection.judge import Finding, accepted, order
 from coveport.testbed.fault_injection.quiet_collector import collector_paused
@@ -222,12 +222,12 @@
             chance=chance,
             prefix=PREFIX,
         )
-        hands = SimHands(self.host, process, name)
+        processes = SimProcessControl(self.host, process, name)
         one.supervisor = supervisor = self.variant.supervisor(
-            told, lease_client, hands, now_s=now_s, chance=chance, say=say, check=lambda: self.fault
+            told, lease_client, processes, now_s=now_s, chance=chance, say=say, check=lambda: self.fault
         )
-        if self.variant.crew is not None:
-            supervisor.crew = self.variant.crew(told.fleet, chance)
+        if self.variant.instance_set is not None:
+            supervisor.instances = self.variant.instance_set(told.fleet, chance)
 
         async def holds(holding: bool) -> None:
             if holding:
@@ -312,13 +312,13 @@
         if fault.kind == "most_killed":
             for one in lives:
                 if self.chance.random() < 0.7:
-                    self.host.end(one, End.CRASH)
+                    self.host.end(one, ExitReason.CRASH)
             return
         one_ = self.host.holder(f"host-{int(fault.target) + 1}")
         if one_ is None:
             return
         if fault.kind == "kill":
-            self.host.end(one_, End.CRASH)
+            self.host.end(one_, ExitReason.CRASH)
         elif fault.kind == "hang":
             self.host.freeze(one_, 1000.0 if fault.share < 0.5 else fault.lasts_s)
         elif fault.kind == "term":
@@ -394,11 +394,11 @@
         for one in self.supervisors:
             self.lose(one)
 
-    def plans(self) -> list[tuple[float, Plan]]:
+    def plans(self) -> list[tuple[float, DesiredState]]:
         """Every plan that stood in the store."""
         key = f"{PREFIX}state/{FLEET}{self.trial.fleet.name}"
         return [
-            (at, msgspec.json.decode(change.entry.value, type=Plan))
+            (at, msgspec.json.decode(change.entry.value, type=DesiredState))
             for at, change in self.store.engine.book
             if change.key == key and change.entry is not None
         ]
@@ -430,7 +430,7 @@
         findings += [Finding("crash", end, what) for what in self.problems]
         restarts: dict[str, int] = {}
         for _, plan in plans:
-            if plan.restart is not None and plan.restart.phase is not Phase.RUNNING:
+            if plan.restart is not None and plan.restart.phase is not RestartPhase.RUNNING:
                 word = plan.restart.phase.value
                 restarts[word] = restarts.get(word, 0) + 1
         return PlayedFleet(
--- a/tests/golden/golden_fleet_cases.py
+++ b/tests/golden/golden_fleet_cases.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from coveport.sidecar.supervisor.snapshot import Snapshot, Taken
+from coveport.sidecar.supervisor.snapshot import Snapshot, Timestamp
 
 SNAPSHOT = Snapshot(
     fleet="süd",
     name="instance-1",
-    taken=Taken(1_700_000_000.5, 4321.25, "boot-1"),
+    taken=Timestamp(1_700_000_000.5, 4321.25, "boot-1"),
     seq=77,
     hosts=[
         {"host": "h1", "zone": "a", "born_ms": 5, "health": "ready", "weight": 0.5},
@@ -16,7 +16,7 @@
     out={"h1": 3.5},
     cold={"h2": 1_700_000_000_000.0},
 )
-EMPTY_SNAPSHOT = Snapshot("f", "n", Taken(0.0, 0.0, ""), 0, [])
+EMPTY_SNAPSHOT = Snapshot("f", "n", Timestamp(0.0, 0.0, ""), 0, [])
 
 LOCK_NAME = "instance-1"
 LOCK_LIFE = "4242.1234567.0123abcd"
--- a/tests/golden/golden_store_cases.py
+++ b/tests/golden/golden_store_cases.py
@@ -9,12 +9,14 @@
 from coveport.sidecar.supervisor import desired_state as fleet
 
 VALUES: dict[str, msgspec.Struct] = {
-    "fleet plan, plain": fleet.Plan(3, 4),
-    "fleet plan, halted restart": fleet.Plan(
+    "fleet plan, plain": fleet.DesiredState(3, 4),
+    "fleet plan, halted restart": fleet.DesiredState(
         3,
         4,
         ("instance-2",),
-        fleet.Restart(("instance-1", "instance-3"), 2, {"instance-1": "42.7.b"}, fleet.Phase.HALTED, "worse"),
+        fleet.RollingRestart(
+            ("instance-1", "instance-3"), 2, {"instance-1": "42.7.b"}, fleet.RestartPhase.HALTED, "worse"
+        ),
         "ask-9",
     ),
     "rollout plan": rollout_plan.RolloutPlan(
@@ -43,6 +45,6 @@
     "leaving": DrainNotice(2.5),
 }
 PHASES = {
-    "fleet": {phase.value for phase in fleet.Phase},
+    "fleet": {phase.value for phase in fleet.RestartPhase},
     "rollout": {phase.value for phase in rollout_plan.RolloutPhase},
 }
--- a/tests/golden/test_golden_fleet.py
+++ b/tests/golden/test_golden_fleet.py
@@ -11,7 +11,7 @@
 from golden_fleet_cases import DATAGRAMS, EMPTY_SNAPSHOT, LOCK_LIFE, LOCK_NAME, SNAPSHOT
 
 from coveport.sidecar.supervisor import notify, snapshot
-from coveport.sidecar.supervisor.locks import NameLock, code_of, life_of, lock_path, names_held
+from coveport.sidecar.supervisor.locks import NameLock, exit_code_of, incarnation_of, lock_path, locked_names
 
 DATAGRAM_BYTES = read_cases("notifications.json")
 
@@ -29,7 +29,7 @@
 
 
 def test_a_snapshot_is_usable_as_before() -> None:
-    now = snapshot.Taken(0.0, 4331.25, "boot-1")
+    now = snapshot.Timestamp(0.0, 4331.25, "boot-1")
     told, age_s = snapshot.usable(read_file("fleet/snapshot"), "süd", "instance-1", now, 60.0)
     assert (told, age_s) == (SNAPSHOT, 10.0)
     assert snapshot.known(told) == {
@@ -47,10 +47,10 @@
     assert lock_path(tmp_path, LOCK_NAME) == path
     path.parent.mkdir()
     path.write_bytes(read_file("fleet/lock"))
-    assert code_of(tmp_path, LOCK_NAME, LOCK_LIFE) is None
+    assert exit_code_of(tmp_path, LOCK_NAME, LOCK_LIFE) is None
     path.write_bytes(read_file("fleet/lock_at_end"))
-    assert code_of(tmp_path, LOCK_NAME, LOCK_LIFE) == 3
-    assert code_of(tmp_path, LOCK_NAME, "1.2.3") is None
+    assert exit_code_of(tmp_path, LOCK_NAME, LOCK_LIFE) == 3
+    assert exit_code_of(tmp_path, LOCK_NAME, "1.2.3") is None
 
 
 def test_a_lock_file_is_written_as_before(tmp_path: Path) -> None:
@@ -58,14 +58,14 @@
     lock = NameLock(tmp_path, LOCK_NAME)
     path = tmp_path / "run" / f"{LOCK_NAME}.lock"
     try:
-        assert life_of(os.getpid()) == ours
+        assert incarnation_of(os.getpid()) == ours
         assert path.read_bytes() == read_file("fleet/lock").replace(LOCK_LIFE.encode(), ours.encode())
-        assert names_held(tmp_path) == {LOCK_NAME: ours}
+        assert locked_names(tmp_path) == {LOCK_NAME: ours}
         lock.left(3)
         assert path.read_bytes() == read_file("fleet/lock_at_end").replace(LOCK_LIFE.encode(), ours.encode())
     finally:
         lock.close()
-    assert names_held(tmp_path) == {}
+    assert locked_names(tmp_path) == {}
 
 
 def own_life() -> str:
--- a/tests/sidecar/supervisor/test_desired_state.py
+++ b/tests/sidecar/supervisor/test_desired_state.py
@@ -9,196 +9,202 @@
 
 from coveport.sidecar.config.operator_file import Fleet, OperatorFileError, read
 from coveport.sidecar.supervisor.desired_state import (
-    Ask,
-    Fares,
-    FleetDuty,
-    Phase,
-    Plan,
-    Restart,
+    DesiredState,
+    DesiredStateRole,
+    InstanceHealth,
+    RestartPhase,
+    RollingRestart,
+    StaffRequest,
     asked,
-    going_on,
+    next_restart_step,
 )
-from coveport.sidecar.supervisor.instance_set import Crew
-from coveport.sidecar.supervisor.instance_state import End, Kill, Start, State
+from coveport.sidecar.supervisor.instance_set import InstanceSet
+from coveport.sidecar.supervisor.instance_state import ExitReason, Kill, Start, State
 from coveport.sidecar.supervisor.peers import Peers
 
 FLEET = Fleet(name="h", instances=4, at_once=2, a_second=2.0, hung_s=2.0, hold_s=1.0)
 
 
-def well(life: str, served: float = 1.0, ended: int = 100) -> Fares:
-    return Fares(life, 5.0, "", served, ended)
+def well(life: str, served: float = 1.0, ended: int = 100) -> InstanceHealth:
+    return InstanceHealth(life, 5.0, "", served, ended)
 
 
 def test_a_restart_takes_each_life_once_and_waits_for_its_successor() -> None:
-    plan, said = asked(Plan(3, 3), Ask("1", "restart"), FLEET, 10)
+    plan, said = asked(DesiredState(3, 3), StaffRequest("1", "restart"), FLEET, 10)
     assert "3" in said and plan.restart is not None
-    fares = {f"h-{number}": well(f"old{number}") for number in (1, 2, 3)}
+    health = {f"h-{number}": well(f"old{number}") for number in (1, 2, 3)}
     order = []
     for _ in range(20):
-        step = going_on(plan, fares, 1.0)
+        step = next_restart_step(plan, health, 1.0)
         if step is None:
             break
         plan = step[0]
         assert plan.restart is not None
-        if plan.restart.phase is Phase.DONE:
+        if plan.restart.phase is RestartPhase.DONE:
             break
         (name,) = [one for one in plan.restart.lives if one not in order]
         order.append(name)
-        assert plan.restart.lives[name] == fares[name].life
-        for told in (fares[name], Fares(), Fares("new", 0.5), Fares("new", -1.0)):
-            fares[name] = told
-            assert going_on(plan, fares, 1.0) is None, "the next one's turn comes once this one serves"
-        fares[name] = well(f"new{name}")
-    assert order == ["h-1", "h-2", "h-3"] and plan.restart is not None and plan.restart.phase is Phase.DONE
+        assert plan.restart.lives[name] == health[name].life
+        for told in (health[name], InstanceHealth(), InstanceHealth("new", 0.5), InstanceHealth("new", -1.0)):
+            health[name] = told
+            assert next_restart_step(plan, health, 1.0) is None, (
+                "the next one's turn comes once this one serves"
+            )
+        health[name] = well(f"new{name}")
+    assert (
+        order == ["h-1", "h-2", "h-3"]
+        and plan.restart is not None
+        and plan.restart.phase is RestartPhase.DONE
+    )
 
 
 @pytest.mark.parametrize(
     ("after", "why"),
-    [(Fares("new", -1.0, "ended 3 times"), "ended 3 times"), (well("new", 0.5), "served 0.500")],
+    [(InstanceHealth("new", -1.0, "ended 3 times"), "ended 3 times"), (well("new", 0.5), "served 0.500")],
 )
-def test_a_restart_that_harms_halts_and_the_others_run_on(after: Fares, why: str) -> None:
-    plan = Plan(3, 3, restart=Restart(("h-1", "h-2", "h-3"), lives={"h-1": "old1"}))
-    step = going_on(plan, {"h-1": after, "h-2": well("old2"), "h-3": well("old3")}, 1.0)
+def test_a_restart_that_harms_halts_and_the_others_run_on(after: InstanceHealth, why: str) -> None:
+    plan = DesiredState(3, 3, restart=RollingRestart(("h-1", "h-2", "h-3"), lives={"h-1": "old1"}))
+    step = next_restart_step(plan, {"h-1": after, "h-2": well("old2"), "h-3": well("old3")}, 1.0)
     assert step is not None and step[0].restart is not None
-    assert step[0].restart.phase is Phase.HALTED and why in step[0].restart.why
-    assert going_on(step[0], {"h-1": after}, 1.0) is None
-    resumed, _ = asked(step[0], Ask("2", "resume"), FLEET, 10)
-    assert resumed.restart is not None and resumed.restart.phase is Phase.RUNNING
-    ended, _ = asked(step[0], Ask("2", "end"), FLEET, 10)
-    assert ended.restart is not None and ended.restart.phase is Phase.ENDED
+    assert step[0].restart.phase is RestartPhase.HALTED and why in step[0].restart.why
+    assert next_restart_step(step[0], {"h-1": after}, 1.0) is None
+    resumed, _ = asked(step[0], StaffRequest("2", "resume"), FLEET, 10)
+    assert resumed.restart is not None and resumed.restart.phase is RestartPhase.RUNNING
+    ended, _ = asked(step[0], StaffRequest("2", "end"), FLEET, 10)
+    assert ended.restart is not None and ended.restart.phase is RestartPhase.ENDED
 
 
 @pytest.mark.parametrize(
     "ask",
     [
-        Ask("1", "scale", count=11),
-        Ask("1", "scale", count=-1),
-        Ask("1", "drain", names=("x-1",)),
-        Ask("1", "restart", names=("h-9",)),
-        Ask("1", "resume"),
-        Ask("1", "end"),
-        Ask("1", "nonsense"),
-        Ask("1", "restart", names=("h-2",)),
+        StaffRequest("1", "scale", count=11),
+        StaffRequest("1", "scale", count=-1),
+        StaffRequest("1", "drain", names=("x-1",)),
+        StaffRequest("1", "restart", names=("h-9",)),
+        StaffRequest("1", "resume"),
+        StaffRequest("1", "end"),
+        StaffRequest("1", "nonsense"),
+        StaffRequest("1", "restart", names=("h-2",)),
     ],
 )
-def test_what_can_not_be_changes_nothing(ask: Ask) -> None:
-    plan = Plan(4, 4, drained=("h-2",))
+def test_what_can_not_be_changes_nothing(ask: StaffRequest) -> None:
+    plan = DesiredState(4, 4, drained=("h-2",))
     after, said = asked(plan, ask, FLEET, 10)
     assert after == plan and said.startswith("refused")
 
 
 def test_what_was_asked_is_done_once_though_its_answer_was_lost() -> None:
-    seen: list[Plan] = []
-    duty, said = FleetDuty(FLEET, dict, seen.append, 10), list[str]()
+    seen: list[DesiredState] = []
+    duty, said = DesiredStateRole(FLEET, dict, seen.append, 10), list[str]()
     first = duty.decide(0.0, None, {})
     assert first is not None
-    duty.ask(Ask("7", "scale", count=6), said.append)
+    duty.ask(StaffRequest("7", "scale", count=6), said.append)
     step = duty.decide(0.1, first.state, {})
     assert step is not None and said == []
     again = duty.decide(0.2, step.state, {})  # it was carried out, and nobody heard
     assert again is None and said == ["done"]
-    duty.ask(Ask("8", "scale", count=2), said.append)
+    duty.ask(StaffRequest("8", "scale", count=2), said.append)
     step = duty.decide(0.3, step.state, {})
     assert step is not None
     duty.did(step)
     assert len(said) == 2 and seen[-1].count == 2
-    duty.ask(Ask("9", "scale", count=3), said.append)
+    duty.ask(StaffRequest("9", "scale", count=3), said.append)
     duty.gone()
     assert said[-1].startswith("refused")
 
 
 def test_a_file_that_says_another_number_counts() -> None:
-    duty = FleetDuty(FLEET, dict, lambda plan: None, 10)
-    step = duty.decide(0.0, msgspec.json.encode(Plan(7, 3)), {})
-    assert step is not None and msgspec.json.decode(step.state, type=Plan).count == 4
+    duty = DesiredStateRole(FLEET, dict, lambda plan: None, 10)
+    step = duty.decide(0.0, msgspec.json.encode(DesiredState(7, 3)), {})
+    assert step is not None and msgspec.json.decode(step.state, type=DesiredState).count == 4
 
 
-def crew_of(count: int, seed: int = 1) -> Crew:
-    crew = Crew(msgspec.structs.replace(FLEET, instances=count), random.Random(seed))
-    crew.take_up(0.0, {})
-    crew.planned(0.0, Plan(count, count))
-    return crew
+def new_instances(count: int, seed: int = 1) -> InstanceSet:
+    instances = InstanceSet(msgspec.structs.replace(FLEET, instances=count), random.Random(seed))
+    instances.acquire(0.0, {})
+    instances.planned(0.0, DesiredState(count, count))
+    return instances
 
 
 def test_starts_are_bounded_in_any_window_on_drawn_days() -> None:
     for seed in range(20):
         chance = random.Random(seed)
-        crew, now, starts, lives = crew_of(30, seed), 0.0, list[float](), 0
+        instances, now, starts, lives = new_instances(30, seed), 0.0, list[float](), 0
         while now < 40.0:
             now += 0.05
-            for order in crew.tick(now):
+            for order in instances.tick(now):
                 if isinstance(order, Start):
                     starts.append(now)
                     lives += 1
-                    crew.started(now, order.name, f"l{lives}")
-            for one in list(crew.members.values()):
+                    instances.started(now, order.name, f"l{lives}")
+            for one in list(instances.by_name.values()):
                 if one.life and chance.random() < 0.05:
-                    crew.ready(now, one.name, one.life)
+                    instances.ready(now, one.name, one.life)
                 elif one.life and chance.random() < 0.01:
-                    crew.ended(now, one.name, one.life, End.CRASH)
+                    instances.ended(now, one.name, one.life, ExitReason.CRASH)
                 elif one.life:
-                    crew.beat(now, one.name, one.life)
-            assert sum(one.state is State.STARTING for one in crew.members.values()) <= FLEET.at_once
+                    instances.beat(now, one.name, one.life)
+            assert sum(one.state is State.STARTING for one in instances.by_name.values()) <= FLEET.at_once
         for at in starts:
             assert sum(at <= one <= at + 5.0 for one in starts) <= FLEET.a_second * 5.0 + FLEET.at_once + 1
 
 
-def up(crew: Crew, now: float) -> float:
+def up(instances: InstanceSet, now: float) -> float:
     for _ in range(400):
         now += 0.1
-        for order in crew.tick(now):
+        for order in instances.tick(now):
             assert isinstance(order, Start)
-            crew.started(now, order.name, f"life {order.name}")
-            crew.ready(now, order.name, f"life {order.name}")
-        for one in crew.members.values():
-            crew.beat(now, one.name, one.life)
-        if all(one.state is State.SERVING for one in crew.members.values()):
+            instances.started(now, order.name, f"life {order.name}")
+            instances.ready(now, order.name, f"life {order.name}")
+        for one in instances.by_name.values():
+            instances.beat(now, one.name, one.life)
+        if all(one.state is State.SERVING for one in instances.by_name.values()):
             return now
     raise AssertionError("not up")
 
 
-def kills(crew: Crew, now: float, for_s: float, quiet: set[str]) -> list[tuple[float, str]]:
+def kills(instances: InstanceSet, now: float, for_s: float, quiet: set[str]) -> list[tuple[float, str]]:
     found = []
     for step in range(int(for_s / 0.1)):
         at = now + step * 0.1
-        found += [(at, order.name) for order in crew.tick(at) if isinstance(order, Kill)]
-        for one in crew.members.values():
+        found += [(at, order.name) for order in instances.tick(at) if isinstance(order, Kill)]
+        for one in instances.by_name.values():
             if one.name not in quiet and one.state is State.SERVING:
-                crew.beat(at, one.name, one.life)
+                instances.beat(at, one.name, one.life)
     return found
 
 
 def test_one_that_hangs_is_replaced_and_a_host_that_stands_still_is_not() -> None:
-    crew = crew_of(4)
-    now = up(crew, 0.0)
-    assert [name for _, name in kills(crew, now, 3.0, {"h-2"})] == ["h-2"]
-    crew = crew_of(4)
-    now = up(crew, 0.0)
+    instances = new_instances(4)
+    now = up(instances, 0.0)
+    assert [name for _, name in kills(instances, now, 3.0, {"h-2"})] == ["h-2"]
+    instances = new_instances(4)
+    now = up(instances, 0.0)
     # Their last signs do not come in step: the first to be late is not alone.
-    for number, one in enumerate(crew.members.values()):
+    for number, one in enumerate(instances.by_name.values()):
         one.heard_at = now - 0.2 * number
-    assert kills(crew, now, 3.0, set(crew.members)) == []
-    assert len(kills(crew, now + 3.0, 6.0, set(crew.members))) == 1, "much later, and one at a time"
+    assert kills(instances, now, 3.0, set(instances.by_name)) == []
+    assert len(kills(instances, now + 3.0, 6.0, set(instances.by_name))) == 1, "much later, and one at a time"
 
 
 def test_at_most_a_tenth_is_replaced_at_a_time() -> None:
-    crew = crew_of(40)
-    now = up(crew, 0.0)
+    instances = new_instances(40)
+    now = up(instances, 0.0)
     hung = {f"h-{number}" for number in range(1, 16)}
-    found = kills(crew, now, 4.0, hung)
+    found = kills(instances, now, 4.0, hung)
     assert len(found) == 4 and {name for _, name in found} <= hung
 
 
 def test_a_successor_has_nothing_to_spend_and_takes_what_runs() -> None:
-    crew = Crew(FLEET, random.Random(1))
-    crew.take_up(100.0, {"h-1": "a", "h-9": "b"})
-    assert crew.tick(100.0) == []
-    orders = crew.planned(100.0, Plan(4, 4))
+    instances = InstanceSet(FLEET, random.Random(1))
+    instances.acquire(100.0, {"h-1": "a", "h-9": "b"})
+    assert instances.tick(100.0) == []
+    orders = instances.planned(100.0, DesiredState(4, 4))
     assert [getattr(order, "life", "") for order in orders] == ["b"], "the one that is not wanted ends"
-    assert crew.tick(100.01) == []
-    crew.ready(100.1, "h-1", "a")
-    assert crew.members["h-1"].state is State.SERVING
-    assert [order.name for order in crew.tick(100.6)] == ["h-2"]
+    assert instances.tick(100.01) == []
+    instances.ready(100.1, "h-1", "a")
+    assert instances.by_name["h-1"].state is State.SERVING
+    assert [order.name for order in instances.tick(100.6)] == ["h-2"]
 
 
 def test_more_sharers_count_at_once_and_fewer_only_after_a_while() -> None:
--- a/tests/sidecar/supervisor/test_host_parts.py
+++ b/tests/sidecar/supervisor/test_host_parts.py
@@ -16,10 +16,10 @@
 import pytest
 
 from coveport.sidecar.supervisor import locks, log_stream
-from coveport.sidecar.supervisor.control import Control, call
-from coveport.sidecar.supervisor.daemon import told_lines
-from coveport.sidecar.supervisor.locks import NameHeldError, NameLock
-from coveport.sidecar.supervisor.notify import Notifier, Receiver, read, watchdog_s
+from coveport.sidecar.supervisor.control import ControlServer, call
+from coveport.sidecar.supervisor.daemon import read_stream
+from coveport.sidecar.supervisor.locks import NameLock, NameLockedError
+from coveport.sidecar.supervisor.notify import NotificationReceiver, Notifier, read, watchdog_interval_s
 
 LONG = 30.0
 HOLDS = """
@@ -46,24 +46,24 @@
 
 
 def test_a_name_is_its_process_s_until_that_ends_however_it_does(tmp_path: Path) -> None:
-    assert locks.who_has(tmp_path, "h-1") == "" and locks.names_held(tmp_path) == {}
+    assert locks.lock_holder(tmp_path, "h-1") == "" and locks.locked_names(tmp_path) == {}
     one = held(tmp_path)
     try:
-        life = locks.who_has(tmp_path, "h-1")
-        assert locks.pid_of(life) == one.pid and locks.life_of(one.pid) == life
-        assert locks.names_held(tmp_path) == {"h-1": life}
-        with pytest.raises(NameHeldError, match="h-1"):
+        life = locks.lock_holder(tmp_path, "h-1")
+        assert locks.pid_of(life) == one.pid and locks.incarnation_of(one.pid) == life
+        assert locks.locked_names(tmp_path) == {"h-1": life}
+        with pytest.raises(NameLockedError, match="h-1"):
             NameLock(tmp_path, "h-1")
         os.kill(one.pid, signal.SIGSTOP)
-        assert locks.who_has(tmp_path, "h-1") == life, "who stands still has its name"
+        assert locks.lock_holder(tmp_path, "h-1") == life, "who stands still has its name"
         one.kill()
-        until(lambda: locks.life_of(one.pid) == "")
-        assert locks.who_has(tmp_path, "h-1") == "", "a dead one has none, reaped or not"
+        until(lambda: locks.incarnation_of(one.pid) == "")
+        assert locks.lock_holder(tmp_path, "h-1") == "", "a dead one has none, reaped or not"
         mine = NameLock(tmp_path, "h-1")
-        assert locks.pid_of(locks.who_has(tmp_path, "h-1")) == os.getpid()
+        assert locks.pid_of(locks.lock_holder(tmp_path, "h-1")) == os.getpid()
         mine.left(7)
-        assert locks.code_of(tmp_path, "h-1", locks.life_of(os.getpid())) == 7
-        assert locks.code_of(tmp_path, "h-1", life) is None, "another life's word says nothing of it"
+        assert locks.exit_code_of(tmp_path, "h-1", locks.incarnation_of(os.getpid())) == 7
+        assert locks.exit_code_of(tmp_path, "h-1", life) is None, "another life's word says nothing of it"
         mine.close()
     finally:
         one.kill()
@@ -74,14 +74,14 @@
 def test_a_lock_file_that_says_nothing_of_use_names_nobody(tmp_path: Path, text: str) -> None:
     lock = NameLock(tmp_path, "h-1")
     locks.lock_path(tmp_path, "h-1").write_text(text)
-    assert locks.who_has(tmp_path, "h-1") == ""
+    assert locks.lock_holder(tmp_path, "h-1") == ""
     lock.close()
 
 
 def test_words_come_with_the_pid_of_who_sent_them(tmp_path: Path) -> None:
     async def work() -> None:
         heard: list[tuple[int, dict[str, str]]] = []
-        receiver = Receiver(tmp_path / "n.sock", lambda pid, words: heard.append((pid, words)))
+        receiver = NotificationReceiver(tmp_path / "n.sock", lambda pid, words: heard.append((pid, words)))
         code = (
             "import sys; from coveport.sidecar.supervisor.notify import Notifier; "
             "print(Notifier(sys.argv[1]).say(READY=1, STATUS='all well', X_SERVED='1.0/5'))"
@@ -102,7 +102,7 @@
         assert heard[-1] == (os.getpid(), {"WATCHDOG": "1"})
         assert len(os.listdir("/proc/self/fd")) == before
         # A successor takes the path; closing the one before does not take it away from it.
-        later = Receiver(tmp_path / "n.sock", lambda pid, words: heard.append((pid, words)))
+        later = NotificationReceiver(tmp_path / "n.sock", lambda pid, words: heard.append((pid, words)))
         receiver.close()
         assert one.say(STOPPING=1)
         later.close()
@@ -115,9 +115,9 @@
 
 def test_words_that_are_none_are_passed_over() -> None:
     assert read(b"READY=1\nnonsense\n=x\nA B=1\nSTATUS=a=b\n\xff\xfe") == {"READY": "1", "STATUS": "a=b"}
-    assert watchdog_s({"WATCHDOG_USEC": "2000000"}, 5) == 2.0
-    assert watchdog_s({"WATCHDOG_USEC": "2000000", "WATCHDOG_PID": "6"}, 5) == 0.0
-    assert watchdog_s({"WATCHDOG_USEC": "x"}, 5) == 0.0 and not Notifier("").say(READY=1)
+    assert watchdog_interval_s({"WATCHDOG_USEC": "2000000"}, 5) == 2.0
+    assert watchdog_interval_s({"WATCHDOG_USEC": "2000000", "WATCHDOG_PID": "6"}, 5) == 0.0
+    assert watchdog_interval_s({"WATCHDOG_USEC": "x"}, 5) == 0.0 and not Notifier("").say(READY=1)
 
 
 def test_staff_s_socket_is_its_user_s_own_and_answers_what_makes_sense(tmp_path: Path) -> None:
@@ -126,7 +126,7 @@
             return {"ok": True, "said": told["do"]}
 
         path = tmp_path / "c.sock"
-        control = Control(path, answer)
+        control = ControlServer(path, answer)
         await control.open()
         assert path.stat().st_mode & 0o777 == 0o600
         assert await asyncio.to_thread(call, path, {"do": "status"}, LONG) == {"ok": True, "said": "status"}
@@ -149,18 +149,21 @@
 
 
 def test_the_stream_is_turned_and_all_go_on_in_the_new_one(tmp_path: Path) -> None:
-    one, two = log_stream.lines(tmp_path, instance="h-1"), log_stream.lines(tmp_path, supervisor="s")
+    one, two = (
+        log_stream.stream_logger(tmp_path, instance="h-1"),
+        log_stream.stream_logger(tmp_path, supervisor="s"),
+    )
     one.info("said", text="a" * 100)
     two.info("fleet_start", name="h-1")
-    assert not log_stream.turn(tmp_path, 10_000) and log_stream.turn(tmp_path, 100)
+    assert not log_stream.rotate(tmp_path, 10_000) and log_stream.rotate(tmp_path, 100)
     one.info("said", text="later")
     path = log_stream.stream_path(tmp_path)
-    assert [row["text"] for row in told_lines(path, frozenset({"h-1"}), 5)] == ["later"]
-    assert len(told_lines(path.with_suffix(".jsonl.1"), frozenset(), 5)) == 2
+    assert [row["text"] for row in read_stream(path, frozenset({"h-1"}), 5)] == ["later"]
+    assert len(read_stream(path.with_suffix(".jsonl.1"), frozenset(), 5)) == 2
     log = log_stream.StreamLog(time.monotonic, one)
     for _ in range(9):
         log.note("bad client", "x")
     log.say("counters {}")
-    rows = told_lines(path, frozenset(), 99)
+    rows = read_stream(path, frozenset(), 99)
     assert sum(row["event"] == "bad_client" for row in rows) == 5, "of a kind as many as ever"
     assert rows[-1]["event"] == "counters"
--- a/tests/sidecar/supervisor/test_instance_state.py
+++ b/tests/sidecar/supervisor/test_instance_state.py
@@ -12,22 +12,22 @@
 
 from coveport.sidecar.config.operator_file import Fleet
 from coveport.sidecar.supervisor.instance_state import (
-    MOVES,
-    THERE,
+    ACTIVE_STATES,
+    TRANSITIONS,
+    Command,
     Drain,
-    End,
+    ExitReason,
+    Instance,
     Kill,
-    Member,
-    Order,
     Start,
     State,
 )
 
 TERMS = Fleet(name="h", loop=3, loop_s=10.0, rest_s=20.0, ready_s=2.0, stop_s=2.0, hung_s=1.0, backoff_s=0.1)
-Event = Callable[[Member, float], list[Order] | None]
+Event = Callable[[Instance, float], list[Command] | None]
 
 
-def events(one: Member, fresh: str) -> Iterator[tuple[str, float, Event]]:
+def events(one: Instance, fresh: str) -> Iterator[tuple[str, float, Event]]:
     """What can happen now: a name, how much time passes before it, and the deed."""
     yield "want", 0.0, lambda it, now: it.want(now, True)
     yield "unwant", 0.0, lambda it, now: it.want(now, False)
@@ -38,38 +38,38 @@
         yield f"ready {life}", 0.1, partial(_ready, life)
         yield f"stopping {life}", 0.1, partial(_stopping, life)
         yield f"replace {life}", 0.1, partial(_replace, life)
-        for how in End:
+        for how in ExitReason:
             yield f"{how.value} {life}", 0.1, partial(_ended, life, how)
-    if one.may_start(one.since + 100.0) and one.state is State.WAITING:
+    if one.can_start(one.since + 100.0) and one.state is State.WAITING:
         yield "start", 0.0, lambda it, now: it.start(max(now, it.wait_until))
     if not one.life:
         yield "found", 0.1, lambda it, now: it.found(now, fresh)
-        if one.state in THERE:
+        if one.state in ACTIVE_STATES:
             yield "started", 0.1, lambda it, now: it.started(now, fresh)
-            yield "could not", 0.1, lambda it, now: it.could_not(now, "no room")
+            yield "could not", 0.1, lambda it, now: it.on_start_failed(now, "no room")
             yield "unusable", 0.1, lambda it, now: it.unusable(now, "bad")
     elif one.state is State.STOPPING:
         yield "dropped", 0.0, lambda it, now: it.dropped(Drain(it.name, it.life))
     yield "hung", 0.1, lambda it, now: it.hung(now)
 
 
-def _ready(life: str, one: Member, now: float) -> None:
+def _ready(life: str, one: Instance, now: float) -> None:
     one.ready(now, life)
 
 
-def _stopping(life: str, one: Member, now: float) -> None:
+def _stopping(life: str, one: Instance, now: float) -> None:
     one.stopping(now, life)
 
 
-def _replace(life: str, one: Member, now: float) -> list[Order]:
+def _replace(life: str, one: Instance, now: float) -> list[Command]:
     return one.replace(now, life)
 
 
-def _ended(life: str, how: End, one: Member, now: float) -> None:
+def _ended(life: str, how: ExitReason, one: Instance, now: float) -> None:
     one.ended(now, life, how)
 
 
-def key(one: Member) -> tuple[object, ...]:
+def key(one: Instance) -> tuple[object, ...]:
     return (
         one.state,
         bool(one.life),
@@ -84,9 +84,9 @@
 
 def test_all_orders_of_events() -> None:
     """From no state an order for a life that is not the present one, or a start while one lives."""
-    seen: dict[tuple[object, ...], Member] = {}
-    first = Member("h-1", TERMS, random.Random(1))
-    front: list[tuple[Member, float, int]] = [(first, 0.0, 0)]
+    seen: dict[tuple[object, ...], Instance] = {}
+    first = Instance("h-1", TERMS, random.Random(1))
+    front: list[tuple[Instance, float, int]] = [(first, 0.0, 0)]
     seen[key(first)] = first
     reached, steps = {first.state}, 0
     while front:
@@ -103,8 +103,8 @@
                     assert isinstance(order, Drain | Kill) and order.life in (before, after.life), name
                     assert after.state in (State.STOPPING, State.KILLING), name
             if before and after.life != before:
-                assert name.split(" ")[0] in {how.value for how in End} and not after.life, name
-            assert (after.state in THERE) or not after.life, name
+                assert name.split(" ")[0] in {how.value for how in ExitReason} and not after.life, name
+            assert (after.state in ACTIVE_STATES) or not after.life, name
             reached.add(after.state)
             if key(after) not in seen and depth < 14:
                 seen[key(after)] = after
@@ -114,7 +114,7 @@
         comes_to_an_end(one)
 
 
-def comes_to_an_end(one: Member) -> None:
+def comes_to_an_end(one: Instance) -> None:
     """From there it is started again where it is wanted, and is gone in the end where it is not."""
     for wanted in (True, False):
         it, now = copy.deepcopy(one), 1000.0
@@ -123,10 +123,10 @@
             now += 1.0
             orders += it.tick(now)
             if any(isinstance(order, Kill) and order.life == it.life for order in orders) and it.life:
-                it.ended(now, it.life, End.CRASH)
+                it.ended(now, it.life, ExitReason.CRASH)
             if not it.life and it.state in (State.STARTING, State.STOPPING, State.KILLING):
-                it.could_not(now, "never came")
-            orders = it.start(now) + it.started(now, f"new{now}") if it.may_start(now) else []
+                it.on_start_failed(now, "never came")
+            orders = it.start(now) + it.started(now, f"new{now}") if it.can_start(now) else []
             if it.state is State.STARTING and it.life.startswith("new"):
                 it.ready(now, it.life)
             if it.state is (State.SERVING if wanted else State.DOWN):
@@ -135,11 +135,11 @@
 
 
 def test_the_table_has_a_way_out_of_everything() -> None:
-    assert set(MOVES) == set(State) and all(MOVES[state] for state in State)
+    assert set(TRANSITIONS) == set(State) and all(TRANSITIONS[state] for state in State)
 
 
-def serving(now: float = 0.0) -> Member:
-    one = Member("h-1", TERMS, random.Random(1))
+def serving(now: float = 0.0) -> Instance:
+    one = Instance("h-1", TERMS, random.Random(1))
     one.want(now, True)
     one.start(now)
     one.started(now, "a")
@@ -150,7 +150,7 @@
 def test_it_waits_longer_each_time_and_is_left_alone_in_the_end() -> None:
     one, now, waits = serving(), 0.0, []
     for life in ("a", "b", "c"):
-        one.ended(now, life, End.CRASH)
+        one.ended(now, life, ExitReason.CRASH)
         if one.state is State.BROKEN:
             break
         waits.append(one.wait_until - now)
@@ -162,24 +162,24 @@
     one.tick(now + 30.0)
     one.start(now + 30.0)
     one.started(now + 30.0, "z")
-    one.ended(now + 31.0, "z", End.CRASH)
+    one.ended(now + 31.0, "z", ExitReason.CRASH)
     assert one.state is State.BROKEN, "one try after its rest, not three"
 
 
 @pytest.mark.parametrize(
     ("how", "state"),
     [
-        (End.CLEAN, State.WAITING),
-        (End.HELD, State.WAITING),
-        (End.UNUSABLE, State.BROKEN),
-        (End.CRASH, State.WAITING),
+        (ExitReason.CLEAN, State.WAITING),
+        (ExitReason.HELD, State.WAITING),
+        (ExitReason.UNUSABLE, State.BROKEN),
+        (ExitReason.CRASH, State.WAITING),
     ],
 )
-def test_how_it_ended_says_what_follows(how: End, state: State) -> None:
+def test_how_it_ended_says_what_follows(how: ExitReason, state: State) -> None:
     one = serving()
     one.ended(1.0, "a", how)
     assert one.state is state and one.wait_until < inf
-    assert one.failing is (how is End.CRASH)
+    assert one.failing is (how is ExitReason.CRASH)
 
 
 def test_a_planned_end_is_no_failure_and_a_late_one_is_killed() -> None:
@@ -187,13 +187,13 @@
     assert one.replace(1.0, "older") == []
     assert one.replace(1.0, "a") == [Drain("h-1", "a")]
     assert one.tick(2.0) == [] and one.tick(3.5) == [Kill("h-1", "a")]
-    one.ended(3.6, "a", End.CRASH)
-    assert one.may_start(3.6) and not one.failing
+    one.ended(3.6, "a", ExitReason.CRASH)
+    assert one.can_start(3.6) and not one.failing
 
 
 def test_a_start_that_nobody_carried_out_is_tried_again() -> None:
     """The supervisor drops orders while its lease has lapsed for a moment: no process ever comes to be."""
-    one = Member("h-1", TERMS, random.Random(1))
+    one = Instance("h-1", TERMS, random.Random(1))
     one.want(0.0, True)
     assert one.start(1.0) == [Start("h-1")]
     now = 1.0
--- a/tests/sidecar/supervisor/test_snapshot.py
+++ b/tests/sidecar/supervisor/test_snapshot.py
@@ -13,17 +13,17 @@
 from coveport.sidecar.supervisor import snapshot
 from coveport.sidecar.supervisor.snapshot import (
     Disk,
-    Heard,
+    NodeList,
     Snapshot,
     SnapshotError,
-    Taken,
+    Timestamp,
     decode,
     encode,
     known,
     usable,
 )
 
-NOW = Taken(1_700_000_000.0, 500.0, "boot-a")
+NOW = Timestamp(1_700_000_000.0, 500.0, "boot-a")
 HOST = {
     "host": "n1",
     "dial": "127.0.0.1:1",
@@ -35,7 +35,7 @@
 }
 
 
-def one(seq: int = 3, taken: Taken = NOW, **more: Any) -> Snapshot:
+def one(seq: int = 3, taken: Timestamp = NOW, **more: Any) -> Snapshot:
     return Snapshot("host", "host-1", taken, seq, [HOST], **more)
 
 
@@ -121,18 +121,18 @@
 @pytest.mark.parametrize(
     ("now", "age"),
     [
-        (Taken(1_600_000_000.0, 510.0, "boot-a"), 10.0),  # the wall clock stepped back by years
-        (Taken(1_700_009_999.0, 510.0, "boot-a"), 10.0),
-        (Taken(1_700_000_020.0, 3.0, "boot-b"), 20.0),  # a reboot
+        (Timestamp(1_600_000_000.0, 510.0, "boot-a"), 10.0),  # the wall clock stepped back by years
+        (Timestamp(1_700_009_999.0, 510.0, "boot-a"), 10.0),
+        (Timestamp(1_700_000_020.0, 3.0, "boot-b"), 20.0),  # a reboot
         (
-            Taken(1_699_999_999.0, 3.0, "boot-b"),
+            Timestamp(1_699_999_999.0, 3.0, "boot-b"),
             None,
         ),  # a reboot, and a clock that is behind: from the future
-        (Taken(1_700_000_020.0, 499.0, "boot-a"), None),
-        (Taken(1_700_000_061.0, 561.0, "boot-a"), None),
+        (Timestamp(1_700_000_020.0, 499.0, "boot-a"), None),
+        (Timestamp(1_700_000_061.0, 561.0, "boot-a"), None),
     ],
 )
-def test_ages_survive_a_reboot_and_a_clock_that_steps(now: Taken, age: float | None) -> None:
+def test_ages_survive_a_reboot_and_a_clock_that_steps(now: Timestamp, age: float | None) -> None:
     if age is None:
         with pytest.raises(SnapshotError):
             usable(encode(one()), "host", "host-1", now, 60.0)
@@ -157,7 +157,7 @@
 
 
 def test_the_list_is_put_together_from_wholes_and_changes() -> None:
-    heard = Heard()
+    heard = NodeList()
     heard.told({"seq": 1, "hosts": [HOST, HOST | {"host": "n2"}]}, True)
     heard.told({"seq": 2, "hosts": [HOST | {"host": "n1", "health": "left"}, HOST | {"host": "n3"}]}, False)
     assert heard.seq == 2 and sorted(heard.hosts) == ["n2", "n3"]
--- a/tests/sidecar/supervisor/test_supervisor.py
+++ b/tests/sidecar/supervisor/test_supervisor.py
@@ -24,9 +24,9 @@
 from coveport.sidecar.leases.keys import STATE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.store import Done, Entry
-from coveport.sidecar.supervisor.desired_state import Plan
-from coveport.sidecar.supervisor.instance_state import End, State
-from coveport.sidecar.supervisor.process_control import Hands
+from coveport.sidecar.supervisor.desired_state import DesiredState
+from coveport.sidecar.supervisor.instance_state import ExitReason, State
+from coveport.sidecar.supervisor.process_control import ProcessControl
 from coveport.sidecar.supervisor.supervisor import TICK_S, Supervisor
 
 DUTY, TOKEN, LONG = "fleet@h", 7, 30.0
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self.name, self.instances, self.entries = "v", dict[str, bytes](), dict[str, Entry]()
         self.lapsed = False
-        self.plan = Plan(2, 2)
+        self.plan = DesiredState(2, 2)
         self.on_acquired: Callable[[str, int], None] = lambda duty, token: None
         self.on_lost: Callable[[str, int, str], None] = lambda duty, token, why: None
 
@@ -60,11 +60,11 @@
         return Done("store", 1, (Entry(key, msgspec.json.encode(self.plan), 1, 1, 0),))
 
 
-class LapsingHands:
+class LapsingProcessControl:
     """Whatever is done takes so long that the lease lapses."""
 
     def __init__(self, lease_client: LapsingClient) -> None:
-        self.ended: Callable[[str, str, End], None] = lambda name, life, how: None
+        self.ended: Callable[[str, str, ExitReason], None] = lambda name, life, how: None
         self.lease_client = lease_client
         self.done: list[str] = []
 
@@ -90,41 +90,43 @@
         """Ended."""
         self._do(f"kill {life}")
 
-    def unhold(self, name: str) -> None:
+    def close_listener(self, name: str) -> None:
         """Nothing is held."""
 
-    def life_of(self, pid: int) -> tuple[str, str]:
+    def incarnation_of(self, pid: int) -> tuple[str, str]:
         """Nobody speaks."""
         return "", ""
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Nothing is watched."""
 
 
-def run(work: Callable[[Supervisor, LapsingClient, LapsingHands], Coroutine[Any, Any, None]]) -> None:
+def run(
+    work: Callable[[Supervisor, LapsingClient, LapsingProcessControl], Coroutine[Any, Any, None]],
+) -> None:
     """Play it with a supervisor that has ordered both starts and carried out the first one."""
 
     async def whole() -> None:
         lease_client = LapsingClient()
-        hands = LapsingHands(lease_client)
+        processes = LapsingProcessControl(lease_client)
         told = OperatorFile(
             Instance("p.json"), Stored("sqlite:x"), Leases(), Duties(), Logged(), Work(), FLEET, Path(".")
         )
         supervisor = Supervisor(
             told,
             cast(LeaseClient, lease_client),
-            cast(Hands, hands),
+            cast(ProcessControl, processes),
             now_s=time.monotonic,
             chance=random.Random(1),
             say=lambda event, **fields: None,
             check=lambda: "",
         )
         supervisor.start()
-        await until(lambda: bool(hands.done))
+        await until(lambda: bool(processes.done))
         await asyncio.sleep(3 * TICK_S)
-        assert hands.done == ["start h-1"], "the second is dropped, and not tried without a lease"
-        assert supervisor.crew.members["h-2"].state is State.STARTING
-        await work(supervisor, lease_client, hands)
+        assert processes.done == ["start h-1"], "the second is dropped, and not tried without a lease"
+        assert supervisor.instances.by_name["h-2"].state is State.STARTING
+        await work(supervisor, lease_client, processes)
         supervisor._runner.stop()
         await supervisor.leave()
 
@@ -139,51 +141,61 @@
 
 
 def test_a_dropped_start_is_ordered_again_once_the_lease_is_renewed() -> None:
-    async def work(supervisor: Supervisor, lease_client: LapsingClient, hands: LapsingHands) -> None:
+    async def work(
+        supervisor: Supervisor, lease_client: LapsingClient, processes: LapsingProcessControl
+    ) -> None:
         lease_client.lapsed = False
-        await until(lambda: len(hands.done) > 1)
+        await until(lambda: len(processes.done) > 1)
         lease_client.lapsed = False
         await asyncio.sleep(3 * TICK_S)
-        assert hands.done == ["start h-1", "start h-2"], "each once"
-        assert not any(one.failing for one in supervisor.crew.members.values()), "it is no failure of theirs"
+        assert processes.done == ["start h-1", "start h-2"], "each once"
+        assert not any(one.failing for one in supervisor.instances.by_name.values()), (
+            "it is no failure of theirs"
+        )
 
     run(work)
 
 
 def test_a_dropped_start_is_not_made_up_for_after_another_took_over() -> None:
-    async def work(supervisor: Supervisor, lease_client: LapsingClient, hands: LapsingHands) -> None:
+    async def work(
+        supervisor: Supervisor, lease_client: LapsingClient, processes: LapsingProcessControl
+    ) -> None:
         lease_client.on_lost(DUTY, TOKEN, "lapsed")
         lease_client.lapsed = False
         await asyncio.sleep(3 * TICK_S)
-        assert hands.done == ["start h-1"] and not supervisor.crew.members
+        assert processes.done == ["start h-1"] and not supervisor.instances.by_name
 
     run(work)
 
 
 def test_a_dropped_start_that_is_not_wanted_any_more_is_left() -> None:
-    async def work(supervisor: Supervisor, lease_client: LapsingClient, hands: LapsingHands) -> None:
-        supervisor.crew.planned(time.monotonic(), Plan(1, 1))
+    async def work(
+        supervisor: Supervisor, lease_client: LapsingClient, processes: LapsingProcessControl
+    ) -> None:
+        supervisor.instances.planned(time.monotonic(), DesiredState(1, 1))
         supervisor._runner.stop()
         lease_client.lapsed = False
         await asyncio.sleep(3 * TICK_S)
-        assert hands.done == ["start h-1"] and supervisor.crew.members["h-2"].state is State.DOWN
+        assert processes.done == ["start h-1"] and supervisor.instances.by_name["h-2"].state is State.DOWN
 
     run(work)
 
 
 def test_a_dropped_drain_is_told_again_and_is_no_kill() -> None:
-    async def work(supervisor: Supervisor, lease_client: LapsingClient, hands: LapsingHands) -> None:
+    async def work(
+        supervisor: Supervisor, lease_client: LapsingClient, processes: LapsingProcessControl
+    ) -> None:
         lease_client.lapsed = False
-        await until(lambda: len(hands.done) > 1)
+        await until(lambda: len(processes.done) > 1)
         supervisor._runner.stop()
         lease_client.lapsed = False
-        supervisor._planned(Plan(0, 0))
+        supervisor._planned(DesiredState(0, 0))
         await asyncio.sleep(3 * TICK_S)
-        assert hands.done[2:] == ["drain life of h-1"], "the second is dropped"
+        assert processes.done[2:] == ["drain life of h-1"], "the second is dropped"
         lease_client.lapsed = False
-        await until(lambda: len(hands.done) > 3)
+        await until(lambda: len(processes.done) > 3)
         lease_client.lapsed = False
         await asyncio.sleep(3 * TICK_S)
-        assert hands.done[2:] == ["drain life of h-1", "drain life of h-2"], "each once"
+        assert processes.done[2:] == ["drain life of h-1", "drain life of h-2"], "each once"
 
     run(work)
