--- a/coveport/serving/coordinator/control_state_machine.py
+++ b/coveport/serving/coordinator/control_state_machine.py
@@ -2,24 +2,16 @@
 
 from __future__ import annotations
 
-from typing import Any, Final
+from typing import Final
 
 from coveport.serving.configuration.state import ControlState
 from coveport.serving.configuration.state_codec import decode_state, encode_state
 from coveport.serving.configuration.state_machine import apply
 from coveport.serving.replication.errors import UnreadableStateError
-from coveport.serving.replication.state_machine import Applied, Refused, StateMachine
-from coveport.serving.replication.state_machine import Applied as AppliedChange
+from coveport.serving.replication.state_machine import StateMachine
 from coveport.serving.wire.errors import MalformedMessageError
 
 
-def _apply(state: Any, command: bytes) -> Applied | Refused:
-    outcome = apply(state, command)
-    if isinstance(outcome, AppliedChange):
-        return Applied(outcome.state, outcome.result)
-    return Refused(outcome.result)
-
-
 def _decode(data: bytes) -> ControlState:
     try:
         return decode_state(data)
@@ -27,4 +19,4 @@
         raise UnreadableStateError(str(error)) from error
 
 
-STATE_MACHINE: Final = StateMachine(_apply, encode_state, _decode)
+STATE_MACHINE: Final = StateMachine(apply, encode_state, _decode)
--- a/coveport/serving/replication/bootstrap.py
+++ b/coveport/serving/replication/bootstrap.py
@@ -32,14 +32,14 @@
         self._state = state
         self._installed: set[MemberId] = set()
         self._accepted: set[MemberId] = set()
-        self._sent_at_s = now_s
+        self._last_send_s = now_s
         self._send(now_s)
 
     def _is_installed(self) -> bool:
         return self._installed.issuperset(self.view.replicas)
 
     def _send(self, now_s: float) -> None:
-        self._sent_at_s = now_s
+        self._last_send_s = now_s
         if self._is_installed():
             self._send_accepts()
         else:
@@ -68,7 +68,7 @@
 
     def tick(self, now_s: float) -> None:
         """Repeat what wasn't answered."""
-        if now_s - self._sent_at_s >= self._context.timings.resend_s:
+        if now_s - self._last_send_s >= self._context.timings.resend_s:
             self._send(now_s)
 
 
--- a/coveport/serving/replication/leader_role.py
+++ b/coveport/serving/replication/leader_role.py
@@ -124,7 +124,7 @@
         if ping.view_epoch > primary.view.epoch and ping.primary:
             self.step_down(now_s)
         elif self.is_active and ping.promised > primary.view.epoch and sender in primary.view.members:
-            self._note_outvoted(now_s)
+            self._on_outvoted(now_s)
 
     def _on_fenced(self, now_s: float, message: Fenced) -> None:
         """Give up what a member rejected, for it promised a higher epoch."""
@@ -134,9 +134,9 @@
         elif self._bootstrap is not None and message.refused == self._bootstrap.view.epoch:
             self._bootstrap = None
         elif self.primary is not None and message.refused == self.primary.view.epoch:
-            self._note_outvoted(now_s)
+            self._on_outvoted(now_s)
 
-    def _note_outvoted(self, now_s: float) -> None:
+    def _on_outvoted(self, now_s: float) -> None:
         if self.outvoted_since_s is None:
             self.outvoted_since_s = now_s
 
@@ -161,7 +161,7 @@
             self.attempt.handle(now_s, sender, message)
             self._follow_attempt(now_s)
 
-    def on_own_promise(self, now_s: float) -> None:
+    def on_promised_epoch_raised(self, now_s: float) -> None:
         """End the roles whose epoch is below what this member has promised by now."""
         promised = self._context.journal.durable.promised
         self.highest_seen = max(self.highest_seen, promised)
--- a/coveport/serving/replication/ping_sender.py
+++ b/coveport/serving/replication/ping_sender.py
@@ -18,16 +18,16 @@
     def __init__(self, context: ReplicaContext, leader_role: LeaderRole) -> None:
         self._context = context
         self._leader_role = leader_role
-        self._sent_at_s = float("-inf")
+        self._last_send_s = float("-inf")
 
     def expedite(self) -> None:
         """Send to all at the next tick: something has changed that the others must know at once."""
-        self._sent_at_s = float("-inf")
+        self._last_send_s = float("-inf")
 
     def tick(self, now_s: float) -> None:
         """Send to all peers, every `ping_s`."""
-        if now_s - self._sent_at_s >= self._context.timings.ping_s:
-            self._sent_at_s = now_s
+        if now_s - self._last_send_s >= self._context.timings.ping_s:
+            self._last_send_s = now_s
             self.send(now_s, self._context.peers)
 
     def answer(self, now_s: float, peer: Peer) -> None:
--- a/coveport/serving/replication/primary.py
+++ b/coveport/serving/replication/primary.py
@@ -37,7 +37,7 @@
     state: Any  # after it
     result: Any  # for its caller
     started_at_s: float
-    sent_at_s: float
+    last_send_s: float
     appended: set[MemberId] = field(default_factory=set)  # replicas that have synced it
 
     @property
@@ -150,13 +150,13 @@
             state=applied.state,
             result=applied.result,
             started_at_s=now_s,
-            sent_at_s=now_s,
+            last_send_s=now_s,
         )
         acceptor.precompute(self.view.epoch, sequence, applied.state)
         self._send_append(self._in_flight, now_s)
 
     def _send_append(self, in_flight: InFlightCommand, now_s: float) -> None:
-        in_flight.sent_at_s = now_s
+        in_flight.last_send_s = now_s
         message = Append(
             self.view.epoch, in_flight.sequence, in_flight.command, self._context.committed_log.sequence
         )
@@ -212,7 +212,7 @@
         """Repeat what wasn't answered."""
         in_flight = self._in_flight
         resend_s = self._context.timings.resend_s
-        if in_flight is not None and now_s - in_flight.sent_at_s >= resend_s + in_flight.transfer_s:
+        if in_flight is not None and now_s - in_flight.last_send_s >= resend_s + in_flight.transfer_s:
             self._send_append(in_flight, now_s)
         self._quorum_checks.tick(now_s)
 
--- a/coveport/serving/replication/quorum_check.py
+++ b/coveport/serving/replication/quorum_check.py
@@ -32,7 +32,7 @@
 
     number: int
     started_at_s: float
-    sent_at_s: float
+    last_send_s: float
     answers: list[UnconfirmedAnswer]
     confirmed: set[MemberId] = field(default_factory=set)
 
@@ -101,8 +101,8 @@
                 self._checks.remove(check)
                 for answer in check.answers:
                     self._context.outbox.answer(answer.request, NotPrimary(None))
-            elif now_s - check.sent_at_s >= timings.resend_s:
-                check.sent_at_s = now_s
+            elif now_s - check.last_send_s >= timings.resend_s:
+                check.last_send_s = now_s
                 self._ask_again(check)
 
     def _ask_again(self, check: QuorumCheck) -> None:
--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -250,7 +250,7 @@
                 self._on_prepare(now_s, sender, message)
             case Install():
                 self._context.acceptor.install(sender, message)
-                self._leader_role.on_own_promise(now_s)
+                self._leader_role.on_promised_epoch_raised(now_s)
             case Accept():
                 self._on_accept(now_s, sender, message)
             case Fetch():
@@ -279,11 +279,11 @@
         if sender != self._context.own_id and message.epoch == self._context.journal.durable.promised:
             backoff_s = self._context.timings.election_backoff_s
             self._leader_role.election.delay_election_until(now_s + backoff_s)
-        self._leader_role.on_own_promise(now_s)
+        self._leader_role.on_promised_epoch_raised(now_s)
 
     def _on_accept(self, now_s: float, sender: MemberId, message: Accept) -> None:
         self._context.acceptor.accept(sender, message)
-        self._leader_role.on_own_promise(now_s)
+        self._leader_role.on_promised_epoch_raised(now_s)
         self._add_peers_of_view()
 
     def _on_append(self, sender: MemberId, message: Append) -> None:
--- a/coveport/serving/replication/view_change.py
+++ b/coveport/serving/replication/view_change.py
@@ -88,7 +88,7 @@
         self._replicas: tuple[MemberId, ...] = ()
         self._installed: set[MemberId] = set()
         self._accepted: set[MemberId] = set()
-        self._sent_at_s = now_s
+        self._last_send_s = now_s
         self._replicas_chosen_at_s = now_s
         context.send(context.own_id, Prepare(epoch))
 
@@ -121,7 +121,7 @@
     def _enter(self, step: Step, now_s: float) -> None:
         self.step = step
         self.step_began_at_s = now_s
-        self._sent_at_s = now_s
+        self._last_send_s = now_s
 
     # -- step 1: promises --
 
@@ -132,7 +132,7 @@
         return {member for group in self._groups() for member in group}
 
     def _send_prepares(self, now_s: float) -> None:
-        self._sent_at_s = now_s
+        self._last_send_s = now_s
         if self._context.own_id not in self._promises:
             return  # our own promise must be synced before anyone learns of the epoch
         for member in sorted(self._voters() - self._promises.keys()):
@@ -252,7 +252,7 @@
         self._send_installs(now_s)
 
     def _send_installs(self, now_s: float) -> None:
-        self._sent_at_s = now_s
+        self._last_send_s = now_s
         for member in self._replicas:
             if member not in self._installed:
                 self._context.send(member, Install(self.epoch, self._sequence, self._state))
@@ -289,7 +289,7 @@
         return ()
 
     def _send_accepts(self, now_s: float) -> None:
-        self._sent_at_s = now_s
+        self._last_send_s = now_s
         assert self.view is not None
         for member in sorted({*self.view.members, *self.view.previous_members} - self._accepted):
             self._context.send(member, Accept(self.view, is_bootstrap=False))
@@ -306,14 +306,14 @@
 
     def tick(self, now_s: float) -> None:
         """Repeat what wasn't answered; choose another replica for one that is slow."""
-        must_resend = now_s - self._sent_at_s >= self._context.timings.resend_s
+        must_resend = now_s - self._last_send_s >= self._context.timings.resend_s
         match self.step:
             case Step.PREPARING:
                 self._advance_from_promises(now_s)
                 if self.step is Step.PREPARING and must_resend:
                     self._send_prepares(now_s)
             case Step.FETCHING if must_resend and self._source is not None:
-                self._sent_at_s = now_s
+                self._last_send_s = now_s
                 self._context.send(self._source, Fetch(self.epoch))
             case Step.INSTALLING:
                 self._tick_installing(now_s)
@@ -325,5 +325,5 @@
             slow = set(self._replicas) - self._installed - {self._context.own_id}
             self._avoided.update(slow)
             self._choose_replicas(now_s)
-        elif now_s - self._sent_at_s >= self._context.timings.resend_s + self._transfer_s:
+        elif now_s - self._last_send_s >= self._context.timings.resend_s + self._transfer_s:
             self._send_installs(now_s)
