--- a/coveport/serving/configuration/json_text.py
+++ b/coveport/serving/configuration/json_text.py
@@ -8,6 +8,9 @@
 
 from coveport.serving.model.findings import Finding, Refusal
 
+JsonObject = dict[str, Any]
+"""A JSON object whose fields have not been checked."""
+
 UNREADABLE: Final = "unreadable JSON"
 # Nested objects and lists. How deep Python itself reads depends on the caller's stack, while a primary and
 # its backups must agree.
@@ -15,7 +18,7 @@
 _CONTAINERS: Final = (dict, list)
 
 
-def read_object(raw: bytes) -> dict[str, Any] | Refusal:
+def read_object(raw: bytes) -> JsonObject | Refusal:
     """Return the JSON object in a text, or a refusal where it is truncated or anything else."""
     try:
         data = json.loads(raw.decode(), parse_constant=_refuse_constant, parse_float=_finite_float)
--- a/coveport/serving/configuration/patch.py
+++ b/coveport/serving/configuration/patch.py
@@ -5,13 +5,14 @@
 from collections.abc import Mapping
 from typing import Any, Final
 
+from coveport.serving.configuration.json_text import JsonObject
 from coveport.serving.model.findings import Findings, Refusal
 from coveport.serving.wire.names import Config
 
 INVALID_PATCH: Final = "invalid patch"
 
 
-def apply_patch(current: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any] | Refusal:
+def apply_patch(current: Mapping[str, Any], change: Mapping[str, Any]) -> JsonObject | Refusal:
     """Return the configuration after a change, or a refusal; all are JSON objects, neither input is altered.
 
     Removals come first, then upserts: an item replaces the one of its name at the same position, or is added
@@ -42,7 +43,7 @@
     return {}
 
 
-def _remove(result: dict[str, Any], key: str, names: Any, findings: Findings) -> None:
+def _remove(result: JsonObject, key: str, names: Any, findings: Findings) -> None:
     location = f"{Config.REMOVE}.{key}"
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         findings.add(location, "must be a list of names")
@@ -56,7 +57,7 @@
         result[key] = [item for item in items if _name_of(item) not in removed]
 
 
-def _upsert(result: dict[str, Any], key: str, items: Any, findings: Findings) -> None:
+def _upsert(result: JsonObject, key: str, items: Any, findings: Findings) -> None:
     location = f"{Config.UPSERT}.{key}"
     if isinstance(items, dict) and not isinstance(result.get(key, {}), list):
         result[key] = items
--- a/coveport/serving/configuration/reader.py
+++ b/coveport/serving/configuration/reader.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from typing import Any, Final
+from typing import Final
 
 from coveport.serving.configuration.document import Document, make_document
 from coveport.serving.configuration.document_cache import DocumentCache
-from coveport.serving.configuration.json_text import read_object
+from coveport.serving.configuration.json_text import JsonObject, read_object
 from coveport.serving.configuration.raw_types import RawClientLimits, RawConfiguration
 from coveport.serving.configuration.route_reader import RouteReader
 from coveport.serving.configuration.service_reader import read_services, service_names
@@ -45,13 +45,13 @@
     return text
 
 
-def validate_document(data: dict[str, Any]) -> Document | Refusal:
+def validate_document(data: JsonObject) -> Document | Refusal:
     """Return the document of a JSON object, or a refusal."""
     configuration = _validate(data)
     return configuration if isinstance(configuration, Refusal) else make_document(data, configuration)
 
 
-def _validate(data: dict[str, Any]) -> Configuration | Refusal:
+def _validate(data: JsonObject) -> Configuration | Refusal:
     findings = Findings()
     checker = TypeChecker(findings)
     checked = checker.check(RawConfiguration, data, "")
@@ -68,7 +68,7 @@
     return Configuration(raw.edition, routes, services, limits)
 
 
-def _read_limits(data: dict[str, Any], checker: TypeChecker) -> ClientLimits:
+def _read_limits(data: JsonObject, checker: TypeChecker) -> ClientLimits:
     checked = checker.check(RawClientLimits, data, CONFIGURATION["limits"])
     assert checked is not None  # it is an object
     raw = checked.value
--- a/coveport/serving/configuration/route_changes.py
+++ b/coveport/serving/configuration/route_changes.py
@@ -13,7 +13,7 @@
 from typing import Any, Final
 
 from coveport.serving.configuration.document import Document
-from coveport.serving.configuration.json_text import ObjectWriter
+from coveport.serving.configuration.json_text import JsonObject, ObjectWriter
 from coveport.serving.configuration.route_reader import RouteReader
 from coveport.serving.configuration.type_checker import LARGEST_NUMBER, TypeChecker
 from coveport.serving.model.configuration import Route
@@ -28,7 +28,7 @@
     """A change of routes alone."""
 
     edition: int
-    upserts: dict[str, dict[str, Any]]  # JSON objects by name
+    upserts: dict[str, JsonObject]  # JSON objects by name
     removed: frozenset[str]  # names
 
 
@@ -80,9 +80,9 @@
     return routes
 
 
-def _by_name(items: list[Any]) -> dict[str, dict[str, Any]] | None:
+def _by_name(items: list[Any]) -> dict[str, JsonObject] | None:
     """Return JSON objects by their names; None where one has none, or two have the same."""
-    by_name: dict[str, dict[str, Any]] = {}
+    by_name: dict[str, JsonObject] = {}
     for item in items:
         name = item.get(Config.NAME) if isinstance(item, dict) else None
         if not isinstance(name, str) or name in by_name:
@@ -91,7 +91,7 @@
     return by_name
 
 
-def _read_routes(document: Document, items: list[dict[str, Any]]) -> tuple[Route, ...] | None:
+def _read_routes(document: Document, items: list[JsonObject]) -> tuple[Route, ...] | None:
     findings = Findings()
     services = frozenset(service.name for service in document.configuration.services)
     routes = RouteReader(TypeChecker(findings), findings, services).read(items)
--- a/coveport/serving/configuration/service_reader.py
+++ b/coveport/serving/configuration/service_reader.py
@@ -4,6 +4,7 @@
 
 from typing import Any
 
+from coveport.serving.configuration.json_text import JsonObject
 from coveport.serving.configuration.raw_types import RawEngine, RawService
 from coveport.serving.configuration.type_checker import TypeChecker
 from coveport.serving.model.configuration import Engine, Service
@@ -48,7 +49,7 @@
     )
 
 
-def _read_engine(data: dict[str, Any] | None, location: str, checker: TypeChecker) -> Engine | None:
+def _read_engine(data: JsonObject | None, location: str, checker: TypeChecker) -> Engine | None:
     checked = None if data is None else checker.check(RawEngine, data, location)
     if checked is None:
         return None
--- a/coveport/serving/configuration/state_machine.py
+++ b/coveport/serving/configuration/state_machine.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any, Final
+from typing import Final
 
 from coveport.serving.configuration.commands import (
     Command,
@@ -15,7 +15,7 @@
 )
 from coveport.serving.configuration.digest import digest_of
 from coveport.serving.configuration.document import Document
-from coveport.serving.configuration.json_text import read_object
+from coveport.serving.configuration.json_text import JsonObject, read_object
 from coveport.serving.configuration.patch import apply_patch
 from coveport.serving.configuration.reader import read_document, render_document, validate_document
 from coveport.serving.configuration.route_changes import apply_route_changes
@@ -124,7 +124,7 @@
     return _patch_routes(state, change) or _patch_fully(state, change)
 
 
-def _patch_routes(state: ControlState, change: dict[str, Any]) -> Document | None:
+def _patch_routes(state: ControlState, change: JsonObject) -> Document | None:
     """Apply a change of routes alone; None: it changes more, or may be invalid."""
     if state.configuration_text is None:
         return None
@@ -132,7 +132,7 @@
     return None if isinstance(document, Refusal) else apply_route_changes(document, change)
 
 
-def _patch_fully(state: ControlState, change: dict[str, Any]) -> Document | Refusal:
+def _patch_fully(state: ControlState, change: JsonObject) -> Document | Refusal:
     """Apply any change, and validate the whole configuration that it makes."""
     current = read_object(state.configuration_text or b"{}")
     assert not isinstance(current, Refusal)  # the text of a document
--- a/coveport/serving/configuration/type_checker.py
+++ b/coveport/serving/configuration/type_checker.py
@@ -8,6 +8,7 @@
 
 import dacite
 
+from coveport.serving.configuration.json_text import JsonObject
 from coveport.serving.configuration.raw_types import FIELD_NAMES, WHOLE_NUMBERS
 from coveport.serving.model.findings import Findings
 
@@ -72,7 +73,7 @@
         invalid_fields = checked.invalid_fields.union(self._check_numbers(checked, location))
         return Checked(checked.value, invalid_fields) if invalid_fields else checked
 
-    def _check_types(self, kind: type[Raw], data: dict[str, Any], location: str) -> Checked[Raw]:
+    def _check_types(self, kind: type[Raw], data: JsonObject, location: str) -> Checked[Raw]:
         """Check with `dacite`, which stops at the first fault: replace that field and check again."""
         names = FIELD_NAMES[kind]
         repaired = dict(data)
--- a/coveport/serving/storage/ring.py
+++ b/coveport/serving/storage/ring.py
@@ -28,11 +28,14 @@
 
 FILE_COUNT: Final = 4
 FILE_BYTES: Final = 4 * 1024 * 1024  # both copies
-SNAPSHOTS_PER_SPARE: Final = 2  # a file is extended for a snapshot so that half as much fits behind it
+HEADROOM_DIVISOR: Final = 2  # behind a large snapshot, half as much again fits before the next generation
 
 
 class Ring:
-    """Not safe for several threads. Any call may block, and raise OSError."""
+    """Appends batches of records, and replaces them by snapshots.
+
+    Not thread-safe. Any call may block, and raise OSError.
+    """
 
     def __init__(
         self,
@@ -98,7 +101,7 @@
         self._header = Header(self._last_number, self._draw_salt(), len(snapshot))
         self._position = 0
         data = encode_header(self._header) + self._encode_batch(snapshot)
-        self._copy_offset = max(self._file_bytes // 2, len(data) + len(data) // SNAPSHOTS_PER_SPARE)
+        self._copy_offset = max(self._file_bytes // 2, len(data) + len(data) // HEADROOM_DIVISOR)
         file = self._files[index]
         file.set_length(2 * self._copy_offset)
         self._write_both_copies(file, 0, data)
--- a/coveport/serving/storage/store.py
+++ b/coveport/serving/storage/store.py
@@ -1,4 +1,4 @@
-"""The durable state of a replica in a ring: opened, appended to, and compacted into a snapshot by itself."""
+"""The durable state of a replica, as records in a ring."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class RecordStore:
-    """Not safe for several threads. Records that couldn't be written are kept and written with the next."""
+    """Appends records to a ring, and compacts them into a snapshot where they no longer fit.
+
+    Not thread-safe. Records of a failed write are kept and written with the next.
+    """
 
     def __init__(
         self, ring: Ring, encode: Callable[[Record], bytes], decode: Callable[[bytes], Record]
