--- a/coveport/serving/coordinator/coordinator.py
+++ b/coveport/serving/coordinator/coordinator.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import random
-from typing import Any, Final
+from typing import Final
 
 from coveport.net.transport import Net
 from coveport.serving.configuration.state import initial_state
@@ -25,6 +25,7 @@
 from coveport.serving.coordinator.state_history import StateHistory
 from coveport.serving.coordinator.status_report import StatusReporter
 from coveport.serving.coordinator.subscriptions import Subscriptions
+from coveport.serving.log import EventLogger
 from coveport.serving.membership.leases import LeaseTable
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.replication.events import CommittedState
@@ -62,7 +63,12 @@
     """The tables of one coordinator, its replica of the core, and its servers."""
 
     def __init__(
-        self, net: Net, settings: BootSettings, opened: OpenedStorage, random_source: random.Random, log: Any
+        self,
+        net: Net,
+        settings: BootSettings,
+        opened: OpenedStorage,
+        random_source: random.Random,
+        log: EventLogger,
     ) -> None:
         """Create a coordinator that is not started; `opened` is its disk.
 
@@ -87,41 +93,16 @@
         )
         self._stall_detector = StallDetector(net.now_s, self._on_stall, log)
         self._replica = self._make_replica(seeds, opened, random_source)
+        callbacks = ReplicaCallbacks(self._peers.send, self._on_committed)
         self._runtime = ReplicaRuntime(
-            net,
-            self._replica,
-            opened.writer,
-            self._stall_detector,
-            ReplicaCallbacks(self._peers.send, self._on_committed),
-            log,
-        )
-        self._quorum_status = QuorumStatus(
-            net.now_s,
-            lambda: self._replica.has_quorum(net.now_s()),
-            FULL_TABLE_HEARTBEATS * settings.heartbeat_ms / 1000,
-            self._live_coordinators,
+            net, self._replica, opened.writer, self._stall_detector, callbacks, log
         )
+        self._quorum_status = self._make_quorum_status()
         self._lease_replicator = LeaseReplicator(self.leases, self._peers, net.now_s)
-        self._subscriptions = Subscriptions(
-            net,
-            self.table,
-            f"{random_source.getrandbits(64):016x}",
-            self.leases,
-            self.history,
-            self._quorum_status,
-            self._lease_replicator.send_renewed,
-        )
+        self._subscriptions = self._make_subscriptions(f"{random_source.getrandbits(64):016x}")
         self._reports = self._make_report_replicator(len(seeds), random_source.getrandbits(48))
         self._liveness = CoordinatorLiveness(self._endpoint)
-        self._listener = InnerListener(
-            net,
-            self._member_id.disk,
-            self._stall_detector,
-            self._receive,
-            self._subscriptions.connection_lost,
-            self.traffic,
-            log,
-        )
+        self._listener = self._make_listener()
         self._servers = self._make_servers()
         self._maintenance_timer: asyncio.TimerHandle | None = None
 
@@ -141,6 +122,25 @@
             self._net.now_s(),
         )
 
+    def _make_quorum_status(self) -> QuorumStatus:
+        return QuorumStatus(
+            self._net.now_s,
+            lambda: self._replica.has_quorum(self._net.now_s()),
+            FULL_TABLE_HEARTBEATS * self._settings.heartbeat_ms / 1000,
+            self._live_coordinators,
+        )
+
+    def _make_subscriptions(self, table_id: str) -> Subscriptions:
+        return Subscriptions(
+            self._net,
+            self.table,
+            table_id,
+            self.leases,
+            self.history,
+            self._quorum_status,
+            self._lease_replicator.send_renewed,
+        )
+
     def _make_report_replicator(self, seed_count: int, first_confirmation_id: int) -> NodeReportReplicator:
         required_acks = min(self._settings.tolerated.machines, max(0, seed_count - 1))
         peers = ReportPeers(
@@ -159,6 +159,17 @@
             first_confirmation_id,
         )
 
+    def _make_listener(self) -> InnerListener:
+        return InnerListener(
+            self._net,
+            self._member_id.disk,
+            self._stall_detector,
+            self._receive,
+            self._subscriptions.connection_lost,
+            self.traffic,
+            self._log,
+        )
+
     def _make_servers(self) -> list[HttpServer]:
         settings = self._settings
         servers = []
--- a/coveport/serving/coordinator/inner_listener.py
+++ b/coveport/serving/coordinator/inner_listener.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Final
+from typing import Final
 
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net
 from coveport.serving.coordinator.stall_detector import StallDetector
+from coveport.serving.log import EventLogger
 from coveport.serving.wire.connection import Connection
 from coveport.serving.wire.errors import RemoteProtocolError
 from coveport.serving.wire.messages import Hello, Message
@@ -31,7 +32,7 @@
         on_message: MessageHandler,
         on_closed: ClosedHandler,
         traffic: Traffic,
-        log: Any,
+        log: EventLogger,
     ) -> None:
         """Create a listener; `own_disk` is the identity of this coordinator's disk.
 
--- a/coveport/serving/coordinator/node_api.py
+++ b/coveport/serving/coordinator/node_api.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import Any
 
 from coveport.serving.coordinator.heartbeat import read_heartbeat
 from coveport.serving.coordinator.node_report_replication import NodeReportReplicator
+from coveport.serving.log import EventLogger
 from coveport.serving.model.findings import Refusal
 from coveport.serving.model.node import NodeState, deregistration
 from coveport.serving.web.messages import ApiRequest, ApiResponse, json_response
@@ -22,7 +22,7 @@
         reports: NodeReportReplicator,
         has_quorum: Callable[[], bool],
         regions: Mapping[str, str],
-        log: Any,
+        log: EventLogger,
     ) -> None:
         """Create handlers; `regions`: region by zone.
 
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import random
-from typing import Any
 
 from coveport.net.transport import Net
 from coveport.serving.coordinator.coordinator import Coordinator
+from coveport.serving.log import EventLogger
 from coveport.serving.replication.errors import UnreadableStateError
 from coveport.serving.role_process import CannotStartError, run_process
 from coveport.serving.settings.boot import BootSettings
@@ -19,7 +19,7 @@
     return run_process(settings_path, ("data_dir",), _make_coordinator)
 
 
-def _make_coordinator(net: Net, settings: BootSettings, log: Any) -> Coordinator:
+def _make_coordinator(net: Net, settings: BootSettings, log: EventLogger) -> Coordinator:
     assert settings.data_dir is not None
     try:
         opened = open_storage(settings.data_dir, settings.first_boot, net.loop.call_soon_threadsafe)
--- a/coveport/serving/coordinator/replica_runtime.py
+++ b/coveport/serving/coordinator/replica_runtime.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from coveport.net.transport import Net
 from coveport.serving.coordinator.stall_detector import TICK_INTERVAL_S, StallDetector
+from coveport.serving.log import EventLogger
 from coveport.serving.replication.events import (
     Answer,
     CancelCall,
@@ -52,7 +52,7 @@
         writer: RecordWriter,
         stall_detector: StallDetector,
         callbacks: ReplicaCallbacks,
-        log: Any,
+        log: EventLogger,
     ) -> None:
         self._net = net
         self.replica = replica
--- a/coveport/serving/coordinator/stall_detector.py
+++ b/coveport/serving/coordinator/stall_detector.py
@@ -3,16 +3,20 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Final
+from typing import Final
+
+from coveport.serving.log import EventLogger
 
 TICK_INTERVAL_S: Final = 0.05
-STALL_THRESHOLD_S: Final = 0.6  # a tick that is late by more is a stall; a loaded machine is late by less
+STALL_THRESHOLD_S: Final = 0.6  # a tick that is later than this: the process was frozen, or had no processor
 
 
 class StallDetector:
     """Compares the time of each tick with the time at which it should have come."""
 
-    def __init__(self, now_s: Callable[[], float], on_stall: Callable[[float], None], log: Any) -> None:
+    def __init__(
+        self, now_s: Callable[[], float], on_stall: Callable[[float], None], log: EventLogger
+    ) -> None:
         """Expect the first tick `TICK_INTERVAL_S` from now.
 
         `on_stall` is called at the end of a stall with its length in seconds.
--- a/coveport/serving/log.py
+++ b/coveport/serving/log.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from types import ModuleType
-from typing import Any, Final
+from typing import Any, Final, Protocol
 
 
 def _import_structlog() -> ModuleType:
@@ -32,10 +32,26 @@
 WINDOW_S: Final = 10.0
 
 
+class EventLogger(Protocol):
+    """Logs events, as in `log.info("event_name", key=value)`; a method a level."""
+
+    def debug(self, event: str, **keys: object) -> object:
+        """Log what is of use only in the search for a fault."""
+
+    def info(self, event: str, **keys: object) -> object:
+        """Log what belongs to normal operation."""
+
+    def warning(self, event: str, **keys: object) -> object:
+        """Log a fault from which the system recovers by itself."""
+
+    def error(self, event: str, **keys: object) -> object:
+        """Log a fault that an operator should look at."""
+
+
 def create_logger(
     now_s: Callable[[], float], level: int = INFO_LEVEL, write: Callable[[str], object] | None = None
-) -> Any:
-    """Return a logger that is called as `log.info("event_name", key=value)`.
+) -> EventLogger:
+    """Return a logger that writes a line for each event.
 
     `now_s`: the clock of the key `at`. `level`: as in `logging`; events below it are not written.
     `write`: gets each line without its end; by default it goes to standard error.
@@ -46,11 +62,12 @@
         event["at"] = f"{now_s():.3f}"
         return event
 
-    return structlog.wrap_logger(
+    logger: EventLogger = structlog.wrap_logger(
         _LineWriter(write or _write_to_stderr),
         processors=[structlog.processors.add_log_level, _RateLimiter(now_s), add_time, renderer],
         wrapper_class=structlog.make_filtering_bound_logger(level),
     )
+    return logger
 
 
 @dataclass(slots=True)
--- a/coveport/serving/role_process.py
+++ b/coveport/serving/role_process.py
@@ -9,10 +9,10 @@
 import signal
 import sys
 from collections.abc import Callable
-from typing import Any, Final, Protocol
+from typing import Final, Protocol
 
 from coveport.net.transport import Net
-from coveport.serving.log import create_logger
+from coveport.serving.log import EventLogger, create_logger
 from coveport.serving.model.findings import Refusal
 from coveport.serving.settings.boot import BootSettings
 from coveport.serving.settings.reader import RoleSetting, read_boot_settings
@@ -36,7 +36,7 @@
         """Shut down gracefully; return once nothing is in flight."""
 
 
-RoleFactory = Callable[[Net, BootSettings, Any], Role]  # of the net, the settings, and the logger
+RoleFactory = Callable[[Net, BootSettings, EventLogger], Role]
 
 
 def run_process(settings_path: str, required: tuple[RoleSetting, ...], make_role: RoleFactory) -> int:
