--- a/coveport/serving/model/node.py
+++ b/coveport/serving/model/node.py
@@ -50,13 +50,13 @@
     `remembered_ms`: for how long its tombstone is still kept; 0: the longest.
     """
     return Node(
-        incarnation,
-        DEREGISTRATION_SEQUENCE,
-        "",
-        "",
-        "",
-        "",
-        0,
-        NodeState.DEREGISTERED,
+        incarnation=incarnation,
+        sequence=DEREGISTRATION_SEQUENCE,
+        service="",
+        address="",
+        zone="",
+        region="",
+        slots=0,
+        state=NodeState.DEREGISTERED,
         shutdown_in_ms=remembered_ms,
     )
--- a/coveport/serving/model/view.py
+++ b/coveport/serving/model/view.py
@@ -31,9 +31,8 @@
 
     configuration: Configuration | None = None
     evacuated_zones: frozenset[str] = frozenset()
-    evacuation_ended_at_s: dict[str, float] = field(
-        default_factory=dict
-    )  # by zone: its nodes may have to warm up
+    # By zone: its nodes may have to warm up again after that.
+    evacuation_ended_at_s: dict[str, float] = field(default_factory=dict)
     nodes: immutables.Map[str, KnownNode] = field(default_factory=immutables.Map)
     max_proxies: int = 1  # upper bound of the proxies there are: this one and partitioned ones included
     listeners: list[Callable[[], None]] = field(default_factory=list)
