--- a/coveport/serving/proxy/client_connection.py
+++ b/coveport/serving/proxy/client_connection.py
@@ -9,7 +9,7 @@
 from coveport.http1 import codec
 from coveport.net.transport import Net
 from coveport.serving.model.configuration import ClientLimits
-from coveport.serving.proxy.headers import status_line, write_response
+from coveport.serving.proxy.response_writing import status_line, write_response
 
 MAX_PIPELINED_BYTES = 64 * 1024  # of further requests, while one is answered: bounds memory; not measured
 MAX_UNSENT_BYTES = 64 * 1024  # of a response, for a slow client: bounds memory; not measured
--- a/coveport/serving/proxy/data_path.py
+++ b/coveport/serving/proxy/data_path.py
@@ -25,8 +25,8 @@
 from coveport.serving.proxy.failure_response import RETRY_AFTER_S
 from coveport.serving.proxy.headers import first
 from coveport.serving.proxy.in_flight_request import InFlightRequest
-from coveport.serving.proxy.latency_estimate import LatencyEstimator
 from coveport.serving.proxy.node_maintenance import NodeMaintenance
+from coveport.serving.proxy.node_observations import NodeObservations
 from coveport.serving.proxy.node_selection import NodeSelector
 from coveport.serving.proxy.outlier_ejection import OutlierDetector
 from coveport.serving.proxy.proxy_context import ProxyContext
@@ -52,7 +52,7 @@
         self._counters = Counters()
         self._context = _make_context(net, settings, view, random, self._counters)
         self._maintenance = NodeMaintenance(
-            net, view, self._context.pool, self._context.selector, self._counters
+            net, view, self._context.pool, self._context.observations, self._counters
         )
         self._requests_in_flight = 0
 
@@ -116,14 +116,8 @@
 ) -> ProxyContext:
     bounds = settings.bounds
     pool = ConnectionPool(net, settings.region)
-    selector = NodeSelector(
-        view,
-        settings.region,
-        random,
-        OutlierDetector(random),
-        SlowStartLimiter(bounds.warm_up_overshoot, bounds.warm_up_slack, random),
-        pool,
-        LatencyEstimator(),
-    )
+    slow_start = SlowStartLimiter(bounds.warm_up_overshoot, bounds.warm_up_slack, random)
+    observations = NodeObservations(view, OutlierDetector(random), slow_start)
+    selector = NodeSelector(view, settings.region, random, pool, observations)
     budget = RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s)
-    return ProxyContext(net, view, random, pool, selector, budget, AdmissionQueues(), counters)
+    return ProxyContext(net, view, random, pool, selector, observations, budget, AdmissionQueues(), counters)
--- a/coveport/serving/proxy/headers.py
+++ b/coveport/serving/proxy/headers.py
@@ -1,11 +1,9 @@
-"""Selects the headers that a proxy forwards, and writes responses of its own. Pure."""
+"""Reads headers, and selects those that a proxy forwards. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Mapping
 
-from coveport.http1 import codec
-
 Headers = Mapping[str, list[str]]
 
 # RFC 9110, 7.6.1: these concern one connection alone.
@@ -25,20 +23,6 @@
     }
 )
 STATUSES_WITHOUT_BODY = frozenset({204, 304})
-_REASONS = {
-    200: "OK",
-    400: "Bad Request",
-    404: "Not Found",
-    408: "Request Timeout",
-    413: "Content Too Large",
-    421: "Misdirected Request",
-    429: "Too Many Requests",
-    431: "Request Header Fields Too Large",
-    500: "Internal Server Error",
-    502: "Bad Gateway",
-    503: "Service Unavailable",
-    504: "Gateway Timeout",
-}
 
 
 def connection_options(headers: Headers) -> frozenset[str]:
@@ -73,16 +57,6 @@
     return None
 
 
-def status_line(status: int) -> str:
-    """Return the first line of a response."""
-    return f"HTTP/1.1 {status} {_REASONS.get(status, 'Unknown')}"
-
-
-def write_response(status: int, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
-    """Return the bytes of a complete response of our own."""
-    return codec.write_head(status_line(status), [*headers, ("Content-Length", str(len(body)))]) + body
-
-
 def is_unframed(status: int, headers: Headers) -> bool:
     """Return whether a node's response has no framing, and yet doesn't say that the connection closes.
 
--- /dev/null
+++ b/coveport/serving/proxy/node_eligibility.py
@@ -0,0 +1,59 @@
+"""Which nodes the control plane allows for a request, and how near they are. Pure.
+
+What this proxy observes of nodes is added by `node_selection`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+
+from coveport.serving.model.node import NodeState
+from coveport.serving.model.view import ControlView, KnownNode
+
+
+def is_eligible(view: ControlView, known: KnownNode, now_s: float) -> bool:
+    """Return whether the control plane allows new requests to the node."""
+    return (
+        known.node.state is NodeState.ACCEPTING
+        and known.node.zone not in view.evacuated_zones
+        and known.shutdown_at_s > now_s
+    )
+
+
+def eligible_nodes(
+    view: ControlView, service: str, home_regions: frozenset[str], now_s: float
+) -> list[KnownNode]:
+    """Return the service's nodes that the control plane and the home regions allow; no regions: any.
+
+    Sorted, because the order of the view's map depends on Python's hash seed and seeded draws must repeat.
+    """
+    found = [
+        known
+        for known in view.nodes.values()
+        if known.node.service == service
+        and is_eligible(view, known, now_s)
+        and (not home_regions or known.node.region in home_regions)
+    ]
+    return sorted(found, key=lambda known: known.node.incarnation)
+
+
+@dataclass(frozen=True, slots=True)
+class NodesByLocality:
+    """Candidates in the proxy's own region, and in all others."""
+
+    local: list[KnownNode] = field(default_factory=list)
+    remote: list[KnownNode] = field(default_factory=list)
+
+    def first_usable(self, is_usable: Callable[[KnownNode], bool]) -> list[KnownNode]:
+        """Return the usable local nodes or, only where there are none, the usable remote ones."""
+        usable = [known for known in self.local if is_usable(known)]
+        return usable or [known for known in self.remote if is_usable(known)]
+
+
+def group_by_locality(nodes: Iterable[KnownNode], region: str) -> NodesByLocality:
+    """Group nodes by locality, as seen from a region."""
+    by_locality = NodesByLocality()
+    for known in nodes:
+        (by_locality.local if known.node.region == region else by_locality.remote).append(known)
+    return by_locality
--- a/coveport/serving/proxy/node_maintenance.py
+++ b/coveport/serving/proxy/node_maintenance.py
@@ -8,7 +8,7 @@
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.connection_pool import ConnectionPool
 from coveport.serving.proxy.counters import Counters
-from coveport.serving.proxy.node_selection import NodeSelector
+from coveport.serving.proxy.node_observations import NodeObservations
 
 SWEEP_INTERVAL_S = 0.2  # small beside the times it looks for (0.4 s and more); not measured
 
@@ -21,13 +21,13 @@
         net: Net,
         view: ControlView,
         pool: ConnectionPool,
-        selector: NodeSelector,
+        observations: NodeObservations,
         counters: Counters,
     ) -> None:
         self._net = net
         self._view = view
         self._pool = pool
-        self._selector = selector
+        self._observations = observations
         self._counters = counters
         self._timer: asyncio.TimerHandle | None = None
         self._health_checks: set[asyncio.Task[None]] = set()
@@ -49,21 +49,18 @@
 
     def _forget_gone_nodes(self) -> None:
         known = frozenset(self._view.nodes)
-        self._selector.outliers.forget_all_but(known)
-        self._selector.slow_start.forget_all_but(known)
         self._pool.sweep(known.__contains__)
-        self._selector.latency.forget_all_but(known)
-        self._selector.overload.forget_all_but(known)
+        self._observations.forget_all_but(known)
 
     def _eject_unresponsive_nodes(self) -> None:
-        for incarnation in self._selector.latency.unresponsive(self._net.now_s()):
+        for incarnation in self._observations.latency.unresponsive(self._net.now_s()):
             self._counters.add("silent")
             # The time without a response begins anew, beside the health checks.
-            self._selector.latency.record_reachable(incarnation, self._net.now_s())
-            self._selector.outliers.record_unreachable(incarnation, self._net.now_s())
+            self._observations.latency.record_reachable(incarnation, self._net.now_s())
+            self._observations.outliers.record_unreachable(incarnation, self._net.now_s())
 
     def _begin_health_checks(self) -> None:
-        for incarnation in self._selector.outliers.scheduled_health_checks(self._net.now_s()):
+        for incarnation in self._observations.outliers.scheduled_health_checks(self._net.now_s()):
             task = self._net.loop.create_task(self._check_health(incarnation))
             self._health_checks.add(task)
             task.add_done_callback(self._health_checks.discard)
@@ -75,7 +72,7 @@
             return
         self._counters.add("trials")
         if await self._pool.check_connect(known.node):
-            self._selector.outliers.record_recovered(incarnation)
-            self._selector.latency.record_reachable(incarnation, self._net.now_s())
+            self._observations.outliers.record_recovered(incarnation)
+            self._observations.latency.record_reachable(incarnation, self._net.now_s())
         else:
-            self._selector.outliers.record_unreachable(incarnation, self._net.now_s())
+            self._observations.outliers.record_unreachable(incarnation, self._net.now_s())
--- a/coveport/serving/proxy/node_selection.py
+++ b/coveport/serving/proxy/node_selection.py
@@ -7,8 +7,8 @@
 
 A node is not usable while
 
-- it closes, is gone, or its announced end has passed (`routing`);
-- its zone is evacuated, or it is outside the home regions of the request (`routing`);
+- it closes, is gone, or its announced end has passed (`node_eligibility`);
+- its zone is evacuated, or it is outside the home regions of the request (`node_eligibility`);
 - an attempt of this request failed there, and there are others;
 - it warms up and this proxy's quota of requests to it is spent (`slow_start`);
 - it is ejected as an outlier (`outlier_ejection`), or has just rejected a request for want of capacity;
@@ -22,7 +22,7 @@
 from __future__ import annotations
 
 from collections.abc import Collection
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from enum import Enum
 from random import Random
 
@@ -30,16 +30,17 @@
 from coveport.serving.model.configuration import Service
 from coveport.serving.model.view import ControlView, KnownNode
 from coveport.serving.proxy.connection_pool import ConnectionPool
-from coveport.serving.proxy.latency_estimate import LatencyEstimator
-from coveport.serving.proxy.outlier_ejection import OutlierDetector
-from coveport.serving.proxy.overload_estimate import OverloadEstimator, StreamGaps
-from coveport.serving.proxy.prefix_cache import AFFINITY_NODES, PrefixCacheIndex, affinity_candidates
+from coveport.serving.proxy.node_eligibility import (
+    NodesByLocality,
+    eligible_nodes,
+    group_by_locality,
+    is_eligible,
+)
+from coveport.serving.proxy.node_observations import NodeObservations
+from coveport.serving.proxy.prefix_cache import AFFINITY_NODES, affinity_candidates
 from coveport.serving.proxy.routed_request import RoutedRequest
-from coveport.serving.proxy.routing import NodesByLocality, eligible_nodes, group_by_locality, is_eligible
-from coveport.serving.proxy.slow_start import SlowStartLimiter
 
 LONG_PREFILL_TOKENS = 4000  # takes a node several steps in a row; not measured alone
-DELAYED_SEND_S = 0.1  # a send so long after its choice may fall into another window; not measured
 
 
 class NoNode(Enum):
@@ -51,18 +52,13 @@
 
 @dataclass(slots=True)
 class NodeSelector:
-    """Selects nodes, and records what this proxy's attempts show of them."""
+    """Selects nodes by the view, the connections in use, and what was observed of nodes."""
 
     view: ControlView
     region: str
     random: Random
-    outliers: OutlierDetector
-    slow_start: SlowStartLimiter
     pool: ConnectionPool
-    latency: LatencyEstimator
-    overload: OverloadEstimator = field(default_factory=OverloadEstimator)
-    prefix_cache: PrefixCacheIndex = field(default_factory=PrefixCacheIndex)
-    in_flight: dict[str, int] = field(default_factory=dict)  # this proxy's requests by incarnation
+    observations: NodeObservations
 
     def choose(
         self, routed: RoutedRequest, failed_nodes: Collection[str], now_s: float
@@ -83,7 +79,9 @@
 
         def is_responsive(known: KnownNode) -> bool:
             incarnation = known.node.incarnation
-            return is_usable(known) and not self.latency.is_saturated(incarnation, gap_target_s, now_s)
+            return is_usable(known) and not self.observations.latency.is_saturated(
+                incarnation, gap_target_s, now_s
+            )
 
         def is_preferred(known: KnownNode) -> bool:
             return is_responsive(known) and not self._is_overloaded_for(routed, known.node.incarnation, now_s)
@@ -99,26 +97,30 @@
         by_incarnation = {known.node.incarnation: known for known in candidates}
         chosen = less_busy_of_two(
             affinity_candidates(routed.segments, tuple(by_incarnation), AFFINITY_NODES),
-            self.in_flight,
+            self.observations.in_flight,
             self.random,
-            lambda first, second: self.prefix_cache.preferred_node(routed.segments, first, second),
+            lambda first, second: self.observations.prefix_cache.preferred_node(
+                routed.segments, first, second
+            ),
         )
         return by_incarnation[chosen]
 
     def _is_overloaded_for(self, routed: RoutedRequest, incarnation: str, now_s: float) -> bool:
         """Return whether prefilling the prompt there would make the node's streams late."""
-        if self.prefix_cache.uncached_tokens(routed.segments, incarnation) < LONG_PREFILL_TOKENS:
+        if self.observations.prefix_cache.uncached_tokens(routed.segments, incarnation) < LONG_PREFILL_TOKENS:
             return False
-        return self.overload.is_overloaded(incarnation, routed.route.inter_token_target_ms / 1000, now_s)
+        return self.observations.overload.is_overloaded(
+            incarnation, routed.route.inter_token_target_ms / 1000, now_s
+        )
 
     def _is_ejected(self, known: KnownNode, now_s: float) -> bool:
-        return self.outliers.is_ejected(known.node.incarnation, now_s)
+        return self.observations.outliers.is_ejected(known.node.incarnation, now_s)
 
     def _has_capacity(self, known: KnownNode, service: Service, now_s: float) -> bool:
         return (
-            self.outliers.at_capacity_until_s(known.node.incarnation) <= now_s
+            self.observations.outliers.at_capacity_until_s(known.node.incarnation) <= now_s
             and self.pool.has_capacity(known.node.incarnation, self._max_connections(service))
-            and self.slow_start.may_send(known, service, self.view, now_s)
+            and self.observations.slow_start.may_send(known, service, self.view, now_s)
         )
 
     def _max_connections(self, service: Service) -> int:
@@ -140,39 +142,3 @@
         """Return whether a selected node may still be sent to, by the newest view."""
         current = self.view.nodes.get(known.node.incarnation)
         return current is not None and is_eligible(self.view, current, now_s)
-
-    def record_selected(self, known: KnownNode, routed: RoutedRequest, now_s: float) -> None:
-        """Record that an attempt at the node begins."""
-        incarnation = known.node.incarnation
-        self.in_flight[incarnation] = self.in_flight.get(incarnation, 0) + 1
-        self.outliers.record_attempt(incarnation, now_s)
-        self.slow_start.record_send(known, routed.service, self.view, now_s)
-
-    def record_forwarded(
-        self, known: KnownNode, routed: RoutedRequest, selected_s: float, now_s: float
-    ) -> None:
-        """Record that the request was written to the node."""
-        if now_s > selected_s + DELAYED_SEND_S:
-            self.slow_start.record_send(known, routed.service, self.view, now_s)
-        self.prefix_cache.record_forwarded(routed.segments, known.node.incarnation)
-        self.latency.record_forwarded(known.node.incarnation, now_s)
-
-    def record_received(
-        self, known: KnownNode, routed: RoutedRequest, gaps: StreamGaps, now_s: float
-    ) -> None:
-        """Record that bytes of the response came. Runs for every read: keep its calls few."""
-        incarnation = known.node.incarnation
-        gap_s = gaps.record_event(now_s)
-        self.latency.record_received(incarnation, gap_s, now_s)
-        if gap_s is not None:
-            gap_target_s = routed.route.inter_token_target_ms / 1000
-            self.overload.record_gap(incarnation, gap_s, gaps.mean_s, gap_target_s, now_s)
-
-    def record_finished(self, known: KnownNode) -> None:
-        """Record that the attempt at the node has ended."""
-        incarnation = known.node.incarnation
-        remaining = self.in_flight.get(incarnation, 0) - 1
-        if remaining > 0:
-            self.in_flight[incarnation] = remaining
-        else:
-            self.in_flight.pop(incarnation, None)
--- a/coveport/serving/proxy/proxy_context.py
+++ b/coveport/serving/proxy/proxy_context.py
@@ -10,6 +10,7 @@
 from coveport.serving.proxy.admission import AdmissionQueues
 from coveport.serving.proxy.connection_pool import ConnectionPool
 from coveport.serving.proxy.counters import Counters
+from coveport.serving.proxy.node_observations import NodeObservations
 from coveport.serving.proxy.node_selection import NodeSelector
 from coveport.serving.proxy.retry_budget import RetryBudget
 
@@ -23,6 +24,7 @@
     random: Random
     pool: ConnectionPool
     selector: NodeSelector
+    observations: NodeObservations
     budget: RetryBudget
     queues: AdmissionQueues
     counters: Counters
--- a/coveport/serving/proxy/request_forwarder.py
+++ b/coveport/serving/proxy/request_forwarder.py
@@ -30,16 +30,16 @@
         context = self.context
         node = known.node
         selected_s = context.net.now_s()
-        context.selector.record_selected(known, self.request.routed, selected_s)
+        context.observations.record_selected(known, self.request.routed, selected_s)
         try:
             connection = await context.pool.take(node)
         except ConnectFailedError:
-            context.selector.record_finished(known)
+            context.observations.record_finished(known)
             context.counters.add("connects_failed")
-            context.selector.outliers.record_unreachable(node.incarnation, context.net.now_s())
+            context.observations.outliers.record_unreachable(node.incarnation, context.net.now_s())
             return AttemptOutcome.NOT_SENT
         except BaseException:
-            context.selector.record_finished(known)
+            context.observations.record_finished(known)
             raise
         is_reusable = False
         try:
@@ -49,7 +49,7 @@
             is_reusable = outcome in (AttemptOutcome.COMPLETE, AttemptOutcome.NOT_RUN)
             return outcome
         finally:
-            context.selector.record_finished(known)
+            context.observations.record_finished(known)
             if is_reusable:
                 context.pool.release(node, connection)
             else:
@@ -64,10 +64,10 @@
         if not context.selector.is_still_eligible(known, now_s):
             return False
         incarnation = known.node.incarnation
-        message = write_forwarded_request(request, incarnation, context.selector.prefix_cache, now_s)
+        message = write_forwarded_request(request, incarnation, context.observations.prefix_cache, now_s)
         if not connection.send(message, ends_when_unacknowledged=request.routed.route.is_idempotent):
             return False
-        context.selector.record_forwarded(known, request.routed, selected_s, now_s)
+        context.observations.record_forwarded(known, request.routed, selected_s, now_s)
         if request.attempts:
             self.retries.spend(now_s)
             context.counters.add("resumed" if request.client.has_begun else "retries")
@@ -77,12 +77,12 @@
     def _observe_gaps(self, known: KnownNode, connection: NodeConnection) -> None:
         """Record when bytes of this response come. The callback runs for every read: one call deep."""
         net = self.context.net
-        selector = self.context.selector
+        observations = self.context.observations
         routed = self.request.routed
         gaps = StreamGaps()
 
         def on_received() -> None:
-            selector.record_received(known, routed, gaps, net.now_s())
+            observations.record_received(known, routed, gaps, net.now_s())
 
         connection.on_received = on_received
 
@@ -106,7 +106,7 @@
         else:
             self._record_outcome(incarnation, outcome)
         finally:
-            self.context.selector.latency.record_ended(incarnation)
+            self.context.observations.latency.record_ended(incarnation)
         if outcome is RelayOutcome.SERVER_ERROR:
             request.failed_nodes.add(incarnation)
             return AttemptOutcome.FAILED
@@ -117,11 +117,11 @@
 
     def _record_broken_response(self, incarnation: str) -> None:
         self.context.counters.add("broken")
-        self.context.selector.outliers.record_broken_response(incarnation, self.context.net.now_s())
+        self.context.observations.outliers.record_broken_response(incarnation, self.context.net.now_s())
         self.request.failed_nodes.add(incarnation)
 
     def _record_outcome(self, incarnation: str, outcome: RelayOutcome) -> None:
-        outliers = self.context.selector.outliers
+        outliers = self.context.observations.outliers
         counters = self.context.counters
         now_s = self.context.net.now_s()
         if outcome is RelayOutcome.REJECTED:
--- a/coveport/serving/proxy/request_routing.py
+++ b/coveport/serving/proxy/request_routing.py
@@ -9,8 +9,8 @@
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.headers import first
 from coveport.serving.proxy.prompt_segments import parse_segments
+from coveport.serving.proxy.route_table import RouteTable, choose_service
 from coveport.serving.proxy.routed_request import RoutedRequest
-from coveport.serving.proxy.routing import RouteTable, choose_service
 from coveport.serving.wire.names import Header
 
 DEFAULT_TIMEOUT_S = 3600.0  # where neither client nor route bounds the time: an hour, to end at some time
--- /dev/null
+++ b/coveport/serving/proxy/response_writing.py
@@ -0,0 +1,30 @@
+"""Writes the status line of a response, and complete responses of the proxy itself. Pure."""
+
+from __future__ import annotations
+
+from coveport.http1 import codec
+
+_REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    421: "Misdirected Request",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
+
+
+def status_line(status: int) -> str:
+    """Return the first line of a response."""
+    return f"HTTP/1.1 {status} {_REASONS.get(status, 'Unknown')}"
+
+
+def write_response(status: int, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
+    """Return the bytes of a complete response of our own."""
+    return codec.write_head(status_line(status), [*headers, ("Content-Length", str(len(body)))]) + body
--- a/tests/serving/proxy/test_broken_variants.py
+++ b/tests/serving/proxy/test_broken_variants.py
@@ -11,19 +11,19 @@
 import test_slow_start as slow_start_tests
 
 from coveport.http1.codec import CHUNKED
-from coveport.serving.proxy import exchange, forwarded_request, node_selection, routing, stall_policy
+from coveport.serving.proxy import exchange, forwarded_request, node_eligibility, node_selection, stall_policy
 from coveport.serving.proxy.client_connection import ClientConnection
 from coveport.serving.proxy.connection_pool import ConnectionPool
 from coveport.serving.proxy.event_stream import EventSequence, EventSplitter
 from coveport.serving.proxy.in_flight_request import InFlightRequest
 from coveport.serving.proxy.node_connection import NodeConnection
+from coveport.serving.proxy.node_eligibility import NodesByLocality
 from coveport.serving.proxy.node_selection import NodeSelector
 from coveport.serving.proxy.outlier_ejection import OutlierDetector
 from coveport.serving.proxy.proxy_context import ProxyContext
 from coveport.serving.proxy.response_relay import RelayOutcome, ResponseRelay
 from coveport.serving.proxy.retry_budget import RetryBudget
 from coveport.serving.proxy.retry_policy import RetryPolicy
-from coveport.serving.proxy.routing import NodesByLocality
 from coveport.serving.proxy.slow_start import SlowStartLimiter
 
 Patch = pytest.MonkeyPatch
@@ -71,7 +71,7 @@
 
 @caught_by(forwarding_tests.test_request_with_home_regions_never_leaves_them)
 def knows_no_homes(patch: Patch) -> None:
-    allowed = routing.eligible_nodes
+    allowed = node_eligibility.eligible_nodes
     patch.setattr(
         node_selection,
         "eligible_nodes",
@@ -81,7 +81,7 @@
 
 @caught_by(forwarding_tests.test_only_the_own_region_is_used_while_it_has_a_usable_node)
 def sends_to_evacuated_zones(patch: Patch) -> None:
-    patch.setattr(routing, "is_eligible", always(True))
+    patch.setattr(node_eligibility, "is_eligible", always(True))
 
 
 @caught_by(forwarding_tests.test_node_that_begins_to_drain_during_a_connect_gets_no_request)
--- a/tests/serving/proxy/test_node_selection.py
+++ b/tests/serving/proxy/test_node_selection.py
@@ -15,7 +15,7 @@
 from coveport.serving.model.configuration import Route, RouteKind, Service, WeightedService
 from coveport.serving.model.node import Node, NodeState
 from coveport.serving.model.view import ControlView, KnownNode
-from coveport.serving.proxy.latency_estimate import LatencyEstimator
+from coveport.serving.proxy.node_observations import NodeObservations
 from coveport.serving.proxy.node_selection import LONG_PREFILL_TOKENS, NodeSelector, NoNode
 from coveport.serving.proxy.outlier_ejection import OutlierDetector
 from coveport.serving.proxy.prompt_segments import PromptSegment
@@ -52,7 +52,8 @@
     random = Random(seed)
     slow_start = SlowStartLimiter(bounds.get("overshoot", 1.0), bounds.get("slack", 0.0), random)
     pool: Any = StubPool()
-    return NodeSelector(view, "r", random, OutlierDetector(random), slow_start, pool, LatencyEstimator())
+    observations = NodeObservations(view, OutlierDetector(random), slow_start)
+    return NodeSelector(view, "r", random, pool, observations)
 
 
 def choose_once(
@@ -91,16 +92,16 @@
 
 def test_failures_eject_the_local_node_until_a_request_succeeds() -> None:
     selector = make_selector(known("near"), known("far", "q"))
-    selector.outliers.record_broken_response("near", NOW)
+    selector.observations.outliers.record_broken_response("near", NOW)
     assert choose_once(selector) == "near"  # one alone may be chance
-    selector.outliers.record_broken_response("near", NOW)
+    selector.observations.outliers.record_broken_response("near", NOW)
     assert choose_once(selector) == "far"
     later = NOW + 1.0
     assert choose_once(selector, now_s=later) == "near"  # a trial is due
     near = selector.view.nodes["near"]
-    selector.record_selected(near, RoutedRequest(ROUTE, SERVICE), later)
+    selector.observations.record_selected(near, RoutedRequest(ROUTE, SERVICE), later)
     assert choose_once(selector, now_s=later) == "far"  # one at a time
-    selector.outliers.record_recovered("near")
+    selector.observations.outliers.record_recovered("near")
     assert choose_once(selector, now_s=later) == "near"
 
 
@@ -125,14 +126,14 @@
 def test_rejection_makes_a_node_unusable_only_briefly() -> None:
     selector = make_selector(known("near"), known("far", "q"))
     for _ in range(5):
-        selector.outliers.record_at_capacity("near", NOW)
+        selector.observations.outliers.record_at_capacity("near", NOW)
     assert choose_once(selector) == "far"
     assert choose_once(selector, now_s=NOW + 0.2) == "near"
 
 
 def test_overloaded_node_is_avoided_for_long_prompts() -> None:
     selector = make_selector(known("slow"), known("swift"), known("far", "q"))
-    selector.overload.record_gap("slow", 0.39, None, 0.4, NOW)
+    selector.observations.overload.record_gap("slow", 0.39, None, 0.4, NOW)
     route = replace(ROUTE, inter_token_target_ms=400)
     long = RoutedRequest(route, SERVICE, (PromptSegment("p", LONG_PREFILL_TOKENS),))
     short = RoutedRequest(route, SERVICE, (PromptSegment("p", LONG_PREFILL_TOKENS - 1),))
@@ -144,19 +145,19 @@
     assert all_chosen(long) == {"swift"}
     assert all_chosen(short) == {"slow", "swift"}
     for _ in range(2):
-        selector.outliers.record_broken_response("swift", NOW)
+        selector.observations.outliers.record_broken_response("swift", NOW)
     assert all_chosen(long) == {"far"}  # its own level is empty for it
     assert all_chosen(short) == {"slow"}
-    selector.overload.record_gap("far", 0.39, None, 0.4, NOW)
+    selector.observations.overload.record_gap("far", 0.39, None, 0.4, NOW)
     assert all_chosen(long) == {"slow"}  # none is fit: as if none were strained
 
 
 def test_where_all_are_ejected_they_are_tried() -> None:
     selector = make_selector(known("near"), known("far", "q"))
     for name in ("near", "far"):
-        selector.outliers.record_unreachable(name, NOW)
+        selector.observations.outliers.record_unreachable(name, NOW)
     assert choose_once(selector) == "near"
-    selector.outliers.record_at_capacity(
+    selector.observations.outliers.record_at_capacity(
         "near", NOW
     )  # it lives and is full: not tried, but no reason to try others either
     assert choose_once(selector) is NoNode.ALL_AT_CAPACITY
@@ -177,10 +178,10 @@
     selector = make_selector(known("a"), known("b"))
     segments = (PromptSegment("11", 800), PromptSegment("22", 100))
     routed = RoutedRequest(ROUTE, SERVICE, segments)
-    selector.prefix_cache.record_forwarded((segments[0],), "a")
-    selector.prefix_cache.record_forwarded(segments, "b")
+    selector.observations.prefix_cache.record_forwarded((segments[0],), "a")
+    selector.observations.prefix_cache.record_forwarded(segments, "b")
     assert {choose_once(selector, routed) for _ in range(20)} == {"b"}
-    selector.in_flight["b"] = 1
+    selector.observations.in_flight["b"] = 1
     assert {choose_once(selector, routed) for _ in range(20)} == {"a"}
 
 
@@ -206,9 +207,9 @@
     if names:
         selector.pool.full = draw(st.sets(st.sampled_from(names)))  # type: ignore[attr-defined]
         for name in draw(st.sets(st.sampled_from(names))):
-            selector.outliers.record_unreachable(name, NOW)
+            selector.observations.outliers.record_unreachable(name, NOW)
         for name in draw(st.sets(st.sampled_from(names))):
-            selector.in_flight[name] = draw(st.integers(1, 4))
+            selector.observations.in_flight[name] = draw(st.integers(1, 4))
         homes = draw(st.sampled_from([frozenset[str](), frozenset({"q"}), frozenset({"r", "p"})]))
     else:
         homes = frozenset()
@@ -217,22 +218,24 @@
 
 def model(selector: NodeSelector, homes: frozenset[str]) -> set[str]:
     """Who may be chosen, restated from the design's page, without the program's own routing."""
-    out, full = {n for n in selector.view.nodes if selector.outliers.is_ejected(n, NOW)}, selector.pool.full  # type: ignore[attr-defined]
+    outliers = selector.observations.outliers
+    ejected = {name for name in selector.view.nodes if outliers.is_ejected(name, NOW)}
+    full = selector.pool.full  # type: ignore[attr-defined]
     allowed = {
-        name: each.node.region
-        for name, each in selector.view.nodes.items()
-        if each.node.service == "s"
-        and each.node.state.value == "accepting"
-        and each.node.zone not in selector.view.evacuated_zones
-        and each.shutdown_at_s > NOW
-        and (each.node.region in homes or not homes)
+        name: known_node.node.region
+        for name, known_node in selector.view.nodes.items()
+        if known_node.node.service == "s"
+        and known_node.node.state.value == "accepting"
+        and known_node.node.zone not in selector.view.evacuated_zones
+        and known_node.shutdown_at_s > NOW
+        and (known_node.node.region in homes or not homes)
     }
-    barred = full if allowed.keys() <= out else full | out
+    barred = full if allowed.keys() <= ejected else full | ejected
     usable = allowed.keys() - barred
     level = {name for name in usable if allowed[name] == "r"} or usable
     if len(level) <= 1:
         return set(level)
-    loads = {name: selector.in_flight.get(name, 0) for name in level}
+    loads = {name: selector.observations.in_flight.get(name, 0) for name in level}
     # Of two drawn the busier never wins: whoever is busier than all others is never chosen.
     lowest_but_one = sorted(loads.values())[-2]
     return {name for name in level if loads[name] <= lowest_but_one}
@@ -245,7 +248,7 @@
     allowed = model(selector, homes)
     seen = {choose_once(selector, RoutedRequest(route, SERVICE)) for _ in range(12)}
     if not allowed:
-        assert all(isinstance(each, NoNode) for each in seen)
+        assert all(isinstance(choice, NoNode) for choice in seen)
     else:
         assert seen <= allowed
 
@@ -253,5 +256,5 @@
 @pytest.mark.parametrize("nodes", [2, 3, 6])
 def test_every_node_that_the_model_allows_is_chosen_sometimes(nodes: int) -> None:
     selector = make_selector(*(known(f"n{number}") for number in range(nodes)), known("far", "q"))
-    selector.in_flight.update({"n0": 2, "n1": 1})
+    selector.observations.in_flight.update({"n0": 2, "n1": 1})
     assert {choose_once(selector) for _ in range(400)} == model(selector, frozenset())
--- a/tests/serving/proxy/test_routing.py
+++ b/tests/serving/proxy/test_route_table.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from coveport.serving.model.configuration import Configuration, Route, RouteKind, Service, WeightedService
-from coveport.serving.proxy.routing import RouteTable, choose_service, host_name
+from coveport.serving.proxy.route_table import RouteTable, choose_service, host_name
 
 ROUTE = Route("r", "one.example", "/", RouteKind.SAFE, 1000, services=(WeightedService("s", 1),))
 PREFIXES = ["/", "/a/", "/a/b/", "/a/b/c/", "/ab/", "/b/"]
