--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -191,7 +191,7 @@
                     one.kill(holder)
                 await one.held("drill", 30, besides=holder)
                 await asyncio.sleep(0.5)
-                records = list(one.histories().of("began"))
+                records = list(one.histories().of("role_acquired"))
                 last = records[-1].at
                 histories = one.histories()
                 held = judge.beliefs(histories, one.deaths_of(histories), last + 0.1)
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -28,6 +28,7 @@
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.keys import INSTANCE_PREFIX, ROLE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
+from coveport.sidecar.leases.log_events import DEBUG_EVENTS
 from coveport.sidecar.leases.open_store import open_store
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.recording import Recording
@@ -63,7 +64,6 @@
 TELLING = frozenset(
     {api.Outcome.OK, api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.TIMEOUT, api.Outcome.RESET}
 )  # outcomes that say whether a destination lives
-DEBUG = frozenset({"renewed", "act_sent", "act_ended", "unknown"})
 
 
 def logger(told: OperatorFile, name: str, incarnation: str, agent: InstanceAgent | None) -> Any:
@@ -143,7 +143,7 @@
     def history(self, event: str, **fields: object) -> None:
         """Write down what we believe and do."""
         now = round(boot_s(), 4)
-        line = self._lines.debug if event in DEBUG else self._lines.info
+        line = self._lines.debug if event in DEBUG_EVENTS else self._lines.info
         line(event, at=now, clock=now, unix=round(time.time(), 3), **fields)
 
     def _did(self, step: Step, token: int, revision: int) -> None:
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -14,6 +14,7 @@
 from typing import Any, Protocol
 
 from coveport.sidecar.config.lease_terms import LeaseTerms
+from coveport.sidecar.leases import log_events
 from coveport.sidecar.leases.effects import (
     AcquireRole,
     Effect,
@@ -135,10 +136,10 @@
             *(self._whole(one) for one in changes),
             compares=tuple(Compare(self._prefix + one.key, one.field, one.equals) for one in compares),
         )
-        self._history("act_sent", duty=duty, token=token, what=description)
+        self._history(log_events.COMMIT_SENT, duty=duty, token=token, what=description)
         outcome = await self._call("act", self._store.commit(transaction))
         self._history(
-            "act_ended",
+            log_events.COMMIT_FINISHED,
             duty=duty,
             token=token,
             what=description,
@@ -251,11 +252,14 @@
                 self._history(one.event, detail=one.detail)
             elif isinstance(one, RoleAcquired):
                 self._history(
-                    "began", duty=one.role, token=one.token, until=round(self.lease_state.believed_until, 4)
+                    log_events.ROLE_ACQUIRED,
+                    duty=one.role,
+                    token=one.token,
+                    until=round(self.lease_state.believed_until, 4),
                 )
                 self.on_acquired(one.role, one.token)
             elif isinstance(one, RoleLost):
-                self._history("ended", duty=one.role, token=one.token, why=one.reason)
+                self._history(log_events.ROLE_LOST, duty=one.role, token=one.token, why=one.reason)
                 self.on_lost(one.role, one.token, one.reason)
             elif isinstance(one, RevokeLease):
                 self._begin(self._drop(one.lease))
@@ -316,7 +320,7 @@
             return
         self._feed(self.lease_state.handle_outcome(self._now_s(), one.call, outcome))
         if isinstance(one, RenewLease) and isinstance(outcome, Done):
-            self._history("renewed", until=round(self.lease_state.believed_until, 4))
+            self._history(log_events.LEASE_RENEWED, until=round(self.lease_state.believed_until, 4))
         if isinstance(one, RegisterInstance):
             self._write_fares()
 
@@ -338,7 +342,7 @@
         count = f"{kind}_{type(outcome).__name__.lower()}"
         self.call_counts[count] = self.call_counts.get(count, 0) + 1
         if isinstance(outcome, Unknown):
-            self._history("unknown", call=kind, why=outcome.why)
+            self._history(log_events.STORE_CALL_UNKNOWN, call=kind, why=outcome.why)
             return outcome
         self.last_answer_at = self._now_s()
         if identity and outcome.identity != identity:
@@ -369,7 +373,7 @@
                         for change in changes:
                             self._changed(change)
                 except (WatchLostError, StoreError) as problem:
-                    self._history("watch_lost", why=str(problem))
+                    self._history(log_events.WATCH_LOST, why=str(problem))
                 self._feed(self.lease_state.handle_watch_lost(self._now_s()))
             failures += 1
             wait = min(WATCH_AGAIN_MOST_S, WATCH_AGAIN_S * 2 ** min(failures - 1, 10))
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -28,6 +28,7 @@
 from math import inf
 
 from coveport.sidecar.config.lease_terms import RENEWALS, LeaseTerms
+from coveport.sidecar.leases import log_events
 from coveport.sidecar.leases.effects import (
     AcquireRole,
     Effect,
@@ -208,7 +209,7 @@
         """Release what is held and contend for nothing, until called again with an empty reason."""
         self._effects = []
         if reason and not self._unhealthy_reason:
-            self._log("unwell", reason)
+            self._log(log_events.UNHEALTHY, reason)
         self._unhealthy_reason = reason
         if reason:
             self._step_down_unhealthy(now, reason)
@@ -284,7 +285,7 @@
             # An instance that is short of CPU must not acquire what it could not look after. Any late input
             # shows it: after a stall the timer need not come first.
             self._no_contention_until = now + NO_CONTENTION_TTLS * self.terms.ttl_s
-            self._log("stalled", f"{late_s:.2f} s")
+            self._log(log_events.PROCESS_STALLED, f"{late_s:.2f} s")
         self._expected_wakeup_at = inf
 
     def _expire(self, now: float) -> None:
@@ -297,7 +298,7 @@
             self._expire_session(now, NOT_RENEWED)
         elif now >= self._expiring_from and self.session is SessionState.ACTIVE:
             self._transition(SessionState.EXPIRING)
-            self._log("wary", f"{self.believed_until - now:.2f} s left")
+            self._log(log_events.SESSION_EXPIRING, f"{self.believed_until - now:.2f} s left")
 
     def _request_lease(self, now: float) -> None:
         self._transition(SessionState.REQUESTING_LEASE)
@@ -365,7 +366,7 @@
             self._disconnect_until(now + self._next_backoff_s())
         elif outcome.ttl_s < self.terms.ttl_s:
             # All beliefs count on the time to live that was asked for.
-            self._log("short_lease", f"{outcome.ttl_s:g} s instead of {self.terms.ttl_s:g} s")
+            self._log(log_events.LEASE_TOO_SHORT, f"{outcome.ttl_s:g} s instead of {self.terms.ttl_s:g} s")
             self.lease = outcome.lease
             self._disconnect_until(now + MAX_BACKOFF_S)
         else:
@@ -381,10 +382,10 @@
             share = self._chance.uniform(*FIRST_RENEWAL_JITTER)
             self._next_request_at = self._renewal_sent_at + self.terms.renew_s * share
             self._next_read_at = now
-            self._log("in", f"lease {self.lease:x}")
+            self._log(log_events.SESSION_ESTABLISHED, f"lease {self.lease:x}")
         elif isinstance(outcome, Refused) and not outcome.lease_gone:
             # Of two processes with one name the later one holds nothing while the first lives.
-            self._log("name_taken", "another instance has our name")
+            self._log(log_events.DUPLICATE_NAME, "another instance has our name")
             self._disconnect_until(now + max(NAME_TAKEN_BACKOFF_S, self.terms.ttl_s / RENEWALS))
         else:
             self._disconnect_until(now + self._next_backoff_s())
@@ -400,7 +401,7 @@
 
     def _expire_session(self, now: float, reason: str) -> None:
         self._lose_all_roles(reason)
-        self._log("session_over", reason)
+        self._log(log_events.SESSION_LOST, reason)
         # The store may have carried our last renewal out. The lease is revoked all the same: what is bound
         # to it must not come back to life under a session that we don't believe in.
         self._disconnect_until(now + self._chance.uniform(0, BACKOFF_S))
@@ -428,13 +429,13 @@
             # What is held is kept: a successor may be as far from the store. Nothing new is contended for.
             pause_s = NO_CONTENTION_TTLS * self.terms.ttl_s
             self._no_contention_until = max(self._no_contention_until, now + pause_s)
-            self._log("far", f"a renewal took {took_s:.2f} s")
+            self._log(log_events.STORE_SLOW, f"a renewal took {took_s:.2f} s")
 
     def _enter_store_reset(self, reason: str) -> None:
         if self.session in FINAL_SESSION_STATES:
             return
         self._lose_all_roles("the store went back")
-        self._log("estranged", reason)
+        self._log(log_events.STORE_RESET, reason)
         self.lease = 0
         self._transition(SessionState.STORE_RESET)
 
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -15,6 +15,7 @@
 
 from coveport.sidecar.config import platform
 from coveport.sidecar.config.operator_file import INSTANCES_MOST, OperatorFile, OperatorFileError, load
+from coveport.sidecar.leases import log_events
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.keys import ROLE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
@@ -66,9 +67,9 @@
         self._receiver: NotificationReceiver | None = None
 
     def _say(self, event: str, **fields: object) -> None:
-        if event in ("renewed", "act_sent", "act_ended", "unknown"):
+        if event in log_events.DEBUG_EVENTS:
             self._lines.debug(event, at=round(boot_s(), 4), **fields)
-        elif event in ("fleet_broken", "fleet_stalled", "estranged"):
+        elif event in ("fleet_broken", "fleet_stalled", log_events.STORE_RESET):
             self._lines.error(event, at=round(boot_s(), 4), **fields)
         else:
             self._lines.info(event, at=round(boot_s(), 4), **fields)
--- a/coveport/testbed/fault_injection/broken_variants.py
+++ b/coveport/testbed/fault_injection/broken_variants.py
@@ -13,6 +13,7 @@
 import msgspec
 
 from coveport.sidecar.config.lease_terms import LeaseTerms
+from coveport.sidecar.leases import log_events
 from coveport.sidecar.leases.effects import Effect
 from coveport.sidecar.leases.keys import ROLE_PREFIX, STATE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
@@ -143,12 +144,12 @@
         token = self.usable_token(duty)
         if not token:
             return None
-        self._history("act_sent", duty=duty, token=token, what=description)
+        self._history(log_events.COMMIT_SENT, duty=duty, token=token, what=description)
         outcome = await self._call(
             "act", self._store.commit(Transaction((), tuple(map(self._whole, changes))))
         )
         self._history(
-            "act_ended",
+            log_events.COMMIT_FINISHED,
             duty=duty,
             token=token,
             what=description,
@@ -167,12 +168,12 @@
         token = self.lease_state.held_token(self._now_s(), duty)
         if not token:
             return None
-        self._history("act_sent", duty=duty, token=token, what=description)
+        self._history(log_events.COMMIT_SENT, duty=duty, token=token, what=description)
         outcome = await self._call(
             "act", self._store.commit(Transaction((), tuple(map(self._whole, changes))))
         )
         self._history(
-            "act_ended",
+            log_events.COMMIT_FINISHED,
             duty=duty,
             token=token,
             what=description,
--- a/coveport/testbed/fault_injection/judge.py
+++ b/coveport/testbed/fault_injection/judge.py
@@ -24,6 +24,7 @@
 
 import msgspec
 
+from coveport.sidecar.leases import log_events
 from coveport.sidecar.leases.keys import INSTANCE_PREFIX
 from coveport.sidecar.leases.store import Change, Entry
 from coveport.sidecar.singletons.rollout_plan import RolloutPlan, instance_statuses
@@ -114,18 +115,18 @@
         if last > begin.at:
             found.append(Belief(key[1], begin.instance, key[0], begin.number("token"), begin.at, last))
 
-    for one in histories.of("act_sent"):
+    for one in histories.of(log_events.COMMIT_SENT):
         acted[one.incarnation, one.text("duty"), one.number("token")] = one.at
     for one in histories.records:
-        if one.event == "began":
+        if one.event == log_events.ROLE_ACQUIRED:
             key = one.incarnation, one.text("duty")
             if key in open_:
                 close(key, one.at)
             open_[key] = one, until(one)
-        elif one.event == "renewed":
+        elif one.event == log_events.LEASE_RENEWED:
             for key in [key for key in open_ if key[0] == one.incarnation]:
                 open_[key] = open_[key][0], until(one)
-        elif one.event == "ended" and (one.incarnation, one.text("duty")) in open_:
+        elif one.event == log_events.ROLE_LOST and (one.incarnation, one.text("duty")) in open_:
             close((one.incarnation, one.text("duty")), one.at)
     for key in list(open_):
         close(key, end)
@@ -157,7 +158,7 @@
     """Rules `told` and, by the acts' own words, `order`: a token that was used is the one that stood then."""
     by_revision = {(act.duty, act.revision): act for act in book}
     found = []
-    for one in histories.of("act_ended"):
+    for one in histories.of(log_events.COMMIT_FINISHED):
         act = by_revision.get((one.text("duty"), one.number("revision")))
         end = one.text("end")
         if end == "Done" and act is None:
--- a/coveport/testbed/fault_injection/real.py
+++ b/coveport/testbed/fault_injection/real.py
@@ -24,6 +24,7 @@
 
 import msgspec
 
+from coveport.sidecar.leases import log_events
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.store import Change, Entry
 from coveport.testbed.fault_injection import judge
@@ -375,9 +376,9 @@
         """Who believed in a duty last and has not said that it ended."""
         found: dict[str, str] = {}
         last = ""
-        for record in self.histories().of("began", "ended"):
+        for record in self.histories().of(log_events.ROLE_ACQUIRED, log_events.ROLE_LOST):
             if record.text("duty") == duty:
-                if record.event == "began":
+                if record.event == log_events.ROLE_ACQUIRED:
                     found[record.incarnation] = last = record.instance
                 else:
                     found.pop(record.incarnation, None)
@@ -402,7 +403,7 @@
 
         def there() -> bool:
             # By when it came, not how often: one that was killed before it was in leaves no word of itself.
-            came = {one.instance: one.at for one in self.histories().of("in")}
+            came = {one.instance: one.at for one in self.histories().of(log_events.SESSION_ESTABLISHED)}
             return all(came.get(one.name, 0.0) >= one.started_at for one in self.instances if one.alive)
 
         await self.until(there, within_s, "all to be in session")
--- a/tests/sidecar/leases/test_lease_state.py
+++ b/tests/sidecar/leases/test_lease_state.py
@@ -159,7 +159,7 @@
     one.next_timer()
     effects = one.handle_role_key(now + 2.0, "d", None, 8)
     assert only(effects, LogEvent) == LogEvent(
-        "stalled", effects[0].detail if isinstance(effects[0], LogEvent) else ""
+        "process_stalled", effects[0].detail if isinstance(effects[0], LogEvent) else ""
     )
     assert one.roles["d"].acquire_at >= now + 2.0 + TERMS.ttl_s
 
@@ -226,7 +226,7 @@
     one = fresh()
     _, token = held(one)
     keep = only(one.handle_timer(11.1), RenewLease)
-    assert only(one.handle_outcome(11.9, keep.call, Done("s", 12, ttl_s=3.0)), LogEvent).event == "far"
+    assert only(one.handle_outcome(11.9, keep.call, Done("s", 12, ttl_s=3.0)), LogEvent).event == "store_slow"
     assert one.usable_token(11.9, "d") == token
     one.step_down(11.9, "d", "staff")
     one.handle_role_key(12.0, "d", None, 15)
--- a/tests/testbed/test_duties_real.py
+++ b/tests/testbed/test_duties_real.py
@@ -60,7 +60,7 @@
     """The roll-out's acts as instances wrote them down, that were told as done."""
     return [
         record.text("what")
-        for record in one.histories().of("act_ended")
+        for record in one.histories().of("commit_finished")
         if record.text("duty") == "rollout" and record.text("end") == "Done"
     ]
 
@@ -221,7 +221,7 @@
             assert came <= safe.operations(begin - born, 0.01), (begin - born, came)
         granted = [
             record
-            for record in one.histories().of("act_ended")
+            for record in one.histories().of("commit_finished")
             if record.text("duty") == "warden@0" and record.text("end") == "Done"
         ]
         assert {record.instance for record in granted} >= {warden.name}, "it was wished for, and granted"
--- a/tests/testbed/test_fault_injection.py
+++ b/tests/testbed/test_fault_injection.py
@@ -213,7 +213,7 @@
                     1.0,
                     "s",
                     "s.1",
-                    "act_ended",
+                    "commit_finished",
                     1.0,
                     {"duty": "drill", "token": token, "end": "Done", "revision": revision},
                 )
--- a/tests/testbed/test_fault_injection_real.py
+++ b/tests/testbed/test_fault_injection_real.py
@@ -75,7 +75,9 @@
             relay.heal()
         await one.until(
             lambda: any(
-                record.event == "in" and record.instance == first.name and record.at > boot_s() - 5
+                record.event == "session_established"
+                and record.instance == first.name
+                and record.at > boot_s() - 5
                 for record in one.histories().records
             ),
             LONG,
@@ -137,7 +139,7 @@
         await one.until(lambda: len(judge.accepted(one.book())) > acts + 5, LONG, "acts after the backup")
         one.engine.do("restore")
         await one.until(
-            lambda: len({record.instance for record in one.histories().of("estranged")}) == 3,
+            lambda: len({record.instance for record in one.histories().of("store_reset")}) == 3,
             LONG,
             "all to say that the store went back",
         )
@@ -179,13 +181,15 @@
             stderr=subprocess.DEVNULL,
         ) as process:
             try:
-                await one.until(lambda: any(one.histories().of("name_taken")), LONG, "the twin to say so")
+                await one.until(lambda: any(one.histories().of("duplicate_name")), LONG, "the twin to say so")
                 assert await one.town.ask(0, twin.port, 1) == 200
                 # The first is killed: the twin may have the name once its session is over, and not before.
                 one.kill(first)
                 await one.until(
                     lambda: any(
-                        record.event == "in" and record.at > boot_s() - 3 and record.instance == first.name
+                        record.event == "session_established"
+                        and record.at > boot_s() - 3
+                        and record.instance == first.name
                         for record in one.histories().records
                     ),
                     LONG,
@@ -249,7 +253,7 @@
         assert code == 0
         left = boot_s()
         await one.held("drill", LONG, besides=first)
-        ends = [record.at for record in one.histories().of("ended") if record.instance == first.name]
+        ends = [record.at for record in one.histories().of("role_lost") if record.instance == first.name]
         assert ends and ends[-1] < left - 0.3, "let go of at SIGTERM, not at the end of the wait for tills"
         assert safe(one) == []
 
@@ -271,7 +275,7 @@
         await one.held("drill", LONG, besides=first)
         # Both are useless by turns from here on; who yielded keeps off longer each time.
         await asyncio.sleep(8.0)
-        began = [record for record in one.histories().of("began") if record.instance == first.name]
+        began = [record for record in one.histories().of("role_acquired") if record.instance == first.name]
         assert len(began) == 1, "it does not take it back while it is useless"
         for relay in first.node_relays.values():
             relay.refuse(False)
@@ -279,7 +283,8 @@
             task.cancel()
         await asyncio.gather(*tills, return_exceptions=True)
         assert any(
-            record.event == "unwell" and record.instance == first.name for record in one.histories().records
+            record.event == "unhealthy" and record.instance == first.name
+            for record in one.histories().records
         )
         assert safe(one) == []
 
