--- a/coveport/sidecar/leases/clock.py
+++ b/coveport/sidecar/leases/clock.py
@@ -1,22 +1,22 @@
-"""Time that runs through sleep and never steps, and which boot it belongs to."""
+"""A clock that runs through suspend and never steps, and the id of the boot that it counts from."""
 
 from __future__ import annotations
 
 import time
 from pathlib import Path
 
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 
 
 def boot_s() -> float:
-    """Seconds since the machine was started, sleep included; the monotonic clock where there is none."""
+    """Return the seconds since boot, suspend included; the monotonic clock's if there is no such clock."""
     clock = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
     return time.clock_gettime(clock)
 
 
 def boot_id() -> str:
-    """Which boot `boot_s` counts from; empty where the system does not tell."""
+    """Return the id of the boot that `boot_s` counts from; empty if the system has none."""
     try:
-        return BOOT_ID.read_text(encoding="ascii").strip()
+        return BOOT_ID_FILE.read_text(encoding="ascii").strip()
     except OSError:
         return ""
--- a/coveport/sidecar/leases/etcd.py
+++ b/coveport/sidecar/leases/etcd.py
@@ -1,9 +1,9 @@
-"""The store for many hosts: an existing engine, by its published v3 API.
+"""The store for many hosts: an etcd cluster, by its published v3 API.
 
-Messages and stubs are `aetcd`'s; its client proper leaves out the headers' revision and cluster, which
-tokens and the guard against a restored store rest on. Endpoints are tried in turn. A transaction that
-brought no answer is unknown and is never sent again here, also not to another endpoint; reads, grants and
-renewals are.
+Messages and stubs are `aetcd`'s; its client proper leaves out the headers' revision and cluster id, which
+fencing tokens and the guard against a restored store rest on. Endpoints are tried in turn. A transaction
+that was not answered is unknown and is never sent again here, also not to another endpoint; reads, grants
+and renewals are.
 """
 
 from __future__ import annotations
@@ -21,31 +21,33 @@
 from coveport.sidecar.leases.store import (
     Change,
     Compare,
+    Delete,
     Done,
     Entry,
     Field,
     Outcome,
-    Put,
     Refused,
+    Store,
     Transaction,
     Unknown,
 )
 
 T = TypeVar("T")
 
-AT_ONCE = 32  # transactions of one instance that are on their way together
-BEAT_S = 0.5  # a watch asks so often whether its stream still lives
-BEATS = 4  # without an answer, after which it is given up
-NEEDS_LEADER = (
-    ("hasleader", "true"),
-)  # a member that is cut off from its leader ends the stream instead of idling
-OPTIONS = (
+CALL_TIMEOUT_S = 0.5  # of one endpoint
+MAX_CONCURRENT_TRANSACTIONS = 32  # of one instance
+HEARTBEAT_INTERVAL_S = 0.5  # between a watch's requests for progress
+MAX_MISSED_HEARTBEATS = 4  # in a row, after which a watch is lost
+# A member that is cut off from its leader ends the stream, where it would idle otherwise.
+REQUIRE_LEADER = (("hasleader", "true"),)
+CHANNEL_OPTIONS = (
     ("grpc.enable_http_proxy", 0),
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 1000),
 )
-SERVED_ELSEWHERE = frozenset(
+# After these another endpoint may still answer.
+ENDPOINT_FAILURES = frozenset(
     {
         grpc.StatusCode.UNAVAILABLE,
         grpc.StatusCode.DEADLINE_EXCEEDED,
@@ -53,230 +55,265 @@
         grpc.StatusCode.UNKNOWN,
     }
 )
+ALL_KEYS = b"\0"  # as a range's start and end: from the first key, without end
 
 
-def end_of(prefix: str) -> bytes:
-    """The end of the range of all keys that begin so."""
+def range_end(prefix: str) -> bytes:
+    """Return the end of the range of all keys that start with a prefix (etcd's API, RangeRequest)."""
     last = prefix.encode()
     while last and last[-1] == 0xFF:
         last = last[:-1]
-    return last[:-1] + bytes([last[-1] + 1]) if last else b"\0"
-
+    return last[:-1] + bytes([last[-1] + 1]) if last else ALL_KEYS
+
+
+def entry_of(message: Any) -> Entry:
+    """Return the entry in a KeyValue message."""
+    return Entry(
+        message.key.decode(),
+        bytes(message.value),
+        message.create_revision,
+        message.mod_revision,
+        message.lease,
+    )
+
+
+def change_of(event: Any) -> Change:
+    """Return the change in an Event message."""
+    entry = None if event.type == event.DELETE else entry_of(event.kv)
+    return Change(event.kv.mod_revision, event.kv.key.decode(), entry)
+
+
+def transaction_request(transaction: Transaction) -> Any:
+    """Return the TxnRequest of a transaction."""
+    request = rpc.TxnRequest(compare=[_compare(compare) for compare in transaction.compares])
+    for change in transaction.changes:
+        operation = request.success.add()
+        if isinstance(change, Delete):
+            operation.request_delete_range.CopyFrom(rpc.DeleteRangeRequest(key=change.key.encode()))
+        else:
+            put = rpc.PutRequest(key=change.key.encode(), value=change.value, lease=change.lease)
+            operation.request_put.CopyFrom(put)
+    return request
+
+
+def _compare(compare: Compare) -> Any:
+    key = compare.key.encode()
+    if compare.field is Field.CREATED:
+        return rpc.Compare(
+            result=rpc.Compare.EQUAL, target=rpc.Compare.CREATE, key=key, create_revision=compare.equals
+        )
+    return rpc.Compare(result=rpc.Compare.EQUAL, target=rpc.Compare.MOD, key=key, mod_revision=compare.equals)
 
-def entry(one: Any) -> Entry:
-    """An entry from its message."""
-    return Entry(one.key.decode(), bytes(one.value), one.create_revision, one.mod_revision, one.lease)
 
+class EtcdStore(Store):
+    """One instance's connection to the cluster.
 
-class EtcdStore:
-    """One instance's way to the engine. `endpoints`: host:port each. `call_s`: how long one endpoint has."""
+    `endpoints` are HOST:PORT each; `call_timeout_s` is how long one of them has to answer a call.
+    """
 
-    def __init__(self, endpoints: Sequence[str], call_s: float = 0.5) -> None:
+    def __init__(self, endpoints: Sequence[str], call_timeout_s: float = CALL_TIMEOUT_S) -> None:
         if not endpoints:
             raise StoreError("no endpoint is named")
         self._endpoints = tuple(endpoints)
-        self._call_s = call_s
+        self._call_timeout_s = call_timeout_s
         self._channels: dict[int, Any] = {}
-        self._at = 0
-
-    def _channel(self, at: int) -> Any:
-        if at not in self._channels:
-            self._channels[at] = grpc.aio.insecure_channel(self._endpoints[at], options=OPTIONS)
-        return self._channels[at]
-
-    def _next(self, at: int) -> None:
-        """Leave an endpoint that did not answer, unless another call has left it already."""
-        if self._at == at:
-            self._at = (at + 1) % len(self._endpoints)
-
-    async def _once(self, call: Callable[[Any], Awaitable[T]]) -> T | Unknown:
-        at = self._at
-        try:
-            return await asyncio.wait_for(call(self._channel(at)), self._call_s)
-        except TimeoutError:
-            self._next(at)
-            return Unknown(f"{self._endpoints[at]}: no answer in {self._call_s:g} s")
-        except grpc.aio.AioRpcError as problem:
-            if problem.code() in SERVED_ELSEWHERE:
-                self._next(at)
-                return Unknown(f"{self._endpoints[at]}: {problem.details()}")
-            if problem.code() is grpc.StatusCode.NOT_FOUND:
-                raise
-            return Unknown(f"{self._endpoints[at]}: {problem.code().name}: {problem.details()}")
-
-    async def _anywhere(self, call: Callable[[Any], Awaitable[T]]) -> T | Unknown:
-        """For calls that harm nobody when they happen twice."""
-        outcome: T | Unknown = Unknown("no endpoint was tried")
-        for _ in self._endpoints:
-            outcome = await self._once(call)
-            if not isinstance(outcome, Unknown):
-                break
-        return outcome
+        self._current = 0  # index of the endpoint in use
 
     async def read(self, prefix: str) -> Done | Unknown:
-        """All keys that begin so; asked of the leader, so never old."""
-        request = rpc.RangeRequest(key=prefix.encode() or b"\0", range_end=end_of(prefix))
-        found: Any = await self._anywhere(lambda channel: rpc.KVStub(channel).Range(request))
-        if isinstance(found, Unknown):
-            return found
-        return Done(
-            str(found.header.cluster_id), found.header.revision, tuple(entry(one) for one in found.kvs)
-        )
+        """Return all entries whose keys start with a prefix, as the leader has them."""
+        request = rpc.RangeRequest(key=prefix.encode() or ALL_KEYS, range_end=range_end(prefix))
+        response: Any = await self._call_anywhere(lambda channel: rpc.KVStub(channel).Range(request))
+        if isinstance(response, Unknown):
+            return response
+        return _done(response, entries=tuple(map(entry_of, response.kvs)))
 
     async def commit(self, transaction: Transaction) -> Outcome:
-        """Carry it out, or not; sent once."""
-        request = rpc.TxnRequest(compare=[self._compare(one) for one in transaction.compares])
-        for one in transaction.changes:
-            operation = request.success.add()
-            if isinstance(one, Put):
-                operation.request_put.CopyFrom(
-                    rpc.PutRequest(key=one.key.encode(), value=one.value, lease=one.lease)
-                )
-            else:
-                operation.request_delete_range.CopyFrom(rpc.DeleteRangeRequest(key=one.key.encode()))
+        """Carry a transaction out; it is sent once."""
+        request = transaction_request(transaction)
         try:
-            found: Any = await self._once(lambda channel: rpc.KVStub(channel).Txn(request))
+            response: Any = await self._call_once(lambda channel: rpc.KVStub(channel).Txn(request))
         except grpc.aio.AioRpcError:
             return await self._lease_gone()
-        if isinstance(found, Unknown):
-            return found
-        done = Done if found.succeeded else Refused
-        return done(str(found.header.cluster_id), found.header.revision)
+        if isinstance(response, Unknown):
+            return response
+        return _done(response) if response.succeeded else _refused(response)
 
     async def commit_all(self, transactions: Sequence[Transaction]) -> list[Outcome]:
-        """Several calls at a time, each by itself."""
-        room = asyncio.Semaphore(AT_ONCE)
+        """Carry several out, each by a call of its own, some at a time."""
+        slots = asyncio.Semaphore(MAX_CONCURRENT_TRANSACTIONS)
 
-        async def one(transaction: Transaction) -> Outcome:
-            async with room:
+        async def commit(transaction: Transaction) -> Outcome:
+            async with slots:
                 return await self.commit(transaction)
 
-        return list(await asyncio.gather(*map(one, transactions)))
-
-    async def _lease_gone(self) -> Outcome:
-        # The error brings no header; where the store stands is read, as a refusal tells it.
-        now = await self.read("\0")
-        return now if isinstance(now, Unknown) else Refused(now.identity, now.revision, lease_gone=True)
-
-    @staticmethod
-    def _compare(one: Compare) -> Any:
-        if one.field is Field.CREATED:
-            return rpc.Compare(
-                result=rpc.Compare.EQUAL,
-                target=rpc.Compare.CREATE,
-                key=one.key.encode(),
-                create_revision=one.equals,
-            )
-        return rpc.Compare(
-            result=rpc.Compare.EQUAL, target=rpc.Compare.MOD, key=one.key.encode(), mod_revision=one.equals
-        )
+        return list(await asyncio.gather(*map(commit, transactions)))
 
     async def grant(self, ttl_s: float) -> Done | Unknown:
-        """A new lease; the engine counts in whole seconds, so it is rounded up."""
+        """Return a new lease. The cluster counts in whole seconds, so the time to live is rounded up."""
         request = rpc.LeaseGrantRequest(TTL=ceil(ttl_s))
-        found: Any = await self._anywhere(lambda channel: rpc.LeaseStub(channel).LeaseGrant(request))
-        if isinstance(found, Unknown):
-            return found
-        return Done(
-            str(found.header.cluster_id), found.header.revision, lease=found.ID, ttl_s=float(found.TTL)
-        )
+        response: Any = await self._call_anywhere(lambda channel: rpc.LeaseStub(channel).LeaseGrant(request))
+        if isinstance(response, Unknown):
+            return response
+        return _done(response, lease=response.ID, ttl_s=float(response.TTL))
 
     async def renew(self, lease: int) -> Outcome:
-        """Renew."""
+        """Renew a lease."""
 
-        async def ask(channel: Any) -> Any:
-            stream = rpc.LeaseStub(channel).LeaseKeepAlive(metadata=NEEDS_LEADER)
+        async def keep_alive(channel: Any) -> Any:
+            stream = rpc.LeaseStub(channel).LeaseKeepAlive(metadata=REQUIRE_LEADER)
             try:
                 await stream.write(rpc.LeaseKeepAliveRequest(ID=lease))
-                answer = await stream.read()
+                response = await stream.read()
             finally:
                 stream.cancel()
-            if answer is grpc.aio.EOF:
+            if response is grpc.aio.EOF:
                 raise TimeoutError
-            return answer
+            return response
 
-        found = await self._anywhere(ask)
-        if isinstance(found, Unknown):
-            return found
-        if found.TTL <= 0:
-            return Refused(str(found.header.cluster_id), found.header.revision, lease_gone=True)
-        return Done(str(found.header.cluster_id), found.header.revision, lease=lease, ttl_s=float(found.TTL))
+        response = await self._call_anywhere(keep_alive)
+        if isinstance(response, Unknown):
+            return response
+        if response.TTL <= 0:
+            return _refused(response, lease_gone=True)
+        return _done(response, lease=lease, ttl_s=float(response.TTL))
 
     async def revoke(self, lease: int) -> Outcome:
         """End a lease."""
         request = rpc.LeaseRevokeRequest(ID=lease)
         try:
-            found: Any = await self._anywhere(lambda channel: rpc.LeaseStub(channel).LeaseRevoke(request))
+            response: Any = await self._call_anywhere(
+                lambda channel: rpc.LeaseStub(channel).LeaseRevoke(request)
+            )
         except grpc.aio.AioRpcError:
             return await self._lease_gone()
-        if isinstance(found, Unknown):
-            return found
-        return Done(str(found.header.cluster_id), found.header.revision, lease=lease)
+        if isinstance(response, Unknown):
+            return response
+        return _done(response, lease=lease)
 
     async def time_left(self, lease: int) -> Outcome:
-        """What a lease has left, in whole seconds."""
+        """Return how long a lease lasts without a renewal, in whole seconds."""
         request = rpc.LeaseTimeToLiveRequest(ID=lease)
-        found: Any = await self._anywhere(lambda channel: rpc.LeaseStub(channel).LeaseTimeToLive(request))
-        if isinstance(found, Unknown):
-            return found
-        if found.TTL < 0:
-            return Refused(str(found.header.cluster_id), found.header.revision, lease_gone=True)
-        return Done(str(found.header.cluster_id), found.header.revision, lease=lease, ttl_s=float(found.TTL))
+        response: Any = await self._call_anywhere(
+            lambda channel: rpc.LeaseStub(channel).LeaseTimeToLive(request)
+        )
+        if isinstance(response, Unknown):
+            return response
+        if response.TTL < 0:
+            return _refused(response, lease_gone=True)
+        return _done(response, lease=lease, ttl_s=float(response.TTL))
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Sequence[Change]]:
-        """Changes, as the engine sends them; a stream that does not answer for a while is lost."""
-        at = self._at
-        stream = rpc.WatchStub(self._channel(at)).Watch(metadata=NEEDS_LEADER)
-        create = rpc.WatchCreateRequest(
-            key=prefix.encode() or b"\0", range_end=end_of(prefix), start_revision=after + 1
-        )
+        """Yield the changes after a revision; the watch is lost if its stream is silent for a while."""
+        index = self._current
+        endpoint = self._endpoints[index]
+        stream = rpc.WatchStub(self._channel(index)).Watch(metadata=REQUIRE_LEADER)
         heard = asyncio.Event()
-        beat = asyncio.ensure_future(self._beat(stream, heard))
+        heartbeat = asyncio.ensure_future(_send_heartbeats(stream, heard))
         try:
-            await stream.write(rpc.WatchRequest(create_request=create))
+            await stream.write(_watch_request(prefix, after))
             while True:
-                told = await stream.read()
-                if told is grpc.aio.EOF:
-                    raise WatchLostError(f"{self._endpoints[at]}: the stream ended")
+                response = await stream.read()
                 heard.set()
-                if told.canceled or told.compact_revision:
-                    raise WatchLostError(f"{self._endpoints[at]}: {told.cancel_reason or 'compacted'}")
-                if told.header.revision < after:
-                    raise WatchLostError(f"{self._endpoints[at]}: the store went back")
-                if told.events:
-                    yield [
-                        Change(
-                            one.kv.mod_revision,
-                            one.kv.key.decode(),
-                            None if one.type == one.DELETE else entry(one.kv),
-                        )
-                        for one in told.events
-                    ]
-        except grpc.aio.AioRpcError as problem:
-            raise WatchLostError(f"{self._endpoints[at]}: {problem.details()}") from problem
+                _check_watch(endpoint, response, after)
+                if response.events:
+                    yield [change_of(event) for event in response.events]
+        except grpc.aio.AioRpcError as error:
+            raise WatchLostError(f"{endpoint}: {error.details()}") from error
         except asyncio.CancelledError:
-            if beat.done() and not beat.cancelled():
-                raise WatchLostError(f"{self._endpoints[at]}: silent") from None
+            # Cancelled by its heartbeat, not by our caller.
+            if heartbeat.done() and not heartbeat.cancelled():
+                raise WatchLostError(f"{endpoint}: silent") from None
             raise
-        except asyncio.InvalidStateError as problem:
-            raise WatchLostError(f"{self._endpoints[at]}: the stream broke") from problem
+        except asyncio.InvalidStateError as error:
+            raise WatchLostError(f"{endpoint}: the stream broke") from error
         finally:
-            # Whatever ended it, the next watch begins elsewhere.
-            self._next(at)
-            beat.cancel()
+            # Whatever ended it, the next watch starts at another endpoint.
+            self._leave_endpoint(index)
+            heartbeat.cancel()
             stream.cancel()
 
-    async def _beat(self, stream: Any, heard: asyncio.Event) -> None:
-        silent = 0
-        while silent < BEATS:
-            await asyncio.sleep(BEAT_S)
-            silent = 0 if heard.is_set() else silent + 1
-            heard.clear()
-            with contextlib.suppress(grpc.aio.AioRpcError, asyncio.InvalidStateError):
-                await stream.write(rpc.WatchRequest(progress_request=rpc.WatchProgressRequest()))
-        stream.cancel()
-
     async def close(self) -> None:
-        """Close every channel."""
+        """Close all channels."""
         for channel in self._channels.values():
             await channel.close(None)
+
+    def _channel(self, index: int) -> Any:
+        if index not in self._channels:
+            self._channels[index] = grpc.aio.insecure_channel(self._endpoints[index], options=CHANNEL_OPTIONS)
+        return self._channels[index]
+
+    def _leave_endpoint(self, index: int) -> None:
+        """Go on to the next endpoint, unless another call did so already."""
+        if self._current == index:
+            self._current = (index + 1) % len(self._endpoints)
+
+    async def _call_once(self, call: Callable[[Any], Awaitable[T]]) -> T | Unknown:
+        """Call the current endpoint; AioRpcError only if it answers that a lease does not exist."""
+        index = self._current
+        endpoint = self._endpoints[index]
+        try:
+            return await asyncio.wait_for(call(self._channel(index)), self._call_timeout_s)
+        except TimeoutError:
+            self._leave_endpoint(index)
+            return Unknown(f"{endpoint}: no answer in {self._call_timeout_s:g} s")
+        except grpc.aio.AioRpcError as error:
+            if error.code() in ENDPOINT_FAILURES:
+                self._leave_endpoint(index)
+                return Unknown(f"{endpoint}: {error.details()}")
+            if error.code() is grpc.StatusCode.NOT_FOUND:
+                raise
+            return Unknown(f"{endpoint}: {error.code().name}: {error.details()}")
+
+    async def _call_anywhere(self, call: Callable[[Any], Awaitable[T]]) -> T | Unknown:
+        """Call the endpoints in turn until one answers: for calls that are idempotent."""
+        outcome: T | Unknown = Unknown("no endpoint was tried")
+        for _ in self._endpoints:
+            outcome = await self._call_once(call)
+            if not isinstance(outcome, Unknown):
+                break
+        return outcome
+
+    async def _lease_gone(self) -> Outcome:
+        # The error has no header; where the store stands is read, as a refusal gives it.
+        current = await self.read("\0")
+        if isinstance(current, Unknown):
+            return current
+        return Refused(current.identity, current.revision, lease_gone=True)
+
+
+def _done(response: Any, *, entries: tuple[Entry, ...] = (), lease: int = 0, ttl_s: float = 0.0) -> Done:
+    return Done(str(response.header.cluster_id), response.header.revision, entries, lease, ttl_s)
+
+
+def _refused(response: Any, *, lease_gone: bool = False) -> Refused:
+    return Refused(str(response.header.cluster_id), response.header.revision, lease_gone)
+
+
+def _watch_request(prefix: str, after: int) -> Any:
+    return rpc.WatchRequest(
+        create_request=rpc.WatchCreateRequest(
+            key=prefix.encode() or ALL_KEYS, range_end=range_end(prefix), start_revision=after + 1
+        )
+    )
+
+
+def _check_watch(endpoint: str, response: Any, after: int) -> None:
+    """Raise WatchLostError if a watch's response ends it."""
+    if response is grpc.aio.EOF:
+        raise WatchLostError(f"{endpoint}: the stream ended")
+    if response.canceled or response.compact_revision:
+        raise WatchLostError(f"{endpoint}: {response.cancel_reason or 'compacted'}")
+    if response.header.revision < after:
+        raise WatchLostError(f"{endpoint}: the store went back")
+
+
+async def _send_heartbeats(stream: Any, heard: asyncio.Event) -> None:
+    """Request progress at intervals; cancel the stream after too many without a response."""
+    missed = 0
+    while missed < MAX_MISSED_HEARTBEATS:
+        await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+        missed = 0 if heard.is_set() else missed + 1
+        heard.clear()
+        with contextlib.suppress(grpc.aio.AioRpcError, asyncio.InvalidStateError):
+            await stream.write(rpc.WatchRequest(progress_request=rpc.WatchProgressRequest()))
+    stream.cancel()
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -1,8 +1,8 @@
-"""The thin half of a holder: makes its calls at a store, wakes it, and knows what stands there.
+"""One instance's session and roles at a store: does the I/O that `LeaseState` decides on.
 
-One keeper an instance. Calls never wait for each other, and each has a bounded time, after which its end is
-unknown. Every belief and every act goes to a `History`, from which a judge can tell afterwards whether two
-ever held at once.
+There is one client an instance. Calls never wait for each other, and each is bounded in time, after which
+its outcome is unknown. Every belief and every act goes to a `History`, from which a checker can tell
+afterwards whether two instances ever held a role at once.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import contextlib
 import random
 from collections.abc import Callable, Coroutine, Mapping
-from typing import Any, Protocol
+from typing import Any
 
 from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.leases import log_events
@@ -31,6 +31,7 @@
 from coveport.sidecar.leases.errors import StoreError, WatchLostError
 from coveport.sidecar.leases.keys import INSTANCE_PREFIX, ROLE_PREFIX
 from coveport.sidecar.leases.lease_state import LeaseState
+from coveport.sidecar.leases.session_values import SessionValues
 from coveport.sidecar.leases.states import FINAL_SESSION_STATES, SessionState
 from coveport.sidecar.leases.store import (
     Change,
@@ -38,37 +39,36 @@
     Delete,
     Done,
     Entry,
-    Field,
     Outcome,
     Put,
     Refused,
     Store,
     Transaction,
     Unknown,
+    create,
     fenced,
 )
+from coveport.sidecar.leases.store_calls import History, StoreCalls
+from coveport.sidecar.leases.store_view import KeyChange, StoreView
 
-CALL_SHARE = 1 / 3  # of the time to live, after which a call without an answer is given up
-LEAVE_S = 1.0  # how long a planned end waits for the store to hear of it
-WATCH_AGAIN_S = 0.2  # after a watch that broke, doubled up to the most
-WATCH_AGAIN_MOST_S = 2.0
-LATE_S = 0.001  # timers come rounded: what is due this soon is due
-SOONEST_S = 0.001
-
-
-class History(Protocol):
-    """Who is told what an instance believes and does, with its own fields."""
-
-    def __call__(self, event: str, **fields: object) -> None:
-        """Write it down."""
+CALL_TIMEOUT_SHARE = 1 / 3  # of the time to live: so a renewal can be lost and repeated within it
+CLOSE_TIMEOUT_S = 1.0  # how long a shutdown waits for the store to hear of it
+WATCH_BACKOFF_S = 0.2  # after a watch that broke, doubled up to the maximum
+MAX_WATCH_BACKOFF_S = 2.0
+MAX_WATCH_BACKOFF_DOUBLINGS = 10  # beyond which the maximum is reached anyway; keeps the power small
+WATCH_BACKOFF_JITTER = (0.5, 1.0)  # share of the backoff that is waited, drawn
+TIMER_GRACE_S = 0.001  # timers are rounded: what is due so soon is due now
+MIN_TIMER_S = 0.001
 
 
 class LeaseClient:
-    """One instance's session and duties at a store.
+    """One instance's session and roles at a store.
+
+    `incarnation` identifies this process in every key it writes; `prefix` is that of all keys of the
+    installation; `now_s` is a clock that runs through suspend; `unix_s` is only written down for staff.
 
-    `prefix`: under which all of an installation stands. `now_s`: a clock that runs through sleep.
-    `incarnation`: a word no other process has. `fares`: what is written under our name, asked whenever it
-    is written.
+    `on_acquired` is called with a role and its fencing token, `on_lost` with a role, the token and a reason,
+    `on_change` with each key that changed (without the prefix) and its entry, None if it was deleted.
     """
 
     def __init__(
@@ -95,353 +95,270 @@
         self._terms = terms
         self._chance = chance
         self.lease_state = lease_state(incarnation, roles, terms, chance)
-        self._call_s = terms.ttl_s * CALL_SHARE
+        timeout_s = terms.ttl_s * CALL_TIMEOUT_SHARE
+        self._calls = StoreCalls(timeout_s, history, self._handle_store_reset)
+        self._view = StoreView(prefix)
+        self._values = SessionValues(
+            self.lease_state, INSTANCE_PREFIX + name, self._write, self._start_task, timeout_s
+        )
         self._tasks: set[asyncio.Task[None]] = set()
         self._watching: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._identity = ""
-        self._floor = 0
-        self.entries: dict[str, Entry] = {}  # what stands in the store, as far as seen
-        self.revision = 0  # up to which `entries` is told
-        self.last_answer_at = -1.0  # when the store last answered or told us something
-        self.on_acquired: Callable[[str, int], None] = lambda duty, token: None
-        self.on_lost: Callable[[str, int, str], None] = lambda duty, token, why: None
-        self.on_change: Callable[[str, Entry | None], None] = lambda key, entry: None
-        self.call_counts: dict[str, int] = {}  # store calls by kind, and by how they ended
-        self._fares = b"{}"
-        self._fares_out = False
-        self._puts: dict[str, bytes] = {}  # what is being written, or is to be next
         self._closed = False
+        self.on_acquired: Callable[[str, int], None] = lambda role, token: None
+        self.on_lost: Callable[[str, int, str], None] = lambda role, token, reason: None
+        self.on_change: Callable[[str, Entry | None], None] = lambda key, entry: None
 
-    # For those who do duties.
+    # For singleton roles.
 
-    def usable_token(self, duty: str) -> int:
-        """The token, where something new may be begun now; else 0."""
-        return self.lease_state.usable_token(self._now_s(), duty)
+    def usable_token(self, role: str) -> int:
+        """Return the fencing token if something new may be started now, else 0."""
+        return self.lease_state.usable_token(self._now_s(), role)
 
     async def commit_fenced(
-        self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), description: str = ""
+        self, role: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), description: str = ""
     ) -> Outcome | None:
-        """Carry something out as the holder of a duty; None where we do not hold it.
+        """Carry changes out as the holder of a role; None if this instance does not hold it.
 
-        Keys are without the prefix. Fenced by the token: the store refuses it where the duty is not ours
-        any more.
+        Keys are without the prefix. The transaction compares the fencing token: the store refuses it once
+        the role is not ours any more.
         """
-        token = self.usable_token(duty)
+        token = self.usable_token(role)
         if not token:
             return None
         transaction = fenced(
-            self._prefix + ROLE_PREFIX + duty,
+            self._prefix + ROLE_PREFIX + role,
             token,
-            *(self._whole(one) for one in changes),
-            compares=tuple(Compare(self._prefix + one.key, one.field, one.equals) for one in compares),
+            *map(self._with_prefix, changes),
+            compares=tuple(
+                Compare(self._prefix + compare.key, compare.field, compare.equals) for compare in compares
+            ),
         )
-        self._history(log_events.COMMIT_SENT, duty=duty, token=token, what=description)
+        self._history(log_events.COMMIT_SENT, duty=role, token=token, what=description)
         outcome = await self._call("act", self._store.commit(transaction))
         self._history(
             log_events.COMMIT_FINISHED,
-            duty=duty,
+            duty=role,
             token=token,
             what=description,
-            end=type(outcome).__name__,
+            end=outcome.kind,
             revision=0 if isinstance(outcome, Unknown) else outcome.revision,
         )
         if isinstance(outcome, Refused):
-            self._feed(self.lease_state.handle_watch_lost(self._now_s()))  # it may be another's by now
+            # Another instance may hold the role by now.
+            self._apply(self.lease_state.handle_watch_lost(self._now_s()))
         return outcome
 
     async def read(self, prefix: str) -> Done | None:
-        """What stands under a prefix now; None where the store does not tell."""
+        """Return the entries under a prefix as they stand now; None if the store does not answer."""
         outcome = await self._call("read", self._store.read(self._prefix + prefix))
         if not isinstance(outcome, Done):
             return None
-        cut = len(self._prefix)
-        return Done(
-            outcome.identity,
-            outcome.revision,
-            tuple(
-                Entry(one.key[cut:], one.value, one.created, one.modified, one.lease)
-                for one in outcome.entries
-            ),
-        )
+        entries = tuple(map(self._view.without_prefix, outcome.entries))
+        return Done(outcome.identity, outcome.revision, entries)
 
-    def publish_status(self, fares: bytes) -> None:
-        """Have this written under our name, now and after each return. Lost where the session is."""
-        if fares != self._fares:
-            self._fares = fares
-            self._write_fares()
+    # For the instance.
 
-    def publish(self, key: str, value: bytes) -> None:
-        """Have this stand for as long as our session does. The last one counts."""
-        waiting = key in self._puts
-        self._puts[key] = value
-        if not waiting and not self._closed and self.lease_state.in_session:
-            self._begin(self._put_all(key))
-        elif not waiting:
-            del self._puts[key]
-
-    async def _put_all(self, key: str) -> None:
-        while key in self._puts:
-            value, lease = self._puts[key], self.lease_state.lease
-            if not lease:
-                del self._puts[key]  # the session ended in this very turn: unbound it would stand for ever
-                return
-            await self._call(
-                "put", self._store.commit(Transaction((), (Put(self._prefix + key, value, lease),)))
-            )
-            if self._puts.get(key) is value:
-                del self._puts[key]
-
-    def set_unhealthy(self, why: str) -> None:
-        """We can't do duties well; empty: we can again."""
-        self._feed(self.lease_state.set_unhealthy(self._now_s(), why))
-
-    def set_contending(self, duty: str, wished: bool, why: str) -> None:
-        """Contend for a duty or keep off it."""
-        self._feed(self.lease_state.set_contending(self._now_s(), duty, wished, why))
-
-    def step_down(self, duty: str, why: str) -> None:
-        """Hand a duty on once."""
-        self._feed(self.lease_state.step_down(self._now_s(), duty, why))
+    @property
+    def entries(self) -> Mapping[str, Entry]:
+        """The store's keys under the prefix, as far as they are known."""
+        return self._view.entries
 
     @property
     def instances(self) -> Mapping[str, bytes]:
-        """Who is there, and how it fares, by name."""
-        return {
-            key[len(INSTANCE_PREFIX) :]: one.value
-            for key, one in self.entries.items()
-            if key.startswith(INSTANCE_PREFIX)
-        }
+        """The status of each registered instance, by name."""
+        return self._view.instances
+
+    @property
+    def call_counts(self) -> Mapping[str, int]:
+        """How many calls were made at the store, by kind of call and of outcome."""
+        return self._calls.counts
 
-    # Life.
+    def publish_status(self, status: bytes) -> None:
+        """Write the instance's status, now and after each registration. It goes with the session."""
+        self._values.publish_status(status)
+
+    def publish(self, key: str, value: bytes) -> None:
+        """Write a value that goes with the session. Of several for a key the last one counts."""
+        self._values.publish(key, value)
+
+    def set_unhealthy(self, reason: str) -> None:
+        """Release what is held and contend for nothing, until called again with an empty reason."""
+        self._apply(self.lease_state.set_unhealthy(self._now_s(), reason))
+
+    def set_contending(self, role: str, contending: bool, reason: str) -> None:
+        """Contend for a role, or release it and keep off."""
+        self._apply(self.lease_state.set_contending(self._now_s(), role, contending, reason))
+
+    def step_down(self, role: str, reason: str) -> None:
+        """Release a role once, and let other instances acquire it first."""
+        self._apply(self.lease_state.step_down(self._now_s(), role, reason))
 
     def start(self) -> None:
-        """Begin; there must be a running loop."""
+        """Start; there must be a running loop."""
         self._watching = asyncio.ensure_future(self._watch())
-        self._wake()
+        self._handle_timer()
 
     async def close(self) -> None:
-        """Hand on all and end; at most a second where the store does not answer."""
+        """Release all roles and end; takes CLOSE_TIMEOUT_S for each of two steps if the store is silent."""
         self._closed = True
-        self._feed(self.lease_state.close(self._now_s()))
+        self._values.close()
+        self._apply(self.lease_state.close(self._now_s()))
         if self._timer is not None:
             self._timer.cancel()
         if self._watching is not None:
             self._watching.cancel()
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=LEAVE_S)
+            await asyncio.wait(self._tasks, timeout=CLOSE_TIMEOUT_S)
         for task in self._tasks:
             task.cancel()
         with contextlib.suppress(OSError, StoreError, TimeoutError):
-            await asyncio.wait_for(self._store.close(), LEAVE_S)
-
-    def _whole(self, one: Put | Delete) -> Put | Delete:
-        if isinstance(one, Delete):
-            return Delete(self._prefix + one.key)
-        return Put(self._prefix + one.key, one.value, one.lease)
+            await asyncio.wait_for(self._store.close(), CLOSE_TIMEOUT_S)
 
-    # The holder's calls.
+    # Effects of the lease state.
 
-    def _wake(self) -> None:
+    def _handle_timer(self) -> None:
         self._timer = None
-        self._feed(self.lease_state.handle_timer(self._now_s() + LATE_S))
-
-    def _feed(self, effects: list[Effect]) -> None:
-        for one in effects:
-            if isinstance(one, LogEvent):
-                self._history(one.event, detail=one.detail)
-            elif isinstance(one, RoleAcquired):
-                self._history(
-                    log_events.ROLE_ACQUIRED,
-                    duty=one.role,
-                    token=one.token,
-                    until=round(self.lease_state.believed_until, 4),
-                )
-                self.on_acquired(one.role, one.token)
-            elif isinstance(one, RoleLost):
-                self._history(log_events.ROLE_LOST, duty=one.role, token=one.token, why=one.reason)
-                self.on_lost(one.role, one.token, one.reason)
-            elif isinstance(one, RevokeLease):
-                self._begin(self._drop(one.lease))
-            else:
-                self._begin(self._answer(one))
+        self._apply(self.lease_state.handle_timer(self._now_s() + TIMER_GRACE_S))
+
+    def _apply(self, effects: list[Effect]) -> None:
+        for effect in effects:
+            self._apply_one(effect)
         if self._timer is not None:
             self._timer.cancel()
-        if not self._closed and self.lease_state.session not in (
-            SessionState.CLOSED,
-            SessionState.STORE_RESET,
-        ):
-            wait = max(self.lease_state.next_timer() - self._now_s(), SOONEST_S)
-            self._timer = asyncio.get_running_loop().call_later(min(wait, self._terms.ttl_s), self._wake)
-
-    def _begin(self, work: Coroutine[Any, Any, None]) -> None:
+        if not self._closed and self.lease_state.session not in FINAL_SESSION_STATES:
+            wait_s = max(self.lease_state.next_timer() - self._now_s(), MIN_TIMER_S)
+            loop = asyncio.get_running_loop()
+            self._timer = loop.call_later(min(wait_s, self._terms.ttl_s), self._handle_timer)
+
+    def _apply_one(self, effect: Effect) -> None:
+        match effect:
+            case LogEvent(event, detail):
+                self._history(event, detail=detail)
+            case RoleAcquired(role, token):
+                until = round(self.lease_state.believed_until, 4)
+                self._history(log_events.ROLE_ACQUIRED, duty=role, token=token, until=until)
+                self.on_acquired(role, token)
+            case RoleLost(role, token, reason):
+                self._history(log_events.ROLE_LOST, duty=role, token=token, why=reason)
+                self.on_lost(role, token, reason)
+            case RevokeLease(lease):
+                self._start_task(self._revoke(lease))
+            case _:
+                self._start_task(self._carry_out(effect))
+
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _drop(self, lease: int) -> None:
+    async def _revoke(self, lease: int) -> None:
         await self._call("revoke", self._store.revoke(lease))
 
-    async def _answer(self, one: StoreCall) -> None:
-        if isinstance(one, GrantLease):
-            outcome = await self._call("grant", self._store.grant(one.ttl_s))
-        elif isinstance(one, RenewLease):
-            outcome = await self._call("keep", self._store.renew(one.lease))
-        elif isinstance(one, RegisterInstance):
-            key = self._prefix + INSTANCE_PREFIX + self.name
-            outcome = await self._call(
-                "arrive",
-                self._store.commit(
-                    Transaction((Compare(key, Field.CREATED, 0),), (Put(key, self._fares, one.lease),))
-                ),
-            )
-        elif isinstance(one, AcquireRole):
-            key = self._prefix + ROLE_PREFIX + one.role
-            outcome = await self._call(
-                "claim",
-                self._store.commit(
-                    Transaction((Compare(key, Field.CREATED, 0),), (Put(key, self._claim(), one.lease),))
-                ),
-            )
-        elif isinstance(one, ReleaseRole):
-            key = self._prefix + ROLE_PREFIX + one.role
-            outcome = await self._call("release", self._store.commit(fenced(key, one.token, Delete(key))))
-        else:
-            outcome = await self._call("look", self._store.read(self._prefix + ROLE_PREFIX))
-            if isinstance(outcome, Done):
-                found = {entry.key[len(self._prefix + ROLE_PREFIX) :]: entry for entry in outcome.entries}
-                for duty in self.lease_state.roles:
-                    self._feed(
-                        self.lease_state.handle_role_key(
-                            self._now_s(), duty, found.get(duty), outcome.revision
-                        )
-                    )
-        if self._closed and not isinstance(one, ReleaseRole):
+    async def _carry_out(self, call: StoreCall) -> None:
+        outcome = await self._make(call)
+        # While closing only releases matter; the rest belongs to a session that is being revoked.
+        if self._closed and not isinstance(call, ReleaseRole):
             return
-        self._feed(self.lease_state.handle_outcome(self._now_s(), one.call, outcome))
-        if isinstance(one, RenewLease) and isinstance(outcome, Done):
+        self._apply(self.lease_state.handle_outcome(self._now_s(), call.call, outcome))
+        if isinstance(call, RenewLease) and isinstance(outcome, Done):
             self._history(log_events.LEASE_RENEWED, until=round(self.lease_state.believed_until, 4))
-        if isinstance(one, RegisterInstance):
-            self._write_fares()
+        if isinstance(call, RegisterInstance):
+            self._values.write_status()
+
+    async def _make(self, call: StoreCall) -> Outcome:
+        """Make a call. Its kind is part of the counters' names, which are fixed."""
+        match call:
+            case GrantLease():
+                return await self._call("grant", self._store.grant(call.ttl_s))
+            case RenewLease():
+                return await self._call("keep", self._store.renew(call.lease))
+            case RegisterInstance():
+                key = self._prefix + INSTANCE_PREFIX + self.name
+                status = self._values.status
+                return await self._call("arrive", self._store.commit(create(key, status, call.lease)))
+            case AcquireRole():
+                key = self._prefix + ROLE_PREFIX + call.role
+                holder = f"{self.lease_state.incarnation} {self._unix_s():.3f}".encode()
+                return await self._call("claim", self._store.commit(create(key, holder, call.lease)))
+            case ReleaseRole():
+                key = self._prefix + ROLE_PREFIX + call.role
+                return await self._call("release", self._store.commit(fenced(key, call.token, Delete(key))))
+            case _:
+                return await self._read_roles()
+
+    async def _read_roles(self) -> Outcome:
+        prefix = self._prefix + ROLE_PREFIX
+        outcome = await self._call("look", self._store.read(prefix))
+        if isinstance(outcome, Done):
+            entries = {entry.key.removeprefix(prefix): entry for entry in outcome.entries}
+            for role in self.lease_state.roles:
+                self._handle_role_key(role, entries.get(role), outcome.revision)
+        return outcome
 
-    def _claim(self) -> bytes:
-        return f"{self.lease_state.incarnation} {self._unix_s():.3f}".encode()
+    async def _write(self, kind: str, put: Put) -> Outcome:
+        return await self._call(kind, self._store.commit(Transaction((), (self._with_prefix(put),))))
 
     async def _call(self, kind: str, call: Coroutine[Any, Any, Outcome]) -> Outcome:
-        """Make a call: bounded in time, counted, and its answer held against what was known before it."""
-        # What a watch has told was carried out, too, before this call is sent.
-        identity, floor = self._identity, max(self._floor, self.revision)
-        outcome: Outcome
-        try:
-            outcome = await asyncio.wait_for(call, self._call_s)
-        except TimeoutError:
-            outcome = Unknown(f"no answer in {self._call_s:.2f} s")
-        except StoreError as problem:
-            outcome = Unknown(str(problem))
-            self._went_back(str(problem))
-        count = f"{kind}_{type(outcome).__name__.lower()}"
-        self.call_counts[count] = self.call_counts.get(count, 0) + 1
-        if isinstance(outcome, Unknown):
-            self._history(log_events.STORE_CALL_UNKNOWN, call=kind, why=outcome.why)
-            return outcome
-        self.last_answer_at = self._now_s()
-        if identity and outcome.identity != identity:
-            self._went_back(f"another store: {outcome.identity}, not {identity}")
-        elif outcome.revision < floor:
-            self._went_back(f"its revision went back from {floor} to {outcome.revision}")
-        else:
-            self._identity, self._floor = outcome.identity, max(self._floor, outcome.revision)
-            return outcome
-        return Unknown("the store is not the one we knew")
-
-    def _went_back(self, why: str) -> None:
+        return await self._calls.make(kind, call, self._view.revision)
+
+    def _with_prefix(self, change: Put | Delete) -> Put | Delete:
+        if isinstance(change, Delete):
+            return Delete(self._prefix + change.key)
+        return Put(self._prefix + change.key, change.value, change.lease)
+
+    def _handle_store_reset(self, reason: str) -> None:
         if self.lease_state.session is not SessionState.STORE_RESET:
-            self._feed(self.lease_state.handle_outcome(self._now_s(), 0, Unknown(why), store_reset=why))
+            effects = self.lease_state.handle_outcome(self._now_s(), 0, Unknown(reason), store_reset=reason)
+            self._apply(effects)
 
-    # What stands there.
+    # The watch.
 
     async def _watch(self) -> None:
         failures = 0
         while self.lease_state.session not in FINAL_SESSION_STATES:
-            whole = await self.read("")
-            if whole is not None:
+            current = await self.read("")
+            if current is not None:
                 failures = 0
-                self._stands({one.key: one for one in whole.entries}, whole.revision)
-                try:
-                    async for changes in self._store.watch(self._prefix, whole.revision):
-                        self.last_answer_at = self._now_s()
-                        for change in changes:
-                            self._changed(change)
-                except (WatchLostError, StoreError) as problem:
-                    self._history(log_events.WATCH_LOST, why=str(problem))
-                self._feed(self.lease_state.handle_watch_lost(self._now_s()))
+                self._replace_view(current)
+                await self._follow_changes(current.revision)
+                self._apply(self.lease_state.handle_watch_lost(self._now_s()))
+            doublings = min(failures, MAX_WATCH_BACKOFF_DOUBLINGS)
             failures += 1
-            wait = min(WATCH_AGAIN_MOST_S, WATCH_AGAIN_S * 2 ** min(failures - 1, 10))
-            await asyncio.sleep(wait * self._chance.uniform(0.5, 1.0))
-
-    def _stands(self, entries: dict[str, Entry], revision: int) -> None:
-        if revision < self.revision:
-            return  # a call that was overtaken
-        gone = [key for key in self.entries if key not in entries]
-        news = [one for key, one in entries.items() if self.entries.get(key) != one]
-        self.entries = entries
-        self.revision = revision
-        self._count()
-        for key in gone:
-            self.on_change(key, None)
-        for one in news:
-            self.on_change(one.key, one)
-        for duty in self.lease_state.roles:
-            self._feed(
-                self.lease_state.handle_role_key(
-                    self._now_s(), duty, entries.get(ROLE_PREFIX + duty), revision
-                )
-            )
-
-    def _changed(self, change: Change) -> None:
-        key, entry = change.key[len(self._prefix) :], change.entry
-        if change.revision < self.revision:
+            longest_s = min(MAX_WATCH_BACKOFF_S, WATCH_BACKOFF_S * 2**doublings)
+            await asyncio.sleep(longest_s * self._chance.uniform(*WATCH_BACKOFF_JITTER))
+
+    async def _follow_changes(self, after: int) -> None:
+        try:
+            async for changes in self._store.watch(self._prefix, after):
+                for change in changes:
+                    self._handle_change(change)
+        except (WatchLostError, StoreError) as error:
+            self._history(log_events.WATCH_LOST, why=str(error))
+
+    def _replace_view(self, current: Done) -> None:
+        changes = self._view.replace(current.entries, current.revision)
+        if changes is None:
             return
-        self.revision = change.revision
-        if entry is None:
-            self.entries.pop(key, None)
-        else:
-            entry = Entry(key, entry.value, entry.created, entry.modified, entry.lease)
-            self.entries[key] = entry
-        if key.startswith(INSTANCE_PREFIX):
-            self._count()
-        self.on_change(key, entry)
-        if key.startswith(ROLE_PREFIX):
-            self._feed(
-                self.lease_state.handle_role_key(
-                    self._now_s(), key[len(ROLE_PREFIX) :], entry, change.revision
-                )
-            )
-
-    def _handle_role_key(self, duty: str, entry: Entry | None, revision: int) -> None:
-        self._feed(self.lease_state.handle_role_key(self._now_s(), duty, entry, revision))
-
-    def _count(self) -> None:
-        self.lease_state.instances = max(1, sum(key.startswith(INSTANCE_PREFIX) for key in self.entries))
-
-    def _write_fares(self) -> None:
-        if not self._fares_out and not self._closed and self.lease_state.in_session:
-            self._fares_out = True
-            self._begin(self._put_fares())
-
-    async def _put_fares(self) -> None:
-        key, written = self._prefix + INSTANCE_PREFIX + self.name, self._fares
-        lease = self.lease_state.lease
-        if not lease:
-            # Guards against a session that ended in this very turn: unbound, our name would be taken for
-            # ever, by ourselves. The next arrival writes it.
-            self._fares_out = False
+        self._count_instances()
+        for change in changes:
+            self.on_change(change.key, change.entry)
+        for role in self.lease_state.roles:
+            self._handle_role_key(role, self._view.entries.get(ROLE_PREFIX + role), current.revision)
+
+    def _handle_change(self, change: Change) -> None:
+        changed: KeyChange | None = self._view.apply(change)
+        if changed is None:
             return
-        # Bound to our lease: refused where that is gone, so it never outlives us.
-        outcome = await self._call("fares", self._store.commit(Transaction((), (Put(key, written, lease),))))
-        self._fares_out = False
-        if isinstance(outcome, Unknown) and not self._closed:
-            await asyncio.sleep(self._call_s)
-            self._write_fares()
-        elif written != self._fares:
-            self._write_fares()
+        if changed.key.startswith(INSTANCE_PREFIX):
+            self._count_instances()
+        self.on_change(changed.key, changed.entry)
+        if changed.key.startswith(ROLE_PREFIX):
+            self._handle_role_key(changed.key.removeprefix(ROLE_PREFIX), changed.entry, change.revision)
+
+    def _handle_role_key(self, role: str, entry: Entry | None, revision: int) -> None:
+        self._apply(self.lease_state.handle_role_key(self._now_s(), role, entry, revision))
+
+    def _count_instances(self) -> None:
+        registered = sum(key.startswith(INSTANCE_PREFIX) for key in self._view.entries)
+        self.lease_state.instances = max(1, registered)
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -2,15 +2,15 @@
 
 All of it rests on one inequality (docs/design/duties.md, Safety; after Gray and Cheriton, SOSP 1989). With
 
-    T  Terms.ttl_s         s      time to live, as the store counts it from when it carried the grant or
-                                  renewal out
-    d  Terms.drift         share  by which any two clocks may differ
-    m  Terms.margin_s      s      for what is in flight, and for timers that fire late
-    a  _renewal_sent_at    s      own clock just BEFORE the grant or renewal was sent that was answered last
+    T  LeaseTerms.ttl_s     s      time to live, as the store counts it from when it carried the grant or
+                                   renewal out
+    d  LeaseTerms.drift     share  by which any two clocks may differ
+    m  LeaseTerms.margin_s  s      for what is in flight, and for timers that fire late
+    a  _renewal_sent_at     s      own clock just BEFORE the grant or renewal that was answered last was sent
 
 the instance believes in its session while
 
-    now < a + T/(1+d) - m         (`believed_until`; T/(1+d) - m is Terms.believed_s)
+    now < a + T/(1+d) - m         (`believed_until`; T/(1+d) - m is LeaseTerms.believed_s)
 
 and starts nothing new from m before that on (EXPIRING). A renewal whose outcome is unknown may have extended
 the lease in the store; it never moves `a`. No role is safe by this alone: each act is a transaction that
--- a/coveport/sidecar/leases/store.py
+++ b/coveport/sidecar/leases/store.py
@@ -1,16 +1,17 @@
-"""What is asked of a store, and what each call may come to. No I/O here; the stores beside it do that.
+"""What a lease store can be asked for, and the three outcomes of a call. No I/O: each store has a module.
 
 A store keeps small values under keys. It has one revision, which grows by one with each transaction that
-changed something; a lease has a time to live, and what is bound to it is deleted when it ends. Every call
-has one of three ends, and the third is not an error: `Unknown` may have happened, and may still happen.
+changed something. A lease has a time to live; the keys that are bound to it are deleted when it ends. Each
+call is done, refused or unknown, and the last is not an error: it may have happened, and may still happen.
 """
 
 from __future__ import annotations
 
+from abc import ABC, abstractmethod
 from collections.abc import AsyncIterator, Sequence
 from dataclasses import dataclass
 from enum import Enum
-from typing import Protocol
+from typing import ClassVar
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,14 +20,14 @@
 
     key: str
     value: bytes
-    created: int  # revision at which it was created: a fencing token, where the key is a duty
+    created: int  # revision at which it was created: the fencing token, if the key is a role's
     modified: int  # revision of its last put
     lease: int = 0  # 0: bound to none
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What a watch tells: a put, or a delete (`entry` None)."""
+    """A change that a watch shows: a put, or a delete (`entry` None)."""
 
     revision: int
     key: str
@@ -34,7 +35,7 @@
 
 
 class Field(Enum):
-    """What of an entry is compared; of a key that is not there both revisions are 0."""
+    """Which revision of an entry is compared; both are 0 for a key that does not exist."""
 
     CREATED = "created"
     MODIFIED = "modified"
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """A transaction is carried out only where all of its compares hold."""
+    """A condition: a transaction is carried out only if all of its compares hold."""
 
     key: str
     field: Field
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Keep this value."""
+    """Set a key's value, and bind it to a lease (0: to none)."""
 
     key: str
     value: bytes
@@ -60,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
-    """Have no such key any more."""
+    """Delete a key, if it exists."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """All of it or nothing."""
+    """Changes that are carried out together or not at all."""
 
     compares: tuple[Compare, ...]
     changes: tuple[Put | Delete, ...]
@@ -75,12 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """It was carried out.
+    """The call was carried out.
 
-    `identity`: of the store; another one means another store. `revision`: the store's when it was carried
-    out. `entries`: what was read. `lease`, `ttl_s`: of a grant or a renewal.
+    `identity` is the store's: another one means another store. `revision` is the store's when the call was
+    carried out. `entries` are those of a read; `lease` and `ttl_s` those of a grant, renewal or query.
     """
 
+    kind: ClassVar[str] = "Done"  # as logs and, in lower case, counters have it
+
     identity: str
     revision: int
     entries: tuple[Entry, ...] = ()
@@ -90,7 +93,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """It was not carried out and never will be: a compare did not hold, or the lease is gone."""
+    """The call was not carried out and never will be: a compare did not hold, or the lease has ended."""
+
+    kind: ClassVar[str] = "Refused"
 
     identity: str
     revision: int
@@ -99,7 +104,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """No answer: it may have happened, and it may still happen."""
+    """The call was not answered: it may have happened, and may still happen."""
+
+    kind: ClassVar[str] = "Unknown"
 
     why: str
 
@@ -107,37 +114,54 @@
 Outcome = Done | Refused | Unknown
 
 
-class Store(Protocol):
-    """A store as one instance reaches it. StoreError: there is no use in a further call."""
+class Store(ABC):
+    """A store as one instance reaches it.
 
+    A call that fails on its way is Unknown. StoreError is raised if no further call can succeed.
+    """
+
+    @abstractmethod
     async def read(self, prefix: str) -> Done | Unknown:
-        """All keys that begin so, as of one revision; never an old one."""
+        """Return all entries whose keys start with a prefix, as of one revision; never an old one."""
 
+    @abstractmethod
     async def commit(self, transaction: Transaction) -> Outcome:
-        """Carry a transaction out. Never sent twice by the store itself."""
+        """Carry a transaction out. The store itself never sends it twice."""
 
+    @abstractmethod
     async def commit_all(self, transactions: Sequence[Transaction]) -> list[Outcome]:
-        """Carry several out, each by itself: one that is refused hinders no other. As durable as `commit`."""
+        """Carry several out, each by itself: a refused one does not stop the rest. As durable as `commit`."""
 
+    @abstractmethod
     async def grant(self, ttl_s: float) -> Done | Unknown:
-        """A new lease."""
+        """Return a new lease."""
 
+    @abstractmethod
     async def renew(self, lease: int) -> Outcome:
-        """Renew a lease for its time to live; refused where it has ended."""
+        """Renew a lease for its time to live; refused if it has ended."""
 
+    @abstractmethod
     async def revoke(self, lease: int) -> Outcome:
-        """End a lease, and delete what is bound to it."""
+        """End a lease, and delete the keys that are bound to it."""
 
+    @abstractmethod
     async def time_left(self, lease: int) -> Outcome:
-        """How much time a lease has left, as `ttl_s`; refused where it has ended. Changes nothing."""
+        """Return how long a lease lasts without a renewal, as `ttl_s`; refused if it has ended."""
 
+    @abstractmethod
     def watch(self, prefix: str, after: int) -> AsyncIterator[Sequence[Change]]:
-        """Changes later than revision `after`, in order; WatchLostError where it breaks."""
+        """Yield the changes later than revision `after`, in order; WatchLostError if that breaks off."""
 
+    @abstractmethod
     async def close(self) -> None:
-        """Let go of it."""
+        """Release what the store holds open."""
+
+
+def create(key: str, value: bytes, lease: int = 0) -> Transaction:
+    """Return a transaction that creates a key, and is refused if it exists."""
+    return Transaction((Compare(key, Field.CREATED, 0),), (Put(key, value, lease),))
 
 
 def fenced(key: str, token: int, *changes: Put | Delete, compares: tuple[Compare, ...] = ()) -> Transaction:
-    """A transaction that holds only as long as `key` is the one that was created at revision `token`."""
+    """Return a transaction that is refused unless `key` is the one that was created at revision `token`."""
     return Transaction((Compare(key, Field.CREATED, token), *compares), changes)
--- /dev/null
+++ b/coveport/sidecar/leases/store_view.py
@@ -0,0 +1,64 @@
+"""Copy of the store's keys under a prefix, kept up to date by reads and a watch. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+
+from coveport.sidecar.leases.keys import INSTANCE_PREFIX
+from coveport.sidecar.leases.store import Change, Entry
+
+
+@dataclass(frozen=True, slots=True)
+class KeyChange:
+    """A key that changed; `entry` is None if it was deleted."""
+
+    key: str
+    entry: Entry | None
+
+
+class StoreView:
+    """The keys under `prefix`, by their names without it."""
+
+    def __init__(self, prefix: str) -> None:
+        self._prefix = prefix
+        self.entries: dict[str, Entry] = {}
+        self.revision = 0  # of the store, up to which the entries are known
+
+    def without_prefix(self, entry: Entry) -> Entry:
+        """Return an entry under its name without the prefix."""
+        key = entry.key.removeprefix(self._prefix)
+        return Entry(key, entry.value, entry.created, entry.modified, entry.lease)
+
+    def replace(self, entries: Iterable[Entry], revision: int) -> list[KeyChange] | None:
+        """Take all entries as of a revision (names without the prefix); None if a later one is known."""
+        if revision < self.revision:
+            return None
+        before = self.entries
+        self.entries = {entry.key: entry for entry in entries}
+        self.revision = revision
+        changes = [KeyChange(key, None) for key in before if key not in self.entries]
+        changes += [KeyChange(key, entry) for key, entry in self.entries.items() if before.get(key) != entry]
+        return changes
+
+    def apply(self, change: Change) -> KeyChange | None:
+        """Take a change from the watch; None if a later revision is known."""
+        if change.revision < self.revision:
+            return None
+        self.revision = change.revision
+        key = change.key.removeprefix(self._prefix)
+        if change.entry is None:
+            self.entries.pop(key, None)
+            return KeyChange(key, None)
+        entry = self.without_prefix(change.entry)
+        self.entries[key] = entry
+        return KeyChange(key, entry)
+
+    @property
+    def instances(self) -> Mapping[str, bytes]:
+        """The status of each registered instance, by name."""
+        return {
+            key.removeprefix(INSTANCE_PREFIX): entry.value
+            for key, entry in self.entries.items()
+            if key.startswith(INSTANCE_PREFIX)
+        }
--- a/coveport/testbed/fault_injection/broken_variants.py
+++ b/coveport/testbed/fault_injection/broken_variants.py
@@ -146,14 +146,14 @@
             return None
         self._history(log_events.COMMIT_SENT, duty=duty, token=token, what=description)
         outcome = await self._call(
-            "act", self._store.commit(Transaction((), tuple(map(self._whole, changes))))
+            "act", self._store.commit(Transaction((), tuple(map(self._with_prefix, changes))))
         )
         self._history(
             log_events.COMMIT_FINISHED,
             duty=duty,
             token=token,
             what=description,
-            end=type(outcome).__name__,
+            end=outcome.kind,
             revision=0 if isinstance(outcome, Unknown) else outcome.revision,
         )
         return outcome
@@ -170,14 +170,14 @@
             return None
         self._history(log_events.COMMIT_SENT, duty=duty, token=token, what=description)
         outcome = await self._call(
-            "act", self._store.commit(Transaction((), tuple(map(self._whole, changes))))
+            "act", self._store.commit(Transaction((), tuple(map(self._with_prefix, changes))))
         )
         self._history(
             log_events.COMMIT_FINISHED,
             duty=duty,
             token=token,
             what=description,
-            end=type(outcome).__name__,
+            end=outcome.kind,
             revision=0 if isinstance(outcome, Unknown) else outcome.revision,
         )
         return outcome
--- a/coveport/testbed/fault_injection/parts.py
+++ b/coveport/testbed/fault_injection/parts.py
@@ -12,8 +12,9 @@
 import random
 from collections.abc import Callable
 
-from coveport.sidecar.leases.lease_client import History, LeaseClient
+from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.store import Entry
+from coveport.sidecar.leases.store_calls import History
 from coveport.sidecar.singletons.rollout_follower import RolloutFollower
 from coveport.sidecar.singletons.slow_start_client import CapacityClient
 from coveport.sidecar.singletons.slow_start_messages import GRANT_PREFIX, REQUEST_PREFIX, SafeLoad
--- a/coveport/testbed/fault_injection/simstore.py
+++ b/coveport/testbed/fault_injection/simstore.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from coveport.sidecar.leases.errors import WatchLostError
-from coveport.sidecar.leases.store import Change, Done, Field, Outcome, Refused, Transaction, Unknown
+from coveport.sidecar.leases.store import Change, Done, Field, Outcome, Refused, Store, Transaction, Unknown
 from coveport.testbed.simulated_network.world import Process, World
 from coveport.testbed.standins.etcd.engine import Engine
 
@@ -97,8 +97,8 @@
                         one.set_result(None)
 
 
-class SimStore:
-    """What an instance has in its hand; calls as `coveport.sidecar.leases.store.Store`."""
+class SimStore(Store):
+    """The store as an instance of a simulated trial reaches it."""
 
     def __init__(self, process: Process, host: Host, way: Way, chance: random.Random) -> None:
         self._process = process
--- a/tests/sidecar/leases/test_lease_client.py
+++ b/tests/sidecar/leases/test_lease_client.py
@@ -34,7 +34,7 @@
         lease_client.publish("look/n", b"seen")
         lease_client.publish_status(b'{"runs": "x"}')
         lease_client.lease_state._renewal_sent_at = -1e9  # as after a stall far beyond the lease
-        lease_client._wake()
+        lease_client._handle_timer()
         assert lease_client.lease_state.session is SessionState.DISCONNECTED
 
     process.call_soon(both)
--- a/tests/sidecar/leases/test_stores.py
+++ b/tests/sidecar/leases/test_stores.py
@@ -169,7 +169,7 @@
         holder.close()
         return held, await store.commit(put("a", b"3"))
 
-    held, after = at_store(path, work, lock_s=0.2)
+    held, after = at_store(path, work, lock_timeout_s=0.2)
     assert isinstance(held, Unknown) and isinstance(after, Done)
 
 
@@ -342,12 +342,13 @@
 def test_a_full_disk_ends_unknown_and_loses_nothing(tmp_path: Path) -> None:
     async def work(store: SqliteStore) -> None:
         await done(store.commit(put("a", b"1")))
-        assert store._base is not None
-        pages = store._base.execute("PRAGMA page_count").fetchone()[0]
-        store._base.execute(f"PRAGMA max_page_count={pages}")
+        tables = store._file.tables
+        assert tables is not None
+        pages = tables.connection.execute("PRAGMA page_count").fetchone()[0]
+        tables.connection.execute(f"PRAGMA max_page_count={pages}")
         full = await store.commit(put("b", random.Random(1).randbytes(200_000)))
         assert isinstance(full, Unknown) and "full" in full.why
-        store._base.execute("PRAGMA max_page_count=100000")
+        tables.connection.execute("PRAGMA max_page_count=100000")
         assert [one.key for one in (await done(store.read(""))).entries] == ["a"]
         await done(store.commit(put("b", b"2")))
 
