--- a/coveport/cli/check.py
+++ b/coveport/cli/check.py
@@ -29,6 +29,7 @@
     Nothing is started. Exit code 0 where it can be used, 2 where not.
     """
     from coveport.sidecar.config import platform
+    from coveport.sidecar.config.errors import PlatformFileError
 
     environ = dict(os.environ)
     beside, cost = "", ""
@@ -49,13 +50,13 @@
 
             cost = cost_of(rate, told.work.kept_s, told.work.body_most if told.key_file else 0)
         environ["LB_CONFIG"] = str(told.platform)
-        held = ", ".join(told.duties.wished(0)) or "none"
+        held = ", ".join(told.duties.contended_roles(0)) or "none"
         beside = f"; store {told.store.url}, duties {held}, records {', '.join(told.work.record) or 'none'}"
     elif file is not None:
         environ["LB_CONFIG"] = str(file)
     try:
         config = platform.load(environ)
-    except platform.ConfigError as problem:
+    except PlatformFileError as problem:
         raise Unusable(str(problem)) from problem
     classes = ", ".join(one.name for one in config.settings.classes)
     click.echo(
--- a/coveport/cli/operator.py
+++ b/coveport/cli/operator.py
@@ -30,7 +30,8 @@
 
 def loaded(path: Path) -> OperatorFile:
     """An operator's file, or all of its faults as the end of the verb."""
-    from coveport.sidecar.config.operator_file import OperatorFileError, load
+    from coveport.sidecar.config.errors import OperatorFileError
+    from coveport.sidecar.config.operator_file import load
 
     try:
         return load(path)
@@ -117,7 +118,7 @@
     zone = int(json.loads(told.platform.read_text(encoding="utf-8"))["settings"].get("zone", 0))
     held = {key.removeprefix("duty/"): one for key, one in entries.items() if key.startswith("duty/")}
     rows = []
-    for name in sorted({*held, *told.duties.wished(zone)}):
+    for name in sorted({*held, *told.duties.contended_roles(zone)}):
         entry = held.get(name)
         row: dict[str, Any] = {
             "duty": name.partition("@")[0],
@@ -202,6 +203,7 @@
 def start(told: OperatorFile, file: Path) -> int:
     """Roll FILE out: a platform's JSON file, of which `settings` is taken, or such settings by themselves."""
     from coveport.sidecar.config import platform
+    from coveport.sidecar.config.errors import PlatformFileError
 
     try:
         given = json.loads(file.read_text(encoding="utf-8"))
@@ -211,7 +213,7 @@
         platform.read(json.dumps(base), {}, again=True, running=running, where=str(file))
     except (ValueError, AttributeError) as problem:
         raise Unusable(f"{file}: {problem}") from problem
-    except platform.ConfigError as problem:
+    except PlatformFileError as problem:
         raise Unusable(str(problem)) from problem
     return ask(told, {"do": "start", "settings": json.dumps(settings, sort_keys=True)})
 
--- a/coveport/sidecar/config/__init__.py
+++ b/coveport/sidecar/config/__init__.py
@@ -1,1 +1,1 @@
-"""What the sidecar is told, checked before anything starts."""
+"""The sidecar's configuration: the platform's file and the operator's, checked before anything starts."""
--- a/coveport/sidecar/config/lease_terms.py
+++ b/coveport/sidecar/config/lease_terms.py
@@ -1,32 +1,32 @@
-"""What a lease is asked for, and whether anything could be held under it. Pure.
+"""Lease terms: how long a session lives, allowing for lost renewals and for clocks that differ.
 
-The inequality that these figures stand in is at the head of `coveport/sidecar/leases/lease_state.py`.
+The inequality that these figures stand in is at the head of `coveport/sidecar/leases/lease_state.py`. Pure.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Final
 
-RENEWALS = 3  # in a time to live, so that two may get lost
+from coveport.sidecar.config.errors import LeaseTermsError
 
-
-class LeaseTermsError(ValueError):
-    """Terms under which nothing could be held safely, or at all; one line."""
+RENEWALS: Final = 3  # in a time to live, so that two may get lost
+MIN_BELIEVED_RENEWALS: Final = 1.5  # the believed time must outlast one lost renewal and a part of the next
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """What a lease is asked for. Seconds, but for `drift`."""
+    """What a lease is requested for. Seconds, but for `drift`."""
 
     ttl_s: float = 3.0
-    margin_s: float = 0.2
-    drift: float = 0.02  # share
+    margin_s: float = 0.2  # before the believed end, in which nothing new is begun
+    drift: float = 0.02  # fraction by which two clocks may differ in speed
 
     def check(self) -> None:
-        """BadTermsError where a renewal could not come before we get wary."""
+        """Raise LeaseTermsError where a renewal that gets lost would let the lease lapse."""
         if not (self.ttl_s > 0 and self.margin_s > 0 and 0 <= self.drift < 1):
             raise LeaseTermsError("ttl and margin must be positive, drift at least 0 and under 1")
-        if self.believed_s - self.margin_s <= 1.5 * self.renew_s:
+        if self.believed_s - self.margin_s <= MIN_BELIEVED_RENEWALS * self.renew_s:
             raise LeaseTermsError(
                 f"ttl {self.ttl_s:g} s leaves no room for a renewal that gets lost: with drift "
                 f"{self.drift:g} {self.believed_s:g} s of it are believed in, the last "
@@ -35,10 +35,10 @@
 
     @property
     def believed_s(self) -> float:
-        """How long from before asking we believe in a session."""
+        """How long the holder believes in its session, counted from when it sent the renewal."""
         return self.ttl_s / (1 + self.drift) - self.margin_s
 
     @property
     def renew_s(self) -> float:
-        """How long after one renewal was asked for the next one is."""
+        """Interval between the sending of renewals."""
         return self.ttl_s / RENEWALS
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -22,6 +22,7 @@
 from coveport.balancing import interface as api
 from coveport.net.transport import Net
 from coveport.sidecar.config import platform as configuration
+from coveport.sidecar.config.errors import PlatformFileError
 from coveport.sidecar.config.operator_file import OperatorFile
 from coveport.sidecar.effects import Effects
 from coveport.sidecar.intent_log.errors import EncryptionError
@@ -97,7 +98,7 @@
         self._lines = logger(told, self.name, self.incarnation, agent)
         chance = random.Random(uuid.uuid4().int)
         zone = config.settings.zone
-        self._wished = told.duties.wished(zone)
+        self._wished = told.duties.contended_roles(zone)
         self.lease_client = LeaseClient(
             open_store(told),
             name=self.name,
@@ -262,7 +263,7 @@
         loop = asyncio.get_running_loop()
         try:
             config = self._read(running)
-        except configuration.ConfigError as problem:
+        except PlatformFileError as problem:
             loop.call_soon(self._followed, str(problem))
             raise
         loop.call_soon(self._followed, "")
@@ -275,7 +276,7 @@
             told = json.loads(self._told.platform.read_text(encoding="utf-8"))
             told["settings"] = json.loads(self._text)
         except (OSError, ValueError, TypeError) as problem:
-            raise configuration.ConfigError(f"roll-out: {problem}") from problem
+            raise PlatformFileError(f"roll-out: {problem}") from problem
         return configuration.read(json.dumps(told), os.environ, again=True, running=running, where="roll-out")
 
     # How we fare.
@@ -458,7 +459,7 @@
         os.environ["LB_NAME"] = told.instance.name
     try:
         config = configuration.load(os.environ)
-    except configuration.ConfigError as problem:
+    except PlatformFileError as problem:
         log.say(str(problem))
         return 2
     unknown = set(told.work.record) - {one.name for one in config.settings.classes}
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -16,6 +16,7 @@
 from coveport.sidecar.admin.codec import Call
 from coveport.sidecar.admin.server import Console, Done
 from coveport.sidecar.config import platform as configuration
+from coveport.sidecar.config.errors import PlatformFileError
 from coveport.sidecar.downstream.client_connections import STILL_COMING_S, Listener
 from coveport.sidecar.effects import Effects, callers, descriptors
 from coveport.sidecar.reducer.phases import Lifecycle, Phase
@@ -46,10 +47,10 @@
 ) -> int:
     """Run until told to stop and nothing is owed; the exit code.
 
-    `reread` gives the configuration anew, checked against the one that runs, or raises ConfigError. `reducer`
-    and `effects_type` are there to be replaced by variants that are held against each other. `beside` is
-    told of the parts before anything is opened: what an operator's file turns on stands beside the ordinary
-    way.
+    `reread` gives the configuration anew, checked against the one that runs, or raises PlatformFileError.
+    `reducer` and `effects_type` are there to be replaced by variants that are held against each other.
+    `beside` is told of the parts before anything is opened: what an operator's file turns on stands beside
+    the ordinary way.
     """
     loop = net.loop
     counters, life = Counters(), Lifecycle()
@@ -125,7 +126,7 @@
             running = told = reread(running)
             effects.reload(told)
             listener.retune(told.settings.classes)
-        except configuration.ConfigError as problem:
+        except PlatformFileError as problem:
             # Guards against a bad file, or one that is half written: we run on with what we have.
             counters.add("config_reload_errors")
             log.say(f"{config.name}: kept the old configuration: {problem}")
@@ -219,7 +220,7 @@
     log = Log(time.monotonic)
     try:
         config = configuration.load(os.environ)
-    except configuration.ConfigError as problem:
+    except PlatformFileError as problem:
         log.say(str(problem))
         return 2
     return asyncio.run(_serve(config, log))
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -14,7 +14,9 @@
 from typing import Any
 
 from coveport.sidecar.config import platform
-from coveport.sidecar.config.operator_file import INSTANCES_MOST, OperatorFile, OperatorFileError, load
+from coveport.sidecar.config.errors import OperatorFileError, PlatformFileError
+from coveport.sidecar.config.operator_file import OperatorFile, load
+from coveport.sidecar.config.operator_sections import MAX_INSTANCES
 from coveport.sidecar.leases import log_events
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.keys import ROLE_PREFIX
@@ -43,7 +45,7 @@
         platform.read(
             now.platform.read_text(encoding="utf-8"), {"LB_LISTEN": now.fleet.listen}, where=str(now.platform)
         )
-    except (OperatorFileError, platform.ConfigError) as problem:
+    except (OperatorFileError, PlatformFileError) as problem:
         return " ".join(str(problem).split())
     except (OSError, UnicodeDecodeError) as problem:
         return f"{told.platform}: {problem}"
@@ -98,7 +100,7 @@
             chance=chance,
             say=self._say,
             check=lambda: checked(self._told, self._config),
-            most=INSTANCES_MOST,
+            most=MAX_INSTANCES,
         )
         supervisor.on_holding = lambda holding: self._holds(supervisor, processes, holding)
         loop = asyncio.get_running_loop()
--- a/coveport/sidecar/supervisor/desired_state.py
+++ b/coveport/sidecar/supervisor/desired_state.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from coveport.sidecar.config.operator_file import Fleet
+from coveport.sidecar.config.operator_sections import Fleet
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.singletons.singleton import Step
 
--- a/coveport/sidecar/supervisor/instance_set.py
+++ b/coveport/sidecar/supervisor/instance_set.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Mapping
 
-from coveport.sidecar.config.operator_file import Fleet
+from coveport.sidecar.config.operator_sections import Fleet
 from coveport.sidecar.supervisor.desired_state import DesiredState, InstanceHealth, RestartPhase
 from coveport.sidecar.supervisor.instance_state import ACTIVE_STATES, Command, ExitReason, Instance, State
 
--- a/coveport/sidecar/supervisor/instance_state.py
+++ b/coveport/sidecar/supervisor/instance_state.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from math import inf
 
-from coveport.sidecar.config.operator_file import Fleet
+from coveport.sidecar.config.operator_sections import Fleet
 
 KILL_AGAIN_S = 5.0  # after a kill that nothing was heard of
 
--- a/coveport/testbed/fault_injection/days.py
+++ b/coveport/testbed/fault_injection/days.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from coveport.sidecar.config.lease_terms import LeaseTerms, LeaseTermsError
+from coveport.sidecar.config.errors import LeaseTermsError
+from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.testbed.fault_injection.schedules import HOLDER, KINDS, TRAPS, Fault, Trial
 from coveport.testbed.scenario import ScenarioError
 
--- a/coveport/testbed/fault_injection/fleet/host.py
+++ b/coveport/testbed/fault_injection/fleet/host.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from coveport.sidecar.config.operator_file import Fleet
+from coveport.sidecar.config.operator_sections import Fleet
 from coveport.sidecar.supervisor.instance_state import ExitReason
 from coveport.testbed.simulated_network.world import Process, World
 
--- a/coveport/testbed/fault_injection/fleet/judge.py
+++ b/coveport/testbed/fault_injection/fleet/judge.py
@@ -12,7 +12,7 @@
 from math import inf
 from typing import Any
 
-from coveport.sidecar.config.operator_file import Fleet
+from coveport.sidecar.config.operator_sections import Fleet
 from coveport.sidecar.supervisor.desired_state import DesiredState, RestartPhase
 from coveport.testbed.fault_injection.fleet.host import Event, SimLife
 from coveport.testbed.fault_injection.judge import Finding
--- a/coveport/testbed/fault_injection/fleet/sim.py
+++ b/coveport/testbed/fault_injection/fleet/sim.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from coveport.sidecar.config.operator_file import (
-    Duties,
+from coveport.sidecar.config.operator_file import OperatorFile
+from coveport.sidecar.config.operator_sections import (
     Fleet,
-    Instance,
-    Leases,
-    Logged,
-    OperatorFile,
-    Stored,
-    Work,
+    InstanceSection,
+    IntentLogSection,
+    LeaseSection,
+    LogSection,
+    SingletonSection,
+    StoreSection,
 )
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.supervisor.desired_state import FLEET, DesiredState, RestartPhase
@@ -184,12 +184,12 @@
         from pathlib import Path
 
         return OperatorFile(
-            Instance("p.json"),
-            Stored("sqlite:x"),
-            Leases(self.trial.ttl_s, 0.1, 0.02),
-            Duties(),
-            Logged(),
-            Work(),
+            InstanceSection("p.json"),
+            StoreSection("sqlite:x"),
+            LeaseSection(self.trial.ttl_s, 0.1, 0.02),
+            SingletonSection(),
+            LogSection(),
+            IntentLogSection(),
             self.trial.fleet,
             Path("."),
         )
--- a/coveport/testbed/fuzz/targets.py
+++ b/coveport/testbed/fuzz/targets.py
@@ -25,6 +25,7 @@
 from coveport.http1 import codec
 from coveport.net.address import parse_address
 from coveport.sidecar.config import platform
+from coveport.sidecar.config.errors import PlatformFileError
 from coveport.sidecar.discovery.reader import PoolReader
 from coveport.sidecar.downstream.operation_reader import read_operation
 from coveport.sidecar.reducer.operation import Operation
@@ -307,7 +308,7 @@
         read = platform.read(data.decode(), {})
     except UnicodeDecodeError:
         return
-    except platform.ConfigError as problem:
+    except PlatformFileError as problem:
         must("\n" not in str(problem), "one line", str(problem))
         return
     for one in (read.listen, read.discovery):
--- a/coveport/testbed/simulated_network/play.py
+++ b/coveport/testbed/simulated_network/play.py
@@ -15,6 +15,7 @@
 
 from coveport.net.address import Address
 from coveport.sidecar.config import platform as configuration
+from coveport.sidecar.config.errors import PlatformFileError
 from coveport.sidecar.service import serve
 from coveport.sidecar.telemetry.log import Log
 from coveport.testbed.broken import Variant, variant_named
@@ -121,7 +122,7 @@
         play.discovery.told_known(number)
         try:
             config = self._config(drawn, generation)
-        except configuration.ConfigError as problem:
+        except PlatformFileError as problem:
             log.say(str(problem))
             running.ended = True
             self._write(number, "exit", "2")
--- a/tests/sidecar/config/test_config.py
+++ b/tests/sidecar/config/test_config.py
@@ -1,4 +1,4 @@
-"""What can't be used of a configuration is told in one line, before anything starts."""
+"""A configuration that can't be used gives one line, before anything starts."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 import pytest
 
 from coveport.sidecar.config import platform
+from coveport.sidecar.config.errors import PlatformFileError
 
-GOOD = json.loads((Path(__file__).parents[3] / "example/config.json").read_text())
+EXAMPLE = json.loads((Path(__file__).parents[3] / "example/config.json").read_text())
 
 
-def laid(key: str, value: object) -> str:
-    """The example with one value laid over it, positions in lists by number."""
-    told: Any = json.loads(json.dumps(GOOD))
-    here, parts = told, key.split(".")
-    for part in parts[:-1]:
-        here = here[int(part) if part.isdecimal() else part]
-    here[parts[-1]] = value
-    return json.dumps(told)
+def example_with(key: str, value: object) -> str:
+    """Return the example with one value replaced; positions in lists go by number."""
+    document: Any = json.loads(json.dumps(EXAMPLE))
+    *parents, last = key.split(".")
+    container = document
+    for parent in parents:
+        container = container[int(parent) if parent.isdecimal() else parent]
+    container[last] = value
+    return json.dumps(document)
 
 
 HUGE = 10**400
@@ -43,11 +45,11 @@
         ("settings.telemetry.fields", [["a"]]),
         ("listen", "fe80::1%a..b:80"),
     ],
-    ids=lambda one: str(one)[:30],
+    ids=lambda value: str(value)[:30],
 )
-def test_what_would_fail_later_is_refused(key: str, value: object) -> None:
+def test_a_value_that_would_fail_later_is_rejected(key: str, value: object) -> None:
     # Seen in fuzzing: a traceback at the start, at the first operation or at the first answer.
-    assert platform.read(json.dumps(GOOD), {}).sockets == 1024
-    with pytest.raises(platform.ConfigError) as problem:
-        platform.read(laid(key, value), {})
-    assert "\n" not in str(problem.value)
+    assert platform.read(json.dumps(EXAMPLE), {}).sockets == 1024
+    with pytest.raises(PlatformFileError) as error:
+        platform.read(example_with(key, value), {})
+    assert "\n" not in str(error.value)
--- a/tests/sidecar/intent_log/test_pure.py
+++ b/tests/sidecar/intent_log/test_pure.py
@@ -11,7 +11,8 @@
 from test_takeover import attempt, record
 
 from coveport.balancing.interface import Effect, Group, Outcome
-from coveport.sidecar.config.operator_file import OperatorFileError, read
+from coveport.sidecar.config.errors import OperatorFileError
+from coveport.sidecar.config.operator_file import read
 from coveport.sidecar.intent_log.encryption import KeyRing, read_keys
 from coveport.sidecar.intent_log.errors import EncryptionError, RecordError
 from coveport.sidecar.intent_log.payloads import PayloadCodec, StoredRequest, StoredResponse
--- a/tests/sidecar/leases/test_lease_state.py
+++ b/tests/sidecar/leases/test_lease_state.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from coveport.sidecar.config.lease_terms import LeaseTerms, LeaseTermsError
+from coveport.sidecar.config.errors import LeaseTermsError
+from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.leases.effects import (
     AcquireRole,
     Effect,
--- a/tests/sidecar/supervisor/test_desired_state.py
+++ b/tests/sidecar/supervisor/test_desired_state.py
@@ -7,7 +7,9 @@
 import msgspec
 import pytest
 
-from coveport.sidecar.config.operator_file import Fleet, OperatorFileError, read
+from coveport.sidecar.config.errors import OperatorFileError
+from coveport.sidecar.config.operator_file import read
+from coveport.sidecar.config.operator_sections import Fleet
 from coveport.sidecar.supervisor.desired_state import (
     DesiredState,
     DesiredStateRole,
--- a/tests/sidecar/supervisor/test_instance_state.py
+++ b/tests/sidecar/supervisor/test_instance_state.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from coveport.sidecar.config.operator_file import Fleet
+from coveport.sidecar.config.operator_sections import Fleet
 from coveport.sidecar.supervisor.instance_state import (
     ACTIVE_STATES,
     TRANSITIONS,
--- a/tests/sidecar/supervisor/test_supervisor.py
+++ b/tests/sidecar/supervisor/test_supervisor.py
@@ -11,15 +11,15 @@
 
 import msgspec
 
-from coveport.sidecar.config.operator_file import (
-    Duties,
+from coveport.sidecar.config.operator_file import OperatorFile
+from coveport.sidecar.config.operator_sections import (
     Fleet,
-    Instance,
-    Leases,
-    Logged,
-    OperatorFile,
-    Stored,
-    Work,
+    InstanceSection,
+    IntentLogSection,
+    LeaseSection,
+    LogSection,
+    SingletonSection,
+    StoreSection,
 )
 from coveport.sidecar.leases.keys import STATE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
@@ -110,7 +110,14 @@
         lease_client = LapsingClient()
         processes = LapsingProcessControl(lease_client)
         told = OperatorFile(
-            Instance("p.json"), Stored("sqlite:x"), Leases(), Duties(), Logged(), Work(), FLEET, Path(".")
+            InstanceSection("p.json"),
+            StoreSection("sqlite:x"),
+            LeaseSection(),
+            SingletonSection(),
+            LogSection(),
+            IntentLogSection(),
+            FLEET,
+            Path("."),
         )
         supervisor = Supervisor(
             told,
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -20,7 +20,8 @@
 coveport.http1 coveport.http1.codec coveport.net coveport.net.address coveport.net.clock
 coveport.net.sockets coveport.net.transport coveport.sidecar coveport.sidecar.admin
 coveport.sidecar.admin.codec coveport.sidecar.admin.server coveport.sidecar.config
-coveport.sidecar.config.platform coveport.sidecar.config.retuning coveport.sidecar.discovery
+coveport.sidecar.config.errors coveport.sidecar.config.platform coveport.sidecar.config.reload_checks
+coveport.sidecar.discovery
 coveport.sidecar.discovery.agent coveport.sidecar.discovery.reader coveport.sidecar.downstream
 coveport.sidecar.downstream.client_connections coveport.sidecar.downstream.operation_reader
 coveport.sidecar.effects coveport.sidecar.reducer coveport.sidecar.reducer.locality
