--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -21,7 +21,7 @@
 from random import Random
 from unittest import mock
 
-from core_world import OTHER, STATE_MACHINE, TAKEN, State, change, decode_state, edition_of
+from core_world import ACCEPTED, CONFLICT, STATE_MACHINE, State, change, decode_state, edition_of
 
 from coveport.serving.replication import view_change
 from coveport.serving.replication.events import (
@@ -114,7 +114,7 @@
     return member
 
 
-class FaultError(Exception):
+class InvariantError(Exception):
     """An invariant doesn't hold."""
 
 
@@ -295,9 +295,12 @@
                     point = self._check_committed(point, effect.state, member)
                 case Answer():
                     point = self._check_answer(point, effect)
-        disks = tuple(disk if position == index else other for position, other in enumerate(point.disks))
+        disks = tuple(
+            disk if position == index else unchanged for position, unchanged in enumerate(point.disks)
+        )
         members = tuple(
-            pack(member) if position == index else other for position, other in enumerate(point.members)
+            pack(member) if position == index else unchanged
+            for position, unchanged in enumerate(point.members)
         )
         point = replace(
             point,
@@ -315,9 +318,9 @@
     def _check_committed(self, point: Point, state: State, member: Replica) -> Point:
         shorter, longer = sorted((point.committed, state), key=len)
         if longer[: len(shorter)] != shorter:
-            raise FaultError(f"forked: {shorter} and {longer} after {point.trail}")
+            raise InvariantError(f"forked: {shorter} and {longer} after {point.trail}")
         if member.is_primary and state[: len(point.acknowledged)] != point.acknowledged:
-            raise FaultError(f"leads without {point.acknowledged} after {point.trail}")
+            raise InvariantError(f"leads without {point.acknowledged} after {point.trail}")
         return replace(point, committed=longer)
 
     def _check_answer(self, point: Point, effect: Answer) -> Point:
@@ -325,19 +328,19 @@
             case Done():
                 command = self._submitted(point, effect.request)[0]
                 if command not in point.committed:
-                    raise FaultError(f"{command} is done though not committed after {point.trail}")
+                    raise InvariantError(f"{command} is done though not committed after {point.trail}")
                 return replace(point, acknowledged=point.committed)
             case Refused(result=result):
                 command, known = self._submitted(point, effect.request)
-                if result == TAKEN and command not in point.committed:
-                    raise FaultError(f"{command} is taken though not committed after {point.trail}")
+                if result == ACCEPTED and command not in point.committed:
+                    raise InvariantError(f"{command} is taken though not committed after {point.trail}")
                 base = int(command.split("|")[0])
-                if result == OTHER and base == edition_of(known) == edition_of(point.committed):
-                    raise FaultError(f"{command} is refused for nothing after {point.trail}")
+                if result == CONFLICT and base == edition_of(known) == edition_of(point.committed):
+                    raise InvariantError(f"{command} is refused for nothing after {point.trail}")
             case Newest(state=state):
                 least = dict(point.reads_owed).get(effect.request, 0)
                 if len(state) < least:
-                    raise FaultError(f"a read saw {len(state)} of {least} after {point.trail}")
+                    raise InvariantError(f"a read saw {len(state)} of {least} after {point.trail}")
         return point
 
     def _submitted(self, point: Point, request: int) -> tuple[str, State]:
@@ -358,7 +361,7 @@
     def _deliveries(self, point: Point) -> Iterator[Point]:
         """The first message of each link arrives, or is lost."""
         for key, queue in point.links:
-            rest = tuple((other, kept) for other, kept in point.links if other != key)
+            rest = tuple((link, queued) for link, queued in point.links if link != key)
             if queue[1:]:
                 rest = tuple(sorted((*rest, (key, queue[1:]))))
             sender, message = queue[0]
@@ -445,7 +448,9 @@
         disk = point.disks[index]
         batch = disk.pending[0]
         synced = Disk((*disk.records, *batch.records), disk.pending[1:])
-        disks = tuple(synced if position == index else other for position, other in enumerate(point.disks))
+        disks = tuple(
+            synced if position == index else unchanged for position, unchanged in enumerate(point.disks)
+        )
         note = f"sync {self.scenario.machines[index]}"
         return self._step(point, index, Persisted(batch.token), note, disks=disks)
 
@@ -456,9 +461,11 @@
         return replace(
             point,
             members=tuple(
-                member if position == index else other for position, other in enumerate(point.members)
+                member if position == index else unchanged for position, unchanged in enumerate(point.members)
+            ),
+            disks=tuple(
+                disk if position == index else unchanged for position, unchanged in enumerate(point.disks)
             ),
-            disks=tuple(disk if position == index else other for position, other in enumerate(point.disks)),
             trail=(*point.trail, f"{'wipe' if wiped else 'crash'} {name}"),
         )
 
@@ -478,16 +485,18 @@
         for lost in losses:
             left = [name for name in self.scenario.machines if name not in (lost, point.wiped)]
             if not any([self._lead_once(point, name, lost) for name in left]):
-                raise FaultError(
+                raise InvariantError(
                     f"nobody leads: all lose power, {lost or 'none'} its disk, after {point.trail}"
                 )
 
     def _lead_once(self, point: Point, name: str, lost: str) -> bool:
-        """Whether it led. Raises FaultError where it can't, or leads without what was acknowledged."""
+        """Whether it led. Raises InvariantError where it can't, or leads without what was acknowledged."""
         members = {}
-        for index, other in enumerate(self.scenario.machines):
-            disk = self._blank_disk(other) if other == lost else Disk(point.disks[index].records)
-            members[other] = self._member(index, disk)
+        for index, machine_name in enumerate(self.scenario.machines):
+            disk = (
+                self._blank_disk(machine_name) if machine_name == lost else Disk(point.disks[index].records)
+            )
+            members[machine_name] = self._member(index, disk)
         leader = members[name]
         if leader.view is None or leader.identity not in leader.view.members:
             return False
@@ -506,9 +515,9 @@
         if found is None and newer is not None and leader.identity not in newer.members:
             return False
         if found is None:
-            raise FaultError(f"can't lead: {story}")
+            raise InvariantError(f"can't lead: {story}")
         if found[: len(point.acknowledged)] != point.acknowledged:
-            raise FaultError(f"lost {point.acknowledged}, found {found}: {story}")
+            raise InvariantError(f"lost {point.acknowledged}, found {found}: {story}")
         return True
 
     def _deliver_all(self, members: dict[str, Replica], leader: str, effects: list[Effect]) -> State | None:
@@ -533,7 +542,7 @@
     # -- all of it --
 
     def run(self, depth: int, most_states: int) -> None:
-        """Explore by levels; raises FaultError with the path that led to it."""
+        """Explore by levels; raises InvariantError with the path that led to it."""
         with standing_still():
             seen: set[bytes] = set()
             level = [self.first_point()]
@@ -554,7 +563,7 @@
                     return
 
     def walk(self, chance: Random) -> Point:
-        """One path, each step drawn, to its end, which is returned. Raises FaultError."""
+        """One path, each step drawn, to its end, which is returned. Raises InvariantError."""
         with standing_still():
             point = self.first_point()
             while True:
--- a/tests/serving/replication/core_history.py
+++ b/tests/serving/replication/core_history.py
@@ -14,8 +14,8 @@
     """How a call ended."""
 
     OPEN = "open"  # never a clear answer
-    TAKEN = "taken"
-    OTHER = "another version is in place"
+    ACCEPTED = "taken"
+    CONFLICT = "another version is in place"
     READ = "read"
 
 
@@ -35,7 +35,7 @@
 class Seen:
     """A coordinator took this for committed."""
 
-    where: str  # machine and life
+    where: str  # machine and incarnation
     at_s: float
     state: tuple[str, ...]
 
@@ -58,16 +58,16 @@
     return int(change.split("|")[1])
 
 
-def judge(calls: Sequence[Call], seen: Iterable[Seen], final: tuple[str, ...]) -> list[str]:
+def check_history(calls: Sequence[Call], seen: Iterable[Seen], final: tuple[str, ...]) -> list[str]:
     """All that doesn't fit, in words; empty: nothing."""
     chain = tuple(change for change in final if not is_order(change))
     faults = _chain_faults(chain)
     positions = {change: position for position, change in enumerate(final, start=1)}
     by_change = {call.change: call for call in calls if call.change}
     for call in calls:
-        if call.verdict is Verdict.TAKEN and call.change not in positions:
+        if call.verdict is Verdict.ACCEPTED and call.change not in positions:
             faults.append(f"lost: {call.change} of {call.operator}, acknowledged at {call.ended_s:.3f}")
-        if call.verdict is Verdict.OTHER and call.change in positions:
+        if call.verdict is Verdict.CONFLICT and call.change in positions:
             faults.append(f"in force though refused: {call.change} of {call.operator}")
     faults += [f"never sent: {change}" for change in final if change not in by_change]
     if faults:
@@ -109,7 +109,7 @@
 ) -> list[str]:
     faults = []
     acknowledged = sorted(
-        (call.ended_s, positions[call.change]) for call in calls if call.verdict is Verdict.TAKEN
+        (call.ended_s, positions[call.change]) for call in calls if call.verdict is Verdict.ACCEPTED
     )
     reads = sorted((call for call in calls if call.verdict is Verdict.READ), key=lambda call: call.began_s)
     for read in reads:
@@ -118,7 +118,7 @@
             faults.append(f"{name} saw what isn't part of the history")
             continue
         least = max((where for ended_s, where in acknowledged if ended_s < read.began_s), default=0)
-        least = max([least, *(len(other.seen) for other in reads if other.ended_s < read.began_s)])
+        least = max([least, *(len(peer.seen) for peer in reads if peer.ended_s < read.began_s)])
         if len(read.seen) < least:
             faults.append(f"{name} saw {len(read.seen)} changes, {least} were acknowledged or read before")
         if any(by_change[change].began_s > read.ended_s for change in read.seen):
@@ -131,7 +131,7 @@
     successor = {base_of(change): change for change in final}
     faults = []
     for call in calls:
-        if call.verdict is not Verdict.OTHER:
+        if call.verdict is not Verdict.CONFLICT:
             continue
         base = base_of(call.change)
         next_change = successor.get(base)
--- a/tests/serving/replication/core_operators.py
+++ b/tests/serving/replication/core_operators.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from core_history import Call, Verdict
-from core_world import OTHER, TAKEN, Machine, World, change, edition_of, order
+from core_world import ACCEPTED, CONFLICT, Machine, World, change, edition_of, order
 
 from coveport.serving.replication.events import Done, Event, Newest, NotPrimary, Outcome, ReadNewest, Submit
 from coveport.serving.replication.state_machine import Refused
 
-SILENCE_S = 1.0  # after which a call is sent to another
+CALL_TIMEOUT_S = 1.0  # after which a call is sent to another
 REDIRECTS = 2
 ORDERS_SHARE = 0.25  # of changes that bear no version
 
@@ -40,9 +40,9 @@
     def _after_write(self, call: Call) -> None:
         if self.is_stopped:
             return
-        if call.verdict is Verdict.TAKEN:
+        if call.verdict is Verdict.ACCEPTED:
             self.known = (*self.known, call.change)
-        read_next = call.verdict is Verdict.OTHER or self.world.random.random() < 0.4
+        read_next = call.verdict is Verdict.CONFLICT or self.world.random.random() < 0.4
         following = self.begin if read_next else self._next_change
         self.world.after(self.pause_s * self.world.random.uniform(0.2, 2.0), following)
 
@@ -78,7 +78,7 @@
         command = order(self.name, self._count)
         call = Call(self.name, command.decode(), self.world.now_s)
         self.calls.append(call)
-        Attempt(self, call, lambda request: Submit(request, command), then, is_held=True).send()
+        Attempt(self, call, lambda request: Submit(request, command), then, is_delayed=True).send()
 
 
 class Reader(Operator):
@@ -98,9 +98,9 @@
         call: Call,
         make_event: Callable[[int], Event],
         then: Callable[[Call], None],
-        is_held: bool = False,
+        is_delayed: bool = False,
     ) -> None:
-        self.is_held = is_held
+        self.is_delayed = is_delayed
         self.sent: list[tuple[Machine, int]] = []
         self.operator = operator
         self.world = operator.world
@@ -123,17 +123,17 @@
         others = [machine for machine in machines if machine is not self.last] or machines
         machine = to or self.world.random.choice(others)
         self.last = machine
-        if machine.life is None and machine.is_powered:
+        if machine.incarnation is None and machine.is_powered:
             self.again(number)  # its port resets
             return
         request = self.world.call(
             machine,
             self.make_event,
             lambda outcome: self.answered(number, redirects, outcome),
-            self.is_held,
+            self.is_delayed,
         )
         self.sent.append((machine, request))
-        self.world.after(SILENCE_S, lambda: self.again(number))
+        self.world.after(CALL_TIMEOUT_S, lambda: self.again(number))
 
     def again(self, number: int) -> None:
         """Try elsewhere after a growing pause, unless that happened already."""
@@ -151,18 +151,18 @@
 
     def answered(self, number: int, redirects: int, outcome: Outcome) -> None:
         """Take an answer, also a late one; of an order without a version only where the caller stayed."""
-        if self.is_over or (self.is_held and number != self.tries):
+        if self.is_over or (self.is_delayed and number != self.tries):
             return
         match outcome:
             case Done():
-                self.end(Verdict.TAKEN)
+                self.end(Verdict.ACCEPTED)
             case Refused(result="taken"):
                 self.world.situations["2: an order that had been taken was acknowledged when sent again"] += 1
-                self.end(Verdict.TAKEN)
+                self.end(Verdict.ACCEPTED)
             case Refused():
                 self.world.situations["2: of two operators on one edition one was refused"] += 1
-                assert outcome.result in (TAKEN, OTHER)
-                self.end(Verdict.TAKEN if outcome.result == TAKEN else Verdict.OTHER)
+                assert outcome.result in (ACCEPTED, CONFLICT)
+                self.end(Verdict.ACCEPTED if outcome.result == ACCEPTED else Verdict.CONFLICT)
             case Newest():
                 self.call.seen = outcome.state
                 self.end(Verdict.READ)
--- a/tests/serving/replication/core_risk.py
+++ b/tests/serving/replication/core_risk.py
@@ -16,7 +16,7 @@
 from coveport.serving.replication.events import Done, Outcome, Submit
 from coveport.serving.replication.identity import Locality
 
-BYTES_A_SECOND = 120e6  # of a link of 1,000 Mbit/s, and of a disk
+BYTES_PER_S = 120e6  # of a link of 1,000 Mbit/s, and of a disk
 MOST_S = 20.0  # beyond which nothing is waited for
 
 
@@ -39,7 +39,7 @@
     localities = [
         Locality(f"{region}{at // 3}", region) for at, region in enumerate("abcabc"[: core.machines])
     ]
-    world = World(seed, localities, core.losses, core.region_s, bytes_a_second=BYTES_A_SECOND)
+    world = World(seed, localities, core.losses, core.region_s, bytes_per_s=BYTES_PER_S)
     world.start_all()
     world.run_for(6.0, until=lambda: bool(world.primaries()))
     world.run_for(6.0, until=lambda: bears_all(world))
@@ -67,15 +67,15 @@
 def bears_all(world: World) -> bool:
     """Whether as many copies and spare votes are there as the core asks for."""
     machine = world.primary()
-    if machine is None or machine.life is None:
+    if machine is None or machine.incarnation is None:
         return False
-    view = machine.life.member.view
-    if view is None or machine.life.member._leader_role.primary is None:
+    view = machine.incarnation.replica.view
+    if view is None or machine.incarnation.replica._leader_role.primary is None:
         return False
     running = {
-        other.life.member.identity
-        for other in world.machines.values()
-        if other.life is not None and not other.is_frozen
+        peer.incarnation.replica.identity
+        for peer in world.machines.values()
+        if peer.incarnation is not None and not peer.is_frozen
     }
     spare = len(running & set(view.members)) - (len(view.members) // 2 + 1)
     return len(running & set(view.replicas)) > world.tolerated_losses and spare >= world.tolerated_losses
@@ -104,8 +104,8 @@
 
 def _victim(world: World) -> Machine:
     machine = world.primary()
-    assert machine is not None and machine.life is not None
-    view = machine.life.member.view
+    assert machine is not None and machine.incarnation is not None
+    view = machine.incarnation.replica.view
     assert view is not None
     return world.machines[world.random.choice(view.members).address]
 
@@ -114,21 +114,21 @@
     """Seconds from the end of a cut until the member has the newest state, and the bytes sent to it."""
     world = founded(core, seed, size)
     machine = world.primary()
-    assert machine is not None and machine.life is not None
-    behind = next(other for other in world.machines.values() if other is not machine)
-    world.cuts |= {(behind.address, other) for other in world.machines}
-    world.cuts |= {(other, behind.address) for other in world.machines}
+    assert machine is not None and machine.incarnation is not None
+    behind = next(peer for peer in world.machines.values() if peer is not machine)
+    world.blocked_links |= {(behind.address, peer) for peer in world.machines}
+    world.blocked_links |= {(peer, behind.address) for peer in world.machines}
     world.run_for(3.0, until=lambda: bool(world.primaries()))
     world.run_for(2.0)
     _change_often(world, changes)
     newest = _sequence(world)
     sent = Sent(world, behind.address)
-    world.cuts.clear()
+    world.blocked_links.clear()
     began_s = world.now_s
 
     def has_all() -> bool:
-        life = behind.life
-        return life is not None and life.member._context.committed_log.sequence >= newest
+        incarnation = behind.incarnation
+        return incarnation is not None and incarnation.replica._context.committed_log.sequence >= newest
 
     world.run_for(MOST_S, until=has_all)
     assert has_all(), "it catches up"
@@ -139,14 +139,14 @@
     for edition in range(1, changes + 1):
         assert _submit(world, change(edition, edition + 1, "small"))
     machine = world.primary()
-    assert machine is not None and machine.life is not None
-    assert edition_of(machine.life.member._context.committed_log.state) == changes + 1
+    assert machine is not None and machine.incarnation is not None
+    assert edition_of(machine.incarnation.replica._context.committed_log.state) == changes + 1
 
 
 def _sequence(world: World) -> int:
     machine = world.primary()
-    assert machine is not None and machine.life is not None
-    return machine.life.member._context.committed_log.sequence
+    assert machine is not None and machine.incarnation is not None
+    return machine.incarnation.replica._context.committed_log.sequence
 
 
 class Sent:
@@ -158,10 +158,10 @@
         self.bytes = 0
         original = world.send
 
-        def send(sender: Machine, life: object, to_address: str, message: object) -> None:
+        def send(sender: Machine, incarnation: object, to_address: str, message: object) -> None:
             if to_address == address:
                 self.bytes += bytes_in(message)
-            original(sender, life, to_address, message)  # type: ignore[arg-type]
+            original(sender, incarnation, to_address, message)  # type: ignore[arg-type]
 
         world.send = send  # type: ignore[method-assign]
 
--- a/tests/serving/replication/core_schedules.py
+++ b/tests/serving/replication/core_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules: sites, operators and troubles, each run in a world of its own and judged at its end.
+"""Seeded schedules: sites, operators and faults, each run in a world of its own and checked at its end.
 
 Many at once: `PYTHONPATH=. python tests/serving/replication/core_schedules.py --count 10000 --jobs 8`.
 """
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from core_history import Call, Seen, Verdict, judge
+from core_history import Call, Seen, Verdict, check_history
 from core_operators import Operator, Reader
 from core_world import SYNC_S, Machine, World
 
@@ -57,7 +57,7 @@
 
     seed: int
     faults: list[str]
-    troubles: list[str]
+    injected_faults: list[str]
     acknowledged: int
     messages: int
     longest_silence_s: float = 0.0
@@ -66,9 +66,9 @@
 
 
 class Schedule:
-    """One world with its troubles."""
+    """One world with its faults."""
 
-    def __init__(self, seed: int, make_member: Callable[..., Replica] = Replica) -> None:
+    def __init__(self, seed: int, make_replica: Callable[..., Replica] = Replica) -> None:
         self.random = random.Random(seed)
         self.seed = seed
         self.site = self.random.choice(SITES)
@@ -78,11 +78,11 @@
             self.site.tolerated_losses,
             self.site.region_s,
             self.site.seeds,
-            make_member,
+            make_replica,
             loss=self.random.choice((0.0, 0.0, 0.01, 0.05)),
         )
         self.calls: list[Call] = []
-        self.troubles: list[str] = []
+        self.injected_faults: list[str] = []
         self.operators = [
             Operator(self.world, self.calls, f"o{number}", self.random.choice((0.05, 0.2, 0.6)))
             for number in range(self.random.choice((1, 2, 3)))
@@ -98,7 +98,7 @@
         standing = self._standing()
         if primary is None or self.random.random() < 0.4:
             return self.random.choice(standing)
-        view = primary.life.member.view if primary.life else None
+        view = primary.incarnation.replica.view if primary.incarnation else None
         if view is not None and self.random.random() < 0.3:
             replica = self.world.machines[self.random.choice(view.replicas).address]
             return replica if not replica.is_removed else primary
@@ -107,8 +107,8 @@
     # -- what --
 
     def note(self, text: str) -> None:
-        """Write a trouble down."""
-        self.troubles.append(f"{self.world.now_s:.3f} {text}")
+        """Write a fault down."""
+        self.injected_faults.append(f"{self.world.now_s:.3f} {text}")
 
     def kill(self, machine: Machine, for_s: float) -> None:
         """Kill, start again later."""
@@ -137,7 +137,7 @@
         self.world.after(for_s, newcomer.start)
 
     def disk(self, machine: Machine, for_s: float) -> None:
-        """A disk in trouble."""
+        """A disk in fault."""
         how = self.random.choice(("slow", "hangs", "refuses"))
         self.note(f"disk {how} {machine.address} for {for_s:.2f}")
         disk = machine.disk
@@ -156,25 +156,25 @@
 
     def cut(self, machine: Machine, for_s: float) -> None:
         """Cut links in one of many shapes."""
-        others = [other for other in self._standing() if other is not machine]
+        peers = [peer for peer in self._standing() if peer is not machine]
         shape = self.random.choice(("off", "out", "in", "bridge", "one link", "halves"))
         if shape == "halves":
-            half = set(self.random.sample(others, len(others) // 2)) | {machine}
-            pairs = [(a, b) for a in half for b in others if b not in half]
+            half = set(self.random.sample(peers, len(peers) // 2)) | {machine}
+            pairs = [(a, b) for a in half for b in peers if b not in half]
         elif shape in ("bridge", "one link"):
-            pairs = [(machine, self.random.choice(others))]
+            pairs = [(machine, self.random.choice(peers))]
         else:
-            pairs = [(machine, other) for other in others]
+            pairs = [(machine, peer) for peer in peers]
         links = set()
-        for one, other in pairs:
+        for sender, receiver in pairs:
             if shape != "in":
-                links.add((one.address, other.address))
+                links.add((sender.address, receiver.address))
             if shape not in ("out", "one link"):
-                links.add((other.address, one.address))
-        links -= self.world.cuts
+                links.add((receiver.address, sender.address))
+        links -= self.world.blocked_links
         self.note(f"cut {shape} {machine.address} for {for_s:.2f}")
-        self.world.cuts |= links
-        self.world.after(for_s, lambda: self.world.cuts.difference_update(links))
+        self.world.blocked_links |= links
+        self.world.after(for_s, lambda: self.world.blocked_links.difference_update(links))
 
     def reset(self, machine: Machine, for_s: float) -> None:
         """Its connections break again and again."""
@@ -191,13 +191,13 @@
     def stop(self, machine: Machine, for_s: float) -> None:
         """SIGTERM, the end some time later, start again."""
         self.note(f"stop {machine.address} for {for_s:.2f}")
-        life = machine.life
-        if life is None:
+        incarnation = machine.incarnation
+        if incarnation is None:
             return
-        machine.run(life, lambda: machine.deliver(life, ShutdownRequested()))
+        machine.run(incarnation, lambda: machine.deliver(incarnation, ShutdownRequested()))
 
         def end() -> None:
-            if machine.life is life:
+            if machine.incarnation is incarnation:
                 machine.kill()
                 self.world.after(for_s, machine.start)
 
@@ -206,13 +206,13 @@
     def leave(self, machine: Machine) -> None:
         """SIGTERM, and the end as soon as it may, for good: nothing is waited for after it."""
         self.note(f"leave {machine.address}")
-        life = machine.life
-        if life is None or machine.is_frozen:
+        incarnation = machine.incarnation
+        if incarnation is None or machine.is_frozen:
             return
-        machine.deliver(life, ShutdownRequested())
+        machine.deliver(incarnation, ShutdownRequested())
         began_s = self.world.now_s
-        self.world.run_for(GRACE_PART_S, until=lambda: life.member.is_safe_to_stop(self.world.now_s))
-        if life.member.is_safe_to_stop(self.world.now_s):
+        self.world.run_for(GRACE_PART_S, until=lambda: incarnation.replica.is_safe_to_stop(self.world.now_s))
+        if incarnation.replica.is_safe_to_stop(self.world.now_s):
             self.world.situations["3: a planned leave ended before its time was over"] += 1
         self.note(f"left after {self.world.now_s - began_s:.2f}")
         machine.remove()
@@ -227,7 +227,7 @@
     # -- courses --
 
     def one_after_the_other(self) -> None:
-        """Within what is tolerated: each trouble over and caught up before the next."""
+        """Within what is tolerated: each fault over and caught up before the next."""
         kinds = (
             self.kill,
             self.freeze,
@@ -255,7 +255,7 @@
             self.world.run_for(self.random.choice((0.0, 0.02, 0.1, 0.4, 1.0, 1.6)))
 
     def wipe_amid(self) -> None:
-        """One disk is lost in a calm core, and the rest of the troubles come at once."""
+        """One disk is lost in a calm core, and the rest of the faults come at once."""
         self.wipe(self._target(), self.random.choice((0.2, 0.6, 2.0)))
         if self.random.random() < 0.5:
             self.world.run_for(self.random.choice((0.0, 0.05, 0.3, 1.0)))
@@ -266,7 +266,7 @@
         kinds = (self.kill, self.freeze, self.disk, self.cut, self.reset)
         for _ in range(self.random.randint(1, 6)):
             self.world.run_for(self.random.choice((0.05, 0.1, 0.15, 0.3)))
-            started = [machine for machine in self._standing() if machine.lives]
+            started = [machine for machine in self._standing() if machine.incarnations]
             if self.random.random() < 0.15 and len(started) == len(self._standing()):
                 self.all_down(self.random.random() < 0.5)
             elif started:
@@ -276,7 +276,7 @@
         self._heal()
 
     def cut_off_long(self) -> None:
-        """One machine, by its role, is cut off for twenty seconds while changes and troubles go on."""
+        """One machine, by its role, is cut off for twenty seconds while changes and faults go on."""
         machine, role = self._by_role()
         for_s = self.random.choice((20.0, 26.0))
         self.cut(machine, for_s)
@@ -291,16 +291,16 @@
             self.all_down(self.random.random() < 0.5)
         self.world.run_until(began_s + for_s + self.random.choice((0.01, 0.3, 2.0)))
         if self.random.random() < 0.5:
-            others = [other for other in self._standing() if other is not machine]
-            for other in self.random.sample(others, max(1, len(others) // 2)):
-                self.kill(other, 2.0)
+            peers = [peer for peer in self._standing() if peer is not machine]
+            for peer in self.random.sample(peers, max(1, len(peers) // 2)):
+                self.kill(peer, 2.0)
             self.world.situations["1: others were killed just after the cut had healed"] += 1
         self.world.run_for(CATCH_UP_S)
 
     def _by_role(self) -> tuple[Machine, str]:
         """A machine and what it is in the newest view."""
         primary = self.world.primary()
-        view = primary.life.member.view if primary and primary.life else None
+        view = primary.incarnation.replica.view if primary and primary.incarnation else None
         if view is None:
             return self.random.choice(self._standing()), "machine of no known role"
         addresses = {
@@ -309,7 +309,9 @@
             "witness": [member.address for member in view.members if member not in view.replicas],
         }
         members = {member.address for member in view.members}
-        addresses["learner"] = [one.address for one in self._standing() if one.address not in members]
+        addresses["learner"] = [
+            machine.address for machine in self._standing() if machine.address not in members
+        ]
         role = self.random.choice([name for name, found in addresses.items() if found])
         machine = self.world.machines[self.random.choice(addresses[role])]
         return machine, role
@@ -344,33 +346,33 @@
         quick.begin()
         self.world.run_for(for_s - 0.5)
         quick.is_stopped = True
-        missed = sum(call.verdict is Verdict.TAKEN for call in self.calls[before:])
+        missed = sum(call.verdict is Verdict.ACCEPTED for call in self.calls[before:])
         self.world.situations[f"4: the {role} was cut off for {missed // 50 * 50} changes or more"] += 1
-        others = [other for other in self._standing() if other is not machine and not other.is_frozen]
+        peers = [peer for peer in self._standing() if peer is not machine and not peer.is_frozen]
         if self.random.random() < 0.5:
-            self.wipe(self.random.choice(others), 1.0)
+            self.wipe(self.random.choice(peers), 1.0)
             self.world.run_for(CATCH_UP_S)
         self.world.run_for(self.random.choice((0.6, 1.0, 3.0)))
-        for other in others:
-            self.kill(other, self.random.choice((1.0, 3.0)))
+        for peer in peers:
+            self.kill(peer, self.random.choice((1.0, 3.0)))
         self.world.run_for(4.0 + CATCH_UP_S)
 
     def final_fault(self) -> None:
         """Right after an acknowledgement some lose their disks, as tolerated, and the rest goes down."""
-        count = len([call for call in self.calls if call.verdict is Verdict.TAKEN])
+        count = len([call for call in self.calls if call.verdict is Verdict.ACCEPTED])
         self.world.run_for(
             2.0,
-            until=lambda: len([call for call in self.calls if call.verdict is Verdict.TAKEN]) > count,
+            until=lambda: len([call for call in self.calls if call.verdict is Verdict.ACCEPTED]) > count,
         )
         losses = self.random.randint(0, self.site.tolerated_losses)
         primary = self.world.primary()
-        view = primary.life.member.view if primary and primary.life else None
+        view = primary.incarnation.replica.view if primary and primary.incarnation else None
         victims: list[Machine] = []
         if view is not None:
             replicas = [self.world.machines[member.address] for member in view.replicas]
             victims = self.random.sample(replicas, min(losses, len(replicas)))
         if self.random.random() < 0.4:
-            victims = sorted(self._standing(), key=lambda one: one.disk.since_s)[:losses]
+            victims = sorted(self._standing(), key=lambda machine: machine.disk.since_s)[:losses]
             self.world.situations["3: at the end the oldest disks are lost"] += bool(losses)
         for machine in victims:
             self.wipe(machine, self.random.uniform(0.2, 1.0))
@@ -414,14 +416,14 @@
 
     def _heal(self) -> None:
         world = self.world
-        world.cuts.clear()
+        world.blocked_links.clear()
         world.loss = 0.0
         for machine in self._standing():
             machine.thaw()
             machine.disk.refuses = False
             machine.disk.sync_s = SYNC_S
             machine.disk.hangs_until_s = 0.0
-            if machine.life is None:
+            if machine.incarnation is None:
                 world.after(self.random.uniform(0.1, 0.5), machine.start)
 
     def _finish(self) -> Report:
@@ -438,7 +440,7 @@
         last.read(write)
         world.run_for(HEAL_S, until=lambda: bool(last_writes))
         if not last_writes:
-            return self._report([f"no answer {HEAL_S} s after all troubles ended"])
+            return self._report([f"no answer {HEAL_S} s after all faults ended"])
         for operator in self.operators:
             operator.is_stopped = True
         world.run_for(2.0)
@@ -447,20 +449,20 @@
         if not last_reads:
             return self._report(["no last read"])
         seen = [
-            Seen(f"{machine.address} life {life.number}", at_s, state)
+            Seen(f"{machine.address} life {incarnation.number}", at_s, state)
             for machine in world.machines.values()
-            for life in machine.lives
-            for at_s, state in life.committed
+            for incarnation in machine.incarnations
+            for at_s, state in incarnation.committed
         ]
-        return self._report(judge(self.calls, seen, last_reads[0].seen))
+        return self._report(check_history(self.calls, seen, last_reads[0].seen))
 
     def _report(self, faults: list[str]) -> Report:
-        ends = sorted(call.ended_s for call in self.calls if call.verdict is Verdict.TAKEN)
+        ends = sorted(call.ended_s for call in self.calls if call.verdict is Verdict.ACCEPTED)
         silences = [later - earlier for earlier, later in itertools.pairwise(ends)]
         return Report(
             self.seed,
             faults,
-            self.troubles,
+            self.injected_faults,
             len(ends),
             self.world.messages,
             max(silences, default=0.0),
@@ -496,8 +498,8 @@
     bad = [report for report in reports if report.faults]
     for report in bad[:10]:
         print(f"seed {report.seed}: {report.faults[:3]}")
-        for trouble in report.troubles:
-            print(f"    {trouble}")
+        for fault in report.injected_faults:
+            print(f"    {fault}")
     acknowledged = sum(report.acknowledged for report in reports)
     situations = sum((report.situations for report in reports), Counter[str]())
     for name, count in sorted(situations.items()):
--- a/tests/serving/replication/core_timings.py
+++ b/tests/serving/replication/core_timings.py
@@ -21,7 +21,7 @@
 THREE = [Locality("a1", "a"), Locality("b1", "b"), Locality("c1", "c")]
 SIX = [*THREE, Locality("a2", "a"), Locality("b2", "b"), Locality("c2", "c")]
 TRIALS = 30
-TROUBLE_AT_S = 4.0
+FAULT_AT_S = 4.0
 WAIT_S = 15.0
 
 
@@ -50,12 +50,12 @@
 
 def cut_in(world: World, machine: Machine) -> None:
     """The machine sends but hears nothing of the others."""
-    world.cuts |= {(other, machine.address) for other in world.machines}
+    world.blocked_links |= {(peer, machine.address) for peer in world.machines}
 
 
 def cut_out(world: World, machine: Machine) -> None:
     """The machine hears but isn't heard by the others."""
-    world.cuts |= {(machine.address, other) for other in world.machines}
+    world.blocked_links |= {(machine.address, peer) for peer in world.machines}
 
 
 def cut_off(world: World, machine: Machine) -> None:
@@ -66,11 +66,11 @@
 
 def bridge(world: World, machine: Machine) -> None:
     """The link between primary and backup is cut; the witness reaches both."""
-    assert machine.life is not None
-    view = machine.life.member.view
+    assert machine.incarnation is not None
+    view = machine.incarnation.replica.view
     assert view is not None
     backup = view.replicas[1].address
-    world.cuts |= {(machine.address, backup), (backup, machine.address)}
+    world.blocked_links |= {(machine.address, backup), (backup, machine.address)}
 
 
 def slow_disk(world: World, machine: Machine) -> None:
@@ -90,17 +90,17 @@
 
 def backup_freezes(world: World, machine: Machine) -> None:
     """The backup stands still."""
-    assert machine.life is not None
-    view = machine.life.member.view
+    assert machine.incarnation is not None
+    view = machine.incarnation.replica.view
     assert view is not None
     world.machines[view.replicas[1].address].freeze()
 
 
 def stop(world: World, machine: Machine) -> None:
     """SIGTERM; gone after 0.7 s, back after two more."""
-    life = machine.life
-    assert life is not None
-    machine.deliver(life, ShutdownRequested())
+    incarnation = machine.incarnation
+    assert incarnation is not None
+    machine.deliver(incarnation, ShutdownRequested())
     world.after(0.7, machine.kill)
     world.after(2.7, machine.start)
 
@@ -147,9 +147,9 @@
 
 
 def try_once(
-    trouble: Callable[[World, Machine], None] | None, region_s: float, localities: list[Locality], seed: int
+    fault: Callable[[World, Machine], None] | None, region_s: float, localities: list[Locality], seed: int
 ) -> Trial:
-    """One trouble under an operator who writes on and on.
+    """One fault under an operator who writes on and on.
 
     He gives a coordinator a second to answer before he calls another.
     """
@@ -157,35 +157,35 @@
     world.start_all()
     calls: list[Call] = []
     operator = Operator(world, calls, "o", 0.05)
-    world.run_for(TROUBLE_AT_S)
+    world.run_for(FAULT_AT_S)
     operator.begin()
     world.run_for(1.0 + world.random.uniform(0.0, 0.5))
-    troubled_at_s = world.now_s
+    fault_at_s = world.now_s
     machine = world.primary()
-    assert machine is not None and machine.life is not None
+    assert machine is not None and machine.incarnation is not None
     epoch = epoch_of(machine)
-    if trouble is not None:
-        trouble(world, machine)
-        world.run_for(WAIT_S, until=lambda: any(epoch_of(other) > epoch for other in world.primaries()))
-    led_s = world.now_s - troubled_at_s
-    world.run_until(troubled_at_s + (WAIT_S if trouble is not None else 3.0))
-    ends = [call.ended_s for call in calls if call.verdict is Verdict.TAKEN]
-    after = [end for end in ends if end > troubled_at_s]
-    times = [troubled_at_s, *after] if after else [troubled_at_s, troubled_at_s + WAIT_S]
+    if fault is not None:
+        fault(world, machine)
+        world.run_for(WAIT_S, until=lambda: any(epoch_of(peer) > epoch for peer in world.primaries()))
+    led_s = world.now_s - fault_at_s
+    world.run_until(fault_at_s + (WAIT_S if fault is not None else 3.0))
+    ends = [call.ended_s for call in calls if call.verdict is Verdict.ACCEPTED]
+    after = [end for end in ends if end > fault_at_s]
+    times = [fault_at_s, *after] if after else [fault_at_s, fault_at_s + WAIT_S]
     return Trial(led_s, max(later - earlier for earlier, later in itertools.pairwise(times)))
 
 
 def epoch_of(machine: Machine) -> Epoch:
     """Of the view that a machine accepted."""
-    view = machine.life.member.view if machine.life else None
+    view = machine.incarnation.replica.view if machine.incarnation else None
     return view.epoch if view else NO_EPOCH
 
 
 def measure(
-    trouble: Callable[[World, Machine], None] | None, region_s: float, localities: list[Locality]
+    fault: Callable[[World, Machine], None] | None, region_s: float, localities: list[Locality]
 ) -> list[Trial]:
     """Thirty trials."""
-    return [try_once(trouble, region_s, localities, seed) for seed in range(TRIALS)]
+    return [try_once(fault, region_s, localities, seed) for seed in range(TRIALS)]
 
 
 def figures(values: list[float]) -> str:
@@ -195,15 +195,15 @@
 
 def main() -> None:
     """Print the table."""
-    print("| trouble of the primary | 3, 12 ms: new view | next change | 3, 35 ms | | 6, 35 ms | |")
+    print("| fault of the primary | 3, 12 ms: new view | next change | 3, 35 ms | | 6, 35 ms | |")
     print("|---|---|---|---|---|---|---|")
-    for trouble in (None, *TROUBLES):
+    for fault in (None, *TROUBLES):
         cells = []
         for region_s, localities in ((0.012, THREE), (0.035, THREE), (0.035, SIX)):
-            trials = measure(trouble, region_s, localities)
-            cells.append(figures([trial.led_s for trial in trials]) if trouble else "")
+            trials = measure(fault, region_s, localities)
+            cells.append(figures([trial.led_s for trial in trials]) if fault else "")
             cells.append(figures([trial.waited_s for trial in trials]))
-        name = trouble.__name__.replace("_", " ") if trouble else "none (longest of three seconds)"
+        name = fault.__name__.replace("_", " ") if fault else "none (longest of three seconds)"
         print(f"| {name} | {' | '.join(cells)} |", flush=True)
 
 
--- a/tests/serving/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -38,10 +38,10 @@
 TICK_S = 0.05
 SYNC_S = 0.002
 CLIENT_S = 0.003  # one way between a client and a machine
-TAKEN = "taken"  # that very change is in force already
-OTHER = "another version is in place"
+ACCEPTED = "taken"  # that very change is in force already
+CONFLICT = "another version is in place"
 ORDER = "order|"  # begins what bears no version
-HOLD_S = 0.15  # as a coordinator holds such an order, while it looks whether its caller stays
+ORDER_DELAY_S = 0.15  # as a coordinator holds such an order, while it looks whether its caller stays
 STALL_S = 0.6  # after which a coordinator drops what waited in its callers' connections
 
 State = tuple[str, ...]  # all changes taken, the oldest first
@@ -69,9 +69,9 @@
     if text.startswith(ORDER):
         return Applied((*state, text), "done")
     if text in state:
-        return Refused(TAKEN)
+        return Refused(ACCEPTED)
     if int(text.split("|")[0]) != edition_of(state):
-        return Refused(OTHER)
+        return Refused(CONFLICT)
     return Applied((*state, text), "done")
 
 
@@ -111,10 +111,10 @@
 
 
 @dataclass(slots=True)
-class Life:
-    """One life of a machine's process."""
+class Incarnation:
+    """One incarnation of a machine's process."""
 
-    member: Replica
+    replica: Replica
     number: int
     committed: list[tuple[float, State]] = field(default_factory=list)
 
@@ -127,18 +127,18 @@
         self.address = address
         self.locality = locality
         self.disk = SimDisk()
-        self.life: Life | None = None
-        self.lives: list[Life] = []
+        self.incarnation: Incarnation | None = None
+        self.incarnations: list[Incarnation] = []
         self.is_frozen = False
         self.is_powered = True
         self.is_removed = False
         self.frozen_at_s = 0.0
-        self._held: list[Callable[[], None]] = []
-        self.life_of_calls = 0  # rises when callers' connections are reset
+        self._deferred: list[Callable[[], None]] = []
+        self.client_generation = 0  # rises when callers' connections are reset
 
     def start(self, first_boot: bool = False) -> None:
         """Start the process on what the disk holds."""
-        if self.life is not None or self.is_removed:
+        if self.incarnation is not None or self.is_removed:
             return
         world = self.world
         self.is_powered = True
@@ -151,7 +151,7 @@
             disk.records.append(record)
             durable = recover(disk.records)
         disk.synced = len(disk.records)
-        member = world.make_member(
+        member = world.make_replica(
             identity=MemberId(self.address, durable.disk),
             locality=self.locality,
             seeds=world.seeds,
@@ -163,16 +163,16 @@
             now_s=world.now_s,
             timings=world.timings,
         )
-        life = Life(member, len(self.lives))
-        self.life = life
-        self.lives.append(life)
-        self._tick(life)
+        incarnation = Incarnation(member, len(self.incarnations))
+        self.incarnation = incarnation
+        self.incarnations.append(incarnation)
+        self._tick(incarnation)
 
     def kill(self, power: bool = False) -> None:
         """End the process; with `power` what wasn't synced may be lost."""
-        self.life = None
+        self.incarnation = None
         self.is_frozen = False
-        self._held = []
+        self._deferred = []
         self.is_powered = not power
         kept = self.world.random.randint(self.disk.synced, len(self.disk.records))
         if power:
@@ -190,7 +190,7 @@
 
     def freeze(self) -> None:
         """Stand still; what arrives waits."""
-        self.is_frozen = self.life is not None
+        self.is_frozen = self.incarnation is not None
         self.frozen_at_s = self.world.now_s
 
     def thaw(self) -> None:
@@ -199,62 +199,63 @@
             return
         self.is_frozen = False
         if self.world.now_s - self.frozen_at_s > STALL_S:
-            self.life_of_calls += 1
-        held, self._held = self._held, []
-        for run in held:
+            self.client_generation += 1
+        deferred = self._deferred
+        self._deferred = []
+        for run in deferred:
             run()
 
-    def run(self, life: Life, action: Callable[[], None]) -> None:
-        """Run something in this life of the process, now or after it thaws."""
-        if self.life is not life:
+    def run(self, incarnation: Incarnation, action: Callable[[], None]) -> None:
+        """Run something in this incarnation of the process, now or after it thaws."""
+        if self.incarnation is not incarnation:
             return
         if self.is_frozen:
-            self._held.append(lambda: self.run(life, action))
+            self._deferred.append(lambda: self.run(incarnation, action))
         else:
             action()
 
-    def _tick(self, life: Life) -> None:
-        self.deliver(life, Tick())
-        if self.life is life:
+    def _tick(self, incarnation: Incarnation) -> None:
+        self.deliver(incarnation, Tick())
+        if self.incarnation is incarnation:
             wait_s = TICK_S * self.world.random.uniform(0.95, 1.2)
-            self.world.after(wait_s, lambda: self.run(life, lambda: self._tick(life)))
+            self.world.after(wait_s, lambda: self.run(incarnation, lambda: self._tick(incarnation)))
 
-    def deliver(self, life: Life, event: Event) -> None:
+    def deliver(self, incarnation: Incarnation, event: Event) -> None:
         """Hand an event to the process and do what it wants done."""
-        for effect in life.member.handle(self.world.now_s, event):
-            self._do(life, effect)
+        for effect in incarnation.replica.handle(self.world.now_s, event):
+            self._do(incarnation, effect)
 
-    def _do(self, life: Life, effect: Effect) -> None:
+    def _do(self, incarnation: Incarnation, effect: Effect) -> None:
         match effect:
             case Send():
-                self.world.send(self, life, effect.to_address, effect.message)
+                self.world.send(self, incarnation, effect.to_address, effect.message)
             case Persist():
-                self._persist(life, effect)
+                self._persist(incarnation, effect)
             case Answer():
                 self.world.answered(self, effect.request, effect.outcome)
             case CommittedState():
-                life.committed.append((self.world.now_s, effect.state))
+                incarnation.committed.append((self.world.now_s, effect.state))
 
-    def _persist(self, life: Life, effect: Persist) -> None:
+    def _persist(self, incarnation: Incarnation, effect: Persist) -> None:
         disk = self.disk
         if disk.refuses:
             # kept by the storage and written with the next
             disk.records.extend(effect.records)
             failed = PersistFailed(effect.token)
-            self.world.after(SYNC_S, lambda: self.run(life, lambda: self.deliver(life, failed)))
+            self.world.after(SYNC_S, lambda: self.run(incarnation, lambda: self.deliver(incarnation, failed)))
             return
         disk.records.extend(effect.records)
         count = len(disk.records)
         begin_s = max(self.world.now_s, disk.busy_until_s, disk.hangs_until_s)
         written = 2 * sum(bytes_in(record) for record in effect.records)
         disk.busy_until_s = begin_s + disk.sync_s * self.world.random.uniform(0.8, 1.5)
-        disk.busy_until_s += written / self.world.bytes_a_second
+        disk.busy_until_s += written / self.world.bytes_per_s
 
         def synced() -> None:
-            if self.life is not life or self.disk is not disk:
+            if self.incarnation is not incarnation or self.disk is not disk:
                 return
             disk.synced = max(disk.synced, count)
-            self.run(life, lambda: self.deliver(life, Persisted(effect.token)))
+            self.run(incarnation, lambda: self.deliver(incarnation, Persisted(effect.token)))
 
         self.world.at(disk.busy_until_s, synced)
 
@@ -269,21 +270,21 @@
         tolerated_losses: int = 1,
         region_s: float = 0.012,
         seed_count: int = 3,
-        make_member: Callable[..., Replica] = Replica,
+        make_replica: Callable[..., Replica] = Replica,
         timings: Timings = Timings(),  # noqa: B008 - frozen
         loss: float = 0.0,
-        bytes_a_second: float = float("inf"),  # of links, and of disks, where everything is written twice
+        bytes_per_s: float = float("inf"),  # of links, and of disks, where everything is written twice
     ) -> None:
-        self.bytes_a_second = bytes_a_second
+        self.bytes_per_s = bytes_per_s
         self.random = random.Random(seed)
         self.now_s = 100.0
         self.tolerated_losses = tolerated_losses
         self.region_s = region_s
-        self.make_member = make_member
+        self.make_replica = make_replica
         self.timings = timings
         self.loss = loss
         self.machines: dict[str, Machine] = {}
-        self.cuts: set[tuple[str, str]] = set()  # from, to
+        self.blocked_links: set[tuple[str, str]] = set()  # from, to
         self.messages = 0
         self.on_answer: dict[int, Callable[[Outcome], None]] = {}
         self.withdrawn: set[int] = set()  # calls whose caller has left
@@ -331,49 +332,49 @@
 
     # -- links --
 
-    def delay_s(self, one: Machine, other: Machine) -> float:
+    def delay_s(self, sender: Machine, receiver: Machine) -> float:
         """One way between two machines."""
-        if one.locality.region != other.locality.region:
+        if sender.locality.region != receiver.locality.region:
             base_s = self.region_s
         else:
-            base_s = 0.0014 if one.locality.zone != other.locality.zone else 0.0002
+            base_s = 0.0014 if sender.locality.zone != receiver.locality.zone else 0.0002
         return base_s * self.random.uniform(1.0, 1.15) + 0.0003
 
-    def send(self, sender: Machine, life: Life, to_address: str, message: Message) -> None:
+    def send(self, sender: Machine, incarnation: Incarnation, to_address: str, message: Message) -> None:
         """Carry a message, in order on each link, unless the link is cut or loses it."""
         receiver = self.machines.get(to_address)
         if receiver is None:
             return
         self.messages += 1
         link = (sender.address, to_address)
-        if link in self.cuts or self.random.random() < self.loss:
+        if link in self.blocked_links or self.random.random() < self.loss:
             return
-        way_s = self.delay_s(sender, receiver) + bytes_in(message) / self.bytes_a_second
+        way_s = self.delay_s(sender, receiver) + bytes_in(message) / self.bytes_per_s
         arrival_s = max(self.now_s + way_s, self._arrivals.get(link, 0.0))
         self._arrivals[link] = arrival_s
-        event = Received(life.member.identity, message)
-        meant_for = receiver.life
+        event = Received(incarnation.replica.identity, message)
+        meant_for = receiver.incarnation
         connection = self._connections[link]
 
         def arrive() -> None:
             if connection != self._connections[link]:
                 self.situations["5: a message was lost with its connection, later ones came"] += 1
                 return
-            receiving = receiver.life
+            receiving = receiver.incarnation
             if receiving is not None and receiving is not meant_for:
                 self.situations["5: a message reached a later life than it was sent to"] += 1
-            if sender.life is not life:
+            if sender.incarnation is not incarnation:
                 self.situations["5: a message of an earlier life of its sender arrived"] += 1
-            if receiving is not None and link not in self.cuts:
+            if receiving is not None and link not in self.blocked_links:
                 receiver.run(receiving, lambda: receiver.deliver(receiving, event))
 
         self.at(arrival_s, arrive)
 
     def break_connections(self, machine: Machine) -> None:
         """Reset all connections from and to a machine: what is on its way is lost, what follows is not."""
-        for other in self.machines:
-            self._connections[machine.address, other] += 1
-            self._connections[other, machine.address] += 1
+        for peer in self.machines:
+            self._connections[machine.address, peer] += 1
+            self._connections[peer, machine.address] += 1
 
     # -- clients --
 
@@ -382,48 +383,50 @@
         machine: Machine,
         make_event: Callable[[int], Event],
         on_outcome: Callable[[Outcome], None],
-        is_held: bool = False,  # it bears no version
+        is_delayed: bool = False,  # it bears no version
     ) -> int:
         """Bring a client's call to a machine; nothing is answered when it is lost on the way. Its number."""
         self._request += 1
         request = self._request
-        life = machine.life
-        calls = machine.life_of_calls
+        incarnation = machine.incarnation
+        calls = machine.client_generation
         self.on_answer[request] = on_outcome
 
         def take() -> None:
-            if life is None:
+            if incarnation is None:
                 return
-            if machine.life_of_calls != calls:
+            if machine.client_generation != calls:
                 self.situations["2: what waited in the sockets of a frozen machine was dropped"] += 1
                 return
             if request not in self.withdrawn:
-                machine.deliver(life, make_event(request))
-            elif is_held:
+                machine.deliver(incarnation, make_event(request))
+            elif is_delayed:
                 self.situations["2: an old copy of an order without a version was dropped"] += 1
 
         def arrive() -> None:
-            if life is None:
+            if incarnation is None:
                 return
-            if is_held:
-                machine.run(life, lambda: self.after(HOLD_S, lambda: machine.run(life, take)))
+            if is_delayed:
+                machine.run(
+                    incarnation, lambda: self.after(ORDER_DELAY_S, lambda: machine.run(incarnation, take))
+                )
             else:
-                machine.run(life, take)
+                machine.run(incarnation, take)
 
         self.after(CLIENT_S * self.random.uniform(1.0, 2.0), arrive)
         return request
 
     def withdraw(self, machine: Machine, request: int) -> None:
         """The caller leaves: the machine sees that a little later, when it runs."""
-        life = machine.life
+        incarnation = machine.incarnation
 
         def see() -> None:
             self.withdrawn.add(request)
-            if life is not None and machine.life is life:
-                machine.deliver(life, CancelCall(request))
+            if incarnation is not None and machine.incarnation is incarnation:
+                machine.deliver(incarnation, CancelCall(request))
 
-        if life is not None:
-            self.after(CLIENT_S, lambda: machine.run(life, see))
+        if incarnation is not None:
+            self.after(CLIENT_S, lambda: machine.run(incarnation, see))
 
     def answered(self, machine: Machine, request: int, outcome: Outcome) -> None:
         """A machine answered a call."""
@@ -441,10 +444,12 @@
     def primaries(self) -> list[Machine]:
         """Those that take themselves for the active primary."""
         return [
-            machine for machine in self.machines.values() if machine.life and machine.life.member.is_primary
+            machine
+            for machine in self.machines.values()
+            if machine.incarnation and machine.incarnation.replica.is_primary
         ]
 
     def primary(self) -> Machine | None:
         """The active primary of the highest epoch."""
         found = self.primaries()
-        return max(found, key=lambda machine: machine.life.member.view.epoch) if found else None  # type: ignore[union-attr]
+        return max(found, key=lambda machine: machine.incarnation.replica.view.epoch) if found else None  # type: ignore[union-attr]
--- a/tests/serving/replication/test_core_basics.py
+++ b/tests/serving/replication/test_core_basics.py
@@ -42,8 +42,8 @@
     assert read(world) == Newest(1, ("0|5|x",))
     world.run_for(1.0)
     for machine in world.machines.values():
-        assert machine.life is not None
-        assert machine.life.committed[-1][1] == ("0|5|x",)
+        assert machine.incarnation is not None
+        assert machine.incarnation.committed[-1][1] == ("0|5|x",)
 
 
 def test_another_leads_after_the_primary_is_killed() -> None:
@@ -84,8 +84,10 @@
     assert world.now_s - started_at_s < 0.45
     world.run_for(0.1)
     for machine in world.machines.values():
-        assert machine.life is not None
-        assert machine.life.committed[-1][1] == ("0|5|x",), "a new primary teaches those without a state"
+        assert machine.incarnation is not None
+        assert machine.incarnation.committed[-1][1] == ("0|5|x",), (
+            "a new primary teaches those without a state"
+        )
 
 
 def test_a_founder_does_not_stand_against_its_own_founding() -> None:
@@ -93,8 +95,8 @@
         world = founded(seed)
         world.run_for(1.0)
         primary = world.primary()
-        assert primary is not None and primary.life is not None
-        assert primary.life.member.describe()["epoch"] == 1
+        assert primary is not None and primary.incarnation is not None
+        assert primary.incarnation.replica.describe()["epoch"] == 1
 
 
 def test_one_that_starts_anew_beside_a_primary_leaves_it_in_place() -> None:
@@ -102,12 +104,12 @@
         world = founded(seed)
         primary = world.primary()
         assert primary is not None
-        others = [machine for machine in world.machines.values() if machine is not primary]
-        for machine in others:
+        peers = [machine for machine in world.machines.values() if machine is not primary]
+        for machine in peers:
             machine.kill()
             world.run_for(0.1)
             machine.start()
             world.run_for(1.5)
         assert world.primary() is primary
-        assert primary.life is not None
-        assert primary.life.member.describe()["epoch"] == 1
+        assert primary.incarnation is not None
+        assert primary.incarnation.replica.describe()["epoch"] == 1
--- a/tests/serving/replication/test_core_faults.py
+++ b/tests/serving/replication/test_core_faults.py
@@ -24,8 +24,8 @@
 
 def leader(world: World) -> tuple[Machine, View]:
     machine = world.primary()
-    assert machine is not None and machine.life is not None
-    view = machine.life.member.view
+    assert machine is not None and machine.incarnation is not None
+    view = machine.incarnation.replica.view
     assert view is not None
     return machine, view
 
@@ -54,8 +54,8 @@
 
 def test_a_refusal_under_one_view_is_computed_again_under_the_next() -> None:
     world, machine, view = founded(THREE)
-    assert machine.life is not None
-    parts = machine.life.member._context
+    assert machine.incarnation is not None
+    parts = machine.incarnation.replica._context
     before = Primary(parts, view)
     before.submit(1, change(5, 7, "y"))
     before.advance(world.now_s)
@@ -74,7 +74,7 @@
         world.start_all()
         world.run_for(3.0 + world.random.random())
         deaf, view = leader(world)
-        world.cuts |= {(other, deaf.address) for other in world.machines}
+        world.blocked_links |= {(peer, deaf.address) for peer in world.machines}
         began_s = world.now_s
         run_until_led_anew(world, view, 5.0)
         assert world.now_s - began_s < 1.6, seed
@@ -82,26 +82,26 @@
 
 def test_a_replaced_machine_gives_way_to_the_one_at_the_new_address() -> None:
     world, machine, view = founded(THREE)
-    gone = next(other for other in world.machines.values() if other is not machine)
+    gone = next(peer for peer in world.machines.values() if peer is not machine)
     gone.remove()
     newcomer = world.add_machine(gone.locality)
     newcomer.start()
     world.run_for(6.0)
     _, view = leader(world)
     addresses = {member.address for member in view.members}
-    assert addresses == {other.address for other in world.machines.values() if other is not gone}
-    assert write_one(world).verdict is Verdict.TAKEN
+    assert addresses == {peer.address for peer in world.machines.values() if peer is not gone}
+    assert write_one(world).verdict is Verdict.ACCEPTED
 
 
 def test_a_wiped_member_is_taken_in_anew_at_once() -> None:
     world, machine, view = founded(THREE)
-    wiped = next(other for other in world.machines.values() if other is not machine)
+    wiped = next(peer for peer in world.machines.values() if peer is not machine)
     wiped.wipe()
     world.after(0.3, wiped.start)
     world.run_for(2.5)
     _, view = leader(world)
-    assert wiped.life is not None
-    assert wiped.life.member.identity in view.members
+    assert wiped.incarnation is not None
+    assert wiped.incarnation.replica.identity in view.members
     assert len(view.members) == 3
 
 
@@ -111,11 +111,11 @@
     _, view = leader(world)
     assert len(view.members) == 5
     assert len(view.replicas) == 3
-    localities = {other.address: other.locality.region for other in world.machines.values()}
+    localities = {peer.address: peer.locality.region for peer in world.machines.values()}
     assert {localities[member.address] for member in view.replicas} == {"a", "b", "c"}
-    for lost in (machine, next(other for other in world.machines.values() if other is not machine)):
+    for lost in (machine, next(peer for peer in world.machines.values() if peer is not machine)):
         lost.wipe()
-    assert write_one(world).verdict is Verdict.TAKEN
+    assert write_one(world).verdict is Verdict.ACCEPTED
 
 
 def test_a_spare_stays_out_while_three_bear_what_is_asked() -> None:
@@ -127,8 +127,8 @@
 def test_a_stopped_primary_hands_over_at_once() -> None:
     world, machine, view = founded(THREE)
     world.run_for(1.0)
-    assert machine.life is not None
-    machine.deliver(machine.life, ShutdownRequested())
+    assert machine.incarnation is not None
+    machine.deliver(machine.incarnation, ShutdownRequested())
     began_s = world.now_s
     run_until_led_anew(world, view, 2.0)
     assert world.now_s - began_s < 0.5
@@ -167,4 +167,4 @@
             victim.kill(power=True)
             world.after(0.5, victim.start)
             world.run_for(6.0, until=lambda world=world: bool(world.primaries()))  # type: ignore[misc]
-            assert write_one(world).verdict is Verdict.TAKEN, (killed_after_s, index)
+            assert write_one(world).verdict is Verdict.ACCEPTED, (killed_after_s, index)
--- a/tests/serving/replication/test_core_schedules.py
+++ b/tests/serving/replication/test_core_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of troubles under racing operators; more with COVEPORT_CORE_SCHEDULES=1000."""
+"""Seeded schedules of faults under racing operators; more with COVEPORT_CORE_SCHEDULES=1000."""
 
 from __future__ import annotations
 
--- a/tests/serving/replication/test_core_variants.py
+++ b/tests/serving/replication/test_core_variants.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from core_explorer import SCENARIOS, Explorer, FaultError
+from core_explorer import SCENARIOS, Explorer, InvariantError
 from core_variants import VARIANTS, broken
 
 STATES = 12_000  # three times what the slowest needs: how many are alike hangs on the order that sets have
@@ -46,5 +46,5 @@
 @pytest.mark.parametrize("name", sorted(VARIANTS))
 def test_a_broken_variant_is_caught(name: str) -> None:
     explorer = Explorer(SCENARIO_BY_NAME[CAUGHT_IN[name]])
-    with broken(name), pytest.raises(FaultError):
+    with broken(name), pytest.raises(InvariantError):
         explorer.run(60, STATES)
--- a/tests/serving/replication/test_cut_coming_or_going.py
+++ b/tests/serving/replication/test_cut_coming_or_going.py
@@ -18,10 +18,10 @@
 
 def cut(world: World, machine: Machine) -> Callable[[], None]:
     """Nothing passes between it and any other; what ends that."""
-    links = {(machine.address, other) for other in world.machines}
-    links |= {(other, one) for one, other in links}
-    world.cuts |= links
-    return lambda: world.cuts.difference_update(links)
+    links = {(machine.address, peer) for peer in world.machines}
+    links |= {(receiver, sender) for sender, receiver in links}
+    world.blocked_links |= links
+    return lambda: world.blocked_links.difference_update(links)
 
 
 def taken_in(schedule: Schedule, after_s: float) -> Machine:
@@ -44,8 +44,8 @@
     newcomer = world.add_machine(member.locality)
     newcomer.start()
     world.run_for(1.5)
-    assert member.life is not None
-    member.deliver(member.life, ShutdownRequested())
+    assert member.incarnation is not None
+    member.deliver(member.incarnation, ShutdownRequested())
     world.run_for(after_s)
     return member
 
@@ -69,13 +69,14 @@
     heal = cut(world, machine)
     acknowledged = len(schedule.calls)
     world.run_for(CUT_S)
-    while_cut = [call for call in schedule.calls[acknowledged:] if call.verdict is Verdict.TAKEN]
+    while_cut = [call for call in schedule.calls[acknowledged:] if call.verdict is Verdict.ACCEPTED]
     assert while_cut, "the others go on"
     heal()
     world.run_for(3.0)
     assert schedule._finish().faults == []
-    newest = leader(world)[0].life
-    assert newest is not None and machine.life is not None
+    newest = leader(world)[0].incarnation
+    assert newest is not None and machine.incarnation is not None
     assert (
-        machine.life.member._context.committed_log.sequence == newest.member._context.committed_log.sequence
+        machine.incarnation.replica._context.committed_log.sequence
+        == newest.replica._context.committed_log.sequence
     ), "it caught up"
--- a/tests/serving/replication/test_left_behind.py
+++ b/tests/serving/replication/test_left_behind.py
@@ -6,7 +6,7 @@
 
 import pytest
 from core_risk import Sent
-from core_world import SYNC_S, TAKEN, Machine, World, change, edition_of
+from core_world import ACCEPTED, SYNC_S, Machine, World, change, edition_of
 from test_core_faults import THREE, founded, leader
 
 from coveport.serving.replication.events import Done, Outcome, Submit
@@ -32,14 +32,14 @@
     machine, _ = leader(world)
     world.call(machine, lambda request: Submit(request, command), outcomes.append)
     world.run_for(5.0, until=lambda: bool(outcomes))
-    return bool(outcomes) and outcomes[0] in (Done("done"), Refused(TAKEN))
+    return bool(outcomes) and outcomes[0] in (Done("done"), Refused(ACCEPTED))
 
 
 def cut_off(world: World, machine: Machine) -> Callable[[], object]:
-    links = {(machine.address, other) for other in world.machines}
-    links |= {(other, one) for one, other in links}
-    world.cuts |= links
-    return world.cuts.clear
+    links = {(machine.address, peer) for peer in world.machines}
+    links |= {(receiver, sender) for sender, receiver in links}
+    world.blocked_links |= links
+    return world.blocked_links.clear
 
 
 def down(world: World, machine: Machine) -> Callable[[], object]:
@@ -70,15 +70,15 @@
 
 def newest_known_to(machine: Machine) -> int:
     """The edition that a coordinator takes for committed."""
-    assert machine.life is not None
-    state = machine.life.member._context.committed_log.state
+    assert machine.incarnation is not None
+    state = machine.incarnation.replica._context.committed_log.state
     return edition_of(state) if state else 0
 
 
 @pytest.mark.parametrize("role", ["primary", "backup", "witness"])
-@pytest.mark.parametrize("trouble", [cut_off, down, frozen, slow_disk, full_disk])
+@pytest.mark.parametrize("fault", [cut_off, down, frozen, slow_disk, full_disk])
 def test_a_member_that_missed_a_thousand_changes_leads_with_all_of_them(
-    trouble: Callable[[World, Machine], Callable[[], object]], role: str
+    fault: Callable[[World, Machine], Callable[[], object]], role: str
 ) -> None:
     world, _, _ = founded(THREE)
     world.run_for(1.0)
@@ -87,14 +87,14 @@
     victim = world.machines[
         {"primary": view.primary, "backup": view.replicas[1], "witness": witness}[role].address
     ]
-    heal = trouble(world, victim)
+    heal = fault(world, victim)
     world.run_for(4.0)
     edition = 0
     while edition < CHANGES:
         assert submit(world, edition), edition
         edition += 1
-    has_missed = newest_known_to(victim) < CHANGES - 64 if victim.life else True
-    assert has_missed or trouble in (slow_disk, full_disk), "the situation is reached"
+    has_missed = newest_known_to(victim) < CHANGES - 64 if victim.incarnation else True
+    assert has_missed or fault in (slow_disk, full_disk), "the situation is reached"
     heal()
     sent = Sent(world, victim.address)
     began_s = world.now_s
@@ -115,7 +115,9 @@
     world.run_for(6.0)
     machine, view = leader(world)
     learner = next(
-        one for one in world.machines.values() if one.address not in {m.address for m in view.members}
+        peer
+        for peer in world.machines.values()
+        if peer.address not in {member.address for member in view.members}
     )
     heal = cut_off(world, learner)
     world.run_for(2.0)
@@ -125,7 +127,7 @@
     world.call(machine, lambda request: Submit(request, large), outcomes.append)
     world.run_for(1.0)
     assert outcomes == [Done("done")]
-    world.bytes_a_second = 1.5e6
+    world.bytes_per_s = 1.5e6
     heal()
     sent = Sent(world, learner.address)
     world.run_for(8.0, until=lambda: newest_known_to(learner) == 1)
@@ -139,12 +141,12 @@
         machine, _ = leader(world)
         if machine is victim:
             return
-        others = [other for other in world.machines.values() if other not in (victim, machine)]
-        for other in others:
-            other.kill(power=True)
+        peers = [peer for peer in world.machines.values() if peer not in (victim, machine)]
+        for peer in peers:
+            peer.kill(power=True)
         world.run_for(CATCH_UP_S)
-        for other in others:
-            other.start()
+        for peer in peers:
+            peer.start()
         world.run_for(CATCH_UP_S)
         machine, _ = leader(world)
         if machine is victim:
--- a/tests/serving/replication/test_second_losses.py
+++ b/tests/serving/replication/test_second_losses.py
@@ -26,11 +26,11 @@
 
 def stop(world: World, machine: Machine) -> float:
     """SIGTERM; the process ends when it may, and stays away. How long that took."""
-    life = machine.life
-    assert life is not None
+    incarnation = machine.incarnation
+    assert incarnation is not None
     began_s = world.now_s
-    machine.deliver(life, ShutdownRequested())
-    world.run_for(GRACE_PART_S, until=lambda: life.member.is_safe_to_stop(world.now_s))
+    machine.deliver(incarnation, ShutdownRequested())
+    world.run_for(GRACE_PART_S, until=lambda: incarnation.replica.is_safe_to_stop(world.now_s))
     machine.kill()
     return world.now_s - began_s
 
@@ -50,7 +50,7 @@
 def test_a_planned_stop_leaves_only_when_another_has_its_copy_and_its_vote(losses: int, which: str) -> None:
     world = is_founded_with_spare(losses)
     machine, view = leader(world)
-    assert write_one(world).verdict is Verdict.TAKEN
+    assert write_one(world).verdict is Verdict.ACCEPTED
     leaving = {
         "primary": machine.address,
         "backup": view.replicas[1].address,
@@ -65,7 +65,7 @@
     # the next loss comes at the very moment at which it has ended
     for lost in after.replicas[:losses]:
         world.machines[lost.address].remove()
-    assert write_one(world).verdict is Verdict.TAKEN
+    assert write_one(world).verdict is Verdict.ACCEPTED
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -74,18 +74,21 @@
     world.start_all()
     world.run_for(10.0)
     _, view = leader(world)
-    lives = [world.machines[member.address] for member in view.replicas[:2]]
-    for machine in lives:
-        assert machine.life is not None
-        machine.deliver(machine.life, ShutdownRequested())
-    ended = [machine.life for machine in lives]
+    incarnations = [world.machines[member.address] for member in view.replicas[:2]]
+    for machine in incarnations:
+        assert machine.incarnation is not None
+        machine.deliver(machine.incarnation, ShutdownRequested())
+    ended = [machine.incarnation for machine in incarnations]
     world.run_for(
-        GRACE_PART_S, until=lambda: all(life and life.member.is_safe_to_stop(world.now_s) for life in ended)
+        GRACE_PART_S,
+        until=lambda: all(
+            incarnation and incarnation.replica.is_safe_to_stop(world.now_s) for incarnation in ended
+        ),
     )
-    assert all(life and life.member.is_safe_to_stop(world.now_s) for life in ended)
-    for machine in lives:
+    assert all(incarnation and incarnation.replica.is_safe_to_stop(world.now_s) for incarnation in ended)
+    for machine in incarnations:
         machine.wipe()
-    assert write_one(world).verdict is Verdict.TAKEN
+    assert write_one(world).verdict is Verdict.ACCEPTED
 
 
 def test_a_stop_without_another_to_take_over_is_not_done_early() -> None:
@@ -93,9 +96,9 @@
     world, _, _ = founded(THREE)
     world.run_for(1.0)
     machine, _ = leader(world)
-    for other in list(world.machines.values()):
-        if other is not machine:
-            other.kill()
+    for peer in list(world.machines.values()):
+        if peer is not machine:
+            peer.kill()
     assert stop(world, machine) >= GRACE_PART_S - 0.1
 
 
@@ -114,7 +117,7 @@
     assert newcomer.address in {member.address for member in after.members}
     first, *_ = [m for m in after.members if m.address != newcomer.address]
     world.machines[first.address].remove()
-    assert write_one(world).verdict is Verdict.TAKEN
+    assert write_one(world).verdict is Verdict.ACCEPTED
 
 
 # -- what a candidate begins from --
@@ -161,18 +164,20 @@
     assert (len(view.members), len(view.replicas)) == (5, 2)
     slow = world.machines[view.replicas[1].address]
     slow.disk.hangs_until_s = world.now_s + 0.7
-    assert machine.life is not None
-    machine.life.member._leader_role.outvoted_since_s = world.now_s - 1.0
+    assert machine.incarnation is not None
+    machine.incarnation.replica._leader_role.outvoted_since_s = world.now_s - 1.0
     world.run_for(0.1)
     world.run_for(3.0, until=lambda: bool(world.primaries()))
     machine, after = leader(world)
     assert slow.address not in {member.address for member in after.replicas}
     assert after.epoch > view.epoch
-    assert write_one(world).verdict is Verdict.TAKEN
-    assert machine.life is not None
-    taken = machine.life.committed[-1][1]
-    assert slow.life is not None
-    assert slow.life.member._context.journal.durable.state_epoch == after.epoch, "the situation is reached"
+    assert write_one(world).verdict is Verdict.ACCEPTED
+    assert machine.incarnation is not None
+    taken = machine.incarnation.committed[-1][1]
+    assert slow.incarnation is not None
+    assert slow.incarnation.replica._context.journal.durable.state_epoch == after.epoch, (
+        "the situation is reached"
+    )
     assert len(taken) == 1
     for member in after.replicas:
         world.machines[member.address].kill(power=True)
@@ -187,8 +192,8 @@
         machine.start()
     world.run_for(4.0, until=lambda: bool(world.primaries()))
     machine, _ = leader(world)
-    assert machine.life is not None
-    assert machine.life.committed[-1][1][:1] == taken
+    assert machine.incarnation is not None
+    assert machine.incarnation.committed[-1][1][:1] == taken
 
 
 def first_that_promised(self: ViewChangeAttempt) -> list[MemberId]:
@@ -202,9 +207,9 @@
         test_one_that_installed_a_views_state_but_is_no_replica_of_it_is_no_source()
     world, _, taken = led_without_a_slow_backup()
     world.run_for(6.0)
-    leading = leader(world)[0].life
+    leading = leader(world)[0].incarnation
     assert leading is not None
-    assert leading.member._context.acceptor.state[:1] != taken, "an acknowledged change is lost"
+    assert leading.replica._context.acceptor.state[:1] != taken, "an acknowledged change is lost"
 
 
 # -- which members decide --
@@ -222,12 +227,12 @@
     world, machine, view = founded(THREE)
     world.run_for(1.0)
     machine, view = leader(world)
-    other = world.machines[view.replicas[1].address]
-    assert other.life is not None
-    active_epoch = other.life.member._context.journal.durable.active_epoch
+    peer = world.machines[view.replicas[1].address]
+    assert peer.incarnation is not None
+    active_epoch = peer.incarnation.replica._context.journal.durable.active_epoch
     later = Epoch(view.epoch.number + 1, "another candidate")
-    other.deliver(other.life, Received(machine.life.member.identity, ViewActivated(later)))  # type: ignore[union-attr]
-    assert other.life.member._context.journal.durable.active_epoch == active_epoch == view.epoch
+    peer.deliver(peer.incarnation, Received(machine.incarnation.replica.identity, ViewActivated(later)))  # type: ignore[union-attr]
+    assert peer.incarnation.replica._context.journal.durable.active_epoch == active_epoch == view.epoch
 
 
 # -- calls that nobody waits for --
@@ -238,7 +243,7 @@
     world, _, _ = founded(THREE)
     world.run_for(1.0)
     machine, view = leader(world)
-    world.cuts.add((view.replicas[1].address, machine.address))
+    world.blocked_links.add((view.replicas[1].address, machine.address))
     first: list[Outcome] = []
     world.call(machine, lambda request: Submit(request, change(0, 5, "first")), first.append)
     world.run_for(0.05)
@@ -249,8 +254,8 @@
 def test_a_withdrawn_command_never_takes_effect_also_in_the_next_view(is_withdrawn: bool) -> None:
     """Without the withdrawal it does: the queue goes over into the view that leaves the backup out."""
     world, machine, _ = behind_a_stuck_command()
-    assert machine.life is not None
-    life = machine.life
+    assert machine.incarnation is not None
+    incarnation = machine.incarnation
     numbers: list[int] = []
 
     def submit(request: int) -> Submit:
@@ -259,10 +264,10 @@
 
     world.call(machine, submit, lambda outcome: None)
     world.run_for(0.05)
-    assert life.member._leader_role.primary is not None
-    assert len(life.member._leader_role.primary._queue) == 1, "the situation is reached"
+    assert incarnation.replica._leader_role.primary is not None
+    assert len(incarnation.replica._leader_role.primary._queue) == 1, "the situation is reached"
     if is_withdrawn:
-        machine.deliver(life, CancelCall(numbers[0]))
+        machine.deliver(incarnation, CancelCall(numbers[0]))
     world.run_for(4.0)
     _, view = leader(world)
     assert view.epoch.number > 1, "the queue went over into another view"
@@ -274,12 +279,12 @@
 
 def test_a_withdrawn_read_is_answered_to_nobody() -> None:
     world, machine, _ = behind_a_stuck_command()
-    assert machine.life is not None
+    assert machine.incarnation is not None
     seen: list[Outcome] = []
     world.call(machine, ReadNewest, seen.append)
     world.run_for(0.01)
     assert world._request
-    machine.deliver(machine.life, CancelCall(world._request))
+    machine.deliver(machine.incarnation, CancelCall(world._request))
     world.run_for(5.0)
     assert seen == []
 
@@ -298,18 +303,18 @@
     world.run_for(2.0)
     _, view = leader(world)
     former = world.machines[view.primary.address]
-    links = {(former.address, other) for other in world.machines}
-    links |= {(other, one) for one, other in links}
-    world.cuts |= links
+    links = {(former.address, peer) for peer in world.machines}
+    links |= {(receiver, sender) for sender, receiver in links}
+    world.blocked_links |= links
     world.run_for(6.0)
     _, after = leader(world)
-    assert former.life is not None
-    assert former.life.member.identity not in after.members, "its place was taken"
-    assert former.life.member.view == view, "and it has not heard of that"
+    assert former.incarnation is not None
+    assert former.incarnation.replica.identity not in after.members, "its place was taken"
+    assert former.incarnation.replica.view == view, "and it has not heard of that"
     for machine in world.machines.values():
         if machine is not former:
             machine.kill()
-    world.cuts.clear()
+    world.blocked_links.clear()
     world.machines[view.replicas[1].address].start()
     world.run_for(0.7)
     for machine in world.machines.values():
@@ -319,7 +324,7 @@
 
 def active_view(machine: Machine) -> View | None:
     """The view that it leads, as far as it knows."""
-    leading = machine.life.member._leader_role if machine.life else None
+    leading = machine.incarnation.replica._leader_role if machine.incarnation else None
     return leading.primary.view if leading and leading.primary and leading.is_active else None
 
 
@@ -333,10 +338,12 @@
         views = [view for machine in world.machines.values() if (view := active_view(machine))]
         for view in views:
             assert view.epoch <= before.epoch or set(view.replicas) <= set(view.members), world.now_s
-    assert former.life is not None
-    promised = [epoch for epoch in promises_of(former) if epoch.candidate == former.life.member.identity.disk]
+    assert former.incarnation is not None
+    promised = [
+        epoch for epoch in promises_of(former) if epoch.candidate == former.incarnation.replica.identity.disk
+    ]
     assert any(epoch > before.epoch for epoch in promised), "the situation is reached: it tried"
-    assert write_one(world).verdict is Verdict.TAKEN
+    assert write_one(world).verdict is Verdict.ACCEPTED
 
 
 def promises_of(machine: Machine) -> list[Epoch]:
--- a/tests/serving/replication/test_strangers.py
+++ b/tests/serving/replication/test_strangers.py
@@ -27,8 +27,8 @@
     world, machine, view = founded(THREE)
     world.run_for(1.0)
     machine, view = leader(world)
-    for other in world.machines:
-        world.cuts |= {(machine.address, other), (other, machine.address)}
+    for peer in world.machines:
+        world.blocked_links |= {(machine.address, peer), (peer, machine.address)}
     outcomes: list[Outcome] = []
     world.call(machine, lambda request: Submit(request, change(0, 5, "x")), outcomes.append)
     world.call(machine, ReadNewest, outcomes.append)
@@ -37,8 +37,8 @@
 
 
 def tell(machine: Machine, sender: MemberId, message: Message) -> None:
-    assert machine.life is not None
-    machine.deliver(machine.life, Received(sender, message))
+    assert machine.incarnation is not None
+    machine.deliver(machine.incarnation, Received(sender, message))
 
 
 STRANGER = MemberId("10.0.0.77:7300", "another disk")
@@ -74,8 +74,8 @@
 def test_promises_and_acceptances_of_strangers_bring_no_view_up() -> None:
     world, machine, view, _ = alone()
     world.run_for(1.5)
-    assert machine.life is not None
-    member = machine.life.member
+    assert machine.incarnation is not None
+    member = machine.incarnation.replica
     attempt = member._leader_role.attempt
     epoch = attempt.epoch if attempt is not None else Epoch(view.epoch.number + 1, view.primary.disk)
     for sender in (STRANGER, MemberId(view.replicas[1].address, "another disk")):
@@ -93,8 +93,8 @@
     world.run_for(1.0)
     _, view = leader(world)
     backup = world.machines[view.replicas[1].address]
-    assert backup.life is not None
-    before = backup.life.member._context.journal.durable
+    assert backup.incarnation is not None
+    before = backup.incarnation.replica._context.journal.durable
     held = (before.state_epoch, before.sequence, before.snapshot)
     old = Epoch(0, "a former primary")
     message: Message = Append(old, before.sequence + 1, change(0, 9, "old"), 0)
@@ -102,7 +102,7 @@
         message = Install(old, 50, b"0|1|old")
     tell(backup, STRANGER, message)
     world.run_for(0.2)
-    after = backup.life.member._context.journal.durable
+    after = backup.incarnation.replica._context.journal.durable
     assert (after.state_epoch, after.sequence, after.snapshot) == held
 
 
@@ -114,53 +114,53 @@
     world.run_for(1.0)
     _, view = leader(world)
     witness = next(member for member in view.members if member not in view.replicas)
-    life = world.machines[witness.address].life
-    assert life is not None
-    before = life.member._context.journal.durable.state_epoch
+    incarnation = world.machines[witness.address].incarnation
+    assert incarnation is not None
+    before = incarnation.replica._context.journal.durable.state_epoch
     later = Epoch(view.epoch.number + 1, "d")
-    effects = life.member.handle(world.now_s, Received(view.primary, Install(later, 5, UNREADABLE)))
+    effects = incarnation.replica.handle(world.now_s, Received(view.primary, Install(later, 5, UNREADABLE)))
     assert [type(effect) for effect in effects] == [MessageRejected], "nothing is written, nothing answered"
-    assert life.member._context.journal.durable.state_epoch == before
-    effects = life.member.handle(world.now_s, Received(view.primary, CatchUpSnapshot(99, UNREADABLE)))
+    assert incarnation.replica._context.journal.durable.state_epoch == before
+    effects = incarnation.replica.handle(world.now_s, Received(view.primary, CatchUpSnapshot(99, UNREADABLE)))
     assert [type(effect) for effect in effects] == [MessageRejected]
-    assert life.member._context.committed_log.sequence < 99
+    assert incarnation.replica._context.committed_log.sequence < 99
 
 
 def test_nobody_leads_with_a_state_that_cannot_be_read_and_another_copy_is_used() -> None:
     world, machine, view = founded(THREE)
     world.run_for(1.0)
     machine, view = leader(world)
-    assert write_one(world).verdict is Verdict.TAKEN
+    assert write_one(world).verdict is Verdict.ACCEPTED
     backup = world.machines[view.replicas[1].address]
-    assert backup.life is not None and machine.life is not None
-    taken = machine.life.committed[-1][1]
-    durable = backup.life.member._context.journal.durable
+    assert backup.incarnation is not None and machine.incarnation is not None
+    taken = machine.incarnation.committed[-1][1]
+    durable = backup.incarnation.replica._context.journal.durable
     durable.snapshot, durable.commands = UNREADABLE, [b""] * (durable.sequence - durable.snapshot_sequence)
-    backup.life.member._context.acceptor.encoded_state = lambda: UNREADABLE  # type: ignore[method-assign]
+    backup.incarnation.replica._context.acceptor.encoded_state = lambda: UNREADABLE  # type: ignore[method-assign]
     machine.kill(power=True)
     world.run_for(4.0)
     assert world.primaries() == [], "the only copy that is there can't be read"
     machine.start()
     world.run_for(4.0, until=lambda: bool(world.primaries()))
     leading, _ = leader(world)
-    assert leading.life is not None
-    assert leading.life.committed[-1][1][: len(taken)] == taken
+    assert leading.incarnation is not None
+    assert leading.incarnation.committed[-1][1][: len(taken)] == taken
 
 
 def test_one_that_knows_no_view_confirms_nothing() -> None:
     """A replaced machine that was cut off at once counted itself a majority of nobody."""
     world, machine, view = founded(THREE)
     blank = world.add_machine(THREE[0])
-    for other in list(world.machines):
-        world.cuts |= {(other, blank.address), (blank.address, other)}
+    for peer in list(world.machines):
+        world.blocked_links |= {(peer, blank.address), (blank.address, peer)}
     blank.start()
     world.run_for(1.0)
-    assert blank.life is not None and machine.life is not None
-    assert blank.life.member.view is None
-    others = [member for member in view.members]
-    assert not blank.life.member.is_majority(others)
-    assert machine.life.member.is_majority(others[1:])
+    assert blank.incarnation is not None and machine.incarnation is not None
+    assert blank.incarnation.replica.view is None
+    peers = [member for member in view.members]
+    assert not blank.incarnation.replica.is_majority(peers)
+    assert machine.incarnation.replica.is_majority(peers[1:])
     strangers = [
-        MemberId(member.address, "a new disk") for member in others if member.address != machine.address
+        MemberId(member.address, "a new disk") for member in peers if member.address != machine.address
     ]
-    assert not machine.life.member.is_majority(strangers), "a wiped machine is another member"
+    assert not machine.incarnation.replica.is_majority(strangers), "a wiped machine is another member"
