--- a/coveport/serving/proxy/client_connection.py
+++ b/coveport/serving/proxy/client_connection.py
@@ -37,7 +37,11 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """Hands requests to a handler, which answers through `begin`, `write` and `finish`, or `answer`."""
+    """Hands requests to a handler, which answers through `begin`, `write` and `finish`, or `answer`.
+
+    Reading and writing stand in one class: both decide on how the connection ends, and `write` runs for every
+    event, straight on the transport.
+    """
 
     def __init__(self, net: Net, owner: ConnectionOwner, limits: Callable[[], ClientLimits]) -> None:
         self._net = net
--- a/coveport/serving/proxy/process.py
+++ b/coveport/serving/proxy/process.py
@@ -4,9 +4,9 @@
 
 import asyncio
 from random import Random
-from typing import Any
 
 from coveport.net.transport import Net
+from coveport.serving.log import EventLogger
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.coordinator_selection import CoordinatorSelector
@@ -25,7 +25,7 @@
 class Proxy:
     """One run of a proxy."""
 
-    def __init__(self, net: Net, settings: BootSettings, random: Random, log: Any) -> None:
+    def __init__(self, net: Net, settings: BootSettings, random: Random, log: EventLogger) -> None:
         assert settings.clients is not None
         self._net = net
         self._settings = settings
@@ -102,5 +102,5 @@
     return run_process(settings_path, ("clients",), _make)
 
 
-def _make(net: Net, settings: BootSettings, log: Any) -> Proxy:
+def _make(net: Net, settings: BootSettings, log: EventLogger) -> Proxy:
     return Proxy(net, settings, Random(), log)
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from math import inf
 from random import Random
-from typing import Any
 
 from coveport.net.address import parse_address
 from coveport.net.transport import Net
+from coveport.serving.log import EventLogger
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.coordinator_selection import CoordinatorSelector
@@ -37,7 +37,7 @@
         view: ControlView,
         selector: CoordinatorSelector,
         make_lease: Callable[[int], ProxyLease],
-        log: Any,
+        log: EventLogger,
         random: Random,
     ) -> None:
         """`make_lease` returns the lease for a request number."""
--- a/coveport/serving/proxy/view_updater.py
+++ b/coveport/serving/proxy/view_updater.py
@@ -6,12 +6,11 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from coveport.serving.configuration.reader import read_configuration
 from coveport.serving.configuration.state import ControlState, initial_state
 from coveport.serving.configuration.state_codec import decode_state
 from coveport.serving.configuration.state_machine import apply
+from coveport.serving.log import EventLogger
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.model.findings import Refusal
 from coveport.serving.model.view import ControlView
@@ -30,7 +29,7 @@
 class ViewUpdater:
     """The versions that a proxy has, and the view that they make."""
 
-    def __init__(self, view: ControlView, log: Any) -> None:
+    def __init__(self, view: ControlView, log: EventLogger) -> None:
         self._view = view
         self._log = log
         self._state: ControlState = initial_state()
--- a/tests/serving/proxy/test_broken_variants.py
+++ b/tests/serving/proxy/test_broken_variants.py
@@ -1,4 +1,4 @@
-"""Programs that are wrong in one place: each is caught by a test beside this one, named here."""
+"""Variants of the data path with one fault each, and the test that catches it."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def caught_by(check: Callable[[], None]) -> Callable[[Break], Break]:
-    """The variant of that name fails this check."""
+    """Register a variant that fails this check."""
 
     def keep(variant: Break) -> Break:
         VARIANTS[variant.__name__] = (variant, check)
@@ -47,30 +47,30 @@
 
 
 def _extreme(pick: Callable[..., str]) -> Callable[..., str]:
-    """In place of the draw: the one of all with the most or the fewest."""
+    """Return a replacement of the draw that picks by load from all nodes."""
     return lambda names, loads, *_: pick(names, key=lambda name: loads.get(name, 0))
 
 
-# Levels.
+# Selection.
 
 
 @caught_by(lambda: node_selection_tests.test_every_node_that_the_model_allows_is_chosen_sometimes(3))
-def draws_the_busier(patch: Patch) -> None:
+def draws_the_busier_node(patch: Patch) -> None:
     patch.setattr(node_selection, "less_busy_of_two", _extreme(max))
 
 
 @caught_by(lambda: node_selection_tests.test_every_node_that_the_model_allows_is_chosen_sometimes(3))
-def draws_the_least_busy_of_all(patch: Patch) -> None:
+def draws_the_least_busy_node_of_all(patch: Patch) -> None:
     patch.setattr(node_selection, "less_busy_of_two", _extreme(min))
 
 
 @caught_by(forwarding_tests.test_only_the_own_region_is_used_while_it_has_a_usable_node)
-def knows_no_levels(patch: Patch) -> None:
+def ignores_localities(patch: Patch) -> None:
     patch.setattr(node_selection, "group_by_locality", lambda nodes, _: NodesByLocality(local=list(nodes)))
 
 
 @caught_by(forwarding_tests.test_request_with_home_regions_never_leaves_them)
-def knows_no_homes(patch: Patch) -> None:
+def ignores_home_regions(patch: Patch) -> None:
     allowed = node_eligibility.eligible_nodes
     patch.setattr(
         node_selection,
@@ -80,32 +80,32 @@
 
 
 @caught_by(forwarding_tests.test_only_the_own_region_is_used_while_it_has_a_usable_node)
-def sends_to_evacuated_zones(patch: Patch) -> None:
+def ignores_evacuations(patch: Patch) -> None:
     patch.setattr(node_eligibility, "is_eligible", always(True))
 
 
 @caught_by(forwarding_tests.test_node_that_begins_to_drain_during_a_connect_gets_no_request)
-def looks_at_the_view_only_once(patch: Patch) -> None:
+def checks_the_view_only_once(patch: Patch) -> None:
     patch.setattr(NodeSelector, "is_still_eligible", always(True))
 
 
 @caught_by(node_selection_tests.test_failures_eject_the_local_node_until_a_request_succeeds)
-def never_empties_a_level(patch: Patch) -> None:
+def never_ejects(patch: Patch) -> None:
     patch.setattr(OutlierDetector, "is_ejected", always(False))
 
 
 @caught_by(node_selection_tests.test_failures_eject_the_local_node_until_a_request_succeeds)
-def tries_with_every_request(patch: Patch) -> None:
+def lets_all_requests_through_when_half_open(patch: Patch) -> None:
     patch.setattr(OutlierDetector, "record_attempt", always(None))
 
 
 @caught_by(node_selection_tests.test_where_all_are_ejected_they_are_tried)
-def knows_no_last_resort(patch: Patch) -> None:
+def never_routes_in_panic(patch: Patch) -> None:
     patch.setattr(NodeSelector, "_panic_candidates", always([]))
 
 
 @caught_by(forwarding_tests.test_unresponsive_machine_delays_a_request_only_briefly)
-def never_tries_again(patch: Patch) -> None:
+def never_checks_health(patch: Patch) -> None:
     patch.setattr(OutlierDetector, "scheduled_health_checks", always([]))
 
 
@@ -113,27 +113,27 @@
 
 
 @caught_by(forwarding_tests.test_retries_stay_within_the_budget)
-def knows_no_budget(patch: Patch) -> None:
+def ignores_the_retry_budget(patch: Patch) -> None:
     patch.setattr(RetryBudget, "reserve", always(True))
 
 
 @caught_by(forwarding_tests.test_retries_stay_within_the_budget)
-def counts_no_repeats(patch: Patch) -> None:
+def counts_no_retries(patch: Patch) -> None:
     patch.setattr(RetryBudget, "spend", lambda self, service, _: self.release(service))
 
 
 @caught_by(forwarding_tests.test_warming_node_gets_no_more_than_this_proxys_quota)
-def knows_no_warm_up(patch: Patch) -> None:
+def ignores_slow_start(patch: Patch) -> None:
     patch.setattr(SlowStartLimiter, "may_send", always(True))
 
 
 @caught_by(lambda: slow_start_tests.test_sum_over_all_proxies_stays_under_the_rule(89))
-def takes_no_turns_at_a_cold_node(patch: Patch) -> None:
+def takes_no_turns_at_a_warming_node(patch: Patch) -> None:
     patch.setattr("coveport.serving.proxy.slow_start._turn_interval_s", always(0.0))
 
 
 @caught_by(forwarding_tests.test_requests_wait_for_capacity_by_priority)
-def bounds_no_connections(patch: Patch) -> None:
+def ignores_the_connection_limit(patch: Patch) -> None:
     patch.setattr(ConnectionPool, "has_capacity", always(True))
 
 
@@ -141,12 +141,12 @@
 
 
 @caught_by(forwarding_tests.test_unsafe_request_that_may_have_run_is_not_retried)
-def sends_unsafe_requests_again(patch: Patch) -> None:
+def retries_unsafe_requests(patch: Patch) -> None:
     patch.setattr(RetryPolicy, "may_run_twice", property(always(True)))
 
 
 @caught_by(lambda: forwarding_tests.test_rejection_without_a_statement_counts_as_run(503))
-def believes_every_refusal(patch: Patch) -> None:
+def takes_every_rejection_for_not_run(patch: Patch) -> None:
     async def read_rejection(self: ResponseRelay, connection: NodeConnection, response: Any) -> RelayOutcome:
         await self._skip_body(connection, response)
         return RelayOutcome.REJECTED
@@ -155,7 +155,7 @@
 
 
 @caught_by(forwarding_tests.test_rejection_after_an_attempt_that_may_have_run_gets_502)
-def promises_what_it_cannot_know(patch: Patch) -> None:
+def always_answers_503(patch: Patch) -> None:
     def send_failure(context: ProxyContext, request: InFlightRequest, *, at_deadline: bool = False) -> None:
         request.client.answer(503, [])
 
@@ -163,7 +163,7 @@
 
 
 @caught_by(forwarding_tests.test_attempts_are_bounded_by_the_route_and_end_in_retry_after)
-def sends_as_often_as_it_likes(patch: Patch) -> None:
+def ignores_the_attempts_of_the_route(patch: Patch) -> None:
     def reserve(self: RetryPolicy) -> bool:
         now_s = self.context.net.now_s()
         self._has_reservation = self._has_reservation or self.context.budget.reserve("s", 1, now_s)
@@ -173,14 +173,14 @@
 
 
 @caught_by(forwarding_tests.test_connection_that_the_node_has_closed_is_not_reused)
-def uses_connections_unseen(patch: Patch) -> None:
+def uses_broken_connections(patch: Patch) -> None:
     send = NodeConnection.send
     patch.setattr(NodeConnection, "is_open", property(always(True)))
     patch.setattr(NodeConnection, "send", lambda *args, **options: send(*args, **options) or True)
 
 
 @caught_by(forwarding_tests.test_connections_to_nodes_and_of_clients_are_reused)
-def keeps_connections_too_long(patch: Patch) -> None:
+def keeps_idle_connections_too_long(patch: Patch) -> None:
     patch.setattr(NodeConnection, "is_expiring", always(False))
 
 
@@ -189,11 +189,11 @@
     patch.setattr(NodeConnection, "release", lambda self, _: self.close())
 
 
-# Answers.
+# Responses.
 
 
 @caught_by(forwarding_tests.test_stale_response_to_another_request_is_skipped)
-def looks_at_no_try(patch: Patch) -> None:
+def ignores_the_attempt_id(patch: Patch) -> None:
     async def matching_head(self: ResponseRelay, connection: NodeConnection, _: Any) -> Any:
         return await connection.read_head()
 
@@ -201,7 +201,7 @@
 
 
 @caught_by(forwarding_tests.test_success_without_the_nodes_stamp_is_not_forwarded)
-def looks_at_no_stamp(patch: Patch) -> None:
+def ignores_the_stamp(patch: Patch) -> None:
     async def forward_success(self: ResponseRelay, connection: NodeConnection, response: Any, _: Any) -> None:
         await self._forward_body(connection, response)
 
@@ -209,7 +209,7 @@
 
 
 @caught_by(lambda: forwarding_tests.test_response_that_breaks_off_does_not_look_complete(CHUNKED, "close"))
-def ends_what_broke_off(patch: Patch) -> None:
+def completes_broken_responses(patch: Patch) -> None:
     def abort(self: ClientConnection) -> None:
         self.finish()
         self.close_idle()
@@ -218,7 +218,7 @@
 
 
 @caught_by(forwarding_tests.test_slow_client_applies_backpressure_to_the_node)
-def waits_for_no_client(patch: Patch) -> None:
+def applies_no_backpressure(patch: Patch) -> None:
     async def wait_writable(self: ClientConnection) -> None:
         return
 
@@ -226,7 +226,7 @@
 
 
 @caught_by(forwarding_tests.test_client_that_disconnects_closes_the_node_connection)
-def works_on_for_nobody(patch: Patch) -> None:
+def ignores_disconnected_clients(patch: Patch) -> None:
     patch.setattr(ClientConnection, "connection_lost", lambda self, _: self._owner.disconnected(self))
 
 
@@ -234,22 +234,22 @@
 
 
 @caught_by(lambda: forwarding_tests.test_stream_that_does_not_continue_the_first_is_not_resumed(1))
-def joins_any_runs(patch: Patch) -> None:
+def resumes_with_any_event(patch: Patch) -> None:
     patch.setattr(EventSequence, "may_follow", always(True))
 
 
 @caught_by(lambda: forwarding_tests.test_stream_that_does_not_continue_the_first_is_not_resumed(5))
-def leaves_events_out_at_a_joint(patch: Patch) -> None:
+def resumes_with_missing_events(patch: Patch) -> None:
     patch.setattr(EventSequence, "begin_stream", always(None))
 
 
 @caught_by(lambda: BROKEN_STREAM(28))
-def passes_parts_of_events(patch: Patch) -> None:
+def forwards_incomplete_events(patch: Patch) -> None:
     patch.setattr(EventSplitter, "feed", lambda self, data: [data] if data else [])
 
 
 @caught_by(lambda: BROKEN_STREAM(28))
-def does_not_say_where_to_go_on(patch: Patch) -> None:
+def sends_no_last_event_id(patch: Patch) -> None:
     headers = forwarded_request._headers
     patch.setattr(
         forwarded_request,
@@ -259,12 +259,12 @@
 
 
 @caught_by(forwarding_tests.test_resumable_stream_abandons_a_stalled_node_and_an_unsafe_one_does_not)
-def leaves_no_silent_node(patch: Patch) -> None:
+def never_abandons_a_stalled_node(patch: Patch) -> None:
     patch.setattr(stall_policy, "_may_abandon", always(False))
 
 
 @pytest.mark.parametrize("name", VARIANTS)
-def test_a_broken_variant_is_caught(name: str, monkeypatch: Patch) -> None:
+def test_broken_variant_is_caught(name: str, monkeypatch: Patch) -> None:
     variant, check = VARIANTS[name]
     check()
     variant(monkeypatch)
