--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -108,7 +108,7 @@
             now_s=boot_s,
             unix_s=time.time,
             history=self.history,
-            chance=chance,
+            rng=chance,
             prefix=told.store.prefix,
         )
         made: dict[str, SingletonRole] = {
@@ -160,7 +160,7 @@
         counters.gauge(
             "duties_held",
             lambda: sum(
-                bool(self.lease_client.lease_state.held_token(boot_s(), name)) for name in self._wished
+                bool(self.lease_client.lease_state.believed_token(boot_s(), name)) for name in self._wished
             ),
         )
         counters.gauge("store_calls", lambda: sum(self.lease_client.call_counts.values()))
@@ -352,7 +352,7 @@
             await asyncio.sleep(LOOK_S / 2)
             nodes = self._nodes()
             health_checks.retain(nodes)
-            for node in health_checks.due_checks(boot_s(), nodes, self.lease_client.entries, LOOK_S):
+            for node in health_checks.checks_to_start(boot_s(), nodes, self.lease_client.entries, LOOK_S):
                 self._probe(health_checks, node, nodes[node])
 
     def _probe(self, health_checks: SharedHealthChecks, node: str, number: int) -> None:
--- a/coveport/sidecar/leases/etcd.py
+++ b/coveport/sidecar/leases/etcd.py
@@ -207,13 +207,13 @@
         index = self._current
         endpoint = self._endpoints[index]
         stream = rpc.WatchStub(self._channel(index)).Watch(metadata=REQUIRE_LEADER)
-        heard = asyncio.Event()
-        heartbeat = asyncio.ensure_future(_send_heartbeats(stream, heard))
+        received = asyncio.Event()
+        heartbeat = asyncio.ensure_future(_send_heartbeats(stream, received))
         try:
             await stream.write(_watch_request(prefix, after))
             while True:
                 response = await stream.read()
-                heard.set()
+                received.set()
                 _check_watch(endpoint, response, after)
                 if response.events:
                     yield [change_of(event) for event in response.events]
@@ -307,13 +307,13 @@
         raise WatchLostError(f"{endpoint}: the store went back")
 
 
-async def _send_heartbeats(stream: Any, heard: asyncio.Event) -> None:
+async def _send_heartbeats(stream: Any, received: asyncio.Event) -> None:
     """Request progress at intervals; cancel the stream after too many without a response."""
     missed = 0
     while missed < MAX_MISSED_HEARTBEATS:
         await asyncio.sleep(HEARTBEAT_INTERVAL_S)
-        missed = 0 if heard.is_set() else missed + 1
-        heard.clear()
+        missed = 0 if received.is_set() else missed + 1
+        received.clear()
         with contextlib.suppress(grpc.aio.AioRpcError, asyncio.InvalidStateError):
             await stream.write(rpc.WatchRequest(progress_request=rpc.WatchProgressRequest()))
     stream.cancel()
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -81,7 +81,7 @@
         terms: LeaseTerms,
         now_s: Callable[[], float],
         history: History,
-        chance: random.Random,
+        rng: random.Random,
         prefix: str = "coveport/",
         unix_s: Callable[[], float] = lambda: 0.0,
         lease_state: Callable[..., LeaseState] = LeaseState,
@@ -93,8 +93,8 @@
         self._unix_s = unix_s
         self._history = history
         self._terms = terms
-        self._chance = chance
-        self.lease_state = lease_state(incarnation, roles, terms, chance)
+        self._rng = rng
+        self.lease_state = lease_state(incarnation, roles, terms, rng)
         timeout_s = terms.ttl_s * CALL_TIMEOUT_SHARE
         self._calls = StoreCalls(timeout_s, history, self._handle_store_reset)
         self._view = StoreView(prefix)
@@ -279,8 +279,8 @@
                 return await self._call("arrive", self._store.commit(create(key, status, call.lease)))
             case AcquireRole():
                 key = self._prefix + ROLE_PREFIX + call.role
-                holder = f"{self.lease_state.incarnation} {self._unix_s():.3f}".encode()
-                return await self._call("claim", self._store.commit(create(key, holder, call.lease)))
+                value = f"{self.lease_state.incarnation} {self._unix_s():.3f}".encode()
+                return await self._call("claim", self._store.commit(create(key, value, call.lease)))
             case ReleaseRole():
                 key = self._prefix + ROLE_PREFIX + call.role
                 return await self._call("release", self._store.commit(fenced(key, call.token, Delete(key))))
@@ -326,7 +326,7 @@
             doublings = min(failures, MAX_WATCH_BACKOFF_DOUBLINGS)
             failures += 1
             longest_s = min(MAX_WATCH_BACKOFF_S, WATCH_BACKOFF_S * 2**doublings)
-            await asyncio.sleep(longest_s * self._chance.uniform(*WATCH_BACKOFF_JITTER))
+            await asyncio.sleep(longest_s * self._rng.uniform(*WATCH_BACKOFF_JITTER))
 
     async def _follow_changes(self, after: int) -> None:
         try:
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -68,7 +68,7 @@
 LEASE_ENDED = "the store ended our lease"
 
 
-def holder_of(value: bytes) -> str:
+def incarnation_of(value: bytes) -> str:
     """Return the incarnation that a role's key names; after a space follows since when, for staff."""
     return value.split(b" ")[0].decode(errors="replace")
 
@@ -77,16 +77,16 @@
     """The beliefs of one instance.
 
     `incarnation` identifies this process in every key it writes. `now` of all calls is in s, by a clock that
-    runs through suspend. `chance` is the caller's random generator.
+    runs through suspend. `rng` is the caller's random generator.
     """
 
     def __init__(
-        self, incarnation: str, roles: tuple[str, ...], terms: LeaseTerms, chance: random.Random
+        self, incarnation: str, roles: tuple[str, ...], terms: LeaseTerms, rng: random.Random
     ) -> None:
         terms.check()
         self.incarnation = incarnation
         self.terms = terms
-        self._chance = chance
+        self._rng = rng
         self.session = SessionState.DISCONNECTED
         self.lease = 0
         self.roles = {name: Role(name) for name in roles}
@@ -111,7 +111,7 @@
         token = self._token(name)
         return token if self.session is SessionState.ACTIVE and now < self._expiring_from else 0
 
-    def held_token(self, now: float, name: str) -> int:
+    def believed_token(self, now: float, name: str) -> int:
         """Return the fencing token while the instance believes that it holds the role, else 0."""
         token = self._token(name)
         return token if now < self.believed_until else 0
@@ -136,27 +136,27 @@
 
     def next_timer(self) -> float:
         """Return when `handle_timer` is to be called at the latest."""
-        due = [inf]
+        timers = [inf]
         if self.session is SessionState.DISCONNECTED:
-            due.append(self._next_request_at)
+            timers.append(self._next_request_at)
         if self.in_session:
-            due += self._session_timers()
+            timers += self._session_timers()
             for role in self.roles.values():
-                due += (role.acquire_at, role.release_retry_at)
+                timers += (role.acquire_at, role.release_retry_at)
                 if role.state is RoleState.IDLE and role.rest_until > -inf:
-                    due.append(role.rest_until)
-        self._expected_wakeup_at = min(due)
+                    timers.append(role.rest_until)
+        self._expected_wakeup_at = min(timers)
         return self._expected_wakeup_at
 
     def _session_timers(self) -> list[float]:
-        due = [self.believed_until]
+        timers = [self.believed_until]
         if not self._read_call:
-            due.append(self._next_read_at)
+            timers.append(self._next_read_at)
         if self.session is SessionState.ACTIVE:
-            due.append(self._expiring_from)
+            timers.append(self._expiring_from)
         if self._renewal is None:
-            due.append(self._next_request_at)
-        return due
+            timers.append(self._next_request_at)
+        return timers
 
     # Inputs.
 
@@ -274,10 +274,10 @@
         if self._renewal is None and now >= self._next_request_at:
             self._renewal = self._next_call(), now
             self._effects.append(RenewLease(self._renewal[0], self.lease))
-        self._read_roles_if_due(now)
+        self._maybe_read_roles(now)
         for role in self.roles.values():
             self._advance_role(now, role)
-        self._read_roles_if_due(now)  # a role's rest may have ended
+        self._maybe_read_roles(now)  # a role's rest may have ended
 
     def _notice_stall(self, now: float) -> None:
         late_s = now - self._expected_wakeup_at
@@ -309,7 +309,7 @@
     def _read_roles_by(self, at: float) -> None:
         self._next_read_at = min(self._next_read_at, at)
 
-    def _read_roles_if_due(self, now: float) -> None:
+    def _maybe_read_roles(self, now: float) -> None:
         if self._read_call or now < self._next_read_at:
             return
         self._read_call = self._next_call()
@@ -323,9 +323,9 @@
         elif role.state is RoleState.RELEASING and now >= role.release_retry_at:
             self._send_release(role)
         elif role.state is RoleState.WAITING and now >= role.acquire_at:
-            self._try_acquire(now, role)
+            self._attempt_acquisition(now, role)
 
-    def _try_acquire(self, now: float, role: Role) -> None:
+    def _attempt_acquisition(self, now: float, role: Role) -> None:
         if not self._may_contend(now, role) or self.session is not SessionState.ACTIVE:
             role.acquire_at = now + self.terms.ttl_s
             return
@@ -352,7 +352,7 @@
         doublings = min(self._failures, MAX_BACKOFF_DOUBLINGS)
         self._failures += 1
         longest_s = min(MAX_BACKOFF_S, BACKOFF_S * 2**doublings)
-        return float(longest_s * self._chance.uniform(*BACKOFF_JITTER))
+        return float(longest_s * self._rng.uniform(*BACKOFF_JITTER))
 
     def _handle_session_outcome(self, now: float, outcome: Outcome) -> None:
         self._session_call = 0
@@ -379,8 +379,8 @@
         if isinstance(outcome, Done):
             self._transition(SessionState.ACTIVE)
             self._failures = 0
-            share = self._chance.uniform(*FIRST_RENEWAL_JITTER)
-            self._next_request_at = self._renewal_sent_at + self.terms.renew_s * share
+            jitter = self._rng.uniform(*FIRST_RENEWAL_JITTER)
+            self._next_request_at = self._renewal_sent_at + self.terms.renew_s * jitter
             self._next_read_at = now
             self._log(log_events.SESSION_ESTABLISHED, f"lease {self.lease:x}")
         elif isinstance(outcome, Refused) and not outcome.lease_gone:
@@ -404,7 +404,7 @@
         self._log(log_events.SESSION_LOST, reason)
         # The store may have carried our last renewal out. The lease is revoked all the same: what is bound
         # to it must not come back to life under a session that we don't believe in.
-        self._disconnect_until(now + self._chance.uniform(0, BACKOFF_S))
+        self._disconnect_until(now + self._rng.uniform(0, BACKOFF_S))
 
     def _handle_renewal(self, now: float, outcome: Outcome) -> None:
         assert self._renewal is not None
@@ -427,8 +427,8 @@
     def _notice_slow_store(self, now: float, took_s: float) -> None:
         if took_s > SLOW_RENEWAL_SHARE * self.terms.ttl_s:
             # What is held is kept: a successor may be as far from the store. Nothing new is contended for.
-            pause_s = NO_CONTENTION_TTLS * self.terms.ttl_s
-            self._no_contention_until = max(self._no_contention_until, now + pause_s)
+            until = now + NO_CONTENTION_TTLS * self.terms.ttl_s
+            self._no_contention_until = max(self._no_contention_until, until)
             self._log(log_events.STORE_SLOW, f"a renewal took {took_s:.2f} s")
 
     def _enter_store_reset(self, reason: str) -> None:
@@ -447,7 +447,7 @@
 
     def _is_ours(self, entry: Entry) -> bool:
         # Under an older lease of ours the key goes when that lease ends: it is not adopted.
-        ours = holder_of(entry.value) == self.incarnation and entry.lease == self.lease != 0
+        ours = incarnation_of(entry.value) == self.incarnation and entry.lease == self.lease != 0
         return ours and self.in_session
 
     def _observe_role_key(self, now: float, role: Role, entry: Entry | None) -> None:
@@ -468,12 +468,12 @@
         role.set_state(RoleState.WAITING)
         longest_s = min(MAX_CONTENTION_WAIT_S, WAIT_PER_INSTANCE_S * self.instances)
         earliest = max(now, role.rest_until, self._no_contention_until)
-        role.acquire_at = earliest + self._chance.uniform(0, longest_s)
+        role.acquire_at = earliest + self._rng.uniform(0, longest_s)
 
     def _acquire(self, now: float, role: Role, token: int) -> None:
         role.set_state(RoleState.HELD)
         role.token = token
-        role.held_since = now
+        role.acquired_at = now
         if not role.contending or self._unhealthy_reason:
             self._release_role(role, self._unhealthy_reason or "not wished")
         else:
--- a/coveport/sidecar/leases/role.py
+++ b/coveport/sidecar/leases/role.py
@@ -24,7 +24,7 @@
     release_retry_at: float = inf  # while RELEASING, after a release whose outcome is unknown
     rest_until: float = -inf
     rest_count: int = 0  # rests in a row
-    held_since: float = 0.0
+    acquired_at: float = 0.0
     known_revision: int = 0  # of the store, up to which the role's key is known
     contending: bool = True  # False while staff, a drain or the operator's file keep the instance off it
 
@@ -49,7 +49,7 @@
 
     def rest(self, now: float, ttl_s: float) -> None:
         """Keep off the role, longer each time: else two unhealthy instances would pass it to and fro."""
-        if now - self.held_since > PROVEN_TTLS * ttl_s:
+        if now - self.acquired_at > PROVEN_TTLS * ttl_s:
             self.rest_count = 0
         doublings = min(self.rest_count, MAX_REST_DOUBLINGS)
         self.rest_until = now + REST_TTLS * ttl_s * 2**doublings
--- a/coveport/sidecar/leases/sqlite_file.py
+++ b/coveport/sidecar/leases/sqlite_file.py
@@ -37,7 +37,7 @@
         self._keep_history = keep_history
         self._inode = 0
         self._lock_descriptor = -1
-        self._chance = random.Random(os.getpid() ^ time.monotonic_ns())
+        self._rng = random.Random(os.getpid() ^ time.monotonic_ns())
         self.tables: LeaseTables | None = None  # while it is open
         self.identity = ""
 
@@ -122,7 +122,7 @@
             except BlockingIOError:
                 if time.monotonic() > give_up_at:
                     raise TimeoutError("the store's file is busy") from None
-                time.sleep(self._chance.uniform(*LOCK_POLL_S))
+                time.sleep(self._rng.uniform(*LOCK_POLL_S))
         try:
             yield
         finally:
--- a/coveport/sidecar/singletons/health_checking.py
+++ b/coveport/sidecar/singletons/health_checking.py
@@ -92,7 +92,7 @@
         self._checkers: dict[str, str] = {}  # by node, while the same instances are registered
         self._sequence = 0
 
-    def due_checks(
+    def checks_to_start(
         self, now: float, nodes: Iterable[str], entries: Mapping[str, Entry], interval_s: float
     ) -> list[str]:
         """Return the nodes assigned to this instance whose last check is `interval_s` ago."""
@@ -105,7 +105,7 @@
         return [
             node
             for node in nodes
-            if self._checker(node) == self._name and self._is_due(now, node, interval_s)
+            if self._checker(node) == self._name and self._is_check_overdue(now, node, interval_s)
         ]
 
     def _checker(self, node: str) -> str:
@@ -114,7 +114,7 @@
             checker = self._checkers[node] = assigned_checker(node, self._instances)
         return checker
 
-    def _is_due(self, now: float, node: str, interval_s: float) -> bool:
+    def _is_check_overdue(self, now: float, node: str, interval_s: float) -> bool:
         last = self._own_checks.get(node)
         return last is None or now - last.started_at >= interval_s
 
@@ -158,14 +158,12 @@
         except msgspec.DecodeError:
             return None
         before = self._received.get(node)
-        if before is not None and entry.modified <= before.revision:
-            return None  # a later result is known already
-        if result.checked_at > unix + MAX_CLOCK_AHEAD_S:
+        overtaken = before is not None and entry.modified <= before.revision
+        if overtaken or result.checked_at > unix + MAX_CLOCK_AHEAD_S:
             return None
         self._received[node] = ReceivedResult(result, now, entry.modified)
-        if result.checked_by == self._incarnation:
-            return None
-        if before is not None and before.result.ok is result.ok:
+        unchanged = before is not None and before.result.ok is result.ok
+        if unchanged or result.checked_by == self._incarnation:
             return None
         return None if self._observed_otherwise(now, node, result.ok) else result
 
@@ -188,8 +186,8 @@
 
     def retain(self, nodes: Iterable[str]) -> None:
         """Forget all nodes but these."""
-        kept = set(nodes)
-        self._own_checks = {node: check for node, check in self._own_checks.items() if node in kept}
-        self._received = {node: result for node, result in self._received.items() if node in kept}
-        self._observed = {node: seen for node, seen in self._observed.items() if node in kept}
-        self._checkers = {node: checker for node, checker in self._checkers.items() if node in kept}
+        listed = set(nodes)
+        self._own_checks = {node: check for node, check in self._own_checks.items() if node in listed}
+        self._received = {node: result for node, result in self._received.items() if node in listed}
+        self._observed = {node: seen for node, seen in self._observed.items() if node in listed}
+        self._checkers = {node: checker for node, checker in self._checkers.items() if node in listed}
--- a/coveport/sidecar/singletons/rollout_follower.py
+++ b/coveport/sidecar/singletons/rollout_follower.py
@@ -37,26 +37,25 @@
 
     def next_settings(self, entries: Mapping[str, Entry]) -> DesiredSettings | None:
         """Return the settings to apply now; None if there is nothing to do."""
+        desired = self._latest_desired(entries)
+        settings_id = None if desired is None else decode_desired(desired.value)
+        if desired is None or settings_id is None:
+            return None
+        text = None
+        if settings_id:
+            settings = entries.get(SETTINGS_PREFIX + settings_id)
+            if settings is None:
+                return None  # its text comes with a later change
+            text = settings.value.decode(errors="replace")
+        self._revision = desired.modified
+        return None if settings_id == self.running else DesiredSettings(settings_id, text)
+
+    def _latest_desired(self, entries: Mapping[str, Entry]) -> Entry | None:
+        """Return the latest of the keys that apply, if it is later than the one followed last."""
         keys = (DESIRED_PREFIX + self._name, DESIRED_BY_DEFAULT_KEY)
         desired = [entries[key] for key in keys if key in entries]
-        if not desired:
-            return None
-        latest = max(desired, key=lambda entry: entry.modified)
-        if latest.modified <= self._revision:
-            return None
-        wanted = decode_desired(latest.value)
-        if wanted is None:
-            return None
-        if not wanted:
-            self._revision = latest.modified
-            return DesiredSettings("", None) if self.running else None
-        settings = entries.get(SETTINGS_PREFIX + wanted)
-        if settings is None:
-            return None  # its text comes with a later change
-        self._revision = latest.modified
-        if wanted == self.running:
-            return None
-        return DesiredSettings(wanted, settings.value.decode(errors="replace"))
+        latest = max(desired, key=lambda entry: entry.modified, default=None)
+        return latest if latest is not None and latest.modified > self._revision else None
 
     def record_applied(self, settings: str) -> None:
         """Note that these settings are in force."""
--- a/coveport/sidecar/singletons/slow_start_coordinator.py
+++ b/coveport/sidecar/singletons/slow_start_coordinator.py
@@ -132,7 +132,7 @@
         }
         granted: dict[str, dict[str, int]] = {name: {} for name in requests}
         for node in self._requested_nodes(requests):
-            operations = self._share_node(node, requests, outstanding.get(node, ()), stored.step)
+            operations = self._apportion_node(node, requests, outstanding.get(node, ()), stored.step)
             for name, count in operations.items():
                 granted[name][node] = count
             if operations:
@@ -153,7 +153,7 @@
             }
         )
 
-    def _share_node(
+    def _apportion_node(
         self,
         node: str,
         requests: Mapping[str, CapacityRequest],
--- a/coveport/sidecar/singletons/slow_start_messages.py
+++ b/coveport/sidecar/singletons/slow_start_messages.py
@@ -23,7 +23,7 @@
 class SafeLoad:
     """What a warming node bears, by the settings' invariants."""
 
-    initial_share: float = 0.36  # of its full capacity, when it starts
+    initial_fraction: float = 0.36  # of its full capacity, when it starts
     warm_after_s: float = 8.6
     overload_factor: float = 4.0  # times its present capacity, at which it fails
     overload_window_s: float = 2.0  # W: it fails when it is sent more for so long
@@ -32,8 +32,8 @@
         """Return how many operations of this mean time a node of that age bears in W, with one core."""
         age = min(max(age_s, 0.0), self.warm_after_s)
         warmth = age / self.warm_after_s if self.warm_after_s else 1.0
-        capacity_share = self.initial_share + (1 - self.initial_share) * warmth
-        return self.overload_factor * capacity_share * self.overload_window_s / service_s
+        capacity_fraction = self.initial_fraction + (1 - self.initial_fraction) * warmth
+        return self.overload_factor * capacity_fraction * self.overload_window_s / service_s
 
 
 class CapacityRequest(msgspec.Struct, frozen=True):
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -88,7 +88,7 @@
             now_s=boot_s,
             unix_s=time.time,
             history=self._say,
-            chance=chance,
+            rng=chance,
             prefix=told.fleet_prefix,
         )
         processes = Processes(told, self._config)
--- a/coveport/testbed/fault_injection/broken_variants.py
+++ b/coveport/testbed/fault_injection/broken_variants.py
@@ -165,7 +165,7 @@
     async def commit_fenced(
         self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), description: str = ""
     ) -> Outcome | None:
-        token = self.lease_state.held_token(self._now_s(), duty)
+        token = self.lease_state.believed_token(self._now_s(), duty)
         if not token:
             return None
         self._history(log_events.COMMIT_SENT, duty=duty, token=token, what=description)
@@ -205,7 +205,7 @@
     async def _call(self, kind: str, call: Any) -> Outcome:
         if kind == "look" and self.lease_state.session is SessionState.ACTIVE:
             for duty, one in self.lease_state.roles.items():
-                if one.state is RoleState.IDLE and self._chance.random() < 0.2:
+                if one.state is RoleState.IDLE and self._rng.random() < 0.2:
                     await super()._call(
                         "release",
                         self._store.commit(Transaction((), (Delete(self._prefix + ROLE_PREFIX + duty),))),
--- a/coveport/testbed/fault_injection/fleet/sim.py
+++ b/coveport/testbed/fault_injection/fleet/sim.py
@@ -219,7 +219,7 @@
             terms=told.terms,
             now_s=now_s,
             history=say,
-            chance=chance,
+            rng=chance,
             prefix=PREFIX,
         )
         processes = SimProcessControl(self.host, process, name)
--- a/coveport/testbed/fault_injection/virtual.py
+++ b/coveport/testbed/fault_injection/virtual.py
@@ -107,7 +107,7 @@
             terms=terms,
             now_s=now_s,
             history=history,
-            chance=chance,
+            rng=chance,
             lease_state=self.variant.holder,
         )
         drill = self.variant.drill(incarnation)
@@ -170,7 +170,9 @@
                 if (
                     one.process.alive
                     and one.lease_client is not None
-                    and any(one.lease_client.lease_state.held_token(1e-9, duty) for duty in self.trial.duties)
+                    and any(
+                        one.lease_client.lease_state.believed_token(1e-9, duty) for duty in self.trial.duties
+                    )
                 ):
                     return one
             return self.instances[0]
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -257,7 +257,7 @@
             terms=LeaseTerms(trial.ttl_s, 0.2, 0.02),
             now_s=now_s,
             history=say,
-            chance=chance,
+            rng=chance,
         )
         one.lease_client = lease_client
         one.hands = hands = SimHands(self.world, process, self.nodes, self.settings, one.node_way, chance)
--- a/tests/sidecar/leases/test_lease_client.py
+++ b/tests/sidecar/leases/test_lease_client.py
@@ -24,7 +24,7 @@
         terms=LeaseTerms(3.0, 0.2, 0.02),
         now_s=lambda: world.now,
         history=lambda event, **fields: None,
-        chance=random.Random(1),
+        rng=random.Random(1),
     )
     process.call_soon(lease_client.start)
     world.run(world.now + 2)
--- a/tests/sidecar/leases/test_lease_state.py
+++ b/tests/sidecar/leases/test_lease_state.py
@@ -74,9 +74,9 @@
     assert one.usable_token(believed_until - 0.21, "d") == token
     assert (
         one.usable_token(believed_until - 0.19, "d") == 0
-        and one.held_token(believed_until - 0.19, "d") == token
+        and one.believed_token(believed_until - 0.19, "d") == token
     )
-    assert one.held_token(believed_until, "d") == 0, "without any input"
+    assert one.believed_token(believed_until, "d") == 0, "without any input"
     effects = one.handle_timer(believed_until)
     assert only(effects, RoleLost) and only(effects, RevokeLease)
 
@@ -108,7 +108,7 @@
     one = fresh()
     now = arrived(one)
     assert not one.handle_role_key(now, "d", Entry("d", b"me", 4, 4, 6), 8)
-    assert one.held_token(now, "d") == 0
+    assert one.believed_token(now, "d") == 0
 
 
 def test_old_news_is_no_news() -> None:
@@ -184,24 +184,24 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_whatever_comes_no_holding_outlives_what_the_store_promised(seed: int) -> None:
     """Random answers in random order; the store's side of each lease is counted beside it."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     one, now, revision = fresh(seed), 10.0, 10
     promised = {}  # lease -> store time at which it ends, at the soonest
     out: list[GrantLease | RenewLease | RegisterInstance | AcquireRole | ReleaseRole | ReadRoles] = []
     asked: dict[int, float] = {}
     for _ in range(400):
-        now += chance.expovariate(4)
-        item = chance.random()
+        now += rng.expovariate(4)
+        item = rng.random()
         if out and item < 0.6:
-            call = out.pop(chance.randrange(len(out)))
+            call = out.pop(rng.randrange(len(out)))
             revision += 1
             number = call.call
             end: Done | Refused | Unknown = Unknown("lost")
-            if chance.random() < 0.7:
+            if rng.random() < 0.7:
                 end = (
                     Done("s", revision, lease=revision, ttl_s=3.0)
-                    if chance.random() < 0.8
-                    else Refused("s", revision, lease_gone=chance.random() < 0.5)
+                    if rng.random() < 0.8
+                    else Refused("s", revision, lease_gone=rng.random() < 0.5)
                 )
             if isinstance(end, Done) and isinstance(call, GrantLease | RenewLease):
                 promised[end.lease if isinstance(call, GrantLease) else call.lease] = (
@@ -209,15 +209,15 @@
                 )
             came = one.handle_outcome(now, number, end)
         elif item < 0.8:
-            entry = Entry("d", chance.choice([b"me", b"you"]), revision, revision, one.lease)
-            came = one.handle_role_key(now, "d", chance.choice([None, entry]), revision)
+            entry = Entry("d", rng.choice([b"me", b"you"]), revision, revision, one.lease)
+            came = one.handle_role_key(now, "d", rng.choice([None, entry]), revision)
         else:
             came = one.handle_timer(now)
         for effect in came:
             if isinstance(effect, StoreCall):
                 out.append(effect)
                 asked[effect.call] = now
-        if one.held_token(now, "d"):
+        if one.believed_token(now, "d"):
             assert now < promised[one.lease] - TERMS.margin_s + 1e-9
         if one.usable_token(now, "d"):
             assert now < promised[one.lease] - 2 * TERMS.margin_s + 1e-9
--- a/tests/sidecar/singletons/test_health_checking.py
+++ b/tests/sidecar/singletons/test_health_checking.py
@@ -51,7 +51,7 @@
     looks = [SharedHealthChecks(name, name) for name in names(count)]
     for turn in range(20):
         for one in looks:
-            for node in one.due_checks(turn * 0.5, NODES, entries, 0.5):
+            for node in one.checks_to_start(turn * 0.5, NODES, entries, 0.5):
                 one.check_started(turn * 0.5, node)
                 one.check_finished(turn * 0.5, 0.0, node, ok=True, latency_ms=1.0)
                 probes += 1
