--- a/coveport/serving/proxy/node_selection.py
+++ b/coveport/serving/proxy/node_selection.py
@@ -7,7 +7,7 @@
 
 A node is not usable while
 
-- it closes, is gone, or its announced end has passed (`node_eligibility`);
+- it drains, is gone, or its announced end has passed (`node_eligibility`);
 - its zone is evacuated, or it is outside the home regions of the request (`node_eligibility`);
 - an attempt of this request failed there, and there are others;
 - it warms up and this proxy's quota of requests to it is spent (`slow_start`);
