--- a/tests/serving/replication/core_operators.py
+++ b/tests/serving/replication/core_operators.py
@@ -146,7 +146,7 @@
     def _leave(self) -> None:
         """Close the connections on which nothing came."""
         for machine, request in self.sent:
-            self.world.withdraw(machine, request)
+            self.world.cancel(machine, request)
         self.sent = []
 
     def answered(self, number: int, redirects: int, outcome: Outcome) -> None:
--- a/tests/serving/replication/core_schedules.py
+++ b/tests/serving/replication/core_schedules.py
@@ -188,7 +188,7 @@
 
         again()
 
-    def stop(self, machine: Machine, for_s: float) -> None:
+    def shut_down(self, machine: Machine, for_s: float) -> None:
         """SIGTERM, the end some time later, start again."""
         self.note(f"stop {machine.address} for {for_s:.2f}")
         incarnation = machine.incarnation
@@ -235,7 +235,7 @@
             self.replace,
             self.disk,
             self.cut,
-            self.stop,
+            self.shut_down,
             self.reset,
         )
         for _ in range(self.random.choice((1, 2))):
@@ -246,7 +246,7 @@
 
     def storm(self) -> None:
         """More than is tolerated, but no disk is lost: nothing may be lost or forked, whatever the delay."""
-        kinds = (self.kill, self.freeze, self.disk, self.cut, self.stop, self.reset)
+        kinds = (self.kill, self.freeze, self.disk, self.cut, self.shut_down, self.reset)
         for _ in range(self.random.randint(3, 9)):
             if self.random.random() < 0.1:
                 self.all_down(self.random.random() < 0.5)
--- a/tests/serving/replication/core_timings.py
+++ b/tests/serving/replication/core_timings.py
@@ -96,7 +96,7 @@
     world.machines[view.replicas[1].address].freeze()
 
 
-def stop(world: World, machine: Machine) -> None:
+def shut_down(world: World, machine: Machine) -> None:
     """SIGTERM; gone after 0.7 s, back after two more."""
     incarnation = machine.incarnation
     assert incarnation is not None
@@ -132,7 +132,7 @@
     hanging_disk,
     refusing_disk,
     backup_freezes,
-    stop,
+    shut_down,
     all_killed,
     all_lose_power,
 )
--- a/tests/serving/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -287,7 +287,7 @@
         self.blocked_links: set[tuple[str, str]] = set()  # from, to
         self.messages = 0
         self.on_answer: dict[int, Callable[[Outcome], None]] = {}
-        self.withdrawn: set[int] = set()  # calls whose caller has left
+        self.cancelled: set[int] = set()  # calls whose caller has left
         self.situations: Counter[str] = Counter()  # how often what was brought about
         self._arrivals: dict[tuple[str, str], float] = {}
         self._connections: Counter[tuple[str, str]] = Counter()  # how often the one of each link broke
@@ -398,7 +398,7 @@
             if machine.client_generation != calls:
                 self.situations["2: what waited in the sockets of a frozen machine was dropped"] += 1
                 return
-            if request not in self.withdrawn:
+            if request not in self.cancelled:
                 machine.deliver(incarnation, make_event(request))
             elif is_delayed:
                 self.situations["2: an old copy of an order without a version was dropped"] += 1
@@ -416,12 +416,12 @@
         self.after(CLIENT_S * self.random.uniform(1.0, 2.0), arrive)
         return request
 
-    def withdraw(self, machine: Machine, request: int) -> None:
+    def cancel(self, machine: Machine, request: int) -> None:
         """The caller leaves: the machine sees that a little later, when it runs."""
         incarnation = machine.incarnation
 
         def see() -> None:
-            self.withdrawn.add(request)
+            self.cancelled.add(request)
             if incarnation is not None and machine.incarnation is incarnation:
                 machine.deliver(incarnation, CancelCall(request))
 
