--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -338,7 +338,7 @@
         for node, count in grant.operations.items():
             if node in nodes:
                 self._effects.counters.add("granted", count)
-                self._effects.feed(core.Granted(nodes[node], count, lasts_ms))
+                self._effects.feed(core.SlowStartGranted(nodes[node], count, lasts_ms))
 
     # Looking by turns.
 
@@ -364,7 +364,7 @@
 
         def done(result: StepResult) -> None:
             took = (boot_s() - started) * 1000
-            effects.feed(core.ProbeEnded(number, result.outcome, took, result.load))
+            effects.feed(core.HealthCheckEnded(number, result.outcome, took, result.load))
             ok = result.outcome is api.Outcome.OK
             published = health_checks.check_finished(boot_s(), time.time(), node, ok=ok, latency_ms=took)
             if published is not None:
@@ -373,7 +373,7 @@
         effects.counters.add("probes_by_turn")
         effects.destinations.send(number, None, timeout_s, done)
 
-    def look(self, destination: int) -> core.ProbeEnded | None:
+    def look(self, destination: int) -> core.HealthCheckEnded | None:
         """Another's look at a destination that the module wishes to look at; None: look yourself."""
         node = self._name_of(destination)
         if self._health_checks is None or not node:
@@ -405,8 +405,8 @@
     return f"{host}:{port}@{born:.0f}"
 
 
-def _as_probe(destination: int, seen: HealthCheckResult) -> core.ProbeEnded:
-    return core.ProbeEnded(
+def _as_probe(destination: int, seen: HealthCheckResult) -> core.HealthCheckEnded:
+    return core.HealthCheckEnded(
         destination, api.Outcome.OK if seen.ok else api.Outcome.CONNECT_FAILED, seen.latency_ms
     )
 
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -82,7 +82,7 @@
 class Looks(Protocol):
     """Who else looks at destinations; where nobody does, there is none of it."""
 
-    def look(self, destination: int) -> core.ProbeEnded | None:
+    def look(self, destination: int) -> core.HealthCheckEnded | None:
         """Another's look at a destination that the module wishes to look at; None: look yourself."""
 
     def saw(self, destination: int, outcome: api.Outcome) -> None:
@@ -260,7 +260,7 @@
             return
         if self._beating is not None:
             self.counters.add("stalls_measured")
-            self._inputs.append(core.Stalled(missed))
+            self._inputs.append(core.ProcessStalled(missed))
         # Guards against what waits beside a list that has waited for as long: it would be decided by the old
         # one, and go to a destination that has long begun to drain.
         self.pool_config.catch_up()
@@ -286,7 +286,7 @@
             self._beating = self._net.loop.call_later(BEAT_MS / 1000, self._pulse)
         deadline = self._clock.now_ms() + (asked.wait_ms if asked.upload is None else LONGEST_MS)
         self.feed(
-            core.OperationCame(
+            core.OperationReceived(
                 number,
                 asked.cls,
                 deadline,
@@ -305,7 +305,7 @@
         if opened is not None and not opened.taken:
             opened.taken = True
             self.pending += not opened.ended
-            self.feed(core.BodyCame(number, self._clock.now_ms() + opened.asked.wait_ms - waited_ms))
+            self.feed(core.BodyReceived(number, self._clock.now_ms() + opened.asked.wait_ms - waited_ms))
 
     def gone(self, number: int) -> None:
         """The client of an operation has gone away."""
@@ -314,7 +314,7 @@
         if number in self._open:
             self._open[number].client = None
             self._ended(self._open[number], "failed")
-        self.feed(core.ClientGone(number))
+        self.feed(core.ClientDisconnected(number))
         self._forget(number, answered=True)
 
     def withdraw(self, number: int) -> None:
@@ -325,7 +325,7 @@
             if not opened.ended:
                 opened.ended = True
                 self.pending -= opened.taken
-        self.feed(core.ClientGone(number))
+        self.feed(core.ClientDisconnected(number))
         self._forget(number, answered=True)
 
     def answered_elsewhere(self, cls: str, verdict: core.Verdict) -> None:
@@ -350,7 +350,7 @@
     def told(self, update: PoolUpdate | None) -> None:
         """Discovery has told a list, or has failed."""
         if update is None:
-            self.feed(core.PoolTold(api.ListUpdate(api.ListKind.FAILED)))
+            self.feed(core.EndpointsUpdated(api.ListUpdate(api.ListKind.FAILED)))
         else:
             self.has_list = True
             self.counters.add("pool_updates")
@@ -364,7 +364,7 @@
             or update.update.kind is not api.ListKind.DELTA
             or (self._config.settings.must_ask)
         ):  # whoever asked waits for an answer, an empty one too
-            self.feed(core.PoolTold(update.update))
+            self.feed(core.EndpointsUpdated(update.update))
 
     def out(self) -> dict[int, float]:
         """Destinations that are out as they failed, and for how long, ms."""
@@ -379,7 +379,7 @@
         settings = replace(self._config.settings, peers_total=peers)
         if settings != self._config.settings:
             self._config = replace(self._config, settings=settings)
-            self.feed(core.Reloaded(None, settings))
+            self.feed(core.ConfigurationReloaded(None, settings))
 
     def reload(self, config: Config) -> None:
         """The configuration was read anew: discovery moves, other settings hold, the rest waits."""
@@ -399,41 +399,41 @@
         self.destinations.connect_timeout_s = connect_timeout_ms(settings) / 1000  # the module counts with it
         changed = settings != before.settings
         self._config = replace(before, settings=settings)
-        self.feed(core.Reloaded(config.discovery, settings if changed else None))
+        self.feed(core.ConfigurationReloaded(config.discovery, settings if changed else None))
 
     # Effects.
 
     def _carry_out(self, effect: core.Effect) -> None:
-        if isinstance(effect, core.SendStep):
+        if isinstance(effect, core.SendAttempt):
             self._send(effect)
-        elif isinstance(effect, core.GiveAnswer):
+        elif isinstance(effect, core.SendAnswer):
             self._answer(effect)
-        elif isinstance(effect, core.BeginAnswer):
+        elif isinstance(effect, core.StartAnswer):
             self._begin_answer(effect)
         elif isinstance(effect, core.EndAnswer):
             self._end_answer(effect)
         elif isinstance(effect, core.SetTimer):
-            self._net.loop.call_later(effect.delay_ms / 1000, self.feed, core.TimerDue(effect.token))
-        elif isinstance(effect, core.GuardDeadline):
+            self._net.loop.call_later(effect.delay_ms / 1000, self.feed, core.TimerExpired(effect.token))
+        elif isinstance(effect, core.SetDeadlineTimer):
             delay = (effect.at_ms - self._clock.now_ms()) / 1000
             self._open[effect.operation].guard = self._net.loop.call_later(
-                delay, self.feed, core.DeadlineDue(effect.operation)
+                delay, self.feed, core.DeadlineExpired(effect.operation)
             )
-        elif isinstance(effect, core.CancelStep):
+        elif isinstance(effect, core.CancelAttempt):
             opened = self._open.get(effect.operation)
             if opened is not None and effect.step in opened.steps:
                 opened.steps[effect.step].cancel()
-        elif isinstance(effect, core.ProbeDestination):
+        elif isinstance(effect, core.CheckHealth):
             self._probe(effect.destination)
-        elif isinstance(effect, core.AskPool):
+        elif isinstance(effect, core.RequestEndpoints):
             self.pool_config.ask(whole=effect.whole)
-        elif isinstance(effect, core.MovePool):
+        elif isinstance(effect, core.SwitchDiscovery):
             self.pool_config.move(effect.discovery)
         else:
             self.counters.add("complaints")
             self._log.note("fault", effect.text)
 
-    def _send(self, effect: core.SendStep) -> None:
+    def _send(self, effect: core.SendAttempt) -> None:
         opened = self._open[effect.operation]
         self.counters.add("route_steps")
 
@@ -445,16 +445,16 @@
             if self.records is not None:
                 self.records.attempt_ended(effect.operation, effect.step, result.outcome)
             self.feed(
-                core.StepEnded(effect.operation, effect.step, result.outcome, result.load, result.answer)
+                core.AttemptEnded(effect.operation, effect.step, result.outcome, result.load, result.answer)
             )
             self._forget(effect.operation)
 
         def began(_step: RouteStep, answer: Answer) -> Asker | None:
-            self.feed(core.AnswerBegan(effect.operation, effect.step, answer))
+            self.feed(core.AnswerStarted(effect.operation, effect.step, answer))
             return opened.client if opened.passing else None
 
         def handed() -> None:
-            self.feed(core.StepHanded(effect.operation, effect.step))
+            self.feed(core.AttemptSent(effect.operation, effect.step))
 
         asked_ms = self._clock.now_ms()
 
@@ -512,12 +512,14 @@
         def done(result: StepResult) -> None:
             self.counters.add(f"probe_{result.outcome.name.lower()}")
             self.feed(
-                core.ProbeEnded(destination, result.outcome, self._clock.now_ms() - started, result.load)
+                core.HealthCheckEnded(
+                    destination, result.outcome, self._clock.now_ms() - started, result.load
+                )
             )
 
         self.destinations.send(destination, None, timeout_s, done)
 
-    def _answer(self, effect: core.GiveAnswer) -> None:
+    def _answer(self, effect: core.SendAnswer) -> None:
         opened = self._open[effect.operation]
         client, opened.client = opened.client, None
         self.counters.add(f"answers_{effect.verdict.value}")
@@ -533,7 +535,7 @@
             self.pending -= opened.taken
             self.counters.add(ended(opened.cls, how))
 
-    def _begin_answer(self, effect: core.BeginAnswer) -> None:
+    def _begin_answer(self, effect: core.StartAnswer) -> None:
         opened = self._open[effect.operation]
         opened.passing = opened.client is not None
         source = opened.steps[effect.step]
--- a/coveport/sidecar/reducer/messages.py
+++ b/coveport/sidecar/reducer/messages.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class OperationCame:
+class OperationReceived:
     """A whole operation has come; from here on one final answer is owed."""
 
     operation: int
@@ -33,12 +33,12 @@
     cost_ms: float = 0.0
     room: bool = True  # False: more has come than we can hold
     id: str = ""  # what the client calls it; empty: nothing
-    long: bool = False  # its body is still coming: no deadline holds until `BodyCame`
+    long: bool = False  # its body is still coming: no deadline holds until `BodyReceived`
     before: tuple[api.Before, ...] = ()  # attempts that were made already; they bear the steps from 0 on
 
 
 @dataclass(slots=True)
-class BodyCame:
+class BodyReceived:
     """The last byte of a long operation has come: from here on its time counts."""
 
     operation: int
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class StepHanded:
+class AttemptSent:
     """The last byte of a long operation was handed over: from here on the destination's time counts."""
 
     operation: int
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class AnswerBegan:
+class AnswerStarted:
     """A long answer begins to come: a good one, as far as can be told."""
 
     operation: int
@@ -63,14 +63,14 @@
 
 
 @dataclass(slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client has closed its connection; nothing is owed any more."""
 
     operation: int
 
 
 @dataclass(slots=True)
-class StepEnded:
+class AttemptEnded:
     """How a route step ended; `answer` is what goes to the client where it was served."""
 
     operation: int
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True)
-class ProbeEnded:
+class HealthCheckEnded:
     """How a probe ended."""
 
     destination: int
@@ -91,28 +91,28 @@
 
 
 @dataclass(slots=True)
-class PoolTold:
+class EndpointsUpdated:
     """Word from discovery, or of its failure."""
 
     update: api.ListUpdate
 
 
 @dataclass(slots=True)
-class TimerDue:
+class TimerExpired:
     """A timer of the module is due."""
 
     token: int
 
 
 @dataclass(slots=True)
-class DeadlineDue:
+class DeadlineExpired:
     """An operation's time is over: whatever went wrong, it is answered now."""
 
     operation: int
 
 
 @dataclass(slots=True)
-class Reloaded:
+class ConfigurationReloaded:
     """The configuration was read anew. `discovery`: where it is now; None for either: as before."""
 
     discovery: Address | None
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True)
-class Granted:
+class SlowStartGranted:
     """A fresh destination may be sent so many operations more for so long."""
 
     destination: int
@@ -129,26 +129,26 @@
 
 
 @dataclass(slots=True)
-class Stalled:
+class ProcessStalled:
     """We had no CPU for so long, up to now: what was measured over it says nothing of the destinations."""
 
     lasted_ms: float
 
 
 Input = (
-    Granted
-    | Stalled
-    | OperationCame
-    | BodyCame
-    | StepHanded
-    | AnswerBegan
-    | ClientGone
-    | StepEnded
-    | ProbeEnded
-    | PoolTold
-    | TimerDue
-    | DeadlineDue
-    | Reloaded
+    SlowStartGranted
+    | ProcessStalled
+    | OperationReceived
+    | BodyReceived
+    | AttemptSent
+    | AnswerStarted
+    | ClientDisconnected
+    | AttemptEnded
+    | HealthCheckEnded
+    | EndpointsUpdated
+    | TimerExpired
+    | DeadlineExpired
+    | ConfigurationReloaded
 )
 
 
@@ -156,7 +156,7 @@
 
 
 @dataclass(slots=True)
-class SendStep:
+class SendAttempt:
     """Send the operation to a destination, for so long."""
 
     operation: int
@@ -166,7 +166,7 @@
 
 
 @dataclass(slots=True)
-class CancelStep:
+class CancelAttempt:
     """Give a route step up."""
 
     operation: int
@@ -174,7 +174,7 @@
 
 
 @dataclass(slots=True)
-class GiveAnswer:
+class SendAnswer:
     """Give the client its one final answer."""
 
     operation: int
@@ -184,7 +184,7 @@
 
 
 @dataclass(slots=True)
-class BeginAnswer:
+class StartAnswer:
     """Pass a long answer on to the client as it comes: it is the final one."""
 
     operation: int
@@ -202,58 +202,58 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Feed `TimerDue(token)` after this long."""
+    """Feed `TimerExpired(token)` after this long."""
 
     delay_ms: float
     token: int
 
 
 @dataclass(slots=True)
-class GuardDeadline:
-    """Feed `DeadlineDue` then."""
+class SetDeadlineTimer:
+    """Feed `DeadlineExpired` then."""
 
     operation: int
     at_ms: float
 
 
 @dataclass(slots=True)
-class ProbeDestination:
+class CheckHealth:
     """Test a destination."""
 
     destination: int
 
 
 @dataclass(slots=True)
-class AskPool:
+class RequestEndpoints:
     """Ask discovery: for the whole list once, or for all changes from now on."""
 
     whole: bool
 
 
 @dataclass(slots=True)
-class MovePool:
+class SwitchDiscovery:
     """Ask another discovery from now on; the last list holds until it has spoken."""
 
     discovery: Address
 
 
 @dataclass(slots=True)
-class Complain:
+class ReportFault:
     """Log what should not have happened."""
 
     text: str
 
 
 Effect = (
-    SendStep
-    | CancelStep
-    | GiveAnswer
-    | BeginAnswer
+    SendAttempt
+    | CancelAttempt
+    | SendAnswer
+    | StartAnswer
     | EndAnswer
     | SetTimer
-    | GuardDeadline
-    | ProbeDestination
-    | AskPool
-    | MovePool
-    | Complain
+    | SetDeadlineTimer
+    | CheckHealth
+    | RequestEndpoints
+    | SwitchDiscovery
+    | ReportFault
 )
--- a/coveport/sidecar/reducer/reducer.py
+++ b/coveport/sidecar/reducer/reducer.py
@@ -15,31 +15,31 @@
 from coveport.balancing import Balancer
 from coveport.balancing import interface as api
 from coveport.sidecar.reducer.messages import (
-    AnswerBegan,
-    AskPool,
-    BeginAnswer,
-    BodyCame,
-    CancelStep,
-    ClientGone,
-    Complain,
+    AnswerStarted,
+    AttemptEnded,
+    AttemptSent,
+    BodyReceived,
+    CancelAttempt,
+    CheckHealth,
+    ClientDisconnected,
+    ConfigurationReloaded,
     Effect,
     EndAnswer,
-    GiveAnswer,
-    Granted,
-    GuardDeadline,
+    EndpointsUpdated,
+    HealthCheckEnded,
     Input,
-    MovePool,
-    OperationCame,
-    PoolTold,
-    ProbeDestination,
-    ProbeEnded,
-    Reloaded,
-    SendStep,
+    OperationReceived,
+    ProcessStalled,
+    ReportFault,
+    RequestEndpoints,
+    SendAnswer,
+    SendAttempt,
+    SetDeadlineTimer,
     SetTimer,
-    Stalled,
-    StepEnded,
-    StepHanded,
-    TimerDue,
+    SlowStartGranted,
+    StartAnswer,
+    SwitchDiscovery,
+    TimerExpired,
     Verdict,
 )
 
@@ -138,33 +138,33 @@
         self._now = max(self._now, now_ms)
         effects: list[Effect] = []
         self._effects = effects
-        if isinstance(item, OperationCame):
+        if isinstance(item, OperationReceived):
             self._came(item)
-        elif isinstance(item, StepEnded):
+        elif isinstance(item, AttemptEnded):
             self._step_ended(item)
-        elif isinstance(item, TimerDue):
+        elif isinstance(item, TimerExpired):
             self._tell(api.TimerFired(item.token))
-        elif isinstance(item, PoolTold):
+        elif isinstance(item, EndpointsUpdated):
             self._tell(item.update)
-        elif isinstance(item, ProbeEnded):
+        elif isinstance(item, HealthCheckEnded):
             self._tell(api.ProbeResult(item.destination, item.outcome, item.latency_ms, item.load))
-        elif isinstance(item, ClientGone):
+        elif isinstance(item, ClientDisconnected):
             self._close(item.operation, None)
-        elif isinstance(item, BodyCame):
+        elif isinstance(item, BodyReceived):
             self._body_came(item)
-        elif isinstance(item, StepHanded):
+        elif isinstance(item, AttemptSent):
             operation = self._operations.get(item.operation)
             if operation is not None:
                 operation.steps[item.step].sent_at = self._now
-        elif isinstance(item, AnswerBegan):
+        elif isinstance(item, AnswerStarted):
             self._began(item)
-        elif isinstance(item, Stalled):
+        elif isinstance(item, ProcessStalled):
             self._discount(item.lasted_ms)
-        elif isinstance(item, Granted):
+        elif isinstance(item, SlowStartGranted):
             self._tell(api.Granted(item.destination, item.count, self._now + item.lasts_ms))
-        elif isinstance(item, Reloaded):
+        elif isinstance(item, ConfigurationReloaded):
             if item.discovery is not None:
-                self._effects.append(MovePool(item.discovery))  # operations and route steps go on
+                self._effects.append(SwitchDiscovery(item.discovery))  # operations and route steps go on
             if item.settings is not None:
                 self._settings = item.settings
                 self._tell(api.Retuned(item.settings))
@@ -172,11 +172,11 @@
             # Guards against a module that forgets an operation: it gets its answer within the slack.
             operation = self._operations.get(item.operation)
             if operation is not None and not operation.answered:
-                self._effects.append(Complain(f"operation {item.operation} was left unanswered"))
+                self._effects.append(ReportFault(f"operation {item.operation} was left unanswered"))
                 self._close(item.operation, Verdict.FAILED)
         return effects
 
-    def _came(self, item: OperationCame) -> None:
+    def _came(self, item: OperationReceived) -> None:
         if not item.room:
             # Guards against running out of descriptors: turned away unseen, so it has never run.
             self._effects.append(self._busy(item.operation, self._settings.classes[item.cls].aim_ms))
@@ -184,7 +184,7 @@
         if item.id and item.id in self._ids:
             # Guards against a client that uses another's id: what is open keeps its one answer, and the
             # ledger nodes never hold two of a name.
-            self._effects.append(GiveAnswer(item.operation, Verdict.DOUBLE))
+            self._effects.append(SendAnswer(item.operation, Verdict.DOUBLE))
             return
         self._ids.add(item.id)
         operation = self._operations[item.operation] = _Operation(
@@ -209,25 +209,25 @@
 
     def _guard(self, number: int, operation: _Operation) -> None:
         guard = operation.deadline_ms + self._settings.rules.answer_slack_ms * GUARD_SHARE
-        self._effects.append(GuardDeadline(number, guard))
+        self._effects.append(SetDeadlineTimer(number, guard))
 
-    def _body_came(self, item: BodyCame) -> None:
+    def _body_came(self, item: BodyReceived) -> None:
         operation = self._operations.get(item.operation)
         if operation is not None and not operation.answered:
             operation.deadline_ms = item.deadline_ms
             self._guard(item.operation, operation)
 
-    def _began(self, item: AnswerBegan) -> None:
+    def _began(self, item: AnswerStarted) -> None:
         operation = self._operations.get(item.operation)
         if operation is None or operation.answered or not operation.steps[item.step].out:
-            self._effects.append(CancelStep(item.operation, item.step))  # somebody else's answer was first
+            self._effects.append(CancelAttempt(item.operation, item.step))  # somebody else's answer was first
             return
         step = operation.steps[item.step]
         operation.answered, operation.stream, step.began_at = True, item.step, self._now
-        self._effects.append(BeginAnswer(item.operation, item.step, item.answer))
+        self._effects.append(StartAnswer(item.operation, item.step, item.answer))
         self._tell(api.StreamStarted(item.operation, item.step, step.destination))
 
-    def _step_ended(self, item: StepEnded) -> None:
+    def _step_ended(self, item: AttemptEnded) -> None:
         operation = self._operations.get(item.operation)
         if operation is None or not operation.steps[item.step].out:
             return
@@ -235,7 +235,7 @@
         step.out = False
         if item.outcome is api.Outcome.OK and not operation.answered:
             operation.answered = True
-            self._effects.append(GiveAnswer(item.operation, Verdict.SERVED, item.answer))
+            self._effects.append(SendAnswer(item.operation, Verdict.SERVED, item.answer))
         elif operation.stream == item.step:
             operation.stream = -1
             self._effects.append(EndAnswer(item.operation, item.outcome is api.Outcome.OK))
@@ -274,11 +274,11 @@
             return
         operation.answered, operation.stream = True, -1
         if verdict is not None:
-            self._effects.append(GiveAnswer(number, verdict))
+            self._effects.append(SendAnswer(number, verdict))
         self._tell(api.Left(number))
         for attempt, step in enumerate(operation.steps):
             if step.out:  # the module's own cancel may have come already; a second one does nothing
-                self._effects.append(CancelStep(number, attempt))
+                self._effects.append(CancelAttempt(number, attempt))
         if operation.over:
             self._pop(number)
 
@@ -293,7 +293,7 @@
                 # Guards against a fault in the module: what it had decided so far stands in its books
                 # and is carried out, the rest is answered by us.
                 fine = False
-                self._effects.append(Complain(traceback.format_exc()))
+                self._effects.append(ReportFault(traceback.format_exc()))
                 actions = self._balancer.out
             for action in actions:
                 fine = self._act(action) and fine
@@ -309,35 +309,35 @@
             operation = self._operations.get(action.id)
             if operation is not None and not 0 <= action.attempt < len(operation.steps):
                 # Guards against a module that cancels what it never sent.
-                self._effects.append(Complain(f"{action} names no route step"))
+                self._effects.append(ReportFault(f"{action} names no route step"))
                 return False
             if (
                 operation is not None
                 and operation.steps[action.attempt].out
                 and operation.stream != action.attempt
             ):  # what is passed on is the client's
-                self._effects.append(CancelStep(action.id, action.attempt))
+                self._effects.append(CancelAttempt(action.id, action.attempt))
         elif isinstance(action, api.Refuse | api.Fail):
             operation = self._operations.get(action.id)
             if operation is None or operation.answered:
                 return True
             operation.answered = True
             if isinstance(action, api.Fail):
-                self._effects.append(GiveAnswer(action.id, Verdict.FAILED))
+                self._effects.append(SendAnswer(action.id, Verdict.FAILED))
             else:
                 self._effects.append(self._busy(action.id, action.wait_ms))
             if operation.over:
                 self._pop(action.id)
         elif isinstance(action, api.Probe):
-            self._effects.append(ProbeDestination(action.host))
+            self._effects.append(CheckHealth(action.host))
         else:
-            self._effects.append(AskPool(isinstance(action, api.FetchList)))
+            self._effects.append(RequestEndpoints(isinstance(action, api.FetchList)))
         return True
 
-    def _busy(self, number: int, wait_ms: float) -> GiveAnswer:
+    def _busy(self, number: int, wait_ms: float) -> SendAnswer:
         limits = self._settings.limits
         wait_ms = min(wait_ms, limits.max_retry_after_ms) if limits.retry_after else 0.0
-        return GiveAnswer(number, Verdict.BUSY, None, wait_ms)
+        return SendAnswer(number, Verdict.BUSY, None, wait_ms)
 
     def _send(self, action: api.Send) -> None:
         operation = self._operations.get(action.id)
@@ -353,4 +353,4 @@
             )
             return
         timeout = min(action.timeout_ms, left) if action.timeout_ms else left
-        self._effects.append(SendStep(action.id, attempt, action.host, timeout))
+        self._effects.append(SendAttempt(action.id, attempt, action.host, timeout))
--- a/coveport/sidecar/supervisor/instance_agent.py
+++ b/coveport/sidecar/supervisor/instance_agent.py
@@ -212,7 +212,7 @@
             number = where.get(str(one.get("dial")))
             if number is not None and one.get("host") in told.out:
                 self._parts.counters.add("remembered_out")
-                self._parts.feed(core.ProbeEnded(number, api.Outcome.CONNECT_FAILED, 0.0))
+                self._parts.feed(core.HealthCheckEnded(number, api.Outcome.CONNECT_FAILED, 0.0))
 
     async def _keep(self) -> None:
         while self._fleet.young_s > 0:
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -105,7 +105,7 @@
 
 
 class _AnswersTwice(_Hands):
-    def _answer(self, effect: core.GiveAnswer) -> None:
+    def _answer(self, effect: core.SendAnswer) -> None:
         client = self._open[effect.operation].client
         super()._answer(effect)
         if client is not None and self.struck(effect.operation):
@@ -113,7 +113,7 @@
 
 
 class _ForgetsAnswers(_Hands):
-    def _answer(self, effect: core.GiveAnswer) -> None:
+    def _answer(self, effect: core.SendAnswer) -> None:
         if not self.struck(effect.operation):
             super()._answer(effect)
 
@@ -121,7 +121,7 @@
 class _MixesBodies(_Hands):
     _last: Answer | None = None
 
-    def _answer(self, effect: core.GiveAnswer) -> None:
+    def _answer(self, effect: core.SendAnswer) -> None:
         if effect.answer is not None:
             mine, self._last = effect.answer, effect.answer if self._last is None else self._last
             if self.struck(effect.operation):
@@ -131,7 +131,7 @@
 
 
 class _CutsBodies(_Hands):
-    def _answer(self, effect: core.GiveAnswer) -> None:
+    def _answer(self, effect: core.SendAnswer) -> None:
         if effect.answer is not None and self.struck(effect.operation):
             effect.answer = Answer(effect.answer.body[:-1], effect.answer.content_type)
         super()._answer(effect)
@@ -185,12 +185,12 @@
 
 class _LosesCancels(Effects):
     def _carry_out(self, effect: core.Effect) -> None:
-        if not isinstance(effect, core.CancelStep):
+        if not isinstance(effect, core.CancelAttempt):
             super()._carry_out(effect)
 
 
 class _ChangesKeys(_Hands):
-    def _send(self, effect: core.SendStep) -> None:
+    def _send(self, effect: core.SendAttempt) -> None:
         asked = self._open[effect.operation].asked
         if asked.key is not None and effect.step:
             asked.key = asked.key[::-1]
@@ -200,7 +200,7 @@
 class _SendsOn(_Hands):
     """Sends once more what has its answer already."""
 
-    def _answer(self, effect: core.GiveAnswer) -> None:
+    def _answer(self, effect: core.SendAnswer) -> None:
         asked = self._open[effect.operation].asked
         super()._answer(effect)
         if self.struck(effect.operation) and self.destinations._places:
--- a/coveport/testbed/check/rules.py
+++ b/coveport/testbed/check/rules.py
@@ -53,11 +53,11 @@
 
 def of_effect(around: Surroundings, effect: core.Effect) -> Iterator[Breach]:
     """What an effect breaks, judged before it is carried out."""
-    if isinstance(effect, core.SendStep):
+    if isinstance(effect, core.SendAttempt):
         yield from _send(around, effect)
-    elif isinstance(effect, core.GiveAnswer):
+    elif isinstance(effect, core.SendAnswer):
         yield from _answer(around, effect)
-    elif isinstance(effect, core.CancelStep):
+    elif isinstance(effect, core.CancelAttempt):
         asked = around.open.get(effect.operation)
         name = f"step {effect.step} of operation {effect.operation - OPERATION}"
         if asked is None or effect.step not in asked.steps:
@@ -66,11 +66,11 @@
             yield Breach("cancel-wrong", f"{name} was cancelled while the operation is owed its answer")
         if not around.world.settings.limits.cancel:
             yield Breach("cancel-barred", f"{name} was cancelled, which the settings forbid")
-    elif isinstance(effect, core.ProbeDestination):
+    elif isinstance(effect, core.CheckHealth):
         yield from _destination(around, "a probe", effect.destination)
         if not around.world.settings.limits.probes:
             yield Breach("probe-barred", f"node {effect.destination - NODE} was probed, which is forbidden")
-    elif isinstance(effect, core.Complain) and not around.world.complaints:
+    elif isinstance(effect, core.ReportFault) and not around.world.complaints:
         yield Breach("complaint", effect.text.strip().splitlines()[-1])
 
 
@@ -88,7 +88,7 @@
             )
 
 
-def _send(around: Surroundings, effect: core.SendStep) -> Iterator[Breach]:
+def _send(around: Surroundings, effect: core.SendAttempt) -> Iterator[Breach]:
     limits, number = around.world.settings.limits, effect.operation - OPERATION
     asked = around.open.get(effect.operation)
     name = f"step {effect.step} of operation {number}"
@@ -127,7 +127,7 @@
     return f"its key is forgotten, {age:g} ms after" if age > cls.window_ms else ""
 
 
-def _answer(around: Surroundings, effect: core.GiveAnswer) -> Iterator[Breach]:
+def _answer(around: Surroundings, effect: core.SendAnswer) -> Iterator[Breach]:
     name = f"operation {effect.operation - OPERATION}"
     asked = around.open.get(effect.operation)
     if asked is None or asked.over:
@@ -166,7 +166,7 @@
 
 def of_input(around: Surroundings, item: core.Input) -> Iterator[Breach]:
     """What is broken once all effects of an input are carried out."""
-    if isinstance(item, core.OperationCame):
+    if isinstance(item, core.OperationReceived):
         asked = around.open[item.operation]
         name = f"operation {item.operation - OPERATION}"
         latest = asked.deadline_ms + around.world.settings.rules.answer_slack_ms
@@ -181,7 +181,7 @@
             for place in out:
                 if not asked.steps[place].cancelled and around.world.settings.limits.cancel:
                     yield Breach("cancel-lost", f"step {place} of {name} is left out, and {name} is over")
-        elif isinstance(item, core.DeadlineDue) and item.operation == number:
+        elif isinstance(item, core.DeadlineExpired) and item.operation == number:
             yield Breach("answer-none", f"the guard of {name} gave no answer")
         elif any(step.outcome is Outcome.OK for step in asked.steps.values()):
             yield Breach("answer-held", f"{name} was served by a node, and has no answer")
--- a/coveport/testbed/check/surroundings.py
+++ b/coveport/testbed/check/surroundings.py
@@ -214,21 +214,21 @@
             self.leaves -= 1
             asked = self.open[move.operation + OPERATION]
             asked.gone, asked.guard_at = True, inf
-            return core.ClientGone(move.operation + OPERATION)
+            return core.ClientDisconnected(move.operation + OPERATION)
         if isinstance(move, Timer):
             self.timers.remove(min(timer for timer in self.timers if timer[1] == move.token))
-            return core.TimerDue(move.token)
+            return core.TimerExpired(move.token)
         if isinstance(move, Deadline):
             self.open[move.operation + OPERATION].guard_at = inf
-            return core.DeadlineDue(move.operation + OPERATION)
+            return core.DeadlineExpired(move.operation + OPERATION)
         if isinstance(move, Probed):
             probe = min(probe for probe in self.probes if probe[2] == move.node)
             self.probes.remove(probe)
             self.faults -= move.outcome not in (Outcome.OK, Outcome.TIMEOUT)
-            return core.ProbeEnded(move.node + NODE, move.outcome, self.now - probe[1])
+            return core.HealthCheckEnded(move.node + NODE, move.outcome, self.now - probe[1])
         if isinstance(move, Reload):
             self.reloads -= 1
-            return core.Reloaded(ELSEWHERE)
+            return core.ConfigurationReloaded(ELSEWHERE)
         self.word += 1
         return self.told(self.world.words[self.word - 1])
 
@@ -239,7 +239,7 @@
         number = OPERATION + self.came
         deadline = self.now + wish.wait_ms
         self.open[number] = Asked(place, deadline)
-        return core.OperationCame(
+        return core.OperationReceived(
             number, wish.cls, deadline, wish.repeat, 0.0, wish.room, wish.id or str(number)
         )
 
@@ -249,7 +249,7 @@
         step.outcome = outcome
         self.faults -= outcome not in (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)
         answer = self.answer_of(number, place) if outcome is Outcome.OK else None
-        return core.StepEnded(number, place, outcome, (), answer)
+        return core.AttemptEnded(number, place, outcome, (), answer)
 
     @staticmethod
     def answer_of(number: int, place: int) -> Answer:
@@ -260,7 +260,7 @@
         """Word from discovery."""
         if word.kind is ListKind.FAILED:
             self.asks, self.quiet_since = False, self.now
-            return core.PoolTold(api.ListUpdate(word.kind))
+            return core.EndpointsUpdated(api.ListUpdate(word.kind))
         entries = []
         for line in word.lines:
             place = self.world.nodes[line.node]
@@ -272,7 +272,7 @@
         if word.kind is not ListKind.DELTA:
             for node in self.states.keys() - {line.node for line in word.lines}:
                 self._now_is(node, State.GONE)
-        return core.PoolTold(api.ListUpdate(word.kind, tuple(entries)))
+        return core.EndpointsUpdated(api.ListUpdate(word.kind, tuple(entries)))
 
     def _now_is(self, node: int, state: State) -> None:
         self.states[node] = state
@@ -285,7 +285,7 @@
 
     def carry_out(self, effect: core.Effect) -> core.Input | None:
         """Do what the reducer asks; what comes of it at once."""
-        if isinstance(effect, core.SendStep):
+        if isinstance(effect, core.SendAttempt):
             asked = self.open.get(effect.operation)
             if asked is not None:
                 asked.steps[effect.step] = Step(
@@ -294,27 +294,27 @@
                     self.on_grid(self.now + effect.timeout_ms),
                     self.on_grid(self.now + self.world.quick_ms),
                 )
-        elif isinstance(effect, core.CancelStep):
+        elif isinstance(effect, core.CancelAttempt):
             asked = self.open.get(effect.operation)
             step = asked.steps.get(effect.step) if asked is not None else None
             if step is not None and step.outcome is None:
                 step.cancelled = True
                 if self.world.prompt:
                     return self.ended(effect.operation, effect.step, Outcome.CANCELLED)
-        elif isinstance(effect, core.GiveAnswer):
+        elif isinstance(effect, core.SendAnswer):
             asked = self.open.get(effect.operation)
             if asked is not None:
                 asked.answered, asked.guard_at = True, inf
         elif isinstance(effect, core.SetTimer):
             self.timers.append((self.on_grid(self.now + effect.delay_ms), effect.token))
-        elif isinstance(effect, core.GuardDeadline):
+        elif isinstance(effect, core.SetDeadlineTimer):
             asked = self.open.get(effect.operation)
             if asked is not None:
                 asked.guard_at = self.on_grid(effect.at_ms)
-        elif isinstance(effect, core.ProbeDestination):
+        elif isinstance(effect, core.CheckHealth):
             timeout = 2 * self.world.settings.limits.connect_timeout_ms
             self.probes.append((self.on_grid(self.now + timeout), self.now, effect.destination - NODE))
-        elif isinstance(effect, core.AskPool):
+        elif isinstance(effect, core.RequestEndpoints):
             self.asks = True
         return None
 
--- a/coveport/testbed/discrete_event/sidecars.py
+++ b/coveport/testbed/discrete_event/sidecars.py
@@ -120,12 +120,14 @@
             return
         if self.operation < 0:
             self.run.feed(
-                core.ProbeEnded(self.node.drawn.number + 1, outcome, self.run.agenda.now - self.began, load)
+                core.HealthCheckEnded(
+                    self.node.drawn.number + 1, outcome, self.run.agenda.now - self.began, load
+                )
             )
         else:
             self.run.flights.pop((self.operation, self.step), None)
             answer = Answer(body.encode()) if outcome is api.Outcome.OK else None
-            self.run.feed(core.StepEnded(self.operation, self.step, outcome, load, answer))
+            self.run.feed(core.AttemptEnded(self.operation, self.step, outcome, load, answer))
 
 
 class _Run:
@@ -162,13 +164,13 @@
         self.open[self.came] = one, key
         self._numbers[one.op] = self.came
         deadline = self.agenda.now + one.patience + EPOCH_MS
-        self.feed(core.OperationCame(self.came, one.wish.cls, deadline, one.number > 0, id=one.op))
+        self.feed(core.OperationReceived(self.came, one.wish.cls, deadline, one.number > 0, id=one.op))
 
     def gone(self, one: Try) -> None:
         """Its till has left."""
         number = self._numbers.get(one.op)
         if number is not None:
-            self.feed(core.ClientGone(number))
+            self.feed(core.ClientDisconnected(number))
             self._forget(number)
 
     def _forget(self, number: int) -> None:
@@ -178,29 +180,29 @@
 
     def _carry_out(self, effect: core.Effect) -> None:
         agenda = self.agenda
-        if isinstance(effect, core.SendStep):
+        if isinstance(effect, core.SendAttempt):
             self._send(effect.destination, effect.operation, effect.step, effect.timeout_ms)
-        elif isinstance(effect, core.GiveAnswer):
+        elif isinstance(effect, core.SendAnswer):
             if (found := self.open.get(effect.operation)) is not None:
                 body = effect.answer.body.decode() if effect.answer is not None else ""
                 self._sidecar.answer(found[0], _STATUS[effect.verdict], body, effect.retry_after_ms)
                 self._forget(effect.operation)
-        elif isinstance(effect, core.CancelStep):
+        elif isinstance(effect, core.CancelAttempt):
             if (flight := self.flights.get((effect.operation, effect.step))) is not None:
                 # Told in a turn of its own, as the reducer is in the middle of its step.
                 agenda.at(agenda.now, flight.end, api.Outcome.CANCELLED)
         elif isinstance(effect, core.SetTimer):
-            agenda.at(agenda.now + effect.delay_ms, self.feed, core.TimerDue(effect.token))
-        elif isinstance(effect, core.GuardDeadline):
+            agenda.at(agenda.now + effect.delay_ms, self.feed, core.TimerExpired(effect.token))
+        elif isinstance(effect, core.SetDeadlineTimer):
             agenda.at(effect.at_ms - EPOCH_MS, self._guard, effect.operation)
-        elif isinstance(effect, core.ProbeDestination):
+        elif isinstance(effect, core.CheckHealth):
             self._send(effect.destination, -1, 0, 2 * self._connect_ms)
-        elif isinstance(effect, core.Complain):
+        elif isinstance(effect, core.ReportFault):
             self._sidecar.complaints.append(f"sidecar {self._sidecar.drawn.number}: {effect.text}")
 
     def _guard(self, operation: int) -> None:
         if operation in self.open:
-            self.feed(core.DeadlineDue(operation))
+            self.feed(core.DeadlineExpired(operation))
 
     def _send(self, destination: int, operation: int, step: int, timeout_ms: float) -> None:
         agenda, node = self.agenda, self._nodes[destination - 1]
@@ -340,7 +342,7 @@
     def told(self, update: api.ListUpdate) -> None:
         """Discovery has spoken."""
         for run in [*self._ending, *([self.run] if self.run is not None else [])]:
-            run.feed(core.PoolTold(update))
+            run.feed(core.EndpointsUpdated(update))
 
 
 def _low(figure: float | tuple[float, float]) -> float:
--- a/coveport/testbed/discrete_event/slow_start.py
+++ b/coveport/testbed/discrete_event/slow_start.py
@@ -96,4 +96,4 @@
                     lasts_ms = (grant.expires_at - now) * 1000
                     for node, count in grant.operations.items():
                         self.granted += count
-                        life.feed(core.Granted(int(node[1:]), count, lasts_ms))
+                        life.feed(core.SlowStartGranted(int(node[1:]), count, lasts_ms))
--- a/coveport/testbed/fault_injection/work/executors.py
+++ b/coveport/testbed/fault_injection/work/executors.py
@@ -180,7 +180,7 @@
         self.count = 0
         self.stall_s = 0.0  # the worst moment: it stands still so long right before its next attempt goes
         self.feed(
-            core.PoolTold(
+            core.EndpointsUpdated(
                 api.ListUpdate(
                     api.ListKind.FULL, tuple(api.HostEntry(one.number, 0, one.block) for one in nodes), 1
                 )
@@ -206,7 +206,7 @@
         self._open[number] = _Open(client, asked)
         self.pending += 1
         self.feed(
-            core.OperationCame(
+            core.OperationReceived(
                 number,
                 asked.cls,
                 self.now_ms() + asked.wait_ms,
@@ -222,7 +222,7 @@
     def withdraw(self, number: int) -> None:
         """It is another's."""
         self._close(number)
-        self.feed(core.ClientGone(number))
+        self.feed(core.ClientDisconnected(number))
 
     def answered_elsewhere(self, cls: str, verdict: core.Verdict) -> None:
         """Nothing is counted here."""
@@ -232,7 +232,7 @@
         if self.records is not None:
             self.records.client_gone(number)
         self._close(number)
-        self.feed(core.ClientGone(number))
+        self.feed(core.ClientDisconnected(number))
 
     def _close(self, number: int) -> None:
         opened = self._open.get(number)
@@ -257,34 +257,36 @@
 
     def _carry_out(self, effect: core.Effect) -> None:
         later = self.process.call_later
-        if isinstance(effect, core.SendStep):
+        if isinstance(effect, core.SendAttempt):
             self._send(effect)
-        elif isinstance(effect, core.GiveAnswer):
+        elif isinstance(effect, core.SendAnswer):
             opened = self._open.get(effect.operation)
             client = opened.client if opened is not None else None
             self._close(effect.operation)
             if client is not None:
                 client.answer(effect.verdict, effect.answer, effect.retry_after_ms)
         elif isinstance(effect, core.SetTimer):
-            later(effect.delay_ms / 1000, self.feed, core.TimerDue(effect.token))
-        elif isinstance(effect, core.GuardDeadline):
-            later((effect.at_ms - self.now_ms()) / 1000, self.feed, core.DeadlineDue(effect.operation))
-        elif isinstance(effect, core.CancelStep):
+            later(effect.delay_ms / 1000, self.feed, core.TimerExpired(effect.token))
+        elif isinstance(effect, core.SetDeadlineTimer):
+            later((effect.at_ms - self.now_ms()) / 1000, self.feed, core.DeadlineExpired(effect.operation))
+        elif isinstance(effect, core.CancelAttempt):
             opened = self._open.get(effect.operation)
             if opened is not None and effect.step in opened.steps:
                 opened.steps[effect.step].cancel()
-        elif isinstance(effect, core.ProbeDestination):
+        elif isinstance(effect, core.CheckHealth):
             node = self.nodes[effect.destination]
             fine = node.up and self.way.out and self.way.back
             later(
                 0.005 if fine else 0.2,
                 self.feed,
-                core.ProbeEnded(node.number, api.Outcome.OK if fine else api.Outcome.CONNECT_FAILED, 5.0),
+                core.HealthCheckEnded(
+                    node.number, api.Outcome.OK if fine else api.Outcome.CONNECT_FAILED, 5.0
+                ),
             )
-        elif isinstance(effect, core.Complain):
+        elif isinstance(effect, core.ReportFault):
             raise AssertionError(effect.text)
 
-    def _send(self, effect: core.SendStep) -> None:
+    def _send(self, effect: core.SendAttempt) -> None:
         opened = self._open[effect.operation]
         step = _Step(
             self,
@@ -306,7 +308,7 @@
         self._open[step.operation].steps.pop(step.number, None)
         if self.records is not None:
             self.records.attempt_ended(step.operation, step.number, outcome)
-        self.feed(core.StepEnded(step.operation, step.number, outcome, (), answer))
+        self.feed(core.AttemptEnded(step.operation, step.number, outcome, (), answer))
 
 
 @dataclass
--- a/tests/sidecar/reducer/test_reducer.py
+++ b/tests/sidecar/reducer/test_reducer.py
@@ -18,7 +18,7 @@
 
 def started(entries: api.ListUpdate = FULL) -> Reducer:
     reducer = Reducer(settings(), 7)
-    assert reducer.step(1000.0, core.PoolTold(entries)) == []
+    assert reducer.step(1000.0, core.EndpointsUpdated(entries)) == []
     return reducer
 
 
@@ -30,26 +30,26 @@
 
     def step(item: core.Input) -> None:
         for effect in reducer.step(now, item):
-            if isinstance(effect, core.GiveAnswer):
+            if isinstance(effect, core.SendAnswer):
                 answers[effect.operation] = answers.get(effect.operation, 0) + 1
                 assert effect.operation not in gone
-            elif isinstance(effect, core.SendStep):
+            elif isinstance(effect, core.SendAttempt):
                 assert (effect.operation, effect.step) not in out
                 assert effect.operation not in answers and effect.operation not in gone
                 out.add((effect.operation, effect.step))
                 timers.append(
                     (
                         now + effect.timeout_ms,
-                        core.StepEnded(effect.operation, effect.step, api.Outcome.TIMEOUT),
+                        core.AttemptEnded(effect.operation, effect.step, api.Outcome.TIMEOUT),
                     )
                 )
-            elif isinstance(effect, core.CancelStep):
+            elif isinstance(effect, core.CancelAttempt):
                 assert (effect.operation, effect.step) in out
-                timers.append((now, core.StepEnded(effect.operation, effect.step, api.Outcome.CANCELLED)))
+                timers.append((now, core.AttemptEnded(effect.operation, effect.step, api.Outcome.CANCELLED)))
             elif isinstance(effect, core.SetTimer):
-                timers.append((now + effect.delay_ms, core.TimerDue(effect.token)))
-            elif isinstance(effect, core.GuardDeadline):
-                timers.append((effect.at_ms, core.DeadlineDue(effect.operation)))
+                timers.append((now + effect.delay_ms, core.TimerExpired(effect.token)))
+            elif isinstance(effect, core.SetDeadlineTimer):
+                timers.append((effect.at_ms, core.DeadlineExpired(effect.operation)))
 
     def advance(until: float) -> None:
         nonlocal now
@@ -65,13 +65,13 @@
         advance(now + wait)
         if kind < 5:
             came += 1
-            step(core.OperationCame(came, kind % 3, now + 1500.0))
+            step(core.OperationReceived(came, kind % 3, now + 1500.0))
         elif kind < 9 and out:
             operation, attempt = sorted(out)[wait % len(out)]
-            step(core.StepEnded(operation, attempt, outcome))
+            step(core.AttemptEnded(operation, attempt, outcome))
         elif came and came not in answers:
             gone.add(came)
-            step(core.ClientGone(came))
+            step(core.ClientDisconnected(came))
     if not gone:
         advance(now + 1520.0)  # the deadline and the slack
     advance(now + 10_000.0)
@@ -86,12 +86,12 @@
         raise KeyError("a fault in the module")
 
     monkeypatch.setattr(Balancer, "handle", fails)
-    came = reducer.step(1001.0, core.OperationCame(1, 0, 3000.0))
-    sent = [effect for effect in came if isinstance(effect, core.SendStep)]
+    came = reducer.step(1001.0, core.OperationReceived(1, 0, 3000.0))
+    sent = [effect for effect in came if isinstance(effect, core.SendAttempt)]
     assert len(sent) == 1  # what was decided before the fault is carried out
-    assert any(isinstance(effect, core.Complain) for effect in came)
-    ended = reducer.step(1002.0, core.StepEnded(1, 0, api.Outcome.OK, (), Answer(b"body")))
-    assert [e.answer for e in ended if isinstance(e, core.GiveAnswer)] == [Answer(b"body")]
+    assert any(isinstance(effect, core.ReportFault) for effect in came)
+    ended = reducer.step(1002.0, core.AttemptEnded(1, 0, api.Outcome.OK, (), Answer(b"body")))
+    assert [e.answer for e in ended if isinstance(e, core.SendAnswer)] == [Answer(b"body")]
     assert reducer.owed == 0
 
     def raises(self: Balancer, now_ms: float, event: api.Event) -> list[api.Action]:
@@ -101,21 +101,23 @@
     monkeypatch.setattr(Balancer, "handle", raises)
     verdicts = [
         e.verdict
-        for e in reducer.step(1003.0, core.OperationCame(2, 2, 3000.0))
-        if isinstance(e, core.GiveAnswer)
+        for e in reducer.step(1003.0, core.OperationReceived(2, 2, 3000.0))
+        if isinstance(e, core.SendAnswer)
     ]
     assert verdicts == [core.Verdict.FAILED] and reducer.owed == 0
     monkeypatch.undo()
-    assert any(isinstance(e, core.SendStep) for e in reducer.step(1004.0, core.OperationCame(3, 0, 3000.0)))
+    assert any(
+        isinstance(e, core.SendAttempt) for e in reducer.step(1004.0, core.OperationReceived(3, 0, 3000.0))
+    )
 
 
 def test_what_the_module_forgets_is_failed_at_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     reducer = started()
     monkeypatch.setattr(Balancer, "handle", lambda self, now, event: [])
-    (guard,) = reducer.step(1001.0, core.OperationCame(1, 0, 3000.0))
-    assert isinstance(guard, core.GuardDeadline) and 3000.0 < guard.at_ms < 3020.0
-    effects = reducer.step(guard.at_ms, core.DeadlineDue(1))
-    verdicts = [effect.verdict for effect in effects if isinstance(effect, core.GiveAnswer)]
+    (guard,) = reducer.step(1001.0, core.OperationReceived(1, 0, 3000.0))
+    assert isinstance(guard, core.SetDeadlineTimer) and 3000.0 < guard.at_ms < 3020.0
+    effects = reducer.step(guard.at_ms, core.DeadlineExpired(1))
+    verdicts = [effect.verdict for effect in effects if isinstance(effect, core.SendAnswer)]
     assert verdicts == [core.Verdict.FAILED]
 
 
@@ -123,8 +125,8 @@
     reducer = started()
     decided = [api.Cancel(1, 3), api.Send(1, 100, 0.0)]
     monkeypatch.setattr(Balancer, "handle", lambda self, now, event: decided)
-    effects = reducer.step(1001.0, core.OperationCame(1, 0, 3000.0))
-    assert [type(effect) for effect in effects] == [core.GuardDeadline, core.Complain, core.SendStep]
+    effects = reducer.step(1001.0, core.OperationReceived(1, 0, 3000.0))
+    assert [type(effect) for effect in effects] == [core.SetDeadlineTimer, core.ReportFault, core.SendAttempt]
 
 
 def test_a_send_for_what_is_over_is_moot(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -135,8 +137,8 @@
         return [api.Send(1, 100, 0.0)] if isinstance(event, api.Request) else []
 
     monkeypatch.setattr(Balancer, "handle", sends)
-    effects = reducer.step(1001.0, core.OperationCame(1, 0, 1000.0))  # its time has passed already
-    assert not any(isinstance(effect, core.SendStep) for effect in effects)
+    effects = reducer.step(1001.0, core.OperationReceived(1, 0, 1000.0))  # its time has passed already
+    assert not any(isinstance(effect, core.SendAttempt) for effect in effects)
     assert isinstance(told[-1], api.Reply) and told[-1].outcome is api.Outcome.MOOT
 
 
@@ -153,8 +155,8 @@
 
     monkeypatch.setattr(Balancer, "handle", listens)
     for number in (1, 2):
-        reducer.step(1000.0, core.OperationCame(number, 0, 9000.0))
-    reducer.step(1040.0, core.StepEnded(1, 0, api.Outcome.OK, (), Answer(b"early")))
-    reducer.step(8060.0, core.Stalled(7000.0))
-    reducer.step(8060.0, core.StepEnded(2, 0, api.Outcome.OK, (), Answer(b"late")))
+        reducer.step(1000.0, core.OperationReceived(number, 0, 9000.0))
+    reducer.step(1040.0, core.AttemptEnded(1, 0, api.Outcome.OK, (), Answer(b"early")))
+    reducer.step(8060.0, core.ProcessStalled(7000.0))
+    reducer.step(8060.0, core.AttemptEnded(2, 0, api.Outcome.OK, (), Answer(b"late")))
     assert [event.latency_ms for event in told if isinstance(event, api.Reply)] == [40.0, 60.0]
--- a/tests/sidecar/reducer/test_reducer_scripted.py
+++ b/tests/sidecar/reducer/test_reducer_scripted.py
@@ -13,11 +13,11 @@
 from coveport.balancing.interface import Cancel, Fail, Left, Outcome, Refuse, Reply, Send
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.messages import (
-    CancelStep,
-    GiveAnswer,
-    GuardDeadline,
-    SendStep,
-    StepEnded,
+    AttemptEnded,
+    CancelAttempt,
+    SendAnswer,
+    SendAttempt,
+    SetDeadlineTimer,
     Verdict,
 )
 from coveport.sidecar.reducer.operation import Answer
@@ -26,7 +26,7 @@
 Says = list[api.Action] | Exception
 LIMITS = api.Limits(max_attempts=2, second_copies=True, cancel=True, retry_after=True, max_retry_after_ms=700)
 SETTINGS = dataclasses.replace(settings(SAFE, dataclasses.replace(SAFE, aim_ms=400.0)), limits=LIMITS)
-GUARD = GuardDeadline(1, 3005.0)  # a quarter of the slack of 20 ms past the deadline
+GUARD = SetDeadlineTimer(1, 3005.0)  # a quarter of the slack of 20 ms past the deadline
 ANSWER = Answer(b"body")
 
 
@@ -62,8 +62,8 @@
     return reducer, module
 
 
-def came(number: int = 1, deadline: float = 3000.0, **more: Any) -> core.OperationCame:
-    return core.OperationCame(number, more.pop("cls", 0), deadline, **more)
+def came(number: int = 1, deadline: float = 3000.0, **more: Any) -> core.OperationReceived:
+    return core.OperationReceived(number, more.pop("cls", 0), deadline, **more)
 
 
 def told(module: Module) -> list[api.Event]:
@@ -74,16 +74,21 @@
     ("item", "event"),
     [
         (came(cls=1, repeat=True, cost_ms=12.0), api.Request(1, 3000.0, 1, 0, 12.0, repeat=True)),
-        (core.TimerDue(4), api.TimerFired(4)),
-        (core.PoolTold(api.ListUpdate(api.ListKind.FAILED)), api.ListUpdate(api.ListKind.FAILED)),
-        (core.ProbeEnded(101, Outcome.FULL, 3.5, (0.5,)), api.ProbeResult(101, Outcome.FULL, 3.5, (0.5,))),
+        (core.TimerExpired(4), api.TimerFired(4)),
+        (core.EndpointsUpdated(api.ListUpdate(api.ListKind.FAILED)), api.ListUpdate(api.ListKind.FAILED)),
+        (
+            core.HealthCheckEnded(101, Outcome.FULL, 3.5, (0.5,)),
+            api.ProbeResult(101, Outcome.FULL, 3.5, (0.5,)),
+        ),
     ],
     ids=lambda one: type(one).__name__,
 )
 def test_an_input_is_told_as_it_came(item: core.Input, event: api.Event) -> None:
     reducer, module = scripted()
     reducer.step(0.5, item)
-    reducer.step(0.2, item if not isinstance(item, core.OperationCame) else came(2))  # time never goes back
+    reducer.step(
+        0.2, item if not isinstance(item, core.OperationReceived) else came(2)
+    )  # time never goes back
     assert told(module)[0] == event and [now for now, _ in module.told] == [0.5, 0.5]
 
 
@@ -91,48 +96,57 @@
     ("says", "effect"),
     [
         (api.SetTimer(12.0, 3), core.SetTimer(12.0, 3)),
-        (api.Probe(101), core.ProbeDestination(101)),
-        (api.Subscribe(), core.AskPool(False)),
-        (api.FetchList(), core.AskPool(True)),
+        (api.Probe(101), core.CheckHealth(101)),
+        (api.Subscribe(), core.RequestEndpoints(False)),
+        (api.FetchList(), core.RequestEndpoints(True)),
     ],
 )
 def test_an_action_is_done_as_it_was_said(says: api.Action, effect: core.Effect) -> None:
     reducer, module = scripted(TimerFired=[[says, says]])
-    assert reducer.step(50.0, core.TimerDue(0)) == [effect, effect]
-    assert reducer.step(51.0, core.TimerDue(0)) == [], "and not again"
+    assert reducer.step(50.0, core.TimerExpired(0)) == [effect, effect]
+    assert reducer.step(51.0, core.TimerExpired(0)) == [], "and not again"
     assert len(module.told) == 2
 
 
 def test_a_reload_moves_the_pool_and_nothing_else() -> None:
     reducer, module = scripted()
     there = ("127.0.0.1", 4711)
-    assert reducer.step(50.0, core.Reloaded(there)) == [core.MovePool(there)] and not module.told
+    assert (
+        reducer.step(50.0, core.ConfigurationReloaded(there)) == [core.SwitchDiscovery(there)]
+        and not module.told
+    )
 
 
 def test_the_life_of_an_operation_that_is_served_by_its_second_copy() -> None:
     reducer, module = scripted(
         Request=[[Send(1, 101, 800.0), Send(1, 102, 0.0)]], Reply=[[Cancel(1, 0), Cancel(1, 1)]]
     )
-    assert reducer.step(1000.0, came()) == [GUARD, SendStep(1, 0, 101, 800.0), SendStep(1, 1, 102, 2000.0)]
+    assert reducer.step(1000.0, came()) == [
+        GUARD,
+        SendAttempt(1, 0, 101, 800.0),
+        SendAttempt(1, 1, 102, 2000.0),
+    ]
     assert reducer.owed == 1
-    effects = reducer.step(1060.0, StepEnded(1, 1, Outcome.OK, (0.25,), ANSWER))
-    assert effects == [GiveAnswer(1, Verdict.SERVED, ANSWER), CancelStep(1, 0)], "the answered one is over"
+    effects = reducer.step(1060.0, AttemptEnded(1, 1, Outcome.OK, (0.25,), ANSWER))
+    assert effects == [SendAnswer(1, Verdict.SERVED, ANSWER), CancelAttempt(1, 0)], "the answered one is over"
     assert reducer.owed == 0
-    assert reducer.step(1070.0, StepEnded(1, 0, Outcome.OK, (), ANSWER)) == [], "no second answer"
+    assert reducer.step(1070.0, AttemptEnded(1, 0, Outcome.OK, (), ANSWER)) == [], "no second answer"
     assert told(module)[1:] == [
         Reply(1, 1, 102, Outcome.OK, 60.0, True, (0.25,)),
         Reply(1, 0, 101, Outcome.OK, 70.0, True, ()),
     ]
-    assert reducer.step(1080.0, StepEnded(1, 0, Outcome.OK)) == [] and len(module.told) == 3, "forgotten"
+    assert reducer.step(1080.0, AttemptEnded(1, 0, Outcome.OK)) == [] and len(module.told) == 3, "forgotten"
 
 
 def test_an_outcome_other_than_an_answer_leaves_the_operation_open_and_is_told_once() -> None:
     reducer, module = scripted(Request=[[Send(1, 101, 800.0)]], Reply=[[Send(1, 102, 5000.0)]])
     reducer.step(1000.0, came())
-    assert reducer.step(1100.0, StepEnded(1, 0, Outcome.RESET)) == [SendStep(1, 1, 102, 1900.0)], "the rest"
-    assert reducer.step(1101.0, StepEnded(1, 0, Outcome.RESET)) == [] and reducer.owed == 1
+    assert reducer.step(1100.0, AttemptEnded(1, 0, Outcome.RESET)) == [SendAttempt(1, 1, 102, 1900.0)], (
+        "the rest"
+    )
+    assert reducer.step(1101.0, AttemptEnded(1, 0, Outcome.RESET)) == [] and reducer.owed == 1
     assert told(module)[1:] == [Reply(1, 0, 101, Outcome.RESET, 100.0, False, ())]
-    assert reducer.step(1200.0, StepEnded(2, 0, Outcome.OK)) == [], "of an operation nobody knows"
+    assert reducer.step(1200.0, AttemptEnded(2, 0, Outcome.OK)) == [], "of an operation nobody knows"
 
 
 @pytest.mark.parametrize(
@@ -147,19 +161,19 @@
     limits: api.Limits, said: float, given: float
 ) -> None:
     reducer, _ = scripted(limits, Request=[[Refuse(1, said), Refuse(1, said), Fail(1), Refuse(2, said)]])
-    assert reducer.step(1000.0, came()) == [GUARD, GiveAnswer(1, Verdict.BUSY, None, given)], "one answer"
+    assert reducer.step(1000.0, came()) == [GUARD, SendAnswer(1, Verdict.BUSY, None, given)], "one answer"
     assert reducer.owed == 0
 
 
 @pytest.mark.parametrize(("cls", "wait"), [(0, 700.0), (1, 400.0)])
 def test_what_comes_where_there_is_no_room_is_turned_away_unseen(cls: int, wait: float) -> None:
     reducer, module = scripted()
-    assert reducer.step(1000.0, came(cls=cls, room=False)) == [GiveAnswer(1, Verdict.BUSY, None, wait)]
+    assert reducer.step(1000.0, came(cls=cls, room=False)) == [SendAnswer(1, Verdict.BUSY, None, wait)]
     assert reducer.owed == 0 and not module.told
 
 
 def ended(outcome: Outcome) -> Callable[[Reducer], list[core.Effect]]:
-    return lambda reducer: reducer.step(1100.0, StepEnded(1, 0, outcome, (), ANSWER))
+    return lambda reducer: reducer.step(1100.0, AttemptEnded(1, 0, outcome, (), ANSWER))
 
 
 @pytest.mark.parametrize(
@@ -170,9 +184,9 @@
         ([Send(1, 101, 0.0)], [Fail(1)], ended(Outcome.ERROR), [Verdict.FAILED]),
         ([Send(1, 101, 0.0)], [], ended(Outcome.OK), [Verdict.SERVED]),
         ([Send(1, 101, 0.0)], ValueError("a fault"), ended(Outcome.OK), [Verdict.SERVED]),
-        ([], [], lambda r: r.step(1100.0, core.ClientGone(1)), []),
-        ([], [Fail(1)], lambda r: r.step(1100.0, core.TimerDue(0)), [Verdict.FAILED]),
-        ([], [], lambda r: r.step(3005.0, core.DeadlineDue(1)), [Verdict.FAILED]),
+        ([], [], lambda r: r.step(1100.0, core.ClientDisconnected(1)), []),
+        ([], [Fail(1)], lambda r: r.step(1100.0, core.TimerExpired(0)), [Verdict.FAILED]),
+        ([], [], lambda r: r.step(3005.0, core.DeadlineExpired(1)), [Verdict.FAILED]),
     ],
 )
 def test_an_id_is_free_again_once_its_operation_is_over(
@@ -184,26 +198,26 @@
     reducer, module = scripted(Request=[request_says], Reply=[reply_says], TimerFired=[reply_says])
     effects = reducer.step(1000.0, came(id="one"))
     if ends:
-        assert reducer.step(1001.0, came(2, id="one")) == [GiveAnswer(2, Verdict.DOUBLE)]
-        assert reducer.step(1002.0, came(3, id="two"))[0] == GuardDeadline(3, 3005.0)
+        assert reducer.step(1001.0, came(2, id="one")) == [SendAnswer(2, Verdict.DOUBLE)]
+        assert reducer.step(1002.0, came(3, id="two"))[0] == SetDeadlineTimer(3, 3005.0)
         assert [event.id for event in told(module) if isinstance(event, api.Request)] == [1, 3]
         effects = ends(reducer)
-    assert [one.verdict for one in effects if isinstance(one, GiveAnswer)] == verdicts
-    assert reducer.step(4000.0, came(4, 9000.0, id="one")) == [GuardDeadline(4, 9005.0)]
+    assert [one.verdict for one in effects if isinstance(one, SendAnswer)] == verdicts
+    assert reducer.step(4000.0, came(4, 9000.0, id="one")) == [SetDeadlineTimer(4, 9005.0)]
 
 
 def test_an_id_is_taken_until_the_last_route_step_is_over() -> None:
     reducer, _ = scripted(Request=[[Send(1, 101, 0.0), Fail(1)]])
     reducer.step(1000.0, came(id="one"))
-    assert reducer.step(1001.0, came(2, id="one")) == [GiveAnswer(2, Verdict.DOUBLE)]
-    reducer.step(1002.0, StepEnded(1, 0, Outcome.CANCELLED))
-    assert reducer.step(1003.0, came(3, id="one")) == [GuardDeadline(3, 3005.0)]
+    assert reducer.step(1001.0, came(2, id="one")) == [SendAnswer(2, Verdict.DOUBLE)]
+    reducer.step(1002.0, AttemptEnded(1, 0, Outcome.CANCELLED))
+    assert reducer.step(1003.0, came(3, id="one")) == [SetDeadlineTimer(3, 3005.0)]
 
 
 def test_operations_without_an_id_are_never_doubles() -> None:
     reducer, _ = scripted(Request=[[], [Fail(9), Refuse(9, 0.0)]])  # what is said of others is no fault of it
     reducer.step(1000.0, came())
-    assert reducer.step(1001.0, came(2)) == [GuardDeadline(2, 3005.0)] and reducer.owed == 2
+    assert reducer.step(1001.0, came(2)) == [SetDeadlineTimer(2, 3005.0)] and reducer.owed == 2
 
 
 def test_a_client_that_goes_away_is_told_and_what_is_out_for_it_is_given_up() -> None:
@@ -211,22 +225,30 @@
         Request=[[Send(1, 101, 0.0), Send(1, 102, 0.0)]], Left=[[Fail(1), Cancel(1, 0)]]
     )
     reducer.step(1000.0, came())
-    reducer.step(1010.0, StepEnded(1, 0, Outcome.RESET))
-    assert reducer.step(1020.0, core.ClientGone(1)) == [CancelStep(1, 1)], "no answer, and what ended is over"
+    reducer.step(1010.0, AttemptEnded(1, 0, Outcome.RESET))
+    assert reducer.step(1020.0, core.ClientDisconnected(1)) == [CancelAttempt(1, 1)], (
+        "no answer, and what ended is over"
+    )
     assert reducer.owed == 0 and told(module)[-1] == Left(1)
-    assert reducer.step(1021.0, core.ClientGone(1)) == [] and reducer.step(1022.0, core.ClientGone(9)) == []
-    assert reducer.step(3005.0, core.DeadlineDue(1)) == [] and len(module.told) == 3
-    assert reducer.step(3006.0, StepEnded(1, 1, Outcome.CANCELLED)) == []
+    assert (
+        reducer.step(1021.0, core.ClientDisconnected(1)) == []
+        and reducer.step(1022.0, core.ClientDisconnected(9)) == []
+    )
+    assert reducer.step(3005.0, core.DeadlineExpired(1)) == [] and len(module.told) == 3
+    assert reducer.step(3006.0, AttemptEnded(1, 1, Outcome.CANCELLED)) == []
     assert told(module)[-1] == Reply(1, 1, 102, Outcome.CANCELLED, 2006.0, True, ())
 
 
 def test_an_operation_that_the_module_forgets_is_answered_by_the_guard_with_a_complaint() -> None:
     reducer, module = scripted(Request=[[Send(1, 101, 0.0)]])
     reducer.step(1000.0, came())
-    complaint, *rest = reducer.step(3005.0, core.DeadlineDue(1))
-    assert isinstance(complaint, core.Complain) and "operation 1 " in complaint.text
-    assert rest == [GiveAnswer(1, Verdict.FAILED), CancelStep(1, 0)] and told(module)[-1] == Left(1)
-    assert reducer.step(3006.0, core.DeadlineDue(1)) == [] and reducer.step(3006.0, core.DeadlineDue(2)) == []
+    complaint, *rest = reducer.step(3005.0, core.DeadlineExpired(1))
+    assert isinstance(complaint, core.ReportFault) and "operation 1 " in complaint.text
+    assert rest == [SendAnswer(1, Verdict.FAILED), CancelAttempt(1, 0)] and told(module)[-1] == Left(1)
+    assert (
+        reducer.step(3006.0, core.DeadlineExpired(1)) == []
+        and reducer.step(3006.0, core.DeadlineExpired(2)) == []
+    )
 
 
 @pytest.mark.parametrize(
@@ -241,33 +263,33 @@
     deadline: float, sent: Says, moot: int, closed: bool
 ) -> None:
     reducer, module = scripted(Request=[[Send(2, 101, 0.0)], sent])  # the first names what nobody asked for
-    assert reducer.step(1000.0, came(9)) == [GuardDeadline(9, 3005.0)]
+    assert reducer.step(1000.0, came(9)) == [SetDeadlineTimer(9, 3005.0)]
     effects = reducer.step(1000.0, came(1, deadline))
-    assert [(one.step, one.destination) for one in effects if isinstance(one, SendStep)] == [
+    assert [(one.step, one.destination) for one in effects if isinstance(one, SendAttempt)] == [
         (0, 103),
         (1, 104),
     ][:moot]
     # Not told of it before all that the module said is done.
     assert told(module)[1:] == [api.Request(1, deadline), Reply(1, moot, 101, Outcome.MOOT, 0.0, closed)]
     if not closed:
-        assert reducer.step(1001.0, StepEnded(1, moot, Outcome.OK)) == [], "it never was out"
+        assert reducer.step(1001.0, AttemptEnded(1, moot, Outcome.OK)) == [], "it never was out"
 
 
 @pytest.mark.parametrize("attempt", [-1, 1, 2])
 def test_a_cancel_of_what_was_never_sent_is_complained_of(attempt: int) -> None:
     reducer, _ = scripted(Request=[[Send(1, 101, 0.0), Cancel(1, attempt), Cancel(8, 0)]])
     guard, sent, complaint = reducer.step(1000.0, came())
-    assert (guard, sent) == (GUARD, SendStep(1, 0, 101, 2000.0)) and reducer.owed == 1
-    assert isinstance(complaint, core.Complain) and f"attempt={attempt}" in complaint.text
+    assert (guard, sent) == (GUARD, SendAttempt(1, 0, 101, 2000.0)) and reducer.owed == 1
+    assert isinstance(complaint, core.ReportFault) and f"attempt={attempt}" in complaint.text
 
 
 @pytest.mark.parametrize("says", [[Cancel(1, 0)], ValueError("a fault in the module")])
 def test_an_operation_over_which_the_module_fails_is_answered_where_nothing_is_out(says: Says) -> None:
     reducer, module = scripted(Request=[says, []], Reply=[ValueError("again")], Left=[[Fail(1)]])
     guard, complaint, answer = reducer.step(1000.0, came(id="one"))
-    assert guard == GUARD and isinstance(complaint, core.Complain)
-    assert answer == GiveAnswer(1, Verdict.FAILED) and reducer.owed == 0 and told(module)[-1] == Left(1)
-    assert reducer.step(1001.0, came(2, id="one")) == [GuardDeadline(2, 3005.0)], "its id is free"
+    assert guard == GUARD and isinstance(complaint, core.ReportFault)
+    assert answer == SendAnswer(1, Verdict.FAILED) and reducer.owed == 0 and told(module)[-1] == Left(1)
+    assert reducer.step(1001.0, came(2, id="one")) == [SetDeadlineTimer(2, 3005.0)], "its id is free"
 
 
 def test_a_fault_while_a_route_step_is_out_waits_for_it() -> None:
@@ -276,10 +298,10 @@
     )
     reducer.step(1000.0, came())
     module.out = []
-    (complaint,) = reducer.step(1100.0, StepEnded(1, 0, Outcome.RESET))
-    assert isinstance(complaint, core.Complain) and "one" in complaint.text and reducer.owed == 1
-    complaint, answer = reducer.step(1200.0, StepEnded(1, 1, Outcome.RESET))
-    assert isinstance(complaint, core.Complain) and answer == GiveAnswer(1, Verdict.FAILED)
+    (complaint,) = reducer.step(1100.0, AttemptEnded(1, 0, Outcome.RESET))
+    assert isinstance(complaint, core.ReportFault) and "one" in complaint.text and reducer.owed == 1
+    complaint, answer = reducer.step(1200.0, AttemptEnded(1, 1, Outcome.RESET))
+    assert isinstance(complaint, core.ReportFault) and answer == SendAnswer(1, Verdict.FAILED)
 
 
 def test_what_a_failing_module_had_decided_is_done_and_a_fault_over_one_event_spoils_no_later_one() -> None:
@@ -287,5 +309,5 @@
     reducer, module = scripted(Request=[ValueError("fault")], Reply=[[api.SetTimer(5.0, 0)]])
     module.out = [Send(1, 101, 50.0)]
     guard, complaint, timer, answer = reducer.step(1000.0, came(deadline=900.0))
-    assert guard == GuardDeadline(1, 905.0) and isinstance(complaint, core.Complain)
-    assert timer == core.SetTimer(5.0, 0) and answer == GiveAnswer(1, Verdict.FAILED), "still told as failed"
+    assert guard == SetDeadlineTimer(1, 905.0) and isinstance(complaint, core.ReportFault)
+    assert timer == core.SetTimer(5.0, 0) and answer == SendAnswer(1, Verdict.FAILED), "still told as failed"
--- a/tests/testbed/test_model_check.py
+++ b/tests/testbed/test_model_check.py
@@ -34,12 +34,12 @@
 class _KeepsStepsOfTheGone(Reducer):
     def step(self, now_ms: float, item: core.Input) -> list[core.Effect]:
         effects = super().step(now_ms, item)
-        left = isinstance(item, core.ClientGone)
-        return [effect for effect in effects if not (left and isinstance(effect, core.CancelStep))]
+        left = isinstance(item, core.ClientDisconnected)
+        return [effect for effect in effects if not (left and isinstance(effect, core.CancelAttempt))]
 
 
 class _AnswersTwice(Reducer):
-    def _step_ended(self, item: core.StepEnded) -> None:
+    def _step_ended(self, item: core.AttemptEnded) -> None:
         operation = self._operations.get(item.operation)
         if operation is not None and operation.steps[item.step].out and item.outcome is api.Outcome.OK:
             operation.answered = False
@@ -142,11 +142,11 @@
 
 
 def _answer(effect: core.Effect, **changed: Any) -> Iterable[core.Effect]:
-    return [dataclasses.replace(effect, **changed) if isinstance(effect, core.GiveAnswer) else effect]
+    return [dataclasses.replace(effect, **changed) if isinstance(effect, core.SendAnswer) else effect]
 
 
 def _send(effect: core.Effect, *more: int, **changed: Any) -> Iterable[core.Effect]:
-    if not isinstance(effect, core.SendStep):
+    if not isinstance(effect, core.SendAttempt):
         return [effect]
     return [
         dataclasses.replace(effect, **changed),
@@ -157,8 +157,8 @@
 @pytest.mark.parametrize(
     ("name", "rule", "change"),
     [
-        ("redeem", "answer-none", lambda one: [] if isinstance(one, core.GuardDeadline) else [one]),
-        ("redeem", "answer-held", lambda one: [] if isinstance(one, core.GiveAnswer) else [one]),
+        ("redeem", "answer-none", lambda one: [] if isinstance(one, core.SetDeadlineTimer) else [one]),
+        ("redeem", "answer-held", lambda one: [] if isinstance(one, core.SendAnswer) else [one]),
         ("redeem", "body", lambda one: _answer(one, answer=None)),
         ("redeem", "refused", lambda one: _answer(one, verdict=core.Verdict.BUSY)),
         ("redeem", "resent", lambda one: _send(one, 1)),
@@ -171,15 +171,15 @@
             "leaves",
             "after-end",
             lambda one: (
-                [one, core.SendStep(OPERATION + 1, 1, NODE, 9.0)]
-                if isinstance(one, core.GiveAnswer)
+                [one, core.SendAttempt(OPERATION + 1, 1, NODE, 9.0)]
+                if isinstance(one, core.SendAnswer)
                 else [one]
             ),
         ),
-        ("leaves", "cancel-wrong", lambda one: [one, core.CancelStep(OPERATION + 1, 0)]),
-        ("no-cancel", "cancel-barred", lambda one: [one, core.CancelStep(OPERATION + 1, 0)]),
-        ("leaves", "probe-barred", lambda one: [one, core.ProbeDestination(NODE)]),
-        ("must-ask", "unasked", lambda one: [] if isinstance(one, core.AskPool) else [one]),
+        ("leaves", "cancel-wrong", lambda one: [one, core.CancelAttempt(OPERATION + 1, 0)]),
+        ("no-cancel", "cancel-barred", lambda one: [one, core.CancelAttempt(OPERATION + 1, 0)]),
+        ("leaves", "probe-barred", lambda one: [one, core.CheckHealth(NODE)]),
+        ("must-ask", "unasked", lambda one: [] if isinstance(one, core.RequestEndpoints) else [one]),
     ],
 )
 def test_each_rule_can_be_broken(name: str, rule: str, change: Change) -> None:
