--- a/tests/sidecar/leases/conformance.py
+++ b/tests/sidecar/leases/store_conformance.py
@@ -1,4 +1,4 @@
-"""What every store owes, as cases that run against each of them; `world` runs a coroutine at the store."""
+"""What every store must do, as cases that run against each; `wait` passes time for the store under test."""
 
 from __future__ import annotations
 
@@ -34,9 +34,7 @@
     return outcome
 
 
-async def revisions_grow_and_entries_tell_them(
-    store: Store, wait: Callable[[float], Awaitable[None]]
-) -> None:
+async def revisions_grow_and_stand_in_entries(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
     first = await done(store.commit(put("a", b"1")))
     second = await done(store.commit(put("a", b"2")))
     assert second.revision > first.revision and second.identity == first.identity
@@ -48,7 +46,7 @@
     assert entry.created == third.revision > second.revision, "a key put anew has a higher token"
 
 
-async def what_changes_nothing_has_no_revision(
+async def transaction_that_changes_nothing_has_no_revision(
     store: Store, wait: Callable[[float], Awaitable[None]]
 ) -> None:
     before = await done(store.read(""))
@@ -56,11 +54,11 @@
     assert after.revision == before.revision
 
 
-async def several_are_carried_out_each_by_itself(
+async def several_transactions_are_carried_out_each_by_itself(
     store: Store, wait: Callable[[float], Awaitable[None]]
 ) -> None:
     await done(store.commit(put("a", b"1")))
-    found = await store.commit_all(
+    outcomes = await store.commit_all(
         [
             put("a", b"2", created=0),
             put("b", b"1", created=0),
@@ -68,33 +66,33 @@
             put("c", b"2", lease=987654321),
         ]
     )
-    assert [type(one) for one in found] == [Refused, Done, Done, Refused]
-    assert isinstance(found[3], Refused) and found[3].lease_gone
-    entries = {one.key: one for one in (await done(store.read(""))).entries}
-    assert {key: one.value for key, one in entries.items()} == {"a": b"1", "b": b"1", "c": b"1"}
+    assert [type(outcome) for outcome in outcomes] == [Refused, Done, Done, Refused]
+    assert isinstance(outcomes[3], Refused) and outcomes[3].lease_gone
+    entries = {entry.key: entry for entry in (await done(store.read(""))).entries}
+    assert {key: entry.value for key, entry in entries.items()} == {"a": b"1", "b": b"1", "c": b"1"}
     for at, key in ((1, "b"), (2, "c")):
-        told = found[at]
-        assert isinstance(told, Done) and told.revision == entries[key].modified, "each tells its own"
+        outcome = outcomes[at]
+        assert isinstance(outcome, Done) and outcome.revision == entries[key].modified, "each has its own"
 
 
 async def reads_are_by_prefix_and_in_order(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
     for key in ("p/b", "p/a", "q/a", "p"):
         await done(store.commit(put(key, b"x")))
-    assert [one.key for one in (await done(store.read("p/"))).entries] == ["p/a", "p/b"]
+    assert [entry.key for entry in (await done(store.read("p/"))).entries] == ["p/a", "p/b"]
 
 
-async def all_compares_or_nothing(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
+async def transaction_needs_all_its_compares(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
     here = await done(store.commit(put("a", b"1", created=0)))
     assert isinstance(await store.commit(put("a", b"2", created=0)), Refused)
     both = (Compare("a", Field.CREATED, here.revision), Compare("a", Field.MODIFIED, here.revision + 1))
     assert isinstance(await store.commit(Transaction(both, (Put("a", b"3"), Put("b", b"3")))), Refused)
-    assert [one.key for one in (await done(store.read(""))).entries] == ["a"]
+    assert [entry.key for entry in (await done(store.read(""))).entries] == ["a"]
     await done(store.commit(Transaction(both[:1], (Put("a", b"4"), Put("b", b"4")))))
     found = (await done(store.read(""))).entries
-    assert {one.modified for one in found} == {here.revision + 1}, "one revision for all of it"
+    assert {entry.modified for entry in found} == {here.revision + 1}, "one revision for all of it"
 
 
-async def what_is_bound_goes_with_its_lease(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
+async def bound_keys_go_with_their_lease(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
     lease = (await done(store.grant(1.0))).lease
     await done(store.commit(put("bound", b"", lease)))
     await done(store.commit(put("free", b"")))
@@ -103,14 +101,14 @@
     await wait(0.6)
     assert len((await done(store.read(""))).entries) == 2, "renewed"
     await wait(1.2)
-    assert [one.key for one in (await done(store.read(""))).entries] == ["free"]
-    kept = await store.renew(lease)
-    assert isinstance(kept, Refused) and kept.lease_gone
+    assert [entry.key for entry in (await done(store.read(""))).entries] == ["free"]
+    renewed = await store.renew(lease)
+    assert isinstance(renewed, Refused) and renewed.lease_gone
     gone = await store.commit(put("late", b"", lease))
     assert isinstance(gone, Refused) and gone.lease_gone, "nothing binds to a lease that is over"
 
 
-async def a_key_put_without_its_lease_is_bound_no_more(
+async def key_put_without_its_lease_is_unbound(
     store: Store, wait: Callable[[float], Awaitable[None]]
 ) -> None:
     lease = (await done(store.grant(1.0))).lease
@@ -120,7 +118,7 @@
     assert len((await done(store.read("a"))).entries) == 1
 
 
-async def a_revoked_lease_frees_its_keys_at_once(
+async def revoked_lease_deletes_its_keys_at_once(
     store: Store, wait: Callable[[float], Awaitable[None]]
 ) -> None:
     lease = (await done(store.grant(30.0))).lease
@@ -134,13 +132,15 @@
     assert isinstance(await store.commit(fenced("duty", token, Put("state", b"2"))), Refused), "the old token"
 
 
-async def a_watch_tells_all_in_order_once(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
+async def watch_yields_all_changes_in_order_once(
+    store: Store, wait: Callable[[float], Awaitable[None]]
+) -> None:
     start = (await done(store.read(""))).revision
-    told: list[Change] = []
+    seen: list[Change] = []
 
     async def follow() -> None:
         async for changes in store.watch("w/", start):
-            told.extend(changes)
+            seen.extend(changes)
 
     task = asyncio.ensure_future(follow())
     lease = (await done(store.grant(1.0))).lease
@@ -149,47 +149,53 @@
     await done(store.commit(Transaction((), (Put("w/b", b"1"), Put("w/c", b"1")))))
     await done(store.commit(Transaction((), (Delete("w/b"),))))
     for _ in range(100):  # a bound: the lease ends by itself, a busy machine is late with that
-        if len(told) >= 5:
+        if len(seen) >= 5:
             break
         await wait(0.1)
-    await wait(0.5)  # nothing is told twice
+    await wait(0.5)  # nothing is yielded twice
     task.cancel()
-    assert [(one.key, one.entry is not None) for one in told] == [
+    assert [(change.key, change.entry is not None) for change in seen] == [
         ("w/a", True),
         ("w/b", True),
         ("w/c", True),
         ("w/b", False),
         ("w/a", False),
     ]
-    assert [one.revision for one in told] == sorted(one.revision for one in told)
-    assert told[1].revision == told[2].revision
+    assert [change.revision for change in seen] == sorted(change.revision for change in seen)
+    assert seen[1].revision == seen[2].revision
 
 
-async def a_watch_from_the_future_breaks(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
+async def watch_from_a_future_revision_is_lost(
+    store: Store, wait: Callable[[float], Awaitable[None]]
+) -> None:
     start = (await done(store.commit(put("a", b"1")))).revision
     try:
         async for _ in store.watch("", start + 100):
-            raise AssertionError("told something")
+            raise AssertionError("yielded something")
     except WatchLostError:
         return
     raise AssertionError("a store that went back was not noticed")
 
 
-async def many_at_once_leave_one_winner(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
-    ends = await asyncio.gather(*(store.commit(put("duty", b"%d" % one, created=0)) for one in range(20)))
-    assert sum(isinstance(one, Done) for one in ends) == 1
+async def one_of_many_concurrent_creations_succeeds(
+    store: Store, wait: Callable[[float], Awaitable[None]]
+) -> None:
+    outcomes = await asyncio.gather(
+        *(store.commit(put("duty", b"%d" % number, created=0)) for number in range(20))
+    )
+    assert sum(isinstance(outcome, Done) for outcome in outcomes) == 1
 
 
 CASES: tuple[Case, ...] = (
-    revisions_grow_and_entries_tell_them,
-    what_changes_nothing_has_no_revision,
-    several_are_carried_out_each_by_itself,
+    revisions_grow_and_stand_in_entries,
+    transaction_that_changes_nothing_has_no_revision,
+    several_transactions_are_carried_out_each_by_itself,
     reads_are_by_prefix_and_in_order,
-    all_compares_or_nothing,
-    what_is_bound_goes_with_its_lease,
-    a_key_put_without_its_lease_is_bound_no_more,
-    a_revoked_lease_frees_its_keys_at_once,
-    a_watch_tells_all_in_order_once,
-    a_watch_from_the_future_breaks,
-    many_at_once_leave_one_winner,
+    transaction_needs_all_its_compares,
+    bound_keys_go_with_their_lease,
+    key_put_without_its_lease_is_unbound,
+    revoked_lease_deletes_its_keys_at_once,
+    watch_yields_all_changes_in_order_once,
+    watch_from_a_future_revision_is_lost,
+    one_of_many_concurrent_creations_succeeds,
 )
--- a/tests/sidecar/leases/test_lease_client.py
+++ b/tests/sidecar/leases/test_lease_client.py
@@ -1,4 +1,4 @@
-"""The keeper on simulated time: what it writes under its name goes with its session."""
+"""The lease client on simulated time: what it publishes goes with its session."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from coveport.testbed.simulated_network.world import Process, World
 
 
-def test_what_is_written_as_the_session_ends_is_bound_to_a_lease_or_not_written() -> None:
-    """Told and over in the same turn: unbound, a name would be taken for ever."""
+def test_values_published_as_the_session_ends_are_bound_to_a_lease_or_not_written() -> None:
+    """Published and expired in the same turn: unbound, a name would be taken for ever."""
     world = World()
     host, process = Host(world), Process.start(world, "one")
     host.start()
@@ -30,16 +30,18 @@
     world.run(world.now + 2)
     assert lease_client.lease_state.session is SessionState.ACTIVE
 
-    def both() -> None:
+    def publish_and_expire() -> None:
         lease_client.publish("look/n", b"seen")
         lease_client.publish_status(b'{"runs": "x"}')
         lease_client.lease_state._renewal_sent_at = -1e9  # as after a stall far beyond the lease
         lease_client._handle_timer()
         assert lease_client.lease_state.session is SessionState.DISCONNECTED
 
-    process.call_soon(both)
+    process.call_soon(publish_and_expire)
     world.run(world.now + 1)
-    assert all(one.lease for key, one in host.engine.entries.items() if not key.startswith("coveport/state/"))
+    assert all(
+        entry.lease for key, entry in host.engine.entries.items() if not key.startswith("coveport/state/")
+    )
     world.run(world.now + 10)
     assert lease_client.lease_state.session is SessionState.ACTIVE
     assert host.engine.entries["coveport/instance/s0"].value == b'{"runs": "x"}'
