--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -84,30 +84,30 @@
 def rollout() -> list[Row]:
     """A bad file: share of the fleet that ever ran it, by how it is bad, in a pure world."""
     sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests" / "sidecar" / "singletons"))
-    from test_rollout import NEW, Place  # type: ignore[import-not-found]
+    from test_rollout import NEW, Fleet  # type: ignore[import-not-found]
 
     from coveport.sidecar.singletons.rollout_plan import settings_id
 
     rows: list[Row] = []
     for instances in (5, 40, 200):
         for how in ("refused", "serves 0.8 of what others do"):
-            place = Place(instances)
+            fleet = Fleet(instances)
             if how == "refused":
-                place.bad[settings_id(NEW)] = "no"
+                fleet.bad[settings_id(NEW)] = "no"
             else:
-                place.served[settings_id(NEW)] = 0.8
-            place.ask("start", NEW)
+                fleet.served[settings_id(NEW)] = 0.8
+            fleet.command("start", NEW)
             ever: set[str] = set()
             for _ in range(120):
-                place.run(0.5)
-                ever |= set(place.running(NEW))
+                fleet.run(0.5)
+                ever |= set(fleet.running(NEW))
             rows.append(
                 {
                     "instances": instances,
                     "bad": how,
                     "ever_had_it": len(ever),
                     "share": round(len(ever) / instances, 3),
-                    "phase": place.plan.phase.value,
+                    "phase": fleet.plan.phase.value,
                 }
             )
     return rows
