--- a/coveport/sidecar/intent_log/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -76,61 +76,43 @@
 
         `accepted_age_s`: upper bound of the time since it was accepted.
         """
-        now_s = self._now_s()
-        pending = self._new_takeover(owned, revision, now_s)
-        if pending is None:
-            return None
-        pending.first_attempt_revision = owned.first_attempt_revision
-        pending.first_attempt_s = self._first_attempt_s(pending)
-        # Never sent: its client's deadline, as nobody waits longer. What may have run is retried for its own
-        # sake, for as long as its window allows.
         deadline_s = owned.policy.deadline_ms / 1000
         if not owned.may_have_run:
+            # Nobody waits beyond its client's deadline. What may have run is retried for its own sake, for as
+            # long as its window allows.
             deadline_s = max(0.0, deadline_s - accepted_age_s)
-        pending.deadline_s = now_s + deadline_s
+        return self._adopt_without_client(owned, revision, self._now_s() + deadline_s)
+
+    def _adopt_abandoned(self, owned: Record, revision: int) -> None:
+        """Continue what was claimed for a client that has disconnected meanwhile."""
+        self._adopt_without_client(owned, revision, self._now_s() + owned.policy.deadline_ms / 1000)
+
+    def _adopt_without_client(
+        self, owned: Record, revision: int, deadline_s: float
+    ) -> PendingOperation | None:
+        if owned.id in self._by_id:
+            return None
+        operation = Operation("", "", b"", owned.request_id, owned.idempotency_key or None, 0, 0.0)
+        pending = PendingOperation(self._next_own_number(), operation, owned, deadline_s, is_takeover=True)
+        self._by_number[pending.number] = pending
+        self._set_owned(pending, owned, revision)
         self._continue(pending, None)
         return pending
 
-    def _adopt_for_client(
-        self, pending: PendingOperation, client: Any, owned: Record, revision: int, entry: Entry
-    ) -> bool:
+    def _adopt_for_client(self, pending: PendingOperation, client: Any, owned: Record, revision: int) -> None:
         """Continue a record that was claimed for a client which repeats its request."""
         pending.move_to(OperationStage.OWNED)
+        self._set_owned(pending, owned, revision)
+        self._continue(pending, client)
+
+    def _set_owned(self, pending: PendingOperation, owned: Record, revision: int) -> None:
+        """Note that a claimed record stands in the store at a revision."""
         pending.record = owned
         pending.durable_record = owned
         pending.revision = revision
         pending.first_attempt_revision = owned.first_attempt_revision
         pending.first_attempt_s = self._first_attempt_s(pending)
         self._by_id[owned.id] = pending
-        self._continue(pending, client)
-        return True
-
-    def _adopt_abandoned(self, owned: Record, revision: int) -> None:
-        """Continue what was claimed for a client that has disconnected meanwhile."""
-        pending = self._new_takeover(owned, revision, inf)
-        if pending is None:
-            return
-        pending.deadline_s = self._now_s() + owned.policy.deadline_ms / 1000
-        pending.first_attempt_revision = owned.first_attempt_revision
-        pending.first_attempt_s = self._first_attempt_s(pending)
-        self._continue(pending, None)
-
-    def _new_takeover(self, owned: Record, revision: int, deadline_s: float) -> PendingOperation | None:
-        if owned.id in self._by_id:
-            return None
-        operation = Operation("", "", b"", owned.request_id, owned.idempotency_key or None, 0, 0.0)
-        pending = PendingOperation(
-            self._next_own_number(),
-            operation,
-            owned,
-            deadline_s,
-            durable_record=owned,
-            revision=revision,
-            is_takeover=True,
-        )
-        self._by_number[pending.number] = pending
-        self._by_id[owned.id] = pending
-        return pending
 
     def _next_own_number(self) -> int:
         self._last_own_number -= 1
--- a/coveport/sidecar/intent_log/repeated_requests.py
+++ b/coveport/sidecar/intent_log/repeated_requests.py
@@ -134,7 +134,8 @@
             # The client has disconnected while the claim was written.
             self._adopt_abandoned(owned, revision)
             return False
-        return self._adopt_for_client(pending, client, owned, revision, entry)
+        self._adopt_for_client(pending, client, owned, revision)
+        return True
 
     def _owner_status(self, record: Record) -> OwnerStatus:
         if record.owner != self.incarnation:
--- a/coveport/testbed/fault_injection/work/broken_variants.py
+++ b/coveport/testbed/fault_injection/work/broken_variants.py
@@ -151,7 +151,9 @@
                 previous_owners=(*record.previous_owners, record.owner),
             )
             revision = await self.claim(record, entry, owned)
-            return revision is not None and self._adopt_for_client(pending, client, owned, revision, entry)
+            if revision is not None:
+                self._adopt_for_client(pending, client, owned, revision)
+            return revision is not None
         return await super()._answer_if_decided(pending, client, record, entry)
 
 
--- a/tests/sidecar/intent_log/test_trials_of_work.py
+++ b/tests/sidecar/intent_log/test_simulated_trials.py
@@ -1,4 +1,4 @@
-"""Trials of work in hand on simulated time: the shipped program breaks no rule, and each broken one does."""
+"""Trials of the intent log on simulated time: the shipped program breaks no rule, each variant does."""
 
 from __future__ import annotations
 
