--- a/coveport/sidecar/intent_log/repeated_requests.py
+++ b/coveport/sidecar/intent_log/repeated_requests.py
@@ -63,16 +63,8 @@
             if pending.stage is not OperationStage.FOREIGN:
                 return
             if isinstance(found, Done):
-                if not found.entries:
-                    self._accept_anew(pending, client)
-                    return
-                try:
-                    record = decode(found.entries[0].value)
-                except RecordError as error:
-                    self._log_event("record_unreadable", id=pending.record.id, why=str(error))
-                    self._answer_client(pending, client, Verdict.FAILED)
-                    return
-                if await self._answer_if_decided(pending, client, record, found.entries[0]):
+                record = await self._act_on_stored(pending, client, found)
+                if record is None:
                     return
             await self._wait_for_next_poll()
         if pending.stage is OperationStage.FOREIGN:
@@ -80,6 +72,20 @@
             is_busy = may_be_rejected_as_busy(record)
             self._answer_client(pending, client, Verdict.BUSY if is_busy else Verdict.FAILED)
 
+    async def _act_on_stored(self, pending: PendingOperation, client: Any, found: Done) -> Record | None:
+        """Act on what the store has of a record; return it while the wait goes on, None when it is over."""
+        if not found.entries:
+            self._accept_anew(pending, client)
+            return None
+        try:
+            record = decode(found.entries[0].value)
+        except RecordError as error:
+            self._log_event("record_unreadable", id=pending.record.id, why=str(error))
+            self._answer_client(pending, client, Verdict.FAILED)
+            return None
+        is_over = await self._answer_if_decided(pending, client, record, found.entries[0])
+        return None if is_over else record
+
     def _may_wait(self, pending: PendingOperation) -> bool:
         is_in_time = self._now_s() < pending.deadline_s - DEADLINE_MARGIN_S
         return pending.stage is OperationStage.FOREIGN and is_in_time
