--- a/coveport/cli/check.py
+++ b/coveport/cli/check.py
@@ -7,7 +7,8 @@
 
 import click
 
-from coveport.cli.errors import OK, Unusable
+from coveport.cli.errors import UnusableError
+from coveport.cli.exit_codes import ExitCode
 
 
 @click.command(
@@ -34,9 +35,9 @@
     environ = dict(os.environ)
     beside, cost = "", ""
     if file is not None and file.suffix == ".toml":
-        from coveport.cli.operator import loaded
+        from coveport.cli.operator_options import load_operator_file
 
-        told = loaded(file)
+        told = load_operator_file(file)
         if told.key_file is not None:
             from coveport.sidecar.intent_log.encryption import read_keys
             from coveport.sidecar.intent_log.errors import EncryptionError
@@ -44,7 +45,7 @@
             try:
                 read_keys(told.key_file)
             except EncryptionError as problem:
-                raise Unusable(str(problem)) from problem
+                raise UnusableError(str(problem)) from problem
         if rate and told.work.record:
             from coveport.sidecar.intent_log.settings import cost_of
 
@@ -57,7 +58,7 @@
     try:
         config = platform.load(environ)
     except PlatformFileError as problem:
-        raise Unusable(str(problem)) from problem
+        raise UnusableError(str(problem)) from problem
     classes = ", ".join(one.name for one in config.settings.classes)
     click.echo(
         f"ok: {config.name} listens on {config.listen[0]}:{config.listen[1]}, discovery at "
@@ -65,4 +66,4 @@
     )
     if cost:
         click.echo(cost)
-    return OK
+    return ExitCode.DONE
--- a/coveport/cli/check_model.py
+++ b/coveport/cli/check_model.py
@@ -8,7 +8,8 @@
 
 import click
 
-from coveport.cli.errors import NOT_HELD, OK, Unusable
+from coveport.cli.errors import UnusableError
+from coveport.cli.exit_codes import ExitCode
 
 EPILOG = """\b
 Examples:
@@ -49,10 +50,10 @@
     if list_:
         for world in WORLDS.values():
             click.echo(f"{world.name:18} {world.about}")
-        return OK
+        return ExitCode.DONE
     for name in worlds:
         if name not in WORLDS:
-            raise Unusable(f"no world '{name}' (coveport lab check-model --list shows them)")
+            raise UnusableError(f"no world '{name}' (coveport lab check-model --list shows them)")
     found = False
     for world in [WORLDS[name] for name in worlds] or SMALL:
         told = None
@@ -73,4 +74,4 @@
         for one in report.found:
             found = True
             click.echo(f"\n{printed(world, one)}")
-    return NOT_HELD if found else OK
+    return ExitCode.FAILED if found else ExitCode.DONE
--- a/coveport/cli/fleet.py
+++ b/coveport/cli/fleet.py
@@ -10,8 +10,9 @@
 
 import click
 
-from coveport.cli.errors import NOT_HELD, OK, Unusable
-from coveport.cli.operator import CONFIG, JSON, loaded
+from coveport.cli.errors import UnusableError
+from coveport.cli.exit_codes import ExitCode
+from coveport.cli.operator_options import CONFIG, JSON, load_operator_file
 
 if TYPE_CHECKING:
     from coveport.sidecar.config.operator_file import OperatorFile
@@ -26,9 +27,9 @@
 
 def fleet_of(path: Path) -> OperatorFile:
     """An operator's file that has a fleet."""
-    told = loaded(path)
+    told = load_operator_file(path)
     if not told.fleet.name:
-        raise Unusable(f"{path}: [fleet] name is missing: there is no fleet")
+        raise UnusableError(f"{path}: [fleet] name is missing: there is no fleet")
     return told
 
 
@@ -56,13 +57,13 @@
     try:
         return call(path, {"id": uuid.uuid4().hex, **words}, WITHIN_S)
     except OSError as problem:
-        raise Unusable(f"no supervisor answers at {path}: {problem.strerror or problem}") from problem
+        raise UnusableError(f"no supervisor answers at {path}: {problem.strerror or problem}") from problem
 
 
 def said(answer: dict[str, Any]) -> int:
     """Print what became of a verb; the exit code."""
     click.echo(f"fleet: {answer.get('said', '')}", err=not answer["ok"])
-    return OK if answer["ok"] else NOT_HELD
+    return ExitCode.DONE if answer["ok"] else ExitCode.FAILED
 
 
 @fleet.command()
@@ -89,7 +90,11 @@
                 f"{one['name']:16} {one['state']:9} {one['address']:22} pid {one['pid'] or '-':<8} "
                 f"for {one['for_s']:>8.1f} s  served {one['served']:.3f}  {one['why']}".rstrip()
             )
-    return OK if all(one["state"] == "serving" for one in told["instances"] if one["wanted"]) else NOT_HELD
+    return (
+        ExitCode.DONE
+        if all(one["state"] == "serving" for one in told["instances"] if one["wanted"])
+        else ExitCode.FAILED
+    )
 
 
 @fleet.command()
@@ -144,4 +149,4 @@
             f"{key}={value}" for key, value in one.items() if key not in ("incarnation", "at", "clock")
         )
         click.echo(f"{time.strftime('%F %T', time.localtime(at))} {level:7} {who:20} {event} {rest}".rstrip())
-    return OK
+    return ExitCode.DONE
--- a/coveport/cli/fuzz.py
+++ b/coveport/cli/fuzz.py
@@ -7,7 +7,8 @@
 
 import click
 
-from coveport.cli.errors import NOT_HELD, OK, Unusable
+from coveport.cli.errors import UnusableError
+from coveport.cli.exit_codes import ExitCode
 
 if TYPE_CHECKING:
     from coveport.testbed.fuzz.run import Told
@@ -97,7 +98,7 @@
             run.rewrite(folder, kept)
             click.echo(f"{folder}: {len(kept)} inputs of {sum(map(len, kept))} bytes")
     except run.FuzzError as problem:
-        raise Unusable(str(problem)) from problem
+        raise UnusableError(str(problem)) from problem
     for find in told.finds.values():
         path = run.keep(here / "finds", find.data)
         click.echo(f"{path}: {find.text[:500]}")
@@ -106,7 +107,7 @@
         f"{target}: {told.executions} inputs in {told.seconds:.1f} s ({rate:.0f} a second), "
         f"{'guided' if told.guided else 'drawn'}; {len(told.finds)} kinds of finds"
     )
-    return NOT_HELD if told.finds else OK
+    return ExitCode.FAILED if told.finds else ExitCode.DONE
 
 
 def _both(first: Told, second: Told) -> Told:
--- a/coveport/cli/lab.py
+++ b/coveport/cli/lab.py
@@ -11,7 +11,8 @@
 
 import click
 
-from coveport.cli.errors import NOT_HELD, OK, VOID, Unusable
+from coveport.cli.errors import UnusableError
+from coveport.cli.exit_codes import ExitCode
 from coveport.cli.fuzz import fuzz
 
 if TYPE_CHECKING:
@@ -51,13 +52,13 @@
 
         expected += (GroundError,)
         if any(variants):
-            raise Unusable("variants of the sidecar run on virtual ground only")
+            raise UnusableError("variants of the sidecar run on virtual ground only")
     elif ground == "bare":
         from coveport.testbed.discrete_event.play import BareError
 
         expected += (BareError,)
         if any(variants):
-            raise Unusable("variants of the sidecar run on virtual ground only")
+            raise UnusableError("variants of the sidecar run on virtual ground only")
     elif any(variants):
         from coveport.testbed.broken import variant_named
 
@@ -65,11 +66,11 @@
             for name in variants:
                 variant_named(name)
         except ValueError as problem:
-            raise Unusable(str(problem)) from problem
+            raise UnusableError(str(problem)) from problem
     try:
         yield
     except expected as problem:
-        raise Unusable(str(problem)) from problem
+        raise UnusableError(str(problem)) from problem
 
 
 def _write(path: Path, data: bytes) -> None:
@@ -99,7 +100,7 @@
     width = max((len(name) for name, _ in names), default=0)
     for name, title in names:
         click.echo(f"{name:{width}}  {title}")
-    return OK
+    return ExitCode.DONE
 
 
 @contextlib.contextmanager
@@ -143,7 +144,7 @@
         click.echo(picturing.text(picture, scenario.fleet.zones))
     if json_ is not None:
         _write(json_, msgspec.json.format(msgspec.json.encode(picture), indent=2))
-    return OK
+    return ExitCode.DONE
 
 
 RUN_EPILOG = """\b
@@ -213,9 +214,9 @@
             write(report, played, outcome)
             click.echo(f"report: {report}", err=str(json_) == "-")
     if outcome.late:
-        return VOID
+        return ExitCode.VOID
     held = outcome.kept and not outcome.broken and all(one.met for one in outcome.expectations)
-    return OK if held else NOT_HELD
+    return ExitCode.DONE if held else ExitCode.FAILED
 
 
 SWEEP_EPILOG = """\b
@@ -270,7 +271,9 @@
         from coveport.testbed.catalog import find
 
         if ground == "real" and (jobs or 1) > 1:
-            raise Unusable("--ground real plays one day at a time: days at once would make each other late")
+            raise UnusableError(
+                "--ground real plays one day at a time: days at once would make each other late"
+            )
         try:
             plan = sweeping.plan(
                 find(day), sweeping.parse_seeds(seeds), sweeping.parse_grid(grids), several, ground
@@ -284,7 +287,7 @@
                     jobs=jobs or (1 if ground == "real" else os.cpu_count() or 1),
                 )
         except sweeping.SweepError as problem:
-            raise Unusable(str(problem)) from problem
+            raise UnusableError(str(problem)) from problem
     _print(_sweep_table(swept.lines))
     for cell, why in swept.problems:
         click.echo(f"not played: {cell.label}: {why}", err=True)
@@ -294,8 +297,8 @@
     )
     lines = swept.lines
     if swept.problems or any(min(line.kept, line.met) < line.days for line in lines):
-        return NOT_HELD
-    return VOID if any(line.void for line in lines) else OK
+        return ExitCode.FAILED
+    return ExitCode.VOID if any(line.void for line in lines) else ExitCode.DONE
 
 
 def _told_line(told: Told) -> str:
@@ -424,12 +427,12 @@
     try:
         told = comparing.compare(comparing.read(a), comparing.read(b), (a, b))
     except comparing.CompareError as problem:
-        raise Unusable(str(problem)) from problem
+        raise UnusableError(str(problem)) from problem
     if json_ is not None:
         _make_room(json_)
         _write(json_, msgspec.json.format(msgspec.json.encode(told), indent=2))
         if str(json_) == "-":
-            return OK
+            return ExitCode.DONE
     _print(_compare_table(told))
     for letter, side in (("A", told.a), ("B", told.b)):
         click.echo(
@@ -442,7 +445,7 @@
     click.echo()
     for line in told.verdict:
         click.echo(line)
-    return OK
+    return ExitCode.DONE
 
 
 def _compare_table(told: Comparison) -> Table:
--- a/coveport/cli/root.py
+++ b/coveport/cli/root.py
@@ -11,16 +11,17 @@
 
 import click
 
-from coveport.cli import errors
 from coveport.cli.check import check
 from coveport.cli.check_model import check_model
+from coveport.cli.exit_codes import ExitCode
 from coveport.cli.fleet import fleet
+from coveport.cli.intent_log import work
 from coveport.cli.lab import lab
-from coveport.cli.operator import duties, rollout
+from coveport.cli.rollout import rollout
 from coveport.cli.run import run
 from coveport.cli.search import search, shrink
+from coveport.cli.singletons import duties
 from coveport.cli.trials import trials
-from coveport.cli.work import work
 
 
 def version() -> str:
@@ -45,28 +46,28 @@
             code = super().main(*args, **{**options, "standalone_mode": False})
         except click.exceptions.NoArgsIsHelpError as problem:
             problem.show()
-            code = errors.UNUSABLE
+            code = ExitCode.UNUSABLE
         except click.UsageError as problem:
             where = problem.ctx.command_path if problem.ctx else "coveport"
-            code = self._say(where, f"{problem.format_message()} (see {where} --help)", errors.UNUSABLE)
+            code = self._say(where, f"{problem.format_message()} (see {where} --help)", ExitCode.UNUSABLE)
         except click.ClickException as problem:
-            code = self._say("coveport", problem.format_message(), errors.UNUSABLE)
+            code = self._say("coveport", problem.format_message(), ExitCode.UNUSABLE)
         except (click.Abort, KeyboardInterrupt):
-            code = self._say("coveport", "interrupted", errors.INTERRUPTED)
+            code = self._say("coveport", "interrupted", ExitCode.INTERRUPTED)
         except ModuleNotFoundError as problem:
             code = self._say(
                 "coveport",
                 f"{problem}; the lab's packages come with: pip install 'coveport[lab]'",
-                errors.UNUSABLE,
+                ExitCode.UNUSABLE,
             )
         except OSError as problem:
             where = f"{problem.filename}: " if problem.filename else ""
-            code = self._say("coveport", f"{where}{problem.strerror or problem}", errors.UNUSABLE)
+            code = self._say("coveport", f"{where}{problem.strerror or problem}", ExitCode.UNUSABLE)
         except Exception as problem:
             code = self._say(
                 "coveport",
                 f"a fault of our own: {type(problem).__name__}: {problem} (coveport --debug ... shows where)",
-                errors.OWN_FAULT,
+                ExitCode.INTERNAL_ERROR,
             )
         sys.exit(code)
 
--- a/coveport/cli/run.py
+++ b/coveport/cli/run.py
@@ -7,7 +7,7 @@
 
 import click
 
-from coveport.cli.errors import Unusable
+from coveport.cli.errors import UnusableError
 
 
 @click.command(epilog="Example: coveport run --config example/config.json")
@@ -25,17 +25,19 @@
     operator's file it also takes part in the duties that the file names.
     """
     if config is not None and config.suffix == ".toml":
-        from coveport.cli.operator import loaded
+        from coveport.cli.operator_options import load_operator_file
         from coveport.sidecar.daemon import main as daemon
 
-        told = loaded(config)
+        told = load_operator_file(config)
         if name and not told.fleet.number(name):
-            raise Unusable(f"{config}: [fleet] has no {name!r}: {told.fleet.name or 'NAME'}-1, -2, ...")
+            raise UnusableError(f"{config}: [fleet] has no {name!r}: {told.fleet.name or 'NAME'}-1, -2, ...")
         if not name and told.fleet.name:
-            raise Unusable(f"{config}: a fleet's: coveport fleet run {config}, or one of it by --as NAME")
+            raise UnusableError(
+                f"{config}: a fleet's: coveport fleet run {config}, or one of it by --as NAME"
+            )
         return daemon(told, name)
     if name:
-        raise Unusable("--as goes with an operator's file that has a fleet")
+        raise UnusableError("--as goes with an operator's file that has a fleet")
     if config is not None:
         os.environ["LB_CONFIG"] = str(config)
     from coveport.sidecar.service import main
--- a/coveport/cli/search.py
+++ b/coveport/cli/search.py
@@ -11,7 +11,8 @@
 
 import click
 
-from coveport.cli.errors import NOT_HELD, OK, Unusable
+from coveport.cli.errors import UnusableError
+from coveport.cli.exit_codes import ExitCode
 from coveport.cli.lab import OUT_FOLDER, one_line
 from coveport.cli.trials import search_trials
 
@@ -92,9 +93,9 @@
                     told=told,
                 )
         except SweepError as problem:
-            raise Unusable(str(problem)) from problem
+            raise UnusableError(str(problem)) from problem
     _show(summary, out)
-    return NOT_HELD if summary.lines else OK
+    return ExitCode.FAILED if summary.lines else ExitCode.DONE
 
 
 @contextlib.contextmanager
@@ -233,14 +234,14 @@
                     told=told,
                 )
         except NotShownError as problem:
-            raise Unusable(f"{day}: {problem}") from problem
+            raise UnusableError(f"{day}: {problem}") from problem
         write_whole(out, shrunk.text().encode())
     click.echo(
         f"{_seen(shrunk.scenario)} after {shrunk.plays} plays"
         + ("; more plays might make it smaller" if shrunk.spent else "")
     )
     click.echo(f"{shrunk.find.signature}\n{shrunk.find.what}\n{out}")
-    return OK
+    return ExitCode.DONE
 
 
 def _seen(day: Scenario) -> str:
--- a/coveport/cli/trials.py
+++ b/coveport/cli/trials.py
@@ -10,7 +10,8 @@
 
 import click
 
-from coveport.cli.errors import NOT_HELD, OK, Unusable
+from coveport.cli.errors import UnusableError
+from coveport.cli.exit_codes import ExitCode
 
 if TYPE_CHECKING:
     from coveport.testbed.fault_injection.judge import Belief, Finding
@@ -24,7 +25,7 @@
     click.echo(f"{len(beliefs)} holdings, {acts} acts accepted, {len(findings)} findings")
     for found in findings:
         click.echo(f"{found.rule}: {found.what} (at {found.at:.3f})")
-    return NOT_HELD if findings else OK
+    return ExitCode.FAILED if findings else ExitCode.DONE
 
 
 def play_trial(
@@ -37,14 +38,14 @@
     day = load(path, tuple(sets))
     seed = day.seed if seed is None else seed
     if variant and variant not in VARIANTS:
-        raise Unusable(f"no variant {variant!r}; one of {', '.join(VARIANTS)}")
+        raise UnusableError(f"no variant {variant!r}; one of {', '.join(VARIANTS)}")
     if ground == "virtual":
         from coveport.testbed.fault_injection.virtual import play
 
         played = play(day.trial, seed, VARIANTS.get(variant, SOUND))
         return report(played.findings, played.beliefs, len(played.acts))
     if ground != "real" or variant:
-        raise Unusable("trials run on virtual and real ground, variants on virtual ground only")
+        raise UnusableError("trials run on virtual and real ground, variants on virtual ground only")
     from coveport.testbed.fault_injection.real import TrialError
     from coveport.testbed.fault_injection.real import play as real
 
@@ -53,7 +54,7 @@
         try:
             came = asyncio.run(real(day.trial, seed, folder, day.store))
         except TrialError as problem:
-            raise Unusable(str(problem)) from problem
+            raise UnusableError(str(problem)) from problem
         return report(came.findings, came.beliefs, came.acts)
 
 
@@ -68,7 +69,7 @@
 
     day = load(path, tuple(sets))
     if variant and variant not in VARIANTS:
-        raise Unusable(f"no variant {variant!r}; one of {', '.join(VARIANTS)}")
+        raise UnusableError(f"no variant {variant!r}; one of {', '.join(VARIANTS)}")
     finds = 0
     first = seed * runs
     for _, found in hunt(range(first, first + runs), day.trial.instances, variant, workers, bool(variant)):
@@ -82,7 +83,7 @@
         name.write_text(write(less.trial, less.seed, less.findings[0].what))
         click.echo(f"seed {less.seed}: {less.findings[0].rule}: {less.findings[0].what} ({name})")
     click.echo(f"{runs} trials of {day.trial.instances} instances from seed {first}: {finds} finds")
-    return NOT_HELD if finds else OK
+    return ExitCode.FAILED if finds else ExitCode.DONE
 
 
 @click.command("trials", short_help="Draw trials of many processes and look for one that breaks a rule.")
@@ -100,10 +101,10 @@
     from coveport.testbed.fault_injection.search import VARIANTS_OF, hunt, shrink
 
     if work and fleet:
-        raise Unusable("--work and --fleet: one or the other")
+        raise UnusableError("--work and --fleet: one or the other")
     kind = "work" if work else "fleet" if fleet else "duties"
     if variant and variant not in VARIANTS_OF[kind]:
-        raise Unusable(f"no variant {variant!r}; one of {', '.join(VARIANTS_OF[kind])}")
+        raise UnusableError(f"no variant {variant!r}; one of {', '.join(VARIANTS_OF[kind])}")
     finds: list[Found] = []
     for _, found in hunt(
         range(first_seed, first_seed + runs), instances, variant, workers, bool(variant), kind
@@ -115,4 +116,4 @@
             for fault in less.trial.faults:
                 click.echo(f"    {fault}")
     click.echo(f"{runs} trials of {instances} instances from seed {first_seed}: {len(finds)} finds")
-    return NOT_HELD if finds else OK
+    return ExitCode.FAILED if finds else ExitCode.DONE
