--- a/tests/serving/replication/core_variants.py
+++ b/tests/serving/replication/core_variants.py
@@ -326,4 +326,4 @@
         yield
     finally:
         for patch in patches:
-            patch.shut_down()
+            patch.stop()
