--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -50,7 +50,7 @@
             supervisor = one.supervise()
             await one.all_serve()
             await asyncio.sleep(2.0)
-            pids = [locks.pid_of(life) for life in one.lives().values()]
+            pids = [locks.pid_of(incarnation) for incarnation in one.incarnations().values()]
             before = {pid: wakes(pid) for pid in (*pids, supervisor.pid)}
             await asyncio.sleep(IDLE_S)
             woken = {pid: (wakes(pid) - count) / IDLE_S for pid, count in before.items()}
@@ -58,7 +58,7 @@
             took = []
             for number in range(plays):
                 at = number % instances
-                os.kill(locks.pid_of(one.lives()[f"h-{at + 1}"]), signal.SIGKILL)
+                os.kill(locks.pid_of(one.incarnations()[f"h-{at + 1}"]), signal.SIGKILL)
                 began = time.monotonic()
                 while not await serves(one, at):
                     await asyncio.sleep(0.01)
@@ -83,7 +83,9 @@
     rows: list[Row] = []
     for young_s in (0.0, 120.0):
         with tempfile.TemporaryDirectory() as folder:
-            async with FleetTrialReal(Path(folder), instances, told={"young_s": young_s, "loop": 50}) as one:
+            async with FleetTrialReal(
+                Path(folder), instances, settings={"young_s": young_s, "loop": 50}
+            ) as one:
                 calls: list[float] = []
                 answer = one.town.discovery.stand._answer
 
@@ -96,8 +98,8 @@
                 await one.all_serve()
                 await asyncio.sleep(7.0)  # each has kept what it knows
                 began = time.monotonic()
-                for life in one.lives().values():
-                    os.kill(locks.pid_of(life), signal.SIGKILL)
+                for incarnation in one.incarnations().values():
+                    os.kill(locks.pid_of(incarnation), signal.SIGKILL)
                 await asyncio.sleep(0.5)
                 await one.all_serve()
                 took = time.monotonic() - began
--- a/coveport/cli/fleet.py
+++ b/coveport/cli/fleet.py
@@ -50,8 +50,7 @@
 
 def ask(told: OperatorFile, **words: Any) -> dict[str, Any]:
     """Ask the supervisor; Unusable where there is none."""
-    from coveport.sidecar.supervisor.control import call
-    from coveport.sidecar.supervisor.daemon import control_path
+    from coveport.sidecar.supervisor.control import call, control_path
 
     path = control_path(told)
     try:
@@ -134,8 +133,7 @@
 @JSON
 def logs(names: tuple[str, ...], config: Path, last: int, json_: bool) -> int:
     """Show the last lines of all instances' stream, or of those named."""
-    from coveport.sidecar.supervisor.daemon import read_stream
-    from coveport.sidecar.supervisor.log_stream import stream_path
+    from coveport.sidecar.supervisor.log_stream import read_stream, stream_path
 
     told = fleet_of(config)
     for one in read_stream(stream_path(told.fleet_folder), frozenset(names), last):
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -47,7 +47,8 @@
 from coveport.sidecar.singletons.slow_start_client import CapacityClient
 from coveport.sidecar.singletons.slow_start_coordinator import SlowStartCoordinator
 from coveport.sidecar.singletons.slow_start_messages import GRANT_PREFIX, REQUEST_PREFIX, SafeLoad
-from coveport.sidecar.supervisor.instance_agent import InstanceAgent, NameLockedError
+from coveport.sidecar.supervisor.errors import NameLockedError
+from coveport.sidecar.supervisor.instance_agent import InstanceAgent
 from coveport.sidecar.supervisor.log_stream import StreamLog, stream_logger
 from coveport.sidecar.telemetry.counters import ENDS, ended
 from coveport.sidecar.telemetry.log import Log
@@ -468,6 +469,6 @@
         return 2
     if agent is not None:
         config = agent.instance_config(config)
-        if agent.restored_snapshot is not None or agent.snapshot_error:
-            log.say(f"{config.name}: snapshot: {agent.snapshot_error or 'begins from it'}")
+        if agent.snapshots.restored is not None or agent.snapshots.error:
+            log.say(f"{config.name}: snapshot: {agent.snapshots.error or 'begins from it'}")
     return asyncio.run(_serve(told, config, log, agent))
--- a/coveport/sidecar/supervisor/control.py
+++ b/coveport/sidecar/supervisor/control.py
@@ -1,4 +1,4 @@
-"""Staff's way to a supervisor: a Unix socket of its user's own, a JSON line each way."""
+"""The control socket: a Unix socket on which operators reach a supervisor, one JSON line each way."""
 
 from __future__ import annotations
 
@@ -11,79 +11,99 @@
 from pathlib import Path
 from typing import Any
 
-MOST = 65536  # bytes of a request
-ASK_S = 5.0  # how long a caller may take for its line
-_PEER = struct.Struct("3i")
+from coveport.sidecar.config.operator_file import OperatorFile
+from coveport.sidecar.supervisor.errors import ControlError
 
-Answer = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
+MAX_REQUEST_BYTES = 65536
+MAX_ANSWER_BYTES = 1 << 24
+REQUEST_TIMEOUT_S = 5.0  # for a connected client to send its line
+ROOT_UID = 0
+_PEER_CREDENTIALS = struct.Struct("3i")  # PID, UID, GID
+
+Message = dict[str, Any]  # a JSON object
+Handler = Callable[[Message], Awaitable[Message]]
+
+
+def control_path(operator_file: OperatorFile) -> Path:
+    """Return where the supervisor of this file's fleet listens."""
+    return operator_file.fleet_folder / "control.sock"
 
 
 class ControlServer:
-    """Answers what staff ask. Only our own user, and root, are listened to."""
+    """Passes requests to a handler; answers only processes of its own user and of root."""
 
-    def __init__(self, path: Path, answer: Answer) -> None:
+    def __init__(self, path: Path, handle: Handler) -> None:
         self.path = path
-        self._answer = answer
+        self._handle = handle
         self._server: asyncio.AbstractServer | None = None
         self._inode = 0
 
     async def open(self) -> None:
-        """Listen, in the place of whoever did before: the duty is ours."""
+        """Listen; take the path from the supervisor that held the role before."""
         self.path.unlink(missing_ok=True)
-        before = os.umask(0o177)
+        previous_umask = os.umask(0o177)
         try:
-            self._server = await asyncio.start_unix_server(self._came, str(self.path), limit=MOST)
+            self._server = await asyncio.start_unix_server(
+                self._on_connection, str(self.path), limit=MAX_REQUEST_BYTES
+            )
         finally:
-            os.umask(before)
+            os.umask(previous_umask)
         self._inode = self.path.stat().st_ino
 
-    async def _came(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            said = await self._one(reader, writer.get_extra_info("socket"))
-            writer.write(json.dumps(said).encode() + b"\n")
+            answer = await self._answer(reader, writer.get_extra_info("socket"))
+            writer.write(json.dumps(answer).encode() + b"\n")
             await writer.drain()
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError, TimeoutError):
-            pass  # its caller went away, or brought nothing
+            pass  # the client disconnected, or sent no request
         finally:
             writer.close()
 
-    async def _one(self, reader: asyncio.StreamReader, one: socket.socket) -> dict[str, Any]:
-        _, uid, _ = _PEER.unpack(one.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER.size))
-        if uid not in (0, os.getuid()):
+    async def _answer(self, reader: asyncio.StreamReader, connection: socket.socket) -> Message:
+        credentials = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
+        _, uid, _ = _PEER_CREDENTIALS.unpack(credentials)
+        if uid not in (ROOT_UID, os.getuid()):
             return {"ok": False, "said": "refused: another user's"}
-        line = await asyncio.wait_for(reader.readline(), ASK_S)
+        line = await asyncio.wait_for(reader.readline(), REQUEST_TIMEOUT_S)
         try:
-            told = json.loads(line)
+            request = json.loads(line)
         except ValueError:
             return {"ok": False, "said": "refused: not a line of JSON"}
-        if not isinstance(told, dict):
+        if not isinstance(request, dict):
             return {"ok": False, "said": "refused: not an object"}
-        return await self._answer(told)
+        return await self._handle(request)
 
     def close(self) -> None:
-        """Answer nothing more."""
+        """Stop listening; remove the socket's path unless a successor has taken it."""
         if self._server is not None:
             self._server.close()
             self._server = None
         try:
-            if self.path.stat().st_ino == self._inode:  # else it is a successor's by now
+            if self.path.stat().st_ino == self._inode:
                 self.path.unlink()
         except OSError:
             pass
 
 
-def call(path: Path, told: dict[str, Any], within_s: float) -> dict[str, Any]:
-    """Ask a supervisor; OSError where there is none, or it does not answer in time."""
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as one:
-        one.settimeout(within_s)
-        one.connect(str(path))
-        one.sendall(json.dumps(told).encode() + b"\n")
-        with one.makefile("rb") as file:
-            line = file.readline(1 << 24)
+def call(path: Path, request: Message, timeout_s: float) -> Message:
+    """Send a request to a supervisor and return its answer.
+
+    Raises:
+        OSError: nobody listens, or the answer does not come in time.
+        ControlError: the connection was closed without an answer, or the answer is no object.
+
+    """
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
+        connection.settimeout(timeout_s)
+        connection.connect(str(path))
+        connection.sendall(json.dumps(request).encode() + b"\n")
+        with connection.makefile("rb") as file:
+            line = file.readline(MAX_ANSWER_BYTES)
     try:
-        said = json.loads(line)
-    except ValueError as problem:
-        raise OSError("the supervisor went away in the middle") from problem
-    if not isinstance(said, dict):
-        raise OSError("the supervisor's answer is none")
-    return said
+        answer = json.loads(line)
+    except ValueError as error:
+        raise ControlError("the supervisor went away in the middle") from error
+    if not isinstance(answer, dict):
+        raise ControlError("the supervisor's answer is none")
+    return answer
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import os
 import random
 import signal
@@ -11,156 +10,170 @@
 import time
 import uuid
 from pathlib import Path
-from typing import Any
 
 from coveport.sidecar.config import platform
 from coveport.sidecar.config.errors import OperatorFileError, PlatformFileError
 from coveport.sidecar.config.operator_file import OperatorFile, load
-from coveport.sidecar.config.operator_sections import MAX_INSTANCES
 from coveport.sidecar.leases import log_events
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.keys import ROLE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.open_store import open_store
 from coveport.sidecar.supervisor import log_stream
-from coveport.sidecar.supervisor.control import ControlServer
+from coveport.sidecar.supervisor.control import ControlServer, control_path
+from coveport.sidecar.supervisor.desired_state_role import ROLE_NAME_PREFIX
 from coveport.sidecar.supervisor.notify import NotificationReceiver, Notifier, watchdog_interval_s
-from coveport.sidecar.supervisor.process_control import Processes
+from coveport.sidecar.supervisor.process_control import HostProcesses
 from coveport.sidecar.supervisor.supervisor import Supervisor
 
-TURN_S = 5.0  # how often the stream's size is looked at
-FIRST_S = 1.0  # after a start, how long it is waited for whoever holds the duty already
-BEATS = 2  # signs to a service manager in the time that it allows
+EXIT_OK = 0
+EXIT_ROLE_HELD = 1
+EXIT_UNUSABLE_FILES = 2
 
+ROTATION_CHECK_INTERVAL_S = 5.0
+ACQUIRE_MARGIN_S = 1.0  # beyond two times to live, for the role's present holder to show
+ACQUIRE_POLL_S = 0.02
+HEARTBEATS_PER_TIMEOUT = 2  # to the service manager
+MAINTENANCE_INTERVAL_S = 1.0  # without a service manager that expects heartbeats
+STOP_MARGIN_S = 10.0  # beyond `stop_s`, for all instances to exit
 
-def control_path(told: OperatorFile) -> Path:
-    """Where staff reach the supervisor."""
-    return told.fleet_folder / "control.sock"
+ERROR_EVENTS = frozenset({"fleet_broken", "fleet_stalled", log_events.STORE_RESET})
 
 
-def checked(told: OperatorFile, config: Path) -> str:
-    """What is wrong with the files as they are now; empty: nothing."""
+def check_files(operator_file: OperatorFile, config: Path) -> str:
+    """Return what is wrong with the operator's and the platform's files as they are now; empty if nothing is.
+
+    `operator_file` is the one in use: the fleet must keep its name. `config` is its path.
+    """
     try:
-        now = load(config)
+        current = load(config)
         platform.read(
-            now.platform.read_text(encoding="utf-8"), {"LB_LISTEN": now.fleet.listen}, where=str(now.platform)
+            current.platform.read_text(encoding="utf-8"),
+            {"LB_LISTEN": current.fleet.listen},
+            where=str(current.platform),
         )
-    except (OperatorFileError, PlatformFileError) as problem:
-        return " ".join(str(problem).split())
-    except (OSError, UnicodeDecodeError) as problem:
-        return f"{told.platform}: {problem}"
-    return "" if now.fleet.name == told.fleet.name else f"{config}: the fleet has another name by now"
+    except (OperatorFileError, PlatformFileError) as error:
+        return " ".join(str(error).split())
+    except (OSError, UnicodeDecodeError) as error:
+        return f"{operator_file.platform}: {error}"
+    if current.fleet.name != operator_file.fleet.name:
+        return f"{config}: the fleet has another name by now"
+    return ""
 
 
-class Daemon:
-    """One supervisor's process."""
+class SupervisorDaemon:
+    """One supervisor's process. `standby`: wait while another supervisor holds the role."""
 
-    def __init__(self, told: OperatorFile, config: Path, standby: bool) -> None:
-        self._told = told
+    def __init__(self, operator_file: OperatorFile, config: Path, standby: bool) -> None:
+        self._operator_file = operator_file
         self._config = config
         self._standby = standby
         self.name = f"supervisor-{os.getpid()}-{uuid.uuid4().hex[:6]}"
-        self._lines = log_stream.stream_logger(told.fleet_folder, told.log.level, supervisor=self.name)
-        self._notifier = Notifier.of(os.environ)
-        self._beat_s = watchdog_interval_s(os.environ, os.getpid()) / BEATS
+        self._logger = log_stream.stream_logger(
+            operator_file.fleet_folder, operator_file.log.level, supervisor=self.name
+        )
+        self._notifier = Notifier.from_environment(os.environ)
+        self._heartbeat_interval_s = watchdog_interval_s(os.environ, os.getpid()) / HEARTBEATS_PER_TIMEOUT
         self._stop = asyncio.Event()
-        self._detach = False
+        self._keep_instances = False
         self._control: ControlServer | None = None
         self._receiver: NotificationReceiver | None = None
 
-    def _say(self, event: str, **fields: object) -> None:
-        if event in log_events.DEBUG_EVENTS:
-            self._lines.debug(event, at=round(boot_s(), 4), **fields)
-        elif event in ("fleet_broken", "fleet_stalled", log_events.STORE_RESET):
-            self._lines.error(event, at=round(boot_s(), 4), **fields)
-        else:
-            self._lines.info(event, at=round(boot_s(), 4), **fields)
-
     async def run(self) -> int:
-        """Until SIGTERM; the exit code."""
-        told, chance = self._told, random.Random(uuid.uuid4().int)
+        """Supervise until SIGTERM; return the exit code."""
+        processes = HostProcesses(self._operator_file, self._config)
+        supervisor = self._build_supervisor(processes)
+        supervisor.on_role_changed = lambda holds_role: self._on_role_changed(
+            supervisor, processes, holds_role
+        )
+        self._handle_signals(supervisor, processes)
+        supervisor.start()
+        if not self._standby and not await self._wait_for_role(supervisor):
+            await supervisor.leave()
+            return EXIT_ROLE_HELD
+        self._notifier.send(READY=1, STATUS=_status_text(supervisor.holds_role))
+        maintenance = asyncio.ensure_future(self._maintain(supervisor))
+        await self._stop.wait()
+        self._notifier.send(STOPPING=1)
+        maintenance.cancel()
+        await self._shut_down(supervisor)
+        return EXIT_OK
+
+    def _build_supervisor(self, processes: HostProcesses) -> Supervisor:
+        rng = random.Random(uuid.uuid4().int)
         lease_client = LeaseClient(
-            open_store(told),
+            open_store(self._operator_file),
             name=self.name,
             incarnation=self.name,
-            roles=(f"fleet@{told.fleet.name}",),
-            terms=told.terms,
+            roles=(ROLE_NAME_PREFIX + self._operator_file.fleet.name,),
+            terms=self._operator_file.terms,
             now_s=boot_s,
             unix_s=time.time,
-            history=self._say,
-            rng=chance,
-            prefix=told.fleet_prefix,
+            history=self._log,
+            rng=rng,
+            prefix=self._operator_file.fleet_prefix,
         )
-        processes = Processes(told, self._config)
-        supervisor = Supervisor(
-            told,
+        return Supervisor(
+            self._operator_file,
             lease_client,
             processes,
             now_s=boot_s,
-            chance=chance,
-            say=self._say,
-            check=lambda: checked(self._told, self._config),
-            most=MAX_INSTANCES,
+            rng=rng,
+            log=self._log,
+            check_files=lambda: check_files(self._operator_file, self._config),
         )
-        supervisor.on_holding = lambda holding: self._holds(supervisor, processes, holding)
+
+    def _handle_signals(self, supervisor: Supervisor, processes: HostProcesses) -> None:
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGINT, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reread, supervisor, processes)
-        loop.add_signal_handler(signal.SIGUSR2, self._leave_them)
-        supervisor.start()
-        if not self._standby and not await self._first(supervisor):
-            await supervisor.leave()
-            return 1
-        self._notifier.say(READY=1, STATUS="supervises" if supervisor.holding else "stands by")
-        beating = asyncio.ensure_future(self._beat(supervisor))
-        await self._stop.wait()
-        self._notifier.say(STOPPING=1)
-        beating.cancel()
-        # Where nobody would look after them: a planned end of the whole.
-        whole = supervisor.acts and not self._detach and supervisor.alone
-        if whole and not await supervisor.stop_all(told.fleet.stop_s + 10.0):
-            self._say("fleet_left_some")
-        await supervisor.leave()
-        await self._close()
-        return 0
-
-    async def _first(self, supervisor: Supervisor) -> bool:
-        """Wait until the duty is ours; False where another supervisor is at work on this state already."""
-        end = boot_s() + FIRST_S + 2 * self._told.leases.ttl
-        said = False
-        while not supervisor.holding and not self._stop.is_set():
-            # One that was just killed is gone within its time to live; one that is there then is at work.
-            late = boot_s() > end
-            others = [
-                name for name in supervisor.lease_client.instances if name != supervisor.lease_client.name
-            ]
-            held = any(key.startswith(ROLE_PREFIX) for key in supervisor.lease_client.entries)
-            if late and others and held:
-                self._tell(
-                    f"{', '.join(sorted(others))} supervises {self._told.fleet.name} already; "
+        loop.add_signal_handler(signal.SIGHUP, self._reload, supervisor, processes)
+        loop.add_signal_handler(signal.SIGUSR2, self._stop_without_instances)
+
+    def _log(self, event: str, **fields: object) -> None:
+        if event in log_events.DEBUG_EVENTS:
+            write = self._logger.debug
+        elif event in ERROR_EVENTS:
+            write = self._logger.error
+        else:
+            write = self._logger.info
+        write(event, at=round(boot_s(), 4), **fields)
+
+    async def _wait_for_role(self, supervisor: Supervisor) -> bool:
+        """Wait until the role is acquired; return False if another supervisor holds it for good.
+
+        One that was just killed is gone within its time to live; one that is there after that is at work.
+        """
+        deadline = boot_s() + ACQUIRE_MARGIN_S + 2 * self._operator_file.leases.ttl
+        is_reported = False
+        while not supervisor.holds_role and not self._stop.is_set():
+            lease_client = supervisor.lease_client
+            is_late = boot_s() > deadline
+            others = [name for name in lease_client.instances if name != lease_client.name]
+            is_held = any(key.startswith(ROLE_PREFIX) for key in lease_client.entries)
+            if is_late and others and is_held:
+                _print_error(
+                    f"{', '.join(sorted(others))} supervises {self._operator_file.fleet.name} already; "
                     "--standby waits to take over"
                 )
                 return False
-            if late and not said:
-                said = True
-                self._tell("the store does not answer, or gives the duty to nobody yet; waiting")
-            await asyncio.sleep(0.02)
+            if is_late and not is_reported:
+                is_reported = True
+                _print_error("the store does not answer, or gives the duty to nobody yet; waiting")
+            await asyncio.sleep(ACQUIRE_POLL_S)
         return True
 
-    @staticmethod
-    def _tell(text: str) -> None:
-        print(f"coveport: {text}", file=sys.stderr, flush=True)
-
-    async def _holds(self, supervisor: Supervisor, processes: Processes, holding: bool) -> None:
-        await self._close()
-        if holding:
-            self._receiver = NotificationReceiver(processes.notify_path, supervisor.heard)
-            self._control = ControlServer(control_path(self._told), supervisor.asked)
+    async def _on_role_changed(
+        self, supervisor: Supervisor, processes: HostProcesses, holds_role: bool
+    ) -> None:
+        self._close_sockets()
+        if holds_role:
+            self._receiver = NotificationReceiver(processes.notify_path, supervisor.on_notification)
+            self._control = ControlServer(control_path(self._operator_file), supervisor.handle_request)
             await self._control.open()
-        self._notifier.say(STATUS="supervises" if holding else "stands by")
+        self._notifier.send(STATUS=_status_text(holds_role))
 
-    async def _close(self) -> None:
+    def _close_sockets(self) -> None:
         if self._receiver is not None:
             self._receiver.close()
             self._receiver = None
@@ -168,58 +181,59 @@
             self._control.close()
             self._control = None
 
-    async def _beat(self, supervisor: Supervisor) -> None:
-        turned = 0.0
+    async def _maintain(self, supervisor: Supervisor) -> None:
+        """Send heartbeats to the service manager; rotate the log stream."""
+        checked_at = 0.0
         while True:
-            if self._beat_s:
-                self._notifier.say(WATCHDOG=1)
-            if supervisor.holding and boot_s() - turned > TURN_S:
-                turned = boot_s()
-                if log_stream.rotate(self._told.fleet_folder):
-                    self._say("stream_turned")
-            await asyncio.sleep(self._beat_s or 1.0)
-
-    def _leave_them(self) -> None:
-        """End, and let the instances run on: an upgrade of the supervisor."""
-        self._detach = True
+            if self._heartbeat_interval_s:
+                self._notifier.send(WATCHDOG=1)
+            if supervisor.holds_role and boot_s() - checked_at > ROTATION_CHECK_INTERVAL_S:
+                checked_at = boot_s()
+                if log_stream.rotate(self._operator_file.fleet_folder):
+                    self._log("stream_turned")
+            await asyncio.sleep(self._heartbeat_interval_s or MAINTENANCE_INTERVAL_S)
+
+    async def _shut_down(self, supervisor: Supervisor) -> None:
+        """Stop the instances as well, unless they are to keep running or a standby takes over."""
+        stops_instances = supervisor.may_act and not self._keep_instances and supervisor.is_only_supervisor
+        timeout_s = self._operator_file.fleet.stop_s + STOP_MARGIN_S
+        if stops_instances and not await supervisor.stop_all(timeout_s):
+            self._log("fleet_left_some")
+        await supervisor.leave()
+        self._close_sockets()
+
+    def _stop_without_instances(self) -> None:
+        """Stop, and leave the instances running: the supervisor is upgraded."""
+        self._keep_instances = True
         self._stop.set()
 
-    def _reread(self, supervisor: Supervisor, processes: Processes) -> None:
-        fault = checked(self._told, self._config)
+    def _reload(self, supervisor: Supervisor, processes: HostProcesses) -> None:
+        fault = check_files(self._operator_file, self._config)
         if fault:
-            self._say("fleet_file", fault=fault)
+            self._log("fleet_file", fault=fault)
             return
-        self._told = load(self._config)
-        processes.retune(self._told)
-        supervisor.retune(self._told)
-        self._say("fleet_file", fault="")
+        self._operator_file = load(self._config)
+        processes.update_settings(self._operator_file)
+        supervisor.update_settings(self._operator_file)
+        self._log("fleet_file", fault="")
 
 
-def main(told: OperatorFile, config: Path, standby: bool) -> int:
-    """Supervise the fleet of a file until SIGTERM."""
-    fault = checked(told, config)
+def main(operator_file: OperatorFile, config: Path, standby: bool) -> int:
+    """Supervise the fleet of an operator's file until SIGTERM; return the exit code."""
+    fault = check_files(operator_file, config)
     if fault:
-        print(f"coveport: {fault}", file=sys.stderr)
-        return 2
+        _print_error(fault)
+        return EXIT_UNUSABLE_FILES
 
     async def run() -> int:
-        return await Daemon(told, config, standby).run()
+        return await SupervisorDaemon(operator_file, config, standby).run()
 
     return asyncio.run(run())
 
 
-def read_stream(path: Path, names: frozenset[str], most: int) -> list[dict[str, Any]]:
-    """The last lines of a stream that are of these instances (none named: of all)."""
-    found: list[dict[str, Any]] = []
-    try:
-        data = path.read_bytes()
-    except OSError:
-        return []
-    for line in data.splitlines():
-        try:
-            told = json.loads(line)
-        except ValueError:
-            continue  # cut by a full disk
-        if isinstance(told, dict) and (not names or {told.get("instance"), told.get("name")} & names):
-            found.append(told)
-    return found[-most:]
+def _status_text(holds_role: bool) -> str:
+    return "supervises" if holds_role else "stands by"
+
+
+def _print_error(text: str) -> None:
+    print(f"coveport: {text}", file=sys.stderr, flush=True)
--- /dev/null
+++ b/coveport/sidecar/supervisor/endpoint_list.py
@@ -0,0 +1,28 @@
+"""The endpoint list as discovery has reported it so far, in discovery's own form. Pure."""
+
+from __future__ import annotations
+
+from typing import Any
+
+LEFT = "left"  # the health of a host that was removed
+
+
+class EndpointList:
+    """Merges complete lists and updates. `is_changed`: since the owner last reset it."""
+
+    def __init__(self) -> None:
+        self.version = 0
+        self.hosts: dict[str, dict[str, Any]] = {}
+        self.is_changed = False
+
+    def apply(self, update: Any, is_complete: bool) -> None:
+        """Apply a list or an update that was read without an error."""
+        if is_complete:
+            self.hosts = {}
+        for host in update["hosts"]:
+            if host.get("health") == LEFT:
+                self.hosts.pop(host["host"], None)
+            else:
+                self.hosts[host["host"]] = dict(host)
+        self.version = update["seq"]
+        self.is_changed = True
--- a/coveport/sidecar/supervisor/instance_set.py
+++ b/coveport/sidecar/supervisor/instance_set.py
@@ -1,7 +1,7 @@
-"""All instances of a host together: who is started when, and who is replaced for giving no sign. Pure.
+"""All instances of a host: which is started when, and which is replaced because it hung. Pure.
 
-What is bounded over whoever supervises: a holder of the duty begins with nothing to spend, and counts what it
-finds starting as its own (docs/design/fleet.md, Safety 4 and 5).
+What is bounded holds over all supervisors together: a new holder of the role begins with an empty token
+bucket, and counts the instances that it finds starting as its own (docs/design/fleet.md, Safety 4 and 5).
 """
 
 from __future__ import annotations
@@ -10,214 +10,227 @@
 from collections.abc import Mapping
 
 from coveport.sidecar.config.operator_sections import Fleet
-from coveport.sidecar.supervisor.desired_state import DesiredState, InstanceHealth, RestartPhase
-from coveport.sidecar.supervisor.instance_state import ACTIVE_STATES, Command, ExitReason, Instance, State
+from coveport.sidecar.supervisor.commands import Command
+from coveport.sidecar.supervisor.desired_state import DesiredState, RestartPhase
+from coveport.sidecar.supervisor.instance import Instance
+from coveport.sidecar.supervisor.instance_health import InstanceHealth, SuccessRate
+from coveport.sidecar.supervisor.instance_state import ACTIVE_STATES, ExitReason, InstanceState
 
-QUIET = 0.5  # of the time after which one counts as hung: signs come four times in it
-MANY_SILENT = 0.5  # share of those that serve that are quiet, above which it is us or the host, not they
-PATIENCE = 3.0  # times as long is waited then
-REPLACED = 0.1  # share that may be on their way out for silence at a time; one at the least
+LATE_FRACTION = 0.5  # of `hung_s`, after which a heartbeat is late: heartbeats come four times in `hung_s`
+MANY_LATE_FRACTION = 0.5  # of the serving instances; more that are late point to the supervisor or the host
+MANY_LATE_PATIENCE = 3.0  # times `hung_s` that an instance may be silent then
+MAX_REPLACED_FRACTION = 0.1  # of the instances that may be on their way out at a time; at least one
 
 
 class InstanceSet:
-    """The instances. Nothing is ordered before a plan was seen by whoever holds the duty now."""
+    """The instances by name. Commands nothing before it knows the desired state under the present token."""
 
-    def __init__(self, fleet: Fleet, chance: random.Random) -> None:
+    def __init__(self, fleet: Fleet, rng: random.Random) -> None:
         self.fleet = fleet
-        self._chance = chance
+        self._rng = rng
         self.by_name: dict[str, Instance] = {}
-        self.plan: DesiredState | None = None
-        self._tokens = 0.0
-        self._spent_at = 0.0
-        self._served: dict[str, tuple[float, int]] = {}  # by name, as its life last told
+        self.desired: DesiredState | None = None
+        self._start_tokens = 0.0
+        self._refilled_at = 0.0
+        self._success: dict[str, SuccessRate] = {}  # by name, as last reported
 
-    # Holding.
+    # The supervisor's role.
 
-    def acquire(self, now: float, found: Mapping[str, str]) -> None:
-        """The duty is ours: these lives are there."""
+    def acquire(self, now: float, running: Mapping[str, str]) -> None:
+        """Begin to supervise. `running`: incarnations by name that hold their locks."""
         self.by_name = {}
-        self.plan = None
-        self._served = {}
-        self._tokens = 0.0
-        self._spent_at = now
-        for name, life in found.items():
-            member = self._member(name)
-            member.wanted = True  # until the plan says otherwise
-            member.found(now, life)
+        self.desired = None
+        self._success = {}
+        self._start_tokens = 0.0
+        self._refilled_at = now
+        for name, incarnation in running.items():
+            instance = self._get_or_add(name)
+            instance.desired = True  # until the desired state says otherwise
+            instance.adopt(now, incarnation)
 
     def release(self) -> None:
-        """The duty is not ours any more: nothing is ordered."""
+        """Stop supervising: forget all instances, and with them all that was commanded."""
         self.by_name = {}
-        self.plan = None
+        self.desired = None
 
-    def _member(self, name: str) -> Instance:
+    def update_settings(self, now: float, fleet: Fleet) -> None:
+        """Use new settings; files that were unusable may be usable now."""
+        self.fleet = fleet
+        for instance in self.by_name.values():
+            instance.update_settings(fleet)
+            instance.retry_now(now)
+
+    def _get_or_add(self, name: str) -> Instance:
         if name not in self.by_name:
-            self.by_name[name] = Instance(name, self.fleet, self._chance)
+            self.by_name[name] = Instance(name, self.fleet, self._rng)
         return self.by_name[name]
 
-    def retune(self, now: float, fleet: Fleet) -> None:
-        """The file was read anew: what could not be used may be usable."""
-        self.fleet = fleet
-        for member in self.by_name.values():
-            member.retune(fleet)
-            member.retry(now)
-
-    # What is to be.
-
-    def planned(self, now: float, plan: DesiredState) -> list[Command]:
-        """A plan as it stands in the store."""
-        if (
-            self.plan is not None
-            and self.plan.restart is not None
-            and plan.restart is not None
-            and (
-                self.plan.restart.phase is RestartPhase.HALTED and plan.restart.phase is RestartPhase.RUNNING
-            )
-        ):
-            for member in self.by_name.values():
-                member.retry(now)  # staff say that what went wrong is mended
-        self.plan = plan
-        wanted = plan.wanted(self.fleet)
-        orders: list[Command] = []
-        for name in sorted(wanted | self.by_name.keys(), key=self.fleet.number):
-            orders += self._member(name).want(now, name in wanted)
-        restart = plan.restart
+    # Desired state.
+
+    def apply(self, now: float, desired: DesiredState) -> list[Command]:
+        """Take over the desired state as it stands in the store; return the commands for it."""
+        if self._is_resumed_by(desired):
+            for instance in self.by_name.values():
+                instance.retry_now(now)  # the operators say that the fault is repaired
+        self.desired = desired
+        names = desired.names(self.fleet)
+        commands: list[Command] = []
+        for name in sorted(names | self.by_name.keys(), key=self.fleet.number):
+            commands += self._get_or_add(name).set_desired(now, name in names)
+        restart = desired.restart
         if restart is not None and restart.phase is RestartPhase.RUNNING:
-            for name, life in restart.lives.items():
+            for name, incarnation in restart.replaced.items():
                 if name in self.by_name:
-                    orders += self.by_name[name].replace(now, life)
-        for name in [
-            name for name, one in self.by_name.items() if name not in wanted and one.state is State.DOWN
-        ]:
-            del self.by_name[name]
-        return orders
-
-    # What happens, by name; of lives that are not the present ones nothing is taken.
-
-    def found(self, now: float, name: str, life: str) -> list[Command]:
-        """A process of that name is there."""
-        return self._member(name).found(now, life)
-
-    def started(self, now: float, name: str, life: str) -> list[Command]:
-        """The process that was asked for is there."""
-        return self.by_name[name].started(now, life) if name in self.by_name else []
-
-    def on_start_failed(self, now: float, name: str, why: str) -> None:
-        """It could not be started."""
+                    commands += self.by_name[name].replace(now, incarnation)
+        self._remove_down(names)
+        return commands
+
+    def _is_resumed_by(self, desired: DesiredState) -> bool:
+        before = None if self.desired is None else self.desired.restart
+        after = desired.restart
+        if before is None or after is None:
+            return False
+        return before.phase is RestartPhase.HALTED and after.phase is RestartPhase.RUNNING
+
+    def _remove_down(self, desired_names: frozenset[str]) -> None:
+        self.by_name = {
+            name: instance
+            for name, instance in self.by_name.items()
+            if name in desired_names or instance.state is not InstanceState.DOWN
+        }
+
+    # Events, by name; those of an incarnation other than the present one are ignored.
+
+    def on_running(self, now: float, name: str, incarnation: str) -> list[Command]:
+        """Take note of a process that holds the lock of this name."""
+        return self._get_or_add(name).adopt(now, incarnation)
+
+    def on_started(self, now: float, name: str, incarnation: str) -> list[Command]:
+        """Take note of the process that a Start created."""
+        return self.by_name[name].on_started(now, incarnation) if name in self.by_name else []
+
+    def on_start_failed(self, now: float, name: str, reason: str) -> None:
+        """Take note that no process could be started."""
         if name in self.by_name:
-            self.by_name[name].on_start_failed(now, why)
+            self.by_name[name].on_start_failed(now, reason)
 
-    def dropped(self, orders: list[Command]) -> None:
-        """These were not carried out."""
-        for order in orders:
-            if order.name in self.by_name:
-                self.by_name[order.name].dropped(order)
-
-    def unusable(self, now: float, name: str, why: str) -> None:
-        """It was not started, as its files can't be used."""
+    def on_unusable_files(self, now: float, name: str, reason: str) -> None:
+        """Take note that no process was started because its files are unusable."""
         if name in self.by_name:
-            self.by_name[name].unusable(now, why)
+            self.by_name[name].on_unusable_files(now, reason)
 
-    def ready(self, now: float, name: str, life: str) -> None:
-        """It says that it serves."""
-        if name in self.by_name:
-            self.by_name[name].ready(now, life)
+    def on_commands_dropped(self, commands: list[Command]) -> None:
+        """Take note that these commands were not carried out."""
+        for command in commands:
+            if command.name in self.by_name:
+                self.by_name[command.name].on_command_dropped(command)
 
-    def beat(self, now: float, name: str, life: str, served: tuple[float, int] | None = None) -> None:
-        """Its loop gives a sign, and tells how it serves."""
+    def on_ready(self, now: float, name: str, incarnation: str) -> None:
+        """Take note that an instance reports to serve."""
         if name in self.by_name:
-            self.by_name[name].beat(now, life)
-            if served is not None and life == self.by_name[name].life:
-                self._served[name] = served
+            self.by_name[name].on_ready(now, incarnation)
 
-    def stopping(self, now: float, name: str, life: str) -> None:
-        """It says that it ends."""
+    def on_heartbeat(
+        self, now: float, name: str, incarnation: str, success: SuccessRate | None = None
+    ) -> None:
+        """Take note of a heartbeat, and of the success rate that it carries."""
+        if name not in self.by_name:
+            return
+        instance = self.by_name[name]
+        instance.on_heartbeat(now, incarnation)
+        if success is not None and incarnation == instance.incarnation:
+            self._success[name] = success
+
+    def on_stopping(self, now: float, name: str, incarnation: str) -> None:
+        """Take note that an instance reports to shut down."""
         if name in self.by_name:
-            self.by_name[name].stopping(now, life)
+            self.by_name[name].on_stopping(now, incarnation)
 
-    def ended(self, now: float, name: str, life: str, how: ExitReason) -> None:
-        """A life is over."""
-        if name in self.by_name and life == self.by_name[name].life:
-            self._served.pop(name, None)
-            self.by_name[name].ended(now, life, how)
+    def on_exit(self, now: float, name: str, incarnation: str, exit_reason: ExitReason) -> None:
+        """Take note that an incarnation exited."""
+        if name in self.by_name and incarnation == self.by_name[name].incarnation:
+            self._success.pop(name, None)
+            self.by_name[name].on_exit(now, incarnation, exit_reason)
 
-    def stalled(self, now: float) -> None:
-        """We ran late: what was said meanwhile may not have been heard, and time for it did not pass."""
-        for member in self.by_name.values():
-            member.reset_timeouts(now)
-        self._spent_at = now
+    def on_stalled(self, now: float) -> None:
+        """Take note that the supervisor itself ran late: reports may be unread, and no tokens accrued."""
+        for instance in self.by_name.values():
+            instance.reset_timeouts(now)
+        self._refilled_at = now
 
     # What is due.
 
     def tick(self, now: float) -> list[Command]:
-        """Time has passed."""
-        if self.plan is None:
+        """Return what is due by time."""
+        if self.desired is None:
             return []
-        orders: list[Command] = []
-        for member in self.by_name.values():
-            orders += member.tick(now)
-        return orders + self._replace_hung(now) + self._start(now)
-
-    def _start(self, now: float) -> list[Command]:
-        self._tokens = min(
-            float(self.fleet.at_once), self._tokens + max(0.0, now - self._spent_at) * self.fleet.a_second
-        )
-        self._spent_at = now
-        starting = sum(one.state is State.STARTING for one in self.by_name.values())
-        orders: list[Command] = []
-        for member in sorted(
-            (one for one in self.by_name.values() if one.can_start(now)),
-            key=lambda one: (one.wait_until, self.fleet.number(one.name)),
-        ):
-            if self._tokens < 1.0 or starting >= self.fleet.at_once:
+        commands: list[Command] = []
+        for instance in self.by_name.values():
+            commands += instance.tick(now)
+        return commands + self._replace_hung(now) + self._start_waiting(now)
+
+    def _start_waiting(self, now: float) -> list[Command]:
+        """Start waiting instances, the longest waiting first, as far as the token bucket allows."""
+        refill = max(0.0, now - self._refilled_at) * self.fleet.a_second
+        self._start_tokens = min(float(self.fleet.at_once), self._start_tokens + refill)
+        self._refilled_at = now
+        starting = sum(instance.state is InstanceState.STARTING for instance in self.by_name.values())
+        startable = [instance for instance in self.by_name.values() if instance.can_start(now)]
+        startable.sort(key=lambda instance: (instance.wait_until, self.fleet.number(instance.name)))
+        commands: list[Command] = []
+        for instance in startable:
+            if self._start_tokens < 1.0 or starting >= self.fleet.at_once:
                 break
-            self._tokens -= 1.0
+            self._start_tokens -= 1.0
             starting += 1
-            orders += member.start(now)
-        return orders
+            commands += instance.start(now)
+        return commands
 
     def _replace_hung(self, now: float) -> list[Command]:
-        serving = [one for one in self.by_name.values() if one.state is State.SERVING]
-        silent = [one for one in serving if one.heartbeat_age_s(now) > self.fleet.hung_s]
-        if not silent:
+        """Kill hung instances, the longest silent first, a few at a time."""
+        hung_s = self.fleet.hung_s
+        serving = [instance for instance in self.by_name.values() if instance.state is InstanceState.SERVING]
+        hung = [instance for instance in serving if instance.heartbeat_age_s(now) > hung_s]
+        if not hung:
             return []
-        quiet = sum(one.heartbeat_age_s(now) > QUIET * self.fleet.hung_s for one in serving)
-        if quiet > max(1.0, MANY_SILENT * len(serving)):
-            # Guards against ending healthy ones: that many at once is a host without CPU, or our own ear. The
-            # quiet ones count, as their last signs do not come in step: one would be the first to be late.
-            silent = [one for one in silent if one.heartbeat_age_s(now) > PATIENCE * self.fleet.hung_s]
-        out = sum(
-            bool(one.replacing) or (one.state is not State.SERVING and one.state in ACTIVE_STATES)
-            for one in self.by_name.values()
+        late = sum(instance.heartbeat_age_s(now) > LATE_FRACTION * hung_s for instance in serving)
+        if late > max(1.0, MANY_LATE_FRACTION * len(serving)):
+            # Guards against killing healthy instances: that many at once point to a host without CPU, or to
+            # our own socket. Late ones count too, as the last heartbeats of a stalled host do not coincide.
+            hung = [
+                instance for instance in hung if instance.heartbeat_age_s(now) > MANY_LATE_PATIENCE * hung_s
+            ]
+        hung.sort(key=lambda instance: instance.last_heartbeat_at)
+        allowed = max(1, int(MAX_REPLACED_FRACTION * len(self.by_name))) - self._unavailable_count()
+        return [command for instance in hung[: max(0, allowed)] for command in instance.kill_hung(now)]
+
+    def _unavailable_count(self) -> int:
+        """Count the instances that have a process and do not serve, or are being replaced."""
+        return sum(
+            bool(instance.replacing)
+            or (instance.state is not InstanceState.SERVING and instance.state in ACTIVE_STATES)
+            for instance in self.by_name.values()
         )
-        most = max(1, int(REPLACED * len(self.by_name))) - out
-        silent.sort(key=lambda one: one.heard_at)
-        return [order for one in silent[: max(0, most)] for order in one.hung(now)]
 
-    # What is asked.
+    # Queries.
 
     def health(self, now: float) -> dict[str, InstanceHealth]:
-        """How each that is to be there fares."""
-        found = {}
-        for name, one in self.by_name.items():
-            served, ended = self._served.get(name, (1.0, 0))
-            trouble = (
-                one.why
-                if one.state in (State.BROKEN, State.KILLING)
-                or (one.state is State.WAITING and one.wait_until > now and one.failing)
-                else ""
-            )
-            found[name] = InstanceHealth(
-                one.life, now - one.since if one.state is State.SERVING else -1.0, trouble, served, ended
-            )
-        return found
+        """Return the health of each instance, by name."""
+        return {name: self._health_of(now, name, instance) for name, instance in self.by_name.items()}
 
-    @property
-    def settled(self) -> bool:
-        """Whether nothing is under way."""
-        return all(one.state in (State.SERVING, State.DOWN, State.BROKEN) for one in self.by_name.values())
+    def _health_of(self, now: float, name: str, instance: Instance) -> InstanceHealth:
+        in_backoff = (
+            instance.state is InstanceState.WAITING and instance.wait_until > now and instance.is_failing
+        )
+        is_faulty = instance.state in (InstanceState.BROKEN, InstanceState.KILLING) or in_backoff
+        return InstanceHealth(
+            incarnation=instance.incarnation,
+            serving_s=now - instance.since if instance.state is InstanceState.SERVING else -1.0,
+            fault=instance.reason if is_faulty else "",
+            success=self._success.get(name, SuccessRate()),
+        )
 
     @property
-    def empty(self) -> bool:
-        """Whether no process is there."""
-        return all(one.state not in ACTIVE_STATES for one in self.by_name.values())
+    def has_no_process(self) -> bool:
+        """Whether no process runs or is being started."""
+        return all(instance.state not in ACTIVE_STATES for instance in self.by_name.values())
--- a/coveport/sidecar/supervisor/locks.py
+++ b/coveport/sidecar/supervisor/locks.py
@@ -1,7 +1,8 @@
-"""Who has an instance's name: a lock that its process holds for as long as it lives, and which life it is.
+"""Locks of instance names: a process holds the lock of its name for as long as it lives.
 
-The lock is the system's and goes with the process, whatever ends it; so it tells the truth where a list of
-who was started could be wrong. A *life* is `PID.TICKS.BOOT`: a pid may be given anew, at another start tick.
+The kernel releases the lock with the process, whatever ends it, so a lock tells who runs where a list of
+started processes could be wrong. The lock file names the *incarnation* that holds it: `PID.TICKS.BOOT`, as a
+PID may be reused, but not with the same start tick of the same boot.
 """
 
 from __future__ import annotations
@@ -13,116 +14,125 @@
 from pathlib import Path
 
 from coveport.sidecar.leases.clock import boot_id
+from coveport.sidecar.supervisor.errors import NameLockedError
 
-WAIT_S = 1.0  # whoever looks who has a name holds its lock for a moment
-STEP_S = 0.005
-READS = 20  # of a lock file whose holder has not written yet
-
-
-class NameLockedError(Exception):
-    """Another life has the name; one line."""
+ACQUIRE_S = 1.0  # whoever looks up a holder takes the lock for a moment
+POLL_S = 0.005
+READ_ATTEMPTS = 20  # of a lock file whose holder has not written yet
+MAX_FILE_BYTES = 4096
+BOOT_ID_LENGTH = 8
+STATE_FIELD = 0  # of /proc/PID/stat, counted after the command's name; proc(5)
+START_TICKS_FIELD = 19
 
 
 def incarnation_of(pid: int) -> str:
-    """The life that a pid is now; empty where there is none."""
+    """Return the incarnation that a PID is now; empty if there is no such process."""
     try:
-        told = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8", errors="replace")
+        stat = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8", errors="replace")
     except OSError:
         return ""
-    fields = told.rpartition(")")[2].split()
-    # One that has ended and is not reaped yet holds no lock, and no work.
-    return "" if fields[0] in ("Z", "X") else f"{pid}.{fields[19]}.{boot_id()[:8]}"
+    fields = stat.rpartition(")")[2].split()
+    if fields[STATE_FIELD] in ("Z", "X"):
+        return ""  # exited and not reaped yet: it holds no lock
+    return f"{pid}.{fields[START_TICKS_FIELD]}.{boot_id()[:BOOT_ID_LENGTH]}"
 
 
-def pid_of(life: str) -> int:
-    """Its pid; 0 where it is no life."""
-    head = life.partition(".")[0]
+def pid_of(incarnation: str) -> int:
+    """Return the PID of an incarnation; 0 if the text is none."""
+    head = incarnation.partition(".")[0]
     return int(head) if head.isascii() and head.isdigit() else 0
 
 
 def lock_path(folder: Path, name: str) -> Path:
-    """Where an instance's lock stands."""
+    """Return where the lock file of an instance stands."""
     return folder / "run" / f"{name}.lock"
 
 
 class NameLock:
-    """A name that is ours until we end. NameLockedError where another life has it."""
+    """The lock of a name, held until this process ends or closes it.
+
+    Raises:
+        NameLockedError: another incarnation holds it.
+
+    """
 
     def __init__(self, folder: Path, name: str) -> None:
         path = lock_path(folder, name)
         path.parent.mkdir(parents=True, exist_ok=True)
         self.name = name
         self._file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        give_up = time.monotonic() + WAIT_S
-        while True:
-            try:
-                fcntl.flock(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-                break
-            except BlockingIOError:
-                if time.monotonic() > give_up:
-                    os.close(self._file)
-                    raise NameLockedError(f"{name}: another process has this name ({path})") from None
-                time.sleep(STEP_S)
+        deadline = time.monotonic() + ACQUIRE_S
+        while not _try_lock(self._file, fcntl.LOCK_EX):
+            if time.monotonic() > deadline:
+                os.close(self._file)
+                raise NameLockedError(name, path)
+            time.sleep(POLL_S)
         self._write({"life": incarnation_of(os.getpid())})
 
-    def _write(self, told: dict[str, object]) -> None:
-        data = json.dumps(told).encode() + b"\n"
+    def _write(self, content: dict[str, object]) -> None:
+        data = json.dumps(content).encode() + b"\n"
         os.pwrite(self._file, data, 0)
         os.ftruncate(self._file, len(data))
 
-    def left(self, code: int) -> None:
-        """We end with this code: for a supervisor that is not our parent."""
+    def record_exit_code(self, code: int) -> None:
+        """Write the code that this process exits with, for a supervisor that is not its parent."""
         self._write({"life": incarnation_of(os.getpid()), "code": code})
 
     def close(self) -> None:
-        """Let go of the name."""
+        """Release the lock."""
         os.close(self._file)
 
 
 def lock_holder(folder: Path, name: str) -> str:
-    """The life that has a name now; empty where nobody has."""
+    """Return the incarnation that holds the lock of a name; empty if nobody does."""
     try:
         file = os.open(lock_path(folder, name), os.O_RDONLY | os.O_CLOEXEC)
     except OSError:
         return ""
     try:
-        for _ in range(READS):
-            try:
-                fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
+        for _ in range(READ_ATTEMPTS):
+            if _try_lock(file, fcntl.LOCK_SH):
                 return ""
-            except BlockingIOError:
-                life = str(_told(os.pread(file, 4096, 0)).get("life", ""))
-                if life and incarnation_of(pid_of(life)) == life:
-                    return life
-            time.sleep(STEP_S)  # it has the lock and has not written yet, or it is just ending
+            incarnation = str(_parse(os.pread(file, MAX_FILE_BYTES, 0)).get("life", ""))
+            if incarnation and incarnation_of(pid_of(incarnation)) == incarnation:
+                return incarnation
+            time.sleep(POLL_S)  # the holder has not written yet, or is just exiting
         return ""
     finally:
         os.close(file)
 
 
-def exit_code_of(folder: Path, name: str, life: str) -> int | None:
-    """With which code a life says that it ended; None where it did not say."""
+def lock_holders(folder: Path) -> dict[str, str]:
+    """Return the incarnations that hold a lock, by name."""
     try:
-        told = _told(lock_path(folder, name).read_bytes())
+        names = sorted(path.stem for path in (folder / "run").iterdir() if path.suffix == ".lock")
+    except OSError:
+        return {}
+    holders = {name: lock_holder(folder, name) for name in names}
+    return {name: incarnation for name, incarnation in holders.items() if incarnation}
+
+
+def exit_code_of(folder: Path, name: str, incarnation: str) -> int | None:
+    """Return the exit code that an incarnation recorded; None if it recorded none."""
+    try:
+        content = _parse(lock_path(folder, name).read_bytes())
     except OSError:
         return None
-    code = told.get("code")
-    return code if told.get("life") == life and isinstance(code, int) else None
+    code = content.get("code")
+    return code if content.get("life") == incarnation and isinstance(code, int) else None
 
 
-def _told(data: bytes) -> dict[str, object]:
+def _try_lock(file: int, mode: int) -> bool:
     try:
-        told = json.loads(data)
-    except ValueError:
-        return {}
-    return told if isinstance(told, dict) else {}
+        fcntl.flock(file, mode | fcntl.LOCK_NB)
+    except BlockingIOError:
+        return False
+    return True
 
 
-def locked_names(folder: Path) -> dict[str, str]:
-    """All names that somebody has, and the lives."""
+def _parse(data: bytes) -> dict[str, object]:
     try:
-        names = sorted(path.stem for path in (folder / "run").iterdir() if path.suffix == ".lock")
-    except OSError:
+        content = json.loads(data)
+    except ValueError:
         return {}
-    found = {name: lock_holder(folder, name) for name in names}
-    return {name: life for name, life in found.items() if life}
+    return content if isinstance(content, dict) else {}
--- a/coveport/sidecar/supervisor/log_stream.py
+++ b/coveport/sidecar/supervisor/log_stream.py
@@ -1,12 +1,13 @@
-"""The one stream that all instances of a host and their supervisor write to: JSON lines with who and what.
+"""The log stream that all instances of a host and their supervisor append to: JSON lines.
 
-Appended to by many processes, a line in one write. Moved aside by the supervisor when it is large; whoever
-writes sees that by the file's inode (`logging`'s own handler for it) and goes on in the new one.
+Each line is one write, so lines of several processes do not mix. The supervisor renames the file when it is
+large; writers notice by its inode (`WatchedFileHandler`) and go on in the new one.
 """
 
 from __future__ import annotations
 
 import contextlib
+import json
 import logging
 import os
 import time
@@ -19,73 +20,92 @@
 
 from coveport.sidecar.telemetry.log import Log
 
-MOST = 64 * 1024 * 1024  # bytes, after which it is moved aside; the one before that goes
-
-
-class _Lines:
-    """What structlog prints to."""
-
-    def __init__(self, path: Path) -> None:
-        path.parent.mkdir(parents=True, exist_ok=True)
-        self._handler = WatchedFileHandler(path, encoding="utf-8", delay=True)
-        self._handler.setFormatter(logging.Formatter("%(message)s"))
-        # Guards against a full disk or a folder that went: a log line is not worth a crash.
-        self._handler.handleError = lambda record: None  # type: ignore[method-assign]
-
-    def msg(self, message: str) -> None:
-        """A line."""
-        self._handler.emit(logging.LogRecord("coveport", logging.INFO, "", 0, message, None, None))
-
-    debug = info = warning = error = log = msg
+MAX_STREAM_BYTES = 64 * 1024 * 1024  # after which it is rotated; one rotated file is kept
+COUNTERS_PREFIX = "counters "
+ERROR_KINDS = ("fault", "unexpected")
 
 
 def stream_path(folder: Path) -> Path:
-    """Where the stream of a fleet stands."""
+    """Return where the log stream of a fleet stands."""
     return folder / "log" / "fleet.jsonl"
 
 
-def stream_logger(folder: Path, level: str = "info", **who: object) -> Any:
-    """What writes events into the stream, each with who it is and when."""
+def stream_logger(folder: Path, level: str = "info", **fields: object) -> Any:
+    """Return a structlog logger into the stream; `fields` say who writes, and stand in each line."""
 
-    def when(_logger: object, _method: str, event: Any) -> Any:
+    def add_time(_logger: object, _method: str, event: Any) -> Any:
         event["unix"] = round(time.time(), 3)
         return event
 
-    made = structlog.wrap_logger(
-        _Lines(stream_path(folder)),
-        processors=[structlog.processors.add_log_level, when, structlog.processors.JSONRenderer()],
+    logger = structlog.wrap_logger(
+        _StreamWriter(stream_path(folder)),
+        processors=[structlog.processors.add_log_level, add_time, structlog.processors.JSONRenderer()],
         wrapper_class=structlog.make_filtering_bound_logger(
             logging.DEBUG if level == "debug" else logging.INFO
         ),
     )
-    return made.bind(**who)
+    return logger.bind(**fields)
+
+
+class _StreamWriter:
+    """Appends rendered lines to the stream; structlog calls the method of the level."""
+
+    def __init__(self, path: Path) -> None:
+        path.parent.mkdir(parents=True, exist_ok=True)
+        self._handler = WatchedFileHandler(path, encoding="utf-8", delay=True)
+        self._handler.setFormatter(logging.Formatter("%(message)s"))
+        # Guards against a full disk or a removed folder: a log line is not worth a crash.
+        self._handler.handleError = lambda record: None  # type: ignore[method-assign]
+
+    def msg(self, message: str) -> None:
+        """Append a line."""
+        self._handler.emit(logging.LogRecord("coveport", logging.INFO, "", 0, message, None, None))
+
+    debug = info = warning = error = log = msg
 
 
 class StreamLog(Log):
-    """An instance's plain lines, as events of the stream; of a kind as many as ever."""
+    """Writes an instance's log lines as events of the stream; the limit of lines a kind stays."""
 
-    def __init__(self, now_s: Callable[[], float], made: Any) -> None:
+    def __init__(self, now_s: Callable[[], float], logger: Any) -> None:
         super().__init__(now_s)
-        self._made = made
+        self._logger = logger
 
     def say(self, text: str) -> None:
-        """A line."""
-        if text.startswith("counters "):
-            self._made.info("counters", text=text.removeprefix("counters "))
+        """Write a line without a kind."""
+        if text.startswith(COUNTERS_PREFIX):
+            self._logger.info("counters", text=text.removeprefix(COUNTERS_PREFIX))
         else:
-            self._made.info("said", text=text)
+            self._logger.info("said", text=text)
 
     def tell(self, kind: str, text: str) -> None:
-        """A line of a kind."""
-        level = self._made.error if kind in ("fault", "unexpected") else self._made.warning
-        level(kind.replace(" ", "_"), text=text)
+        """Write a line of a kind."""
+        write = self._logger.error if kind in ERROR_KINDS else self._logger.warning
+        write(kind.replace(" ", "_"), text=text)
 
 
-def rotate(folder: Path, most: int = MOST) -> bool:
-    """Move the stream aside where it is large; whether it was."""
+def rotate(folder: Path, max_bytes: int = MAX_STREAM_BYTES) -> bool:
+    """Rename the stream if it is larger than `max_bytes`; return whether it was."""
     path = stream_path(folder)
     with contextlib.suppress(OSError):
-        if path.stat().st_size > most:
+        if path.stat().st_size > max_bytes:
             os.replace(path, path.with_suffix(".jsonl.1"))
             return True
     return False
+
+
+def read_stream(path: Path, names: frozenset[str], max_lines: int) -> list[dict[str, Any]]:
+    """Return the last lines that concern these instances; of all instances if none is named."""
+    lines: list[dict[str, Any]] = []
+    try:
+        data = path.read_bytes()
+    except OSError:
+        return []
+    for text in data.splitlines():
+        try:
+            line = json.loads(text)
+        except ValueError:
+            continue  # truncated by a full disk
+        if isinstance(line, dict) and (not names or {line.get("instance"), line.get("name")} & names):
+            lines.append(line)
+    return lines[-max_lines:]
--- a/coveport/sidecar/supervisor/notify.py
+++ b/coveport/sidecar/supervisor/notify.py
@@ -1,7 +1,8 @@
-"""The service manager's notification protocol, both sides: datagrams of NAME=value lines to a Unix socket.
+"""Both sides of the service manager's notification protocol, sd_notify(3).
 
-An instance speaks it to its supervisor, and the supervisor to a service manager where one has started it. The
-kernel tells who sent a datagram (SCM_CREDENTIALS), so nobody speaks for another.
+A notification is a datagram of NAME=value lines to a Unix socket. An instance sends them to its supervisor,
+and the supervisor to the service manager that started it, if any. The kernel attaches the sender's PID
+(SCM_CREDENTIALS), so no process can report for another.
 """
 
 from __future__ import annotations
@@ -14,108 +15,121 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
-MOST = 4096  # bytes of a datagram
-A_TURN = 256  # datagrams read in one turn of the loop
-_CREDENTIALS = struct.Struct("iII")
+MAX_DATAGRAM_BYTES = 4096
+MAX_DATAGRAMS_PER_WAKEUP = 256  # then the event loop runs its other callbacks
+RECEIVE_BUFFER_BYTES = 1 << 20
+_CREDENTIALS = struct.Struct("iII")  # PID, UID, GID
+_FILE_DESCRIPTORS_BYTES = 64  # of ancillary data; received only to close them
+_FILE_DESCRIPTOR_BYTES = 4
+
+Variables = Mapping[str, str]
 
 
 class Notifier:
-    """Speaks to whoever NOTIFY_SOCKET names; where that is nobody, nothing is said."""
+    """Sends notifications to the socket that NOTIFY_SOCKET names; does nothing if the address is empty."""
 
     def __init__(self, address: str) -> None:
         self._socket: socket.socket | None = None
-        # An abstract name begins with "@" in the variable and with a zero byte for the system.
+        # An abstract address begins with "@" in the variable and with a zero byte for the system.
         self._address = "\0" + address[1:] if address.startswith("@") else address
         if address:
             self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
             self._socket.setblocking(False)
 
     @classmethod
-    def of(cls, environ: Mapping[str, str]) -> Notifier:
-        """The one that the environment names."""
+    def from_environment(cls, environ: Mapping[str, str]) -> Notifier:
+        """Return the notifier for the socket that the environment names."""
         return cls(environ.get("NOTIFY_SOCKET", ""))
 
-    def say(self, **words: object) -> bool:
-        """Send words; False where nobody took them. Never waits."""
+    def send(self, **variables: object) -> bool:
+        """Send variables without waiting; return whether the socket took them."""
         if self._socket is None:
             return False
-        data = "\n".join(f"{name}={value}" for name, value in words.items()).encode()[:MOST]
+        data = "\n".join(f"{name}={value}" for name, value in variables.items()).encode()
         try:
-            self._socket.sendto(data, self._address)
+            self._socket.sendto(data[:MAX_DATAGRAM_BYTES], self._address)
         except OSError:
-            return False  # it is gone or has no room: the next word says more
+            return (
+                False  # the receiver is gone, or its queue is full: the next notification repeats the state
+            )
         return True
 
     def close(self) -> None:
-        """Say nothing more."""
+        """Close the socket."""
         if self._socket is not None:
             self._socket.close()
             self._socket = None
 
 
 def watchdog_interval_s(environ: Mapping[str, str], pid: int) -> float:
-    """How often a sign of us is wanted at the least, s; 0: it is not."""
+    """Return the time within which the service manager expects a heartbeat, s; 0 if it expects none."""
     usec = environ.get("WATCHDOG_USEC", "")
     if not usec.isdigit() or environ.get("WATCHDOG_PID", str(pid)) != str(pid):
         return 0.0
     return int(usec) / 1e6
 
 
-def read(data: bytes) -> dict[str, str]:
-    """A datagram's words; what is no word is passed over."""
-    words = {}
+def parse(data: bytes) -> dict[str, str]:
+    """Return the variables of a datagram; malformed lines are ignored."""
+    variables = {}
     for line in data.decode("utf-8", errors="replace").splitlines():
         name, equals, value = line.partition("=")
         if equals and name.isascii() and name.replace("_", "").isalnum():
-            words[name] = value
-    return words
+            variables[name] = value
+    return variables
 
 
 class NotificationReceiver:
-    """Hears what instances say. `heard` is called with the sender's pid and its words."""
+    """Receives notifications; calls `on_notification` with the sender's PID and its variables."""
 
-    def __init__(self, path: Path, heard: Callable[[int, dict[str, str]], None]) -> None:
+    def __init__(self, path: Path, on_notification: Callable[[int, dict[str, str]], None]) -> None:
         self.path = path
-        self._heard = heard
-        path.unlink(missing_ok=True)  # another supervisor's, whose duty is ours now, or a dead one's
+        self._on_notification = on_notification
+        path.unlink(missing_ok=True)  # of a supervisor that lost the role, or died
         self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
         self._socket.setblocking(False)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_PASSCRED, 1)
-        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
+        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._socket.bind(str(path))
         path.chmod(0o600)
         self._inode = path.stat().st_ino
-        asyncio.get_running_loop().add_reader(self._socket, self.drain)
+        asyncio.get_running_loop().add_reader(self._socket, self._read_pending)
 
-    def drain(self) -> None:
-        """Hear what waits."""
-        for _ in range(A_TURN):
+    def _read_pending(self) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
             try:
-                data, beside, flags, _ = self._socket.recvmsg(
-                    MOST, socket.CMSG_SPACE(_CREDENTIALS.size) + socket.CMSG_SPACE(64)
+                data, ancillary, flags, _ = self._socket.recvmsg(
+                    MAX_DATAGRAM_BYTES,
+                    socket.CMSG_SPACE(_CREDENTIALS.size) + socket.CMSG_SPACE(_FILE_DESCRIPTORS_BYTES),
                 )
             except OSError:
                 return
-            pid = 0
-            for level, kind, told in beside:
-                if level != socket.SOL_SOCKET:
-                    continue
-                if kind == socket.SCM_CREDENTIALS:
-                    pid = _CREDENTIALS.unpack(told[: _CREDENTIALS.size])[0]
-                elif kind == socket.SCM_RIGHTS:
-                    # Guards against descriptors that somebody sends along: nobody would ever close them.
-                    sent = array.array("i", told[: len(told) - len(told) % 4])
-                    for one in sent:
-                        os.close(one)
+            pid = _take_ancillary(ancillary)
             if pid and not flags & socket.MSG_TRUNC:
-                self._heard(pid, read(data))
+                self._on_notification(pid, parse(data))
 
     def close(self) -> None:
-        """Hear nothing more."""
+        """Stop receiving; remove the socket's path unless a successor has taken it."""
         asyncio.get_running_loop().remove_reader(self._socket)
         self._socket.close()
         try:
-            if self.path.stat().st_ino == self._inode:  # else it is a successor's by now
+            if self.path.stat().st_ino == self._inode:
                 self.path.unlink()
         except OSError:
             pass
+
+
+def _take_ancillary(ancillary: list[tuple[int, int, bytes]]) -> int:
+    """Return the sender's PID, 0 if unknown, and close the file descriptors that came along."""
+    pid = 0
+    for level, kind, data in ancillary:
+        if level != socket.SOL_SOCKET:
+            continue
+        if kind == socket.SCM_CREDENTIALS:
+            pid = _CREDENTIALS.unpack(data[: _CREDENTIALS.size])[0]
+        elif kind == socket.SCM_RIGHTS:
+            # Guards against descriptors that a sender attaches: they would stay open for ever.
+            descriptors = array.array("i", data[: len(data) - len(data) % _FILE_DESCRIPTOR_BYTES])
+            for descriptor in descriptors:
+                os.close(descriptor)
+    return pid
--- a/coveport/sidecar/supervisor/process_control.py
+++ b/coveport/sidecar/supervisor/process_control.py
@@ -1,4 +1,4 @@
-"""The supervisor's hands: processes started, found, watched and told, and the addresses held for them."""
+"""Starts, finds, watches and signals the processes of instances, and holds their listening sockets."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 import subprocess
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Protocol
 
@@ -19,198 +20,213 @@
 from coveport.sidecar.supervisor import locks
 from coveport.sidecar.supervisor.instance_state import ExitReason
 
-LISTEN_FD = "COVEPORT_LISTEN_FD"  # tells an instance the descriptor that it is to accept at
-WAITING_MOST = 512  # connections that wait at an address that nobody takes from at the moment
-ENDS = {
-    0: ExitReason.CLEAN,
-    2: ExitReason.UNUSABLE,
-    3: ExitReason.HELD,
-}  # exit codes of an instance; any other is a crash
+LISTEN_FD_VARIABLE = "COVEPORT_LISTEN_FD"  # the descriptor of the socket that an instance accepts from
+LISTEN_BACKLOG = 512  # connections that wait while no process accepts
+EXIT_REASONS = {0: ExitReason.CLEAN, 2: ExitReason.UNUSABLE_FILES, 3: ExitReason.NAME_LOCKED}  # else a crash
+
+OnExit = Callable[[str, str, ExitReason], None]  # name, incarnation, reason
+
+
+@dataclass(frozen=True, slots=True)
+class InstanceProcess:
+    """A process of an instance."""
+
+    name: str
+    incarnation: str
 
 
 class ProcessControl(Protocol):
-    """What a supervisor does to the world. The lab has another, on simulated time."""
+    """What a supervisor can do to the processes of its host. The testbed simulates it."""
 
-    ended: Callable[[str, str, ExitReason], None]  # name, life, how
+    on_exit: OnExit
 
-    def found(self) -> dict[str, str]:
-        """Names that somebody has, and the lives; each is watched from then on."""
+    def find_running(self) -> dict[str, str]:
+        """Return the incarnations that hold a name's lock, by name; each is watched from now on."""
 
     def start(self, name: str) -> str:
-        """Start a process; its life. OSError where that can't be."""
+        """Start a process and return its incarnation; OSError if that fails."""
 
-    def drain(self, life: str) -> None:
-        """Tell it to end; nothing where it is gone."""
+    def drain(self, incarnation: str) -> None:
+        """Ask an incarnation to exit; nothing if it has."""
 
-    def kill(self, life: str) -> None:
-        """End it; nothing where it is gone."""
+    def kill(self, incarnation: str) -> None:
+        """Kill an incarnation; nothing if it has exited."""
 
     def close_listener(self, name: str) -> None:
-        """Nobody is to serve at this one's address for now: who connects is refused."""
-
-    def incarnation_of(self, pid: int) -> tuple[str, str]:
-        """Name and life of a process of ours that speaks; empty where it is none."""
+        """Close the socket that is held for an instance: its address refuses connections."""
 
-    def release(self) -> None:
-        """Watch nothing more; what runs runs on."""
+    def identify(self, pid: int) -> InstanceProcess | None:
+        """Return the watched process with this PID, which is alive; None if there is none."""
 
+    def stop_watching(self) -> None:
+        """Watch no process and hold no socket any more; the processes keep running."""
 
-class _Watched:
-    """A life that we would hear of the end of."""
 
-    __slots__ = ("child", "file", "life", "name")
+@dataclass(frozen=True, slots=True)
+class _WatchedProcess:
+    process: InstanceProcess
+    pidfd: int
+    child: subprocess.Popen[bytes] | None  # None if another supervisor started it
 
-    def __init__(self, name: str, life: str, file: int, child: subprocess.Popen[bytes] | None) -> None:
-        self.name = name
-        self.life = life
-        self.file = file
-        self.child = child
 
+class HostProcesses:
+    """The processes of this host. `config`: the path of the operator's file."""
 
-class Processes:
-    """The hands of a real supervisor. `config`: the operator's file, by its path."""
-
-    def __init__(self, told: OperatorFile, config: Path) -> None:
-        self._told = told
+    def __init__(self, operator_file: OperatorFile, config: Path) -> None:
+        self._operator_file = operator_file
         self._config = config
-        self._folder = told.fleet_folder
-        self._watched: dict[str, _Watched] = {}
-        self._by_pid: dict[int, str] = {}
-        self._sockets: dict[str, socket.socket] = {}
-        self._children: list[subprocess.Popen[bytes]] = []  # that ended before they were watched
+        self._folder = operator_file.fleet_folder
+        self._watched: dict[str, _WatchedProcess] = {}  # by incarnation
+        self._incarnations: dict[int, str] = {}  # of the watched, by PID
+        self._listeners: dict[str, socket.socket] = {}  # by name
         self.notify_path = self._folder / "notify.sock"
-        self.ended: Callable[[str, str, ExitReason], None] = lambda name, life, how: None
+        self.on_exit: OnExit = lambda name, incarnation, reason: None
         (self._folder / "run").mkdir(parents=True, exist_ok=True)
         (self._folder / "log").mkdir(parents=True, exist_ok=True)
 
-    def retune(self, told: OperatorFile) -> None:
-        """The file was read anew."""
-        self._told = told
+    def update_settings(self, operator_file: OperatorFile) -> None:
+        """Use a file that was read again."""
+        self._operator_file = operator_file
 
-    # Who is there.
+    # Running processes.
 
-    def found(self) -> dict[str, str]:
-        """By their locks, whoever started them."""
-        fleet = self._told.fleet
-        found = {name: life for name, life in locks.locked_names(self._folder).items() if fleet.number(name)}
+    def find_running(self) -> dict[str, str]:
+        """Return the incarnations that hold a lock, by name, whoever started them."""
+        fleet = self._operator_file.fleet
         return {
-            name: life
-            for name, life in found.items()
-            if life in self._watched or self._watch(name, life, None)
+            name: incarnation
+            for name, incarnation in locks.lock_holders(self._folder).items()
+            if fleet.number(name)
+            and (incarnation in self._watched or self._watch(InstanceProcess(name, incarnation), None))
         }
 
-    def _watch(self, name: str, life: str, child: subprocess.Popen[bytes] | None) -> bool:
-        pid = locks.pid_of(life)
+    def identify(self, pid: int) -> InstanceProcess | None:
+        """Return the watched process with this PID, which is alive; None if there is none."""
+        watched = self._watched.get(self._incarnations.get(pid, ""))
+        return None if watched is None else watched.process
+
+    def _watch(self, process: InstanceProcess, child: subprocess.Popen[bytes] | None) -> bool:
+        """Watch for the exit of a process; return whether it still runs."""
+        pid = locks.pid_of(process.incarnation)
         try:
-            file = os.pidfd_open(pid)
+            pidfd = os.pidfd_open(pid)
         except OSError:
             return False
-        # Only now, as the descriptor holds on to whatever has the pid.
-        if locks.incarnation_of(pid) != life:
-            os.close(file)
+        # Checked after opening: from then on the descriptor can't come to mean another process.
+        if locks.incarnation_of(pid) != process.incarnation:
+            os.close(pidfd)
             return False
-        self._watched[life] = _Watched(name, life, file, child)
-        self._by_pid[pid] = life
-        asyncio.get_running_loop().add_reader(file, self._over, life)
+        self._watched[process.incarnation] = _WatchedProcess(process, pidfd, child)
+        self._incarnations[pid] = process.incarnation
+        asyncio.get_running_loop().add_reader(pidfd, self._on_pidfd_readable, process.incarnation)
         return True
 
-    def _over(self, life: str) -> None:
-        one = self._forget(life)
-        if one is None:
+    def _on_pidfd_readable(self, incarnation: str) -> None:
+        watched = self._unwatch(incarnation)
+        if watched is None:
             return
-        # A child has ended by now, so this does not wait.
-        code = one.child.wait() if one.child is not None else locks.exit_code_of(self._folder, one.name, life)
-        self.ended(one.name, life, ExitReason.CRASH if code is None else ENDS.get(code, ExitReason.CRASH))
-
-    def _forget(self, life: str) -> _Watched | None:
-        one = self._watched.pop(life, None)
-        if one is not None:
-            self._by_pid.pop(locks.pid_of(life), None)
-            asyncio.get_running_loop().remove_reader(one.file)
-            os.close(one.file)
-        return one
-
-    def incarnation_of(self, pid: int) -> tuple[str, str]:
-        """By its pid, which is known to be alive, as it speaks."""
-        one = self._watched.get(self._by_pid.get(pid, ""))
-        return ("", "") if one is None else (one.name, one.life)
+        name = watched.process.name
+        if watched.child is not None:
+            code: int | None = watched.child.wait()  # returns at once: the process has exited
+        else:
+            code = locks.exit_code_of(self._folder, name, incarnation)
+        self.on_exit(name, incarnation, _exit_reason(code))
+
+    def _unwatch(self, incarnation: str) -> _WatchedProcess | None:
+        watched = self._watched.pop(incarnation, None)
+        if watched is not None:
+            self._incarnations.pop(locks.pid_of(incarnation), None)
+            asyncio.get_running_loop().remove_reader(watched.pidfd)
+            os.close(watched.pidfd)
+        return watched
+
+    def stop_watching(self) -> None:
+        """Watch no process and hold no socket any more; the processes keep running."""
+        for incarnation in list(self._watched):
+            self._unwatch(incarnation)
+        for name in list(self._listeners):
+            self.close_listener(name)
 
-    # What is done to them.
+    # Start and signals.
 
     def start(self, name: str) -> str:
-        """Start a process of that name, with its address in hand."""
-        fleet = self._told.fleet
-        held = self._hold(name)
+        """Start a process that inherits the instance's listening socket; return its incarnation."""
+        listener = self._open_listener(name)
+        child = self._spawn(name, listener)
+        incarnation = locks.incarnation_of(child.pid)
+        self._limit_descriptors(name, child.pid)
+        if not incarnation or not self._watch(InstanceProcess(name, incarnation), child):
+            # It has exited already: reported from the event loop, as any other exit.
+            incarnation = incarnation or f"{child.pid}.gone"
+            asyncio.get_running_loop().call_soon(self._report_exit, name, incarnation, child)
+        return incarnation
+
+    def _spawn(self, name: str, listener: socket.socket) -> subprocess.Popen[bytes]:
         environ = os.environ | {
             "LB_CONFIG": "",
             "NOTIFY_SOCKET": str(self.notify_path),
-            LISTEN_FD: str(held.fileno()),
-            "WATCHDOG_USEC": str(int(fleet.hung_s * 1e6)),
+            LISTEN_FD_VARIABLE: str(listener.fileno()),
+            "WATCHDOG_USEC": str(int(self._operator_file.fleet.hung_s * 1e6)),
         }
-        environ.pop("WATCHDOG_PID", None)  # a service manager's word to us, not to them
+        environ.pop("WATCHDOG_PID", None)  # the service manager's, for the supervisor alone
         with open(self._folder / "log" / f"{name}.out", "ab") as out:
-            child = subprocess.Popen(
+            return subprocess.Popen(
                 [sys.executable, "-m", "coveport", "run", "--config", str(self._config), "--as", name],
                 stdin=subprocess.DEVNULL,
                 stdout=out,
                 stderr=out,
                 env=environ,
-                pass_fds=(held.fileno(),),
-                start_new_session=True,
-            )  # a Ctrl-C at our terminal is ours to pass on
-        life = locks.incarnation_of(child.pid)
+                pass_fds=(listener.fileno(),),
+                start_new_session=True,  # a Ctrl-C at the supervisor's terminal is not for the instances
+            )
+
+    def _limit_descriptors(self, name: str, pid: int) -> None:
+        fleet = self._operator_file.fleet
         own = fleet.each.get(name)
-        sockets = (own.sockets if own is not None else 0) or fleet.sockets
-        if sockets:
+        limit = (own.sockets if own is not None else 0) or fleet.sockets
+        if limit:
             with contextlib.suppress(OSError, ValueError):
-                resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
-        if not life or not self._watch(name, life, child):
-            # It has ended already: told of in a later turn, as any other end.
-            life = life or f"{child.pid}.gone"
-            asyncio.get_running_loop().call_soon(self._was_over, name, life, child)
-        return life
-
-    def _was_over(self, name: str, life: str, child: subprocess.Popen[bytes]) -> None:
-        self.ended(name, life, ENDS.get(child.wait(), ExitReason.CRASH))
-
-    def drain(self, life: str) -> None:
-        """SIGTERM."""
-        self._signal(life, signal.SIGTERM)
-
-    def kill(self, life: str) -> None:
-        """SIGKILL; one that was stopped ends by it too."""
-        self._signal(life, signal.SIGKILL)
-
-    def _signal(self, life: str, number: int) -> None:
-        one = self._watched.get(life)
-        if one is not None:
+                resource.prlimit(pid, resource.RLIMIT_NOFILE, (limit, limit))
+
+    def _report_exit(self, name: str, incarnation: str, child: subprocess.Popen[bytes]) -> None:
+        self.on_exit(name, incarnation, _exit_reason(child.wait()))
+
+    def drain(self, incarnation: str) -> None:
+        """Send SIGTERM."""
+        self._signal(incarnation, signal.SIGTERM)
+
+    def kill(self, incarnation: str) -> None:
+        """Send SIGKILL; it ends a stopped process too."""
+        self._signal(incarnation, signal.SIGKILL)
+
+    def _signal(self, incarnation: str, number: int) -> None:
+        watched = self._watched.get(incarnation)
+        if watched is not None:
             with contextlib.suppress(ProcessLookupError):
-                signal.pidfd_send_signal(one.file, number)
-
-    # Addresses.
-
-    def _hold(self, name: str) -> socket.socket:
-        one = self._sockets.get(name)
-        address = parse_address(self._told.fleet.address(name))
-        if one is not None and one.getsockname()[:2] != address and address[1]:
-            self.close_listener(name)  # the file has it elsewhere by now
-            one = None
-        if one is None:
-            family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-            one = socket.create_server(address, family=family, backlog=WAITING_MOST, reuse_port=True)
-            one.setblocking(False)
-            self._sockets[name] = one
-        return one
+                signal.pidfd_send_signal(watched.pidfd, number)
+
+    # Listening sockets.
+
+    def _open_listener(self, name: str) -> socket.socket:
+        address = parse_address(self._operator_file.fleet.address(name))
+        host, port = address
+        listener = self._listeners.get(name)
+        if listener is not None and listener.getsockname()[:2] != address and port:
+            self.close_listener(name)  # the file has another address for it by now
+            listener = None
+        if listener is None:
+            family = socket.AF_INET6 if ":" in host else socket.AF_INET
+            listener = socket.create_server(address, family=family, backlog=LISTEN_BACKLOG, reuse_port=True)
+            listener.setblocking(False)
+            self._listeners[name] = listener
+        return listener
 
     def close_listener(self, name: str) -> None:
-        """Close its address."""
-        one = self._sockets.pop(name, None)
-        if one is not None:
-            one.close()
-
-    def release(self) -> None:
-        """Watch nothing more."""
-        for life in list(self._watched):
-            self._forget(life)
-        for name in list(self._sockets):
-            self.close_listener(name)
+        """Close the socket that is held for an instance: its address refuses connections."""
+        listener = self._listeners.pop(name, None)
+        if listener is not None:
+            listener.close()
+
+
+def _exit_reason(code: int | None) -> ExitReason:
+    return ExitReason.CRASH if code is None else EXIT_REASONS.get(code, ExitReason.CRASH)
--- /dev/null
+++ b/coveport/sidecar/supervisor/snapshot_keeper.py
@@ -0,0 +1,131 @@
+"""Keeps an instance's snapshot: read once at the start, written while it runs."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable, Mapping
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+from coveport.balancing import interface as api
+from coveport.sidecar.config.platform import Config
+from coveport.sidecar.leases.clock import boot_id, boot_s
+from coveport.sidecar.reducer import messages as core
+from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.supervisor import snapshot
+from coveport.sidecar.supervisor.atomic_file import write_atomically
+from coveport.sidecar.supervisor.endpoint_list import EndpointList
+from coveport.sidecar.supervisor.errors import SnapshotError
+from coveport.sidecar.supervisor.sidecar_view import SidecarView
+from coveport.sidecar.supervisor.snapshot import Snapshot, Timestamp
+
+MAX_EJECTIONS_AGE_S = 10.0  # of a snapshot whose ejections are taken over
+UNKNOWN_VERSION = -1  # older than any list's
+
+Destinations = Callable[[], Mapping[int, Place]]  # address and start time of each, by number
+
+
+class SnapshotKeeper:
+    """The snapshot of one instance.
+
+    Attributes:
+        restored: the snapshot that this process began from; None if there was none to use.
+        error: why there was none; empty otherwise.
+
+    """
+
+    def __init__(self, folder: Path, fleet: str, name: str, max_age_s: float) -> None:
+        self._path = folder / "snapshots" / f"{name}.snap"
+        self._fleet = fleet
+        self._name = name
+        self._max_age_s = max_age_s
+        self.restored: Snapshot | None = None
+        self.error = ""
+        self._restored_age_s = 0.0
+        self._endpoints = EndpointList()
+
+    @property
+    def is_enabled(self) -> bool:
+        """Whether snapshots are read and written at all."""
+        return self._max_age_s > 0
+
+    def restore(self, config: Config) -> Config:
+        """Read the snapshot; return the configuration with its endpoint list if that is the newer one."""
+        if not self.is_enabled:
+            return config
+        try:
+            self.restored, self._restored_age_s = snapshot.load_usable(
+                snapshot.read(self._path), self._fleet, self._name, _now(), self._max_age_s
+            )
+        except SnapshotError as error:
+            self.error = str(error)
+            return config
+        if self.restored.list_version <= _list_version(config.known):
+            return config
+        self._endpoints.apply({"hosts": self.restored.hosts, "seq": self.restored.list_version}, True)
+        return replace(config, known=snapshot.endpoint_list(self.restored))
+
+    def on_endpoints(self, update: Any, is_complete: bool) -> None:
+        """Take note of a list or update from discovery."""
+        self._endpoints.apply(update, is_complete)
+
+    def report_ejections(self, sidecar: SidecarView, destinations: Destinations) -> None:
+        """Tell the sidecar which hosts were ejected just before the restart, as failed health checks."""
+        restored = self.restored
+        if restored is None or self._restored_age_s > MAX_EJECTIONS_AGE_S:
+            return
+        numbers = {address: number for number, address in _addresses(destinations).items()}
+        for host in restored.hosts:
+            number = numbers.get(str(host.get("dial")))
+            if number is not None and host.get("host") in restored.ejected:
+                sidecar.counters.add("remembered_out")
+                sidecar.feed(core.HealthCheckEnded(number, api.Outcome.CONNECT_FAILED, 0.0))
+
+    def write(self, sidecar: SidecarView, destinations: Destinations) -> None:
+        """Write a snapshot, once discovery has reported a list; a failed write leaves the previous one."""
+        if not self._endpoints.version or not self.is_enabled:
+            return
+        data = snapshot.encode(self._take(sidecar, destinations))
+        try:
+            self._path.parent.mkdir(parents=True, exist_ok=True)
+            write_atomically(self._path, data)
+            sidecar.counters.add("snapshots")
+        except OSError:
+            sidecar.counters.add("snapshots_failed")
+
+    def _take(self, sidecar: SidecarView, destinations: Destinations) -> Snapshot:
+        by_address = {str(host.get("dial")): name for name, host in self._endpoints.hosts.items()}
+        names = {number: by_address.get(address, "") for number, address in _addresses(destinations).items()}
+        now = _now()
+        return Snapshot(
+            self._fleet,
+            self._name,
+            now,
+            self._endpoints.version,
+            list(self._endpoints.hosts.values()),
+            ejected={
+                names[number]: ejected_ms / 1000
+                for number, ejected_ms in sidecar.out().items()
+                if names.get(number)
+            },
+            warming_up={
+                names[number]: now.unix_s * 1000 - age_ms
+                for number, (_, age_ms) in sidecar.fresh().items()
+                if names.get(number)
+            },
+        )
+
+
+def _now() -> Timestamp:
+    return Timestamp(time.time(), boot_s(), boot_id())
+
+
+def _addresses(destinations: Destinations) -> dict[int, str]:
+    """Return HOST:PORT of each destination, by number."""
+    return {number: f"{place[0][0]}:{place[0][1]}" for number, place in destinations().items()}
+
+
+def _list_version(known: Any) -> int:
+    version = known.get("seq") if isinstance(known, dict) else None
+    return version if isinstance(version, int) else UNKNOWN_VERSION
--- /dev/null
+++ b/coveport/sidecar/supervisor/success_window.py
@@ -0,0 +1,38 @@
+"""The success rate of the operations that ended lately, from the sidecar's counters."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from coveport.sidecar.telemetry.counters import ENDS, Counters, ended
+
+SAMPLES = 6  # the rate is that of the operations between the oldest and the newest sample
+SUCCEEDED = ENDS[0]
+
+
+class _Sample(NamedTuple):
+    succeeded: int
+    total: int
+
+
+class SuccessWindow:
+    """Samples the counters of ended operations."""
+
+    def __init__(self) -> None:
+        self._samples: deque[_Sample] = deque(maxlen=SAMPLES)
+
+    def sample(self, counters: Counters, classes: Iterable[str]) -> str:
+        """Take a sample; return the window as `X_SERVED` has it: `FRACTION/OPERATIONS`."""
+        names = list(classes)
+        self._samples.append(
+            _Sample(
+                sum(counters.get(ended(name, SUCCEEDED)) for name in names),
+                sum(counters.get(ended(name, how)) for name in names for how in ENDS),
+            )
+        )
+        oldest, newest = self._samples[0], self._samples[-1]
+        total = newest.total - oldest.total
+        succeeded = newest.succeeded - oldest.succeeded
+        return f"{succeeded / total if total else 1.0:.4f}/{total}"
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -1,321 +1,308 @@
-"""Keeps the instances of a host: carries out what `crew` orders, for as long as the duty is ours.
+"""Supervises the instances of a host: carries out what the instance set commands, under the role's lease.
 
-Where another supervisor holds the duty this one stands by; where it takes over, what runs is found by its
-locks and goes on as it is.
+While another supervisor holds the role this one stands by. When it acquires the role, running instances are
+found by their locks and keep running.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Mapping
 from typing import Any
 
 from coveport.sidecar.config.operator_file import OperatorFile
+from coveport.sidecar.config.operator_sections import MAX_INSTANCES
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.singletons.singleton import Step
 from coveport.sidecar.singletons.singleton_runner import SingletonRunner
-from coveport.sidecar.supervisor.desired_state import DesiredState, DesiredStateRole, StaffRequest
+from coveport.sidecar.supervisor.commands import Command, Drain, Kill, Start
+from coveport.sidecar.supervisor.desired_state import DesiredState
+from coveport.sidecar.supervisor.desired_state_role import DesiredStateRole, RequestResult
+from coveport.sidecar.supervisor.fleet_request import Action, FleetRequest
+from coveport.sidecar.supervisor.instance_health import SuccessRate
 from coveport.sidecar.supervisor.instance_set import InstanceSet
-from coveport.sidecar.supervisor.instance_state import Command, Drain, ExitReason, Kill, Start, State
+from coveport.sidecar.supervisor.instance_state import ExitReason, InstanceState
 from coveport.sidecar.supervisor.process_control import ProcessControl
+from coveport.sidecar.supervisor.status import fleet_status
 
 TICK_S = 0.05
-LATE_S = 0.5  # a turn that comes so much too late: we heard nothing meanwhile
-SCAN_S = 1.0  # how often the locks are looked at for lives that nobody told us of
-ASK_S = 10.0  # how long a verb waits until what it asks stands
-LEAVE_S = 3.0
+STALL_S = 0.5  # a tick that is later than this: notifications may have been lost meanwhile
+SCAN_INTERVAL_S = 1.0  # between two looks at the locks, for processes that nobody reported
+REQUEST_TIMEOUT_S = 10.0  # for a request to stand in the store
 
 
 class Supervisor:
-    """One supervisor of a host. `check`: what is wrong with the files, before they are used; empty: nothing.
+    """One supervisor of a host.
 
-    `say`: an event and its fields, for the log.
+    `check_files` returns what is wrong with the operator's files, empty if nothing is; it is called before
+    they are used. `log` takes an event and its fields. `on_role_changed` is told whether the role is held.
     """
 
     def __init__(
         self,
-        told: OperatorFile,
+        operator_file: OperatorFile,
         lease_client: LeaseClient,
         processes: ProcessControl,
         *,
         now_s: Callable[[], float],
-        chance: random.Random,
-        say: Callable[..., None],
-        check: Callable[[], str],
-        most: int = 1000,
+        rng: random.Random,
+        log: Callable[..., None],
+        check_files: Callable[[], str],
+        max_instances: int = MAX_INSTANCES,
     ) -> None:
-        self.told = told
+        self.operator_file = operator_file
         self.lease_client = lease_client
         self.processes = processes
         self._now_s = now_s
-        self._say = say
-        self._check = check
-        self.instances = InstanceSet(told.fleet, chance)
-        self.duty = DesiredStateRole(
-            told.fleet, lambda: self.instances.health(self._now_s()), self._planned, most
+        self._log = log
+        self._check_files = check_files
+        self.instances = InstanceSet(operator_file.fleet, rng)
+        self.role = DesiredStateRole(
+            operator_file.fleet,
+            lambda: self.instances.health(self._now_s()),
+            self._on_desired_state,
+            max_instances,
         )
-        self._runner = SingletonRunner(lease_client, self.duty, now_s, self._did)
-        lease_client.on_acquired = self._began
-        lease_client.on_lost = self._over
-        processes.ended = self._life_over
-        self.holding = False
-        self.on_holding: Callable[[bool], Awaitable[None]] | None = None
+        self._runner = SingletonRunner(lease_client, self.role, now_s, self._on_step_committed)
+        lease_client.on_acquired = self._on_acquired
+        lease_client.on_lost = self._on_lost
+        processes.on_exit = self._on_exit
+        self.holds_role = False
+        self.on_role_changed: Callable[[bool], Awaitable[None]] | None = None
         self._token = 0
-        self._turn_at = 0.0
-        self._scan_at = 0.0
-        self._states: dict[str, State] = {}
+        self._ticked_at = 0.0
+        self._scanned_at = 0.0
+        self._logged_states: dict[str, InstanceState] = {}
         self._tasks: list[asyncio.Task[None]] = []
-        self._stopping = False
+        self._is_stopping = False
 
-    # Life.
+    # Start and stop.
 
     def start(self) -> None:
-        """Begin; there must be a running loop."""
-        self._turn_at = self._now_s()
+        """Begin; needs a running event loop."""
+        self._ticked_at = self._now_s()
         self.lease_client.start()
-        self._tasks.append(asyncio.ensure_future(self._turn()))
+        self._tasks.append(asyncio.ensure_future(self._run()))
 
     async def leave(self) -> None:
-        """Hand the duty on; what runs runs on."""
-        self._stopping = True
+        """Release the role; the instances keep running."""
+        self._is_stopping = True
         await self.lease_client.close()
         for task in self._tasks:
             task.cancel()
-        self.processes.release()
+        self.processes.stop_watching()
 
-    @property
-    def alone(self) -> bool:
-        """Whether no other supervisor stands by."""
-        return not any(name != self.lease_client.name for name in self.lease_client.instances)
-
-    @property
-    def acts(self) -> bool:
-        """Whether orders may be carried out at this moment."""
-        return self.holding and self.lease_client.usable_token(self.duty.name) == self._token
-
-    async def stop_all(self, within_s: float) -> bool:
-        """End all instances, as many at a time as want to; whether all have."""
-        self._stopping = True
-        end = self._now_s() + within_s
-        orders: list[Command] = []
+    async def stop_all(self, timeout_s: float) -> bool:
+        """Drain all instances; return whether all have exited in time."""
+        self._is_stopping = True
+        deadline = self._now_s() + timeout_s
+        commands: list[Command] = []
         now = self._now_s()
-        for name in sorted(self.instances.by_name, key=self.told.fleet.number, reverse=True):
-            orders += self.instances.by_name[name].want(now, False)
-        self._carry_out(orders)
-        while not self.instances.empty and self._now_s() < end:
+        for name in sorted(self.instances.by_name, key=self.operator_file.fleet.number, reverse=True):
+            commands += self.instances.by_name[name].set_desired(now, False)
+        self._carry_out(commands)
+        while not self.instances.has_no_process and self._now_s() < deadline:
             now = self._now_s()
-            self._carry_out([order for one in self.instances.by_name.values() for order in one.tick(now)])
-            self._tell()
+            self._carry_out(
+                [command for instance in self.instances.by_name.values() for command in instance.tick(now)]
+            )
+            self._log_state_changes()
             await asyncio.sleep(TICK_S)
-        return self.instances.empty
+        return self.instances.has_no_process
+
+    def update_settings(self, operator_file: OperatorFile) -> None:
+        """Use a file that was read again."""
+        self.operator_file = operator_file
+        self.role.fleet = operator_file.fleet
+        self.instances.update_settings(self._now_s(), operator_file.fleet)
 
-    def retune(self, told: OperatorFile) -> None:
-        """The file was read anew."""
-        self.told = told
-        self.duty.fleet = told.fleet
-        self.instances.retune(self._now_s(), told.fleet)
+    # The role.
 
-    # The duty.
+    @property
+    def is_only_supervisor(self) -> bool:
+        """Whether no other supervisor stands by."""
+        return all(name == self.lease_client.name for name in self.lease_client.instances)
+
+    @property
+    def may_act(self) -> bool:
+        """Whether commands may be carried out now: the role is held, and its lease is valid."""
+        return self.holds_role and self.lease_client.usable_token(self.role.name) == self._token
 
-    def _began(self, duty: str, token: int) -> None:
-        self.holding = True
+    def _on_acquired(self, role: str, token: int) -> None:
+        self.holds_role = True
         self._token = token
         now = self._now_s()
-        found = self.processes.found()
-        self.instances.acquire(now, found)
-        self._states = {}
-        self._say("fleet_taken_up", duty=duty, token=token, found=sorted(found))
+        running = self.processes.find_running()
+        self.instances.acquire(now, running)
+        self._logged_states = {}
+        self._log("fleet_taken_up", duty=role, token=token, found=sorted(running))
         self._runner.start(token)
-        if self.on_holding is not None:
-            self._tasks.append(asyncio.ensure_future(self._tell_holding(True)))
+        if self.on_role_changed is not None:
+            self._tasks.append(asyncio.ensure_future(self._report_role(True)))
 
-    def _over(self, duty: str, token: int, why: str) -> None:
-        self.holding = False
+    def _on_lost(self, role: str, token: int, reason: str) -> None:
+        self.holds_role = False
         self._runner.stop()
-        self.duty.gone()
-        if not self._stopping:
+        self.role.on_role_lost()
+        if not self._is_stopping:
             self.instances.release()
-            self.processes.release()
-        self._say("fleet_let_go", duty=duty, token=token, why=why)
-        if self.on_holding is not None:
-            self._tasks.append(asyncio.ensure_future(self._tell_holding(False)))
+            self.processes.stop_watching()
+        self._log("fleet_let_go", duty=role, token=token, why=reason)
+        if self.on_role_changed is not None:
+            self._tasks.append(asyncio.ensure_future(self._report_role(False)))
+
+    async def _report_role(self, holds_role: bool) -> None:
+        # The role may have changed again before this task runs.
+        if self.on_role_changed is not None and holds_role is self.holds_role:
+            await self.on_role_changed(holds_role)
 
-    async def _tell_holding(self, holding: bool) -> None:
-        if self.on_holding is not None and holding is self.holding:
-            await self.on_holding(holding)
+    def _on_desired_state(self, desired: DesiredState) -> None:
+        if self.may_act and not self._is_stopping:
+            self._carry_out(self.instances.apply(self._now_s(), desired))
 
-    def _planned(self, plan: DesiredState) -> None:
-        if self.acts and not self._stopping:
-            self._carry_out(self.instances.planned(self._now_s(), plan))
+    def _on_step_committed(self, step: Step, token: int, revision: int) -> None:
+        self._log("fleet_step", token=token, revision=revision, what=step.description)
+        self.role.on_step_committed(step)
 
-    def _did(self, step: Step, token: int, revision: int) -> None:
-        self._say("fleet_step", token=token, revision=revision, what=step.description)
-        self.duty.did(step)
+    # The loop.
 
-    async def _turn(self) -> None:
+    async def _run(self) -> None:
         while True:
             now = self._now_s()
-            if now - self._turn_at > TICK_S + LATE_S:
-                self._say("fleet_stalled", lasted=round(now - self._turn_at, 2))
-                self.instances.stalled(now)
-                await asyncio.sleep(0)  # what was said meanwhile is heard first
-            self._turn_at = now
-            if self.acts and not self._stopping:
-                if now - self._scan_at >= SCAN_S:
-                    self._scan_at = now
-                    for name, life in self.processes.found().items():
-                        self._carry_out(self.instances.found(now, name, life))
+            if now - self._ticked_at > TICK_S + STALL_S:
+                self._log("fleet_stalled", lasted=round(now - self._ticked_at, 2))
+                self.instances.on_stalled(now)
+                await asyncio.sleep(0)  # pending notifications are read first
+            self._ticked_at = now
+            if self.may_act and not self._is_stopping:
+                if now - self._scanned_at >= SCAN_INTERVAL_S:
+                    self._scan(now)
                 self._carry_out(self.instances.tick(now))
-            self._tell()
+            self._log_state_changes()
             await asyncio.sleep(TICK_S)
 
-    # Orders.
+    def _scan(self, now: float) -> None:
+        """Adopt processes that hold a lock and are not known."""
+        self._scanned_at = now
+        for name, incarnation in self.processes.find_running().items():
+            self._carry_out(self.instances.on_running(now, name, incarnation))
+
+    def _log_state_changes(self) -> None:
+        """Log each changed state; close the listeners of instances that are not to serve."""
+        for name, instance in self.instances.by_name.items():
+            state = instance.state
+            if self._logged_states.get(name) is state:
+                continue
+            self._logged_states[name] = state
+            self._log(
+                "fleet_broken" if state is InstanceState.BROKEN else "fleet_state",
+                name=name,
+                state=state.value,
+                life=instance.incarnation,
+                why=instance.reason,
+            )
+            if state in (InstanceState.DOWN, InstanceState.BROKEN):
+                self.processes.close_listener(name)
+        for name in [name for name in self._logged_states if name not in self.instances.by_name]:
+            del self._logged_states[name]
+            self.processes.close_listener(name)
+
+    # Commands.
 
-    def _carry_out(self, orders: list[Command]) -> None:
-        for number, order in enumerate(orders):
-            # Each by itself: an order that took long may have cost us the duty.
-            if not self.acts:
-                # Not kept for later: once we act again, the crew orders what is due then.
-                self.instances.dropped(orders[number:])
+    def _carry_out(self, commands: list[Command]) -> None:
+        for position, command in enumerate(commands):
+            # Checked before each: a command that took long may have cost the lease.
+            if not self.may_act:
+                # Never kept for later: what is due once the lease is renewed is commanded then.
+                self.instances.on_commands_dropped(commands[position:])
                 return
-            if isinstance(order, Start):
-                self._start(order.name)
-            elif isinstance(order, Drain):
-                self._say("fleet_drain", name=order.name, life=order.life)
-                self.processes.drain(order.life)
-            elif isinstance(order, Kill):
-                self._say(
-                    "fleet_kill",
-                    name=order.name,
-                    life=order.life,
-                    why=self.instances.by_name[order.name].why,
-                )
-                self.processes.kill(order.life)
+            if isinstance(command, Start):
+                self._start(command.name)
+            elif isinstance(command, Drain):
+                self._log("fleet_drain", name=command.name, life=command.incarnation)
+                self.processes.drain(command.incarnation)
+            elif isinstance(command, Kill):
+                reason = self.instances.by_name[command.name].reason
+                self._log("fleet_kill", name=command.name, life=command.incarnation, why=reason)
+                self.processes.kill(command.incarnation)
 
     def _start(self, name: str) -> None:
         now = self._now_s()
-        fault = self._check()
+        fault = self._check_files()
         if fault:
-            # Guards against a file that ends every life at its start: nothing is started to find that out.
-            self.instances.unusable(now, name, fault)
+            # Guards against a file that ends every process at its start: none is started to find that out.
+            self.instances.on_unusable_files(now, name, fault)
             return
         try:
-            life = self.processes.start(name)
-        except OSError as problem:
-            self.instances.on_start_failed(now, name, problem.strerror or str(problem))
+            incarnation = self.processes.start(name)
+        except OSError as error:
+            self.instances.on_start_failed(now, name, error.strerror or str(error))
             return
-        self._say("fleet_start", name=name, life=life)
-        self._carry_out(self.instances.started(now, name, life))
-
-    def _life_over(self, name: str, life: str, how: ExitReason) -> None:
-        self._say("fleet_ended", name=name, life=life, how=how.value)
-        self.instances.ended(self._now_s(), name, life, how)
+        self._log("fleet_start", name=name, life=incarnation)
+        self._carry_out(self.instances.on_started(now, name, incarnation))
 
-    # What instances say.
+    def _on_exit(self, name: str, incarnation: str, reason: ExitReason) -> None:
+        self._log("fleet_ended", name=name, life=incarnation, how=reason.value)
+        self.instances.on_exit(self._now_s(), name, incarnation, reason)
 
-    def heard(self, pid: int, words: dict[str, str]) -> None:
-        """A datagram of an instance."""
-        name, life = self.processes.incarnation_of(pid)
-        if not name:
+    def on_notification(self, pid: int, variables: Mapping[str, str]) -> None:
+        """Take note of an instance's notification."""
+        process = self.processes.identify(pid)
+        if process is None:
             return
         now = self._now_s()
-        if words.get("STOPPING") == "1":
-            self.instances.stopping(now, name, life)
-        if words.get("READY") == "1":
-            self.instances.ready(now, name, life)
-        if words.get("WATCHDOG") == "1" or "X_SERVED" in words:
-            self.instances.beat(now, name, life, _served(words.get("X_SERVED", "")))
-
-    def _tell(self) -> None:
-        """Write down which instances have come to another state, and let go of addresses nobody serves at."""
-        for name, one in self.instances.by_name.items():
-            if self._states.get(name) is not one.state:
-                self._states[name] = one.state
-                self._say(
-                    "fleet_broken" if one.state is State.BROKEN else "fleet_state",
-                    name=name,
-                    state=one.state.value,
-                    life=one.life,
-                    why=one.why,
-                )
-                if one.state in (State.DOWN, State.BROKEN):
-                    self.processes.close_listener(name)
-        for name in [name for name in self._states if name not in self.instances.by_name]:
-            del self._states[name]
-            self.processes.close_listener(name)
-
-    # Staff.
-
-    async def asked(self, told: dict[str, Any]) -> dict[str, Any]:
-        """A line of staff's."""
-        do = told.get("do")
-        if do == "status":
+        if variables.get("STOPPING") == "1":
+            self.instances.on_stopping(now, process.name, process.incarnation)
+        if variables.get("READY") == "1":
+            self.instances.on_ready(now, process.name, process.incarnation)
+        if variables.get("WATCHDOG") == "1" or "X_SERVED" in variables:
+            success = SuccessRate.parse(variables.get("X_SERVED", ""))
+            self.instances.on_heartbeat(now, process.name, process.incarnation, success)
+
+    # Requests of the operators.
+
+    async def handle_request(self, message: dict[str, Any]) -> dict[str, Any]:
+        """Carry out a request from the control socket; return its answer."""
+        if message.get("do") == "status":
             return {"ok": True, **self.status()}
-        if not self.acts:
+        if not self.may_act:
             return {"ok": False, "said": "refused: this supervisor does not hold the duty"}
-        try:
-            ask = StaffRequest(
-                str(told["id"]),
-                str(do),
-                int(told.get("count", 0)),
-                tuple(str(name) for name in told.get("names", ())),
-                int(told.get("at_once", 1)),
-            )
-        except (KeyError, TypeError, ValueError):
+        request = _parse_request(message)
+        if request is None:
             return {"ok": False, "said": "refused: not a request that there is"}
-        fault = self._check() if ask.do in ("restart", "resume") else ""
+        fault = self._check_files() if request.action in (Action.RESTART, Action.RESUME_RESTART) else ""
         if fault:
             return {"ok": False, "said": f"refused: {fault}"}
-        done: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        self.duty.ask(ask, lambda said: None if done.done() else done.set_result(said))
+        done: asyncio.Future[RequestResult] = asyncio.get_running_loop().create_future()
+        self.role.submit(request, lambda result: None if done.done() else done.set_result(result))
         try:
-            said = await asyncio.wait_for(done, ASK_S)
+            result = await asyncio.wait_for(done, REQUEST_TIMEOUT_S)
         except TimeoutError:
             return {"ok": False, "said": "the store does not answer: it may be taken up yet"}
-        return {"ok": not said.startswith("refused"), "said": said}
+        return {"ok": result.is_done, "said": result.message}
 
     def status(self) -> dict[str, Any]:
-        """What staff are shown."""
-        now, plan = self._now_s(), self.instances.plan
-        health = self.instances.health(now)
-        return {
-            "fleet": self.told.fleet.name,
-            "supervisor": self.lease_client.name,
-            "holds": self.acts,
-            "token": self._token if self.holding else 0,
-            "count": plan.count if plan is not None else None,
-            "restart": None
-            if plan is None or plan.restart is None
-            else {
-                "phase": plan.restart.phase.value,
-                "why": plan.restart.why,
-                "taken": len(plan.restart.lives),
-                "of": len(plan.restart.order),
-            },
-            "instances": [
-                {
-                    "name": name,
-                    "state": one.state.value,
-                    "address": self.told.fleet.address(name),
-                    "pid": int(one.life.partition(".")[0] or 0),
-                    "life": one.life,
-                    "for_s": round(now - one.since, 1),
-                    "why": one.why,
-                    "wanted": one.wanted,
-                    "ended": one.lives,
-                    "served": round(health[name].served, 4),
-                }
-                for name, one in sorted(
-                    self.instances.by_name.items(), key=lambda it: self.told.fleet.number(it[0])
-                )
-            ],
-        }
-
-
-def _served(text: str) -> tuple[float, int] | None:
-    share, _, ended = text.partition("/")
+        """Return what `coveport fleet status` shows."""
+        return fleet_status(
+            self.operator_file.fleet,
+            self.instances,
+            now=self._now_s(),
+            supervisor=self.lease_client.name,
+            holds_role=self.may_act,
+            token=self._token if self.holds_role else 0,
+        )
+
+
+def _parse_request(message: Mapping[str, Any]) -> FleetRequest | None:
+    """Return the request of a message; None if it is malformed."""
     try:
-        return float(share), int(ended)
-    except ValueError:
+        return FleetRequest(
+            id=str(message["id"]),
+            action=str(message.get("do")),
+            count=int(message.get("count", 0)),
+            names=tuple(str(name) for name in message.get("names", ())),
+            at_once=int(message.get("at_once", 1)),
+        )
+    except (KeyError, TypeError, ValueError):
         return None
--- a/coveport/testbed/fault_injection/fleet/broken_variants.py
+++ b/coveport/testbed/fault_injection/fleet/broken_variants.py
@@ -1,4 +1,4 @@
-"""Supervisors that are broken on purpose, to show that the judge sees it. Each leaves out a single thing."""
+"""Supervisors with one deliberate fault each, to show that the judge finds it."""
 
 from __future__ import annotations
 
@@ -10,192 +10,213 @@
 
 import msgspec
 
-from coveport.sidecar.supervisor import desired_state as desired_state_module
-from coveport.sidecar.supervisor import instance_set as instance_set_module
-from coveport.sidecar.supervisor.desired_state import DesiredState, InstanceHealth
+from coveport.sidecar.supervisor import desired_state_role
+from coveport.sidecar.supervisor.commands import Command
+from coveport.sidecar.supervisor.desired_state import Change, DesiredState, RestartPhase
+from coveport.sidecar.supervisor.instance import Instance
+from coveport.sidecar.supervisor.instance_health import InstanceHealth
 from coveport.sidecar.supervisor.instance_set import InstanceSet
-from coveport.sidecar.supervisor.instance_state import Command, Instance, State
+from coveport.sidecar.supervisor.instance_state import InstanceState
 from coveport.sidecar.supervisor.supervisor import Supervisor
 
 
 @dataclass(frozen=True)
 class FleetVariant:
-    """What differs, and which of the judge's rules must find it."""
+    """A faulty supervisor. `rules`: the judge's rules of which at least one must find it.
+
+    `are_names_locked`: whether names have locks. `while_played`: patches in force during the trial.
+    """
 
     name: str
-    about: str
+    description: str
     rules: tuple[str, ...] = ()
     supervisor: type[Supervisor] = Supervisor
     instance_set: Callable[..., InstanceSet] | None = None
-    locked: bool = True
+    are_names_locked: bool = True
     while_played: Callable[[], AbstractContextManager[Any]] = nullcontext
 
 
-class _SpendsAtOnce(InstanceSet):
-    """Starts all that wait."""
+class _StartsAllAtOnce(InstanceSet):
+    """Starts all waiting instances without a token bucket."""
 
-    def _start(self, now: float) -> list[Command]:
-        return [order for one in self.by_name.values() if one.can_start(now) for order in one.start(now)]
+    def _start_waiting(self, now: float) -> list[Command]:
+        return [
+            command
+            for instance in self.by_name.values()
+            if instance.can_start(now)
+            for command in instance.start(now)
+        ]
 
 
-class _Deaf(InstanceSet):
-    """Takes what it could not hear for silence."""
+class _IgnoresOwnStall(InstanceSet):
+    """Takes heartbeats that it could not receive for missing ones."""
 
-    def stalled(self, now: float) -> None:
-        self._spent_at = now
+    def on_stalled(self, now: float) -> None:
+        self._refilled_at = now
 
 
-class _Rash(InstanceSet):
-    """Replaces whoever is silent, however many are."""
+class _KillsAllSilent(InstanceSet):
+    """Replaces every silent instance, however many are silent."""
 
     def _replace_hung(self, now: float) -> list[Command]:
         return [
-            order
-            for one in self.by_name.values()
-            if one.heartbeat_age_s(now) > self.fleet.hung_s
-            for order in one.hung(now)
+            command
+            for instance in self.by_name.values()
+            if instance.heartbeat_age_s(now) > self.fleet.hung_s
+            for command in instance.kill_hung(now)
         ]
 
 
-class _Acts(Supervisor):
-    """Goes on with what it was at, holder or not."""
+class _ActsWithoutRole(Supervisor):
+    """Continues after it lost the role."""
 
     @property
-    def acts(self) -> bool:
-        return bool(self._token) and self.instances.plan is not None
+    def may_act(self) -> bool:
+        return bool(self._token) and self.instances.desired is not None
 
-    def _over(self, duty: str, token: int, why: str) -> None:
-        self.holding = False
+    def _on_lost(self, role: str, token: int, reason: str) -> None:
+        self.holds_role = False
         self._runner.stop()
 
 
-class _Forgets(Supervisor):
-    """Takes nothing over: what runs is none of its business."""
+class _AdoptsNothing(Supervisor):
+    """Does not take over running instances."""
 
-    def _began(self, duty: str, token: int) -> None:
-        found, self.processes.found = self.processes.found, dict  # type: ignore[method-assign]
-        super()._began(duty, token)
-        self._scan_at = float("inf")
-        self.processes.found = found  # type: ignore[method-assign]
+    def _on_acquired(self, role: str, token: int) -> None:
+        find_running = self.processes.find_running
+        self.processes.find_running = dict  # type: ignore[method-assign]
+        super()._on_acquired(role, token)
+        self._scanned_at = float("inf")
+        self.processes.find_running = find_running  # type: ignore[method-assign]
 
 
-class _Before(Supervisor):
-    """Ends who is to be restarted when it is asked, and writes the step down after that."""
+class _DrainsBeforeStep(Supervisor):
+    """Drains an instance to be restarted on the request, before its step stands in the store."""
 
-    async def asked(self, told: dict[str, Any]) -> dict[str, Any]:
-        if told.get("do") == "restart" and self.acts:
+    async def handle_request(self, message: dict[str, Any]) -> dict[str, Any]:
+        if message.get("do") == "restart" and self.may_act:
             now = self._now_s()
-            for name in list(self.instances.by_name)[:1]:
-                self._carry_out(self.instances.by_name[name].replace(now, self.instances.by_name[name].life))
-        return await super().asked(told)
+            for instance in list(self.instances.by_name.values())[:1]:
+                self._carry_out(instance.replace(now, instance.incarnation))
+        return await super().handle_request(message)
 
 
-class _Promises(Supervisor):
-    """Tells staff that it is done, and then does it."""
+class _AnswersEarly(Supervisor):
+    """Answers that a request is done before it is."""
 
-    async def asked(self, told: dict[str, Any]) -> dict[str, Any]:
-        if told.get("do") == "scale":
+    async def handle_request(self, message: dict[str, Any]) -> dict[str, Any]:
+        if message.get("do") == "scale":
             return {"ok": True, "said": "done"}
-        return await super().asked(told)
+        return await super().handle_request(message)
 
 
-def _patched(where: Any, name: str, other: Any) -> Callable[[], AbstractContextManager[Any]]:
-    return lambda: mock.patch.object(where, name, other)
+def _patched(target: Any, name: str, replacement: Any) -> Callable[[], AbstractContextManager[Any]]:
+    return lambda: mock.patch.object(target, name, replacement)
 
 
-def _in_one_go(
-    plan: DesiredState, health: Mapping[str, InstanceHealth], hold_s: float
-) -> tuple[DesiredState, str] | None:
-    restart = plan.restart
-    if restart is None or restart.phase is not desired_state_module.RestartPhase.RUNNING:
+def _restart_without_waiting(
+    desired: DesiredState, health: Mapping[str, InstanceHealth], hold_s: float
+) -> Change | None:
+    restart = desired.restart
+    if restart is None or restart.phase is not RestartPhase.RUNNING:
         return None
-    left = [name for name in restart.left if name in health][:1]
+    name = next((name for name in restart.remaining if name in health), None)
     after = (
-        restart.to(desired_state_module.RestartPhase.DONE)
-        if not left
-        else msgspec.structs.replace(restart, lives={**restart.lives, left[0]: health[left[0]].life})
+        restart.with_phase(RestartPhase.DONE)
+        if name is None
+        else msgspec.structs.replace(restart, replaced={**restart.replaced, name: health[name].incarnation})
     )
-    return msgspec.structs.replace(plan, restart=after), "on"
+    return Change(msgspec.structs.replace(desired, restart=after), "on")
 
 
 _REPLACE = Instance.replace
 
 
-def _whoever(one: Instance, now: float, life: str) -> list[Command]:
-    """Ends whoever has the name, whichever life the step names."""
-    return _REPLACE(one, now, one.life)
+def _replace_any_incarnation(instance: Instance, now: float, incarnation: str) -> list[Command]:
+    """Drain the present incarnation, whichever one the step names."""
+    return _REPLACE(instance, now, instance.incarnation)
+
+
+def _without_backoff(instance: Instance, now: float, is_failure: bool, reason: str) -> None:
+    """Start again at once, however often it failed."""
+    _wait_or_go_down(instance, now, reason)
+    instance.wait_until = now
 
 
-def _at_once(one: Instance, now: float, failed: bool, why: str) -> None:
-    """Starts again at once, however often."""
-    one.replacing = ""
-    one._to(now, State.WAITING if one.wanted else State.DOWN, why)
-    one.wait_until = now
+def _without_restart(instance: Instance, now: float, is_failure: bool, reason: str) -> None:
+    """Never start again what exited by itself."""
+    _wait_or_go_down(instance, now, reason)
+    instance.wait_until = now if not is_failure else float("inf")
 
 
-def _gives_up(one: Instance, now: float, failed: bool, why: str) -> None:
-    """Never starts again what ended by itself."""
-    one.replacing = ""
-    one._to(now, State.WAITING if one.wanted else State.DOWN, why)
-    one.wait_until = now if not failed else float("inf")
+def _wait_or_go_down(instance: Instance, now: float, reason: str) -> None:
+    instance.replacing = ""
+    instance._transition(now, InstanceState.WAITING if instance.desired else InstanceState.DOWN, reason)
 
 
 SOUND = FleetVariant("sound", "the shipped program")
 
 VARIANTS: dict[str, FleetVariant] = {
-    one.name: one
-    for one in (
-        FleetVariant("no-lock", "names have no locks", ("two",), supervisor=_Forgets, locked=False),
+    variant.name: variant
+    for variant in (
+        FleetVariant(
+            "no-lock", "names have no locks", ("two",), supervisor=_AdoptsNothing, are_names_locked=False
+        ),
         FleetVariant(
             "forgets-lives",
             "takes nothing over from who was there before",
             ("back", "loop", "flood", "step"),
-            supervisor=_Forgets,
+            supervisor=_AdoptsNothing,
         ),
         FleetVariant(
-            "spends-at-once", "starts all that wait at once", ("flood",), instance_set=_SpendsAtOnce
+            "spends-at-once", "starts all that wait at once", ("flood",), instance_set=_StartsAllAtOnce
         ),
-        FleetVariant("deaf", "takes its own stall for theirs", ("healthy",), instance_set=_Deaf),
+        FleetVariant("deaf", "takes its own stall for theirs", ("healthy",), instance_set=_IgnoresOwnStall),
         FleetVariant(
             "rash",
             "ends all that are silent, though the host stood still",
             ("mass", "healthy"),
-            instance_set=_Rash,
+            instance_set=_KillsAllSilent,
+        ),
+        FleetVariant("acts-on", "goes on without the duty", ("holder", "back"), supervisor=_ActsWithoutRole),
+        FleetVariant(
+            "before-the-step",
+            "ends who is to be restarted before that stands",
+            ("step",),
+            supervisor=_DrainsBeforeStep,
         ),
-        FleetVariant("acts-on", "goes on without the duty", ("holder", "back"), supervisor=_Acts),
         FleetVariant(
-            "before-the-step", "ends who is to be restarted before that stands", ("step",), supervisor=_Before
+            "promises", "tells staff that it is done before it is", ("verb",), supervisor=_AnswersEarly
         ),
-        FleetVariant("promises", "tells staff that it is done before it is", ("verb",), supervisor=_Promises),
         FleetVariant(
             "in-one-go",
             "a restart that waits for nobody",
             ("turns",),
-            while_played=_patched(desired_state_module, "next_restart_step", _in_one_go),
+            while_played=_patched(desired_state_role, "next_restart_step", _restart_without_waiting),
         ),
         FleetVariant(
             "whoever",
             "a restart's step ends whoever has the name",
             ("step", "back"),
-            while_played=_patched(Instance, "replace", _whoever),
+            while_played=_patched(Instance, "replace", _replace_any_incarnation),
         ),
         FleetVariant(
             "at-once",
             "starts again at once, however often it ends",
             ("loop",),
-            while_played=_patched(Instance, "_after", _at_once),
+            while_played=_patched(Instance, "_after_exit", _without_backoff),
         ),
         FleetVariant(
             "gives-up",
             "starts nothing again that ended by itself",
             ("back",),
-            while_played=_patched(Instance, "_after", _gives_up),
+            while_played=_patched(Instance, "_after_exit", _without_restart),
         ),
         FleetVariant(
             "hopes",
             "waits for ever for one that gives no sign",
             ("back",),
-            while_played=_patched(instance_set_module.InstanceSet, "_replace_hung", lambda self, now: []),
+            while_played=_patched(InstanceSet, "_replace_hung", lambda self, now: []),
         ),
     )
 }
--- a/coveport/testbed/fault_injection/fleet/judge.py
+++ b/coveport/testbed/fault_injection/fleet/judge.py
@@ -1,6 +1,6 @@
-"""Judges a trial of a fleet by the host's book, the plans in the store, and who held the duty. Pure.
+"""Judges a trial of a fleet by the host's log, the desired states in the store, and the role's holders. Pure.
 
-Nothing of the supervisor's code is asked.
+Asks nothing of the supervisor's code.
 """
 
 from __future__ import annotations
@@ -14,278 +14,309 @@
 
 from coveport.sidecar.config.operator_sections import Fleet
 from coveport.sidecar.supervisor.desired_state import DesiredState, RestartPhase
-from coveport.testbed.fault_injection.fleet.host import Event, SimLife
+from coveport.testbed.fault_injection.fleet.host import Event, EventKind, SimInstance
 from coveport.testbed.fault_injection.judge import Finding
 
 WINDOW_S = 1.0  # over which starts are counted
-EDGE_S = 0.1  # clocks that part by a little, and the time that a word takes
+TOLERANCE_S = 0.1  # clocks that differ a little, and the time that a notification takes
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """What staff asked of a supervisor, and were told."""
+class Answered:
+    """A request of the operators, and the supervisor's answer."""
 
-    at: float
-    told: float
-    do: str
-    ok: bool
-    said: str
-    words: dict[str, Any]
+    asked_at: float
+    answered_at: float
+    action: str
+    is_done: bool
+    message: str
+    arguments: dict[str, Any]
 
 
 @dataclass(slots=True)
-class _Life:
-    """What the book tells of one life."""
+class _Incarnation:
+    """What the log says of one incarnation."""
 
     name: str
     started: float
     by: str
-    held: bool = False
+    found_name_locked: bool = False
     ready: float = inf
     drained: float = inf
     killed: float = inf
-    killed_by: str = ""
     ended: float = inf
 
 
-def lives_of(book: Sequence[Event]) -> dict[str, _Life]:
-    """Each life's own story."""
-    found: dict[str, _Life] = {}
-    for one in book:
-        if one.what == "start":
-            found[one.life] = _Life(one.name, one.at, one.by)
-            continue
-        life = found[one.life]
-        if one.what == "held":
-            life.held = True
-        elif one.what == "ready":
-            life.ready = one.at
-        elif one.what == "drain":
-            life.drained = min(life.drained, one.at)
-        elif one.what == "kill":
-            life.killed, life.killed_by = one.at, one.by
-        elif one.what == "ended":
-            life.ended = one.at
-    return found
+Incarnations = dict[str, _Incarnation]
+DatedStates = Sequence[tuple[float, DesiredState]]
+Holders = Sequence[tuple[float, str]]  # who holds the role from a time on; empty if nobody does
 
 
 def judge(
-    book: Sequence[Event],
-    plans: Sequence[tuple[float, DesiredState]],
-    holders: Sequence[tuple[float, str]],
+    events: Sequence[Event],
+    states: DatedStates,
+    holders: Holders,
     fleet: Fleet,
     end: float,
-    left: Sequence[SimLife],
-    said: Sequence[Said],
+    running: Sequence[SimInstance],
+    answers: Sequence[Answered],
 ) -> list[Finding]:
-    """All that is wrong."""
-    lives = lives_of(book)
+    """Return all violations of the rules."""
+    incarnations = incarnations_of(events)
     return [
-        *_two(lives),
-        *_holder(book, holders),
-        *_starts(book, holders, fleet),
-        *_loops(lives, holders, fleet),
-        *_healthy(book, lives, fleet),
-        *_steps(book, plans),
-        *_turns(plans, lives),
-        *_back(plans, left, fleet, end),
-        *_verbs(plans, said),
+        *_two(incarnations),
+        *_holder(events, holders),
+        *_starts(events, holders, fleet),
+        *_loops(incarnations, holders, fleet),
+        *_healthy(events, incarnations, fleet),
+        *_steps(events, states),
+        *_turns(states, incarnations),
+        *_back(states, running, fleet, end),
+        *_verbs(states, answers),
     ]
 
 
-def _two(lives: dict[str, _Life]) -> list[Finding]:
-    """No name has two lives at a time; one that ends as its name is held opened nothing."""
+def incarnations_of(events: Sequence[Event]) -> Incarnations:
+    """Return what happened to each incarnation."""
+    incarnations: Incarnations = {}
+    for event in events:
+        if event.kind is EventKind.START:
+            incarnations[event.incarnation] = _Incarnation(event.name, event.at, event.by)
+            continue
+        incarnation = incarnations[event.incarnation]
+        if event.kind is EventKind.HELD:
+            incarnation.found_name_locked = True
+        elif event.kind is EventKind.READY:
+            incarnation.ready = event.at
+        elif event.kind is EventKind.DRAIN:
+            incarnation.drained = min(incarnation.drained, event.at)
+        elif event.kind is EventKind.KILL:
+            incarnation.killed = event.at
+        elif event.kind is EventKind.ENDED:
+            incarnation.ended = event.at
+    return incarnations
+
+
+def _two(incarnations: Incarnations) -> list[Finding]:
+    """No name has two incarnations at a time; one that found its name locked opened nothing."""
     found = []
-    by: dict[str, list[_Life]] = {}
-    for one in lives.values():
-        if not one.held:
-            by.setdefault(one.name, []).append(one)
-    for name, line in by.items():
-        line.sort(key=lambda one: one.started)
-        for before, after in pairwise(line):
+    by_name: dict[str, list[_Incarnation]] = {}
+    for incarnation in incarnations.values():
+        if not incarnation.found_name_locked:
+            by_name.setdefault(incarnation.name, []).append(incarnation)
+    for name, same_name in by_name.items():
+        same_name.sort(key=lambda incarnation: incarnation.started)
+        for before, after in pairwise(same_name):
             if after.started < before.ended:
                 found.append(Finding("two", after.started, f"{name} has two lives"))
     return found
 
 
-def _holder(book: Sequence[Event], holders: Sequence[tuple[float, str]]) -> list[Finding]:
-    """Nothing is done to an instance by a supervisor while another one holds the duty."""
+def _holder(events: Sequence[Event], holders: Holders) -> list[Finding]:
+    """No supervisor does anything to an instance while another one holds the role."""
     times = [at for at, _ in holders]
     found = []
-    for one in book:
-        if not one.by:
+    for event in events:
+        if not event.by:
             continue
-        at = bisect_right(times, one.at) - 1
-        who = holders[at][1] if at >= 0 else ""
-        if who and who != one.by:
-            found.append(Finding("holder", one.at, f"{one.what} of {one.name} by {one.by}, {who} holds it"))
+        index = bisect_right(times, event.at) - 1
+        holder = holders[index][1] if index >= 0 else ""
+        if holder and holder != event.by:
+            message = f"{event.kind} of {event.name} by {event.by}, {holder} holds it"
+            found.append(Finding("holder", event.at, message))
     return found
 
 
-def _changes(holders: Sequence[tuple[float, str]], since: float, until: float) -> int:
-    return sum(since <= at <= until for at, who in holders if who)
+def _takeovers(holders: Holders, since: float, until: float) -> int:
+    return sum(since <= at <= until for at, holder in holders if holder)
 
 
-def _starts(book: Sequence[Event], holders: Sequence[tuple[float, str]], fleet: Fleet) -> list[Finding]:
-    """No more are started in any window than may be, by all supervisors together."""
-    starts = [one.at for one in book if one.what == "start"]
+def _starts(events: Sequence[Event], holders: Holders, fleet: Fleet) -> list[Finding]:
+    """No more are started in any window than allowed, by all supervisors together."""
+    starts = [event.at for event in events if event.kind is EventKind.START]
     for number, at in enumerate(starts):
-        window = [one for one in starts[number:] if one <= at + WINDOW_S]
-        changes = _changes(holders, at, at + WINDOW_S)
-        most = (fleet.a_second * WINDOW_S + fleet.at_once) * 1.05 + 1 + changes * fleet.a_second * WINDOW_S
-        if len(window) > most:
-            return [Finding("flood", at, f"{len(window)} started in {WINDOW_S:g} s, {most:.1f} may be")]
+        count = sum(start <= at + WINDOW_S for start in starts[number:])
+        takeovers = _takeovers(holders, at, at + WINDOW_S)
+        allowed = (fleet.a_second * WINDOW_S + fleet.at_once) * 1.05 + 1
+        allowed += takeovers * fleet.a_second * WINDOW_S
+        if count > allowed:
+            return [Finding("flood", at, f"{count} started in {WINDOW_S:g} s, {allowed:.1f} may be")]
     return []
 
 
-def _loops(lives: dict[str, _Life], holders: Sequence[tuple[float, str]], fleet: Fleet) -> list[Finding]:
-    """One that ends by itself again and again is left alone."""
-    by: dict[str, list[_Life]] = {}
-    for one in lives.values():
-        if one.drained == inf and not one.held and one.ended < inf:
-            by.setdefault(one.name, []).append(one)
+def _loops(incarnations: Incarnations, holders: Holders, fleet: Fleet) -> list[Finding]:
+    """An instance in a crash loop is left alone."""
+    starts_by_name: dict[str, list[float]] = {}
+    for incarnation in incarnations.values():
+        if incarnation.drained == inf and not incarnation.found_name_locked and incarnation.ended < inf:
+            starts_by_name.setdefault(incarnation.name, []).append(incarnation.started)
     found = []
-    for name, line in by.items():
-        starts = sorted(one.started for one in line)
+    window_s = fleet.loop_s / 2
+    for name, starts in starts_by_name.items():
+        starts.sort()
         for number, at in enumerate(starts):
-            count = sum(one <= at + fleet.loop_s / 2 for one in starts[number:])
-            # Each supervisor counts anew, and one is tried anew after its rest and when staff resume.
-            most = (fleet.loop + 1) * (1 + _changes(holders, at - 0.5, at + fleet.loop_s / 2)) + 1
-            if count > most:
-                what = f"{name} was started {count} times in {fleet.loop_s / 2:g} s"
-                found.append(Finding("loop", at, what))
+            count = sum(start <= at + window_s for start in starts[number:])
+            # Each supervisor counts anew, and there is one more attempt after a rest or when staff resume.
+            allowed = (fleet.loop + 1) * (1 + _takeovers(holders, at - 0.5, at + window_s)) + 1
+            if count > allowed:
+                found.append(Finding("loop", at, f"{name} was started {count} times in {window_s:g} s"))
                 break
     return found
 
 
-def _healthy(book: Sequence[Event], lives: dict[str, _Life], fleet: Fleet) -> list[Finding]:
-    """Nobody is killed that was well; and of a host that stood still as a whole nobody at once."""
-    found = []
-    hung: dict[str, list[tuple[float, float]]] = {}
-    for one in book:
-        if one.what == "hung":
-            hung.setdefault(one.life, []).append((one.at, one.until))
+class _Hangs:
+    """When each incarnation was hung."""
+
+    def __init__(self, events: Sequence[Event]) -> None:
+        self._intervals: dict[str, list[tuple[float, float]]] = {}
+        for event in events:
+            if event.kind is EventKind.HUNG:
+                self._intervals.setdefault(event.incarnation, []).append((event.at, event.until))
 
-    def stands(life: str, at: float, heard_s: float) -> float | None:
-        """Since when it has stood still without a break, at that time; None: it does not.
+    def since(self, incarnation: str, at: float, unheard_s: float) -> float | None:
+        """Return since when it has been hung without a break at a time; None if it is not.
 
-        `heard_s`: so long after it goes on it may not have been heard yet.
+        `unheard_s`: for how long after a hang its heartbeat may not have been received yet.
         """
         since, until = None, -inf
-        for began, over in hung.get(life, ()):
+        for began, ended in self._intervals.get(incarnation, ()):
             if began > at:
                 break
             since = began if since is None or began > until else since
-            until = max(until, over)
-        return since if since is not None and at < until + heard_s else None
+            until = max(until, ended)
+        return since if since is not None and at < until + unheard_s else None
 
-    for life, it in lives.items():
-        if it.killed == inf:
-            continue
-        since = stands(life, it.killed, 0.5 * fleet.hung_s)
-        late_to_end = it.drained < inf and it.killed - it.drained > fleet.stop_s - EDGE_S
-        late_to_start = it.ready == inf and it.killed - it.started > fleet.ready_s - EDGE_S
-        long_hung = since is not None and it.killed - since > 0.7 * fleet.hung_s
-        if late_to_end or late_to_start:
+
+def _healthy(events: Sequence[Event], incarnations: Incarnations, fleet: Fleet) -> list[Finding]:
+    """No healthy instance is killed, and none at once of a host that stalled as a whole."""
+    found = []
+    hangs = _Hangs(events)
+    for identity, victim in incarnations.items():
+        if victim.killed == inf or _was_late(victim, fleet):
             continue
-        if not long_hung or since is None:
-            found.append(Finding("healthy", it.killed, f"{it.name} was killed, and nothing was wrong"))
+        since = hangs.since(identity, victim.killed, 0.5 * fleet.hung_s)
+        if since is None or victim.killed - since <= 0.7 * fleet.hung_s:
+            message = f"{victim.name} was killed, and nothing was wrong"
+            found.append(Finding("healthy", victim.killed, message))
             continue
-        there = [other for other, one_ in lives.items() if one_.ready < it.killed < one_.ended]
-        # Those that came to stand still only just now are no reason to doubt what was seen of it.
-        still = [
-            other
-            for other in there
-            if (began := stands(other, it.killed, 0.0)) is not None and it.killed - began > 0.4 * fleet.hung_s
-        ]
-        if len(still) > max(2, 0.6 * len(there)) and it.killed - since < 2.5 * fleet.hung_s:
-            found.append(Finding("mass", it.killed, f"{it.name} was killed where the whole host stood still"))
+        is_early = victim.killed - since < 2.5 * fleet.hung_s
+        if is_early and _is_host_stalled(incarnations, hangs, victim.killed, fleet):
+            message = f"{victim.name} was killed where the whole host stood still"
+            found.append(Finding("mass", victim.killed, message))
     return found
 
 
-def _steps(book: Sequence[Event], plans: Sequence[tuple[float, DesiredState]]) -> list[Finding]:
-    """Who is told to end was to: unwanted, or named by a step of a restart that stood in the store before."""
+def _was_late(victim: _Incarnation, fleet: Fleet) -> bool:
+    """Whether it was killed because it did not exit, or was not ready, in time."""
+    late_exit = victim.drained < inf and victim.killed - victim.drained > fleet.stop_s - TOLERANCE_S
+    late_start = victim.ready == inf and victim.killed - victim.started > fleet.ready_s - TOLERANCE_S
+    return late_exit or late_start
+
+
+def _is_host_stalled(incarnations: Incarnations, hangs: _Hangs, at: float, fleet: Fleet) -> bool:
+    serving = [
+        identity
+        for identity, incarnation in incarnations.items()
+        if incarnation.ready < at < incarnation.ended
+    ]
+    # Those that hung only just now are no reason to doubt what was seen of the victim.
+    hung = [
+        identity
+        for identity in serving
+        if (since := hangs.since(identity, at, 0.0)) is not None and at - since > 0.4 * fleet.hung_s
+    ]
+    return len(hung) > max(2, 0.6 * len(serving))
+
+
+def _steps(events: Sequence[Event], states: DatedStates) -> list[Finding]:
+    """Who is drained is not desired, or is named by a restart's step that stood in the store before."""
     found = []
-    times = [at for at, _ in plans]
-    for one in book:
-        if one.what != "drain" or not one.by:
+    times = [at for at, _ in states]
+    for event in events:
+        if event.kind is not EventKind.DRAIN or not event.by:
             continue
-        at = bisect_right(times, one.at) - 1
-        # A plan that was just replaced may have been the one that was seen.
-        seen = [plan for _, plan in plans[max(0, at - 1) : at + 1]]
-        if any(one.name not in _names(plan) for plan in seen):
+        index = bisect_right(times, event.at) - 1
+        # A state that was just replaced may have been the one that the supervisor saw.
+        seen = [state for _, state in states[max(0, index - 1) : index + 1]]
+        if any(event.name not in _desired_names(state) for state in seen):
             continue
         if any(
-            plan.restart is not None and plan.restart.lives.get(one.name) == one.life
-            for _, plan in plans[: at + 1]
+            state.restart is not None and state.restart.replaced.get(event.name) == event.incarnation
+            for _, state in states[: index + 1]
         ):
             continue
-        found.append(Finding("step", one.at, f"{one.name} was told to end, and no step names that life"))
+        found.append(Finding("step", event.at, f"{event.name} was told to end, and no step names that life"))
     return found
 
 
-def _names(plan: DesiredState) -> set[str]:
-    return {f"host-{number}" for number in range(1, plan.count + 1)} - set(plan.drained)
+def _desired_names(state: DesiredState) -> set[str]:
+    return {f"host-{number}" for number in range(1, state.count + 1)} - set(state.drained)
 
 
-def _turns(plans: Sequence[tuple[float, DesiredState]], lives: dict[str, _Life]) -> list[Finding]:
-    """A restart takes the next ones only once those before serve."""
+def _turns(states: DatedStates, incarnations: Incarnations) -> list[Finding]:
+    """A restart takes the next instances only once those before serve."""
     found = []
     before: DesiredState | None = None
-    for at, plan in plans:
-        restart = plan.restart
+    for at, state in states:
+        restart = state.restart
         if restart is None:
-            before = plan
+            before = state
             continue
-        taken = set(restart.lives)
-        old = (
-            set(before.restart.lives)
-            if before is not None and before.restart is not None and (before.restart.order == restart.order)
+        taken = set(restart.replaced)
+        taken_before = (
+            set(before.restart.replaced)
+            if before is not None and before.restart is not None and before.restart.order == restart.order
             else set()
         )
-        new = taken - old if len(taken) >= len(old) else taken
+        new = taken - taken_before if len(taken) >= len(taken_before) else taken
         if new and restart.phase is RestartPhase.RUNNING and len(taken) > len(new):
             down = [
                 name
                 for name in taken - new
-                if name in _names(plan)
-                and not any(one.name == name and one.ready <= at < one.ended for one in lives.values())
+                if name in _desired_names(state) and not _serves(incarnations, name, at)
             ]
             if len(down) + len(new) > restart.at_once:
                 found.append(Finding("turns", at, f"{sorted(new)} while {sorted(down)} did not serve"))
         elif len(new) > restart.at_once:
             found.append(Finding("turns", at, f"{len(new)} at once, {restart.at_once} may be"))
-        before = plan
+        before = state
     return found
 
 
-def _back(
-    plans: Sequence[tuple[float, DesiredState]], left: Sequence[SimLife], fleet: Fleet, end: float
-) -> list[Finding]:
-    """In the end all that are to be there serve, and nobody else does."""
-    if not plans:
+def _serves(incarnations: Incarnations, name: str, at: float) -> bool:
+    return any(
+        incarnation.name == name and incarnation.ready <= at < incarnation.ended
+        for incarnation in incarnations.values()
+    )
+
+
+def _back(states: DatedStates, running: Sequence[SimInstance], fleet: Fleet, end: float) -> list[Finding]:
+    """In the end all desired instances serve, and no other runs."""
+    if not states:
         return [Finding("back", end, "nobody ever planned anything")]
-    wanted = _names(plans[-1][1])
-    there = {one.name for one in left if one.ready and one.draining == inf and one.frozen <= end}
-    found = [Finding("back", end, f"{name} does not serve") for name in sorted(wanted - there)]
+    desired = _desired_names(states[-1][1])
+    staying = [instance for instance in running if instance.draining_since == inf]
+    serving = {instance.name for instance in staying if instance.is_ready and instance.frozen_until <= end}
+    found = [Finding("back", end, f"{name} does not serve") for name in sorted(desired - serving)]
     found += [
         Finding("back", end, f"{name} is there and not wanted")
-        for name in sorted({one.name for one in left if one.draining == inf} - wanted)
+        for name in sorted({instance.name for instance in staying} - desired)
     ]
-    restart = plans[-1][1].restart
+    restart = states[-1][1].restart
     if restart is not None and restart.phase is RestartPhase.RUNNING:
-        found.append(Finding("back", end, f"a restart is at {len(restart.lives)} of {len(restart.order)}"))
+        message = f"a restart is at {len(restart.replaced)} of {len(restart.order)}"
+        found.append(Finding("back", end, message))
     return found
 
 
-def _verbs(plans: Sequence[tuple[float, DesiredState]], said: Sequence[Said]) -> list[Finding]:
-    """What staff were told to be done stood in the store by then."""
+def _verbs(states: DatedStates, answers: Sequence[Answered]) -> list[Finding]:
+    """What was answered as done stood in the store by then."""
     found = []
-    for one in said:
-        if (
-            one.ok
-            and one.do == "scale"
-            and not any(plan.count == one.words["count"] for at, plan in plans if at <= one.told)
-        ):
-            found.append(Finding("verb", one.told, f"{one.do} was told as done, and never stood"))
+    for answer in answers:
+        if not answer.is_done or answer.action != "scale":
+            continue
+        count = answer.arguments["count"]
+        if not any(state.count == count for at, state in states if at <= answer.answered_at):
+            message = f"{answer.action} was told as done, and never stood"
+            found.append(Finding("verb", answer.answered_at, message))
     return found
--- a/coveport/testbed/fault_injection/fleet/real.py
+++ b/coveport/testbed/fault_injection/fleet/real.py
@@ -1,4 +1,4 @@
-"""A supervised fleet on real ground: `coveport fleet run`, its instances, nodes with books, and tills."""
+"""A supervised fleet as processes: `coveport fleet run`, its instances, ledger nodes and clients."""
 
 from __future__ import annotations
 
@@ -21,11 +21,22 @@
 from coveport.testbed.fault_injection.environment import Town
 from coveport.testbed.fault_injection.real import SETTINGS, TrialError
 
-UP_S = 60.0  # for what takes a second or two on a machine with nothing else to do
+WAIT_S = 60.0  # for what takes a second or two on an idle machine
+POLL_S = 0.1
+REQUEST_TIMEOUT_S = 15.0
+MIN_PORTS = 64
+# Below the ports of outgoing connections: such a port could be taken when an instance starts.
+FIRST_PORT = 12_000
+LAST_PORT = 32_000
+
+Status = dict[str, Any]  # as `coveport fleet status --json` shows it
 
 
 class FleetTrialReal:
-    """Supervisors, instances and a town; use as an async context."""
+    """Supervisors, instances, and the nodes and clients around them; use as an async context.
+
+    `settings`: keys of `[fleet]` beside the usual ones. `sections`: further sections of the file.
+    """
 
     def __init__(
         self,
@@ -33,39 +44,39 @@
         instances: int,
         *,
         nodes: int = 4,
-        told: Mapping[str, Any] | None = None,
-        more: str = "",
+        settings: Mapping[str, Any] | None = None,
+        sections: str = "",
     ) -> None:
-        """`told`: keys of `[fleet]` beside the usual ones. `more`: further sections of the file."""
         self.folder = folder
         self.count = instances
         self._nodes = nodes
-        self._more = more
-        self._told = {
+        self._sections = sections
+        self._settings = {
             "hold_s": 0.3,
             "hung_s": 3.0,
             "at_once": 8,
             "a_second": 40.0,
             "backoff_s": 0.1,
             "stop_s": 8.0,
-            **(told or {}),
+            **(settings or {}),
         }
         self.supervisors: list[subprocess.Popen[bytes]] = []
-        self.statuses: list[int] = []
+        self.statuses: list[int] = []  # that clients were answered
 
     async def __aenter__(self) -> FleetTrialReal:
         self.town = await Town.start_ledgers(self._nodes, 6.0)
+        self.port = _free_ports(max(MIN_PORTS, 2 * self.count))  # of the first instance
         self.configure()
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for one in self.supervisors:
-            if one.poll() is None:
-                one.kill()  # a stopped one ends by it too
-                one.wait()
-        for life in locks.locked_names(self.folder / "fleet").values():
+        for supervisor in self.supervisors:
+            if supervisor.poll() is None:
+                supervisor.kill()  # ends a stopped process too
+                supervisor.wait()
+        for incarnation in self.incarnations().values():
             with contextlib.suppress(ProcessLookupError):
-                os.kill(locks.pid_of(life), signal.SIGKILL)
+                os.kill(locks.pid_of(incarnation), signal.SIGKILL)
         self.town.stop()
 
     @property
@@ -74,113 +85,119 @@
         return self.folder / "fleet.toml"
 
     def configure(self, platform: str | None = None) -> None:
-        """Write the files. `platform`: what stands in the platform's in the place of what is right."""
-        if not hasattr(self, "port"):
-            self.port = _ports(max(64, 2 * self.count))
-        (self.folder / "platform.json").write_text(
-            platform
-            if platform is not None
-            else json.dumps(
-                {
-                    "name": "x",
-                    "listen": "127.0.0.1:1",
-                    "seed": "7",
-                    "discovery": f"127.0.0.1:{self.town.discovery.stand.port}",
-                    "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256},
-                    "known": {"seq": 0, "whole": True, "hosts": []},
-                    "settings": SETTINGS,
-                }
-            )
-        )
-        told = {"name": "h", "instances": self.count, "listen": f"127.0.0.1:{self.port}", **self._told}
+        """Write the files. `platform`: the platform's file, in place of a correct one."""
+        if platform is None:
+            platform = json.dumps(self._platform())
+        (self.folder / "platform.json").write_text(platform)
+        fleet = {
+            "name": "h",
+            "instances": self.count,
+            "listen": f"127.0.0.1:{self.port}",
+            **self._settings,
+        }
         self.file.write_text(
             '[instance]\nplatform = "platform.json"\n[store]\nurl = "sqlite:store.db"\n'
             "[leases]\nttl = 1.0\nmargin = 0.1\n"
-            + self._more
+            + self._sections
             + "[fleet]\n"
-            + "".join(f"{key} = {json.dumps(value)}\n" for key, value in told.items())
+            + "".join(f"{key} = {json.dumps(value)}\n" for key, value in fleet.items())
         )
 
+    def _platform(self) -> dict[str, Any]:
+        return {
+            "name": "x",
+            "listen": "127.0.0.1:1",
+            "seed": "7",
+            "discovery": f"127.0.0.1:{self.town.discovery.stand.port}",
+            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256},
+            "known": {"seq": 0, "whole": True, "hosts": []},
+            "settings": SETTINGS,
+        }
+
     def supervise(self, *options: str) -> subprocess.Popen[bytes]:
-        """A further supervisor."""
+        """Start a further supervisor."""
         with open(self.folder / "supervisors.out", "ab") as out:
-            one = subprocess.Popen(
+            supervisor = subprocess.Popen(
                 [sys.executable, "-m", "coveport", "fleet", "run", str(self.file), *options],
                 stdout=out,
                 stderr=out,
                 stdin=subprocess.DEVNULL,
             )
-        self.supervisors.append(one)
-        return one
+        self.supervisors.append(supervisor)
+        return supervisor
 
-    async def ask(self, do: str, **words: Any) -> dict[str, Any]:
-        """Ask the supervisor; an empty answer where there is none."""
+    async def ask(self, action: str, **arguments: Any) -> dict[str, Any]:
+        """Send a request to the supervisor; return its answer, empty if there is no supervisor."""
         try:
             return await asyncio.to_thread(
                 call,
                 self.folder / "fleet" / "control.sock",
-                {"do": do, "id": f"{do}{time.monotonic_ns()}", **words},
-                15.0,
+                {"do": action, "id": f"{action}{time.monotonic_ns()}", **arguments},
+                REQUEST_TIMEOUT_S,
             )
         except OSError:
             return {}
 
     async def until(
-        self, what: Callable[[dict[str, Any]], object], for_what: str, within_s: float = UP_S
-    ) -> dict[str, Any]:
-        """Wait until the supervisor's status is so; TrialError where it does not come."""
-        end = time.monotonic() + within_s
-        told: dict[str, Any] = {}
-        while time.monotonic() < end:
-            told = await self.ask("status")
-            if told and what(told):
-                return told
-            await asyncio.sleep(0.1)
-        raise TrialError(f"waited {within_s:g} s in vain for {for_what}: {json.dumps(told)[:2000]}")
-
-    async def all_serve(self, count: int | None = None) -> dict[str, Any]:
-        """Wait until so many serve, and nobody else is there."""
-        count = self.count if count is None else count
-
-        def there(told: dict[str, Any]) -> bool:
-            rows = told["instances"]
+        self, is_reached: Callable[[Status], object], description: str, timeout_s: float = WAIT_S
+    ) -> Status:
+        """Wait until the supervisor's status is as expected, and return it.
+
+        Raises:
+            TrialError: it did not become so in time.
+
+        """
+        deadline = time.monotonic() + timeout_s
+        status: Status = {}
+        while time.monotonic() < deadline:
+            status = await self.ask("status")
+            if status and is_reached(status):
+                return status
+            await asyncio.sleep(POLL_S)
+        raise TrialError(f"waited {timeout_s:g} s in vain for {description}: {json.dumps(status)[:2000]}")
+
+    async def all_serve(self, count: int | None = None) -> Status:
+        """Wait until so many instances serve and no other is there; by default all that are configured."""
+        expected = self.count if count is None else count
+
+        def is_reached(status: Status) -> bool:
+            rows = status["instances"]
             return (
-                bool(told["holds"]) and len(rows) == count and all(row["state"] == "serving" for row in rows)
+                bool(status["holds"])
+                and len(rows) == expected
+                and all(row["state"] == "serving" for row in rows)
             )
 
-        return await self.until(there, f"{count} to serve")
+        return await self.until(is_reached, f"{expected} to serve")
+
+    async def load(self, rate: float, duration_s: float, wait_s: float = 2.0) -> list[int]:
+        """Send requests to the instances in turn, `rate` a second; return the statuses.
 
-    async def load(self, rate: float, seconds: float, wait_s: float = 2.0) -> list[int]:
-        """Tills that ask the instances in turn, each with so long a deadline; what they are told."""
-        asks = []
+        `wait_s`: each request's deadline.
+        """
+        requests = []
         began = time.monotonic()
-        for number in range(int(rate * seconds)):
+        for number in range(int(rate * duration_s)):
             await asyncio.sleep(max(0.0, began + number / rate - time.monotonic()))
-            at = number % self.count
-            asks.append(asyncio.ensure_future(self.town.ask(at, self.port + at, number, wait_s)))
-        told = [await one for one in asks]
-        self.statuses += told
-        return told
+            index = number % self.count
+            requests.append(asyncio.ensure_future(self.town.ask(index, self.port + index, number, wait_s)))
+        statuses = [await request for request in requests]
+        self.statuses += statuses
+        return statuses
 
-    def lives(self) -> dict[str, str]:
-        """Who has which name, by the locks alone."""
-        return locks.locked_names(self.folder / "fleet")
+    def incarnations(self) -> dict[str, str]:
+        """Return the running incarnations by name, by their locks alone."""
+        return locks.lock_holders(self.folder / "fleet")
 
 
-def _ports(count: int) -> int:
-    """The first of so many ports in a row that are free now."""
+def _free_ports(count: int) -> int:
+    """Return the first of so many consecutive ports that are free now."""
     while True:
-        # Below those that systems give to connections: another's would be in the way when an instance starts.
-        first = random.randrange(12_000, 32_000 - count)
-        held: list[socket.socket] = []
-        try:
-            for port in range(first, first + count):
-                one = socket.socket()
-                held.append(one)
-                one.bind(("127.0.0.1", port))
+        first = random.randrange(FIRST_PORT, LAST_PORT - count)
+        with contextlib.ExitStack() as sockets:
+            try:
+                for port in range(first, first + count):
+                    sockets.enter_context(socket.socket()).bind(("127.0.0.1", port))
+            except OSError:
+                continue
             return first
-        except OSError:
-            continue
-        finally:
-            for one in held:
-                one.close()
--- a/coveport/testbed/fault_injection/search.py
+++ b/coveport/testbed/fault_injection/search.py
@@ -12,6 +12,8 @@
 from coveport.testbed.fault_injection.fleet import sim as fleet_sim
 from coveport.testbed.fault_injection.fleet.broken_variants import SOUND as FLEET_SOUND
 from coveport.testbed.fault_injection.fleet.broken_variants import VARIANTS as FLEET_VARIANTS
+from coveport.testbed.fault_injection.fleet.trial import FleetTrial
+from coveport.testbed.fault_injection.fleet.trial import draw as draw_fleet
 from coveport.testbed.fault_injection.judge import Finding
 from coveport.testbed.fault_injection.schedules import Trial, draw, without
 from coveport.testbed.fault_injection.virtual import play
@@ -22,9 +24,9 @@
 CHUNK = 5  # trials that a worker takes at a time
 
 
-Drawn = Trial | sim.WorkTrial | fleet_sim.FleetTrial
+Drawn = Trial | sim.WorkTrial | FleetTrial
 # Kinds of trials, and who draws them.
-DRAWS: dict[str, Callable[[int, int], Drawn]] = {"duties": draw, "work": sim.draw, "fleet": fleet_sim.draw}
+DRAWS: dict[str, Callable[[int, int], Drawn]] = {"duties": draw, "work": sim.draw, "fleet": draw_fleet}
 
 VARIANTS_OF: dict[str, Sequence[str]] = {
     "duties": tuple(VARIANTS),
@@ -49,7 +51,7 @@
 
 
 def _play(trial: Drawn, seed: int, variant: str) -> list[Finding]:
-    if isinstance(trial, fleet_sim.FleetTrial):
+    if isinstance(trial, FleetTrial):
         return fleet_sim.play(trial, seed, FLEET_VARIANTS.get(variant, FLEET_SOUND)).findings
     if isinstance(trial, sim.WorkTrial):
         return sim.play(trial, seed, WORK_VARIANTS.get(variant, WORK_SOUND)).findings
--- a/tests/golden/golden_fleet_cases.py
+++ b/tests/golden/golden_fleet_cases.py
@@ -1,4 +1,4 @@
-"""What instances of a fleet keep and say: a snapshot, a lock file, notification datagrams."""
+"""What instances of a fleet store and send: a snapshot, a lock file, notification datagrams."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
     fleet="süd",
     name="instance-1",
     taken=Timestamp(1_700_000_000.5, 4321.25, "boot-1"),
-    seq=77,
+    list_version=77,
     hosts=[
         {"host": "h1", "zone": "a", "born_ms": 5, "health": "ready", "weight": 0.5},
         {"host": "h2", "zone": "b", "extra": [1, None, True]},
     ],
-    out={"h1": 3.5},
-    cold={"h2": 1_700_000_000_000.0},
+    ejected={"h1": 3.5},
+    warming_up={"h2": 1_700_000_000_000.0},
 )
 EMPTY_SNAPSHOT = Snapshot("f", "n", Timestamp(0.0, 0.0, ""), 0, [])
 
 LOCK_NAME = "instance-1"
-LOCK_LIFE = "4242.1234567.0123abcd"
+LOCK_INCARNATION = "4242.1234567.0123abcd"
 LOCK_TEXT = '{"life": "LIFE"}\n'
 LOCK_TEXT_AT_END = '{"life": "LIFE", "code": 3}\n'
 
--- a/tests/golden/write_fixtures.py
+++ b/tests/golden/write_fixtures.py
@@ -91,7 +91,7 @@
     golden_files.write_file("fleet/snapshot", snapshot.encode(cases.SNAPSHOT))
     golden_files.write_file("fleet/snapshot_empty", snapshot.encode(cases.EMPTY_SNAPSHOT))
     for name, text in (("lock", cases.LOCK_TEXT), ("lock_at_end", cases.LOCK_TEXT_AT_END)):
-        golden_files.write_file(f"fleet/{name}", text.replace("LIFE", cases.LOCK_LIFE).encode())
+        golden_files.write_file(f"fleet/{name}", text.replace("LIFE", cases.LOCK_INCARNATION).encode())
     datagrams = {
         case: "\n".join(f"{name}={value}" for name, value in words.items()).encode()
         for case, words in cases.DATAGRAMS.items()
--- a/tests/sidecar/supervisor/test_fleet_processes.py
+++ b/tests/sidecar/supervisor/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""A supervised fleet by processes of the program: killed, stopped, restarted under load, and taken over."""
+"""A supervised fleet of real processes: killed, stopped, restarted under load, and taken over."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from coveport.sidecar.supervisor import locks
 from coveport.testbed.fault_injection.fleet.real import FleetTrialReal
 
-LONG = 60.0
+TIMEOUT_S = 60.0
 
 
-def run(folder: Path, count: int, work: Callable[[FleetTrialReal], Awaitable[None]], **more: Any) -> None:
-    async def whole() -> None:
-        async with FleetTrialReal(folder, count, **more) as one:
-            one.supervise()
-            await one.all_serve()
-            await work(one)
+def run(folder: Path, count: int, work: Callable[[FleetTrialReal], Awaitable[None]], **options: Any) -> None:
+    async def play() -> None:
+        async with FleetTrialReal(folder, count, **options) as fleet:
+            fleet.supervise()
+            await fleet.all_serve()
+            await work(fleet)
 
-    asyncio.run(asyncio.wait_for(whole(), 180.0))
+    asyncio.run(asyncio.wait_for(play(), 180.0))
 
 
-async def stands_by(one: FleetTrialReal, process: subprocess.Popen[bytes]) -> None:
-    """Wait until a supervisor has entered itself in the store: on a busy machine its start takes long."""
-    store = SqliteStore(one.folder / "store.db", watched=False)
+async def wait_until_standing_by(fleet: FleetTrialReal, process: subprocess.Popen[bytes]) -> None:
+    """Wait until a supervisor is registered in the store: on a busy machine its start takes long."""
+    store = SqliteStore(fleet.folder / "store.db", watched=False)
     try:
-        end = time.monotonic() + LONG
-        while time.monotonic() < end:
+        deadline = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < deadline:
             read = await store.read("")
             keys = [entry.key for entry in read.entries] if isinstance(read, Done) else []
             if any(INSTANCE_PREFIX in key and f"-{process.pid}-" in key for key in keys):
@@ -47,120 +47,124 @@
     raise AssertionError(f"supervisor {process.pid} never stood by")
 
 
-def test_a_rolling_restart_under_load_loses_no_client(tmp_path: Path) -> None:
-    async def work(one: FleetTrialReal) -> None:
-        before = one.lives()
-        loading = asyncio.ensure_future(one.load(30.0, 10.0))
-        assert (await one.ask("restart"))["ok"]
-        await one.until(lambda told: told["restart"] and told["restart"]["phase"] == "done", "the restart")
+def test_rolling_restart_under_load_loses_no_request(tmp_path: Path) -> None:
+    async def work(fleet: FleetTrialReal) -> None:
+        before = fleet.incarnations()
+        loading = asyncio.ensure_future(fleet.load(30.0, 10.0))
+        assert (await fleet.ask("restart"))["ok"]
+        await fleet.until(
+            lambda status: status["restart"] and status["restart"]["phase"] == "done", "the restart"
+        )
         await loading
-        after = one.lives()
+        after = fleet.incarnations()
         assert set(after) == set(before) and not set(after.values()) & set(before.values())
-        assert set(one.statuses) <= {200, 503} and 0 not in one.statuses, "each was answered"
-        assert one.statuses.count(200) >= 0.95 * len(one.statuses)
+        assert set(fleet.statuses) <= {200, 503} and 0 not in fleet.statuses, "each was answered"
+        assert fleet.statuses.count(200) >= 0.95 * len(fleet.statuses)
 
     run(tmp_path, 3, work)
 
 
-def test_a_supervisor_that_is_lost_or_stands_still_costs_no_instance(tmp_path: Path) -> None:
-    async def work(one: FleetTrialReal) -> None:
-        before = one.lives()
-        first = one.supervisors[0]
-        second = one.supervise("--standby")
-        await stands_by(one, second)
+def test_supervisor_when_killed_or_stopped_costs_no_instance(tmp_path: Path) -> None:
+    async def work(fleet: FleetTrialReal) -> None:
+        before = fleet.incarnations()
+        first = fleet.supervisors[0]
+        second = fleet.supervise("--standby")
+        await wait_until_standing_by(fleet, second)
         await asyncio.sleep(1.0)
-        refused = one.supervise()
-        assert await asyncio.to_thread(refused.wait, LONG) == 1, "a further one, by mistake"
+        refused = fleet.supervise()
+        assert await asyncio.to_thread(refused.wait, TIMEOUT_S) == 1, "a further one, by mistake"
         first.send_signal(signal.SIGSTOP)  # stands still, and comes back beside its successor
-        told = await one.until(
-            lambda told: f"-{second.pid}-" in told["supervisor"] and told["holds"], "the second"
+        status = await fleet.until(
+            lambda status: f"-{second.pid}-" in status["supervisor"] and status["holds"], "the second"
         )
         first.send_signal(signal.SIGCONT)
-        await one.all_serve()
-        assert one.lives() == before and told["holds"]
+        await fleet.all_serve()
+        assert fleet.incarnations() == before and status["holds"]
         await asyncio.sleep(1.0)
         second.kill()  # the first one stands by now
-        await one.until(
-            lambda told: f"-{first.pid}-" in told["supervisor"] and told["holds"], "the first again"
+        await fleet.until(
+            lambda status: f"-{first.pid}-" in status["supervisor"] and status["holds"], "the first again"
         )
-        await one.all_serve()
-        assert one.lives() == before, "nobody was restarted by any of it"
-        third = one.supervise("--standby")
-        await stands_by(one, third)
+        await fleet.all_serve()
+        assert fleet.incarnations() == before, "nobody was restarted by any of it"
+        third = fleet.supervise("--standby")
+        await wait_until_standing_by(fleet, third)
         await asyncio.sleep(2.0)
         first.terminate()
-        assert await asyncio.to_thread(first.wait, LONG) == 0
-        await one.all_serve()
-        assert one.lives() == before, "told to end, it hands on to the one that stands by"
+        assert await asyncio.to_thread(first.wait, TIMEOUT_S) == 0
+        await fleet.all_serve()
+        assert fleet.incarnations() == before, "told to end, it hands on to the one that stands by"
         third.terminate()
-        assert await asyncio.to_thread(third.wait, LONG) == 0
-        assert one.lives() == {}, "the last one ends them all"
+        assert await asyncio.to_thread(third.wait, TIMEOUT_S) == 0
+        assert fleet.incarnations() == {}, "the last one ends them all"
 
     run(tmp_path, 3, work)
 
 
-def test_killed_hung_and_looping_ones(tmp_path: Path) -> None:
-    async def work(one: FleetTrialReal) -> None:
-        before = one.lives()
+def test_instances_when_killed_stopped_or_terminated_are_replaced(tmp_path: Path) -> None:
+    async def work(fleet: FleetTrialReal) -> None:
+        before = fleet.incarnations()
         os.kill(locks.pid_of(before["h-1"]), signal.SIGKILL)
         os.kill(locks.pid_of(before["h-2"]), signal.SIGSTOP)
         os.kill(locks.pid_of(before["h-3"]), signal.SIGTERM)
-        await one.until(
-            lambda told: (
-                not set(one.lives().values()) & {before["h-1"], before["h-2"], before["h-3"]}
-                and len(one.lives()) == 4
+        await fleet.until(
+            lambda status: (
+                not set(fleet.incarnations().values()) & {before["h-1"], before["h-2"], before["h-3"]}
+                and len(fleet.incarnations()) == 4
             ),
             "three new lives",
         )
-        await one.all_serve()
-        assert one.lives()["h-4"] == before["h-4"], "the one that was well was left alone"
-        for port in range(one.port, one.port + 4):
-            assert await one.town.ask(0, port, port) == 200
+        await fleet.all_serve()
+        assert fleet.incarnations()["h-4"] == before["h-4"], "the one that was well was left alone"
+        for port in range(fleet.port, fleet.port + 4):
+            assert await fleet.town.ask(0, port, port) == 200
 
-    run(tmp_path, 4, work, told={"hung_s": 1.5})
+    run(tmp_path, 4, work, settings={"hung_s": 1.5})
 
 
-def test_a_bad_file_ends_nobody(tmp_path: Path) -> None:
-    async def work(one: FleetTrialReal) -> None:
-        before = one.lives()
-        one.configure("{ not json")
-        refused = await one.ask("restart")
+def test_files_when_unusable_end_no_instance(tmp_path: Path) -> None:
+    async def work(fleet: FleetTrialReal) -> None:
+        before = fleet.incarnations()
+        fleet.configure("{ not json")
+        refused = await fleet.ask("restart")
         assert not refused["ok"] and "platform.json" in refused["said"]
         os.kill(locks.pid_of(before["h-1"]), signal.SIGKILL)
-        told = await one.until(lambda told: told["instances"][0]["state"] == "broken", "it to be left alone")
-        assert "platform.json" in told["instances"][0]["why"]
-        assert {name: life for name, life in one.lives().items()} == {"h-2": before["h-2"]}
-        one.configure()
-        one.supervisors[0].send_signal(signal.SIGHUP)
-        await one.all_serve()
+        status = await fleet.until(
+            lambda status: status["instances"][0]["state"] == "broken", "it to be left alone"
+        )
+        assert "platform.json" in status["instances"][0]["why"]
+        assert fleet.incarnations() == {"h-2": before["h-2"]}
+        fleet.configure()
+        fleet.supervisors[0].send_signal(signal.SIGHUP)
+        await fleet.all_serve()
 
     run(tmp_path, 2, work)
 
 
-def test_scaled_drained_and_seen_by_staff(tmp_path: Path) -> None:
-    async def work(one: FleetTrialReal) -> None:
+def test_operators_scale_drain_and_see_the_fleet(tmp_path: Path) -> None:
+    async def work(fleet: FleetTrialReal) -> None:
         async def staff(*words: str) -> subprocess.CompletedProcess[str]:
             return await asyncio.to_thread(
                 subprocess.run,
-                [sys.executable, "-m", "coveport", "fleet", *words, "--config", str(one.file)],
+                [sys.executable, "-m", "coveport", "fleet", *words, "--config", str(fleet.file)],
                 capture_output=True,
                 text=True,
-                timeout=LONG,
+                timeout=TIMEOUT_S,
                 check=False,
             )
 
         assert (await staff("scale", "4")).returncode == 0
-        await one.all_serve(4)
+        await fleet.all_serve(4)
         assert (await staff("drain", "h-2")).returncode == 0
-        await one.until(lambda told: len(one.lives()) == 3, "one to be down")
-        assert "h-2" not in one.lives()
-        assert await one.town.ask(0, one.port + 1, 1) == 0, "nobody holds the address of one that is down"
+        await fleet.until(lambda status: len(fleet.incarnations()) == 3, "one to be down")
+        assert "h-2" not in fleet.incarnations()
+        assert await fleet.town.ask(0, fleet.port + 1, 1) == 0, "nobody listens for one that is down"
         assert (await staff("drain", "h-2", "--back")).returncode == 0
-        await one.all_serve(4)
+        await fleet.all_serve(4)
         shown = await staff("status")
         assert shown.returncode == 0 and shown.stdout.count("serving") == 4
         assert (await staff("scale", "1")).returncode == 0
-        await one.all_serve(1)
+        await fleet.all_serve(1)
         assert "fleet_start" in (await staff("logs")).stdout
         assert (await staff("drain", "h-9")).returncode == 1
         assert (await staff("status", "--json")).stdout.startswith("{")
@@ -169,27 +173,29 @@
 
 
 def test_forty_that_are_killed_within_a_second_under_load(tmp_path: Path) -> None:
-    """Two fresh nodes and one that drains meanwhile; each node's own book says that nothing ran twice."""
+    """Two nodes in slow start and one that drains meanwhile; the nodes' own logs bound the attempts."""
 
-    async def work(one: FleetTrialReal) -> None:
-        before = one.lives()
-        loading = asyncio.ensure_future(one.load(60.0, 8.0))
+    async def work(fleet: FleetTrialReal) -> None:
+        before = fleet.incarnations()
+        loading = asyncio.ensure_future(fleet.load(60.0, 8.0))
         await asyncio.sleep(1.0)
-        born = {node.number: time.time() * 1000 for node in one.town.nodes[:2]}
-        one.town.list_all(born)
-        hosts = one.town.hosts(born_ms=born)
+        started_ms = {node.number: time.time() * 1000 for node in fleet.town.nodes[:2]}
+        fleet.town.list_all(started_ms)
+        hosts = fleet.town.hosts(born_ms=started_ms)
         hosts[2]["health"] = "leaving"
-        one.town.discovery.tell(hosts)
-        for life in before.values():
-            os.kill(locks.pid_of(life), signal.SIGKILL)
-        await one.all_serve()
+        fleet.town.discovery.tell(hosts)
+        for incarnation in before.values():
+            os.kill(locks.pid_of(incarnation), signal.SIGKILL)
+        await fleet.all_serve()
         await loading
-        assert not set(one.lives().values()) & set(before.values()) and len(one.lives()) == 40
-        # Asked once all serve again, however long that took, and with time enough for a busy machine.
-        late = await one.load(60.0, 1.0, LONG)
+        assert (
+            not set(fleet.incarnations().values()) & set(before.values()) and len(fleet.incarnations()) == 40
+        )
+        # Sent once all serve again, however long that took, and with time enough for a busy machine.
+        late = await fleet.load(60.0, 1.0, TIMEOUT_S)
         assert len(late) == 60
-        assert late.count(200) + late.count(503) == len(late), "who lives answers all that it takes"
-        ids = [it.id for node in one.town.nodes for it in node.ran]
-        assert len(ids) <= 3 * len(one.statuses)
+        assert late.count(200) + late.count(503) == len(late), "each request is answered"
+        ids = [operation.id for node in fleet.town.nodes for operation in node.ran]
+        assert len(ids) <= 3 * len(fleet.statuses)
 
-    run(tmp_path, 40, work, told={"young_s": 60.0})
+    run(tmp_path, 40, work, settings={"young_s": 60.0})
--- a/tests/sidecar/supervisor/test_fleet_trials.py
+++ b/tests/sidecar/supervisor/test_fleet_trials.py
@@ -5,7 +5,8 @@
 import pytest
 
 from coveport.testbed.fault_injection.fleet.broken_variants import VARIANTS
-from coveport.testbed.fault_injection.fleet.sim import FleetTrial, draw, play
+from coveport.testbed.fault_injection.fleet.sim import play
+from coveport.testbed.fault_injection.fleet.trial import FleetTrial, draw
 from coveport.testbed.fault_injection.schedules import Fault
 from coveport.testbed.fault_injection.search import hunt
 
