--- a/tests/sidecar/supervisor/test_instance_state.py
+++ b/tests/sidecar/supervisor/test_instance_state.py
@@ -1,4 +1,4 @@
-"""One instance's lifecycle, by all orders of what can happen to it."""
+"""One instance's state machine, by all orders of its events."""
 
 from __future__ import annotations
 
@@ -11,193 +11,201 @@
 import pytest
 
 from coveport.sidecar.config.operator_sections import Fleet
+from coveport.sidecar.supervisor.commands import Command, Drain, Kill, Start
+from coveport.sidecar.supervisor.instance import Instance
 from coveport.sidecar.supervisor.instance_state import (
     ACTIVE_STATES,
     TRANSITIONS,
-    Command,
-    Drain,
     ExitReason,
-    Instance,
-    Kill,
-    Start,
-    State,
+    InstanceState,
 )
 
-TERMS = Fleet(name="h", loop=3, loop_s=10.0, rest_s=20.0, ready_s=2.0, stop_s=2.0, hung_s=1.0, backoff_s=0.1)
+SETTINGS = Fleet(
+    name="h", loop=3, loop_s=10.0, rest_s=20.0, ready_s=2.0, stop_s=2.0, hung_s=1.0, backoff_s=0.1
+)
+EXITS = {exit_reason.value for exit_reason in ExitReason}
 Event = Callable[[Instance, float], list[Command] | None]
 
 
-def events(one: Instance, fresh: str) -> Iterator[tuple[str, float, Event]]:
-    """What can happen now: a name, how much time passes before it, and the deed."""
-    yield "want", 0.0, lambda it, now: it.want(now, True)
-    yield "unwant", 0.0, lambda it, now: it.want(now, False)
-    yield "retry", 0.0, lambda it, now: it.retry(now)
+def events(instance: Instance, fresh: str) -> Iterator[tuple[str, float, Event]]:
+    """What can happen now: a name, how much time passes before it, and the event."""
+    yield "want", 0.0, lambda instance, now: instance.set_desired(now, True)
+    yield "unwant", 0.0, lambda instance, now: instance.set_desired(now, False)
+    yield "retry", 0.0, lambda instance, now: instance.retry_now(now)
     for wait in (0.05, 3.0, 30.0):
-        yield f"tick {wait}", wait, lambda it, now: it.tick(now)
-    for life in {one.life, "old"} - {""}:
-        yield f"ready {life}", 0.1, partial(_ready, life)
-        yield f"stopping {life}", 0.1, partial(_stopping, life)
-        yield f"replace {life}", 0.1, partial(_replace, life)
-        for how in ExitReason:
-            yield f"{how.value} {life}", 0.1, partial(_ended, life, how)
-    if one.can_start(one.since + 100.0) and one.state is State.WAITING:
-        yield "start", 0.0, lambda it, now: it.start(max(now, it.wait_until))
-    if not one.life:
-        yield "found", 0.1, lambda it, now: it.found(now, fresh)
-        if one.state in ACTIVE_STATES:
-            yield "started", 0.1, lambda it, now: it.started(now, fresh)
-            yield "could not", 0.1, lambda it, now: it.on_start_failed(now, "no room")
-            yield "unusable", 0.1, lambda it, now: it.unusable(now, "bad")
-    elif one.state is State.STOPPING:
-        yield "dropped", 0.0, lambda it, now: it.dropped(Drain(it.name, it.life))
-    yield "hung", 0.1, lambda it, now: it.hung(now)
+        yield f"tick {wait}", wait, lambda instance, now: instance.tick(now)
+    for incarnation in {instance.incarnation, "old"} - {""}:
+        yield f"ready {incarnation}", 0.1, partial(_ready, incarnation)
+        yield f"stopping {incarnation}", 0.1, partial(_stopping, incarnation)
+        yield f"replace {incarnation}", 0.1, partial(_replace, incarnation)
+        for exit_reason in ExitReason:
+            yield f"{exit_reason.value} {incarnation}", 0.1, partial(_ended, incarnation, exit_reason)
+    if instance.can_start(instance.since + 100.0) and instance.state is InstanceState.WAITING:
+        yield "start", 0.0, lambda instance, now: instance.start(max(now, instance.wait_until))
+    if not instance.incarnation:
+        yield "found", 0.1, lambda instance, now: instance.adopt(now, fresh)
+        if instance.state in ACTIVE_STATES:
+            yield "started", 0.1, lambda instance, now: instance.on_started(now, fresh)
+            yield "could not", 0.1, lambda instance, now: instance.on_start_failed(now, "no room")
+            yield "unusable", 0.1, lambda instance, now: instance.on_unusable_files(now, "bad")
+    elif instance.state is InstanceState.STOPPING:
+        yield (
+            "dropped",
+            0.0,
+            lambda instance, now: instance.on_command_dropped(Drain(instance.name, instance.incarnation)),
+        )
+    yield "hung", 0.1, lambda instance, now: instance.kill_hung(now)
 
 
-def _ready(life: str, one: Instance, now: float) -> None:
-    one.ready(now, life)
+def _ready(incarnation: str, instance: Instance, now: float) -> None:
+    instance.on_ready(now, incarnation)
 
 
-def _stopping(life: str, one: Instance, now: float) -> None:
-    one.stopping(now, life)
+def _stopping(incarnation: str, instance: Instance, now: float) -> None:
+    instance.on_stopping(now, incarnation)
 
 
-def _replace(life: str, one: Instance, now: float) -> list[Command]:
-    return one.replace(now, life)
+def _replace(incarnation: str, instance: Instance, now: float) -> list[Command]:
+    return instance.replace(now, incarnation)
 
 
-def _ended(life: str, how: ExitReason, one: Instance, now: float) -> None:
-    one.ended(now, life, how)
+def _ended(incarnation: str, exit_reason: ExitReason, instance: Instance, now: float) -> None:
+    instance.on_exit(now, incarnation, exit_reason)
 
 
-def key(one: Instance) -> tuple[object, ...]:
+def key(instance: Instance) -> tuple[object, ...]:
     return (
-        one.state,
-        bool(one.life),
-        one.wanted,
-        one._failed,
-        one._trying,
-        len(one._failures),
-        bool(one.replacing),
-        bool(one._untold),
+        instance.state,
+        bool(instance.incarnation),
+        instance.desired,
+        instance._exit_is_failure,
+        instance._single_attempt,
+        len(instance._failure_times),
+        bool(instance.replacing),
+        bool(instance._dropped_drain),
     )
 
 
-def test_all_orders_of_events() -> None:
-    """From no state an order for a life that is not the present one, or a start while one lives."""
+def test_commands_when_events_come_in_any_order_fit_the_present_incarnation() -> None:
+    """No state gives a command for an incarnation that is not the present one, or a start beside one."""
     seen: dict[tuple[object, ...], Instance] = {}
-    first = Instance("h-1", TERMS, random.Random(1))
-    front: list[tuple[Instance, float, int]] = [(first, 0.0, 0)]
+    first = Instance("h-1", SETTINGS, random.Random(1))
+    queue: list[tuple[Instance, float, int]] = [(first, 0.0, 0)]
     seen[key(first)] = first
     reached, steps = {first.state}, 0
-    while front:
-        one, at, depth = front.pop(0)
-        for name, wait, deed in events(one, f"life{steps}"):
+    while queue:
+        instance, at, depth = queue.pop(0)
+        for name, wait, apply in events(instance, f"incarnation{steps}"):
             steps += 1
-            after = copy.deepcopy(one)
-            before, state = after.life, after.state
+            after = copy.deepcopy(instance)
+            before, state = after.incarnation, after.state
             now = at + wait
-            for order in deed(after, now) or ():  # an AssertionError where the table has no such way
-                if isinstance(order, Start):
-                    assert not before and state is State.WAITING, name
+            for command in apply(after, now) or ():  # AssertionError if the table has no such transition
+                if isinstance(command, Start):
+                    assert not before and state is InstanceState.WAITING, name
                 else:
-                    assert isinstance(order, Drain | Kill) and order.life in (before, after.life), name
-                    assert after.state in (State.STOPPING, State.KILLING), name
-            if before and after.life != before:
-                assert name.split(" ")[0] in {how.value for how in ExitReason} and not after.life, name
-            assert (after.state in ACTIVE_STATES) or not after.life, name
+                    assert isinstance(command, Drain | Kill), name
+                    assert command.incarnation in (before, after.incarnation), name
+                    assert after.state in (InstanceState.STOPPING, InstanceState.KILLING), name
+            if before and after.incarnation != before:
+                assert name.split(" ")[0] in EXITS and not after.incarnation, name
+            assert (after.state in ACTIVE_STATES) or not after.incarnation, name
             reached.add(after.state)
             if key(after) not in seen and depth < 14:
                 seen[key(after)] = after
-                front.append((after, now, depth + 1))
-    assert reached == set(State) and len(seen) > 40 and steps > 1000
-    for one in seen.values():
-        comes_to_an_end(one)
-
-
-def comes_to_an_end(one: Instance) -> None:
-    """From there it is started again where it is wanted, and is gone in the end where it is not."""
-    for wanted in (True, False):
-        it, now = copy.deepcopy(one), 1000.0
-        orders = it.want(now, wanted)
+                queue.append((after, now, depth + 1))
+    assert reached == set(InstanceState) and len(seen) > 40 and steps > 1000
+    for instance in seen.values():
+        assert_converges(instance)
+
+
+def assert_converges(start: Instance) -> None:
+    """From any state it serves in the end if it is desired, and is down if it is not."""
+    for desired in (True, False):
+        expected = InstanceState.SERVING if desired else InstanceState.DOWN
+        instance, now = copy.deepcopy(start), 1000.0
+        commands = instance.set_desired(now, desired)
         for _ in range(200):
             now += 1.0
-            orders += it.tick(now)
-            if any(isinstance(order, Kill) and order.life == it.life for order in orders) and it.life:
-                it.ended(now, it.life, ExitReason.CRASH)
-            if not it.life and it.state in (State.STARTING, State.STOPPING, State.KILLING):
-                it.on_start_failed(now, "never came")
-            orders = it.start(now) + it.started(now, f"new{now}") if it.can_start(now) else []
-            if it.state is State.STARTING and it.life.startswith("new"):
-                it.ready(now, it.life)
-            if it.state is (State.SERVING if wanted else State.DOWN):
+            commands += instance.tick(now)
+            if instance.incarnation and Kill(instance.name, instance.incarnation) in commands:
+                instance.on_exit(now, instance.incarnation, ExitReason.CRASH)
+            if not instance.incarnation and instance.state in ACTIVE_STATES - {InstanceState.SERVING}:
+                instance.on_start_failed(now, "never came")
+            commands = []
+            if instance.can_start(now):
+                commands = instance.start(now) + instance.on_started(now, f"new{now}")
+            if instance.state is InstanceState.STARTING and instance.incarnation.startswith("new"):
+                instance.on_ready(now, instance.incarnation)
+            if instance.state is expected:
                 break
-        assert it.state is (State.SERVING if wanted else State.DOWN), (key(one), wanted, it.state, it.why)
+        assert instance.state is expected, (key(start), desired, instance.state, instance.reason)
 
 
-def test_the_table_has_a_way_out_of_everything() -> None:
-    assert set(TRANSITIONS) == set(State) and all(TRANSITIONS[state] for state in State)
+def test_transitions_lead_out_of_every_state() -> None:
+    assert set(TRANSITIONS) == set(InstanceState) and all(TRANSITIONS[state] for state in InstanceState)
 
 
 def serving(now: float = 0.0) -> Instance:
-    one = Instance("h-1", TERMS, random.Random(1))
-    one.want(now, True)
-    one.start(now)
-    one.started(now, "a")
-    one.ready(now, "a")
-    return one
-
-
-def test_it_waits_longer_each_time_and_is_left_alone_in_the_end() -> None:
-    one, now, waits = serving(), 0.0, []
-    for life in ("a", "b", "c"):
-        one.ended(now, life, ExitReason.CRASH)
-        if one.state is State.BROKEN:
+    instance = Instance("h-1", SETTINGS, random.Random(1))
+    instance.set_desired(now, True)
+    instance.start(now)
+    instance.on_started(now, "a")
+    instance.on_ready(now, "a")
+    return instance
+
+
+def test_crash_loop_when_it_repeats_backs_off_longer_and_breaks() -> None:
+    instance, now, waits = serving(), 0.0, []
+    for incarnation in ("a", "b", "c"):
+        instance.on_exit(now, incarnation, ExitReason.CRASH)
+        if instance.state is InstanceState.BROKEN:
             break
-        waits.append(one.wait_until - now)
-        now = one.wait_until
-        one.start(now)
-        one.started(now, chr(ord(life) + 1))
+        waits.append(instance.wait_until - now)
+        now = instance.wait_until
+        instance.start(now)
+        instance.on_started(now, chr(ord(incarnation) + 1))
     assert len(waits) == 2 and 0.05 <= waits[0] <= 0.1 <= waits[1] <= 0.2
-    assert one.state is State.BROKEN and "3 times" in one.why
-    one.tick(now + 30.0)
-    one.start(now + 30.0)
-    one.started(now + 30.0, "z")
-    one.ended(now + 31.0, "z", ExitReason.CRASH)
-    assert one.state is State.BROKEN, "one try after its rest, not three"
+    assert instance.state is InstanceState.BROKEN and "3 times" in instance.reason
+    instance.tick(now + 30.0)
+    instance.start(now + 30.0)
+    instance.on_started(now + 30.0, "z")
+    instance.on_exit(now + 31.0, "z", ExitReason.CRASH)
+    assert instance.state is InstanceState.BROKEN, "one try after its rest, not three"
 
 
 @pytest.mark.parametrize(
-    ("how", "state"),
+    ("exit_reason", "state"),
     [
-        (ExitReason.CLEAN, State.WAITING),
-        (ExitReason.HELD, State.WAITING),
-        (ExitReason.UNUSABLE, State.BROKEN),
-        (ExitReason.CRASH, State.WAITING),
+        (ExitReason.CLEAN, InstanceState.WAITING),
+        (ExitReason.NAME_LOCKED, InstanceState.WAITING),
+        (ExitReason.UNUSABLE_FILES, InstanceState.BROKEN),
+        (ExitReason.CRASH, InstanceState.WAITING),
     ],
 )
-def test_how_it_ended_says_what_follows(how: ExitReason, state: State) -> None:
-    one = serving()
-    one.ended(1.0, "a", how)
-    assert one.state is state and one.wait_until < inf
-    assert one.failing is (how is ExitReason.CRASH)
-
-
-def test_a_planned_end_is_no_failure_and_a_late_one_is_killed() -> None:
-    one = serving()
-    assert one.replace(1.0, "older") == []
-    assert one.replace(1.0, "a") == [Drain("h-1", "a")]
-    assert one.tick(2.0) == [] and one.tick(3.5) == [Kill("h-1", "a")]
-    one.ended(3.6, "a", ExitReason.CRASH)
-    assert one.can_start(3.6) and not one.failing
-
-
-def test_a_start_that_nobody_carried_out_is_tried_again() -> None:
-    """The supervisor drops orders while its lease has lapsed for a moment: no process ever comes to be."""
-    one = Instance("h-1", TERMS, random.Random(1))
-    one.want(0.0, True)
-    assert one.start(1.0) == [Start("h-1")]
+def test_exit_reason_decides_the_next_state(exit_reason: ExitReason, state: InstanceState) -> None:
+    instance = serving()
+    instance.on_exit(1.0, "a", exit_reason)
+    assert instance.state is state and instance.wait_until < inf
+    assert instance.is_failing is (exit_reason is ExitReason.CRASH)
+
+
+def test_drain_when_it_takes_too_long_is_killed_and_is_no_failure() -> None:
+    instance = serving()
+    assert instance.replace(1.0, "older") == []
+    assert instance.replace(1.0, "a") == [Drain("h-1", "a")]
+    assert instance.tick(2.0) == [] and instance.tick(3.5) == [Kill("h-1", "a")]
+    instance.on_exit(3.6, "a", ExitReason.CRASH)
+    assert instance.can_start(3.6) and not instance.is_failing
+
+
+def test_start_when_its_command_was_dropped_is_repeated() -> None:
+    """The supervisor drops commands while its lease has lapsed for a moment: no process is created."""
+    instance = Instance("h-1", SETTINGS, random.Random(1))
+    instance.set_desired(0.0, True)
+    assert instance.start(1.0) == [Start("h-1")]
     now = 1.0
-    while now < 1.0 + 10 * TERMS.ready_s and one.state is not State.WAITING:
+    while now < 1.0 + 10 * SETTINGS.ready_s and instance.state is not InstanceState.WAITING:
         now += 0.1
-        one.tick(now)
-    assert one.state is State.WAITING, f"without a process it is {one.state.value} for ever"
+        instance.tick(now)
+    assert instance.state is InstanceState.WAITING, f"without a process it stays {instance.state.value}"
--- a/tests/sidecar/supervisor/test_snapshot.py
+++ b/tests/sidecar/supervisor/test_snapshot.py
@@ -1,4 +1,4 @@
-"""What is remembered over a restart: a crash at every call of a write, damage at every byte, other clocks."""
+"""Snapshots: a crash at every system call of a write, damage at every byte, clocks that step."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 import pytest
 
 from coveport.sidecar.supervisor import snapshot
+from coveport.sidecar.supervisor.atomic_file import FileSystem, write_atomically
+from coveport.sidecar.supervisor.endpoint_list import EndpointList
+from coveport.sidecar.supervisor.errors import SnapshotError
 from coveport.sidecar.supervisor.snapshot import (
-    Disk,
-    NodeList,
     Snapshot,
-    SnapshotError,
     Timestamp,
     decode,
     encode,
-    known,
-    usable,
+    endpoint_list,
+    load_usable,
 )
 
 NOW = Timestamp(1_700_000_000.0, 500.0, "boot-a")
@@ -35,23 +35,23 @@
 }
 
 
-def one(seq: int = 3, taken: Timestamp = NOW, **more: Any) -> Snapshot:
-    return Snapshot("host", "host-1", taken, seq, [HOST], **more)
+def new_snapshot(list_version: int = 3, **fields: Any) -> Snapshot:
+    return Snapshot("host", "host-1", NOW, list_version, [HOST], **fields)
 
 
 class Crash(BaseException):
     """The process is killed here."""
 
 
-class BrokenDisk(Disk):
-    """Breaks at the n-th call: a kill before or after it, a full disk, or writes that take a few bytes."""
+class FaultyFileSystem(FileSystem):
+    """Fails at the n-th call: a kill before or after it, a full disk, or writes that take a few bytes."""
 
     def __init__(self, at: int, how: str) -> None:
         self.calls = 0
         self._at = at
         self._how = how
 
-    def _call(self, name: str, *told: Any) -> Any:
+    def _call(self, name: str, *arguments: Any) -> Any:
         self.calls += 1
         here = self.calls == self._at
         if here and self._how == "before":
@@ -59,11 +59,11 @@
         if here and self._how == "full":
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         if name == "write" and self._how == "pieces":
-            told = (told[0], told[1][:7])
-        done = getattr(Disk, name)(self, *told)
+            arguments = (arguments[0], arguments[1][:7])
+        result = getattr(FileSystem, name)(self, *arguments)
         if here and self._how == "after":
             raise Crash
-        return done
+        return result
 
     def open(self, path: Path) -> int:
         return int(self._call("open", path))
@@ -77,45 +77,47 @@
     def close(self, file: int) -> None:
         self._call("close", file)
 
-    def move(self, before: Path, after: Path) -> None:
-        self._call("move", before, after)
+    def move(self, source: Path, target: Path) -> None:
+        self._call("move", source, target)
 
     def sync_folder(self, path: Path) -> None:
         self._call("sync_folder", path)
 
 
 @pytest.mark.parametrize("how", ["before", "after", "full", "pieces"])
-def test_a_crash_at_any_call_leaves_the_old_one_or_the_new_one(tmp_path: Path, how: str) -> None:
+def test_write_when_it_crashes_at_any_call_leaves_the_old_or_the_new_snapshot(
+    tmp_path: Path, how: str
+) -> None:
     path = tmp_path / "host-1.snap"
-    old, new = encode(one(3)), encode(one(4))
-    counting = BrokenDisk(0, how)
-    snapshot.write(path, new, counting)
+    old, new = encode(new_snapshot(3)), encode(new_snapshot(4))
+    counting = FaultyFileSystem(0, how)
+    write_atomically(path, new, counting)
     assert path.read_bytes() == new
     for at in range(1, counting.calls + 1):
-        snapshot.write(path, old)
-        broken = False
+        write_atomically(path, old)
+        has_failed = False
         try:
-            snapshot.write(path, new, BrokenDisk(at, how))
+            write_atomically(path, new, FaultyFileSystem(at, how))
         except (Crash, OSError):
-            broken = True
+            has_failed = True
         assert path.read_bytes() in (old, new), at
-        assert decode(snapshot.read(path)).seq in (3, 4)
-        assert broken or path.read_bytes() == new
-        snapshot.write(path, new)  # what a crash left aside is in nobody's way
+        assert decode(snapshot.read(path)).list_version in (3, 4)
+        assert has_failed or path.read_bytes() == new
+        write_atomically(path, new)  # a temporary file that a crash left behind does no harm
         assert path.read_bytes() == new and (how == "pieces" or counting.calls >= 6)
 
 
-def test_a_bit_turned_or_a_cut_anywhere_is_as_if_there_were_none() -> None:
-    data = encode(one(out={"n1": 1.0}))
+def test_snapshot_when_damaged_or_truncated_anywhere_is_not_used() -> None:
+    data = encode(new_snapshot(ejected={"n1": 1.0}))
     for at in range(len(data)):
         for bit in (1, 0x80):
-            turned = data[:at] + bytes([data[at] ^ bit]) + data[at + 1 :]
+            flipped = data[:at] + bytes([data[at] ^ bit]) + data[at + 1 :]
             with pytest.raises(SnapshotError):
-                usable(turned, "host", "host-1", NOW, 60.0)
+                load_usable(flipped, "host", "host-1", NOW, 60.0)
     for end in range(len(data)):
         with pytest.raises(SnapshotError):
-            usable(data[:end], "host", "host-1", NOW, 60.0)
-    assert usable(data, "host", "host-1", NOW, 60.0)[0].out == {"n1": 1.0}
+            load_usable(data[:end], "host", "host-1", NOW, 60.0)
+    assert load_usable(data, "host", "host-1", NOW, 60.0)[0].ejected == {"n1": 1.0}
 
 
 @pytest.mark.parametrize(
@@ -132,41 +134,45 @@
         (Timestamp(1_700_000_061.0, 561.0, "boot-a"), None),
     ],
 )
-def test_ages_survive_a_reboot_and_a_clock_that_steps(now: Timestamp, age: float | None) -> None:
+def test_age_after_a_reboot_or_a_clock_step_is_right_or_refused(now: Timestamp, age: float | None) -> None:
     if age is None:
         with pytest.raises(SnapshotError):
-            usable(encode(one()), "host", "host-1", now, 60.0)
+            load_usable(encode(new_snapshot()), "host", "host-1", now, 60.0)
     else:
-        assert usable(encode(one()), "host", "host-1", now, 60.0)[1] == pytest.approx(age)
+        assert load_usable(encode(new_snapshot()), "host", "host-1", now, 60.0)[1] == pytest.approx(age)
 
 
 @pytest.mark.parametrize(("fleet", "name"), [("other", "host-1"), ("host", "host-2")])
-def test_one_of_another_fleet_or_name_is_not_used(fleet: str, name: str) -> None:
+def test_snapshot_of_another_fleet_or_instance_is_not_used(fleet: str, name: str) -> None:
     with pytest.raises(SnapshotError, match="of host-1"):
-        usable(encode(one()), fleet, name, NOW, 60.0)
+        load_usable(encode(new_snapshot()), fleet, name, NOW, 60.0)
 
 
-def test_one_of_a_later_format_is_not_used(tmp_path: Path) -> None:
+def test_snapshot_of_a_later_format_or_too_large_or_missing_is_not_used(tmp_path: Path) -> None:
     with pytest.raises(SnapshotError, match="format 2"):
-        decode(encode(one()).replace(b"snapshot 1 ", b"snapshot 2 "))
+        decode(encode(new_snapshot()).replace(b"snapshot 1 ", b"snapshot 2 "))
     (tmp_path / "big").write_bytes(b"")
-    os.truncate(tmp_path / "big", snapshot.MOST + 1)
+    os.truncate(tmp_path / "big", snapshot.MAX_BYTES + 1)
     for path in (tmp_path / "big", tmp_path / "none"):
         with pytest.raises(SnapshotError):
             snapshot.read(path)
 
 
-def test_the_list_is_put_together_from_wholes_and_changes() -> None:
-    heard = NodeList()
-    heard.told({"seq": 1, "hosts": [HOST, HOST | {"host": "n2"}]}, True)
-    heard.told({"seq": 2, "hosts": [HOST | {"host": "n1", "health": "left"}, HOST | {"host": "n3"}]}, False)
-    assert heard.seq == 2 and sorted(heard.hosts) == ["n2", "n3"]
-    heard.told({"seq": 3, "hosts": [HOST]}, True)
-    assert sorted(heard.hosts) == ["n1"]
-
-
-def test_a_node_seen_to_come_back_counts_as_started_then() -> None:
-    told = known(one(cold={"n1": 1234.0, "gone": 1.0}))
-    assert told["hosts"][0]["born_ms"] == 1234.0 and told["seq"] == 3 and told["whole"] is True
-    assert known(one(cold={"n1": 1.0}))["hosts"][0]["born_ms"] == 5, "a later birth by the list counts"
-    assert json.loads(json.dumps(told)) == told
+def test_endpoint_list_is_merged_from_complete_lists_and_updates() -> None:
+    endpoints = EndpointList()
+    endpoints.apply({"seq": 1, "hosts": [HOST, HOST | {"host": "n2"}]}, True)
+    endpoints.apply(
+        {"seq": 2, "hosts": [HOST | {"host": "n1", "health": "left"}, HOST | {"host": "n3"}]}, False
+    )
+    assert endpoints.version == 2 and sorted(endpoints.hosts) == ["n2", "n3"]
+    endpoints.apply({"seq": 3, "hosts": [HOST]}, True)
+    assert sorted(endpoints.hosts) == ["n1"]
+
+
+def test_endpoint_list_of_a_node_that_came_back_has_its_later_start() -> None:
+    known = endpoint_list(new_snapshot(warming_up={"n1": 1234.0, "gone": 1.0}))
+    assert known["hosts"][0]["born_ms"] == 1234.0 and known["seq"] == 3 and known["whole"] is True
+    assert endpoint_list(new_snapshot(warming_up={"n1": 1.0}))["hosts"][0]["born_ms"] == 5, (
+        "a later start counts"
+    )
+    assert json.loads(json.dumps(known)) == known
