--- /dev/null
+++ b/coveport/http1/writers.py
@@ -0,0 +1,56 @@
+"""Writes requests, responses and chunks."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+CHUNKED = ("Transfer-Encoding", "chunked")
+LAST_CHUNK = b"0\r\n\r\n"
+
+_REASONS = {
+    100: "Continue",
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    417: "Expectation Failed",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
+
+
+def write_chunk(data: bytes) -> bytes:
+    """Return data as a chunk; nothing for no data, as an empty chunk would end the body."""
+    return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
+
+
+def write_head(start_line: str, headers: Iterable[tuple[str, str]]) -> bytes:
+    """Return a head; the fields that frame the body are among the headers."""
+    lines = [start_line, *(f"{name}: {value}" for name, value in headers)]
+    return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n"
+
+
+def write_request(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
+    """Return a request, with its Content-Length."""
+    return _write_message(
+        f"{method} {target} HTTP/1.1", headers, body, has_length=bool(body) or method != "GET"
+    )
+
+
+def write_response(status: int, headers: Iterable[tuple[str, str]] = (), body: bytes = b"") -> bytes:
+    """Return a response, with its Content-Length."""
+    start_line = f"HTTP/1.1 {status} {_REASONS.get(status, 'Unknown')}"
+    return _write_message(start_line, headers, body, has_length=status >= 200)
+
+
+def _write_message(
+    start_line: str, headers: Iterable[tuple[str, str]], body: bytes, *, has_length: bool
+) -> bytes:
+    length = [("Content-Length", str(len(body)))] if has_length else ()
+    return write_head(start_line, [*headers, *length]) + body
--- a/coveport/serving/cli/core_client.py
+++ b/coveport/serving/cli/core_client.py
@@ -12,7 +12,7 @@
 from typing import Final
 from urllib.parse import urlsplit
 
-from coveport.http1.codec import Response
+from coveport.http1 import Response
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net
 from coveport.serving.cli.http_client import HttpRequest, RequestFailure, send_request
--- a/coveport/serving/cli/http_client.py
+++ b/coveport/serving/cli/http_client.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from coveport.http1.codec import BadMessageError, Response, ResponseParser, write_request
+from coveport.http1 import RemoteProtocolError, Response, ResponseParser, write_request
 from coveport.net.address import Address
 from coveport.net.transport import Net
 
@@ -66,7 +66,7 @@
         self._parser.feed(data)
         try:
             response = self._parser.next_response()
-        except BadMessageError as error:
+        except RemoteProtocolError as error:
             self._finish(RequestFailure(f"the answer is malformed: {error}"))
             return
         if response is not None:
@@ -79,8 +79,8 @@
     def _response_at_end(self) -> Response | None:
         """Return the response whose length only the end of the connection tells, if there is one."""
         try:
-            return self._parser.end()
-        except BadMessageError:
+            return self._parser.receive_eof()
+        except RemoteProtocolError:
             return None
 
     def _finish(self, outcome: Response | RequestFailure) -> None:
--- a/coveport/serving/proxy/client_connection.py
+++ b/coveport/serving/proxy/client_connection.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, Protocol
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.net.transport import Net
 from coveport.serving.model.configuration import ClientLimits
 from coveport.serving.proxy.response_writing import status_line, write_response
@@ -28,7 +28,7 @@
         """Remove a connection that has ended."""
 
     @property
-    def handle(self) -> Callable[[codec.Request, ClientConnection], Coroutine[Any, Any, None]]:
+    def handle(self) -> Callable[[http1.Request, ClientConnection], Coroutine[Any, Any, None]]:
         """The handler that answers a request on its connection."""
 
     @property
@@ -47,7 +47,7 @@
         self._net = net
         self._owner = owner
         self._limits = limits
-        self._parser = codec.RequestParser(limits().body_bytes, most_head=limits().header_bytes)
+        self._parser = http1.RequestParser(limits().body_bytes, max_head_bytes=limits().header_bytes)
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -80,7 +80,7 @@
         if self._task is None:
             self._advance()
         elif (
-            len(self._parser.held) > MAX_PIPELINED_BYTES
+            len(self._parser.buffer) > MAX_PIPELINED_BYTES
             and self._transport is not None
             and not self._is_paused
         ):
@@ -110,7 +110,7 @@
         """Begin the next request, if it is complete."""
         try:
             request = self._parser.next_request()
-        except codec.BadMessageError as error:
+        except http1.RemoteProtocolError as error:
             self._reject(error.status)
             return
         if request is None:
@@ -136,7 +136,7 @@
             return
         if failed or not self._is_finished:
             self.abort()
-        elif not self._keeps_alive or (self._owner.is_draining and not self._parser.begun):
+        elif not self._keeps_alive or (self._owner.is_draining and not self._parser.is_mid_message):
             transport.close()
         else:
             if self._is_paused:
@@ -159,10 +159,12 @@
 
     def _wait_for_request(self) -> None:
         limits = self._limits()
-        if not self._parser.begun:
+        if not self._parser.is_mid_message:
             self._stop_timer()
             self._start_timer(limits.idle_ms / 1000, self.close_idle)
-        elif self._parser.come:  # the head is read: the body may take any time while bytes keep coming
+        elif (
+            self._parser.received_body_bytes
+        ):  # the head is read: the body may take any time while bytes keep coming
             self._stop_timer()
             self._start_timer(limits.idle_ms / 1000, self._on_read_timeout)
         elif self._timer is None or not self._is_reading_head:
@@ -188,7 +190,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no request is being answered or read."""
-        return self._task is None and not self._parser.begun
+        return self._task is None and not self._parser.is_mid_message
 
     @property
     def has_begun(self) -> bool:
@@ -215,28 +217,28 @@
         if self._transport is None:
             return
         self._has_begun = True
-        self._is_chunked = length is None and not self._parser.old
+        self._is_chunked = length is None and not self._parser.is_http10
         self._is_framed = self._is_chunked or length is not None
         if length is not None:
             framing = [("Content-Length", str(length))]
         elif self._is_chunked:
-            framing = [codec.CHUNKED]
+            framing = [http1.CHUNKED]
         else:
             framing = []
             self._keeps_alive = False
         head = [*headers, *framing, *self._connection_headers()]
-        self._transport.write(codec.write_head(status_line(status), head))
+        self._transport.write(http1.write_head(status_line(status), head))
 
     def write(self, data: bytes) -> None:
         """Write bytes of the body. Runs for every event: no further calls here."""
         if self._transport is not None and data:
-            self._transport.write(codec.write_chunk(data) if self._is_chunked else data)
+            self._transport.write(http1.write_chunk(data) if self._is_chunked else data)
 
     def finish(self) -> None:
         """End the body."""
         if self._transport is not None:
             if self._is_chunked:
-                self._transport.write(codec.LAST_CHUNK)
+                self._transport.write(http1.LAST_CHUNK)
             self._is_finished = True
 
     async def wait_writable(self) -> None:
--- a/coveport/serving/proxy/client_listener.py
+++ b/coveport/serving/proxy/client_listener.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net
 from coveport.serving.model.configuration import ClientLimits
@@ -17,7 +17,7 @@
 DRAIN_ACCEPT_S = 1.0  # clients that have not yet learned of the stop still connect; not measured
 DRAIN_POLL_S = 0.05  # a stop takes this much longer at most
 
-RequestHandler = Callable[[codec.Request, ClientConnection], Coroutine[Any, Any, None]]
+RequestHandler = Callable[[http1.Request, ClientConnection], Coroutine[Any, Any, None]]
 
 
 class ClientListener:
--- a/coveport/serving/proxy/data_path.py
+++ b/coveport/serving/proxy/data_path.py
@@ -11,7 +11,7 @@
 
 from random import Random
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.net.transport import Net
 from coveport.serving.model.configuration import ClientLimits
 from coveport.serving.model.view import ControlView
@@ -87,7 +87,7 @@
         configuration = self._view.configuration
         return configuration.limits if configuration is not None else ClientLimits()
 
-    async def _handle(self, message: codec.Request, client: ClientConnection) -> None:
+    async def _handle(self, message: http1.Request, client: ClientConnection) -> None:
         """Answer a request."""
         arrived_s = self._net.now_s()
         self._counters.add("requests")
--- a/coveport/serving/proxy/forwarded_request.py
+++ b/coveport/serving/proxy/forwarded_request.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.serving.proxy.headers import end_to_end_headers
 from coveport.serving.proxy.in_flight_request import InFlightRequest
 from coveport.serving.proxy.prefix_cache import PrefixCacheIndex
@@ -22,7 +22,7 @@
     """Return head and body of the request, addressed to one incarnation."""
     message = request.message
     headers = _headers(request, incarnation, prefix_cache, now_s)
-    return codec.write_request(message.method, message.target, headers, message.body)
+    return http1.write_request(message.method, message.target, headers, message.body)
 
 
 def _headers(
--- a/coveport/serving/proxy/in_flight_request.py
+++ b/coveport/serving/proxy/in_flight_request.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.serving.proxy.client_connection import ClientConnection
 from coveport.serving.proxy.event_stream import EventSequence
 from coveport.serving.proxy.routed_request import RoutedRequest
@@ -14,7 +14,7 @@
 class InFlightRequest:
     """A client's request between its admission and the end of its response."""
 
-    message: codec.Request
+    message: http1.Request
     client: ClientConnection
     routed: RoutedRequest
     deadline_s: float  # on the clock of `Net.now_s`
--- a/coveport/serving/proxy/node_connection.py
+++ b/coveport/serving/proxy/node_connection.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.net.transport import Net
 from coveport.serving.proxy.errors import BrokenResponseError
 from coveport.serving.proxy.headers import is_unframed, keep_alive_s
@@ -24,7 +24,7 @@
     def __init__(self, net: Net) -> None:
         self._net = net
         self._transport: asyncio.Transport | None = None
-        self._parser = codec.ResponseParser(MAX_RESPONSE_BYTES, 0)
+        self._parser = http1.ResponseParser(MAX_RESPONSE_BYTES, 0)
         self._waiter: asyncio.Future[None] | None = None
         self._is_ended = False
         self._is_reset = False
@@ -56,7 +56,7 @@
             self.on_received()
         self._parser.feed(data)
         if (
-            len(self._parser.held) > MAX_BUFFERED_BYTES
+            len(self._parser.buffer) > MAX_BUFFERED_BYTES
             and self._transport is not None
             and not self._is_paused
         ):
@@ -110,7 +110,7 @@
         # A transport that closes within the write found the connection reset: the kernel took no byte.
         return not self._transport.is_closing()
 
-    async def read_head(self) -> codec.Response:
+    async def read_head(self) -> http1.Response:
         """Return the head of the next response.
 
         Raises:
@@ -121,8 +121,8 @@
             try:
                 response = self._parser.next_response()
                 if response is None and self._is_ended and not self._is_reset:
-                    response = self._parser.end()
-            except codec.BadMessageError as error:
+                    response = self._parser.receive_eof()
+            except http1.RemoteProtocolError as error:
                 raise BrokenResponseError("head", "HTTP/1.1", str(error)) from None
             if response is not None:
                 if self._has_carried_response and is_unframed(response.status, response.headers):
@@ -146,11 +146,11 @@
         while True:
             try:
                 data, is_last = self._parser.next_data()
-            except codec.BadMessageError as error:
+            except http1.RemoteProtocolError as error:
                 raise BrokenResponseError("body", "HTTP/1.1", str(error)) from None
             if data or is_last:
                 return data, is_last
-            if self._is_ended and not self._is_reset and self._parser.end() is not None:
+            if self._is_ended and not self._is_reset and self._parser.receive_eof() is not None:
                 return b"", True
             await self._wait_for_bytes("body")
 
@@ -176,7 +176,7 @@
         self._is_in_use = False
         self.on_received = None
         self.idle_since_s = now_s
-        is_broken = self._is_ended or self._is_paused or self._parser.begun or self.is_desynchronized
+        is_broken = self._is_ended or self._is_paused or self._parser.is_mid_message or self.is_desynchronized
         if is_broken or not self._keeps_alive:
             self.close()
             return False
--- a/coveport/serving/proxy/request_routing.py
+++ b/coveport/serving/proxy/request_routing.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.serving.model.configuration import Route
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.headers import first
@@ -29,7 +29,7 @@
         """Whether a configuration is known."""
         return self._view.configuration is not None
 
-    def route(self, message: codec.Request) -> RoutedRequest | None:
+    def route(self, message: http1.Request) -> RoutedRequest | None:
         """Return the routed request, or None where no route or no service of one takes it.
 
         Draws the service of the route.
@@ -55,7 +55,7 @@
         return self._table
 
 
-def request_timeout_s(message: codec.Request, route: Route) -> float:
+def request_timeout_s(message: http1.Request, route: Route) -> float:
     """Return how many seconds the request may take: the least of the client's time left and the route's."""
     timeout_s = route.timeout_ms / 1000 if route.timeout_ms > 0 else DEFAULT_TIMEOUT_S
     time_left_ms = first(message.headers, Header.TIME_LEFT)
--- a/coveport/serving/proxy/response_relay.py
+++ b/coveport/serving/proxy/response_relay.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.serving.proxy.client_connection import ClientConnection
 from coveport.serving.proxy.counters import Counters
 from coveport.serving.proxy.errors import BrokenResponseError
@@ -72,7 +72,7 @@
         is_server_error = response.status in RETRIABLE_ERROR_STATUSES
         return RelayOutcome.SERVER_ERROR_FORWARDED if is_server_error else RelayOutcome.FORWARDED
 
-    async def _matching_head(self, connection: NodeConnection, stall: StallTimeouts | None) -> codec.Response:
+    async def _matching_head(self, connection: NodeConnection, stall: StallTimeouts | None) -> http1.Response:
         """Return the head of the response to this attempt; skip complete ones to others in front of it."""
         for _ in range(MAX_STALE_RESPONSES + 1):
             if stall is None:
@@ -89,19 +89,19 @@
             await self._skip_body(connection, response)
         raise BrokenResponseError("head", f"attempt id {self.attempt_id!r}", f"{attempt_id!r}")
 
-    async def _read_rejection(self, connection: NodeConnection, response: codec.Response) -> RelayOutcome:
+    async def _read_rejection(self, connection: NodeConnection, response: http1.Response) -> RelayOutcome:
         if response.status != MISDIRECTED and Header.NOT_RUN not in response.headers:
             raise BrokenResponseError("head", "whether the request ran", f"{response.status} without it")
         await self._skip_body(connection, response)
         return RelayOutcome.MISDIRECTED if response.status == MISDIRECTED else RelayOutcome.REJECTED
 
-    async def _skip_body(self, connection: NodeConnection, response: codec.Response) -> None:
-        is_last = not response.long
+    async def _skip_body(self, connection: NodeConnection, response: http1.Response) -> None:
+        is_last = not response.is_streamed
         while not is_last:
             _, is_last = await connection.read_data()
 
     async def _forward_success(
-        self, connection: NodeConnection, response: codec.Response, stall: StallTimeouts | None
+        self, connection: NodeConnection, response: http1.Response, stall: StallTimeouts | None
     ) -> None:
         if Header.STAMP not in response.headers:
             raise BrokenResponseError("head", "the node's stamp", "none")
@@ -112,11 +112,11 @@
         else:
             await self._forward_body(connection, response)
 
-    async def _forward_body(self, connection: NodeConnection, response: codec.Response) -> None:
+    async def _forward_body(self, connection: NodeConnection, response: http1.Response) -> None:
         """Forward a body as it comes."""
-        is_last = not response.long
+        is_last = not response.is_streamed
         headers = list(end_to_end_headers(response.headers))
-        self.client.begin(response.status, headers, 0 if is_last else response.length)
+        self.client.begin(response.status, headers, 0 if is_last else response.content_length)
         while not is_last:
             data, is_last = await connection.read_data()
             self.client.write(data)
@@ -124,14 +124,14 @@
         self.client.finish()
 
     async def _forward_events(
-        self, connection: NodeConnection, response: codec.Response, stall: StallTimeouts | None
+        self, connection: NodeConnection, response: http1.Response, stall: StallTimeouts | None
     ) -> None:
         """Forward complete events, so that another node can resume the stream after any of them."""
         self.splitter.incomplete.clear()
         self.sequence.begin_stream()
         if not self.client.has_begun:
             self.client.begin(response.status, list(end_to_end_headers(response.headers)), None)
-        is_last = not response.long
+        is_last = not response.is_streamed
         while not is_last:
             if stall is None:
                 data, is_last = await connection.read_data()
--- a/coveport/serving/proxy/response_writing.py
+++ b/coveport/serving/proxy/response_writing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from coveport.http1 import codec
+from coveport import http1
 
 _REASONS = {
     200: "OK",
@@ -27,4 +27,4 @@
 
 def write_response(status: int, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
     """Return the bytes of a complete response of our own."""
-    return codec.write_head(status_line(status), [*headers, ("Content-Length", str(len(body)))]) + body
+    return http1.write_head(status_line(status), [*headers, ("Content-Length", str(len(body)))]) + body
--- a/coveport/serving/scale/hollow_nodes.py
+++ b/coveport/serving/scale/hollow_nodes.py
@@ -7,7 +7,7 @@
 import random
 import sys
 
-from coveport.http1.codec import write_request
+from coveport.http1 import write_request
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net
 from coveport.serving.scale.worker_lines import Line, read_lines, write_line
--- a/coveport/serving/simulation/client.py
+++ b/coveport/serving/simulation/client.py
@@ -10,7 +10,7 @@
 from typing import Final
 from urllib.parse import urlencode
 
-from coveport.http1.codec import write_request
+from coveport.http1 import write_request
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net
 from coveport.serving.simulation.events import Book, Ending, TryEnded, TrySent
--- a/coveport/serving/simulation/exchange.py
+++ b/coveport/serving/simulation/exchange.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from coveport.http1.codec import (
+from coveport.http1 import (
     CHUNKED,
     LAST_CHUNK,
-    BadMessageError,
+    RemoteProtocolError,
     Request,
     RequestParser,
     Response,
@@ -43,7 +43,7 @@
     """The calling end of a connection: one request at a time."""
 
     def __init__(self) -> None:
-        self._parser = ResponseParser(most_body=MOST_BODY, whole_most=0)
+        self._parser = ResponseParser(max_body_bytes=MOST_BODY, stream_above_bytes=0)
         self._transport: asyncio.Transport | None = None
         self._came = asyncio.Event()
         self._over = False
@@ -74,7 +74,7 @@
     @property
     def surplus(self) -> bool:
         """Whether bytes have come that belong to no request."""
-        return bool(self._parser.held)
+        return bool(self._parser.buffer)
 
     def send(self, data: bytes) -> None:
         """Send a request."""
@@ -87,10 +87,10 @@
         while True:
             try:
                 answer = self._parser.next_response()
-            except BadMessageError as problem:
+            except RemoteProtocolError as problem:
                 raise NotAnAnswerError(str(problem)) from None
             if answer is None and self._over:
-                answer = self._parser.end()
+                answer = self._parser.receive_eof()
                 if answer is None:
                     raise ConnectionBrokenError("closed before an answer")
             if answer is not None:
@@ -102,17 +102,17 @@
     async def data(self) -> tuple[bytes, bool]:
         """What has come of the body, at least something, and whether it ends there."""
         assert self._answer is not None
-        if not self._answer.long:
+        if not self._answer.is_streamed:
             return self._answer.body, True
         while True:
             try:
                 data, over = self._parser.next_data()
-            except BadMessageError as problem:
+            except RemoteProtocolError as problem:
                 raise NotAnAnswerError(str(problem)) from None
             if data or over:
                 return data, over
             if self._over:
-                if self._answer.length is None and self._parser.end() is not None:
+                if self._answer.content_length is None and self._parser.receive_eof() is not None:
                     return b"", True
                 raise ConnectionBrokenError("closed within the answer")
             await self._more()
@@ -181,7 +181,7 @@
     def __init__(self, handler: Handler, ended: Callable[[ServerConnection], None]) -> None:
         self._handler = handler
         self._ended = ended
-        self._parser = RequestParser(most_body=MOST_BODY)
+        self._parser = RequestParser(max_body_bytes=MOST_BODY)
         self.transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
         self.closes = False  # after the present answer
@@ -238,7 +238,7 @@
             return
         try:
             request = self._parser.next_request()
-        except BadMessageError as problem:
+        except RemoteProtocolError as problem:
             self.closes = True
             self.answer(problem.status, [])
             self.transport.close()
--- a/coveport/serving/simulation/local_deployment.py
+++ b/coveport/serving/simulation/local_deployment.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from random import Random
 
-from coveport.http1.codec import write_request
+from coveport.http1 import write_request
 from coveport.net.address import Address
 from coveport.net.transport import Net
 from coveport.serving.settings.boot import BootSettings
--- a/coveport/serving/simulation/model_server.py
+++ b/coveport/serving/simulation/model_server.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Final
 
-from coveport.http1.codec import Request
+from coveport.http1 import Request
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net
 from coveport.serving.model.node import NodeState
--- a/coveport/serving/simulation/node_answers.py
+++ b/coveport/serving/simulation/node_answers.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Final
 
-from coveport.http1.codec import Request
+from coveport.http1 import Request
 from coveport.serving.simulation.engine import Began, Effect, Expired, Produced
 from coveport.serving.simulation.exchange import ServerConnection
 from coveport.serving.simulation.texts import digest, event_block, whole_body
--- a/coveport/serving/simulation/operator.py
+++ b/coveport/serving/simulation/operator.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Final
 
-from coveport.http1.codec import write_request
+from coveport.http1 import write_request
 from coveport.net.address import Address
 from coveport.net.transport import Net
 from coveport.serving.model.configuration import Configuration
--- a/coveport/serving/simulation/reading.py
+++ b/coveport/serving/simulation/reading.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from coveport.http1.codec import BadMessageError, Response
+from coveport.http1 import RemoteProtocolError, Response
 from coveport.net.transport import Net
 from coveport.serving.simulation.events import Ending, Event, TryEnded
 from coveport.serving.simulation.exchange import CallerConnection, ConnectionBrokenError, NotAnAnswerError
@@ -134,7 +134,7 @@
         return Ending.ABANDONED
     except ConnectionBrokenError:
         return Ending.BROKEN
-    except (NotAnAnswerError, BadMessageError):
+    except (NotAnAnswerError, RemoteProtocolError):
         connection.close()
         return Ending.GARBLED
     return Ending.COMPLETE
--- a/coveport/serving/simulation/registration.py
+++ b/coveport/serving/simulation/registration.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Final
 
-from coveport.http1.codec import write_request
+from coveport.http1 import write_request
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net
 from coveport.serving.model.node import NodeState
--- a/coveport/serving/web/router.py
+++ b/coveport/serving/web/router.py
@@ -7,7 +7,7 @@
 from typing import TypeVar
 from urllib.parse import parse_qsl, unquote, urlsplit
 
-from coveport.http1.codec import Request
+from coveport.http1 import Request
 from coveport.serving.web.messages import ApiRequest, ApiResponse, json_response
 from coveport.serving.wire.names import ERROR
 
--- a/coveport/serving/web/server.py
+++ b/coveport/serving/web/server.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Final
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net
 from coveport.serving.web.messages import ApiResponse
@@ -16,7 +16,7 @@
 ACCEPT_BATCH: Final = 64  # connections accepted in one turn of the loop
 LISTEN_BACKLOG: Final = 512
 
-RequestHandler = Callable[[codec.Request, str], Awaitable[ApiResponse]]
+RequestHandler = Callable[[http1.Request, str], Awaitable[ApiResponse]]
 
 
 class HttpServer:
@@ -65,7 +65,7 @@
 
     def __init__(self, server: HttpServer) -> None:
         self._server = server
-        self._parser = codec.RequestParser(MAX_BODY_BYTES)
+        self._parser = http1.RequestParser(MAX_BODY_BYTES)
         self._transport: asyncio.Transport | None = None
         self._response_task: asyncio.Task[None] | None = None
         self._is_draining = False
@@ -111,17 +111,17 @@
             return
         try:
             request = self._parser.next_request()
-        except codec.BadMessageError as error:
+        except http1.RemoteProtocolError as error:
             self._write(ApiResponse(error.status, str(error).encode()), keep_alive=False)
             return
         if request is None:
             if self._parser.wants_continue:
-                self._transport.write(codec.write_response(100))
+                self._transport.write(http1.write_response(100))
             return
         self._restart_idle_timer()
         self._response_task = self._server.net.loop.create_task(self._respond(request))
 
-    async def _respond(self, request: codec.Request) -> None:
+    async def _respond(self, request: http1.Request) -> None:
         assert self._transport is not None
         local_host = str(self._transport.get_extra_info("sockname")[0])
         try:
@@ -137,7 +137,7 @@
         if self._transport is None or self._transport.is_closing():
             return
         headers = response.headers if keep_alive else (*response.headers, ("Connection", "close"))
-        self._transport.write(codec.write_response(response.status, headers, response.body))
+        self._transport.write(http1.write_response(response.status, headers, response.body))
         if not keep_alive:
             self._transport.close()
 
--- a/coveport/sidecar/discovery/agent.py
+++ b/coveport/sidecar/discovery/agent.py
@@ -7,7 +7,7 @@
 import random
 from collections.abc import Callable
 
-from coveport.http1 import codec as http1
+from coveport import http1
 from coveport.net.address import Address
 from coveport.net.transport import Net
 from coveport.sidecar.discovery.reader import PoolReader, PoolUpdate
@@ -52,7 +52,7 @@
         try:
             self._body.feed(self._buffer[:nbytes])
             response = self._body.next_response()
-        except http1.BadMessageError as problem:
+        except http1.RemoteProtocolError as problem:
             self._log.note("pool config", f"garbled answer: {problem}")
             self._ended(None)
             return
@@ -60,7 +60,7 @@
             self._ended(response)
 
     def eof_received(self) -> bool:
-        self._ended(self._body.end())
+        self._ended(self._body.receive_eof())
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/coveport/sidecar/downstream/client_connections.py
+++ b/coveport/sidecar/downstream/client_connections.py
@@ -8,8 +8,8 @@
 from itertools import islice
 from math import inf
 
+from coveport import http1
 from coveport.balancing import interface as api
-from coveport.http1 import codec
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net
 from coveport.sidecar.downstream.operation_reader import read_operation
@@ -43,7 +43,9 @@
 FIRST_TURNS_S = 0.02  # what stood below a connection when it was accepted is read within this
 CATCH_UP_S = 0.2  # the most that taking in what came during a stall may take
 LAG_S = 0.05  # a sweep that is later than this says that we had no CPU for a while
-MOST_HELD = codec.MAX_HEAD + codec.MAX_BODY  # sent ahead of its turn; what is over that waits below
+MOST_HELD = (
+    http1.MAX_HEAD_BYTES + http1.MAX_BODY_BYTES
+)  # sent ahead of its turn; what is over that waits below
 
 _INBOX = memoryview(bytearray(64 * 1024))  # shared: what is read is taken out before the next read
 
@@ -56,7 +58,7 @@
 
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
-        self._parser = codec.RequestParser(MOST_BODY, codec.MAX_BODY)
+        self._parser = http1.RequestParser(MOST_BODY, http1.MAX_BODY_BYTES)
         self._upload: Upload | None = None  # the long body that is coming in
         self._stood_s = 0.0  # how long that one was not read, as nobody took it
         self._stands_from: float | None = None
@@ -98,7 +100,7 @@
                 self._paused = True
                 self._transport.pause_reading()
             return
-        if self._used and not self._parser.begun:
+        if self._used and not self._parser.is_mid_message:
             self._since = self._listener.net.now_s()
         elif self.stalled_from is not None and self._listener.net.now_s() > self._since + FIRST_TURNS_S:
             self.stalled_from = None  # it came up with nothing to read
@@ -109,7 +111,7 @@
         else:
             self._advance()
         # Guards against a client that sends ahead without end.
-        if len(self._parser.held) > MOST_HELD and not self._paused and self._transport is not None:
+        if len(self._parser.buffer) > MOST_HELD and not self._paused and self._transport is not None:
             self._paused = True
             self._transport.pause_reading()
 
@@ -119,9 +121,9 @@
                 request = self._parser.next_request()
                 if request is None:
                     if self._parser.wants_continue and self._transport is not None:
-                        self._transport.write(codec.write_response(100))
+                        self._transport.write(http1.write_response(100))
                     break
-                if self._paused and self._transport is not None and len(self._parser.held) <= MOST_HELD:
+                if self._paused and self._transport is not None and len(self._parser.buffer) <= MOST_HELD:
                     self._paused = False
                     self._transport.resume_reading()
                 self._since = self._listener.net.now_s()
@@ -129,31 +131,33 @@
                     self._used = True
                     self._listener.used(self)
                 self._take(request)
-            except codec.BadMessageError as problem:
+            except http1.RemoteProtocolError as problem:
                 self._reject(problem)
 
-    def _take(self, request: codec.Request) -> None:
+    def _take(self, request: http1.Request) -> None:
         self._keep = request.keep_alive
         self._bare = request.method == "HEAD"
         if request.target.partition("?")[0] == HEALTH_PATH:
             if request.method not in ("GET", "HEAD"):
-                raise codec.BadMessageError(405, "wrong method", Allow="GET, HEAD")
+                raise http1.RemoteProtocolError(405, "wrong method", Allow="GET, HEAD")
             self._write(200 if self._listener.ready() else 503)
             return
-        if request.long:
+        if request.is_streamed:
             self._keep = False  # until it has come whole: an error leaves the rest of it behind
         operation = read_operation(request, self._listener.classes)
         operation.room = not self.too_many
         operation.wait_ms -= max(self._listener.waited_s(), self._waited_s()) * 1000
         self._listener.counters.add("operations")
         self._operation = self._listener.number()
-        if not request.long:
+        if not request.is_streamed:
             self._listener.take(self._operation, self, operation)
             return
-        self._upload = upload = operation.upload = Upload(self._listener.budget, request.length, self._room)
+        self._upload = upload = operation.upload = Upload(
+            self._listener.budget, request.content_length, self._room
+        )
         self._stood_s, self._stands_from, self._read_at = 0.0, None, self._listener.net.now_s()
         if self._parser.wants_continue and self._transport is not None:
-            self._transport.write(codec.write_response(100))
+            self._transport.write(http1.write_response(100))
         self._listener.take(self._operation, self, operation)
         if self._upload is upload:
             self._take_in(upload)
@@ -162,7 +166,7 @@
         """Read on in a long body."""
         try:
             data, over = self._parser.next_data()
-        except codec.BadMessageError as problem:
+        except http1.RemoteProtocolError as problem:
             self._give_up(problem)
             return
         if data:
@@ -170,7 +174,7 @@
         if self._upload is not upload:
             return  # it has had its answer meanwhile
         if over:
-            self._upload, self._keep = None, self._parser.keeps
+            self._upload, self._keep = None, self._parser.keep_alive
             upload.finish()
             assert self._operation is not None
             self._since = self._listener.net.now_s()
@@ -188,7 +192,7 @@
             self._paused = False
             self._transport.resume_reading()
 
-    def _give_up(self, problem: codec.BadMessageError) -> None:
+    def _give_up(self, problem: http1.RemoteProtocolError) -> None:
         """A long body can't be read on: nobody has had its last byte, so nothing runs."""
         self._gone()
         self._keep = False
@@ -200,7 +204,7 @@
             return now - self._since > LINGER_S
         stood = self._stood_s + (now - self._stands_from if self._stands_from is not None else 0.0)
         waited = now - self._since - (stood if self._upload is not None else 0.0)
-        return waited > HEAD_S + self._parser.come / SLOWEST or (
+        return waited > HEAD_S + self._parser.received_body_bytes / SLOWEST or (
             self._upload is not None and self._stands_from is None and now - self._read_at > STILL_S
         )
 
@@ -209,7 +213,7 @@
         since, self.stalled_from = self.stalled_from, None
         return self._listener.net.now_s() - since if since is not None else 0.0
 
-    def _reject(self, problem: codec.BadMessageError) -> None:
+    def _reject(self, problem: http1.RemoteProtocolError) -> None:
         self._listener.counters.add(f"rejected_{problem.status}")
         self._listener.log.note("bad request", f"{problem.status}: {problem}")
         # What was read whole leaves the connection usable, what was not doesn't.
@@ -229,7 +233,7 @@
         elif verdict is Verdict.BUSY and retry_after_ms > 0:
             headers.append(("Retry-After", f"{retry_after_ms / 1000:.3f}"))
         self._write(status, headers, body)
-        if self._parser.begun:
+        if self._parser.is_mid_message:
             self._listener.net.loop.call_soon(self._advance)
 
     def _drop_upload(self) -> None:
@@ -246,26 +250,26 @@
 
     def begin(self, answer: Answer, source: RouteStep) -> None:
         """The one final answer begins: a long one, passed on as it comes."""
-        self._source, self._chunked = source, answer.length is None and not self._parser.old
+        self._source, self._chunked = source, answer.length is None and not self._parser.is_http10
         headers = [("Content-Type", answer.content_type)] if answer.content_type is not None else []
         if answer.length is not None:
             headers.append(("Content-Length", str(answer.length)))
         elif self._chunked:
-            headers.append(codec.CHUNKED)
+            headers.append(http1.CHUNKED)
         else:
             self._keep = False  # its end is the connection's
         self._keep = self._keep and not self._ending
         headers.extend(self._connection(self._keep))
         self._since = self._listener.net.now_s()
         if self._transport is not None and not self._transport.is_closing():
-            self._transport.write(codec.write_head("HTTP/1.1 200 OK", headers))
+            self._transport.write(http1.write_head("HTTP/1.1 200 OK", headers))
 
     def more(self, data: bytes) -> None:
         """More of the long answer has come."""
         if self._transport is None or self._transport.is_closing():
             return
         self._since = self._listener.net.now_s()
-        self._transport.write(codec.write_chunk(data) if self._chunked else data)
+        self._transport.write(http1.write_chunk(data) if self._chunked else data)
         self._weigh()
         if self._unsent and self._source is not None:
             self._source.pause()
@@ -285,22 +289,24 @@
             self._listener.net.reset(self._transport)
             return
         if self._chunked:
-            self._transport.write(codec.LAST_CHUNK)
+            self._transport.write(http1.LAST_CHUNK)
         self._since = self._listener.net.now_s()
         if not self._keep or self._ending:
             self._farewell()
-        elif self._parser.begun:
+        elif self._parser.is_mid_message:
             self._listener.net.loop.call_soon(self._advance)
 
     def _connection(self, keep: bool) -> tuple[tuple[str, str], ...]:
         # A client of HTTP/1.0 that asked to keep its connection wants to be told that it is kept.
         if not keep:
             return (("Connection", "close"),)
-        return (("Connection", "keep-alive"),) if self._parser.old else ()
+        return (("Connection", "keep-alive"),) if self._parser.is_http10 else ()
 
     @property
     def _ending(self) -> bool:
-        return (self._listener.leaving or self.too_many) and not self._parser.begun  # begun: taken, or soon
+        return (
+            self._listener.leaving or self.too_many
+        ) and not self._parser.is_mid_message  # begun: taken, or soon
 
     def _write(self, status: int, headers: list[tuple[str, str]] | None = None, body: bytes = b"") -> None:
         if self._transport is None or self._transport.is_closing():
@@ -308,7 +314,7 @@
         keep = self._keep and not self._ending
         lines = [*(headers or ()), *self._connection(keep)]
         self._since = self._listener.net.now_s()
-        data = codec.write_response(status, lines, body)
+        data = http1.write_response(status, lines, body)
         self._transport.write(data[: len(data) - len(body)] if self._bare else data)
         if not keep:
             self._farewell()
@@ -402,7 +408,7 @@
         # just accepted, and its client sends it again only if it had used the connection before.
         return (
             self._nothing_open
-            and not self._parser.begun
+            and not self._parser.is_mid_message
             and (self._used or self._since < fresh_until)
             and self._quiet
         )
@@ -433,7 +439,7 @@
                 self._weigh()
         if self._upload is not None:
             if self._is_slow(now):
-                self._give_up(codec.BadMessageError(408, "the request did not come whole"))
+                self._give_up(http1.RemoteProtocolError(408, "the request did not come whole"))
             return
         if self._operation is not None and not (self._source is not None and self._unsent):
             return
@@ -441,10 +447,10 @@
         if self._unsent or self._ended:
             if waited > (UNREAD_S if self._unsent else self._linger_s):
                 self.close()
-        elif self._parser.begun:
+        elif self._parser.is_mid_message:
             if self._is_slow(now):
                 self._keep = False
-                self._reject(codec.BadMessageError(408, "the request did not come whole"))
+                self._reject(http1.RemoteProtocolError(408, "the request did not come whole"))
         # Guards against connections that say nothing: by the hundred they would leave no room for others.
         elif (
             self._listener.closing
--- a/coveport/sidecar/upstream/http1_connection.py
+++ b/coveport/sidecar/upstream/http1_connection.py
@@ -5,8 +5,8 @@
 import asyncio
 from math import isfinite
 
+from coveport import http1
 from coveport.balancing.interface import Outcome
-from coveport.http1 import codec
 from coveport.sidecar.reducer.locality import Place
 from coveport.sidecar.reducer.operation import Answer
 from coveport.sidecar.reducer.streams import MOST_BODY, Budget, Upload
@@ -19,7 +19,7 @@
 _INBOX = memoryview(bytearray(64 * 1024))
 
 
-def outcome_of(response: codec.Response) -> Outcome:
+def outcome_of(response: http1.Response) -> Outcome:
     """What a whole answer says."""
     if response.status == 200:
         return Outcome.OK
@@ -28,7 +28,7 @@
     return Outcome.ERROR  # the cautious reading of all else: it may have run
 
 
-def load_of(response: codec.Response, fields: tuple[str, ...]) -> tuple[float, ...]:
+def load_of(response: http1.Response, fields: tuple[str, ...]) -> tuple[float, ...]:
     """The load report that came along, in the order of `fields`; empty where it is not whole and finite."""
     lines = response.headers.get("x-load")
     if not lines:
@@ -46,7 +46,7 @@
     host = "{}:{}".format(*place[0])
     operation = step.operation
     if operation is None:
-        return codec.write_request("GET", PROBE_PATH, [("Host", host)])
+        return http1.write_request("GET", PROBE_PATH, [("Host", host)])
     headers = [
         ("Host", host),
         ("X-Request-Id", operation.id),
@@ -58,9 +58,9 @@
     headers.extend(("accept", value) for value in operation.accept)
     if operation.upload is not None:  # its body follows
         length = operation.upload.length
-        headers.append(codec.CHUNKED if length is None else ("Content-Length", str(length)))
-        return codec.write_head(f"{operation.method} {operation.target} HTTP/1.1", headers)
-    return codec.write_request(operation.method, operation.target, headers, operation.body)
+        headers.append(http1.CHUNKED if length is None else ("Content-Length", str(length)))
+        return http1.write_head(f"{operation.method} {operation.target} HTTP/1.1", headers)
+    return http1.write_request(operation.method, operation.target, headers, operation.body)
 
 
 class Link(asyncio.BufferedProtocol):
@@ -75,9 +75,9 @@
         self.place = place
         self._fields = fields
         self._step: RouteStep | None = step
-        self._parser = codec.ResponseParser(MOST_BODY, codec.MAX_BODY)
+        self._parser = http1.ResponseParser(MOST_BODY, http1.MAX_BODY_BYTES)
         self._upload: Upload | None = None  # the long body that is being sent
-        self._answer: codec.Response | None = None  # the long answer that is being passed on
+        self._answer: http1.Response | None = None  # the long answer that is being passed on
         self._paused = False
         self._left = 0  # bytes of a long body that were unsent when last looked at
         self._transport: asyncio.Transport | None = None
@@ -129,7 +129,7 @@
         if upload is None or transport is None or step is None:
             return
         while not self._unsent and not transport.is_closing() and (piece := upload.next(self)) is not None:
-            transport.write(piece if upload.length is not None else codec.write_chunk(piece))
+            transport.write(piece if upload.length is not None else http1.write_chunk(piece))
             self._weigh()
             step.moved_at = self._pool.net.now_s()
             upload.took()
@@ -137,7 +137,7 @@
             return
         self._leave()
         if upload.length is None:
-            transport.write(codec.LAST_CHUNK)
+            transport.write(http1.LAST_CHUNK)
         if not self._unsent and not transport.is_closing():
             step.hand()
 
@@ -198,20 +198,20 @@
                 self._pass_on(step, self._answer)
                 return
             response = self._parser.next_response()
-        except codec.BadMessageError as problem:
+        except http1.RemoteProtocolError as problem:
             self._garbled(step, problem)
             return
-        if response is not None and response.long:
+        if response is not None and response.is_streamed:
             self._begin(step, response)
         elif response is not None:
             if response.status == 200 and not step.handed:
                 # Guards against what can't have been made for an operation that nobody has whole yet.
                 step.garbled()
                 return
-            keep = response.keep_alive and step.handed and not self._parser.begun
+            keep = response.keep_alive and step.handed and not self._parser.is_mid_message
             step.end(self._result(response), keep)
 
-    def _begin(self, step: RouteStep, response: codec.Response) -> None:
+    def _begin(self, step: RouteStep, response: http1.Response) -> None:
         """A long answer begins to come."""
         outcome = outcome_of(response)
         kinds = response.headers.get("content-type")
@@ -219,32 +219,32 @@
             step.end(StepResult(outcome if step.handed else Outcome.CONNECT_FAILED))  # its body is nobody's
             return
         self._answer = response
-        if not step.begin(Answer(b"", kinds[0] if kinds else None, response.length)):
+        if not step.begin(Answer(b"", kinds[0] if kinds else None, response.content_length)):
             step.end(StepResult(Outcome.CANCELLED))
             return
         try:
             self._pass_on(step, response)
-        except codec.BadMessageError as problem:
+        except http1.RemoteProtocolError as problem:
             self._garbled(step, problem)
 
-    def _pass_on(self, step: RouteStep, response: codec.Response) -> None:
+    def _pass_on(self, step: RouteStep, response: http1.Response) -> None:
         data, over = self._parser.next_data()
         step.moved_at = self._pool.net.now_s()
         if data and step.sink is not None:
             step.sink.more(data)
         if over:
-            self._finish(step, response, response.keep_alive and not self._parser.begun)
+            self._finish(step, response, response.keep_alive and not self._parser.is_mid_message)
 
-    def _finish(self, step: RouteStep, response: codec.Response, keep: bool) -> None:
+    def _finish(self, step: RouteStep, response: http1.Response, keep: bool) -> None:
         self._answer = None
         step.end(StepResult(Outcome.OK, None, load_of(response, self._fields)), keep)
 
-    def _garbled(self, step: RouteStep, problem: codec.BadMessageError) -> None:
+    def _garbled(self, step: RouteStep, problem: http1.RemoteProtocolError) -> None:
         self._pool.log.note("garbled answer", "{}:{}: {}".format(*self.place[0], problem))
         self._pool.counters.add("answers_garbled")
         step.garbled()
 
-    def _result(self, response: codec.Response) -> StepResult:
+    def _result(self, response: http1.Response) -> StepResult:
         kinds = response.headers.get("content-type")
         return StepResult(
             outcome_of(response),
@@ -256,7 +256,7 @@
         """The destination ends; what was only waiting for that is whole now."""
         step = self._step
         if step is not None:
-            response = self._parser.end()
+            response = self._parser.receive_eof()
             if response is not None and self._answer is not None:
                 self._finish(step, response, False)
             elif response is not None:
--- a/coveport/testbed/fuzz/__init__.py
+++ b/coveport/testbed/fuzz/__init__.py
@@ -3,7 +3,14 @@
 Nothing is imported here: a guided run instruments the modules under test while it imports them.
 """
 
-HTTP = ("coveport.http1.codec",)
+HTTP = (
+    "coveport.http1.fields",
+    "coveport.http1.message_parser",
+    "coveport.http1.messages",
+    "coveport.http1.request_parser",
+    "coveport.http1.response_parser",
+    "coveport.http1.writers",
+)
 UNDER_TEST: dict[str, tuple[str, ...]] = {
     "requests": HTTP,
     "responses": HTTP,
--- a/coveport/testbed/fuzz/differ.py
+++ b/coveport/testbed/fuzz/differ.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from coveport.http1 import codec
+from coveport import http1
 
 MOST_BODY = 512
 ENOUGH = 1 << 24  # bytes h11 may hold; the limits are ours
@@ -345,11 +345,11 @@
 
 
 def _our_requests(data: bytes) -> Side:
-    side, parser = Side(), codec.RequestParser(MOST_BODY)
+    side, parser = Side(), http1.RequestParser(MOST_BODY)
     parser.feed(data)
     try:
         while (request := parser.next_request()) is not None:
-            side.ends.append(len(parser.held))
+            side.ends.append(len(parser.buffer))
             side.messages.append(
                 {
                     "method": request.method,
@@ -362,7 +362,7 @@
             if not request.keep_alive:
                 return side
         side.said, side.expects = "wait", parser.wants_continue
-    except codec.BadMessageError as problem:
+    except http1.RemoteProtocolError as problem:
         side.said = f"{problem.status} {problem}"
     return side
 
@@ -407,17 +407,17 @@
 
 
 def _our_response(data: bytes) -> Side:
-    side, parser = Side(), codec.ResponseParser(MOST_BODY)
+    side, parser = Side(), http1.ResponseParser(MOST_BODY)
     parser.feed(data)
     try:
-        response = parser.next_response() or parser.end()
-    except codec.BadMessageError as problem:
+        response = parser.next_response() or parser.receive_eof()
+    except http1.RemoteProtocolError as problem:
         side.said = f"{problem.status} {problem}"
         return side
     if response is None:
         side.said = "wait"
     else:
-        side.ends.append(len(parser.held))
+        side.ends.append(len(parser.buffer))
         side.messages.append(
             {
                 "status": response.status,
--- a/coveport/testbed/fuzz/targets.py
+++ b/coveport/testbed/fuzz/targets.py
@@ -19,10 +19,10 @@
 
 import msgspec
 
+from coveport import http1
 from coveport.balancing import interface as api
 from coveport.balancing import simulator_codec
 from coveport.balancing.balancer import Balancer
-from coveport.http1 import codec
 from coveport.net.address import parse_address
 from coveport.sidecar.config import platform
 from coveport.sidecar.config.errors import PlatformFileError
@@ -72,7 +72,7 @@
 class Read(NamedTuple):
     """What a parser made of bytes."""
 
-    messages: list[codec.Message]
+    messages: list[http1.Message]
     refused: int  # the status, 0: nothing was wrong
     begun: bool  # a message has begun and is not whole
 
@@ -87,26 +87,26 @@
         yield [data[low:high] for low, high in pairwise(at)]
 
 
-def read_all(parser: codec.RequestParser | codec.ResponseParser, pieces: Sequence[bytes]) -> Read:
+def read_all(parser: http1.RequestParser | http1.ResponseParser, pieces: Sequence[bytes]) -> Read:
     """Feed a parser; holds it to its bounds, and to give nothing more after an error."""
-    found = list[codec.Message]()
-    most = parser.most_body + 2 * codec.MAX_HEAD + 256
+    found = list[http1.Message]()
+    most = parser.max_body_bytes + 2 * http1.MAX_HEAD_BYTES + 256
     for number, piece in enumerate(pieces):
         parser.feed(piece)
         try:
-            while (message := parser.next()) is not None:
+            while (message := parser.next_message()) is not None:
                 found.append(message)
-        except codec.BadMessageError as problem:
+        except http1.RemoteProtocolError as problem:
             must(problem.status in REFUSALS, "status", f"{problem.status}")
             for rest in [*pieces[number + 1 :], b"GET / HTTP/1.1\r\nHost: a\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"]:
                 parser.feed(rest)
-                must(parser.next() is None, "after an error", "a message was taken")
+                must(parser.next_message() is None, "after an error", "a message was taken")
             return Read(found, problem.status, False)
-        must(len(parser.held) <= most, "held", f"{len(parser.held)} bytes of at most {most}")
-    return Read(found, 0, parser.begun)
+        must(len(parser.buffer) <= most, "held", f"{len(parser.buffer)} bytes of at most {most}")
+    return Read(found, 0, parser.is_mid_message)
 
 
-def _same_however_cut(data: bytes, make: Callable[[], codec.RequestParser | codec.ResponseParser]) -> Read:
+def _same_however_cut(data: bytes, make: Callable[[], http1.RequestParser | http1.ResponseParser]) -> Read:
     whole = read_all(make(), [data])
     for pieces in cuts(data):
         got = read_all(make(), pieces)
@@ -119,7 +119,7 @@
     return [(name, value) for name, values in headers.items() if name not in FRAMING for value in values]
 
 
-def _one(parser: codec.RequestParser | codec.ResponseParser, data: bytes) -> Any:
+def _one(parser: http1.RequestParser | http1.ResponseParser, data: bytes) -> Any:
     """The only message in bytes that our writer made; None where they went over a limit."""
     got = read_all(parser, [data])
     if got.refused in (413, 431):
@@ -130,14 +130,14 @@
 
 def requests(data: bytes) -> None:
     """RequestParser."""
-    for message in _same_however_cut(data, lambda: codec.RequestParser(MOST_BODY)).messages:
-        assert isinstance(message, codec.Request)
+    for message in _same_however_cut(data, lambda: http1.RequestParser(MOST_BODY)).messages:
+        assert isinstance(message, http1.Request)
         must(len(message.body) <= MOST_BODY, "body", "over its bound")
         headers = _plain(message.headers)
         if "host" not in message.headers:
             headers.append(("host", "a"))
-        written = codec.write_request(message.method, message.target, headers, message.body)
-        again = _one(codec.RequestParser(MOST_BODY), written)
+        written = http1.write_request(message.method, message.target, headers, message.body)
+        again = _one(http1.RequestParser(MOST_BODY), written)
         if again is not None:
             must(
                 (again.method, again.target, again.body, _plain(again.headers))
@@ -145,32 +145,32 @@
                 "written",
                 f"{again}",
             )
-            rewritten = codec.write_request(again.method, again.target, _plain(again.headers), again.body)
+            rewritten = http1.write_request(again.method, again.target, _plain(again.headers), again.body)
             must(rewritten == written, "stable", f"{written!r}, then {rewritten!r}")
 
 
 def responses(data: bytes) -> None:
     """ResponseParser, with an end behind the bytes."""
-    whole = _same_however_cut(data, lambda: codec.ResponseParser(MOST_BODY))
-    finals = list[codec.Response | None]()
+    whole = _same_however_cut(data, lambda: http1.ResponseParser(MOST_BODY))
+    finals = list[http1.Response | None]()
     for pieces in ([data], *islice(cuts(data), 2)):
-        parser, final = codec.ResponseParser(MOST_BODY), None
+        parser, final = http1.ResponseParser(MOST_BODY), None
         try:
             for piece in pieces:
                 parser.feed(piece)
                 final = final or parser.next_response()
-            finals.append(final or parser.end())
-        except codec.BadMessageError:
+            finals.append(final or parser.receive_eof())
+        except http1.RemoteProtocolError:
             finals.append(None if final is None else final)
     must(all(one == finals[0] for one in finals), "cut", f"{finals}")
     for message in [*whole.messages, *(one for one in finals[:1] if one is not None)]:
-        assert isinstance(message, codec.Response)
+        assert isinstance(message, http1.Response)
         must(len(message.body) <= MOST_BODY, "body", "over its bound")
         if message.status < 200 or message.status in (204, 304):
             must(not message.body, "bodiless", f"{message}")
             continue
-        written = codec.write_response(message.status, _plain(message.headers), message.body)
-        again = _one(codec.ResponseParser(MOST_BODY), written)
+        written = http1.write_response(message.status, _plain(message.headers), message.body)
+        again = _one(http1.ResponseParser(MOST_BODY), written)
         if again is not None:
             must(
                 (again.status, again.body, _plain(again.headers))
@@ -178,24 +178,24 @@
                 "written",
                 f"{again}",
             )
-            rewritten = codec.write_response(again.status, _plain(again.headers), again.body)
+            rewritten = http1.write_response(again.status, _plain(again.headers), again.body)
             must(rewritten == written, "stable", f"{written!r}, then {rewritten!r}")
 
 
 def operations(data: bytes) -> None:
     """read_operation on what parses, and what is passed on of it."""
-    parser = codec.RequestParser()
+    parser = http1.RequestParser()
     parser.feed(data)
     while True:
         try:
             request = parser.next_request()
-        except codec.BadMessageError:
+        except http1.RemoteProtocolError:
             return
         if request is None:
             return
         try:
             operation = read_operation(request, CLASSES)
-        except codec.BadMessageError as problem:
+        except http1.RemoteProtocolError as problem:
             must(problem.status in (400, 404, 405), "status", f"{problem.status}")
             continue
         _passed_on(operation)
@@ -206,7 +206,7 @@
     must(0 <= operation.cost_ms < math.inf, "cost", f"{operation.cost_ms}")
     step: Any = SimpleNamespace(operation=operation, left_s=operation.wait_ms / 1000)
     written = request_of(step, PLACE)
-    request = _one(codec.RequestParser(), written)
+    request = _one(http1.RequestParser(), written)
     if request is None:
         return
     again = read_operation(request, CLASSES)
@@ -219,11 +219,11 @@
 def loads(data: bytes) -> None:
     """load_of on X-Load's values, one a line."""
     values = data.decode("latin-1").split("\n")
-    load = load_of(codec.Response({"x-load": values}, True, b"", 200), LOAD_FIELDS)
+    load = load_of(http1.Response({"x-load": values}, True, b"", 200), LOAD_FIELDS)
     must(len(load) in (0, len(LOAD_FIELDS)), "length", f"{load}")
     must(all(type(one) is float and math.isfinite(one) for one in load), "finite", f"{load}")
     told = ",".join(f"{name}={one!r}" for name, one in zip(LOAD_FIELDS, load, strict=bool(load)))
-    must(load_of(codec.Response({"x-load": [told]}, True, b"", 200), LOAD_FIELDS) == load, "stable", told)
+    must(load_of(http1.Response({"x-load": [told]}, True, b"", 200), LOAD_FIELDS) == load, "stable", told)
 
 
 # Discovery.
@@ -294,7 +294,7 @@
     host, port = address
     must(parse_address(f"{host}:{port}") == address, "address", f"{address}")
     step: Any = SimpleNamespace(operation=None, left_s=1.0)
-    probe = _one(codec.RequestParser(), request_of(step, (address, 0.0)))
+    probe = _one(http1.RequestParser(), request_of(step, (address, 0.0)))
     must(probe.headers == {"host": [f"{host}:{port}"]}, "address", f"{address} writes as {probe}")
     host.encode("idna")
 
--- a/coveport/testbed/standins/clients.py
+++ b/coveport/testbed/standins/clients.py
@@ -30,7 +30,7 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from coveport.http1 import codec as http1
+from coveport import http1
 from coveport.net.address import Address
 from coveport.sidecar.reducer.streams import MOST_BODY
 from coveport.testbed.backend import Host
@@ -149,7 +149,7 @@
         try:
             self.parser.feed(_INBOX[:nbytes])
             response = self.parser.next_response()
-        except http1.BadMessageError:
+        except http1.RemoteProtocolError:
             self._tills.broken(self, "garbled")
             return
         if response is not None:
@@ -157,7 +157,7 @@
 
     def eof_received(self) -> bool:
         """The sidecar has ended; what was only waiting for that is whole now."""
-        response = self.parser.end() if self.one is not None else None
+        response = self.parser.receive_eof() if self.one is not None else None
         if response is not None:
             self._tills.answered(self, response)
         else:
@@ -450,7 +450,7 @@
         """Its patience is over."""
         if one.late or self.host.day_ms() < one.expires - SOON_MS:
             return  # there is a later entry for it
-        if one.connection is not None and one.connection.seen > http1.UNSURE:
+        if one.connection is not None and one.connection.seen > http1.MAX_BUFFERED_UNSIZED_BYTES:
             self._enter(self.host.day_ms() + STREAM_MS, self._expire, one)  # a long answer has begun to come
             return
         if one.asked == math.inf:
@@ -564,8 +564,8 @@
         )
         self._end(one)
         wish = one.errand.wish
-        if connection.parser.held:
-            self.stray(connection, len(connection.parser.held))
+        if connection.parser.buffer:
+            self.stray(connection, len(connection.parser.buffer))
         elif not response.keep_alive or wish.half:
             self._drop(connection)
         elif wish.stays:
--- a/coveport/testbed/standins/discovery.py
+++ b/coveport/testbed/standins/discovery.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from coveport.http1 import codec as http1
+from coveport import http1
 from coveport.net.address import Address
 from coveport.net.transport import Net
 from coveport.testbed.backend import Host
@@ -108,22 +108,22 @@
                     return
                 self.keep = request.keep_alive
                 self._take(request)
-            except http1.BadMessageError as problem:
+            except http1.RemoteProtocolError as problem:
                 self.keep = self.keep and problem.status in (404, 405)
                 self.write(problem.status, b"")
 
     def _take(self, request: http1.Request) -> None:
         path, _, query = request.target.partition("?")
         if path != PATH:
-            raise http1.BadMessageError(404, "unknown path")
+            raise http1.RemoteProtocolError(404, "unknown path")
         if request.method != "GET":
-            raise http1.BadMessageError(405, "wrong method")
+            raise http1.RemoteProtocolError(405, "wrong method")
         told = dict(parse_qsl(query))
         try:
             self.after = int(told["after"]) if "after" in told else None
             wait_ms = min(max(0.0, float(told.get("wait_ms", "0"))), MOST_WAIT_MS)
         except ValueError:
-            raise http1.BadMessageError(400, "bad query") from None
+            raise http1.RemoteProtocolError(400, "bad query") from None
         self.waiting = True
         self.overdue = wait_ms == 0
         self._discovery.called(self._view, self)
--- a/coveport/testbed/standins/health.py
+++ b/coveport/testbed/standins/health.py
@@ -6,7 +6,7 @@
 import contextlib
 from collections.abc import Callable
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.net.address import Address
 from coveport.testbed.backend import Host
 
@@ -17,13 +17,13 @@
 
 class _Ask(asyncio.Protocol):
     def __init__(self, told: Callable[[int], None]) -> None:
-        self._told, self._parser = told, codec.ResponseParser()
+        self._told, self._parser = told, http1.ResponseParser()
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.write(codec.write_request("GET", PATH, [("Host", "health"), ("Connection", "close")]))
+        transport.write(http1.write_request("GET", PATH, [("Host", "health"), ("Connection", "close")]))
 
     def data_received(self, data: bytes) -> None:
         self._parser.feed(data)
--- a/coveport/testbed/standins/node_link.py
+++ b/coveport/testbed/standins/node_link.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Protocol
 
-from coveport.http1.codec import RequestParser
+from coveport.http1 import RequestParser
 from coveport.sidecar.reducer.streams import MOST_BODY
 from coveport.testbed.model import Attempt
 
--- a/coveport/testbed/standins/nodes.py
+++ b/coveport/testbed/standins/nodes.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from math import inf, prod
 
-from coveport.http1.codec import BadMessageError, Request
+from coveport.http1 import RemoteProtocolError, Request
 from coveport.testbed import model as core
 from coveport.testbed.backend import Host
 from coveport.testbed.day import Change, Day, NodeDrawn
@@ -298,7 +298,7 @@
             busy = link.attempt is not None or link.unwhole is not None
             try:
                 request = link.parser.next_request()
-            except BadMessageError:
+            except RemoteProtocolError:
                 number = self._arrived(link, None, now)
                 if busy:
                     self._cut(link, now)
@@ -313,7 +313,7 @@
                 return
             link.last = not request.keep_alive
             self._take(link, request, now)
-            if not link.parser.begun or link.gone:
+            if not link.parser.is_mid_message or link.gone:
                 return
             link.began = link.handed = now  # what is left came with what is taken
             self._idle.pop(link, None)
@@ -345,7 +345,7 @@
     def _end_unread(self, link: NodeLink, how: str, now: float) -> None:
         try:
             request = link.parser.next_request()
-        except BadMessageError:
+        except RemoteProtocolError:
             return
         if request is not None and request.target not in _PROBES:
             number = self._arrived(link, request, now, core.OVER)
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.http1 import codec as http1
+from coveport import http1
 from coveport.sidecar.upstream.http1_connection import load_of
 
 CUTS = st.lists(st.integers(1, 40), max_size=30)
@@ -58,10 +58,10 @@
     for piece in pieces(data, cuts):
         parser.feed(piece)
         found = found or parser.next_response()
-    found = found or parser.end()
+    found = found or parser.receive_eof()
     assert found is not None and (found.status, found.body) == (200, b"body")
     assert found.headers["x-load"] == ["a=1"]
-    assert found.keep_alive is (b"close" not in rest) and not parser.begun
+    assert found.keep_alive is (b"close" not in rest) and not parser.is_mid_message
 
 
 @given(st.binary(max_size=300), st.sampled_from([b"", b"GET / HTTP/1.1\r\n", b"HTTP/1.1 200 OK\r\n"]))
@@ -69,9 +69,9 @@
     for parser in (http1.RequestParser(), http1.ResponseParser()):
         parser.feed(start + data + b"\r\n\r\n")
         try:
-            while parser.next() is not None:
+            while parser.next_message() is not None:
                 pass
-        except http1.BadMessageError as problem:
+        except http1.RemoteProtocolError as problem:
             assert problem.status in (400, 413, 431, 501, 505)
 
 
@@ -86,7 +86,7 @@
 def test_half_an_answer_is_none(end: bytes) -> None:
     parser = http1.ResponseParser()
     parser.feed(b"HTTP/1.1 200 OK\r\n" + end)
-    assert parser.next_response() is None and parser.end() is None
+    assert parser.next_response() is None and parser.receive_eof() is None
 
 
 @given(st.integers(0, 40))
@@ -97,7 +97,7 @@
         (http1.ResponseParser(), b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nX-Load: a=1"),
     ):
         parser.feed(data[:cut])
-        assert parser.next() is None
+        assert parser.next_message() is None
 
 
 @pytest.mark.parametrize("noise", [b"\x00", b"HTTP/2", b"\x16\x03\x01\x02", b"HTTP/1.1 9", b"\xff" * 15])
@@ -106,8 +106,8 @@
     for parser in (http1.RequestParser(), http1.ResponseParser()):
         parser.feed(noise)
         if not (isinstance(parser, http1.RequestParser) and noise.startswith(b"HTTP")):
-            with pytest.raises(http1.BadMessageError):
-                parser.next()
+            with pytest.raises(http1.RemoteProtocolError):
+                parser.next_message()
 
 
 CHUNKED = b"POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -119,7 +119,7 @@
 def read(data: bytes, parser: Parser | None = None) -> http1.Message | None:
     parser = parser or http1.RequestParser()
     parser.feed(data)
-    return parser.next()
+    return parser.next_message()
 
 
 @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
 )
 def test_trailers_are_checked_as_headers_are(trailers: bytes) -> None:
     # Seen beside h11, which refuses them: whoever stands in front of us may see a second message there.
-    with pytest.raises(http1.BadMessageError, match="trailer"):
+    with pytest.raises(http1.RemoteProtocolError, match="trailer"):
         read(CHUNKED + b"0\r\n" + trailers + b"\r\n")
 
 
@@ -177,7 +177,7 @@
         message = read(data)
         assert message is not None and message.body == b"x"
     else:
-        with pytest.raises(http1.BadMessageError, match="malformed chunk"):
+        with pytest.raises(http1.RemoteProtocolError, match="malformed chunk"):
             read(data)
 
 
@@ -187,9 +187,9 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        (HEAD + b"y" * (http1.MAX_HEAD - len(HEAD)) + b"\r\n\r\n", 0),
-        (HEAD + b"y" * (http1.MAX_HEAD + 1 - len(HEAD)) + b"\r\n\r\n", 431),
-        (b"\x00" + HEAD + b"y" * http1.MAX_HEAD, 400),
+        (HEAD + b"y" * (http1.MAX_HEAD_BYTES - len(HEAD)) + b"\r\n\r\n", 0),
+        (HEAD + b"y" * (http1.MAX_HEAD_BYTES + 1 - len(HEAD)) + b"\r\n\r\n", 431),
+        (b"\x00" + HEAD + b"y" * http1.MAX_HEAD_BYTES, 400),
         (b"\x00" * 30 + HEAD + b"\r\nX: y" * 101 + b"\r\n\r\n", 400),
         (HEAD + b"\r\nX: y" * 97 + b"\r\n\r\n", 0),
         (HEAD + b"\r\nX: y" * 98 + b"\r\n\r\n", 431),
@@ -200,7 +200,7 @@
         parser, got = http1.RequestParser(), 0
         try:
             whole = [read(piece, parser) for piece in pieces][-1]
-        except http1.BadMessageError as problem:
+        except http1.RemoteProtocolError as problem:
             got = problem.status
         assert got == status and (got or whole is not None)
 
@@ -222,16 +222,16 @@
     if bad.startswith(b"HTTP"):
         data, parser = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", http1.ResponseParser()
     assert read(data, parser) is not None
-    with pytest.raises(http1.BadMessageError):
+    with pytest.raises(http1.RemoteProtocolError):
         read(bad + data, parser)
-    assert read(data, parser) is None and parser.next() is None
+    assert read(data, parser) is None and parser.next_message() is None
 
 
 def test_an_answer_that_is_too_large_does_not_become_whole_at_the_end() -> None:
     parser = http1.ResponseParser(9)
-    with pytest.raises(http1.BadMessageError):
+    with pytest.raises(http1.RemoteProtocolError):
         read(b"HTTP/1.1 200 OK\r\n\r\n0123456789", parser)
-    assert parser.end() is None
+    assert parser.receive_eof() is None
 
 
 @pytest.mark.parametrize("status", [b"103", b"199", b"204", b"304"])
@@ -299,7 +299,7 @@
     if good:
         assert read(start + b"\r\n") is not None
     else:
-        with pytest.raises(http1.BadMessageError, match="Host"):
+        with pytest.raises(http1.RemoteProtocolError, match="Host"):
             read(start + b"\r\n")
 
 
@@ -336,6 +336,6 @@
     request, parser = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", http1.RequestParser()
     for _ in range(3):
         assert read(b"\r\n" * 100 + request, parser) is not None
-    with pytest.raises(http1.BadMessageError, match="empty"):
+    with pytest.raises(http1.RemoteProtocolError, match="empty"):
         for piece in pieces(b"\r\n" * 101, [step] * 90):
             assert read(piece, parser) is None
--- a/tests/serving/cli/test_core_client.py
+++ b/tests/serving/cli/test_core_client.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from coveport.http1.codec import Request, RequestParser, write_response
+from coveport.http1 import Request, RequestParser, write_response
 from coveport.serving.cli.core_client import CoreClient, CoreResponse, CoreUnavailable
 from coveport.serving.cli.http_client import HttpRequest
 from coveport.serving.simulation.topology import SimulatedWays
--- a/tests/serving/coordinator/test_disconnected_callers.py
+++ b/tests/serving/coordinator/test_disconnected_callers.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.serving.coordinator.control_service import DISCONNECT_WAIT_S, ControlService
 from coveport.serving.coordinator.operator_api import OperatorApi
 from coveport.serving.coordinator.replica_runtime import ReplicaCallbacks, ReplicaRuntime
@@ -19,7 +19,7 @@
 from coveport.serving.web.server import HttpServer, _Connection
 from coveport.testbed.simulated_network.world import Process, World
 
-EVACUATION = codec.write_request("POST", "/coveport/evacuation/hall", [("Host", "core")])
+EVACUATION = http1.write_request("POST", "/coveport/evacuation/hall", [("Host", "core")])
 
 
 class FakeTransport(asyncio.Transport):
--- a/tests/serving/proxy/scripted_node.py
+++ b/tests/serving/proxy/scripted_node.py
@@ -6,14 +6,14 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from coveport.http1 import codec
+from coveport import http1
 
 STAMP = "Coveport-Postmark"
 
 
 @dataclass
 class Arrival:
-    request: codec.Request
+    request: http1.Request
     connection: Connection
 
     def header(self, name: str) -> str | None:
@@ -23,7 +23,7 @@
         headers = [("Coveport-Try-Id", self.header("Coveport-Try-Id") or ""), *more]
         if stamp is not None:
             headers.append((STAMP, stamp))
-        return codec.write_head(f"HTTP/1.1 {status} X", headers)
+        return http1.write_head(f"HTTP/1.1 {status} X", headers)
 
     def respond(self, body: bytes = b"hello", status: int = 200, *more: tuple[str, str]) -> None:
         self.connection.write(self.head(status, *more, ("Content-Length", str(len(body)))) + body)
@@ -36,10 +36,10 @@
         self.connection.write(self.head(200, kind, ("Transfer-Encoding", "chunked")))
 
     def send_event(self, number: int) -> None:
-        self.connection.write(codec.write_chunk(event_bytes(number)))
+        self.connection.write(http1.write_chunk(event_bytes(number)))
 
     def end_events(self) -> None:
-        self.connection.write(codec.LAST_CHUNK)
+        self.connection.write(http1.LAST_CHUNK)
 
 
 def event_bytes(number: int) -> bytes:
@@ -49,7 +49,7 @@
 class Connection(asyncio.Protocol):
     def __init__(self, node: ScriptedNode) -> None:
         self.node = node
-        self.parser = codec.RequestParser(8 << 20, most_head=1 << 20)
+        self.parser = http1.RequestParser(8 << 20, max_head_bytes=1 << 20)
         self.transport: asyncio.Transport | None = None
         self.is_closed = False
         self._sent = asyncio.Event()
@@ -117,11 +117,11 @@
     """Sends requests and parses responses strictly."""
 
     def __init__(self) -> None:
-        self.parser = codec.ResponseParser(1 << 30)
+        self.parser = http1.ResponseParser(1 << 30)
         self.transport: asyncio.Transport | None = None
         self.ended = False
         self.raw = bytearray()
-        self.responses: list[codec.Response] = []
+        self.responses: list[http1.Response] = []
         self._news = asyncio.Event()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -153,9 +153,9 @@
         try_id: str = "t-1",
     ) -> None:
         headers = [("Host", host), ("Coveport-Try-Id", try_id), *more]
-        self.send(codec.write_request(method, path, headers, body))
+        self.send(http1.write_request(method, path, headers, body))
 
-    async def response(self, number: int = 0) -> codec.Response | None:
+    async def response(self, number: int = 0) -> http1.Response | None:
         """Return the response of that number; None where the connection ended without it."""
         while len(self.responses) <= number:
             if self.ended:
--- a/tests/serving/proxy/test_broken_variants.py
+++ b/tests/serving/proxy/test_broken_variants.py
@@ -10,7 +10,7 @@
 import test_node_selection as node_selection_tests
 import test_slow_start as slow_start_tests
 
-from coveport.http1.codec import CHUNKED
+from coveport.http1 import CHUNKED
 from coveport.serving.proxy import exchange, forwarded_request, node_eligibility, node_selection, stall_policy
 from coveport.serving.proxy.client_connection import ClientConnection
 from coveport.serving.proxy.connection_pool import ConnectionPool
--- a/tests/serving/proxy/test_forwarding.py
+++ b/tests/serving/proxy/test_forwarding.py
@@ -9,7 +9,7 @@
 from proxy_environment import RESUMABLE, SAFE, SERVICE, UNSAFE_STREAM, ProxyEnvironment
 from scripted_node import Arrival, ScriptedClient, event_bytes
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.serving.model.configuration import ClientLimits, Configuration, WeightedService
 from coveport.serving.model.node import NodeState
 from coveport.serving.settings.boot import Bounds
@@ -32,7 +32,7 @@
 
 def request_once(
     environment: ProxyEnvironment, path: str = "/u/x", *more: tuple[str, str], **options: str
-) -> codec.Response | None:
+) -> http1.Response | None:
     """Send one request on a new connection, and return its response."""
     client = environment.client()
     client.send_request(path, *more, **options)  # type: ignore[arg-type]
@@ -56,7 +56,7 @@
         ("Connection", "keep-alive, x-hop"),
         ("TE", "trailers"),
     ]
-    client.send(codec.write_request("PATCH", "/u/x?y=%20z", headers, b"\0body"))
+    client.send(http1.write_request("PATCH", "/u/x?y=%20z", headers, b"\0body"))
     response = environment.run(client.response())
     assert response is not None and response.body == b"hello" and response.status == 200
     assert response.headers["coveport-postmark"] == ["stamp-1"]
@@ -445,14 +445,14 @@
     environment.check()
 
 
-@pytest.mark.parametrize("framing", [("Content-Length", "10"), codec.CHUNKED])
+@pytest.mark.parametrize("framing", [("Content-Length", "10"), http1.CHUNKED])
 @pytest.mark.parametrize("ends", ["close", "abort"])
 def test_response_that_breaks_off_does_not_look_complete(framing: tuple[str, str], ends: str) -> None:
     environment = ProxyEnvironment()
 
     async def script(arrival: Arrival) -> None:
         arrival.connection.write(arrival.head(200, framing))
-        arrival.connection.write(b"hello" if framing[0] == "Content-Length" else codec.write_chunk(b"hello"))
+        arrival.connection.write(b"hello" if framing[0] == "Content-Length" else http1.write_chunk(b"hello"))
         await asyncio.sleep(0.1)
         getattr(arrival.connection, ends)()
 
@@ -479,7 +479,7 @@
             await five_events(arrival)
             return
         arrival.begin_events()
-        arrival.connection.write(codec.write_chunk(ALL_FIVE[:cut]))
+        arrival.connection.write(http1.write_chunk(ALL_FIVE[:cut]))
         await asyncio.sleep(0.05)
         arrival.connection.abort()
 
@@ -498,7 +498,7 @@
 
     async def script(arrival: Arrival) -> None:
         order.append(arrival)
-        head = arrival.head(200, codec.CHUNKED, ("X-Node", str(len(order))), stamp=f"stamp-{len(order)}")
+        head = arrival.head(200, http1.CHUNKED, ("X-Node", str(len(order))), stamp=f"stamp-{len(order)}")
         arrival.connection.write(head)
         first = int(arrival.header("Last-Event-Id") or 0) + 1
         for number in range(first, 6):
@@ -712,10 +712,10 @@
 
     async def script(arrival: Arrival) -> None:
         nonlocal sent
-        arrival.connection.write(arrival.head(200, codec.CHUNKED))
+        arrival.connection.write(arrival.head(200, http1.CHUNKED))
         for _ in range(400):
             await arrival.connection.wait_until_sent()
-            arrival.connection.write(codec.write_chunk(b"x" * 10_000))
+            arrival.connection.write(http1.write_chunk(b"x" * 10_000))
             sent += 10_000
         arrival.end_events()
 
--- a/tests/serving/proxy/test_hostile_nodes.py
+++ b/tests/serving/proxy/test_hostile_nodes.py
@@ -13,7 +13,7 @@
 from proxy_environment import ProxyEnvironment
 from scripted_node import Arrival, ScriptedClient
 
-from coveport.http1 import codec
+from coveport import http1
 
 EVENTS = 6
 PATHS = ("/a/x", "/u/x", "/safe/x")
@@ -35,7 +35,7 @@
     def surplus(self, try_id: str) -> bytes:
         body = b"surplus of " + try_id.encode()
         headers = [("Coveport-Try-Id", f"old-{try_id}"), ("Coveport-Postmark", "s")]
-        return codec.write_response(200, headers, body)
+        return http1.write_response(200, headers, body)
 
     async def respond(self, arrival: Arrival) -> None:
         """One of many bad ends, or a good one."""
@@ -65,11 +65,11 @@
         random = self.random
         if way == "late surplus":
             arrival.connection.write(self.surplus(try_id))
-        data = bytearray(arrival.head(200, codec.CHUNKED, ("Keep-Alive", "timeout=5")))
+        data = bytearray(arrival.head(200, http1.CHUNKED, ("Keep-Alive", "timeout=5")))
         first = int(arrival.header("Last-Event-Id") or 0) + 1
         for number in range(first, EVENTS + 1):
-            data += codec.write_chunk(self.event(try_id, number))
-        data += codec.LAST_CHUNK
+            data += http1.write_chunk(self.event(try_id, number))
+        data += http1.LAST_CHUNK
         if way == "mangle":
             del data[random.randrange(len(data)) :]
             data += random.randbytes(20)
@@ -134,11 +134,11 @@
 
 def bodies(raw: bytes) -> list[tuple[str, bytes]]:
     """The bodies of successes by their try, with what could be read of one that did not end."""
-    parser = codec.ResponseParser(1 << 30, 0)
+    parser = http1.ResponseParser(1 << 30, 0)
     parser.feed(raw)
     found: list[tuple[str, bytes]] = []
     while (head := parser.next_response()) is not None:
-        data, over = b"", not head.long
+        data, over = b"", not head.is_streamed
         while not over:
             more, over = parser.next_data()
             data += more
--- a/tests/serving/proxy/test_startup_gate.py
+++ b/tests/serving/proxy/test_startup_gate.py
@@ -6,7 +6,7 @@
 from proxy_environment import PORT, PROXY_IP, ProxyEnvironment
 from scripted_node import Arrival, ScriptedClient
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.serving.model.configuration import Configuration
 from coveport.serving.proxy.startup_gate import MAX_WAIT_S, STARTUP_WINDOW_S
 
@@ -34,7 +34,7 @@
     return client
 
 
-def wait_for_response(environment: ProxyEnvironment, client: ScriptedClient) -> codec.Response:
+def wait_for_response(environment: ProxyEnvironment, client: ScriptedClient) -> http1.Response:
     found = environment.run(client.response())
     assert found is not None
     return found
--- a/tests/serving/simulation/stub_core.py
+++ b/tests/serving/simulation/stub_core.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from random import Random
 
-from coveport.http1.codec import Request
+from coveport.http1 import Request
 from coveport.net.address import Address
 from coveport.serving.model.configuration import (
     Configuration,
--- a/tests/serving/simulation/test_control_days.py
+++ b/tests/serving/simulation/test_control_days.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from coveport.http1.codec import write_request
+from coveport.http1 import write_request
 from coveport.net.address import Address
 from coveport.serving.configuration.state import ControlState
 from coveport.serving.coordinator.coordinator import Coordinator
--- a/tests/serving/simulation/test_on_loopback.py
+++ b/tests/serving/simulation/test_on_loopback.py
@@ -8,7 +8,7 @@
 
 from stub_core import KIND, SERVICE
 
-from coveport.http1.codec import Request
+from coveport.http1 import Request
 from coveport.net.transport import Net
 from coveport.serving.settings.boot import Bounds
 from coveport.serving.simulation.client import Client, ClientFigures
--- a/tests/serving/simulation/test_reading_back.py
+++ b/tests/serving/simulation/test_reading_back.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from coveport.http1.codec import write_request
+from coveport.http1 import write_request
 from coveport.serving.simulation.deployment import Deployment
 from coveport.serving.simulation.faults import Troubles
 from coveport.serving.simulation.machines import Machine
--- a/tests/serving/simulation/test_stand_ins.py
+++ b/tests/serving/simulation/test_stand_ins.py
@@ -123,7 +123,7 @@
 
 
 def test_another_incarnation_at_the_address_refuses_with_421() -> None:
-    from coveport.http1.codec import write_request
+    from coveport.http1 import write_request
     from coveport.serving.simulation.exchange import WholeAnswer, call
 
     town = Town()
--- a/tests/serving/web/mutated_requests.py
+++ b/tests/serving/web/mutated_requests.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.serving.web.messages import ApiResponse
 from coveport.serving.web.server import HttpServer, _Connection
 
@@ -114,7 +114,7 @@
             for number in range(self.random_source.choice((2, 3)))
         ]
 
-    async def _answer(self, request: codec.Request, local_host: str) -> ApiResponse:
+    async def _answer(self, request: http1.Request, local_host: str) -> ApiResponse:
         client = next(other for other in self.clients if other.name == local_host)
         client.received.append((request.target, request.body))
         return ApiResponse(200, f"{client.name} {len(client.received)}".encode())
@@ -127,7 +127,7 @@
             target = f"/{name}/{number}"
             body = f"body of {target}".encode() * random_source.choice((0, 1, 3))
             sent.append((target, body))
-            data += codec.write_request(random_source.choice(METHODS), target, [("Host", "h")], body)
+            data += http1.write_request(random_source.choice(METHODS), target, [("Host", "h")], body)
         if is_mutated:
             for _ in range(random_source.randrange(1, 5)):
                 mutate(data, random_source)
--- a/tests/serving/web/test_mutated_requests.py
+++ b/tests/serving/web/test_mutated_requests.py
@@ -7,7 +7,7 @@
 import pytest
 from mutated_requests import Exchange, PairingError
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.serving.web import server
 from coveport.serving.web.messages import ApiResponse
 
@@ -39,12 +39,12 @@
 
 def test_variant_that_reads_a_body_as_the_next_request_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """The length of a body is ignored: what follows the head is read as another request."""
-    original = codec.RequestParser.next_request
+    original = http1.RequestParser.next_request
 
-    def next_request(self: codec.RequestParser) -> codec.Request | None:
+    def next_request(self: http1.RequestParser) -> http1.Request | None:
         request = original(self)
         return None if request is not None and request.body else request
 
-    monkeypatch.setattr(codec.RequestParser, "next_request", next_request)
+    monkeypatch.setattr(http1.RequestParser, "next_request", next_request)
     with pytest.raises(PairingError):
         play(200)
--- a/tests/sidecar/downstream/test_long_bodies.py
+++ b/tests/sidecar/downstream/test_long_bodies.py
@@ -11,7 +11,7 @@
 from simulated import Conn, Server, World, now, sleep, wait_for, world
 from world import Seen, receive, reply, request, served
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.sidecar.reducer.streams import READ_LEAST, READ_MOST, Budget, Upload
 
 MIB = 1024 * 1024
@@ -60,7 +60,7 @@
     assert budget.held == 0
 
 
-def in_events(parser: codec.RequestParser, pieces: Iterator[bytes]) -> tuple[bool, bytes, bool]:
+def in_events(parser: http1.RequestParser, pieces: Iterator[bytes]) -> tuple[bool, bytes, bool]:
     """Whether the first message is long, its data, and whether it ended."""
     found, data, over = None, b"", False
     for piece in pieces:
@@ -74,7 +74,7 @@
             if not more:
                 break
     assert found is not None
-    return found.long, data, over
+    return found.is_streamed, data, over
 
 
 @pytest.mark.parametrize("size", [1, 1000, 65536, 1 << 20])
@@ -85,7 +85,7 @@
     coded = (
         body
         if not chunk
-        else b"".join(codec.write_chunk(body[at : at + chunk]) for at in range(0, len(body), chunk))
+        else b"".join(http1.write_chunk(body[at : at + chunk]) for at in range(0, len(body), chunk))
         + b"0\r\nT: x\r\n\r\n"
     )
     data = (
@@ -95,18 +95,18 @@
         + coded
         + b"GET /b HTTP/1.1\r\nHost: a\r\n\r\n"
     )
-    parser = codec.RequestParser(MIB, codec.MAX_BODY)
+    parser = http1.RequestParser(MIB, http1.MAX_BODY_BYTES)
     pieces = (data[at : at + size] for at in range(0, len(data), size))
     assert in_events(parser, pieces) == (True, body, True)
     following = parser.next_request()
-    assert following is not None and following.target == "/b" and not following.long
+    assert following is not None and following.target == "/b" and not following.is_streamed
 
 
 def test_a_long_body_that_grows_too_large_or_is_malformed_is_told() -> None:
     for bad in (b"fffff\r\n" + bytes(70_000), b"10000\r\n" + bytes(65_536) + b"\r\n9\r\n123456789xx"):
-        parser = codec.RequestParser(100_000, 1000)
+        parser = http1.RequestParser(100_000, 1000)
         parser.feed(b"POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + bad)
-        with pytest.raises(codec.BadMessageError):
+        with pytest.raises(http1.RemoteProtocolError):
             assert parser.next_request() is not None
             for _ in range(9):
                 parser.next_data()
@@ -115,14 +115,17 @@
 
 def test_an_answer_without_a_length_is_long_from_eight_kib_on() -> None:
     head = b"HTTP/1.1 200 OK\r\n"
-    for size, long in ((codec.UNSURE, False), (codec.UNSURE + 1, True)):
+    for size, long in (
+        (http1.MAX_BUFFERED_UNSIZED_BYTES, False),
+        (http1.MAX_BUFFERED_UNSIZED_BYTES + 1, True),
+    ):
         body = LONG[:size]
-        chunked = head + b"Transfer-Encoding: chunked\r\n\r\n" + codec.write_chunk(body) + codec.LAST_CHUNK
+        chunked = head + b"Transfer-Encoding: chunked\r\n\r\n" + http1.write_chunk(body) + http1.LAST_CHUNK
         for data, sure in ((chunked, False), (head + b"Content-Length: %d\r\n\r\n" % size + body, True)):
-            parser = codec.ResponseParser(MIB, codec.MAX_BODY)
+            parser = http1.ResponseParser(MIB, http1.MAX_BODY_BYTES)
             parser.feed(data)
             found = parser.next_response()
-            assert found is not None and found.long == (long and not sure)
+            assert found is not None and found.is_streamed == (long and not sure)
             assert (found.body or parser.next_data()[0]) == body
 
 
@@ -135,13 +138,13 @@
     async def slowly(seen: Seen) -> bytes:
         node.open[-1].send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for _ in range(15):
-            node.open[-1].send(codec.write_chunk(LONG[:4000]))
+            node.open[-1].send(http1.write_chunk(LONG[:4000]))
             await asyncio.sleep(0.1)
-        return codec.LAST_CHUNK
+        return http1.LAST_CHUNK
 
     node.handler = slowly
     with world(tmp_path, node.address) as one, one.connect() as conn:
-        start, parser, found = now(), codec.ResponseParser(MIB), None
+        start, parser, found = now(), http1.ResponseParser(MIB), None
         conn.sendall(request("GET /balance"))  # its aim is 1 s
         held = conn.recv(65536)
         assert now() - start < 0.5
@@ -209,12 +212,12 @@
             with one.connect() as conn:
                 asked = request("GET /balance")
                 conn.sendall(asked.replace(b"HTTP/1.1", b"HTTP/1.0") if old else asked)
-                parser, found, held = codec.ResponseParser(2 * MIB), None, b""
+                parser, found, held = http1.ResponseParser(2 * MIB), None, b""
                 while found is None:
                     data = conn.recv(65536)
                     held += data
                     parser.feed(data)
-                    found = parser.next_response() if data else parser.end()
+                    found = parser.next_response() if data else parser.receive_eof()
                 assert found.body == LONG and (b"chunked" in held[:200]) != old
 
 
@@ -315,7 +318,7 @@
     ],
 )
 def test_targets_in_absolute_form_are_read_as_their_path(target: bytes, read: str) -> None:
-    parser = codec.RequestParser()
+    parser = http1.RequestParser()
     parser.feed(b"GET " + target + b" HTTP/1.1\r\nHost: a\r\n\r\n")
     found = parser.next_request()
     assert found is not None and found.target == read
@@ -323,9 +326,9 @@
 
 @pytest.mark.parametrize("target", [b"http://", b"ftp://h/a", b"http://u@h/a", b"http://h/a#b", b"*"])
 def test_other_targets_are_refused(target: bytes) -> None:
-    parser = codec.RequestParser()
+    parser = http1.RequestParser()
     parser.feed(b"GET " + target + b" HTTP/1.1\r\nHost: a\r\n\r\n")
-    with pytest.raises(codec.BadMessageError):
+    with pytest.raises(http1.RemoteProtocolError):
         parser.next_request()
 
 
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -17,7 +17,9 @@
 LOADED = """
 coveport coveport.balancing coveport.balancing.balancer coveport.balancing.interface
 coveport.balancing.locality coveport.balancing.pending_requests coveport.balancing.simulator_codec
-coveport.http1 coveport.http1.codec coveport.net coveport.net.address coveport.net.clock
+coveport.http1 coveport.http1.errors coveport.http1.fields coveport.http1.message_parser
+coveport.http1.messages coveport.http1.request_parser coveport.http1.response_parser
+coveport.http1.writers coveport.net coveport.net.address coveport.net.clock
 coveport.net.sockets coveport.net.transport coveport.sidecar coveport.sidecar.admin
 coveport.sidecar.admin.codec coveport.sidecar.admin.server coveport.sidecar.config
 coveport.sidecar.config.errors coveport.sidecar.config.platform coveport.sidecar.config.reload_checks
--- a/tests/testbed/test_clients.py
+++ b/tests/testbed/test_clients.py
@@ -11,7 +11,7 @@
 import timeless
 from one_host import OneHost, day, until
 
-from coveport.http1 import codec as http1
+from coveport import http1
 from coveport.testbed import ids
 from coveport.testbed.day import Wish
 from coveport.testbed.event_log import Answered, Asked, Books, Lag, digest_of_request
--- a/tests/testbed/test_discovery_standin.py
+++ b/tests/testbed/test_discovery_standin.py
@@ -10,7 +10,7 @@
 import timeless
 from one_host import OneHost, day, until
 
-from coveport.http1 import codec as http1
+from coveport import http1
 from coveport.testbed.day import Change
 from coveport.testbed.event_log import Books, Called, Told
 from coveport.testbed.scenario import Scenario
--- a/tests/testbed/test_fuzz.py
+++ b/tests/testbed/test_fuzz.py
@@ -13,8 +13,8 @@
 import pytest
 from click.testing import CliRunner, Result
 
+from coveport import http1
 from coveport.cli.root import root
-from coveport.http1 import codec
 from coveport.sidecar.discovery.reader import PoolReader
 from coveport.testbed import compare, outcome
 from coveport.testbed.fuzz import UNDER_TEST, run, writers
@@ -47,27 +47,27 @@
         assert file.name == hashlib.sha256(file.read_bytes()).hexdigest()[:16]
 
 
-class Worse(codec.RequestParser):
+class Worse(http1.RequestParser):
     """Reads on behind an error, and the length of what it holds matters."""
 
-    def next(self) -> codec.Message | None:
-        self._wrong = False
-        return super().next()
+    def next_message(self) -> http1.Message | None:
+        self._has_failed = False
+        return super().next_message()
 
 
-class Piecemeal(codec.RequestParser):
+class Piecemeal(http1.RequestParser):
     """Takes a head of two pieces for malformed."""
 
     def feed(self, data: bytes | memoryview) -> None:
-        if self.held.endswith(b"\r"):
-            raise codec.BadMessageError(400, "cut")
+        if self.buffer.endswith(b"\r"):
+            raise http1.RemoteProtocolError(400, "cut")
         super().feed(data)
 
 
-class Hoarder(codec.RequestParser):
+class Hoarder(http1.RequestParser):
     """Holds all it gets."""
 
-    def next(self) -> codec.Message | None:
+    def next_message(self) -> http1.Message | None:
         return None
 
 
@@ -89,13 +89,13 @@
 @pytest.mark.parametrize(
     ("name", "place", "fault", "data", "kind"),
     [
-        ("requests", "codec.RequestParser", Worse, b"GET / HTTP/1.1\r\n\r\n" + REQUEST, "after an error"),
-        ("requests", "codec.RequestParser", Piecemeal, REQUEST, "BadMessageError in test_fuzz.feed"),
-        ("requests", "codec.RequestParser", Hoarder, REQUEST * 600, "held"),
-        ("requests", "codec.write_request", lambda *_: REQUEST, REQUEST.replace(b"7", b"8"), "written"),
+        ("requests", "http1.RequestParser", Worse, b"GET / HTTP/1.1\r\n\r\n" + REQUEST, "after an error"),
+        ("requests", "http1.RequestParser", Piecemeal, REQUEST, "RemoteProtocolError in test_fuzz.feed"),
+        ("requests", "http1.RequestParser", Hoarder, REQUEST * 600, "held"),
+        ("requests", "http1.write_request", lambda *_: REQUEST, REQUEST.replace(b"7", b"8"), "written"),
         (
             "responses",
-            "codec.write_response",
+            "http1.write_response",
             lambda *_: b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
             b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n",
             "written",
--- a/tests/testbed/test_h11.py
+++ b/tests/testbed/test_h11.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.http1 import codec
+from coveport import http1
 from coveport.testbed.fuzz import differ
 
 HEAD = b"POST /a HTTP/1.1\r\nHost: a\r\n"
@@ -75,35 +75,40 @@
     ("name", "fault", "data", "rule"),
     [
         (
-            "_read_fields",
+            "message_parser.read_fields",
             lambda _lines, _what: {"host": ["a"], "transfer-encoding": ["chunked"]},
             CHUNKED + b"0\r\nhello\r\n\r\n",
             "h11 refuses",
         ),
-        ("_CHUNK", re.compile(rb"[ \t]*([0-9]+)"), CHUNKED + b" 1\r\nx\r\n" + LAST, "h11 refuses"),
-        ("_CHUNK", re.compile(rb"([1-9]+)"), CHUNKED + LAST, "ours refuses"),
-        ("_VALUE", re.compile(rb"[\x00-\xff]*"), HEAD + b"X: \x00\r\n\r\n", "h11 refuses"),
-        ("_VALUE", re.compile(rb"[a-z]*"), HEAD + b"X: Y\r\n\r\n", "ours refuses"),
         (
-            "_keeps",
+            "message_parser._CHUNK_LINE",
+            re.compile(rb"[ \t]*([0-9]+)"),
+            CHUNKED + b" 1\r\nx\r\n" + LAST,
+            "h11 refuses",
+        ),
+        ("message_parser._CHUNK_LINE", re.compile(rb"([1-9]+)"), CHUNKED + LAST, "ours refuses"),
+        ("fields._VALUE", re.compile(rb"[\x00-\xff]*"), HEAD + b"X: \x00\r\n\r\n", "h11 refuses"),
+        ("fields._VALUE", re.compile(rb"[a-z]*"), HEAD + b"X: Y\r\n\r\n", "ours refuses"),
+        (
+            "request_parser.is_persistent",
             keeps_by_any_white_space,
             HEAD + b"Connection: \xa0close\r\n\r\n",
             "reads otherwise: keep",
         ),
         (
-            "_keeps",
+            "response_parser.is_persistent",
             keeps_by_any_white_space,
             b"HTTP/1.0 200 x\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + LAST,
             "reads otherwise: keep",
         ),
-        ("MAX_HEAD", 40, HEAD + b"X: y\r\nZ: yyyyyyy\r\n\r\n", "ours refuses"),
+        ("message_parser.MAX_HEAD_BYTES", 40, HEAD + b"X: y\r\nZ: yyyyyyy\r\n\r\n", "ours refuses"),
     ],
 )
 def test_a_fault_of_ours_shows(
     name: str, fault: object, data: bytes, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert compared(data) is None
-    monkeypatch.setattr(codec, name, fault)
+    monkeypatch.setattr(f"coveport.http1.{name}", fault)
     difference = compared(data)
     assert difference is not None and difference[0] == rule
 
@@ -148,14 +153,14 @@
     behind = encoded(trailers) if chunked else []
     request = h11.Request(method="PUT", target="/x?y", headers=lines)
     response = h11.Response(status_code=201, headers=lines)
-    parsers: list[tuple[codec.RequestParser | codec.ResponseParser, bytes, Callable[[bytes], object]]] = [
-        (codec.RequestParser(), written(request, h11.CLIENT, parts, behind), differ.requests),
-        (codec.ResponseParser(), written(response, h11.SERVER, parts, behind), differ.responses),
+    parsers: list[tuple[http1.RequestParser | http1.ResponseParser, bytes, Callable[[bytes], object]]] = [
+        (http1.RequestParser(), written(request, h11.CLIENT, parts, behind), differ.requests),
+        (http1.ResponseParser(), written(response, h11.SERVER, parts, behind), differ.responses),
     ]
     for parser, data, compare in parsers:
         parser.feed(data)
-        message = parser.next()
-        assert message is not None and message.body == b"".join(parts) and not parser.begun
+        message = parser.next_message()
+        assert message is not None and message.body == b"".join(parts) and not parser.is_mid_message
         wanted: dict[str, list[str]] = {}
         for name, value in lines:
             wanted.setdefault(name.decode().lower(), []).append(value.decode("latin-1"))
--- a/tests/testbed/test_nodes.py
+++ b/tests/testbed/test_nodes.py
@@ -9,7 +9,7 @@
 import pytest
 import timeless
 
-from coveport.http1 import codec as http1
+from coveport import http1
 from coveport.net.transport import Listening, Net
 from coveport.testbed import event_log as b
 from coveport.testbed.backend import Accept, Host
