--- a/coveport/cli/root.py
+++ b/coveport/cli/root.py
@@ -12,16 +12,13 @@
 import click
 
 from coveport.cli.check import check
-from coveport.cli.check_model import check_model
 from coveport.cli.exit_codes import ExitCode
 from coveport.cli.fleet import fleet
 from coveport.cli.intent_log import work
 from coveport.cli.lab import lab
 from coveport.cli.rollout import rollout
 from coveport.cli.run import run
-from coveport.cli.search import search, shrink
 from coveport.cli.singletons import duties
-from coveport.cli.trials import trials
 
 
 def version() -> str:
@@ -117,9 +114,6 @@
     """
 
 
-lab.add_command(search)
-lab.add_command(shrink)
-lab.add_command(trials)
 root.add_command(run)
 root.add_command(check)
 root.add_command(duties)
@@ -127,4 +121,3 @@
 root.add_command(work)
 root.add_command(fleet)
 root.add_command(lab)
-lab.add_command(check_model)
