--- a/coveport/cli/intent_log.py
+++ b/coveport/cli/intent_log.py
@@ -117,7 +117,7 @@
                 return ExitCode.FAILED
             outcome = await records.store.commit(records.layout.write(record, entry.modified, resolved))
             if isinstance(outcome, Unknown):
-                raise UnusableError(f"the store does not answer, it may be settled: {outcome.why}")
+                raise UnusableError(f"the store does not answer, it may be settled: {outcome.reason}")
             if not isinstance(outcome, Refused):
                 click.echo(f"{identity}: settled as {end}")
                 return ExitCode.DONE
--- a/coveport/cli/record_store.py
+++ b/coveport/cli/record_store.py
@@ -30,7 +30,7 @@
 
         listing = await self.store.read(prefix)
         if isinstance(listing, Unknown):
-            raise UnusableError(f"the store does not answer: {listing.why}")
+            raise UnusableError(f"the store does not answer: {listing.reason}")
         return listing.entries
 
     async def read_record(self, identity: str) -> tuple[Record, Entry]:
--- a/coveport/cli/store_access.py
+++ b/coveport/cli/store_access.py
@@ -40,7 +40,7 @@
 
     listing = await store.read(prefix)
     if isinstance(listing, Unknown):
-        raise UnusableError(f"the store does not answer: {listing.why}")
+        raise UnusableError(f"the store does not answer: {listing.reason}")
     return {entry.key[len(prefix) :]: entry for entry in listing.entries}
 
 
@@ -56,5 +56,5 @@
     compares = (Compare(prefix + key, Field.CREATED, 0),) if is_exclusive else ()
     outcome = await store.commit(Transaction(compares, (Put(prefix + key, value),)))
     if isinstance(outcome, Unknown):
-        raise UnusableError(f"the store does not answer, it may have been written: {outcome.why}")
+        raise UnusableError(f"the store does not answer, it may have been written: {outcome.reason}")
     return not isinstance(outcome, Refused)
--- a/coveport/sidecar/intent_log/journal.py
+++ b/coveport/sidecar/intent_log/journal.py
@@ -213,7 +213,7 @@
         if isinstance(outcome, Unknown):
             self._missed_responses += 1
             if self._missed_responses >= UNAVAILABLE_AFTER and self.is_available:
-                self._set_status(StoreStatus.UNAVAILABLE, outcome.why)
+                self._set_status(StoreStatus.UNAVAILABLE, outcome.reason)
             return outcome
         if (identity and outcome.identity != identity) or outcome.revision < revision:
             # Guards against a store that was restored: what it reports of operations is out of date.
--- a/coveport/sidecar/leases/store.py
+++ b/coveport/sidecar/leases/store.py
@@ -108,7 +108,7 @@
 
     kind: ClassVar[str] = "Unknown"
 
-    why: str
+    reason: str
 
 
 Outcome = Done | Refused | Unknown
--- a/coveport/sidecar/leases/store_calls.py
+++ b/coveport/sidecar/leases/store_calls.py
@@ -44,7 +44,7 @@
         count = f"{kind}_{outcome.kind.lower()}"
         self.counts[count] = self.counts.get(count, 0) + 1
         if isinstance(outcome, Unknown):
-            self._history(log_events.STORE_CALL_UNKNOWN, call=kind, why=outcome.why)
+            self._history(log_events.STORE_CALL_UNKNOWN, call=kind, why=outcome.reason)
             return outcome
         reset = _find_reset(outcome, identity, floor)
         if reset:
--- a/tests/sidecar/leases/test_sqlite_store.py
+++ b/tests/sidecar/leases/test_sqlite_store.py
@@ -225,7 +225,7 @@
         pages = tables.connection.execute("PRAGMA page_count").fetchone()[0]
         tables.connection.execute(f"PRAGMA max_page_count={pages}")
         full = await store.commit(put("b", random.Random(1).randbytes(200_000)))
-        assert isinstance(full, Unknown) and "full" in full.why
+        assert isinstance(full, Unknown) and "full" in full.reason
         tables.connection.execute("PRAGMA max_page_count=100000")
         assert [entry.key for entry in (await done(store.read(""))).entries] == ["a"]
         await done(store.commit(put("b", b"2")))
