--- a/coveport/serving/replication/acceptor.py
+++ b/coveport/serving/replication/acceptor.py
@@ -93,7 +93,7 @@
         return state
 
     def _is_fenced(self, sender: MemberId, epoch: Epoch) -> bool:
-        """Return whether `epoch` is below the promise; the sender is told so."""
+        """Return whether `epoch` is below the promise; if so, answer with Fenced."""
         if epoch >= self.durable.promised:
             return False
         self._outbox.send(sender.address, Fenced(epoch, self.durable.promised))
--- a/coveport/serving/replication/bootstrap.py
+++ b/coveport/serving/replication/bootstrap.py
@@ -1,7 +1,7 @@
 """The first view of all: the lowest of the seeds proposes it, and every seed must accept it.
 
 A member that has a view accepts no bootstrap view, so two bootstraps can't both have all seeds. A proposer
-that restarted proposes anew, under a higher epoch than any that a seed promised.
+that restarted proposes again, under a higher epoch than any that a seed promised.
 """
 
 from __future__ import annotations
--- a/coveport/serving/replication/leader_role.py
+++ b/coveport/serving/replication/leader_role.py
@@ -34,7 +34,8 @@
 from coveport.serving.replication.replica_context import ReplicaContext
 from coveport.serving.replication.view_change import Step, ViewChangeAttempt
 
-# If nobody leads for so long after a member promised a higher epoch, the primary leads anew, higher still.
+# If nobody leads for so long after a member promised a higher epoch, the primary leads again, under one that
+# is higher still.
 OUTVOTED_S = 0.6
 # The least time between two attempts; `retry_backoff_s` times the jitter comes on top.
 RETRY_GAP_S = 0.1
@@ -146,7 +147,9 @@
         if view is None or view.epoch != message.epoch or view.primary != sender or self.attempt is not None:
             return
         if self._context.own_id in view.members:
-            request = ViewChangeRequest("leadership is transferred", True, avoided=frozenset({sender}))
+            request = ViewChangeRequest(
+                "leadership is transferred", is_urgent=True, avoided=frozenset({sender})
+            )
             self.start_view_change(now_s, request)
 
     def _on_candidate_answer(self, now_s: float, sender: MemberId, message: Message) -> None:
@@ -189,7 +192,7 @@
         if view is not None and self._excluded_by is not None and self._excluded_by.epoch > view.epoch:
             return  # others are members by now: they lead, and will send us the view
         if self.election.must_start(view, now_s):
-            self.start_view_change(now_s, ViewChangeRequest("nobody leads", True))
+            self.start_view_change(now_s, ViewChangeRequest("nobody leads", is_urgent=True))
 
     def start_view_change(self, now_s: float, request: ViewChangeRequest) -> None:
         """Become a candidate, under a higher epoch than any seen. A primary keeps its queue meanwhile."""
@@ -216,7 +219,7 @@
             self.become_primary(now_s, attempt.view, attempt.continues_own_state)
 
     def become_primary(self, now_s: float, view: View, continues_own_state: bool) -> None:
-        """Lead a view that is active by now, and tell its members and those before so."""
+        """Lead a view that is active by now, and announce it to its members and those before."""
         predecessor = self.primary
         self.primary = Primary(self._context, view)
         self.outvoted_since_s = None
@@ -304,7 +307,7 @@
         request = self._reconfigurer.needed_view_change(primary.view, slow, now_s)
         is_outvoted = self.outvoted_since_s is not None and now_s - self.outvoted_since_s >= OUTVOTED_S
         if request is None and is_outvoted:
-            request = ViewChangeRequest("a member promised a higher epoch", True)
+            request = ViewChangeRequest("a member promised a higher epoch", is_urgent=True)
         if request is None or not self.election.reaches_majorities_now(primary.view, now_s):
             return
         if request.is_urgent or now_s - self._view_changed_at_s >= self._context.timings.change_gap_s:
--- a/coveport/serving/replication/primary.py
+++ b/coveport/serving/replication/primary.py
@@ -15,8 +15,7 @@
 from coveport.serving.replication.quorum_check import QuorumChecks, UnconfirmedAnswer
 from coveport.serving.replication.replica_context import ReplicaContext
 from coveport.serving.replication.state_machine import Applied
-
-TRANSFER_BYTES_PER_S = 10e6  # at which a command is surely sent and synced
+from coveport.serving.replication.timings import transfer_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +42,7 @@
     @property
     def transfer_s(self) -> float:
         """How long its bytes take at most."""
-        return len(self.command) / TRANSFER_BYTES_PER_S
+        return transfer_s(len(self.command))
 
 
 class Primary:
--- a/coveport/serving/replication/quorum_check.py
+++ b/coveport/serving/replication/quorum_check.py
@@ -88,7 +88,7 @@
                 self._context.outbox.answer(answer.request, self.confirmed_outcome(answer))
 
     def confirmed_outcome(self, answer: UnconfirmedAnswer) -> Outcome:
-        """Return what the caller is told after the check: a read sees the newest state."""
+        """Return the outcome once the check has succeeded: a read sees the newest state."""
         if answer.refusal is not None:
             return answer.refusal
         return Newest(self._context.committed_log.sequence, self._context.committed_log.state)
--- a/coveport/serving/replication/reconfiguration.py
+++ b/coveport/serving/replication/reconfiguration.py
@@ -36,7 +36,7 @@
 
 
 class Reconfigurer:
-    """Compares the view with what the machines allow; to be asked at every tick."""
+    """Compares the view, at every tick, with the one that the machines allow."""
 
     def __init__(self, context: ReplicaContext) -> None:
         self._context = context
@@ -45,20 +45,27 @@
         self._chosen: tuple[MemberId, ...] | None = None
 
     def needed_view_change(self, view: View, slow: set[MemberId], now_s: float) -> ViewChangeRequest | None:
-        """Return the next change of the view, if one is needed. `slow` are backups that owe an answer."""
+        """Return the next change of the view, if one is needed; `slow`: backups whose answer is overdue."""
         context = self._context
         suspects = {member for member in view.replicas if context.peers.is_suspect(member, now_s)}
         impaired = {member for member in view.replicas if not context.is_usable(member, now_s)} - suspects
         proposal = self._proposal(view, now_s)
         if suspects or slow:
-            return ViewChangeRequest("replica suspect or slow", True, proposal, frozenset(suspects | slow))
+            return ViewChangeRequest(
+                "replica suspect or slow",
+                is_urgent=True,
+                proposal=proposal,
+                avoided=frozenset(suspects | slow),
+            )
         if proposal is not None:
-            return ViewChangeRequest("members change", False, proposal)
+            return ViewChangeRequest("members change", is_urgent=False, proposal=proposal)
         impaired.discard(context.own_id)
         if impaired and self._can_replace(view, impaired, now_s):
-            return ViewChangeRequest("replica unhealthy or shutting down", True, None, frozenset(impaired))
+            return ViewChangeRequest(
+                "replica unhealthy or shutting down", is_urgent=True, avoided=frozenset(impaired)
+            )
         if self._has_better_replicas(view, now_s):
-            return ViewChangeRequest("replicas in more failure domains", False)
+            return ViewChangeRequest("replicas in more failure domains", is_urgent=False)
         return None
 
     def _can_replace(self, view: View, impaired: set[MemberId], now_s: float) -> bool:
--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -4,7 +4,7 @@
 
 - `acceptor.py`: the promise and the state held here; `journal.py`: the disk
 - `committed_log.py`: the committed state; `catch_up.py`: what others lack of it
-- `peers.py`: who is alive; `ping_sender.py`: what they are told of this replica
+- `peers.py`: who is alive; `ping_sender.py`: the pings that report this replica's state
 - `leader_role.py`: follower, candidate or primary; with `election.py`, `view_change.py`, `bootstrap.py`,
   `primary.py`, `quorum_check.py` and `reconfiguration.py`
 """
--- a/coveport/serving/replication/timings.py
+++ b/coveport/serving/replication/timings.py
@@ -4,6 +4,15 @@
 
 from dataclasses import dataclass
 
+# Time-outs of a message grow with its bytes, at a rate at which these are surely sent and synced: a state of
+# 8 MB gets 0.8 s more.
+TRANSFER_BYTES_PER_S = 10e6
+
+
+def transfer_s(byte_count: int) -> float:
+    """Return the seconds that sending and syncing so many bytes takes at most."""
+    return byte_count / TRANSFER_BYTES_PER_S
+
 
 @dataclass(frozen=True, slots=True)
 class Timings:
--- a/coveport/serving/replication/view_change.py
+++ b/coveport/serving/replication/view_change.py
@@ -33,10 +33,10 @@
 )
 from coveport.serving.replication.placement import choose_replicas
 from coveport.serving.replication.replica_context import ReplicaContext
+from coveport.serving.replication.timings import transfer_s
 
 MORE_PROMISES_S = 0.12  # after a majority promised, for the promises of others alive, to choose among
 INSTALL_TIMEOUT_S = 0.45  # plus the time for the bytes; then another replica is chosen
-TRANSFER_BYTES_PER_S = 10e6  # at which a state is surely sent and synced
 
 
 class Step(Enum):
@@ -104,7 +104,7 @@
 
     @property
     def _transfer_s(self) -> float:
-        return len(self._state) / TRANSFER_BYTES_PER_S
+        return transfer_s(len(self._state))
 
     def handle(self, now_s: float, sender: MemberId, message: Message) -> None:
         """Take an answer. One of another epoch or step is ignored."""
--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -442,7 +442,7 @@
                 avoided = frozenset(named)
             else:
                 proposal = MembershipProposal(view.epoch, named)
-        return ViewChangeRequest("explored", True, proposal, avoided)
+        return ViewChangeRequest("explored", is_urgent=True, proposal=proposal, avoided=avoided)
 
     def _sync(self, point: Point, index: int) -> Point:
         disk = point.disks[index]
@@ -506,7 +506,7 @@
         )
         wiped = {self.ids[self._index(gone)] for gone in (lost, point.wiped) if gone}
         leader._leader_role.start_view_change(
-            NOW_S, ViewChangeRequest("closing", True, avoided=frozenset(wiped))
+            NOW_S, ViewChangeRequest("closing", is_urgent=True, avoided=frozenset(wiped))
         )
         leader._run_to_fixpoint(NOW_S)
         found = self._deliver_all(members, name, leader._context.outbox.take())
--- a/tests/serving/replication/core_schedules.py
+++ b/tests/serving/replication/core_schedules.py
@@ -37,17 +37,17 @@
     seeds: int = 3
 
 
-def _places(*regions: str) -> tuple[Locality, ...]:
+def _localities(*regions: str) -> tuple[Locality, ...]:
     return tuple(Locality(f"{region}-{number}", region) for number, region in enumerate(regions))
 
 
 SITES = (
-    Site(_places("a", "b", "c"), 1, 0.012),
-    Site(_places("a", "b", "c"), 1, 0.035),
-    Site(_places("a", "a", "a"), 1, 0.012),
-    Site(_places("a", "b", "c", "a", "b"), 2, 0.035),
-    Site(_places("a", "b", "c", "a", "b", "c"), 2, 0.035),
-    Site(_places("a", "b", "c", "a"), 1, 0.012),
+    Site(_localities("a", "b", "c"), 1, 0.012),
+    Site(_localities("a", "b", "c"), 1, 0.035),
+    Site(_localities("a", "a", "a"), 1, 0.012),
+    Site(_localities("a", "b", "c", "a", "b"), 2, 0.035),
+    Site(_localities("a", "b", "c", "a", "b", "c"), 2, 0.035),
+    Site(_localities("a", "b", "c", "a"), 1, 0.012),
 )
 
 
--- a/tests/serving/replication/core_variants.py
+++ b/tests/serving/replication/core_variants.py
@@ -269,7 +269,7 @@
     return [mock.patch.object(Primary, "begin", begin)]
 
 
-def later_view_settles_earlier_ones() -> Patches:
+def later_view_activates_earlier_ones() -> Patches:
     """That some later view is active counts for the view accepted here: as it was on main."""
 
     def quorum_groups(self: View, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
@@ -311,7 +311,7 @@
         shows_uncommitted,
         acceptor_keeps_no_fence,
         in_flight_counts_as_done,
-        later_view_settles_earlier_ones,
+        later_view_activates_earlier_ones,
     )
 }
 
--- a/tests/serving/replication/test_core_variants.py
+++ b/tests/serving/replication/test_core_variants.py
@@ -34,7 +34,7 @@
     "shows_uncommitted": SUPERSEDED_WRITES,
     "acceptor_keeps_no_fence": "the witness loses power after it promised to a second candidate",
     "in_flight_counts_as_done": SUPERSEDED_WRITES,
-    "later_view_settles_earlier_ones": NOT_WHICH_MEMBERS,
+    "later_view_activates_earlier_ones": NOT_WHICH_MEMBERS,
 }
 
 
