--- a/coveport/sidecar/downstream/client_connections.py
+++ b/coveport/sidecar/downstream/client_connections.py
@@ -280,12 +280,12 @@
         self._listener.budget.take(left - self._left)
         self._left = left
 
-    def finish(self, whole: bool) -> None:
-        """The long answer has ended; where it is not whole the client must be able to tell."""
+    def finish(self, complete: bool) -> None:
+        """End a streamed response; the client must be able to tell one that is not complete."""
         self._operation = self._source = None
         if self._transport is None or self._transport.is_closing():
             return
-        if not whole:
+        if not complete:
             self._listener.net.reset(self._transport)
             return
         if self._chunked:
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -69,8 +69,8 @@
     def more(self, data: bytes) -> None:
         """More of the long answer."""
 
-    def finish(self, whole: bool) -> None:
-        """The long answer has ended; not `whole`: the client must be able to tell."""
+    def finish(self, complete: bool) -> None:
+        """End a streamed response; the client must be able to tell one that is not complete."""
 
     def answer(self, verdict: core.Verdict, answer: Answer | None, retry_after_ms: float) -> None:
         """Give the one final answer."""
--- a/coveport/sidecar/intent_log/execution.py
+++ b/coveport/sidecar/intent_log/execution.py
@@ -11,10 +11,29 @@
 from coveport.sidecar.reducer.operation import Answer, Operation
 
 
+class Client(Protocol):
+    """Whoever waits for an operation's response."""
+
+    def begin(self, answer: Answer, source: Any) -> None:
+        """Begin a streamed response, whose parts come from `source`."""
+
+    def more(self, data: bytes) -> None:
+        """Pass on a part of a streamed response."""
+
+    def finish(self, complete: bool) -> None:
+        """End a streamed response; the client must be able to tell one that is not complete."""
+
+    def answer(self, verdict: Verdict, answer: Answer | None, retry_after_ms: float) -> None:
+        """Give the one final response."""
+
+    def left(self) -> bool:
+        """Whether the client has disconnected."""
+
+
 class Executor(Protocol):
     """Executes operations: `coveport.sidecar.effects`, or its simulated double."""
 
-    def take(self, number: int, client: Any, asked: Operation) -> None:
+    def take(self, number: int, client: Client, asked: Operation) -> None:
         """Execute an operation; its one final response goes to `client`."""
 
     def withdraw(self, number: int) -> None:
@@ -53,7 +72,7 @@
 class RecordingClient:
     """Stands in for a client: its responses go by way of the recorder."""
 
-    def __init__(self, observer: ResponseObserver, pending: PendingOperation, client: Any) -> None:
+    def __init__(self, observer: ResponseObserver, pending: PendingOperation, client: Client) -> None:
         self._observer = observer
         self._pending = pending
         self._client = client
@@ -79,8 +98,7 @@
 
     def left(self) -> bool:
         """Whether the client has disconnected."""
-        has_left: bool = self._client.left()
-        return has_left
+        return self._client.left()
 
 
 class AbsentClient:
--- a/coveport/sidecar/intent_log/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -6,13 +6,12 @@
 from collections.abc import Callable
 from dataclasses import replace
 from math import inf
-from typing import Any
 
 import msgspec
 
 from coveport.balancing import interface as api
 from coveport.balancing.interface import Effect
-from coveport.sidecar.intent_log.execution import AbsentClient, RecordingClient
+from coveport.sidecar.intent_log.execution import AbsentClient, Client, RecordingClient
 from coveport.sidecar.intent_log.payloads import StoredResponse
 from coveport.sidecar.intent_log.pending_operation import OperationStage, PendingOperation
 from coveport.sidecar.intent_log.record import FinalStatus, Record, RecoveryPoint
@@ -99,7 +98,9 @@
         self._continue(pending, None)
         return pending
 
-    def _adopt_for_client(self, pending: PendingOperation, client: Any, owned: Record, revision: int) -> None:
+    def _adopt_for_client(
+        self, pending: PendingOperation, client: Client, owned: Record, revision: int
+    ) -> None:
         """Continue a record that was claimed for a client which repeats its request."""
         pending.move_to(OperationStage.OWNED)
         self._set_owned(pending, owned, revision)
@@ -127,7 +128,7 @@
 
     # What the takeover table says.
 
-    def _continue(self, pending: PendingOperation, client: Any) -> None:
+    def _continue(self, pending: PendingOperation, client: Client | None) -> None:
         """Do what the takeover table says with an owned record; `client` None: nobody waits for it."""
         now_s = self._now_s()
         decision = self._decide(pending, now_s, has_client=client is not None)
@@ -157,7 +158,7 @@
             )
         return decision
 
-    def _send_again(self, pending: PendingOperation, client: Any, now_s: float) -> None:
+    def _send_again(self, pending: PendingOperation, client: Client | None, now_s: float) -> None:
         if client is None and self._restored_operation(pending) is None:
             may_have_run = pending.record.may_have_run
             status = FinalStatus.UNKNOWN if may_have_run else FinalStatus.NEVER_RAN
@@ -165,7 +166,7 @@
             return
         self._execute(pending, client, pending.earlier_attempts(now_s, self._executor.now_ms()))
 
-    def _keep_response(self, pending: PendingOperation, client: Any) -> None:
+    def _keep_response(self, pending: PendingOperation, client: Client | None) -> None:
         record = pending.record
         pending.close(FinalStatus.SERVED, "found answered", self._unix_s(), record.sealed_response)
         response = self.codec.decode_response(record.id, record.sealed_response)
@@ -194,7 +195,7 @@
         return max(1.0, (pending.deadline_s - self._now_s()) * 1000)
 
     def _execute(
-        self, pending: PendingOperation, client: Any, earlier_attempts: tuple[api.Before, ...]
+        self, pending: PendingOperation, client: Client | None, earlier_attempts: tuple[api.Before, ...]
     ) -> None:
         """Have the executor execute an owned operation, under a number of the recorder's own."""
         restored = self._restored_operation(pending) if client is None else None
@@ -224,13 +225,15 @@
             self._clients[pending.number] = client
         if pending.durable_record is None:
             self._schedule_write(pending)
-        stand_in = AbsentClient(self, pending) if client is None else RecordingClient(self, pending, client)
+        stand_in: Client = AbsentClient(self, pending)
+        if client is not None:
+            stand_in = RecordingClient(self, pending, client)
         self._executor.take(pending.number, stand_in, operation)
 
     def _close(
         self,
         pending: PendingOperation,
-        client: Any,
+        client: Client | None,
         status: FinalStatus,
         reason: str,
         response: StoredResponse | None = None,
--- a/coveport/sidecar/intent_log/record_writer.py
+++ b/coveport/sidecar/intent_log/record_writer.py
@@ -33,12 +33,11 @@
 import asyncio
 from abc import ABC, abstractmethod
 from functools import partial
-from typing import Any
 
 import msgspec
 
 from coveport.sidecar.intent_log.deferred_writes import DeferredWrites
-from coveport.sidecar.intent_log.execution import Executor
+from coveport.sidecar.intent_log.execution import Client, Executor
 from coveport.sidecar.intent_log.journal import Journal
 from coveport.sidecar.intent_log.payloads import PayloadCodec
 from coveport.sidecar.intent_log.pending_operation import OperationStage, PendingOperation, SendCheck
@@ -77,7 +76,7 @@
         self._by_number: dict[int, PendingOperation] = {}
         self._by_id: dict[str, PendingOperation] = {}  # owned and open
         self._waiters: dict[int, asyncio.Task[None]] = {}  # repeats that wait for another's attempt
-        self._clients: dict[int, Any] = {}  # by number; for operations whose record may be another's
+        self._clients: dict[int, Client] = {}  # by number; for operations whose record may be another's
         self._deferred = DeferredWrites(journal, layout, runtime)
         self._last_own_number = 0  # of operations that the recorder begins itself, counted down from -1
         self._drain_token = 0  # while draining: the token of the session before
--- a/coveport/sidecar/intent_log/recorder.py
+++ b/coveport/sidecar/intent_log/recorder.py
@@ -8,13 +8,12 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
 from coveport.balancing.interface import Effect, Outcome
 from coveport.sidecar.intent_log.errors import RecordError
-from coveport.sidecar.intent_log.execution import RecordingClient
+from coveport.sidecar.intent_log.execution import Client, RecordingClient
 from coveport.sidecar.intent_log.payloads import StoredResponse
 from coveport.sidecar.intent_log.pending_operation import OperationStage, PendingOperation, ResumeSend
 from coveport.sidecar.intent_log.record import Attempt, FinalStatus
@@ -73,7 +72,7 @@
 
     # Events of the executor.
 
-    def accept(self, number: int, client: Any, operation: Operation) -> Any:
+    def accept(self, number: int, client: Client, operation: Operation) -> Client | None:
         """Accept an operation; return who gets its response, None where the recorder sees to that itself."""
         if number in self._by_number or not operation.room:
             return client
--- a/coveport/sidecar/intent_log/repeated_requests.py
+++ b/coveport/sidecar/intent_log/repeated_requests.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
 import msgspec
 
 from coveport.balancing import interface as api
 from coveport.sidecar.intent_log.errors import RecordError
+from coveport.sidecar.intent_log.execution import Client
 from coveport.sidecar.intent_log.payloads import StoredRequest
 from coveport.sidecar.intent_log.pending_operation import OperationStage, PendingOperation
 from coveport.sidecar.intent_log.presence import OwnerStatus
@@ -49,7 +49,7 @@
         self._waiters[number] = task
         task.add_done_callback(lambda _: self._waiters.pop(number, None))
 
-    async def _wait(self, pending: PendingOperation, client: Any) -> None:
+    async def _wait(self, pending: PendingOperation, client: Client) -> None:
         """Poll the record until the client can be answered, or its deadline is near."""
         record: Record | None = pending.record if pending.revision else None
         while self._may_wait(pending):
@@ -72,7 +72,7 @@
             is_busy = may_be_rejected_as_busy(record)
             self._answer_client(pending, client, Verdict.BUSY if is_busy else Verdict.FAILED)
 
-    async def _act_on_stored(self, pending: PendingOperation, client: Any, found: Done) -> Record | None:
+    async def _act_on_stored(self, pending: PendingOperation, client: Client, found: Done) -> Record | None:
         """Act on what the store has of a record; return it while the wait goes on, None when it is over."""
         if not found.entries:
             self._accept_anew(pending, client)
@@ -94,7 +94,7 @@
         await asyncio.sleep(self._runtime.rng.uniform(*POLL_INTERVAL_S))
 
     async def _answer_if_decided(
-        self, pending: PendingOperation, client: Any, record: Record, entry: Entry
+        self, pending: PendingOperation, client: Client, record: Record, entry: Entry
     ) -> bool:
         """Act on a record as it stands; return whether the wait is over."""
         response = self.codec.decode_response(record.id, record.sealed_response)
@@ -128,7 +128,7 @@
         return await self._claim_for_client(pending, client, record, entry)
 
     async def _claim_for_client(
-        self, pending: PendingOperation, client: Any, record: Record, entry: Entry
+        self, pending: PendingOperation, client: Client, record: Record, entry: Entry
     ) -> bool:
         """Claim a record and continue it for the client; return whether that was done."""
         owned = as_owned(record, entry, self.incarnation, self.token)
@@ -162,7 +162,7 @@
         return recorded == (operation.method, operation.target, operation.body)
 
     def _answer_client(
-        self, pending: PendingOperation, client: Any, verdict: Verdict, answer: Answer | None = None
+        self, pending: PendingOperation, client: Client, verdict: Verdict, answer: Answer | None = None
     ) -> None:
         """Answer a client that waited, past the executor."""
         if pending.is_answered or pending.stage is not OperationStage.FOREIGN:
@@ -176,7 +176,7 @@
         self._executor.answered_elsewhere(pending.record.class_name, verdict)
         client.answer(verdict, answer, retry_after_ms)
 
-    def _accept_anew(self, pending: PendingOperation, client: Any) -> None:
+    def _accept_anew(self, pending: PendingOperation, client: Client) -> None:
         """Accept an operation whose record was deleted meanwhile, as if it came now."""
         pending.move_to(OperationStage.OWNED)
         pending.durable_record = None
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -176,8 +176,8 @@
     def more(self, data: bytes) -> None:
         self._client.more(data)
 
-    def finish(self, whole: bool) -> None:
-        self._client.finish(whole)
+    def finish(self, complete: bool) -> None:
+        self._client.finish(complete)
 
     def left(self) -> bool:
         return self._client.left()
--- a/coveport/testbed/fault_injection/work/broken_variants.py
+++ b/coveport/testbed/fault_injection/work/broken_variants.py
@@ -24,6 +24,7 @@
     replay_decision,
 )
 from coveport.sidecar.intent_log.deferred_writes import DeferredWrites
+from coveport.sidecar.intent_log.execution import Client
 from coveport.sidecar.intent_log.journal import Journal
 from coveport.sidecar.intent_log.observed_age import AgeLowerBound, AgeUpperBound
 from coveport.sidecar.intent_log.payloads import PayloadCodec
@@ -113,7 +114,7 @@
     """Tells the module nothing of the attempts that were made."""
 
     def _execute(
-        self, pending: PendingOperation, client: Any, earlier_attempts: tuple[api.Before, ...]
+        self, pending: PendingOperation, client: Client | None, earlier_attempts: tuple[api.Before, ...]
     ) -> None:
         super()._execute(pending, client, ())
 
@@ -138,7 +139,7 @@
     """Who finds a record open begins anew beside it."""
 
     async def _answer_if_decided(
-        self, pending: PendingOperation, client: Any, record: Record, entry: Entry
+        self, pending: PendingOperation, client: Client, record: Record, entry: Entry
     ) -> bool:
         if record.is_open and self._owner_status(record) is not OwnerStatus.SELF:
             owned = msgspec.structs.replace(
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -14,6 +14,7 @@
 from coveport.balancing.simulator_codec import parse_settings
 from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.intent_log.errors import RecordError
+from coveport.sidecar.intent_log.execution import Client
 from coveport.sidecar.intent_log.payloads import PayloadCodec, StoredRequest, StoredResponse
 from coveport.sidecar.intent_log.pending_operation import PendingOperation
 from coveport.sidecar.intent_log.presence import Presence
@@ -331,7 +332,7 @@
         accept = recorder.accept
         outcome_unknown = recorder._outcome_unknown
 
-        def watched_accept(number: int, client: object, operation: Operation) -> object:
+        def watched_accept(number: int, client: Client, operation: Operation) -> Client | None:
             before = self.counts.get("work_unrecorded", 0)
             response_to = accept(number, client, operation)
             if self.counts.get("work_unrecorded", 0) != before and operation.room:
