--- a/coveport/sidecar/intent_log/presence.py
+++ b/coveport/sidecar/intent_log/presence.py
@@ -28,11 +28,11 @@
         self._present: dict[str, str] = {}  # incarnations by name
         self._absent_since: dict[str, float] = {}  # by incarnation, own clock in s
         self._draining_until: dict[str, float] = {}  # by incarnation, own clock in s
-        self.is_initialized = False  # whether any session was seen at all
+        self._has_seen_sessions = False  # whether any was seen at all
 
     def add(self, name: str, incarnation: str) -> None:
         """Note that an instance has a session."""
-        self.is_initialized = True
+        self._has_seen_sessions = True
         self._present[name] = incarnation
         self._absent_since.pop(incarnation, None)
 
@@ -64,7 +64,7 @@
         """Return what is known of an owner; starts the time to live of one that was never seen."""
         if incarnation == self._own:
             return OwnerStatus.SELF
-        if incarnation in self._present.values() or not self.is_initialized:
+        if incarnation in self._present.values() or not self._has_seen_sessions:
             return OwnerStatus.ALIVE
         if now_s - self._absent_since.setdefault(incarnation, now_s) < self._ttl_s:
             return OwnerStatus.ALIVE
--- a/coveport/sidecar/intent_log/record_layout.py
+++ b/coveport/sidecar/intent_log/record_layout.py
@@ -80,7 +80,7 @@
         owner, _, record_id = key[len(self.prefix) + len(OPEN) :].rpartition("/")
         return owner, record_id
 
-    def drain_key(self, owner: str = "") -> str:
+    def drain_key(self, owner: str) -> str:
         """Return the key of an owner's drain notice."""
         return f"{self.prefix}{DRAINING}{owner}"
 
@@ -108,12 +108,10 @@
         bucket = int((record.closed_unix_s + self.retention_s) // BUCKET_S) + 1
         return f"{self.retained_prefix(bucket)}{record.id}"
 
-    def write(
-        self, before: Record | None, revision: int, after: Record, more: tuple[Put | Delete, ...] = ()
-    ) -> Transaction:
+    def write(self, before: Record | None, revision: int, after: Record) -> Transaction:
         """Return the write of `after` over `before`, which stands at `revision` (None and 0: nowhere).
 
-        `more`: further changes in the same transaction. Raises RecordError where the two differ in their id.
+        Raises RecordError where the two differ in their id.
         """
         if before is not None and before.id != after.id:
             raise RecordError(f"{before.id} can't become {after.id}")
@@ -123,7 +121,7 @@
             changes.append(Delete(self.index_key(before)))
         if before is None or self.index_key(before) != index:
             changes.append(Put(index, b""))
-        return Transaction((Compare(self.record_key(after.id), Field.MODIFIED, revision),), (*changes, *more))
+        return Transaction((Compare(self.record_key(after.id), Field.MODIFIED, revision),), tuple(changes))
 
     def deletion(self, record_id: str, revision: int, index: str) -> Transaction:
         """Return the deletion of a record and its index key, where it still stands at that revision."""
--- a/coveport/testbed/fault_injection/work/broken_variants.py
+++ b/coveport/testbed/fault_injection/work/broken_variants.py
@@ -1,4 +1,4 @@
-"""Recorders, journals and takers that are broken on purpose, to show that the judge sees it.
+"""Recorders, journals and takeover workers that are broken on purpose, to show that the judge finds it.
 
 Each replaces one part of the shipped program by one that leaves out a single thing.
 """
@@ -164,19 +164,15 @@
 class _NoCompare(RecordLayout):
     """Writes a record whatever stands there."""
 
-    def write(
-        self, before: Record | None, revision: int, after: Record, more: tuple[Any, ...] = ()
-    ) -> Transaction:
-        return replace(super().write(before, revision, after, more), compares=())
+    def write(self, before: Record | None, revision: int, after: Record) -> Transaction:
+        return replace(super().write(before, revision, after), compares=())
 
 
 class _ClaimsOver(RecordLayout):
     """Claims without a compare."""
 
-    def write(
-        self, before: Record | None, revision: int, after: Record, more: tuple[Any, ...] = ()
-    ) -> Transaction:
-        made = super().write(before, revision, after, more)
+    def write(self, before: Record | None, revision: int, after: Record) -> Transaction:
+        made = super().write(before, revision, after)
         claimed = before is not None and before.owner != after.owner
         return replace(made, compares=()) if claimed else made
 
@@ -184,10 +180,8 @@
 class _NoIndex(RecordLayout):
     """Leaves nothing by which what is open is found."""
 
-    def write(
-        self, before: Record | None, revision: int, after: Record, more: tuple[Any, ...] = ()
-    ) -> Transaction:
-        made = super().write(before, revision, after, more)
+    def write(self, before: Record | None, revision: int, after: Record) -> Transaction:
+        made = super().write(before, revision, after)
         return replace(
             made,
             changes=tuple(one for one in made.changes if not (isinstance(one, Put) and "/o/" in one.key)),
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -1,4 +1,4 @@
-"""A trial of work in hand: shipped keeper, journal, recorder and takers of every instance, simulated time.
+"""A trial of the intent log: every instance's parts as shipped, on simulated time.
 
 The module and the reducer are the shipped ones as well; nodes and tills keep books, which are held against
 each other and against the records in the store.
