--- a/coveport/sidecar/intent_log/deferred_writes.py
+++ b/coveport/sidecar/intent_log/deferred_writes.py
@@ -73,7 +73,7 @@
         before: Record | None = None
         revision = 0
         if found.entries:
-            before = _superseded_by(record, found.entries[0])
+            before = _unfinished_record(found.entries[0], record)
             if before is None:
                 return True
             revision = found.entries[0].modified
@@ -96,7 +96,7 @@
         return record
 
 
-def _superseded_by(record: Record, entry: Entry) -> Record | None:
+def _unfinished_record(entry: Entry, record: Record) -> Record | None:
     """Return the stored record that `record` completes.
 
     None: it can't be read, is closed, or is another owner's, generation's or request's by now.
