--- a/coveport/cli/fleet.py
+++ b/coveport/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`coveport fleet`: the instances of one host, supervised."""
+"""`coveport fleet`: run the supervisor of a host's instances, and send it requests."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 if TYPE_CHECKING:
     from coveport.sidecar.config.operator_file import OperatorFile
 
-WITHIN_S = 15.0  # a little longer than a supervisor waits for the store
+REQUEST_TIMEOUT_S = 15.0  # a little longer than a supervisor waits for the store
+LOG_FIELDS_NOT_SHOWN = ("incarnation", "at", "clock")
 
 
 @click.group()
@@ -26,11 +27,11 @@
 
 
 def fleet_of(path: Path) -> OperatorFile:
-    """An operator's file that has a fleet."""
-    told = load_operator_file(path)
-    if not told.fleet.name:
+    """Read an operator's file; UnusableError if it has no fleet."""
+    operator_file = load_operator_file(path)
+    if not operator_file.fleet.name:
         raise UnusableError(f"{path}: [fleet] name is missing: there is no fleet")
-    return told
+    return operator_file
 
 
 @fleet.command("run", epilog="Example: coveport fleet run deploy/coveport.toml")
@@ -42,25 +43,25 @@
     SIGTERM ends all instances, unless another supervisor stands by; SIGUSR2 ends the supervisor alone; SIGHUP
     reads the file anew. Exit code 1: another supervisor is at work already.
     """
-    told = fleet_of(file)
+    operator_file = fleet_of(file)
     from coveport.sidecar.supervisor.daemon import main
 
-    return main(told, file.resolve(), standby)
+    return main(operator_file, file.resolve(), standby)
 
 
-def ask(told: OperatorFile, **words: Any) -> dict[str, Any]:
-    """Ask the supervisor; Unusable where there is none."""
+def ask(operator_file: OperatorFile, **request: Any) -> dict[str, Any]:
+    """Send a request to the supervisor and return its answer; UnusableError if none answers."""
     from coveport.sidecar.supervisor.control import call, control_path
 
-    path = control_path(told)
+    path = control_path(operator_file)
     try:
-        return call(path, {"id": uuid.uuid4().hex, **words}, WITHIN_S)
-    except OSError as problem:
-        raise UnusableError(f"no supervisor answers at {path}: {problem.strerror or problem}") from problem
+        return call(path, {"id": uuid.uuid4().hex, **request}, REQUEST_TIMEOUT_S)
+    except OSError as error:
+        raise UnusableError(f"no supervisor answers at {path}: {error.strerror or error}") from error
 
 
-def said(answer: dict[str, Any]) -> int:
-    """Print what became of a verb; the exit code."""
+def report(answer: dict[str, Any]) -> int:
+    """Print the answer to a request; return the exit code."""
     click.echo(f"fleet: {answer.get('said', '')}", err=not answer["ok"])
     return ExitCode.DONE if answer["ok"] else ExitCode.FAILED
 
@@ -70,30 +71,30 @@
 @JSON
 def status(config: Path, json_: bool) -> int:
     """Show the instances; exit code 1 where one that is wanted does not serve."""
-    told = ask(fleet_of(config), do="status")
+    status_ = ask(fleet_of(config), do="status")
     if json_:
-        click.echo(json.dumps(told, indent=2))
+        click.echo(json.dumps(status_, indent=2))
     else:
+        _print_status(status_)
+    desired = [instance for instance in status_["instances"] if instance["wanted"]]
+    is_complete = all(instance["state"] == "serving" for instance in desired)
+    return ExitCode.DONE if is_complete else ExitCode.FAILED
+
+
+def _print_status(status_: dict[str, Any]) -> None:
+    click.echo(
+        f"{status_['fleet']}: {status_['count']} instances, by {status_['supervisor']}"
+        + ("" if status_["holds"] else ", which does not hold the duty")
+    )
+    rolling = status_["restart"]
+    if rolling:
+        reason = f": {rolling['why']}" if rolling["why"] else ""
+        click.echo(f"restart: {rolling['phase']}, {rolling['taken']} of {rolling['of']}{reason}")
+    for row in status_["instances"]:
         click.echo(
-            f"{told['fleet']}: {told['count']} instances, by {told['supervisor']}"
-            + ("" if told["holds"] else ", which does not hold the duty")
+            f"{row['name']:16} {row['state']:9} {row['address']:22} pid {row['pid'] or '-':<8} "
+            f"for {row['for_s']:>8.1f} s  served {row['served']:.3f}  {row['why']}".rstrip()
         )
-        if told["restart"]:
-            it = told["restart"]
-            click.echo(
-                f"restart: {it['phase']}, {it['taken']} of {it['of']}"
-                + (f": {it['why']}" if it["why"] else "")
-            )
-        for one in told["instances"]:
-            click.echo(
-                f"{one['name']:16} {one['state']:9} {one['address']:22} pid {one['pid'] or '-':<8} "
-                f"for {one['for_s']:>8.1f} s  served {one['served']:.3f}  {one['why']}".rstrip()
-            )
-    return (
-        ExitCode.DONE
-        if all(one["state"] == "serving" for one in told["instances"] if one["wanted"])
-        else ExitCode.FAILED
-    )
 
 
 @fleet.command()
@@ -102,7 +103,7 @@
 @click.option("--back", is_flag=True, help="Have them serve again.")
 def drain(names: tuple[str, ...], config: Path, back: bool) -> int:
     """Have instances answer what they owe and stay down, until --back."""
-    return said(ask(fleet_of(config), do="back" if back else "drain", names=list(names)))
+    return report(ask(fleet_of(config), do="back" if back else "drain", names=list(names)))
 
 
 @fleet.command()
@@ -114,8 +115,8 @@
 def restart(names: tuple[str, ...], config: Path, at_once: int, resume: bool, end: bool) -> int:
     """Restart instances in turns (all, where none is named), each next one once the last one serves well."""
     if resume or end:
-        return said(ask(fleet_of(config), do="resume" if resume else "end"))
-    return said(ask(fleet_of(config), do="restart", names=list(names), at_once=at_once))
+        return report(ask(fleet_of(config), do="resume" if resume else "end"))
+    return report(ask(fleet_of(config), do="restart", names=list(names), at_once=at_once))
 
 
 @fleet.command()
@@ -123,7 +124,7 @@
 @CONFIG
 def scale(count: int, config: Path) -> int:
     """Have COUNT instances."""
-    return said(ask(fleet_of(config), do="scale", count=count))
+    return report(ask(fleet_of(config), do="scale", count=count))
 
 
 @fleet.command()
@@ -135,16 +136,20 @@
     """Show the last lines of all instances' stream, or of those named."""
     from coveport.sidecar.supervisor.log_stream import read_stream, stream_path
 
-    told = fleet_of(config)
-    for one in read_stream(stream_path(told.fleet_folder), frozenset(names), last):
+    operator_file = fleet_of(config)
+    for entry in read_stream(stream_path(operator_file.fleet_folder), frozenset(names), last):
         if json_:
-            click.echo(json.dumps(one))
+            click.echo(json.dumps(entry))
             continue
-        who = one.pop("instance", one.pop("supervisor", "?"))
-        at, event = float(one.pop("unix", 0.0)), one.pop("event", "")
-        level = one.pop("level", "info")
-        rest = " ".join(
-            f"{key}={value}" for key, value in one.items() if key not in ("incarnation", "at", "clock")
-        )
-        click.echo(f"{time.strftime('%F %T', time.localtime(at))} {level:7} {who:20} {event} {rest}".rstrip())
+        click.echo(_log_line(entry))
     return ExitCode.DONE
+
+
+def _log_line(entry: dict[str, Any]) -> str:
+    """Return an entry of the log stream as one line of text."""
+    writer = entry.pop("instance", entry.pop("supervisor", "?"))
+    at = time.strftime("%F %T", time.localtime(float(entry.pop("unix", 0.0))))
+    event = entry.pop("event", "")
+    level = entry.pop("level", "info")
+    fields = " ".join(f"{key}={value}" for key, value in entry.items() if key not in LOG_FIELDS_NOT_SHOWN)
+    return f"{at} {level:7} {writer:20} {event} {fields}".rstrip()
--- a/coveport/sidecar/supervisor/control.py
+++ b/coveport/sidecar/supervisor/control.py
@@ -65,9 +65,9 @@
         _, uid, _ = _PEER_CREDENTIALS.unpack(credentials)
         if uid not in (ROOT_UID, os.getuid()):
             return {"ok": False, "said": "refused: another user's"}
-        line = await asyncio.wait_for(reader.readline(), REQUEST_TIMEOUT_S)
+        data = await asyncio.wait_for(reader.readline(), REQUEST_TIMEOUT_S)
         try:
-            request = json.loads(line)
+            request = json.loads(data)
         except ValueError:
             return {"ok": False, "said": "refused: not a line of JSON"}
         if not isinstance(request, dict):
@@ -99,9 +99,9 @@
         connection.connect(str(path))
         connection.sendall(json.dumps(request).encode() + b"\n")
         with connection.makefile("rb") as file:
-            line = file.readline(MAX_ANSWER_BYTES)
+            data = file.readline(MAX_ANSWER_BYTES)
     try:
-        answer = json.loads(line)
+        answer = json.loads(data)
     except ValueError as error:
         raise ControlError("the supervisor went away in the middle") from error
     if not isinstance(answer, dict):
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -150,8 +150,8 @@
             lease_client = supervisor.lease_client
             is_late = boot_s() > deadline
             others = [name for name in lease_client.instances if name != lease_client.name]
-            is_held = any(key.startswith(ROLE_PREFIX) for key in lease_client.entries)
-            if is_late and others and is_held:
+            is_role_owned = any(key.startswith(ROLE_PREFIX) for key in lease_client.entries)
+            if is_late and others and is_role_owned:
                 _print_error(
                     f"{', '.join(sorted(others))} supervises {self._operator_file.fleet.name} already; "
                     "--standby waits to take over"
--- a/coveport/sidecar/supervisor/endpoint_list.py
+++ b/coveport/sidecar/supervisor/endpoint_table.py
@@ -7,7 +7,7 @@
 LEFT = "left"  # the health of a host that was removed
 
 
-class EndpointList:
+class EndpointTable:
     """Merges complete lists and updates. `is_changed`: since the owner last reset it."""
 
     def __init__(self) -> None:
--- a/coveport/sidecar/supervisor/instance.py
+++ b/coveport/sidecar/supervisor/instance.py
@@ -127,7 +127,7 @@
     def on_unusable_files(self, now: float, reason: str) -> None:
         """Take note that no process was started because its files are unusable."""
         if self.state is InstanceState.STARTING and not self.incarnation:
-            self._mark_broken(now, reason)
+            self._set_broken(now, reason)
         else:
             self.on_start_failed(now, reason)
 
@@ -176,7 +176,7 @@
         elif exit_reason is ExitReason.CLEAN and self.state is InstanceState.SERVING:
             self._wait(now, self._settings.backoff_s, "it ended by itself")
         elif exit_reason is ExitReason.UNUSABLE_FILES:
-            self._mark_broken(now, "its files can't be used")
+            self._set_broken(now, "its files can't be used")
         else:
             self._after_exit(now, True, f"it ended: {exit_reason.value}")
 
@@ -264,7 +264,7 @@
         self._failure_times = [at for at in self._failure_times if now - at < loop_s] + [now]
         failures = len(self._failure_times)
         if self._single_attempt or failures >= self._settings.loop:
-            self._mark_broken(now, f"ended {failures} times in {loop_s:g} s: {reason}")
+            self._set_broken(now, f"ended {failures} times in {loop_s:g} s: {reason}")
             return
         backoff_s = min(self._settings.backoff_most_s, self._settings.backoff_s * 2 ** (failures - 1))
         self._wait(now, backoff_s * self._rng.uniform(*BACKOFF_JITTER), reason)
@@ -276,7 +276,7 @@
         self._transition(now, InstanceState.WAITING, reason)
         self.wait_until = now + wait_s
 
-    def _mark_broken(self, now: float, reason: str) -> None:
+    def _set_broken(self, now: float, reason: str) -> None:
         if self.state is InstanceState.STOPPING or not self.desired:
             self._wait(now, self._settings.backoff_most_s, reason)
             return
--- a/coveport/sidecar/supervisor/instance_agent.py
+++ b/coveport/sidecar/supervisor/instance_agent.py
@@ -19,7 +19,7 @@
 from coveport.sidecar.supervisor.peer_count import PeerCount
 from coveport.sidecar.supervisor.process_control import LISTEN_FD_VARIABLE
 from coveport.sidecar.supervisor.sidecar_view import SidecarView
-from coveport.sidecar.supervisor.snapshot_keeper import Destinations, SnapshotKeeper
+from coveport.sidecar.supervisor.snapshot_manager import Destinations, SnapshotManager
 from coveport.sidecar.supervisor.success_window import SuccessWindow
 
 HEARTBEATS_PER_TIMEOUT = 4  # so that a lost one does not count as hung
@@ -46,7 +46,7 @@
         heartbeat_timeout_s = watchdog_interval_s(environ, os.getpid()) or fleet.hung_s
         self._heartbeat_interval_s = heartbeat_timeout_s / HEARTBEATS_PER_TIMEOUT
         self._listen_fd = int(environ.get(LISTEN_FD_VARIABLE) or -1)
-        self.snapshots = SnapshotKeeper(folder, fleet.name, name, fleet.young_s)
+        self.snapshots = SnapshotManager(folder, fleet.name, name, fleet.young_s)
         self._peers = PeerCount(operator_file.leases.ttl) if fleet.peers else None
         self._success = SuccessWindow()
         self._phase = Phase.STARTING
--- a/coveport/sidecar/supervisor/locks.py
+++ b/coveport/sidecar/supervisor/locks.py
@@ -16,9 +16,9 @@
 from coveport.sidecar.leases.clock import boot_id
 from coveport.sidecar.supervisor.errors import NameLockedError
 
-ACQUIRE_S = 1.0  # whoever looks up a holder takes the lock for a moment
+ACQUIRE_S = 1.0  # whoever looks up an owner takes the lock for a moment
 POLL_S = 0.005
-READ_ATTEMPTS = 20  # of a lock file whose holder has not written yet
+READ_ATTEMPTS = 20  # of a lock file whose owner has not written yet
 MAX_FILE_BYTES = 4096
 BOOT_ID_LENGTH = 8
 STATE_FIELD = 0  # of /proc/PID/stat, counted after the command's name; proc(5)
@@ -62,7 +62,7 @@
         self.name = name
         self._file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         deadline = time.monotonic() + ACQUIRE_S
-        while not _try_lock(self._file, fcntl.LOCK_EX):
+        while not _lock_without_waiting(self._file, fcntl.LOCK_EX):
             if time.monotonic() > deadline:
                 os.close(self._file)
                 raise NameLockedError(name, path)
@@ -83,7 +83,7 @@
         os.close(self._file)
 
 
-def lock_holder(folder: Path, name: str) -> str:
+def lock_owner(folder: Path, name: str) -> str:
     """Return the incarnation that holds the lock of a name; empty if nobody does."""
     try:
         file = os.open(lock_path(folder, name), os.O_RDONLY | os.O_CLOEXEC)
@@ -91,25 +91,25 @@
         return ""
     try:
         for _ in range(READ_ATTEMPTS):
-            if _try_lock(file, fcntl.LOCK_SH):
+            if _lock_without_waiting(file, fcntl.LOCK_SH):
                 return ""
             incarnation = str(_parse(os.pread(file, MAX_FILE_BYTES, 0)).get("life", ""))
             if incarnation and incarnation_of(pid_of(incarnation)) == incarnation:
                 return incarnation
-            time.sleep(POLL_S)  # the holder has not written yet, or is just exiting
+            time.sleep(POLL_S)  # the owner has not written yet, or is just exiting
         return ""
     finally:
         os.close(file)
 
 
-def lock_holders(folder: Path) -> dict[str, str]:
+def lock_owners(folder: Path) -> dict[str, str]:
     """Return the incarnations that hold a lock, by name."""
     try:
         names = sorted(path.stem for path in (folder / "run").iterdir() if path.suffix == ".lock")
     except OSError:
         return {}
-    holders = {name: lock_holder(folder, name) for name in names}
-    return {name: incarnation for name, incarnation in holders.items() if incarnation}
+    owners = {name: lock_owner(folder, name) for name in names}
+    return {name: incarnation for name, incarnation in owners.items() if incarnation}
 
 
 def exit_code_of(folder: Path, name: str, incarnation: str) -> int | None:
@@ -122,7 +122,7 @@
     return code if content.get("life") == incarnation and isinstance(code, int) else None
 
 
-def _try_lock(file: int, mode: int) -> bool:
+def _lock_without_waiting(file: int, mode: int) -> bool:
     try:
         fcntl.flock(file, mode | fcntl.LOCK_NB)
     except BlockingIOError:
--- a/coveport/sidecar/supervisor/log_stream.py
+++ b/coveport/sidecar/supervisor/log_stream.py
@@ -96,16 +96,16 @@
 
 def read_stream(path: Path, names: frozenset[str], max_lines: int) -> list[dict[str, Any]]:
     """Return the last lines that concern these instances; of all instances if none is named."""
-    lines: list[dict[str, Any]] = []
+    entries: list[dict[str, Any]] = []
     try:
         data = path.read_bytes()
     except OSError:
         return []
     for text in data.splitlines():
         try:
-            line = json.loads(text)
+            entry = json.loads(text)
         except ValueError:
             continue  # truncated by a full disk
-        if isinstance(line, dict) and (not names or {line.get("instance"), line.get("name")} & names):
-            lines.append(line)
-    return lines[-max_lines:]
+        if isinstance(entry, dict) and (not names or {entry.get("instance"), entry.get("name")} & names):
+            entries.append(entry)
+    return entries[-max_lines:]
--- a/coveport/sidecar/supervisor/notify.py
+++ b/coveport/sidecar/supervisor/notify.py
@@ -72,8 +72,8 @@
 def parse(data: bytes) -> dict[str, str]:
     """Return the variables of a datagram; malformed lines are ignored."""
     variables = {}
-    for line in data.decode("utf-8", errors="replace").splitlines():
-        name, equals, value = line.partition("=")
+    for text in data.decode("utf-8", errors="replace").splitlines():
+        name, equals, value = text.partition("=")
         if equals and name.isascii() and name.replace("_", "").isalnum():
             variables[name] = value
     return variables
--- a/coveport/sidecar/supervisor/peer_count.py
+++ b/coveport/sidecar/supervisor/peer_count.py
@@ -1,7 +1,7 @@
 """How many instances share the nodes, from the sessions in the store. Pure.
 
-An increase counts at once, a decrease only after `hold_s` (the sessions' time to live): a peer that still
-uses an older count then uses one that is not too small, so the shares of all together stay within the whole.
+An increase counts at once, a decrease only after `retention_s` (the sessions' time to live): a peer that
+still uses an older count uses one that is not too small, so the quotas of all together stay within the whole.
 The counts of two instances differ for no longer than an update takes from the store.
 """
 
@@ -17,13 +17,13 @@
 
 
 class PeerCount:
-    """The count that one instance uses: the maximum of those observed in the last `hold_s`.
+    """The count that one instance uses: the maximum of those observed in the last `retention_s`.
 
     `minimum` applies also while no session count is known: it is the platform file's count.
     """
 
-    def __init__(self, hold_s: float, minimum: int = 1) -> None:
-        self._hold_s = hold_s
+    def __init__(self, retention_s: float, minimum: int = 1) -> None:
+        self._retention_s = retention_s
         self._minimum = minimum
         self._observations: deque[_Observation] = deque()  # counts strictly decrease
 
@@ -39,6 +39,6 @@
 
     def count(self, now: float) -> int:
         """Return the count to use now."""
-        while len(self._observations) > 1 and now - self._observations[1].since >= self._hold_s:
+        while len(self._observations) > 1 and now - self._observations[1].since >= self._retention_s:
             self._observations.popleft()
         return max(self._minimum, self._observations[0].sessions) if self._observations else self._minimum
--- a/coveport/sidecar/supervisor/process_control.py
+++ b/coveport/sidecar/supervisor/process_control.py
@@ -95,7 +95,7 @@
         fleet = self._operator_file.fleet
         return {
             name: incarnation
-            for name, incarnation in locks.lock_holders(self._folder).items()
+            for name, incarnation in locks.lock_owners(self._folder).items()
             if fleet.number(name)
             and (incarnation in self._watched or self._watch(InstanceProcess(name, incarnation), None))
         }
--- a/coveport/sidecar/supervisor/rolling_restart.py
+++ b/coveport/sidecar/supervisor/rolling_restart.py
@@ -14,11 +14,11 @@
 
 
 def next_restart_step(
-    desired: DesiredState, health: Mapping[str, InstanceHealth], hold_s: float
+    desired: DesiredState, health: Mapping[str, InstanceHealth], min_serving_s: float
 ) -> Change | None:
     """Return the next step of the rolling restart; None if there is none, or it is not due yet.
 
-    `hold_s`: for how long a new incarnation must serve before the next instance is restarted.
+    `min_serving_s`: for how long a new incarnation must serve before the next instance is restarted.
     """
     restart = desired.restart
     if restart is None or restart.phase is not RestartPhase.RUNNING:
@@ -30,7 +30,7 @@
     return (
         _halt_on_fault(desired, restart, new, health)
         or _halt_on_success_loss(desired, restart, new, health)
-        or _advance(desired, restart, taken, new, remaining, health, hold_s)
+        or _advance(desired, restart, taken, new, remaining, health, min_serving_s)
     )
 
 
@@ -64,10 +64,10 @@
     new: list[str],
     remaining: list[str],
     health: Mapping[str, InstanceHealth],
-    hold_s: float,
+    min_serving_s: float,
 ) -> Change | None:
     """Take the next instances, as far as `at_once` allows, or finish."""
-    in_progress = len(taken) - sum(health[name].serving_s >= hold_s for name in new)
+    in_progress = len(taken) - sum(health[name].serving_s >= min_serving_s for name in new)
     if not remaining:
         return (
             None if in_progress else _change(desired, restart.with_phase(RestartPhase.DONE), "restart done")
--- a/coveport/sidecar/supervisor/sidecar_view.py
+++ b/coveport/sidecar/supervisor/sidecar_view.py
@@ -19,7 +19,7 @@
     def settings(self) -> api.Settings:
         """The present settings."""
 
-    def hear(self, heard: Callable[[Any, bool], None]) -> None:
+    def hear(self, on_endpoints: Callable[[Any, bool], None], /) -> None:
         """Pass on each endpoint list or update, and whether it is a complete list."""
 
     def feed(self, item: core.Input) -> None:
--- a/coveport/sidecar/supervisor/snapshot.py
+++ b/coveport/sidecar/supervisor/snapshot.py
@@ -38,7 +38,7 @@
     fleet: str
     name: str
     taken: Timestamp
-    list_version: int = msgspec.field(name="seq")
+    endpoints_version: int = msgspec.field(name="seq")
     hosts: list[dict[str, Any]]  # the endpoint list, in discovery's form
     # Ejected hosts: for how long already, s.
     ejected: dict[str, float] = msgspec.field(default_factory=dict, name="out")
@@ -103,7 +103,7 @@
     return snapshot, age
 
 
-def endpoint_list(snapshot: Snapshot) -> dict[str, Any]:
+def known_endpoints(snapshot: Snapshot) -> dict[str, Any]:
     """Return a snapshot's endpoint list in the form of a configuration's `known`.
 
     A node that came back from a time-out counts as started then, though no list says so.
@@ -113,4 +113,4 @@
         warming_up_since = snapshot.warming_up.get(str(host.get("host")), 0.0)
         started_ms = host.get("born_ms", 0)
         hosts.append({**host, "born_ms": max(started_ms, warming_up_since)} if warming_up_since else host)
-    return {"seq": snapshot.list_version, "whole": True, "hosts": hosts}
+    return {"seq": snapshot.endpoints_version, "whole": True, "hosts": hosts}
--- a/coveport/sidecar/supervisor/snapshot_keeper.py
+++ b/coveport/sidecar/supervisor/snapshot_manager.py
@@ -15,7 +15,7 @@
 from coveport.sidecar.reducer.locality import Place
 from coveport.sidecar.supervisor import snapshot
 from coveport.sidecar.supervisor.atomic_file import write_atomically
-from coveport.sidecar.supervisor.endpoint_list import EndpointList
+from coveport.sidecar.supervisor.endpoint_table import EndpointTable
 from coveport.sidecar.supervisor.errors import SnapshotError
 from coveport.sidecar.supervisor.sidecar_view import SidecarView
 from coveport.sidecar.supervisor.snapshot import Snapshot, Timestamp
@@ -26,7 +26,7 @@
 Destinations = Callable[[], Mapping[int, Place]]  # address and start time of each, by number
 
 
-class SnapshotKeeper:
+class SnapshotManager:
     """The snapshot of one instance.
 
     Attributes:
@@ -43,7 +43,7 @@
         self.restored: Snapshot | None = None
         self.error = ""
         self._restored_age_s = 0.0
-        self._endpoints = EndpointList()
+        self._endpoints = EndpointTable()
 
     @property
     def is_enabled(self) -> bool:
@@ -61,10 +61,10 @@
         except SnapshotError as error:
             self.error = str(error)
             return config
-        if self.restored.list_version <= _list_version(config.known):
+        if self.restored.endpoints_version <= _endpoints_version(config.known):
             return config
-        self._endpoints.apply({"hosts": self.restored.hosts, "seq": self.restored.list_version}, True)
-        return replace(config, known=snapshot.endpoint_list(self.restored))
+        self._endpoints.apply({"hosts": self.restored.hosts, "seq": self.restored.endpoints_version}, True)
+        return replace(config, known=snapshot.known_endpoints(self.restored))
 
     def on_endpoints(self, update: Any, is_complete: bool) -> None:
         """Take note of a list or update from discovery."""
@@ -123,9 +123,9 @@
 
 def _addresses(destinations: Destinations) -> dict[int, str]:
     """Return HOST:PORT of each destination, by number."""
-    return {number: f"{place[0][0]}:{place[0][1]}" for number, place in destinations().items()}
+    return {number: f"{host}:{port}" for number, ((host, port), _started_ms) in destinations().items()}
 
 
-def _list_version(known: Any) -> int:
+def _endpoints_version(known: Any) -> int:
     version = known.get("seq") if isinstance(known, dict) else None
     return version if isinstance(version, int) else UNKNOWN_VERSION
--- a/coveport/testbed/fault_injection/fleet/broken_variants.py
+++ b/coveport/testbed/fault_injection/fleet/broken_variants.py
@@ -55,7 +55,7 @@
         self._refilled_at = now
 
 
-class _KillsAllSilent(InstanceSet):
+class _KillsAllUnresponsive(InstanceSet):
     """Replaces every silent instance, however many are silent."""
 
     def _replace_hung(self, now: float) -> list[Command]:
@@ -115,7 +115,7 @@
 
 
 def _restart_without_waiting(
-    desired: DesiredState, health: Mapping[str, InstanceHealth], hold_s: float
+    desired: DesiredState, health: Mapping[str, InstanceHealth], min_serving_s: float
 ) -> Change | None:
     restart = desired.restart
     if restart is None or restart.phase is not RestartPhase.RUNNING:
@@ -176,7 +176,7 @@
             "rash",
             "ends all that are silent, though the host stood still",
             ("mass", "healthy"),
-            instance_set=_KillsAllSilent,
+            instance_set=_KillsAllUnresponsive,
         ),
         FleetVariant("acts-on", "goes on without the duty", ("holder", "back"), supervisor=_ActsWithoutRole),
         FleetVariant(
--- a/coveport/testbed/fault_injection/fleet/host.py
+++ b/coveport/testbed/fault_injection/fleet/host.py
@@ -97,7 +97,7 @@
         """Log an event."""
         self.events.append(Event(self.world.now, kind, instance.name, instance.incarnation, by, until))
 
-    def lock_holder(self, name: str) -> SimInstance | None:
+    def lock_owner(self, name: str) -> SimInstance | None:
         """Return the process that holds a name's lock."""
         return next(
             (instance for instance in self.running.values() if instance.name == name and instance.holds_lock),
@@ -111,8 +111,8 @@
         instance = SimInstance(name, f"{self._last_pid}.{now:.3f}.sim", self._last_pid, now)
         self.running[instance.incarnation] = instance
         self.log(EventKind.START, instance, by)
-        holder = self.lock_holder(name)
-        if self.are_names_locked and holder is not None and holder is not instance:
+        owner = self.lock_owner(name)
+        if self.are_names_locked and owner is not None and owner is not instance:
             instance.holds_lock = False
             self.log(EventKind.HELD, instance)
             self.world.at(now + NAME_LOCKED_EXIT_S, self.end, instance, ExitReason.NAME_LOCKED)
--- a/coveport/testbed/fault_injection/fleet/judge.py
+++ b/coveport/testbed/fault_injection/fleet/judge.py
@@ -25,7 +25,7 @@
 class Answered:
     """A request of the operators, and the supervisor's answer."""
 
-    asked_at: float
+    requested_at: float
     answered_at: float
     action: str
     is_done: bool
@@ -64,8 +64,8 @@
     """Return all violations of the rules."""
     incarnations = incarnations_of(events)
     return [
-        *_two(incarnations),
-        *_holder(events, holders),
+        *_duplicates(incarnations),
+        *_other_supervisor(events, holders),
         *_starts(events, holders, fleet),
         *_loops(incarnations, holders, fleet),
         *_healthy(events, incarnations, fleet),
@@ -97,7 +97,7 @@
     return incarnations
 
 
-def _two(incarnations: Incarnations) -> list[Finding]:
+def _duplicates(incarnations: Incarnations) -> list[Finding]:
     """No name has two incarnations at a time; one that found its name locked opened nothing."""
     found = []
     by_name: dict[str, list[_Incarnation]] = {}
@@ -112,7 +112,7 @@
     return found
 
 
-def _holder(events: Sequence[Event], holders: Holders) -> list[Finding]:
+def _other_supervisor(events: Sequence[Event], holders: Holders) -> list[Finding]:
     """No supervisor does anything to an instance while another one holds the role."""
     times = [at for at, _ in holders]
     found = []
@@ -120,15 +120,15 @@
         if not event.by:
             continue
         index = bisect_right(times, event.at) - 1
-        holder = holders[index][1] if index >= 0 else ""
-        if holder and holder != event.by:
-            message = f"{event.kind} of {event.name} by {event.by}, {holder} holds it"
+        owner = holders[index][1] if index >= 0 else ""
+        if owner and owner != event.by:
+            message = f"{event.kind} of {event.name} by {event.by}, {owner} holds it"
             found.append(Finding("holder", event.at, message))
     return found
 
 
 def _takeovers(holders: Holders, since: float, until: float) -> int:
-    return sum(since <= at <= until for at, holder in holders if holder)
+    return sum(since <= at <= until for at, owner in holders if owner)
 
 
 def _starts(events: Sequence[Event], holders: Holders, fleet: Fleet) -> list[Finding]:
--- a/coveport/testbed/fault_injection/fleet/real.py
+++ b/coveport/testbed/fault_injection/fleet/real.py
@@ -187,7 +187,7 @@
 
     def incarnations(self) -> dict[str, str]:
         """Return the running incarnations by name, by their locks alone."""
-        return locks.lock_holders(self.folder / "fleet")
+        return locks.lock_owners(self.folder / "fleet")
 
 
 def _free_ports(count: int) -> int:
--- a/coveport/testbed/fault_injection/fleet/sim.py
+++ b/coveport/testbed/fault_injection/fleet/sim.py
@@ -158,7 +158,7 @@
             ]
             slot.process.kill()
 
-    def holder(self) -> _SupervisorSlot | None:
+    def owner(self) -> _SupervisorSlot | None:
         """Return the supervisor that believes to hold the role."""
         return next(
             (
@@ -222,7 +222,7 @@
                 if self.rng.random() < 0.7:
                     self.host.end(instance, ExitReason.CRASH)
             return
-        target = self.host.lock_holder(_target_name(fault))
+        target = self.host.lock_owner(_target_name(fault))
         if target is None:
             return
         if fault.kind == "kill":
@@ -245,7 +245,7 @@
 
     def _disturb_supervisor(self, fault: Fault, ends_at: float) -> None:
         drawn = self.slots[int(fault.target) % len(self.slots)]
-        slot = self.holder() if fault.share < 0.7 else drawn
+        slot = self.owner() if fault.share < 0.7 else drawn
         if slot is None or slot.process is None:
             return
         if fault.kind == "sup_kill":
@@ -291,12 +291,12 @@
             self.world.at(ends_at, lambda: self._send_request("back", names=names))
 
     def _send_request(self, action: str, **arguments: Any) -> None:
-        slot = self.holder()
+        slot = self.owner()
         if slot is None or slot.process is None or slot.supervisor is None:
             return
         supervisor = slot.supervisor
         process = slot.process
-        asked_at = self.world.now
+        requested_at = self.world.now
         self.request_count += 1
         identity = f"a{self.request_count}"
 
@@ -304,7 +304,7 @@
             answer = await supervisor.handle_request({"do": action, "id": identity, **arguments})
             self.answers.append(
                 Answered(
-                    asked_at,
+                    requested_at,
                     self.world.now,
                     action,
                     bool(answer["ok"]),
@@ -375,7 +375,7 @@
             starts=sum(event.kind is EventKind.START for event in events),
             ended=sum(event.kind is EventKind.ENDED for event in events),
             steps=len(states),
-            holders=sum(bool(holder) for _, holder in holders),
+            holders=sum(bool(owner) for _, owner in holders),
             restarts=dict(phases),
         )
 
--- a/tests/golden/golden_fleet_cases.py
+++ b/tests/golden/golden_fleet_cases.py
@@ -8,7 +8,7 @@
     fleet="süd",
     name="instance-1",
     taken=Timestamp(1_700_000_000.5, 4321.25, "boot-1"),
-    list_version=77,
+    endpoints_version=77,
     hosts=[
         {"host": "h1", "zone": "a", "born_ms": 5, "health": "ready", "weight": 0.5},
         {"host": "h2", "zone": "b", "extra": [1, None, True]},
--- a/tests/golden/test_golden_fleet.py
+++ b/tests/golden/test_golden_fleet.py
@@ -12,7 +12,7 @@
 
 from coveport.sidecar.supervisor import notify, snapshot
 from coveport.sidecar.supervisor.atomic_file import write_atomically
-from coveport.sidecar.supervisor.locks import NameLock, exit_code_of, incarnation_of, lock_holders, lock_path
+from coveport.sidecar.supervisor.locks import NameLock, exit_code_of, incarnation_of, lock_owners, lock_path
 
 DATAGRAM_BYTES = read_cases("notifications.json")
 
@@ -33,7 +33,7 @@
     now = snapshot.Timestamp(0.0, 4331.25, "boot-1")
     loaded, age_s = snapshot.load_usable(read_file("fleet/snapshot"), "süd", "instance-1", now, 60.0)
     assert (loaded, age_s) == (SNAPSHOT, 10.0)
-    assert snapshot.endpoint_list(loaded) == {
+    assert snapshot.known_endpoints(loaded) == {
         "seq": 77,
         "whole": True,
         "hosts": [
@@ -63,14 +63,14 @@
         assert path.read_bytes() == read_file("fleet/lock").replace(
             LOCK_INCARNATION.encode(), incarnation.encode()
         )
-        assert lock_holders(tmp_path) == {LOCK_NAME: incarnation}
+        assert lock_owners(tmp_path) == {LOCK_NAME: incarnation}
         lock.record_exit_code(3)
         assert path.read_bytes() == read_file("fleet/lock_at_end").replace(
             LOCK_INCARNATION.encode(), incarnation.encode()
         )
     finally:
         lock.close()
-    assert lock_holders(tmp_path) == {}
+    assert lock_owners(tmp_path) == {}
 
 
 def own_incarnation() -> str:
--- a/tests/sidecar/supervisor/test_host_parts.py
+++ b/tests/sidecar/supervisor/test_host_parts.py
@@ -50,21 +50,21 @@
 
 
 def test_name_lock_is_held_until_its_process_ends_however_it_does(tmp_path: Path) -> None:
-    assert locks.lock_holder(tmp_path, "h-1") == "" and locks.lock_holders(tmp_path) == {}
+    assert locks.lock_owner(tmp_path, "h-1") == "" and locks.lock_owners(tmp_path) == {}
     holder = start_lock_holder(tmp_path)
     try:
-        incarnation = locks.lock_holder(tmp_path, "h-1")
+        incarnation = locks.lock_owner(tmp_path, "h-1")
         assert locks.pid_of(incarnation) == holder.pid and locks.incarnation_of(holder.pid) == incarnation
-        assert locks.lock_holders(tmp_path) == {"h-1": incarnation}
+        assert locks.lock_owners(tmp_path) == {"h-1": incarnation}
         with pytest.raises(NameLockedError, match="h-1"):
             NameLock(tmp_path, "h-1")
         os.kill(holder.pid, signal.SIGSTOP)
-        assert locks.lock_holder(tmp_path, "h-1") == incarnation, "a stopped process keeps its lock"
+        assert locks.lock_owner(tmp_path, "h-1") == incarnation, "a stopped process keeps its lock"
         holder.kill()
         until(lambda: locks.incarnation_of(holder.pid) == "")
-        assert locks.lock_holder(tmp_path, "h-1") == "", "an exited process has none, reaped or not"
+        assert locks.lock_owner(tmp_path, "h-1") == "", "an exited process has none, reaped or not"
         mine = NameLock(tmp_path, "h-1")
-        assert locks.pid_of(locks.lock_holder(tmp_path, "h-1")) == os.getpid()
+        assert locks.pid_of(locks.lock_owner(tmp_path, "h-1")) == os.getpid()
         mine.record_exit_code(7)
         assert locks.exit_code_of(tmp_path, "h-1", locks.incarnation_of(os.getpid())) == 7
         assert locks.exit_code_of(tmp_path, "h-1", incarnation) is None, "recorded by another"
@@ -78,22 +78,27 @@
 def test_lock_file_when_malformed_names_no_holder(tmp_path: Path, text: str) -> None:
     lock = NameLock(tmp_path, "h-1")
     locks.lock_path(tmp_path, "h-1").write_text(text)
-    assert locks.lock_holder(tmp_path, "h-1") == ""
+    assert locks.lock_owner(tmp_path, "h-1") == ""
     lock.close()
 
 
 def test_notification_is_received_with_its_sender_s_pid(tmp_path: Path) -> None:
     async def play() -> None:
         received: list[tuple[int, dict[str, str]]] = []
-        receiver = NotificationReceiver(
-            tmp_path / "n.sock", lambda pid, variables: received.append((pid, variables))
-        )
+        all_received = asyncio.Event()
+
+        def on_notification(pid: int, variables: dict[str, str]) -> None:
+            received.append((pid, variables))
+            if len(received) == 6:
+                all_received.set()
+
+        receiver = NotificationReceiver(tmp_path / "n.sock", on_notification)
         code = (
             "import sys; from coveport.sidecar.supervisor.notify import Notifier; "
             "print(Notifier(sys.argv[1]).send(READY=1, STATUS='all well', X_SERVED='1.0/5'))"
         )
-        sender = subprocess.Popen([sys.executable, "-c", code, str(tmp_path / "n.sock")])
-        await asyncio.to_thread(sender.wait)
+        sender = await asyncio.create_subprocess_exec(sys.executable, "-c", code, str(tmp_path / "n.sock"))
+        await sender.wait()
         notifier = Notifier(str(tmp_path / "n.sock"))
         attacher = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         attacher.connect(str(tmp_path / "n.sock"))
@@ -101,16 +106,12 @@
         for _ in range(4):  # attached descriptors are closed; few datagrams, as a queue holds ten
             socket.send_fds(attacher, [b"X=1"], [0, 1])
         assert notifier.send(WATCHDOG=1)
-        end = time.monotonic() + TIMEOUT_S
-        while len(received) < 6 and time.monotonic() < end:
-            await asyncio.sleep(0.01)
+        await asyncio.wait_for(all_received.wait(), TIMEOUT_S)
         assert received[0] == (sender.pid, {"READY": "1", "STATUS": "all well", "X_SERVED": "1.0/5"})
         assert received[-1] == (os.getpid(), {"WATCHDOG": "1"})
         assert len(os.listdir("/proc/self/fd")) == before
         # A successor takes the path; closing the one before does not take it away from it.
-        successor = NotificationReceiver(
-            tmp_path / "n.sock", lambda pid, variables: received.append((pid, variables))
-        )
+        successor = NotificationReceiver(tmp_path / "n.sock", on_notification)
         receiver.close()
         assert notifier.send(STOPPING=1)
         successor.close()
@@ -153,7 +154,7 @@
             assert json.loads(await asyncio.to_thread(raw, bad))["ok"] is False
         assert await asyncio.to_thread(raw, b"x" * 70000) == b"", "a line that never ends is cut off"
         control.close()
-        with pytest.raises(OSError):
+        with pytest.raises(FileNotFoundError):
             await asyncio.to_thread(call, path, {"do": "status"}, 1.0)
 
     asyncio.run(play())
--- a/tests/sidecar/supervisor/test_snapshot.py
+++ b/tests/sidecar/supervisor/test_snapshot.py
@@ -12,14 +12,14 @@
 
 from coveport.sidecar.supervisor import snapshot
 from coveport.sidecar.supervisor.atomic_file import FileSystem, write_atomically
-from coveport.sidecar.supervisor.endpoint_list import EndpointList
+from coveport.sidecar.supervisor.endpoint_table import EndpointTable
 from coveport.sidecar.supervisor.errors import SnapshotError
 from coveport.sidecar.supervisor.snapshot import (
     Snapshot,
     Timestamp,
     decode,
     encode,
-    endpoint_list,
+    known_endpoints,
     load_usable,
 )
 
@@ -35,8 +35,8 @@
 }
 
 
-def new_snapshot(list_version: int = 3, **fields: Any) -> Snapshot:
-    return Snapshot("host", "host-1", NOW, list_version, [HOST], **fields)
+def new_snapshot(endpoints_version: int = 3, **fields: Any) -> Snapshot:
+    return Snapshot("host", "host-1", NOW, endpoints_version, [HOST], **fields)
 
 
 class Crash(BaseException):
@@ -101,7 +101,7 @@
         except (Crash, OSError):
             has_failed = True
         assert path.read_bytes() in (old, new), at
-        assert decode(snapshot.read(path)).list_version in (3, 4)
+        assert decode(snapshot.read(path)).endpoints_version in (3, 4)
         assert has_failed or path.read_bytes() == new
         write_atomically(path, new)  # a temporary file that a crash left behind does no harm
         assert path.read_bytes() == new and (how == "pieces" or counting.calls >= 6)
@@ -159,7 +159,7 @@
 
 
 def test_endpoint_list_is_merged_from_complete_lists_and_updates() -> None:
-    endpoints = EndpointList()
+    endpoints = EndpointTable()
     endpoints.apply({"seq": 1, "hosts": [HOST, HOST | {"host": "n2"}]}, True)
     endpoints.apply(
         {"seq": 2, "hosts": [HOST | {"host": "n1", "health": "left"}, HOST | {"host": "n3"}]}, False
@@ -170,9 +170,9 @@
 
 
 def test_endpoint_list_of_a_node_that_came_back_has_its_later_start() -> None:
-    known = endpoint_list(new_snapshot(warming_up={"n1": 1234.0, "gone": 1.0}))
+    known = known_endpoints(new_snapshot(warming_up={"n1": 1234.0, "gone": 1.0}))
     assert known["hosts"][0]["born_ms"] == 1234.0 and known["seq"] == 3 and known["whole"] is True
-    assert endpoint_list(new_snapshot(warming_up={"n1": 1.0}))["hosts"][0]["born_ms"] == 5, (
+    assert known_endpoints(new_snapshot(warming_up={"n1": 1.0}))["hosts"][0]["born_ms"] == 5, (
         "a later start counts"
     )
     assert json.loads(json.dumps(known)) == known
