--- a/coveport/cli/compare.py
+++ b/coveport/cli/compare.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from rich.table import Table
 
-    from coveport.testbed.compare import Comparison
+    from coveport.testbed.compare import Comparison, Difference
 
 COMPARE_EPILOG = """\b
 Examples:
@@ -49,59 +49,67 @@
     from coveport.testbed import compare as comparing
 
     try:
-        told = comparing.compare(comparing.read(a), comparing.read(b), (a, b))
-    except comparing.CompareError as problem:
-        raise UnusableError(str(problem)) from problem
+        comparison = comparing.compare(comparing.read(a), comparing.read(b), (a, b))
+    except comparing.CompareError as error:
+        raise UnusableError(str(error)) from error
     if json_ is not None:
         make_parent_folders(json_)
-        write_output(json_, msgspec.json.format(msgspec.json.encode(told), indent=2))
+        write_output(json_, msgspec.json.format(msgspec.json.encode(comparison), indent=2))
         if str(json_) == "-":
             return ExitCode.DONE
-    print_table(_compare_table(told))
-    for letter, side in (("A", told.a), ("B", told.b)):
+    _print_comparison(comparison)
+    return ExitCode.DONE
+
+
+def _print_comparison(comparison: Comparison) -> None:
+    print_table(_comparison_table(comparison))
+    for letter, side in (("A", comparison.a), ("B", comparison.b)):
         click.echo(
             f"{letter}: {side.name}; days: {side.days}, rules kept on {side.kept}, "
             f"expectations met on {side.met}"
         )
-    click.echo(f"Paired by {told.paired}." if told.paired else "Not paired: no common scenarios and seeds.")
-    if any(one.p_holm is not None for one in told.differences):
-        click.echo(told.method)
+    paired = f"Paired by {comparison.paired}." if comparison.paired else ""
+    click.echo(paired or "Not paired: no common scenarios and seeds.")
+    if any(difference.p_holm is not None for difference in comparison.differences):
+        click.echo(comparison.method)
     click.echo()
-    for line in told.verdict:
+    for line in comparison.verdict:
         click.echo(line)
-    return ExitCode.DONE
 
 
-def _compare_table(told: Comparison) -> Table:
+def _comparison_table(comparison: Comparison) -> Table:
     from rich.box import SIMPLE_HEAD
     from rich.table import Table
 
-    from coveport.testbed.compare import signed
-
     table = Table(box=SIMPLE_HEAD)
     for name in ("figure", "days", "A", "B", "B - A", "95% interval", "p (Holm)", "beyond chance"):
         table.add_column(name, justify="left" if name in ("figure", "beyond chance") else "right")
-    for one in told.differences:
-        bounds = "-" if one.low is None or one.high is None else f"[{signed(one.low)}, {signed(one.high)}]"
-        table.add_row(
-            *(
-                escape_markup(text)
-                for text in (
-                    one.figure,
-                    str(one.days),
-                    format_figure(one.a),
-                    format_figure(one.b),
-                    signed(one.difference),
-                    bounds,
-                    format_figure(one.p_holm),
-                    f"{one.better} is better"
-                    if one.beyond
-                    else "equal"
-                    if one.equal
-                    else "can't tell"
-                    if one.p is None
-                    else "no",
-                )
-            )
-        )
+    for difference in comparison.differences:
+        table.add_row(*(escape_markup(text) for text in _difference_row(difference)))
     return table
+
+
+def _difference_row(difference: Difference) -> tuple[str, ...]:
+    from coveport.testbed.compare import signed
+
+    interval = "-"
+    if difference.low is not None and difference.high is not None:
+        interval = f"[{signed(difference.low)}, {signed(difference.high)}]"
+    return (
+        difference.figure,
+        str(difference.days),
+        format_figure(difference.a),
+        format_figure(difference.b),
+        signed(difference.difference),
+        interval,
+        format_figure(difference.p_holm),
+        _describe_significance(difference),
+    )
+
+
+def _describe_significance(difference: Difference) -> str:
+    if difference.beyond:
+        return f"{difference.better} is better"
+    if difference.equal:
+        return "equal"
+    return "can't tell" if difference.p is None else "no"
--- a/coveport/cli/lab.py
+++ b/coveport/cli/lab.py
@@ -8,7 +8,7 @@
 from coveport.cli.compare import compare
 from coveport.cli.exit_codes import ExitCode
 from coveport.cli.fuzz import fuzz
-from coveport.cli.lab_options import one_line
+from coveport.cli.lab_options import usage_errors
 from coveport.cli.play_day import explain, run
 from coveport.cli.search import search
 from coveport.cli.shrink import shrink
@@ -28,7 +28,7 @@
 @lab.command("list")
 def list_() -> int:
     """Show the days that come with the lab, a line each."""
-    with one_line():
+    with usage_errors():
         from coveport.testbed import catalog
 
         names = catalog.names()
--- a/coveport/cli/lab_options.py
+++ b/coveport/cli/lab_options.py
@@ -23,32 +23,39 @@
 
 
 @contextlib.contextmanager
-def one_line(ground: str = "virtual", variants: Sequence[str] = ()) -> Iterator[None]:
-    """Turns what the lab says of a file or a call into the end of the verb."""
+def usage_errors(ground: str = "virtual", variants: Sequence[str] = ()) -> Iterator[None]:
+    """Check the ground and the variants, and turn the lab's errors on files and calls into UnusableError."""
+    expected = _expected_errors(ground)
+    _check_variants(ground, variants)
+    try:
+        yield
+    except expected as error:
+        raise UnusableError(str(error)) from error
+
+
+def _check_variants(ground: str, variants: Sequence[str]) -> None:
+    if not any(variants):
+        return
+    if ground != "virtual":
+        raise UnusableError("variants of the sidecar run on virtual ground only")
+    from coveport.testbed.broken import variant_named
+
+    try:
+        for name in variants:
+            variant_named(name)
+    except ValueError as error:
+        raise UnusableError(str(error)) from error
+
+
+def _expected_errors(ground: str) -> tuple[type[Exception], ...]:
     from coveport.testbed.scenario import ScenarioError
 
-    expected: tuple[type[Exception], ...] = (ScenarioError,)
     if ground == "real":
         from coveport.testbed.loopback import GroundError
 
-        expected += (GroundError,)
-        if any(variants):
-            raise UnusableError("variants of the sidecar run on virtual ground only")
-    elif ground == "bare":
+        return ScenarioError, GroundError
+    if ground == "bare":
         from coveport.testbed.discrete_event.play import BareError
 
-        expected += (BareError,)
-        if any(variants):
-            raise UnusableError("variants of the sidecar run on virtual ground only")
-    elif any(variants):
-        from coveport.testbed.broken import variant_named
-
-        try:
-            for name in variants:
-                variant_named(name)
-        except ValueError as problem:
-            raise UnusableError(str(problem)) from problem
-    try:
-        yield
-    except expected as problem:
-        raise UnusableError(str(problem)) from problem
+        return ScenarioError, BareError
+    return (ScenarioError,)
--- a/coveport/cli/lab_output.py
+++ b/coveport/cli/lab_output.py
@@ -11,9 +11,11 @@
 if TYPE_CHECKING:
     from rich.table import Table
 
+MAX_TABLE_WIDTH = 400  # characters, where there is no terminal: lines of scripts must not be folded
+
 
 def write_output(path: Path, data: bytes) -> None:
-    """Write a file whole, or to standard output where it is called `-`."""
+    """Write a file in one step, or to standard output where the path is `-`."""
     if str(path) == "-":
         click.echo(data.rstrip())
         return
@@ -23,26 +25,27 @@
 
 
 def make_parent_folders(*paths: Path | None) -> None:
-    """Make the folders of what will be written; before hours of play, not after them."""
+    """Create the folders of files to be written; called before hours of play, not after them."""
     for path in paths:
         if path is not None:
             path.parent.mkdir(parents=True, exist_ok=True)
 
 
 def format_figure(value: float | None) -> str:
-    """In four digits."""
+    """Return a number in four digits; `-` where there is none."""
     return "-" if value is None else f"{value:.4g}"
 
 
 def print_table(table: Table) -> None:
-    """As wide as the terminal, or as wide as it needs elsewhere."""
+    """Print a table as wide as the terminal, or as wide as it needs elsewhere."""
     from rich.console import Console
 
-    Console(width=None if sys.stdout.isatty() else 400, highlight=False).print(table)
+    width = None if sys.stdout.isatty() else MAX_TABLE_WIDTH
+    Console(width=width, highlight=False).print(table)
 
 
 def escape_markup(text: str) -> str:
-    """Guards against brackets taken for rich's markup."""
+    """Return a text whose brackets aren't taken for rich's markup."""
     from rich.markup import escape
 
     return escape(text)
--- a/coveport/cli/play_day.py
+++ b/coveport/cli/play_day.py
@@ -2,30 +2,15 @@
 
 from __future__ import annotations
 
-import contextlib
-import sys
-from collections.abc import Callable, Iterator, Sequence
+from collections.abc import Sequence
 from pathlib import Path
 
 import click
 
 from coveport.cli.exit_codes import ExitCode
-from coveport.cli.lab_options import GROUND, OUT_FILE, OUT_FOLDER, one_line
+from coveport.cli.lab_options import GROUND, OUT_FILE, OUT_FOLDER, usage_errors
 from coveport.cli.lab_output import make_parent_folders, write_output
-
-
-@contextlib.contextmanager
-def _day_progress(label: str) -> Iterator[Callable[[float], None] | None]:
-    """What shows how much of a day is done (0 to 1), on a terminal; elsewhere nothing."""
-    if not sys.stderr.isatty():
-        yield None
-        return
-    from rich.console import Console
-    from rich.progress import Progress
-
-    with Progress(console=Console(stderr=True), transient=True) as progress:
-        task = progress.add_task(label, total=1.0)
-        yield lambda share: progress.update(task, completed=share)
+from coveport.cli.progress import fraction_bar
 
 
 @click.command("explain", short_help="Say where a day's worth was lost.")
@@ -36,25 +21,25 @@
 @click.option("--set", "sets", multiple=True, metavar="KEY=VALUE", help="Change a figure of the day's file.")
 def explain(day: str, seed: int | None, ground: str, json_: Path | None, sets: Sequence[str]) -> int:
     """Play DAY once, and print what was lost by which cause in each window, and how full each node was."""
-    with one_line(ground):
+    with usage_errors(ground):
         import msgspec
 
-        from coveport.testbed import explain as picturing
+        from coveport.testbed import explain as explaining
         from coveport.testbed.catalog import find
         from coveport.testbed.run import play
         from coveport.testbed.scenario import load
 
         scenario = load(find(day), sets)
         make_parent_folders(json_)
-        with _day_progress(day) as progress:
+        with fraction_bar(day) as progress:
             played = play(
                 scenario, seed=scenario.seed if seed is None else seed, ground=ground, progress=progress
             )
-    picture = picturing.explain(played)
+    explanation = explaining.explain(played)
     if json_ is None or str(json_) != "-":
-        click.echo(picturing.text(picture, scenario.fleet.zones))
+        click.echo(explaining.text(explanation, scenario.fleet.zones))
     if json_ is not None:
-        write_output(json_, msgspec.json.format(msgspec.json.encode(picture), indent=2))
+        write_output(json_, msgspec.json.format(msgspec.json.encode(explanation), indent=2))
     return ExitCode.DONE
 
 
@@ -90,7 +75,7 @@
     Exit code 0 where rules and expectations hold, 1 where not, 2 where the file or the call can't be used,
     3 where the machine ran late and the run is void.
     """
-    with one_line(ground, [variant]):
+    with usage_errors(ground, [variant]):
         from coveport.testbed.catalog import find
         from coveport.testbed.fault_injection.days import is_trial
         from coveport.testbed.outcome import encode
@@ -108,7 +93,7 @@
         make_parent_folders(json_, report)
         if logs is not None:
             logs.mkdir(parents=True, exist_ok=True)
-        with _day_progress(f"{path.stem}, seed {seed}") as progress:
+        with fraction_bar(f"{path.stem}, seed {seed}") as progress:
             played, outcome = play_and_judge(
                 scenario,
                 name=path.stem,
@@ -126,5 +111,7 @@
             click.echo(f"report: {report}", err=str(json_) == "-")
     if outcome.late:
         return ExitCode.VOID
-    held = outcome.kept and not outcome.broken and all(one.met for one in outcome.expectations)
-    return ExitCode.DONE if held else ExitCode.FAILED
+    is_passed = (
+        outcome.kept and not outcome.broken and all(expectation.met for expectation in outcome.expectations)
+    )
+    return ExitCode.DONE if is_passed else ExitCode.FAILED
--- a/coveport/cli/search.py
+++ b/coveport/cli/search.py
@@ -4,21 +4,24 @@
 
 import contextlib
 import os
-import sys
 from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 import click
 
+from coveport.cli import progress
 from coveport.cli.errors import UnusableError
 from coveport.cli.exit_codes import ExitCode
-from coveport.cli.lab_options import OUT_FOLDER, VARIANT, one_line
+from coveport.cli.lab_options import OUT_FOLDER, VARIANT, usage_errors
+from coveport.cli.progress import resume_hint
 from coveport.cli.trials import search_trials
 
 if TYPE_CHECKING:
     from coveport.testbed.search.hunt import Line, Summary, Told
 
+PROGRESS_LINES = 20  # on the runs of a search, where there is no terminal
+
 SEARCH_EPILOG = """\b
 Examples:
   coveport lab search calm --runs 500 --out out/calm
@@ -65,7 +68,7 @@
 
     Exit code 0 where there is no find, 1 where there is, 2 where the file or the call can't be used.
     """
-    with one_line("virtual", [] if day.startswith("trials/") else [variant]):
+    with usage_errors("virtual", [] if day.startswith("trials/") else [variant]):
         from coveport.testbed.catalog import find
         from coveport.testbed.fault_injection.days import is_trial
         from coveport.testbed.scenario import load
@@ -77,7 +80,7 @@
             return search_trials(path, runs, jobs or 0, seed, out, variant, sets)
         base = load(path, sets)
         try:
-            with _progress(out, runs) as told:
+            with _search_progress(out, runs) as show_progress:
                 summary = hunt(
                     base,
                     path.stem,
@@ -87,54 +90,41 @@
                     seed=seed,
                     variant=variant,
                     seconds=seconds or float("inf"),
-                    told=told,
+                    told=show_progress,
                 )
-        except SweepError as problem:
-            raise UnusableError(str(problem)) from problem
+        except SweepError as error:
+            raise UnusableError(str(error)) from error
     _show(summary, out)
     return ExitCode.FAILED if summary.lines else ExitCode.DONE
 
 
 @contextlib.contextmanager
-def _progress(out: Path, total: int) -> Iterator[Callable[[Told], None]]:
-    """A bar on a terminal, a line for each new find; elsewhere a line now and then as well."""
+def _search_progress(out: Path, total: int) -> Iterator[Callable[[Told], None]]:
+    """Show a bar on a terminal and a line for each new find; elsewhere a line now and then as well."""
+    with resume_hint("runs", out):
+        if not progress.is_shown():
+            yield _print_run
+            return
+        with progress.count_bar("runs", total) as bar:
 
-    def fresh(told: Told) -> Iterator[str]:
-        for signature in told.fresh:
-            yield f"run {told.result.run}, seed {told.result.seed}: {signature}"
+            def show(run: Told) -> None:
+                bar.update(run.done)
+                for line in _new_finds(run):
+                    bar.print(line)
 
-    try:
-        if not sys.stderr.isatty():
+            yield show
 
-            def plain(told: Told) -> None:
-                for line in fresh(told):
-                    click.echo(line, err=True)
-                if told.done % max(1, total // 20) == 0 or told.done == total:
-                    click.echo(f"{told.done}/{total} runs", err=True)
 
-            yield plain
-            return
-        from rich.console import Console
-        from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
-
-        with Progress(
-            TextColumn("{task.description}"),
-            BarColumn(),
-            MofNCompleteColumn(),
-            TimeRemainingColumn(),
-            console=Console(stderr=True),
-        ) as progress:
-            task = progress.add_task("runs", total=total)
-
-            def bar(told: Told) -> None:
-                progress.update(task, completed=told.done)
-                for line in fresh(told):
-                    progress.console.print(line, markup=False, highlight=False)
-
-            yield bar
-    except KeyboardInterrupt:
-        click.echo(f"stopped; the runs done are in {out}, the same call goes on from there", err=True)
-        raise
+def _print_run(run: Told) -> None:
+    for line in _new_finds(run):
+        click.echo(line, err=True)
+    if run.done % max(1, run.total // PROGRESS_LINES) == 0 or run.done == run.total:
+        click.echo(f"{run.done}/{run.total} runs", err=True)
+
+
+def _new_finds(run: Told) -> Iterator[str]:
+    for signature in run.fresh:
+        yield f"run {run.result.run}, seed {run.result.seed}: {signature}"
 
 
 def _show(summary: Summary, out: Path) -> None:
--- a/coveport/cli/shrink.py
+++ b/coveport/cli/shrink.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 import contextlib
-import sys
 from collections.abc import Callable, Iterator
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 import click
 
+from coveport.cli import progress
 from coveport.cli.errors import UnusableError
 from coveport.cli.exit_codes import ExitCode
-from coveport.cli.lab_options import VARIANT, one_line
+from coveport.cli.lab_options import VARIANT, usage_errors
 
 if TYPE_CHECKING:
     from coveport.testbed.scenario import Scenario
@@ -59,7 +59,7 @@
 
     Exit code 0 where it was shrunk, 2 where DAY shows no such find or can't be used.
     """
-    with one_line("virtual", [variant]):
+    with usage_errors("virtual", [variant]):
         from coveport.testbed.catalog import find
         from coveport.testbed.scenario import load
         from coveport.testbed.search.shrink import NotShownError
@@ -69,29 +69,30 @@
         scenario = load(find(day))
         out.parent.mkdir(parents=True, exist_ok=True)
         try:
-            with _plays(plays) as told:
+            with _shrink_progress(plays) as show_progress:
                 shrunk = smallest(
                     scenario,
                     scenario.seed if seed is None else seed,
                     signature,
                     variant=variant,
                     most_plays=plays,
-                    told=told,
+                    told=show_progress,
                 )
-        except NotShownError as problem:
-            raise UnusableError(f"{day}: {problem}") from problem
+        except NotShownError as error:
+            raise UnusableError(f"{day}: {error}") from error
         write_whole(out, shrunk.text().encode())
     click.echo(
-        f"{_seen(shrunk.scenario)} after {shrunk.plays} plays"
+        f"{_describe_size(shrunk.scenario)} after {shrunk.plays} plays"
         + ("; more plays might make it smaller" if shrunk.spent else "")
     )
     click.echo(f"{shrunk.find.signature}\n{shrunk.find.what}\n{out}")
     return ExitCode.DONE
 
 
-def _seen(day: Scenario) -> str:
-    """How large a day is."""
-    faults, fleet = len(day.faults), day.fleet
+def _describe_size(day: Scenario) -> str:
+    """Return the number of a day's faults, sidecars and nodes, and its length."""
+    faults = len(day.faults)
+    fleet = day.fleet
     return (
         f"{faults} fault{'s' * (faults != 1)}, {fleet.sidecars} sidecar{'s' * (fleet.sidecars > 1)}, "
         f"{fleet.nodes} node{'s' * (fleet.nodes > 1)}, {day.length_s:g} s"
@@ -99,19 +100,10 @@
 
 
 @contextlib.contextmanager
-def _plays(total: int) -> Iterator[Callable[[int, Scenario], None] | None]:
-    if not sys.stderr.isatty():
+def _shrink_progress(total: int) -> Iterator[Callable[[int, Scenario], None] | None]:
+    """Show a bar with the size of the smallest day so far; yield None where there is no terminal."""
+    if not progress.is_shown():
         yield None
         return
-    from rich.console import Console
-    from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn
-
-    with Progress(
-        TextColumn("{task.description}"),
-        BarColumn(),
-        MofNCompleteColumn(),
-        console=Console(stderr=True),
-        transient=True,
-    ) as progress:
-        task = progress.add_task("plays", total=total)
-        yield lambda done, best: progress.update(task, completed=done, description=_seen(best))
+    with progress.count_bar("plays", total, is_transient=True) as bar:
+        yield lambda done, smallest: bar.update(done, _describe_size(smallest))
--- a/coveport/cli/sweep.py
+++ b/coveport/cli/sweep.py
@@ -4,17 +4,18 @@
 
 import contextlib
 import os
-import sys
 from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 import click
 
+from coveport.cli import progress
 from coveport.cli.errors import UnusableError
 from coveport.cli.exit_codes import ExitCode
-from coveport.cli.lab_options import GROUND, OUT_FOLDER, one_line
+from coveport.cli.lab_options import GROUND, OUT_FOLDER, usage_errors
 from coveport.cli.lab_output import escape_markup, format_figure, print_table
+from coveport.cli.progress import resume_hint
 
 if TYPE_CHECKING:
     from rich.table import Table
@@ -68,7 +69,7 @@
     2 where the file or the call can't be used, 3 where days were void.
     """
     variant_names = list(dict.fromkeys(variants.split(",")))
-    with one_line(ground, variant_names):
+    with usage_errors(ground, variant_names):
         from coveport.testbed import sweep as sweeping
         from coveport.testbed.catalog import find
 
@@ -103,11 +104,11 @@
     return ExitCode.VOID if any(line.void for line in lines) else ExitCode.DONE
 
 
-def _describe(progress: Told) -> str:
+def _describe(day: Told) -> str:
     """Return a line on a day that is done."""
-    if progress.judged is None:
-        return f"{progress.cell.label}: NOT PLAYED: {progress.problem}"
-    judged = progress.judged
+    if day.judged is None:
+        return f"{day.cell.label}: NOT PLAYED: {day.problem}"
+    judged = day.judged
     state = (
         "void, the machine ran late"
         if judged.late
@@ -117,37 +118,24 @@
         if not judged.met
         else "held"
     )
-    return f"{progress.cell.label}: {state}, service {format_figure(judged.service)}"
+    return f"{day.cell.label}: {state}, service {format_figure(judged.service)}"
 
 
 @contextlib.contextmanager
 def _sweep_progress(out: Path, total: int) -> Iterator[Callable[[Told], None]]:
     """Show a bar on a terminal, a line a day elsewhere; print how to go on where it is interrupted."""
-    try:
-        if not sys.stderr.isatty():
+    with resume_hint("days", out):
+        if not progress.is_shown():
             yield lambda day: click.echo(f"{day.done}/{day.total} {_describe(day)}", err=True)
             return
-        from rich.console import Console
-        from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
-
-        with Progress(
-            TextColumn("{task.description}"),
-            BarColumn(),
-            MofNCompleteColumn(),
-            TimeRemainingColumn(),
-            console=Console(stderr=True),
-        ) as progress:
-            task = progress.add_task("days", total=total)
+        with progress.count_bar("days", total) as bar:
 
             def show(day: Told) -> None:
-                progress.update(task, completed=day.done)
+                bar.update(day.done)
                 if day.judged is None or not day.judged.lawful:
-                    progress.console.print(_describe(day), markup=False, highlight=False)
+                    bar.print(_describe(day))
 
             yield show
-    except KeyboardInterrupt:
-        click.echo(f"stopped; the days done are in {out}, the same call goes on from there", err=True)
-        raise
 
 
 def _sweep_table(lines: Sequence[Line]) -> Table:
