--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -225,7 +225,7 @@
             "bool": [f"not ({text})", "True", "False"],
             "float": ["0.0", f"2 * ({text})"],
             "int": ["0", f"2 * ({text})"],
-            "list[api.Action]": ["[]"],
+            "list[Action]": ["[]"],
             "list[Effect]": ["[]"],
         }
         self.place(
--- a/benchmarks/variant_link.py
+++ b/benchmarks/variant_link.py
@@ -12,8 +12,8 @@
 
 import sys
 
+from coveport import balancing
 from coveport.balancing import Balancer, simulator_link
-from coveport.balancing import interface as api
 from coveport.sidecar.effects import Effects
 from coveport.sidecar.reducer.reducer import Reducer
 from coveport.testbed.broken import Variant, variant_named
@@ -24,7 +24,7 @@
     if variant.name and (variant.reducer is Reducer or variant.effects is not Effects):
         raise ValueError(f"{variant.name} decides as the shipped sidecar does")
 
-    def balancer(settings: api.Settings, seed: int) -> Balancer:
+    def balancer(settings: balancing.Settings, seed: int) -> Balancer:
         return variant.reducer(settings, seed)._balancer
 
     vars(simulator_link)["Balancer"] = balancer
--- a/coveport/balancing/balancer.py
+++ b/coveport/balancing/balancer.py
@@ -10,10 +10,28 @@
 from heapq import heappop, heappush
 from math import exp, inf, sqrt
 
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Effect, ListKind, Outcome, State
+from coveport.balancing.actions import Action, Cancel, Fail, HealthCheck, Refuse, Send, SetTimer, Subscribe
+from coveport.balancing.events import (
+    NEVER_RAN,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    HealthCheckResult,
+    Outcome,
+    PriorAttempt,
+    Reply,
+    Request,
+    SettingsChanged,
+    SlowStartGrant,
+    StreamStarted,
+    TimerFired,
+)
 from coveport.balancing.locality import first_usable_level, less_busy_of_two
 from coveport.balancing.pending_requests import Held, Waiter
+from coveport.balancing.settings import Effect, Settings
 
 # Weight of the newest answer in a host's pace (a copy sees few), in the fleet's service time (which should
 MEMORY, SERVICE_MEMORY, LATELY = 0.25, 0.02, 0.1  # outlast one trouble), and in what answers took lately
@@ -39,7 +57,7 @@
 
     __slots__ = ("host", "may_have_run", "passed", "pending", "sent_at", "share")
 
-    def __init__(self, host: _Host, sent_at: float, ended: api.Before | None = None) -> None:
+    def __init__(self, host: _Host, sent_at: float, ended: PriorAttempt | None = None) -> None:
         self.host = host
         self.sent_at = sent_at
         self.pending = ended is None
@@ -55,7 +73,7 @@
 class _Host:
     """What one host has shown us."""
 
-    def __init__(self, entry: api.HostEntry, mark: float) -> None:
+    def __init__(self, entry: Endpoint, mark: float) -> None:
         self.id = entry.host
         self.zone = entry.zone
         self.cell = entry.cell
@@ -76,15 +94,14 @@
 
 
 class _Request(Waiter):
-    def __init__(self, event: api.Request, settings: api.Settings, chance: random.Random) -> None:
+    def __init__(self, event: Request, settings: Settings, chance: random.Random) -> None:
         self.cls = settings.classes[event.cls]
         self.limits = settings.limits  # the rules under which it came
         self.id, self.kind, self.deadline, self.long = event.id, self.cls.name, event.deadline_ms, event.long
         self.give_up = self.hold_until = self.cross_at = event.deadline_ms
         self.chill, self.streaming = chance.random(), False  # chill: which cold hosts it may go to
         self.attempts = [
-            _Attempt(_Host(api.HostEntry(-1, one.zone, one.cell), 0.0), one.sent_ms, one)
-            for one in event.before
+            _Attempt(_Host(Endpoint(-1, one.zone, one.cell), 0.0), one.sent_ms, one) for one in event.before
         ]
         # In which it may run again: what is decided by then is sent in time on a connection yet to come up.
         self.window = self.cls.window_ms - 2 * settings.tick_ms - self.limits.connect_timeout_ms
@@ -97,8 +114,8 @@
 class Balancer:
     """One copy's decisions, from its settings, its own events and its own random draws."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.random, self.out = random.Random(seed), list[api.Action]()
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.random, self.out = random.Random(seed), list[Action]()
         self.now = 0.0
         self.soon = 0.0
         self.extra = 0.0
@@ -121,7 +138,7 @@
         self._retune(settings)
         self.service = self.work = self.aim / FIRST_GUESS  # mean answer time and cost hint, until they tell
 
-    def _retune(self, settings: api.Settings) -> None:  # what came before keeps its kind and its limits
+    def _retune(self, settings: Settings) -> None:  # what came before keeps its kind and its limits
         self.settings = settings
         self.rules = settings.rules
         self.limits = settings.limits
@@ -133,30 +150,30 @@
         self.most_out = max(1, int(CROWD / settings.peers_total + 0.5))
         self.calm, self.slow = CALM_SHARE if settings.peers_total < MANY else EXTRA_SHARE, CROWDED * self.aim
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Take one event and say what to do now."""
         self.now = now_ms
         self.out = []
         self.soon = now_ms + self.settings.tick_ms / 2  # what is due by then is due: timers come rounded
-        if isinstance(event, api.Request):
+        if isinstance(event, Request):
             self._arrive(event)
-        elif isinstance(event, api.Reply):
+        elif isinstance(event, Reply):
             self._reply(event)
-        elif isinstance(event, api.TimerFired | api.ListUpdate):
-            self._list(event) if isinstance(event, api.ListUpdate) else self._run_due()
+        elif isinstance(event, TimerFired | EndpointUpdate):
+            self._list(event) if isinstance(event, EndpointUpdate) else self._run_due()
             self._dispatch()
-        elif isinstance(event, api.ProbeResult) and event.host in self.hosts:
+        elif isinstance(event, HealthCheckResult) and event.host in self.hosts:
             self._judge(self.hosts[event.host], event.outcome, event.latency_ms, None)
-        elif isinstance(event, api.Retuned):
+        elif isinstance(event, SettingsChanged):
             self._retune(event.settings)
-        elif isinstance(event, api.Granted) and event.host in self.hosts:
+        elif isinstance(event, SlowStartGrant) and event.host in self.hosts:
             self.hosts[event.host].granted, self.hosts[event.host].grant_until = event.count, event.until_ms
-        elif isinstance(event, api.Left | api.StreamStarted):
-            self._end(event.id, event.attempt if isinstance(event, api.StreamStarted) else -1)
+        elif isinstance(event, ClientDisconnected | StreamStarted):
+            self._end(event.id, event.attempt if isinstance(event, StreamStarted) else -1)
         if self.soon >= self.ask_at:
             # An answer is owed; should none come, ask again well before we count as informed anyway.
             self._ask_at(now_ms + self.rules.ask_within_ms / 2)
-            self.out.append(api.Subscribe())
+            self.out.append(Subscribe())
         return self.out
 
     def avoided(self) -> int:
@@ -167,7 +184,7 @@
         heappush(self.due, (at, request))
         if at < self.wake_at:
             self.wake_at = at
-            self.out.append(api.SetTimer(max(at - self.now, self.settings.tick_ms), 0))
+            self.out.append(SetTimer(max(at - self.now, self.settings.tick_ms), 0))
 
     def _run_due(self) -> None:
         self.wake_at, self.look_at = (inf if self.soon >= at else at for at in (self.wake_at, self.look_at))
@@ -176,30 +193,32 @@
         if self.due and self.due[0][0] < self.wake_at:
             self._wake(*heappop(self.due))
 
-    def _list(self, event: api.ListUpdate) -> None:
-        if event.kind is ListKind.FAILED:
+    def _list(self, event: EndpointUpdate) -> None:
+        if event.kind is EndpointUpdateKind.FAILED:
             if self.settings.must_ask:  # spaced out and jittered: discovery is one small service for all
                 self.ask_failures += 1
                 wait = self.rules.ask_within_ms / 8 * 2 ** min(self.ask_failures - 1, 2)
                 most = ASK_MOST * self.random.uniform(0.75, 1)
                 self._ask_at(self.now + min(wait * self.random.uniform(0.5, 1.5), most))
             return
-        if event.kind is not ListKind.CACHED:
+        if event.kind is not EndpointUpdateKind.CACHED:
             self.ask_failures = 0
             self.ask_at = inf
         elif self.settings.must_ask and event.entries:
             # All that were started together have a list to begin with, and would ask at the same moment.
             self._ask_at(self.now + self.random.uniform(0, self.rules.ask_within_ms / 16))
-        if event.kind is not ListKind.DELTA:
+        if event.kind is not EndpointUpdateKind.DELTA:
             for gone in self.hosts.keys() - {entry.host for entry in event.entries}:
                 self.hosts.pop(gone).ready = False
         for entry in event.entries:
             host = self.hosts.get(entry.host)
-            if host is not None and (entry.state is not State.READY or entry.started_ms > host.started):
+            if host is not None and (
+                entry.state is not EndpointState.READY or entry.started_ms > host.started
+            ):
                 host.ready = False  # drains count from the moment we are told
-                if entry.state is not State.DRAINING:
+                if entry.state is not EndpointState.DRAINING:
                     del self.hosts[entry.host]  # gone, or a new process, of which nothing known holds
-            if entry.state is State.READY:
+            if entry.state is EndpointState.READY:
                 self.hosts.setdefault(entry.host, _Host(entry, self.random.random())).ready = True
         self._keep()
 
@@ -277,7 +296,7 @@
             if self.limits.probes:
                 # Drawn and due: no more probes than requests, however many hosts are out or copies look on.
                 self._eject(host)
-                self.out.append(api.Probe(host.id))
+                self.out.append(HealthCheck(host.id))
             if self.limits.probes or (request.cls.effect is Effect.UNSAFE and self.mild):
                 return False
         expected = self._expected(host)
@@ -351,7 +370,7 @@
             return not risky or cls.effect is Effect.SAFE
         return all(self.now - a.sent_at < request.window and cls.group.covers(a.host, host) for a in risky)
 
-    def _arrive(self, event: api.Request) -> None:
+    def _arrive(self, event: Request) -> None:
         if event.id in self.open or not 0 <= event.cls < len(self.settings.classes):
             return
         request = self.open[event.id] = _Request(event, self.settings, self.random)
@@ -442,16 +461,16 @@
         host.granted -= 1
         request.attempts.append(one)
         timeout = max(min(request.give_up, request.deadline) - self.now, self.settings.tick_ms)
-        self.out.append(api.Send(request.id, host.id, timeout))
+        self.out.append(Send(request.id, host.id, timeout))
         if self.limits.second_copies and len(request.attempts) == 1:
             self._wake(self.now + self._patience(request.cls.aim_ms), request.id)
 
-    def _reply(self, event: api.Reply) -> None:
+    def _reply(self, event: Reply) -> None:
         sent = self.flights.pop((event.id, event.attempt), None)
         if sent is not None:
             host = sent.host
             del host.pending[event.id, event.attempt]
-            sent.pending, sent.may_have_run = False, event.outcome not in api.NEVER_RAN
+            sent.pending, sent.may_have_run = False, event.outcome not in NEVER_RAN
             self._judge(host, event.outcome, event.latency_ms, sent)
             if event.outcome is Outcome.OK:
                 pace = event.latency_ms / sent.share
@@ -483,7 +502,7 @@
     def _answer(self, request: _Request) -> None:  # refused where that is harmless to retry, failed otherwise
         # To come back once what is out now is answered or given up, after an aim at the latest.
         wait = min(request.cls.aim_ms, self.limits.max_retry_after_ms) if self.limits.retry_after else 0.0
-        self.out.append(api.Refuse(request.id, wait) if self._legal(request, None) else api.Fail(request.id))
+        self.out.append(Refuse(request.id, wait) if self._legal(request, None) else Fail(request.id))
         self._end(request.id)
 
     def _end(self, number: int, stream: int = -1) -> None:
@@ -497,7 +516,7 @@
             if attempt == stream:
                 one.passed = PASSED  # from its first bytes on it takes its client's time
             elif one.pending and self.limits.cancel:
-                self.out.append(api.Cancel(number, attempt))
+                self.out.append(Cancel(number, attempt))
 
     def _hedge(self, number: int) -> None:  # a second copy, once the first is later than a host may be
         request = self.open.get(number)
--- a/coveport/balancing/simulator_codec.py
+++ b/coveport/balancing/simulator_codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from coveport.balancing import interface as api
+from coveport.balancing import actions, events, settings
 
 
 class WireError(Exception):
@@ -28,13 +28,13 @@
 _FIRST = struct.Struct("<QHId")
 _CODE = struct.Struct("<H")
 
-_OUTCOMES = {int(o): o for o in api.Outcome}
+_OUTCOMES = {int(o): o for o in events.Outcome}
 _EFFECTS = {
-    "idempotent": api.Effect.SAFE,
-    "deduplicated": api.Effect.KEYED,
-    "at_most_once": api.Effect.UNSAFE,
+    "idempotent": settings.Effect.SAFE,
+    "deduplicated": settings.Effect.KEYED,
+    "at_most_once": settings.Effect.UNSAFE,
 }
-_STATES = {int(s): s for s in api.State}
+_STATES = {int(s): s for s in events.EndpointState}
 _REPEAT_FLAG, _WRITE_FLAG, _HINT_FLAG = 2, 4, 1
 
 
@@ -54,7 +54,7 @@
     __slots__ = ()
 
 
-Item = api.Event | Attach | Halt
+Item = events.Event | Attach | Halt
 
 
 def _present(section: Any, names: dict[str, str]) -> dict[str, Any]:
@@ -94,26 +94,26 @@
 _PRICE_KEYS = {key: key for key in ("cross_zone", "waste", "late_fail", "probe")}
 
 
-def parse_settings(text: str | bytes) -> api.Settings:
+def parse_settings(text: str | bytes) -> settings.Settings:
     """Read the settings; unknown keys are skipped and absent ones take the interface's defaults."""
     info = json.loads(text)
     classes = []
     for one in info.get("classes") or ():
         values = _present(one, _CLASS_KEYS)
-        values["effect"] = _EFFECTS.get(one.get("semantics"), api.Effect.UNSAFE)
+        values["effect"] = _EFFECTS.get(one.get("semantics"), settings.Effect.UNSAFE)
         # A scope that is not known is taken as the narrowest one.
-        scopes = {group.value: group for group in api.Group}
-        values["group"] = scopes.get(one.get("key_scope", "all"), api.Group.CELL)
-        classes.append(api.RequestClass(**values))
+        scopes = {group.value: group for group in settings.DeduplicationScope}
+        values["group"] = scopes.get(one.get("key_scope", "all"), settings.DeduplicationScope.CELL)
+        classes.append(settings.RequestClass(**values))
     telemetry = info.get("telemetry") or {}
-    return api.Settings(
+    return settings.Settings(
         classes=tuple(classes),
         must_ask=info.get("registry_mode") == "subscribe",
         worth_by_work=info.get("value_by") == "work",
         load_fields=tuple(telemetry.get("fields") or ()),
-        limits=api.Limits(**_present(info.get("limits"), _LIMIT_KEYS)),
-        rules=api.Rules(**_present(info.get("invariants"), _RULE_KEYS)),
-        prices=api.Prices(**_present(info.get("prices"), _PRICE_KEYS)),
+        limits=settings.Limits(**_present(info.get("limits"), _LIMIT_KEYS)),
+        rules=settings.Rules(**_present(info.get("invariants"), _RULE_KEYS)),
+        prices=settings.Prices(**_present(info.get("prices"), _PRICE_KEYS)),
         **_present(info, {"zone": "zone", "peers_total": "peers_total", "round_ms": "tick_ms"}),
     )
 
@@ -148,7 +148,7 @@
     """Turns the records of batches into (instance, item) pairs; holds the numbered host lists."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, tuple[api.HostEntry, ...]] = {}
+        self._lists: dict[int, tuple[events.Endpoint, ...]] = {}
 
     def decode(self, body: bytes, count: int) -> Iterator[tuple[int, Item]]:
         """Yield each event with the instance it is for, in order."""
@@ -181,7 +181,9 @@
             raise WireError(f"host list {number} of {entries} entries is cut short")
         self._lists[number] = tuple(
             # A state that is not known is treated as draining: nothing new goes there.
-            api.HostEntry(host, zone, cell, _STATES.get(state, api.State.DRAINING), weight, started)
+            events.Endpoint(
+                host, zone, cell, _STATES.get(state, events.EndpointState.DRAINING), weight, started
+            )
             for host, zone, _kind, cell, state, weight, started in _ENTRY.iter_unpack(body[at:end])
         )
         return end
@@ -189,7 +191,7 @@
     def _item(self, code: int, body: bytes, at: int) -> tuple[Item, int]:
         if code == 3:
             rid, key, flags, deadline, lane, cost, tenant = _SUBMIT.unpack_from(body, at)
-            return api.Request(
+            return events.Request(
                 rid,
                 deadline,
                 lane,
@@ -202,29 +204,29 @@
         if code == 5:
             rid, hop, host, how, took, closed, fields = _REPLY.unpack_from(body, at)
             load, at = self._load(body, at + _REPLY.size, fields)
-            return api.Reply(rid, hop, host, self._outcome(how), took, bool(closed), load), at
+            return events.Reply(rid, hop, host, self._outcome(how), took, bool(closed), load), at
         if code == 7:
-            return api.TimerFired(*_LEFT.unpack_from(body, at)), at + 8
+            return events.TimerFired(*_LEFT.unpack_from(body, at)), at + 8
         if code == 6:
-            return api.Left(*_LEFT.unpack_from(body, at)), at + 8
+            return events.ClientDisconnected(*_LEFT.unpack_from(body, at)), at + 8
         if code == 8:
             host, how, took, fields = _PING.unpack_from(body, at)
             load, at = self._load(body, at + _PING.size, fields)
-            return api.ProbeResult(host, self._outcome(how), took, load), at
+            return events.HealthCheckResult(host, self._outcome(how), took, load), at
         if code == 2:
             form, epoch, number = _REGISTRY.unpack_from(body, at)
             at += _REGISTRY.size
             if form not in (0, 1, 2, 3):
                 raise WireError(f"unknown kind of host list: {form}")
-            kind = api.ListKind(form)
-            if kind is api.ListKind.FAILED:
-                return api.ListUpdate(kind, (), epoch), at
+            kind = events.EndpointUpdateKind(form)
+            if kind is events.EndpointUpdateKind.FAILED:
+                return events.EndpointUpdate(kind, (), epoch), at
             if number not in self._lists:
                 raise WireError(f"host list {number} was never sent")
-            return api.ListUpdate(kind, self._lists[number], epoch), at
+            return events.EndpointUpdate(kind, self._lists[number], epoch), at
         if code == 4:
             rid, hop, host, _took = _FIRST.unpack_from(body, at)
-            return api.StreamStarted(rid, hop, host), at + _FIRST.size
+            return events.StreamStarted(rid, hop, host), at + _FIRST.size
         if code == 1:
             seed, size = _ATTACH.unpack_from(body, at)
             text, at = self._bytes(body, at + _ATTACH.size, size)
@@ -232,13 +234,13 @@
         if code == 9:
             sender, size = _PEER.unpack_from(body, at)
             data, at = self._bytes(body, at + _PEER.size, size)
-            return api.PeerMessage(sender, data), at
+            return events.PeerMessage(sender, data), at
         if code == 10:
             return Halt(), at
         raise WireError(f"unknown record code {code} at byte {at - 2}")
 
     @staticmethod
-    def _outcome(how: int) -> api.Outcome:
+    def _outcome(how: int) -> events.Outcome:
         if how not in _OUTCOMES:
             raise WireError(f"unknown outcome {how}")
         return _OUTCOMES[how]
@@ -269,21 +271,21 @@
 _REPLY_HEADER = struct.Struct("<III").pack
 
 
-def encode_action(action: api.Action) -> bytes:
+def encode_action(action: actions.Action) -> bytes:
     """One action as a record."""
-    if isinstance(action, api.Send):
+    if isinstance(action, actions.Send):
         return _SEND(68, action.id, action.host, action.timeout_ms)
-    if isinstance(action, api.SetTimer):
+    if isinstance(action, actions.SetTimer):
         return _TIMER(70, action.delay_ms, action.token)
-    if isinstance(action, api.Cancel):
+    if isinstance(action, actions.Cancel):
         return _CANCEL(69, action.id, action.attempt)
-    if isinstance(action, api.Fail):
+    if isinstance(action, actions.Fail):
         return _ID(72, action.id)
-    if isinstance(action, api.Refuse):
+    if isinstance(action, actions.Refuse):
         return _REFUSE(74, action.id, action.wait_ms)
-    if isinstance(action, api.Probe):
+    if isinstance(action, actions.HealthCheck):
         return _HOST(77, action.host)
-    if isinstance(action, api.Subscribe):
+    if isinstance(action, actions.Subscribe):
         return _FLAG(75, 1)
     return _BARE(65)
 
--- a/coveport/balancing/simulator_link.py
+++ b/coveport/balancing/simulator_link.py
@@ -6,8 +6,7 @@
 import traceback
 from typing import BinaryIO
 
-from coveport.balancing import interface as api
-from coveport.balancing import simulator_codec
+from coveport.balancing import actions, simulator_codec
 from coveport.balancing.balancer import Balancer
 
 
@@ -18,7 +17,7 @@
     records: list[bytes] = []
     selected = -1
     for instance, item in decoder.decode(body, count):
-        actions: list[api.Action] = []
+        answers: list[actions.Action] = []
         fault = b""
         try:
             if isinstance(item, simulator_codec.Attach):
@@ -26,14 +25,14 @@
             elif isinstance(item, simulator_codec.Halt):
                 balancers.pop(instance, None)
             elif instance in balancers:
-                actions = balancers[instance].handle(now, item)
+                answers = balancers[instance].handle(now, item)
         except Exception:  # whatever failed in there, its text is what the operators need
             fault = simulator_codec.encode_fault(traceback.format_exc())
-        if actions or fault:
+        if answers or fault:
             if instance != selected:
                 records.append(simulator_codec.encode_at(instance))
                 selected = instance
-            records.extend(map(simulator_codec.encode_action, actions))
+            records.extend(map(simulator_codec.encode_action, answers))
             if fault:
                 records.append(fault)
     return records
--- a/coveport/sidecar/config/platform.py
+++ b/coveport/sidecar/config/platform.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Final
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.balancing import simulator_codec
 from coveport.net.address import Address, parse_address
 from coveport.sidecar.config import reload_checks
@@ -33,7 +33,7 @@
     seed: int  # of all random draws
     sockets: int  # file descriptors that the process may use
     memory_mb: float
-    settings: api.Settings  # of the balancer
+    settings: balancing.Settings  # of the balancer
     zones: tuple[str, ...]
     keepalive_ms: float
     console: Address | None = None  # listener for the staff's console; None: nothing is opened
@@ -123,7 +123,7 @@
     return float(value)
 
 
-def _balancer_settings(document: Mapping[str, Any]) -> api.Settings:
+def _balancer_settings(document: Mapping[str, Any]) -> balancing.Settings:
     settings = simulator_codec.parse_settings(json.dumps(document))
     if type(settings.zone) is not int:
         raise PlatformFileError(f"zone must be a whole number, not {settings.zone!r}")
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -19,7 +19,7 @@
 
 import structlog
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.net.transport import Net
 from coveport.sidecar.config import platform as configuration
 from coveport.sidecar.config.errors import PlatformFileError
@@ -64,7 +64,13 @@
 MISSED = ("connects_failed", "outcome_connect_failed", "outcome_reset", "outcome_timeout")
 LEAVE_S = 2.0
 TELLING = frozenset(
-    {api.Outcome.OK, api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.TIMEOUT, api.Outcome.RESET}
+    {
+        balancing.Outcome.OK,
+        balancing.Outcome.FULL,
+        balancing.Outcome.CONNECT_FAILED,
+        balancing.Outcome.TIMEOUT,
+        balancing.Outcome.RESET,
+    }
 )  # outcomes that say whether a destination lives
 
 
@@ -366,7 +372,7 @@
         def done(result: StepResult) -> None:
             took = (boot_s() - started) * 1000
             effects.feed(core.HealthCheckEnded(number, result.outcome, took, result.load))
-            ok = result.outcome is api.Outcome.OK
+            ok = result.outcome is balancing.Outcome.OK
             published = health_checks.check_finished(boot_s(), time.time(), node, ok=ok, latency_ms=took)
             if published is not None:
                 self.lease_client.publish(RESULT_PREFIX + node, published)
@@ -382,11 +388,11 @@
         result = self._health_checks.recent_result(boot_s(), node)
         return None if result is None else _as_probe(destination, result)
 
-    def saw(self, destination: int, outcome: api.Outcome) -> None:
+    def saw(self, destination: int, outcome: balancing.Outcome) -> None:
         """What we saw of a destination ourselves."""
         node = self._name_of(destination)
         if self._health_checks is not None and node and outcome in TELLING:
-            ok = outcome in (api.Outcome.OK, api.Outcome.FULL)
+            ok = outcome in (balancing.Outcome.OK, balancing.Outcome.FULL)
             self._health_checks.operation_observed(boot_s(), node, ok=ok)
 
     def _name_of(self, destination: int) -> str:
@@ -395,7 +401,7 @@
         return "" if place is None else _named(place)
 
 
-def _safe(settings: api.Settings) -> SafeLoad:
+def _safe(settings: balancing.Settings) -> SafeLoad:
     rules = settings.rules
     return SafeLoad(rules.cold_from, rules.warm_after_ms / 1000, rules.overload_factor, rules.fall_ms / 1000)
 
@@ -408,7 +414,7 @@
 
 def _as_probe(destination: int, seen: HealthCheckResult) -> core.HealthCheckEnded:
     return core.HealthCheckEnded(
-        destination, api.Outcome.OK if seen.ok else api.Outcome.CONNECT_FAILED, seen.latency_ms
+        destination, balancing.Outcome.OK if seen.ok else balancing.Outcome.CONNECT_FAILED, seen.latency_ms
     )
 
 
--- a/coveport/sidecar/discovery/reader.py
+++ b/coveport/sidecar/discovery/reader.py
@@ -7,18 +7,22 @@
 from dataclasses import dataclass
 from typing import Any
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.net.address import Address, parse_address
 from coveport.sidecar.reducer.locality import Place
 
-_STATES = {"active": api.State.READY, "leaving": api.State.DRAINING, "left": api.State.GONE}
+_STATES = {
+    "active": balancing.EndpointState.READY,
+    "leaving": balancing.EndpointState.DRAINING,
+    "left": balancing.EndpointState.GONE,
+}
 
 
 @dataclass(slots=True)
 class PoolUpdate:
     """A pool config as read: for the module, and where the destinations are (None: gone)."""
 
-    update: api.ListUpdate
+    update: balancing.EndpointUpdate
     places: list[tuple[int, Place | None]]
 
 
@@ -35,7 +39,7 @@
         self._zone_numbers = len(zones)
         self.heard: Callable[[Any, bool], None] | None = None  # told each list, and if it is whole
 
-    def read(self, told: Any, kind: api.ListKind | None = None) -> PoolUpdate:
+    def read(self, told: Any, kind: balancing.EndpointUpdateKind | None = None) -> PoolUpdate:
         """Check and read all of it; ValueError where any of it is garbled."""
         try:
             hosts, version, whole = told["hosts"], told["seq"], told["whole"]
@@ -46,21 +50,21 @@
         except (KeyError, TypeError, AttributeError) as problem:
             raise ValueError(f"{type(problem).__name__}: {problem}") from problem
         if kind is None:
-            kind = api.ListKind.FULL if whole else api.ListKind.DELTA
+            kind = balancing.EndpointUpdateKind.FULL if whole else balancing.EndpointUpdateKind.DELTA
         entries, places = [], list[tuple[int, Place | None]]()
         for name, address, zone, cell, state, weight, born in rows:
             number = self._hosts.setdefault(name, self._numbers + 1)
             self._numbers = max(self._numbers, number)
             there = self._where[name] = self._zone(zone), self._cell(cell)
-            entries.append(api.HostEntry(number, *there, state, weight, born))
-            places.append((number, None if state is api.State.GONE else (address, born)))
-        if self.heard is not None and kind is not api.ListKind.CACHED:
-            self.heard(told, kind is api.ListKind.FULL)
-        gone = {row[0] for row in rows if row[4] is api.State.GONE}
-        if kind is not api.ListKind.DELTA:
+            entries.append(balancing.Endpoint(number, *there, state, weight, born))
+            places.append((number, None if state is balancing.EndpointState.GONE else (address, born)))
+        if self.heard is not None and kind is not balancing.EndpointUpdateKind.CACHED:
+            self.heard(told, kind is balancing.EndpointUpdateKind.FULL)
+        gone = {row[0] for row in rows if row[4] is balancing.EndpointState.GONE}
+        if kind is not balancing.EndpointUpdateKind.DELTA:
             gone |= self._hosts.keys() - {row[0] for row in rows}
         self._forget(gone)
-        return PoolUpdate(api.ListUpdate(kind, tuple(entries), version), places)
+        return PoolUpdate(balancing.EndpointUpdate(kind, tuple(entries), version), places)
 
     def _forget(self, gone: set[str]) -> None:
         # Guards against tables that only grow: destinations are replaced all day, under new names. A
@@ -75,7 +79,7 @@
             self._cells = {name: at for name, at in self._cells.items() if at in cells}
 
     @staticmethod
-    def _check(one: Any) -> tuple[str, Address, Any, Any, api.State, float, float]:
+    def _check(one: Any) -> tuple[str, Address, Any, Any, balancing.EndpointState, float, float]:
         name, weight, born = one["host"], one.get("share", 1.0), one.get("born_ms", 0)
         if not isinstance(name, str) or not name:
             raise ValueError(f"host {name!r} is no name")
@@ -91,7 +95,7 @@
             if isinstance(value, bool) or not isinstance(value, int | str):
                 raise ValueError(f"{name!r}: {value!r} is no site or block")
         # A state that is not known is treated as draining: nothing new goes there.
-        state = _STATES.get(one["health"], api.State.DRAINING)
+        state = _STATES.get(one["health"], balancing.EndpointState.DRAINING)
         return name, parse_address(one["dial"]), one["site"], one["block"], state, float(weight), float(born)
 
     def _zone(self, zone: int | str) -> int:
--- a/coveport/sidecar/downstream/client_connections.py
+++ b/coveport/sidecar/downstream/client_connections.py
@@ -8,8 +8,7 @@
 from itertools import islice
 from math import inf
 
-from coveport import http1
-from coveport.balancing import interface as api
+from coveport import balancing, http1
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net
 from coveport.sidecar.downstream.operation_reader import read_operation
@@ -474,7 +473,7 @@
         net: Net,
         counters: Counters,
         log: Log,
-        classes: tuple[api.RequestClass, ...],
+        classes: tuple[balancing.RequestClass, ...],
         *,
         most_clients: int,
         ready: Callable[[], bool],
@@ -506,7 +505,7 @@
         self._stalled_from: float | None = None  # set while what came during a stall is being read
         self._stall_seen = 0.0
 
-    def retune(self, classes: tuple[api.RequestClass, ...]) -> None:
+    def retune(self, classes: tuple[balancing.RequestClass, ...]) -> None:
         """Take operations of these classes from now on."""
         self.classes = {cls.name: (number, cls.effect) for number, cls in enumerate(classes)}
 
--- a/coveport/sidecar/downstream/operation_reader.py
+++ b/coveport/sidecar/downstream/operation_reader.py
@@ -5,8 +5,7 @@
 import math
 import re
 
-from coveport import http1
-from coveport.balancing import interface as api
+from coveport import balancing, http1
 from coveport.sidecar.reducer.operation import Operation
 
 _ID = re.compile(r"[A-Za-z0-9._~+/=:-]{1,128}")
@@ -15,22 +14,22 @@
 _LONGEST_MS = 3_600_000.0
 
 
-def read_operation(request: http1.Request, classes: dict[str, tuple[int, api.Effect]]) -> Operation:
+def read_operation(request: http1.Request, classes: dict[str, tuple[int, balancing.Effect]]) -> Operation:
     """Check a request for an operation; RemoteProtocolError says what is wrong with it."""
     name = request.target.partition("?")[0].split("/")[1]
     if name not in classes:
         raise http1.RemoteProtocolError(404, "unknown path")
     cls, effect = classes[name]
-    if effect is api.Effect.SAFE and (request.body or request.is_streamed):
+    if effect is balancing.Effect.SAFE and (request.body or request.is_streamed):
         raise http1.RemoteProtocolError(400, "a body, where there is none")
-    method = "GET" if effect is api.Effect.SAFE else "POST"
+    method = "GET" if effect is balancing.Effect.SAFE else "POST"
     if request.method != method:
         raise http1.RemoteProtocolError(405, "wrong method", Allow=method)
     number = request.get("x-request-id")
     if number is None or not _ID.fullmatch(number):
         raise http1.RemoteProtocolError(400, "bad X-Request-Id")
     key = request.get("idempotency-key")
-    if (key is None and effect is api.Effect.KEYED) or (key is not None and not _KEY.fullmatch(key)):
+    if (key is None and effect is balancing.Effect.KEYED) or (key is not None and not _KEY.fullmatch(key)):
         raise http1.RemoteProtocolError(400, "bad Idempotency-Key")
     deadline = _DEADLINE.fullmatch(request.get("x-deadline") or "")
     wait_ms = float(deadline[1]) / (1000 if deadline[2] == "u" else 1) if deadline else 0.0
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Protocol
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.net.clock import Clock
 from coveport.net.transport import Net
 from coveport.sidecar.config.platform import Config
@@ -85,7 +85,7 @@
     def look(self, destination: int) -> core.HealthCheckEnded | None:
         """Another's look at a destination that the module wishes to look at; None: look yourself."""
 
-    def saw(self, destination: int, outcome: api.Outcome) -> None:
+    def saw(self, destination: int, outcome: balancing.Outcome) -> None:
         """What we saw of a destination ourselves."""
 
 
@@ -98,7 +98,7 @@
     def send(self, number: int, step: int, destination: int, resume: ResumeSend) -> bool:
         """Ask to send a route step: True: at once; False: `resume` is called once, in a later turn."""
 
-    def attempt_ended(self, number: int, step: int, outcome: api.Outcome) -> None:
+    def attempt_ended(self, number: int, step: int, outcome: balancing.Outcome) -> None:
         """Note the outcome of a route step."""
 
     def client_gone(self, number: int) -> None:
@@ -120,7 +120,7 @@
         """Give it up: nothing was sent."""
         if not self.over:
             self.over = True
-            self._done(StepResult(api.Outcome.MOOT))
+            self._done(StepResult(balancing.Outcome.MOOT))
 
 
 @dataclass(slots=True)
@@ -138,7 +138,7 @@
     ended: bool = False  # counted under how it ended
 
 
-def connect_timeout_ms(settings: api.Settings) -> float:
+def connect_timeout_ms(settings: balancing.Settings) -> float:
     """After which a connect is given up, so that there is time for a second try."""
     return min(
         settings.limits.connect_timeout_ms, CONNECT_SHARE * min(one.aim_ms for one in settings.classes)
@@ -155,7 +155,7 @@
         counters: Counters,
         log: Log,
         dial: Dial,
-        reducer: Callable[[api.Settings, int], Reducer] = Reducer,
+        reducer: Callable[[balancing.Settings, int], Reducer] = Reducer,
     ) -> None:
         self._net = net
         self._config = config
@@ -203,7 +203,7 @@
         if self._config.known is None:
             return
         try:
-            update = self._reader.read(self._config.known, api.ListKind.CACHED)
+            update = self._reader.read(self._config.known, balancing.EndpointUpdateKind.CACHED)
         except ValueError as problem:
             self._log.note("pool config", f"the known list is garbled: {problem}")
             return
@@ -334,7 +334,7 @@
         self.counters.add(ended(cls, _ENDS[verdict]))
 
     @property
-    def settings(self) -> api.Settings:
+    def settings(self) -> balancing.Settings:
         """As they are now."""
         return self._config.settings
 
@@ -350,7 +350,7 @@
     def told(self, update: PoolUpdate | None) -> None:
         """Discovery has told a list, or has failed."""
         if update is None:
-            self.feed(core.EndpointsUpdated(api.ListUpdate(api.ListKind.FAILED)))
+            self.feed(core.EndpointsUpdated(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED)))
         else:
             self.has_list = True
             self.counters.add("pool_updates")
@@ -358,10 +358,10 @@
 
     def _place(self, update: PoolUpdate) -> None:
         # First: what is held goes to a new destination, or to one's new address, as soon as the module knows.
-        self.destinations.place(update.places, update.update.kind is not api.ListKind.DELTA)
+        self.destinations.place(update.places, update.update.kind is not balancing.EndpointUpdateKind.DELTA)
         if (
             update.update.entries
-            or update.update.kind is not api.ListKind.DELTA
+            or update.update.kind is not balancing.EndpointUpdateKind.DELTA
             or (self._config.settings.must_ask)
         ):  # whoever asked waits for an answer, an empty one too
             self.feed(core.EndpointsUpdated(update.update))
--- a/coveport/sidecar/intent_log/execution.py
+++ b/coveport/sidecar/intent_log/execution.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.sidecar.intent_log.pending_operation import PendingOperation
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
@@ -49,7 +49,7 @@
         """Return address, zone and cell of a destination."""
 
     @property
-    def settings(self) -> api.Settings:
+    def settings(self) -> balancing.Settings:
         """The settings as they are now."""
 
 
--- a/coveport/sidecar/intent_log/pending_operation.py
+++ b/coveport/sidecar/intent_log/pending_operation.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Effect, Outcome
+from coveport import balancing
+from coveport.balancing import Effect, Outcome
 from coveport.sidecar.intent_log.record import Attempt, FinalStatus, Record, RecoveryPoint
 from coveport.sidecar.reducer.operation import Operation
 
@@ -133,11 +133,11 @@
             return FinalStatus.UNKNOWN, "taken over, and no answer came"
         return FinalStatus.FAILED, "told busy" if busy else ""
 
-    def earlier_attempts(self, now_s: float, now_ms: float) -> tuple[api.Before, ...]:
+    def earlier_attempts(self, now_s: float, now_ms: float) -> tuple[balancing.PriorAttempt, ...]:
         """Return its attempts as the balancer is given them, at `now_ms` of the balancer's clock."""
         age_ms = max(0.0, now_s - self.first_attempt_s) * 1000 if self.first_attempt_s < inf else 0.0
         first_attempt_ms = now_ms - age_ms
         return tuple(
-            api.Before(attempt.zone, attempt.cell, first_attempt_ms, attempt.may_have_run)
+            balancing.PriorAttempt(attempt.zone, attempt.cell, first_attempt_ms, attempt.may_have_run)
             for attempt in self.record.attempts
         )
--- a/coveport/sidecar/intent_log/record.py
+++ b/coveport/sidecar/intent_log/record.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from coveport.balancing.interface import NEVER_RAN, Effect, Group, Outcome, RequestClass
+from coveport.balancing import NEVER_RAN, DeduplicationScope, Effect, Outcome, RequestClass
 from coveport.sidecar.intent_log.errors import InvalidTransitionError
 
 FORMAT = 1  # version of the stored form; a record of a later one is left alone
@@ -58,7 +58,7 @@
     """What an operation's class allowed when it was accepted."""
 
     effect: Effect
-    group: Group
+    group: DeduplicationScope
     window_ms: float  # for how long a cell drops repeats of a key
     max_attempts: int = msgspec.field(name="most_attempts")
     deadline_ms: float = 1000.0
--- a/coveport/sidecar/intent_log/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Effect
+from coveport import balancing
+from coveport.balancing import Effect
 from coveport.sidecar.intent_log.execution import AbsentClient, Client, RecordingClient
 from coveport.sidecar.intent_log.payloads import StoredResponse
 from coveport.sidecar.intent_log.pending_operation import OperationStage, PendingOperation
@@ -195,7 +195,10 @@
         return max(1.0, (pending.deadline_s - self._now_s()) * 1000)
 
     def _execute(
-        self, pending: PendingOperation, client: Client | None, earlier_attempts: tuple[api.Before, ...]
+        self,
+        pending: PendingOperation,
+        client: Client | None,
+        earlier_attempts: tuple[balancing.PriorAttempt, ...],
     ) -> None:
         """Have the executor execute an owned operation, under a number of the recorder's own."""
         restored = self._restored_operation(pending) if client is None else None
--- a/coveport/sidecar/intent_log/recorder.py
+++ b/coveport/sidecar/intent_log/recorder.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from coveport.balancing.interface import Effect, Outcome
+from coveport.balancing import Effect, Outcome
 from coveport.sidecar.intent_log.errors import RecordError
 from coveport.sidecar.intent_log.execution import Client, RecordingClient
 from coveport.sidecar.intent_log.payloads import StoredResponse
--- a/coveport/sidecar/intent_log/repeated_requests.py
+++ b/coveport/sidecar/intent_log/repeated_requests.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.sidecar.intent_log.errors import RecordError
 from coveport.sidecar.intent_log.execution import Client
 from coveport.sidecar.intent_log.payloads import StoredRequest
@@ -186,7 +186,9 @@
         pending.record = self._new_record(pending.record.id, request_class, pending.operation)
         self._execute(pending, client, ())
 
-    def _new_record(self, record_id: str, request_class: api.RequestClass, operation: Operation) -> Record:
+    def _new_record(
+        self, record_id: str, request_class: balancing.RequestClass, operation: Operation
+    ) -> Record:
         """Return the record of an operation that is accepted now."""
         sealed = self.codec.encode_request(record_id, _stored_request(operation))
         digest = ""
--- a/coveport/sidecar/intent_log/takeover.py
+++ b/coveport/sidecar/intent_log/takeover.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from coveport.balancing.interface import Effect, Group
+from coveport.balancing import DeduplicationScope, Effect
 from coveport.sidecar.intent_log.record import Attempt, Record, RecoveryPoint
 
 
@@ -40,7 +40,7 @@
 
     action: TakeoverAction
     rule: str
-    group: Group = Group.ALL
+    group: DeduplicationScope = DeduplicationScope.ALL
     previous: Attempt | None = None  # RETRY: a node of its zone or cell, as `group` says
     within_ms: float = 0.0
 
@@ -110,8 +110,8 @@
     )
 
 
-def _key_domain(attempt: Attempt, group: Group) -> tuple[int, ...]:
+def _key_domain(attempt: Attempt, group: DeduplicationScope) -> tuple[int, ...]:
     """Return what identifies the nodes that share keys with an attempt's node."""
-    if group is Group.ALL:
+    if group is DeduplicationScope.ALL:
         return ()
-    return (attempt.zone,) if group is Group.ZONE else (attempt.zone, attempt.cell)
+    return (attempt.zone,) if group is DeduplicationScope.ZONE else (attempt.zone, attempt.cell)
--- a/coveport/sidecar/reducer/messages.py
+++ b/coveport/sidecar/reducer/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.net.address import Address
 from coveport.sidecar.reducer.operation import Answer
 
@@ -34,7 +34,9 @@
     room: bool = True  # False: more has come than we can hold
     id: str = ""  # what the client calls it; empty: nothing
     long: bool = False  # its body is still coming: no deadline holds until `BodyReceived`
-    before: tuple[api.Before, ...] = ()  # attempts that were made already; they bear the steps from 0 on
+    before: tuple[
+        balancing.PriorAttempt, ...
+    ] = ()  # attempts that were made already; they bear the steps from 0 on
 
 
 @dataclass(slots=True)
@@ -75,7 +77,7 @@
 
     operation: int
     step: int
-    outcome: api.Outcome
+    outcome: balancing.Outcome
     load: tuple[float, ...] = ()
     answer: Answer | None = None
 
@@ -85,7 +87,7 @@
     """How a probe ended."""
 
     destination: int
-    outcome: api.Outcome
+    outcome: balancing.Outcome
     latency_ms: float
     load: tuple[float, ...] = ()
 
@@ -94,7 +96,7 @@
 class EndpointsUpdated:
     """Word from discovery, or of its failure."""
 
-    update: api.ListUpdate
+    update: balancing.EndpointUpdate
 
 
 @dataclass(slots=True)
@@ -116,7 +118,7 @@
     """The configuration was read anew. `discovery`: where it is now; None for either: as before."""
 
     discovery: Address | None
-    settings: api.Settings | None = None
+    settings: balancing.Settings | None = None
 
 
 @dataclass(slots=True)
--- a/coveport/sidecar/reducer/operation.py
+++ b/coveport/sidecar/reducer/operation.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from coveport.balancing.interface import Before
+from coveport.balancing import PriorAttempt
 from coveport.sidecar.reducer.streams import Upload
 
 
@@ -25,7 +25,7 @@
     accept: tuple[str, ...] = ()
     room: bool = True  # False: there are more clients than we can hold
     upload: Upload | None = None  # its body, where that is long; `body` is empty then
-    before: tuple[Before, ...] = ()  # attempts that were made for it already, by whomever
+    before: tuple[PriorAttempt, ...] = ()  # attempts that were made for it already, by whomever
 
 
 @dataclass(slots=True)
--- a/coveport/sidecar/reducer/reducer.py
+++ b/coveport/sidecar/reducer/reducer.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from math import inf
 
+from coveport import balancing
 from coveport.balancing import Balancer
-from coveport.balancing import interface as api
 from coveport.sidecar.reducer.messages import (
     AnswerStarted,
     AttemptEnded,
@@ -72,7 +72,10 @@
     """The state of one sidecar."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, balancer: Callable[[api.Settings, int], Balancer] = Balancer
+        self,
+        settings: balancing.Settings,
+        seed: int,
+        balancer: Callable[[balancing.Settings, int], Balancer] = Balancer,
     ) -> None:
         self._settings = settings
         self._balancer = balancer(settings, seed)
@@ -80,7 +83,7 @@
         self._ids: set[str] = set()  # of the open operations
         self._now = 0.0
         self._effects: list[Effect] = []
-        self._events: deque[api.Event] = deque()
+        self._events: deque[balancing.Event] = deque()
 
     @property
     def owed(self) -> int:
@@ -143,11 +146,13 @@
         elif isinstance(item, AttemptEnded):
             self._step_ended(item)
         elif isinstance(item, TimerExpired):
-            self._tell(api.TimerFired(item.token))
+            self._tell(balancing.TimerFired(item.token))
         elif isinstance(item, EndpointsUpdated):
             self._tell(item.update)
         elif isinstance(item, HealthCheckEnded):
-            self._tell(api.ProbeResult(item.destination, item.outcome, item.latency_ms, item.load))
+            self._tell(
+                balancing.HealthCheckResult(item.destination, item.outcome, item.latency_ms, item.load)
+            )
         elif isinstance(item, ClientDisconnected):
             self._close(item.operation, None)
         elif isinstance(item, BodyReceived):
@@ -161,13 +166,13 @@
         elif isinstance(item, ProcessStalled):
             self._discount(item.lasted_ms)
         elif isinstance(item, SlowStartGranted):
-            self._tell(api.Granted(item.destination, item.count, self._now + item.lasts_ms))
+            self._tell(balancing.SlowStartGrant(item.destination, item.count, self._now + item.lasts_ms))
         elif isinstance(item, ConfigurationReloaded):
             if item.discovery is not None:
                 self._effects.append(SwitchDiscovery(item.discovery))  # operations and route steps go on
             if item.settings is not None:
                 self._settings = item.settings
-                self._tell(api.Retuned(item.settings))
+                self._tell(balancing.SettingsChanged(item.settings))
         else:
             # Guards against a module that forgets an operation: it gets its answer within the slack.
             operation = self._operations.get(item.operation)
@@ -194,7 +199,7 @@
         if not item.long:
             self._guard(item.operation, operation)
         told = self._tell(
-            api.Request(
+            balancing.Request(
                 item.operation,
                 item.deadline_ms,
                 item.cls,
@@ -225,7 +230,7 @@
         step = operation.steps[item.step]
         operation.answered, operation.stream, step.began_at = True, item.step, self._now
         self._effects.append(StartAnswer(item.operation, item.step, item.answer))
-        self._tell(api.StreamStarted(item.operation, item.step, step.destination))
+        self._tell(balancing.StreamStarted(item.operation, item.step, step.destination))
 
     def _step_ended(self, item: AttemptEnded) -> None:
         operation = self._operations.get(item.operation)
@@ -233,18 +238,20 @@
             return
         step = operation.steps[item.step]
         step.out = False
-        if item.outcome is api.Outcome.OK and not operation.answered:
+        if item.outcome is balancing.Outcome.OK and not operation.answered:
             operation.answered = True
             self._effects.append(SendAnswer(item.operation, Verdict.SERVED, item.answer))
         elif operation.stream == item.step:
             operation.stream = -1
-            self._effects.append(EndAnswer(item.operation, item.outcome is api.Outcome.OK))
+            self._effects.append(EndAnswer(item.operation, item.outcome is balancing.Outcome.OK))
         # Of a long answer its first bytes alone speak of the destination's pace: the rest is its client's.
         took = (self._now if step.began_at is None else step.began_at) - step.sent_at
         # Guards against a module that takes one over whose answer is still passed on: it would call that off.
         closed = operation.answered and operation.stream < 0
         told = self._tell(
-            api.Reply(item.operation, item.step, step.destination, item.outcome, took, closed, item.load)
+            balancing.Reply(
+                item.operation, item.step, step.destination, item.outcome, took, closed, item.load
+            )
         )
         self._settle(item.operation, operation, told)
 
@@ -275,14 +282,14 @@
         operation.answered, operation.stream = True, -1
         if verdict is not None:
             self._effects.append(SendAnswer(number, verdict))
-        self._tell(api.Left(number))
+        self._tell(balancing.ClientDisconnected(number))
         for attempt, step in enumerate(operation.steps):
             if step.out:  # the module's own cancel may have come already; a second one does nothing
                 self._effects.append(CancelAttempt(number, attempt))
         if operation.over:
             self._pop(number)
 
-    def _tell(self, event: api.Event) -> bool:
+    def _tell(self, event: balancing.Event) -> bool:
         """Let the module decide; False where it raised."""
         fine = True
         self._events.append(event)
@@ -299,13 +306,13 @@
                 fine = self._act(action) and fine
         return fine
 
-    def _act(self, action: api.Action) -> bool:
+    def _act(self, action: balancing.Action) -> bool:
         """Do what the module says; False where it makes no sense."""
-        if isinstance(action, api.Send):
+        if isinstance(action, balancing.Send):
             self._send(action)
-        elif isinstance(action, api.SetTimer):
+        elif isinstance(action, balancing.SetTimer):
             self._effects.append(SetTimer(action.delay_ms, action.token))
-        elif isinstance(action, api.Cancel):
+        elif isinstance(action, balancing.Cancel):
             operation = self._operations.get(action.id)
             if operation is not None and not 0 <= action.attempt < len(operation.steps):
                 # Guards against a module that cancels what it never sent.
@@ -317,21 +324,21 @@
                 and operation.stream != action.attempt
             ):  # what is passed on is the client's
                 self._effects.append(CancelAttempt(action.id, action.attempt))
-        elif isinstance(action, api.Refuse | api.Fail):
+        elif isinstance(action, balancing.Refuse | balancing.Fail):
             operation = self._operations.get(action.id)
             if operation is None or operation.answered:
                 return True
             operation.answered = True
-            if isinstance(action, api.Fail):
+            if isinstance(action, balancing.Fail):
                 self._effects.append(SendAnswer(action.id, Verdict.FAILED))
             else:
                 self._effects.append(self._busy(action.id, action.wait_ms))
             if operation.over:
                 self._pop(action.id)
-        elif isinstance(action, api.Probe):
+        elif isinstance(action, balancing.HealthCheck):
             self._effects.append(CheckHealth(action.host))
         else:
-            self._effects.append(RequestEndpoints(isinstance(action, api.FetchList)))
+            self._effects.append(RequestEndpoints(isinstance(action, balancing.FetchEndpoints)))
         return True
 
     def _busy(self, number: int, wait_ms: float) -> SendAnswer:
@@ -339,7 +346,7 @@
         wait_ms = min(wait_ms, limits.max_retry_after_ms) if limits.retry_after else 0.0
         return SendAnswer(number, Verdict.BUSY, None, wait_ms)
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: balancing.Send) -> None:
         operation = self._operations.get(action.id)
         if operation is None:
             return
@@ -349,7 +356,9 @@
         if operation.answered or left <= 0 or attempt >= operation.most_attempts:
             operation.steps[attempt].out = False
             self._events.append(
-                api.Reply(action.id, attempt, action.host, api.Outcome.MOOT, 0.0, operation.answered)
+                balancing.Reply(
+                    action.id, attempt, action.host, balancing.Outcome.MOOT, 0.0, operation.answered
+                )
             )
             return
         timeout = min(action.timeout_ms, left) if action.timeout_ms else left
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.net.address import Address
 from coveport.net.transport import Net
 from coveport.sidecar.admin.codec import Call
@@ -41,7 +41,7 @@
     *,
     reread: Callable[[configuration.Config], configuration.Config],
     on_phase: Callable[[Phase], None] | None = None,
-    reducer: Callable[[api.Settings, int], Reducer] = Reducer,
+    reducer: Callable[[balancing.Settings, int], Reducer] = Reducer,
     effects_type: type[Effects] = Effects,
     joined: Callable[[Effects, Lifecycle], None] | None = None,
 ) -> int:
--- a/coveport/sidecar/supervisor/sidecar_view.py
+++ b/coveport/sidecar/supervisor/sidecar_view.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.telemetry.counters import Counters
 
@@ -16,7 +16,7 @@
     counters: Counters
 
     @property
-    def settings(self) -> api.Settings:
+    def settings(self) -> balancing.Settings:
         """The present settings."""
 
     def hear(self, on_endpoints: Callable[[Any, bool], None], /) -> None:
--- a/coveport/sidecar/supervisor/snapshot_manager.py
+++ b/coveport/sidecar/supervisor/snapshot_manager.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.sidecar.config.platform import Config
 from coveport.sidecar.leases.clock import boot_id, boot_s
 from coveport.sidecar.reducer import messages as core
@@ -80,7 +80,7 @@
             number = numbers.get(str(host.get("dial")))
             if number is not None and host.get("host") in restored.ejected:
                 sidecar.counters.add("remembered_out")
-                sidecar.feed(core.HealthCheckEnded(number, api.Outcome.CONNECT_FAILED, 0.0))
+                sidecar.feed(core.HealthCheckEnded(number, balancing.Outcome.CONNECT_FAILED, 0.0))
 
     def write(self, sidecar: SidecarView, destinations: Destinations) -> None:
         """Write a snapshot, once discovery has reported a list; a failed write leaves the previous one."""
--- a/coveport/sidecar/upstream/connection_pool.py
+++ b/coveport/sidecar/upstream/connection_pool.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Mapping
 
-from coveport.balancing.interface import Outcome
+from coveport.balancing import Outcome
 from coveport.net.address import Address
 from coveport.net.transport import Net
 from coveport.sidecar.reducer.locality import Place
--- a/coveport/sidecar/upstream/http1_connection.py
+++ b/coveport/sidecar/upstream/http1_connection.py
@@ -6,7 +6,7 @@
 from math import isfinite
 
 from coveport import http1
-from coveport.balancing.interface import Outcome
+from coveport.balancing import Outcome
 from coveport.sidecar.reducer.locality import Place
 from coveport.sidecar.reducer.operation import Answer
 from coveport.sidecar.reducer.streams import MOST_BODY, Budget, Upload
--- a/coveport/sidecar/upstream/route_step.py
+++ b/coveport/sidecar/upstream/route_step.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from coveport.balancing.interface import Outcome
+from coveport.balancing import Outcome
 from coveport.sidecar.reducer.locality import Place
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.upstream.protocol import Link
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from math import inf
 
+from coveport import balancing
 from coveport.balancing import Balancer
 from coveport.balancing import balancer as decide
-from coveport.balancing import interface as api
 from coveport.sidecar.discovery.reader import PoolUpdate
 from coveport.sidecar.effects import Asker, Effects
 from coveport.sidecar.reducer import messages as core
@@ -22,7 +22,7 @@
 
 EVERY = 40  # of so many operations, one meets the fault where it is not a matter of circumstances
 
-MakeReducer = Callable[[api.Settings, int], Reducer]
+MakeReducer = Callable[[balancing.Settings, int], Reducer]
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
     scenario: tuple[str, ...] = ()  # settings under which the fault shows, where it needs some
 
 
-def _lied(change: Callable[[api.Settings], api.Settings]) -> MakeReducer:
+def _lied(change: Callable[[balancing.Settings], balancing.Settings]) -> MakeReducer:
     """Everything that decides is told something else than what holds."""
     return lambda settings, seed: Reducer(change(settings), seed)
 
@@ -46,7 +46,7 @@
     return lambda settings, seed: Reducer(settings, seed, balancer)
 
 
-def _classes(settings: api.Settings, kind: api.Effect, **changed: object) -> api.Settings:
+def _classes(settings: balancing.Settings, kind: balancing.Effect, **changed: object) -> balancing.Settings:
     return dataclasses.replace(
         settings,
         classes=tuple(
@@ -56,7 +56,7 @@
     )
 
 
-def _limits(settings: api.Settings, **changed: object) -> api.Settings:
+def _limits(settings: balancing.Settings, **changed: object) -> balancing.Settings:
     return dataclasses.replace(settings, limits=dataclasses.replace(settings.limits, **changed))  # type: ignore[arg-type]
 
 
@@ -64,9 +64,11 @@
 
 
 class _DeafToDrains(Balancer):
-    def _list(self, event: api.ListUpdate) -> None:
-        entries = tuple(dataclasses.replace(one, state=api.State.READY) for one in event.entries)
-        super()._list(api.ListUpdate(event.kind, entries, event.version))
+    def _list(self, event: balancing.EndpointUpdate) -> None:
+        entries = tuple(
+            dataclasses.replace(one, state=balancing.EndpointState.READY) for one in event.entries
+        )
+        super()._list(balancing.EndpointUpdate(event.kind, entries, event.version))
 
 
 class _FloodsTheCold(Balancer):
@@ -83,7 +85,7 @@
 
 class _RefusesAll(Balancer):
     def _answer(self, request: decide._Request) -> None:
-        self.out.append(api.Refuse(request.id, 0.0))
+        self.out.append(balancing.Refuse(request.id, 0.0))
         self._end(request.id)
 
 
@@ -215,8 +217,10 @@
 
     def _place(self, update: PoolUpdate) -> None:
         update.places = [(number, place) for number, place in update.places if place is not None]
-        entries = tuple(one for one in update.update.entries if one.state is api.State.READY)
-        update.update = api.ListUpdate(api.ListKind.DELTA, entries, update.update.version)
+        entries = tuple(one for one in update.update.entries if one.state is balancing.EndpointState.READY)
+        update.update = balancing.EndpointUpdate(
+            balancing.EndpointUpdateKind.DELTA, entries, update.update.version
+        )
         super()._place(update)
 
 
@@ -238,19 +242,19 @@
         "redeem-resent",
         "a redeem is tried again though it may have run",
         "resent",
-        _lied(lambda s: _classes(s, api.Effect.UNSAFE, effect=api.Effect.SAFE)),
+        _lied(lambda s: _classes(s, balancing.Effect.UNSAFE, effect=balancing.Effect.SAFE)),
     ),
     Variant(
         "earn-elsewhere",
         "an earn is tried again in another cell",
         "resent",
-        _lied(lambda s: _classes(s, api.Effect.KEYED, group=api.Group.ALL)),
+        _lied(lambda s: _classes(s, balancing.Effect.KEYED, group=balancing.DeduplicationScope.ALL)),
     ),
     Variant(
         "earn-past-window",
         "an earn is tried again when its window is over",
         "resent",
-        _lied(lambda s: _classes(s, api.Effect.KEYED, window_ms=1e6)),
+        _lied(lambda s: _classes(s, balancing.Effect.KEYED, window_ms=1e6)),
         scenario=("classes.1.window_ms=300",),
     ),
     Variant("answers-twice", "a second final answer", "answer-twice", effects=_AnswersTwice),
--- a/coveport/testbed/check/play.py
+++ b/coveport/testbed/check/play.py
@@ -6,8 +6,8 @@
 from collections import deque
 from typing import Any
 
+from coveport import balancing
 from coveport.balancing import Balancer
-from coveport.balancing import interface as api
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.reducer import Reducer
 from coveport.testbed.check import rules
@@ -24,7 +24,7 @@
     def __init__(self, world: World, reducer: type[Reducer], balancer: type[Balancer], chance: Any) -> None:
         made: list[Balancer] = []
 
-        def make(settings: api.Settings, seed: int) -> Balancer:
+        def make(settings: balancing.Settings, seed: int) -> Balancer:
             made.append(balancer(settings, seed))
             made[0].random = chance
             return made[0]
--- a/coveport/testbed/check/replay.py
+++ b/coveport/testbed/check/replay.py
@@ -93,16 +93,16 @@
         f"from coveport.testbed.check import replay\n"
         f"from coveport.testbed.check.world import {used}\n"
         f"from coveport.balancing import Balancer\n"
-        f"from coveport.balancing import interface as api\n\n\n{body}"
+        f"from coveport import balancing\n\n\n{body}"
     )
 
 
 def source(value: Any, indent: int = 0, used: int = 0) -> str:
     """A value as source, broken into lines where it is too long; fields at their defaults are left out."""
     if isinstance(value, Enum):
-        return f"api.{type(value).__name__}.{value.name}"
+        return f"balancing.{type(value).__name__}.{value.name}"
     if is_dataclass(value):
-        module = "api." if type(value).__module__ == "coveport.balancing.interface" else ""
+        module = "balancing." if type(value).__module__.startswith("coveport.balancing.") else ""
         told, by_place = [], True
         for one in fields(value):
             if not one.compare:
--- a/coveport/testbed/check/rules.py
+++ b/coveport/testbed/check/rules.py
@@ -9,9 +9,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from coveport.balancing import Balancer
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Outcome, State
+from coveport import balancing
+from coveport.balancing import Balancer, EndpointState, Outcome
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.reducer import Reducer
@@ -79,7 +78,7 @@
     state = around.states.get(node)
     if state is None:
         yield Breach("unnamed", f"{what} went to node {node}, which was never named")
-    elif state is not State.READY:
+    elif state is not EndpointState.READY:
         since = around.now - around.told_at[node]
         if since > around.world.settings.rules.drain_grace_ms:
             yield Breach(
@@ -113,15 +112,15 @@
             yield Breach("resent", f"{name} was sent after step {place} ({how}), which may have run: {why}")
 
 
-def _forbidden(around: Surroundings, cls: api.RequestClass, earlier: Step, node: int) -> str:
-    if cls.effect is api.Effect.SAFE:
+def _forbidden(around: Surroundings, cls: balancing.RequestClass, earlier: Step, node: int) -> str:
+    if cls.effect is balancing.Effect.SAFE:
         return ""
-    if cls.effect is api.Effect.UNSAFE:
+    if cls.effect is balancing.Effect.UNSAFE:
         return f"{cls.name} must never run twice"
     nodes = around.world.nodes
-    if cls.group is not api.Group.ALL and nodes[earlier.node].zone != nodes[node].zone:
+    if cls.group is not balancing.DeduplicationScope.ALL and nodes[earlier.node].zone != nodes[node].zone:
         return "another zone does not know its key"
-    if cls.group is api.Group.CELL and nodes[earlier.node].cell != nodes[node].cell:
+    if cls.group is balancing.DeduplicationScope.CELL and nodes[earlier.node].cell != nodes[node].cell:
         return "another cell does not know its key"
     age = around.now - earlier.sent_at
     return f"its key is forgotten, {age:g} ms after" if age > cls.window_ms else ""
@@ -138,8 +137,8 @@
     if effect.verdict is Verdict.BUSY:
         cls = around.world.settings.classes[wish.cls]
         may = [place for place, step in asked.steps.items() if step.may_have_run]
-        harmless = cls.effect is api.Effect.SAFE or (
-            cls.effect is api.Effect.KEYED and cls.group is api.Group.ALL
+        harmless = cls.effect is balancing.Effect.SAFE or (
+            cls.effect is balancing.Effect.KEYED and cls.group is balancing.DeduplicationScope.ALL
         )
         if may and not harmless:
             yield Breach("refused", f"{name} ({cls.name}) got a busy reply, and step {may[0]} may have run")
@@ -187,7 +186,9 @@
             yield Breach("answer-held", f"{name} was served by a node, and has no answer")
         elif asked.steps and not out:
             cls = around.world.settings.classes[around.world.wishes[asked.wish].cls]
-            ran = cls.effect is api.Effect.UNSAFE and any(one.may_have_run for one in asked.steps.values())
+            ran = cls.effect is balancing.Effect.UNSAFE and any(
+                one.may_have_run for one in asked.steps.values()
+            )
             if ran or len(asked.steps) >= around.world.settings.limits.max_attempts:
                 yield Breach("answer-held", f"nothing more may be tried for {name}, and it has no answer")
 
@@ -229,7 +230,11 @@
             ("pending", pending, out),
             ("held and over", set(held) - owed, set()),
             ("held twice", len(held) - len(set(held)), 0),
-            ("gone", {host for host in balancer.hosts if around.states[host - NODE] is State.GONE}, set()),
+            (
+                "gone",
+                {host for host in balancer.hosts if around.states[host - NODE] is EndpointState.GONE},
+                set(),
+            ),
             ("due without a timer", bool(balancer.due) and not around.timers, False),
         ]
     for name, has, should in tables:
--- a/coveport/testbed/check/states.py
+++ b/coveport/testbed/check/states.py
@@ -17,9 +17,8 @@
 from math import inf
 from typing import Any, cast
 
-from coveport.balancing import Balancer
+from coveport.balancing import Balancer, Effect
 from coveport.balancing import balancer as decide
-from coveport.balancing.interface import Effect
 from coveport.sidecar.reducer.reducer import Reducer
 from coveport.testbed.check.chance import Chooser, Draw
 from coveport.testbed.check.play import Play
--- a/coveport/testbed/check/surroundings.py
+++ b/coveport/testbed/check/surroundings.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from math import ceil, inf
 
-from coveport.balancing import interface as api
-from coveport.balancing.interface import ListKind, Outcome, State
+from coveport import balancing
+from coveport.balancing import EndpointState, EndpointUpdateKind, Outcome
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer
 from coveport.testbed.check.world import (
@@ -47,7 +47,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether it may have had its effect, or may yet."""
-        return self.outcome not in api.NEVER_RAN
+        return self.outcome not in balancing.NEVER_RAN
 
 
 class Asked:
@@ -91,7 +91,7 @@
         self.stalls = world.stalls
         self.timers: list[tuple[float, int]] = []
         self.probes: list[tuple[float, float, int]] = []  # due, sent, node
-        self.states: dict[int, State] = {}  # of nodes named; gone ones stay
+        self.states: dict[int, EndpointState] = {}  # of nodes named; gone ones stay
         self.told_at: dict[int, float] = {}  # since when a node is to be sent nothing
         self.births: dict[tuple[int, int], float] = {}
         self.asks, self.quiet_since = False, self.now  # whether discovery is asked; since when not
@@ -182,7 +182,7 @@
                     yield step.due_at
                     if step.ripe_at > now:
                         yield step.ripe_at
-                if cls.effect is api.Effect.KEYED and not asked.over and step.may_have_run:
+                if cls.effect is balancing.Effect.KEYED and not asked.over and step.may_have_run:
                     at = self.on_grid(step.sent_at + cls.window_ms) + world.grid_ms
                     if now < at < asked.deadline_ms:
                         yield at
@@ -258,25 +258,27 @@
 
     def told(self, word: Word) -> core.Input:
         """Word from discovery."""
-        if word.kind is ListKind.FAILED:
+        if word.kind is EndpointUpdateKind.FAILED:
             self.asks, self.quiet_since = False, self.now
-            return core.EndpointsUpdated(api.ListUpdate(word.kind))
+            return core.EndpointsUpdated(balancing.EndpointUpdate(word.kind))
         entries = []
         for line in word.lines:
             place = self.world.nodes[line.node]
             born = 0.0
             if line.birth:
                 born = self.births.setdefault((line.node, line.birth), self.now - self.world.age_ms)
-            entries.append(api.HostEntry(line.node + NODE, place.zone, place.cell, line.state, 1.0, born))
+            entries.append(
+                balancing.Endpoint(line.node + NODE, place.zone, place.cell, line.state, 1.0, born)
+            )
             self._now_is(line.node, line.state)
-        if word.kind is not ListKind.DELTA:
+        if word.kind is not EndpointUpdateKind.DELTA:
             for node in self.states.keys() - {line.node for line in word.lines}:
-                self._now_is(node, State.GONE)
-        return core.EndpointsUpdated(api.ListUpdate(word.kind, tuple(entries)))
+                self._now_is(node, EndpointState.GONE)
+        return core.EndpointsUpdated(balancing.EndpointUpdate(word.kind, tuple(entries)))
 
-    def _now_is(self, node: int, state: State) -> None:
+    def _now_is(self, node: int, state: EndpointState) -> None:
         self.states[node] = state
-        if state is State.READY:
+        if state is EndpointState.READY:
             self.told_at.pop(node, None)
         else:
             self.told_at.setdefault(node, self.now)
--- a/coveport/testbed/check/world.py
+++ b/coveport/testbed/check/world.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from coveport.balancing import interface as api
+from coveport import balancing
 
 # Numbers that name something, and instants, are told by their size from counters and spans.
 START_MS = float(2**30)  # when a world begins; a float beyond half of it is an instant
@@ -37,7 +37,7 @@
     """What discovery says of a node: its state, and which of its starts it means (0: one long ago)."""
 
     node: int  # position in the world's nodes
-    state: api.State = api.State.READY
+    state: balancing.EndpointState = balancing.EndpointState.READY
     birth: int = 0
 
 
@@ -45,7 +45,7 @@
 class Word:
     """Word from discovery. Where it has no lines it is empty; `FAILED` has none."""
 
-    kind: api.ListKind
+    kind: balancing.EndpointUpdateKind
     lines: tuple[Line, ...] = ()
 
 
@@ -54,12 +54,12 @@
     """All that may happen. Time passes only to where something is due, or a rule's figure is reached."""
 
     name: str
-    settings: api.Settings
+    settings: balancing.Settings
     nodes: tuple[Node, ...]
     wishes: tuple[Wish, ...]
     known: Word | None = None  # told at the start; None: all nodes, as cached
     words: tuple[Word, ...] = ()  # told in this order, at any times
-    outcomes: tuple[api.Outcome, ...] = ()  # of route steps, beside OK and silence
+    outcomes: tuple[balancing.Outcome, ...] = ()  # of route steps, beside OK and silence
     faults: int = 0  # so many route steps and probes end in those
     leaves: int = 0  # so many clients go away
     reloads: int = 0
@@ -77,7 +77,9 @@
 
     def list_known(self) -> Word:
         """The list that is told at the start."""
-        return self.known or Word(api.ListKind.CACHED, tuple(Line(node) for node in range(len(self.nodes))))
+        return self.known or Word(
+            balancing.EndpointUpdateKind.CACHED, tuple(Line(node) for node in range(len(self.nodes)))
+        )
 
 
 # Moves. Operations are numbered from 1 as they come, route steps from 0, nodes by their place in the world.
@@ -96,7 +98,7 @@
 
     operation: int
     step: int
-    outcome: api.Outcome
+    outcome: balancing.Outcome
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +132,7 @@
     """A probe ends."""
 
     node: int
-    outcome: api.Outcome
+    outcome: balancing.Outcome
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/testbed/check/worlds.py
+++ b/coveport/testbed/check/worlds.py
@@ -9,8 +9,8 @@
 import dataclasses
 from typing import Any
 
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Effect, Group, ListKind, Outcome, State
+from coveport import balancing
+from coveport.balancing import DeduplicationScope, Effect, EndpointState, EndpointUpdateKind, Outcome
 from coveport.testbed.check.world import Line, Node, Wish, Word, World
 
 BALANCE, EARN, REDEEM = 0, 1, 2
@@ -21,14 +21,21 @@
 LONG = 0.1  # share of its worth that an answer has after the aim: it is waited for until the deadline
 
 
-def settings(late: float = 0.0, must_ask: bool = False, **limits: Any) -> api.Settings:
+def settings(late: float = 0.0, must_ask: bool = False, **limits: Any) -> balancing.Settings:
     """Settings as the worlds have them; `late`: what an answer after the aim is worth."""
     classes = (
-        api.RequestClass("balance", 1000.0, 3000.0, 1.0, late, effect=Effect.SAFE),
-        api.RequestClass(
-            "earn", 1000.0, 3000.0, 5.0, late, effect=Effect.KEYED, group=Group.CELL, window_ms=1500.0
+        balancing.RequestClass("balance", 1000.0, 3000.0, 1.0, late, effect=Effect.SAFE),
+        balancing.RequestClass(
+            "earn",
+            1000.0,
+            3000.0,
+            5.0,
+            late,
+            effect=Effect.KEYED,
+            group=DeduplicationScope.CELL,
+            window_ms=1500.0,
         ),
-        api.RequestClass("redeem", 1000.0, 3000.0, 3.0, late),
+        balancing.RequestClass("redeem", 1000.0, 3000.0, 3.0, late),
     )
     allowed = {
         "max_attempts": 3,
@@ -38,12 +45,12 @@
         "max_retry_after_ms": 2000.0,
         **limits,
     }
-    return api.Settings(
+    return balancing.Settings(
         classes,
         peers_total=3,
         must_ask=must_ask,
-        limits=api.Limits(**allowed),
-        rules=api.Rules(
+        limits=balancing.Limits(**allowed),
+        rules=balancing.Rules(
             answer_slack_ms=20.0,
             drain_grace_ms=500.0,
             cold_from=0.36,
@@ -55,16 +62,16 @@
 
 
 def _delta(*lines: Line) -> Word:
-    return Word(ListKind.DELTA, lines)
+    return Word(EndpointUpdateKind.DELTA, lines)
 
 
 def _full(*lines: Line) -> Word:
-    return Word(ListKind.FULL, lines)
+    return Word(EndpointUpdateKind.FULL, lines)
 
 
 _OURS = settings()
 _LATE = settings(LONG)
-_GONE = (_delta(Line(0, State.DRAINING)), _delta(Line(0, State.GONE)))
+_GONE = (_delta(Line(0, EndpointState.DRAINING)), _delta(Line(0, EndpointState.GONE)))
 _REBORN = (_delta(Line(0, birth=1)), _full(Line(0, birth=1), Line(1)))
 _BOTH = _full(Line(0), Line(1))
 
@@ -159,7 +166,11 @@
         PAIR,
         (Wish(REDEEM),),
         lulls_ms=(600.0,),
-        words=(_delta(Line(0, State.DRAINING)), _delta(Line(0), Line(1, State.DRAINING)), _full(Line(0))),
+        words=(
+            _delta(Line(0, EndpointState.DRAINING)),
+            _delta(Line(0), Line(1, EndpointState.DRAINING)),
+            _full(Line(0)),
+        ),
         about="A node drains, comes back, and the other one drains.",
     ),
     World(
@@ -187,7 +198,7 @@
         _OURS,
         PAIR,
         (Wish(BALANCE),),
-        known=Word(ListKind.CACHED),
+        known=Word(EndpointUpdateKind.CACHED),
         words=(_full(Line(0)),),
         outcomes=(Outcome.FULL,),
         faults=1,
@@ -198,7 +209,7 @@
         settings(must_ask=True),
         PAIR,
         (Wish(BALANCE),),
-        words=(Word(ListKind.FAILED), _BOTH),
+        words=(Word(EndpointUpdateKind.FAILED), _BOTH),
         about="The list comes only to those who ask, and the first call fails.",
     ),
     World(
@@ -350,10 +361,10 @@
         PAIR,
         (Wish(BALANCE), Wish(REDEEM)),
         words=(
-            Word(ListKind.FAILED),
+            Word(EndpointUpdateKind.FAILED),
             _full(Line(0)),
-            _delta(Line(0, State.DRAINING), Line(1)),
-            Word(ListKind.FAILED),
+            _delta(Line(0, EndpointState.DRAINING), Line(1)),
+            Word(EndpointUpdateKind.FAILED),
         ),
         outcomes=(Outcome.RESET,),
         faults=1,
--- a/coveport/testbed/discrete_event/listing.py
+++ b/coveport/testbed/discrete_event/listing.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Callable
 
-from coveport.balancing.interface import HostEntry, ListKind, ListUpdate, State
+from coveport.balancing import Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind
 from coveport.testbed.day import NEVER, Change, Day
 from coveport.testbed.discrete_event.scheduler import Agenda
 from coveport.testbed.event_log import Books, Told
@@ -18,14 +18,14 @@
 from coveport.testbed.standins.seen_node import SeenNode
 
 EPOCH_MS = 1e9  # the day's begin on the sidecars' clock, on which 0 means long ago
-_STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
+_STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
 
 
 class Listing:
     """The list of nodes, and what each sidecar has been told of it."""
 
     def __init__(
-        self, agenda: Agenda, books: Books, day: Day, tell: Callable[[int, ListUpdate], None]
+        self, agenda: Agenda, books: Books, day: Day, tell: Callable[[int, EndpointUpdate], None]
     ) -> None:
         """`tell`: hand an update to a sidecar, by its number."""
         self._agenda = agenda
@@ -44,7 +44,7 @@
     def began(self, sidecar: int) -> None:
         """A sidecar has started: it has the day's first list, and asks for what is listed now."""
         known = {node: ("active", NEVER) for node in self._first}
-        self._hand(sidecar, ListKind.CACHED, known)
+        self._hand(sidecar, EndpointUpdateKind.CACHED, known)
         if not self._quiet:
             self._agenda.at(
                 self._agenda.now + ends(self._day.scenario.discovery.spread_ms)[0], self._whole, sidecar
@@ -53,12 +53,12 @@
     def _whole(self, sidecar: int) -> None:
         heard = self._heard[sidecar]
         gone = {node: ("left", self._nodes[node].born) for node in self._first if node not in heard}
-        self._hand(sidecar, ListKind.FULL, heard, gone)
+        self._hand(sidecar, EndpointUpdateKind.FULL, heard, gone)
 
     def _hand(
         self,
         sidecar: int,
-        kind: ListKind,
+        kind: EndpointUpdateKind,
         listed: dict[int, tuple[str, float]],
         gone: dict[int, tuple[str, float]] | None = None,
     ) -> None:
@@ -67,10 +67,10 @@
             self._write(Told(now, sidecar, node, state, born))
         self._tell(
             sidecar,
-            ListUpdate(
+            EndpointUpdate(
                 kind,
                 tuple(
-                    HostEntry(
+                    Endpoint(
                         node + 1,
                         *self._places[node],
                         _STATES[state],
@@ -122,4 +122,4 @@
             self._heard[sidecar].pop(number, None)
         else:
             self._heard[sidecar][number] = seen
-        self._hand(sidecar, ListKind.DELTA, {number: seen})
+        self._hand(sidecar, EndpointUpdateKind.DELTA, {number: seen})
--- a/coveport/testbed/discrete_event/nodes.py
+++ b/coveport/testbed/discrete_event/nodes.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from math import inf, prod
 
-from coveport.balancing.interface import Outcome
+from coveport.balancing import Outcome
 from coveport.testbed import model as core
 from coveport.testbed.day import Change, Day, NodeDrawn, Wish
 from coveport.testbed.discrete_event.scheduler import Agenda, Entry
--- a/coveport/testbed/discrete_event/play.py
+++ b/coveport/testbed/discrete_event/play.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.balancing.balancer import Balancer
 from coveport.testbed import stopping
 from coveport.testbed.conductor import write_faults
@@ -39,7 +39,7 @@
 
 
 class _Play:
-    def __init__(self, day: Day, balancer: Callable[[api.Settings, int], Balancer]) -> None:
+    def __init__(self, day: Day, balancer: Callable[[balancing.Settings, int], Balancer]) -> None:
         self.day = day
         self.books = Books()
         ways = self.ways = Ways(day)
@@ -71,7 +71,7 @@
         """Name and life of each sidecar that takes operations."""
         return [(f"s{number}", one.run) for number, one in enumerate(self.sidecars) if one.run is not None]
 
-    def _tell(self, number: int, update: api.ListUpdate) -> None:
+    def _tell(self, number: int, update: balancing.EndpointUpdate) -> None:
         self.sidecars[number].told(update)
 
     def _ask(self, one: Try, key: str) -> bool:
@@ -122,7 +122,7 @@
     day: Day,
     *,
     progress: Callable[[float], None] | None = None,
-    balancer: Callable[[api.Settings, int], Balancer] = Balancer,
+    balancer: Callable[[balancing.Settings, int], Balancer] = Balancer,
     warded: bool = False,
 ) -> Played:
     """Play a day; `balancer` makes the module's instances. BareError where it holds what can't be played.
--- a/coveport/testbed/discrete_event/sidecars.py
+++ b/coveport/testbed/discrete_event/sidecars.py
@@ -10,7 +10,7 @@
 import json
 from collections.abc import Callable
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.balancing.balancer import Balancer
 from coveport.balancing.simulator_codec import parse_settings
 from coveport.sidecar.effects import connect_timeout_ms
@@ -71,7 +71,7 @@
             if link is not None:
                 self.run.close(link)
         elif link is None:
-            self.end(api.Outcome.CONNECT_FAILED)
+            self.end(balancing.Outcome.CONNECT_FAILED)
         else:
             self.up_by.do = None
             self.carry(link)
@@ -88,17 +88,17 @@
         one, key = self.asked
         agenda.travel(run.zone, self.node.drawn.zone, self.node.came, link, one.wish, one.op, key, agenda.now)
 
-    def answered(self, outcome: api.Outcome, load: tuple[float, ...], body: str) -> None:
+    def answered(self, outcome: balancing.Outcome, load: tuple[float, ...], body: str) -> None:
         """The node has said something, or its connection has broken."""
-        self.end(outcome, load, body, keep=outcome is not api.Outcome.RESET and body != SPOILT)
+        self.end(outcome, load, body, keep=outcome is not balancing.Outcome.RESET and body != SPOILT)
 
     def expire(self) -> None:
         """It has waited long enough."""
-        self.end(api.Outcome.TIMEOUT if self.handed else api.Outcome.CONNECT_FAILED)
+        self.end(balancing.Outcome.TIMEOUT if self.handed else balancing.Outcome.CONNECT_FAILED)
 
     def end(
         self,
-        outcome: api.Outcome,
+        outcome: balancing.Outcome,
         load: tuple[float, ...] = (),
         body: str = "",
         keep: bool = False,
@@ -126,7 +126,7 @@
             )
         else:
             self.run.flights.pop((self.operation, self.step), None)
-            answer = Answer(body.encode()) if outcome is api.Outcome.OK else None
+            answer = Answer(body.encode()) if outcome is balancing.Outcome.OK else None
             self.run.feed(core.AttemptEnded(self.operation, self.step, outcome, load, answer))
 
 
@@ -134,7 +134,7 @@
     """One life of a sidecar."""
 
     def __init__(
-        self, sidecar: BareSidecar, seed: int, balancer: Callable[[api.Settings, int], Balancer]
+        self, sidecar: BareSidecar, seed: int, balancer: Callable[[balancing.Settings, int], Balancer]
     ) -> None:
         day = sidecar.day
         self.agenda = sidecar.agenda
@@ -190,7 +190,7 @@
         elif isinstance(effect, core.CancelAttempt):
             if (flight := self.flights.get((effect.operation, effect.step))) is not None:
                 # Told in a turn of its own, as the reducer is in the middle of its step.
-                agenda.at(agenda.now, flight.end, api.Outcome.CANCELLED)
+                agenda.at(agenda.now, flight.end, balancing.Outcome.CANCELLED)
         elif isinstance(effect, core.SetTimer):
             agenda.at(agenda.now + effect.delay_ms, self.feed, core.TimerExpired(effect.token))
         elif isinstance(effect, core.SetDeadlineTimer):
@@ -246,7 +246,7 @@
         """Be gone; says who waited."""
         self.dead = True
         for flight in list(self.flights.values()):
-            flight.end(api.Outcome.RESET, told=False)
+            flight.end(balancing.Outcome.RESET, told=False)
         self.leave()
         return [one for one, _ in self.open.values()]
 
@@ -264,7 +264,7 @@
         complaints: list[str],
         answered: Answered,
         broke: Callable[[Try], None],
-        balancer: Callable[[api.Settings, int], Balancer],
+        balancer: Callable[[balancing.Settings, int], Balancer],
     ) -> None:
         """`answered` and `broke`: what a till is told."""
         self.agenda = agenda
@@ -339,7 +339,7 @@
         """Pass a final answer on."""
         self.agenda.at(self.agenda.now + self.day.client_ms, self._answered, one, status, body, after_ms)
 
-    def told(self, update: api.ListUpdate) -> None:
+    def told(self, update: balancing.EndpointUpdate) -> None:
         """Discovery has spoken."""
         for run in [*self._ending, *([self.run] if self.run is not None else [])]:
             run.feed(core.EndpointsUpdated(update))
--- a/coveport/testbed/discrete_event/slow_start.py
+++ b/coveport/testbed/discrete_event/slow_start.py
@@ -8,7 +8,7 @@
 
 from typing import Protocol
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.sidecar.leases.store import Entry, Put
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.reducer import Reducer
@@ -43,7 +43,7 @@
 class Warded:
     """Wishes, grants and the store between them."""
 
-    def __init__(self, fleet: Fleet, rules: api.Rules, zones: int, drift: float = 0.02) -> None:
+    def __init__(self, fleet: Fleet, rules: balancing.Rules, zones: int, drift: float = 0.02) -> None:
         self._fleet = fleet
         self._agenda = fleet.agenda
         safe = SafeLoad(
--- a/coveport/testbed/fault_injection/work/broken_variants.py
+++ b/coveport/testbed/fault_injection/work/broken_variants.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Effect
+from coveport import balancing
+from coveport.balancing import Effect
 from coveport.sidecar.intent_log import (
     pending_operation,
     record_adopter,
@@ -114,7 +114,10 @@
     """Tells the module nothing of the attempts that were made."""
 
     def _execute(
-        self, pending: PendingOperation, client: Client | None, earlier_attempts: tuple[api.Before, ...]
+        self,
+        pending: PendingOperation,
+        client: Client | None,
+        earlier_attempts: tuple[balancing.PriorAttempt, ...],
     ) -> None:
         super()._execute(pending, client, ())
 
@@ -239,7 +242,7 @@
     async def written(deferred: DeferredWrites, pending: PendingOperation) -> bool:
         record = pending.record
         attempts = tuple(
-            msgspec.structs.replace(attempt, outcome=api.Outcome.MOOT) for attempt in record.attempts
+            msgspec.structs.replace(attempt, outcome=balancing.Outcome.MOOT) for attempt in record.attempts
         )
         pending.record = msgspec.structs.replace(
             record,
@@ -268,7 +271,7 @@
 
     def table(record: Record, left_ms: float, age_ms: float, send_ms: float) -> TakeoverDecision:
         attempts = tuple(
-            msgspec.structs.replace(attempt, outcome=attempt.outcome or api.Outcome.MOOT)
+            msgspec.structs.replace(attempt, outcome=attempt.outcome or balancing.Outcome.MOOT)
             for attempt in record.attempts
         )
         found: TakeoverDecision = decide(
@@ -282,7 +285,9 @@
 def _asks_anywhere(earlier_attempts: Any) -> Any:
     """Tells the module that all was sent where its nodes are now, and just so."""
 
-    def attempts(pending: PendingOperation, now_s: float, now_ms: float) -> tuple[api.Before, ...]:
+    def attempts(
+        pending: PendingOperation, now_s: float, now_ms: float
+    ) -> tuple[balancing.PriorAttempt, ...]:
         return tuple(
             replace(attempt, may_have_run=False) for attempt in earlier_attempts(pending, now_s, now_ms)
         )
--- a/coveport/testbed/fault_injection/work/executors.py
+++ b/coveport/testbed/fault_injection/work/executors.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.reducer.reducer import Reducer
@@ -89,12 +89,14 @@
         if self.over:
             return
         if fence is None:
-            self.end(api.Outcome.MOOT)
+            self.end(balancing.Outcome.MOOT)
             return
         self.fence = fence
         hands = self.hands
         if not self.node.up or not hands.way.out:
-            hands.process.call_later(0.001 if not self.node.up else 0.1, self.end, api.Outcome.CONNECT_FAILED)
+            hands.process.call_later(
+                0.001 if not self.node.up else 0.1, self.end, balancing.Outcome.CONNECT_FAILED
+            )
         else:
             # News from outside, not a timer: it comes before what came later, however long we stood still.
             hands.world.at(
@@ -110,7 +112,7 @@
             return
         hands, world = self.hands, self.hands.world
         if self.fence is not None and not self.fence():
-            self.end(api.Outcome.MOOT)
+            self.end(balancing.Outcome.MOOT)
             return
         self.handed = True
         if hands.way.out:
@@ -128,17 +130,17 @@
 
     def came(self, body: bytes) -> None:
         """The answer."""
-        self.end(api.Outcome.OK, Answer(body))
+        self.end(balancing.Outcome.OK, Answer(body))
 
     def late(self) -> None:
         """It took too long."""
-        self.end(api.Outcome.TIMEOUT if self.handed else api.Outcome.CONNECT_FAILED)
+        self.end(balancing.Outcome.TIMEOUT if self.handed else balancing.Outcome.CONNECT_FAILED)
 
     def cancel(self) -> None:
         """Give it up."""
-        self.end(api.Outcome.CANCELLED if self.handed else api.Outcome.MOOT)
+        self.end(balancing.Outcome.CANCELLED if self.handed else balancing.Outcome.MOOT)
 
-    def end(self, outcome: api.Outcome, answer: Answer | None = None) -> None:
+    def end(self, outcome: balancing.Outcome, answer: Answer | None = None) -> None:
         """Say once how it ended."""
         if not self.over:
             self.over = True
@@ -161,7 +163,7 @@
         world: World,
         process: Process,
         nodes: list[SimNode],
-        settings: api.Settings,
+        settings: balancing.Settings,
         way: NodeWay,
         chance: random.Random,
     ) -> None:
@@ -181,8 +183,10 @@
         self.stall_s = 0.0  # the worst moment: it stands still so long right before its next attempt goes
         self.feed(
             core.EndpointsUpdated(
-                api.ListUpdate(
-                    api.ListKind.FULL, tuple(api.HostEntry(one.number, 0, one.block) for one in nodes), 1
+                balancing.EndpointUpdate(
+                    balancing.EndpointUpdateKind.FULL,
+                    tuple(balancing.Endpoint(one.number, 0, one.block) for one in nodes),
+                    1,
                 )
             )
         )
@@ -280,7 +284,7 @@
                 0.005 if fine else 0.2,
                 self.feed,
                 core.HealthCheckEnded(
-                    node.number, api.Outcome.OK if fine else api.Outcome.CONNECT_FAILED, 5.0
+                    node.number, balancing.Outcome.OK if fine else balancing.Outcome.CONNECT_FAILED, 5.0
                 ),
             )
         elif isinstance(effect, core.ReportFault):
@@ -303,7 +307,7 @@
         ):
             self.process.call_soon(step.go, lambda: True)
 
-    def step_ended(self, step: _Step, outcome: api.Outcome, answer: Answer | None) -> None:
+    def step_ended(self, step: _Step, outcome: balancing.Outcome, answer: Answer | None) -> None:
         """A route step has ended."""
         self._open[step.operation].steps.pop(step.number, None)
         if self.records is not None:
--- a/coveport/testbed/fuzz/__init__.py
+++ b/coveport/testbed/fuzz/__init__.py
@@ -24,7 +24,7 @@
     "config": (
         "coveport.sidecar.config.platform",
         "coveport.balancing.simulator_codec",
-        "coveport.balancing.interface",
+        "coveport.balancing.settings",
         "coveport.net.address",
     ),
     "batches": ("coveport.balancing.simulator_codec",),
--- a/coveport/testbed/fuzz/targets.py
+++ b/coveport/testbed/fuzz/targets.py
@@ -19,8 +19,7 @@
 
 import msgspec
 
-from coveport import http1
-from coveport.balancing import interface as api
+from coveport import balancing, http1
 from coveport.balancing import simulator_codec
 from coveport.balancing.balancer import Balancer
 from coveport.net.address import parse_address
@@ -37,7 +36,11 @@
 REFUSALS = (400, 413, 431, 501, 505)  # what a parser may refuse with
 BYTEWISE = 200  # inputs up to this long are also fed byte by byte
 PLACE = (("127.0.0.1", 9000), 0.0)
-CLASSES = {"balance": (0, api.Effect.SAFE), "earn": (1, api.Effect.KEYED), "redeem": (2, api.Effect.UNSAFE)}
+CLASSES = {
+    "balance": (0, balancing.Effect.SAFE),
+    "earn": (1, balancing.Effect.KEYED),
+    "redeem": (2, balancing.Effect.UNSAFE),
+}
 LOAD_FIELDS = ("inflight", "queue", "util")
 ZONES = ("bilbao", "oviedo")
 FRAMING = ("content-length", "transfer-encoding")
@@ -258,14 +261,14 @@
 
 def _one_list(
     told: Any,
-    update: api.ListUpdate,
+    update: balancing.EndpointUpdate,
     places: Sequence[tuple[int, Any]],
     numbers: dict[str, int],
     given: set[int],
 ) -> None:
     """Hold one list against a model of its own: `numbers` of the names that are there, all ever `given`."""
     must(update.version == told["seq"], "version", f"{update.version}")
-    kind = api.ListKind.FULL if told["whole"] else api.ListKind.DELTA
+    kind = balancing.EndpointUpdateKind.FULL if told["whole"] else balancing.EndpointUpdateKind.DELTA
     must(update.kind is kind, "kind", f"{update.kind}")
     last = {one["host"]: one for one in told["hosts"]}
     entries = {one.host: one for one in update.entries}
@@ -278,7 +281,7 @@
         gone, place = one["health"] == "left", where[number]
         must(numbers.get(name, number) == number, "number", f"{name} was {numbers.get(name)}, is {number}")
         must(name in numbers or number not in given, "number", f"{number} is given twice")
-        must((entry.state is api.State.GONE) == gone, "state", f"{name}: {entry.state}")
+        must((entry.state is balancing.EndpointState.GONE) == gone, "state", f"{name}: {entry.state}")
         must((place is None) == gone, "place", f"{name}: {place}")
         must(0 <= entry.weight < math.inf and 0 <= entry.started_ms < math.inf, "figure", f"{entry}")
         given.add(number)
@@ -323,14 +326,19 @@
     must(all(type(one) is str for one in names), "class", f"{names}")
     must(all(type(one) is str for one in read.settings.load_fields), "fields", f"{read.settings.load_fields}")
     with suppress(ValueError):
-        PoolReader(read.zones).read(read.known, api.ListKind.CACHED)
+        PoolReader(read.zones).read(read.known, balancing.EndpointUpdateKind.CACHED)
     balancer = Balancer(read.settings, read.seed)
-    balancer.handle(0.0, api.ListUpdate(api.ListKind.FULL, (api.HostEntry(1), api.HostEntry(2, 1))))
+    balancer.handle(
+        0.0,
+        balancing.EndpointUpdate(
+            balancing.EndpointUpdateKind.FULL, (balancing.Endpoint(1), balancing.Endpoint(2, 1))
+        ),
+    )
     for number in range(len(names)):
-        for action in balancer.handle(1.0, api.Request(number, 2000.0, number)):
-            if isinstance(action, api.Send):
-                balancer.handle(2.0, api.Reply(number, 0, action.host, api.Outcome.OK, 1.0, True))
-    balancer.handle(9.0, api.TimerFired(1))
+        for action in balancer.handle(1.0, balancing.Request(number, 2000.0, number)):
+            if isinstance(action, balancing.Send):
+                balancer.handle(2.0, balancing.Reply(number, 0, action.host, balancing.Outcome.OK, 1.0, True))
+    balancer.handle(9.0, balancing.TimerFired(1))
 
 
 # The simulator's wire.
--- a/coveport/testbed/fuzz/writers.py
+++ b/coveport/testbed/fuzz/writers.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.balancing import simulator_codec
 
 
@@ -46,7 +46,10 @@
     records = list[bytes]()
     for instance, item in taken:
         records.append(struct.pack("<HH", 12, instance))
-        if isinstance(item, api.ListUpdate) and item.kind is not api.ListKind.FAILED:
+        if (
+            isinstance(item, balancing.EndpointUpdate)
+            and item.kind is not balancing.EndpointUpdateKind.FAILED
+        ):
             entries = [
                 struct.pack(
                     "<IBBHBfd", one.host, one.zone, 0, one.cell, one.state, one.weight, one.started_ms
@@ -63,13 +66,13 @@
     match item:
         case simulator_codec.Attach():
             return struct.pack("<HQI", 1, item.seed, len(item.info)) + item.info
-        case api.Retuned() | api.Granted():
+        case balancing.SettingsChanged() | balancing.SlowStartGrant():
             raise AssertionError("the wire does not know it")
         case simulator_codec.Halt():
             return struct.pack("<H", 10)
-        case api.ListUpdate():
+        case balancing.EndpointUpdate():
             return struct.pack("<HBIB", 2, item.kind, item.version, 7)
-        case api.Request():
+        case balancing.Request():
             flags = (repr(item.cost_ms) != "0.0") | item.repeat << 1 | item.write << 2
             return struct.pack(
                 "<HQQBdHdH",
@@ -82,9 +85,9 @@
                 item.cost_ms,
                 item.tenant,
             )
-        case api.StreamStarted():
+        case balancing.StreamStarted():
             return struct.pack("<HQHId", 4, item.id, item.attempt, item.host, 0.0)
-        case api.Reply():
+        case balancing.Reply():
             return struct.pack(
                 "<HQHIHdBB",
                 5,
@@ -96,15 +99,15 @@
                 item.closed,
                 len(item.load),
             ) + _floats(item.load)
-        case api.Left():
+        case balancing.ClientDisconnected():
             return struct.pack("<HQ", 6, item.id)
-        case api.TimerFired():
+        case balancing.TimerFired():
             return struct.pack("<HQ", 7, item.token)
-        case api.ProbeResult():
+        case balancing.HealthCheckResult():
             return struct.pack(
                 "<HIHdB", 8, item.host, item.outcome, item.latency_ms, len(item.load)
             ) + _floats(item.load)
-        case api.PeerMessage():
+        case balancing.PeerMessage():
             return struct.pack("<HHH", 9, item.sender, len(item.data)) + item.data
 
 
--- a/tests/balancing/test_balancer_health.py
+++ b/tests/balancing/test_balancer_health.py
@@ -8,8 +8,8 @@
 import pytest
 from helpers import SAFE, UNSAFE, Driver, Sent, hosts, settings
 
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Outcome
+from coveport import balancing
+from coveport.balancing import Outcome
 
 AIM = SAFE.aim_ms
 ENDS = {
@@ -39,7 +39,7 @@
 def known(driver: Driver, outcome: Outcome, *ids: int) -> None:
     """Word of hosts that is of no request."""
     for host in ids:
-        driver.feed(api.ProbeResult(host, outcome, 1.0))
+        driver.feed(balancing.HealthCheckResult(host, outcome, 1.0))
 
 
 def tried(driver: Driver, cls: int = 0) -> Sent | None:
@@ -47,9 +47,9 @@
     one = driver.request(cls)
     if history := driver.history.get(one):
         return history[-1][0]
-    driver.feed(api.Left(one))
+    driver.feed(balancing.ClientDisconnected(one))
     driver.answers[one] = "left"
-    driver.feed(api.TimerFired(0))  # a fresh look for the next
+    driver.feed(balancing.TimerFired(0))  # a fresh look for the next
     return None
 
 
@@ -143,7 +143,7 @@
     driver.warm(20.0)
     known(driver, Outcome.CONNECT_FAILED, 100)
     assert until(driver, 100, 50.0) == math.inf
-    probes = [one for one in driver.other if isinstance(one, api.Probe)]
+    probes = [one for one in driver.other if isinstance(one, balancing.HealthCheck)]
     # Half an aim, then one, two, four, four..., each with up to half on top or off, of twenty aims.
     assert 5 <= len(probes) <= 10 and {one.host for one in probes} == {100}
     known(driver, Outcome.OK, 100)
@@ -169,7 +169,7 @@
     held = driver.request()
     known(driver, Outcome.CONNECT_FAILED, 100, 101, 102, 103)
     driver.now += 110.0  # longer than they are full
-    driver.feed(api.TimerFired(0))
+    driver.feed(balancing.TimerFired(0))
     driver.reply(driver.of(held)[0])  # what was held is given a chance too
     known(driver, Outcome.CONNECT_FAILED, 100, 101, 102, 103)
     due = 100 + seed % 3
@@ -243,7 +243,11 @@
     assert sum(tried(driver) is not None for _ in range(40)) == 1
     for seed in range(25):
         driver = quiet(2, seed=seed)
-        driver.feed(api.ListUpdate(api.ListKind.DELTA, (api.HostEntry(101, started_ms=91_000.0),)))
+        driver.feed(
+            balancing.EndpointUpdate(
+                balancing.EndpointUpdateKind.DELTA, (balancing.Endpoint(101, started_ms=91_000.0),)
+            )
+        )
         if (first := tried(driver)) and first.host == 100:
             driver.end(first, 1.0, Outcome.CONNECT_FAILED)
             assert len(driver.of(first.id)) == 1
@@ -252,7 +256,11 @@
 def test_a_cold_host_is_not_given_what_no_other_can_take() -> None:
     # Of six hosts it is among the first two drawn three times in ten, and takes half of those.
     driver = quiet(6)
-    driver.feed(api.ListUpdate(api.ListKind.DELTA, (api.HostEntry(100, started_ms=91_000.0),)))
+    driver.feed(
+        balancing.EndpointUpdate(
+            balancing.EndpointUpdateKind.DELTA, (balancing.Endpoint(100, started_ms=91_000.0),)
+        )
+    )
     known(driver, Outcome.CONNECT_FAILED, *range(101, 106))
     assert 0.12 < part(driver, 300) < 0.25
 
@@ -392,10 +400,10 @@
     driver.now += 240  # a patience and more
     held = driver.request()
     driver.balancer.hosts[100].trial_at = driver.now + 50
-    driver.feed(api.TimerFired(0))
+    driver.feed(balancing.TimerFired(0))
     assert not driver.of(held)
     driver.now += 60
-    driver.feed(api.TimerFired(0))
+    driver.feed(balancing.TimerFired(0))
     assert driver.of(held)[0].host == 100
 
 
@@ -421,7 +429,7 @@
 
 @pytest.mark.parametrize(("classes", "tried"), [((UNSAFE,), True), ((SAFE, UNSAFE), False)])
 def test_where_nothing_may_be_repeated_an_unsafe_request_tries_a_host(
-    classes: tuple[api.RequestClass, ...], tried: bool
+    classes: tuple[balancing.RequestClass, ...], tried: bool
 ) -> None:
     # With one class that never runs twice and no probes, who was out stayed out until all were.
     driver = Driver(settings(*classes, peers=1), hosts(local=2, remote=0))
--- a/tests/balancing/test_balancer_requests.py
+++ b/tests/balancing/test_balancer_requests.py
@@ -9,9 +9,8 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, Driver, Sent, hosts, settings
 
-from coveport.balancing import Balancer
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Effect, Group, Outcome
+from coveport import balancing
+from coveport.balancing import Balancer, DeduplicationScope, Effect, Outcome
 from coveport.balancing.pending_requests import Held
 
 AIM, TICK = SAFE.aim_ms, 5.0
@@ -19,13 +18,15 @@
 LONE = hosts(1, 0)
 
 
-def site(*classes: api.RequestClass, cross: float = 0.0, by_work: bool = False, **more: Any) -> api.Settings:
+def site(
+    *classes: balancing.RequestClass, cross: float = 0.0, by_work: bool = False, **more: Any
+) -> balancing.Settings:
     limits = {key: more.pop(key) for key in ("retry_after", "max_retry_after_ms", "cancel") if key in more}
     made = settings(*classes, **more)
     return dataclasses.replace(
         made,
         limits=dataclasses.replace(made.limits, **limits),
-        prices=api.Prices(cross_zone=cross),
+        prices=balancing.Prices(cross_zone=cross),
         worth_by_work=by_work,
     )
 
@@ -47,7 +48,7 @@
 
 def tell(driver: Driver, outcome: Outcome, host: int = 100) -> None:
     """Word of a host that is of no request."""
-    driver.feed(api.ProbeResult(host, outcome, 1.0))
+    driver.feed(balancing.HealthCheckResult(host, outcome, 1.0))
 
 
 # How long it is waited for.
@@ -90,14 +91,14 @@
     driver.advance(held - 2 * TICK)
     assert one not in driver.answers
     driver.advance(3 * TICK)
-    assert isinstance(driver.answers[one], api.Refuse)
-    assert driver.balancer.handle(driver.now + 5000, api.TimerFired(0)) == [], "nothing is left"
+    assert isinstance(driver.answers[one], balancing.Refuse)
+    assert driver.balancer.handle(driver.now + 5000, balancing.TimerFired(0)) == [], "nothing is left"
 
 
 def test_however_slow_all_seem_a_new_request_is_held_for_half_an_aim() -> None:
     driver = Driver(site(SAFE, second_copies=False), LONE)
     driver.warm(950.0, apart=3 * AIM)
-    driver.feed(api.ListUpdate(api.ListKind.FULL))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL))
     one = driver.request()
     driver.advance(AIM / 2 - 2 * TICK)
     assert one not in driver.answers
@@ -112,13 +113,13 @@
     driver = Driver(site(SAFE, retry_after=allowed, max_retry_after_ms=most), ())
     one = driver.request()
     driver.advance(AIM)
-    assert driver.answers[one] == api.Refuse(one, wait)
+    assert driver.answers[one] == balancing.Refuse(one, wait)
 
 
 @pytest.mark.parametrize("cls", [-1, 3, 100])
 def test_a_class_that_is_none_gets_nothing(cls: int) -> None:
     driver = Driver(settings())
-    assert driver.feed(api.Request(77, driver.now + 1000, cls)) == []
+    assert driver.feed(balancing.Request(77, driver.now + 1000, cls)) == []
     go(driver, 2)
 
 
@@ -146,10 +147,10 @@
 def test_what_may_go_to_one_zone_only_holds_up_none_of_its_like() -> None:
     driver = Driver(site(KEYED, second_copies=False), hosts(1, 1))
     here = go(driver)
-    driver.feed(api.ListUpdate(api.ListKind.FULL))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL))
     other = driver.request()
     driver.reply(here, Outcome.RESET)
-    driver.feed(api.ListUpdate(api.ListKind.FULL, driver.entries[1:]))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries[1:]))
     assert not driver.of(here.id)[1:] and driver.of(other)[0].host == 101
 
 
@@ -216,7 +217,7 @@
         count += 1
         driver.advance(driver.timers[0][0] - driver.now)
     driver.check_all_answered()
-    assert all(isinstance(answer, api.Refuse) for answer in driver.answers.values()) and count <= 12
+    assert all(isinstance(answer, balancing.Refuse) for answer in driver.answers.values()) and count <= 12
     for one, due in zip(ids, (AIM - LAST, 690.0, 290.0, 90.0, 490.0), strict=True):
         assert abs(driver.answered_at[one] - 100_000.0 - due) <= TICK + 1
 
@@ -234,7 +235,7 @@
     else:
         assert driver.timers == [(100_290.0, 0)]
         driver.timers.clear()
-        driver.feed(api.TimerFired(0))
+        driver.feed(balancing.TimerFired(0))
     assert (one in driver.answers) is answered
     if answered:
         tell(driver, Outcome.FULL)
@@ -297,16 +298,16 @@
         driver.reply(driver.of(one)[number], Outcome.RESET)
     tried = [sent.host for sent in driver.of(one)]
     assert len(set(tried[:2])) == local
-    assert isinstance(driver.answers[one], api.Refuse), "the attempts are used up: answered at once"
+    assert isinstance(driver.answers[one], balancing.Refuse), "the attempts are used up: answered at once"
 
 
 @pytest.mark.parametrize(
     ("cls", "harmless"),
     [
         ({"effect": Effect.SAFE}, True),
-        ({"group": Group.ALL}, True),
-        ({"group": Group.ZONE}, False),
-        ({"group": Group.CELL}, False),
+        ({"group": DeduplicationScope.ALL}, True),
+        ({"group": DeduplicationScope.ZONE}, False),
+        ({"group": DeduplicationScope.CELL}, False),
         ({"effect": Effect.UNSAFE}, False),
     ],
 )
@@ -316,7 +317,7 @@
     driver = Driver(site(dataclasses.replace(KEYED, **cls), max_attempts=1), LONE)
     one = go(driver)
     driver.reply(one, Outcome.RESET)
-    assert isinstance(driver.answers[one.id], api.Refuse if harmless else api.Fail)
+    assert isinstance(driver.answers[one.id], balancing.Refuse if harmless else balancing.Fail)
 
 
 @pytest.mark.parametrize("cls", [1, 2])
@@ -325,20 +326,20 @@
     one = driver.request(cls)
     driver.reply(driver.of(one)[0], (Outcome.RESET, Outcome.CONNECT_FAILED)[cls - 1])
     driver.reply(driver.of(one)[1], (Outcome.CONNECT_FAILED, Outcome.RESET)[cls - 1])
-    assert driver.answers[one] == api.Fail(one), "at once"
+    assert driver.answers[one] == balancing.Fail(one), "at once"
 
 
 @pytest.mark.parametrize(
     ("cls", "host", "after", "again"),
     [
-        ({"group": Group.ALL}, 103, 0.0, True),
-        ({"group": Group.ZONE}, 103, 0.0, False),
-        ({"group": Group.ZONE}, 102, 0.0, True),
-        ({"group": Group.CELL}, 102, 0.0, False),
-        ({"group": Group.CELL}, 101, 0.0, True),
+        ({"group": DeduplicationScope.ALL}, 103, 0.0, True),
+        ({"group": DeduplicationScope.ZONE}, 103, 0.0, False),
+        ({"group": DeduplicationScope.ZONE}, 102, 0.0, True),
+        ({"group": DeduplicationScope.CELL}, 102, 0.0, False),
+        ({"group": DeduplicationScope.CELL}, 101, 0.0, True),
         # Two ticks and a connect are kept back: what is decided within the window must be sent within it.
-        ({"group": Group.ALL}, 101, 1739.0, True),
-        ({"group": Group.ALL}, 101, 1740.0, False),
+        ({"group": DeduplicationScope.ALL}, 101, 1739.0, True),
+        ({"group": DeduplicationScope.ALL}, 101, 1740.0, False),
         ({"effect": Effect.SAFE}, 103, 2999.0, True),
         ({"effect": Effect.SAFE}, 103, 3000.0, False),
         ({"effect": Effect.UNSAFE}, 101, 0.0, False),
@@ -348,11 +349,11 @@
     cls: dict[str, Any], host: int, after: float, again: bool
 ) -> None:
     driver = Driver(site(dataclasses.replace(KEYED, late_share=0.2, **cls)), hosts(3, 2))
-    driver.feed(api.ListUpdate(api.ListKind.FULL, driver.entries[:1]))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries[:1]))
     request = driver.balancer.open[go(driver).id]
-    driver.feed(api.ListUpdate(api.ListKind.FULL, driver.entries))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries))
     driver.now += after
-    driver.feed(api.TimerFired(0))
+    driver.feed(balancing.TimerFired(0))
     assert driver.balancer._legal(request, driver.balancer.hosts[host]) is again
 
 
@@ -416,9 +417,9 @@
         driver.end(next(iter(driver.flying.values())), 140.0)  # so that the host stays in its level
         while driver.balancer.queue.count > 30:
             gone = list(driver.balancer.queue)[-1].id
-            driver.feed(api.Left(gone))
+            driver.feed(balancing.ClientDisconnected(gone))
             driver.answers[gone] = "left"
-            driver.feed(api.TimerFired(0))
+            driver.feed(balancing.TimerFired(0))
     assert 32 <= again <= 44, "of 1240 requests three in a hundred, and what was saved up"
 
 
@@ -438,7 +439,7 @@
     assert len(driver.of(one)) == 2, "no third"
     driver.other.clear()
     driver.reply(second)
-    assert driver.other == [api.Cancel(one, 0)], "the other one is given up"
+    assert driver.other == [balancing.Cancel(one, 0)], "the other one is given up"
 
 
 def test_second_copies_are_saved_up_for_and_two_at_most() -> None:
@@ -473,7 +474,9 @@
     driver.reply(driver.of(one)[0], Outcome.RESET)
     assert one not in driver.answers and len(driver.of(one)) == 2, "the other one is still out"
     driver.reply(driver.of(one)[1])
-    assert driver.answers[one] == "served" and not any(isinstance(act, api.Cancel) for act in driver.other)
+    assert driver.answers[one] == "served" and not any(
+        isinstance(act, balancing.Cancel) for act in driver.other
+    )
 
 
 @pytest.mark.parametrize("why", ["held", "unsafe", "alone", "answered", "tried again", "one attempt"])
@@ -485,7 +488,7 @@
     driver.warm(50.0, 200)
     if why != "alone":
         keyed = driver.of(driver.request(1))[0]
-        driver.feed(api.ListUpdate(api.ListKind.FULL, driver.entries[1:]))
+        driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries[1:]))
         # It may run again in its own zone only, where there are no hosts now.
         driver.reply(keyed, Outcome.RESET if why == "held" else Outcome.OK)
         assert driver.balancer.queue.count == (why == "held")
@@ -514,11 +517,11 @@
     if ends == "answer":
         driver.reply(first)
     elif ends == "left":
-        driver.feed(api.Left(one))
+        driver.feed(balancing.ClientDisconnected(one))
     else:
-        driver.feed(api.StreamStarted(one, int(ends == "second stream"), first.host))
+        driver.feed(balancing.StreamStarted(one, int(ends == "second stream"), first.host))
     cancelled = {"answer": [1], "left": [0, 1], "stream": [1], "second stream": [0]}[ends]
-    assert driver.other == ([api.Cancel(one, number) for number in cancelled] if cancel else [])
+    assert driver.other == ([balancing.Cancel(one, number) for number in cancelled] if cancel else [])
     if "stream" in ends:
         other = (first, second)[cancelled[0]]
         driver.reply(other, Outcome.CONNECT_FAILED, closed=False)
@@ -534,9 +537,9 @@
     driver.answers[one] = "left"
     driver.reply(driver.of(one)[0], Outcome.CONNECT_FAILED, closed=True)
     assert len(driver.of(one)) == 1 and not driver.balancer.open
-    assert driver.feed(api.Reply(one, 7, 100, Outcome.OK, 1.0, True)) == []
+    assert driver.feed(balancing.Reply(one, 7, 100, Outcome.OK, 1.0, True)) == []
     two = go(driver)
-    driver.feed(api.Reply(two.id, 7, 100, Outcome.RESET, 1.0, False))
+    driver.feed(balancing.Reply(two.id, 7, 100, Outcome.RESET, 1.0, False))
     assert two.id in driver.balancer.open, "of an attempt that never was"
     driver.reply(two, closed=False)
     assert not driver.balancer.open, "an answer closes it, whoever says so"
@@ -551,28 +554,31 @@
     def ready() -> list[int]:
         return sorted(host.id for host in driver.balancer.all)
 
-    def delta(*entries: api.HostEntry) -> None:
-        driver.feed(api.ListUpdate(api.ListKind.DELTA, entries))
+    def delta(*entries: balancing.Endpoint) -> None:
+        driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, entries))
 
-    delta(api.HostEntry(100, 0), api.HostEntry(104, 1), api.HostEntry(104, 1))
+    delta(balancing.Endpoint(100, 0), balancing.Endpoint(104, 1), balancing.Endpoint(104, 1))
     assert ready() == [100, 101, 102, 103, 104] and len(driver.balancer.local) == 2, "each once"
-    driver.feed(api.ProbeResult(100, Outcome.CONNECT_FAILED, 1.0))
+    driver.feed(balancing.HealthCheckResult(100, Outcome.CONNECT_FAILED, 1.0))
     out = driver.balancer.hosts[100].trial_at
-    delta(api.HostEntry(100, 0, 0, api.State.DRAINING))
+    delta(balancing.Endpoint(100, 0, 0, balancing.EndpointState.DRAINING))
     assert ready() == [101, 102, 103, 104] and [host.id for host in driver.balancer.local] == [101]
-    delta(api.HostEntry(100, 0))
+    delta(balancing.Endpoint(100, 0))
     assert ready() == [100, 101, 102, 103, 104] and driver.balancer.hosts[100].trial_at == out, "the same one"
-    delta(api.HostEntry(100, 0, started_ms=99_000.0))
+    delta(balancing.Endpoint(100, 0, started_ms=99_000.0))
     assert driver.balancer.hosts[100].trial_at == math.inf, "a new process, of which nothing is known"
     assert driver.balancer.hosts[100].cold_at == 99_000.0 and len(driver.balancer.local) == 2
     known = driver.balancer.hosts[100]
-    delta(api.HostEntry(100, 0, started_ms=99_000.0))
+    delta(balancing.Endpoint(100, 0, started_ms=99_000.0))
     assert driver.balancer.hosts[100] is known, "told again"
-    delta(api.HostEntry(100, 0, 0, api.State.GONE), api.HostEntry(9, 0, 0, api.State.GONE))
+    delta(
+        balancing.Endpoint(100, 0, 0, balancing.EndpointState.GONE),
+        balancing.Endpoint(9, 0, 0, balancing.EndpointState.GONE),
+    )
     assert 100 not in driver.balancer.hosts and ready() == [101, 102, 103, 104]
-    driver.feed(api.ListUpdate(api.ListKind.FAILED))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED))
     assert ready() == [101, 102, 103, 104], "the last list holds"
-    driver.feed(api.ListUpdate(api.ListKind.FULL, driver.entries[2:]))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries[2:]))
     assert ready() == [102, 103] and not driver.balancer.local
     assert set(driver.balancer.hosts) == {102, 103}
 
@@ -586,8 +592,8 @@
     began = driver.now
     while not driver.other:
         driver.now = min(at for at, _ in driver.timers if at > driver.now)
-        driver.feed(api.TimerFired(0))
-    assert driver.other == [api.Subscribe()]
+        driver.feed(balancing.TimerFired(0))
+    assert driver.other == [balancing.Subscribe()]
     return driver.now - began
 
 
@@ -602,7 +608,7 @@
     for seed in range(30):
         driver = Driver(settings(must_ask=True), seed=seed)
         for _ in range(failures):
-            driver.feed(api.ListUpdate(api.ListKind.FAILED))
+            driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED))
         waits.append(until_asked(driver))
     assert least <= min(waits) < 1.3 * least and 0.9 * most < max(waits) <= most
     slots = [sum(wait // 100 == slot for wait in waits) for slot in range(int(most // 100) + 1)]
@@ -612,7 +618,7 @@
 def test_waits_for_discovery_are_bounded_however_long_the_site_lets_one_be_silent() -> None:
     driver = Driver(settings(must_ask=True, ask_within_ms=80_000))
     for _ in range(20):
-        driver.feed(api.ListUpdate(api.ListKind.FAILED))
+        driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED))
         assert until_asked(driver) <= ASK_MOST_MS
 
 
@@ -620,25 +626,25 @@
     driver = Driver(settings(must_ask=True), now=-1000.0)  # whatever the clock began with
 
     def asked() -> int:
-        return driver.other.count(api.Subscribe())
+        return driver.other.count(balancing.Subscribe())
 
     assert asked() == 0, "who has a known list need not ask with all others that start now"
     driver.advance(650, 50)
     assert asked() == 1, "the known list does not count as word from it"
     driver.advance(4250, 50)
-    driver.feed(api.ListUpdate(api.ListKind.CACHED, driver.entries))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, driver.entries))
     driver.advance(650, 50)
     assert asked() == 2, "again well before the time in which one must have asked"
     driver.advance(4000, 50)
     assert asked() == 2
     driver.advance(1100, 50)
     assert asked() == 3
-    driver.feed(api.ListUpdate(api.ListKind.FAILED))
-    driver.feed(api.ListUpdate(api.ListKind.FAILED))
-    driver.feed(api.ListUpdate(api.ListKind.DELTA))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA))
     driver.advance(20_000, 50)
     assert asked() == 3
-    driver.feed(api.ListUpdate(api.ListKind.FAILED))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED))
     driver.advance(600, 50)
     assert asked() == 3
     driver.advance(1300, 50)
@@ -659,7 +665,7 @@
 
 def test_where_the_list_comes_by_itself_nobody_asks() -> None:
     driver = Driver(settings(must_ask=False))
-    driver.feed(api.ListUpdate(api.ListKind.FAILED))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED))
     driver.advance(20_000, 500)
     assert not driver.other and not driver.timers
 
@@ -693,33 +699,38 @@
 
     monkeypatch.setattr(driver.balancer, "_usable", counted)
     if trouble == "held":
-        driver.feed(api.TimerFired(0))
+        driver.feed(balancing.TimerFired(0))
     driver.request()
     assert looked <= most
 
 
 def test_a_grant_opens_a_cold_host_for_so_many_until_then() -> None:
     """With a copy's part by chance at nothing, a cold host gets what was granted and not one more."""
-    rules = api.Rules(cold_from=1e-9, warm_after_ms=30_000.0, overload_factor=1e-9)
-    settings = api.Settings(classes=(api.RequestClass(name="a", effect=api.Effect.SAFE),), rules=rules)
+    rules = balancing.Rules(cold_from=1e-9, warm_after_ms=30_000.0, overload_factor=1e-9)
+    settings = balancing.Settings(
+        classes=(balancing.RequestClass(name="a", effect=balancing.Effect.SAFE),), rules=rules
+    )
     balancer = Balancer(settings, 1)
-    balancer.handle(0.0, api.ListUpdate(api.ListKind.FULL, (api.HostEntry(1, started_ms=1.0),)))
+    balancer.handle(
+        0.0,
+        balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, (balancing.Endpoint(1, started_ms=1.0),)),
+    )
 
     def served(number: int, now: float) -> bool:
         sent = [
             one
-            for one in balancer.handle(now, api.Request(number, now + 5000.0))
-            if isinstance(one, api.Send)
+            for one in balancer.handle(now, balancing.Request(number, now + 5000.0))
+            if isinstance(one, balancing.Send)
         ]
         for one in sent:
-            balancer.handle(now + 1, api.Reply(number, 0, one.host, api.Outcome.OK, 1.0, False))
+            balancer.handle(now + 1, balancing.Reply(number, 0, one.host, balancing.Outcome.OK, 1.0, False))
         return bool(sent)
 
     assert not served(1, 10.0)
-    balancer.handle(20.0, api.Left(1))
-    balancer.handle(21.0, api.Granted(1, 2, 1000.0))
+    balancer.handle(20.0, balancing.ClientDisconnected(1))
+    balancer.handle(21.0, balancing.SlowStartGrant(1, 2, 1000.0))
     assert [served(2, 30.0), served(3, 40.0), served(4, 50.0)] == [True, True, False]
-    balancer.handle(60.0, api.Left(4))
-    balancer.handle(61.0, api.Granted(1, 5, 1000.0))
+    balancer.handle(60.0, balancing.ClientDisconnected(4))
+    balancer.handle(61.0, balancing.SlowStartGrant(1, 5, 1000.0))
     assert not served(5, 1001.0), "it has run out"
-    balancer.handle(1002.0, api.Granted(9, 5, 2000.0))  # of a host that is not listed
+    balancer.handle(1002.0, balancing.SlowStartGrant(9, 5, 2000.0))  # of a host that is not listed
--- a/tests/balancing/test_balancing_rules.py
+++ b/tests/balancing/test_balancing_rules.py
@@ -10,13 +10,18 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Outcome
+from coveport import balancing
+from coveport.balancing import Outcome
 
 
-def entry(driver: Driver, host: int, state: api.State, started: float = 0.0) -> api.ListUpdate:
+def entry(
+    driver: Driver, host: int, state: balancing.EndpointState, started: float = 0.0
+) -> balancing.EndpointUpdate:
     old = next(e for e in driver.entries if e.host == host)
-    return api.ListUpdate(api.ListKind.DELTA, (api.HostEntry(host, old.zone, old.cell, state, 1.0, started),))
+    return balancing.EndpointUpdate(
+        balancing.EndpointUpdateKind.DELTA,
+        (balancing.Endpoint(host, old.zone, old.cell, state, 1.0, started),),
+    )
 
 
 def test_no_hosts_means_wait_then_refuse_in_time() -> None:
@@ -24,14 +29,14 @@
     ids = [driver.request(cls) for cls in (0, 1, 2)]
     driver.advance(3100)
     driver.check_all_answered()
-    assert all(isinstance(driver.answers[i], api.Refuse) for i in ids)
+    assert all(isinstance(driver.answers[i], balancing.Refuse) for i in ids)
 
 
 def test_a_held_request_is_sent_when_hosts_appear() -> None:
     driver = Driver(settings(), ())
     one = driver.request()
     driver.entries = hosts()
-    driver.feed(api.ListUpdate(api.ListKind.FULL, driver.entries))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries))
     assert len(driver.of(one)) == 1
 
 
@@ -53,10 +58,10 @@
     driver.reply(driver.of(one)[0], outcome)
     driver.advance(3000)
     assert len(driver.of(one)) == 1
-    assert isinstance(driver.answers[one], api.Fail)
+    assert isinstance(driver.answers[one], balancing.Fail)
 
 
-@pytest.mark.parametrize("outcome", sorted(api.NEVER_RAN))
+@pytest.mark.parametrize("outcome", sorted(balancing.NEVER_RAN))
 def test_unsafe_that_never_ran_is_sent_again(outcome: Outcome) -> None:
     driver = Driver(settings())
     one = driver.request(2)
@@ -70,13 +75,13 @@
     driver = Driver(settings(), hosts(local=2, remote=2))
     one = driver.request(1)
     first = driver.of(one)[0]
-    driver.feed(entry(driver, first.host, api.State.DRAINING))
+    driver.feed(entry(driver, first.host, balancing.EndpointState.DRAINING))
     driver.reply(first, Outcome.RESET)
     assert [driver.zone(s.host) for s in driver.of(one)] == [0, 0]
 
 
 def test_keyed_is_not_repeated_after_its_window() -> None:
-    keyed = api.RequestClass(aim_ms=1000, deadline_ms=3000, effect=api.Effect.KEYED, window_ms=40)
+    keyed = balancing.RequestClass(aim_ms=1000, deadline_ms=3000, effect=balancing.Effect.KEYED, window_ms=40)
     driver = Driver(settings(keyed))
     one = driver.request()
     driver.advance(45)
@@ -91,14 +96,14 @@
     ids = [driver.request(cls) for cls in (0, 1, 2)]
     for one in ids:
         driver.reply(driver.of(one)[0], Outcome.CONNECT_FAILED)
-    assert all(len(driver.of(one)) == 1 and isinstance(driver.answers[one], api.Refuse) for one in ids)
+    assert all(len(driver.of(one)) == 1 and isinstance(driver.answers[one], balancing.Refuse) for one in ids)
 
 
 def test_late_outcome_after_the_final_answer_sends_nothing() -> None:
     driver = Driver(settings())
     one = driver.request(2)
     first = driver.of(one)[0]
-    driver.feed(api.Left(one))
+    driver.feed(balancing.ClientDisconnected(one))
     driver.answers[one] = "left"
     driver.reply(first, Outcome.CONNECT_FAILED)
     driver.advance(2000)
@@ -108,19 +113,19 @@
 def test_unknown_ids_are_passed_over() -> None:
     driver = Driver(settings())
     for event in (
-        api.Left(99),
-        api.Reply(99, 0, 12345, Outcome.OK, 5, True),
-        api.TimerFired(4711),
-        api.ProbeResult(12345, Outcome.OK, 1.0),
-        api.StreamStarted(99, 0, 1),
-        api.PeerMessage(1, b"hello"),
-        api.Request(77, driver.now + 100, cls=9),
+        balancing.ClientDisconnected(99),
+        balancing.Reply(99, 0, 12345, Outcome.OK, 5, True),
+        balancing.TimerFired(4711),
+        balancing.HealthCheckResult(12345, Outcome.OK, 1.0),
+        balancing.StreamStarted(99, 0, 1),
+        balancing.PeerMessage(1, b"hello"),
+        balancing.Request(77, driver.now + 100, cls=9),
     ):
-        assert not [a for a in driver.feed(event) if not isinstance(a, api.SetTimer)]
+        assert not [a for a in driver.feed(event) if not isinstance(a, balancing.SetTimer)]
 
 
-@pytest.mark.parametrize("state", [api.State.DRAINING, api.State.GONE])
-def test_drain_during_a_retry(state: api.State) -> None:
+@pytest.mark.parametrize("state", [balancing.EndpointState.DRAINING, balancing.EndpointState.GONE])
+def test_drain_during_a_retry(state: balancing.EndpointState) -> None:
     driver = Driver(settings(), hosts(local=2, remote=0))
     one = driver.request(0)
     first = driver.of(one)[0]
@@ -134,21 +139,21 @@
 
 def test_host_missing_from_a_full_list_is_gone() -> None:
     driver = Driver(settings(), hosts(local=2, remote=0))
-    driver.feed(api.ListUpdate(api.ListKind.FULL, driver.entries[:1]))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries[:1]))
     driver.serve(20)
     assert {s.host for s in driver.log} == {100}
 
 
 def test_a_started_stream_is_left_alone() -> None:
-    stream = api.RequestClass(aim_ms=500, deadline_ms=1000, effect=api.Effect.SAFE, stream=True)
+    stream = balancing.RequestClass(aim_ms=500, deadline_ms=1000, effect=balancing.Effect.SAFE, stream=True)
     driver = Driver(settings(stream))
     one = driver.request()
     first = driver.of(one)[0]
-    driver.feed(api.StreamStarted(one, 0, first.host))
+    driver.feed(balancing.StreamStarted(one, 0, first.host))
     driver.flying.clear()
     driver.advance(5000)
     assert len(driver.of(one)) == 1 and one not in driver.answers
-    assert not any(isinstance(a, api.Cancel) for a in driver.other)
+    assert not any(isinstance(a, balancing.Cancel) for a in driver.other)
 
 
 def test_hundreds_of_copies_use_a_cold_budget_and_do_not_pass_it() -> None:
@@ -160,8 +165,9 @@
     chance, started, cold = random.Random(3), copies[0].now, [100, 101, 102, 103, 104]
     for copy in copies:
         copy.feed(
-            api.ListUpdate(
-                api.ListKind.DELTA, tuple(api.HostEntry(host, 0, started_ms=started) for host in cold)
+            balancing.EndpointUpdate(
+                balancing.EndpointUpdateKind.DELTA,
+                tuple(balancing.Endpoint(host, 0, started_ms=started) for host in cold),
             )
         )
     for _ in range(int(rules.warm_after_ms / 50)):
@@ -189,10 +195,10 @@
 
 
 @st.composite
-def sites(draw: st.DrawFn) -> api.Settings:
-    effect, group = st.sampled_from(api.Effect), st.sampled_from(api.Group)
+def sites(draw: st.DrawFn) -> balancing.Settings:
+    effect, group = st.sampled_from(balancing.Effect), st.sampled_from(balancing.DeduplicationScope)
     classes = tuple(
-        api.RequestClass(
+        balancing.RequestClass(
             aim_ms=draw(st.sampled_from([80.0, 400.0, 2000.0])),
             deadline_ms=draw(st.sampled_from([500.0, 2500.0])),
             worth=draw(st.sampled_from([0.0, 1.0, 7.0])),
@@ -217,7 +223,7 @@
     derandomize=True, max_examples=150, deadline=None, database=None, phases=[Phase.generate]
 )
 @given(config=sites(), seed=st.integers(0, 2**32))
-def test_random_events_keep_the_rules(config: api.Settings, seed: int) -> None:
+def test_random_events_keep_the_rules(config: balancing.Settings, seed: int) -> None:
     # Nothing is shrunk here, and and steps drawn by hypothesis take longer than the module itself.
     chance = random.Random(seed)
     pick, classes = chance.choice, range(len(config.classes))
@@ -230,14 +236,14 @@
         elif step <= 6 and driver.flying:
             driver.reply(pick(list(driver.flying.values())), pick(list(Outcome)))
         elif step == 7:
-            state = pick(list(api.State))
-            started = driver.now if state is api.State.READY and chance.random() < 0.5 else 0.0
+            state = pick(list(balancing.EndpointState))
+            started = driver.now if state is balancing.EndpointState.READY and chance.random() < 0.5 else 0.0
             driver.feed(entry(driver, pick(driver.entries).host, state, started))
         elif step == 8:
-            driver.feed(api.ListUpdate(api.ListKind.FAILED))
+            driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED))
             for action in driver.other:
-                if isinstance(action, api.Probe):
-                    driver.feed(api.ProbeResult(action.host, pick(list(Outcome)), 3.0))
+                if isinstance(action, balancing.HealthCheck):
+                    driver.feed(balancing.HealthCheckResult(action.host, pick(list(Outcome)), 3.0))
             driver.other.clear()
         else:
             driver.advance(pick([5.0, 60.0, 400.0]))
@@ -257,7 +263,7 @@
 @pytest.mark.parametrize("late_share", [0.0, 0.2])
 def test_a_short_deadline_is_met_while_held(late_share: float) -> None:
     """The look at held requests is coarser than the slack: who cannot wait for the next is answered now."""
-    cls = api.RequestClass(aim_ms=1000, deadline_ms=3000, late_share=late_share)
+    cls = balancing.RequestClass(aim_ms=1000, deadline_ms=3000, late_share=late_share)
     driver = Driver(settings(cls), ())
     for deadline in (3.0, 20.0, 47.0, 120.0):
         driver.request(deadline=deadline)
@@ -286,7 +292,7 @@
     while one not in driver.answers and driver.timers:
         at, token = driver.timers.pop(driver.timers.index(min(driver.timers)))
         driver.now = max(driver.now, at - 1.0)
-        driver.feed(api.TimerFired(token))
+        driver.feed(balancing.TimerFired(token))
     driver.check_all_answered()
 
 
--- a/tests/balancing/test_crowded_hosts.py
+++ b/tests/balancing/test_crowded_hosts.py
@@ -8,16 +8,15 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, Driver, hosts, settings
 
-from coveport.balancing import Balancer
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Outcome
+from coveport import balancing
+from coveport.balancing import Balancer, Outcome
 from coveport.balancing.pending_requests import Held, Waiter
 
 FAST = dataclasses.replace(SAFE, aim_ms=1000)
 SLOW = dataclasses.replace(UNSAFE, aim_ms=2500)
 
 
-def crowded(*classes: api.RequestClass, peers: int = 4, took: float = 400.0, each: int = 5) -> Driver:
+def crowded(*classes: balancing.RequestClass, peers: int = 4, took: float = 400.0, each: int = 5) -> Driver:
     """A copy that has seen answers take so long, nothing in flight."""
     driver = Driver(settings(*classes, peers=peers, second_copies=False), hosts(local=each, remote=each))
     for _ in range(30):
@@ -66,10 +65,10 @@
     slow = driver.balancer.hosts[100]
     slow.pace, slow.seen_at = 900.0, driver.now
     driver.now += 900.0 * (after - 0.1)
-    driver.balancer.handle(driver.now, api.TimerFired(0))
+    driver.balancer.handle(driver.now, balancing.TimerFired(0))
     assert driver.balancer._expected(slow) == 900.0
     driver.now += 900.0 * 0.2
-    driver.balancer.handle(driver.now, api.TimerFired(0))
+    driver.balancer.handle(driver.now, balancing.TimerFired(0))
     assert driver.balancer._expected(slow) == 0.0
 
 
--- a/tests/balancing/test_fault_reactions.py
+++ b/tests/balancing/test_fault_reactions.py
@@ -9,9 +9,8 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, Driver, hosts, settings
 
-from coveport.balancing import balancer
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Outcome
+from coveport import balancing
+from coveport.balancing import Outcome, balancer
 
 
 def shares(driver: Driver, since: int = 0) -> dict[int, int]:
@@ -225,12 +224,16 @@
 def test_an_emptied_local_level_goes_wide_and_comes_home() -> None:
     driver = Driver(settings(SAFE), hosts(local=1, remote=3))
     driver.serve(20)
-    gone = api.ListUpdate(api.ListKind.DELTA, (api.HostEntry(100, 0, 0, api.State.DRAINING),))
+    gone = balancing.EndpointUpdate(
+        balancing.EndpointUpdateKind.DELTA, (balancing.Endpoint(100, 0, 0, balancing.EndpointState.DRAINING),)
+    )
     driver.feed(gone)
     before = len(driver.log)
     driver.serve(20)
     assert len(driver.log) - before == 20 and shares(driver, before)[100] == 0
-    driver.feed(api.ListUpdate(api.ListKind.DELTA, (api.HostEntry(100, 0, 0),)))
+    driver.feed(
+        balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, (balancing.Endpoint(100, 0, 0),))
+    )
     before = len(driver.log)
     driver.serve(20)
     assert shares(driver, before)[100] == 20
@@ -246,8 +249,10 @@
 
 
 def test_overload_sheds_the_least_worth_and_early() -> None:
-    cheap = api.RequestClass(name="cheap", aim_ms=500, deadline_ms=2000, worth=1, effect=api.Effect.SAFE)
-    dear = api.RequestClass(aim_ms=500, deadline_ms=2000, worth=9, effect=api.Effect.SAFE)
+    cheap = balancing.RequestClass(
+        name="cheap", aim_ms=500, deadline_ms=2000, worth=1, effect=balancing.Effect.SAFE
+    )
+    dear = balancing.RequestClass(aim_ms=500, deadline_ms=2000, worth=9, effect=balancing.Effect.SAFE)
     driver = Driver(settings(cheap, dear), hosts(local=2, remote=0))
     queues: dict[int, float] = {100: 0.0, 101: 0.0}
     due: dict[tuple[int, int], float] = {}
@@ -265,7 +270,7 @@
     for request in driver.requests.values():
         served[request.cls] += driver.answers[request.id] == "served"
     assert served[1] > 280 and 60 < served[0] < 200, served
-    shed = [r for r in driver.requests.values() if isinstance(driver.answers[r.id], api.Refuse)]
+    shed = [r for r in driver.requests.values() if isinstance(driver.answers[r.id], balancing.Refuse)]
     assert shed and all(driver.answered_at[r.id] <= r.deadline_ms - 1500 for r in shed), "before the aim"
 
 
@@ -292,10 +297,10 @@
 def test_discovery_is_asked_soon_and_again_spaced_out_after_failures() -> None:
     driver = Driver(settings(must_ask=True))
     driver.advance(650)
-    assert any(isinstance(a, api.Subscribe) for a in driver.other)
+    assert any(isinstance(a, balancing.Subscribe) for a in driver.other)
     asked = []
     for _ in range(4):
-        driver.feed(api.ListUpdate(api.ListKind.FAILED))
+        driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED))
         start, count = driver.now, len(driver.other)
         while len(driver.other) == count and driver.now - start < 20_000:
             driver.advance(50)
@@ -305,7 +310,7 @@
 
 def test_works_from_a_cached_list_while_discovery_is_out_of_reach() -> None:
     driver = Driver(settings(SAFE, must_ask=True))
-    driver.feed(api.ListUpdate(api.ListKind.FAILED))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED))
     driver.serve(20)
     assert len(driver.log) == 20
 
@@ -319,9 +324,9 @@
     bad = driver.of(one)[0].host
     driver.reply(driver.of(one)[0], Outcome.CONNECT_FAILED)
     driver.serve(75)
-    probed = [a.host for a in driver.other if isinstance(a, api.Probe)]
+    probed = [a.host for a in driver.other if isinstance(a, balancing.HealthCheck)]
     assert set(probed) == {bad} and len(probed) <= 4, "tried when drawn, seldom while it stays silent"
-    driver.feed(api.ProbeResult(bad, Outcome.OK, 2.0))
+    driver.feed(balancing.HealthCheckResult(bad, Outcome.OK, 2.0))
     before = len(driver.log)
     driver.serve(100)
     assert shares(driver, before)[bad] > 0
@@ -340,20 +345,24 @@
 
 def test_a_list_that_drops_all_or_names_hosts_twice() -> None:
     driver = Driver(settings(SAFE))
-    driver.feed(api.ListUpdate(api.ListKind.FULL, ()))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, ()))
     one = driver.request()
     driver.advance(1200)
-    assert isinstance(driver.answers[one], api.Refuse) and not driver.log
-    twice = api.HostEntry(100, 0, 0, weight=0.0)
-    driver.feed(api.ListUpdate(api.ListKind.FULL, (twice, twice, api.HostEntry(101, 0, 0))))
+    assert isinstance(driver.answers[one], balancing.Refuse) and not driver.log
+    twice = balancing.Endpoint(100, 0, 0, weight=0.0)
+    driver.feed(
+        balancing.EndpointUpdate(
+            balancing.EndpointUpdateKind.FULL, (twice, twice, balancing.Endpoint(101, 0, 0))
+        )
+    )
     driver.serve(20)
     assert shares(driver)[100] > 3 and shares(driver)[101] > 3
 
 
 def test_cheap_requests_wait_longer_for_their_zone_than_dear_ones() -> None:
-    cheap = api.RequestClass(aim_ms=1000, deadline_ms=3000, worth=1, effect=api.Effect.SAFE)
-    dear = api.RequestClass(aim_ms=1000, deadline_ms=3000, worth=100, effect=api.Effect.SAFE)
-    config = dataclasses.replace(settings(cheap, dear), prices=api.Prices(cross_zone=0.3))
+    cheap = balancing.RequestClass(aim_ms=1000, deadline_ms=3000, worth=1, effect=balancing.Effect.SAFE)
+    dear = balancing.RequestClass(aim_ms=1000, deadline_ms=3000, worth=100, effect=balancing.Effect.SAFE)
+    config = dataclasses.replace(settings(cheap, dear), prices=balancing.Prices(cross_zone=0.3))
     driver = Driver(config, hosts(local=1, remote=2))
     for _ in range(10):  # the one host of its own zone has no room then
         driver.request(1)
--- a/tests/balancing/test_locality.py
+++ b/tests/balancing/test_locality.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from coveport.balancing.interface import Effect, Group, HostEntry, RequestClass, Rules
+from coveport.balancing import DeduplicationScope, Effect, Endpoint, RequestClass, Rules
 from coveport.balancing.locality import first_usable_level, less_busy_of_two
 
 DRAWS = 4000
@@ -70,11 +70,14 @@
     assert less_busy_of_two([7], {7: 100}, chance) == 7
 
 
-@pytest.mark.parametrize(("group", "covered"), [(Group.ALL, "abc"), (Group.ZONE, "ab"), (Group.CELL, "a")])
-def test_what_a_group_covers(group: Group, covered: str) -> None:
-    home = HostEntry(0, zone=1, cell=4)
+@pytest.mark.parametrize(
+    ("group", "covered"),
+    [(DeduplicationScope.ALL, "abc"), (DeduplicationScope.ZONE, "ab"), (DeduplicationScope.CELL, "a")],
+)
+def test_what_a_group_covers(group: DeduplicationScope, covered: str) -> None:
+    home = Endpoint(0, zone=1, cell=4)
     places = {"a": (1, 4), "b": (1, 5), "c": (2, 4)}
-    others = {name: HostEntry(1, zone=zone, cell=cell) for name, (zone, cell) in places.items()}
+    others = {name: Endpoint(1, zone=zone, cell=cell) for name, (zone, cell) in places.items()}
     assert {name for name, other in others.items() if group.covers(home, other)} == set(covered)
 
 
@@ -88,7 +91,9 @@
     harmless = {
         (effect, group)
         for effect in Effect
-        for group in Group
+        for group in DeduplicationScope
         if RequestClass(effect=effect, group=group).repeats_anywhere
     }
-    assert harmless == {(Effect.SAFE, group) for group in Group} | {(Effect.KEYED, Group.ALL)}
+    assert harmless == {(Effect.SAFE, group) for group in DeduplicationScope} | {
+        (Effect.KEYED, DeduplicationScope.ALL)
+    }
--- a/tests/balancing/test_simulator_codec.py
+++ b/tests/balancing/test_simulator_codec.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.balancing import simulator_codec, simulator_link
 
 INFO = json.dumps(
@@ -74,34 +74,41 @@
 
 
 def test_documented_actions() -> None:
-    assert simulator_codec.encode_action(api.Send(0x0006965B5D9A13C4, 0x03124A07, 80.0)) == (
+    assert simulator_codec.encode_action(balancing.Send(0x0006965B5D9A13C4, 0x03124A07, 80.0)) == (
         struct.pack("<HQId", 68, 0x0006965B5D9A13C4, 0x03124A07, 80.0)
     )
     assert (
-        simulator_codec.encode_action(api.SetTimer(500.0, 77)).hex() == "46000000000000407f404d00000000000000"
+        simulator_codec.encode_action(balancing.SetTimer(500.0, 77)).hex()
+        == "46000000000000407f404d00000000000000"
     )
     assert simulator_codec.encode_at(3).hex() == "4c000300"
-    assert simulator_codec.encode_action(api.Cancel(1, 2)) == struct.pack("<HQH", 69, 1, 2)
-    assert simulator_codec.encode_action(api.Fail(1)) == struct.pack("<HQ", 72, 1)
-    assert simulator_codec.encode_action(api.Refuse(1, 5.0)) == struct.pack("<HQd", 74, 1, 5.0)
-    assert simulator_codec.encode_action(api.Probe(9)) == struct.pack("<HI", 77, 9)
-    assert simulator_codec.encode_action(api.Subscribe()) == struct.pack("<HB", 75, 1)
-    assert simulator_codec.encode_action(api.FetchList()) == struct.pack("<H", 65)
+    assert simulator_codec.encode_action(balancing.Cancel(1, 2)) == struct.pack("<HQH", 69, 1, 2)
+    assert simulator_codec.encode_action(balancing.Fail(1)) == struct.pack("<HQ", 72, 1)
+    assert simulator_codec.encode_action(balancing.Refuse(1, 5.0)) == struct.pack("<HQd", 74, 1, 5.0)
+    assert simulator_codec.encode_action(balancing.HealthCheck(9)) == struct.pack("<HI", 77, 9)
+    assert simulator_codec.encode_action(balancing.Subscribe()) == struct.pack("<HB", 75, 1)
+    assert simulator_codec.encode_action(balancing.FetchEndpoints()) == struct.pack("<H", 65)
 
 
 def test_settings_skip_unknown_keys_and_default_absent_ones() -> None:
     parsed = simulator_codec.parse_settings(INFO)
     assert parsed.must_ask and parsed.zone == 1 and parsed.limits.max_attempts == 5
     assert not parsed.limits.probes
-    assert parsed.classes[0].effect is api.Effect.KEYED and parsed.classes[0].group is api.Group.ZONE
-    assert parsed.classes[0].worth == 2.0 and parsed.rules == api.Rules()
+    assert (
+        parsed.classes[0].effect is balancing.Effect.KEYED
+        and parsed.classes[0].group is balancing.DeduplicationScope.ZONE
+    )
+    assert parsed.classes[0].worth == 2.0 and parsed.rules == balancing.Rules()
 
 
 def test_unknown_effect_and_group_are_read_as_the_strictest() -> None:
     parsed = simulator_codec.parse_settings(
         json.dumps({"classes": [{"semantics": "magic", "key_scope": "rack"}]})
     )
-    assert parsed.classes[0].effect is api.Effect.UNSAFE and parsed.classes[0].group is api.Group.CELL
+    assert (
+        parsed.classes[0].effect is balancing.Effect.UNSAFE
+        and parsed.classes[0].group is balancing.DeduplicationScope.CELL
+    )
 
 
 @pytest.mark.parametrize(
@@ -147,13 +154,13 @@
     ]
     items = [item for _, item in simulator_codec.Decoder().decode(b"".join(records), len(records))]
     assert items == [
-        api.StreamStarted(9, 0, 7),
-        api.Reply(9, 0, 7, api.Outcome.OK, 3.0, True, (1.5, 2.0)),
-        api.Left(9),
-        api.TimerFired(77),
-        api.ProbeResult(7, api.Outcome.OK, 2.0),
-        api.PeerMessage(2, b"hi"),
-        api.ListUpdate(api.ListKind.FAILED, (), 8),
+        balancing.StreamStarted(9, 0, 7),
+        balancing.Reply(9, 0, 7, balancing.Outcome.OK, 3.0, True, (1.5, 2.0)),
+        balancing.ClientDisconnected(9),
+        balancing.TimerFired(77),
+        balancing.HealthCheckResult(7, balancing.Outcome.OK, 2.0),
+        balancing.PeerMessage(2, b"hi"),
+        balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED, (), 8),
     ]
 
 
--- a/tests/balancing/test_slow_start_of_a_fleet.py
+++ b/tests/balancing/test_slow_start_of_a_fleet.py
@@ -14,20 +14,21 @@
 
 import pytest
 
-from coveport.balancing import Balancer, balancer
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Effect, Group, Outcome
+from coveport import balancing
+from coveport.balancing import Balancer, DeduplicationScope, Effect, Outcome, balancer
 
 WORK_MS = 100.0
 ZONES = 3
 RULES = {
-    "steep": api.Rules(cold_from=0.36, warm_after_ms=8600, overload_factor=4.0, fall_ms=2000),
-    "long": api.Rules(cold_from=0.12, warm_after_ms=20_000, overload_factor=3.0, fall_ms=2000),
+    "steep": balancing.Rules(cold_from=0.36, warm_after_ms=8600, overload_factor=4.0, fall_ms=2000),
+    "long": balancing.Rules(cold_from=0.12, warm_after_ms=20_000, overload_factor=3.0, fall_ms=2000),
 }
 CLASSES = (
-    api.RequestClass("a", 1000, 4000, 1, effect=Effect.SAFE),
-    api.RequestClass("b", 1200, 3000, 5, effect=Effect.KEYED, group=Group.CELL, window_ms=6000),
-    api.RequestClass("c", 2500, 6000, 3),
+    balancing.RequestClass("a", 1000, 4000, 1, effect=Effect.SAFE),
+    balancing.RequestClass(
+        "b", 1200, 3000, 5, effect=Effect.KEYED, group=DeduplicationScope.CELL, window_ms=6000
+    ),
+    balancing.RequestClass("c", 2500, 6000, 3),
 )
 
 
@@ -39,7 +40,7 @@
     free_at: float = 0.0
     came: list[tuple[float, bool]] = field(default_factory=list)  # when, and from who was told of its start
 
-    def share(self, now: float, rules: api.Rules) -> float:
+    def share(self, now: float, rules: balancing.Rules) -> float:
         if not self.born:
             return 1.0
         return min(1.0, rules.cold_from + (1 - rules.cold_from) * (now - self.born) / rules.warm_after_ms)
@@ -49,19 +50,19 @@
     """So many instances and nodes; each zone's instances ask `loads` of what the zone's nodes can do."""
 
     def __init__(
-        self, instances: int, nodes: int, rules: api.Rules, loads: tuple[float, ...], seed: int
+        self, instances: int, nodes: int, rules: balancing.Rules, loads: tuple[float, ...], seed: int
     ) -> None:
         self.chance, self.rules, self.now = random.Random(seed), rules, 1000.0
         self.nodes = [Node(number % ZONES) for number in range(nodes)]
         self.agenda = list[tuple[float, int, Any]]()
         self.count = self.requests = 0
         self.out = dict[tuple[int, int, int], int]()
-        limits = api.Limits(
+        limits = balancing.Limits(
             max_attempts=3, second_copies=True, cancel=True, retry_after=True, max_retry_after_ms=2000
         )
         self.copies = [
             Balancer(
-                api.Settings(
+                balancing.Settings(
                     CLASSES, zone=number % ZONES, peers_total=instances, tick_ms=5, limits=limits, rules=rules
                 ),
                 seed * 1000 + number,
@@ -75,20 +76,20 @@
             for number, part in enumerate(parts)
         ]
         for number in range(instances):
-            self.tell(number, api.ListKind.FULL, range(nodes))
+            self.tell(number, balancing.EndpointUpdateKind.FULL, range(nodes))
             self.at(self.now + self.chance.expovariate(self.rates[number]), "ask", number)
 
     def at(self, when: float, what: str, *of: Any) -> None:
         self.count += 1
         heappush(self.agenda, (when, self.count, (what, *of)))
 
-    def tell(self, copy: int, kind: api.ListKind, nodes: Any) -> None:
+    def tell(self, copy: int, kind: balancing.EndpointUpdateKind, nodes: Any) -> None:
         self.feed(
             copy,
-            api.ListUpdate(
+            balancing.EndpointUpdate(
                 kind,
                 tuple(
-                    api.HostEntry(
+                    balancing.Endpoint(
                         number, self.nodes[number].zone, number // 6, started_ms=self.nodes[number].born
                     )
                     for number in nodes
@@ -103,14 +104,14 @@
         for copy in range(len(self.copies)):
             self.at(self.now + self.chance.uniform(0, late_ms), "told", copy, nodes)
 
-    def feed(self, copy: int, event: api.Event) -> None:
+    def feed(self, copy: int, event: balancing.Event) -> None:
         for action in self.copies[copy].handle(self.now, event):
-            if isinstance(action, api.Send):
+            if isinstance(action, balancing.Send):
                 self.send(copy, action)
-            elif isinstance(action, api.SetTimer):
+            elif isinstance(action, balancing.SetTimer):
                 self.at(self.now + action.delay_ms, "due", copy, action.token)
 
-    def send(self, copy: int, action: api.Send) -> None:
+    def send(self, copy: int, action: balancing.Send) -> None:
         attempt = len(self.copies[copy].open[action.id].attempts) - 1
         node, key = self.nodes[action.host], (copy, action.id, attempt)
         self.out[key] = action.host
@@ -132,17 +133,18 @@
             if what == "ask":
                 self.requests += 1
                 cls = self.chance.choices(range(3), (45, 28, 27))[0]
-                self.feed(of[0], api.Request(self.requests, self.now + CLASSES[cls].deadline_ms, cls))
+                self.feed(of[0], balancing.Request(self.requests, self.now + CLASSES[cls].deadline_ms, cls))
                 self.at(self.now + self.chance.expovariate(self.rates[of[0]]), "ask", of[0])
             elif what == "due":
-                self.feed(of[0], api.TimerFired(of[1]))
+                self.feed(of[0], balancing.TimerFired(of[1]))
             elif what == "told":
-                self.tell(of[0], api.ListKind.DELTA, of[1])
+                self.tell(of[0], balancing.EndpointUpdateKind.DELTA, of[1])
             else:
                 key, sent, outcome = of
                 host = self.out.pop(key)
                 self.feed(
-                    key[0], api.Reply(key[1], key[2], host, outcome, self.now - sent, outcome is Outcome.OK)
+                    key[0],
+                    balancing.Reply(key[1], key[2], host, outcome, self.now - sent, outcome is Outcome.OK),
                 )
         self.now = until
 
@@ -169,7 +171,7 @@
 }  # what comes back cold is asked for three times its all
 
 
-def play(instances: int, rules: api.Rules, what: str, seed: int) -> tuple[float, float]:
+def play(instances: int, rules: balancing.Rules, what: str, seed: int) -> tuple[float, float]:
     """The worst window of all cold nodes, and the part of their share that they got."""
     nodes = 60 if instances >= 100 else 12
     fleet = Fleet(instances, nodes, rules, LOADS[what], seed)
--- a/tests/balancing/test_subsetting.py
+++ b/tests/balancing/test_subsetting.py
@@ -10,8 +10,8 @@
 from hypothesis import settings as within
 from hypothesis import strategies as st
 
+from coveport import balancing
 from coveport.balancing import balancer
-from coveport.balancing import interface as api
 
 
 def copy(peers: int, local: int, remote: int = 0, seed: int = 1) -> Driver:
@@ -37,18 +37,27 @@
     before, size = kept(driver), len(driver.balancer.local)
     assert min(local, balancer.FEWEST) <= size <= local and set(before) <= {100 + n for n in range(local)}
     gone = data.draw(st.integers(100, 99 + local))
-    driver.feed(api.ListUpdate(api.ListKind.DELTA, (api.HostEntry(gone, 0, state=api.State.GONE),)))
+    driver.feed(
+        balancing.EndpointUpdate(
+            balancing.EndpointUpdateKind.DELTA,
+            (balancing.Endpoint(gone, 0, state=balancing.EndpointState.GONE),),
+        )
+    )
     after = kept(driver)
     assert len(after - before) <= 1 and before - after <= {gone, *before} and gone not in after
     assert len(before - after) <= 1 + (len(after) < size)
-    driver.feed(api.ListUpdate(api.ListKind.DELTA, (api.HostEntry(5000, 0),)))
+    driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, (balancing.Endpoint(5000, 0),)))
     assert kept(driver) - after <= {5000, *before} and len(after - kept(driver)) <= 1
 
 
 def test_each_host_is_kept_by_about_as_many_copies_new_ones_too() -> None:
     copies = [copy(200, 40, 80, seed) for seed in range(200)]
     for driver in copies:
-        driver.feed(api.ListUpdate(api.ListKind.DELTA, tuple(api.HostEntry(1000 + n, 0) for n in range(8))))
+        driver.feed(
+            balancing.EndpointUpdate(
+                balancing.EndpointUpdateKind.DELTA, tuple(balancing.Endpoint(1000 + n, 0) for n in range(8))
+            )
+        )
     count = Counter(host for driver in copies for host in kept(driver))
     # 200 copies of one zone, seven hosts each.
     assert len(count) == 48 and min(count.values()) >= 12 and max(count.values()) <= 45
@@ -77,7 +86,7 @@
     for lately, sent in ((0.2 * aim, True), (0.3 * aim, False)):
         driver.balancer.lately = lately
         again = driver.request(repeat=True)
-        refused = isinstance(driver.answers.get(again), api.Refuse)
+        refused = isinstance(driver.answers.get(again), balancing.Refuse)
         assert bool(driver.of(again)) is sent and refused is not sent
         assert driver.of(driver.request()), "a first try goes in any case"
 
--- a/tests/golden/golden_decision_cases.py
+++ b/tests/golden/golden_decision_cases.py
@@ -4,7 +4,7 @@
 
 import struct
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.balancing.simulator_codec import Attach, Halt, Item
 
 INFO = b'{"classes":[{"aim_ms":400}]}'
@@ -25,9 +25,9 @@
     _host(0x03124A07, 1, 300, 0, 0.5, 12.25) + _host(8, 2, 0, 2, 1.0, 0.0) + _host(9, 0, 1, 99, 1.0, 0.0)
 )
 ENTRIES = (
-    api.HostEntry(0x03124A07, 1, 300, api.State.READY, 0.5, 12.25),
-    api.HostEntry(8, 2, 0, api.State.GONE),
-    api.HostEntry(9, 0, 1, api.State.DRAINING),  # of a state that is not known
+    balancing.Endpoint(0x03124A07, 1, 300, balancing.EndpointState.READY, 0.5, 12.25),
+    balancing.Endpoint(8, 2, 0, balancing.EndpointState.GONE),
+    balancing.Endpoint(9, 0, 1, balancing.EndpointState.DRAINING),  # of a state that is not known
 )
 REQUEST_ID = 0x0006965B5D9A13C4
 
@@ -44,74 +44,77 @@
 ITEMS: dict[str, tuple[tuple[bytes, ...], Item]] = {
     "attach": ((struct.pack("<HQI", 1, 1 << 40, len(INFO)) + INFO,), Attach(1 << 40, INFO)),
     "halt": ((struct.pack("<H", 10),), Halt()),
-    "request": ((_request(0),), api.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 0.0, 6)),
+    "request": ((_request(0),), balancing.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 0.0, 6)),
     "request with every flag": (
         (_request(7),),
-        api.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 12.5, 6, True, True),
+        balancing.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 12.5, 6, True, True),
     ),
     "request whose cost is known": (
         (_request(1),),
-        api.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 12.5, 6, False, False),
+        balancing.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 12.5, 6, False, False),
     ),
     "request that is a repeat": (
         (_request(2),),
-        api.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 0.0, 6, True, False),
+        balancing.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 0.0, 6, True, False),
     ),
     "request that writes": (
         (_request(4),),
-        api.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 0.0, 6, False, True),
+        balancing.Request(REQUEST_ID, 1400.5, 2, 1 << 60, 0.0, 6, False, True),
     ),
     "stream started": (
         (struct.pack("<HQHId", 4, REQUEST_ID, 2, 9, 5.5),),
-        api.StreamStarted(REQUEST_ID, 2, 9),
+        balancing.StreamStarted(REQUEST_ID, 2, 9),
     ),
     "reply without load": (
         (struct.pack("<HQHIHdBB", 5, REQUEST_ID, 0, 9, 503, 0.5, 0, 0),),
-        api.Reply(REQUEST_ID, 0, 9, api.Outcome.FULL, 0.5, False),
+        balancing.Reply(REQUEST_ID, 0, 9, balancing.Outcome.FULL, 0.5, False),
     ),
-    "left": ((struct.pack("<HQ", 6, REQUEST_ID),), api.Left(REQUEST_ID)),
-    "timer": ((struct.pack("<HQ", 7, 5),), api.TimerFired(5)),
+    "left": ((struct.pack("<HQ", 6, REQUEST_ID),), balancing.ClientDisconnected(REQUEST_ID)),
+    "timer": ((struct.pack("<HQ", 7, 5),), balancing.TimerFired(5)),
     "probe result": (
         (struct.pack("<HIHdB", 8, 9, 200, 1.25, 1) + struct.pack("<f", 0.25),),
-        api.ProbeResult(9, api.Outcome.OK, 1.25, (0.25,)),
+        balancing.HealthCheckResult(9, balancing.Outcome.OK, 1.25, (0.25,)),
     ),
     "peer message": (
         (struct.pack("<HHH", 9, 3, 4) + b"\x00abc",),
-        api.PeerMessage(3, b"\x00abc"),
+        balancing.PeerMessage(3, b"\x00abc"),
     ),
     "list changes": (
         (HOSTS, struct.pack("<HBIB", 2, 0, 70000, 4)),
-        api.ListUpdate(api.ListKind.DELTA, ENTRIES, 70000),
+        balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, ENTRIES, 70000),
     ),
     "whole list": (
         (HOSTS, struct.pack("<HBIB", 2, 1, 70000, 4)),
-        api.ListUpdate(api.ListKind.FULL, ENTRIES, 70000),
+        balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, ENTRIES, 70000),
     ),
     "cached list": (
         (HOSTS, struct.pack("<HBIB", 2, 2, 70000, 4)),
-        api.ListUpdate(api.ListKind.CACHED, ENTRIES, 70000),
+        balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, ENTRIES, 70000),
+    ),
+    "failed list": (
+        (struct.pack("<HBIB", 2, 3, 70000, 0),),
+        balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED, (), 70000),
     ),
-    "failed list": ((struct.pack("<HBIB", 2, 3, 70000, 0),), api.ListUpdate(api.ListKind.FAILED, (), 70000)),
 }
 ITEMS.update(
     {
         f"reply {outcome}": (
             (_reply(outcome),),
-            api.Reply(REQUEST_ID, 1, 9, api.Outcome(outcome), 33.25, True, (1.5, 2.0)),
+            balancing.Reply(REQUEST_ID, 1, 9, balancing.Outcome(outcome), 33.25, True, (1.5, 2.0)),
         )
         for outcome in (200, 500, 503, 504, 502, 598, 499, 410)
     }
 )
 
-ACTIONS: dict[str, api.Action] = {
-    "send": api.Send(REQUEST_ID, 0x03124A07, 80.5),
-    "cancel": api.Cancel(REQUEST_ID, 2),
-    "fail": api.Fail(REQUEST_ID),
-    "refuse": api.Refuse(REQUEST_ID, 5.25),
-    "set timer": api.SetTimer(12.5, 1 << 33),
-    "probe": api.Probe(9),
-    "subscribe": api.Subscribe(),
-    "fetch the list": api.FetchList(),
+ACTIONS: dict[str, balancing.Action] = {
+    "send": balancing.Send(REQUEST_ID, 0x03124A07, 80.5),
+    "cancel": balancing.Cancel(REQUEST_ID, 2),
+    "fail": balancing.Fail(REQUEST_ID),
+    "refuse": balancing.Refuse(REQUEST_ID, 5.25),
+    "set timer": balancing.SetTimer(12.5, 1 << 33),
+    "probe": balancing.HealthCheck(9),
+    "subscribe": balancing.Subscribe(),
+    "fetch the list": balancing.FetchEndpoints(),
 }
 
 SETTINGS_TEXT = b"""{
@@ -132,14 +135,23 @@
   "novelty": {"x": 1}
 }
 """
-SETTINGS = api.Settings(
+SETTINGS = balancing.Settings(
     classes=(
-        api.RequestClass(
-            "a", 400.5, 1200, 2.5, 0.25, 1.5, api.Effect.KEYED, api.Group.ZONE, window_ms=900, stream=True
+        balancing.RequestClass(
+            "a",
+            400.5,
+            1200,
+            2.5,
+            0.25,
+            1.5,
+            balancing.Effect.KEYED,
+            balancing.DeduplicationScope.ZONE,
+            window_ms=900,
+            stream=True,
         ),
-        api.RequestClass(effect=api.Effect.SAFE, group=api.Group.CELL),
-        api.RequestClass(effect=api.Effect.UNSAFE, group=api.Group.CELL),
-        api.RequestClass(),
+        balancing.RequestClass(effect=balancing.Effect.SAFE, group=balancing.DeduplicationScope.CELL),
+        balancing.RequestClass(effect=balancing.Effect.UNSAFE, group=balancing.DeduplicationScope.CELL),
+        balancing.RequestClass(),
     ),
     zone=1,
     peers_total=3,
@@ -147,9 +159,9 @@
     worth_by_work=True,
     tick_ms=2.5,
     load_fields=("load", "queue"),
-    limits=api.Limits(5, True, True, False, True, 70, 80),
-    rules=api.Rules(1, 2, 3, 0.5, 4, 5, 6),
-    prices=api.Prices(0.1, 0.2, 0.3, 0.4),
+    limits=balancing.Limits(5, True, True, False, True, 70, 80),
+    rules=balancing.Rules(1, 2, 3, 0.5, 4, 5, 6),
+    prices=balancing.Prices(0.1, 0.2, 0.3, 0.4),
 )
 
 
--- a/tests/golden/golden_operation_cases.py
+++ b/tests/golden/golden_operation_cases.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from coveport.balancing.interface import Effect, Group, Outcome
+from coveport.balancing import DeduplicationScope, Effect, Outcome
 from coveport.sidecar.intent_log.payloads import StoredRequest, StoredResponse
 from coveport.sidecar.intent_log.record import (
     Attempt,
@@ -20,9 +20,9 @@
 SEAL_KEYS = {"second": b"\x11" * 32, "first": b"\x0a" * 32}
 NONCE = bytes(range(12))
 
-KEYED = ExecutionPolicy(Effect.KEYED, Group.ZONE, 900.0, 3, 1200.0)
-SAFE = ExecutionPolicy(Effect.SAFE, Group.ALL, 0.0, 2)
-UNSAFE = ExecutionPolicy(Effect.UNSAFE, Group.CELL, 0.5, 1, 5000.0)
+KEYED = ExecutionPolicy(Effect.KEYED, DeduplicationScope.ZONE, 900.0, 3, 1200.0)
+SAFE = ExecutionPolicy(Effect.SAFE, DeduplicationScope.ALL, 0.0, 2)
+UNSAFE = ExecutionPolicy(Effect.UNSAFE, DeduplicationScope.CELL, 0.5, 1, 5000.0)
 ENDED_ATTEMPTS = tuple(
     Attempt(f"node-{number}", 1, 2, "life-1", outcome, 1_700_000_000.5 + number)
     for number, outcome in enumerate(Outcome)
--- a/tests/golden/test_golden_decisions.py
+++ b/tests/golden/test_golden_decisions.py
@@ -10,7 +10,7 @@
 from golden_decision_cases import ACTIONS, ITEMS, SETTINGS, item_batches
 from golden_files import read_cases, read_file
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.balancing import simulator_codec
 
 BATCHES = read_cases("decision_batches.json")
@@ -49,8 +49,10 @@
     told = {code for data in BATCHES.values() for code in codes(data)}
     assert told == set(range(1, 13))
     items: list[Any] = [item for _, item in ITEMS.values()]
-    assert {item.outcome for item in items if isinstance(item, api.Reply)} == set(api.Outcome)
-    assert {item.kind for item in items if isinstance(item, api.ListUpdate)} == set(api.ListKind)
+    assert {item.outcome for item in items if isinstance(item, balancing.Reply)} == set(balancing.Outcome)
+    assert {item.kind for item in items if isinstance(item, balancing.EndpointUpdate)} == set(
+        balancing.EndpointUpdateKind
+    )
 
 
 def test_what_is_no_record_is_refused_as_before() -> None:
@@ -66,7 +68,7 @@
 
 
 def test_every_action_has_golden_bytes() -> None:
-    assert {type(action) for action in ACTIONS.values()} == set(get_args(api.Action))
+    assert {type(action) for action in ACTIONS.values()} == set(get_args(balancing.Action))
     assert REPLIES.keys() == {*ACTIONS, "selection", "fault", "reply", "empty reply"}
 
 
--- a/tests/golden/test_golden_operations.py
+++ b/tests/golden/test_golden_operations.py
@@ -23,7 +23,7 @@
     transactions,
 )
 
-from coveport.balancing.interface import Outcome
+from coveport.balancing import Outcome
 from coveport.sidecar.intent_log.encryption import KeyRing, read_keys
 from coveport.sidecar.intent_log.payloads import PayloadCodec
 from coveport.sidecar.intent_log.record import FinalStatus, RecoveryPoint
--- a/tests/sidecar/intent_log/intent_log_builders.py
+++ b/tests/sidecar/intent_log/intent_log_builders.py
@@ -4,11 +4,11 @@
 
 from typing import Any
 
-from coveport.balancing.interface import Effect, Group, Outcome
+from coveport.balancing import DeduplicationScope, Effect, Outcome
 from coveport.sidecar.intent_log.record import Attempt, ExecutionPolicy, FinalStatus, Record
 
-KEYED = ExecutionPolicy(Effect.KEYED, Group.CELL, 6000.0, 3)
-UNSAFE = ExecutionPolicy(Effect.UNSAFE, Group.ALL, 0.0, 3)
+KEYED = ExecutionPolicy(Effect.KEYED, DeduplicationScope.CELL, 6000.0, 3)
+UNSAFE = ExecutionPolicy(Effect.UNSAFE, DeduplicationScope.ALL, 0.0, 3)
 
 
 def accepted_record(policy: ExecutionPolicy = KEYED, **fields: Any) -> Record:
--- a/tests/sidecar/intent_log/test_pending_operation.py
+++ b/tests/sidecar/intent_log/test_pending_operation.py
@@ -7,7 +7,7 @@
 import pytest
 from intent_log_builders import accepted_record, attempt
 
-from coveport.balancing.interface import Outcome
+from coveport.balancing import Outcome
 from coveport.sidecar.intent_log.pending_operation import (
     STAGE_TRANSITIONS,
     OperationStage,
--- a/tests/sidecar/intent_log/test_record.py
+++ b/tests/sidecar/intent_log/test_record.py
@@ -5,7 +5,7 @@
 import pytest
 from intent_log_builders import KEYED, UNSAFE, accepted_record, attempt, closed_record
 
-from coveport.balancing.interface import NEVER_RAN, Effect, Group, Outcome
+from coveport.balancing import NEVER_RAN, DeduplicationScope, Effect, Outcome
 from coveport.sidecar.intent_log.errors import RecordError
 from coveport.sidecar.intent_log.presence import OwnerStatus
 from coveport.sidecar.intent_log.record import (
@@ -58,7 +58,7 @@
 
 
 def test_attempts_when_the_owner_changes_are_counted_over_all_instances() -> None:
-    policy = ExecutionPolicy(Effect.KEYED, Group.CELL, 6000.0, 1)
+    policy = ExecutionPolicy(Effect.KEYED, DeduplicationScope.CELL, 6000.0, 1)
     record = accepted_record(policy).with_attempt(attempt()).claimed("s1#1", 9)
     with pytest.raises(RecordError, match="by all instances together"):
         record.with_attempt(attempt())
--- a/tests/sidecar/intent_log/test_record_codec.py
+++ b/tests/sidecar/intent_log/test_record_codec.py
@@ -8,7 +8,7 @@
 import pytest
 from intent_log_builders import accepted_record, attempt
 
-from coveport.balancing.interface import Outcome
+from coveport.balancing import Outcome
 from coveport.sidecar.intent_log.errors import RecordError
 from coveport.sidecar.intent_log.record_codec import decode, encode
 
--- a/tests/sidecar/intent_log/test_takeover.py
+++ b/tests/sidecar/intent_log/test_takeover.py
@@ -9,7 +9,7 @@
 import pytest
 from intent_log_builders import accepted_record, attempt
 
-from coveport.balancing.interface import Effect, Group, Outcome
+from coveport.balancing import DeduplicationScope, Effect, Outcome
 from coveport.sidecar.intent_log.record import ExecutionPolicy, FinalStatus, RecoveryPoint
 from coveport.sidecar.intent_log.takeover import COUNTER_SUFFIXES, TakeoverAction, decide
 
@@ -23,7 +23,7 @@
 CASES = list(
     itertools.product(
         Effect,
-        Group,
+        DeduplicationScope,
         [
             (),
             ("not sent",),
@@ -62,7 +62,7 @@
         elif effect is Effect.SAFE:
             expected = TakeoverAction.SEND
         else:
-            share_keys = "in flight elsewhere" not in made or group is Group.ALL
+            share_keys = "in flight elsewhere" not in made or group is DeduplicationScope.ALL
             may_retry = key and age_ms + SEND_MS < 6000.0 and share_keys
             expected = TakeoverAction.RETRY if may_retry else TakeoverAction.CLOSE_UNKNOWN
         assert decision.action is expected, (effect, group, made, left_ms, age_ms, max_attempts, key)
--- a/tests/sidecar/reducer/test_reducer.py
+++ b/tests/sidecar/reducer/test_reducer.py
@@ -7,23 +7,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from coveport import balancing
 from coveport.balancing import Balancer
-from coveport.balancing import interface as api
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer
 from coveport.sidecar.reducer.reducer import Reducer
 
-FULL = api.ListUpdate(api.ListKind.FULL, hosts())
+FULL = balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, hosts())
 
 
-def started(entries: api.ListUpdate = FULL) -> Reducer:
+def started(entries: balancing.EndpointUpdate = FULL) -> Reducer:
     reducer = Reducer(settings(), 7)
     assert reducer.step(1000.0, core.EndpointsUpdated(entries)) == []
     return reducer
 
 
-@given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 300), st.sampled_from(api.Outcome)), max_size=60))
-def test_each_operation_gets_one_answer(script: list[tuple[int, int, api.Outcome]]) -> None:
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 9), st.integers(0, 300), st.sampled_from(balancing.Outcome)), max_size=60
+    )
+)
+def test_each_operation_gets_one_answer(script: list[tuple[int, int, balancing.Outcome]]) -> None:
     reducer, now, answers, gone = started(), 1000.0, dict[int, int](), set[int]()
     out: set[tuple[int, int]] = set()
     timers: list[tuple[float, core.Input]] = []
@@ -40,12 +44,14 @@
                 timers.append(
                     (
                         now + effect.timeout_ms,
-                        core.AttemptEnded(effect.operation, effect.step, api.Outcome.TIMEOUT),
+                        core.AttemptEnded(effect.operation, effect.step, balancing.Outcome.TIMEOUT),
                     )
                 )
             elif isinstance(effect, core.CancelAttempt):
                 assert (effect.operation, effect.step) in out
-                timers.append((now, core.AttemptEnded(effect.operation, effect.step, api.Outcome.CANCELLED)))
+                timers.append(
+                    (now, core.AttemptEnded(effect.operation, effect.step, balancing.Outcome.CANCELLED))
+                )
             elif isinstance(effect, core.SetTimer):
                 timers.append((now + effect.delay_ms, core.TimerExpired(effect.token)))
             elif isinstance(effect, core.SetDeadlineTimer):
@@ -81,7 +87,7 @@
 def test_a_module_that_raises_leaves_nothing_owed(monkeypatch: pytest.MonkeyPatch) -> None:
     reducer, handle = started(), Balancer.handle
 
-    def fails(self: Balancer, now_ms: float, event: api.Event) -> list[api.Action]:
+    def fails(self: Balancer, now_ms: float, event: balancing.Event) -> list[balancing.Action]:
         handle(self, now_ms, event)
         raise KeyError("a fault in the module")
 
@@ -90,11 +96,11 @@
     sent = [effect for effect in came if isinstance(effect, core.SendAttempt)]
     assert len(sent) == 1  # what was decided before the fault is carried out
     assert any(isinstance(effect, core.ReportFault) for effect in came)
-    ended = reducer.step(1002.0, core.AttemptEnded(1, 0, api.Outcome.OK, (), Answer(b"body")))
+    ended = reducer.step(1002.0, core.AttemptEnded(1, 0, balancing.Outcome.OK, (), Answer(b"body")))
     assert [e.answer for e in ended if isinstance(e, core.SendAnswer)] == [Answer(b"body")]
     assert reducer.owed == 0
 
-    def raises(self: Balancer, now_ms: float, event: api.Event) -> list[api.Action]:
+    def raises(self: Balancer, now_ms: float, event: balancing.Event) -> list[balancing.Action]:
         self.out = []
         raise KeyError("a fault in the module")
 
@@ -123,40 +129,40 @@
 
 def test_a_cancel_of_what_was_never_sent_is_survived(monkeypatch: pytest.MonkeyPatch) -> None:
     reducer = started()
-    decided = [api.Cancel(1, 3), api.Send(1, 100, 0.0)]
+    decided = [balancing.Cancel(1, 3), balancing.Send(1, 100, 0.0)]
     monkeypatch.setattr(Balancer, "handle", lambda self, now, event: decided)
     effects = reducer.step(1001.0, core.OperationReceived(1, 0, 3000.0))
     assert [type(effect) for effect in effects] == [core.SetDeadlineTimer, core.ReportFault, core.SendAttempt]
 
 
 def test_a_send_for_what_is_over_is_moot(monkeypatch: pytest.MonkeyPatch) -> None:
-    reducer, told = started(), list[api.Event]()
+    reducer, told = started(), list[balancing.Event]()
 
-    def sends(self: Balancer, now_ms: float, event: api.Event) -> list[api.Action]:
+    def sends(self: Balancer, now_ms: float, event: balancing.Event) -> list[balancing.Action]:
         told.append(event)
-        return [api.Send(1, 100, 0.0)] if isinstance(event, api.Request) else []
+        return [balancing.Send(1, 100, 0.0)] if isinstance(event, balancing.Request) else []
 
     monkeypatch.setattr(Balancer, "handle", sends)
     effects = reducer.step(1001.0, core.OperationReceived(1, 0, 1000.0))  # its time has passed already
     assert not any(isinstance(effect, core.SendAttempt) for effect in effects)
-    assert isinstance(told[-1], api.Reply) and told[-1].outcome is api.Outcome.MOOT
+    assert isinstance(told[-1], balancing.Reply) and told[-1].outcome is balancing.Outcome.MOOT
 
 
 def test_what_was_measured_over_a_stall_of_ours_says_nothing_of_a_destination(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # A sidecar without CPU for 7 s took its nodes for that slow, and refused for 6 s more while they idled.
-    reducer, told = started(), list[api.Event]()
+    reducer, told = started(), list[balancing.Event]()
     handle = Balancer.handle
 
-    def listens(self: Balancer, now_ms: float, event: api.Event) -> list[api.Action]:
+    def listens(self: Balancer, now_ms: float, event: balancing.Event) -> list[balancing.Action]:
         told.append(event)
         return handle(self, now_ms, event)
 
     monkeypatch.setattr(Balancer, "handle", listens)
     for number in (1, 2):
         reducer.step(1000.0, core.OperationReceived(number, 0, 9000.0))
-    reducer.step(1040.0, core.AttemptEnded(1, 0, api.Outcome.OK, (), Answer(b"early")))
+    reducer.step(1040.0, core.AttemptEnded(1, 0, balancing.Outcome.OK, (), Answer(b"early")))
     reducer.step(8060.0, core.ProcessStalled(7000.0))
-    reducer.step(8060.0, core.AttemptEnded(2, 0, api.Outcome.OK, (), Answer(b"late")))
-    assert [event.latency_ms for event in told if isinstance(event, api.Reply)] == [40.0, 60.0]
+    reducer.step(8060.0, core.AttemptEnded(2, 0, balancing.Outcome.OK, (), Answer(b"late")))
+    assert [event.latency_ms for event in told if isinstance(event, balancing.Reply)] == [40.0, 60.0]
--- a/tests/sidecar/reducer/test_reducer_scripted.py
+++ b/tests/sidecar/reducer/test_reducer_scripted.py
@@ -9,8 +9,8 @@
 import pytest
 from helpers import SAFE, settings
 
-from coveport.balancing import interface as api
-from coveport.balancing.interface import Cancel, Fail, Left, Outcome, Refuse, Reply, Send
+from coveport import balancing
+from coveport.balancing import Cancel, ClientDisconnected, Fail, Outcome, Refuse, Reply, Send
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.messages import (
     AttemptEnded,
@@ -23,8 +23,10 @@
 from coveport.sidecar.reducer.operation import Answer
 from coveport.sidecar.reducer.reducer import Reducer
 
-Says = list[api.Action] | Exception
-LIMITS = api.Limits(max_attempts=2, second_copies=True, cancel=True, retry_after=True, max_retry_after_ms=700)
+Says = list[balancing.Action] | Exception
+LIMITS = balancing.Limits(
+    max_attempts=2, second_copies=True, cancel=True, retry_after=True, max_retry_after_ms=700
+)
 SETTINGS = dataclasses.replace(settings(SAFE, dataclasses.replace(SAFE, aim_ms=400.0)), limits=LIMITS)
 GUARD = SetDeadlineTimer(1, 3005.0)  # a quarter of the slack of 20 ms past the deadline
 ANSWER = Answer(b"body")
@@ -35,10 +37,10 @@
 
     def __init__(self, script: dict[type, list[Says]]) -> None:
         self.script = script
-        self.told = list[tuple[float, api.Event]]()
-        self.out = list[api.Action]()
+        self.told = list[tuple[float, balancing.Event]]()
+        self.out = list[balancing.Action]()
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: balancing.Event) -> list[balancing.Action]:
         self.told.append((now, event))
         said = self.script.get(type(event), [])
         says = said.pop(0) if said else []
@@ -48,9 +50,9 @@
         return says
 
 
-def scripted(limits: api.Limits = LIMITS, **script: Any) -> tuple[Reducer, Module]:
-    made: list[tuple[api.Settings, int]] = []
-    module = Module({getattr(api, kind): list(says) for kind, says in script.items()})
+def scripted(limits: balancing.Limits = LIMITS, **script: Any) -> tuple[Reducer, Module]:
+    made: list[tuple[balancing.Settings, int]] = []
+    module = Module({getattr(balancing, kind): list(says) for kind, says in script.items()})
 
     def make(*arguments: Any) -> Any:
         made.append(arguments)
@@ -66,24 +68,27 @@
     return core.OperationReceived(number, more.pop("cls", 0), deadline, **more)
 
 
-def told(module: Module) -> list[api.Event]:
+def told(module: Module) -> list[balancing.Event]:
     return [event for _, event in module.told]
 
 
 @pytest.mark.parametrize(
     ("item", "event"),
     [
-        (came(cls=1, repeat=True, cost_ms=12.0), api.Request(1, 3000.0, 1, 0, 12.0, repeat=True)),
-        (core.TimerExpired(4), api.TimerFired(4)),
-        (core.EndpointsUpdated(api.ListUpdate(api.ListKind.FAILED)), api.ListUpdate(api.ListKind.FAILED)),
+        (came(cls=1, repeat=True, cost_ms=12.0), balancing.Request(1, 3000.0, 1, 0, 12.0, repeat=True)),
+        (core.TimerExpired(4), balancing.TimerFired(4)),
+        (
+            core.EndpointsUpdated(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED)),
+            balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED),
+        ),
         (
             core.HealthCheckEnded(101, Outcome.FULL, 3.5, (0.5,)),
-            api.ProbeResult(101, Outcome.FULL, 3.5, (0.5,)),
+            balancing.HealthCheckResult(101, Outcome.FULL, 3.5, (0.5,)),
         ),
     ],
     ids=lambda one: type(one).__name__,
 )
-def test_an_input_is_told_as_it_came(item: core.Input, event: api.Event) -> None:
+def test_an_input_is_told_as_it_came(item: core.Input, event: balancing.Event) -> None:
     reducer, module = scripted()
     reducer.step(0.5, item)
     reducer.step(
@@ -95,13 +100,13 @@
 @pytest.mark.parametrize(
     ("says", "effect"),
     [
-        (api.SetTimer(12.0, 3), core.SetTimer(12.0, 3)),
-        (api.Probe(101), core.CheckHealth(101)),
-        (api.Subscribe(), core.RequestEndpoints(False)),
-        (api.FetchList(), core.RequestEndpoints(True)),
+        (balancing.SetTimer(12.0, 3), core.SetTimer(12.0, 3)),
+        (balancing.HealthCheck(101), core.CheckHealth(101)),
+        (balancing.Subscribe(), core.RequestEndpoints(False)),
+        (balancing.FetchEndpoints(), core.RequestEndpoints(True)),
     ],
 )
-def test_an_action_is_done_as_it_was_said(says: api.Action, effect: core.Effect) -> None:
+def test_an_action_is_done_as_it_was_said(says: balancing.Action, effect: core.Effect) -> None:
     reducer, module = scripted(TimerFired=[[says, says]])
     assert reducer.step(50.0, core.TimerExpired(0)) == [effect, effect]
     assert reducer.step(51.0, core.TimerExpired(0)) == [], "and not again"
@@ -154,11 +159,11 @@
     [
         (LIMITS, 300.0, 300.0),
         (LIMITS, 5000.0, 700.0),
-        (api.Limits(retry_after=False, max_retry_after_ms=700), 300.0, 0.0),
+        (balancing.Limits(retry_after=False, max_retry_after_ms=700), 300.0, 0.0),
     ],
 )
 def test_advice_when_to_come_back_stays_within_what_the_site_allows(
-    limits: api.Limits, said: float, given: float
+    limits: balancing.Limits, said: float, given: float
 ) -> None:
     reducer, _ = scripted(limits, Request=[[Refuse(1, said), Refuse(1, said), Fail(1), Refuse(2, said)]])
     assert reducer.step(1000.0, came()) == [GUARD, SendAnswer(1, Verdict.BUSY, None, given)], "one answer"
@@ -200,7 +205,7 @@
     if ends:
         assert reducer.step(1001.0, came(2, id="one")) == [SendAnswer(2, Verdict.DOUBLE)]
         assert reducer.step(1002.0, came(3, id="two"))[0] == SetDeadlineTimer(3, 3005.0)
-        assert [event.id for event in told(module) if isinstance(event, api.Request)] == [1, 3]
+        assert [event.id for event in told(module) if isinstance(event, balancing.Request)] == [1, 3]
         effects = ends(reducer)
     assert [one.verdict for one in effects if isinstance(one, SendAnswer)] == verdicts
     assert reducer.step(4000.0, came(4, 9000.0, id="one")) == [SetDeadlineTimer(4, 9005.0)]
@@ -222,14 +227,14 @@
 
 def test_a_client_that_goes_away_is_told_and_what_is_out_for_it_is_given_up() -> None:
     reducer, module = scripted(
-        Request=[[Send(1, 101, 0.0), Send(1, 102, 0.0)]], Left=[[Fail(1), Cancel(1, 0)]]
+        Request=[[Send(1, 101, 0.0), Send(1, 102, 0.0)]], ClientDisconnected=[[Fail(1), Cancel(1, 0)]]
     )
     reducer.step(1000.0, came())
     reducer.step(1010.0, AttemptEnded(1, 0, Outcome.RESET))
     assert reducer.step(1020.0, core.ClientDisconnected(1)) == [CancelAttempt(1, 1)], (
         "no answer, and what ended is over"
     )
-    assert reducer.owed == 0 and told(module)[-1] == Left(1)
+    assert reducer.owed == 0 and told(module)[-1] == ClientDisconnected(1)
     assert (
         reducer.step(1021.0, core.ClientDisconnected(1)) == []
         and reducer.step(1022.0, core.ClientDisconnected(9)) == []
@@ -244,7 +249,9 @@
     reducer.step(1000.0, came())
     complaint, *rest = reducer.step(3005.0, core.DeadlineExpired(1))
     assert isinstance(complaint, core.ReportFault) and "operation 1 " in complaint.text
-    assert rest == [SendAnswer(1, Verdict.FAILED), CancelAttempt(1, 0)] and told(module)[-1] == Left(1)
+    assert rest == [SendAnswer(1, Verdict.FAILED), CancelAttempt(1, 0)] and told(module)[
+        -1
+    ] == ClientDisconnected(1)
     assert (
         reducer.step(3006.0, core.DeadlineExpired(1)) == []
         and reducer.step(3006.0, core.DeadlineExpired(2)) == []
@@ -270,7 +277,10 @@
         (1, 104),
     ][:moot]
     # Not told of it before all that the module said is done.
-    assert told(module)[1:] == [api.Request(1, deadline), Reply(1, moot, 101, Outcome.MOOT, 0.0, closed)]
+    assert told(module)[1:] == [
+        balancing.Request(1, deadline),
+        Reply(1, moot, 101, Outcome.MOOT, 0.0, closed),
+    ]
     if not closed:
         assert reducer.step(1001.0, AttemptEnded(1, moot, Outcome.OK)) == [], "it never was out"
 
@@ -285,10 +295,16 @@
 
 @pytest.mark.parametrize("says", [[Cancel(1, 0)], ValueError("a fault in the module")])
 def test_an_operation_over_which_the_module_fails_is_answered_where_nothing_is_out(says: Says) -> None:
-    reducer, module = scripted(Request=[says, []], Reply=[ValueError("again")], Left=[[Fail(1)]])
+    reducer, module = scripted(
+        Request=[says, []], Reply=[ValueError("again")], ClientDisconnected=[[Fail(1)]]
+    )
     guard, complaint, answer = reducer.step(1000.0, came(id="one"))
     assert guard == GUARD and isinstance(complaint, core.ReportFault)
-    assert answer == SendAnswer(1, Verdict.FAILED) and reducer.owed == 0 and told(module)[-1] == Left(1)
+    assert (
+        answer == SendAnswer(1, Verdict.FAILED)
+        and reducer.owed == 0
+        and told(module)[-1] == ClientDisconnected(1)
+    )
     assert reducer.step(1001.0, came(2, id="one")) == [SetDeadlineTimer(2, 3005.0)], "its id is free"
 
 
@@ -306,7 +322,7 @@
 
 def test_what_a_failing_module_had_decided_is_done_and_a_fault_over_one_event_spoils_no_later_one() -> None:
     # The first event leads to a moot send, whose outcome is the second event.
-    reducer, module = scripted(Request=[ValueError("fault")], Reply=[[api.SetTimer(5.0, 0)]])
+    reducer, module = scripted(Request=[ValueError("fault")], Reply=[[balancing.SetTimer(5.0, 0)]])
     module.out = [Send(1, 101, 50.0)]
     guard, complaint, timer, answer = reducer.step(1000.0, came(deadline=900.0))
     assert guard == SetDeadlineTimer(1, 905.0) and isinstance(complaint, core.ReportFault)
--- a/tests/sidecar/test_effects.py
+++ b/tests/sidecar/test_effects.py
@@ -8,7 +8,7 @@
 
 from world import CLASSES, Pool, configuration
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.net.transport import Net
 from coveport.sidecar.config import platform
 from coveport.sidecar.effects import Effects
@@ -75,7 +75,7 @@
         for link in effects.destinations._idle[2]:
             link.idle_since -= 1.0  # long ago
         pool.put("s-1", "127.0.0.1:2")
-        update = effects._reader.read(json.loads(json.dumps(pool.text())), api.ListKind.FULL)
+        update = effects._reader.read(json.loads(json.dumps(pool.text())), balancing.EndpointUpdateKind.FULL)
 
         def catch_up() -> None:
             effects.pool_config.catch_up = lambda: None  # type: ignore[method-assign]
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -15,7 +15,8 @@
 from world import Server, served, world
 
 LOADED = """
-coveport coveport.balancing coveport.balancing.balancer coveport.balancing.interface
+coveport coveport.balancing coveport.balancing.actions coveport.balancing.balancer
+coveport.balancing.events coveport.balancing.settings
 coveport.balancing.locality coveport.balancing.pending_requests coveport.balancing.simulator_codec
 coveport.http1 coveport.http1.errors coveport.http1.fields coveport.http1.message_parser
 coveport.http1.messages coveport.http1.request_parser coveport.http1.response_parser
--- a/tests/sidecar/upstream/test_connection_pool.py
+++ b/tests/sidecar/upstream/test_connection_pool.py
@@ -8,7 +8,7 @@
 from simulated import Server, run
 from world import served
 
-from coveport.balancing.interface import Outcome
+from coveport.balancing import Outcome
 from coveport.net.address import parse_address
 from coveport.net.transport import Net
 from coveport.sidecar.reducer.locality import Place
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -10,7 +10,7 @@
 from helpers import SAFE, Driver, settings
 from msgspec.structs import replace
 
-from coveport.balancing import interface as api
+from coveport import balancing
 from coveport.testbed import scenario
 from coveport.testbed.drawing import draw
 from coveport.testbed.event_log import Answered, Arrived, Asked
@@ -66,13 +66,20 @@
     logs = []
     for names in (("a", "b", "c"), ("c", "b", "a")):
         classes = tuple(
-            api.RequestClass(name=name, aim_ms=SAFE.aim_ms, deadline_ms=SAFE.deadline_ms, effect=SAFE.effect)
+            balancing.RequestClass(
+                name=name, aim_ms=SAFE.aim_ms, deadline_ms=SAFE.deadline_ms, effect=SAFE.effect
+            )
             for name in names
         )
         driver = Driver(settings(*classes, peers=1), ())
         for number in range(30):
             driver.request(number % 3)
-        driver.feed(api.ListUpdate(api.ListKind.FULL, (api.HostEntry(100, 0, 0), api.HostEntry(101, 0, 0))))
+        driver.feed(
+            balancing.EndpointUpdate(
+                balancing.EndpointUpdateKind.FULL,
+                (balancing.Endpoint(100, 0, 0), balancing.Endpoint(101, 0, 0)),
+            )
+        )
         for _ in range(20):
             driver.advance(10)
             for sent in list(driver.flying.values()):
--- a/tests/testbed/test_model_check.py
+++ b/tests/testbed/test_model_check.py
@@ -9,9 +9,9 @@
 import pytest
 from click.testing import CliRunner, Result
 
+from coveport import balancing
 from coveport.balancing import Balancer
 from coveport.balancing import balancer as decide
-from coveport.balancing import interface as api
 from coveport.cli.root import root
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.reducer import Reducer
@@ -41,13 +41,13 @@
 class _AnswersTwice(Reducer):
     def _step_ended(self, item: core.AttemptEnded) -> None:
         operation = self._operations.get(item.operation)
-        if operation is not None and operation.steps[item.step].out and item.outcome is api.Outcome.OK:
+        if operation is not None and operation.steps[item.step].out and item.outcome is balancing.Outcome.OK:
             operation.answered = False
         super()._step_ended(item)
 
 
 class _CountsNoAttempts(Reducer):
-    def __init__(self, given: api.Settings, *rest: Any) -> None:
+    def __init__(self, given: balancing.Settings, *rest: Any) -> None:
         super().__init__(given, *rest)
         self._settings = dataclasses.replace(
             given, limits=dataclasses.replace(given.limits, max_attempts=given.limits.max_attempts + 1)
@@ -57,7 +57,7 @@
 class _AsksForMore(Balancer):
     """Not a fault that shows by itself: the shipped reducer guards against it."""
 
-    def __init__(self, given: api.Settings, seed: int) -> None:
+    def __init__(self, given: balancing.Settings, seed: int) -> None:
         super().__init__(given, seed)
         limits = dataclasses.replace(given.limits, max_attempts=given.limits.max_attempts + 1)
         self.settings = dataclasses.replace(given, limits=limits)
@@ -67,15 +67,17 @@
 
 
 class _TakesResetsAsUnrun(Balancer):
-    def _reply(self, event: api.Reply) -> None:
-        reset = event.outcome is api.Outcome.RESET
-        super()._reply(dataclasses.replace(event, outcome=api.Outcome.CONNECT_FAILED) if reset else event)
+    def _reply(self, event: balancing.Reply) -> None:
+        reset = event.outcome is balancing.Outcome.RESET
+        super()._reply(
+            dataclasses.replace(event, outcome=balancing.Outcome.CONNECT_FAILED) if reset else event
+        )
 
 
 class _DeafToDrains(Balancer):
-    def _list(self, event: api.ListUpdate) -> None:
-        entries = tuple(one for one in event.entries if one.state is not api.State.DRAINING)
-        super()._list(api.ListUpdate(event.kind, entries, event.version))
+    def _list(self, event: balancing.EndpointUpdate) -> None:
+        entries = tuple(one for one in event.entries if one.state is not balancing.EndpointState.DRAINING)
+        super()._list(balancing.EndpointUpdate(event.kind, entries, event.version))
 
 
 class _ForgetsWhoWaits(Balancer):
@@ -85,7 +87,10 @@
 
 class _BlindToCells(Balancer):
     def _legal(self, request: decide._Request, host: decide._Host | None) -> bool:
-        cls, request.cls = request.cls, dataclasses.replace(request.cls, group=api.Group.ZONE)
+        cls, request.cls = (
+            request.cls,
+            dataclasses.replace(request.cls, group=balancing.DeduplicationScope.ZONE),
+        )
         legal = super()._legal(request, host)
         request.cls = cls
         return legal
@@ -96,7 +101,7 @@
 
     fails = 1
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: balancing.Event) -> list[balancing.Action]:
         how = self.random.choice(range(3)) if self.fails else 0
         self.fails -= how > 0
         if how == 1:
