--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -14,12 +14,12 @@
 from coveport.sidecar.config import platform
 from coveport.sidecar.config.errors import OperatorFileError, PlatformFileError
 from coveport.sidecar.config.operator_file import OperatorFile, load
-from coveport.sidecar.leases import log_events
+from coveport.sidecar.leases import log_events as lease_events
 from coveport.sidecar.leases.clock import boot_s
 from coveport.sidecar.leases.keys import ROLE_PREFIX
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.leases.open_store import open_store
-from coveport.sidecar.supervisor import log_stream
+from coveport.sidecar.supervisor import log_events, log_stream
 from coveport.sidecar.supervisor.control import ControlServer, control_path
 from coveport.sidecar.supervisor.desired_state_role import ROLE_NAME_PREFIX
 from coveport.sidecar.supervisor.notify import NotificationReceiver, Notifier, watchdog_interval_s
@@ -37,7 +37,7 @@
 MAINTENANCE_INTERVAL_S = 1.0  # without a service manager that expects heartbeats
 STOP_MARGIN_S = 10.0  # beyond `stop_s`, for all instances to exit
 
-ERROR_EVENTS = frozenset({"fleet_broken", "fleet_stalled", log_events.STORE_RESET})
+ERROR_EVENTS = log_events.ERROR_EVENTS | {lease_events.STORE_RESET}
 
 
 def check_files(operator_file: OperatorFile, config: Path) -> str:
@@ -131,7 +131,7 @@
         loop.add_signal_handler(signal.SIGUSR2, self._stop_without_instances)
 
     def _log(self, event: str, **fields: object) -> None:
-        if event in log_events.DEBUG_EVENTS:
+        if event in lease_events.DEBUG_EVENTS:
             write = self._logger.debug
         elif event in ERROR_EVENTS:
             write = self._logger.error
@@ -190,7 +190,7 @@
             if supervisor.holds_role and boot_s() - checked_at > ROTATION_CHECK_INTERVAL_S:
                 checked_at = boot_s()
                 if log_stream.rotate(self._operator_file.fleet_folder):
-                    self._log("stream_turned")
+                    self._log(log_events.LOG_ROTATED)
             await asyncio.sleep(self._heartbeat_interval_s or MAINTENANCE_INTERVAL_S)
 
     async def _shut_down(self, supervisor: Supervisor) -> None:
@@ -198,7 +198,7 @@
         stops_instances = supervisor.may_act and not self._keep_instances and supervisor.is_only_supervisor
         timeout_s = self._operator_file.fleet.stop_s + STOP_MARGIN_S
         if stops_instances and not await supervisor.stop_all(timeout_s):
-            self._log("fleet_left_some")
+            self._log(log_events.SHUTDOWN_INCOMPLETE)
         await supervisor.leave()
         self._close_sockets()
 
@@ -210,12 +210,12 @@
     def _reload(self, supervisor: Supervisor, processes: HostProcesses) -> None:
         fault = check_files(self._operator_file, self._config)
         if fault:
-            self._log("fleet_file", fault=fault)
+            self._log(log_events.FILE_RELOADED, fault=fault)
             return
         self._operator_file = load(self._config)
         processes.update_settings(self._operator_file)
         supervisor.update_settings(self._operator_file)
-        self._log("fleet_file", fault="")
+        self._log(log_events.FILE_RELOADED, fault="")
 
 
 def main(operator_file: OperatorFile, config: Path, standby: bool) -> int:
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -16,6 +16,7 @@
 from coveport.sidecar.leases.lease_client import LeaseClient
 from coveport.sidecar.singletons.singleton import Step
 from coveport.sidecar.singletons.singleton_runner import SingletonRunner
+from coveport.sidecar.supervisor import log_events
 from coveport.sidecar.supervisor.commands import Command, Drain, Kill, Start
 from coveport.sidecar.supervisor.desired_state import DesiredState
 from coveport.sidecar.supervisor.desired_state_role import DesiredStateRole, RequestResult
@@ -136,7 +137,7 @@
         running = self.processes.find_running()
         self.instances.acquire(now, running)
         self._logged_states = {}
-        self._log("fleet_taken_up", duty=role, token=token, found=sorted(running))
+        self._log(log_events.FLEET_ACQUIRED, duty=role, token=token, found=sorted(running))
         self._runner.start(token)
         if self.on_role_changed is not None:
             self._tasks.append(asyncio.ensure_future(self._report_role(True)))
@@ -148,7 +149,7 @@
         if not self._is_stopping:
             self.instances.release()
             self.processes.stop_watching()
-        self._log("fleet_let_go", duty=role, token=token, why=reason)
+        self._log(log_events.FLEET_RELEASED, duty=role, token=token, why=reason)
         if self.on_role_changed is not None:
             self._tasks.append(asyncio.ensure_future(self._report_role(False)))
 
@@ -162,7 +163,7 @@
             self._carry_out(self.instances.apply(self._now_s(), desired))
 
     def _on_step_committed(self, step: Step, token: int, revision: int) -> None:
-        self._log("fleet_step", token=token, revision=revision, what=step.description)
+        self._log(log_events.DESIRED_STATE_CHANGED, token=token, revision=revision, what=step.description)
         self.role.on_step_committed(step)
 
     # The loop.
@@ -171,7 +172,7 @@
         while True:
             now = self._now_s()
             if now - self._ticked_at > TICK_S + STALL_S:
-                self._log("fleet_stalled", lasted=round(now - self._ticked_at, 2))
+                self._log(log_events.SUPERVISOR_STALLED, lasted=round(now - self._ticked_at, 2))
                 self.instances.on_stalled(now)
                 await asyncio.sleep(0)  # pending notifications are read first
             self._ticked_at = now
@@ -195,8 +196,9 @@
             if self._logged_states.get(name) is state:
                 continue
             self._logged_states[name] = state
+            is_broken = state is InstanceState.BROKEN
             self._log(
-                "fleet_broken" if state is InstanceState.BROKEN else "fleet_state",
+                log_events.INSTANCE_BROKEN if is_broken else log_events.INSTANCE_STATE_CHANGED,
                 name=name,
                 state=state.value,
                 life=instance.incarnation,
@@ -220,11 +222,11 @@
             if isinstance(command, Start):
                 self._start(command.name)
             elif isinstance(command, Drain):
-                self._log("fleet_drain", name=command.name, life=command.incarnation)
+                self._log(log_events.INSTANCE_DRAINING, name=command.name, life=command.incarnation)
                 self.processes.drain(command.incarnation)
             elif isinstance(command, Kill):
                 reason = self.instances.by_name[command.name].reason
-                self._log("fleet_kill", name=command.name, life=command.incarnation, why=reason)
+                self._log(log_events.INSTANCE_KILLED, name=command.name, life=command.incarnation, why=reason)
                 self.processes.kill(command.incarnation)
 
     def _start(self, name: str) -> None:
@@ -239,11 +241,11 @@
         except OSError as error:
             self.instances.on_start_failed(now, name, error.strerror or str(error))
             return
-        self._log("fleet_start", name=name, life=incarnation)
+        self._log(log_events.INSTANCE_STARTED, name=name, life=incarnation)
         self._carry_out(self.instances.on_started(now, name, incarnation))
 
     def _on_exit(self, name: str, incarnation: str, reason: ExitReason) -> None:
-        self._log("fleet_ended", name=name, life=incarnation, how=reason.value)
+        self._log(log_events.INSTANCE_EXITED, name=name, life=incarnation, how=reason.value)
         self.instances.on_exit(self._now_s(), name, incarnation, reason)
 
     def on_notification(self, pid: int, variables: Mapping[str, str]) -> None:
--- a/tests/sidecar/supervisor/test_fleet_processes.py
+++ b/tests/sidecar/supervisor/test_fleet_processes.py
@@ -165,7 +165,7 @@
         assert shown.returncode == 0 and shown.stdout.count("serving") == 4
         assert (await staff("scale", "1")).returncode == 0
         await fleet.all_serve(1)
-        assert "fleet_start" in (await staff("logs")).stdout
+        assert "instance_started" in (await staff("logs")).stdout
         assert (await staff("drain", "h-9")).returncode == 1
         assert (await staff("status", "--json")).stdout.startswith("{")
 
--- a/tests/sidecar/supervisor/test_host_parts.py
+++ b/tests/sidecar/supervisor/test_host_parts.py
@@ -166,7 +166,7 @@
         log_stream.stream_logger(tmp_path, supervisor="s"),
     )
     instance.info("said", text="a" * 100)
-    supervisor.info("fleet_start", name="h-1")
+    supervisor.info("instance_started", name="h-1")
     assert not log_stream.rotate(tmp_path, 10_000) and log_stream.rotate(tmp_path, 100)
     instance.info("said", text="later")
     path = log_stream.stream_path(tmp_path)
