--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -118,7 +118,7 @@
     """An invariant doesn't hold."""
 
 
-def steady() -> float:
+def fixed_jitter() -> float:
     """In place of the jitter."""
     return 0.5
 
@@ -201,7 +201,7 @@
         self.scenario = scenario
         self.ids = [MemberId(name, f"disk-{name}") for name in scenario.machines]
         self.states = 0
-        self.closings = 0
+        self.closing_faults = 0
         self.deepest = 0
         self._closed: set[bytes] = set()
 
@@ -217,7 +217,7 @@
             1,
             durable,
             STATE_MACHINE,
-            steady,
+            fixed_jitter,
             b"",
             NOW_S,
         )
@@ -309,8 +309,8 @@
             links=tuple(sorted((key, queue) for key, queue in links.items() if queue)),
         )
         for token in tokens:
-            again: Replica = unpack(point.members[index])
-            point = self._apply(point, index, again, again.handle(NOW_S, Persisted(token)))
+            retry: Replica = unpack(point.members[index])
+            point = self._apply(point, index, retry, retry.handle(NOW_S, Persisted(token)))
         return point
 
     # -- what must hold --
@@ -500,7 +500,7 @@
         leader = members[name]
         if leader.view is None or leader.identity not in leader.view.members:
             return False
-        self.closings += 1
+        self.closing_faults += 1
         leader._leader_role.highest_seen = max(
             member._leader_role.highest_seen for member in members.values()
         )
@@ -543,7 +543,7 @@
 
     def run(self, depth: int, most_states: int) -> None:
         """Explore by levels; raises InvariantError with the path that led to it."""
-        with standing_still():
+        with frozen_clock():
             seen: set[bytes] = set()
             level = [self.first_point()]
             for self.deepest in range(depth + 1):
@@ -564,7 +564,7 @@
 
     def walk(self, chance: Random) -> Point:
         """One path, each step drawn, to its end, which is returned. Raises InvariantError."""
-        with standing_still():
+        with frozen_clock():
             point = self.first_point()
             while True:
                 self.states += 1
@@ -583,7 +583,7 @@
 
 
 @contextmanager
-def standing_still() -> Iterator[None]:
+def frozen_clock() -> Iterator[None]:
     """Nobody waits for time to pass or judges others by it."""
     with (
         mock.patch.object(view_change, "MORE_PROMISES_S", 0.0),
--- a/tests/serving/replication/core_operators.py
+++ b/tests/serving/replication/core_operators.py
@@ -124,7 +124,7 @@
         machine = to or self.world.random.choice(others)
         self.last = machine
         if machine.incarnation is None and machine.is_powered:
-            self.again(number)  # its port resets
+            self.retry(number)  # its port resets
             return
         request = self.world.call(
             machine,
@@ -133,17 +133,17 @@
             self.is_delayed,
         )
         self.sent.append((machine, request))
-        self.world.after(CALL_TIMEOUT_S, lambda: self.again(number))
+        self.world.after(CALL_TIMEOUT_S, lambda: self.retry(number))
 
-    def again(self, number: int) -> None:
+    def retry(self, number: int) -> None:
         """Try elsewhere after a growing pause, unless that happened already."""
         if not self.is_over and number == self.tries:
-            self._leave()
+            self._disconnect()
             self.tries += 1
             pause_s = min(0.05 * 2 ** min(self.tries / 2, 6), 0.6) * self.world.random.uniform(0.5, 1.0)
             self.world.after(pause_s, self.send)
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         """Close the connections on which nothing came."""
         for machine, request in self.sent:
             self.world.cancel(machine, request)
@@ -169,7 +169,7 @@
             case NotPrimary(primary=str() as address) if redirects < REDIRECTS and number == self.tries:
                 self.send(self.world.machines.get(address), redirects + 1)
             case _:
-                self.again(number)
+                self.retry(number)
 
     def end(self, verdict: Verdict) -> None:
         """The call is over."""
--- a/tests/serving/replication/core_risk.py
+++ b/tests/serving/replication/core_risk.py
@@ -42,11 +42,11 @@
     world = World(seed, localities, core.losses, core.region_s, bytes_per_s=BYTES_PER_S)
     world.start_all()
     world.run_for(6.0, until=lambda: bool(world.primaries()))
-    world.run_for(6.0, until=lambda: bears_all(world))
+    world.run_for(6.0, until=lambda: tolerates_all(world))
     world.run_for(1.0)
     assert _submit(world, change(0, 1, "v" * size)), "the large change is taken"
-    world.run_for(6.0, until=lambda: bears_all(world))
-    assert bears_all(world)
+    world.run_for(6.0, until=lambda: tolerates_all(world))
+    assert tolerates_all(world)
     return world
 
 
@@ -64,7 +64,7 @@
     return bool(outcomes) and isinstance(outcomes[0], Done)
 
 
-def bears_all(world: World) -> bool:
+def tolerates_all(world: World) -> bool:
     """Whether as many copies and spare votes are there as the core asks for."""
     machine = world.primary()
     if machine is None or machine.incarnation is None:
@@ -98,7 +98,7 @@
     world.run_for(1.0)
     back.start()
     began_s = world.now_s
-    world.run_for(MOST_S, until=lambda: bears_all(world))
+    world.run_for(MOST_S, until=lambda: tolerates_all(world))
     return world.now_s - began_s
 
 
--- a/tests/serving/replication/core_schedules.py
+++ b/tests/serving/replication/core_schedules.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from core_history import Call, Seen, Verdict, check_history
+from core_history import Call, ObservedState, Verdict, check_history
 from core_operators import Operator, Reader
 from core_world import SYNC_S, Machine, World
 
@@ -56,8 +56,8 @@
     """How a schedule went."""
 
     seed: int
-    faults: list[str]
-    injected_faults: list[str]
+    violations: list[str]
+    faults_injected: list[str]
     acknowledged: int
     messages: int
     longest_silence_s: float = 0.0
@@ -82,7 +82,7 @@
             loss=self.random.choice((0.0, 0.0, 0.01, 0.05)),
         )
         self.calls: list[Call] = []
-        self.injected_faults: list[str] = []
+        self.faults_injected: list[str] = []
         self.operators = [
             Operator(self.world, self.calls, f"o{number}", self.random.choice((0.05, 0.2, 0.6)))
             for number in range(self.random.choice((1, 2, 3)))
@@ -90,12 +90,12 @@
 
     # -- whom --
 
-    def _standing(self) -> list[Machine]:
+    def _present_machines(self) -> list[Machine]:
         return [machine for machine in self.world.machines.values() if not machine.is_removed]
 
     def _target(self) -> Machine:
         primary = self.world.primary()
-        standing = self._standing()
+        standing = self._present_machines()
         if primary is None or self.random.random() < 0.4:
             return self.random.choice(standing)
         view = primary.incarnation.replica.view if primary.incarnation else None
@@ -108,7 +108,7 @@
 
     def note(self, text: str) -> None:
         """Write a fault down."""
-        self.injected_faults.append(f"{self.world.now_s:.3f} {text}")
+        self.faults_injected.append(f"{self.world.now_s:.3f} {text}")
 
     def kill(self, machine: Machine, for_s: float) -> None:
         """Kill, start again later."""
@@ -154,9 +154,9 @@
 
         self.world.after(for_s, end)
 
-    def cut(self, machine: Machine, for_s: float) -> None:
+    def partition(self, machine: Machine, for_s: float) -> None:
         """Cut links in one of many shapes."""
-        peers = [peer for peer in self._standing() if peer is not machine]
+        peers = [peer for peer in self._present_machines() if peer is not machine]
         shape = self.random.choice(("off", "out", "in", "bridge", "one link", "halves"))
         if shape == "halves":
             half = set(self.random.sample(peers, len(peers) // 2)) | {machine}
@@ -181,12 +181,12 @@
         self.note(f"reset {machine.address} for {for_s:.2f}")
         until_s = self.world.now_s + for_s
 
-        def again() -> None:
+        def retry() -> None:
             self.world.break_connections(machine)
             if self.world.now_s < until_s:
-                self.world.after(self.random.uniform(0.01, 0.2), again)
+                self.world.after(self.random.uniform(0.01, 0.2), retry)
 
-        again()
+        retry()
 
     def shut_down(self, machine: Machine, for_s: float) -> None:
         """SIGTERM, the end some time later, start again."""
@@ -220,13 +220,13 @@
     def all_down(self, power: bool) -> None:
         """All of them at the same moment, back within a second."""
         self.note(f"all down, power {power}")
-        for machine in self._standing():
+        for machine in self._present_machines():
             machine.kill(power)
             self.world.after(self.random.uniform(0.2, 1.0), machine.start)
 
     # -- courses --
 
-    def one_after_the_other(self) -> None:
+    def sequential_faults(self) -> None:
         """Within what is tolerated: each fault over and caught up before the next."""
         kinds = (
             self.kill,
@@ -234,7 +234,7 @@
             self.wipe,
             self.replace,
             self.disk,
-            self.cut,
+            self.partition,
             self.shut_down,
             self.reset,
         )
@@ -244,9 +244,9 @@
             kind(self._target(), for_s)
             self.world.run_for(for_s + CATCH_UP_S + 2.0)
 
-    def storm(self) -> None:
+    def overlapping_faults(self) -> None:
         """More than is tolerated, but no disk is lost: nothing may be lost or forked, whatever the delay."""
-        kinds = (self.kill, self.freeze, self.disk, self.cut, self.shut_down, self.reset)
+        kinds = (self.kill, self.freeze, self.disk, self.partition, self.shut_down, self.reset)
         for _ in range(self.random.randint(3, 9)):
             if self.random.random() < 0.1:
                 self.all_down(self.random.random() < 0.5)
@@ -254,20 +254,20 @@
                 self.random.choice(kinds)(self._target(), self.random.choice((0.1, 0.5, 1.2, 2.5)))
             self.world.run_for(self.random.choice((0.0, 0.02, 0.1, 0.4, 1.0, 1.6)))
 
-    def wipe_amid(self) -> None:
+    def wipe_during_faults(self) -> None:
         """One disk is lost in a calm core, and the rest of the faults come at once."""
         self.wipe(self._target(), self.random.choice((0.2, 0.6, 2.0)))
         if self.random.random() < 0.5:
             self.world.run_for(self.random.choice((0.0, 0.05, 0.3, 1.0)))
-        self.storm()
+        self.overlapping_faults()
 
-    def founding_amid(self) -> None:
+    def faults_during_bootstrap(self) -> None:
         """Troubles while the core is founded; no disk is lost: a blank member founds only with all seeds."""
-        kinds = (self.kill, self.freeze, self.disk, self.cut, self.reset)
+        kinds = (self.kill, self.freeze, self.disk, self.partition, self.reset)
         for _ in range(self.random.randint(1, 6)):
             self.world.run_for(self.random.choice((0.05, 0.1, 0.15, 0.3)))
-            started = [machine for machine in self._standing() if machine.incarnations]
-            if self.random.random() < 0.15 and len(started) == len(self._standing()):
+            started = [machine for machine in self._present_machines() if machine.incarnations]
+            if self.random.random() < 0.15 and len(started) == len(self._present_machines()):
                 self.all_down(self.random.random() < 0.5)
             elif started:
                 self.random.choice(kinds)(self.random.choice(started), self.random.choice((0.1, 0.5, 1.2)))
@@ -275,34 +275,34 @@
         self.world.run_for(2.0)
         self._heal()
 
-    def cut_off_long(self) -> None:
+    def long_partition(self) -> None:
         """One machine, by its role, is cut off for twenty seconds while changes and faults go on."""
-        machine, role = self._by_role()
+        machine, role = self._machine_by_role()
         for_s = self.random.choice((20.0, 26.0))
-        self.cut(machine, for_s)
+        self.partition(machine, for_s)
         self.world.situations[f"1: the {role} was cut off for 20 s or more"] += 1
         began_s = self.world.now_s
         while self.world.now_s < began_s + for_s - 6.0:
             self.world.run_for(self.random.uniform(1.0, 5.0))
-            kind = self.random.choice((self.freeze, self.kill, self.disk, self.cut, self.reset, None))
+            kind = self.random.choice((self.freeze, self.kill, self.disk, self.partition, self.reset, None))
             if kind is not None:
                 kind(self._target(), self.random.choice((0.5, 1.2, 2.5)))
         if self.random.random() < 0.3:
             self.all_down(self.random.random() < 0.5)
         self.world.run_until(began_s + for_s + self.random.choice((0.01, 0.3, 2.0)))
         if self.random.random() < 0.5:
-            peers = [peer for peer in self._standing() if peer is not machine]
+            peers = [peer for peer in self._present_machines() if peer is not machine]
             for peer in self.random.sample(peers, max(1, len(peers) // 2)):
                 self.kill(peer, 2.0)
             self.world.situations["1: others were killed just after the cut had healed"] += 1
         self.world.run_for(CATCH_UP_S)
 
-    def _by_role(self) -> tuple[Machine, str]:
+    def _machine_by_role(self) -> tuple[Machine, str]:
         """A machine and what it is in the newest view."""
         primary = self.world.primary()
         view = primary.incarnation.replica.view if primary and primary.incarnation else None
         if view is None:
-            return self.random.choice(self._standing()), "machine of no known role"
+            return self.random.choice(self._present_machines()), "machine of no known role"
         addresses = {
             "primary": [view.primary.address],
             "backup": [member.address for member in view.replicas[1:]],
@@ -310,7 +310,7 @@
         }
         members = {member.address for member in view.members}
         addresses["learner"] = [
-            machine.address for machine in self._standing() if machine.address not in members
+            machine.address for machine in self._present_machines() if machine.address not in members
         ]
         role = self.random.choice([name for name, found in addresses.items() if found])
         machine = self.world.machines[self.random.choice(addresses[role])]
@@ -335,20 +335,20 @@
         self.random.choice((self.kill, self.wipe, self.replace))(self._target(), 2.0)
         self.world.run_for(2.0 + CATCH_UP_S + 1.0)
 
-    def left_behind(self) -> None:
+    def missed_changes(self) -> None:
         """A member misses many changes; then the others go, one with its disk, and it must catch up."""
         quick = Operator(self.world, self.calls, "quick", 0.002)
         self.operators.append(quick)
-        machine, role = self._by_role()
+        machine, role = self._machine_by_role()
         for_s = self.random.choice((6.0, 12.0))
-        self.cut(machine, for_s)
+        self.partition(machine, for_s)
         before = len(self.calls)
         quick.begin()
         self.world.run_for(for_s - 0.5)
         quick.is_stopped = True
         missed = sum(call.verdict is Verdict.ACCEPTED for call in self.calls[before:])
         self.world.situations[f"4: the {role} was cut off for {missed // 50 * 50} changes or more"] += 1
-        peers = [peer for peer in self._standing() if peer is not machine and not peer.is_frozen]
+        peers = [peer for peer in self._present_machines() if peer is not machine and not peer.is_frozen]
         if self.random.random() < 0.5:
             self.wipe(self.random.choice(peers), 1.0)
             self.world.run_for(CATCH_UP_S)
@@ -372,11 +372,11 @@
             replicas = [self.world.machines[member.address] for member in view.replicas]
             victims = self.random.sample(replicas, min(losses, len(replicas)))
         if self.random.random() < 0.4:
-            victims = sorted(self._standing(), key=lambda machine: machine.disk.since_s)[:losses]
+            victims = sorted(self._present_machines(), key=lambda machine: machine.disk.since_s)[:losses]
             self.world.situations["3: at the end the oldest disks are lost"] += bool(losses)
         for machine in victims:
             self.wipe(machine, self.random.uniform(0.2, 1.0))
-        rest = [machine for machine in self._standing() if machine not in victims]
+        rest = [machine for machine in self._present_machines() if machine not in victims]
         power = self.random.random() < 0.7
         if power and victims:
             self.world.situations["3: disks are lost while all others lose power"] += 1
@@ -387,15 +387,21 @@
         self.world.run_for(1.0)
 
     def _courses(self) -> list[Callable[[], None]]:
-        often = [self.one_after_the_other, self.second_loss, self.wipe_amid, self.storm, self.storm]
-        return [*often, *often, self.cut_off_long, self.left_behind]
+        often = [
+            self.sequential_faults,
+            self.second_loss,
+            self.wipe_during_faults,
+            self.overlapping_faults,
+            self.overlapping_faults,
+        ]
+        return [*often, *often, self.long_partition, self.missed_changes]
 
     def run(self) -> Report:
         """The whole schedule."""
         world = self.world
         world.start_all()
         if self.random.random() < 0.15:
-            self.founding_amid()
+            self.faults_during_bootstrap()
         world.run_for(6.0, until=lambda: bool(world.primaries()))
         if not world.primaries():
             return self._report(["never founded"])
@@ -406,7 +412,7 @@
         world.run_for(grown_s)
         course = self.random.choice(self._courses())
         course()
-        calm = (self.one_after_the_other, self.second_loss, self.left_behind, self.cut_off_long)
+        calm = (self.sequential_faults, self.second_loss, self.missed_changes, self.long_partition)
         if course in calm and self.random.random() < 0.5:
             self._heal()
             self.world.run_for(CATCH_UP_S + 2.0)
@@ -418,7 +424,7 @@
         world = self.world
         world.blocked_links.clear()
         world.loss = 0.0
-        for machine in self._standing():
+        for machine in self._present_machines():
             machine.thaw()
             machine.disk.refuses = False
             machine.disk.sync_s = SYNC_S
@@ -449,20 +455,20 @@
         if not last_reads:
             return self._report(["no last read"])
         seen = [
-            Seen(f"{machine.address} life {incarnation.number}", at_s, state)
+            ObservedState(f"{machine.address} life {incarnation.number}", at_s, state)
             for machine in world.machines.values()
             for incarnation in machine.incarnations
             for at_s, state in incarnation.committed
         ]
         return self._report(check_history(self.calls, seen, last_reads[0].seen))
 
-    def _report(self, faults: list[str]) -> Report:
+    def _report(self, violations: list[str]) -> Report:
         ends = sorted(call.ended_s for call in self.calls if call.verdict is Verdict.ACCEPTED)
         silences = [later - earlier for earlier, later in itertools.pairwise(ends)]
         return Report(
             self.seed,
-            faults,
-            self.injected_faults,
+            violations,
+            self.faults_injected,
             len(ends),
             self.world.messages,
             max(silences, default=0.0),
@@ -495,10 +501,10 @@
     arguments = parser.parse_args()
     began_s = time.monotonic()
     reports = run_many(arguments.first, arguments.count, arguments.jobs)
-    bad = [report for report in reports if report.faults]
+    bad = [report for report in reports if report.violations]
     for report in bad[:10]:
-        print(f"seed {report.seed}: {report.faults[:3]}")
-        for fault in report.injected_faults:
+        print(f"seed {report.seed}: {report.violations[:3]}")
+        for fault in report.faults_injected:
             print(f"    {fault}")
     acknowledged = sum(report.acknowledged for report in reports)
     situations = sum((report.situations for report in reports), Counter[str]())
--- a/tests/serving/replication/core_timings.py
+++ b/tests/serving/replication/core_timings.py
@@ -48,20 +48,20 @@
     world.after(1.0, machine.start)
 
 
-def cut_in(world: World, machine: Machine) -> None:
+def partition_inbound(world: World, machine: Machine) -> None:
     """The machine sends but hears nothing of the others."""
     world.blocked_links |= {(peer, machine.address) for peer in world.machines}
 
 
-def cut_out(world: World, machine: Machine) -> None:
+def partition_outbound(world: World, machine: Machine) -> None:
     """The machine hears but isn't heard by the others."""
     world.blocked_links |= {(machine.address, peer) for peer in world.machines}
 
 
-def cut_off(world: World, machine: Machine) -> None:
+def partition_fully(world: World, machine: Machine) -> None:
     """The machine is cut off from the others in both ways."""
-    cut_in(world, machine)
-    cut_out(world, machine)
+    partition_inbound(world, machine)
+    partition_outbound(world, machine)
 
 
 def bridge(world: World, machine: Machine) -> None:
@@ -124,9 +124,9 @@
     power,
     freeze,
     wipe,
-    cut_in,
-    cut_out,
-    cut_off,
+    partition_inbound,
+    partition_outbound,
+    partition_fully,
     bridge,
     slow_disk,
     hanging_disk,
--- a/tests/serving/replication/test_catch_up.py
+++ b/tests/serving/replication/test_catch_up.py
@@ -35,7 +35,7 @@
     return bool(outcomes) and outcomes[0] in (Done("done"), Refused(ACCEPTED))
 
 
-def cut_off(world: World, machine: Machine) -> Callable[[], object]:
+def partition_fully(world: World, machine: Machine) -> Callable[[], object]:
     links = {(machine.address, peer) for peer in world.machines}
     links |= {(receiver, sender) for sender, receiver in links}
     world.blocked_links |= links
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("role", ["primary", "backup", "witness"])
-@pytest.mark.parametrize("fault", [cut_off, down, frozen, slow_disk, full_disk])
+@pytest.mark.parametrize("fault", [partition_fully, down, frozen, slow_disk, full_disk])
 def test_a_member_that_missed_a_thousand_changes_leads_with_all_of_them(
     fault: Callable[[World, Machine], Callable[[], object]], role: str
 ) -> None:
@@ -119,7 +119,7 @@
         for peer in world.machines.values()
         if peer.address not in {member.address for member in view.members}
     )
-    heal = cut_off(world, learner)
+    heal = partition_fully(world, learner)
     world.run_for(2.0)
     outcomes: list[Outcome] = []
     size = 3_000_000
--- a/tests/serving/replication/test_core_interleavings.py
+++ b/tests/serving/replication/test_core_interleavings.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 import pytest
-from core_explorer import FROM_THE_MIDST, SCENARIOS, Explorer, Scenario, standing_still
+from core_explorer import FROM_THE_MIDST, SCENARIOS, Explorer, Scenario, frozen_clock
 
 LOSABLE = ("Prepare", "Promise", "Install", "Accept", "ViewActivated", "Append", "Committed", "Confirm")
 WALKS = int(os.environ.get("COVEPORT_CORE_WALKS", "6"))
@@ -19,14 +19,14 @@
 def test_every_state_keeps_what_was_acknowledged(scenario: Scenario) -> None:
     explorer = Explorer(scenario)
     explorer.run(DEPTH, STATES)
-    print(f"{explorer.states} states, {explorer.closings} closing faults, depth {explorer.deepest}")
+    print(f"{explorer.states} states, {explorer.closing_faults} closing faults, depth {explorer.deepest}")
     assert explorer.states >= min(STATES, 400)
-    assert explorer.closings > 10
+    assert explorer.closing_faults > 10
 
 
 @pytest.mark.parametrize("scenario", FROM_THE_MIDST, ids=lambda scenario: scenario.name)
 def test_a_scenario_begins_where_it_says(scenario: Scenario) -> None:
-    with standing_still():
+    with frozen_clock():
         point = Explorer(scenario).first_point()
     assert [note.strip() for note in point.trail] == list(scenario.prefix)
 
--- a/tests/serving/replication/test_core_schedules.py
+++ b/tests/serving/replication/test_core_schedules.py
@@ -16,5 +16,5 @@
 def test_no_schedule_loses_forks_or_hangs(share: int) -> None:
     first = FIRST_SEED + share * SCHEDULES
     reports = [run_schedule(seed) for seed in range(first, first + SCHEDULES)]
-    assert [(report.seed, report.faults) for report in reports if report.faults] == []
+    assert [(report.seed, report.violations) for report in reports if report.violations] == []
     assert sum(report.acknowledged for report in reports) > 5 * SCHEDULES
--- a/tests/serving/replication/test_partition_during_reconfiguration.py
+++ b/tests/serving/replication/test_partition_during_reconfiguration.py
@@ -16,7 +16,7 @@
 SEEDS = range(4)
 
 
-def cut(world: World, machine: Machine) -> Callable[[], None]:
+def partition(world: World, machine: Machine) -> Callable[[], None]:
     """Nothing passes between it and any other; what ends that."""
     links = {(machine.address, peer) for peer in world.machines}
     links |= {(receiver, sender) for sender, receiver in links}
@@ -66,14 +66,14 @@
         operator.begin()
     world.run_for(0.5)
     machine = role(schedule, after_s)
-    heal = cut(world, machine)
+    heal = partition(world, machine)
     acknowledged = len(schedule.calls)
     world.run_for(CUT_S)
     while_cut = [call for call in schedule.calls[acknowledged:] if call.verdict is Verdict.ACCEPTED]
     assert while_cut, "the others go on"
     heal()
     world.run_for(3.0)
-    assert schedule._finish().faults == []
+    assert schedule._finish().violations == []
     newest = leader(world)[0].incarnation
     assert newest is not None and machine.incarnation is not None
     assert (
