--- a/coveport/cli/__init__.py
+++ b/coveport/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `coveport run`, `check` and `lab`."""
+"""The command line of the sidecar and its testbed."""
--- a/coveport/cli/check_model.py
+++ b/coveport/cli/check_model.py
@@ -2,14 +2,19 @@
 
 from __future__ import annotations
 
-import sys
+import contextlib
 import time
-from collections.abc import Sequence
+from collections.abc import Callable, Iterator, Sequence
+from typing import TYPE_CHECKING
 
 import click
 
 from coveport.cli.errors import UnusableError
 from coveport.cli.exit_codes import ExitCode
+from coveport.cli.progress import is_shown
+
+if TYPE_CHECKING:
+    from coveport.testbed.check import Report
 
 EPILOG = """\b
 Examples:
@@ -54,24 +59,36 @@
     for name in worlds:
         if name not in WORLDS:
             raise UnusableError(f"no world '{name}' (coveport lab check-model --list shows them)")
-    found = False
+    is_broken = False
     for world in [WORLDS[name] for name in worlds] or SMALL:
-        told = None
-        if sys.stderr.isatty():
-
-            def told(states: int, paths: int, depth: int, name: str = world.name) -> None:
-                click.echo(f"\r{name}: {states} states, {paths} paths, depth {depth} ", err=True, nl=False)
-
-        report = check(world, most_states=states, seed=seed, clock=time.perf_counter, told=told)
-        if told is not None:
-            click.echo("\r\033[K", err=True, nl=False)
-        end = "all orders" if report.whole else f"BOUNDED: stopped at {states} states"
-        broken = f"; broken: {', '.join(one.breach.rule for one in report.found)}" if report.found else ""
-        click.echo(
-            f"{world.name:18} {report.states:8} states {report.paths:8} paths  depth {report.depth:3} "
-            f"{report.seconds:6.1f} s  {end}{broken}"
-        )
-        for one in report.found:
-            found = True
-            click.echo(f"\n{printed(world, one)}")
-    return ExitCode.FAILED if found else ExitCode.DONE
+        with _progress(world.name) as show_progress:
+            report = check(world, most_states=states, seed=seed, clock=time.perf_counter, told=show_progress)
+        click.echo(_summary(world.name, report, states))
+        for counterexample in report.found:
+            is_broken = True
+            click.echo(f"\n{printed(world, counterexample)}")
+    return ExitCode.FAILED if is_broken else ExitCode.DONE
+
+
+@contextlib.contextmanager
+def _progress(name: str) -> Iterator[Callable[[int, int, int], None] | None]:
+    """Show on a terminal how far the exploration is, on one line that is cleared at the end."""
+    if not is_shown():
+        yield None
+        return
+
+    def show(states: int, paths: int, depth: int) -> None:
+        click.echo(f"\r{name}: {states} states, {paths} paths, depth {depth} ", err=True, nl=False)
+
+    yield show
+    click.echo("\r\033[K", err=True, nl=False)
+
+
+def _summary(name: str, report: Report, max_states: int) -> str:
+    end = "all orders" if report.whole else f"BOUNDED: stopped at {max_states} states"
+    rules = ", ".join(counterexample.breach.rule for counterexample in report.found)
+    broken = f"; broken: {rules}" if rules else ""
+    return (
+        f"{name:18} {report.states:8} states {report.paths:8} paths  depth {report.depth:3} "
+        f"{report.seconds:6.1f} s  {end}{broken}"
+    )
--- a/coveport/cli/fuzz.py
+++ b/coveport/cli/fuzz.py
@@ -81,38 +81,40 @@
     from coveport.testbed.fuzz import run
 
     folder = corpus or run.CORPORA / target
-    here = out / target
+    target_folder = out / target
     try:
         run.named(target)
         inputs = run.load(folder)
-        told = run.play(target, inputs, seed=seed, count=0)
+        result = run.play(target, inputs, seed=seed, count=0)
         if seconds and blind:
-            told = run.play(target, inputs, seed=seed, seconds=seconds)
+            result = run.play(target, inputs, seed=seed, seconds=seconds)
         elif seconds and run.can_guide():
-            told = _both(told, run.guide(target, folder, here, seconds=seconds, seed=seed))
+            result = _merge(result, run.guide(target, folder, target_folder, seconds=seconds, seed=seed))
         elif seconds:
             click.echo("atheris is not there: mutations are drawn by the seed, not guided", err=True)
-            told = run.play(target, inputs, seed=seed, seconds=seconds)
+            result = run.play(target, inputs, seed=seed, seconds=seconds)
         if minimise:
-            kept = run.minimise(target, [*inputs, *run.load(here / "inputs")], run.load(folder / run.TYPICAL))
-            run.rewrite(folder, kept)
-            click.echo(f"{folder}: {len(kept)} inputs of {sum(map(len, kept))} bytes")
-    except run.FuzzError as problem:
-        raise UnusableError(str(problem)) from problem
-    for find in told.finds.values():
-        path = run.keep(here / "finds", find.data)
+            corpus_inputs = run.minimise(
+                target, [*inputs, *run.load(target_folder / "inputs")], run.load(folder / run.TYPICAL)
+            )
+            run.rewrite(folder, corpus_inputs)
+            click.echo(f"{folder}: {len(corpus_inputs)} inputs of {sum(map(len, corpus_inputs))} bytes")
+    except run.FuzzError as error:
+        raise UnusableError(str(error)) from error
+    for find in result.finds.values():
+        path = run.keep(target_folder / "finds", find.data)
         click.echo(f"{path}: {find.text[:500]}")
-    rate = told.executions / told.seconds if told.seconds else 0
+    rate = result.executions / result.seconds if result.seconds else 0
     click.echo(
-        f"{target}: {told.executions} inputs in {told.seconds:.1f} s ({rate:.0f} a second), "
-        f"{'guided' if told.guided else 'drawn'}; {len(told.finds)} kinds of finds"
+        f"{target}: {result.executions} inputs in {result.seconds:.1f} s ({rate:.0f} a second), "
+        f"{'guided' if result.guided else 'drawn'}; {len(result.finds)} kinds of finds"
     )
-    return ExitCode.FAILED if told.finds else ExitCode.DONE
+    return ExitCode.FAILED if result.finds else ExitCode.DONE
 
 
-def _both(first: Told, second: Told) -> Told:
-    """A replay and what followed it, as one."""
-    second.executions += first.executions
-    second.seconds += first.seconds
-    second.finds = first.finds | second.finds
-    return second
+def _merge(replay: Told, run: Told) -> Told:
+    """Add the counts and finds of a replay to those of the run after it, and return that."""
+    run.executions += replay.executions
+    run.seconds += replay.seconds
+    run.finds = replay.finds | run.finds
+    return run
--- a/coveport/cli/intent_log.py
+++ b/coveport/cli/intent_log.py
@@ -4,7 +4,6 @@
 
 import getpass
 import json
-import os
 import time
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
@@ -14,7 +13,7 @@
 from coveport.cli.errors import UnusableError
 from coveport.cli.exit_codes import ExitCode
 from coveport.cli.operator_options import CONFIG, JSON, load_operator_file
-from coveport.cli.record_export import append_record, read_exported
+from coveport.cli.record_export import append_record, open_for_export, read_exported
 from coveport.cli.record_output import describe_history, format_time, record_as_json
 from coveport.cli.record_store import RecordStore, run_at_records
 
@@ -136,7 +135,7 @@
         exported = read_exported(file)
         written = 0
         ids = await records.read_unknown_ids()
-        with open(file, "ab") as out:
+        with open_for_export(file) as out:
             for identity in ids:
                 entries = await records.read(records.layout.record_key(identity))
                 record = _decode(identity, entries[0].value) if entries else None
@@ -144,7 +143,6 @@
                     continue
                 append_record(out, record)
                 written += 1
-            os.fsync(out.fileno())
         click.echo(f"{written} written, {len(ids) - written} were there before")
         return ExitCode.DONE
 
--- a/coveport/cli/main.py
+++ b/coveport/cli/main.py
@@ -6,11 +6,11 @@
 
 
 def main() -> int:
-    """Carry out `sys.argv` and exit with its code; returns 2 only where click is not there."""
+    """Run `sys.argv` and exit with its code; return 2 only where click isn't installed."""
     try:
         from coveport.cli.root import root
-    except ModuleNotFoundError as problem:
-        if problem.name != "click":
+    except ModuleNotFoundError as error:
+        if error.name != "click":
             raise
         print("coveport: the command line needs click: pip install 'coveport[cli]'", file=sys.stderr)
         return 2
--- a/coveport/cli/record_export.py
+++ b/coveport/cli/record_export.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
+import contextlib
 import json
+import os
+from collections.abc import Iterator
 from pathlib import Path
 from typing import TYPE_CHECKING, BinaryIO
 
@@ -13,6 +16,14 @@
     from coveport.sidecar.intent_log.record import Record
 
 
+@contextlib.contextmanager
+def open_for_export(path: Path) -> Iterator[BinaryIO]:
+    """Open a file for appending, and sync it to the disk once all is written."""
+    with open(path, "ab") as file:
+        yield file
+        os.fsync(file.fileno())
+
+
 def append_record(file: BinaryIO, record: Record) -> None:
     """Append a record's line.
 
--- a/coveport/cli/root.py
+++ b/coveport/cli/root.py
@@ -1,4 +1,4 @@
-"""The root of all verbs: help, version, and how whatever goes wrong becomes one line and an exit code."""
+"""The root of all verbs: help, version, and how each error becomes one line and an exit code."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 def version() -> str:
-    """The version as installed, or as the source tree has it where nothing is installed."""
+    """Return the version as installed, or as the source tree has it where nothing is installed."""
     try:
         return importlib.metadata.version("coveport")
     except importlib.metadata.PackageNotFoundError:
-        told = Path(__file__).parents[2] / "pyproject.toml"
-        if not told.is_file():
+        project_file = Path(__file__).parents[2] / "pyproject.toml"
+        if not project_file.is_file():
             return "unknown"
-        return str(tomllib.loads(told.read_text(encoding="utf-8"))["project"]["version"])
+        return str(tomllib.loads(project_file.read_text(encoding="utf-8"))["project"]["version"])
 
 
 class Root(click.Group):
@@ -41,40 +41,50 @@
         """Run and exit. Options are click's; `standalone_mode` has no effect."""
         try:
             code = super().main(*args, **{**options, "standalone_mode": False})
-        except click.exceptions.NoArgsIsHelpError as problem:
-            problem.show()
+        except click.exceptions.NoArgsIsHelpError as error:
+            error.show()
             code = ExitCode.UNUSABLE
-        except click.UsageError as problem:
-            where = problem.ctx.command_path if problem.ctx else "coveport"
-            code = self._say(where, f"{problem.format_message()} (see {where} --help)", ExitCode.UNUSABLE)
-        except click.ClickException as problem:
-            code = self._say("coveport", problem.format_message(), ExitCode.UNUSABLE)
+        except click.UsageError as error:
+            command = error.ctx.command_path if error.ctx else "coveport"
+            code = self._report(
+                command, f"{error.format_message()} (see {command} --help)", ExitCode.UNUSABLE
+            )
+        except click.ClickException as error:
+            code = self._report("coveport", error.format_message(), ExitCode.UNUSABLE)
         except (click.Abort, KeyboardInterrupt):
-            code = self._say("coveport", "interrupted", ExitCode.INTERRUPTED)
-        except ModuleNotFoundError as problem:
-            code = self._say(
+            code = self._report("coveport", "interrupted", ExitCode.INTERRUPTED)
+        except ModuleNotFoundError as error:
+            code = self._report(
                 "coveport",
-                f"{problem}; the lab's packages come with: pip install 'coveport[lab]'",
+                f"{error}; the lab's packages come with: pip install 'coveport[lab]'",
                 ExitCode.UNUSABLE,
             )
-        except OSError as problem:
-            where = f"{problem.filename}: " if problem.filename else ""
-            code = self._say("coveport", f"{where}{problem.strerror or problem}", ExitCode.UNUSABLE)
-        except Exception as problem:
-            code = self._say(
+        except OSError as error:
+            file = f"{error.filename}: " if error.filename else ""
+            code = self._report("coveport", f"{file}{error.strerror or error}", ExitCode.UNUSABLE)
+        except Exception as error:  # noqa: BLE001  # a defect of ours must end with a code of its own
+            code = self._report(
                 "coveport",
-                f"a fault of our own: {type(problem).__name__}: {problem} (coveport --debug ... shows where)",
+                f"a fault of our own: {type(error).__name__}: {error} (coveport --debug ... shows where)",
                 ExitCode.INTERNAL_ERROR,
             )
         sys.exit(code)
 
-    def _say(self, who: str, what: str, code: int) -> int:
+    def _report(self, command: str, message: str, code: ExitCode) -> ExitCode:
+        """Print one line on standard error, and return the code."""
         if self.debug:
             traceback.print_exc()
-        click.echo(f"{who}: {' '.join(what.split())}", err=True)
+        click.echo(f"{command}: {' '.join(message.split())}", err=True)
         return code
 
 
+HELP = """\
+The sidecar of the shared points ledger, and the lab that plays days around it.
+
+`run` and `check` are the sidecar itself. `lab` plays days: ledger nodes, tills, discovery and faults, all
+of them stand-ins, around real sidecars; then it judges what came of them.
+"""
+
 EPILOG = """\b
 Examples:
   coveport check example/config.json          is this configuration usable?
@@ -96,7 +106,9 @@
 """
 
 
-@click.group("coveport", cls=Root, epilog=EPILOG, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(
+    "coveport", cls=Root, help=HELP, epilog=EPILOG, context_settings={"help_option_names": ["-h", "--help"]}
+)
 @click.version_option(version(), prog_name="coveport")
 @click.option(
     "--debug",
@@ -107,11 +119,7 @@
     help="Show where an error came from.",
 )
 def root() -> None:
-    """The sidecar of the shared points ledger, and the lab that plays days around it.
-
-    `run` and `check` are the sidecar itself. `lab` plays days: ledger nodes, tills, discovery and faults, all
-    of them stand-ins, around real sidecars; then it judges what came of them.
-    """
+    """Group all verbs; HELP is the text of `coveport --help`."""
 
 
 root.add_command(run)
--- a/coveport/cli/run.py
+++ b/coveport/cli/run.py
@@ -28,14 +28,15 @@
         from coveport.cli.operator_options import load_operator_file
         from coveport.sidecar.daemon import main as daemon
 
-        told = load_operator_file(config)
-        if name and not told.fleet.number(name):
-            raise UnusableError(f"{config}: [fleet] has no {name!r}: {told.fleet.name or 'NAME'}-1, -2, ...")
-        if not name and told.fleet.name:
+        operator_file = load_operator_file(config)
+        fleet = operator_file.fleet
+        if name and not fleet.number(name):
+            raise UnusableError(f"{config}: [fleet] has no {name!r}: {fleet.name or 'NAME'}-1, -2, ...")
+        if not name and fleet.name:
             raise UnusableError(
                 f"{config}: a fleet's: coveport fleet run {config}, or one of it by --as NAME"
             )
-        return daemon(told, name)
+        return daemon(operator_file, name)
     if name:
         raise UnusableError("--as goes with an operator's file that has a fleet")
     if config is not None:
--- a/coveport/cli/trials.py
+++ b/coveport/cli/trials.py
@@ -1,4 +1,4 @@
-"""Trials of many processes: `coveport lab run trials/...`, and `coveport lab trials`, which draws them."""
+"""Trials of many processes: `coveport lab run trials/...` plays one, `coveport lab trials` draws them."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 
 
 def report(findings: Sequence[Finding], beliefs: Sequence[Belief], acts: int) -> int:
-    """Print what came of a trial; the exit code."""
-    for one in beliefs:
-        click.echo(f"{one.duty:8} {one.instance:6} token {one.token:5} held for {one.end - one.start:8.3f} s")
+    """Print the result of a trial, and return the exit code."""
+    for belief in beliefs:
+        held_s = belief.end - belief.start
+        click.echo(f"{belief.duty:8} {belief.instance:6} token {belief.token:5} held for {held_s:8.3f} s")
     click.echo(f"{len(beliefs)} holdings, {acts} acts accepted, {len(findings)} findings")
-    for found in findings:
-        click.echo(f"{found.rule}: {found.what} (at {found.at:.3f})")
+    for finding in findings:
+        click.echo(f"{finding.rule}: {finding.what} (at {finding.at:.3f})")
     return ExitCode.FAILED if findings else ExitCode.DONE
 
 
 def play_trial(
     path: Path, seed: int | None, ground: str, variant: str, sets: Sequence[str], logs: Path | None
 ) -> int:
-    """Play a trial's file on a ground."""
+    """Play a trial's file on virtual or real ground, and return the exit code."""
     from coveport.testbed.fault_injection.broken_variants import SOUND, VARIANTS
     from coveport.testbed.fault_injection.days import load
 
@@ -47,21 +48,21 @@
     if ground != "real" or variant:
         raise UnusableError("trials run on virtual and real ground, variants on virtual ground only")
     from coveport.testbed.fault_injection.real import TrialError
-    from coveport.testbed.fault_injection.real import play as real
+    from coveport.testbed.fault_injection.real import play as play_on_real_ground
 
-    with tempfile.TemporaryDirectory() as own:
-        folder = (logs or Path(own)).resolve()
+    with tempfile.TemporaryDirectory() as temporary:
+        folder = (logs or Path(temporary)).resolve()
         try:
-            came = asyncio.run(real(day.trial, seed, folder, day.store))
-        except TrialError as problem:
-            raise UnusableError(str(problem)) from problem
-        return report(came.findings, came.beliefs, came.acts)
+            result = asyncio.run(play_on_real_ground(day.trial, seed, folder, day.store))
+        except TrialError as error:
+            raise UnusableError(str(error)) from error
+        return report(result.findings, result.beliefs, result.acts)
 
 
 def search_trials(
     path: Path, runs: int, workers: int, seed: int, out: Path, variant: str, sets: Sequence[str]
 ) -> int:
-    """Draw trials for as many instances as a day of trials has; each find is kept as such a day."""
+    """Draw trials for as many instances as a day of trials has, and write each find as such a day."""
     from coveport.testbed.fault_injection.broken_variants import VARIANTS
     from coveport.testbed.fault_injection.days import load, write
     from coveport.testbed.fault_injection.schedules import Trial
@@ -75,13 +76,13 @@
     for _, found in hunt(range(first, first + runs), day.trial.instances, variant, workers, bool(variant)):
         if found is None:
             continue
-        less = shrink(found, variant)
-        assert isinstance(less.trial, Trial)
+        smallest = shrink(found, variant)
+        assert isinstance(smallest.trial, Trial)
         finds += 1
-        name = out / "finds" / f"{less.findings[0].rule}-{less.seed}.toml"
+        name = out / "finds" / f"{smallest.findings[0].rule}-{smallest.seed}.toml"
         name.parent.mkdir(parents=True, exist_ok=True)
-        name.write_text(write(less.trial, less.seed, less.findings[0].what))
-        click.echo(f"seed {less.seed}: {less.findings[0].rule}: {less.findings[0].what} ({name})")
+        name.write_text(write(smallest.trial, smallest.seed, smallest.findings[0].what))
+        click.echo(f"seed {smallest.seed}: {smallest.findings[0].rule}: {smallest.findings[0].what} ({name})")
     click.echo(f"{runs} trials of {day.trial.instances} instances from seed {first}: {finds} finds")
     return ExitCode.FAILED if finds else ExitCode.DONE
 
@@ -110,10 +111,10 @@
         range(first_seed, first_seed + runs), instances, variant, workers, bool(variant), kind
     ):
         if found is not None:
-            less = shrink(found, variant)
-            finds.append(less)
-            click.echo(f"seed {less.seed}: {less.findings[0].rule}: {less.findings[0].what}")
-            for fault in less.trial.faults:
+            smallest = shrink(found, variant)
+            finds.append(smallest)
+            click.echo(f"seed {smallest.seed}: {smallest.findings[0].rule}: {smallest.findings[0].what}")
+            for fault in smallest.trial.faults:
                 click.echo(f"    {fault}")
     click.echo(f"{runs} trials of {instances} instances from seed {first_seed}: {len(finds)} finds")
     return ExitCode.FAILED if finds else ExitCode.DONE
