--- a/coveport/sidecar/downstream/__init__.py
+++ b/coveport/sidecar/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Clients' connections: operations in, one final answer each out."""
+"""Client connections: operations in, one final response each out."""
--- /dev/null
+++ b/coveport/sidecar/downstream/context.py
@@ -0,0 +1,75 @@
+"""What all client connections of a listener share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from coveport import balancing
+from coveport.net.transport import Net
+from coveport.sidecar.downstream.client_table import ClientTable
+from coveport.sidecar.downstream.sweep_timer import SweepTimer
+from coveport.sidecar.reducer.messages import Verdict
+from coveport.sidecar.reducer.operation import Answer, Operation
+from coveport.sidecar.reducer.streams import Budget
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
+from coveport.sidecar.upstream.route_step import RouteStep
+
+RequestClasses = dict[str, tuple[int, balancing.Effect]]
+"""The number and effect of each class of requests by its name, which is the first part of the path."""
+
+
+class OperationClient(Protocol):
+    """Who has submitted an operation and waits for its response."""
+
+    def begin(self, answer: Answer, source: RouteStep) -> None:
+        """Begin a streamed response."""
+
+    def more(self, data: bytes) -> None:
+        """Write more of it."""
+
+    def finish(self, complete: bool) -> None:
+        """End it; the client must be able to tell one that is not complete."""
+
+    def answer(self, verdict: Verdict, answer: Answer | None, retry_after_ms: float) -> None:
+        """Write a complete response."""
+
+    def left(self) -> bool:
+        """Return whether the client has disconnected."""
+
+
+@dataclass(slots=True)
+class DownstreamContext:
+    """What all client connections of a listener share.
+
+    `submit` takes an operation with its number; `cancel` tells that its client has disconnected;
+    `on_upload_complete` that its streamed body is complete, and how many milliseconds it waited unread.
+    """
+
+    net: Net
+    counters: Counters
+    log: Log
+    budget: Budget
+    clients: ClientTable
+    sweep_timer: SweepTimer
+    classes: RequestClasses
+    is_ready: Callable[[], bool]
+    submit: Callable[[int, OperationClient, Operation], None]
+    cancel: Callable[[int], None]
+    on_upload_complete: Callable[[int, float], None]
+    is_closing: bool = False  # the graceful shutdown has begun
+    is_draining: bool = False  # drained by an operator: connections close after their response
+    keeps_idle: bool = True  # idle connections stay open
+    _last_operation: int = 0
+
+    @property
+    def closes_after_response(self) -> bool:
+        """Whether connections close after their present response."""
+        return self.is_closing or self.is_draining
+
+    def next_operation_number(self) -> int:
+        """Return a number that no operation had yet."""
+        self._last_operation += 1
+        return self._last_operation
--- a/coveport/sidecar/downstream/operation_reader.py
+++ b/coveport/sidecar/downstream/operation_reader.py
@@ -1,4 +1,4 @@
-"""From a client's request to an operation, checked."""
+"""Checks a client's request and reads the operation from it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
 _ID = re.compile(r"[A-Za-z0-9._~+/=:-]{1,128}")
 _KEY = re.compile(r"[\x21-\x7e]{1,256}")
 _DEADLINE = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,9})?)(m|u)")
-_LONGEST_MS = 3_600_000.0
+_MAX_DEADLINE_MS = 3_600_000.0
 
 
 def read_operation(request: http1.Request, classes: dict[str, tuple[int, balancing.Effect]]) -> Operation:
-    """Check a request for an operation; RemoteProtocolError says what is wrong with it."""
+    """Return the operation that a request brings; RemoteProtocolError where a part is missing or malformed.
+
+    `classes`: the number and effect of each class of requests by the first part of its path.
+    """
     name = request.target.partition("?")[0].split("/")[1]
     if name not in classes:
         raise http1.RemoteProtocolError(404, "unknown path")
@@ -33,7 +36,7 @@
         raise http1.RemoteProtocolError(400, "bad Idempotency-Key")
     deadline = _DEADLINE.fullmatch(request.get("x-deadline") or "")
     wait_ms = float(deadline[1]) / (1000 if deadline[2] == "u" else 1) if deadline else 0.0
-    if not 0 < wait_ms <= _LONGEST_MS:
+    if not 0 < wait_ms <= _MAX_DEADLINE_MS:
         raise http1.RemoteProtocolError(400, "bad X-Deadline")
     extras = dict(part.strip().partition("=")[::2] for part in (request.get("x-extras") or "").split(","))
     try:
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -17,7 +17,8 @@
 from coveport.sidecar.admin.server import Console, Done
 from coveport.sidecar.config import platform as configuration
 from coveport.sidecar.config.errors import PlatformFileError
-from coveport.sidecar.downstream.client_connections import STILL_COMING_S, Listener
+from coveport.sidecar.downstream.limits import DRAIN_DELAY_S
+from coveport.sidecar.downstream.listener import Listener
 from coveport.sidecar.effects import Effects, callers, descriptors
 from coveport.sidecar.reducer.phases import Lifecycle, Phase
 from coveport.sidecar.reducer.reducer import Reducer
@@ -64,11 +65,11 @@
         counters,
         log,
         config.settings.classes,
-        ready=lambda: life.ready,
-        most_clients=descriptors(config.sockets)[0],
-        take=effects.take,
-        gone=effects.gone,
-        whole=effects.whole,
+        is_ready=lambda: life.ready,
+        max_clients=descriptors(config.sockets)[0],
+        submit=effects.take,
+        cancel=effects.gone,
+        on_upload_complete=effects.whole,
         budget=budget,
     )
 
@@ -76,7 +77,7 @@
         # Guards against a fault in one connection, or EMFILE in accept: logged, and served on.
         log.note("unexpected", f"{context.get('message')}: {context.get('exception')!r}")
         if isinstance(context.get("exception"), OSError):
-            listener.shed(16)
+            listener.clients.shed(16)
 
     def figures() -> None:
         log.say(
@@ -84,9 +85,9 @@
             + counters.line(
                 phase=life.phase.value,
                 owed=effects.owed,
-                clients=listener.count,
+                clients=len(listener.clients),
                 links=effects.destinations.count,
-                tables={"clients": listener.count, **effects.tables},
+                tables={"clients": len(listener.clients), **effects.tables},
             )
         )
 
@@ -125,7 +126,7 @@
             nonlocal running
             running = told = reread(running)
             effects.reload(told)
-            listener.retune(told.settings.classes)
+            listener.set_classes(told.settings.classes)
         except PlatformFileError as problem:
             # Guards against a bad file, or one that is half written: we run on with what we have.
             counters.add("config_reload_errors")
@@ -137,7 +138,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
     loop.add_signal_handler(signal.SIGUSR1, figures)
     life.listen(lambda phase: log.say(f"{config.name}: {phase.value}"))
-    life.listen(lambda phase: listener.drain(phase is Phase.LAMEDUCK))
+    life.listen(lambda phase: listener.drain(on=phase is Phase.LAMEDUCK))
     if joined is not None:
         joined(effects, life)
     if on_phase is not None:
@@ -164,9 +165,9 @@
     life.enter(Phase.SERVING)
     await stop.wait()
 
-    await asyncio.sleep(STILL_COMING_S)
-    await listener.wind_up()
-    while effects.owed or listener.count:
+    await asyncio.sleep(DRAIN_DELAY_S)
+    await listener.shut_down()
+    while effects.owed or len(listener.clients):
         await asyncio.sleep(STEP_S)
     effects.pool_config.close()
     effects.destinations.close()
--- a/tests/sidecar/downstream/test_listening.py
+++ b/tests/sidecar/downstream/test_listening.py
@@ -9,7 +9,8 @@
 from typing import Any
 
 from coveport.net.transport import Net
-from coveport.sidecar.downstream.client_connections import Listener
+from coveport.sidecar.downstream.client_connection import ClientConnection
+from coveport.sidecar.downstream.listener import Listener
 from coveport.sidecar.reducer.streams import Budget
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
@@ -78,11 +79,11 @@
         Counters(),
         Log(net.now_s),
         (),
-        most_clients=9,
-        ready=lambda: True,
-        take=lambda number, client, asked: None,
-        gone=lambda number: None,
-        whole=lambda number, waited_ms: None,
+        max_clients=9,
+        is_ready=lambda: True,
+        submit=lambda number, client, asked: None,
+        cancel=lambda number: None,
+        on_upload_complete=lambda number, waited_ms: None,
         budget=Budget(9999),
     )
 
@@ -95,8 +96,8 @@
         with socket.create_connection(("127.0.0.1", port), timeout=1):
             assert listener._server is not None
             listener._server._accept()  # type: ignore[attr-defined]
-            await listener.wind_up()
-            assert listener.count == 1
+            await listener.shut_down()
+            assert len(listener.clients) == 1
             listener.close()
 
     asyncio.run(main())
@@ -109,18 +110,19 @@
         listener = clients(Net(loop))
         port = await listener.open(("127.0.0.1", 0))
         with socket.create_connection(("127.0.0.1", port), timeout=10) as conn:
-            while not listener.count:
+            while not len(listener.clients):
                 await asyncio.sleep(0.001)
-            (client,) = listener._clients
-            client._keep = False
+            (client,) = listener.clients
+            assert isinstance(client, ClientConnection)
+            client._keep_alive = False
             client._write(200, [], bytes(size))
-            listener.shed(1)
+            listener.clients.shed(1)
             conn.setblocking(False)
             got = 0
             while data := await loop.sock_recv(conn, 1 << 20):
                 got += len(data)
             assert got > size
-            listener.shed(1)
+            listener.clients.shed(1)
         listener.close()
 
     asyncio.run(main())
@@ -131,19 +133,19 @@
     async def main() -> None:
         loop, taken = asyncio.get_running_loop(), list[object]()
         listener = clients(Net(loop))
-        listener.take = lambda number, client, asked: taken.append(asked)
+        listener.context.submit = lambda number, client, asked: taken.append(asked)
         port = await listener.open(("127.0.0.1", 0))
         with socket.create_connection(("127.0.0.1", port), timeout=10) as conn:
             conn.sendall(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
             conn.setblocking(False)
             assert (await loop.sock_recv(conn, 4096)).startswith(b"HTTP/1.1 200")
-            (client,) = listener._clients
-            assert client.may_close(loop.time())
+            (client,) = listener.clients
+            assert client.may_close_idle(loop.time())
             conn.send(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")  # in the very turn
             client.close()
             with contextlib.suppress(ConnectionResetError):
                 assert await loop.sock_recv(conn, 4096) == b""
-        assert not taken and not listener.count
+        assert not taken and not len(listener.clients)
         listener.close()
 
     asyncio.run(main())
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -26,7 +26,10 @@
 coveport.sidecar.config.errors coveport.sidecar.config.platform coveport.sidecar.config.reload_checks
 coveport.sidecar.discovery
 coveport.sidecar.discovery.agent coveport.sidecar.discovery.reader coveport.sidecar.downstream
-coveport.sidecar.downstream.client_connections coveport.sidecar.downstream.operation_reader
+coveport.sidecar.downstream.client_connection coveport.sidecar.downstream.client_table
+coveport.sidecar.downstream.context coveport.sidecar.downstream.limits
+coveport.sidecar.downstream.listener coveport.sidecar.downstream.operation_reader
+coveport.sidecar.downstream.sweep_timer coveport.sidecar.downstream.upload_timing
 coveport.sidecar.effects coveport.sidecar.reducer coveport.sidecar.reducer.locality
 coveport.sidecar.reducer.messages coveport.sidecar.reducer.operation coveport.sidecar.reducer.phases
 coveport.sidecar.reducer.reducer coveport.sidecar.reducer.streams coveport.sidecar.service
