--- a/coveport/sidecar/singletons/rollout.py
+++ b/coveport/sidecar/singletons/rollout.py
@@ -99,8 +99,8 @@
         late = [name for name in updated if statuses[name].running != plan.new_settings]
         if late and now - self._state_since > self._apply_timeout_s:
             return f"{late[0]} has not taken it after {self._apply_timeout_s:g} s"
-        new = combined_success(one for one in statuses.values() if one.running == plan.new_settings)
-        old = combined_success(one for one in statuses.values() if one.running != plan.new_settings)
+        new = combined_success(status for status in statuses.values() if status.running == plan.new_settings)
+        old = combined_success(status for status in statuses.values() if status.running != plan.new_settings)
         comparable = min(new.operations, old.operations) >= MIN_OPERATIONS
         if comparable and new.ratio < old.ratio - MAX_SUCCESS_DROP:
             return f"served {new.ratio:.3f} with it, {old.ratio:.3f} without"
