--- a/coveport/sidecar/config/platform.py
+++ b/coveport/sidecar/config/platform.py
@@ -38,7 +38,7 @@
     keepalive_ms: float
     console: Address | None = None  # listener for the staff's console; None: nothing is opened
     known: Any = field(default=None, repr=False)  # nodes known at the start, in discovery's form
-    told: Mapping[str, Any] = field(default_factory=dict, repr=False, compare=False)  # the file's JSON
+    document: Mapping[str, Any] = field(default_factory=dict, repr=False, compare=False)  # the file's JSON
 
 
 def load(environ: Mapping[str, str], *, running: Config | None = None, again: bool = False) -> Config:
@@ -70,7 +70,7 @@
     try:
         document = _parse(text)
         if running is not None:
-            reload_checks.check(document, running.told)
+            reload_checks.check(document, running.document)
         return _config(document, environ, again)
     except (PlatformFileError, ValueError, TypeError, AttributeError, RecursionError) as error:
         raise PlatformFileError(f"{where}: {_one_line(error)}") from error
@@ -105,7 +105,7 @@
         keepalive_ms=_number(settings.get("limits") or {}, "keepalive_ms", DEFAULT_KEEPALIVE_MS),
         console=parse_address(console) if console else None,
         known=document.get("known"),
-        told=document,
+        document=document,
     )
 
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -27,30 +27,32 @@
 
 
 def call(*args: object) -> Result:
-    return CliRunner().invoke(root, [str(one) for one in args])
+    return CliRunner().invoke(root, [str(argument) for argument in args])
 
 
-def said(result: Result, code: int, text: str) -> None:
-    """One line on standard error, and nothing else."""
+def assert_error_line(result: Result, code: int, text: str) -> None:
+    """Check that a call printed one line on standard error and nothing else."""
     assert result.exit_code == code, result.output
     assert result.stderr.count("\n") == 1 and text in result.stderr and not result.stdout
 
 
 @pytest.fixture
 def lab(monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[dict[str, Any], dict[str, Any]]]:
-    made: dict[str, Any] = {}
-    played = outcomes.outcome()
-    before = [(one, dict(one)) for one in (sys.modules, vars(scenario), vars(coveport.testbed))]
-    outcomes.stand_in(made, played)
+    """Replace the playing of days; yield its arguments, filled by each call, and its outcome."""
+    arguments: dict[str, Any] = {}
+    outcome = outcomes.outcome()
+    namespaces = (sys.modules, vars(scenario), vars(coveport.testbed))
+    before = [(namespace, dict(namespace)) for namespace in namespaces]
+    outcomes.stand_in(arguments, outcome)
     monkeypatch.setattr(sweep, "play_day", outcomes.play)
-    yield made, played
-    for place, content in before:
+    yield arguments, outcome
+    for namespace, content in before:
         for name in [
-            name for name in place if name.startswith("coveport.testbed") or place is not sys.modules
+            name for name in namespace if name.startswith("coveport.testbed") or namespace is not sys.modules
         ]:
             if name not in content:
-                del place[name]
-        place.update(content)
+                del namespace[name]
+        namespace.update(content)
 
 
 @pytest.fixture
@@ -82,18 +84,20 @@
     assert call("--version").stdout.startswith("coveport, version 0.")
 
 
-def test_wrong_calls_are_one_line(lab: Any, day: Path, tmp_path: Path) -> None:
-    said(call("nonsense"), 2, "coveport: No such command 'nonsense'")
-    said(call("lab", "run"), 2, "coveport lab run: Missing argument 'DAY'. (see coveport lab run --help)")
-    said(call("lab", "run", day, "--set", "wrong=1"), 2, "wrong: no such key")
-    said(call("lab", "run", day, "--json", day / "x"), 2, f"{day}: File exists")
+def test_a_wrong_call_gives_one_line(lab: Any, day: Path, tmp_path: Path) -> None:
+    assert_error_line(call("nonsense"), 2, "coveport: No such command 'nonsense'")
+    assert_error_line(
+        call("lab", "run"), 2, "coveport lab run: Missing argument 'DAY'. (see coveport lab run --help)"
+    )
+    assert_error_line(call("lab", "run", day, "--set", "wrong=1"), 2, "wrong: no such key")
+    assert_error_line(call("lab", "run", day, "--json", day / "x"), 2, f"{day}: File exists")
     sweeping = ["lab", "sweep", day, "--out", tmp_path / "out", "--seeds"]
-    said(call(*sweeping, "5-1"), 2, "seeds '5-1'")
-    said(call(*sweeping, "1", "--grid", "wrong=1"), 2, "wrong: no such key")
-    said(call(*sweeping, "1", "--ground", "real", "--jobs", 2), 2, "one day at a time")
-    said(call(*sweeping, "1", "--ground", "real", "--variant", "a"), 2, "virtual ground only")
-    said(call("lab", "run", day, "--variant", "xx"), 2, "no variant 'xx'")
-    said(call("lab", "compare", tmp_path / "a", tmp_path / "b"), 2, "No such file")
+    assert_error_line(call(*sweeping, "5-1"), 2, "seeds '5-1'")
+    assert_error_line(call(*sweeping, "1", "--grid", "wrong=1"), 2, "wrong: no such key")
+    assert_error_line(call(*sweeping, "1", "--ground", "real", "--jobs", 2), 2, "one day at a time")
+    assert_error_line(call(*sweeping, "1", "--ground", "real", "--variant", "a"), 2, "virtual ground only")
+    assert_error_line(call("lab", "run", day, "--variant", "xx"), 2, "no variant 'xx'")
+    assert_error_line(call("lab", "compare", tmp_path / "a", tmp_path / "b"), 2, "No such file")
     assert not lab[0]
 
 
@@ -101,7 +105,7 @@
     example, serve = TOP / "example/config.json", ModuleType("serve")
     monkeypatch.setenv("LB_CONFIG", "")
     assert call("check", example).stdout.startswith("ok: ")
-    said(call("check"), 2, "LB_CONFIG is not set")
+    assert_error_line(call("check"), 2, "LB_CONFIG is not set")
     vars(serve)["main"] = lambda: 7 if os.environ["LB_CONFIG"] == str(example) else 8
     monkeypatch.setitem(sys.modules, "coveport.sidecar.service", serve)
     assert call("run").exit_code == 8 and call("run", "--config", example).exit_code == 7
@@ -111,14 +115,16 @@
     ("more", "code"),
     [({}, 0), (outcomes.BROKEN, 1), (outcomes.MISSED, 1), ({"late": True, **outcomes.BROKEN}, 3)],
 )
-def test_a_day_ends_with_its_verdict(lab: Any, day: Path, tmp_path: Path, more: Any, code: int) -> None:
-    made, played = lab
-    played.update(more)
-    report, told = tmp_path / "deep/out.html", tmp_path / "deep/out.json"
-    result = call("lab", "run", day, "--seed", 4, "--set", "a=1", "--report", report, "--json", told)
+def test_the_exit_code_of_a_day_is_its_verdict(
+    lab: Any, day: Path, tmp_path: Path, more: Any, code: int
+) -> None:
+    arguments, outcome = lab
+    outcome.update(more)
+    report, outcome_file = tmp_path / "deep/out.html", tmp_path / "deep/out.json"
+    result = call("lab", "run", day, "--seed", 4, "--set", "a=1", "--report", report, "--json", outcome_file)
     assert (result.exit_code, result.stdout, result.stderr) == (code, f"service 0.9\nreport: {report}\n", "")
-    assert json.loads(told.read_text()) == played and report.read_text() == "played"
-    assert made == {
+    assert json.loads(outcome_file.read_text()) == outcome and report.read_text() == "played"
+    assert arguments == {
         "name": "try",
         "seed": 4,
         "ground": "virtual",
@@ -127,16 +133,16 @@
         "progress": None,
         "scenario": ["a=1"],
     }
-    assert json.loads(call("lab", "run", day, "--json", "-").stdout) == played
+    assert json.loads(call("lab", "run", day, "--json", "-").stdout) == outcome
     assert call("lab", "list").stdout == "calm  A calm day\ntry   A first look\n"
 
 
-def test_what_goes_wrong_is_one_line(lab: Any, day: Path) -> None:
+def test_an_error_gives_one_line(lab: Any, day: Path) -> None:
     lab[1]["raises"] = KeyError("a\nb")
     assert "Traceback" in call("--debug", "lab", "run", day).stderr
-    said(call("lab", "run", day), 70, "a fault of our own: KeyError")
+    assert_error_line(call("lab", "run", day), 70, "a fault of our own: KeyError")
     lab[1]["raises"] = ModuleNotFoundError("No module named 'numpy'")
-    said(call("lab", "run", day), 2, "pip install 'coveport[lab]'")
+    assert_error_line(call("lab", "run", day), 2, "pip install 'coveport[lab]'")
     lab[1]["raises"] = KeyboardInterrupt()
     assert call("lab", "run", day).exit_code == 130
 
@@ -152,7 +158,7 @@
     assert "All figures are equal on all days." in call("lab", "compare", *sides).stdout
     assert json.loads(call("lab", "compare", *sides, "--json", "-").stdout)["pairs"] == 2
     day.write_text("title = 'Another'\n")
-    said(call(*base, "1-2"), 2, "holds another sweep (not the same: text_sha256)")
+    assert_error_line(call(*base, "1-2"), 2, "holds another sweep (not the same: text_sha256)")
 
 
 def test_ctrl_c_ends_a_sweep_and_its_workers(day: Path, tmp_path: Path) -> None:
