--- a/coveport/sidecar/supervisor/__init__.py
+++ b/coveport/sidecar/supervisor/__init__.py
@@ -1,1 +1,4 @@
-"""The instances of one host, supervised: started, stopped, replaced and restarted in turns."""
+"""Supervises the instances of one host: starts, drains, replaces and restarts their processes.
+
+`daemon` is the supervisor's process, `supervisor` its loop; `instance_agent` runs in each instance.
+"""
--- a/coveport/sidecar/supervisor/log_events.py
+++ b/coveport/sidecar/supervisor/log_events.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import Protocol
+
 FLEET_ACQUIRED = "fleet_acquired"
 FLEET_RELEASED = "fleet_released"
 INSTANCE_STARTED = "instance_started"
@@ -17,3 +19,10 @@
 LOG_ROTATED = "log_rotated"
 
 ERROR_EVENTS = frozenset({INSTANCE_BROKEN, SUPERVISOR_STALLED})
+
+
+class EventLog(Protocol):
+    """Writes an event and its fields."""
+
+    def __call__(self, event: str, **fields: object) -> None:
+        """Write a line."""
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -24,6 +24,7 @@
 from coveport.sidecar.supervisor.instance_health import SuccessRate
 from coveport.sidecar.supervisor.instance_set import InstanceSet
 from coveport.sidecar.supervisor.instance_state import ExitReason, InstanceState
+from coveport.sidecar.supervisor.log_events import EventLog
 from coveport.sidecar.supervisor.process_control import ProcessControl
 from coveport.sidecar.supervisor.status import fleet_status
 
@@ -37,7 +38,7 @@
     """One supervisor of a host.
 
     `check_files` returns what is wrong with the operator's files, empty if nothing is; it is called before
-    they are used. `log` takes an event and its fields. `on_role_changed` is told whether the role is held.
+    they are used. `on_role_changed` is called with whether the role is held.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         *,
         now_s: Callable[[], float],
         rng: random.Random,
-        log: Callable[..., None],
+        log: EventLog,
         check_files: Callable[[], str],
         max_instances: int = MAX_INSTANCES,
     ) -> None:
--- a/coveport/testbed/fault_injection/fleet/__init__.py
+++ b/coveport/testbed/fault_injection/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Trials of a supervised fleet: the shipped supervisor over simulated processes, all of which fail."""
+"""Trials of a supervised fleet: the shipped supervisor over simulated processes, with injected faults."""
--- a/coveport/testbed/fault_injection/fleet/broken_variants.py
+++ b/coveport/testbed/fault_injection/fleet/broken_variants.py
@@ -164,57 +164,64 @@
         ),
         FleetVariant(
             "forgets-lives",
-            "takes nothing over from who was there before",
+            "adopts no running instance",
             ("back", "loop", "flood", "step"),
             supervisor=_AdoptsNothing,
         ),
         FleetVariant(
-            "spends-at-once", "starts all that wait at once", ("flood",), instance_set=_StartsAllAtOnce
+            "spends-at-once",
+            "starts all waiting instances at once",
+            ("flood",),
+            instance_set=_StartsAllAtOnce,
+        ),
+        FleetVariant(
+            "deaf", "counts its own stall as missing heartbeats", ("healthy",), instance_set=_IgnoresOwnStall
         ),
-        FleetVariant("deaf", "takes its own stall for theirs", ("healthy",), instance_set=_IgnoresOwnStall),
         FleetVariant(
             "rash",
-            "ends all that are silent, though the host stood still",
+            "kills all silent instances though the host stalled",
             ("mass", "healthy"),
             instance_set=_KillsAllUnresponsive,
         ),
-        FleetVariant("acts-on", "goes on without the duty", ("holder", "back"), supervisor=_ActsWithoutRole),
+        FleetVariant(
+            "acts-on", "continues without the role", ("holder", "back"), supervisor=_ActsWithoutRole
+        ),
         FleetVariant(
             "before-the-step",
-            "ends who is to be restarted before that stands",
+            "drains for a restart before the step is stored",
             ("step",),
             supervisor=_DrainsBeforeStep,
         ),
         FleetVariant(
-            "promises", "tells staff that it is done before it is", ("verb",), supervisor=_AnswersEarly
+            "promises", "answers that a request is done before it is", ("verb",), supervisor=_AnswersEarly
         ),
         FleetVariant(
             "in-one-go",
-            "a restart that waits for nobody",
+            "a rolling restart that waits for no instance",
             ("turns",),
             while_played=_patched(desired_state_role, "next_restart_step", _restart_without_waiting),
         ),
         FleetVariant(
             "whoever",
-            "a restart's step ends whoever has the name",
+            "a restart's step drains any incarnation of the name",
             ("step", "back"),
             while_played=_patched(Instance, "replace", _replace_any_incarnation),
         ),
         FleetVariant(
             "at-once",
-            "starts again at once, however often it ends",
+            "restarts without backoff",
             ("loop",),
             while_played=_patched(Instance, "_after_exit", _without_backoff),
         ),
         FleetVariant(
             "gives-up",
-            "starts nothing again that ended by itself",
+            "never restarts a crashed instance",
             ("back",),
             while_played=_patched(Instance, "_after_exit", _without_restart),
         ),
         FleetVariant(
             "hopes",
-            "waits for ever for one that gives no sign",
+            "never replaces a hung instance",
             ("back",),
             while_played=_patched(InstanceSet, "_replace_hung", lambda self, now: []),
         ),
--- a/tests/sidecar/supervisor/test_fleet_processes.py
+++ b/tests/sidecar/supervisor/test_fleet_processes.py
@@ -86,14 +86,14 @@
             lambda status: f"-{first.pid}-" in status["supervisor"] and status["holds"], "the first again"
         )
         await fleet.all_serve()
-        assert fleet.incarnations() == before, "nobody was restarted by any of it"
+        assert fleet.incarnations() == before, "no instance was restarted by any of it"
         third = fleet.supervise("--standby")
         await wait_until_standing_by(fleet, third)
         await asyncio.sleep(2.0)
         first.terminate()
         assert await asyncio.to_thread(first.wait, TIMEOUT_S) == 0
         await fleet.all_serve()
-        assert fleet.incarnations() == before, "told to end, it hands on to the one that stands by"
+        assert fleet.incarnations() == before, "after SIGTERM the one that stands by takes over"
         third.terminate()
         assert await asyncio.to_thread(third.wait, TIMEOUT_S) == 0
         assert fleet.incarnations() == {}, "the last one ends them all"
@@ -112,10 +112,10 @@
                 not set(fleet.incarnations().values()) & {before["h-1"], before["h-2"], before["h-3"]}
                 and len(fleet.incarnations()) == 4
             ),
-            "three new lives",
+            "three new incarnations",
         )
         await fleet.all_serve()
-        assert fleet.incarnations()["h-4"] == before["h-4"], "the one that was well was left alone"
+        assert fleet.incarnations()["h-4"] == before["h-4"], "the healthy one was left alone"
         for port in range(fleet.port, fleet.port + 4):
             assert await fleet.town.ask(0, port, port) == 200
 
@@ -143,31 +143,31 @@
 
 def test_operators_scale_drain_and_see_the_fleet(tmp_path: Path) -> None:
     async def work(fleet: FleetTrialReal) -> None:
-        async def staff(*words: str) -> subprocess.CompletedProcess[str]:
+        async def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
             return await asyncio.to_thread(
                 subprocess.run,
-                [sys.executable, "-m", "coveport", "fleet", *words, "--config", str(fleet.file)],
+                [sys.executable, "-m", "coveport", "fleet", *arguments, "--config", str(fleet.file)],
                 capture_output=True,
                 text=True,
                 timeout=TIMEOUT_S,
                 check=False,
             )
 
-        assert (await staff("scale", "4")).returncode == 0
+        assert (await run_command("scale", "4")).returncode == 0
         await fleet.all_serve(4)
-        assert (await staff("drain", "h-2")).returncode == 0
+        assert (await run_command("drain", "h-2")).returncode == 0
         await fleet.until(lambda status: len(fleet.incarnations()) == 3, "one to be down")
         assert "h-2" not in fleet.incarnations()
         assert await fleet.town.ask(0, fleet.port + 1, 1) == 0, "nobody listens for one that is down"
-        assert (await staff("drain", "h-2", "--back")).returncode == 0
+        assert (await run_command("drain", "h-2", "--back")).returncode == 0
         await fleet.all_serve(4)
-        shown = await staff("status")
-        assert shown.returncode == 0 and shown.stdout.count("serving") == 4
-        assert (await staff("scale", "1")).returncode == 0
+        status = await run_command("status")
+        assert status.returncode == 0 and status.stdout.count("serving") == 4
+        assert (await run_command("scale", "1")).returncode == 0
         await fleet.all_serve(1)
-        assert "instance_started" in (await staff("logs")).stdout
-        assert (await staff("drain", "h-9")).returncode == 1
-        assert (await staff("status", "--json")).stdout.startswith("{")
+        assert "instance_started" in (await run_command("logs")).stdout
+        assert (await run_command("drain", "h-9")).returncode == 1
+        assert (await run_command("status", "--json")).stdout.startswith("{")
 
     run(tmp_path, 2, work)
 
