--- a/coveport/serving/replication/catch_up.py
+++ b/coveport/serving/replication/catch_up.py
@@ -4,7 +4,7 @@
 
 from coveport.serving.replication.identity import Epoch
 from coveport.serving.replication.leader_role import LeaderRole
-from coveport.serving.replication.messages import Ping
+from coveport.serving.replication.messages import Accept, Ping, ViewActivated
 from coveport.serving.replication.peers import Peer
 from coveport.serving.replication.replica_context import ReplicaContext
 
@@ -24,13 +24,26 @@
         context = self._context
         if now_s - peer.catch_up_at_s < context.timings.catch_up_gap_s:
             return
-        was_behind = self._leader_role.send_view_if_missing(peer, ping)
+        was_behind = self._send_missing_view(peer, ping)
         is_responsible = self._leader_role.is_active or not ping.primary
         if is_responsible and ping.committed < context.committed_log.sequence:
             was_behind |= context.committed_log.catch_up(now_s, peer, ping.committed)
         if was_behind:
             peer.catch_up_at_s = now_s
 
+    def _send_missing_view(self, peer: Peer, ping: Ping) -> bool:
+        """As active primary, send the view, or that it is active; return whether the peer lacked that."""
+        primary = self._leader_role.primary
+        if primary is None or primary.is_paused:
+            return False
+        view = primary.view
+        if ping.view_epoch >= view.epoch and ping.active_epoch >= view.epoch:
+            return False
+        if ping.view_epoch < view.epoch:
+            self._context.outbox.send(peer.address, Accept(view, is_bootstrap=False))
+        self._context.outbox.send(peer.address, ViewActivated(view.epoch))
+        return True
+
     def commit_own_state(self, epoch: Epoch, committed: int) -> None:
         """Take the state held here for committed, if the primary of its epoch said that it is."""
         acceptor = self._context.acceptor
--- a/coveport/serving/replication/leader_role.py
+++ b/coveport/serving/replication/leader_role.py
@@ -28,7 +28,6 @@
     TransferLeadership,
     ViewActivated,
 )
-from coveport.serving.replication.peers import Peer
 from coveport.serving.replication.primary import Primary
 from coveport.serving.replication.reconfiguration import Reconfigurer, ViewChangeRequest
 from coveport.serving.replication.replica_context import ReplicaContext
@@ -176,12 +175,6 @@
         if self.primary is not None and promised > self.primary.view.epoch and promised != own_epoch:
             self.step_down(now_s)
 
-    def send_view_if_missing(self, peer: Peer, ping: Ping) -> bool:
-        """As active primary, send a peer that pinged the view; return whether it lacked something of it."""
-        if self.primary is None or not self.is_active:
-            return False
-        return self._reconfigurer.send_view_if_missing(self.primary.view, peer, ping)
-
     # -- transitions --
 
     def start_election_if_needed(self, now_s: float) -> None:
--- a/coveport/serving/replication/reconfiguration.py
+++ b/coveport/serving/replication/reconfiguration.py
@@ -5,8 +5,6 @@
 from dataclasses import dataclass
 
 from coveport.serving.replication.identity import MemberId, View
-from coveport.serving.replication.messages import Accept, Ping, ViewActivated
-from coveport.serving.replication.peers import Peer
 from coveport.serving.replication.placement import (
     MachineStatus,
     choose_members,
@@ -121,12 +119,3 @@
             if candidate.address in member_addresses or self._is_steady(candidate, now_s):
                 newcomers.append(context.machine(candidate, now_s))
         return sorted(newcomers, key=lambda machine: machine.member)
-
-    def send_view_if_missing(self, view: View, peer: Peer, ping: Ping) -> bool:
-        """Send a peer that pinged the active view, or that it is active; return whether it lacked that."""
-        if ping.view_epoch >= view.epoch and ping.active_epoch >= view.epoch:
-            return False
-        if ping.view_epoch < view.epoch:
-            self._context.outbox.send(peer.address, Accept(view, is_bootstrap=False))
-        self._context.outbox.send(peer.address, ViewActivated(view.epoch))
-        return True
