--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -109,7 +109,7 @@
             self._carry_out(
                 [command for instance in self.instances.by_name.values() for command in instance.tick(now)]
             )
-            self._log_state_changes()
+            self._handle_state_changes()
             await asyncio.sleep(TICK_S)
         return self.instances.has_no_process
 
@@ -181,7 +181,7 @@
                 if now - self._scanned_at >= SCAN_INTERVAL_S:
                     self._scan(now)
                 self._carry_out(self.instances.tick(now))
-            self._log_state_changes()
+            self._handle_state_changes()
             await asyncio.sleep(TICK_S)
 
     def _scan(self, now: float) -> None:
@@ -190,7 +190,7 @@
         for name, incarnation in self.processes.find_running().items():
             self._carry_out(self.instances.on_running(now, name, incarnation))
 
-    def _log_state_changes(self) -> None:
+    def _handle_state_changes(self) -> None:
         """Log each changed state; close the listeners of instances that are not to serve."""
         for name, instance in self.instances.by_name.items():
             state = instance.state
