--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -198,7 +198,7 @@
                 self._tasks.append(asyncio.ensure_future(self._wish_for_grants(self._capacity)))
         elif phase in (Phase.SERVING, Phase.LAMEDUCK):
             for duty in self._wished:
-                self.lease_client.set_contending(duty, phase is Phase.SERVING, "lame duck")
+                self.lease_client.set_contending(duty, contending=phase is Phase.SERVING, reason="lame duck")
         elif phase is Phase.DRAINING:
             # Handed on before the first connection is closed: the rest of the end may take seconds.
             self._leaving = asyncio.ensure_future(self._leave())
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -186,9 +186,10 @@
         """Release what is held and contend for nothing, until called again with an empty reason."""
         self._apply(self.lease_state.set_unhealthy(self._now_s(), reason))
 
-    def set_contending(self, role: str, contending: bool, reason: str) -> None:
+    def set_contending(self, role: str, *, contending: bool, reason: str) -> None:
         """Contend for a role, or release it and keep off."""
-        self._apply(self.lease_state.set_contending(self._now_s(), role, contending, reason))
+        effects = self.lease_state.set_contending(self._now_s(), role, contending=contending, reason=reason)
+        self._apply(effects)
 
     def step_down(self, role: str, reason: str) -> None:
         """Release a role once, and let other instances acquire it first."""
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -226,7 +226,7 @@
             elif role.state is RoleState.WAITING:
                 role.set_state(RoleState.IDLE)
 
-    def set_contending(self, now: float, name: str, contending: bool, reason: str) -> list[Effect]:
+    def set_contending(self, now: float, name: str, *, contending: bool, reason: str) -> list[Effect]:
         """Contend for a role, or release it and keep off: for staff, a drain, or the operator's file."""
         self._effects = []
         role = self.roles[name]
