--- a/coveport/sidecar/discovery/__init__.py
+++ b/coveport/sidecar/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery's protocol and the reading of its lists."""
+"""The endpoint list: discovery's protocol, and reading what it answers."""
--- /dev/null
+++ b/coveport/sidecar/discovery/discovery_client.py
@@ -0,0 +1,264 @@
+"""One discovery: requests its list, watches it for changes, retries where it fails or times out."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import random
+from collections.abc import Callable
+
+from coveport import http1
+from coveport.net.address import Address
+from coveport.net.transport import Net
+from coveport.sidecar.discovery.discovery_connection import DiscoveryConnection
+from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader, EndpointListUpdate
+from coveport.sidecar.discovery.errors import EndpointListError
+from coveport.sidecar.telemetry.counters import Counters
+from coveport.sidecar.telemetry.log import Log
+
+PATH = "/catalog/members"
+# A change must be known 6 s after discovery had it and could be reached, whatever failed meanwhile. So a
+# watch that times out, a connect that does and a call that does, one after the other, each with the longest
+# backoff behind it, are over within that: 1.5 + 0.5 + 1.0 + 1.5 s and thrice 0.45 s.
+WATCH_MS = 1500  # how long discovery holds a watch open without a change
+WATCH_AFTER_FAILURE_MS = 1000  # the same right after a failure: no longer than a call that doesn't wait
+WATCH_GRACE_S = 0.5  # how much longer a watch may take; discovery may stop answering without closing
+CONNECT_TIMEOUT_S = 1.0  # as long as the system waits before it sends a connect again
+CALL_TIMEOUT_S = 1.5  # of a call that doesn't wait: an overloaded discovery answers in turn
+EMPTY_WATCH_DELAY_S = 0.1  # between watches where one returned no change and did not wait this long
+BACKOFFS_S = (0.02, 0.1, 0.3)  # mean backoffs after the first, second and further failures in a row
+BACKOFF_JITTER = 0.5  # part of the backoff by which it may be longer or shorter
+MAX_OLDER_LISTS = 3  # in a row, after which discovery counts as started anew with lower versions
+
+OnUpdate = Callable[[EndpointListUpdate | None], None]
+"""Gets each list; None: a call that was requested has failed."""
+
+
+class DiscoveryClient:
+    """Requests one discovery's list and watches it.
+
+    `on_demand`: it calls only when requested to, and reports failures; else it retries by itself.
+    """
+
+    def __init__(
+        self,
+        net: Net,
+        address: Address,
+        reader: EndpointListReader,
+        on_update: OnUpdate,
+        counters: Counters,
+        log: Log,
+        *,
+        on_demand: bool,
+        rng: random.Random,
+    ) -> None:
+        self._net = net
+        self._address = address
+        self._reader = reader
+        self._on_update = on_update
+        self._counters = counters
+        self._log = log
+        self._on_demand = on_demand
+        self._rng = rng
+        self._connection: DiscoveryConnection | None = None
+        self._connecting: asyncio.Task[None] | None = None  # set while a connect is under way
+        self._is_busy = False  # a call is under way, or its retry is scheduled
+        self._version: int | None = None  # of the list that is known
+        self._was_malformed = False  # the last list could not be used: the next call requests a full one
+        self._is_confirmed = False  # this discovery has returned a list
+        self._is_watching = False
+        self._is_full_requested = False
+        self._is_closed = False
+        self._failures = 0  # in a row
+        self._older_lists = 0  # in a row
+        self._called_at = 0.0
+        self._timer: asyncio.TimerHandle | None = None  # the time-out of the present connect or call
+
+    def set_on_demand(self) -> None:
+        """Call only when requested to from here on."""
+        self._on_demand = True
+
+    def resume_from(self, version: int) -> None:
+        """Request only changes since a list of that version, which is known already."""
+        self._version = version
+
+    @property
+    def is_watching(self) -> bool:
+        """Whether all changes are wanted."""
+        return self._is_watching
+
+    def request(self, *, full: bool) -> None:
+        """Request the full list once, or all changes from now on."""
+        if full:
+            self._is_full_requested = True
+        else:
+            self._is_watching = True
+        if not self._is_busy:
+            self._call_next()
+
+    def read_pending(self) -> None:
+        """Read what has come already in this turn of the loop."""
+        if self._is_busy and self._connection is not None and self._connection.transport is not None:
+            self._net.read_now(self._connection.transport)
+
+    def close(self) -> None:
+        """Stop calling."""
+        self._is_closed = True
+        self._disconnect()
+
+    def _call_next(self) -> None:
+        if self._is_closed or not (self._is_watching or self._is_full_requested):
+            return
+        self._is_busy = True
+        self._connecting = self._net.loop.create_task(self._call())
+
+    @property
+    def _wants_full_list(self) -> bool:
+        return self._version is None or self._is_full_requested or self._was_malformed
+
+    async def _call(self) -> None:
+        if self._connection is None and not await self._connect():
+            return
+        self._connecting = None
+        if self._connection is None:
+            return  # closed meanwhile
+        connection = self._connection
+        transport = connection.transport
+        if transport is None or transport.is_closing():
+            self._fail(connection, "the connection has ended")
+            return
+        target = PATH
+        if self._wants_full_list:
+            self._start_timer(CALL_TIMEOUT_S)
+        else:
+            wait_ms = self._watch_ms()
+            target += f"?after={self._version}&wait_ms={wait_ms}"
+            self._start_timer(wait_ms / 1000 + WATCH_GRACE_S if wait_ms else CALL_TIMEOUT_S)
+        self._counters.add("pool_calls")
+        self._called_at = self._net.now_s()
+        host = f"{self._address[0]}:{self._address[1]}"
+        transport.write(http1.write_request("GET", target, [("Host", host)]))
+
+    async def _connect(self) -> bool:
+        self._start_timer(CONNECT_TIMEOUT_S)
+        connection = DiscoveryConnection(lambda response: self._receive(connection, response), self._log)
+        self._connection = connection
+        try:
+            await self._net.dial(lambda: connection, self._address)
+        except OSError as error:
+            self._connecting = None
+            self._fail(connection, f"no connection: {error}")
+            return False
+        return True
+
+    def _watch_ms(self) -> int:
+        if not self._is_confirmed:
+            return 0  # who starts from a known list wants to know that it holds
+        return WATCH_AFTER_FAILURE_MS if self._failures else WATCH_MS
+
+    def _start_timer(self, seconds: float) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        # Guards against a discovery that stops answering without closing: no wait is open-ended.
+        self._timer = self._net.loop.call_later(seconds, self._time_out)
+
+    def _time_out(self) -> None:
+        if self._connection is not None:
+            self._fail(self._connection, "silent for too long", is_broken=True)
+
+    def _receive(self, connection: DiscoveryConnection, response: http1.Response | None) -> None:
+        """Handle the response to a call, or the end of the connection."""
+        if connection is not self._connection:
+            return
+        if not self._is_busy:  # no call was under way: no failure, the next one connects again
+            self._disconnect()
+            return
+        if response is None:
+            self._fail(connection, "the connection has ended", is_broken=True)
+            return
+        if response.status != 200:
+            # Guards against an overloaded discovery that is asked for more: what is known is still good, and
+            # the changes since then cost it a line each where the full list costs all of them.
+            self._fail(connection, f"status {response.status}")
+            return
+        try:
+            update = self._read(json.loads(response.body))
+        except (ValueError, RecursionError) as error:
+            # Guards against a malformed list: the last good one stays, and the full one is requested.
+            self._was_malformed = True
+            self._fail(connection, f"garbled: {error}")
+            return
+        self._accept(update, response.keep_alive)
+
+    def _accept(self, update: EndpointListUpdate, keep_alive: bool) -> None:
+        self._failures = 0
+        self._is_busy = False
+        self._is_full_requested = False
+        self._was_malformed = False
+        if not keep_alive:
+            self._disconnect()
+        elif self._timer is not None:
+            self._timer.cancel()
+        self._version = update.update.version
+        has_waited = self._is_confirmed
+        self._is_confirmed = True
+        self._on_update(update)
+        if self._is_busy or self._is_closed:  # the update has led to another request, or to another discovery
+            return
+        waited_s = self._net.now_s() - self._called_at
+        if update.update.entries or not has_waited or waited_s > EMPTY_WATCH_DELAY_S:
+            self._call_next()
+        else:
+            # Guards against a discovery that doesn't wait: called again at once, it would take all the time.
+            self._is_busy = True
+            self._net.loop.call_later(EMPTY_WATCH_DELAY_S, self._call_next)
+
+    def _read(self, data: object) -> EndpointListUpdate:
+        """Read a list; EndpointListError where it is malformed, not what was requested, or older."""
+        known = self._version
+        if known is not None and isinstance(data, dict) and isinstance(data.get("seq"), int):
+            # Guards against a stale replica that takes back what is known; one that goes on is no stale one.
+            if data["seq"] < known and self._older_lists < MAX_OLDER_LISTS:
+                self._older_lists += 1
+                raise EndpointListError(f"version {data['seq']}, older than version {known} that is known")
+            self._older_lists = 0
+        if self._wants_full_list and isinstance(data, dict) and data.get("whole") is False:
+            raise EndpointListError("changes, where the whole list was asked for")
+        return self._reader.read(data)
+
+    def _fail(self, connection: DiscoveryConnection, text: str, *, is_broken: bool = False) -> None:
+        """Note a failure and schedule the retry; `is_broken`: the connection ended or timed out."""
+        if connection is not self._connection:
+            return
+        self._log.note("endpoint list", text)
+        self._counters.add("pool_failures")
+        self._disconnect()
+        # With jitter, as whatever fails here fails for all sidecars at the same moment.
+        mean_s = BACKOFFS_S[min(self._failures, len(BACKOFFS_S) - 1)]
+        backoff_s = mean_s * self._rng.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER)
+        # A watch that breaks is no refusal: it is opened anew at once, also if calls are made on demand.
+        reopens_watch = is_broken and self._is_confirmed and not self._failures
+        self._failures += 1
+        self._is_busy = True
+        if self._on_demand and not reopens_watch:
+            # Who requests is told of the failure and requests again in its own time.
+            self._is_watching = False
+            self._is_full_requested = False
+            self._is_busy = False
+            self._on_update(None)
+        elif not self._is_closed:
+            self._net.loop.call_later(backoff_s, self._call_next)
+
+    def _disconnect(self) -> None:
+        connection = self._connection
+        connecting = self._connecting
+        self._connection = None
+        self._connecting = None
+        if connecting is not None:
+            # Guards against a descriptor for each connect that hangs, and one that comes up after all.
+            connecting.cancel()
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        if connection is not None and connection.transport is not None:
+            connection.transport.abort()
--- /dev/null
+++ b/coveport/sidecar/discovery/endpoint_list_reader.py
@@ -0,0 +1,170 @@
+"""Reads endpoint lists; gives endpoints, zones and cells the numbers that the balancer knows. No I/O."""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from coveport import balancing
+from coveport.net.address import Address, parse_address
+from coveport.sidecar.discovery.errors import EndpointListError
+from coveport.sidecar.reducer.locality import Place
+
+_STATES = {
+    "active": balancing.EndpointState.READY,
+    "leaving": balancing.EndpointState.DRAINING,
+    "left": balancing.EndpointState.GONE,
+}
+
+
+@dataclass(slots=True)
+class EndpointListUpdate:
+    """A list as read: for the balancer, and each endpoint's address and start (None: gone) by its number."""
+
+    update: balancing.EndpointUpdate
+    places: list[tuple[int, Place | None]]
+
+
+class _Line(NamedTuple):
+    """One line of a list, checked."""
+
+    name: str
+    address: Address
+    zone: int | str
+    cell: int | str
+    state: balancing.EndpointState
+    weight: float
+    started_ms: float  # Unix time
+
+
+class EndpointListReader:
+    """Reads discovery's lists; gives endpoints, zones and cells their numbers.
+
+    `zones`: those that are configured, numbered from 0. A number is never given twice.
+    """
+
+    def __init__(self, zones: tuple[str, ...]) -> None:
+        self._configured_zones = {zone: number for number, zone in enumerate(zones)}
+        self._endpoint_numbers: dict[str, int] = {}
+        self._zone_numbers = dict(self._configured_zones)
+        self._cell_numbers: dict[str, int] = {}
+        self._localities: dict[str, tuple[int, int]] = {}  # zone and cell by endpoint name
+        self._last_endpoint = 0
+        self._last_cell = 0
+        self._next_zone = len(zones)
+        self.on_list: Callable[[Any, bool], None] | None = (
+            None  # gets each list as it came, and if it is full
+        )
+
+    def read(self, data: Any, kind: balancing.EndpointUpdateKind | None = None) -> EndpointListUpdate:
+        """Return a list as read; EndpointListError where any of it is malformed, and nothing changes then.
+
+        `data`: the list as JSON has it. `kind`: by default what the list says of itself.
+        """
+        lines, version, is_full = _check_list(data)
+        if kind is None:
+            kind = balancing.EndpointUpdateKind.FULL if is_full else balancing.EndpointUpdateKind.DELTA
+        entries = []
+        places = list[tuple[int, Place | None]]()
+        gone = set[str]()
+        for line in lines:
+            number = self._endpoint_numbers.setdefault(line.name, self._last_endpoint + 1)
+            self._last_endpoint = max(self._last_endpoint, number)
+            locality = self._zone(line.zone), self._cell(line.cell)
+            self._localities[line.name] = locality
+            entries.append(balancing.Endpoint(number, *locality, line.state, line.weight, line.started_ms))
+            if line.state is balancing.EndpointState.GONE:
+                gone.add(line.name)
+                places.append((number, None))
+            else:
+                places.append((number, (line.address, line.started_ms)))
+        if self.on_list is not None and kind is not balancing.EndpointUpdateKind.CACHED:
+            self.on_list(data, kind is balancing.EndpointUpdateKind.FULL)
+        if kind is not balancing.EndpointUpdateKind.DELTA:
+            gone |= self._endpoint_numbers.keys() - {line.name for line in lines}
+        self._forget(gone)
+        return EndpointListUpdate(balancing.EndpointUpdate(kind, tuple(entries), version), places)
+
+    def _forget(self, gone: set[str]) -> None:
+        # Guards against tables that only grow: endpoints are replaced all day, under new names.
+        for name in gone:
+            self._endpoint_numbers.pop(name, None)
+            self._localities.pop(name, None)
+        # One that stays may move from cell to cell: tidied once there are more than there can be.
+        discovered_zones = len(self._zone_numbers) - len(self._configured_zones)
+        if gone or max(len(self._cell_numbers), discovered_zones) > len(self._localities):
+            zones = {zone for zone, _ in self._localities.values()}
+            cells = {cell for _, cell in self._localities.values()}
+            self._zone_numbers = self._configured_zones | _only(self._zone_numbers, zones)
+            self._cell_numbers = _only(self._cell_numbers, cells)
+
+    def _zone(self, zone: int | str) -> int:
+        if isinstance(zone, int):
+            return zone
+        if zone not in self._zone_numbers:
+            self._zone_numbers[zone] = self._next_zone
+            self._next_zone += 1
+        return self._zone_numbers[zone]
+
+    def _cell(self, cell: int | str) -> int:
+        if isinstance(cell, int):
+            return cell
+        if cell not in self._cell_numbers:
+            self._last_cell += 1
+            self._cell_numbers[cell] = self._last_cell
+        return self._cell_numbers[cell]
+
+
+def _only(numbers: dict[str, int], kept: set[int]) -> dict[str, int]:
+    return {name: number for name, number in numbers.items() if number in kept}
+
+
+def _check_list(data: Any) -> tuple[list[_Line], int, bool]:
+    """Return the lines, the version and whether the list is full."""
+    try:
+        return _read_list(data)
+    except (KeyError, TypeError, AttributeError) as error:
+        raise EndpointListError(f"{type(error).__name__}: {error}") from error
+
+
+def _read_list(data: Any) -> tuple[list[_Line], int, bool]:
+    hosts = data["hosts"]
+    version = data["seq"]
+    is_full = data["whole"]
+    if not isinstance(hosts, list) or type(version) is not int or type(is_full) is not bool:
+        raise EndpointListError("hosts, seq or whole is not what it should be")
+    # Guards against an endpoint listed twice: its last line counts, as for all that read in order.
+    lines = {line.name: line for line in map(_check_line, hosts)}
+    return list(lines.values()), version, is_full
+
+
+def _check_line(host: Any) -> _Line:
+    name = host["host"]
+    weight = host.get("share", 1.0)
+    started_ms = host.get("born_ms", 0)
+    if not isinstance(name, str) or not name:
+        raise EndpointListError(f"host {name!r} is no name")
+    for value in (weight, started_ms):
+        # Guards against integers beyond all floats, which JSON may hold.
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, int | float)
+            or not 0 <= value <= sys.float_info.max
+        ):
+            raise EndpointListError(f"{name!r}: {value!r} is no figure")
+    for value in (host["site"], host["block"]):
+        if isinstance(value, bool) or not isinstance(value, int | str):
+            raise EndpointListError(f"{name!r}: {value!r} is no site or block")
+    # A state that is not known is treated as draining: nothing new goes there.
+    state = _STATES.get(host["health"], balancing.EndpointState.DRAINING)
+    address = _check_address(host["dial"])
+    return _Line(name, address, host["site"], host["block"], state, float(weight), float(started_ms))
+
+
+def _check_address(text: Any) -> Address:
+    try:
+        return parse_address(text)
+    except ValueError as error:
+        raise EndpointListError(str(error)) from error
--- /dev/null
+++ b/coveport/sidecar/discovery/errors.py
@@ -0,0 +1,10 @@
+"""Errors of the endpoint list."""
+
+from __future__ import annotations
+
+
+class EndpointListError(ValueError):
+    """Discovery's answer is malformed, not what was requested, or older than what is known.
+
+    The text is one line: the field or the line of the list, and what came there.
+    """
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -13,8 +13,9 @@
 from coveport.net.clock import Clock
 from coveport.net.transport import Net
 from coveport.sidecar.config.platform import Config
-from coveport.sidecar.discovery.agent import PoolConfig
-from coveport.sidecar.discovery.reader import PoolReader, PoolUpdate
+from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader, EndpointListUpdate
+from coveport.sidecar.discovery.endpoint_list_source import EndpointListSource
+from coveport.sidecar.discovery.errors import EndpointListError
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.reducer.reducer import Reducer
@@ -177,15 +178,15 @@
             connect_timeout_ms=connect_timeout_ms(config.settings),
             most_links=descriptors(config.sockets)[1],
         )
-        self._reader = PoolReader(config.zones)
-        self.pool_config = PoolConfig(
+        self._reader = EndpointListReader(config.zones)
+        self.endpoint_list = EndpointListSource(
             net,
             config.discovery,
             self._reader,
             self.told,
             counters,
             log,
-            must_ask=config.settings.must_ask,
+            on_demand=config.settings.must_ask,
             seed=config.seed,
         )
         self.has_list = False
@@ -204,11 +205,13 @@
             return
         try:
             update = self._reader.read(self._config.known, balancing.EndpointUpdateKind.CACHED)
-        except ValueError as problem:
-            self._log.note("pool config", f"the known list is garbled: {problem}")
+        except EndpointListError as problem:
+            self._log.note("endpoint list", f"the known list is garbled: {problem}")
             return
         if update.places:
-            self.pool_config.follow(update.update.version)  # before the module is told, which may ask at once
+            self.endpoint_list.resume_from(
+                update.update.version
+            )  # before the module is told, which may ask at once
         self._place(update)
 
     @property
@@ -263,7 +266,7 @@
             self._inputs.append(core.ProcessStalled(missed))
         # Guards against what waits beside a list that has waited for as long: it would be decided by the old
         # one, and go to a destination that has long begun to drain.
-        self.pool_config.catch_up()
+        self.endpoint_list.read_pending()
 
     def _pulse(self) -> None:
         self._beat()
@@ -347,7 +350,7 @@
         host, port = self.destinations.address(destination) or ("", 0)
         return (f"{host}:{port}", *self._reducer.place_of(destination))
 
-    def told(self, update: PoolUpdate | None) -> None:
+    def told(self, update: EndpointListUpdate | None) -> None:
         """Discovery has told a list, or has failed."""
         if update is None:
             self.feed(core.EndpointsUpdated(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED)))
@@ -356,7 +359,7 @@
             self.counters.add("pool_updates")
             self._place(update)
 
-    def _place(self, update: PoolUpdate) -> None:
+    def _place(self, update: EndpointListUpdate) -> None:
         # First: what is held goes to a new destination, or to one's new address, as soon as the module knows.
         self.destinations.place(update.places, update.update.kind is not balancing.EndpointUpdateKind.DELTA)
         if (
@@ -372,7 +375,7 @@
 
     def hear(self, heard: Callable[[Any, bool], None]) -> None:
         """Be told each list as discovery tells it, and whether it is a whole one."""
-        self._reader.heard = heard
+        self._reader.on_list = heard
 
     def share(self, peers: int) -> None:
         """So many share the destinations from now on."""
@@ -426,9 +429,9 @@
         elif isinstance(effect, core.CheckHealth):
             self._probe(effect.destination)
         elif isinstance(effect, core.RequestEndpoints):
-            self.pool_config.ask(whole=effect.whole)
+            self.endpoint_list.request(full=effect.whole)
         elif isinstance(effect, core.SwitchDiscovery):
-            self.pool_config.move(effect.discovery)
+            self.endpoint_list.move_to(effect.discovery)
         else:
             self.counters.add("complaints")
             self._log.note("fault", effect.text)
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -145,7 +145,7 @@
         life.listen(on_phase)
 
     effects.know()
-    effects.pool_config.start()
+    effects.endpoint_list.start()
     if config.console is not None and await _open(net, log, console.open, config.console) is not None:
         log.say(f"{config.name}: staff call at {config.console[0]}:{config.console[1]}")
     # Where another serves here already, it goes on until we are ready: clients would find us with no list.
@@ -169,7 +169,7 @@
     await listener.shut_down()
     while effects.owed or len(listener.clients):
         await asyncio.sleep(STEP_S)
-    effects.pool_config.close()
+    effects.endpoint_list.close()
     effects.destinations.close()
     listener.close()
     console.close()
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -13,7 +13,7 @@
 from coveport import balancing
 from coveport.balancing import Balancer
 from coveport.balancing import balancer as decide
-from coveport.sidecar.discovery.reader import PoolUpdate
+from coveport.sidecar.discovery.endpoint_list_reader import EndpointListUpdate
 from coveport.sidecar.effects import Asker, Effects
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer, Operation
@@ -215,7 +215,7 @@
 class _KeepsTheGone(Effects):
     """Sends where the list said, and goes on where it says no more."""
 
-    def _place(self, update: PoolUpdate) -> None:
+    def _place(self, update: EndpointListUpdate) -> None:
         update.places = [(number, place) for number, place in update.places if place is not None]
         entries = tuple(one for one in update.update.entries if one.state is balancing.EndpointState.READY)
         update.update = balancing.EndpointUpdate(
--- a/tests/sidecar/connection_ends/test_told.py
+++ b/tests/sidecar/connection_ends/test_told.py
@@ -12,7 +12,7 @@
 from world import CLASSES, Discovery, World, configuration, program, receive, reply, request, served, wait_for
 from world import Server as Node
 
-from coveport.sidecar.discovery import agent
+from coveport.sidecar.discovery import discovery_client
 
 TOLD_S = 6.0
 
@@ -22,7 +22,10 @@
 
 
 def test_a_call_right_after_a_failure_takes_no_longer_than_one_that_need_not_wait() -> None:
-    assert agent.AGAIN_MS / 1000 + agent.GRACE_S <= agent.FIRST_S
+    assert (
+        discovery_client.WATCH_AFTER_FAILURE_MS / 1000 + discovery_client.WATCH_GRACE_S
+        <= discovery_client.CALL_TIMEOUT_S
+    )
 
 
 def worst(watch_s: float, dial_s: float, call_s: float, pause_s: float) -> float:
@@ -31,12 +34,25 @@
 
 
 def test_the_bounds_of_all_that_may_hang_add_up_to_less() -> None:
-    pause = agent.RETRY_S[-1] * (1 + agent.SPREAD)
-    assert max(agent.RETRY_S) == agent.RETRY_S[-1]
-    assert worst(agent.WATCH_MS / 1000 + agent.GRACE_S, agent.DIAL_S, agent.FIRST_S, pause) < TOLD_S
+    pause = discovery_client.BACKOFFS_S[-1] * (1 + discovery_client.BACKOFF_JITTER)
+    assert max(discovery_client.BACKOFFS_S) == discovery_client.BACKOFFS_S[-1]
+    assert (
+        worst(
+            discovery_client.WATCH_MS / 1000 + discovery_client.WATCH_GRACE_S,
+            discovery_client.CONNECT_TIMEOUT_S,
+            discovery_client.CALL_TIMEOUT_S,
+            pause,
+        )
+        < TOLD_S
+    )
     assert worst(3.7, 3.0, 3.0, pause) > TOLD_S, "as they were"
     # After SIGHUP it is 4 s: the new one's dial hangs, then its call.
-    assert agent.DIAL_S + agent.FIRST_S + sum(agent.RETRY_S[:2]) * (1 + agent.SPREAD) < 4.0
+    assert (
+        discovery_client.CONNECT_TIMEOUT_S
+        + discovery_client.CALL_TIMEOUT_S
+        + sum(discovery_client.BACKOFFS_S[:2]) * (1 + discovery_client.BACKOFF_JITTER)
+        < 4.0
+    )
 
 
 @pytest.fixture
@@ -159,7 +175,9 @@
     config.write_text(configuration(here.list, here.peer.address, told=ASKED))
     with program(config):
         got = here.watch()
-        broken = time.monotonic() + (agent.WATCH_MS / 1000 + agent.GRACE_S if how == "silent" else 0.0)
+        broken = time.monotonic() + (
+            discovery_client.WATCH_MS / 1000 + discovery_client.WATCH_GRACE_S if how == "silent" else 0.0
+        )
         if how == "reset":
             got.reset()
         here.peer.next().send(reply(503))
--- a/tests/sidecar/discovery/test_pool_config.py
+++ b/tests/sidecar/discovery/test_endpoint_list.py
@@ -12,8 +12,9 @@
 from coveport import balancing
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Factory, Net
-from coveport.sidecar.discovery import agent as pool_config
-from coveport.sidecar.discovery.reader import PoolReader
+from coveport.sidecar.discovery import discovery_client
+from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader
+from coveport.sidecar.discovery.endpoint_list_source import EndpointListSource
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
 
@@ -21,7 +22,7 @@
 
 
 def test_a_connection_that_comes_up_late_asks_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool_config, "DIAL_S", 0.1)
+    monkeypatch.setattr(discovery_client, "CONNECT_TIMEOUT_S", 0.1)
     errors = list[object]()
 
     async def main(net: Net) -> tuple[int, int]:
@@ -34,14 +35,14 @@
 
         monkeypatch.setattr(net, "dial", late)
         net.loop.set_exception_handler(lambda _, context: errors.append(context))
-        one = pool_config.PoolConfig(
+        one = EndpointListSource(
             net,
             parse_address(server.address),
-            PoolReader(("a",)),
+            EndpointListReader(("a",)),
             lambda update: told.set(),
             Counters(),
             Log(net.now_s),
-            must_ask=False,
+            on_demand=False,
         )
         one.start()
         await asyncio.wait_for(told.wait(), 5)
@@ -66,7 +67,7 @@
         "share": 1.0,
         "born_ms": 0,
     }
-    reader = PoolReader(("a", "b"))
+    reader = EndpointListReader(("a", "b"))
     good = reader.read({"seq": 1, "whole": True, "hosts": [line]}).update
     assert (good.entries[0].zone, good.entries[0].cell, good.entries[0].started_ms) == (1, 3, 0)
     with pytest.raises(ValueError, match=r"."):
@@ -84,16 +85,16 @@
             "health": health,
         }
 
-    reader, numbers, cells = PoolReader(("a", "b")), set[int](), set[int]()
+    reader, numbers, cells = EndpointListReader(("a", "b")), set[int](), set[int]()
     for number in range(300):
         hosts = [line(number), line(number - 9, "left")]
         entries = reader.read({"seq": number, "whole": False, "hosts": hosts}).update.entries
         numbers.add(entries[0].host)
         cells.add(entries[0].cell)
     assert len(numbers) == 300 and len(cells) == 100, "none is given twice"
-    assert len(reader._hosts) == 9 and len(reader._cells) <= 4
+    assert len(reader._endpoint_numbers) == 9 and len(reader._cell_numbers) <= 4
     reader.read({"seq": 900, "whole": True, "hosts": [line(299)]})
-    assert list(reader._hosts) == ["s-299"] and len(reader._cells) == 1
+    assert list(reader._endpoint_numbers) == ["s-299"] and len(reader._cell_numbers) == 1
 
 
 def listed(name: str = "s-1", **changes: object) -> dict[str, object]:
@@ -117,13 +118,13 @@
 def test_figures_too_large_are_garbled_and_said_in_one_line(changes: dict[str, object]) -> None:
     # Seen in fuzzing: an OverflowError went past all who expect a ValueError.
     with pytest.raises(ValueError, match="figure") as problem:
-        PoolReader(()).read(told(1, listed() | changes))
+        EndpointListReader(()).read(told(1, listed() | changes))
     assert "\n" not in str(problem.value)
 
 
 @pytest.mark.parametrize("last", ["active", "left"])
 def test_of_a_destination_listed_twice_the_last_line_counts(last: str) -> None:
-    reader = PoolReader(("a", "b"))
+    reader = EndpointListReader(("a", "b"))
     first = reader.read(told(1, listed(), whole=True)).update.entries[0].host
     other = {"active": "left", "left": "active"}[last]
     update = reader.read(told(2, listed(health=other), listed(dial="127.0.0.1:10", health=last)))
@@ -137,16 +138,16 @@
 
 def test_zones_and_cells_that_nobody_is_in_are_forgotten() -> None:
     # As above, for destinations that stay and move, and for zones.
-    reader, zones = PoolReader(("a", "b")), set[int]()
+    reader, zones = EndpointListReader(("a", "b")), set[int]()
     for number in range(50):
         moved = listed(site=f"z-{number}", block=f"pod-{number}")
         entries = reader.read(told(number, moved, listed("s-2"))).update.entries
         zones.add(entries[0].zone)
         assert entries[1].zone == 1
     assert len(zones) == 50 and min(zones) == 2, "none is given twice, nor one that is configured"
-    assert len(reader._zones) <= 2 + 2 and len(reader._cells) <= 2
+    assert len(reader._zone_numbers) <= 2 + 2 and len(reader._cell_numbers) <= 2
     reader.read(told(99, whole=True))
-    assert reader._zones == {"a": 0, "b": 1} and not reader._cells
+    assert reader._zone_numbers == {"a": 0, "b": 1} and not reader._cell_numbers
 
 
 @pytest.mark.parametrize(
@@ -178,17 +179,17 @@
     left, versions = list(answers), list[int]()
 
     async def main(net: Net) -> None:
-        one = pool_config.PoolConfig(
+        one = EndpointListSource(
             net,
             parse_address(server.address),
-            PoolReader(("a",)),
+            EndpointListReader(("a",)),
             lambda update: versions.append(-1 if update is None else update.update.version),
             Counters(),
             Log(net.now_s),
-            must_ask=False,
+            on_demand=False,
         )
         if known is not None:
-            one.follow(known)
+            one.resume_from(known)
         one.start()
         while len(server.seen) < calls:
             await asyncio.sleep(0.02)
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -25,7 +25,9 @@
 coveport.sidecar.admin.codec coveport.sidecar.admin.server coveport.sidecar.config
 coveport.sidecar.config.errors coveport.sidecar.config.platform coveport.sidecar.config.reload_checks
 coveport.sidecar.discovery
-coveport.sidecar.discovery.agent coveport.sidecar.discovery.reader coveport.sidecar.downstream
+coveport.sidecar.discovery.discovery_client coveport.sidecar.discovery.discovery_connection
+coveport.sidecar.discovery.endpoint_list_reader coveport.sidecar.discovery.endpoint_list_source
+coveport.sidecar.discovery.errors coveport.sidecar.downstream
 coveport.sidecar.downstream.client_connection coveport.sidecar.downstream.client_table
 coveport.sidecar.downstream.context coveport.sidecar.downstream.limits
 coveport.sidecar.downstream.listener coveport.sidecar.downstream.operation_reader
--- a/tests/testbed/test_fuzz.py
+++ b/tests/testbed/test_fuzz.py
@@ -15,7 +15,7 @@
 
 from coveport import http1
 from coveport.cli.root import root
-from coveport.sidecar.discovery.reader import PoolReader
+from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader
 from coveport.testbed import compare, outcome
 from coveport.testbed.fuzz import UNDER_TEST, run, writers
 from coveport.testbed.fuzz.mutate import Mutator, read_dictionary
@@ -71,18 +71,18 @@
         return None
 
 
-class Careless(PoolReader):
+class Careless(EndpointListReader):
     """Forgets nobody."""
 
     def _forget(self, gone: set[str]) -> None:
         return
 
 
-class Lost(PoolReader):
+class Lost(EndpointListReader):
     """Gives every destination a new number each time."""
 
     def read(self, told: Any, kind: Any = None) -> Any:
-        self._hosts.clear()
+        self._endpoint_numbers.clear()
         return super().read(told, kind)
 
 
@@ -103,8 +103,14 @@
         ("operations", "request_of", lambda *_: REQUEST, REQUEST.replace(b"7", b"8"), "changed"),
         ("loads", "load_of", lambda *_: (1.0, float("nan"), 2.0), b"", "finite"),
         ("loads", "load_of", lambda *_: (1.0,), b"", "length"),
-        ("lists", "PoolReader", Careless, LIST % (1, b"a", b"left"), "hosts"),
-        ("lists", "PoolReader", Lost, b"\n".join(LIST % (one, b"a", b"active") for one in (1, 2)), "number"),
+        ("lists", "EndpointListReader", Careless, LIST % (1, b"a", b"left"), "hosts"),
+        (
+            "lists",
+            "EndpointListReader",
+            Lost,
+            b"\n".join(LIST % (one, b"a", b"active") for one in (1, 2)),
+            "number",
+        ),
         ("config", "platform.read", lambda *_: 1 // 0, b"{}", "ZeroDivisionError in test_fuzz.<lambda>"),
         ("batches", "writers.batch", lambda *_: b"", bytes(8) + b"\x08" + bytes(11), "stable"),
         ("scenarios", "writers.toml", lambda _: 'title = "u"', b'title = "t"', "stable"),
