--- a/coveport/sidecar/admin/__init__.py
+++ b/coveport/sidecar/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The second address, for staff: one line in, one answer out."""
+"""The second address: an operator's commands, a line each."""
--- a/coveport/sidecar/admin/codec.py
+++ b/coveport/sidecar/admin/codec.py
@@ -1,15 +1,17 @@
-"""The console's lines as bytes: what a caller asks, what it is answered. No I/O."""
+"""The admin protocol's lines as bytes: commands in, acknowledgements out. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from enum import Enum
 
-MOST_LINE = 64  # bytes; the longest call has eight
+from coveport.sidecar.admin.errors import BadCommandError
 
+MAX_LINE_BYTES = 64  # the longest command has eight
 
-class Call(Enum):
-    """What staff may ask."""
+
+class Command(Enum):
+    """What operators may send."""
 
     PING = "PING"
     INFO = "INFO"
@@ -17,35 +19,32 @@
     REJOIN = "REJOIN"
 
 
-class BadCallError(Exception):
-    """What came is no call; its text is the reason that the caller is told."""
-
-
-def read_call(held: bytes | bytearray, ended: bool = False) -> Call | None:
-    """The call that a connection's bytes make; None until its line is whole, BadCallError where it is none.
+def read_command(buffer: bytes | bytearray, *, is_eof: bool = False) -> Command | None:
+    """Return the command that a connection's bytes make, or None until its line is complete.
 
-    `ended`: nothing more will come.
+    Raises BadCommandError where there can't be one. `is_eof`: nothing more will come.
     """
-    line, end, _ = bytes(held[: MOST_LINE + 2]).partition(b"\n")
-    if not end:
-        # Guards against a line without an end, which would be held for ever.
-        if len(held) > MOST_LINE:
-            raise BadCallError(f"a call has {MOST_LINE} bytes at most")
-        if ended:
-            raise BadCallError("half a line; a call ends with a line feed")
+    line, line_feed, _ = bytes(buffer[: MAX_LINE_BYTES + 2]).partition(b"\n")
+    if not line_feed:
+        # Guards against a line without an end, which would be buffered for ever.
+        if len(buffer) > MAX_LINE_BYTES:
+            raise BadCommandError(f"a call has {MAX_LINE_BYTES} bytes at most")
+        if is_eof:
+            raise BadCommandError("half a line; a call ends with a line feed")
         return None
     try:
-        return Call(line.removesuffix(b"\r").strip(b" ").decode("ascii"))
+        return Command(line.removesuffix(b"\r").strip(b" ").decode("ascii"))
     except ValueError:
-        raise BadCallError(f"unknown call; known: {' '.join(one.value for one in Call)}") from None
+        known = " ".join(command.value for command in Command)
+        raise BadCommandError(f"unknown call; known: {known}") from None
 
 
-def write_yes(rows: Iterable[str] | None = None) -> bytes:
-    """The answer to a call that was done; `rows`: what it tells, closed by a line `--`."""
+def write_ack(rows: Iterable[str] | None = None) -> bytes:
+    """Return the acknowledgement of a command; `rows`: what it reports, closed by a line `--`."""
     lines = ["ACK"] if rows is None else ["ACK", *rows, "--"]
     return "".join(f"{line}\n" for line in lines).encode()
 
 
-def write_no(reason: str) -> bytes:
-    """The answer to a call that was not done, and why."""
+def write_nak(reason: str) -> bytes:
+    """Return the refusal of a command, with its reason."""
     return f"NAK {reason}\n".encode()
--- a/coveport/sidecar/admin/server.py
+++ b/coveport/sidecar/admin/server.py
@@ -1,4 +1,4 @@
-"""The console's listener: a few callers at a time, one line each, an answer and a close."""
+"""The admin listener: a few connections at a time, one command each, an answer and a close."""
 
 from __future__ import annotations
 
@@ -9,73 +9,76 @@
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net
 from coveport.sidecar.admin import codec
-from coveport.sidecar.admin.codec import Call
+from coveport.sidecar.admin.codec import Command
+from coveport.sidecar.admin.errors import BadCommandError
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
 
-SILENT_S = 2.0  # how long a caller may take to send its line
-FRESH_S = 0.1  # how long who has just come, or has just been answered, is not taken for somebody who stays
-LINGER_S = 0.5  # how long a caller may take to take its answer and go
-WAITING_MOST = 64  # callers that may wait to be accepted
-ACCEPT_MOST = 8  # callers accepted in one turn of the loop
+COMMAND_TIMEOUT_S = 2.0  # from the connect until the command's line is complete
+FRESH_S = 0.1  # a connection just made, or just answered, is not closed for others within this
+LINGER_S = 0.5  # for an operator to read the answer and close
+MAX_PENDING_ACCEPTS = 64  # connections that may wait to be accepted
+ACCEPTS_PER_TURN = 8  # of the loop
 
 _INBOX = memoryview(bytearray(4096))  # shared: what is read is taken out before the next read
 
-Done = str | Iterable[str] | None
-"""What came of a call: a reason why not, rows that it tells, or None: done."""
+CommandResult = str | Iterable[str] | None
+"""What a command returns: the reason of a refusal, rows to report, or None: done."""
 
 
-class _Caller(asyncio.BufferedProtocol):
-    """One caller's connection."""
+class _Connection(asyncio.BufferedProtocol):
+    """One operator's connection."""
 
-    def __init__(self, console: Console) -> None:
-        self._console = console
-        self._held = bytearray()
+    def __init__(self, server: AdminServer) -> None:
+        self._server = server
+        self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self.answered = False
-        self.since = 0.0  # when it came, or had its answer
+        self._is_answered = False
+        self.since = 0.0  # when it was made, or answered
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self.since = self._console.net.now_s()
-        self._timer = self._console.net.loop.call_later(SILENT_S, self._silent)
-        self._console.came(self)
+        self.since = self._server.net.now_s()
+        self._timer = self._server.net.loop.call_later(COMMAND_TIMEOUT_S, self._time_out)
+        self._server.add(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return _INBOX
 
     def buffer_updated(self, nbytes: int) -> None:
-        if not self.answered:  # what comes behind the line is read and thrown away
-            self._held += _INBOX[:nbytes]
-            self._look(ended=False)
+        if not self._is_answered:  # what follows the line is read and dropped
+            self._buffer += _INBOX[:nbytes]
+            self._read_command(is_eof=False)
 
     def eof_received(self) -> bool:
-        if self.answered:
+        if self._is_answered:
             return False
-        self._look(ended=True)
-        return True  # a caller that has sent its line and ended still reads
+        self._read_command(is_eof=True)
+        return True  # who has sent a line and ended still reads
 
-    def _look(self, ended: bool) -> None:
+    def _read_command(self, *, is_eof: bool) -> None:
         try:
-            call = codec.read_call(self._held, ended)
-        except codec.BadCallError as problem:
-            self._answer(codec.write_no(str(problem)))
+            command = codec.read_command(self._buffer, is_eof=is_eof)
+        except BadCommandError as error:
+            self._answer(codec.write_nak(str(error)))
             return
-        if call is not None:
-            self._answer(self._console.answer(call))
+        if command is not None:
+            self._answer(self._server.execute(command))
 
-    def _silent(self) -> None:
-        self._answer(codec.write_no("no line came"))
+    def _time_out(self) -> None:
+        self._answer(codec.write_nak("no line came"))
 
     def _answer(self, data: bytes) -> None:
-        self.answered, self.since = True, self._console.net.now_s()
-        self._console.answered(self)
-        assert self._timer is not None and self._transport is not None
+        self._is_answered = True
+        self.since = self._server.net.now_s()
+        self._server.mark_answered(self)
+        assert self._timer is not None
+        assert self._transport is not None
         self._timer.cancel()
-        self._timer = self._console.net.loop.call_later(LINGER_S, self.close)
-        # Guards against a caller that has gone meanwhile.
+        self._timer = self._server.net.loop.call_later(LINGER_S, self.close)
+        # Guards against an operator that has disconnected meanwhile.
         with contextlib.suppress(OSError):
             self._transport.write(data)
             self._transport.write_eof()
@@ -83,86 +86,93 @@
     def connection_lost(self, exc: Exception | None) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._console.gone(self)
+        self._server.remove(self)
 
     @property
-    def quiet(self) -> bool:
-        """Whether nothing of it waits to be read."""
-        return self._transport is not None and self._console.net.is_quiet(self._transport)
+    def is_quiet(self) -> bool:
+        """Whether nothing waits to be read."""
+        return self._transport is not None and self._server.net.is_quiet(self._transport)
 
     def close(self) -> None:
         """Close at once."""
-        self._console.gone(self)
+        self._server.remove(self)
         if self._transport is not None:
             self._transport.abort()
 
 
-class Console:
-    """Takes callers in, and has each call done by who can; decides nothing.
+class AdminServer:
+    """Accepts operators and has their commands executed; decides nothing.
 
-    `most`: callers at a time, not counting those of the last moment. `calls`: what does each call; an
-    exception there is answered with a no.
+    `max_connections`: at a time, not counting those of the last moment. `commands`: what executes each; an
+    exception there is answered with a refusal.
     """
 
     def __init__(
-        self, net: Net, counters: Counters, log: Log, *, most: int, calls: Mapping[Call, Callable[[], Done]]
+        self,
+        net: Net,
+        counters: Counters,
+        log: Log,
+        *,
+        max_connections: int,
+        commands: Mapping[Command, Callable[[], CommandResult]],
     ) -> None:
         self.net = net
         self._counters = counters
         self._log = log
-        self._most = most
-        self._calls = calls
-        self._silent: dict[_Caller, None] = {}  # who has not asked yet, the longest connected first
-        self._leaving: dict[_Caller, None] = {}  # who has its answer
-        self._server: Listening | None = None
+        self._max_connections = max_connections
+        self._commands = commands
+        self._waiting: dict[_Connection, None] = {}  # without a command yet, the longest connected first
+        self._answered: dict[_Connection, None] = {}
+        self._listening: Listening | None = None
 
     async def open(self, address: Address) -> int:
-        """Listen; the port that was bound. OSError where that can't be."""
-        self._server = await self.net.listen(
-            lambda: _Caller(self), address, accept_most=ACCEPT_MOST, waiting_most=WAITING_MOST
+        """Listen and return the port that was bound; OSError where that can't be."""
+        self._listening = await self.net.listen(
+            lambda: _Connection(self),
+            address,
+            accept_most=ACCEPTS_PER_TURN,
+            waiting_most=MAX_PENDING_ACCEPTS,
         )
-        return self._server.port
-
-    def came(self, caller: _Caller) -> None:
-        """Somebody calls; where there are too many, one goes: who has its answer, or the longest silent."""
-        # Guards against callers that stay without a word: they would keep others waiting. Of those that have
-        # just come the line is on its way, so they are let be up to twice as many.
-        count = len(self._silent) + len(self._leaving)
-        if count >= self._most:
+        return self._listening.port
+
+    def add(self, connection: _Connection) -> None:
+        """Add a connection; where there are too many, close an answered one or the longest silent."""
+        # Guards against operators that stay connected without a command: they would keep others out. The line
+        # of those that have just connected is on its way, so up to twice as many are left alone.
+        count = len(self._waiting) + len(self._answered)
+        if count >= self._max_connections:
             before = self.net.now_s() - FRESH_S
-            going = next(
-                (one for one in (*self._leaving, *self._silent) if one.since < before and one.quiet), None
-            )
-            if going is None and count >= 2 * self._most:
-                going = next(iter(self._silent or self._leaving))
-            if going is not None:
-                going.close()
-        self._silent[caller] = None
-
-    def answered(self, caller: _Caller) -> None:
-        """A caller has its answer."""
-        self._silent.pop(caller, None)
-        self._leaving[caller] = None
-
-    def gone(self, caller: _Caller) -> None:
-        """A caller's connection is gone."""
-        self._silent.pop(caller, None)
-        self._leaving.pop(caller, None)
-
-    def answer(self, call: Call) -> bytes:
-        """Have a call done."""
-        self._counters.add(f"console_{call.value.lower()}")
+            candidates = (*self._answered, *self._waiting)
+            closing = next((each for each in candidates if each.since < before and each.is_quiet), None)
+            if closing is None and count >= 2 * self._max_connections:
+                closing = next(iter(self._waiting or self._answered))
+            if closing is not None:
+                closing.close()
+        self._waiting[connection] = None
+
+    def mark_answered(self, connection: _Connection) -> None:
+        """Note that a connection has its answer."""
+        self._waiting.pop(connection, None)
+        self._answered[connection] = None
+
+    def remove(self, connection: _Connection) -> None:
+        """Remove a connection that is gone."""
+        self._waiting.pop(connection, None)
+        self._answered.pop(connection, None)
+
+    def execute(self, command: Command) -> bytes:
+        """Execute a command and return its answer."""
+        self._counters.add(f"console_{command.value.lower()}")
         try:
-            done = self._calls[call]()
-        except Exception as problem:
-            # Guards against a fault in a figure: the caller hears of it, and everything else goes on.
-            self._log.note("console", f"{call.value}: {problem!r}")
-            return codec.write_no(f"a fault: {type(problem).__name__}")
-        return codec.write_no(done) if isinstance(done, str) else codec.write_yes(done)
+            result = self._commands[command]()
+        except Exception as error:  # noqa: BLE001  # a fault in any figure is answered; everything else goes on
+            self._log.note("console", f"{command.value}: {error!r}")
+            return codec.write_nak(f"a fault: {type(error).__name__}")
+        return codec.write_nak(result) if isinstance(result, str) else codec.write_ack(result)
 
     def close(self) -> None:
-        """Stop listening; who is there is cut off."""
-        if self._server is not None:
-            self._server.close()
-        for caller in [*self._silent, *self._leaving]:
-            caller.close()
+        """Stop listening; close all connections."""
+        if self._listening is not None:
+            self._listening.close()
+        for connection in [*self._waiting, *self._answered]:
+            connection.close()
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -13,8 +13,8 @@
 from coveport import balancing
 from coveport.net.address import Address
 from coveport.net.transport import Net
-from coveport.sidecar.admin.codec import Call
-from coveport.sidecar.admin.server import Console, Done
+from coveport.sidecar.admin.codec import Command
+from coveport.sidecar.admin.server import AdminServer, CommandResult
 from coveport.sidecar.config import platform as configuration
 from coveport.sidecar.config.errors import PlatformFileError
 from coveport.sidecar.downstream.limits import DRAIN_DELAY_S
@@ -97,28 +97,28 @@
         if life.enter(Phase.DRAINING):
             stop.set()
 
-    def ping() -> Done:
+    def ping() -> CommandResult:
         return None if life.ready else f"not ready: {life.phase.value}"
 
-    def info() -> Done:
+    def info() -> CommandResult:
         return counters.told()
 
-    def lameduck() -> Done:
+    def lameduck() -> CommandResult:
         if life.phase is Phase.LAMEDUCK or life.enter(Phase.LAMEDUCK):
             return None
         return f"not serving: {life.phase.value}"
 
-    def rejoin() -> Done:
+    def rejoin() -> CommandResult:
         if life.phase is Phase.SERVING or (life.phase is Phase.LAMEDUCK and life.enter(Phase.SERVING)):
             return None
         return f"no way back: {life.phase.value}"
 
-    console = Console(
+    admin = AdminServer(
         net,
         counters,
         log,
-        most=callers(config.sockets),
-        calls={Call.PING: ping, Call.INFO: info, Call.LAMEDUCK: lameduck, Call.REJOIN: rejoin},
+        max_connections=callers(config.sockets),
+        commands={Command.PING: ping, Command.INFO: info, Command.LAMEDUCK: lameduck, Command.REJOIN: rejoin},
     )
 
     def reload() -> None:
@@ -146,7 +146,7 @@
 
     effects.know()
     effects.endpoint_list.start()
-    if config.console is not None and await _open(net, log, console.open, config.console) is not None:
+    if config.console is not None and await _open(net, log, admin.open, config.console) is not None:
         log.say(f"{config.name}: staff call at {config.console[0]}:{config.console[1]}")
     # Where another serves here already, it goes on until we are ready: clients would find us with no list.
     beside = net.is_taken(config.listen)
@@ -172,7 +172,7 @@
     effects.endpoint_list.close()
     effects.destinations.close()
     listener.close()
-    console.close()
+    admin.close()
     life.enter(Phase.STOPPED)
     figures()
     return 0
--- a/tests/sidecar/admin/test_admin.py
+++ b/tests/sidecar/admin/test_admin.py
@@ -13,7 +13,8 @@
 from simulated import Conn, Server, World, ground, now, sleep, wait_for, world
 from world import CLASSES, SILENT, Seen, receive, request, served
 
-from coveport.sidecar.admin.codec import BadCallError, Call, read_call, write_no, write_yes
+from coveport.sidecar.admin.codec import Command, read_command, write_ack, write_nak
+from coveport.sidecar.admin.errors import BadCommandError
 from coveport.sidecar.telemetry.counters import Counters
 
 CONSOLE = ("127.0.0.1", 9100)
@@ -61,15 +62,15 @@
 @pytest.mark.parametrize(
     ("line", "found"),
     [
-        (b"PING\n", Call.PING),
-        (b"INFO\r\nmore", Call.INFO),
+        (b"PING\n", Command.PING),
+        (b"INFO\r\nmore", Command.INFO),
         (b"PIN", None),
         (b"", None),
-        (b"REJOIN \n", Call.REJOIN),
+        (b"REJOIN \n", Command.REJOIN),
     ],
 )
-def test_a_call_is_one_line(line: bytes, found: Call | None) -> None:
-    assert read_call(line) is found
+def test_a_call_is_one_line(line: bytes, found: Command | None) -> None:
+    assert read_command(line) is found
 
 
 @pytest.mark.parametrize(
@@ -86,13 +87,13 @@
     ],
 )
 def test_what_is_no_call_is_answered_with_a_reason(line: bytes, ended: bool) -> None:
-    with pytest.raises(BadCallError) as told:
-        read_call(line, ended)
-    assert write_no(str(told.value)).startswith(b"NAK ") and b"\n" not in write_no(str(told.value))[:-1]
+    with pytest.raises(BadCommandError) as told:
+        read_command(line, is_eof=ended)
+    assert write_nak(str(told.value)).startswith(b"NAK ") and b"\n" not in write_nak(str(told.value))[:-1]
 
 
 def test_what_is_told_ends_with_two_dashes() -> None:
-    assert (write_yes(), write_yes(["a=1"])) == (b"ACK\n", b"ACK\na=1\n--\n")
+    assert (write_ack(), write_ack(["a=1"])) == (b"ACK\n", b"ACK\na=1\n--\n")
 
 
 def test_the_registry_asks_gauges_and_keeps_the_counts_of_a_class_that_went() -> None:
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -22,7 +22,8 @@
 coveport.http1.messages coveport.http1.request_parser coveport.http1.response_parser
 coveport.http1.writers coveport.net coveport.net.address coveport.net.clock
 coveport.net.sockets coveport.net.transport coveport.sidecar coveport.sidecar.admin
-coveport.sidecar.admin.codec coveport.sidecar.admin.server coveport.sidecar.config
+coveport.sidecar.admin.codec coveport.sidecar.admin.errors coveport.sidecar.admin.server
+coveport.sidecar.config
 coveport.sidecar.config.errors coveport.sidecar.config.platform coveport.sidecar.config.reload_checks
 coveport.sidecar.discovery
 coveport.sidecar.discovery.discovery_client coveport.sidecar.discovery.discovery_connection
