--- a/benchmarks/fence_gap.py
+++ b/benchmarks/fence_gap.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 
 from coveport.sidecar.intent_log.pending_operation import PendingOperation
-from coveport.sidecar.upstream.route_step import RouteStep
+from coveport.sidecar.upstream.attempt import Attempt
 
 GAPS = HdrHistogram(1, 60_000_000, 3)  # us
 
@@ -25,7 +25,7 @@
 def main() -> None:
     """See the head of this file."""
     file = Path(sys.argv[1])
-    is_send_allowed, hand = PendingOperation.is_send_allowed, RouteStep.hand
+    is_send_allowed, mark_sent = PendingOperation.is_send_allowed, Attempt.mark_sent
     looked = [0.0]
 
     def looks(pending: PendingOperation, now_s: float) -> bool:
@@ -33,12 +33,12 @@
         looked[0] = time.perf_counter()
         return may
 
-    def handed(step: RouteStep) -> None:
-        if step.fence is not None:
+    def marked_sent(attempt: Attempt) -> None:
+        if attempt.fence is not None:
             GAPS.record_value(max(1, round((time.perf_counter() - looked[0]) * 1e6)))
-        hand(step)
+        mark_sent(attempt)
 
-    PendingOperation.is_send_allowed, RouteStep.hand = looks, handed  # type: ignore[method-assign]
+    PendingOperation.is_send_allowed, Attempt.mark_sent = looks, marked_sent  # type: ignore[method-assign]
     atexit.register(
         lambda: file.write_text(
             json.dumps(
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -34,7 +34,7 @@
 from coveport.sidecar.leases.store import Entry
 from coveport.sidecar.recording import Recording
 from coveport.sidecar.reducer import messages as core
-from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.endpoint import EndpointAddress
 from coveport.sidecar.reducer.phases import Lifecycle, Phase
 from coveport.sidecar.service import serve
 from coveport.sidecar.singletons.drill import Drill
@@ -52,7 +52,7 @@
 from coveport.sidecar.supervisor.log_stream import StreamLog, stream_logger
 from coveport.sidecar.telemetry.counters import ENDS, ended
 from coveport.sidecar.telemetry.log import Log
-from coveport.sidecar.upstream.route_step import StepResult
+from coveport.sidecar.upstream.attempt import AttemptResult
 
 YIELD = "ask/yield/"
 FARES_S = 1.0  # how often an instance looks how it fares
@@ -183,7 +183,7 @@
         if self._health_checks is not None:
             effects.looks = self
         if self._agent is not None:
-            self._agent.attach(effects, life, lambda: effects.destinations.places)
+            self._agent.attach(effects, life, lambda: effects.connection_pool.endpoints)
         self.lease_client.publish_status(self._fares())
 
     def _phase(self, phase: Phase) -> None:
@@ -352,7 +352,7 @@
     def _nodes(self) -> dict[str, int]:
         """Names that all instances give to the destinations, and our own numbers of them."""
         assert self._effects is not None
-        return {_named(place): number for number, place in self._effects.destinations.places.items()}
+        return {_named(place): number for number, place in self._effects.connection_pool.endpoints.items()}
 
     async def _look_by_turns(self, health_checks: SharedHealthChecks) -> None:
         while True:
@@ -369,7 +369,7 @@
         timeout_s = 2 * self._config.settings.limits.connect_timeout_ms / 1000
         health_checks.check_started(started, node)
 
-        def done(result: StepResult) -> None:
+        def done(result: AttemptResult) -> None:
             took = (boot_s() - started) * 1000
             effects.feed(core.HealthCheckEnded(number, result.outcome, took, result.load))
             ok = result.outcome is balancing.Outcome.OK
@@ -378,7 +378,7 @@
                 self.lease_client.publish(RESULT_PREFIX + node, published)
 
         effects.counters.add("probes_by_turn")
-        effects.destinations.send(number, None, timeout_s, done)
+        effects.connection_pool.send(number, None, timeout_s, done)
 
     def look(self, destination: int) -> core.HealthCheckEnded | None:
         """Another's look at a destination that the module wishes to look at; None: look yourself."""
@@ -397,7 +397,7 @@
 
     def _name_of(self, destination: int) -> str:
         assert self._effects is not None
-        place = self._effects.destinations.places.get(destination)
+        place = self._effects.connection_pool.endpoints.get(destination)
         return "" if place is None else _named(place)
 
 
@@ -406,7 +406,7 @@
     return SafeLoad(rules.cold_from, rules.warm_after_ms / 1000, rules.overload_factor, rules.fall_ms / 1000)
 
 
-def _named(place: Place) -> str:
+def _named(place: EndpointAddress) -> str:
     """A name that all instances give a destination: its address and when it was started."""
     (host, port), born = place
     return f"{host}:{port}@{born:.0f}"
--- a/coveport/sidecar/discovery/endpoint_list_reader.py
+++ b/coveport/sidecar/discovery/endpoint_list_reader.py
@@ -10,7 +10,7 @@
 from coveport import balancing
 from coveport.net.address import Address, parse_address
 from coveport.sidecar.discovery.errors import EndpointListError
-from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.endpoint import EndpointAddress
 
 _STATES = {
     "active": balancing.EndpointState.READY,
@@ -24,7 +24,7 @@
     """A list as read: for the balancer, and each endpoint's address and start (None: gone) by its number."""
 
     update: balancing.EndpointUpdate
-    places: list[tuple[int, Place | None]]
+    endpoints: list[tuple[int, EndpointAddress | None]]
 
 
 class _Line(NamedTuple):
@@ -67,7 +67,7 @@
         if kind is None:
             kind = balancing.EndpointUpdateKind.FULL if is_full else balancing.EndpointUpdateKind.DELTA
         entries = []
-        places = list[tuple[int, Place | None]]()
+        endpoints = list[tuple[int, EndpointAddress | None]]()
         gone = set[str]()
         for line in lines:
             number = self._endpoint_numbers.setdefault(line.name, self._last_endpoint + 1)
@@ -77,15 +77,15 @@
             entries.append(balancing.Endpoint(number, *locality, line.state, line.weight, line.started_ms))
             if line.state is balancing.EndpointState.GONE:
                 gone.add(line.name)
-                places.append((number, None))
+                endpoints.append((number, None))
             else:
-                places.append((number, (line.address, line.started_ms)))
+                endpoints.append((number, (line.address, line.started_ms)))
         if self.on_list is not None and kind is not balancing.EndpointUpdateKind.CACHED:
             self.on_list(data, kind is balancing.EndpointUpdateKind.FULL)
         if kind is not balancing.EndpointUpdateKind.DELTA:
             gone |= self._endpoint_numbers.keys() - {line.name for line in lines}
         self._forget(gone)
-        return EndpointListUpdate(balancing.EndpointUpdate(kind, tuple(entries), version), places)
+        return EndpointListUpdate(balancing.EndpointUpdate(kind, tuple(entries), version), endpoints)
 
     def _forget(self, gone: set[str]) -> None:
         # Guards against tables that only grow: endpoints are replaced all day, under new names.
--- a/coveport/sidecar/downstream/client_connection.py
+++ b/coveport/sidecar/downstream/client_connection.py
@@ -31,7 +31,7 @@
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.reducer.streams import MOST_BODY, Upload
-from coveport.sidecar.upstream.route_step import RouteStep
+from coveport.sidecar.upstream.attempt import Attempt
 
 HEALTH_PATH = "/_health"
 
@@ -51,7 +51,7 @@
         self._operation: int | None = None  # the number of the one that waits for its response
         self._upload: Upload | None = None  # the streamed request body that is coming in
         self._upload_timing = UploadTiming(0.0)
-        self._response_source: RouteStep | None = None  # of the streamed response that is being written
+        self._response_source: Attempt | None = None  # of the streamed response that is being written
         self._is_response_chunked = False
         self._unsent_bytes = 0  # of responses, when last counted
         self._keep_alive = True
@@ -273,7 +273,7 @@
         if self._parser.is_mid_message:
             self._context.net.loop.call_soon(self._read_requests)
 
-    def begin(self, answer: Answer, source: RouteStep) -> None:
+    def begin(self, answer: Answer, source: Attempt) -> None:
         """Begin the one final response, a streamed one: its data come from `source`."""
         self._response_source = source
         self._is_response_chunked = answer.length is None and not self._parser.is_http10
--- a/coveport/sidecar/downstream/context.py
+++ b/coveport/sidecar/downstream/context.py
@@ -15,7 +15,7 @@
 from coveport.sidecar.reducer.streams import Budget
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
-from coveport.sidecar.upstream.route_step import RouteStep
+from coveport.sidecar.upstream.attempt import Attempt
 
 RequestClasses = dict[str, tuple[int, balancing.Effect]]
 """The number and effect of each class of requests by its name, which is the first part of the path."""
@@ -24,7 +24,7 @@
 class OperationClient(Protocol):
     """Who has submitted an operation and waits for its response."""
 
-    def begin(self, answer: Answer, source: RouteStep) -> None:
+    def begin(self, answer: Answer, source: Attempt) -> None:
         """Begin a streamed response."""
 
     def more(self, data: bytes) -> None:
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -21,9 +21,9 @@
 from coveport.sidecar.reducer.reducer import Reducer
 from coveport.sidecar.telemetry.counters import Counters, ended
 from coveport.sidecar.telemetry.log import Log
-from coveport.sidecar.upstream.connection_pool import Destinations
+from coveport.sidecar.upstream.attempt import LOOP_TURNS_S, Attempt, AttemptResult
+from coveport.sidecar.upstream.connection_pool import ConnectionPool
 from coveport.sidecar.upstream.protocol import Dial
-from coveport.sidecar.upstream.route_step import TURNS_S, RouteStep, StepResult
 
 # Of the shortest aim: a connection that takes longer leaves no time for a second try, which is harmless, as
 # nothing has run. Machines that vanish refuse nothing; they only show by connections that never come up.
@@ -64,7 +64,7 @@
 class Asker(Protocol):
     """The client side of a protocol: whoever has brought an operation and waits for its answer."""
 
-    def begin(self, answer: Answer, source: RouteStep) -> None:
+    def begin(self, answer: Answer, source: Attempt) -> None:
         """The one final answer begins: a long one, passed on as it comes from the source."""
 
     def more(self, data: bytes) -> None:
@@ -113,7 +113,7 @@
 class _Gate:
     """A route step that waits to be written down."""
 
-    def __init__(self, done: Callable[[StepResult], None]) -> None:
+    def __init__(self, done: Callable[[AttemptResult], None]) -> None:
         self._done = done
         self.over = False
 
@@ -121,7 +121,7 @@
         """Give it up: nothing was sent."""
         if not self.over:
             self.over = True
-            self._done(StepResult(balancing.Outcome.MOOT))
+            self._done(AttemptResult(balancing.Outcome.MOOT))
 
 
 @dataclass(slots=True)
@@ -132,7 +132,7 @@
     asked: Operation
     cls: str  # the name of its class when it came
     guard: asyncio.TimerHandle | None = None
-    steps: dict[int, RouteStep | _Gate] = field(default_factory=dict)
+    steps: dict[int, Attempt | _Gate] = field(default_factory=dict)
     answered: bool = False
     passing: bool = False  # a long answer is being passed on
     taken: bool = True  # its last byte has come
@@ -169,14 +169,14 @@
         self._open: dict[int, _Open] = {}
         self._beat_ms = self._clock.now_ms()
         self._beating: asyncio.TimerHandle | None = None  # set while anything is open
-        self.destinations = Destinations(
+        self.connection_pool = ConnectionPool(
             net,
             counters,
             log,
             dial,
             keepalive_ms=config.keepalive_ms,
             connect_timeout_ms=connect_timeout_ms(config.settings),
-            most_links=descriptors(config.sockets)[1],
+            max_connections=descriptors(config.sockets)[1],
         )
         self._reader = EndpointListReader(config.zones)
         self.endpoint_list = EndpointListSource(
@@ -208,10 +208,9 @@
         except EndpointListError as problem:
             self._log.note("endpoint list", f"the known list is garbled: {problem}")
             return
-        if update.places:
-            self.endpoint_list.resume_from(
-                update.update.version
-            )  # before the module is told, which may ask at once
+        if update.endpoints:
+            # Before the balancer is told, which may ask at once.
+            self.endpoint_list.resume_from(update.update.version)
         self._place(update)
 
     @property
@@ -222,7 +221,7 @@
     @property
     def tables(self) -> dict[str, int]:
         """How many entries each table has, for whoever looks whether one only grows."""
-        return {**self._reducer.tables, "open": len(self._open), **self.destinations.tables}
+        return {**self._reducer.tables, "open": len(self._open), **self.connection_pool.tables}
 
     @property
     def service_ms(self) -> float:
@@ -347,7 +346,7 @@
 
     def place_of(self, destination: int) -> tuple[str, int, int]:
         """Address, zone and cell of a destination."""
-        host, port = self.destinations.address(destination) or ("", 0)
+        host, port = self.connection_pool.address(destination) or ("", 0)
         return (f"{host}:{port}", *self._reducer.place_of(destination))
 
     def told(self, update: EndpointListUpdate | None) -> None:
@@ -361,7 +360,9 @@
 
     def _place(self, update: EndpointListUpdate) -> None:
         # First: what is held goes to a new destination, or to one's new address, as soon as the module knows.
-        self.destinations.place(update.places, update.update.kind is not balancing.EndpointUpdateKind.DELTA)
+        self.connection_pool.update_endpoints(
+            update.endpoints, complete=update.update.kind is not balancing.EndpointUpdateKind.DELTA
+        )
         if (
             update.update.entries
             or update.update.kind is not balancing.EndpointUpdateKind.DELTA
@@ -399,7 +400,8 @@
         )
         for one in settings.classes:
             self.counters.name_class(one.name)
-        self.destinations.connect_timeout_s = connect_timeout_ms(settings) / 1000  # the module counts with it
+        # The balancer counts with it from now on.
+        self.connection_pool.connect_timeout_s = connect_timeout_ms(settings) / 1000
         changed = settings != before.settings
         self._config = replace(before, settings=settings)
         self.feed(core.ConfigurationReloaded(config.discovery, settings if changed else None))
@@ -440,7 +442,7 @@
         opened = self._open[effect.operation]
         self.counters.add("route_steps")
 
-        def done(result: StepResult) -> None:
+        def done(result: AttemptResult) -> None:
             opened.steps.pop(effect.step, None)
             self.counters.add(f"outcome_{result.outcome.name.lower()}")
             if self.looks is not None:
@@ -452,7 +454,7 @@
             )
             self._forget(effect.operation)
 
-        def began(_step: RouteStep, answer: Answer) -> Asker | None:
+        def began(_step: Attempt, answer: Answer) -> Asker | None:
             self.feed(core.AnswerStarted(effect.operation, effect.step, answer))
             return opened.client if opened.passing else None
 
@@ -461,7 +463,7 @@
 
         asked_ms = self._clock.now_ms()
 
-        def send(written: Callable[[], bool] | None = None) -> RouteStep:
+        def send(written: Callable[[], bool] | None = None) -> Attempt:
             begun_ms = self._clock.now_ms()
 
             def fence() -> bool:
@@ -471,14 +473,14 @@
                     return False
                 # Guards against such a stall between the decision and the connection: a repeat would come
                 # after its window, anything to a destination that has long begun to drain.
-                connect_ms = 1000 * (self.destinations.connect_timeout_s + TURNS_S)
+                connect_ms = 1000 * (self.connection_pool.connect_timeout_s + LOOP_TURNS_S)
                 late_ms = self._clock.now_ms() - begun_ms - connect_ms
                 if late_ms > (REPEAT_LATE_MS if effect.step else LATE_MS):
                     return False
                 return written is None or written()
 
             left_ms = effect.timeout_ms - (self._clock.now_ms() - asked_ms)
-            return self.destinations.send(
+            return self.connection_pool.send(
                 effect.destination, opened.asked, max(left_ms, 1.0) / 1000, done, began, handed, fence
             )
 
@@ -512,7 +514,7 @@
         timeout_s = 2 * self._config.settings.limits.connect_timeout_ms / 1000
         self.counters.add("probes")
 
-        def done(result: StepResult) -> None:
+        def done(result: AttemptResult) -> None:
             self.counters.add(f"probe_{result.outcome.name.lower()}")
             self.feed(
                 core.HealthCheckEnded(
@@ -520,7 +522,7 @@
                 )
             )
 
-        self.destinations.send(destination, None, timeout_s, done)
+        self.connection_pool.send(destination, None, timeout_s, done)
 
     def _answer(self, effect: core.SendAnswer) -> None:
         opened = self._open[effect.operation]
@@ -542,7 +544,7 @@
         opened = self._open[effect.operation]
         opened.passing = opened.client is not None
         source = opened.steps[effect.step]
-        if opened.client is not None and isinstance(source, RouteStep):
+        if opened.client is not None and isinstance(source, Attempt):
             opened.client.begin(effect.answer, source)
         if opened.guard is not None:
             opened.guard.cancel()
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -86,7 +86,7 @@
                 phase=life.phase.value,
                 owed=effects.owed,
                 clients=len(listener.clients),
-                links=effects.destinations.count,
+                links=effects.connection_pool.count,
                 tables={"clients": len(listener.clients), **effects.tables},
             )
         )
@@ -157,7 +157,7 @@
     while (
         not stop.is_set()
         and not effects.has_list
-        and not (effects.destinations.known and net.now_s() >= known_will_do)
+        and not (effects.connection_pool.known and net.now_s() >= known_will_do)
     ):
         await asyncio.sleep(STEP_S)
     if beside and not stop.is_set() and not await _listen(config, net, log, listener):
@@ -170,7 +170,7 @@
     while effects.owed or len(listener.clients):
         await asyncio.sleep(STEP_S)
     effects.endpoint_list.close()
-    effects.destinations.close()
+    effects.connection_pool.close()
     listener.close()
     admin.close()
     life.enter(Phase.STOPPED)
--- a/coveport/sidecar/supervisor/snapshot_manager.py
+++ b/coveport/sidecar/supervisor/snapshot_manager.py
@@ -12,7 +12,7 @@
 from coveport.sidecar.config.platform import Config
 from coveport.sidecar.leases.clock import boot_id, boot_s
 from coveport.sidecar.reducer import messages as core
-from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.endpoint import EndpointAddress
 from coveport.sidecar.supervisor import snapshot
 from coveport.sidecar.supervisor.atomic_file import write_atomically
 from coveport.sidecar.supervisor.endpoint_table import EndpointTable
@@ -23,7 +23,7 @@
 MAX_EJECTIONS_AGE_S = 10.0  # of a snapshot whose ejections are taken over
 UNKNOWN_VERSION = -1  # older than any list's
 
-Destinations = Callable[[], Mapping[int, Place]]  # address and start time of each, by number
+Destinations = Callable[[], Mapping[int, EndpointAddress]]  # address and start time of each, by number
 
 
 class SnapshotManager:
--- a/coveport/sidecar/upstream/connection_pool.py
+++ b/coveport/sidecar/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to ledger nodes: connect, reuse, idle close, and one route step on each at a time."""
+"""The pool of connections to ledger nodes: connect, reuse, close when idle; one attempt on each at a time."""
 
 from __future__ import annotations
 
@@ -10,20 +10,23 @@
 from coveport.balancing import Outcome
 from coveport.net.address import Address
 from coveport.net.transport import Net
-from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.endpoint import EndpointAddress
 from coveport.sidecar.reducer.operation import Operation
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
-from coveport.sidecar.upstream.protocol import Dial, Link
-from coveport.sidecar.upstream.route_step import NO_ROOM, Began, Done, RouteStep, StepResult
+from coveport.sidecar.upstream.attempt import Attempt, AttemptResult, Began, Done
+from coveport.sidecar.upstream.protocol import Connection, Dial
 
-IDLE_SHARE = 0.8  # part of the keep-alive limit after which we close: theirs must never come first
-RIPE_S = 0.01  # an idle connection has stood so long: some bring a second answer some ms behind the first
-SWEEP_S = 0.25  # idle connections are looked through no more often than this
+IDLE_SHARE = 0.8  # of the keep-alive limit after which we close: the destination must never close first
+REUSE_DELAY_S = 0.01  # before an idle connection is reused: some bring a second answer ms behind the first
+SWEEP_INTERVAL_S = 0.25  # shortest time between two searches for expired idle connections
+EVICTED_WHEN_EXHAUSTED = 16  # idle connections closed where the process has run out of descriptors
+# An attempt that never ran; that we are short of descriptors must not count against the destination.
+NO_DESCRIPTOR = Outcome.FULL
 
 
-class Destinations:
-    """All destinations that the pool config names, and the connections to them."""
+class ConnectionPool:
+    """The connections to all destinations that the pool config names."""
 
     def __init__(
         self,
@@ -34,7 +37,7 @@
         *,
         keepalive_ms: float,
         connect_timeout_ms: float,
-        most_links: int,
+        max_connections: int,
     ) -> None:
         self.net = net
         self.counters = counters
@@ -42,62 +45,60 @@
         self.dial = dial
         self.connect_timeout_s = connect_timeout_ms / 1000
         self._idle_s = keepalive_ms / 1000 * IDLE_SHARE
-        self._most = most_links
-        self._places: dict[int, Place] = {}
-        self._idle: dict[int, list[Link]] = {}  # by destination; the one used last at the end
-        self._by_age: OrderedDict[Link, None] = OrderedDict()  # all idle ones, the oldest first
-        self.links: dict[Link, None] = {}
+        self._max_connections = max_connections
+        self._endpoints: dict[int, EndpointAddress] = {}
+        self._idle: dict[int, list[Connection]] = {}  # by destination; the last used at the end
+        self._by_age: OrderedDict[Connection, None] = OrderedDict()  # all idle ones, oldest first
+        self.connections: dict[Connection, None] = {}
         self.opening = 0
         self._sweeper: asyncio.TimerHandle | None = None  # set while any connection is idle
 
-    def place(self, places: Iterable[tuple[int, Place | None]], whole: bool) -> None:
-        """Take in where destinations are (None: gone); `whole`: there are no others."""
-        told = dict(places)
-        stale = [number for number in self._places if whole and number not in told]
-        for number, place in [*told.items(), *((number, None) for number in stale)]:
-            if self._places.get(number) != place:
+    def update_endpoints(
+        self, changes: Iterable[tuple[int, EndpointAddress | None]], *, complete: bool
+    ) -> None:
+        """Apply a list of endpoints (None: gone); `complete`: there are no others."""
+        changed = dict(changes)
+        stale = [number for number in self._endpoints if complete and number not in changed]
+        for number, endpoint in [*changed.items(), *((number, None) for number in stale)]:
+            if self._endpoints.get(number) != endpoint:
                 # Guards against handing a connection on: one to a process that is gone is of no use, and
                 # whoever listens at its address now may be another destination.
-                for link in list(self._idle.get(number, ())):
-                    link.drop()
-            if place is None:
-                self._places.pop(number, None)
+                for connection in list(self._idle.get(number, ())):
+                    connection.drop()
+            if endpoint is None:
+                self._endpoints.pop(number, None)
             else:
-                self._places[number] = place
+                self._endpoints[number] = endpoint
 
     @property
     def known(self) -> bool:
         """Whether any destination is known."""
-        return bool(self._places)
+        return bool(self._endpoints)
 
     @property
     def count(self) -> int:
-        """How many connections there are, the ones being opened included."""
-        return len(self.links) + self.opening
+        """Number of connections, those being opened included."""
+        return len(self.connections) + self.opening
 
     @property
     def tables(self) -> dict[str, int]:
-        """How many entries each table has."""
+        """Number of entries in each table."""
         return {
-            "links": len(self.links),
+            "links": len(self.connections),
             "idle": len(self._by_age),
             "opening": self.opening,
-            "places": len(self._places),
+            "places": len(self._endpoints),
         }
 
-    def opened(self, _task: asyncio.Task[object]) -> None:
-        """An attempt to connect has ended, however it did."""
-        self.opening -= 1
-
     @property
-    def places(self) -> Mapping[int, Place]:
-        """Where each destination is, by its number."""
-        return self._places
+    def endpoints(self) -> Mapping[int, EndpointAddress]:
+        """The endpoint of each known destination, by its number."""
+        return self._endpoints
 
     def address(self, number: int) -> Address | None:
-        """Where a destination is, if it is known."""
-        place = self._places.get(number)
-        return place[0] if place is not None else None
+        """Return the address of a destination; None where it is not known."""
+        endpoint = self._endpoints.get(number)
+        return endpoint[0] if endpoint is not None else None
 
     def send(
         self,
@@ -106,103 +107,127 @@
         timeout_s: float,
         done: Done,
         began: Began | None = None,
-        handed: Callable[[], None] | None = None,
+        sent: Callable[[], None] | None = None,
         fence: Callable[[], bool] | None = None,
-    ) -> RouteStep:
-        """Begin a route step (None: a probe); `done` is called once, never before this returns.
+    ) -> Attempt:
+        """Start an attempt (None: a health check); `done` is called once, never before this returns.
 
-        `began`: a long answer begins. `handed`: the last byte of a long operation was handed over. `fence`:
-        asked right before the first byte, whether it may still go.
+        `began`, `sent` and `fence`: see `Attempt`.
         """
-        step = RouteStep(self, operation, timeout_s, done, began, handed, fence)
+        attempt = Attempt(self, operation, timeout_s, done, began, sent, fence)
         while idle := self._idle.get(number):
             # Guards against a close right behind an answer, which a reset would show too late, and against a
             # second answer right behind it, which would be taken for the next operation's.
             now = self.net.now_s()
-            link = next((one for one in reversed(idle) if one.idle_since <= now - RIPE_S), None)
-            if link is None:  # sooner ripe than another would be up
-                link = idle[0]
-                self._take(link)
-                self.net.loop.call_later(link.idle_since + RIPE_S - now, self._ripe, link, step)
-                return step
-            self._take(link)
-            if self._reuse(link, step):
-                return step
-        self._open(number, step)
-        return step
-
-    def _reuse(self, link: Link, step: RouteStep) -> bool:
-        """Send a route step on an idle connection; False, and it is closed, where that is of no use."""
-        if self.net.now_s() - link.idle_since < self._idle_s and link.quiet:
+            connection = next(
+                (found for found in reversed(idle) if found.idle_since <= now - REUSE_DELAY_S), None
+            )
+            if connection is None:  # its delay ends sooner than another connection would be up
+                connection = idle[0]
+                self._take(connection)
+                delay_s = connection.idle_since + REUSE_DELAY_S - now
+                self.net.loop.call_later(delay_s, self._reuse_delayed, connection, attempt)
+                return attempt
+            self._take(connection)
+            if self._reuse(connection, attempt):
+                return attempt
+        self._open(number, attempt)
+        return attempt
+
+    def _reuse(self, connection: Connection, attempt: Attempt) -> bool:
+        """Send an attempt on an idle connection; False, and it is closed, where that is of no use."""
+        if self.net.now_s() - connection.idle_since < self._idle_s and connection.quiet:
             self.counters.add("connections_reused")
-            link.carry(step)
+            connection.carry(attempt)
             return True
-        link.drop()
+        connection.drop()
         return False
 
-    def _ripe(self, link: Link, step: RouteStep) -> None:
-        """An idle connection that was kept for a route step has stood long enough."""
-        if step.over:
-            if link in self.links:
-                self._rest(link)
-        elif not (link in self.links and self._reuse(link, step)):
-            self._open(link.number, step)
-
-    def _open(self, number: int, step: RouteStep) -> None:
-        place = self._places.get(number)
-        if place is None:
-            self.net.loop.call_soon(step.end, StepResult(Outcome.CONNECT_FAILED))
+    def _reuse_delayed(self, connection: Connection, attempt: Attempt) -> None:
+        """Reuse a connection that was reserved for an attempt until its delay was over."""
+        if attempt.ended:
+            if connection in self.connections:
+                self._keep(connection)
+        elif not (connection in self.connections and self._reuse(connection, attempt)):
+            self._open(connection.number, attempt)
+
+    def _open(self, number: int, attempt: Attempt) -> None:
+        endpoint = self._endpoints.get(number)
+        if endpoint is None:
+            self.net.loop.call_soon(attempt.end, AttemptResult(Outcome.CONNECT_FAILED))
             return
-        # Guards against running out of descriptors: idle connections make room.
-        while self.count >= self._most and self._by_age:
-            self._shed()
-        if self.count >= self._most:
+        # Guards against running out of descriptors: idle connections are closed first.
+        while self.count >= self._max_connections and self._by_age:
+            self._evict()
+        if self.count >= self._max_connections:
             self.log.note("descriptors", f"{self.count} connections to destinations are all busy")
-            self.net.loop.call_soon(step.end, StepResult(NO_ROOM))
+            self.net.loop.call_soon(attempt.end, AttemptResult(NO_DESCRIPTOR))
         else:
-            step.connect(number, place)
+            self._start_connect(number, endpoint, attempt)
+
+    def _start_connect(self, number: int, endpoint: EndpointAddress, attempt: Attempt) -> None:
+        attempt.limit_connect_time(self.connect_timeout_s)
+        self.opening += 1
+        connecting = self.net.loop.create_task(self._connect(number, endpoint, attempt))
+        attempt.await_connection(connecting)
+        connecting.add_done_callback(self._connect_ended)
+
+    async def _connect(self, number: int, endpoint: EndpointAddress, attempt: Attempt) -> None:
+        try:
+            await self.dial(self, number, endpoint, attempt)
+        except OSError as problem:
+            self.counters.add("connects_failed")
+            if self._is_exhausted(problem):
+                host, port = endpoint[0]
+                self.log.note("descriptors", f"no connection to {host}:{port}: {problem}")
+                attempt.end(AttemptResult(NO_DESCRIPTOR))
+            else:
+                attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
+
+    def _connect_ended(self, _task: asyncio.Task[object]) -> None:
+        self.opening -= 1
 
-    def is_exhausted(self, problem: OSError) -> bool:
-        """Whether we ran out of descriptors; if so idle connections make room."""
+    def _is_exhausted(self, problem: OSError) -> bool:
+        """Return whether we ran out of descriptors; if so, close some idle connections."""
         if problem.errno not in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
             return False
-        for _ in range(16):
+        for _ in range(EVICTED_WHEN_EXHAUSTED):
             if self._by_age:
-                self._shed()
+                self._evict()
         return True
 
-    def put_idle(self, link: Link) -> None:
-        """A connection waits for its next route step."""
-        link.idle_since = self.net.now_s()
-        self._rest(link)
+    def put_idle(self, connection: Connection) -> None:
+        """Keep a connection for its next attempt."""
+        connection.idle_since = self.net.now_s()
+        self._keep(connection)
 
-    def _rest(self, link: Link) -> None:
-        if self._places.get(link.number) != link.place:
-            link.drop()  # its process is gone meanwhile
+    def _keep(self, connection: Connection) -> None:
+        if self._endpoints.get(connection.number) != connection.endpoint:
+            connection.drop()  # its process is gone meanwhile
             return
-        self._idle.setdefault(link.number, []).append(link)
-        self._by_age[link] = None
+        self._idle.setdefault(connection.number, []).append(connection)
+        self._by_age[connection] = None
         if self._sweeper is None:
             self._sweeper = self.net.loop.call_later(self._idle_s, self._sweep)
 
-    def joined(self, link: Link) -> None:
-        """A connection has come up."""
-        self.links[link] = None
+    def add_connection(self, connection: Connection) -> None:
+        """Register a connection that has come up."""
+        self.connections[connection] = None
 
-    def forget(self, link: Link) -> None:
-        """A connection is no longer of use."""
-        self.links.pop(link, None)
-        self._take(link)
+    def forget(self, connection: Connection) -> None:
+        """Remove a connection that is no longer of use."""
+        self.connections.pop(connection, None)
+        self._take(connection)
 
-    def _take(self, link: Link) -> None:
-        if link in self._by_age:
-            del self._by_age[link]
-            idle = self._idle[link.number]
-            idle.remove(link)
+    def _take(self, connection: Connection) -> None:
+        if connection in self._by_age:
+            del self._by_age[connection]
+            idle = self._idle[connection.number]
+            idle.remove(connection)
             if not idle:
-                del self._idle[link.number]
+                del self._idle[connection.number]
 
-    def _shed(self) -> None:
+    def _evict(self) -> None:
         next(iter(self._by_age)).drop()
 
     def _sweep(self) -> None:
@@ -213,12 +238,12 @@
             oldest.drop()
         self._sweeper = None
         if self._by_age:
-            due = next(iter(self._by_age)).idle_since + self._idle_s - self.net.now_s()
-            self._sweeper = self.net.loop.call_later(max(due, SWEEP_S), self._sweep)
+            expires_in_s = next(iter(self._by_age)).idle_since + self._idle_s - self.net.now_s()
+            self._sweeper = self.net.loop.call_later(max(expires_in_s, SWEEP_INTERVAL_S), self._sweep)
 
     def close(self) -> None:
-        """Close all."""
+        """Close all connections."""
         if self._sweeper is not None:
             self._sweeper.cancel()
-        for link in list(self.links):
-            link.drop()
+        for connection in list(self.connections):
+            connection.drop()
--- a/coveport/sidecar/upstream/http1_connection.py
+++ b/coveport/sidecar/upstream/http1_connection.py
@@ -1,283 +1,262 @@
-"""HTTP/1.1 to ledger nodes: one connection, one route step on it at a time."""
+"""HTTP/1.1 to ledger nodes: one connection, one attempt on it at a time."""
 
 from __future__ import annotations
 
 import asyncio
-from math import isfinite
 
 from coveport import http1
 from coveport.balancing import Outcome
-from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.endpoint import EndpointAddress
 from coveport.sidecar.reducer.operation import Answer
 from coveport.sidecar.reducer.streams import MOST_BODY, Budget, Upload
+from coveport.sidecar.upstream.attempt import Attempt, AttemptResult
+from coveport.sidecar.upstream.http1_messages import encode_request, load_report, response_outcome
 from coveport.sidecar.upstream.protocol import Pool
-from coveport.sidecar.upstream.route_step import RouteStep, StepResult
-
-PROBE_PATH = "/ping"
 
 # One buffer for all connections: what is read is taken out of it before the next read begins.
 _INBOX = memoryview(bytearray(64 * 1024))
 
 
-def outcome_of(response: http1.Response) -> Outcome:
-    """What a whole answer says."""
-    if response.status == 200:
-        return Outcome.OK
-    if response.status in (503, 504) and response.headers.get("x-not-run") == ["1"]:
-        return Outcome.FULL
-    return Outcome.ERROR  # the cautious reading of all else: it may have run
-
-
-def load_of(response: http1.Response, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The load report that came along, in the order of `fields`; empty where it is not whole and finite."""
-    lines = response.headers.get("x-load")
-    if not lines:
-        return ()
-    told = dict(part.strip().partition("=")[::2] for part in lines[0].split(","))
-    try:
-        load = tuple(float(told[name]) for name in fields)
-    except (KeyError, ValueError):
-        return ()
-    return load if all(map(isfinite, load)) else ()
-
-
-def request_of(step: RouteStep, place: Place) -> bytes:
-    """A route step as bytes."""
-    host = "{}:{}".format(*place[0])
-    operation = step.operation
-    if operation is None:
-        return http1.write_request("GET", PROBE_PATH, [("Host", host)])
-    headers = [
-        ("Host", host),
-        ("X-Request-Id", operation.id),
-        ("X-Deadline", f"{max(1, round(step.left_s * 1000))}m"),
-    ]
-    if operation.key is not None:
-        headers.append(("Idempotency-Key", operation.key))
-    headers.extend(("content-type", value) for value in operation.content_type)
-    headers.extend(("accept", value) for value in operation.accept)
-    if operation.upload is not None:  # its body follows
-        length = operation.upload.length
-        headers.append(http1.CHUNKED if length is None else ("Content-Length", str(length)))
-        return http1.write_head(f"{operation.method} {operation.target} HTTP/1.1", headers)
-    return http1.write_request(operation.method, operation.target, headers, operation.body)
-
-
-class Link(asyncio.BufferedProtocol):
-    """One connection to a destination."""
+class Connection(asyncio.BufferedProtocol):
+    """One connection to a destination; implements `protocol.Connection`.
+
+    `fields`: the names of a load report's figures, in the settings' order. `budget`: of bytes of long bodies.
+    """
 
     def __init__(
-        self, pool: Pool, number: int, place: Place, step: RouteStep, fields: tuple[str, ...], budget: Budget
+        self,
+        pool: Pool,
+        number: int,
+        endpoint: EndpointAddress,
+        attempt: Attempt,
+        fields: tuple[str, ...],
+        budget: Budget,
     ) -> None:
         self._budget = budget
         self._pool = pool
         self.number = number
-        self.place = place
+        self.endpoint = endpoint
         self._fields = fields
-        self._step: RouteStep | None = step
+        self._attempt: Attempt | None = attempt
         self._parser = http1.ResponseParser(MOST_BODY, http1.MAX_BODY_BYTES)
         self._upload: Upload | None = None  # the long body that is being sent
-        self._answer: http1.Response | None = None  # the long answer that is being passed on
-        self._paused = False
-        self._left = 0  # bytes of a long body that were unsent when last looked at
+        self._answer: http1.Response | None = None  # the long answer that is being forwarded
+        self._read_paused = False
+        self._unsent_bytes = 0  # bytes of a long body in the write buffer, as the budget counts them
         self._transport: asyncio.Transport | None = None
-        self._unsent = False
+        self._write_paused = False
         self.idle_since = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the route step that the connection was opened for."""
+        """Send the attempt that the connection was opened for."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # With no room below, a pause says that bytes are still ours, and resume that all are handed over.
+        # With a limit of 0, `pause_writing` means that bytes are still ours, `resume_writing` that none are.
         transport.set_write_buffer_limits(high=0)
-        step, self._step = self._step, None
-        if step is None or step.over:  # guards against a late connect for what is over
+        attempt = self._attempt
+        self._attempt = None
+        if attempt is None or attempt.ended:  # guards against a late connect for what is over
             transport.abort()
             return
-        self._pool.joined(self)
+        self._pool.add_connection(self)
         self._pool.counters.add("connects")
-        self.carry(step)
+        self.carry(attempt)
 
-    def carry(self, step: RouteStep) -> None:
-        """Send a route step on this connection."""
+    def carry(self, attempt: Attempt) -> None:
+        """Send an attempt on this connection."""
         assert self._transport is not None
-        self._step, step.link, self._unsent = step, self, False
-        if not step.may_go(self):
-            self._pool.net.loop.call_soon(step.fenced)
+        self._attempt = attempt
+        attempt.connection = self
+        self._write_paused = False
+        if not attempt.may_start(self):
+            self._pool.net.loop.call_soon(attempt.abandon_unsent)
             return
-        if step.long:
-            # Held until this returns: a step never ends before its caller has it.
-            self._pool.net.loop.call_soon(self._send_long, step)
+        if attempt.long:
+            # In the next turn: an attempt never ends before its caller has it.
+            self._pool.net.loop.call_soon(self._send_long, attempt)
             return
-        self._transport.write(request_of(step, self.place))
-        if not self._unsent and not self._transport.is_closing():
-            step.hand()
-
-    def _send_long(self, step: RouteStep) -> None:
-        if step.over or self._transport is None or step.operation is None or step.operation.upload is None:
+        self._transport.write(encode_request(attempt, self.endpoint))
+        if not self._write_paused and not self._transport.is_closing():
+            attempt.mark_sent()
+
+    def _send_long(self, attempt: Attempt) -> None:
+        if (
+            attempt.ended
+            or self._transport is None
+            or attempt.operation is None
+            or attempt.operation.upload is None
+        ):
             return
-        if not step.operation.upload.join(self):
-            step.end(StepResult(Outcome.MOOT), keep=True)  # what has been sent elsewhere is gone
+        if not attempt.operation.upload.join(self):
+            attempt.end(AttemptResult(Outcome.MOOT), keep=True)  # its first bytes are released already
             return
-        self._upload = step.operation.upload
-        self._transport.write(request_of(step, self.place))
+        self._upload = attempt.operation.upload
+        self._transport.write(encode_request(attempt, self.endpoint))
         self.more()
 
     def more(self) -> None:
-        """Send on what has come of a long body."""
-        upload, transport, step = self._upload, self._transport, self._step
-        if upload is None or transport is None or step is None:
+        """Forward the chunks of a long body that have been received."""
+        upload, transport, attempt = self._upload, self._transport, self._attempt
+        if upload is None or transport is None or attempt is None:
             return
-        while not self._unsent and not transport.is_closing() and (piece := upload.next(self)) is not None:
-            transport.write(piece if upload.length is not None else http1.write_chunk(piece))
-            self._weigh()
-            step.moved_at = self._pool.net.now_s()
+        while (
+            not self._write_paused and not transport.is_closing() and (chunk := upload.next(self)) is not None
+        ):
+            transport.write(chunk if upload.length is not None else http1.write_chunk(chunk))
+            self._update_budget()
+            attempt.progress_s = self._pool.net.now_s()
             upload.took()
-        if not upload.ended(self) or self._unsent or transport.is_closing():
+        if not upload.ended(self) or self._write_paused or transport.is_closing():
             return
-        self._leave()
+        self._leave_upload()
         if upload.length is None:
             transport.write(http1.LAST_CHUNK)
-        if not self._unsent and not transport.is_closing():
-            step.hand()
+        if not self._write_paused and not transport.is_closing():
+            attempt.mark_sent()
 
-    def _weigh(self) -> None:
+    def _update_budget(self) -> None:
         """Tell the budget how much of a long body is unsent."""
         left = self._transport.get_write_buffer_size() if self._transport is not None else 0
-        self._budget.take(left - self._left)
-        self._left = left
+        self._budget.take(left - self._unsent_bytes)
+        self._unsent_bytes = left
 
-    def _leave(self) -> None:
-        upload, self._upload = self._upload, None
+    def _leave_upload(self) -> None:
+        upload = self._upload
+        self._upload = None
         if upload is not None:
             upload.leave(self)
 
     @property
     def waits(self) -> bool:
         """Whether a long body stands still because the client's side does."""
-        return self._paused or (self._upload is not None and not self._unsent)
+        return self._read_paused or (self._upload is not None and not self._write_paused)
 
     def pause(self) -> None:
-        """Read no more for now."""
-        if not self._paused and self._transport is not None and not self._transport.is_closing():
-            self._paused = True
+        """Stop reading for now."""
+        if not self._read_paused and self._transport is not None and not self._transport.is_closing():
+            self._read_paused = True
             self._transport.pause_reading()
 
     def resume(self) -> None:
         """Read on."""
-        if self._paused and self._transport is not None and not self._transport.is_closing():
-            self._paused = False
+        if self._read_paused and self._transport is not None and not self._transport.is_closing():
+            self._read_paused = False
             self._transport.resume_reading()
 
     def pause_writing(self) -> None:
-        """Not all is handed to the connection yet."""
-        self._unsent = True
+        """Note that bytes are still ours: the transport could not write all."""
+        self._write_paused = True
 
     def resume_writing(self) -> None:
-        """The last byte has been handed over."""
-        self._unsent = False
+        """Go on: the transport has written all it had."""
+        self._write_paused = False
         if self._upload is not None:
-            self._weigh()
+            self._update_budget()
             self._pool.net.loop.call_soon(self.more)
-        elif self._step is not None:
-            self._step.hand()
+        elif self._attempt is not None:
+            self._attempt.mark_sent()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where to read to."""
+        """Return the buffer to read into."""
         return _INBOX[: self._budget.read_most()] if self._answer is not None else _INBOX
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Read on in the answer."""
-        step = self._step
-        if step is None:  # guards against stray bytes: nobody knows what they would answer
+        """Parse what was read of the answer."""
+        attempt = self._attempt
+        if attempt is None:  # guards against stray bytes: nobody knows what they would answer
             self.drop()
             return
         try:
             self._parser.feed(_INBOX[:nbytes])
             if self._answer is not None:
-                self._pass_on(step, self._answer)
+                self._forward(attempt, self._answer)
                 return
             response = self._parser.next_response()
         except http1.RemoteProtocolError as problem:
-            self._garbled(step, problem)
+            self._fail_malformed(attempt, problem)
             return
         if response is not None and response.is_streamed:
-            self._begin(step, response)
+            self._begin_answer(attempt, response)
         elif response is not None:
-            if response.status == 200 and not step.handed:
+            if response.status == 200 and not attempt.sent:
                 # Guards against what can't have been made for an operation that nobody has whole yet.
-                step.garbled()
+                attempt.fail_malformed()
                 return
-            keep = response.keep_alive and step.handed and not self._parser.is_mid_message
-            step.end(self._result(response), keep)
-
-    def _begin(self, step: RouteStep, response: http1.Response) -> None:
-        """A long answer begins to come."""
-        outcome = outcome_of(response)
-        kinds = response.headers.get("content-type")
-        if outcome is not Outcome.OK or not step.handed:
-            step.end(StepResult(outcome if step.handed else Outcome.CONNECT_FAILED))  # its body is nobody's
+            keep = response.keep_alive and attempt.sent and not self._parser.is_mid_message
+            attempt.end(self._result(response), keep)
+
+    def _begin_answer(self, attempt: Attempt, response: http1.Response) -> None:
+        """Begin a long answer, whose head was received."""
+        outcome = response_outcome(response)
+        content_types = response.headers.get("content-type")
+        if outcome is not Outcome.OK or not attempt.sent:
+            attempt.end(
+                AttemptResult(outcome if attempt.sent else Outcome.CONNECT_FAILED)
+            )  # nobody reads its body
             return
         self._answer = response
-        if not step.begin(Answer(b"", kinds[0] if kinds else None, response.content_length)):
-            step.end(StepResult(Outcome.CANCELLED))
+        if not attempt.begin(
+            Answer(b"", content_types[0] if content_types else None, response.content_length)
+        ):
+            attempt.end(AttemptResult(Outcome.CANCELLED))
             return
         try:
-            self._pass_on(step, response)
+            self._forward(attempt, response)
         except http1.RemoteProtocolError as problem:
-            self._garbled(step, problem)
+            self._fail_malformed(attempt, problem)
 
-    def _pass_on(self, step: RouteStep, response: http1.Response) -> None:
+    def _forward(self, attempt: Attempt, response: http1.Response) -> None:
         data, over = self._parser.next_data()
-        step.moved_at = self._pool.net.now_s()
-        if data and step.sink is not None:
-            step.sink.more(data)
+        attempt.progress_s = self._pool.net.now_s()
+        if data and attempt.sink is not None:
+            attempt.sink.more(data)
         if over:
-            self._finish(step, response, response.keep_alive and not self._parser.is_mid_message)
+            self._finish(attempt, response, keep=response.keep_alive and not self._parser.is_mid_message)
 
-    def _finish(self, step: RouteStep, response: http1.Response, keep: bool) -> None:
+    def _finish(self, attempt: Attempt, response: http1.Response, *, keep: bool) -> None:
         self._answer = None
-        step.end(StepResult(Outcome.OK, None, load_of(response, self._fields)), keep)
+        attempt.end(AttemptResult(Outcome.OK, None, load_report(response, self._fields)), keep)
 
-    def _garbled(self, step: RouteStep, problem: http1.RemoteProtocolError) -> None:
-        self._pool.log.note("garbled answer", "{}:{}: {}".format(*self.place[0], problem))
+    def _fail_malformed(self, attempt: Attempt, problem: http1.RemoteProtocolError) -> None:
+        self._pool.log.note("garbled answer", "{}:{}: {}".format(*self.endpoint[0], problem))
         self._pool.counters.add("answers_garbled")
-        step.garbled()
-
-    def _result(self, response: http1.Response) -> StepResult:
-        kinds = response.headers.get("content-type")
-        return StepResult(
-            outcome_of(response),
-            Answer(response.body, kinds[0] if kinds else None),
-            load_of(response, self._fields),
+        attempt.fail_malformed()
+
+    def _result(self, response: http1.Response) -> AttemptResult:
+        content_types = response.headers.get("content-type")
+        return AttemptResult(
+            response_outcome(response),
+            Answer(response.body, content_types[0] if content_types else None),
+            load_report(response, self._fields),
         )
 
     def eof_received(self) -> bool:
-        """The destination ends; what was only waiting for that is whole now."""
-        step = self._step
-        if step is not None:
+        """Handle the destination's end of stream, which completes an answer without a length."""
+        attempt = self._attempt
+        if attempt is not None:
             response = self._parser.receive_eof()
             if response is not None and self._answer is not None:
-                self._finish(step, response, False)
+                self._finish(attempt, response, keep=False)
             elif response is not None:
-                step.end(self._result(response))
+                attempt.end(self._result(response))
             else:
-                step.broken()
+                attempt.fail_connection()
         self.drop()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is gone, whoever ended it."""
+        """Handle the end of the connection, whoever closed it."""
         self._transport = None
-        self._weigh()
+        self._update_budget()
         self._pool.forget(self)
-        if self._step is not None:
-            self._step.broken()
+        if self._attempt is not None:
+            self._attempt.fail_connection()
 
     def release(self, keep: bool) -> None:
-        """The route step is over: wait for the next one, or close."""
-        self._step = self._answer = None
-        self._leave()
+        """Go back to the pool, or close, as the attempt has ended."""
+        self._attempt = None
+        self._answer = None
+        self._leave_upload()
         if keep:
             self.resume()
         if keep and self._transport is not None and not self._transport.is_closing():
@@ -290,7 +269,7 @@
         self._pool.forget(self)
         if self._transport is not None:
             # Guards against a resend that overtakes the close: abort alone closes in the loop's next turn,
-            # and until then the route step given up would count as still out beside its successor.
+            # and until then the attempt given up would count as still out beside its successor.
             self._pool.net.shut_down(self._transport)
             self._transport.abort()
 
@@ -311,6 +290,8 @@
         self._fields = fields
         self._budget = budget
 
-    async def __call__(self, pool: Pool, number: int, place: Place, step: RouteStep) -> None:
-        """Connect; the link that comes up sends the step."""
-        await pool.net.dial(lambda: Link(pool, number, place, step, self._fields, self._budget), place[0])
+    async def __call__(self, pool: Pool, number: int, endpoint: EndpointAddress, attempt: Attempt) -> None:
+        """Connect; the connection that comes up sends the attempt."""
+        await pool.net.dial(
+            lambda: Connection(pool, number, endpoint, attempt, self._fields, self._budget), endpoint[0]
+        )
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -18,7 +18,7 @@
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.reducer.reducer import Reducer
-from coveport.sidecar.upstream.route_step import RouteStep
+from coveport.sidecar.upstream.attempt import Attempt
 
 EVERY = 40  # of so many operations, one meets the fault where it is not a matter of circumstances
 
@@ -172,7 +172,7 @@
         else:
             self._later(lambda: self._client.answer(verdict, answer, retry_after_ms))
 
-    def begin(self, answer: Answer, source: RouteStep) -> None:
+    def begin(self, answer: Answer, source: Attempt) -> None:
         self._client.begin(answer, source)
 
     def more(self, data: bytes) -> None:
@@ -205,10 +205,10 @@
     def _answer(self, effect: core.SendAnswer) -> None:
         asked = self._open[effect.operation].asked
         super()._answer(effect)
-        if self.struck(effect.operation) and self.destinations._places:
-            number = next(iter(self.destinations._places))
+        if self.struck(effect.operation) and self.connection_pool._endpoints:
+            number = next(iter(self.connection_pool._endpoints))
             self._net.loop.call_later(
-                0.3, lambda: self.destinations.send(number, asked, 1.0, lambda result: None)
+                0.3, lambda: self.connection_pool.send(number, asked, 1.0, lambda result: None)
             )
 
 
@@ -216,7 +216,7 @@
     """Sends where the list said, and goes on where it says no more."""
 
     def _place(self, update: EndpointListUpdate) -> None:
-        update.places = [(number, place) for number, place in update.places if place is not None]
+        update.endpoints = [(number, place) for number, place in update.endpoints if place is not None]
         entries = tuple(one for one in update.update.entries if one.state is balancing.EndpointState.READY)
         update.update = balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA, entries, update.update.version
--- a/coveport/testbed/fuzz/__init__.py
+++ b/coveport/testbed/fuzz/__init__.py
@@ -17,9 +17,9 @@
     "operations": (
         *HTTP,
         "coveport.sidecar.downstream.operation_reader",
-        "coveport.sidecar.upstream.http1_connection",
+        "coveport.sidecar.upstream.http1_messages",
     ),
-    "loads": ("coveport.sidecar.upstream.http1_connection",),
+    "loads": ("coveport.sidecar.upstream.http1_messages",),
     "lists": ("coveport.sidecar.discovery.endpoint_list_reader", "coveport.net.address"),
     "config": (
         "coveport.sidecar.config.platform",
--- a/coveport/testbed/fuzz/targets.py
+++ b/coveport/testbed/fuzz/targets.py
@@ -28,7 +28,7 @@
 from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader
 from coveport.sidecar.downstream.operation_reader import read_operation
 from coveport.sidecar.reducer.operation import Operation
-from coveport.sidecar.upstream.http1_connection import load_of, request_of
+from coveport.sidecar.upstream.http1_messages import encode_request, load_report
 from coveport.testbed import outcome, scenario
 from coveport.testbed.fuzz import writers
 
@@ -207,8 +207,8 @@
 def _passed_on(operation: Operation) -> None:
     must(0 < operation.wait_ms <= 3_600_000, "wait", f"{operation.wait_ms}")
     must(0 <= operation.cost_ms < math.inf, "cost", f"{operation.cost_ms}")
-    step: Any = SimpleNamespace(operation=operation, left_s=operation.wait_ms / 1000)
-    written = request_of(step, PLACE)
+    step: Any = SimpleNamespace(operation=operation, remaining_s=operation.wait_ms / 1000)
+    written = encode_request(step, PLACE)
     request = _one(http1.RequestParser(), written)
     if request is None:
         return
@@ -220,13 +220,13 @@
 
 
 def loads(data: bytes) -> None:
-    """load_of on X-Load's values, one a line."""
+    """load_report on X-Load's values, one a line."""
     values = data.decode("latin-1").split("\n")
-    load = load_of(http1.Response({"x-load": values}, True, b"", 200), LOAD_FIELDS)
+    load = load_report(http1.Response({"x-load": values}, True, b"", 200), LOAD_FIELDS)
     must(len(load) in (0, len(LOAD_FIELDS)), "length", f"{load}")
     must(all(type(one) is float and math.isfinite(one) for one in load), "finite", f"{load}")
     told = ",".join(f"{name}={one!r}" for name, one in zip(LOAD_FIELDS, load, strict=bool(load)))
-    must(load_of(http1.Response({"x-load": [told]}, True, b"", 200), LOAD_FIELDS) == load, "stable", told)
+    must(load_report(http1.Response({"x-load": [told]}, True, b"", 200), LOAD_FIELDS) == load, "stable", told)
 
 
 # Discovery.
@@ -246,7 +246,7 @@
             must("\n" not in str(problem), "one line", str(problem))
             must(_tables(reader) == before, "after an error", "the tables have changed")
             continue
-        _one_list(told, update.update, update.places, numbers, given)
+        _one_list(told, update.update, update.endpoints, numbers, given)
         hosts, cells, where, zones = _tables(reader)
         must(hosts == numbers, "hosts", f"{hosts}, there are {numbers}")
         must(where.keys() == numbers.keys(), "places", f"{where}, there are {numbers}")
@@ -265,7 +265,7 @@
 def _one_list(
     told: Any,
     update: balancing.EndpointUpdate,
-    places: Sequence[tuple[int, Any]],
+    endpoints: Sequence[tuple[int, Any]],
     numbers: dict[str, int],
     given: set[int],
 ) -> None:
@@ -275,7 +275,7 @@
     must(update.kind is kind, "kind", f"{update.kind}")
     last = {one["host"]: one for one in told["hosts"]}
     entries = {one.host: one for one in update.entries}
-    where = dict(places)
+    where = dict(endpoints)
     must(len(entries) == len(last) == len(where), "entries", f"{len(entries)} of {len(last)} hosts")
     if told["whole"]:
         for name in [name for name in numbers if name not in last]:
@@ -299,8 +299,8 @@
     """An address reads back equal, goes into a header, and is one that asyncio can be told."""
     host, port = address
     must(parse_address(f"{host}:{port}") == address, "address", f"{address}")
-    step: Any = SimpleNamespace(operation=None, left_s=1.0)
-    probe = _one(http1.RequestParser(), request_of(step, (address, 0.0)))
+    step: Any = SimpleNamespace(operation=None, remaining_s=1.0)
+    probe = _one(http1.RequestParser(), encode_request(step, (address, 0.0)))
     must(probe.headers == {"host": [f"{host}:{port}"]}, "address", f"{address} writes as {probe}")
     host.encode("idna")
 
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from coveport import http1
-from coveport.sidecar.upstream.http1_connection import load_of
+from coveport.sidecar.upstream.http1_messages import load_report
 
 CUTS = st.lists(st.integers(1, 40), max_size=30)
 
@@ -327,7 +327,7 @@
 )
 def test_a_load_report_is_whole_and_finite_or_none(values: list[str], load: tuple[float, ...]) -> None:
     response = http1.Response({"x-load": values}, True, b"", 200)
-    assert load_of(response, ("inflight", "queue")) == load
+    assert load_report(response, ("inflight", "queue")) == load
 
 
 @pytest.mark.parametrize("step", [2, 3, 400])
--- a/tests/sidecar/connection_ends/test_node_ends.py
+++ b/tests/sidecar/connection_ends/test_node_ends.py
@@ -16,7 +16,7 @@
 from scripted import Clogged, Peer, ask, figures, halted
 from world import CLASSES, read_message, receive, reply, request, wait_for, world
 
-from coveport.sidecar.upstream.connection_pool import RIPE_S
+from coveport.sidecar.upstream.connection_pool import REUSE_DELAY_S
 
 LONG = "30000m"
 PATIENT: dict[str, Any] = {"classes": [one | {"aim_ms": 20_000, "deadline_ms": 30_000} for one in CLASSES]}
@@ -126,7 +126,7 @@
 
 def test_a_second_answer_behind_the_first_is_not_the_next_ones(tmp_path: Path) -> None:
     # What has just had its answer was used again at once: the second copy was served to another client.
-    node = Twice(RIPE_S)
+    node = Twice(REUSE_DELAY_S)
     with world(tmp_path, node.address, told=PATIENT) as one, one.connect() as conn:
         held = bytearray()
         for number in range(100):
--- a/tests/sidecar/discovery/test_endpoint_list.py
+++ b/tests/sidecar/discovery/test_endpoint_list.py
@@ -130,7 +130,7 @@
     update = reader.read(told(2, listed(health=other), listed(dial="127.0.0.1:10", health=last)))
     (entry,) = update.update.entries
     assert (entry.host, entry.state is balancing.EndpointState.GONE) == (first, last == "left")
-    assert update.places == [(first, None if last == "left" else (("127.0.0.1", 10), 0.0))]
+    assert update.endpoints == [(first, None if last == "left" else (("127.0.0.1", 10), 0.0))]
     # Where it is there its number stays: under another one, its drain would not be heard of.
     again = reader.read(told(3, listed(health="leaving"))).update.entries[0].host
     assert (again == first) is (last == "active")
--- a/tests/sidecar/test_effects.py
+++ b/tests/sidecar/test_effects.py
@@ -15,7 +15,7 @@
 from coveport.sidecar.reducer.operation import Operation
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
-from coveport.sidecar.upstream.route_step import RouteStep
+from coveport.sidecar.upstream.attempt import Attempt
 
 PATIENT = {"classes": [one | {"aim_ms": 20_000, "deadline_ms": 30_000} for one in CLASSES]}
 
@@ -25,21 +25,21 @@
         return False
 
 
-class _Link:
+class _Connection:
     """Stands idle at a destination; what may be sent on it is noted."""
 
     quiet, waits = True, False
 
-    def __init__(self, number: int, place: Any, sent: list[str]) -> None:
+    def __init__(self, number: int, endpoint: Any, sent: list[str]) -> None:
         self.number = number
-        self.place = place
+        self.endpoint = endpoint
         self.sent = sent
         self.idle_since = 0.0
 
-    def carry(self, step: RouteStep) -> None:
-        if step.may_go(cast(Any, self)):
-            assert step.operation is not None
-            self.sent.append(step.operation.id)
+    def carry(self, attempt: Attempt) -> None:
+        if attempt.may_start(cast(Any, self)):
+            assert attempt.operation is not None
+            self.sent.append(attempt.operation.id)
 
     def release(self, keep: bool) -> None: ...
 
@@ -69,11 +69,11 @@
                 cast(Any, _Client()),
                 Operation("GET", "/balance", b"", str(number), None, 0, 30_000.0),
             )
-        place = effects.destinations.places[2]
+        endpoint = effects.connection_pool.endpoints[2]
         for _ in range(2):
-            effects.destinations.put_idle(cast(Any, _Link(2, place, sent)))
-        for link in effects.destinations._idle[2]:
-            link.idle_since -= 1.0  # long ago
+            effects.connection_pool.put_idle(cast(Any, _Connection(2, endpoint, sent)))
+        for connection in effects.connection_pool._idle[2]:
+            connection.idle_since -= 1.0  # long ago
         pool.put("s-1", "127.0.0.1:2")
         update = effects._reader.read(json.loads(json.dumps(pool.text())), balancing.EndpointUpdateKind.FULL)
 
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -33,13 +33,13 @@
 coveport.sidecar.downstream.context coveport.sidecar.downstream.limits
 coveport.sidecar.downstream.listener coveport.sidecar.downstream.operation_reader
 coveport.sidecar.downstream.sweep_timer coveport.sidecar.downstream.upload_timing
-coveport.sidecar.effects coveport.sidecar.reducer coveport.sidecar.reducer.locality
+coveport.sidecar.effects coveport.sidecar.reducer coveport.sidecar.reducer.endpoint
 coveport.sidecar.reducer.messages coveport.sidecar.reducer.operation coveport.sidecar.reducer.phases
 coveport.sidecar.reducer.reducer coveport.sidecar.reducer.streams coveport.sidecar.service
 coveport.sidecar.telemetry coveport.sidecar.telemetry.counters coveport.sidecar.telemetry.log
 coveport.sidecar.upstream coveport.sidecar.upstream.connection_pool
-coveport.sidecar.upstream.http1_connection coveport.sidecar.upstream.protocol
-coveport.sidecar.upstream.route_step
+coveport.sidecar.upstream.attempt coveport.sidecar.upstream.http1_connection
+coveport.sidecar.upstream.http1_messages coveport.sidecar.upstream.protocol
 """
 HELD_MIB = 40  # the whole process, once it has served; it was 23 when this was written
 
--- a/tests/sidecar/test_sidecar.py
+++ b/tests/sidecar/test_sidecar.py
@@ -12,7 +12,7 @@
 from simulated import Discovery, Server, free_port, now, program, reset, sleep, wait_for, world
 from world import SILENT, Seen, configuration, receive, reply, request, served
 
-from coveport.sidecar.upstream.connection_pool import RIPE_S
+from coveport.sidecar.upstream.connection_pool import REUSE_DELAY_S
 
 HOST = b"Host: a\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n"
 
@@ -120,7 +120,7 @@
     with world(tmp_path, node.address) as one:
         for _ in range(3):
             assert one.ask("POST /redeem")[0] == 200
-            sleep(RIPE_S)  # one that has just had its answer is left alone
+            sleep(REUSE_DELAY_S)  # one that has just had its answer is left alone
         assert node.connections == 1
         node.open[0].shutdown(socket.SHUT_WR)
         wait_for(lambda: node.ended == 1, 1)
@@ -149,7 +149,7 @@
     node = Server(served)
     with world(tmp_path, node.address) as one:
         assert one.ask("POST /redeem")[0] == 200
-        sleep(RIPE_S)
+        sleep(REUSE_DELAY_S)
         assert one.ask("POST /redeem")[0] == 200 and node.connections == 1
         del one.discovery.hosts["s-0"]
         one.discovery.put("s-1", node.address)
--- a/tests/sidecar/upstream/test_connection_pool.py
+++ b/tests/sidecar/upstream/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connection a route step is given, where real sockets can't be timed to the point."""
+"""Which connection a attempt is given, where real sockets can't be timed to the point."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from coveport.balancing import Outcome
 from coveport.net.address import parse_address
 from coveport.net.transport import Net
-from coveport.sidecar.reducer.locality import Place
+from coveport.sidecar.reducer.endpoint import EndpointAddress
 from coveport.sidecar.reducer.operation import Operation
 from coveport.sidecar.reducer.streams import Budget
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
 from coveport.sidecar.upstream import connection_pool
+from coveport.sidecar.upstream.attempt import Attempt, AttemptResult
 from coveport.sidecar.upstream.http1_connection import Dialer
-from coveport.sidecar.upstream.route_step import RouteStep, StepResult
 from coveport.testbed.simulated_network.wires import VirtualNet
 
 
@@ -35,16 +35,16 @@
         return self
 
 
-class _Link:
+class _Connection:
     quiet, waits = True, False
 
-    def __init__(self, name: str, place: Place) -> None:
+    def __init__(self, name: str, endpoint: EndpointAddress) -> None:
         self.name = name
         self.number = 1
-        self.place = place
+        self.endpoint = endpoint
         self.idle_since = 0.0
 
-    def carry(self, step: RouteStep) -> None:
+    def carry(self, attempt: Attempt) -> None:
         _carried.append(self.name)
 
     def release(self, keep: bool) -> None:
@@ -66,26 +66,26 @@
 def test_a_connection_that_has_just_had_its_answer_is_left_alone_for_a_moment() -> None:
     # Many ledger nodes close right behind an answer; a request written meanwhile may have run. Others send a
     # second answer some milliseconds later, which would be taken for the next operation's.
-    loop, place = _Loop(), (("127.0.0.1", 9), 0.0)
-    pool = connection_pool.Destinations(
+    loop, endpoint = _Loop(), (("127.0.0.1", 9), 0.0)
+    pool = connection_pool.ConnectionPool(
         Net(cast(asyncio.AbstractEventLoop, loop)),
         Counters(),
         Log(loop.time),
         Dialer((), Budget(99)),
         keepalive_ms=5000,
         connect_timeout_ms=250,
-        most_links=9,
+        max_connections=9,
     )
-    pool.place([(1, place)], whole=True)
+    pool.update_endpoints([(1, endpoint)], complete=True)
     for name in ("old", "young", "fresh"):
-        pool.joined(link := _Link(name, place))
-        pool.put_idle(link)
+        pool.add_connection(connection := _Connection(name, endpoint))
+        pool.put_idle(connection)
         loop.now += 0.5
     loop.now -= 0.4995  # the last one was put a moment ago
     for _ in range(3):
         pool.send(1, None, 1.0, lambda result: None)
     assert _carried == ["young", "old"]
-    ((delay, (ripe, *of)),) = [one for one in loop.later if one[0] < connection_pool.RIPE_S]
+    ((delay, (ripe, *of)),) = [one for one in loop.later if one[0] < connection_pool.REUSE_DELAY_S]
     loop.now += delay
     ripe(*of)  # sooner than another connection would be up
     assert _carried == ["young", "old", "fresh"] and not pool.opening
@@ -96,19 +96,19 @@
     server = Server(served)
 
     async def main(net: VirtualNet) -> Outcome:
-        ended, results = asyncio.Event(), list[StepResult]()
-        pool = connection_pool.Destinations(
+        ended, results = asyncio.Event(), list[AttemptResult]()
+        pool = connection_pool.ConnectionPool(
             net,
             Counters(),
             Log(net.now_s),
             Dialer((), Budget(9999)),
             keepalive_ms=5000,
             connect_timeout_ms=100,
-            most_links=9,
+            max_connections=9,
         )
-        pool.place([(1, (parse_address(server.address), 0.0))], whole=True)
+        pool.update_endpoints([(1, (parse_address(server.address), 0.0))], complete=True)
 
-        def done(result: StepResult) -> None:
+        def done(result: AttemptResult) -> None:
             results.append(result)
             ended.set()
 
--- a/tests/testbed/test_fuzz.py
+++ b/tests/testbed/test_fuzz.py
@@ -100,9 +100,9 @@
             b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n",
             "written",
         ),
-        ("operations", "request_of", lambda *_: REQUEST, REQUEST.replace(b"7", b"8"), "changed"),
-        ("loads", "load_of", lambda *_: (1.0, float("nan"), 2.0), b"", "finite"),
-        ("loads", "load_of", lambda *_: (1.0,), b"", "length"),
+        ("operations", "encode_request", lambda *_: REQUEST, REQUEST.replace(b"7", b"8"), "changed"),
+        ("loads", "load_report", lambda *_: (1.0, float("nan"), 2.0), b"", "finite"),
+        ("loads", "load_report", lambda *_: (1.0,), b"", "length"),
         ("lists", "EndpointListReader", Careless, LIST % (1, b"a", b"left"), "hosts"),
         (
             "lists",
@@ -200,7 +200,7 @@
     done = call("loads", "--seconds", 0.01, "--corpus", corpus, "--out", tmp_path, "--minimise")
     assert done.exit_code == 0 and "drawn" in done.stdout and good.exists()
     assert done.stderr == "atheris is not there: mutations are drawn by the seed, not guided\n"
-    monkeypatch.setattr("coveport.testbed.fuzz.targets.load_of", lambda *_: (1.0,))
+    monkeypatch.setattr("coveport.testbed.fuzz.targets.load_report", lambda *_: (1.0,))
     done = call("loads", "--seconds", 0, "--corpus", corpus, "--out", tmp_path)
     assert done.exit_code == 1 and "length: (1.0,)" in done.stdout
     assert (tmp_path / "loads/finds" / good.name).read_bytes() == good.read_bytes()
