--- a/coveport/testbed/fault_injection/fleet/judge.py
+++ b/coveport/testbed/fault_injection/fleet/judge.py
@@ -98,7 +98,7 @@
 
 
 def _duplicates(incarnations: Incarnations) -> list[Finding]:
-    """No name has two incarnations at a time; one that found its name locked opened nothing."""
+    """Check that no name has two incarnations at a time; one that found its name locked opened nothing."""
     found = []
     by_name: dict[str, list[_Incarnation]] = {}
     for incarnation in incarnations.values():
@@ -113,7 +113,7 @@
 
 
 def _other_supervisor(events: Sequence[Event], holders: Holders) -> list[Finding]:
-    """No supervisor does anything to an instance while another one holds the role."""
+    """Check that no supervisor acts on an instance while another one holds the role."""
     times = [at for at, _ in holders]
     found = []
     for event in events:
@@ -132,7 +132,7 @@
 
 
 def _starts(events: Sequence[Event], holders: Holders, fleet: Fleet) -> list[Finding]:
-    """No more are started in any window than allowed, by all supervisors together."""
+    """Check that all supervisors together start no more in any window than allowed."""
     starts = [event.at for event in events if event.kind is EventKind.START]
     for number, at in enumerate(starts):
         count = sum(start <= at + WINDOW_S for start in starts[number:])
@@ -145,7 +145,7 @@
 
 
 def _loops(incarnations: Incarnations, holders: Holders, fleet: Fleet) -> list[Finding]:
-    """An instance in a crash loop is left alone."""
+    """Check that an instance in a crash loop is left alone."""
     starts_by_name: dict[str, list[float]] = {}
     for incarnation in incarnations.values():
         if incarnation.drained == inf and not incarnation.found_name_locked and incarnation.ended < inf:
@@ -156,7 +156,7 @@
         starts.sort()
         for number, at in enumerate(starts):
             count = sum(start <= at + window_s for start in starts[number:])
-            # Each supervisor counts anew, and there is one more attempt after a rest or when staff resume.
+            # Each supervisor counts anew, and there is one more attempt after a rest or when operators resume.
             allowed = (fleet.loop + 1) * (1 + _takeovers(holders, at - 0.5, at + window_s)) + 1
             if count > allowed:
                 found.append(Finding("loop", at, f"{name} was started {count} times in {window_s:g} s"))
@@ -188,7 +188,7 @@
 
 
 def _healthy(events: Sequence[Event], incarnations: Incarnations, fleet: Fleet) -> list[Finding]:
-    """No healthy instance is killed, and none at once of a host that stalled as a whole."""
+    """Check that no healthy instance is killed, and none at once of a host that stalled altogether."""
     found = []
     hangs = _Hangs(events)
     for identity, victim in incarnations.items():
@@ -207,7 +207,7 @@
 
 
 def _was_late(victim: _Incarnation, fleet: Fleet) -> bool:
-    """Whether it was killed because it did not exit, or was not ready, in time."""
+    """Return whether it was killed because it did not exit, or was not ready, in time."""
     late_exit = victim.drained < inf and victim.killed - victim.drained > fleet.stop_s - TOLERANCE_S
     late_start = victim.ready == inf and victim.killed - victim.started > fleet.ready_s - TOLERANCE_S
     return late_exit or late_start
@@ -229,7 +229,7 @@
 
 
 def _steps(events: Sequence[Event], states: DatedStates) -> list[Finding]:
-    """Who is drained is not desired, or is named by a restart's step that stood in the store before."""
+    """Check that a drained instance was not desired, or named by a restart's step stored before."""
     found = []
     times = [at for at, _ in states]
     for event in events:
@@ -254,7 +254,7 @@
 
 
 def _turns(states: DatedStates, incarnations: Incarnations) -> list[Finding]:
-    """A restart takes the next instances only once those before serve."""
+    """Check that a restart takes the next instances only once those before serve."""
     found = []
     before: DesiredState | None = None
     for at, state in states:
@@ -291,7 +291,7 @@
 
 
 def _back(states: DatedStates, running: Sequence[SimInstance], fleet: Fleet, end: float) -> list[Finding]:
-    """In the end all desired instances serve, and no other runs."""
+    """Check that in the end all desired instances serve, and no other runs."""
     if not states:
         return [Finding("back", end, "nobody ever planned anything")]
     desired = _desired_names(states[-1][1])
@@ -310,7 +310,7 @@
 
 
 def _verbs(states: DatedStates, answers: Sequence[Answered]) -> list[Finding]:
-    """What was answered as done stood in the store by then."""
+    """Check that what was answered as done stood in the store by then."""
     found = []
     for answer in answers:
         if not answer.is_done or answer.action != "scale":
