--- a/coveport/testbed/fault_injection/fleet/judge.py
+++ b/coveport/testbed/fault_injection/fleet/judge.py
@@ -156,7 +156,7 @@
         starts.sort()
         for number, at in enumerate(starts):
             count = sum(start <= at + window_s for start in starts[number:])
-            # Each supervisor counts anew, and there is one more attempt after a rest or when operators resume.
+            # Each supervisor counts anew, and there is one more attempt after a rest or a resume.
             allowed = (fleet.loop + 1) * (1 + _takeovers(holders, at - 0.5, at + window_s)) + 1
             if count > allowed:
                 found.append(Finding("loop", at, f"{name} was started {count} times in {window_s:g} s"))
