--- a/coveport/serving/coordinator/quorum_status.py
+++ b/coveport/serving/coordinator/quorum_status.py
@@ -1,4 +1,8 @@
-"""Whether this coordinator has a quorum, and for how long: what it may claim in its updates depends on it."""
+"""Whether this coordinator has a quorum, and for how long: what it may claim in its updates depends on it.
+
+It is for proxies and nodes. Operators' reads and refusals wait for a majority asked anew: see
+`replication.quorum_check`.
+"""
 
 from __future__ import annotations
 
--- a/coveport/serving/membership/leases.py
+++ b/coveport/serving/membership/leases.py
@@ -18,7 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyLease:
-    """What a proxy reports of itself when it renews."""
+    """What a proxy reports of itself when it renews.
+
+    It is sent within messages, which are encoded by the order of fields: none may be moved or retyped.
+    """
 
     name: str  # of its machine
     address: str  # ip:port for clients
--- a/coveport/serving/model/node.py
+++ b/coveport/serving/model/node.py
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """One incarnation of a node: one start of its process."""
+    """One incarnation of a node: one start of its process.
+
+    It is sent within messages, which are encoded by the order of fields: none may be moved or retyped.
+    """
 
     incarnation: str  # InstanceId on the wire: new at every start
     sequence: int  # of the heartbeat with this report; the highest wins
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -22,7 +22,7 @@
 
 CONNECT_TIMEOUT_S = 0.5  # a round trip between regions and a retransmission fit; not measured
 ANSWER_TIMEOUT_S = (
-    1.2  # in which a coordinator has to send any byte: it answers within a second; not measured
+    1.2  # in which a coordinator has to send any byte: it answers after 0.4 s at the latest; not measured
 )
 MIN_BACKOFF_S = 0.05  # after all coordinators were asked in vain, doubling from then on; not measured
 MAX_BACKOFF_S = 0.25  # a new primary is found within this and its jitter; not measured
--- a/coveport/serving/replication/acceptor.py
+++ b/coveport/serving/replication/acceptor.py
@@ -93,7 +93,11 @@
         return state
 
     def _is_fenced(self, sender: MemberId, epoch: Epoch) -> bool:
-        """Return whether `epoch` is below the promise; if so, answer with Fenced."""
+        """Return whether `epoch` is below the promise; if so, answer with Fenced.
+
+        Asked for requests of candidates and primaries. What only reports (Ping, Committed, ViewActivated) or
+        brings up to date is never fenced.
+        """
         if epoch >= self.durable.promised:
             return False
         self._outbox.send(sender.address, Fenced(epoch, self.durable.promised))
--- a/coveport/serving/replication/messages.py
+++ b/coveport/serving/replication/messages.py
@@ -50,7 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """Answer to any message whose epoch, `refused`, is below the one that the sender promised."""
+    """Answer to a request whose epoch, `refused`, is below the one that the sender promised.
+
+    Requests are Prepare, Fetch, Install, Accept, Append and Confirm; see `Acceptor`.
+    """
 
     refused: Epoch
     promised: Epoch
--- a/coveport/serving/replication/placement.py
+++ b/coveport/serving/replication/placement.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class FaultTolerance:
+class SurvivableLosses:
     """How much a set of members tolerates; more is better, the first field first."""
 
     machine_losses: int  # how many more machines may be lost, as far as asked for
@@ -67,14 +67,14 @@
     return len({locality.region for locality in found}), len({locality.zone for locality in found})
 
 
-def rate_fault_tolerance(machines: Sequence[MachineStatus], tolerated_losses: int) -> FaultTolerance:
+def rate_fault_tolerance(machines: Sequence[MachineStatus], tolerated_losses: int) -> SurvivableLosses:
     """Return what a set of members tolerates on top of what is lost already."""
     live = [machine for machine in machines if not machine.is_lost]
     quorum = len(machines) // 2 + 1
     spare = len(live) - quorum
     largest_region = _largest_group(machine.locality.region for machine in live)
     largest_zone = _largest_group(machine.locality.zone for machine in live)
-    return FaultTolerance(
+    return SurvivableLosses(
         machine_losses=min(spare, max(1, tolerated_losses)),
         region_loss=largest_region <= spare,
         zone_loss=largest_zone <= spare,
@@ -100,7 +100,7 @@
     pool = (list(present) + list(newcomers))[:MAX_POOL]
     present_members = {machine.member for machine in present}
     best: tuple[MemberId, ...] | None = None
-    best_key: tuple[FaultTolerance, bool, int, int] | None = None
+    best_key: tuple[SurvivableLosses, bool, int, int] | None = None
     for subset in _subsets(pool):
         if not _is_allowed(own_id, present, subset):
             continue
--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -1,6 +1,6 @@
 """One replica of the control state: hands each event to the module that decides, returns the effects.
 
-Nothing is decided here. Who owns what:
+It dispatches; only the waits before an election after a start, a stall and a promise are set here. Owners:
 
 - `acceptor.py`: the promise and the state held here; `journal.py`: the disk
 - `committed_log.py`: the committed state; `catch_up.py`: what others lack of it
--- a/coveport/serving/wire/messages.py
+++ b/coveport/serving/wire/messages.py
@@ -1,4 +1,4 @@
-"""Messages between coordinators and from proxies to coordinators, beside those of replication.
+"""Messages among coordinators, and between proxies and coordinators, beside those of replication.
 
 Fields are encoded by their order and type (see `dataclass_formats`), classes by their position in `MESSAGES`:
 neither may be moved, and another type or a new field needs a new version of the frames.
--- a/coveport/sidecar/config/lease_terms.py
+++ b/coveport/sidecar/config/lease_terms.py
@@ -19,7 +19,7 @@
     """What a lease is requested for. Seconds, but for `drift`."""
 
     ttl_s: float = 3.0
-    margin_s: float = 0.2  # before the believed end, in which nothing new is begun
+    margin_s: float = 0.2  # taken off the belief, and once more before its end, in which nothing new is begun
     drift: float = 0.02  # fraction by which two clocks may differ in speed
 
     def check(self) -> None:
