--- a/coveport/net/__init__.py
+++ b/coveport/net/__init__.py
@@ -1,1 +1,1 @@
-"""The seam to the outside: clock and sockets."""
+"""Clock and sockets: the only way of the program to the outside."""
--- a/coveport/net/clock.py
+++ b/coveport/net/clock.py
@@ -1,4 +1,4 @@
-"""The one clock: monotonic, set once to Unix time so that it agrees with `born_ms`."""
+"""The program's clock: monotonic, set once to Unix time so that it agrees with endpoints' `born_ms`."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
         self._offset_ms = (net.unix_s() - net.now_s()) * 1000
 
     def now_ms(self) -> float:
-        """The time in milliseconds."""
+        """Return the time in milliseconds."""
         return self._now_s() * 1000 + self._offset_ms
--- a/coveport/net/sockets.py
+++ b/coveport/net/sockets.py
@@ -8,35 +8,39 @@
 
 
 def is_quiet_socket(descriptor: int) -> bool:
-    """Whether nothing waits there: no bytes, no end, no connection to accept."""
+    """Return whether nothing waits there: no bytes, no end, no connection to accept."""
     poller = select.poll()
     poller.register(descriptor, select.POLLIN)
     return not poller.poll(0)
 
 
-def is_over(transport: asyncio.Transport) -> bool:
-    """Whether the other side has ended or reset it, even where bytes in front of that are not read yet."""
+def has_peer_closed(transport: asyncio.Transport) -> bool:
+    """Return whether the peer has ended or reset it, even where bytes before that are unread."""
     if transport.is_closing():
         return True
     poller = select.poll()
-    poller.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)  # a reset comes unasked
+    # A reset is reported without being registered for.
+    poller.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poller.poll(0))
 
 
 def is_quiet(transport: asyncio.Transport) -> bool:
-    """Whether nothing has come that we have not read."""
+    """Return whether nothing has come that is unread."""
     return not transport.is_closing() and is_quiet_socket(transport.get_extra_info("socket").fileno())
 
 
 def read_now(transport: asyncio.Transport) -> None:
-    """Give the protocol (a buffered one) what waits there; an end is left to the loop."""
-    under, protocol = transport.get_extra_info("socket"), transport.get_protocol()
+    """Give the protocol, a buffered one, what waits there; an end is left to the loop."""
+    loop_socket = transport.get_extra_info("socket")
+    protocol = transport.get_protocol()
     assert isinstance(protocol, asyncio.BufferedProtocol)
-    one = socket.socket(under.family, under.type, under.proto, fileno=under.fileno())
+    connection = socket.socket(
+        loop_socket.family, loop_socket.type, loop_socket.proto, fileno=loop_socket.fileno()
+    )
     try:
-        while not transport.is_closing() and (count := one.recv_into(protocol.get_buffer(-1))):
-            protocol.buffer_updated(count)
+        while not transport.is_closing() and (size := connection.recv_into(protocol.get_buffer(-1))):
+            protocol.buffer_updated(size)
     except OSError:
-        pass  # nothing waits, or the connection has broken: the loop finds that too
+        pass  # nothing waits, or the connection has broken: the loop finds that, too
     finally:
-        one.detach()
+        connection.detach()
--- a/coveport/serving/coordinator/inner_listener.py
+++ b/coveport/serving/coordinator/inner_listener.py
@@ -50,7 +50,7 @@
     async def start(self, address: Address) -> None:
         """Start to listen; raise OSError where the address can't be bound."""
         self._listening = await self._net.listen(
-            self._make_connection, address, accept_most=ACCEPT_BATCH, waiting_most=LISTEN_BACKLOG
+            self._make_connection, address, accepts_per_turn=ACCEPT_BATCH, backlog=LISTEN_BACKLOG
         )
 
     def close(self) -> None:
--- a/coveport/serving/proxy/client_listener.py
+++ b/coveport/serving/proxy/client_listener.py
@@ -45,8 +45,8 @@
         self._listening = await self._net.listen(
             lambda: ClientConnection(self._net, self, self._limits),
             address,
-            accept_most=MAX_ACCEPTS_PER_TURN,
-            waiting_most=ACCEPT_BACKLOG,
+            accepts_per_turn=MAX_ACCEPTS_PER_TURN,
+            backlog=ACCEPT_BACKLOG,
         )
 
     def connected(self, connection: ClientConnection) -> None:
--- a/coveport/serving/proxy/node_connection.py
+++ b/coveport/serving/proxy/node_connection.py
@@ -86,7 +86,7 @@
             transport is not None
             and not self._is_ended
             and not transport.is_closing()
-            and not self._net.is_over(transport)
+            and not self._net.has_peer_closed(transport)
         )
 
     def send(self, request: bytes, *, ends_when_unacknowledged: bool) -> bool:
@@ -102,7 +102,7 @@
         unacknowledged_ms = UNACKNOWLEDGED_MS if ends_when_unacknowledged else 0
         if unacknowledged_ms != self._unacknowledged_ms:
             self._unacknowledged_ms = unacknowledged_ms
-            self._net.bound_silence(self._transport, unacknowledged_ms)
+            self._net.set_unacknowledged_timeout(self._transport, unacknowledged_ms)
         self._is_in_use = True
         if not self.is_open:
             return False
--- a/coveport/serving/simulation/model_server.py
+++ b/coveport/serving/simulation/model_server.py
@@ -81,7 +81,7 @@
         """Listen and work; cold for so long."""
         figures = self.figures
         self._listening = await self._net.listen(
-            self._accept, figures.address, accept_most=ACCEPT_MOST, waiting_most=WAITING_MOST
+            self._accept, figures.address, accepts_per_turn=ACCEPT_MOST, backlog=WAITING_MOST
         )
         address = "{}:{}".format(*figures.address)
         now = self._net.now_s()
--- a/coveport/serving/web/server.py
+++ b/coveport/serving/web/server.py
@@ -44,7 +44,7 @@
     async def start(self) -> None:
         """Start to listen; raise OSError where the address can't be bound."""
         self._listening = await self.net.listen(
-            lambda: _Connection(self), self._address, accept_most=ACCEPT_BATCH, waiting_most=LISTEN_BACKLOG
+            lambda: _Connection(self), self._address, accepts_per_turn=ACCEPT_BATCH, backlog=LISTEN_BACKLOG
         )
 
     def stop(self) -> None:
--- a/coveport/sidecar/admin/server.py
+++ b/coveport/sidecar/admin/server.py
@@ -130,8 +130,8 @@
         self._listening = await self.net.listen(
             lambda: _Connection(self),
             address,
-            accept_most=ACCEPTS_PER_TURN,
-            waiting_most=MAX_PENDING_ACCEPTS,
+            accepts_per_turn=ACCEPTS_PER_TURN,
+            backlog=MAX_PENDING_ACCEPTS,
         )
         return self._listening.port
 
--- a/coveport/sidecar/discovery/endpoint_list_reader.py
+++ b/coveport/sidecar/discovery/endpoint_list_reader.py
@@ -9,6 +9,7 @@
 
 from coveport import balancing
 from coveport.net.address import Address, parse_address
+from coveport.net.errors import AddressError
 from coveport.sidecar.discovery.errors import EndpointListError
 from coveport.sidecar.reducer.endpoint import EndpointAddress
 
@@ -166,5 +167,5 @@
 def _check_address(text: Any) -> Address:
     try:
         return parse_address(text)
-    except ValueError as error:
+    except AddressError as error:
         raise EndpointListError(str(error)) from error
--- a/coveport/sidecar/downstream/client_connection.py
+++ b/coveport/sidecar/downstream/client_connection.py
@@ -399,7 +399,7 @@
         """Return whether the client has disconnected, read or not; its operation is cancelled soon then."""
         if self._transport is None:
             return True
-        if not self._context.net.is_over(self._transport):
+        if not self._context.net.has_peer_closed(self._transport):
             return False
         self._context.net.loop.call_soon(self._cancel_and_close)
         return True
--- a/coveport/sidecar/downstream/listener.py
+++ b/coveport/sidecar/downstream/listener.py
@@ -68,8 +68,8 @@
         self._server = await self._net.listen(
             lambda: ClientConnection(self.context),
             address,
-            accept_most=ACCEPTS_PER_TURN,
-            waiting_most=MAX_PENDING_ACCEPTS,
+            accepts_per_turn=ACCEPTS_PER_TURN,
+            backlog=MAX_PENDING_ACCEPTS,
             shared=True,
         )
         return self._server.port
@@ -104,7 +104,7 @@
 
     async def _wait_for_accepts(self, server: Listening, end: float) -> None:
         # The state is the system's, which signals no change of it: there is no event to wait for.
-        while not server.quiet and self._net.now_s() < end:  # noqa: ASYNC110
+        while not server.is_quiet and self._net.now_s() < end:  # noqa: ASYNC110
             await asyncio.sleep(0.001)
 
     def close(self) -> None:
@@ -125,7 +125,7 @@
             client.check(now)
 
     def _accepts_pending(self) -> bool:
-        return self._server is not None and not self._server.quiet
+        return self._server is not None and not self._server.is_quiet
 
 
 def _by_name(classes: tuple[balancing.RequestClass, ...]) -> RequestClasses:
--- a/coveport/testbed/backend.py
+++ b/coveport/testbed/backend.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from coveport.net.address import Address
-from coveport.net.transport import Factory, Net
+from coveport.net.transport import Net, ProtocolFactory
 
 Accept = Callable[[int], asyncio.BaseProtocol]
 """Makes the protocol of a new connection; its argument is the number of the sidecar that opened it."""
@@ -40,5 +40,5 @@
     def address(self, sidecar: int) -> Address:
         """Where that sidecar reaches this party."""
 
-    async def dial(self, factory: Factory, address: Address) -> None:
+    async def dial(self, factory: ProtocolFactory, address: Address) -> None:
         """Connect (a till to its sidecar); OSError where it is refused."""
--- a/coveport/testbed/loopback/hosts.py
+++ b/coveport/testbed/loopback/hosts.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from coveport.net.address import Address
-from coveport.net.transport import Factory, Net
+from coveport.net.transport import Net, ProtocolFactory
 from coveport.testbed.backend import Accept
 from coveport.testbed.loopback.shaping import Wire
 from coveport.testbed.loopback.timing import DayClock
@@ -163,7 +163,7 @@
         """Where that sidecar reaches this party: the same all day."""
         return self._doors[sidecar].address
 
-    async def dial(self, factory: Factory, address: Address) -> None:
+    async def dial(self, factory: ProtocolFactory, address: Address) -> None:
         """Connect, with no way in between."""
         await self.net.dial(factory, address)
 
@@ -246,6 +246,6 @@
         """Not here."""
         raise NotImplementedError("a till has no address")
 
-    async def dial(self, factory: Factory, address: Address) -> None:
+    async def dial(self, factory: ProtocolFactory, address: Address) -> None:
         """Connect; OSError where it is refused."""
         await self.net.dial(factory, address)
--- a/coveport/testbed/simulated_network/hosts.py
+++ b/coveport/testbed/simulated_network/hosts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from coveport.net.address import Address
-from coveport.net.transport import Factory, Net
+from coveport.net.transport import Net, ProtocolFactory
 from coveport.testbed.backend import Accept
 from coveport.testbed.simulated_network.listening import ListeningSocket
 from coveport.testbed.simulated_network.wires import Network, Place, VirtualNet
@@ -61,6 +61,6 @@
         """Where that sidecar reaches this party: the same for all."""
         return self.place.address, self._port
 
-    async def dial(self, factory: Factory, address: Address) -> None:
+    async def dial(self, factory: ProtocolFactory, address: Address) -> None:
         """Connect."""
         await self.net.dial(factory, address)
--- a/coveport/testbed/simulated_network/listening.py
+++ b/coveport/testbed/simulated_network/listening.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from coveport.net.address import Address
-from coveport.net.transport import Factory
+from coveport.net.transport import ProtocolFactory
 
 if TYPE_CHECKING:
     from coveport.testbed.simulated_network.side import Side
@@ -25,7 +25,7 @@
         self,
         net: VirtualNet,
         address: Address,
-        factory: Factory | None,
+        factory: ProtocolFactory | None,
         accept: Callable[[int], asyncio.BaseProtocol] | None,
         most: int,
         in_turn: int,
@@ -54,7 +54,7 @@
         return self.address[1]
 
     @property
-    def quiet(self) -> bool:
+    def is_quiet(self) -> bool:
         """Whether no connection waits here or is about to be given to its protocol."""
         return not (self.waiting or self._beginning)
 
--- a/coveport/testbed/simulated_network/wires.py
+++ b/coveport/testbed/simulated_network/wires.py
@@ -26,7 +26,7 @@
 from collections.abc import Callable
 
 from coveport.net.address import Address
-from coveport.net.transport import Factory, Listening, Net
+from coveport.net.transport import Listening, Net, ProtocolFactory
 from coveport.testbed.simulated_network.listening import ListeningSocket
 from coveport.testbed.simulated_network.network import Network, Place
 from coveport.testbed.simulated_network.side import Side
@@ -120,10 +120,16 @@
             side.close_socket()
 
     async def listen(
-        self, factory: Factory, address: Address, *, accept_most: int, waiting_most: int, shared: bool = False
+        self,
+        factory: ProtocolFactory,
+        address: Address,
+        *,
+        accepts_per_turn: int,
+        backlog: int,
+        shared: bool = False,
     ) -> Listening:
         """Listen at an address of this machine; port 0: any."""
-        return self._open(address, factory, None, waiting_most, accept_most, 0.0, shared)
+        return self._open(address, factory, None, backlog, accepts_per_turn, 0.0, shared)
 
     def is_taken(self, address: Address) -> bool:
         """Whether somebody listens there."""
@@ -139,7 +145,7 @@
     def _open(
         self,
         address: Address,
-        factory: Factory | None,
+        factory: ProtocolFactory | None,
         accept: Callable[[int], asyncio.BaseProtocol] | None,
         most: int,
         in_turn: int,
@@ -154,7 +160,7 @@
         self.listens.append(one)
         return one
 
-    async def dial(self, factory: Factory, address: Address) -> None:
+    async def dial(self, factory: ProtocolFactory, address: Address) -> None:
         """Connect; the protocol has the connection once this returns."""
         if not self.has_room:
             raise OSError(errno.EMFILE, "Too many open files")
@@ -254,12 +260,12 @@
         assert isinstance(transport, Side)
         transport.read_now()
 
-    def is_over(self, transport: asyncio.Transport) -> bool:
+    def has_peer_closed(self, transport: asyncio.Transport) -> bool:
         """Whether the other side has ended or reset it, read or not."""
         assert isinstance(transport, Side)
         return transport.over
 
-    def bound_silence(self, transport: asyncio.Transport, milliseconds: int) -> None:
+    def set_unacknowledged_timeout(self, transport: asyncio.Transport, milliseconds: int) -> None:
         """Connections kept in memory know no acknowledgements."""
 
     def shut_down(self, transport: asyncio.Transport) -> None:
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -57,8 +57,8 @@
 class Peer:
     """Listens; each request waits until the test takes it."""
 
-    def __init__(self, waiting_most: int = 64) -> None:
-        self.socket = socket.create_server(("127.0.0.1", 0), backlog=waiting_most)
+    def __init__(self, backlog: int = 64) -> None:
+        self.socket = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         self.address = "{}:{}".format(*self.socket.getsockname())
         self.conns = list[socket.socket]()
         self._got: queue.Queue[Got] = queue.Queue()
--- a/tests/serving/cli/test_core_client.py
+++ b/tests/serving/cli/test_core_client.py
@@ -61,7 +61,7 @@
         for number, script in enumerate(scripts):
             net = VirtualNet(process, network, network.place(f"10.0.0.{number + 1}", -1))
             factory = self._factory(script, self.seen[number])
-            self._run(net.listen(factory, (f"10.0.0.{number + 1}", PORT), accept_most=9, waiting_most=9))
+            self._run(net.listen(factory, (f"10.0.0.{number + 1}", PORT), accepts_per_turn=9, backlog=9))
         self._net = VirtualNet(process, network, network.place("10.0.9.9", -1))
         self._addresses = [(f"10.0.0.{number + 1}", PORT) for number in range(len(scripts))]
 
--- a/tests/serving/proxy/proxy_environment.py
+++ b/tests/serving/proxy/proxy_environment.py
@@ -97,7 +97,7 @@
         self.nodes.append(node)
         address = f"10.0.1.{number + 1}"
         net = VirtualNet(self.lab, self.network, self.network.place(address, 0 if region == "r" else 1))
-        self.run(net.listen(node.connection, (address, 80), accept_most=64, waiting_most=512))
+        self.run(net.listen(node.connection, (address, 80), accepts_per_turn=64, backlog=512))
         report = Node(
             incarnation=f"i-{number}",
             sequence=1,
--- a/tests/serving/proxy/test_real_sockets.py
+++ b/tests/serving/proxy/test_real_sockets.py
@@ -59,7 +59,7 @@
     async def node(self, script: Script) -> ScriptedNode:
         node = ScriptedNode(script)
         port = free_port()
-        await self.net.listen(node.connection, (HOST, port), accept_most=64, waiting_most=64)
+        await self.net.listen(node.connection, (HOST, port), accepts_per_turn=64, backlog=64)
         name = f"i-{len(self.nodes)}"
         report = Node(name, 1, "s", f"{HOST}:{port}", "z", "r", 64, NodeState.ACCEPTING)
         self.view.nodes = self.view.nodes.set(name, KnownNode(report, self.net.now_s(), 0.0, FOREVER))
@@ -189,7 +189,7 @@
 def test_user_timeout_is_set_only_for_idempotent_requests() -> None:
     async def day(environment: RealEnvironment) -> None:
         seen: list[tuple[int, int]] = []
-        bound = environment.net.bound_silence
+        bound = environment.net.set_unacknowledged_timeout
 
         def watched(transport: asyncio.Transport, milliseconds: int) -> None:
             bound(transport, milliseconds)
@@ -201,7 +201,7 @@
                 )
             )
 
-        environment.net.bound_silence = watched  # type: ignore[method-assign]
+        environment.net.set_unacknowledged_timeout = watched  # type: ignore[method-assign]
         await environment.node(lambda arrival: arrival.respond(b"x", 200, ("Keep-Alive", "timeout=9")))
         client = await environment.client()
         for number, path in enumerate(("/u/x", "/a/x", "/a/x", "/u/x")):
--- a/tests/serving/simulation/stub_core.py
+++ b/tests/serving/simulation/stub_core.py
@@ -91,8 +91,8 @@
         await self._net.listen(
             lambda: ServerConnection(self._handle, lambda one: None),
             self._address,
-            accept_most=64,
-            waiting_most=64,
+            accepts_per_turn=64,
+            backlog=64,
         )
 
     async def _handle(self, connection: ServerConnection, request: Request) -> None:
--- a/tests/serving/simulation/test_on_loopback.py
+++ b/tests/serving/simulation/test_on_loopback.py
@@ -35,7 +35,7 @@
         connection.answer(200, [], json.dumps({"Addresses": addresses, "TtlS": 2}).encode())
 
     core = await net.listen(
-        lambda: ServerConnection(answer, lambda one: None), (HOST, 0), accept_most=8, waiting_most=8
+        lambda: ServerConnection(answer, lambda one: None), (HOST, 0), accepts_per_turn=8, backlog=8
     )
     at = [(HOST, core.port)]
     await node.start()
--- a/tests/sidecar/discovery/test_endpoint_list.py
+++ b/tests/sidecar/discovery/test_endpoint_list.py
@@ -11,7 +11,7 @@
 
 from coveport import balancing
 from coveport.net.address import Address, parse_address
-from coveport.net.transport import Factory, Net
+from coveport.net.transport import Net, ProtocolFactory
 from coveport.sidecar.discovery import discovery_client
 from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader
 from coveport.sidecar.discovery.endpoint_list_source import EndpointListSource
@@ -29,7 +29,7 @@
         told = asyncio.Event()
         dial, slow = net.dial, iter((0.3, 0.0, 0.0, 0.0))
 
-        async def late(factory: Factory, address: Address) -> None:
+        async def late(factory: ProtocolFactory, address: Address) -> None:
             await asyncio.sleep(next(slow, 0.0))
             await dial(factory, address)
 
--- a/tests/sidecar/downstream/test_listening.py
+++ b/tests/sidecar/downstream/test_listening.py
@@ -15,7 +15,7 @@
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
 
-SHARED: Any = {"accept_most": 4, "waiting_most": 64, "shared": True}
+SHARED: Any = {"accepts_per_turn": 4, "backlog": 64, "shared": True}
 
 
 class Came(asyncio.Protocol):
@@ -31,19 +31,19 @@
         net, came, other = Net(asyncio.get_running_loop()), list[asyncio.BaseTransport](), list[object]()
         first = await net.listen(lambda: Came(came), ("127.0.0.1", 0), **SHARED)
         address = ("127.0.0.1", first.port)
-        assert net.is_taken(address) and first.quiet
+        assert net.is_taken(address) and first.is_quiet
         with contextlib.ExitStack() as stack:
             for _ in range(40):  # no turn of the loop in between: all wait below
                 stack.enter_context(socket.create_connection(address, timeout=1))
-            assert not first.quiet
+            assert not first.is_quiet
             second = await net.listen(lambda: Came(other), address, **SHARED)
             first.close()
             first.close()
-            assert not first.quiet and not came, "accepted, and not with their protocols yet"
+            assert not first.is_quiet and not came, "accepted, and not with their protocols yet"
             for _ in range(40):
                 stack.enter_context(socket.create_connection(address, timeout=1))
             await asyncio.sleep(0.2)
-            assert (len(came), len(other)) == (40, 40) and first.quiet
+            assert (len(came), len(other)) == (40, 40) and first.is_quiet
             for transport in came:  # what is small is not held back to be lost with a close
                 assert transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             second.close()
@@ -57,7 +57,7 @@
         loop, came, said = asyncio.get_running_loop(), list[asyncio.BaseTransport](), list[object]()
         loop.set_exception_handler(lambda _, context: said.append(context["exception"]))
         net = Net(loop)
-        listening = await net.listen(lambda: Came(came), ("127.0.0.1", 0), accept_most=4, waiting_most=64)
+        listening = await net.listen(lambda: Came(came), ("127.0.0.1", 0), accepts_per_turn=4, backlog=64)
         before = resource.getrlimit(resource.RLIMIT_NOFILE)
         with socket.create_connection(("127.0.0.1", listening.port), timeout=1) as conn:
             resource.setrlimit(resource.RLIMIT_NOFILE, (conn.fileno() + 1, before[1]))
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -21,7 +21,8 @@
 coveport.http1 coveport.http1.errors coveport.http1.fields coveport.http1.message_parser
 coveport.http1.messages coveport.http1.request_parser coveport.http1.response_parser
 coveport.http1.writers coveport.net coveport.net.address coveport.net.clock
-coveport.net.sockets coveport.net.transport coveport.sidecar coveport.sidecar.admin
+coveport.net.errors coveport.net.listening coveport.net.sockets coveport.net.transport coveport.sidecar
+coveport.sidecar.admin
 coveport.sidecar.admin.codec coveport.sidecar.admin.errors coveport.sidecar.admin.server
 coveport.sidecar.config
 coveport.sidecar.config.errors coveport.sidecar.config.platform coveport.sidecar.config.reload_checks
--- a/tests/testbed/one_host.py
+++ b/tests/testbed/one_host.py
@@ -8,7 +8,7 @@
 import timeless
 
 from coveport.net.address import Address
-from coveport.net.transport import Factory, Net
+from coveport.net.transport import Net, ProtocolFactory
 from coveport.testbed.backend import Accept
 from coveport.testbed.day import Day, NodeDrawn, SidecarDrawn
 from coveport.testbed.scenario import Scenario
@@ -24,7 +24,7 @@
 
     async def listen(self, accept: Accept) -> None:
         self._listening = await self.net.listen(
-            lambda: accept(0), ("127.0.0.1", 0), accept_most=8, waiting_most=64
+            lambda: accept(0), ("127.0.0.1", 0), accepts_per_turn=8, backlog=64
         )
 
     def refuse(self) -> None:
@@ -36,7 +36,7 @@
     def address(self, sidecar: int) -> Address:
         return "127.0.0.1", self._listening.port
 
-    async def dial(self, factory: Factory, address: Address) -> None:
+    async def dial(self, factory: ProtocolFactory, address: Address) -> None:
         await self.net.dial(factory, address)
 
 
--- a/tests/testbed/test_nodes.py
+++ b/tests/testbed/test_nodes.py
@@ -63,7 +63,7 @@
 
     async def listen(self, accept: Accept) -> None:
         one = await self.net.listen(
-            lambda: accept(7), ("127.0.0.1", self.port), accept_most=9, waiting_most=9
+            lambda: accept(7), ("127.0.0.1", self.port), accepts_per_turn=9, backlog=9
         )
         self.port = one.port
         self.listening.append(one)
--- a/tests/testbed/test_same_socket.py
+++ b/tests/testbed/test_same_socket.py
@@ -144,7 +144,7 @@
     """Run a script; `settle` waits after each step, and is given what both ends have seen."""
     ends = [End(net, keep), End(net, keep)]
     seen = [one.seen for one in ends]
-    listening = await net.listen(lambda: ends[B], (HOST, 0), accept_most=4, waiting_most=9)
+    listening = await net.listen(lambda: ends[B], (HOST, 0), accepts_per_turn=4, backlog=9)
     await net.dial(lambda: ends[A], (HOST, listening.port))
     await settle(0, seen)
     for number, (who, deeds) in enumerate(script):
--- a/tests/testbed/test_simulated_network.py
+++ b/tests/testbed/test_simulated_network.py
@@ -336,7 +336,7 @@
         seen.append("up")
         return Peer(ground.world)
 
-    ground.server.create_task(ground.server_net.listen(made, SERVER, accept_most=2, waiting_most=9))
+    ground.server.create_task(ground.server_net.listen(made, SERVER, accepts_per_turn=2, backlog=9))
     ground.run(1)
     ground.server.stall(0.1)
     ground.server.call_soon(turn)
--- a/tests/testbed/timeless.py
+++ b/tests/testbed/timeless.py
@@ -93,4 +93,4 @@
     def accept() -> asyncio.StreamReaderProtocol:
         return asyncio.StreamReaderProtocol(asyncio.StreamReader(loop=loop), serve, loop=loop)
 
-    return Server(await net().listen(accept, ("127.0.0.1", 0), accept_most=99, waiting_most=99))
+    return Server(await net().listen(accept, ("127.0.0.1", 0), accepts_per_turn=99, backlog=99))
