--- a/coveport/serving/proxy/admission.py
+++ b/coveport/serving/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: requests that find every node at capacity wait in a bounded priority queue. Pure.
+"""Admission control: requests that find no node to use now wait in a bounded priority queue. Pure.
 
 They wait only while a response within the route's latency target is still possible, and at most a fifth of
 it; after that they are rejected, so that the client knows at once. There is one queue for each service and
--- a/coveport/serving/proxy/client_listener.py
+++ b/coveport/serving/proxy/client_listener.py
@@ -58,7 +58,7 @@
         self._connections.discard(connection)
 
     async def drain(self, until_s: float) -> None:
-        """Answer what was accepted and accept nothing new.
+        """Answer what was accepted, and accept nothing new after one more second.
 
         Returns when no connection is left, at `until_s` (monotonic) at the latest.
         """
--- a/coveport/serving/proxy/node_selection.py
+++ b/coveport/serving/proxy/node_selection.py
@@ -1,9 +1,16 @@
 """Selects the node for one attempt of a request, from all that the proxy knows of nodes. Pure.
 
-Nodes are grouped by locality: the proxy's own region first, any region only while the own one holds no usable
-node. Within a locality the choice is that of the power of two choices: two nodes are drawn at random, and the
-one with fewer of this proxy's own requests in flight takes the request. Ties go to the node that has more of
-the prompt's prefix cached (`prefix_cache`), else to either at random.
+The first of these groups that holds a node is used:
+
+1. preferred nodes (below), of the own region, then of any region;
+2. usable nodes that are not saturated, of the own region, then of any;
+3. usable nodes, of the own region, then of any;
+4. nodes that are unusable as they are ejected, and for nothing else: what Envoy calls panic routing.
+
+Within it, a prompt whose segments are known is narrowed down to at most two nodes (`prefix_cache`). Then the
+power of two choices: two nodes are drawn at random, and the one with fewer of this proxy's own requests in
+flight takes the request. Ties go to the node that has more of the prompt's prefix cached, else to either at
+random.
 
 A node is not usable while
 
@@ -15,8 +22,7 @@
 - this proxy's share of its connections is in use (`connection_pool`).
 
 Among usable nodes those are preferred that are neither saturated (`latency_estimate`) nor overloaded for a
-prompt of this length (`overload_estimate`). Where ejection alone leaves no node, ejected ones are used: what
-Envoy calls panic routing.
+prompt of this length (`overload_estimate`).
 """
 
 from __future__ import annotations
--- a/coveport/serving/proxy/process.py
+++ b/coveport/serving/proxy/process.py
@@ -60,7 +60,7 @@
         self._log.info("proxy_started", name=self._settings.name, zone=self._settings.zone)
 
     async def stop(self) -> None:
-        """Shut down gracefully: accept nothing new, answer everything accepted."""
+        """Shut down gracefully: accept connections for one more second, answer everything accepted."""
         self._is_stopping = True
         self._log.info("proxy_stopping", **self.data_path.metrics())
         until_s = self._net.now_s() + self._settings.bounds.grace_s * SHUTDOWN_TIME_RATIO
--- a/coveport/serving/proxy/request_routing.py
+++ b/coveport/serving/proxy/request_routing.py
@@ -1,4 +1,4 @@
-"""Routes a client's request: its route, its service, the segments of its prompt, and its deadline."""
+"""Routes a client's request: its route, its service, the segments of its prompt, and the time it has."""
 
 from __future__ import annotations
 
--- a/coveport/serving/proxy/view_updater.py
+++ b/coveport/serving/proxy/view_updater.py
@@ -67,7 +67,10 @@
             self._view.notify_listeners()
 
     def _apply_max_proxies(self, update: Update) -> None:
-        """Raise the number of proxies. It never falls: those partitioned off still spend their quota."""
+        """Raise the number of proxies, which divides all quotas.
+
+        It never falls while this process runs: proxies that are partitioned off still spend their quota.
+        """
         if update.max_proxies > self._max_proxies:
             self._max_proxies = update.max_proxies
             self._view.max_proxies = update.max_proxies
--- a/coveport/sidecar/supervisor/instance_state.py
+++ b/coveport/sidecar/supervisor/instance_state.py
@@ -1,5 +1,7 @@
 """States of one instance as its supervisor sees them, and the transitions between them. Pure.
 
+The usual ways; all that may follow stand in `TRANSITIONS`:
+
     DOWN -> WAITING -> STARTING -> SERVING -> STOPPING -> DOWN | WAITING
     STARTING, SERVING -> WAITING (it exited by itself) | BROKEN (too often, or its files are unusable)
     STARTING, SERVING, STOPPING -> KILLING (time-out, or hung) -> DOWN | WAITING | BROKEN
