--- a/coveport/serving/proxy/data_path.py
+++ b/coveport/serving/proxy/data_path.py
@@ -68,7 +68,10 @@
         self._maintenance.start()
 
     async def drain(self, until_s: float) -> None:
-        """Answer what was accepted, accept nothing new after one second, until `until_s` on the clock of `Net.now_s`."""
+        """Answer what was accepted, and accept nothing new after one second.
+
+        It ends at `until_s` on the clock of `Net.now_s` at the latest.
+        """
         await self._listener.drain(until_s)
         self._maintenance.stop()
         self._context.pool.close()
