--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -181,7 +181,7 @@
             self._recording.attach(effects)
         life.listen(self._phase)
         if self._health_checks is not None:
-            effects.looks = self
+            effects.health_checks = self
         if self._agent is not None:
             self._agent.attach(effects, life, lambda: effects.connection_pool.endpoints)
         self.lease_client.publish_status(self._fares())
@@ -380,7 +380,7 @@
         effects.counters.add("probes_by_turn")
         effects.connection_pool.send(number, None, timeout_s, done)
 
-    def look(self, destination: int) -> core.HealthCheckEnded | None:
+    def shared_result(self, destination: int) -> core.HealthCheckEnded | None:
         """Another's look at a destination that the module wishes to look at; None: look yourself."""
         node = self._name_of(destination)
         if self._health_checks is None or not node:
@@ -388,7 +388,7 @@
         result = self._health_checks.recent_result(boot_s(), node)
         return None if result is None else _as_probe(destination, result)
 
-    def saw(self, destination: int, outcome: balancing.Outcome) -> None:
+    def observed(self, destination: int, outcome: balancing.Outcome) -> None:
         """What we saw of a destination ourselves."""
         node = self._name_of(destination)
         if self._health_checks is not None and node and outcome in TELLING:
--- a/coveport/sidecar/intent_log/recorder.py
+++ b/coveport/sidecar/intent_log/recorder.py
@@ -31,8 +31,8 @@
 class Recorder(RepeatedRequests):
     """Records one instance's operations; must live in a running loop from `start` on.
 
-    Implements `coveport.sidecar.effects.Records` for the executor and `execution.ResponseObserver` for the
-    stand-ins of clients.
+    Implements `coveport.sidecar.operation_interfaces.OperationRecorder` for the executor and
+    `execution.ResponseObserver` for the stand-ins of clients.
     """
 
     def start(self) -> None:
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -17,9 +17,10 @@
 from coveport.sidecar.admin.server import AdminServer, CommandResult
 from coveport.sidecar.config import platform as configuration
 from coveport.sidecar.config.errors import PlatformFileError
+from coveport.sidecar.descriptor_limits import admin_connection_limit, connection_limits
 from coveport.sidecar.downstream.limits import DRAIN_DELAY_S
 from coveport.sidecar.downstream.listener import Listener
-from coveport.sidecar.effects import Effects, callers, descriptors
+from coveport.sidecar.effects import Effects
 from coveport.sidecar.reducer.phases import Lifecycle, Phase
 from coveport.sidecar.reducer.reducer import Reducer
 from coveport.sidecar.reducer.streams import Budget
@@ -66,7 +67,7 @@
         log,
         config.settings.classes,
         is_ready=lambda: life.ready,
-        max_clients=descriptors(config.sockets)[0],
+        max_clients=connection_limits(config.sockets)[0],
         submit=effects.take,
         cancel=effects.gone,
         on_upload_complete=effects.whole,
@@ -117,7 +118,7 @@
         net,
         counters,
         log,
-        max_connections=callers(config.sockets),
+        max_connections=admin_connection_limit(config.sockets),
         commands={Command.PING: ping, Command.INFO: info, Command.LAMEDUCK: lameduck, Command.REJOIN: rejoin},
     )
 
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -14,7 +14,8 @@
 from coveport.balancing import Balancer
 from coveport.balancing import balancer as decide
 from coveport.sidecar.discovery.endpoint_list_reader import EndpointListUpdate
-from coveport.sidecar.effects import Asker, Effects
+from coveport.sidecar.effects import Effects
+from coveport.sidecar.operation_interfaces import OperationClient
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.reducer.reducer import Reducer
@@ -140,7 +141,7 @@
 
 
 class _AnswersLate(_Hands):
-    def take(self, number: int, client: Asker, asked: Operation) -> None:
+    def take(self, number: int, client: OperationClient, asked: Operation) -> None:
         if self.struck(number):
             loop = self._net.loop
             at = loop.time() + asked.wait_ms / 1000 + 0.04
@@ -151,7 +152,7 @@
 class _HoldsBack(_Hands):
     """What it gives up is answered only when the client's time is nearly over, to spare a retry."""
 
-    def take(self, number: int, client: Asker, asked: Operation) -> None:
+    def take(self, number: int, client: OperationClient, asked: Operation) -> None:
         until = self._net.now_s() + 0.95 * asked.wait_ms / 1000
         loop = self._net.loop
         held = _Later(lambda call: loop.call_later(max(0.0, until - loop.time()), call), client, served=False)
@@ -160,7 +161,7 @@
 
 class _Later:
     def __init__(
-        self, later: Callable[[Callable[[], None]], object], client: Asker, served: bool = True
+        self, later: Callable[[Callable[[], None]], object], client: OperationClient, served: bool = True
     ) -> None:
         self._later = later
         self._client = client
@@ -225,7 +226,7 @@
 
 
 class _Dies(Effects):
-    def take(self, number: int, client: Asker, asked: Operation) -> None:
+    def take(self, number: int, client: OperationClient, asked: Operation) -> None:
         super().take(number, client, asked)
         if number == 2 * EVERY:
             raise SystemExit(3)
--- a/tests/sidecar/test_effects.py
+++ b/tests/sidecar/test_effects.py
@@ -82,7 +82,7 @@
             effects.told(update)
 
         effects.endpoint_list.read_pending = catch_up  # type: ignore[method-assign]
-        effects._beat_ms -= 1000  # a stall of ours
+        effects._last_active_ms -= 1000  # a stall of ours
         effects.gone(number)
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -34,7 +34,9 @@
 coveport.sidecar.downstream.context coveport.sidecar.downstream.limits
 coveport.sidecar.downstream.listener coveport.sidecar.downstream.operation_reader
 coveport.sidecar.downstream.sweep_timer coveport.sidecar.downstream.upload_timing
-coveport.sidecar.effects coveport.sidecar.reducer coveport.sidecar.reducer.endpoint
+coveport.sidecar.descriptor_limits coveport.sidecar.open_operation
+coveport.sidecar.operation_interfaces coveport.sidecar.effects
+coveport.sidecar.reducer coveport.sidecar.reducer.endpoint
 coveport.sidecar.reducer.messages coveport.sidecar.reducer.operation coveport.sidecar.reducer.phases
 coveport.sidecar.reducer.reducer coveport.sidecar.reducer.streams coveport.sidecar.service
 coveport.sidecar.telemetry coveport.sidecar.telemetry.counters coveport.sidecar.telemetry.log
