--- a/coveport/sidecar/reducer/reducer.py
+++ b/coveport/sidecar/reducer/reducer.py
@@ -1,7 +1,7 @@
-"""The one place where state changes: (time, input) -> effects.
+"""The state machine of one sidecar: (time, input) -> effects.
 
-It owns the module's Balancer, the operations and their route steps. No I/O, no clock, no HTTP: a
-second protocol would feed the same inputs and carry out the same effects.
+It is the one place where state changes. It owns the Balancer, the operations and their attempts. No I/O,
+no clock, no HTTP: a second protocol would feed the same inputs and execute the same effects.
 """
 
 from __future__ import annotations
@@ -43,14 +43,15 @@
     Verdict,
 )
 
-GUARD_SHARE = 0.25  # part of the answer slack after which an operation that nobody answered is failed
+# Of the answer slack: when this part has passed, an operation that nobody answered has failed.
+DEADLINE_SLACK_SHARE = 0.25
 
 
 @dataclass(slots=True)
-class _Step:
+class _Attempt:
     destination: int
     sent_at: float
-    out: bool = True
+    in_flight: bool = True
     began_at: float | None = None  # when its answer, a long one, began
 
 
@@ -60,16 +61,16 @@
     id: str
     most_attempts: int  # as of when it came
     answered: bool = False  # or the client is gone: nothing is owed
-    steps: list[_Step] = field(default_factory=list)
-    stream: int = -1  # the route step whose answer is being passed on
+    steps: list[_Attempt] = field(default_factory=list)
+    stream: int = -1  # the attempt whose answer is being passed on
 
     @property
     def over(self) -> bool:
-        return self.answered and not any(step.out for step in self.steps)
+        return self.answered and not any(step.in_flight for step in self.steps)
 
 
 class Reducer:
-    """The state of one sidecar."""
+    """The state of one sidecar; `step` is its only transition."""
 
     def __init__(
         self,
@@ -87,17 +88,17 @@
 
     @property
     def owed(self) -> int:
-        """How many operations still wait for their answer."""
+        """Number of operations that wait for their answer."""
         return sum(not operation.answered or operation.stream >= 0 for operation in self._operations.values())
 
     @property
     def members(self) -> tuple[int, int]:
-        """How many destinations are listed, and how many of them the module avoids now."""
+        """How many destinations are listed, and how many of them the balancer avoids now."""
         return len(self._balancer.hosts), self._balancer.avoided()
 
     @property
     def service_ms(self) -> float:
-        """Mean time of an operation at a destination, as the module knows it."""
+        """Mean time of an operation at a destination, as the balancer knows it."""
         return self._balancer.service
 
     def fresh(self) -> dict[int, tuple[int, float]]:
@@ -124,67 +125,69 @@
 
     @property
     def tables(self) -> dict[str, int]:
-        """How many entries each table has, the module's included; all but `hosts` come back to nothing."""
-        module = self._balancer
+        """How many entries each table has, the balancer's included; all but `hosts` come back to nothing."""
+        balancer = self._balancer
         return {
             "operations": len(self._operations),
             "ids": len(self._ids),
-            "requests": len(module.open),
-            "queue": module.queue.count,
-            "flights": len(module.flights),
-            "due": len(module.due),
-            "hosts": len(module.hosts),
+            "requests": len(balancer.open),
+            "queue": balancer.queue.count,
+            "flights": len(balancer.flights),
+            "due": len(balancer.due),
+            "hosts": len(balancer.hosts),
         }
 
     def step(self, now_ms: float, item: Input) -> list[Effect]:
-        """Take one input in and say what is to be done."""
+        """Apply one input and return the effects, in the order in which they are to be executed."""
         self._now = max(self._now, now_ms)
         effects: list[Effect] = []
         self._effects = effects
         if isinstance(item, OperationReceived):
-            self._came(item)
+            self._operation_received(item)
         elif isinstance(item, AttemptEnded):
-            self._step_ended(item)
+            self._attempt_ended(item)
         elif isinstance(item, TimerExpired):
-            self._tell(balancing.TimerFired(item.token))
+            self._notify_balancer(balancing.TimerFired(item.token))
         elif isinstance(item, EndpointsUpdated):
-            self._tell(item.update)
+            self._notify_balancer(item.update)
         elif isinstance(item, HealthCheckEnded):
-            self._tell(
+            self._notify_balancer(
                 balancing.HealthCheckResult(item.destination, item.outcome, item.latency_ms, item.load)
             )
         elif isinstance(item, ClientDisconnected):
             self._close(item.operation, None)
         elif isinstance(item, BodyReceived):
-            self._body_came(item)
+            self._body_received(item)
         elif isinstance(item, AttemptSent):
             operation = self._operations.get(item.operation)
             if operation is not None:
                 operation.steps[item.step].sent_at = self._now
         elif isinstance(item, AnswerStarted):
-            self._began(item)
+            self._answer_started(item)
         elif isinstance(item, ProcessStalled):
-            self._discount(item.lasted_ms)
+            self._subtract_stall(item.lasted_ms)
         elif isinstance(item, SlowStartGranted):
-            self._tell(balancing.SlowStartGrant(item.destination, item.count, self._now + item.lasts_ms))
+            self._notify_balancer(
+                balancing.SlowStartGrant(item.destination, item.count, self._now + item.lasts_ms)
+            )
         elif isinstance(item, ConfigurationReloaded):
             if item.discovery is not None:
-                self._effects.append(SwitchDiscovery(item.discovery))  # operations and route steps go on
+                self._effects.append(SwitchDiscovery(item.discovery))  # operations and attempts go on
             if item.settings is not None:
                 self._settings = item.settings
-                self._tell(balancing.SettingsChanged(item.settings))
+                self._notify_balancer(balancing.SettingsChanged(item.settings))
         else:
-            # Guards against a module that forgets an operation: it gets its answer within the slack.
+            # Guards against a balancer that forgets an operation: it gets its answer within the slack.
             operation = self._operations.get(item.operation)
             if operation is not None and not operation.answered:
                 self._effects.append(ReportFault(f"operation {item.operation} was left unanswered"))
                 self._close(item.operation, Verdict.FAILED)
         return effects
 
-    def _came(self, item: OperationReceived) -> None:
+    def _operation_received(self, item: OperationReceived) -> None:
         if not item.room:
             # Guards against running out of descriptors: turned away unseen, so it has never run.
-            self._effects.append(self._busy(item.operation, self._settings.classes[item.cls].aim_ms))
+            self._effects.append(self._rejection(item.operation, self._settings.classes[item.cls].aim_ms))
             return
         if item.id and item.id in self._ids:
             # Guards against a client that uses another's id: what is open keeps its one answer, and the
@@ -195,10 +198,10 @@
         operation = self._operations[item.operation] = _Operation(
             item.deadline_ms, item.id, self._settings.limits.max_attempts
         )
-        operation.steps.extend(_Step(-1, one.sent_ms, out=False) for one in item.before)
+        operation.steps.extend(_Attempt(-1, one.sent_ms, in_flight=False) for one in item.before)
         if not item.long:
-            self._guard(item.operation, operation)
-        told = self._tell(
+            self._set_deadline_timer(item.operation, operation)
+        handled = self._notify_balancer(
             balancing.Request(
                 item.operation,
                 item.deadline_ms,
@@ -210,34 +213,34 @@
                 before=item.before,
             )
         )
-        self._settle(item.operation, operation, told)
+        self._close_if_done(item.operation, operation, handled)
 
-    def _guard(self, number: int, operation: _Operation) -> None:
-        guard = operation.deadline_ms + self._settings.rules.answer_slack_ms * GUARD_SHARE
+    def _set_deadline_timer(self, number: int, operation: _Operation) -> None:
+        guard = operation.deadline_ms + self._settings.rules.answer_slack_ms * DEADLINE_SLACK_SHARE
         self._effects.append(SetDeadlineTimer(number, guard))
 
-    def _body_came(self, item: BodyReceived) -> None:
+    def _body_received(self, item: BodyReceived) -> None:
         operation = self._operations.get(item.operation)
         if operation is not None and not operation.answered:
             operation.deadline_ms = item.deadline_ms
-            self._guard(item.operation, operation)
+            self._set_deadline_timer(item.operation, operation)
 
-    def _began(self, item: AnswerStarted) -> None:
+    def _answer_started(self, item: AnswerStarted) -> None:
         operation = self._operations.get(item.operation)
-        if operation is None or operation.answered or not operation.steps[item.step].out:
+        if operation is None or operation.answered or not operation.steps[item.step].in_flight:
             self._effects.append(CancelAttempt(item.operation, item.step))  # somebody else's answer was first
             return
         step = operation.steps[item.step]
         operation.answered, operation.stream, step.began_at = True, item.step, self._now
         self._effects.append(StartAnswer(item.operation, item.step, item.answer))
-        self._tell(balancing.StreamStarted(item.operation, item.step, step.destination))
+        self._notify_balancer(balancing.StreamStarted(item.operation, item.step, step.destination))
 
-    def _step_ended(self, item: AttemptEnded) -> None:
+    def _attempt_ended(self, item: AttemptEnded) -> None:
         operation = self._operations.get(item.operation)
-        if operation is None or not operation.steps[item.step].out:
+        if operation is None or not operation.steps[item.step].in_flight:
             return
         step = operation.steps[item.step]
-        step.out = False
+        step.in_flight = False
         if item.outcome is balancing.Outcome.OK and not operation.answered:
             operation.answered = True
             self._effects.append(SendAnswer(item.operation, Verdict.SERVED, item.answer))
@@ -246,68 +249,68 @@
             self._effects.append(EndAnswer(item.operation, item.outcome is balancing.Outcome.OK))
         # Of a long answer its first bytes alone speak of the destination's pace: the rest is its client's.
         took = (self._now if step.began_at is None else step.began_at) - step.sent_at
-        # Guards against a module that takes one over whose answer is still passed on: it would call that off.
+        # Guards against a balancer that ends one whose answer is still forwarded: it would cancel that.
         closed = operation.answered and operation.stream < 0
-        told = self._tell(
+        handled = self._notify_balancer(
             balancing.Reply(
                 item.operation, item.step, step.destination, item.outcome, took, closed, item.load
             )
         )
-        self._settle(item.operation, operation, told)
+        self._close_if_done(item.operation, operation, handled)
 
-    def _discount(self, lasted_ms: float) -> None:
+    def _subtract_stall(self, lasted_ms: float) -> None:
         # Guards against a sidecar that takes its own stall for slow nodes, and refuses for seconds after it.
         for operation in self._operations.values():
             for step in operation.steps:
-                if step.out:
+                if step.in_flight:
                     step.sent_at = min(self._now, step.sent_at + lasted_ms)
 
-    def _settle(self, number: int, operation: _Operation, told: bool) -> None:
-        # Guards against a module that raised over this operation: the answer is owed all the same.
-        if not told and not operation.answered and not any(step.out for step in operation.steps):
+    def _close_if_done(self, number: int, operation: _Operation, handled: bool) -> None:
+        # Guards against a balancer that raised over this operation: the answer is owed all the same.
+        if not handled and not operation.answered and not any(step.in_flight for step in operation.steps):
             self._close(number, Verdict.FAILED)
         elif operation.over:
-            self._pop(number)
+            self._remove(number)
 
-    def _pop(self, number: int) -> None:
+    def _remove(self, number: int) -> None:
         operation = self._operations.pop(number, None)
         if operation is not None:
             self._ids.discard(operation.id)
 
     def _close(self, number: int, verdict: Verdict | None) -> None:
-        """End an operation over the module's head: answered by us, or its client gone."""
+        """End an operation without the balancer: answered here, or its client has disconnected."""
         operation = self._operations.get(number)
         if operation is None or (operation.answered and operation.stream < 0):
             return
         operation.answered, operation.stream = True, -1
         if verdict is not None:
             self._effects.append(SendAnswer(number, verdict))
-        self._tell(balancing.ClientDisconnected(number))
+        self._notify_balancer(balancing.ClientDisconnected(number))
         for attempt, step in enumerate(operation.steps):
-            if step.out:  # the module's own cancel may have come already; a second one does nothing
+            if step.in_flight:  # the balancer's own cancel may have come already; a second one does nothing
                 self._effects.append(CancelAttempt(number, attempt))
         if operation.over:
-            self._pop(number)
+            self._remove(number)
 
-    def _tell(self, event: balancing.Event) -> bool:
-        """Let the module decide; False where it raised."""
+    def _notify_balancer(self, event: balancing.Event) -> bool:
+        """Let the balancer handle an event; return False where it raised."""
         fine = True
         self._events.append(event)
         while self._events:
             try:
                 actions = self._balancer.handle(self._now, self._events.popleft())
             except Exception:
-                # Guards against a fault in the module: what it had decided so far stands in its books
+                # Guards against a fault in the balancer: what it had decided so far stands in its books
                 # and is carried out, the rest is answered by us.
                 fine = False
                 self._effects.append(ReportFault(traceback.format_exc()))
                 actions = self._balancer.out
             for action in actions:
-                fine = self._act(action) and fine
+                fine = self._apply(action) and fine
         return fine
 
-    def _act(self, action: balancing.Action) -> bool:
-        """Do what the module says; False where it makes no sense."""
+    def _apply(self, action: balancing.Action) -> bool:
+        """Apply an action of the balancer; return False where it is invalid."""
         if isinstance(action, balancing.Send):
             self._send(action)
         elif isinstance(action, balancing.SetTimer):
@@ -315,12 +318,12 @@
         elif isinstance(action, balancing.Cancel):
             operation = self._operations.get(action.id)
             if operation is not None and not 0 <= action.attempt < len(operation.steps):
-                # Guards against a module that cancels what it never sent.
+                # Guards against a balancer that cancels what it never sent.
                 self._effects.append(ReportFault(f"{action} names no route step"))
                 return False
             if (
                 operation is not None
-                and operation.steps[action.attempt].out
+                and operation.steps[action.attempt].in_flight
                 and operation.stream != action.attempt
             ):  # what is passed on is the client's
                 self._effects.append(CancelAttempt(action.id, action.attempt))
@@ -332,16 +335,16 @@
             if isinstance(action, balancing.Fail):
                 self._effects.append(SendAnswer(action.id, Verdict.FAILED))
             else:
-                self._effects.append(self._busy(action.id, action.wait_ms))
+                self._effects.append(self._rejection(action.id, action.wait_ms))
             if operation.over:
-                self._pop(action.id)
+                self._remove(action.id)
         elif isinstance(action, balancing.HealthCheck):
             self._effects.append(CheckHealth(action.host))
         else:
             self._effects.append(RequestEndpoints(isinstance(action, balancing.FetchEndpoints)))
         return True
 
-    def _busy(self, number: int, wait_ms: float) -> SendAnswer:
+    def _rejection(self, number: int, wait_ms: float) -> SendAnswer:
         limits = self._settings.limits
         wait_ms = min(wait_ms, limits.max_retry_after_ms) if limits.retry_after else 0.0
         return SendAnswer(number, Verdict.BUSY, None, wait_ms)
@@ -351,10 +354,10 @@
         if operation is None:
             return
         attempt = len(operation.steps)
-        operation.steps.append(_Step(action.host, self._now))
+        operation.steps.append(_Attempt(action.host, self._now))
         left = operation.deadline_ms - self._now
         if operation.answered or left <= 0 or attempt >= operation.most_attempts:
-            operation.steps[attempt].out = False
+            operation.steps[attempt].in_flight = False
             self._events.append(
                 balancing.Reply(
                     action.id, attempt, action.host, balancing.Outcome.MOOT, 0.0, operation.answered
--- a/coveport/sidecar/telemetry/counters.py
+++ b/coveport/sidecar/telemetry/counters.py
@@ -1,7 +1,7 @@
-"""The one registry of figures: what was taken in, sent and answered, and what holds right now.
+"""The registry of counters and gauges of one sidecar.
 
-The console, SIGUSR1 and the exit all read it. A counter only grows, from 0 at the start of the process,
-and is never taken away; a gauge is asked when somebody reads it.
+The admin address, SIGUSR1 and the exit read it. A counter only grows, from 0 at the start of the process,
+and is never removed; a gauge is computed when it is read.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 ENDS = ("completed", "rejected", "failed")  # how an operation ends: served, refused, failed
-# What staff are told, beside how the operations of each class ended.
+# Reported to operators, beside how the operations of each class ended.
 TOLD = (
     "upstream_requests",
     "pending",
@@ -23,12 +23,12 @@
 
 
 def ended(cls: str, how: str) -> str:
-    """The name of the counter of operations of a class that ended so."""
+    """Return the name of the counter of operations of a class that ended so (one of `ENDS`)."""
     return f"downstream_requests.{cls}.{how}"
 
 
 class Counters:
-    """Named figures."""
+    """Named counters and gauges."""
 
     def __init__(self) -> None:
         self._figures: dict[str, int] = {}
@@ -38,29 +38,29 @@
             self._figures[name] = 0
 
     def add(self, name: str, amount: int = 1) -> None:
-        """Count something."""
+        """Increase a counter."""
         self._figures[name] = self._figures.get(name, 0) + amount
 
     def get(self, name: str) -> int:
-        """One figure; 0 where nothing was counted."""
+        """Return a counter or gauge; 0 where nothing was counted."""
         gauge = self._gauges.get(name)
         return gauge() if gauge is not None else self._figures.get(name, 0)
 
     def gauge(self, name: str, ask: Callable[[], int]) -> None:
-        """A figure that is asked of somebody whenever it is read."""
+        """Register a gauge, computed by `ask` whenever it is read."""
         self._figures.pop(name, None)
         self._gauges[name] = ask
 
     def name_class(self, cls: str) -> None:
-        """Tell of a class from here on, from where its counts stand; it stays when the class goes."""
+        """Report a class from now on; it stays when the class is removed."""
         self._classes[cls] = None
 
     def told(self) -> list[str]:
-        """The figures that staff are told, a line each."""
+        """Return the counters and gauges for operators, a line each."""
         names = [ended(cls, how) for cls in self._classes for how in ENDS]
         return [f"{PREFIX}.{name}={self.get(name)}" for name in [*names, *TOLD]]
 
     def line(self, **gauges: object) -> str:
-        """All figures as one line of JSON, with what else holds right now."""
+        """Return all counters and gauges as one line of JSON, after those given."""
         asked = {name: ask() for name, ask in self._gauges.items()}
         return json.dumps({**gauges, **dict(sorted((self._figures | asked).items()))})
--- a/coveport/sidecar/telemetry/log.py
+++ b/coveport/sidecar/telemetry/log.py
@@ -1,4 +1,4 @@
-"""Lines for the operators, at most a few of a kind in a while."""
+"""Log lines for operators, rate-limited by kind."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Log:
-    """What one instance has to say."""
+    """The log of one instance: at most BURST lines of a kind in SPAN_S seconds."""
 
     def __init__(self, now_s: Callable[[], float], write: Callable[[str], None] = to_stderr) -> None:
         self._now_s = now_s
@@ -26,11 +26,12 @@
         self._kinds: dict[str, list[float]] = {}  # kind: start of its span, lines in it, lines left out
 
     def note(self, kind: str, text: str) -> None:
-        """Print a line unless its kind has had its share for now."""
+        """Print a line unless its kind has reached its limit for now."""
         now = self._now_s()
         state = self._kinds.setdefault(kind, [now, 0, 0])
         if now - state[0] >= SPAN_S:
-            state[0], state[1] = now, 0
+            state[0] = now
+            state[1] = 0
         if state[1] >= BURST:
             state[2] += 1
             return
@@ -40,9 +41,9 @@
         self.tell(kind, f"{text}{left_out}")
 
     def say(self, text: str) -> None:
-        """Print a line, whatever came before."""
+        """Print a line, without a limit."""
         self._write(f"coveport: {text}")
 
     def tell(self, kind: str, text: str) -> None:
-        """Print a line of a kind that had room."""
+        """Print a line that is within the limit of its kind."""
         self.say(f"{kind}: {text}")
--- a/tests/testbed/test_model_check.py
+++ b/tests/testbed/test_model_check.py
@@ -39,11 +39,15 @@
 
 
 class _AnswersTwice(Reducer):
-    def _step_ended(self, item: core.AttemptEnded) -> None:
+    def _attempt_ended(self, item: core.AttemptEnded) -> None:
         operation = self._operations.get(item.operation)
-        if operation is not None and operation.steps[item.step].out and item.outcome is balancing.Outcome.OK:
+        if (
+            operation is not None
+            and operation.steps[item.step].in_flight
+            and item.outcome is balancing.Outcome.OK
+        ):
             operation.answered = False
-        super()._step_ended(item)
+        super()._attempt_ended(item)
 
 
 class _CountsNoAttempts(Reducer):
