--- a/coveport/net/address.py
+++ b/coveport/net/address.py
@@ -26,6 +26,13 @@
     # Guards against line ends in headers, and names that make a connect fail otherwise than others do.
     if "%" in host and not _SCOPE.fullmatch(host.partition("%")[2]):
         raise AddressError(f"address {text!r} has no valid scope")
-    if not colon or not (port.isascii() and port.isdigit()) or not 0 <= int(port) <= 65535:
+    if not colon or not (port.isascii() and port.isdigit()) or not 0 <= _to_int(port) <= 65535:
         raise AddressError(f"address {text!r} has no valid port")
     return host, int(port)
+
+
+def _to_int(digits: str) -> int:
+    try:
+        return int(digits)
+    except ValueError as error:  # more digits than Python converts
+        raise AddressError(str(error)) from error
--- a/coveport/net/transport.py
+++ b/coveport/net/transport.py
@@ -64,10 +64,10 @@
         """Return whether a process listens there already, shared or not."""
         if self._inherited is not None:
             return False  # kept for this process
-        with socket.socket(_family(address), socket.SOCK_STREAM) as probe:
-            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # closed connections don't count
+        with socket.socket(_family(address), socket.SOCK_STREAM) as trial:
+            trial.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # closed connections don't count
             try:
-                probe.bind(address)
+                trial.bind(address)
             except OSError as error:
                 return error.errno == errno.EADDRINUSE
         return False
--- a/coveport/sidecar/admin/server.py
+++ b/coveport/sidecar/admin/server.py
@@ -73,7 +73,7 @@
     def _answer(self, data: bytes) -> None:
         self._is_answered = True
         self.since = self._server.net.now_s()
-        self._server.mark_answered(self)
+        self._server.set_answered(self)
         assert self._timer is not None
         assert self._transport is not None
         self._timer.cancel()
@@ -150,7 +150,7 @@
                 closing.close()
         self._waiting[connection] = None
 
-    def mark_answered(self, connection: _Connection) -> None:
+    def set_answered(self, connection: _Connection) -> None:
         """Note that a connection has its answer."""
         self._waiting.pop(connection, None)
         self._answered[connection] = None
--- a/coveport/sidecar/discovery/discovery_client.py
+++ b/coveport/sidecar/discovery/discovery_client.py
@@ -11,8 +11,8 @@
 from coveport.net.address import Address
 from coveport.net.transport import Net
 from coveport.sidecar.discovery.discovery_connection import DiscoveryConnection
-from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader, EndpointListUpdate
-from coveport.sidecar.discovery.errors import EndpointListError
+from coveport.sidecar.discovery.endpoint_reader import DiscoveredEndpoints, EndpointReader
+from coveport.sidecar.discovery.errors import DiscoveryResponseError
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
 
@@ -30,7 +30,7 @@
 BACKOFF_JITTER = 0.5  # part of the backoff by which it may be longer or shorter
 MAX_OLDER_LISTS = 3  # in a row, after which discovery counts as started anew with lower versions
 
-OnUpdate = Callable[[EndpointListUpdate | None], None]
+OnUpdate = Callable[[DiscoveredEndpoints | None], None]
 """Gets each list; None: a call that was requested has failed."""
 
 
@@ -44,7 +44,7 @@
         self,
         net: Net,
         address: Address,
-        reader: EndpointListReader,
+        reader: EndpointReader,
         on_update: OnUpdate,
         counters: Counters,
         log: Log,
@@ -113,7 +113,7 @@
         self._connecting = self._net.loop.create_task(self._call())
 
     @property
-    def _wants_full_list(self) -> bool:
+    def _wants_full(self) -> bool:
         return self._version is None or self._is_full_requested or self._was_malformed
 
     async def _call(self) -> None:
@@ -128,7 +128,7 @@
             self._fail(connection, "the connection has ended")
             return
         target = PATH
-        if self._wants_full_list:
+        if self._wants_full:
             self._start_timer(CALL_TIMEOUT_S)
         else:
             wait_ms = self._watch_ms()
@@ -190,7 +190,7 @@
             return
         self._accept(update, response.keep_alive)
 
-    def _accept(self, update: EndpointListUpdate, keep_alive: bool) -> None:
+    def _accept(self, update: DiscoveredEndpoints, keep_alive: bool) -> None:
         self._failures = 0
         self._is_busy = False
         self._is_full_requested = False
@@ -213,17 +213,19 @@
             self._is_busy = True
             self._net.loop.call_later(EMPTY_WATCH_DELAY_S, self._call_next)
 
-    def _read(self, data: object) -> EndpointListUpdate:
-        """Read a list; EndpointListError where it is malformed, not what was requested, or older."""
+    def _read(self, data: object) -> DiscoveredEndpoints:
+        """Read a list; DiscoveryResponseError where it is malformed, not what was requested, or older."""
         known = self._version
         if known is not None and isinstance(data, dict) and isinstance(data.get("seq"), int):
             # Guards against a stale replica that takes back what is known; one that goes on is no stale one.
             if data["seq"] < known and self._older_lists < MAX_OLDER_LISTS:
                 self._older_lists += 1
-                raise EndpointListError(f"version {data['seq']}, older than version {known} that is known")
+                raise DiscoveryResponseError(
+                    f"version {data['seq']}, older than version {known} that is known"
+                )
             self._older_lists = 0
-        if self._wants_full_list and isinstance(data, dict) and data.get("whole") is False:
-            raise EndpointListError("changes, where the whole list was asked for")
+        if self._wants_full and isinstance(data, dict) and data.get("whole") is False:
+            raise DiscoveryResponseError("changes, where the whole list was asked for")
         return self._reader.read(data)
 
     def _fail(self, connection: DiscoveryConnection, text: str, *, is_broken: bool = False) -> None:
--- a/coveport/sidecar/discovery/endpoint_list_reader.py
+++ b/coveport/sidecar/discovery/endpoint_reader.py
@@ -10,7 +10,7 @@
 from coveport import balancing
 from coveport.net.address import Address, parse_address
 from coveport.net.errors import AddressError
-from coveport.sidecar.discovery.errors import EndpointListError
+from coveport.sidecar.discovery.errors import DiscoveryResponseError
 from coveport.sidecar.reducer.endpoint import EndpointAddress
 
 _STATES = {
@@ -21,15 +21,15 @@
 
 
 @dataclass(slots=True)
-class EndpointListUpdate:
+class DiscoveredEndpoints:
     """A list as read: for the balancer, and each endpoint's address and start (None: gone) by its number."""
 
     update: balancing.EndpointUpdate
     endpoints: list[tuple[int, EndpointAddress | None]]
 
 
-class _Line(NamedTuple):
-    """One line of a list, checked."""
+class _EndpointRow(NamedTuple):
+    """One endpoint of a response, checked."""
 
     name: str
     address: Address
@@ -40,7 +40,7 @@
     started_ms: float  # Unix time
 
 
-class EndpointListReader:
+class EndpointReader:
     """Reads discovery's lists; gives endpoints, zones and cells their numbers.
 
     `zones`: those that are configured, numbered from 0. A number is never given twice.
@@ -55,38 +55,38 @@
         self._last_endpoint = 0
         self._last_cell = 0
         self._next_zone = len(zones)
-        self.on_list: Callable[[Any, bool], None] | None = (
+        self.on_endpoints: Callable[[Any, bool], None] | None = (
             None  # gets each list as it came, and if it is full
         )
 
-    def read(self, data: Any, kind: balancing.EndpointUpdateKind | None = None) -> EndpointListUpdate:
-        """Return a list as read; EndpointListError where any of it is malformed, and nothing changes then.
+    def read(self, data: Any, kind: balancing.EndpointUpdateKind | None = None) -> DiscoveredEndpoints:
+        """Return a list as read; DiscoveryResponseError where any of it is malformed: then nothing changes.
 
         `data`: the list as JSON has it. `kind`: by default what the list says of itself.
         """
-        lines, version, is_full = _check_list(data)
+        rows, version, is_full = _check_endpoints(data)
         if kind is None:
             kind = balancing.EndpointUpdateKind.FULL if is_full else balancing.EndpointUpdateKind.DELTA
         entries = []
         endpoints = list[tuple[int, EndpointAddress | None]]()
         gone = set[str]()
-        for line in lines:
-            number = self._endpoint_numbers.setdefault(line.name, self._last_endpoint + 1)
+        for row in rows:
+            number = self._endpoint_numbers.setdefault(row.name, self._last_endpoint + 1)
             self._last_endpoint = max(self._last_endpoint, number)
-            locality = self._zone(line.zone), self._cell(line.cell)
-            self._localities[line.name] = locality
-            entries.append(balancing.Endpoint(number, *locality, line.state, line.weight, line.started_ms))
-            if line.state is balancing.EndpointState.GONE:
-                gone.add(line.name)
+            locality = self._zone(row.zone), self._cell(row.cell)
+            self._localities[row.name] = locality
+            entries.append(balancing.Endpoint(number, *locality, row.state, row.weight, row.started_ms))
+            if row.state is balancing.EndpointState.GONE:
+                gone.add(row.name)
                 endpoints.append((number, None))
             else:
-                endpoints.append((number, (line.address, line.started_ms)))
-        if self.on_list is not None and kind is not balancing.EndpointUpdateKind.CACHED:
-            self.on_list(data, kind is balancing.EndpointUpdateKind.FULL)
+                endpoints.append((number, (row.address, row.started_ms)))
+        if self.on_endpoints is not None and kind is not balancing.EndpointUpdateKind.CACHED:
+            self.on_endpoints(data, kind is balancing.EndpointUpdateKind.FULL)
         if kind is not balancing.EndpointUpdateKind.DELTA:
-            gone |= self._endpoint_numbers.keys() - {line.name for line in lines}
+            gone |= self._endpoint_numbers.keys() - {row.name for row in rows}
         self._forget(gone)
-        return EndpointListUpdate(balancing.EndpointUpdate(kind, tuple(entries), version), endpoints)
+        return DiscoveredEndpoints(balancing.EndpointUpdate(kind, tuple(entries), version), endpoints)
 
     def _forget(self, gone: set[str]) -> None:
         # Guards against tables that only grow: endpoints are replaced all day, under new names.
@@ -118,35 +118,35 @@
         return self._cell_numbers[cell]
 
 
-def _only(numbers: dict[str, int], kept: set[int]) -> dict[str, int]:
-    return {name: number for name, number in numbers.items() if number in kept}
+def _only(numbers: dict[str, int], retained: set[int]) -> dict[str, int]:
+    return {name: number for name, number in numbers.items() if number in retained}
 
 
-def _check_list(data: Any) -> tuple[list[_Line], int, bool]:
-    """Return the lines, the version and whether the list is full."""
+def _check_endpoints(data: Any) -> tuple[list[_EndpointRow], int, bool]:
+    """Return the endpoints, the version and whether the list is full."""
     try:
-        return _read_list(data)
+        return _parse_endpoints(data)
     except (KeyError, TypeError, AttributeError) as error:
-        raise EndpointListError(f"{type(error).__name__}: {error}") from error
+        raise DiscoveryResponseError(f"{type(error).__name__}: {error}") from error
 
 
-def _read_list(data: Any) -> tuple[list[_Line], int, bool]:
+def _parse_endpoints(data: Any) -> tuple[list[_EndpointRow], int, bool]:
     hosts = data["hosts"]
     version = data["seq"]
     is_full = data["whole"]
     if not isinstance(hosts, list) or type(version) is not int or type(is_full) is not bool:
-        raise EndpointListError("hosts, seq or whole is not what it should be")
-    # Guards against an endpoint listed twice: its last line counts, as for all that read in order.
-    lines = {line.name: line for line in map(_check_line, hosts)}
-    return list(lines.values()), version, is_full
+        raise DiscoveryResponseError("hosts, seq or whole is not what it should be")
+    # Guards against an endpoint listed twice: its last entry counts, as for all that read in order.
+    rows = {row.name: row for row in map(_check_endpoint, hosts)}
+    return list(rows.values()), version, is_full
 
 
-def _check_line(host: Any) -> _Line:
+def _check_endpoint(host: Any) -> _EndpointRow:
     name = host["host"]
     weight = host.get("share", 1.0)
     started_ms = host.get("born_ms", 0)
     if not isinstance(name, str) or not name:
-        raise EndpointListError(f"host {name!r} is no name")
+        raise DiscoveryResponseError(f"host {name!r} is no name")
     for value in (weight, started_ms):
         # Guards against integers beyond all floats, which JSON may hold.
         if (
@@ -154,18 +154,18 @@
             or not isinstance(value, int | float)
             or not 0 <= value <= sys.float_info.max
         ):
-            raise EndpointListError(f"{name!r}: {value!r} is no figure")
+            raise DiscoveryResponseError(f"{name!r}: {value!r} is no figure")
     for value in (host["site"], host["block"]):
         if isinstance(value, bool) or not isinstance(value, int | str):
-            raise EndpointListError(f"{name!r}: {value!r} is no site or block")
+            raise DiscoveryResponseError(f"{name!r}: {value!r} is no site or block")
     # A state that is not known is treated as draining: nothing new goes there.
     state = _STATES.get(host["health"], balancing.EndpointState.DRAINING)
     address = _check_address(host["dial"])
-    return _Line(name, address, host["site"], host["block"], state, float(weight), float(started_ms))
+    return _EndpointRow(name, address, host["site"], host["block"], state, float(weight), float(started_ms))
 
 
 def _check_address(text: Any) -> Address:
     try:
         return parse_address(text)
     except AddressError as error:
-        raise EndpointListError(str(error)) from error
+        raise DiscoveryResponseError(str(error)) from error
--- a/coveport/sidecar/discovery/endpoint_list_source.py
+++ b/coveport/sidecar/discovery/endpoint_source.py
@@ -7,12 +7,12 @@
 from coveport.net.address import Address
 from coveport.net.transport import Net
 from coveport.sidecar.discovery.discovery_client import DiscoveryClient, OnUpdate
-from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader, EndpointListUpdate
+from coveport.sidecar.discovery.endpoint_reader import DiscoveredEndpoints, EndpointReader
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
 
 
-class EndpointListSource:
+class EndpointSource:
     """Keeps the endpoint list current by one discovery; moves to another one without a gap.
 
     `on_demand`: the list is requested by `request` alone, and `on_update` gets None for a failure.
@@ -22,7 +22,7 @@
         self,
         net: Net,
         address: Address,
-        reader: EndpointListReader,
+        reader: EndpointReader,
         on_update: OnUpdate,
         counters: Counters,
         log: Log,
@@ -61,7 +61,7 @@
         if self._successor is not None:
             self._successor.close()  # guards against several moves in a row: only the last one counts
 
-        def on_update(update: EndpointListUpdate | None) -> None:
+        def on_update(update: DiscoveredEndpoints | None) -> None:
             if successor is self._successor:
                 self._switch_to(successor)
             if successor is self._client:
--- a/coveport/sidecar/downstream/client_connection.py
+++ b/coveport/sidecar/downstream/client_connection.py
@@ -153,7 +153,7 @@
                 self._phase_began_at = self._context.net.now_s()
                 if not self._has_been_used:
                     self._has_been_used = True
-                    self._context.clients.mark_used(self)
+                    self._context.clients.set_used(self)
                 self._handle(request)
             except http1.RemoteProtocolError as error:
                 self._reject(error)
@@ -463,7 +463,7 @@
     def _end(self) -> None:
         """Close once all is written and read: bytes left unread would reset the response away."""
         self._is_ending = True
-        self._context.clients.mark_ending(self)
+        self._context.clients.set_ending(self)
         if self._transport is not None and not self._transport.is_closing():
             self._resume_reading()
             # Guards against a client that has reset the connection meanwhile.
--- a/coveport/sidecar/downstream/client_table.py
+++ b/coveport/sidecar/downstream/client_table.py
@@ -70,12 +70,12 @@
         for table in (self._connected, self._unused, self._ending):
             table.pop(client, None)
 
-    def mark_used(self, client: Connection) -> None:
+    def set_used(self, client: Connection) -> None:
         """Note that a client has brought its first complete request."""
         self._unused.pop(client, None)
         self._trim_idle(2)
 
-    def mark_ending(self, client: Connection) -> None:
+    def set_ending(self, client: Connection) -> None:
         """Note that a client has had its last response and is about to close."""
         self._unused.pop(client, None)
         self._ending[client] = None
--- a/coveport/sidecar/downstream/operation_reader.py
+++ b/coveport/sidecar/downstream/operation_reader.py
@@ -38,7 +38,7 @@
     wait_ms = float(deadline[1]) / (1000 if deadline[2] == "u" else 1) if deadline else 0.0
     if not 0 < wait_ms <= _MAX_DEADLINE_MS:
         raise http1.RemoteProtocolError(400, "bad X-Deadline")
-    extras = dict(part.strip().partition("=")[::2] for part in (request.get("x-extras") or "").split(","))
+    extras = dict(extra.strip().partition("=")[::2] for extra in (request.get("x-extras") or "").split(","))
     try:
         cost_ms = float(extras.get("cost_ms", "0"))
     except ValueError:
--- a/coveport/sidecar/downstream/sweep_timer.py
+++ b/coveport/sidecar/downstream/sweep_timer.py
@@ -25,7 +25,7 @@
         self._sweep = sweep
         self._accepts_pending = accepts_pending
         self._timer: asyncio.TimerHandle | None = None
-        self._due_at = inf
+        self._scheduled_at = inf
         self._awake_at = inf  # when the process was last seen on time
         self._stall_noticed_at = 0.0
         self.stalled_since: float | None = None  # set while what came during a stall is being read
@@ -47,10 +47,10 @@
         # loop's next turn.
         now = self._net.now_s()
         if self.stalled_since is None:
-            if now - self._due_at <= SWEEP_LATE_S:
+            if now - self._scheduled_at <= SWEEP_LATE_S:
                 self._awake_at = now
                 return 0.0
-            self.stalled_since = min(self._awake_at, self._due_at)
+            self.stalled_since = min(self._awake_at, self._scheduled_at)
             self._stall_noticed_at = now
             self._counters.add("stalls")
             self._net.loop.call_soon(self._end_stall)
@@ -67,7 +67,7 @@
             self._schedule()
 
     def _schedule(self) -> None:
-        self._due_at = self._net.now_s() + SWEEP_S
+        self._scheduled_at = self._net.now_s() + SWEEP_S
         self._timer = self._net.loop.call_later(SWEEP_S, self._run)
 
     def _run(self) -> None:
@@ -76,4 +76,4 @@
             self._schedule()
         else:
             self._timer = None
-            self._due_at = inf
+            self._scheduled_at = inf
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -15,9 +15,9 @@
 from coveport.net.transport import Net
 from coveport.sidecar.config.platform import Config
 from coveport.sidecar.descriptor_limits import connection_limits
-from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader, EndpointListUpdate
-from coveport.sidecar.discovery.endpoint_list_source import EndpointListSource
-from coveport.sidecar.discovery.errors import EndpointListError
+from coveport.sidecar.discovery.endpoint_reader import DiscoveredEndpoints, EndpointReader
+from coveport.sidecar.discovery.endpoint_source import EndpointSource
+from coveport.sidecar.discovery.errors import DiscoveryResponseError
 from coveport.sidecar.open_operation import DeferredAttempt, OpenOperation
 from coveport.sidecar.operation_interfaces import HealthCheckSharing, OperationClient, OperationRecorder
 from coveport.sidecar.reducer import messages as core
@@ -86,8 +86,8 @@
             connect_timeout_ms=connect_timeout_ms(config.settings),
             max_connections=connection_limits(config.sockets)[1],
         )
-        self._reader = EndpointListReader(config.zones)
-        self.endpoint_list = EndpointListSource(
+        self._reader = EndpointReader(config.zones)
+        self.endpoint_source = EndpointSource(
             net,
             config.discovery,
             self._reader,
@@ -126,12 +126,12 @@
             return
         try:
             update = self._reader.read(self._config.known, balancing.EndpointUpdateKind.CACHED)
-        except EndpointListError as problem:
+        except DiscoveryResponseError as problem:
             self._log.note("endpoint list", f"the known list is garbled: {problem}")
             return
         if update.endpoints:
             # Before the balancer is told, which may ask at once.
-            self.endpoint_list.resume_from(update.update.version)
+            self.endpoint_source.resume_from(update.update.version)
         self._place(update)
 
     @property
@@ -187,7 +187,7 @@
             self._inputs.append(core.ProcessStalled(missed))
         # Guards against what waits beside a list that has waited for as long: it would be decided by the old
         # one, and go to a destination that has long begun to drain.
-        self.endpoint_list.read_pending()
+        self.endpoint_source.read_pending()
 
     def _on_stall_timer(self) -> None:
         self._check_stall()
@@ -273,7 +273,7 @@
         host, port = self.connection_pool.address(destination) or ("", 0)
         return (f"{host}:{port}", *self._reducer.place_of(destination))
 
-    def told(self, update: EndpointListUpdate | None) -> None:
+    def told(self, update: DiscoveredEndpoints | None) -> None:
         """Apply an update from discovery; None: it failed."""
         if update is None:
             self.feed(core.EndpointsUpdated(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED)))
@@ -282,7 +282,7 @@
             self.counters.add("pool_updates")
             self._place(update)
 
-    def _place(self, update: EndpointListUpdate) -> None:
+    def _place(self, update: DiscoveredEndpoints) -> None:
         # First: what is held goes to a new destination, or to one's new address, as soon as the module knows.
         self.connection_pool.update_endpoints(
             update.endpoints, complete=update.update.kind is not balancing.EndpointUpdateKind.DELTA
@@ -300,7 +300,7 @@
 
     def hear(self, heard: Callable[[Any, bool], None]) -> None:
         """Be told each list as discovery tells it, and whether it is a whole one."""
-        self._reader.on_list = heard
+        self._reader.on_endpoints = heard
 
     def share(self, peers: int) -> None:
         """Set how many instances share the destinations."""
@@ -351,10 +351,10 @@
             opened.steps[effect.step].cancel()
 
     def _request_endpoints(self, effect: core.RequestEndpoints) -> None:
-        self.endpoint_list.request(full=effect.whole)
+        self.endpoint_source.request(full=effect.whole)
 
     def _switch_discovery(self, effect: core.SwitchDiscovery) -> None:
-        self.endpoint_list.move_to(effect.discovery)
+        self.endpoint_source.move_to(effect.discovery)
 
     def _report_fault(self, effect: core.ReportFault) -> None:
         self.counters.add("complaints")
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -146,7 +146,7 @@
         life.listen(on_phase)
 
     effects.know()
-    effects.endpoint_list.start()
+    effects.endpoint_source.start()
     if config.console is not None and await _open(net, log, admin.open, config.console) is not None:
         log.say(f"{config.name}: staff call at {config.console[0]}:{config.console[1]}")
     # Where another serves here already, it goes on until we are ready: clients would find us with no list.
@@ -170,7 +170,7 @@
     await listener.shut_down()
     while effects.owed or len(listener.clients):
         await asyncio.sleep(STEP_S)
-    effects.endpoint_list.close()
+    effects.endpoint_source.close()
     effects.connection_pool.close()
     listener.close()
     admin.close()
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -13,7 +13,7 @@
 from coveport import balancing
 from coveport.balancing import Balancer
 from coveport.balancing import balancer as decide
-from coveport.sidecar.discovery.endpoint_list_reader import EndpointListUpdate
+from coveport.sidecar.discovery.endpoint_reader import DiscoveredEndpoints
 from coveport.sidecar.effects import Effects
 from coveport.sidecar.operation_interfaces import OperationClient
 from coveport.sidecar.reducer import messages as core
@@ -216,7 +216,7 @@
 class _KeepsTheGone(Effects):
     """Sends where the list said, and goes on where it says no more."""
 
-    def _place(self, update: EndpointListUpdate) -> None:
+    def _place(self, update: DiscoveredEndpoints) -> None:
         update.endpoints = [(number, place) for number, place in update.endpoints if place is not None]
         entries = tuple(one for one in update.update.entries if one.state is balancing.EndpointState.READY)
         update.update = balancing.EndpointUpdate(
--- a/coveport/testbed/fuzz/__init__.py
+++ b/coveport/testbed/fuzz/__init__.py
@@ -20,7 +20,7 @@
         "coveport.sidecar.upstream.http1_messages",
     ),
     "loads": ("coveport.sidecar.upstream.http1_messages",),
-    "lists": ("coveport.sidecar.discovery.endpoint_list_reader", "coveport.net.address"),
+    "lists": ("coveport.sidecar.discovery.endpoint_reader", "coveport.net.address"),
     "config": (
         "coveport.sidecar.config.platform",
         "coveport.balancing.simulator_codec",
--- a/coveport/testbed/fuzz/targets.py
+++ b/coveport/testbed/fuzz/targets.py
@@ -25,7 +25,7 @@
 from coveport.net.address import parse_address
 from coveport.sidecar.config import platform
 from coveport.sidecar.config.errors import PlatformFileError
-from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader
+from coveport.sidecar.discovery.endpoint_reader import EndpointReader
 from coveport.sidecar.downstream.operation_reader import read_operation
 from coveport.sidecar.reducer.operation import Operation
 from coveport.sidecar.upstream.http1_messages import encode_request, load_report
@@ -233,8 +233,8 @@
 
 
 def lists(data: bytes) -> None:
-    """EndpointListReader on several answers of discovery in a row, one a line."""
-    reader = EndpointListReader(ZONES)
+    """EndpointReader on several answers of discovery in a row, one a line."""
+    reader = EndpointReader(ZONES)
     numbers = dict[str, int]()  # of those that are there
     given = set[int]()
     for line in data.split(b"\n"):
@@ -255,7 +255,7 @@
         must(len({*zones.values()}) == len(zones), "zones", f"one number twice in {zones}")
 
 
-def _tables(reader: EndpointListReader) -> list[dict[Any, Any]]:
+def _tables(reader: EndpointReader) -> list[dict[Any, Any]]:
     return [
         dict(getattr(reader, name))
         for name in ("_endpoint_numbers", "_cell_numbers", "_localities", "_zone_numbers")
@@ -329,7 +329,7 @@
     must(all(type(one) is str for one in names), "class", f"{names}")
     must(all(type(one) is str for one in read.settings.load_fields), "fields", f"{read.settings.load_fields}")
     with suppress(ValueError):
-        EndpointListReader(read.zones).read(read.known, balancing.EndpointUpdateKind.CACHED)
+        EndpointReader(read.zones).read(read.known, balancing.EndpointUpdateKind.CACHED)
     balancer = Balancer(read.settings, read.seed)
     balancer.handle(
         0.0,
--- a/tests/sidecar/discovery/test_endpoint_list.py
+++ b/tests/sidecar/discovery/test_endpoint_source.py
@@ -13,8 +13,9 @@
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net, ProtocolFactory
 from coveport.sidecar.discovery import discovery_client
-from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader
-from coveport.sidecar.discovery.endpoint_list_source import EndpointListSource
+from coveport.sidecar.discovery.endpoint_reader import EndpointReader
+from coveport.sidecar.discovery.endpoint_source import EndpointSource
+from coveport.sidecar.discovery.errors import DiscoveryResponseError
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
 
@@ -35,10 +36,10 @@
 
         monkeypatch.setattr(net, "dial", late)
         net.loop.set_exception_handler(lambda _, context: errors.append(context))
-        one = EndpointListSource(
+        one = EndpointSource(
             net,
             parse_address(server.address),
-            EndpointListReader(("a",)),
+            EndpointReader(("a",)),
             lambda update: told.set(),
             Counters(),
             Log(net.now_s),
@@ -67,7 +68,7 @@
         "share": 1.0,
         "born_ms": 0,
     }
-    reader = EndpointListReader(("a", "b"))
+    reader = EndpointReader(("a", "b"))
     good = reader.read({"seq": 1, "whole": True, "hosts": [line]}).update
     assert (good.entries[0].zone, good.entries[0].cell, good.entries[0].started_ms) == (1, 3, 0)
     with pytest.raises(ValueError, match=r"."):
@@ -85,7 +86,7 @@
             "health": health,
         }
 
-    reader, numbers, cells = EndpointListReader(("a", "b")), set[int](), set[int]()
+    reader, numbers, cells = EndpointReader(("a", "b")), set[int](), set[int]()
     for number in range(300):
         hosts = [line(number), line(number - 9, "left")]
         entries = reader.read({"seq": number, "whole": False, "hosts": hosts}).update.entries
@@ -118,13 +119,18 @@
 def test_figures_too_large_are_garbled_and_said_in_one_line(changes: dict[str, object]) -> None:
     # Seen in fuzzing: an OverflowError went past all who expect a ValueError.
     with pytest.raises(ValueError, match="figure") as problem:
-        EndpointListReader(()).read(told(1, listed() | changes))
+        EndpointReader(()).read(told(1, listed() | changes))
     assert "\n" not in str(problem.value)
 
 
+def test_a_port_of_more_digits_than_python_converts_is_garbled() -> None:
+    with pytest.raises(DiscoveryResponseError, match="digits"):
+        EndpointReader(()).read(told(1, listed(dial="127.0.0.1:" + "9" * 5000)))
+
+
 @pytest.mark.parametrize("last", ["active", "left"])
 def test_of_a_destination_listed_twice_the_last_line_counts(last: str) -> None:
-    reader = EndpointListReader(("a", "b"))
+    reader = EndpointReader(("a", "b"))
     first = reader.read(told(1, listed(), whole=True)).update.entries[0].host
     other = {"active": "left", "left": "active"}[last]
     update = reader.read(told(2, listed(health=other), listed(dial="127.0.0.1:10", health=last)))
@@ -138,7 +144,7 @@
 
 def test_zones_and_cells_that_nobody_is_in_are_forgotten() -> None:
     # As above, for destinations that stay and move, and for zones.
-    reader, zones = EndpointListReader(("a", "b")), set[int]()
+    reader, zones = EndpointReader(("a", "b")), set[int]()
     for number in range(50):
         moved = listed(site=f"z-{number}", block=f"pod-{number}")
         entries = reader.read(told(number, moved, listed("s-2"))).update.entries
@@ -179,10 +185,10 @@
     left, versions = list(answers), list[int]()
 
     async def main(net: Net) -> None:
-        one = EndpointListSource(
+        one = EndpointSource(
             net,
             parse_address(server.address),
-            EndpointListReader(("a",)),
+            EndpointReader(("a",)),
             lambda update: versions.append(-1 if update is None else update.update.version),
             Counters(),
             Log(net.now_s),
--- a/tests/sidecar/test_effects.py
+++ b/tests/sidecar/test_effects.py
@@ -78,10 +78,10 @@
         update = effects._reader.read(json.loads(json.dumps(pool.text())), balancing.EndpointUpdateKind.FULL)
 
         def catch_up() -> None:
-            effects.endpoint_list.read_pending = lambda: None  # type: ignore[method-assign]
+            effects.endpoint_source.read_pending = lambda: None  # type: ignore[method-assign]
             effects.told(update)
 
-        effects.endpoint_list.read_pending = catch_up  # type: ignore[method-assign]
+        effects.endpoint_source.read_pending = catch_up  # type: ignore[method-assign]
         effects._last_active_ms -= 1000  # a stall of ours
         effects.gone(number)
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -28,7 +28,7 @@
 coveport.sidecar.config.errors coveport.sidecar.config.platform coveport.sidecar.config.reload_checks
 coveport.sidecar.discovery
 coveport.sidecar.discovery.discovery_client coveport.sidecar.discovery.discovery_connection
-coveport.sidecar.discovery.endpoint_list_reader coveport.sidecar.discovery.endpoint_list_source
+coveport.sidecar.discovery.endpoint_reader coveport.sidecar.discovery.endpoint_source
 coveport.sidecar.discovery.errors coveport.sidecar.downstream
 coveport.sidecar.downstream.client_connection coveport.sidecar.downstream.client_table
 coveport.sidecar.downstream.context coveport.sidecar.downstream.limits
--- a/tests/testbed/test_fuzz.py
+++ b/tests/testbed/test_fuzz.py
@@ -15,7 +15,7 @@
 
 from coveport import http1
 from coveport.cli.root import root
-from coveport.sidecar.discovery.endpoint_list_reader import EndpointListReader
+from coveport.sidecar.discovery.endpoint_reader import EndpointReader
 from coveport.testbed import compare, outcome
 from coveport.testbed.fuzz import UNDER_TEST, run, writers
 from coveport.testbed.fuzz.mutate import Mutator, read_dictionary
@@ -71,14 +71,14 @@
         return None
 
 
-class Careless(EndpointListReader):
+class Careless(EndpointReader):
     """Forgets nobody."""
 
     def _forget(self, gone: set[str]) -> None:
         return
 
 
-class Lost(EndpointListReader):
+class Lost(EndpointReader):
     """Gives every destination a new number each time."""
 
     def read(self, told: Any, kind: Any = None) -> Any:
@@ -103,10 +103,10 @@
         ("operations", "encode_request", lambda *_: REQUEST, REQUEST.replace(b"7", b"8"), "changed"),
         ("loads", "load_report", lambda *_: (1.0, float("nan"), 2.0), b"", "finite"),
         ("loads", "load_report", lambda *_: (1.0,), b"", "length"),
-        ("lists", "EndpointListReader", Careless, LIST % (1, b"a", b"left"), "hosts"),
+        ("lists", "EndpointReader", Careless, LIST % (1, b"a", b"left"), "hosts"),
         (
             "lists",
-            "EndpointListReader",
+            "EndpointReader",
             Lost,
             b"\n".join(LIST % (one, b"a", b"active") for one in (1, 2)),
             "number",
