--- a/coveport/sidecar/downstream/context.py
+++ b/coveport/sidecar/downstream/context.py
@@ -4,42 +4,21 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
 
 from coveport import balancing
 from coveport.net.transport import Net
 from coveport.sidecar.downstream.client_table import ClientTable
+from coveport.sidecar.downstream.operation_client import OperationClient
 from coveport.sidecar.downstream.sweep_timer import SweepTimer
-from coveport.sidecar.reducer.messages import Verdict
-from coveport.sidecar.reducer.operation import Answer, Operation
+from coveport.sidecar.reducer.operation import Operation
 from coveport.sidecar.reducer.streams import Budget
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
-from coveport.sidecar.upstream.attempt import Attempt
 
 RequestClasses = dict[str, tuple[int, balancing.Effect]]
 """The number and effect of each class of requests by its name, which is the first part of the path."""
 
 
-class OperationClient(Protocol):
-    """Who has submitted an operation and waits for its response."""
-
-    def begin(self, answer: Answer, source: Attempt) -> None:
-        """Begin a streamed response."""
-
-    def more(self, data: bytes) -> None:
-        """Write more of it."""
-
-    def finish(self, complete: bool) -> None:
-        """End it; the client must be able to tell one that is not complete."""
-
-    def answer(self, verdict: Verdict, answer: Answer | None, retry_after_ms: float) -> None:
-        """Write a complete response."""
-
-    def left(self) -> bool:
-        """Return whether the client has disconnected."""
-
-
 @dataclass(slots=True)
 class DownstreamContext:
     """What all client connections of a listener share.
--- a/coveport/sidecar/downstream/listener.py
+++ b/coveport/sidecar/downstream/listener.py
@@ -10,13 +10,14 @@
 from coveport.net.transport import Listening, Net
 from coveport.sidecar.downstream.client_connection import ClientConnection
 from coveport.sidecar.downstream.client_table import ClientTable
-from coveport.sidecar.downstream.context import DownstreamContext, OperationClient, RequestClasses
+from coveport.sidecar.downstream.context import DownstreamContext, RequestClasses
 from coveport.sidecar.downstream.limits import (
     ACCEPT_PENDING_S,
     ACCEPTS_PER_TURN,
     DRAIN_DELAY_S,
     MAX_PENDING_ACCEPTS,
 )
+from coveport.sidecar.downstream.operation_client import OperationClient
 from coveport.sidecar.downstream.sweep_timer import SweepTimer
 from coveport.sidecar.reducer.operation import Operation
 from coveport.sidecar.reducer.streams import Budget
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -18,8 +18,9 @@
 from coveport.sidecar.discovery.endpoint_reader import DiscoveredEndpoints, EndpointReader
 from coveport.sidecar.discovery.endpoint_source import EndpointSource
 from coveport.sidecar.discovery.errors import DiscoveryResponseError
+from coveport.sidecar.downstream.operation_client import OperationClient
 from coveport.sidecar.open_operation import DeferredAttempt, OpenOperation
-from coveport.sidecar.operation_interfaces import HealthCheckSharing, OperationClient, OperationRecorder
+from coveport.sidecar.operation_interfaces import HealthCheckSharing, OperationRecorder
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.reducer.reducer import Reducer
--- a/coveport/sidecar/open_operation.py
+++ b/coveport/sidecar/open_operation.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from coveport import balancing
-from coveport.sidecar.operation_interfaces import OperationClient
+from coveport.sidecar.downstream.operation_client import OperationClient
 from coveport.sidecar.reducer.operation import Operation
 from coveport.sidecar.upstream.attempt import Attempt, AttemptResult
 
--- a/coveport/sidecar/operation_interfaces.py
+++ b/coveport/sidecar/operation_interfaces.py
@@ -6,28 +6,9 @@
 from typing import Protocol
 
 from coveport import balancing
+from coveport.sidecar.downstream.operation_client import OperationClient
 from coveport.sidecar.reducer import messages as core
-from coveport.sidecar.reducer.operation import Answer, Operation
-from coveport.sidecar.upstream.attempt import Attempt
-
-
-class OperationClient(Protocol):
-    """The client side of a protocol: submitted an operation and waits for its answer."""
-
-    def begin(self, answer: Answer, source: Attempt) -> None:
-        """Begin the one final answer, a long one, which is forwarded from the source."""
-
-    def more(self, data: bytes) -> None:
-        """Forward a chunk of the long answer."""
-
-    def finish(self, complete: bool) -> None:
-        """End a streamed response; the client must be able to tell one that is not complete."""
-
-    def answer(self, verdict: core.Verdict, answer: Answer | None, retry_after_ms: float) -> None:
-        """Give the one final answer."""
-
-    def left(self) -> bool:
-        """Return whether it has disconnected, even where that is not read yet; `gone` is called soon."""
+from coveport.sidecar.reducer.operation import Operation
 
 
 class HealthCheckSharing(Protocol):
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -14,8 +14,8 @@
 from coveport.balancing import Balancer
 from coveport.balancing import balancer as decide
 from coveport.sidecar.discovery.endpoint_reader import DiscoveredEndpoints
+from coveport.sidecar.downstream.operation_client import OperationClient
 from coveport.sidecar.effects import Effects
-from coveport.sidecar.operation_interfaces import OperationClient
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.reducer.reducer import Reducer
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -32,7 +32,8 @@
 coveport.sidecar.discovery.errors coveport.sidecar.downstream
 coveport.sidecar.downstream.client_connection coveport.sidecar.downstream.client_table
 coveport.sidecar.downstream.context coveport.sidecar.downstream.limits
-coveport.sidecar.downstream.listener coveport.sidecar.downstream.operation_reader
+coveport.sidecar.downstream.listener coveport.sidecar.downstream.operation_client
+coveport.sidecar.downstream.operation_reader
 coveport.sidecar.downstream.sweep_timer coveport.sidecar.downstream.upload_timing
 coveport.sidecar.descriptor_limits coveport.sidecar.open_operation
 coveport.sidecar.operation_interfaces coveport.sidecar.effects
