--- a/coveport/serving/cli/app.py
+++ b/coveport/serving/cli/app.py
@@ -46,7 +46,7 @@
 app.command("coveport.serving.cli.show:status", name="status", help="Show the state of the core.")
 app.command("coveport.serving.cli.explain:explain", name="explain", help="Say where a day's worth went.")
 app.command(
-    "coveport.serving.simulation.try_day:run",
+    "coveport.serving.simulation.local_day:run",
     name="try",
     help="Play a short day on loopback; 0: no rule broke.",
 )
--- a/coveport/serving/scale/hollow_nodes.py
+++ b/coveport/serving/scale/hollow_nodes.py
@@ -1,4 +1,4 @@
-"""Hollow nodes: many nodes' real heartbeats from one process, over real sockets; they serve nothing."""
+"""Hollow nodes: heartbeats of many nodes from one process, over real sockets, without traffic."""
 
 from __future__ import annotations
 
@@ -10,75 +10,79 @@
 from coveport.http1 import write_request
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net
-from coveport.serving.scale.worker_lines import Line, read_lines, write_line
+from coveport.serving.scale.worker_messages import Message, read_messages, write_message
 from coveport.serving.simulation.exchange import call
 from coveport.serving.wire.names import Heartbeat, Path
 
 ANSWER_S = 1.0
 NODE_PORT = 8080
-DRAIN_S = 1.0  # from an acknowledged `closing` to the goodbye
+DRAIN_S = 1.0  # from an acknowledged `closing` to deregistration
+CLOSING_RETRY_S = 0.1
 SLOTS = 64
 
 
 class HollowNode:
-    """One node, incarnation after incarnation."""
+    """A node that only sends heartbeats; it can be restarted."""
 
-    def __init__(self, net: Net, told: Line, number: int, counts: NodeCounts) -> None:
+    def __init__(self, net: Net, settings: Message, number: int, counts: NodeCounts) -> None:
         self._net = net
-        self._told = told
+        self._settings = settings
         self._counts = counts
-        self._address = f"{told['addresses'][number]}:{NODE_PORT}"
-        self._service: str = told["services"][number]
-        self._coordinators = [parse_address(one) for one in told["coordinators"]]
-        self._chance = random.Random()
+        self._address = f"{settings['addresses'][number]}:{NODE_PORT}"
+        self._service: str = settings["services"][number]
+        self._coordinators = [parse_address(address) for address in settings["coordinators"]]
+        self._rng = random.Random()
         self.incarnation = ""
         self._sequence = 0
-        self._cold_until_s = 0.0
+        self._warm_up_until_s = 0.0
         self._task: asyncio.Task[None] | None = None
 
-    def start(self, cold_s: float = 0.0) -> None:
-        """Begin an incarnation."""
+    def start(self, warm_up_s: float = 0.0) -> None:
+        """Start a new incarnation."""
         self.stop()
-        self.incarnation = f"i-{self._chance.getrandbits(48):012x}"
+        self.incarnation = f"i-{self._rng.getrandbits(48):012x}"
         self._sequence = 0
-        self._cold_until_s = self._net.now_s() + cold_s
-        self._task = self._net.loop.create_task(self._beat())
+        self._warm_up_until_s = self._net.now_s() + warm_up_s
+        self._task = self._net.loop.create_task(self._send_heartbeats())
 
     def stop(self) -> None:
-        """Be silent from now on, as one that crashed."""
+        """Stop without deregistering, as in a crash."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
-    def restart(self, cold_s: float) -> None:
-        """The planned way: `closing`, goodbye, and a new incarnation."""
+    def restart(self, warm_up_s: float) -> None:
+        """Report `closing`, deregister, and start a new incarnation."""
         self.stop()
-        self._task = self._net.loop.create_task(self._leave(cold_s))
+        self._task = self._net.loop.create_task(self._leave(warm_up_s))
 
-    async def _beat(self) -> None:
-        period_s = self._told["heartbeat_s"]
-        await asyncio.sleep(self._chance.random() * period_s)
+    async def _send_heartbeats(self) -> None:
+        period_s = self._settings["heartbeat_s"]
+        await asyncio.sleep(self._rng.random() * period_s)
         while True:
             await self._tell("PUT", Heartbeat.ACCEPTING)
-            await asyncio.sleep(period_s * self._chance.uniform(0.9, 1.1))
+            await asyncio.sleep(period_s * self._rng.uniform(0.9, 1.1))
 
-    async def _leave(self, cold_s: float) -> None:
-        while not await self._tell("PUT", Heartbeat.CLOSING):
-            await asyncio.sleep(0.1)
-        write_line({"saw": "acknowledged", "what": self.incarnation, "at": self._net.now_s()})
+    async def _leave(self, warm_up_s: float) -> None:
+        while True:
+            is_acknowledged = await self._tell("PUT", Heartbeat.CLOSING)
+            if is_acknowledged:
+                break
+            await asyncio.sleep(CLOSING_RETRY_S)
+        write_message({"saw": "acknowledged", "what": self.incarnation, "at": self._net.now_s()})
         await asyncio.sleep(DRAIN_S)
         await self._tell("DELETE", Heartbeat.CLOSING)
         self._task = None
-        self.start(cold_s)
+        self.start(warm_up_s)
 
     async def _tell(self, method: str, state: str) -> bool:
-        """One report, at one coordinator after the other until one acknowledges it."""
-        for address in self._chance.sample(self._coordinators, len(self._coordinators)):
+        """Send a heartbeat to one coordinator after the other until one acknowledges it."""
+        for address in self._rng.sample(self._coordinators, len(self._coordinators)):
             self._sequence += 1
             request = self._request(method, address, state)
             began_s = self._net.now_s()
             answer = await call(self._net, address, request, ANSWER_S)
-            self._counts.note(len(request), self._net.now_s() - began_s, answer is not None)
+            self._counts.record(len(request), self._net.now_s() - began_s, answer is not None)
             if answer is not None and answer.status < 300:
                 return True
         return False
@@ -87,15 +91,15 @@
         headers = [("Host", f"{address[0]}:{address[1]}"), ("Content-Type", "application/json")]
         if method == "DELETE":
             return write_request(method, Path.NODES + self.incarnation, headers[:1])
-        cold_left_s = max(0.0, self._cold_until_s - self._net.now_s())
+        warm_up_left_s = max(0.0, self._warm_up_until_s - self._net.now_s())
         body = {
             Heartbeat.SERVICE: self._service,
             Heartbeat.ADDRESS: self._address,
-            Heartbeat.ZONE: self._told["zone"],
+            Heartbeat.ZONE: self._settings["zone"],
             Heartbeat.SOFTWARE: "v1",
             Heartbeat.SLOTS: SLOTS,
             Heartbeat.STATE: state,
-            Heartbeat.WARM_UP_LEFT_MS: round(cold_left_s * 1000),
+            Heartbeat.WARM_UP_LEFT_MS: round(warm_up_left_s * 1000),
             Heartbeat.PHASE: "both",
             Heartbeat.MODELS: [{Heartbeat.MODEL_NAME: "m", Heartbeat.WEIGHTS: 1, Heartbeat.ADAPTERS: []}],
             Heartbeat.SEQUENCE: self._sequence,
@@ -104,14 +108,14 @@
 
 
 class NodeCounts:
-    """Calls of all nodes of a process."""
+    """Counts of the calls of all nodes of a process."""
 
     def __init__(self) -> None:
         self.calls = self.unanswered = self.request_bytes = 0
         self.slowest_s = 0.0
 
-    def note(self, request_bytes: int, took_s: float, answered: bool) -> None:
-        """One call ended."""
+    def record(self, request_bytes: int, took_s: float, answered: bool) -> None:
+        """Count a call."""
         self.calls += 1
         self.request_bytes += request_bytes
         self.unanswered += not answered
@@ -119,33 +123,33 @@
 
 
 class HollowNodes:
-    """All of one process."""
+    """All hollow nodes of one process."""
 
-    def __init__(self, net: Net, told: Line) -> None:
+    def __init__(self, net: Net, settings: Message) -> None:
         self._counts = NodeCounts()
         self._nodes = [
-            HollowNode(net, told, number, self._counts) for number in range(len(told["addresses"]))
+            HollowNode(net, settings, number, self._counts) for number in range(len(settings["addresses"]))
         ]
 
-    def take(self, line: Line) -> None:
-        """Do what the run says."""
-        match line["do"]:
+    def handle(self, message: Message) -> None:
+        """Carry out a command of the run."""
+        match message["do"]:
             case "start":
                 for node in self._nodes:
                     node.start()
             case "lose":
-                for number in line["numbers"]:
+                for number in message["numbers"]:
                     self._nodes[number].stop()
             case "back":
-                for number in line["numbers"]:
-                    self._nodes[number].start(line["cold_s"])
+                for number in message["numbers"]:
+                    self._nodes[number].start(message["cold_s"])
             case "restart":
-                for number in line["numbers"]:
-                    self._nodes[number].restart(line["cold_s"])
+                for number in message["numbers"]:
+                    self._nodes[number].restart(message["cold_s"])
             case "count":
-                write_line({"counted": self._count()})
+                write_message({"counted": self._count()})
 
-    def _count(self) -> Line:
+    def _count(self) -> Message:
         counts = self._counts
         return {
             "incarnations": [node.incarnation for node in self._nodes],
@@ -156,10 +160,10 @@
         }
 
 
-async def _run(told: Line) -> None:
+async def _run(settings: Message) -> None:
     net = Net(asyncio.get_running_loop())
-    nodes = HollowNodes(net, told)
-    await read_lines(nodes.take)
+    nodes = HollowNodes(net, settings)
+    await read_messages(nodes.handle)
 
 
 if __name__ == "__main__":
--- a/coveport/serving/scale/hollow_proxies.py
+++ b/coveport/serving/scale/hollow_proxies.py
@@ -1,4 +1,4 @@
-"""Hollow proxies: many real subscriptions in one process, over real sockets, that take no traffic."""
+"""Hollow proxies: many real subscriptions in one process, over real sockets, without traffic."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.coordinator_selection import CoordinatorSelector
 from coveport.serving.proxy.subscription import Subscription
-from coveport.serving.scale.worker_lines import Line, read_lines, write_line
+from coveport.serving.scale.worker_messages import Message, read_messages, write_message
 
 CLIENTS_PORT = 8263
 LOG_LEVEL = 40  # errors only
 
 
 class HollowProxy:
-    """One proxy's control side, and what it saw when."""
+    """The control side of one proxy; reports when it observes a change."""
 
-    def __init__(self, net: Net, told: Line, number: int, watched: set[str], log: Any) -> None:
+    def __init__(self, net: Net, settings: Message, number: int, watched: set[str], log: Any) -> None:
         self._net = net
-        self._told = told
+        self._settings = settings
         self._watched = watched
         self._log = log
         self.number = number
-        self._address = f"{told['addresses'][number]}:{CLIENTS_PORT}"
+        self._address = f"{settings['addresses'][number]}:{CLIENTS_PORT}"
         self._seen: set[str] = set()
         self._edition = 0
         self._evacuated: frozenset[str] = frozenset()
@@ -38,41 +38,41 @@
         self._subscription: Subscription | None = None
 
     def start(self) -> None:
-        """Begin a life: nothing is known."""
-        chance = random.Random()
-        seeds = list(self._told["seeds"])
-        chance.shuffle(seeds)
+        """Start a new incarnation with an empty view."""
+        rng = random.Random()
+        seeds = list(self._settings["seeds"])
+        rng.shuffle(seeds)
         self._edition = 0
         self._evacuated = frozenset()
         self._seen.clear()
         self.view = ControlView()
         self.view.listeners.append(self._changed)
-        selector = CoordinatorSelector(self._told["zone"], self._told["region"], tuple(seeds))
-        life = int(self._net.unix_s() * 1000)
+        selector = CoordinatorSelector(self._settings["zone"], self._settings["region"], tuple(seeds))
+        incarnation = int(self._net.unix_s() * 1000)
 
-        def make_lease(round_number: int) -> ProxyLease:
+        def make_lease(renewal: int) -> ProxyLease:
             return ProxyLease(
                 name=f"hollow-{self._address}",
                 address=self._address,
-                zone=self._told["zone"],
-                region=self._told["region"],
+                zone=self._settings["zone"],
+                region=self._settings["region"],
                 ready=bool(self.view.nodes),
-                renewal=round_number,
-                incarnation=life,
+                renewal=renewal,
+                incarnation=incarnation,
             )
 
-        self._subscription = Subscription(self._net, self.view, selector, make_lease, self._log, chance)
+        self._subscription = Subscription(self._net, self.view, selector, make_lease, self._log, rng)
         self._subscription.start()
 
     def stop(self) -> None:
-        """Be gone, as a killed process is to the others."""
+        """Stop without notice, as a killed process does."""
         if self._subscription is not None:
             self._subscription.stop()
             self._subscription = None
 
     @property
     def is_up(self) -> bool:
-        """Whether it lives."""
+        """Return whether the proxy runs."""
         return self._subscription is not None
 
     def _changed(self) -> None:
@@ -80,49 +80,50 @@
         configuration = self.view.configuration
         if configuration is not None and configuration.edition != self._edition:
             self._edition = configuration.edition
-            write_line({"saw": "edition", "what": str(self._edition), "at": now, "by": self._address})
+            write_message({"saw": "edition", "what": str(self._edition), "at": now, "by": self._address})
         if self.view.evacuated_zones != self._evacuated:
             self._evacuated = self.view.evacuated_zones
             what = ",".join(sorted(self._evacuated))
-            write_line({"saw": "evacuated", "what": what, "at": now, "by": self._address})
+            write_message({"saw": "evacuated", "what": what, "at": now, "by": self._address})
         for incarnation in self._watched - self._seen:
             known = self.view.nodes.get(incarnation)
             if known is None or known.node.state is NodeState.DRAINING:
                 self._seen.add(incarnation)
-                write_line({"saw": "closing", "what": incarnation, "at": now, "by": self._address})
+                write_message({"saw": "closing", "what": incarnation, "at": now, "by": self._address})
 
 
 class HollowProxies:
-    """All of one process."""
+    """All hollow proxies of one process."""
 
-    def __init__(self, net: Net, told: Line) -> None:
+    def __init__(self, net: Net, settings: Message) -> None:
         self._net = net
         self._watched: set[str] = set()
         log = create_logger(net.now_s, LOG_LEVEL)
         self._proxies = [
-            HollowProxy(net, told, number, self._watched, log) for number in range(len(told["addresses"]))
+            HollowProxy(net, settings, number, self._watched, log)
+            for number in range(len(settings["addresses"]))
         ]
 
-    def take(self, line: Line) -> None:
-        """Do what the run says."""
-        match line["do"]:
+    def handle(self, message: Message) -> None:
+        """Carry out a command of the run."""
+        match message["do"]:
             case "start":
                 for proxy in self._proxies:
                     proxy.start()
             case "watch":
                 self._watched.clear()
-                self._watched.update(line["incarnations"])
+                self._watched.update(message["incarnations"])
             case "lose":
-                for number in line["numbers"]:
+                for number in message["numbers"]:
                     self._proxies[number].stop()
             case "restart":
-                for number in line["numbers"]:
+                for number in message["numbers"]:
                     self._proxies[number].stop()
-                    self._net.loop.call_later(line["after_s"], self._proxies[number].start)
+                    self._net.loop.call_later(message["after_s"], self._proxies[number].start)
             case "count":
-                write_line({"counted": self._count()})
+                write_message({"counted": self._count()})
 
-    def _count(self) -> Line:
+    def _count(self) -> Message:
         up = [proxy for proxy in self._proxies if proxy.is_up]
         return {
             "up": len(up),
@@ -131,10 +132,10 @@
         }
 
 
-async def _run(told: Line) -> None:
+async def _run(settings: Message) -> None:
     net = Net(asyncio.get_running_loop())
-    proxies = HollowProxies(net, told)
-    await read_lines(proxies.take)
+    proxies = HollowProxies(net, settings)
+    await read_messages(proxies.handle)
 
 
 if __name__ == "__main__":
--- a/coveport/serving/scale/load.py
+++ b/coveport/serving/scale/load.py
@@ -1,4 +1,4 @@
-"""The configuration that a scale run puts in force, and the changes that it makes. No I/O."""
+"""The first configuration of a scale run, and its changes. No I/O."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from coveport.serving.scale.sizes import ScaleSize
 from coveport.serving.simulation.documents import Change, change_document, configuration_document
 
-HOMED_SHARE = 0.35  # of routes that are bound to a region
+HOMED_FRACTION = 0.35  # of routes that have home regions
 
 
 def service_name(number: int) -> str:
-    """The name of a service."""
+    """Return the name of a service."""
     return f"model-{number:02d}"
 
 
 def make_route(number: int, size: ScaleSize, timeout_ms: float = 15000.0) -> Route:
-    """A tenant's route; every twentieth in seven is bound to a home."""
-    is_homed = (number * 7) % 20 < 20 * HOMED_SHARE
+    """Return a tenant's route; `HOMED_FRACTION` of all routes have home regions."""
+    is_homed = (number * 7) % 20 < 20 * HOMED_FRACTION
     return Route(
         name=f"route-{number:06d}",
         host=f"tenant-{number:06d}.example",
@@ -44,7 +44,7 @@
 
 
 def first_configuration(size: ScaleSize) -> bytes:
-    """The whole configuration, edition 1, as JSON."""
+    """Return the complete configuration, edition 1, as JSON."""
     routes = tuple(make_route(number, size) for number in range(size.routes))
     services = tuple(
         Service(service_name(number), "/health", 370, 3.0, 9.8, Engine(64, 227616, 5))
@@ -54,6 +54,6 @@
 
 
 def change_of_edition(edition: int, size: ScaleSize) -> bytes:
-    """A change that replaces one route, as JSON."""
+    """Return a change that replaces one route, as JSON."""
     route = make_route(edition % size.routes, size, timeout_ms=15000.0 + edition)
     return json.dumps(change_document(Change(edition, (route,)))).encode()
--- a/coveport/serving/scale/machines.py
+++ b/coveport/serving/scale/machines.py
@@ -74,7 +74,9 @@
 
     def workers_in(self, zones: set[str]) -> list[Worker]:
         """All hollow workers of some zones."""
-        return [one for one in (*self.proxy_workers, *self.node_workers) if one.told["zone"] in zones]
+        return [
+            worker for worker in (*self.proxy_workers, *self.node_workers) if worker.settings["zone"] in zones
+        ]
 
     # Making them.
 
@@ -104,12 +106,12 @@
     def _workers(self, module: str, count: int, weights: tuple[float, ...]) -> Iterator[Worker]:
         address = self._addresses.proxy if module == HOLLOW_PROXIES else self._addresses.node
         first = 0
-        for zone, part in zip(ZONES, spread(count, weights), strict=True):
-            numbers = range(first, first + part)
-            first += part
-            if not part:
+        for zone, machine_count in zip(ZONES, spread(count, weights), strict=True):
+            numbers = range(first, first + machine_count)
+            first += machine_count
+            if not machine_count:
                 continue
-            told = {
+            settings = {
                 "zone": zone.name,
                 "region": zone.region,
                 "addresses": [address(number) for number in numbers],
@@ -120,7 +122,7 @@
             }
             kind = "proxies" if module == HOLLOW_PROXIES else "nodes"
             log = self._folder / f"{kind}-{zone.name}.log"
-            yield Worker(module, told, self.sightings.take, log)
+            yield Worker(module, settings, self.sightings.add, log)
 
     # Their life.
 
@@ -139,33 +141,33 @@
         workers = [*self.proxy_workers, *self.node_workers]
         await asyncio.gather(*(one.kill() for one in roles), *(one.end() for one in workers))
 
-    # Reading them.
+    # Readings.
 
     async def status(self, number: int) -> dict[str, Any] | None:
-        """What a coordinator says of itself."""
+        """Return the status document of a coordinator; None when it does not answer."""
         request = HttpRequest("GET", WirePath.STATUS)
         answer = await send_request(self._net, self.control(number), request, STATUS_S)
         if isinstance(answer, RequestFailure) or answer.status != 200:
             return None
-        told: dict[str, Any] = json.loads(answer.body)
-        return told
+        status: dict[str, Any] = json.loads(answer.body)
+        return status
 
     async def read(self) -> Reading:
-        """All processes' figures."""
+        """Read the usage and the counters of all processes."""
         numbers = range(self.size.coordinators)
         statuses = await asyncio.gather(*(self.status(number) for number in numbers))
         counts = await asyncio.gather(*(worker.count() for worker in self.node_workers))
         coordinators = {}
-        for number, told in zip(numbers, statuses, strict=True):
+        for number, status in zip(numbers, statuses, strict=True):
             usage = self.coordinators[number].usage()
-            if told is not None and usage is not None:
-                traffic = told["traffic"]
+            if status is not None and usage is not None:
+                traffic = status["traffic"]
                 sent, received = _counts(traffic["sent"]), _counts(traffic["received"])
                 name = self.coordinators[number].name
                 coordinators[name] = CoordinatorReading(usage.cpu_s, usage.resident_mb, sent, received)
         proxies = [worker.usage() for worker in self.proxy_workers]
-        real = {one.name: usage for one in self.real_proxies if (usage := one.usage()) is not None}
-        told_counts = [count for count in counts if count is not None]
+        real = {proxy.name: usage for proxy in self.real_proxies if (usage := proxy.usage()) is not None}
+        node_counts = [count for count in counts if count is not None]
         return Reading(
             at_s=self._net.now_s(),
             coordinators=coordinators,
@@ -174,16 +176,16 @@
             real_proxies_cpu_s={name: usage.cpu_s for name, usage in real.items()},
             real_proxies_mb={name: usage.resident_mb for name, usage in real.items()},
             node_workers_cpu_s=sum(worker.usage().cpu_s for worker in self.node_workers),
-            node_calls=sum(count["calls"] for count in told_counts),
-            node_request_bytes=sum(count["request_bytes"] for count in told_counts),
+            node_calls=sum(count["calls"] for count in node_counts),
+            node_request_bytes=sum(count["request_bytes"] for count in node_counts),
         )
 
     def resident_mb(self) -> float:
-        """Memory of all processes of the run."""
-        roles = [usage for one in (*self.coordinators, *self.real_proxies) if (usage := one.usage())]
-        workers = [one.usage() for one in (*self.proxy_workers, *self.node_workers)]
+        """Return the resident memory of all processes of the run, in MB."""
+        roles = [usage for process in (*self.coordinators, *self.real_proxies) if (usage := process.usage())]
+        workers = [worker.usage() for worker in (*self.proxy_workers, *self.node_workers)]
         return sum(usage.resident_mb for usage in (*roles, *workers))
 
 
-def _counts(told: dict[str, list[int]]) -> Counts:
-    return {kind: (messages, size) for kind, (messages, size) in told.items()}
+def _counts(traffic: dict[str, list[int]]) -> Counts:
+    return {kind: (messages, size) for kind, (messages, size) in traffic.items()}
--- a/coveport/serving/scale/measures.py
+++ b/coveport/serving/scale/measures.py
@@ -122,12 +122,12 @@
 
 
 def _sum(rates: Iterable[Rate]) -> Rate:
-    kept = list(rates)
-    return Rate(sum(rate.messages_s for rate in kept), sum(rate.bytes_s for rate in kept))
+    collected = list(rates)
+    return Rate(sum(rate.messages_s for rate in collected), sum(rate.bytes_s for rate in collected))
 
 
 def _of_one(coordinators: Iterable[CoordinatorRates], kind: str, count: int) -> Rate:
-    total = _sum(one.by_kind.get(kind, Rate()) for one in coordinators)
+    total = _sum(coordinator.by_kind.get(kind, Rate()) for coordinator in coordinators)
     return Rate(total.messages_s / max(1, count), total.bytes_s / max(1, count))
 
 
@@ -150,5 +150,5 @@
     return Delay(len(ordered), _rank(ordered, 0.5), _rank(ordered, 0.99), ordered[-1], missing)
 
 
-def _rank(ordered: list[float], share: float) -> float:
-    return ordered[max(0, ceil(share * len(ordered)) - 1)]
+def _rank(ordered: list[float], quantile: float) -> float:
+    return ordered[max(0, ceil(quantile * len(ordered)) - 1)]
--- a/coveport/serving/scale/meters.py
+++ b/coveport/serving/scale/meters.py
@@ -1,4 +1,4 @@
-"""What a process has used so far, as the system tells it (Linux)."""
+"""Processor time and memory of processes, read from /proc (Linux)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def read_usage(pid: int) -> Usage | None:
-    """What a process has used; None where there is no such process any more."""
+    """Return the usage of a process; None when it has ended."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text(encoding="ascii", errors="replace")
         pages = Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()[1]
@@ -31,11 +31,11 @@
     return Usage(ticks / _TICKS_S, int(pages) * _PAGE_BYTES / 1e6)
 
 
-def load_of_machine() -> float:
-    """Processes that wait for a processor or run, as a mean of the last minute, by processor."""
+def machine_load() -> float:
+    """Return the load average of the last minute, divided by the number of processors."""
     return os.getloadavg()[0] / (os.cpu_count() or 1)
 
 
-def memory_of_machine_mb() -> float:
-    """All memory of this machine."""
+def machine_memory_mb() -> float:
+    """Return the memory of this machine, in MB."""
     return os.sysconf("SC_PHYS_PAGES") * _PAGE_BYTES / 1e6
--- a/coveport/serving/scale/page.py
+++ b/coveport/serving/scale/page.py
@@ -29,11 +29,11 @@
 
 
 def render(results: Sequence[Result]) -> str:
-    """The page of some runs, as `results.as_json` gives them."""
+    """Return the HTML page of some runs, given as `results.as_json` returns them."""
     environment = Environment(autoescape=True, undefined=StrictUndefined)
     return environment.from_string(TEMPLATE).render(
         names=[figure.name for figure in FIGURES],
-        runs=[{"cells": _cells(one), "problems": "; ".join(one["problems"])} for one in results],
+        runs=[{"cells": _cells(result), "problems": "; ".join(result["problems"])} for result in results],
         charts=[Markup(_chart(figure, results)) for figure in FIGURES],  # drawn here
     )
 
@@ -49,8 +49,8 @@
 
     drawing, axes = plot.subplots(figsize=(4, 2.6), layout="tight")
     for coordinators in sorted({result["size"]["coordinators"] for result in results}):
-        chosen = [one for one in results if one["size"]["coordinators"] == coordinators]
-        points = sorted((figure.size_of(one), figure.value_of(one)) for one in chosen)
+        chosen = [result for result in results if result["size"]["coordinators"] == coordinators]
+        points = sorted((figure.size_of(result), figure.value_of(result)) for result in chosen)
         axes.plot(*zip(*points, strict=True), marker="o", label=f"{coordinators} coordinators")
     axes.set_xlabel(figure.by)
     axes.set_title(figure.name)
--- a/coveport/serving/scale/processes.py
+++ b/coveport/serving/scale/processes.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from coveport.serving.scale.meters import Usage, read_usage
-from coveport.serving.scale.worker_lines import LINE_MOST, Line
+from coveport.serving.scale.worker_messages import MAX_MESSAGE_BYTES, Message
 from coveport.serving.simulation.local_processes import LocalProcess, own_variables
 
 COUNT_WITHIN_S = 5.0
@@ -23,49 +23,50 @@
 
     @property
     def pid(self) -> int | None:
-        """Its process id while it runs."""
+        """Return the process id; None when it does not run."""
         return self._process.pid if self._process is not None and self.is_up else None
 
     def usage(self) -> Usage | None:
-        """What its present life has used."""
+        """Return the usage of the current incarnation; None when it does not run."""
         return None if self.pid is None else read_usage(self.pid)
 
     def send(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process, if it runs."""
         if self._process is not None and self.is_up:
             self._process.send_signal(number)
 
 
 class Worker:
-    """A process of hollow proxies or nodes; `saw` takes what they say unasked."""
+    """A process of hollow proxies or nodes; `saw` receives the observations that they report."""
 
-    def __init__(self, module: str, told: Line, saw: Callable[[Line], None], log: Path) -> None:
+    def __init__(self, module: str, settings: Message, saw: Callable[[Message], None], log: Path) -> None:
         self._module = module
-        self.told = told
+        self.settings = settings
         self._saw = saw
         self._log = log
-        self.size = len(told["addresses"])
+        self.size = len(settings["addresses"])
         self._process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
-        self._counted: asyncio.Future[Line] | None = None
+        self._counted: asyncio.Future[Message] | None = None
 
     async def start(self) -> None:
-        """Run it; its proxies or nodes wait for `start`."""
+        """Start the process; its proxies or nodes wait for the command `start`."""
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", self._module, json.dumps(self.told), env=own_variables(),
-                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log, limit=LINE_MOST,
+                sys.executable, "-m", self._module, json.dumps(self.settings), env=own_variables(),
+                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log,
+                limit=MAX_MESSAGE_BYTES,
             )  # fmt: skip
         self._reading = asyncio.get_running_loop().create_task(self._read())
 
-    def say(self, line: Line) -> None:
-        """Tell it to do something."""
+    def say(self, message: Message) -> None:
+        """Send a command to the process."""
         process = self._process
         if process is not None and process.stdin is not None and not process.stdin.is_closing():
-            process.stdin.write(json.dumps(line).encode() + b"\n")
+            process.stdin.write(json.dumps(message).encode() + b"\n")
 
-    async def count(self) -> Line | None:
-        """Its own figures; None where it doesn't tell in time."""
+    async def count(self) -> Message | None:
+        """Request its counters; return None when they do not come in time."""
         self._counted = asyncio.get_running_loop().create_future()
         self.say({"do": "count"})
         try:
@@ -75,12 +76,12 @@
             return None
 
     def usage(self) -> Usage:
-        """What it has used."""
+        """Return the usage of the process; zero when it does not run."""
         usage = None if self._process is None else read_usage(self._process.pid)
         return usage or Usage(0.0, 0.0)
 
     def send(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process, if it runs."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
@@ -104,8 +105,8 @@
     async def _read(self) -> None:
         assert self._process is not None and self._process.stdout is not None
         while data := await self._process.stdout.readline():
-            line: Line = json.loads(data)
-            if "counted" not in line:
-                self._saw(line)
+            message: Message = json.loads(data)
+            if "counted" not in message:
+                self._saw(message)
             elif self._counted is not None and not self._counted.done():
-                self._counted.set_result(line["counted"])
+                self._counted.set_result(message["counted"])
--- a/coveport/serving/scale/results.py
+++ b/coveport/serving/scale/results.py
@@ -41,7 +41,7 @@
 
 
 def as_json(result: ScaleResult) -> dict[str, Any]:
-    """The result for scripts."""
+    """Return the result as JSON values."""
     return dataclasses.asdict(result)
 
 
@@ -49,9 +49,9 @@
 
 
 def rows(result: ScaleResult) -> Rows:
-    """The result for people: name and value."""
+    """Return the result as rows of name and value."""
     size = result.size
-    told: Rows = [
+    table: Rows = [
         ("proxies (hollow + real)", f"{size.proxies} + {size.real_proxies}"),
         ("nodes", str(size.nodes)),
         ("coordinators", str(size.coordinators)),
@@ -63,29 +63,31 @@
         ("primary killed to next acknowledgement", _delay(result.takeover)),
     ]
     for name, window in (("calm", result.calm), ("faults", result.day)):
-        told += [(f"{name}: {key}", value) for key, value in _window_rows(window)]
+        table += [(f"{name}: {key}", value) for key, value in _window_rows(window)]
     faults = dataclasses.asdict(result.faults)
-    told.append(("faults", ", ".join(f"{key} {value}" for key, value in faults.items())))
-    told.append(("memory of all processes", f"{result.memory_mb:.0f} MB"))
-    told.append(("load of this machine, a processor", f"{result.machine_load:.1f}"))
-    told += [("problem", problem) for problem in result.problems]
-    return told
+    table.append(("faults", ", ".join(f"{key} {value}" for key, value in faults.items())))
+    table.append(("memory of all processes", f"{result.memory_mb:.0f} MB"))
+    table.append(("load of this machine, a processor", f"{result.machine_load:.1f}"))
+    table += [("problem", problem) for problem in result.problems]
+    return table
 
 
 def _window_rows(window: WindowRates) -> Rows:
-    told = [
+    table = [
         ("a proxy's control, core", f"{window.proxy_cores:.2%}"),
         ("a proxy receives", _rate(window.proxy_received.messages_s, window.proxy_received.bytes_s)),
         ("a proxy sends", _rate(window.proxy_sent.messages_s, window.proxy_sent.bytes_s)),
         ("a real proxy", f"{window.real_proxy_cores:.2%} of a core, {window.real_proxy_mb:.0f} MB"),
         ("heartbeats", f"{window.node_calls_s:.0f}/s"),
     ]
-    for one in window.coordinators:
-        sent, received = one.sent, one.received
-        told.append((one.name, f"{one.cores:.1%} of a core, {one.resident_mb:.0f} MB"))
-        told.append((f"{one.name} sends", _rate(sent.messages_s, sent.bytes_s)))
-        told.append((f"{one.name} receives", _rate(received.messages_s, received.bytes_s)))
-    return told
+    for coordinator in window.coordinators:
+        sent, received = coordinator.sent, coordinator.received
+        table.append(
+            (coordinator.name, f"{coordinator.cores:.1%} of a core, {coordinator.resident_mb:.0f} MB")
+        )
+        table.append((f"{coordinator.name} sends", _rate(sent.messages_s, sent.bytes_s)))
+        table.append((f"{coordinator.name} receives", _rate(received.messages_s, received.bytes_s)))
+    return table
 
 
 def _rate(messages_s: float, bytes_s: float) -> str:
--- a/coveport/serving/scale/run.py
+++ b/coveport/serving/scale/run.py
@@ -17,7 +17,7 @@
 from coveport.serving.scale.load import change_of_edition, first_configuration
 from coveport.serving.scale.machines import Machines
 from coveport.serving.scale.measures import Reading, WindowRates, summarize, window_rates
-from coveport.serving.scale.meters import load_of_machine
+from coveport.serving.scale.meters import machine_load
 from coveport.serving.scale.processes import RoleProcess, Worker
 from coveport.serving.scale.results import FaultCounts, ScaleResult
 from coveport.serving.scale.sizes import ZONES, ScaleSize
@@ -31,10 +31,10 @@
 STOPPED_S = 3.0  # how long a zone or region stands still
 BACK_AFTER_S = 2.0  # a lost machine comes back
 COLD_S = 3.0
-TRY_S, TRY_AGAIN_S = 0.5, 0.02  # while a primary is awaited
+ATTEMPT_TIMEOUT_S, RETRY_INTERVAL_S = 0.5, 0.02  # while a primary is awaited
 TAKEOVER_WITHIN_S = 15.0
 STAYS_KILLED_S = 1.0
-SETTLES_S = 8.0  # after the last outage
+AGREED_WITHIN_S = 8.0  # after the last outage
 IF_MATCH, JSON_TYPE = "If-Match", ("Content-Type", "application/json")
 
 
@@ -46,13 +46,13 @@
     """One run at one size."""
 
     def __init__(
-        self, net: Net, machines: Machines, seconds: float, chance: Random, tell: Callable[[str], None]
+        self, net: Net, machines: Machines, seconds: float, rng: Random, tell: Callable[[str], None]
     ) -> None:
         self._net = net
         self._machines = machines
         self._seconds = seconds
         self._size: ScaleSize = machines.size
-        self._chance = chance
+        self._rng = rng
         self._tell = tell
         self._edition = 0
         self._problems: list[str] = []
@@ -60,7 +60,7 @@
         self._most_mb = 0.0
 
     async def play(self) -> ScaleResult:
-        """The whole run; its processes are ended in any case."""
+        """Play the run; end its processes in any case."""
         try:
             return await self._play()
         finally:
@@ -83,7 +83,7 @@
         takeover = await self._kill_primary()
         await self._stop_zones({zone.name for zone in ZONES if zone.region == ZONES[-1].region})
         self._faults = replace(self._faults, region_stops=1)
-        await self._settle()
+        await self._wait_for_agreement()
         return ScaleResult(
             size=self._size,
             ready_s=ready_s,
@@ -95,7 +95,7 @@
             takeover=summarize(takeover, 1 - len(takeover)),
             faults=self._faults,
             memory_mb=self._most_mb,
-            machine_load=load_of_machine(),
+            machine_load=machine_load(),
             problems=tuple(self._problems),
         )
 
@@ -186,18 +186,18 @@
             count = await worker.count()
             if count is None:
                 continue
-            number = self._chance.randrange(worker.size)
+            number = self._rng.randrange(worker.size)
             incarnation = count["incarnations"][number]
-            for one in self._machines.proxy_workers:
-                one.say({"do": "watch", "incarnations": [incarnation]})
+            for proxy_worker in self._machines.proxy_workers:
+                proxy_worker.say({"do": "watch", "incarnations": [incarnation]})
             worker.say({"do": "restart", "numbers": [number], "cold_s": COLD_S})
-            told = await self._machines.sightings.wait_for("acknowledged", incarnation, 1, 5.0)
-            if not told:
+            acknowledged = await self._machines.sightings.wait_for("acknowledged", incarnation, 1, 5.0)
+            if not acknowledged:
                 self._problems.append("a closing node was not acknowledged")
                 continue
-            (told_s,) = told.values()
+            (acknowledged_s,) = acknowledged.values()
             seen = await self._machines.sightings.wait_for("closing", incarnation, self._size.proxies, 3.0)
-            delays += [max(0.0, at_s - told_s) for at_s in seen.values()]
+            delays += [max(0.0, at_s - acknowledged_s) for at_s in seen.values()]
             missing += self._size.proxies - len(seen)
         return delays, missing
 
@@ -206,7 +206,7 @@
     async def _play_day(self, seconds: float) -> None:
         workers = [*self._machines.proxy_workers, *self._machines.node_workers]
         proxy_workers = len(self._machines.proxy_workers)
-        plan = plan_day([one.size for one in workers], proxy_workers, self._chance)
+        plan = plan_day([worker.size for worker in workers], proxy_workers, self._rng)
         began_s = self._net.now_s()
         tasks = []
         for strike in plan:
@@ -239,11 +239,11 @@
         """All processes of some zones stand still for a while, as if nobody could reach them."""
         coordinators = [self._machines.coordinators[n] for n in self._machines.coordinators_in(zones)]
         stopped: list[RoleProcess | Worker] = [*coordinators, *self._machines.workers_in(zones)]
-        for one in stopped:
-            one.send(signal.SIGSTOP)
+        for process in stopped:
+            process.send(signal.SIGSTOP)
         await asyncio.sleep(STOPPED_S)
-        for one in stopped:
-            one.send(signal.SIGCONT)
+        for process in stopped:
+            process.send(signal.SIGCONT)
 
     async def _kill_primary(self) -> list[float]:
         """How long after the primary's kill the next change was acknowledged; empty: it was not."""
@@ -255,8 +255,8 @@
         self._faults = replace(self._faults, primary_kills=1)
         began_s = self._net.now_s()
         restart = asyncio.create_task(self._restart_coordinator(primary))
-        others = [one for number, one in enumerate(self._control()) if number != primary]
-        is_taken = await self._try_until_taken(self._change(), others, began_s + TAKEOVER_WITHIN_S)
+        others = [address for number, address in enumerate(self._control()) if number != primary]
+        is_taken = await self._retry_until_accepted(self._change(), others, began_s + TAKEOVER_WITHIN_S)
         took_s = self._net.now_s() - began_s
         await restart
         if not is_taken:
@@ -271,34 +271,36 @@
 
     async def _primary(self) -> int | None:
         for number in range(self._size.coordinators):
-            told = await self._machines.status(number)
-            if told is not None and told["core"]["role"] == "primary":
+            status = await self._machines.status(number)
+            if status is not None and status["core"]["role"] == "primary":
                 return number
         return None
 
-    async def _try_until_taken(self, call: HttpRequest, addresses: list[Address], until_s: float) -> bool:
+    async def _retry_until_accepted(
+        self, call: HttpRequest, addresses: list[Address], until_s: float
+    ) -> bool:
         turn = 0
         while self._net.now_s() < until_s:
-            if await self._is_taken(addresses[turn % len(addresses)], call):
+            if await self._is_accepted(addresses[turn % len(addresses)], call):
                 return True
             turn += 1
-            await asyncio.sleep(TRY_AGAIN_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return False
 
-    async def _is_taken(self, address: Address, call: HttpRequest) -> bool:
-        answer = await send_request(self._net, address, call, TRY_S)
+    async def _is_accepted(self, address: Address, call: HttpRequest) -> bool:
+        answer = await send_request(self._net, address, call, ATTEMPT_TIMEOUT_S)
         if not isinstance(answer, RequestFailure) and answer.status == 307:
             location = answer.headers["location"][0].removeprefix("http://").partition("/")[0]
-            answer = await send_request(self._net, parse_address(location), call, TRY_S)
+            answer = await send_request(self._net, parse_address(location), call, ATTEMPT_TIMEOUT_S)
         return not isinstance(answer, RequestFailure) and answer.status == 200
 
-    async def _settle(self) -> None:
-        if not await self._agreed(SETTLES_S):
+    async def _wait_for_agreement(self) -> None:
+        if not await self._agreed(AGREED_WITHIN_S):
             counts = [count for count in await self._proxy_counts() if count is not None]
             editions = {edition for count in counts for edition in count["editions"]}
             nodes = {number for count in counts for number in count["nodes"]}
             self._problems.append(
-                f"proxies differ {SETTLES_S:g} s after the last outage: editions {sorted(editions)} of "
+                f"proxies differ {AGREED_WITHIN_S:g} s after the last outage: editions {sorted(editions)} of "
                 f"{self._edition}, nodes {sorted(nodes)} of {self._size.nodes}"
             )
         self._most_mb = max(self._most_mb, self._machines.resident_mb())
--- a/coveport/serving/scale/sizes.py
+++ b/coveport/serving/scale/sizes.py
@@ -52,7 +52,7 @@
     """`count` divided by weight, whole and without loss (largest remainders)."""
     total = sum(weights)
     exact = [count * weight / total for weight in weights]
-    parts = [int(one) for one in exact]
+    parts = [int(share) for share in exact]
     by_remainder = sorted(range(len(weights)), key=lambda at: parts[at] - exact[at])
     for at in by_remainder[: count - sum(parts)]:
         parts[at] += 1
--- a/coveport/serving/scale/slopes.py
+++ b/coveport/serving/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through what was measured at several sizes, and what they say of a larger one. Pure."""
+"""Linear fits of measurements at several sizes, to extrapolate to larger ones. Pure."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """`base + slope * size`, and how far the measured points lie from it."""
+class LinearFit:
+    """`base + slope * size`, with the distances of the measured points."""
 
     base: float
     slope: float
@@ -17,16 +17,16 @@
     worst: float  # the largest distance
 
     def at(self, size: float) -> float:
-        """What the line says of a size."""
+        """Return the fitted value at a size."""
         return self.base + self.slope * size
 
 
 class TooFewPointsError(ValueError):
-    """A line needs points of two sizes at least."""
+    """A linear fit needs points of at least two sizes."""
 
 
-def fit_line(points: Sequence[tuple[float, float]]) -> Line:
-    """The line of least squares through (size, value); TooFewPointsError where there is none."""
+def fit_linear(points: Sequence[tuple[float, float]]) -> LinearFit:
+    """Fit (size, value) points by least squares; raise TooFewPointsError for fewer than two sizes."""
     if len({size for size, _ in points}) < 2:
         raise TooFewPointsError("measure at two sizes at least")
     mean_size = sum(size for size, _ in points) / len(points)
@@ -36,11 +36,11 @@
     base = mean_value - slope * mean_size
     distances = [value - base - slope * size for size, value in points]
     spread = sqrt(sum(distance**2 for distance in distances) / len(points))
-    return Line(base, slope, spread, max(map(abs, distances)))
+    return LinearFit(base, slope, spread, max(map(abs, distances)))
 
 
-def size_at(line: Line, bound: float) -> float | None:
-    """The size at which the line reaches a bound; None: it never does."""
-    if line.slope <= 0:
+def size_at_bound(fit: LinearFit, bound: float) -> float | None:
+    """Return the size at which the fit reaches a bound; None: it never does."""
+    if fit.slope <= 0:
         return None
-    return (bound - line.base) / line.slope
+    return (bound - fit.base) / fit.slope
--- a/coveport/serving/scale/sloping.py
+++ b/coveport/serving/scale/sloping.py
@@ -1,4 +1,4 @@
-"""Which figure of a scale run grows with what, and what the lines say of the target size. Pure."""
+"""Linear fits of the figures of scale runs, extrapolated to the target size. Pure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from statistics import mean
 from typing import Any, Final
 
-from coveport.serving.scale.slopes import Line, TooFewPointsError, fit_line
+from coveport.serving.scale.slopes import LinearFit, TooFewPointsError, fit_linear
 
 __all__ = ["Slope", "TooFewPointsError", "find_slopes", "slope_rows"]
 
@@ -21,7 +21,7 @@
 
     figure: str
     by: str
-    line: Line
+    fit: LinearFit
     at_target: float
 
 
@@ -80,21 +80,21 @@
 
 
 def find_slopes(results: Sequence[Result]) -> list[Slope]:
-    """A line for each figure; TooFewPointsError where all runs had one size."""
+    """Return a fit for each figure; raise TooFewPointsError when all runs had one size."""
     found = []
     for figure in FIGURES:
-        line = fit_line([(figure.size_of(result), figure.value_of(result)) for result in results])
+        fit = fit_linear([(figure.size_of(result), figure.value_of(result)) for result in results])
         target = TARGET_NODES if figure.by == "nodes" else TARGET_PROXIES
-        found.append(Slope(figure.name, figure.by, line, line.at(target)))
+        found.append(Slope(figure.name, figure.by, fit, fit.at(target)))
     return found
 
 
 def slope_rows(results: Sequence[Result]) -> list[tuple[str, ...]]:
-    """The lines for people and scripts."""
+    """Return the fits as rows of text."""
     return [
         (
-            slope.figure, slope.by, f"{slope.line.base:.4g}", f"{slope.line.slope:.3g}",
-            f"{slope.line.spread:.2g}", f"{slope.at_target:.4g}",
+            slope.figure, slope.by, f"{slope.fit.base:.4g}", f"{slope.fit.slope:.3g}",
+            f"{slope.fit.spread:.2g}", f"{slope.at_target:.4g}",
         )
         for slope in find_slopes(results)
     ]  # fmt: skip
--- a/coveport/serving/scale/verb.py
+++ b/coveport/serving/scale/verb.py
@@ -17,7 +17,7 @@
 from coveport.serving.cli.exit_codes import ExitCode
 from coveport.serving.cli.output import print_error, print_json, print_table
 from coveport.serving.scale.machines import Machines
-from coveport.serving.scale.meters import memory_of_machine_mb
+from coveport.serving.scale.meters import machine_memory_mb
 from coveport.serving.scale.results import ScaleResult, as_json, rows
 from coveport.serving.scale.run import NotBegunError, ScaleRun
 from coveport.serving.scale.sizes import ScaleSize
@@ -61,7 +61,7 @@
     if not 0 < seconds <= 600:
         print_error("seconds must be above 0 and at most 600")
         return ExitCode.WRONG_INPUT
-    needed_mb, most_mb = _needed_mb(size), memory_of_machine_mb() / 2
+    needed_mb, most_mb = _needed_mb(size), machine_memory_mb() / 2
     if needed_mb > most_mb:
         print_error(f"needs about {needed_mb:.0f} MB, more than half of this machine's memory")
         return ExitCode.WRONG_INPUT
@@ -89,8 +89,8 @@
     from coveport.serving.scale.page import render
 
     try:
-        told = [json.loads(path.read_text(encoding="utf-8")) for path in results]
-        output.write_text(render(told), encoding="utf-8")
+        loaded = [json.loads(path.read_text(encoding="utf-8")) for path in results]
+        output.write_text(render(loaded), encoding="utf-8")
     except (OSError, ValueError, KeyError) as problem:
         print_error(f"{type(problem).__name__}: {problem}")
         return ExitCode.WRONG_INPUT
@@ -103,8 +103,8 @@
     from coveport.serving.scale.sloping import TooFewPointsError, slope_rows
 
     try:
-        told = [json.loads(path.read_text(encoding="utf-8")) for path in results]
-        found = slope_rows(told)
+        loaded = [json.loads(path.read_text(encoding="utf-8")) for path in results]
+        found = slope_rows(loaded)
     except (OSError, ValueError, KeyError, TooFewPointsError) as problem:
         print_error(f"{type(problem).__name__}: {problem}")
         return ExitCode.WRONG_INPUT
@@ -130,6 +130,10 @@
             return await ScaleRun(net, machines, seconds, Random(seed), print_error).play()
         finally:
             if logs is not None:
-                logs.mkdir(parents=True, exist_ok=True)
-                for log in Path(folder).glob("*.log"):
-                    shutil.copy(log, logs)
+                _save_logs(Path(folder), logs)
+
+
+def _save_logs(source: Path, target: Path) -> None:
+    target.mkdir(parents=True, exist_ok=True)
+    for log in source.glob("*.log"):
+        shutil.copy(log, target)
--- /dev/null
+++ b/coveport/serving/scale/worker_messages.py
@@ -0,0 +1,27 @@
+"""Messages between a scale run and its worker processes: one JSON object a line, on their pipes."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import sys
+from collections.abc import Callable
+from typing import Any
+
+MAX_MESSAGE_BYTES = 1024 * 1024  # bytes
+Message = dict[str, Any]
+
+
+def write_message(message: Message) -> None:
+    """Send a message to the run."""
+    sys.stdout.write(json.dumps(message, separators=(",", ":")) + "\n")
+    sys.stdout.flush()
+
+
+async def read_messages(handle: Callable[[Message], None]) -> None:
+    """Handle messages of the run until it closes the pipe."""
+    loop = asyncio.get_running_loop()
+    reader = asyncio.StreamReader(limit=MAX_MESSAGE_BYTES)
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
+    while data := await reader.readline():
+        handle(json.loads(data))
--- a/coveport/serving/simulation/__init__.py
+++ b/coveport/serving/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of model servers, clients and operators, and days that they play with the real programs."""
+"""Emulated model servers, clients and operators, and judged days with the real programs."""
--- a/coveport/serving/simulation/client.py
+++ b/coveport/serving/simulation/client.py
@@ -1,4 +1,4 @@
-"""A stand-in of a client: looks proxies up, sends tries with deadlines, retries as the protocol says."""
+"""Emulated client: looks proxies up, sends attempts with deadlines, retries as the protocol allows."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from coveport.http1 import write_request
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net
-from coveport.serving.simulation.events import Book, Ending, TryEnded, TrySent
+from coveport.serving.simulation.events import AttemptEnded, AttemptStarted, Ending, EventLog
 from coveport.serving.simulation.exchange import CallerConnection, ConnectionBrokenError, call, dial
-from coveport.serving.simulation.reading import Patience, read_answer
+from coveport.serving.simulation.reading import ReadLimits, read_answer
 from coveport.serving.simulation.texts import digest
 from coveport.serving.wire.names import Header, Lookup, Path
 
@@ -25,12 +25,12 @@
 FAILED_FOR_S: Final = 2.0  # how long an address that failed is not picked
 MAY_HAVE_RUN_NEVER: Final = frozenset({408, 421, 429, 503})  # promises that the request has not run
 FINAL: Final = frozenset({400, 401, 404, 413, 431})
-LEAST_LEFT_S: Final = 0.05  # with less there is no use in another try
+LEAST_LEFT_S: Final = 0.05  # with less left of the deadline, no further attempt is made
 
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """What a kind of request looks like."""
+    """The shape and the latency targets of one kind of request; times in seconds."""
 
     name: str
     host: str
@@ -38,8 +38,8 @@
     idempotent: bool
     deadline_s: float
     objective_s: float
-    pause_objective_s: float
-    prompt: tuple[tuple[int, int], ...]  # shared parts: how many there are to pick from, tokens of each
+    inter_token_objective_s: float
+    prompt: tuple[tuple[int, int], ...]  # shared segments: how many to draw from, tokens of each
     own_tokens: int
     answer_tokens: int
     body_bytes: int = 2000
@@ -48,122 +48,129 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientFigures:
-    """Where a client is and how it behaves."""
+    """The location and the behaviour of one client."""
 
     zone: str
     region: str
     keeps_connections: bool = True
-    holds_answers: float = 1.0  # times as long as a lookup's answer says
+    holds_answers: float = 1.0  # factor on the TTL of a lookup answer
     ttl_most_s: float = 5.0
-    waits_as_told: bool = True
+    honours_retry_after: bool = True
 
 
 @dataclass(slots=True)
 class _Progress:
-    """What a request's tries have brought so far."""
+    """The state of one request across its attempts."""
 
     request: str
-    first_sent_s: float
+    request_started_s: float
     events: int = 0
-    waits_s: float = 0.0  # before another try may start
+    waits_s: float = 0.0  # before the next attempt may start
 
 
 class Client:
-    """One client."""
+    """A client that sends requests through the proxies it has looked up."""
 
     def __init__(
-        self, net: Net, figures: ClientFigures, lookups: Callable[[], list[Address]], book: Book,
-        chance: Random, tokens_per_event: int = 5,
+        self, net: Net, figures: ClientFigures, lookups: Callable[[], list[Address]], event_log: EventLog,
+        rng: Random, tokens_per_event: int = 5,
     ) -> None:  # fmt: skip
-        """`lookups`: coordinators that answer lookups, near ones first."""
+        """Create a client; `lookups` returns the coordinators that answer lookups, nearest first."""
         self.figures = figures
         self._net = net
         self._lookups = lookups
-        self._book = book
-        self._chance = chance
+        self._event_log = event_log
+        self._rng = rng
         self._tokens_per_event = tokens_per_event
         self._known: list[Address] = []
         self._known_until_s = 0.0
         self._failed: dict[Address, float] = {}
-        self._kept: list[tuple[Address, CallerConnection]] = []
+        self._idle_connections: list[tuple[Address, CallerConnection]] = []
 
-    async def ask(self, kind: RequestKind) -> bool:
-        """One request with its retries; whether it was served whole."""
-        body = self._chance.randbytes(kind.body_bytes // 2).hex().encode()
+    async def send_request(self, kind: RequestKind) -> bool:
+        """Send one request with its retries; return whether it was served completely."""
+        body = self._rng.randbytes(kind.body_bytes // 2).hex().encode()
         prompt = self._draw_prompt(kind)
-        target = f"{kind.path_prefix}{self._chance.getrandbits(16):x}"
-        progress = _Progress(f"{self._chance.getrandbits(64):016x}", self._net.now_s())
+        target = f"{kind.path_prefix}{self._rng.getrandbits(16):x}"
+        progress = _Progress(f"{self._rng.getrandbits(64):016x}", self._net.now_s())
         for attempt in range(kind.retries + 1):
-            again = await self._try(kind, target, prompt, body, progress, fresh=attempt > 0)
+            again = await self._attempt(kind, target, prompt, body, progress, fresh=attempt > 0)
             if again is None:
                 return True
-            left_s = progress.first_sent_s + kind.deadline_s - self._net.now_s()
+            left_s = progress.request_started_s + kind.deadline_s - self._net.now_s()
             if not again or left_s - progress.waits_s < LEAST_LEFT_S:
                 return False
             await asyncio.sleep(progress.waits_s)
         return False
 
-    async def probe(self, kind: RequestKind, proxy: Address) -> None:
-        """One request sent straight to a proxy, which shows what is in force there."""
-        target = f"{kind.path_prefix}{self._chance.getrandbits(16):x}"
-        progress = _Progress(f"{self._chance.getrandbits(64):016x}", self._net.now_s())
-        await self._try(kind, target, self._draw_prompt(kind), b"probe", progress, fresh=True, proxy=proxy)
+    async def send_direct(self, kind: RequestKind, proxy: Address) -> None:
+        """Send one request to a given proxy, to observe the configuration in force there."""
+        target = f"{kind.path_prefix}{self._rng.getrandbits(16):x}"
+        progress = _Progress(f"{self._rng.getrandbits(64):016x}", self._net.now_s())
+        await self._attempt(
+            kind, target, self._draw_prompt(kind), b"probe", progress, fresh=True, proxy=proxy
+        )
 
-    async def _try(
+    async def _attempt(
         self, kind: RequestKind, target: str, prompt: list[tuple[str, int]], body: bytes, progress: _Progress,
         *, fresh: bool, proxy: Address | None = None,
     ) -> bool | None:  # fmt: skip
-        """One try. None: served; else whether another may follow."""
-        is_probe = proxy is not None
+        """Make one attempt; return None if it was served, else whether another may follow."""
+        is_direct = proxy is not None
         progress.waits_s = 0.0
-        deadline_s = progress.first_sent_s + kind.deadline_s
+        deadline_s = progress.request_started_s + kind.deadline_s
         found = await self._connect(fresh, proxy)
         if found is None:
             progress.waits_s = 0.1
             return True  # nothing was sent
         address, connection = found
         now = self._net.now_s()
-        try_id = f"{self._chance.getrandbits(64):016x}"
-        request = self._write(kind, target, prompt, body, try_id, deadline_s - now, progress.events)
-        self._book.write(
-            TrySent(
-                now, progress.request, try_id, "POST", target, kind.host, digest(body), _text(address),
-                self.figures.region, deadline_s, progress.first_sent_s,
-                -(-kind.answer_tokens // self._tokens_per_event), progress.events, is_probe, kind.name,
+        attempt_id = f"{self._rng.getrandbits(64):016x}"
+        request = self._write(kind, target, prompt, body, attempt_id, deadline_s - now, progress.events)
+        self._event_log.write(
+            AttemptStarted(
+                now, progress.request, attempt_id, "POST", target, kind.host, digest(body), _text(address),
+                self.figures.region, deadline_s, progress.request_started_s,
+                -(-kind.answer_tokens // self._tokens_per_event), progress.events, is_direct, kind.name,
             )
         )  # fmt: skip
-        patience = Patience(
-            deadline_s, max(2.0, 4 * kind.objective_s, 8 * kind.pause_objective_s), progress.events
+        limits = ReadLimits(
+            deadline_s, max(2.0, 4 * kind.objective_s, 8 * kind.inter_token_objective_s), progress.events
         )
-        ended = await read_answer(self._net, connection, request, try_id, patience)
-        self._book.write(ended.line)
-        if ended.line.events:
-            progress.events = ended.line.events[-1].number
-        self._after(address, connection, ended.line)
-        return self._may_follow(kind, ended.line, ended.retry_after_s, deadline_s, progress)
+        ended = await read_answer(self._net, connection, request, attempt_id, limits)
+        self._event_log.write(ended.entry)
+        if ended.entry.events:
+            progress.events = ended.entry.events[-1].number
+        self._after(address, connection, ended.entry)
+        return self._may_follow(kind, ended.entry, ended.retry_after_s, deadline_s, progress)
 
     def _may_follow(
-        self, kind: RequestKind, line: TryEnded, retry_after_s: float, deadline_s: float, progress: _Progress
+        self,
+        kind: RequestKind,
+        entry: AttemptEnded,
+        retry_after_s: float,
+        deadline_s: float,
+        progress: _Progress,
     ) -> bool | None:
-        if line.ending is Ending.COMPLETE and 200 <= line.status < 300:
+        if entry.ending is Ending.COMPLETE and 200 <= entry.status < 300:
             return None
-        if line.ending is Ending.ABANDONED or (line.ending is Ending.COMPLETE and line.status in FINAL):
+        if entry.ending is Ending.ABANDONED or (entry.ending is Ending.COMPLETE and entry.status in FINAL):
             return False
-        if line.ending is Ending.COMPLETE and line.status in MAY_HAVE_RUN_NEVER:
-            if self.figures.waits_as_told:
+        if entry.ending is Ending.COMPLETE and entry.status in MAY_HAVE_RUN_NEVER:
+            if self.figures.honours_retry_after:
                 left_s = deadline_s - self._net.now_s()
                 progress.waits_s = max(0.0, min(retry_after_s, left_s / 3))
             return True
         return kind.idempotent
 
     def _write(
-        self, kind: RequestKind, target: str, prompt: list[tuple[str, int]], body: bytes, try_id: str,
+        self, kind: RequestKind, target: str, prompt: list[tuple[str, int]], body: bytes, attempt_id: str,
         left_s: float, resumes_after: int,
     ) -> bytes:  # fmt: skip
         prompt_tokens = sum(tokens for _, tokens in prompt)
         headers = [
             ("Host", kind.host),
-            (Header.ATTEMPT_ID, try_id),
+            (Header.ATTEMPT_ID, attempt_id),
             (Header.MODEL, "m"),
             (Header.TOKENS, f"{prompt_tokens},{kind.answer_tokens}"),
             (Header.PROMPT_PREFIX, ",".join(f"{name}:{tokens}" for name, tokens in prompt)),
@@ -175,10 +182,10 @@
 
     def _draw_prompt(self, kind: RequestKind) -> list[tuple[str, int]]:
         shared = [
-            (f"{digest(f'{kind.name} {at} {self._chance.randrange(many)}'.encode())[:8]}", tokens)
+            (f"{digest(f'{kind.name} {at} {self._rng.randrange(many)}'.encode())[:8]}", tokens)
             for at, (many, tokens) in enumerate(kind.prompt)
         ]
-        own = (f"{self._chance.getrandbits(32):08x}", max(1, kind.own_tokens))
+        own = (f"{self._rng.getrandbits(32):08x}", max(1, kind.own_tokens))
         return [*shared, own]
 
     # Connections.
@@ -186,10 +193,10 @@
     async def _connect(self, fresh: bool, proxy: Address | None) -> tuple[Address, CallerConnection] | None:
         if proxy is None:
             await self._look_up()
-            while self._kept and not fresh:
-                kept, connection = self._kept.pop()
-                if connection.is_open and kept in self._known:
-                    return kept, connection
+            while self._idle_connections and not fresh:
+                known_address, connection = self._idle_connections.pop()
+                if connection.is_open and known_address in self._known:
+                    return known_address, connection
                 connection.close()
         address = self._pick() if proxy is None else proxy
         if address is None:
@@ -201,19 +208,23 @@
             self._failed[address] = self._net.now_s()
             return None
 
-    def _after(self, address: Address, connection: CallerConnection, line: TryEnded) -> None:
-        if line.ending is not Ending.COMPLETE:
+    def _after(self, address: Address, connection: CallerConnection, entry: AttemptEnded) -> None:
+        if entry.ending is not Ending.COMPLETE:
             self._failed[address] = self._net.now_s()
-        if line.ending is Ending.COMPLETE and connection.is_open and self.figures.keeps_connections:
-            self._kept.append((address, connection))
+        if entry.ending is Ending.COMPLETE and connection.is_open and self.figures.keeps_connections:
+            self._idle_connections.append((address, connection))
         else:
             connection.close()
 
     def _pick(self) -> Address | None:
         now = self._net.now_s()
-        fit = [one for one in self._known if self._failed.get(one, -FAILED_FOR_S) + FAILED_FOR_S <= now]
+        fit = [
+            address
+            for address in self._known
+            if self._failed.get(address, -FAILED_FOR_S) + FAILED_FOR_S <= now
+        ]
         candidates = fit or self._known
-        return self._chance.choice(candidates) if candidates else None
+        return self._rng.choice(candidates) if candidates else None
 
     async def _look_up(self) -> None:
         if self._known and self._net.now_s() < self._known_until_s:
@@ -229,9 +240,9 @@
 
     def _take_answer(self, body: bytes) -> bool:
         try:
-            told = json.loads(body)
-            addresses = [parse_address(one) for one in told[Lookup.ADDRESSES]]
-            ttl_s = min(float(told[Lookup.TTL_S]), self.figures.ttl_most_s)
+            answer = json.loads(body)
+            addresses = [parse_address(address) for address in answer[Lookup.ADDRESSES]]
+            ttl_s = min(float(answer[Lookup.TTL_S]), self.figures.ttl_most_s)
         except (ValueError, TypeError, KeyError):
             return False
         if not addresses:
--- a/coveport/serving/simulation/control_rules.py
+++ b/coveport/serving/simulation/control_rules.py
@@ -9,95 +9,101 @@
 from math import inf
 
 from coveport.serving.simulation.events import (
+    AttemptStarted,
     HeartbeatAnswered,
-    NodeCold,
     Order,
     OrderEnded,
-    OrderSent,
+    OrderStarted,
     RequestArrived,
-    TrySent,
     Verdict,
+    WarmUpBegan,
 )
-from coveport.serving.simulation.history import Breach, Case, Version
+from coveport.serving.simulation.history import Breach, History, Version
 
-SLOWED_TIMES = 8  # the bound on going back is so many times as long on a machine in trouble
+SLOWED_TIMES = 8  # factor on the bound on reverting, for a machine with a fault
 
 
-def drain(case: Case) -> Iterator[Breach]:
-    """A request reached a node too long after its leaving was acknowledged."""
-    heard: dict[str, float] = {}
-    for line in case.book.of(HeartbeatAnswered):
-        if line.state != "accepting":
-            heard.setdefault(line.incarnation, line.at_s)
-    bound_s = case.bounds.drain_ms / 1000
-    for arrival in case.passed_on():
-        late_s = arrival.at_s - heard.get(arrival.incarnation, inf) - bound_s
-        if late_s > 0 and case.proxy_in_touch(arrival.try_id, arrival.at_s):
+def drain(history: History) -> Iterator[Breach]:
+    """Report each request that reached a node too long after its shutdown was acknowledged."""
+    acknowledged_s: dict[str, float] = {}
+    for entry in history.event_log.of(HeartbeatAnswered):
+        if entry.state != "accepting":
+            acknowledged_s.setdefault(entry.incarnation, entry.at_s)
+    bound_s = history.bounds.drain_ms / 1000
+    for arrival in history.passed_on():
+        late_s = arrival.at_s - acknowledged_s.get(arrival.incarnation, inf) - bound_s
+        if late_s > 0 and history.proxy_in_touch(arrival.attempt_id, arrival.at_s):
             yield Breach("DRAIN", arrival.at_s, f"node {arrival.incarnation}, {late_s:.3f} s too late")
 
 
-def evacuation(case: Case) -> Iterator[Breach]:
-    """A request reached a node in a zone long after the zone's evacuation was acknowledged."""
-    ends = {line.number: line for line in case.book.of(OrderEnded)}
-    orders = case.book.of(OrderSent)
+def evacuation(history: History) -> Iterator[Breach]:
+    """Report each request that reached a zone too long after its evacuation was acknowledged."""
+    ends = {entry.number: entry for entry in history.event_log.of(OrderEnded)}
+    orders = history.event_log.of(OrderStarted)
     for order in orders:
         end = ends.get(order.number)
         if order.order is not Order.EVACUATE or end is None or end.verdict is not Verdict.ACKNOWLEDGED:
             continue
         taken_back = (
-            one.at_s
-            for one in orders
-            if one.order is Order.TAKE_BACK and one.zone == order.zone and one.at_s >= order.at_s
+            later.at_s
+            for later in orders
+            if later.order is Order.TAKE_BACK and later.zone == order.zone and later.at_s >= order.at_s
         )
         yield from _arrivals_in(
-            case, order.zone, end.at_s + case.bounds.evacuate_ms / 1000, min(taken_back, default=inf)
+            history, order.zone, end.at_s + history.bounds.evacuate_ms / 1000, min(taken_back, default=inf)
         )
 
 
-def _arrivals_in(case: Case, zone: str, from_s: float, until_s: float) -> Iterator[Breach]:
-    for arrival in case.passed_on():
-        if not from_s < arrival.at_s < until_s or case.nodes[arrival.incarnation].zone != zone:
+def _arrivals_in(history: History, zone: str, from_s: float, until_s: float) -> Iterator[Breach]:
+    for arrival in history.passed_on():
+        if not from_s < arrival.at_s < until_s or history.nodes[arrival.incarnation].zone != zone:
             continue
-        allowance_s = case.allowance_s(arrival.try_id, arrival.at_s)
+        allowance_s = history.allowance_s(arrival.attempt_id, arrival.at_s)
         if allowance_s is not None and from_s + allowance_s < arrival.at_s:
             yield Breach("EVAC", arrival.at_s, f"node {arrival.incarnation} in zone {zone}")
 
 
-def failback(case: Case) -> Iterator[Breach]:
-    """A cold node got more requests in one second than it bears."""
+def failback(history: History) -> Iterator[Breach]:
+    """Report each warm-up in which a node got more requests in one second than its limit."""
     by_node: dict[str, list[RequestArrived]] = defaultdict(list)
-    for arrival in case.passed_on():
+    for arrival in history.passed_on():
         by_node[arrival.incarnation].append(arrival)
-    for cold in case.book.of(NodeCold):
-        most = cold.rate * case.bounds.warm_up_overshoot + case.bounds.warm_up_slack
-        times = [one.at_s for one in by_node[cold.incarnation] if cold.at_s <= one.at_s < cold.until_s]
+    for warm_up in history.event_log.of(WarmUpBegan):
+        most = warm_up.rate * history.bounds.warm_up_overshoot + history.bounds.warm_up_slack
+        times = [
+            arrival.at_s
+            for arrival in by_node[warm_up.incarnation]
+            if warm_up.at_s <= arrival.at_s < warm_up.until_s
+        ]
         for at, when in enumerate(times):
             count = at + 1 - bisect_right(times, when - 1.0)
-            if cold.rate and count > most:
-                text = f"node {cold.incarnation} got {count} requests in a second, {most:.1f} may be"
+            if warm_up.rate and count > most:
+                text = f"node {warm_up.incarnation} got {count} requests in a second, {most:.1f} may be"
                 yield Breach("FAILBACK", when, text)
                 break
 
 
-def budget(case: Case) -> Iterator[Breach]:
-    """Second arrivals at a service were more than the shared budget in some window."""
-    asked: dict[str, list[float]] = defaultdict(list)
-    for sent in case.tries.values():
-        route = case.route_in_any(sent.host, sent.target)
+def budget(history: History) -> Iterator[Breach]:
+    """Report each service whose repeated arrivals exceeded the shared retry budget in a window."""
+    requested: dict[str, list[float]] = defaultdict(list)
+    for started in history.attempts.values():
+        route = history.route_in_any(started.host, started.target)
         for service in route.services if route is not None else ():
-            asked[service].append(sent.at_s)
+            requested[service].append(started.at_s)
     again: dict[str, list[float]] = defaultdict(list)
     seen: set[str] = set()
-    for arrival in sorted(case.passed_on(), key=lambda one: one.at_s):
-        if arrival.try_id in seen:
-            again[case.nodes[arrival.incarnation].service].append(arrival.at_s)
-        seen.add(arrival.try_id)
+    for arrival in sorted(history.passed_on(), key=lambda arrival: arrival.at_s):
+        if arrival.attempt_id in seen:
+            again[history.nodes[arrival.incarnation].service].append(arrival.at_s)
+        seen.add(arrival.attempt_id)
     for service, times in again.items():
-        yield from _over_budget(case, service, sorted(asked[service]), times)
+        yield from _over_budget(history, service, sorted(requested[service]), times)
 
 
-def _over_budget(case: Case, service: str, asked: list[float], times: list[float]) -> Iterator[Breach]:
-    window_s = case.bounds.retry_window_s
+def _over_budget(
+    history: History, service: str, requested: list[float], times: list[float]
+) -> Iterator[Breach]:
+    window_s = history.bounds.retry_window_s
     for at, end_s in enumerate(times):
         begin_s = end_s - window_s
         count = at + 1 - bisect_right(times, begin_s)
@@ -106,141 +112,159 @@
             (begin_s - window_s, begin_s),
             (begin_s - window_s / 2, end_s - window_s / 2),
         )
-        requests = max(bisect_right(asked, end) - bisect_left(asked, begin) for begin, end in windows)
-        most = case.bounds.retry_ratio * requests + case.bounds.retry_slack
+        requests = max(bisect_right(requested, end) - bisect_left(requested, begin) for begin, end in windows)
+        most = history.bounds.retry_ratio * requests + history.bounds.retry_slack
         if count > most:
             text = f"service {service}: {count} second arrivals in {window_s:.0f} s, {most:.1f} may be"
             yield Breach("BUDGET", end_s, text)
             return
 
 
-def configuration(case: Case) -> Iterator[Breach]:
-    """What is in force, was acknowledged, or is read back is not what may be."""
-    yield from _answers(case)
-    yield from _in_force(case)
-    yield from _going_back(case)
-    yield from _read_back(case)
+def configuration(history: History) -> Iterator[Breach]:
+    """Report configurations that were in force, acknowledged or read back against the rules."""
+    yield from _answers(history)
+    yield from _in_force(history)
+    yield from _going_back(history)
+    yield from _read_back(history)
 
 
-def _answers(case: Case) -> Iterator[Breach]:
+def _answers(history: History) -> Iterator[Breach]:
     taken: dict[int, Version] = {}
-    for version in case.versions:
+    for version in history.versions:
         if version.verdict is not Verdict.ACKNOWLEDGED:
             continue
-        if not version.sent.valid:
+        if not version.started.valid:
             yield Breach("CONFIG", version.ended_s, f"invalid edition {version.edition} was acknowledged")
             continue
-        other = taken.setdefault(version.sent.based_on, version)
-        if other.sent.digest != version.sent.digest:
-            text = (
-                f"editions {other.edition} and {version.edition}, both on {version.sent.based_on}, were taken"
-            )
+        first = taken.setdefault(version.started.based_on, version)
+        if first.started.digest != version.started.digest:
+            editions = f"editions {first.edition} and {version.edition}"
+            text = f"{editions}, both on {version.started.based_on}, were taken"
             yield Breach("CONFIG", version.ended_s, text)
 
 
 @dataclass(frozen=True, slots=True)
 class _Handling:
-    """What was seen of a try that tells which version was in force."""
+    """The observed effect of an attempt, which shows the version that was in force."""
 
-    sent: TrySent
+    started: AttemptStarted
     services: frozenset[str]  # that ran it
     not_found: bool
     seen_s: float  # when the effect was seen
 
     def fits(self, version: Version) -> bool:
-        """Whether a version allows it."""
-        route = version.route(self.sent.host, self.sent.target)
+        """Return whether a version allows the effect."""
+        route = version.route(self.started.host, self.started.target)
         if route is None:
             return not self.services
         return not self.not_found and self.services <= route.services
 
 
-def _handlings(case: Case) -> Iterator[_Handling]:
-    for try_id, sent in case.tries.items():
-        ended = case.ended.get(try_id)
-        runs = case.ran.get(try_id, [])
-        services = frozenset(case.nodes[ran.incarnation].service for ran in runs)
+def _handlings(history: History) -> Iterator[_Handling]:
+    for attempt_id, started in history.attempts.items():
+        ended = history.ended.get(attempt_id)
+        runs = history.ran.get(attempt_id, [])
+        services = frozenset(history.nodes[ran.incarnation].service for ran in runs)
         not_found = ended is not None and ended.status == 404 and not runs
         if services or not_found:
-            seen_s = runs[0].at_s if runs else ended.at_s if ended is not None else sent.at_s
-            yield _Handling(sent, services, not_found, seen_s)
+            seen_s = runs[0].at_s if runs else ended.at_s if ended is not None else started.at_s
+            yield _Handling(started, services, not_found, seen_s)
 
 
-def _in_force(case: Case) -> Iterator[Breach]:
-    for handling in _handlings(case):
-        sent = handling.sent
-        allowance_s = case.allowance_s(sent.try_id, sent.at_s)
-        fault = _force_fault(case, handling, allowance_s)
+def _in_force(history: History) -> Iterator[Breach]:
+    for handling in _handlings(history):
+        started = handling.started
+        allowance_s = history.allowance_s(started.attempt_id, started.at_s)
+        fault = _force_fault(history, handling, allowance_s)
         if fault is not None:
-            yield Breach("CONFIG", handling.seen_s, f"try {sent.try_id} {fault}")
+            yield Breach("CONFIG", handling.seen_s, f"try {started.attempt_id} {fault}")
 
 
-def _force_fault(case: Case, handling: _Handling, allowance_s: float | None) -> str | None:
-    possible = [one for one in case.versions if one.may_be_in_force and one.sent.at_s <= handling.seen_s]
+def _force_fault(history: History, handling: _Handling, allowance_s: float | None) -> str | None:
+    possible = [
+        version
+        for version in history.versions
+        if version.may_be_in_force and version.started.at_s <= handling.seen_s
+    ]
     newest = 0  # that must be in force
     if allowance_s is not None:
-        bound_s = case.bounds.config_apply_ms / 1000 + allowance_s
-        newest = _acknowledged_before(case, handling.sent.at_s - bound_s)
-    if any(handling.fits(one) for one in possible if one.edition >= newest):
+        bound_s = history.bounds.config_apply_ms / 1000 + allowance_s
+        newest = _acknowledged_before(history, handling.started.at_s - bound_s)
+    if any(handling.fits(version) for version in possible if version.edition >= newest):
         return None
-    if any(handling.fits(one) for one in possible):
+    if any(handling.fits(version) for version in possible):
         return f"was handled as before edition {newest}"
-    never = [one for one in case.versions if not one.may_be_in_force]
-    if handling.services and any(handling.fits(one) for one in never):
+    never = [version for version in history.versions if not version.may_be_in_force]
+    if handling.services and any(handling.fits(version) for version in never):
         return "was handled as only a refused configuration allows"
     return "got 404 though its route is there" if handling.not_found and newest else None
 
 
-def _acknowledged_before(case: Case, at_s: float) -> int:
+def _acknowledged_before(history: History, at_s: float) -> int:
     editions = (
-        one.edition
-        for one in case.versions
-        if one.verdict is Verdict.ACKNOWLEDGED and one.sent.valid and one.ended_s <= at_s
+        version.edition
+        for version in history.versions
+        if version.verdict is Verdict.ACKNOWLEDGED and version.started.valid and version.ended_s <= at_s
     )
     return max(editions, default=0)
 
 
-def _going_back(case: Case) -> Iterator[Breach]:
-    """Within one life, a proxy went back to an older version."""
-    possible = [one for one in case.versions if one.may_be_in_force]
+def _going_back(history: History) -> Iterator[Breach]:
+    """Report each proxy that reverted to an older version within one incarnation."""
+    possible = [version for version in history.versions if version.may_be_in_force]
     seen: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)  # effects: when, least edition
-    handlings = sorted(_handlings(case), key=lambda one: one.seen_s)
-    fitting = [(one, [version.edition for version in possible if one.fits(version)]) for one in handlings]
+    handlings = sorted(_handlings(history), key=lambda handling: handling.seen_s)
+    fitting = [
+        (handling, [version.edition for version in possible if handling.fits(version)])
+        for handling in handlings
+    ]
     for handling, editions in fitting:
         if editions:
-            seen[_life(case, handling)].append((handling.seen_s, min(editions)))
+            seen[_incarnation(history, handling)].append((handling.seen_s, min(editions)))
     for handling, editions in fitting:
         if not editions:
             continue
-        sent = handling.sent
-        slack_s = case.bounds.revert_slack_ms / 1000
-        if not case.proxy_in_touch(sent.try_id, sent.at_s):
+        started = handling.started
+        slack_s = history.bounds.revert_slack_ms / 1000
+        if not history.proxy_in_touch(started.attempt_id, started.at_s):
             slack_s *= SLOWED_TIMES
-        before = [edition for when, edition in seen[_life(case, handling)] if when + slack_s < sent.at_s]
+        before = [
+            edition
+            for when, edition in seen[_incarnation(history, handling)]
+            if when + slack_s < started.at_s
+        ]
         if max(before, default=0) > max(editions):
-            text = f"{sent.proxy} went back from edition {max(before)} to {max(editions)}"
+            text = f"{started.proxy} went back from edition {max(before)} to {max(editions)}"
             yield Breach("CONFIG", handling.seen_s, text)
 
 
-def _life(case: Case, handling: _Handling) -> tuple[str, int]:
-    starts = case.lives.get(handling.sent.proxy, [])
-    return handling.sent.proxy, bisect_right(starts, handling.sent.at_s)
+def _incarnation(history: History, handling: _Handling) -> tuple[str, int]:
+    starts = history.starts_by_proxy.get(handling.started.proxy, [])
+    return handling.started.proxy, bisect_right(starts, handling.started.at_s)
 
 
-def _read_back(case: Case) -> Iterator[Breach]:
-    """The last reading must bring the newest acknowledged version, or one that may be in force above it."""
-    ends = {line.number: line for line in case.book.of(OrderEnded)}
-    reads = [(one, ends.get(one.number)) for one in case.book.of(OrderSent) if one.order is Order.READ]
+def _read_back(history: History) -> Iterator[Breach]:
+    """Report a last read that is older than the newest acknowledged version, or was never sent."""
+    ends = {entry.number: entry for entry in history.event_log.of(OrderEnded)}
+    reads = [
+        (order, ends.get(order.number))
+        for order in history.event_log.of(OrderStarted)
+        if order.order is Order.READ
+    ]
     if not reads:
         return
-    sent, end = reads[-1]
-    newest = _acknowledged_before(case, sent.at_s)
+    started, end = reads[-1]
+    newest = _acknowledged_before(history, started.at_s)
     if end is None or end.verdict is not Verdict.ACKNOWLEDGED or not end.edition:
         if newest:
-            yield Breach("CONFIG", sent.at_s, "the configuration could not be read back")
+            yield Breach("CONFIG", started.at_s, "the configuration could not be read back")
         return
     if end.edition < newest:
         yield Breach("CONFIG", end.at_s, f"edition {end.edition} was read back, {newest} was acknowledged")
-    digests = {one.sent.digest for one in case.versions if one.edition == end.edition and one.may_be_in_force}
+    digests = {
+        version.started.digest
+        for version in history.versions
+        if version.edition == end.edition and version.may_be_in_force
+    }
     if end.digest not in digests:
         yield Breach("CONFIG", end.at_s, f"what was read back is not what was sent as edition {end.edition}")
--- a/coveport/serving/simulation/deployment.py
+++ b/coveport/serving/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""What a simulated or small real deployment consists of: zones, machines, services, traffic. No I/O."""
+"""Parameters of a simulated or small local deployment: zones, machines, services, traffic. No I/O."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 from coveport.serving.simulation.client import RequestKind
 from coveport.serving.simulation.engine import EngineFigures
 from coveport.serving.simulation.figures import Objective
+from coveport.serving.simulation.model_server import NodeFigures
 from coveport.serving.simulation.zones import Delays, Zone
 from coveport.serving.wire.names import SERVES_CLIENTS, SERVES_CONTROL, SERVES_LOOKUPS
 
@@ -28,12 +29,14 @@
     "offer", HOST, "/offer/", False, 15.0, 1.0, 0.4, ((40, 119), (147, 79)), 628, 290, 1700
 )  # fmt: skip
 BOUNDS = Bounds(retry_slack=58.0, warm_up_overshoot=1.5, warm_up_slack=5.0)
-OBJECTIVES = {kind.name: Objective(kind.objective_s, kind.pause_objective_s) for kind in (REVIEW, OFFER)}
+OBJECTIVES = {
+    kind.name: Objective(kind.objective_s, kind.inter_token_objective_s) for kind in (REVIEW, OFFER)
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """The same on all machines."""
+    """The ports, the same on all machines."""
 
     clients: int = 8263
     readiness: int = 8268
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """How many of what, where; rates are of all clients together, a second."""
+    """Counts of machines by zone, and the traffic; rates are of all clients together, per second."""
 
     zones: tuple[Zone, ...] = (
         Zone("barakaldo", "bizkaia"),
@@ -70,14 +73,14 @@
     lead_s: float = 8.0  # from the machines' start to the traffic's
 
     def configuration(self, edition: int, extra: tuple[Route, ...] = ()) -> Configuration:
-        """The configuration that all traffic needs, and further routes."""
+        """Return the configuration that all traffic needs, with further routes."""
         routes = tuple(self.route(kind) for kind, _ in self.rates)
         engine = Engine(self.engine.slots, self.engine.kv_cache_tokens, self.engine.tokens_per_event)
         service = Service(self.service, "/health", 370, self.warm_up_s, self.warm_up_rate, engine)
         return Configuration(edition, (*routes, *extra), (service,))
 
     def route(self, kind: RequestKind, timeout_ms: float | None = None) -> Route:
-        """The route of a kind of request."""
+        """Return the route of a kind of request."""
         homes = dict(self.homes).get(kind.name, ())
         return Route(
             name=f"r-{kind.name}",
@@ -86,15 +89,32 @@
             kind=RouteKind.STREAMING,
             timeout_ms=kind.deadline_s * 1000 if timeout_ms is None else timeout_ms,
             latency_target_ms=kind.objective_s * 1000,
-            priority=[one for one, _ in self.rates].index(kind) if kind.name in OBJECTIVES else 2,
+            priority=[listed for listed, _ in self.rates].index(kind) if kind.name in OBJECTIVES else 2,
             services=(WeightedService(self.service, 1.0),),
             max_attempts=2 if kind.idempotent else 1,
             session_affinity=True,
             resumable=kind.idempotent,
-            inter_token_target_ms=kind.pause_objective_s * 1000,
+            inter_token_target_ms=kind.inter_token_objective_s * 1000,
             home_regions=frozenset(homes),
         )
 
+    def added_route(self, name: str, path_prefix: str) -> Route:
+        """Return a route that an operator adds during a day; all of its traffic goes to `service`."""
+        return Route(
+            name=f"r-{name}",
+            host=HOST,
+            path_prefix=path_prefix,
+            kind=RouteKind.STREAMING,
+            timeout_ms=5000.0,
+            latency_target_ms=1000.0,
+            priority=2,
+            services=(WeightedService(self.service, 1.0),),
+            max_attempts=2,
+            session_affinity=True,
+            resumable=True,
+            inter_token_target_ms=400.0,
+        )
+
 
 @dataclass(frozen=True, slots=True)
 class MachineSpot:
@@ -108,7 +128,7 @@
 def coordinator_settings(
     deployment: Deployment, spot: MachineSpot, seeds: tuple[Address, ...], data_dir: str, first_boot: bool
 ) -> BootSettings:
-    """What a coordinator is told at its start."""
+    """Return the settings that a coordinator is started with."""
     ports = deployment.ports
     return _settings(
         deployment, spot, seeds, first_boot,
@@ -120,7 +140,7 @@
 def proxy_settings(
     deployment: Deployment, spot: MachineSpot, seeds: tuple[Address, ...], first_boot: bool
 ) -> BootSettings:
-    """What a proxy is told at its start."""
+    """Return the settings that a proxy is started with."""
     ports = deployment.ports
     return _settings(
         deployment, spot, seeds, first_boot, serves=(SERVES_CLIENTS,), data_dir=None,
@@ -128,6 +148,20 @@
     )  # fmt: skip
 
 
+def node_figures(deployment: Deployment, zone: Zone, ip: str, service: str) -> NodeFigures:
+    """Return what a node of a service at an address is started with."""
+    bounds = deployment.bounds
+    return NodeFigures(
+        service=service,
+        address=(ip, deployment.ports.node),
+        zone=zone.name,
+        region=zone.region,
+        engine=deployment.engine,
+        warm_up_rate=deployment.warm_up_rate,
+        falls_over_above=deployment.warm_up_rate * bounds.warm_up_overshoot + bounds.warm_up_slack,
+    )
+
+
 def _settings(
     deployment: Deployment, spot: MachineSpot, seeds: tuple[Address, ...], first_boot: bool, *,
     serves: tuple[str, ...], data_dir: str | None, clients: Address | None = None,
--- a/coveport/serving/simulation/disk.py
+++ b/coveport/serving/simulation/disk.py
@@ -14,7 +14,7 @@
 
 
 class SimulatedFile:
-    """One file."""
+    """A file in memory that keeps its synced content apart from later writes."""
 
     def __init__(self, disk: SimulatedDisk) -> None:
         self._disk = disk
@@ -23,7 +23,7 @@
         self._unsynced: list[tuple[int, bytes]] = []
 
     def read_all(self) -> bytes:
-        """Everything it holds."""
+        """Return the whole content."""
         return bytes(self._data)
 
     def write(self, offset: int, data: bytes) -> None:
@@ -33,12 +33,12 @@
         self._put(self._data, offset, data)
 
     def set_length(self, length: int) -> None:
-        """Cut or extend with zeros."""
+        """Truncate, or extend with zeros."""
         self._disk.check()
         self._resize(self._data, length)
 
     def sync(self) -> None:
-        """What was written survives a loss of power from now on."""
+        """Make all earlier writes survive a loss of power."""
         self._disk.check()
         self._resize(self._synced, len(self._data))
         for offset, written in self._unsynced:
@@ -46,14 +46,14 @@
         self._unsynced.clear()
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing: there is no resource to release."""
 
-    def lose_power(self, chance: Random) -> None:
+    def lose_power(self, rng: Random) -> None:
         """Keep what was synced, and each later write wholly, in part or not at all."""
         data = self._synced
         for offset, written in self._unsynced:
-            kept = chance.choice((0, len(written), chance.randrange(len(written) + 1)))
-            self._put(data, offset, written[:kept])
+            persisted = rng.choice((0, len(written), rng.randrange(len(written) + 1)))
+            self._put(data, offset, written[:persisted])
         self._data = bytearray(data)
         self._synced = data
         self._unsynced.clear()
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class SimulatedDisk:
-    """A folder of such files. `sync_s`: what a write with its sync takes."""
+    """A directory of simulated files. `sync_s`: duration of a write with its sync, in seconds."""
 
     sync_s: float = 0.002
     refuses: bool = False  # every write fails
@@ -80,43 +80,43 @@
     unsynced_names: set[str] = field(default_factory=set)  # of files created since names were last synced
 
     def file_names(self) -> list[str]:
-        """Of all files."""
+        """Return the names of all files."""
         return list(self.files)
 
     def open(self, name: str) -> SimulatedFile:
-        """For reading and writing; created when it isn't there."""
+        """Open a file for reading and writing; create it when it does not exist."""
         if name not in self.files:
             self.files[name] = SimulatedFile(self)
             self.unsynced_names.add(name)
         return self.files[name]
 
     def sync_directory(self) -> None:
-        """Created names survive a loss of power from now on."""
+        """Make the names of created files survive a loss of power."""
         self.check()
         self.unsynced_names.clear()
 
     def check(self) -> None:
-        """OSError where it refuses writes."""
+        """Raise OSError while the disk refuses writes."""
         if self.refuses:
             raise OSError("the disk refuses")
 
-    def lose_power(self, chance: Random) -> None:
-        """What was not synced may be gone: writes of synced files, and whole files with their names."""
+    def lose_power(self, rng: Random) -> None:
+        """Drop a random part of what was not synced: writes, and whole files with their names."""
         for name in sorted(self.unsynced_names):
-            if chance.random() < 0.5:
+            if rng.random() < 0.5:
                 del self.files[name]
         self.unsynced_names.clear()
         for file in self.files.values():
-            file.lose_power(chance)
+            file.lose_power(rng)
 
     def wipe(self) -> None:
-        """It comes back empty."""
+        """Delete all files."""
         self.files.clear()
         self.unsynced_names.clear()
 
 
 class SimulatedWriter:
-    """Writes records in order, each after the disk's time."""
+    """Writes batches of records in order, each after the disk's `sync_s`."""
 
     def __init__(self, net: Net, disk: SimulatedDisk, store: RecordStore) -> None:
         self._net = net
@@ -132,7 +132,7 @@
             self._begin()
 
     def close(self, timeout_s: float = 0.0) -> None:
-        """Nothing is held."""
+        """Do nothing: there is no resource to release."""
 
     def _begin(self) -> None:
         self._is_writing = True
--- a/coveport/serving/simulation/documents.py
+++ b/coveport/serving/simulation/documents.py
@@ -1,4 +1,4 @@
-"""Configurations as the operator writes them: JSON documents, changes, and what the judge needs of them."""
+"""JSON documents of configurations and changes as an operator sends them, and their digests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from coveport.serving.model.configuration import Configuration, Route, RouteKind, Service, WeightedService
-from coveport.serving.simulation.events import RoutePlace
+from coveport.serving.simulation.events import JudgedRoute
 from coveport.serving.simulation.texts import digest
 from coveport.serving.wire import configuration as wire
 from coveport.serving.wire.names import Config
@@ -18,56 +18,60 @@
 
 
 def route_document(route: Route) -> Document:
-    """A route as JSON."""
+    """Return a route as a JSON object."""
     names = wire.ROUTE
-    told: Document = {
-        names[one.name]: getattr(route, one.name)
-        for one in fields(route)
-        if isinstance(getattr(route, one.name), _KIND_OF_SIMPLE)
+    document: Document = {
+        names[attribute.name]: getattr(route, attribute.name)
+        for attribute in fields(route)
+        if isinstance(getattr(route, attribute.name), _KIND_OF_SIMPLE)
     }
-    told[names["kind"]] = route.kind.value
-    told[names["home_regions"]] = sorted(route.home_regions)
+    document[names["kind"]] = route.kind.value
+    document[names["home_regions"]] = sorted(route.home_regions)
     if len(route.services) == 1:
-        told[names["service"]] = route.services[0].service
+        document[names["service"]] = route.services[0].service
     else:
-        told[names["services"]] = [_weighted_document(one) for one in route.services]
-    return told
+        document[names["services"]] = [_weighted_document(weighted) for weighted in route.services]
+    return document
 
 
-def _weighted_document(one: WeightedService) -> Document:
+def _weighted_document(weighted: WeightedService) -> Document:
     names = wire.WEIGHTED_SERVICE
-    return {names["service"]: one.service, names["weight"]: one.weight}
+    return {names["service"]: weighted.service, names["weight"]: weighted.weight}
 
 
 def service_document(service: Service) -> Document:
-    """A service as JSON."""
+    """Return a service as a JSON object."""
     names = wire.SERVICE
-    told: Document = {
-        names[one.name]: getattr(service, one.name)
-        for one in fields(service)
-        if isinstance(getattr(service, one.name), _KIND_OF_SIMPLE)
+    document: Document = {
+        names[attribute.name]: getattr(service, attribute.name)
+        for attribute in fields(service)
+        if isinstance(getattr(service, attribute.name), _KIND_OF_SIMPLE)
     }
     if service.engine is not None:
-        told[names["engine"]] = {
-            wire.ENGINE[one.name]: getattr(service.engine, one.name) for one in fields(service.engine)
+        document[names["engine"]] = {
+            wire.ENGINE[attribute.name]: getattr(service.engine, attribute.name)
+            for attribute in fields(service.engine)
         }
-    return told
+    return document
 
 
 def configuration_document(configuration: Configuration) -> Document:
-    """A whole configuration as JSON."""
+    """Return a complete configuration as a JSON object."""
     limits = configuration.limits
     return {
         Config.EDITION: configuration.edition,
-        Config.ROUTES: [route_document(one) for one in configuration.routes],
-        Config.SERVICES: [service_document(one) for one in configuration.services],
-        Config.LIMITS: {wire.CLIENT_LIMITS[one.name]: getattr(limits, one.name) for one in fields(limits)},
+        Config.ROUTES: [route_document(route) for route in configuration.routes],
+        Config.SERVICES: [service_document(service) for service in configuration.services],
+        Config.LIMITS: {
+            wire.CLIENT_LIMITS[attribute.name]: getattr(limits, attribute.name)
+            for attribute in fields(limits)
+        },
     }
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What a PATCH asks for."""
+    """The change that a PATCH requests."""
 
     edition: int
     routes: tuple[Route, ...] = ()  # added, or replaced by name
@@ -77,12 +81,12 @@
 
 
 def change_document(change: Change) -> Document:
-    """A change as JSON."""
+    """Return a change as a JSON object."""
     return {
         Config.EDITION: change.edition,
         Config.UPSERT: {
-            Config.ROUTES: [route_document(one) for one in change.routes],
-            Config.SERVICES: [service_document(one) for one in change.services],
+            Config.ROUTES: [route_document(route) for route in change.routes],
+            Config.SERVICES: [service_document(service) for service in change.services],
         },
         Config.REMOVE: {
             Config.ROUTES: list(change.removed_routes),
@@ -92,33 +96,37 @@
 
 
 def changed(configuration: Configuration, change: Change) -> Configuration:
-    """What a change makes of a configuration, by our own reckoning."""
-    routes = {one.name: one for one in configuration.routes if one.name not in change.removed_routes}
-    services = {one.name: one for one in configuration.services if one.name not in change.removed_services}
-    routes.update({one.name: one for one in change.routes})
-    services.update({one.name: one for one in change.services})
+    """Return the configuration that results from a change, independently of the programs' code."""
+    routes = {route.name: route for route in configuration.routes if route.name not in change.removed_routes}
+    services = {
+        service.name: service
+        for service in configuration.services
+        if service.name not in change.removed_services
+    }
+    routes.update({route.name: route for route in change.routes})
+    services.update({service.name: service for service in change.services})
     return Configuration(
         change.edition, tuple(routes.values()), tuple(services.values()), configuration.limits
     )
 
 
 def document_digest(document: Document) -> str:
-    """A hash of a configuration that doesn't depend on the order of its items or fields."""
-    told = dict(document)
+    """Return a hash of a configuration that does not depend on the order of items or fields."""
+    document = dict(document)
     for name in (Config.ROUTES, Config.SERVICES):
-        told[name] = sorted(told.get(name, []), key=lambda item: str(item.get(Config.NAME)))
-    return digest(json.dumps(told, sort_keys=True).encode())
+        document[name] = sorted(document.get(name, []), key=lambda item: str(item.get(Config.NAME)))
+    return digest(json.dumps(document, sort_keys=True).encode())
 
 
-def route_places(routes: Iterable[Route]) -> tuple[RoutePlace, ...]:
-    """What the judge needs of routes."""
-    return tuple(map(_route_place, routes))
+def judged_routes(routes: Iterable[Route]) -> tuple[JudgedRoute, ...]:
+    """Return the properties of routes that the judge reads."""
+    return tuple(map(_judged_route, routes))
 
 
-def _route_place(route: Route) -> RoutePlace:
-    services = frozenset(one.service for one in route.services if one.weight)
+def _judged_route(route: Route) -> JudgedRoute:
+    services = frozenset(weighted.service for weighted in route.services if weighted.weight)
     streaming = route.kind is RouteKind.STREAMING
-    return RoutePlace(
+    return JudgedRoute(
         route.host, route.path_prefix, services, route.is_idempotent, streaming, route.home_regions,
         route.timeout_ms / 1000,
     )  # fmt: skip
--- a/coveport/serving/simulation/engine.py
+++ b/coveport/serving/simulation/engine.py
@@ -1,8 +1,8 @@
-"""A model server's engine: batches, queue, memory of tokens with cached prompt parts, preemption. Pure.
+"""A model server's engine: batches, queue, KV cache with shared prefix segments, preemption. Pure.
 
-Time is the caller's, in milliseconds. The caller asks how long the next step takes (`step_ms`), waits for
-that, and lets it happen (`step`), which tells what came of it. A step gives each running request that has
-been read the tokens of one event, and reads one piece of one prompt beside.
+Times are the caller's, in milliseconds. The caller asks how long the next step takes (`step_ms`), waits for
+that, and applies it (`step`), which returns its effects. A step decodes the tokens of one event for each
+running request whose prompt is prefilled, and prefills one chunk of one prompt.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineFigures:
-    """How large and how fast an engine is."""
+    """The capacity and the speed of an engine."""
 
     slots: int = 64
     queue: int = 192
@@ -24,13 +24,13 @@
     tokens_per_event: int = 5
     token_ms: float = 5.55
     token_ms_per_running: float = 0.029
-    read_tokens_per_ms: float = 42.6
-    piece_tokens: int = 2048
+    prefill_tokens_per_ms: float = 42.6
+    prefill_chunk_tokens: int = 2048
 
 
 @dataclass(frozen=True, slots=True)
-class PromptPart:
-    """A part of a prompt, shared between requests under its name."""
+class PrefixSegment:
+    """A named segment of a prompt; requests that share it can reuse its KV cache."""
 
     name: str
     tokens: int
@@ -38,18 +38,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One request as the engine sees it."""
+    """One request as the engine schedules it; times in milliseconds."""
 
     key: str
-    parts: tuple[PromptPart, ...]
+    segments: tuple[PrefixSegment, ...]
     answer_tokens: int
     deadline_ms: float
     priority: int = DEFAULT_PRIORITY
     resumes_after: int = 0  # events that an earlier run has written
 
 
-class TurnedAway(Enum):
-    """Why a request is not taken."""
+class Rejection(Enum):
+    """Why a request is rejected."""
 
     FULL = "the queue is full"
     TOO_LARGE = "larger than the memory"
@@ -88,18 +88,18 @@
 class _Task:
     work: Work
     order: int
-    unread: int = 0  # tokens of the prompt that are still to be read
+    prefill_left: int = 0  # tokens of the prompt still to be prefilled
     events: int = 0  # written, those of earlier runs included
     began: bool = False
 
     @property
     def prompt_tokens(self) -> int:
-        return sum(part.tokens for part in self.work.parts)
+        return sum(segment.tokens for segment in self.work.segments)
 
     def chains(self) -> list[tuple[_Chain, int]]:
-        """Each part under the names of all parts up to it."""
-        names = tuple(part.name for part in self.work.parts)
-        return [(names[: at + 1], part.tokens) for at, part in enumerate(self.work.parts)]
+        """Return each segment, keyed by the names of all segments up to it, with its tokens."""
+        names = tuple(segment.name for segment in self.work.segments)
+        return [(names[: at + 1], segment.tokens) for at, segment in enumerate(self.work.segments)]
 
 
 @dataclass(slots=True)
@@ -111,85 +111,85 @@
     _running: dict[str, _Task] = field(default_factory=dict)
     _cache: OrderedDict[_Chain, int] = field(default_factory=OrderedDict)  # oldest use first
     _count: int = 0
-    read_tokens: int = 0  # read so far
-    read_again_tokens: int = 0  # of these, read before and given way since
+    prefilled_tokens: int = 0  # since the start
+    repeated_prefill_tokens: int = 0  # of these, prefilled before and evicted since
     preemptions: int = 0
-    _once_read: set[_Chain] = field(default_factory=set)
+    _ever_prefilled: set[_Chain] = field(default_factory=set)
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a slot."""
+        """Return how many requests wait for a slot."""
         return len(self._queue)
 
     @property
     def running(self) -> int:
-        """Requests in slots."""
+        """Return how many requests occupy slots."""
         return len(self._running)
 
     @property
     def idle(self) -> bool:
-        """Whether there is nothing to do."""
+        """Return whether no request is queued or running."""
         return not (self._queue or self._running)
 
     @property
-    def memory_used(self) -> int:
-        """Tokens that can't give way."""
-        held: dict[_Chain, int] = {}
+    def kv_tokens_used(self) -> int:
+        """Return how many tokens of the KV cache running requests occupy."""
+        reserved: dict[_Chain, int] = {}
         written = 0
         for task in self._running.values():
-            held.update(task.chains())
+            reserved.update(task.chains())
             written += task.events * self.figures.tokens_per_event
-        return sum(held.values()) + written
+        return sum(reserved.values()) + written
 
     def events_of(self, answer_tokens: int) -> int:
-        """How many events an answer of so many tokens has."""
+        """Return how many events an answer of so many tokens has."""
         return max(1, -(-answer_tokens // self.figures.tokens_per_event))
 
-    def submit(self, work: Work, now_ms: float) -> TurnedAway | None:
-        """Take a request into the queue, or say why not."""
+    def submit(self, work: Work, now_ms: float) -> Rejection | None:
+        """Queue a request; return None, or why it is rejected."""
         task = _Task(work, self._next(), events=work.resumes_after)
         if work.deadline_ms <= now_ms:
-            return TurnedAway.TOO_LATE
+            return Rejection.TOO_LATE
         if task.prompt_tokens + work.answer_tokens > self.figures.kv_cache_tokens:
-            return TurnedAway.TOO_LARGE
+            return Rejection.TOO_LARGE
         if len(self._queue) >= self.figures.queue:
-            return TurnedAway.FULL
+            return Rejection.FULL
         self._queue.append(task)
         self._order_queue()
         return None
 
     def drop(self, key: str) -> None:
-        """Its connection has closed: forget it."""
+        """Remove a request whose connection has closed."""
         self._running.pop(key, None)
         self._queue = [task for task in self._queue if task.work.key != key]
 
     def step_ms(self) -> float:
-        """How long the next step takes, after letting in what there is room for."""
+        """Admit queued requests that fit; return how long the next step takes, in milliseconds."""
         self._admit()
         figures = self.figures
-        decoding = sum(not task.unread for task in self._running.values())
-        reading = self._reading()
-        piece = min(reading.unread, figures.piece_tokens) if reading else 0
+        decoding = sum(not task.prefill_left for task in self._running.values())
+        prefilling = self._prefilling()
+        chunk = min(prefilling.prefill_left, figures.prefill_chunk_tokens) if prefilling else 0
         tokens = figures.tokens_per_event if decoding else 0
         return tokens * (figures.token_ms + figures.token_ms_per_running * decoding) + (
-            piece / figures.read_tokens_per_ms
+            chunk / figures.prefill_tokens_per_ms
         )
 
     def step(self, now_ms: float) -> list[Effect]:
-        """Let a step happen that has ended now."""
+        """Apply the step that ends now; return its effects."""
         effects = self._expire(now_ms)
-        decoding = [task for task in self._running.values() if not task.unread]
-        reading = self._reading()
-        if reading is not None:
-            self._read(reading)
+        decoding = [task for task in self._running.values() if not task.prefill_left]
+        prefilling = self._prefilling()
+        if prefilling is not None:
+            self._prefill(prefilling)
         for task in decoding:
             if task.work.key in self._running:  # not expired
                 effects += self._decode(task)
-        self._make_room()
+        self._evict()
         return effects
 
     def forget(self) -> None:
-        """Lose all cached parts that no request holds."""
+        """Clear the prefix cache."""
         self._cache.clear()
 
     def _next(self) -> int:
@@ -199,24 +199,24 @@
     def _order_queue(self) -> None:
         self._queue.sort(key=lambda task: (task.work.priority, task.order))
 
-    def _reading(self) -> _Task | None:
-        return next((task for task in self._running.values() if task.unread), None)
+    def _prefilling(self) -> _Task | None:
+        return next((task for task in self._running.values() if task.prefill_left), None)
 
     def _admit(self) -> None:
         while self._queue and len(self._running) < self.figures.slots:
             task = self._queue[0]
-            if self._running and self._needs(task) > self.figures.kv_cache_tokens - self.memory_used:
+            if self._running and self._needs(task) > self.figures.kv_cache_tokens - self.kv_tokens_used:
                 return
             del self._queue[0]
             self._running[task.work.key] = task
-            task.unread = max(1, task.prompt_tokens - self._cached(task))
-            self._make_room()
+            task.prefill_left = max(1, task.prompt_tokens - self._cached(task))
+            self._evict()
 
     def _needs(self, task: _Task) -> int:
         return task.prompt_tokens + (task.events + 1) * self.figures.tokens_per_event
 
     def _cached(self, task: _Task) -> int:
-        """Tokens at the front of its prompt that need not be read, which counts as a use of them."""
+        """Return how many leading tokens of the prompt are cached, and mark them as recently used."""
         found = 0
         for chain, tokens in task.chains():
             if chain not in self._cache:
@@ -225,16 +225,16 @@
             found += tokens
         return found
 
-    def _read(self, task: _Task) -> None:
-        piece = min(task.unread, self.figures.piece_tokens)
-        task.unread -= piece
-        self.read_tokens += piece
-        if task.unread:
+    def _prefill(self, task: _Task) -> None:
+        chunk = min(task.prefill_left, self.figures.prefill_chunk_tokens)
+        task.prefill_left -= chunk
+        self.prefilled_tokens += chunk
+        if task.prefill_left:
             return
         for chain, tokens in task.chains():
-            if chain not in self._cache and chain in self._once_read:
-                self.read_again_tokens += tokens
-            self._once_read.add(chain)
+            if chain not in self._cache and chain in self._ever_prefilled:
+                self.repeated_prefill_tokens += tokens
+            self._ever_prefilled.add(chain)
             self._cache[chain] = tokens
             self._cache.move_to_end(chain)
 
@@ -250,19 +250,19 @@
             del self._running[task.work.key]
         return effects
 
-    def _make_room(self) -> None:
-        """Let the oldest unused parts go, then preempt."""
-        while len(self._running) > 1 and self.memory_used > self.figures.kv_cache_tokens:
+    def _evict(self) -> None:
+        """Preempt while over capacity, then evict the least recently used segments that nothing needs."""
+        while len(self._running) > 1 and self.kv_tokens_used > self.figures.kv_cache_tokens:
             newest = max(self._running.values(), key=lambda task: (task.work.priority, task.order))
             del self._running[newest.work.key]
             self._queue.append(newest)
             self._order_queue()
             self.preemptions += 1
-        held = {chain for task in self._running.values() for chain, _ in task.chains()}
-        room = self.figures.kv_cache_tokens - self.memory_used
-        unheld = [chain for chain in self._cache if chain not in held]
-        surplus = sum(self._cache[chain] for chain in unheld) - room
-        for chain in unheld:
+        reserved = {chain for task in self._running.values() for chain, _ in task.chains()}
+        free_tokens = self.figures.kv_cache_tokens - self.kv_tokens_used
+        unreserved = [chain for chain in self._cache if chain not in reserved]
+        surplus = sum(self._cache[chain] for chain in unreserved) - free_tokens
+        for chain in unreserved:
             if surplus <= 0:
                 return
             surplus -= self._cache.pop(chain)
--- a/coveport/serving/simulation/events.py
+++ b/coveport/serving/simulation/events.py
@@ -1,6 +1,6 @@
-"""What the stand-ins saw on their sockets, one typed line each, in the order in which it happened. Pure.
+"""Typed events that the emulated clients, nodes and operators observed, in order of time. Pure.
 
-The judge and the figures read nothing else. Times are seconds on the clock that all stand-ins of a day share.
+The judge and the statistics read nothing else. Times are seconds on one clock for the whole day.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 
 class Ending(Enum):
-    """How a client's try ended."""
+    """How an attempt of a client ended."""
 
-    COMPLETE = "complete"  # a whole answer, whatever its status
-    BROKEN = "broken"  # the connection ended before the answer was whole
+    COMPLETE = "complete"  # a complete answer, whatever its status
+    BROKEN = "broken"  # the connection ended before the answer was complete
     UNREACHED = "unreached"  # no connection came up: nothing was sent
     ABANDONED = "abandoned"  # the client gave up
-    GARBLED = "garbled"  # what came is no answer, or more came than one
+    GARBLED = "garbled"  # the bytes received are no answer, or more than one
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
-    """One event of a stream as a client read it: its number, who wrote it, and its text."""
+class StreamEvent:
+    """One event of a stream as a client read it: its number, the run that wrote it, and its text."""
 
     number: int
     run: str
@@ -30,12 +30,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrySent:
-    """A client has sent one try of a request, or a prober has sent a probe."""
+class AttemptStarted:
+    """A client has sent one attempt of a request; `is_direct`: to a given proxy, as a check."""
 
     at_s: float
-    request: str  # the same for all tries of one request
-    try_id: str
+    request: str  # the same for all attempts of one request
+    attempt_id: str
     method: str
     target: str
     host: str
@@ -43,34 +43,34 @@
     proxy: str  # address that it was sent to
     client_region: str
     deadline_s: float  # when the client stops waiting
-    first_sent_s: float  # of the request's first try
+    request_started_s: float  # of the request's first attempt
     events_wanted: int  # of the whole stream
-    resumes_after: int = 0  # last event that an earlier try brought
-    is_probe: bool = False
+    resumes_after: int = 0  # last event that an earlier attempt received
+    is_direct: bool = False
     kind: str = ""  # of request, for the figures
 
 
 @dataclass(frozen=True, slots=True)
-class TryEnded:
-    """What became of a try."""
+class AttemptEnded:
+    """An attempt has ended."""
 
     at_s: float
-    try_id: str
+    attempt_id: str
     ending: Ending
     status: int = 0  # 0: no answer began
     stamp: str = ""
-    answered_id: str = ""  # the try id that the answer carries
-    events: tuple[Event, ...] = ()
+    answered_id: str = ""  # the attempt id that the answer carries
+    events: tuple[StreamEvent, ...] = ()
     first_event_s: float = 0.0
-    longest_pause_s: float = 0.0
+    longest_inter_token_s: float = 0.0
     body_digest: str = ""  # of an answer that is no stream
     is_stream: bool = False
-    surplus: bool = False  # more came behind the whole answer
+    surplus: bool = False  # bytes followed the complete answer
 
 
 @dataclass(frozen=True, slots=True)
 class NodeStarted:
-    """A node runs: a new incarnation."""
+    """A new incarnation of a node has started."""
 
     at_s: float
     incarnation: str
@@ -90,8 +90,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeCold:
-    """A node is cold from now until then, and bears so many requests a second."""
+class WarmUpBegan:
+    """A node warms up until `until_s` and can serve `rate` requests a second meanwhile."""
 
     at_s: float
     incarnation: str
@@ -101,11 +101,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A whole request has reached a node (health checks and reports are not counted)."""
+    """A complete request has reached a node (health checks and reports are not counted)."""
 
     at_s: float
     incarnation: str
-    try_id: str
+    attempt_id: str
     method: str
     target: str
     host: str
@@ -114,12 +114,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestTurnedAway:
-    """A node has refused a request and says that it has not run."""
+class RequestRejected:
+    """A node has rejected a request and states that it has not run."""
 
     at_s: float
     incarnation: str
-    try_id: str
+    attempt_id: str
     status: int
 
 
@@ -129,7 +129,7 @@
 
     at_s: float
     incarnation: str
-    try_id: str
+    attempt_id: str
     run: str
     stamp: str
     first_event: int  # number of the first event that this run writes
@@ -137,20 +137,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFinished:
-    """A node is done with a request that ran; `whole`: all events were written to a connection that held."""
+    """A node is done with a request that ran; `complete`: all events were written."""
 
     at_s: float
     incarnation: str
-    try_id: str
+    attempt_id: str
     run: str
     status: int
-    whole: bool
+    complete: bool
     node_broke: bool  # the node itself broke it off
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatAnswered:
-    """A coordinator has acknowledged what a node said (`closing`, or gone), or a plain heartbeat."""
+    """A coordinator has acknowledged a heartbeat of a node, with the state that it reported."""
 
     at_s: float
     incarnation: str
@@ -159,7 +159,7 @@
 
 
 class Order(Enum):
-    """What an operator asks for."""
+    """The kind of an operator's order."""
 
     PUT = "put"
     PATCH = "patch"
@@ -169,7 +169,7 @@
 
 
 class Verdict(Enum):
-    """What an operator was answered."""
+    """The outcome of an order."""
 
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"
@@ -177,8 +177,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RoutePlace:
-    """One route as the judge needs it."""
+class JudgedRoute:
+    """The properties of a route that the judge reads."""
 
     host: str
     path_prefix: str
@@ -190,7 +190,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrderSent:
+class OrderStarted:
     """An operator has begun an order. For configurations: the edition, what it builds on and its routes."""
 
     at_s: float
@@ -199,14 +199,14 @@
     edition: int = 0
     based_on: int = 0
     valid: bool = True
-    routes: tuple[RoutePlace, ...] = ()
-    digest: str = ""  # of the whole configuration that it makes
+    routes: tuple[JudgedRoute, ...] = ()
+    digest: str = ""  # of the configuration that results
     zone: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderEnded:
-    """How an order ended. For a reading: the edition and the digest that were read (0: none came)."""
+    """An order has ended. For a read: the edition and the digest that were read (0: none)."""
 
     at_s: float
     number: int
@@ -217,8 +217,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TroubleBegan:
-    """Something is done to a machine, or to the links between machines.
+class FaultBegan:
+    """A fault was injected into machines, or into the links between them.
 
     `machines`: names of those that are not in touch meanwhile; `core`: it makes the core unstable;
     `core_machines`: those of the core that do not run, connected and at full speed; `planned`: a stop
@@ -235,8 +235,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TroubleEnded:
-    """It is over."""
+class FaultEnded:
+    """A fault is over."""
 
     at_s: float
     number: int
@@ -244,44 +244,44 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyStarted:
-    """A proxy's process has begun a life."""
+    """A new incarnation of a proxy has started."""
 
     at_s: float
     machine: str
     address: str
 
 
-Happening = (
-    TrySent
-    | TryEnded
+LoggedEvent = (
+    AttemptStarted
+    | AttemptEnded
     | NodeStarted
     | NodeEnded
-    | NodeCold
+    | WarmUpBegan
     | RequestArrived
-    | RequestTurnedAway
+    | RequestRejected
     | RequestRan
     | RequestFinished
     | HeartbeatAnswered
-    | OrderSent
+    | OrderStarted
     | OrderEnded
-    | TroubleBegan
-    | TroubleEnded
+    | FaultBegan
+    | FaultEnded
     | ProxyStarted
 )
 
-Line = TypeVar("Line")
+LoggedType = TypeVar("LoggedType")
 
 
 @dataclass(slots=True)
-class Book:
-    """All happenings of a day."""
+class EventLog:
+    """All events of a day, in order of time."""
 
-    lines: list[Happening] = field(default_factory=list)
+    entries: list[LoggedEvent] = field(default_factory=list)
 
-    def write(self, line: Happening) -> None:
-        """Add one."""
-        self.lines.append(line)
+    def write(self, entry: LoggedEvent) -> None:
+        """Append an event."""
+        self.entries.append(entry)
 
-    def of(self, kind: type[Line]) -> list[Line]:
-        """All of one type, in order."""
-        return [line for line in self.lines if isinstance(line, kind)]
+    def of(self, kind: type[LoggedType]) -> list[LoggedType]:
+        """Return all events of one type, in order."""
+        return [entry for entry in self.entries if isinstance(entry, kind)]
--- a/coveport/serving/simulation/exchange.py
+++ b/coveport/serving/simulation/exchange.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the stand-ins speak it: one connection of a caller, and one of a server, over `Net`."""
+"""HTTP/1.1 connections of the emulated programs, one class for each end, over `Net`."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ConnectionBrokenError(Exception):
-    """The connection ended, or could not come up; `connected`: whether it ever was."""
+    """The connection was lost or could not be opened; `connected`: whether it was ever open."""
 
     def __init__(self, text: str, *, connected: bool = True) -> None:
         super().__init__(text)
@@ -36,7 +36,7 @@
 
 
 class NotAnAnswerError(Exception):
-    """What came is not HTTP."""
+    """The bytes received are not an HTTP response."""
 
 
 class CallerConnection(asyncio.Protocol):
@@ -56,34 +56,37 @@
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Keep what came for whoever waits."""
+        """Buffer received bytes and wake the reader."""
         self._parser.feed(data)
         self._came.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell whoever waits."""
+        """Mark the connection as closed and wake the reader."""
         self._over = True
         self.usable = False
         self._came.set()
 
     @property
     def is_open(self) -> bool:
-        """Whether another request can go out."""
+        """Return whether another request can be sent."""
         return self.usable and not self._over
 
     @property
     def surplus(self) -> bool:
-        """Whether bytes have come that belong to no request."""
+        """Return whether bytes were received that belong to no request."""
         return bool(self._parser.buffer)
 
     def send(self, data: bytes) -> None:
-        """Send a request."""
+        """Send a request; raise ConnectionBrokenError when the connection is closed."""
         if self._transport is None or self._over:
             raise ConnectionBrokenError("closed before the request was sent")
         self._transport.write(data)
 
     async def head(self) -> Response:
-        """The head of the answer; its body follows by `data`."""
+        """Wait for the head of the answer; `data` then reads its body.
+
+        Raises ConnectionBrokenError or NotAnAnswerError.
+        """
         while True:
             try:
                 answer = self._parser.next_response()
@@ -100,7 +103,10 @@
             await self._more()
 
     async def data(self) -> tuple[bytes, bool]:
-        """What has come of the body, at least something, and whether it ends there."""
+        """Wait for more of the body; return it, and whether it ends there.
+
+        Raises ConnectionBrokenError or NotAnAnswerError.
+        """
         assert self._answer is not None
         if not self._answer.is_streamed:
             return self._answer.body, True
@@ -118,16 +124,16 @@
             await self._more()
 
     async def body(self) -> bytes:
-        """The whole body."""
-        parts = []
+        """Read the complete body."""
+        segments = []
         over = False
         while not over:
             data, over = await self.data()
-            parts.append(data)
-        return b"".join(parts)
+            segments.append(data)
+        return b"".join(segments)
 
     def close(self) -> None:
-        """End it."""
+        """Close the connection."""
         self.usable = False
         if self._transport is not None:
             self._transport.close()
@@ -138,7 +144,7 @@
 
 
 async def dial(net: Net, address: Address) -> CallerConnection:
-    """Connect; ConnectionBrokenError where it can't be."""
+    """Open a connection; raise ConnectionBrokenError when that fails."""
     connection = CallerConnection()
     try:
         await net.dial(lambda: connection, address)
@@ -148,23 +154,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """An answer read to its end."""
+class CompleteAnswer:
+    """An answer that was read to its end."""
 
     status: int
     headers: dict[str, list[str]] = field(default_factory=dict)
     body: bytes = b""
 
 
-async def call(net: Net, address: Address, request: bytes, timeout_s: float) -> WholeAnswer | None:
-    """One call on a connection of its own; None where no whole answer came in time."""
+async def call(net: Net, address: Address, request: bytes, timeout_s: float) -> CompleteAnswer | None:
+    """Send a request on a new connection; return None when no complete answer came in time."""
     connection = None
     try:
         async with asyncio.timeout(timeout_s):
             connection = await dial(net, address)
             connection.send(request)
             head = await connection.head()
-            return WholeAnswer(head.status, head.headers, await connection.body())
+            return CompleteAnswer(head.status, head.headers, await connection.body())
     except (TimeoutError, ConnectionBrokenError, NotAnAnswerError):
         return None
     finally:
@@ -192,12 +198,12 @@
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Read, and handle what is whole."""
+        """Buffer received bytes and handle the next complete request."""
         self._parser.feed(data)
         self._take()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """What is under way is dropped."""
+        """Cancel the request in progress."""
         self.transport = None
         if self._task is not None:
             self._task.cancel()
@@ -205,28 +211,28 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is being handled."""
+        """Return whether a request is in progress."""
         return self._task is not None
 
     def answer(self, status: int, headers: list[tuple[str, str]], body: bytes = b"") -> None:
-        """A whole answer."""
+        """Send a complete answer."""
         self.write(write_response(status, [*headers, *self._closing()], body))
 
     def begin_stream(self, headers: list[tuple[str, str]]) -> None:
-        """The head of an answer in chunks."""
+        """Send the head of a chunked answer."""
         self.write(write_head("HTTP/1.1 200 OK", [*headers, CHUNKED, *self._closing()]))
 
     def chunk(self, data: bytes, last: bool = False) -> None:
-        """A piece of it."""
+        """Send one chunk of an answer; `last`: and the end."""
         self.write(write_chunk(data) + (LAST_CHUNK if last else b""))
 
     def write(self, data: bytes) -> None:
-        """Send."""
+        """Send bytes, unless the connection is closed."""
         if self.transport is not None:
             self.transport.write(data)
 
     def break_off(self) -> None:
-        """Close in the middle of whatever it is."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/coveport/serving/simulation/faults.py
+++ b/coveport/serving/simulation/faults.py
@@ -1,20 +1,20 @@
-"""Troubles of a simulated day: each is noted in the book, done, and taken back."""
+"""Injects faults into a simulated day, logs each, and reverts it."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from coveport.serving.simulation.events import TroubleBegan, TroubleEnded
+from coveport.serving.simulation.events import FaultBegan, FaultEnded
 from coveport.serving.simulation.machines import RESTART_S, Machine
 from coveport.serving.simulation.planned_steps import PlannedSteps
 from coveport.serving.simulation.stand_in_programs import SimulatedNode
-from coveport.serving.simulation.topology import Cut
+from coveport.serving.simulation.topology import Partition
 from coveport.serving.simulation.world import SimulatedDeployment
 
 
-class Troubles(PlannedSteps):
-    """What can be done to a deployment. Times are in seconds after the traffic's start."""
+class FaultInjector(PlannedSteps):
+    """Schedules faults of a deployment; times are in seconds after the traffic's start."""
 
     def __init__(self, day: SimulatedDeployment) -> None:
         super().__init__(day)
@@ -23,17 +23,17 @@
     # Machines of the system.
 
     def kill(self, at_s: float, machine: Machine, for_s: float = 1.0) -> None:
-        """Its process dies, and is started again."""
+        """Kill the process of a machine and start it again after `for_s`."""
         self._do(at_s, for_s, "kill", [machine], machine.kill, machine.start)
 
     def lose_power(self, at_s: float, machine: Machine, for_s: float = 3.0, *, wipe: bool = False) -> None:
-        """It vanishes without a word; what it had not synced may be gone, or all of its disk."""
+        """Cut a machine's power; unsynced writes may be lost, with `wipe` the whole disk."""
 
         def lose() -> None:
             machine.place.silent = True
             machine.kill()
             if machine.disk is not None:
-                machine.disk.lose_power(self._chance)
+                machine.disk.lose_power(self._rng)
                 if wipe:
                     machine.disk.wipe()
 
@@ -45,17 +45,17 @@
         self._do(at_s, for_s, "power", [machine], lose, come_back)
 
     def freeze(self, at_s: float, machine: Machine, for_s: float = 3.0) -> None:
-        """It runs nothing for a while."""
+        """Suspend a machine for `for_s`."""
         self._do(at_s, for_s, "freeze", [machine], partial(machine.freeze, for_s), _nothing)
 
     def end_with_lost_disks(self, at_s: float, machines: Iterable[Machine], for_s: float = 1.0) -> None:
-        """These lose their disks, and all other machines lose power at the same moment, proxies too."""
+        """Wipe the disks of some machines while all coordinators and proxies lose power."""
         lost = list(machines)
         for machine in (*self._day.coordinators, *self._day.proxies):
             self.lose_power(at_s, machine, for_s, wipe=machine in lost)
 
     def roll(self, at_s: float, machines: Iterable[Machine], gap_s: float = 1.0) -> None:
-        """Stop them by SIGTERM one after the other, each started again before the next one stops."""
+        """Restart machines by SIGTERM one after the other, `gap_s` apart."""
         rest = list(machines)
 
         def next_one() -> None:
@@ -78,7 +78,7 @@
         machine.terminate(self._day.deployment.bounds.grace_s, ended)
 
     def replace_coordinator(self, at_s: float, machine: Machine, after_s: float = 2.0) -> None:
-        """It loses power for good; another one with an empty disk takes its place at a new address."""
+        """Replace a machine for good by one with an empty disk at a new address."""
         numbers: list[int] = []
 
         def lose() -> None:
@@ -95,7 +95,7 @@
         self._day.at(at_s + after_s, replace)
 
     def refusing_disk(self, at_s: float, machine: Machine, for_s: float) -> None:
-        """Its disk refuses writes for a while."""
+        """Let a disk refuse writes for `for_s`."""
         disk = machine.disk
         assert disk is not None
 
@@ -105,7 +105,7 @@
         self._do(at_s, for_s, "disk", [machine], partial(refuse, True), partial(refuse, False))
 
     def slow_disk(self, at_s: float, machine: Machine, for_s: float, sync_s: float) -> None:
-        """Its disk takes so long for each write."""
+        """Let each write of a disk take `sync_s`, for `for_s`."""
         disk = machine.disk
         assert disk is not None
         before = disk.sync_s
@@ -115,9 +115,9 @@
 
         self._do(at_s, for_s, "disk", [machine], partial(set_sync, sync_s), partial(set_sync, before))
 
-    # Cuts.
+    # Partitions.
 
-    def cut_off(
+    def isolate(
         self,
         at_s: float,
         machines: Iterable[Machine],
@@ -126,39 +126,39 @@
         how: str = "both",
         from_machines: Iterable[Machine] | None = None,
     ) -> None:
-        """Nothing passes between these and others (or all). `how`: both, in (they hear nothing) or out."""
-        inside = {one.spot.ip for one in machines}
-        others = {one.spot.ip for one in from_machines or self._all_inner()} - inside
-        into = {(other, one) for one in inside for other in others}
-        out_of = {(one, other) for one in inside for other in others}
+        """Partition machines from others (default: all). `how`: both, in (they receive nothing) or out."""
+        inside = {machine.spot.ip for machine in machines}
+        outside = {machine.spot.ip for machine in from_machines or self._all_inner()} - inside
+        into = {(outer, inner) for inner in inside for outer in outside}
+        out_of = {(inner, outer) for inner in inside for outer in outside}
         pairs = into if how == "in" else out_of if how == "out" else into | out_of
-        touched = [one for one in self._all_inner() if one.spot.ip in inside]
+        touched = [machine for machine in self._all_inner() if machine.spot.ip in inside]
         numbers: list[int] = []
 
-        def cut(found: Cut) -> None:
+        def partition(found: Partition) -> None:
             numbers.append(self._begin("cut", touched, core=True))
-            self._day.network.cut(numbers[0], found)
+            self._day.network.partition(numbers[0], found)
 
-        def join() -> None:
-            self._day.network.join(numbers[0])
+        def heal() -> None:
+            self._day.network.heal(numbers[0])
             self._end(numbers[0])
 
-        self._day.at(at_s, partial(cut, frozenset(pairs)))
-        self._day.at(at_s + for_s, join)
+        self._day.at(at_s, partial(partition, frozenset(pairs)))
+        self._day.at(at_s + for_s, heal)
 
-    def cut_region(self, at_s: float, region: str, for_s: float, *, how: str = "both") -> None:
-        """A region is cut off from the others."""
-        inside = [one for one in self._all_inner() if one.spot.zone.region == region]
-        self.cut_off(at_s, inside, for_s, how=how)
+    def isolate_region(self, at_s: float, region: str, for_s: float, *, how: str = "both") -> None:
+        """Partition a region from the others."""
+        inside = [machine for machine in self._all_inner() if machine.spot.zone.region == region]
+        self.isolate(at_s, inside, for_s, how=how)
 
     def _all_inner(self) -> list[Machine]:
         day = self._day
-        return [*day.coordinators, *day.proxies, *(one.machine for one in day.nodes)]
+        return [*day.coordinators, *day.proxies, *(node.machine for node in day.nodes)]
 
     # Nodes.
 
     def crash_node(self, at_s: float, node: SimulatedNode, for_s: float = 4.0) -> None:
-        """It ends without a word, and comes back cold as a new incarnation at its address."""
+        """Crash a node; a new incarnation warms up at its address after `for_s`."""
 
         def crash() -> None:
             assert node.server is not None
@@ -169,18 +169,18 @@
         self._day.at(at_s + for_s, node.machine.start)
 
     def reuse_address(self, at_s: float, node: SimulatedNode, service: str, after_s: float) -> None:
-        """It crashes; later a node of another service runs at its address."""
+        """Crash a node; start a node of another service at its address after `after_s`."""
         self.crash_node(at_s, node, after_s)
         self._day.at(at_s, partial(setattr, node, "service", service))
 
-    def darken_node(self, at_s: float, node: SimulatedNode, for_s: float = 4.0) -> None:
-        """It neither answers nor reports for a while, and ends then; nobody is told."""
+    def hang_node(self, at_s: float, node: SimulatedNode, for_s: float = 4.0) -> None:
+        """Make a node unresponsive for `for_s`, then crash it."""
 
-        def darken() -> None:
+        def hang() -> None:
             assert node.server is not None
-            node.server.turn_dark(True)
+            node.server.set_unresponsive(True)
 
-        self._day.at(at_s, darken)
+        self._day.at(at_s, hang)
         self.crash_node(at_s + for_s, node)
 
     def close_node(
@@ -190,7 +190,7 @@
         back_s: float | None = None,
         short_notice_s: float | None = None,
     ) -> None:
-        """It leaves by plan; `back_s`: a new incarnation starts so much later."""
+        """Shut a node down gracefully; `back_s`: start a new incarnation so much later."""
         drain_s = self._day.deployment.bounds.drain_ms / 1000
 
         def leave() -> None:
@@ -206,26 +206,28 @@
         if back_s is not None:
             self._day.at(at_s + back_s, come_back)
 
-    def spoil_node(self, at_s: float, node: SimulatedNode, for_s: float, fault: str, share: float) -> None:
-        """A share of its requests goes wrong in one way; `fault`: a field of `NodeFaults`."""
+    def spoil_node(
+        self, at_s: float, node: SimulatedNode, for_s: float, fault: str, probability: float
+    ) -> None:
+        """Set one field of a node's `NodeFaults` to a probability, for `for_s`."""
 
         def spoil(to: float) -> None:
             if node.server is not None:
                 setattr(node.server.faults, fault, to)
 
-        self._day.at(at_s, partial(spoil, share))
+        self._day.at(at_s, partial(spoil, probability))
         self._day.at(at_s + for_s, partial(spoil, 0.0))
 
-    def turn_cold(self, at_s: float, node: SimulatedNode, for_s: float) -> None:
-        """It is cold again, without notice."""
+    def begin_warm_up(self, at_s: float, node: SimulatedNode, for_s: float) -> None:
+        """Let a node warm up again, without announcing it."""
 
         def turn() -> None:
             assert node.server is not None
-            node.server.turn_cold(for_s)
+            node.server.begin_warm_up(for_s)
 
         self._day.at(at_s, turn)
 
-    # The book.
+    # The event log.
 
     def _do(
         self, at_s: float, for_s: float, kind: str, machines: list[Machine], begin: Callable[[], object],
@@ -246,16 +248,16 @@
 
     def _begin(self, kind: str, machines: list[Machine], *, planned: bool = False, core: bool = False) -> int:
         self._numbers += 1
-        core = core or any(one in self._day.coordinators for one in machines)
-        names = tuple(one.spot.name for one in machines)
-        of_core = tuple(one.spot.name for one in machines if one in self._day.coordinators)
+        core = core or any(machine in self._day.coordinators for machine in machines)
+        names = tuple(machine.spot.name for machine in machines)
+        of_core = tuple(machine.spot.name for machine in machines if machine in self._day.coordinators)
         now = self._day.world.now
-        self._day.book.write(TroubleBegan(now, self._numbers, kind, names, core, planned, of_core))
+        self._day.event_log.write(FaultBegan(now, self._numbers, kind, names, core, planned, of_core))
         return self._numbers
 
     def _end(self, number: int) -> None:
-        self._day.book.write(TroubleEnded(self._day.world.now, number))
+        self._day.event_log.write(FaultEnded(self._day.world.now, number))
 
 
 def _nothing() -> None:
-    """The trouble ends by itself."""
+    """Do nothing: the fault ends by itself."""
--- a/coveport/serving/simulation/figures.py
+++ b/coveport/serving/simulation/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a day from its book: how many requests were served, in time, and how soon. Pure."""
+"""Statistics of a day from its event log: requests served, served in time, and latencies. Pure."""
 
 from __future__ import annotations
 
@@ -6,83 +6,87 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from coveport.serving.simulation.events import Book, Ending, TryEnded, TrySent
+from coveport.serving.simulation.events import AttemptEnded, AttemptStarted, Ending, EventLog
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """Within what a kind of request is in time."""
+    """The latency targets of a kind of request, in seconds."""
 
     first_event_s: float
-    pause_s: float
+    inter_token_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class KindFigures:
-    """What became of one kind of request."""
+    """Statistics of one kind of request."""
 
-    asked: int
+    requests: int
     served: int
     in_time: int
-    tries: int
-    statuses: tuple[tuple[str, int], ...]  # how tries ended that served nothing, with counts
-    first_event_ms: tuple[float, float, float]  # median, 95th and 99th of a hundred, of the served
+    attempts: int
+    statuses: tuple[tuple[str, int], ...]  # endings of attempts that failed, with counts
+    first_event_ms: tuple[float, float, float]  # 50th, 95th and 99th percentile of the served
 
     @property
-    def served_share(self) -> float:
-        """Of those asked."""
-        return self.served / self.asked if self.asked else 1.0
+    def served_fraction(self) -> float:
+        """Return a fraction of all requests."""
+        return self.served / self.requests if self.requests else 1.0
 
     @property
-    def in_time_share(self) -> float:
-        """Of those asked."""
-        return self.in_time / self.asked if self.asked else 1.0
-
-
-def figures(book: Book, objectives: Mapping[str, Objective]) -> dict[str, KindFigures]:
-    """The figures by kind of request; probes are left out."""
-    ended = {line.try_id: line for line in book.of(TryEnded)}
-    requests: dict[str, list[TrySent]] = defaultdict(list)
-    for sent in book.of(TrySent):
-        if not sent.is_probe:
-            requests[sent.request].append(sent)
-    by_kind: dict[str, list[list[TrySent]]] = defaultdict(list)
-    for tries in requests.values():
-        by_kind[tries[0].kind].append(tries)
-    return {kind: _of_kind(asked, ended, objectives[kind]) for kind, asked in sorted(by_kind.items())}
-
-
-def _of_kind(asked: list[list[TrySent]], ended: Mapping[str, TryEnded], objective: Objective) -> KindFigures:
+    def in_time_fraction(self) -> float:
+        """Return a fraction of all requests."""
+        return self.in_time / self.requests if self.requests else 1.0
+
+
+def figures(event_log: EventLog, objectives: Mapping[str, Objective]) -> dict[str, KindFigures]:
+    """Return the statistics by kind of request, without direct checks of proxies."""
+    ended = {entry.attempt_id: entry for entry in event_log.of(AttemptEnded)}
+    attempts_by_request: dict[str, list[AttemptStarted]] = defaultdict(list)
+    for started in event_log.of(AttemptStarted):
+        if not started.is_direct:
+            attempts_by_request[started.request].append(started)
+    by_kind: dict[str, list[list[AttemptStarted]]] = defaultdict(list)
+    for attempts in attempts_by_request.values():
+        by_kind[attempts[0].kind].append(attempts)
+    return {kind: _of_kind(requests, ended, objectives[kind]) for kind, requests in sorted(by_kind.items())}
+
+
+def _of_kind(
+    requests: list[list[AttemptStarted]], ended: Mapping[str, AttemptEnded], objective: Objective
+) -> KindFigures:
     served = in_time = 0
     statuses: dict[str, int] = defaultdict(int)
     latencies: list[float] = []
-    for tries in asked:
-        lines = [ended[one.try_id] for one in tries if one.try_id in ended]
-        for line in lines:
-            if not _is_success(line):
-                statuses[f"{line.ending.value} {line.status}"] += 1
-        if not any(_is_success(line) for line in lines):
+    for attempts in requests:
+        entries = [ended[attempt.attempt_id] for attempt in attempts if attempt.attempt_id in ended]
+        for entry in entries:
+            if not _is_success(entry):
+                statuses[f"{entry.ending.value} {entry.status}"] += 1
+        if not any(_is_success(entry) for entry in entries):
             continue
         served += 1
-        latency = min(_answered_s(line) for line in lines if _answered_s(line)) - tries[0].first_sent_s
+        latency = (
+            min(_answered_s(entry) for entry in entries if _answered_s(entry)) - attempts[0].request_started_s
+        )
         latencies.append(latency)
-        pause = max(line.longest_pause_s for line in lines)
-        in_time += latency <= objective.first_event_s and pause <= objective.pause_s
+        longest = max(entry.longest_inter_token_s for entry in entries)
+        in_time += latency <= objective.first_event_s and longest <= objective.inter_token_s
     return KindFigures(
-        len(asked), served, in_time, sum(map(len, asked)), tuple(sorted(statuses.items())),
+        len(requests), served, in_time, sum(map(len, requests)), tuple(sorted(statuses.items())),
         _quantiles_ms(latencies),
     )  # fmt: skip
 
 
-def _is_success(line: TryEnded) -> bool:
-    return line.ending is Ending.COMPLETE and 200 <= line.status < 300
+def _is_success(entry: AttemptEnded) -> bool:
+    return entry.ending is Ending.COMPLETE and 200 <= entry.status < 300
 
 
-def _answered_s(line: TryEnded) -> float:
-    """When the first event came, or a whole answer; 0.0: never."""
-    if line.first_event_s:
-        return line.first_event_s
-    return line.at_s if _is_success(line) else 0.0
+def _answered_s(entry: AttemptEnded) -> float:
+    """Return when the first event or a complete answer came; 0.0: never."""
+    if entry.first_event_s:
+        return entry.first_event_s
+    return entry.at_s if _is_success(entry) else 0.0
 
 
 def _quantiles_ms(latencies: list[float]) -> tuple[float, float, float]:
@@ -90,5 +94,5 @@
         return 0.0, 0.0, 0.0
     ranked = sorted(latencies)
     last = len(ranked) - 1
-    middle, late, latest = (1000 * ranked[round(share * last)] for share in (0.5, 0.95, 0.99))
+    middle, late, latest = (1000 * ranked[round(quantile * last)] for quantile in (0.5, 0.95, 0.99))
     return middle, late, latest
--- a/coveport/serving/simulation/judge.py
+++ b/coveport/serving/simulation/judge.py
@@ -1,7 +1,7 @@
-"""Judges a day by what the stand-ins saw: the rules in their plain form. Pure.
+"""Judges a day by its event log alone, by the operators' rules. Pure.
 
 Narrower than the operators' rules in a few places, each in the programs' favour: a machine counts as not in
-touch for all that a trouble names, however little it does; bodies that pass through machines of other regions
+touch for all that a fault names, however little it does; bodies that pass through machines of other regions
 are not seen.
 """
 
@@ -9,8 +9,8 @@
 
 from coveport.serving.settings.boot import Bounds
 from coveport.serving.simulation import control_rules, request_rules
-from coveport.serving.simulation.events import Book
-from coveport.serving.simulation.history import Breach, Case
+from coveport.serving.simulation.events import EventLog
+from coveport.serving.simulation.history import Breach, History
 
 RULES = (
     request_rules.mixed,
@@ -30,8 +30,8 @@
 )
 
 
-def judge(book: Book, bounds: Bounds, core_size: int = 3) -> list[Breach]:
-    """All breaches of a day, in the order of time. `core_size`: how many coordinators there are."""
-    case = Case.of(book, bounds, core_size)
-    found = [breach for rule in RULES for breach in rule(case)]
-    return sorted(found, key=lambda one: one.at_s)
+def judge(event_log: EventLog, bounds: Bounds, core_size: int = 3) -> list[Breach]:
+    """Return all breaches of a day in order of time. `core_size`: number of coordinators."""
+    history = History.of(event_log, bounds, core_size)
+    found = [breach for rule in RULES for breach in rule(history)]
+    return sorted(found, key=lambda breach: breach.at_s)
--- a/coveport/serving/simulation/try_day.py
+++ b/coveport/serving/simulation/local_day.py
@@ -1,4 +1,4 @@
-"""A short day for newcomers: real coordinators and proxies on loopback, among stand-ins in this process."""
+"""A short day on loopback: real coordinators and proxies, emulated nodes and clients in this process."""
 
 from __future__ import annotations
 
@@ -11,16 +11,15 @@
 from typing import Final
 
 from coveport.net.transport import Net
-from coveport.serving.model.configuration import Route, RouteKind, WeightedService
-from coveport.serving.simulation.deployment import HOST, OBJECTIVES, Deployment
+from coveport.serving.simulation.deployment import OBJECTIVES, Deployment
 from coveport.serving.simulation.documents import Change
 from coveport.serving.simulation.events import (
-    Book,
+    AttemptEnded,
+    AttemptStarted,
     Ending,
-    TroubleBegan,
-    TroubleEnded,
-    TryEnded,
-    TrySent,
+    EventLog,
+    FaultBegan,
+    FaultEnded,
     Verdict,
 )
 from coveport.serving.simulation.figures import KindFigures, figures
@@ -36,29 +35,31 @@
 SETTLE_S: Final = 4.0  # after the traffic, for streams that still run
 PROGRESS_S: Final = 2.0
 RESTART_S: Final = 0.5
+FIRST_PUT_RETRY_S: Final = 0.2  # until the coordinators have founded their core
+READY_POLL_S: Final = 0.1
 BROKEN: Final = 1  # exit code
 
 Say = Callable[[str], None]
 
 
 @dataclass(frozen=True, slots=True)
-class TryResult:
-    """What came of a day."""
+class LocalDayResult:
+    """The result of a day."""
 
     ready: bool  # all proxies were, in time
     breaches: tuple[Breach, ...]
     kinds: dict[str, KindFigures]
-    book: Book
+    event_log: EventLog
 
     @property
     def exit_code(self) -> int:
         """0: no rule was broken, and requests were served."""
-        served = any(one.served for one in self.kinds.values())
+        served = any(kind.served for kind in self.kinds.values())
         return 0 if self.ready and served and not self.breaches else BROKEN
 
 
-class TryDay:
-    """Machines, stand-ins and the plan of one day."""
+class LocalDay:
+    """The deployment and the steps of one day."""
 
     def __init__(self, net: Net, folder: Path, seconds: float, seed: int, say: Say) -> None:
         self._net = net
@@ -66,19 +67,19 @@
         self._say = say
         self._deployment = Deployment()
         self._seed = seed
-        self.book = Book()
+        self.event_log = EventLog()
         self._began_s = net.now_s()
-        self._troubles = 0
+        self._fault_count = 0
         self._editions = EditionNumbers(Random(f"editions {seed}"))
-        self._machines = LocalDeployment(net, folder, self._deployment, self.book, seed)
+        self._machines = LocalDeployment(net, folder, self._deployment, self.event_log, seed)
         self._operator = Operator(
-            net, self._machines.control, self.book, Random(f"operator {seed}"), OrderNumbers()
+            net, self._machines.control, self.event_log, Random(f"operator {seed}"), OrderNumbers()
         )
         self._tasks: set[asyncio.Task[None]] = set()
 
     # The day.
 
-    async def play(self) -> TryResult:
+    async def play(self) -> LocalDayResult:
         """Start all, play, judge."""
         try:
             await self._start_all()
@@ -92,13 +93,13 @@
             for server, _ in self._machines.nodes:
                 server.end(planned=True)
             await asyncio.gather(
-                *(one.kill() for one in (*self._machines.coordinators, *self._machines.proxies))
+                *(process.kill() for process in (*self._machines.coordinators, *self._machines.proxies))
             )
 
     async def _start_all(self) -> None:
         self._tell("starting three coordinators, three proxies and five nodes")
-        for one in self._machines.coordinators:
-            await one.start()
+        for coordinator in self._machines.coordinators:
+            await coordinator.start()
         for at in range(len(self._machines.proxies)):
             await self._machines.start_proxy(at)
         for zone_number, count in enumerate(self._deployment.nodes):
@@ -108,8 +109,11 @@
 
     async def _put_first(self) -> None:
         first = self._deployment.configuration(self._editions.next())
-        while (await self._operator.put(first, 0)).verdict is not Verdict.ACKNOWLEDGED:
-            await asyncio.sleep(0.2)
+        while True:
+            answer = await self._operator.put(first, 0)
+            if answer.verdict is Verdict.ACKNOWLEDGED:
+                break
+            await asyncio.sleep(FIRST_PUT_RETRY_S)
         self._tell(f"configuration {first.edition} is taken")
 
     async def _wait_until_ready(self) -> bool:
@@ -117,7 +121,7 @@
         waiting = set(range(len(self._machines.proxies)))
         while waiting and self._net.now_s() < until_s:
             waiting = {at for at in waiting if not await self._machines.is_ready(at)}
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(READY_POLL_S)
         if not waiting:
             self._tell("all proxies are ready")
             return True
@@ -132,14 +136,14 @@
         until_s = began_s + self._seconds
         asking = self._spawn(self._ask_until(until_s))
         self._spawn(self._tell_progress(until_s))
-        for share, step in self._plan():
-            await asyncio.sleep(max(0.0, began_s + share * self._seconds - self._net.now_s()))
+        for client_rate, step in self._plan():
+            await asyncio.sleep(max(0.0, began_s + client_rate * self._seconds - self._net.now_s()))
             self._spawn(step())
         await asyncio.wait([asking], timeout=self._seconds + SETTLE_S)
         await self._operator.read(4.0)
 
     def _plan(self) -> list[tuple[float, Callable[[], Awaitable[None]]]]:
-        """What is done, and after which share of the day."""
+        """Return the steps, each after which fraction of the day."""
         return [
             (0.15, self._change),
             (0.30, self._evacuate),
@@ -151,26 +155,22 @@
         ]
 
     async def _ask_until(self, until_s: float) -> None:
-        told = self._deployment
+        deployment = self._deployment
         asking = []
-        for zone, count in zip(told.zones, told.clients, strict=True):
+        for zone, count in zip(deployment.zones, deployment.clients, strict=True):
             for number in range(count):
                 client = self._machines.client(zone, number)
-                for kind, rate in told.rates:
-                    share = rate / sum(told.clients)
-                    chance = Random(f"{zone.name} {number} {kind.name} {self._seed}")
-                    asking.append(drive(self._net, client, kind, share, until_s, chance))
+                for kind, rate in deployment.rates:
+                    client_rate = rate / sum(deployment.clients)
+                    rng = Random(f"{zone.name} {number} {kind.name} {self._seed}")
+                    asking.append(drive(self._net, client, kind, client_rate, until_s, rng))
         await asyncio.gather(*asking)
 
     # Steps.
 
     async def _change(self) -> None:
         edition = self._editions.next()
-        to = (WeightedService(self._deployment.service, 1.0),)
-        route = Route(
-            f"r-{edition}", HOST, f"/added-{edition}/", RouteKind.STREAMING, 5000.0, 1000.0, 2, to,
-            max_attempts=2, session_affinity=True, resumable=True, inter_token_target_ms=400.0,
-        )  # fmt: skip
+        route = self._deployment.added_route(str(edition), f"/added-{edition}/")
         change = Change(edition, routes=(route,))
         await self._order(
             f"configuration {edition}", self._operator.patch(change, self._operator.configuration)
@@ -182,18 +182,18 @@
         await asyncio.sleep(0.25 * self._seconds)
         await self._order(f"taking back {zone}", self._operator.take_back(zone))
 
-    async def _order(self, what: str, asking: Awaitable[OrderAnswer]) -> None:
+    async def _order(self, subject: str, asking: Awaitable[OrderAnswer]) -> None:
         began_s = self._net.now_s()
         answer = await asking
         took_ms = (self._net.now_s() - began_s) * 1000
-        self._tell(f"{what}: {answer.verdict.value} after {took_ms:.0f} ms")
+        self._tell(f"{subject}: {answer.verdict.value} after {took_ms:.0f} ms")
 
     async def _crash_node(self) -> None:
         server, _ = self._machines.nodes[0]
         self._tell(f"node {server.incarnation} crashes")
         server.end(planned=False)
         await asyncio.sleep(0.15 * self._seconds)
-        back = await self._machines.start_node(0, 0, life=1)
+        back = await self._machines.start_node(0, 0, incarnation=1)
         self._tell(f"... and is back, cold, as {back.incarnation}")
 
     async def _close_node(self) -> None:
@@ -203,44 +203,47 @@
         self._tell(f"... and has left: {server.incarnation}")
 
     async def _kill_coordinator(self) -> None:
-        one = self._machines.coordinators[0]
-        number = self._begin("kill", one, core=True)
-        await one.kill()
-        self._tell(f"{one.name} is killed")
+        coordinator = self._machines.coordinators[0]
+        number = self._begin("kill", coordinator, core=True)
+        await coordinator.kill()
+        self._tell(f"{coordinator.name} is killed")
         await asyncio.sleep(RESTART_S)
-        await one.start()
+        await coordinator.start()
         self._end(number)
 
     async def _stop_proxy(self) -> None:
-        one = self._machines.proxies[-1]
-        number = self._begin("term", one, planned=True)
-        self._tell(f"{one.name} is told to stop")
-        in_time = await one.terminate()
-        self._tell(f"... and has ended with {one.exit_code}" + ("" if in_time else ", too late"))
+        proxy = self._machines.proxies[-1]
+        number = self._begin("term", proxy, planned=True)
+        self._tell(f"{proxy.name} is told to stop")
+        in_time = await proxy.terminate()
+        self._tell(f"... and has ended with {proxy.exit_code}" + ("" if in_time else ", too late"))
         await asyncio.sleep(RESTART_S)
         await self._machines.start_proxy(len(self._machines.proxies) - 1)
         self._end(number)
 
-    def _begin(self, kind: str, one: LocalProcess, *, core: bool = False, planned: bool = False) -> int:
-        self._troubles += 1
+    def _begin(self, kind: str, process: LocalProcess, *, core: bool = False, planned: bool = False) -> int:
+        self._fault_count += 1
         now = self._net.now_s()
-        of_core = (one.name,) if core else ()
-        self.book.write(TroubleBegan(now, self._troubles, kind, (one.name,), core, planned, of_core))
-        return self._troubles
+        of_core = (process.name,) if core else ()
+        self.event_log.write(
+            FaultBegan(now, self._fault_count, kind, (process.name,), core, planned, of_core)
+        )
+        return self._fault_count
 
     def _end(self, number: int) -> None:
-        self.book.write(TroubleEnded(self._net.now_s(), number))
+        self.event_log.write(FaultEnded(self._net.now_s(), number))
 
     # Words.
 
     async def _tell_progress(self, until_s: float) -> None:
         while self._net.now_s() < until_s:
             await asyncio.sleep(PROGRESS_S)
-            asked = len({line.request for line in self.book.of(TrySent)})
+            requests = len({line.request for line in self.event_log.of(AttemptStarted)})
             served = sum(
-                line.ending is Ending.COMPLETE and line.status == 200 for line in self.book.of(TryEnded)
+                line.ending is Ending.COMPLETE and line.status == 200
+                for line in self.event_log.of(AttemptEnded)
             )
-            self._tell(f"{asked} requests asked, {served} served")
+            self._tell(f"{requests} requests asked, {served} served")
 
     def _tell(self, text: str) -> None:
         self._say(f"{self._net.now_s() - self._began_s:6.1f} s  {text}")
@@ -251,33 +254,36 @@
         self._tasks.add(task)
         return task
 
-    def _result(self, ready: bool) -> TryResult:
+    def _result(self, ready: bool) -> LocalDayResult:
         for task in self._tasks:
             if task.done() and not task.cancelled() and task.exception() is not None:
                 self._tell(f"a step failed: {task.exception()!r}")
-        breaches = tuple(judge(self.book, self._deployment.bounds))
-        return TryResult(ready, breaches, figures(self.book, OBJECTIVES), self.book)
+        breaches = tuple(judge(self.event_log, self._deployment.bounds))
+        return LocalDayResult(ready, breaches, figures(self.event_log, OBJECTIVES), self.event_log)
 
 
-def summary(result: TryResult) -> list[str]:
-    """The day in a few lines."""
+def summary(result: LocalDayResult) -> list[str]:
+    """Return the result of a day as lines of text."""
     if not result.ready:
         return ["", f"not played: the proxies were not ready within {READY_WITHIN_S:.0f} s"]
-    lines = ["", f"{'kind':<10}{'asked':>7}{'served':>8}{'in time':>9}{'first event, ms: median, 95%':>32}"]
+    lines = [
+        "",
+        f"{'kind':<10}{'requests':>7}{'served':>8}{'in time':>9}{'first event, ms: median, 95%':>32}",
+    ]
     for kind, found in result.kinds.items():
         median, late, _ = found.first_event_ms
         lines.append(
-            f"{kind:<10}{found.asked:>7}{found.served:>8}{found.in_time:>9}{median:>24.0f}{late:>8.0f}"
+            f"{kind:<10}{found.requests:>7}{found.served:>8}{found.in_time:>9}{median:>24.0f}{late:>8.0f}"
         )
-    lines += [f"rule broken: {one}" for one in result.breaches[:20]]
+    lines += [f"rule broken: {breach}" for breach in result.breaches[:20]]
     if not result.breaches:
         lines.append("no rule was broken")
     return lines
 
 
-async def play(folder: Path, seconds: float, seed: int, say: Say) -> TryResult:
-    """A day in a folder."""
-    return await TryDay(Net(asyncio.get_running_loop()), folder, seconds, seed, say).play()
+async def play(folder: Path, seconds: float, seed: int, say: Say) -> LocalDayResult:
+    """Play a day; settings, logs and data are kept in `folder`."""
+    return await LocalDay(Net(asyncio.get_running_loop()), folder, seconds, seed, say).play()
 
 
 def run(seconds: float = DEFAULT_SECONDS, folder: str | None = None, seed: int = 1) -> int:
--- a/coveport/serving/simulation/local_deployment.py
+++ b/coveport/serving/simulation/local_deployment.py
@@ -15,12 +15,13 @@
     Deployment,
     MachineSpot,
     coordinator_settings,
+    node_figures,
     proxy_settings,
 )
-from coveport.serving.simulation.events import Book, ProxyStarted
+from coveport.serving.simulation.events import EventLog, ProxyStarted
 from coveport.serving.simulation.exchange import call
 from coveport.serving.simulation.local_processes import LocalProcess
-from coveport.serving.simulation.model_server import ModelServer, NodeFigures
+from coveport.serving.simulation.model_server import ModelServer
 from coveport.serving.simulation.registration import Registration
 from coveport.serving.simulation.zones import Zone
 from coveport.serving.wire.names import Path as WirePath
@@ -32,11 +33,13 @@
 class LocalDeployment:
     """One coordinator and one proxy a zone, and the nodes that the deployment names."""
 
-    def __init__(self, net: Net, folder: Path, deployment: Deployment, book: Book, seed: int) -> None:
+    def __init__(
+        self, net: Net, folder: Path, deployment: Deployment, event_log: EventLog, seed: int
+    ) -> None:
         self._net = net
         self._folder = folder
         self._deployment = deployment
-        self._book = book
+        self._event_log = event_log
         self._seed = seed
         # An own block of loopback addresses: two deployments on one machine don't meet.
         drawn = Random(f"{getpid()} {id(self)}")
@@ -47,23 +50,23 @@
         self.nodes: list[tuple[ModelServer, Registration]] = []
 
     def control(self) -> list[Address]:
-        """Where operators and nodes call."""
+        """Return the coordinators that operators and nodes call."""
         ports = self._deployment.ports
         return [
             (self._ip(FIRST_COORDINATOR + at), ports.control) for at in range(len(self._deployment.zones))
         ]
 
     def lookups(self, zone: Zone) -> list[Address]:
-        """Where clients of a zone ask, near ones first."""
+        """Return the coordinators that clients of a zone look up at, nearest first."""
         zones = self._deployment.zones
         near = sorted(range(len(zones)), key=lambda at: zones[at].farness(zone))
         return [(self._ip(FIRST_COORDINATOR + at), self._deployment.ports.lookups) for at in near]
 
     def client(self, zone: Zone, number: int) -> Client:
-        """A client; every third one opens a connection for each request."""
-        told = ClientFigures(zone.name, zone.region, keeps_connections=number % 3 != 0)
-        chance = Random(f"client {zone.name} {number} {self._seed}")
-        return Client(self._net, told, lambda: self.lookups(zone), self._book, chance)
+        """Create a client; every third one opens a connection for each request."""
+        figures = ClientFigures(zone.name, zone.region, keeps_connections=number % 3 != 0)
+        rng = Random(f"client {zone.name} {number} {self._seed}")
+        return Client(self._net, figures, lambda: self.lookups(zone), self._event_log, rng)
 
     def _ip(self, last: int) -> str:
         return f"{self._block}.{last}"
@@ -91,31 +94,29 @@
         return LocalProcess("proxy", self._folder, settings)
 
     async def start_proxy(self, at: int) -> None:
-        """Begin a life of a proxy."""
+        """Start an incarnation of a proxy."""
         address = f"{self._ip(FIRST_PROXY + at)}:{self._deployment.ports.clients}"
-        self._book.write(ProxyStarted(self._net.now_s(), self.proxies[at].name, address))
+        self._event_log.write(ProxyStarted(self._net.now_s(), self.proxies[at].name, address))
         await self.proxies[at].start()
 
     async def is_ready(self, at: int) -> bool:
-        """Whether a proxy says so."""
+        """Return whether a proxy reports that it is ready."""
         address = self._ip(FIRST_PROXY + at), self._deployment.ports.readiness
         request = write_request("GET", WirePath.READY, [("Host", address[0])])
         answer = await call(self._net, address, request, 1.0)
         return answer is not None and answer.status == 200
 
-    async def start_node(self, zone_number: int, number: int, life: int = 0) -> ModelServer:
-        """An incarnation of a node; cold unless it is the first."""
-        told = self._deployment
-        zone = told.zones[zone_number]
-        address = self._ip(FIRST_NODE + NODES_MOST * zone_number + number), told.ports.node
-        figures = NodeFigures(
-            told.service, address, zone.name, zone.region, told.engine, warm_up_rate=told.warm_up_rate,
-            falls_over_above=told.warm_up_rate * told.bounds.warm_up_overshoot + told.bounds.warm_up_slack,
-        )  # fmt: skip
-        chance = Random(f"node {zone_number} {number} {life} {self._seed}")
-        server = ModelServer(self._net, figures, self._book, chance)
-        registration = Registration(self._net, server, self.control, told.heartbeat_ms, self._book, chance)
-        await server.start(told.warm_up_s if life else 0.0)
+    async def start_node(self, zone_number: int, number: int, incarnation: int = 0) -> ModelServer:
+        """Start an incarnation of a node; every one but the first warms up."""
+        deployment = self._deployment
+        ip = self._ip(FIRST_NODE + NODES_MOST * zone_number + number)
+        figures = node_figures(deployment, deployment.zones[zone_number], ip, deployment.service)
+        rng = Random(f"node {zone_number} {number} {incarnation} {self._seed}")
+        server = ModelServer(self._net, figures, self._event_log, rng)
+        registration = Registration(
+            self._net, server, self.control, deployment.heartbeat_ms, self._event_log, rng
+        )
+        await server.start(deployment.warm_up_s if incarnation else 0.0)
         registration.start()
         self.nodes.append((server, registration))
         return server
--- a/coveport/serving/simulation/local_processes.py
+++ b/coveport/serving/simulation/local_processes.py
@@ -15,45 +15,45 @@
 from coveport.serving.simulation.settings_file import settings_text
 from coveport.serving.wire.names import SETTINGS_VARIABLE
 
-ENDS_WITHIN_S: Final = 3.0  # beyond the time of grace
+ENDS_WITHIN_S: Final = 3.0  # beyond the grace period
 
 
 def own_variables() -> dict[str, str]:
-    """The variables of a process of ours: this program is found there, and all that is found here."""
+    """Return the environment of a child process, in which this package can be imported."""
     root = str(Path(coveport.__file__).parent.parent)
     found = os.environ.get("PYTHONPATH")
     return {**os.environ, "PYTHONPATH": os.pathsep.join([root, found] if found else [root])}
 
 
 class LocalProcess:
-    """A machine that runs one role, life after life."""
+    """A process of one role that can be restarted."""
 
     def __init__(self, role: str, folder: Path, settings: Callable[[bool], BootSettings]) -> None:
-        """`settings`: from whether it is the first boot."""
+        """Create a stopped process; `settings` returns its settings by whether it is the first boot."""
         self._role = role
         self._settings = settings
-        told = settings(True)
-        self.name = told.name
-        self._grace_s = told.bounds.grace_s
-        self._file = folder / f"{told.name}.toml"
-        self._log = folder / f"{told.name}.log"
+        first_settings = settings(True)
+        self.name = first_settings.name
+        self._grace_s = first_settings.bounds.grace_s
+        self._file = folder / f"{first_settings.name}.toml"
+        self._log = folder / f"{first_settings.name}.log"
         self._process: asyncio.subprocess.Process | None = None
-        self._lives = 0
+        self._incarnations = 0
 
     @property
     def is_up(self) -> bool:
-        """Whether it runs."""
+        """Return whether the process runs."""
         return self._process is not None and self._process.returncode is None
 
     @property
     def exit_code(self) -> int | None:
-        """Of its last life; None: it runs, or never did."""
+        """Return the exit code of the last incarnation; None: it runs, or never did."""
         return None if self._process is None else self._process.returncode
 
     async def start(self) -> None:
-        """Begin a life."""
-        self._file.write_text(settings_text(self._settings(self._lives == 0)), encoding="utf-8")
-        self._lives += 1
+        """Start the process."""
+        self._file.write_text(settings_text(self._settings(self._incarnations == 0)), encoding="utf-8")
+        self._incarnations += 1
         variables = {**own_variables(), SETTINGS_VARIABLE: str(self._file)}
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
@@ -62,13 +62,13 @@
             )  # fmt: skip
 
     async def kill(self) -> None:
-        """End it at once."""
+        """Kill the process."""
         if self._process is not None and self.is_up:
             self._process.kill()
             await self._process.wait()
 
     async def terminate(self) -> bool:
-        """Ask it to stop, and wait; whether it did within the time of grace."""
+        """Send SIGTERM and wait; return whether the process ended within the grace period."""
         if self._process is None or not self.is_up:
             return True
         self._process.send_signal(signal.SIGTERM)
@@ -81,7 +81,7 @@
         return True
 
     def last_lines(self, count: int = 5) -> list[str]:
-        """Of its log."""
+        """Return the last lines of the log."""
         try:
             return self._log.read_text(encoding="utf-8", errors="replace").splitlines()[-count:]
         except OSError:
--- a/coveport/serving/simulation/machines.py
+++ b/coveport/serving/simulation/machines.py
@@ -1,4 +1,4 @@
-"""Machines of a simulated deployment: each runs lives of one program, that can be killed or frozen."""
+"""Simulated machines: each runs incarnations of one program that can be killed or suspended."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class Program(Protocol):
-    """What runs on a machine."""
+    """A program that runs on a machine."""
 
     async def start(self) -> None:
-        """Begin."""
+        """Start serving."""
 
     async def stop(self) -> None:
-        """The planned end."""
+        """Stop gracefully."""
 
 
 MakeProgram = Callable[["Machine", bool, Any, Random], Program]
-"""From the machine, whether it is the first boot, a log, and chance."""
+"""Creates a program from its machine, whether it is the first boot, a log, and a random source."""
 
 
 class Machine:
-    """One machine."""
+    """A machine with an address, perhaps a disk, and a program."""
 
     def __init__(
         self, network: PlacedNetwork, spot: MachineSpot, place: Place, make: MakeProgram, seed: str,
@@ -41,9 +41,9 @@
         self.disk = disk
         self.log_lines: list[str] = []
         self.problems: list[dict[str, Any]] = []
-        self.lives = 0
-        self.own_ends = 0  # lives that ended by themselves
-        self.is_gone = False  # taken away for good
+        self.incarnations = 0
+        self.own_ends = 0  # incarnations that ended by themselves
+        self.is_gone = False  # removed for good
         self._network = network
         self._make = make
         self._seed = seed
@@ -53,33 +53,33 @@
 
     @property
     def net(self) -> PlacedNet:
-        """The net of the present life."""
+        """Return the net of the current incarnation."""
         assert self._net is not None
         return self._net
 
     @property
     def is_up(self) -> bool:
-        """Whether a process runs."""
+        """Return whether a process runs."""
         return self._process is not None and self._process.alive
 
     def start(self, first_boot: bool = False) -> None:
-        """Begin a life, if none runs."""
+        """Start an incarnation, unless one runs or the machine is removed."""
         if self.is_up or self.is_gone:
             return
-        self.lives += 1
-        process = SimulatedProcess.begin(self._network.world, f"{self.spot.name}#{self.lives}")
+        self.incarnations += 1
+        process = SimulatedProcess.begin(self._network.world, f"{self.spot.name}#{self.incarnations}")
         process.problems = self.problems
         process.on_exit = lambda code: self.problems.append({"message": f"exit {code}"})
         self._process = process
         self._net = PlacedNet(process, self._network, self.place)
-        chance = Random(f"{self._seed} {self.spot.name} {self.lives}")
+        rng = Random(f"{self._seed} {self.spot.name} {self.incarnations}")
         log = create_logger(self._net.now_s, write=self.log_lines.append)
 
         async def begin() -> None:
             try:
-                self.program = self._make(self, first_boot, log, chance)
+                self.program = self._make(self, first_boot, log, rng)
                 await self.program.start()
-            except OSError as refused:  # as of a disk that refuses: the platform starts it again
+            except OSError as refused:  # as of a disk that refuses writes: the platform restarts it
                 self.log_lines.append(f"ended: {refused}")
                 world = self._network.world
                 world.at(world.now, self._ended_by_itself, process)
@@ -93,17 +93,17 @@
             self._network.world.at(self._network.world.now + RESTART_S, self.start)
 
     def kill(self) -> None:
-        """End its life at once."""
+        """Kill the process."""
         if self._process is not None:
             self._process.kill()
 
     def freeze(self, for_s: float) -> None:
-        """Let it run nothing for so long."""
+        """Suspend the process for so long."""
         if self._process is not None:
             self._process.stall(for_s)
 
     def terminate(self, grace_s: float, ended: Callable[[], None]) -> None:
-        """Ask it to stop; kill it when it has, or when the time of grace is over."""
+        """Stop the program; kill the process when it has stopped, or when the grace period is over."""
         process, program = self._process, self.program
         assert process is not None and program is not None
         world = self._network.world
@@ -121,6 +121,6 @@
         world.at(world.now + grace_s, end)
 
     def run(self, work: Callable[[], object]) -> None:
-        """Have its process do something."""
+        """Run a call or coroutine in the machine's process."""
         assert self._process is not None
         run_in(self._process, work)
--- a/coveport/serving/simulation/node_answers.py
+++ b/coveport/serving/simulation/node_answers.py
@@ -11,7 +11,7 @@
 from coveport.http1 import Request
 from coveport.serving.simulation.engine import Began, Effect, Expired, Produced
 from coveport.serving.simulation.exchange import ServerConnection
-from coveport.serving.simulation.texts import digest, event_block, whole_body
+from coveport.serving.simulation.texts import complete_body, digest, event_block
 from coveport.serving.wire.names import Header
 
 BREAKS_WITHIN: Final = 4  # events, before which a stream that is broken off ends
@@ -20,28 +20,28 @@
 
 @dataclass(slots=True)
 class NodeFaults:
-    """What is wrong with a node, as shares of its requests. Changed at any moment."""
+    """The faults of a node, as probabilities for each request. May change at any moment."""
 
-    break_off_share: float = 0.0  # breaks off in the middle of a stream
-    garble_share: float = 0.0  # sends bytes that are no answer
-    surplus_share: float = 0.0  # sends one more answer behind a whole one
-    refuse_share: float = 0.0  # says that it is full though it is not
-    dark: bool = False  # neither reads nor answers nor reports
+    break_off_probability: float = 0.0  # breaks off in the middle of a stream
+    garble_probability: float = 0.0  # sends bytes that are no answer
+    surplus_probability: float = 0.0  # sends one more answer behind a whole one
+    refuse_probability: float = 0.0  # says that it is full though it is not
+    unresponsive: bool = False  # neither reads nor answers nor reports
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFaults:
-    """What will go wrong with one answer."""
+    """The faults drawn for one answer."""
 
     events_most: int = NEVER  # broken off after so many
     surplus: bool = False
 
     @classmethod
-    def draw(cls, faults: NodeFaults, chance: Random) -> AnswerFaults:
-        """By the node's shares."""
-        breaks = chance.random() < faults.break_off_share
-        surplus = chance.random() < faults.surplus_share
-        return cls(chance.randrange(BREAKS_WITHIN) if breaks else NEVER, surplus)
+    def draw(cls, faults: NodeFaults, rng: Random) -> AnswerFaults:
+        """Draw by the node's probabilities."""
+        breaks = rng.random() < faults.break_off_probability
+        surplus = rng.random() < faults.surplus_probability
+        return cls(rng.randrange(BREAKS_WITHIN) if breaks else NEVER, surplus)
 
 
 @dataclass(slots=True)
@@ -49,31 +49,31 @@
     """The answer to one request that was taken into the queue."""
 
     run: str
-    try_id: str
+    attempt_id: str
     request: Request
     faults: AnswerFaults
     inbox: asyncio.Queue[Effect] = field(default_factory=asyncio.Queue)
     began: bool = False
-    whole: bool = False
+    complete: bool = False
     broke: bool = False  # the node broke it off
 
     @property
     def stamp(self) -> str:
-        """What shows that a node wrote this."""
-        return f"{self.run}.{digest(self.try_id.encode())}"
+        """Return the proof that this node wrote the answer."""
+        return f"{self.run}.{digest(self.attempt_id.encode())}"
 
     @property
     def _headers(self) -> list[tuple[str, str]]:
-        return [(Header.ATTEMPT_ID, self.try_id), (Header.STAMP, self.stamp), (Header.VERSIONS, "1")]
+        return [(Header.ATTEMPT_ID, self.attempt_id), (Header.STAMP, self.stamp), (Header.VERSIONS, "1")]
 
     @property
     def _is_stream(self) -> bool:
         return self.request.get(Header.TOKENS) is not None
 
     async def write(self, connection: ServerConnection, on_began: Callable[[], None]) -> bool:
-        """Write it to its end; False where the time was up before it began: nothing is written then."""
+        """Write the answer; return False if the deadline passed before it began and nothing was written."""
         events_left = self.faults.events_most
-        while not (self.whole or self.broke):
+        while not (self.complete or self.broke):
             effect = await self.inbox.get()
             if isinstance(effect, Began):
                 self._begin(connection)
@@ -98,9 +98,9 @@
         if self._is_stream:
             connection.chunk(event_block(self.run, effect.number), effect.last)
         elif effect.last:
-            connection.answer(200, self._headers, whole_body(self.run, digest(self.request.body)))
+            connection.answer(200, self._headers, complete_body(self.run, digest(self.request.body)))
         if effect.last:
-            self.whole = True
+            self.complete = True
             if self.faults.surplus:
                 connection.answer(200, self._headers, b"one answer too many")
 
