--- a/coveport/serving/simulation/operator.py
+++ b/coveport/serving/simulation/operator.py
@@ -1,4 +1,4 @@
-"""A stand-in of the operator: configurations, changes, races, zone evacuations, and reading back."""
+"""Emulated operator: configurations, changes, zone evacuations, and reads of the configuration."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
     changed,
     configuration_document,
     document_digest,
-    route_places,
+    judged_routes,
 )
-from coveport.serving.simulation.events import Book, Order, OrderEnded, OrderSent, RoutePlace, Verdict
-from coveport.serving.simulation.exchange import WholeAnswer
-from coveport.serving.simulation.registration import CoordinatorList, call_following
+from coveport.serving.simulation.events import EventLog, JudgedRoute, Order, OrderEnded, OrderStarted, Verdict
+from coveport.serving.simulation.exchange import CompleteAnswer
+from coveport.serving.simulation.registration import CoordinatorEndpoints, call_following
 from coveport.serving.wire.names import Config, Header, Path
 
-SILENCE_S: Final = 1.0
-SILENCE_A_BYTE_S: Final = 1e-6  # more for large bodies
-FIRST_PAUSE_S: Final = 0.1
-LONGEST_PAUSE_S: Final = 1.0
+ANSWER_TIMEOUT_S: Final = 1.0
+ANSWER_TIMEOUT_PER_BYTE_S: Final = 1e-6  # more for large bodies
+INITIAL_BACKOFF_S: Final = 0.1
+MAX_BACKOFF_S: Final = 1.0
 GIVES_UP_S: Final = 5.0  # orders that are no configurations are sent again for so long
 CONFIGURATION_GIVES_UP_S: Final = 20.0
 ENDS_AT_ONCE: Final = frozenset({400, 409, 412, 413, 422})
@@ -45,6 +45,40 @@
     body: bytes = b""
 
 
+@dataclass(slots=True)
+class _OrderAnswers:
+    """The answers to the attempts of one order so far."""
+
+    status: int = 0  # of the last answer
+    may_be_accepted: bool = False  # an attempt had no clear outcome
+    other_refusals: int = 0
+
+    def add(self, answer: CompleteAnswer | None) -> OrderAnswer | None:
+        """Record an answer, None if there was none; return how the order ended once that is clear."""
+        if answer is None:
+            self.may_be_accepted = True
+            return None
+        self.status = answer.status
+        verdict = self._verdict(answer.status)
+        if verdict is not None:
+            return OrderAnswer(verdict, answer.status, answer.body)
+        if answer.status >= 500:
+            self.may_be_accepted = True
+        return None
+
+    def _verdict(self, status: int) -> Verdict | None:
+        if 200 <= status < 300:
+            return Verdict.ACKNOWLEDGED
+        if status in ENDS_AT_ONCE:
+            # The refusal of a repeated request does not tell whether an earlier attempt was accepted.
+            return Verdict.UNCLEAR if self.may_be_accepted and status != 412 else Verdict.REFUSED
+        if 400 <= status < 500 and status not in RETRIED:
+            self.other_refusals += 1
+            if self.other_refusals >= OTHER_REFUSALS_MOST:
+                return Verdict.REFUSED
+        return None
+
+
 class OrderNumbers:
     """Numbers the orders of all operators of a day."""
 
@@ -52,21 +86,26 @@
         self._last = 0
 
     def next(self) -> int:
-        """A new number."""
+        """Return a new number."""
         self._last += 1
         return self._last
 
 
 class Operator:
-    """One operator."""
+    """An operator that repeats an order until its outcome is clear."""
 
     def __init__(
-        self, net: Net, coordinators: CoordinatorList, book: Book, chance: Random, numbers: OrderNumbers
+        self,
+        net: Net,
+        coordinators: CoordinatorEndpoints,
+        event_log: EventLog,
+        rng: Random,
+        numbers: OrderNumbers,
     ) -> None:
         self._net = net
         self._coordinators = coordinators
-        self._book = book
-        self._chance = chance
+        self._event_log = event_log
+        self._rng = rng
         self._numbers = numbers
         self.configuration = Configuration(0)  # the newest that was acknowledged to this operator
 
@@ -81,26 +120,26 @@
     async def patch(
         self, change: Change, on: Configuration, gives_up_s: float = CONFIGURATION_GIVES_UP_S
     ) -> OrderAnswer:
-        """Alter the configuration that this builds on."""
+        """Change the configuration that is given as its base."""
         body = json.dumps(change_document(change)).encode()
         made = changed(on, change)
         answer = await self._configure(Order.PATCH, "PATCH", body, made, on.edition, True, gives_up_s)
         return self._keep(answer, made)
 
     async def put_invalid(self, configuration: Configuration, body: bytes, based_on: int) -> OrderAnswer:
-        """Send what can't be taken; `configuration`: what it would make if it were."""
+        """Send an invalid body; `configuration`: the result if it were accepted."""
         return await self._configure(Order.PUT, "PUT", body, configuration, based_on, False, GIVES_UP_S)
 
     async def evacuate(self, zone: str) -> OrderAnswer:
-        """Ask that nothing more is sent to a zone's nodes."""
+        """Evacuate a zone."""
         return await self._zone_order(Order.EVACUATE, "POST", zone)
 
     async def take_back(self, zone: str) -> OrderAnswer:
-        """Withdraw that."""
+        """Take back the evacuation of a zone."""
         return await self._zone_order(Order.TAKE_BACK, "DELETE", zone)
 
     async def read(self, for_s: float) -> OrderAnswer:
-        """Read the configuration back, trying for so long."""
+        """Read the configuration, retrying for `for_s` seconds."""
         number = self._begin(Order.READ)
         answer = await self._send("GET", Path.CONFIG, b"", [], for_s)
         edition, found = read_edition(answer.body) if answer.verdict is Verdict.ACKNOWLEDGED else (0, "")
@@ -119,7 +158,7 @@
         gives_up_s: float,
     ) -> OrderAnswer:  # fmt: skip
         number = self._begin(
-            order, made.edition, based_on, valid, route_places(made.routes),
+            order, made.edition, based_on, valid, judged_routes(made.routes),
             document_digest(configuration_document(made)),
         )  # fmt: skip
         answer = await self._send(method, Path.CONFIG, body, [(Header.IF_MATCH, str(based_on))], gives_up_s)
@@ -134,60 +173,50 @@
 
     def _begin(
         self, order: Order, edition: int = 0, based_on: int = 0, valid: bool = True,
-        routes: tuple[RoutePlace, ...] = (), found: str = "", zone: str = "",
+        routes: tuple[JudgedRoute, ...] = (), found: str = "", zone: str = "",
     ) -> int:  # fmt: skip
         number = self._numbers.next()
         now = self._net.now_s()
-        self._book.write(OrderSent(now, number, order, edition, based_on, valid, routes, found, zone))
+        self._event_log.write(OrderStarted(now, number, order, edition, based_on, valid, routes, found, zone))
         return number
 
     def _end(self, number: int, answer: OrderAnswer, edition: int = 0, found: str = "") -> None:
         now = self._net.now_s()
-        self._book.write(OrderEnded(now, number, answer.verdict, answer.status, edition, found))
+        self._event_log.write(OrderEnded(now, number, answer.verdict, answer.status, edition, found))
 
     async def _send(
         self, method: str, path: str, body: bytes, headers: list[tuple[str, str]], gives_up_s: float
     ) -> OrderAnswer:
-        """Send it, unchanged, until there is a clear answer or time is up."""
-        until = self._net.now_s() + gives_up_s
-        pause_s, others, unclear = FIRST_PAUSE_S, 0, False
-        status = 0
+        """Send a request, unchanged, until the outcome is clear or time is up."""
+        until_s = self._net.now_s() + gives_up_s
+        backoff_s = INITIAL_BACKOFF_S
+        answers = _OrderAnswers()
         while True:
             known = self._coordinators()
             answer = None
             if known:
-                answer = await self._call(self._chance.choice(known), method, path, body, headers)
-            if answer is not None:
-                status = answer.status
-                if 200 <= status < 300:
-                    return OrderAnswer(Verdict.ACKNOWLEDGED, status, answer.body)
-                if status in ENDS_AT_ONCE:
-                    # A refusal of what may have been taken earlier says nothing of that.
-                    verdict = Verdict.UNCLEAR if unclear and status != 412 else Verdict.REFUSED
-                    return OrderAnswer(verdict, status, answer.body)
-                if 400 <= status < 500 and status not in RETRIED:
-                    others += 1
-                    if others >= OTHER_REFUSALS_MOST:
-                        return OrderAnswer(Verdict.REFUSED, status, answer.body)
-            unclear = unclear or answer is None or answer.status >= 500
-            if self._net.now_s() + pause_s > until:
-                return OrderAnswer(Verdict.UNCLEAR, status)
-            await asyncio.sleep(pause_s * self._chance.uniform(0.7, 1.3))
-            pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
+                answer = await self._call(self._rng.choice(known), method, path, body, headers)
+            outcome = answers.add(answer)
+            if outcome is not None:
+                return outcome
+            if self._net.now_s() + backoff_s > until_s:
+                return OrderAnswer(Verdict.UNCLEAR, answers.status)
+            await asyncio.sleep(backoff_s * self._rng.uniform(0.7, 1.3))
+            backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
 
     async def _call(
         self, address: Address, method: str, path: str, body: bytes, headers: list[tuple[str, str]]
-    ) -> WholeAnswer | None:
+    ) -> CompleteAnswer | None:
         host = "{}:{}".format(*address)
         typed = [("Content-Type", "application/json")] if body else []
         request = write_request(method, path, [("Host", host), *typed, *headers], body)
-        silence_s = SILENCE_S + SILENCE_A_BYTE_S * len(body)
-        found = await call_following(self._net, address, request, silence_s)
+        timeout_s = ANSWER_TIMEOUT_S + ANSWER_TIMEOUT_PER_BYTE_S * len(body)
+        found = await call_following(self._net, address, request, timeout_s)
         return None if found is None else found[1]
 
 
 def read_edition(body: bytes) -> tuple[int, str]:
-    """The edition and the digest of a configuration that was read; 0 where it is none."""
+    """Return the edition and the digest of a configuration; (0, "") if the body is none."""
     try:
         document = json.loads(body)
         return int(document[Config.EDITION]), document_digest(document)
@@ -198,11 +227,11 @@
 class EditionNumbers:
     """Rising edition numbers, in uneven steps."""
 
-    def __init__(self, chance: Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: Random) -> None:
+        self._rng = rng
         self._last = 0
 
     def next(self) -> int:
-        """A new one, above all before."""
-        self._last += self._chance.randint(1, 4)
+        """Return a new edition, above all earlier ones."""
+        self._last += self._rng.randint(1, 4)
         return self._last
--- a/coveport/serving/simulation/planned_steps.py
+++ b/coveport/serving/simulation/planned_steps.py
@@ -1,4 +1,4 @@
-"""What operators and clients do in a simulated day: changes, races, evacuations, probes, bursts."""
+"""Schedules the acts of operators and clients in a simulated day: changes, evacuations, bursts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from functools import partial
 from random import Random
 
-from coveport.serving.model.configuration import Configuration, Route, RouteKind, WeightedService
+from coveport.serving.model.configuration import Configuration, Route
 from coveport.serving.simulation.client import RequestKind
 from coveport.serving.simulation.deployment import HOST
 from coveport.serving.simulation.documents import Change, configuration_document
@@ -22,16 +22,16 @@
 
     def __init__(self, day: SimulatedDeployment) -> None:
         self._day = day
-        self._chance = Random(f"troubles {day.seed}")
+        self._rng = Random(f"troubles {day.seed}")
 
     def evacuate(self, at_s: float, zone: str, for_s: float) -> None:
-        """A zone is emptied and taken back."""
+        """Evacuate a zone, and take that back after `for_s`."""
         operator = self._day.operators[0]
         self._day.at(at_s, lambda: self._day.run_operator(operator, lambda: operator.evacuate(zone)))
         self._day.at(at_s + for_s, lambda: self._day.run_operator(operator, lambda: operator.take_back(zone)))
 
     def add_route(self, at_s: float, name: str) -> None:
-        """A route is added; a little later, and after the bound, each proxy is probed on it."""
+        """Add a route; request it at each proxy soon afterwards and again after the bound."""
         operator = self._day.operators[0]
         route = self._route(name)
 
@@ -39,31 +39,36 @@
             change = Change(self._day.editions.next(), routes=(route,))
             await operator.patch(change, operator.configuration)
             for later_s in (0.5, self._day.deployment.bounds.config_apply_ms / 1000 + 0.2):
-                self._day.world.at(self._day.world.now + later_s, self.probe_all, route.path_prefix)
+                self._day.world.at(self._day.world.now + later_s, self.check_proxies, route.path_prefix)
 
         self._day.at(at_s, lambda: self._day.run_operator(operator, patch))
 
     def race(self, at_s: float) -> None:
-        """Two operators change the configuration at once, on top of the same version."""
+        """Let two operators change the same version of the configuration at once."""
         for at, operator in enumerate(self._day.operators):
-            route = self._route(f"race-{at}-{self._chance.randrange(1000)}")
+            route = self._route(f"race-{at}-{self._rng.randrange(1000)}")
 
             def begin(operator: Operator = operator, route: Route = route) -> None:
-                base = max((one.configuration for one in self._day.operators), key=lambda one: one.edition)
+                base = max(
+                    (candidate.configuration for candidate in self._day.operators),
+                    key=lambda candidate: candidate.edition,
+                )
                 change = Change(self._day.editions.next(), routes=(route,))
 
                 async def patch() -> None:
                     answer = await operator.patch(change, base)
                     if answer.verdict is not Verdict.UNCLEAR:
                         apply_s = self._day.deployment.bounds.config_apply_ms / 1000 + 0.2
-                        self._day.world.at(self._day.world.now + apply_s, self.probe_all, route.path_prefix)
+                        self._day.world.at(
+                            self._day.world.now + apply_s, self.check_proxies, route.path_prefix
+                        )
 
                 self._day.run_operator(operator, patch)
 
             self._day.at(at_s + 0.01 * at, begin)
 
     def send_invalid(self, at_s: float) -> None:
-        """A configuration with two routes at one place, and one that is cut short."""
+        """Send a configuration with two routes for one prefix, and one that is truncated."""
         operator = self._day.operators[0]
 
         async def send() -> None:
@@ -78,32 +83,28 @@
         self._day.at(at_s, lambda: self._day.run_operator(operator, send))
 
     def _route(self, name: str, path_prefix: str = "") -> Route:
-        to = (WeightedService(self._day.deployment.service, 1.0),)
-        return Route(
-            f"r-{name}", HOST, path_prefix or f"/{name}/", RouteKind.STREAMING, 5000.0, 1000.0, 2, to,
-            max_attempts=2, session_affinity=True, resumable=True, inter_token_target_ms=400.0,
-        )  # fmt: skip
-
-    def probe_all(self, path_prefix: str) -> None:
-        """One request to each proxy that is up, on a route."""
+        return self._day.deployment.added_route(name, path_prefix or f"/{name}/")
+
+    def check_proxies(self, path_prefix: str) -> None:
+        """Send one request on a route to each proxy that is up."""
         kind = RequestKind("probe", HOST, path_prefix, True, 5.0, 1.0, 0.4, ((1, 50),), 50, 5, 20, 0)
         ports = self._day.deployment.ports
         for at, proxy in enumerate(self._day.proxies):
             machine = self._day.clients[at % len(self._day.clients)]
             program = machine.program
             if proxy.is_up and isinstance(program, ClientProgram):
-                machine.run(partial(program.client.probe, kind, (proxy.spot.ip, ports.clients)))
+                machine.run(partial(program.client.send_direct, kind, (proxy.spot.ip, ports.clients)))
 
     def burst(self, at_s: float, kind: RequestKind, rate: float, for_s: float) -> None:
-        """So many more requests of a kind come, a second."""
+        """Add so many requests of a kind a second, for `for_s`."""
         day = self._day
 
         def begin() -> None:
             until_s = day.world.now + for_s
             for machine in day.clients:
                 if isinstance(machine.program, ClientProgram):
-                    chance = Random(f"burst {machine.spot.name} {day.seed} {at_s}")
+                    rng = Random(f"burst {machine.spot.name} {day.seed} {at_s}")
                     client, one_rate = machine.program.client, rate / len(day.clients)
-                    machine.run(partial(drive, machine.net, client, kind, one_rate, until_s, chance))
+                    machine.run(partial(drive, machine.net, client, kind, one_rate, until_s, rng))
 
         day.at(at_s, begin)
--- a/coveport/serving/simulation/reading.py
+++ b/coveport/serving/simulation/reading.py
@@ -1,4 +1,4 @@
-"""How a client reads one answer: whole bodies, or streams event by event."""
+"""Reads one answer for a client: a complete body, or a stream event by event."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from coveport.http1 import RemoteProtocolError, Response
 from coveport.net.transport import Net
-from coveport.serving.simulation.events import Ending, Event, TryEnded
+from coveport.serving.simulation.events import AttemptEnded, Ending, StreamEvent
 from coveport.serving.simulation.exchange import CallerConnection, ConnectionBrokenError, NotAnAnswerError
 from coveport.serving.simulation.texts import digest
 from coveport.serving.wire.names import Header
@@ -17,45 +17,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
-    """Until when a client waits, the longest silence that it bears, and the last event that it has."""
+class ReadLimits:
+    """The deadline and the stall time-out of a read, in seconds, and the last event already received."""
 
     deadline_s: float
-    silence_s: float
+    stall_timeout_s: float
     resumes_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ReadAnswer:
-    """A try's line, and how long the answer asks to wait."""
+    """The log entry of an attempt, and the answer's Retry-After in seconds."""
 
-    line: TryEnded
+    entry: AttemptEnded
     retry_after_s: float = 0.0
 
 
 @dataclass(slots=True)
 class _Reading:
-    """What has been read so far."""
+    """The state of an answer while it is read."""
 
     net: Net
-    try_id: str
+    attempt_id: str
     head: Response | None = None
-    events: list[Event] = field(default_factory=list)
+    events: list[StreamEvent] = field(default_factory=list)
     first_event_s: float = 0.0
     last_event_s: float = 0.0
-    longest_pause_s: float = 0.0
+    longest_inter_token_s: float = 0.0
     body: bytearray = field(default_factory=bytearray)
     bad_events: bool = False
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a stream of events."""
+        """Return whether the answer is a stream of events."""
         if self.head is None:
             return False
         return self.head.headers.get("content-type", [""])[0].startswith(EVENT_STREAM)
 
     def take(self, data: bytes) -> None:
-        """Read on in the body."""
+        """Add received bytes of the body."""
         self.body += data
         if not self.is_stream:
             return
@@ -71,40 +71,40 @@
             return
         now = self.net.now_s()
         if self.events:
-            self.longest_pause_s = max(self.longest_pause_s, now - self.last_event_s)
+            self.longest_inter_token_s = max(self.longest_inter_token_s, now - self.last_event_s)
         else:
             self.first_event_s = now
         self.last_event_s = now
         self.events.append(event)
 
-    def line(self, ending: Ending, surplus: bool) -> TryEnded:
-        """What the book says of it."""
+    def entry(self, ending: Ending, surplus: bool) -> AttemptEnded:
+        """Return the log entry of the attempt."""
         head = self.head
         headers = {} if head is None else head.headers
-        return TryEnded(
-            self.net.now_s(), self.try_id, ending, 0 if head is None else head.status,
+        return AttemptEnded(
+            self.net.now_s(), self.attempt_id, ending, 0 if head is None else head.status,
             ",".join(headers.get(Header.STAMP, [])), ",".join(headers.get(Header.ATTEMPT_ID, [])),
-            tuple(self.events), self.first_event_s, self.longest_pause_s,
+            tuple(self.events), self.first_event_s, self.longest_inter_token_s,
             "" if self.is_stream else digest(bytes(self.body)), self.is_stream, surplus,
         )  # fmt: skip
 
 
-def parse_event(block: bytes) -> Event | None:
-    """One event: `id: N`, `data: RUN N ...`, and perhaps other lines; None where it is none."""
-    fields = dict(line.split(": ", 1) for line in block.decode("latin-1").split("\n") if ": " in line)
+def parse_event(block: bytes) -> StreamEvent | None:
+    """Parse an event with `id: N`, `data: RUN N ...` and perhaps other lines; None if malformed."""
+    fields = dict(entry.split(": ", 1) for entry in block.decode("latin-1").split("\n") if ": " in entry)
     text = fields.get("data", "")
     number = fields.get("id", "")
     if not number.isdigit() or not text:
         return None
-    return Event(int(number), text.split(" ", 1)[0], text)
+    return StreamEvent(int(number), text.split(" ", 1)[0], text)
 
 
 async def read_answer(
-    net: Net, connection: CallerConnection, request: bytes, try_id: str, patience: Patience
+    net: Net, connection: CallerConnection, request: bytes, attempt_id: str, limits: ReadLimits
 ) -> ReadAnswer:
-    """Send the request and read what comes."""
-    reading = _Reading(net, try_id)
-    ending = await _read(net, connection, request, reading, patience)
+    """Send a request and read its answer."""
+    reading = _Reading(net, attempt_id)
+    ending = await _read(net, connection, request, reading, limits)
     if ending is Ending.COMPLETE and (reading.bad_events or (reading.is_stream and reading.body)):
         ending = Ending.GARBLED
     surplus = ending is Ending.COMPLETE and connection.surplus
@@ -114,19 +114,19 @@
             retry_after_s = float(reading.head.headers.get(Header.RETRY_AFTER, ["0"])[0])
         except ValueError:
             retry_after_s = 0.0
-    return ReadAnswer(reading.line(ending, surplus), retry_after_s)
+    return ReadAnswer(reading.entry(ending, surplus), retry_after_s)
 
 
 async def _read(
-    net: Net, connection: CallerConnection, request: bytes, reading: _Reading, patience: Patience
+    net: Net, connection: CallerConnection, request: bytes, reading: _Reading, limits: ReadLimits
 ) -> Ending:
     try:
         connection.send(request)
-        async with asyncio.timeout(_wait_s(net, patience)):
+        async with asyncio.timeout(_wait_s(net, limits)):
             reading.head = await connection.head()
         over = False
         while not over:
-            async with asyncio.timeout(_wait_s(net, patience)):
+            async with asyncio.timeout(_wait_s(net, limits)):
                 data, over = await connection.data()
             reading.take(data)
     except TimeoutError:
@@ -140,5 +140,5 @@
     return Ending.COMPLETE
 
 
-def _wait_s(net: Net, patience: Patience) -> float:
-    return max(0.0, min(patience.silence_s, patience.deadline_s - net.now_s()))
+def _wait_s(net: Net, limits: ReadLimits) -> float:
+    return max(0.0, min(limits.stall_timeout_s, limits.deadline_s - net.now_s()))
--- a/coveport/serving/simulation/registration.py
+++ b/coveport/serving/simulation/registration.py
@@ -1,4 +1,4 @@
-"""How a node tells the coordinators of itself: heartbeats, `closing`, and goodbye."""
+"""Registers a node with the coordinators: heartbeats, `closing`, and deregistration."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from coveport.net.address import Address, parse_address
 from coveport.net.transport import Net
 from coveport.serving.model.node import NodeState
-from coveport.serving.simulation.events import Book, HeartbeatAnswered
-from coveport.serving.simulation.exchange import WholeAnswer, call
+from coveport.serving.simulation.events import EventLog, HeartbeatAnswered
+from coveport.serving.simulation.exchange import CompleteAnswer, call
 from coveport.serving.simulation.model_server import ModelServer
 from coveport.serving.wire.names import Heartbeat, Path
 
@@ -25,14 +25,14 @@
 
 MODEL: Final = {Heartbeat.MODEL_NAME: "m", Heartbeat.WEIGHTS: 1, Heartbeat.ADAPTERS: []}
 
-CoordinatorList = Callable[[], list[Address]]
-"""Where coordinators are, as an outside list says that lags behind."""
+CoordinatorEndpoints = Callable[[], list[Address]]
+"""Returns the coordinators by an outside endpoint list, which lags behind."""
 
 
 async def call_following(
     net: Net, address: Address, request: bytes, timeout_s: float
-) -> tuple[Address, WholeAnswer] | None:
-    """Call, going where a 307 says, twice at the most: who answered, and what; None where nobody did."""
+) -> tuple[Address, CompleteAnswer] | None:
+    """Send a request, following up to two redirects (307); return who answered and the answer, or None."""
     for _ in range(REDIRECTS_MOST + 1):
         answer = await call(net, address, request, timeout_s)
         if answer is None or answer.status != 307:
@@ -49,25 +49,25 @@
     """The heartbeats of one incarnation."""
 
     def __init__(
-        self, net: Net, node: ModelServer, coordinators: CoordinatorList, heartbeat_ms: float,
-        book: Book, chance: Random,
+        self, net: Net, node: ModelServer, coordinators: CoordinatorEndpoints, heartbeat_ms: float,
+        event_log: EventLog, rng: Random,
     ) -> None:  # fmt: skip
         self._net = net
         self._node = node
         self._coordinators = coordinators
         self._period_s = heartbeat_ms / 1000
-        self._book = book
-        self._chance = chance
+        self._event_log = event_log
+        self._rng = rng
         self._forward_to: Address | None = None
         self._sequence = 0
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to report."""
+        """Start sending heartbeats."""
         self._task = asyncio.get_running_loop().create_task(self._report_on())
 
     async def leave_at_once(self, drain_s: float) -> None:
-        """Say goodbye first, never `closing`; serve until that has been heard and drained, end."""
+        """Deregister without `closing`; serve until that is acknowledged and drained, then end."""
         if self._task is not None:
             self._task.cancel()
         self._node.say_closing()
@@ -80,7 +80,7 @@
         self._node.end(planned=True)
 
     async def leave(self, drain_s: float, gone_in_s: float | None = None) -> None:
-        """Say `closing`, serve until that has been heard and drained, say goodbye, end.
+        """Report `closing`, serve until that is acknowledged and drained, deregister, end.
 
         `gone_in_s`: taken away at short notice, at that time whatever happens.
         """
@@ -91,8 +91,8 @@
         if gone_in_s is not None:
             loop.call_later(gone_in_s, lambda: self._node.end(planned=True))
         gone_at = None if gone_in_s is None else self._net.now_s() + gone_in_s
-        heard = await self._say_closing(gone_at)
-        if heard:
+        acknowledged = await self._say_closing(gone_at)
+        if acknowledged:
             await asyncio.sleep(drain_s + LINGER_S)
         if not self._node.ended:
             await self._tell("DELETE", "gone", gone_at)
@@ -107,28 +107,28 @@
         return False
 
     async def _report_on(self) -> None:
-        await asyncio.sleep(self._chance.random() * 0.2)
+        await asyncio.sleep(self._rng.random() * 0.2)
         while not self._node.ended:
             began = self._net.now_s()
-            if not self._node.faults.dark:
+            if not self._node.faults.unresponsive:
                 await self._tell("PUT", "accepting", None)
             spent = self._net.now_s() - began
-            await asyncio.sleep(max(0.05, self._period_s * self._chance.uniform(0.9, 1.1) - spent))
+            await asyncio.sleep(max(0.05, self._period_s * self._rng.uniform(0.9, 1.1) - spent))
 
     async def _tell(self, method: str, state: str, gone_at: float | None) -> bool:
-        """One heartbeat, at one coordinator after the other until one acknowledges it."""
+        """Send a heartbeat to one coordinator after the other until one acknowledges it."""
         known = self._coordinators()
-        self._chance.shuffle(known)
+        self._rng.shuffle(known)
         if self._forward_to is not None:
-            known = [self._forward_to, *(one for one in known if one != self._forward_to)]
+            known = [self._forward_to, *(listed for listed in known if listed != self._forward_to)]
         for address in known:
-            if self._node.ended or self._node.faults.dark:
+            if self._node.ended or self._node.faults.unresponsive:
                 return False
             self._sequence += 1
             request = self._request(method, address, gone_at)
             found = await call_following(self._net, address, request, ANSWER_WAIT_S)
             if found is not None and self._acknowledges(found[1]):
-                self._note(state, found[0])
+                self._record_acknowledgement(state, found[0])
                 return True
             self._forward_to = None
         return False
@@ -154,17 +154,17 @@
             return write_request(method, Path.NODES + node.incarnation, headers[:1])
         return write_request(method, Path.NODES + node.incarnation, headers, json.dumps(says).encode())
 
-    def _acknowledges(self, answer: WholeAnswer) -> bool:
+    def _acknowledges(self, answer: CompleteAnswer) -> bool:
         if not 200 <= answer.status < 300 or len(answer.body) > ANSWER_MOST:
             return False
         try:
-            told = json.loads(answer.body or b"{}")
-            forward = told.get(Heartbeat.FORWARD_TO) if isinstance(told, dict) else None
+            document = json.loads(answer.body or b"{}")
+            forward = document.get(Heartbeat.FORWARD_TO) if isinstance(document, dict) else None
             self._forward_to = parse_address(forward) if forward else self._forward_to
         except ValueError:
             pass  # it acknowledges all the same
         return True
 
-    def _note(self, state: str, address: Address) -> None:
+    def _record_acknowledgement(self, state: str, address: Address) -> None:
         now = self._net.now_s()
-        self._book.write(HeartbeatAnswered(now, self._node.incarnation, state, "{}:{}".format(*address)))
+        self._event_log.write(HeartbeatAnswered(now, self._node.incarnation, state, "{}:{}".format(*address)))
--- a/coveport/serving/simulation/schedules.py
+++ b/coveport/serving/simulation/schedules.py
@@ -1,4 +1,4 @@
-"""Days drawn by a seed: a few troubles of all kinds at drawn moments, and perhaps a final fault."""
+"""Days drawn from a seed: a few faults of all kinds at random times, and perhaps a final one."""
 
 from __future__ import annotations
 
@@ -8,117 +8,119 @@
 from typing import Final
 
 from coveport.serving.simulation.deployment import Deployment
-from coveport.serving.simulation.faults import Troubles
+from coveport.serving.simulation.faults import FaultInjector
 from coveport.serving.simulation.world import DayResult, SimulatedDeployment
 
 LENGTH_S: Final = 16.0
 QUIET_S: Final = 8.0  # after the traffic, and after a final fault: what is read back must be there by then
-MOST_TROUBLES: Final = 4
-LAST_BEGIN_S: Final = 9.0  # no trouble begins later, so that the end of each is seen
+MAX_FAULTS: Final = 4
+LAST_FAULT_S: Final = 9.0  # no fault begins later, so that the end of each is seen
 
-Draw = Callable[[SimulatedDeployment, Troubles, float, Random], object]
+Draw = Callable[[SimulatedDeployment, FaultInjector, float, Random], object]
 
 
-def _kill_coordinator(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.kill(at_s, chance.choice(day.coordinators), chance.uniform(0.5, 4.0))
+def _kill_coordinator(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.kill(at_s, rng.choice(day.coordinators), rng.uniform(0.5, 4.0))
 
 
-def _kill_coordinators(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
+def _kill_coordinators(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
     for machine in day.coordinators:
-        troubles.kill(at_s, machine, chance.uniform(0.3, 0.9))
+        faults.kill(at_s, machine, rng.uniform(0.3, 0.9))
 
 
-def _lose_power(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.lose_power(at_s, chance.choice(day.coordinators), chance.uniform(1.0, 4.0))
+def _lose_power(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.lose_power(at_s, rng.choice(day.coordinators), rng.uniform(1.0, 4.0))
 
 
-def _wipe(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.lose_power(at_s, chance.choice(day.coordinators), chance.uniform(1.0, 4.0), wipe=True)
+def _wipe(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.lose_power(at_s, rng.choice(day.coordinators), rng.uniform(1.0, 4.0), wipe=True)
 
 
-def _freeze(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    machine = chance.choice([*day.coordinators, *day.proxies])
-    troubles.freeze(at_s, machine, chance.uniform(0.5, 4.0))
+def _freeze(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    machine = rng.choice([*day.coordinators, *day.proxies])
+    faults.freeze(at_s, machine, rng.uniform(0.5, 4.0))
 
 
-def _slow_disk(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.slow_disk(at_s, chance.choice(day.coordinators), 5.0, chance.choice((0.05, 0.5, 3.0)))
+def _slow_disk(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.slow_disk(at_s, rng.choice(day.coordinators), 5.0, rng.choice((0.05, 0.5, 3.0)))
 
 
-def _kill_proxy(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.kill(at_s, chance.choice(day.proxies), chance.uniform(0.5, 4.0))
+def _kill_proxy(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.kill(at_s, rng.choice(day.proxies), rng.uniform(0.5, 4.0))
 
 
-def _roll_proxies(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.roll(at_s, day.proxies, chance.uniform(0.3, 1.5))
+def _roll_proxies(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.roll(at_s, day.proxies, rng.uniform(0.3, 1.5))
 
 
-def _roll_coordinators(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.roll(at_s, day.coordinators, chance.uniform(0.3, 1.5))
+def _roll_coordinators(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.roll(at_s, day.coordinators, rng.uniform(0.3, 1.5))
 
 
-def _cut_region(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    region = chance.choice(day.deployment.zones).region
-    troubles.cut_region(at_s, region, chance.uniform(1.0, 6.0), how=chance.choice(("both", "in", "out")))
+def _isolate_region(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    region = rng.choice(day.deployment.zones).region
+    faults.isolate_region(at_s, region, rng.uniform(1.0, 6.0), how=rng.choice(("both", "in", "out")))
 
 
-def _cut_coordinator(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    how = chance.choice(("both", "in", "out"))
-    troubles.cut_off(at_s, [chance.choice(day.coordinators)], chance.uniform(1.0, 6.0), how=how)
+def _isolate_coordinator(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    how = rng.choice(("both", "in", "out"))
+    faults.isolate(at_s, [rng.choice(day.coordinators)], rng.uniform(1.0, 6.0), how=how)
 
 
-def _crash_node(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.crash_node(at_s, chance.choice(day.nodes), chance.uniform(2.5, 5.0))
+def _crash_node(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.crash_node(at_s, rng.choice(day.nodes), rng.uniform(2.5, 5.0))
 
 
-def _darken_node(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.darken_node(at_s, chance.choice(day.nodes), chance.uniform(2.0, 5.0))
+def _hang_node(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.hang_node(at_s, rng.choice(day.nodes), rng.uniform(2.0, 5.0))
 
 
-def _close_node(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    notice = chance.choice((None, None, 2.0))
-    troubles.close_node(at_s, chance.choice(day.nodes), chance.choice((None, 8.0)), notice)
+def _close_node(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    notice = rng.choice((None, None, 2.0))
+    faults.close_node(at_s, rng.choice(day.nodes), rng.choice((None, 8.0)), notice)
 
 
-def _evacuate(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.evacuate(at_s, chance.choice(day.deployment.zones).name, chance.uniform(5.5, 8.0))
+def _evacuate(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.evacuate(at_s, rng.choice(day.deployment.zones).name, rng.uniform(5.5, 8.0))
 
 
-def _add_route(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.add_route(at_s, f"added-{chance.randrange(1000)}")
+def _add_route(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.add_route(at_s, f"added-{rng.randrange(1000)}")
 
 
-def _race(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.race(at_s)
+def _race(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.race(at_s)
 
 
-def _send_invalid(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.send_invalid(at_s)
+def _send_invalid(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.send_invalid(at_s)
 
 
-def _replace(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.replace_coordinator(at_s, chance.choice(day.coordinators), chance.uniform(0.5, 4.0))
+def _replace(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.replace_coordinator(at_s, rng.choice(day.coordinators), rng.uniform(0.5, 4.0))
 
 
-def _refusing_disk(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.refusing_disk(at_s, chance.choice(day.coordinators), chance.uniform(1.0, 5.0))
+def _refusing_disk(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.refusing_disk(at_s, rng.choice(day.coordinators), rng.uniform(1.0, 5.0))
 
 
-def _spoil_node(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    fault = chance.choice(("break_off_share", "garble_share", "surplus_share", "refuse_share"))
-    share = chance.uniform(0.05, 0.6)
+def _spoil_node(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    fault = rng.choice(
+        ("break_off_probability", "garble_probability", "surplus_probability", "refuse_probability")
+    )
+    probability = rng.uniform(0.05, 0.6)
     for node in day.nodes:
-        if chance.random() < 0.6:
-            troubles.spoil_node(at_s, node, 5.0, fault, share)
+        if rng.random() < 0.6:
+            faults.spoil_node(at_s, node, 5.0, fault, probability)
 
 
-def _burst(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    kind, rate = chance.choice(day.deployment.rates)
-    troubles.burst(at_s, kind, rate * chance.uniform(1.0, 4.0), 5.0)
+def _burst(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    kind, rate = rng.choice(day.deployment.rates)
+    faults.burst(at_s, kind, rate * rng.uniform(1.0, 4.0), 5.0)
 
 
-def _turn_cold(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    troubles.turn_cold(at_s, chance.choice(day.nodes), chance.uniform(1.0, 4.0))
+def _begin_warm_up(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.begin_warm_up(at_s, rng.choice(day.nodes), rng.uniform(1.0, 4.0))
 
 
 DRAWS: Final[dict[str, Draw]] = {
@@ -133,13 +135,13 @@
     "kill proxy": _kill_proxy,
     "roll proxies": _roll_proxies,
     "roll coordinators": _roll_coordinators,
-    "cut region": _cut_region,
-    "cut coordinator": _cut_coordinator,
+    "cut region": _isolate_region,
+    "cut coordinator": _isolate_coordinator,
     "node crashes": _crash_node,
-    "node goes dark": _darken_node,
+    "node goes dark": _hang_node,
     "node closes": _close_node,
     "nodes misbehave": _spoil_node,
-    "node turns cold": _turn_cold,
+    "node turns cold": _begin_warm_up,
     "burst": _burst,
     "evacuate": _evacuate,
     "add route": _add_route,
@@ -157,18 +159,18 @@
         "replace coordinator",
     }
 )
-"""No two of these in a day: more than the deployment says that it bears at once."""
+"""No two of these in a day: together they exceed what the deployment tolerates."""
 
 
-def _power_off_all(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
+def _power_off_all(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
     for machine in (*day.coordinators, *day.proxies):
-        troubles.lose_power(at_s, machine, 1.0)
+        faults.lose_power(at_s, machine, 1.0)
 
 
-def _wipe_one(day: SimulatedDeployment, troubles: Troubles, at_s: float, chance: Random) -> None:
-    wiped = chance.choice(day.coordinators)
+def _wipe_one(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    wiped = rng.choice(day.coordinators)
     for machine in day.coordinators:
-        troubles.lose_power(at_s, machine, 1.0, wipe=machine is wiped)
+        faults.lose_power(at_s, machine, 1.0, wipe=machine is wiped)
 
 
 CLOSINGS: Final[dict[str, Draw]] = {
@@ -179,8 +181,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrawnTrouble:
-    """One trouble of a day."""
+class DrawnFault:
+    """One scheduled fault of a day."""
 
     name: str
     at_s: float
@@ -189,27 +191,27 @@
         return f"{self.name} at {self.at_s:.2f} s"
 
 
-def draw_troubles(seed: int) -> tuple[DrawnTrouble, ...]:
-    """The troubles of a day; the last one may be a final fault right behind a change."""
-    chance = Random(f"schedule {seed}")
+def draw_faults(seed: int) -> tuple[DrawnFault, ...]:
+    """Return the faults of a day; the last one may directly follow a change."""
+    rng = Random(f"schedule {seed}")
     names: list[str] = []
-    for _ in range(chance.randint(1, MOST_TROUBLES)):
-        name = chance.choice(list(DRAWS))
+    for _ in range(rng.randint(1, MAX_FAULTS)):
+        name = rng.choice(list(DRAWS))
         if name not in _ON_THE_CORE or not _ON_THE_CORE & set(names):
             names.append(name)
-    found = [DrawnTrouble(name, chance.uniform(0.5, LAST_BEGIN_S)) for name in names]
-    if chance.random() < 0.3:
-        found.append(DrawnTrouble("add route", LENGTH_S - 1.0))
-        found.append(DrawnTrouble(chance.choice(list(CLOSINGS)), LENGTH_S - 1.0 + chance.uniform(0.02, 0.3)))
-    return tuple(sorted(found, key=lambda one: one.at_s))
+    found = [DrawnFault(name, rng.uniform(0.5, LAST_FAULT_S)) for name in names]
+    if rng.random() < 0.3:
+        found.append(DrawnFault("add route", LENGTH_S - 1.0))
+        found.append(DrawnFault(rng.choice(list(CLOSINGS)), LENGTH_S - 1.0 + rng.uniform(0.02, 0.3)))
+    return tuple(sorted(found, key=lambda drawn: drawn.at_s))
 
 
 def play_drawn(seed: int, deployment: Deployment | None = None) -> tuple[DayResult, SimulatedDeployment]:
-    """The day of a seed, and what it was played with."""
+    """Play the day of a seed; return its result and the deployment."""
     day = SimulatedDeployment(deployment or Deployment(), seed)
-    troubles = Troubles(day)
-    for at, drawn in enumerate(draw_troubles(seed)):
+    faults = FaultInjector(day)
+    for at, drawn in enumerate(draw_faults(seed)):
         draw = DRAWS.get(drawn.name) or CLOSINGS[drawn.name]
-        draw(day, troubles, drawn.at_s, Random(f"trouble {seed} {at}"))
+        draw(day, faults, drawn.at_s, Random(f"trouble {seed} {at}"))
     day.quiet_s = QUIET_S
     return day.play(LENGTH_S), day
--- a/coveport/serving/simulation/settings_file.py
+++ b/coveport/serving/simulation/settings_file.py
@@ -11,7 +11,7 @@
 
 
 def settings_text(settings: BootSettings) -> str:
-    """The settings as TOML; read back they are the same."""
+    """Return the settings as TOML that reads back to equal settings."""
     top: dict[str, Plain] = {
         Boot.NAME: settings.name,
         Boot.SERVES: list(settings.serves),
@@ -42,8 +42,8 @@
     return "\n".join(lines) + "\n"
 
 
-def _fields(part: object, names: dict[str, str]) -> dict[str, Plain]:
-    return {name: getattr(part, field) for field, name in names.items()}
+def _fields(section: object, names: dict[str, str]) -> dict[str, Plain]:
+    return {name: getattr(section, field) for field, name in names.items()}
 
 
 def _table(name: str, fields: dict[str, Plain] | dict[str, str]) -> list[str]:
@@ -58,7 +58,7 @@
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, list):
-        return "[" + ", ".join(_value(one) for one in value) + "]"
+        return "[" + ", ".join(_value(item) for item in value) + "]"
     if isinstance(value, str):
         escaped = value.replace("\\", "\\\\").replace('"', '\\"')
         return f'"{escaped}"'
--- a/coveport/serving/simulation/simulate.py
+++ b/coveport/serving/simulation/simulate.py
@@ -1,11 +1,11 @@
-"""Plays drawn days in simulated time, one line a day; a broken rule is told with its day."""
+"""Plays drawn days in simulated time and prints one line a day, with the rules that were broken."""
 
 from __future__ import annotations
 
 import gc
 from typing import Final
 
-from coveport.serving.simulation.schedules import draw_troubles, play_drawn
+from coveport.serving.simulation.schedules import draw_faults, play_drawn
 from coveport.serving.simulation.world import DayResult
 
 BROKEN: Final = 1  # exit code
@@ -35,14 +35,14 @@
 
 
 def is_good(result: DayResult) -> bool:
-    """Whether no rule broke and no program had a fault."""
+    """Return whether no rule was broken and no program raised an error."""
     return not (result.breaches or result.problems)
 
 
 def describe(seed: int, result: DayResult) -> list[str]:
-    """A day in a line, and what went wrong in it."""
-    troubles = ", ".join(map(str, draw_troubles(seed)))
+    """Return a day as one line, and further ones for what went wrong."""
+    faults = ", ".join(map(str, draw_faults(seed)))
     verdict = "good" if is_good(result) else "BROKEN"
-    shares = f"served {result.served_share:.3f}, in time {result.in_time_share:.3f}"
+    shares = f"served {result.served_fraction:.3f}, in time {result.in_time_fraction:.3f}"
     wrong = [*map(str, result.breaches[:BREACHES_SHOWN]), *result.problems[:BREACHES_SHOWN]]
-    return [f"day {seed}: {verdict}, {shares}: {troubles}", *(f"    {one}" for one in wrong)]
+    return [f"day {seed}: {verdict}, {shares}: {faults}", *(f"    {text}" for text in wrong)]
--- a/coveport/serving/simulation/stand_in_programs.py
+++ b/coveport/serving/simulation/stand_in_programs.py
@@ -1,4 +1,4 @@
-"""What runs on the machines of the outside world in a simulated day, and what a coordinator's disk holds."""
+"""Programs of the simulated machines that are emulated: nodes and clients."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SimulatedNode:
-    """A node's machine: its present incarnation and that one's heartbeats."""
+    """A node's machine with its current incarnation and registration."""
 
     def __init__(self, machine: Machine, service: str) -> None:
         self.machine = machine
@@ -27,26 +27,26 @@
 
 
 class NodeProgram:
-    """A node's life as a machine's program."""
+    """One incarnation of a node as a program."""
 
-    def __init__(self, server: ModelServer, registration: Registration, cold_s: float) -> None:
+    def __init__(self, server: ModelServer, registration: Registration, warm_up_s: float) -> None:
         self._server = server
         self._registration = registration
-        self._cold_s = cold_s
+        self._warm_up_s = warm_up_s
 
     async def start(self) -> None:
-        """Serve and report."""
-        await self._server.start(self._cold_s)
+        """Start serving and sending heartbeats."""
+        await self._server.start(self._warm_up_s)
         self._registration.start()
 
     async def stop(self) -> None:
-        """End at once, by plan."""
+        """End at once; the end counts as planned."""
         self._server.end(planned=True)
 
 
 @dataclass(frozen=True, slots=True)
-class Asks:
-    """What one client asks: requests a second of each kind, until when."""
+class ClientWorkload:
+    """The requests of one client: rate of each kind a second, until `until_s`."""
 
     rates: tuple[tuple[RequestKind, float], ...]
     until_s: float
@@ -54,42 +54,42 @@
 
 
 class ClientProgram:
-    """A client's asking as a machine's program."""
+    """A client that sends its workload, as a program."""
 
-    def __init__(self, client: Client, machine: Machine, asks: Asks) -> None:
+    def __init__(self, client: Client, machine: Machine, workload: ClientWorkload) -> None:
         self.client = client
         self._machine = machine
-        self._asks = asks
+        self._workload = workload
 
     async def start(self) -> None:
-        """Ask until the day's traffic ends."""
-        machine, asks = self._machine, self._asks
-        for kind, rate in asks.rates:
-            chance = Random(f"{machine.spot.name} {kind.name} {asks.seed}")
-            machine.run(partial(drive, machine.net, self.client, kind, rate, asks.until_s, chance))
+        """Send requests until the day's traffic ends."""
+        machine, workload = self._machine, self._workload
+        for kind, rate in workload.rates:
+            rng = Random(f"{machine.spot.name} {kind.name} {workload.seed}")
+            machine.run(partial(drive, machine.net, self.client, kind, rate, workload.until_s, rng))
 
     async def stop(self) -> None:
-        """Nothing is held."""
+        """Do nothing: there is no resource to release."""
 
 
 class Nothing:
-    """A program that does nothing by itself."""
+    """A program without work of its own."""
 
     async def start(self) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     async def stop(self) -> None:
-        """Nothing."""
+        """Do nothing."""
 
 
-def run_nothing(machine: Machine, first_boot: bool, log: Any, chance: Random) -> Nothing:
-    """For machines whose work is given to them."""
+def run_nothing(machine: Machine, first_boot: bool, log: Any, rng: Random) -> Nothing:
+    """Return a program for machines that others give work to."""
     return Nothing()
 
 
-def open_simulated(machine: Machine, first_boot: bool, chance: Random) -> OpenedStorage:
-    """What a machine's disk holds, and a writer on it."""
+def open_simulated(machine: Machine, first_boot: bool, rng: Random) -> OpenedStorage:
+    """Open the storage on a machine's simulated disk."""
     assert machine.disk is not None
-    opened = open_store(machine.disk, first_boot, chance.randbytes)
+    opened = open_store(machine.disk, first_boot, rng.randbytes)
     writer = SimulatedWriter(machine.net, machine.disk, opened.store)
     return OpenedStorage(opened.durable, writer, opened.damage)
--- a/coveport/serving/simulation/texts.py
+++ b/coveport/serving/simulation/texts.py
@@ -1,4 +1,4 @@
-"""What bodies and events look like, so that anybody can tell whether one is what a node wrote. Pure."""
+"""Format of bodies and events, by which a reader verifies that a node wrote them. Pure."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 def digest(data: bytes) -> str:
-    """A short hash of bytes, to compare bodies by."""
+    """Return a short hash of a body."""
     return hashlib.blake2b(data, digest_size=8).hexdigest()
 
 
 def event_text(run: str, number: int) -> str:
-    """What a run writes as its event of that number."""
+    """Return the text of a run's event of that number."""
     return f"{run} {number} ".ljust(EVENT_BYTES, ".")
 
 
 def event_block(run: str, number: int) -> bytes:
-    """The same as it stands in the stream."""
+    """Return an event as it is encoded in the stream."""
     return f"id: {number}\ndata: {event_text(run, number)}\n\n".encode()
 
 
-def whole_body(run: str, request_digest: str) -> bytes:
-    """What a run answers to a request that is no stream."""
+def complete_body(run: str, request_digest: str) -> bytes:
+    """Return a run's answer to a request that is not streamed."""
     return f"{run} {request_digest}".encode()
--- a/coveport/serving/simulation/topology.py
+++ b/coveport/serving/simulation/topology.py
@@ -1,4 +1,4 @@
-"""The machines of a simulated deployment, the ways between them, and what can be cut."""
+"""The network of a simulated deployment: delays between zones, and partitions between machines."""
 
 from __future__ import annotations
 
@@ -20,85 +20,85 @@
 JITTER: Final = 0.1  # of every delay
 
 
-OUTSIDE: Final = -1  # the zone of clients and operators, who reach every machine alike
+OUTSIDE: Final = -1  # the zone of clients and operators; equally far from every machine
 
 
 @dataclass(slots=True)
-class SimulatedWays:
-    """How long a message takes between zones; for `Network`, which asks by the zones' numbers."""
+class ZoneDelayModel:
+    """The network model of `Network`: delays between zones, which are given by number."""
 
     zones: tuple[Zone, ...]
     delays: Delays
-    chance: Random
+    rng: Random
     _opened: list[Callable[[], None]] = field(default_factory=list)
 
-    def base_ms(self, one: int, other: int) -> float:
-        """One way without jitter."""
-        if OUTSIDE in (one, other):
+    def base_ms(self, sender: int, receiver: int) -> float:
+        """Return the one-way delay without jitter, in milliseconds."""
+        if OUTSIDE in (sender, receiver):
             return self.delays.to_clients_ms
-        if one == other:
+        if sender == receiver:
             return self.delays.in_zone_ms
-        if self.zones[one].region == self.zones[other].region:
+        if self.zones[sender].region == self.zones[receiver].region:
             return self.delays.between_zones_ms
         return self.delays.between_regions_ms
 
-    def delay_ms(self, one: int, other: int) -> float:
-        """One way for the next message."""
-        return self.base_ms(one, other) * (1 + JITTER * self.chance.random())
+    def delay_ms(self, sender: int, receiver: int) -> float:
+        """Return the one-way delay of the next message, in milliseconds."""
+        return self.base_ms(sender, receiver) * (1 + JITTER * self.rng.random())
 
-    def held(self, one: int, other: int) -> bool:
-        """Zones are not cut here; places are, see `PlacedNetwork`."""
+    def held(self, sender: int, receiver: int) -> bool:
+        """Return False: partitions are between machines, see `PlacedNetwork`."""
         return False
 
     def on_open(self, listener: Callable[[], None]) -> None:
-        """Call it when a cut is taken back."""
+        """Register a listener for the end of partitions."""
         self._opened.append(listener)
 
     def opened(self) -> None:
-        """A cut has been taken back."""
+        """Notify the listeners that a partition has ended."""
         for listener in self._opened:
             listener()
 
 
-Cut = frozenset[tuple[str, str]]
-"""Pairs of addresses, sender and receiver, between which nothing passes."""
+Partition = frozenset[tuple[str, str]]
+"""Pairs of addresses, sender and receiver, between which all traffic is blocked."""
 
 
 class PlacedNetwork(Network):
-    """A network in which cuts are between machines, in one direction or both."""
+    """A network with partitions between machines, in one direction or both."""
 
-    def __init__(self, world: World, ways: SimulatedWays) -> None:
-        super().__init__(world, cast("Ways", ways), world.now)
-        self._simulated_ways = ways
-        self._cuts: dict[int, Cut] = {}
+    def __init__(self, world: World, delay_model: ZoneDelayModel) -> None:
+        super().__init__(world, cast("Ways", delay_model), world.now)
+        self._delay_model = delay_model
+        self._partitions: dict[int, Partition] = {}
 
-    def held(self, one: Place, other: Place) -> bool:
-        """Whether nothing passes from one machine to the other."""
-        if one.silent or other.silent:
+    def held(self, sender: Place, receiver: Place) -> bool:
+        """Return whether traffic from one machine to the receiver is blocked."""
+        if sender.silent or receiver.silent:
             return True
-        pair = one.address, other.address
-        return any(pair in cut for cut in self._cuts.values())
+        pair = sender.address, receiver.address
+        return any(pair in partition for partition in self._partitions.values())
 
     def release(self) -> None:
-        """A way may be open again: as in `Network`, but a connect waits for both directions."""
+        """Resume what a partition delayed; unlike in `Network`, a connect waits for both directions."""
         waiting = [dial for dial in self._dials if self.held(dial.there, dial.here)]
         for dial in waiting:
             del self._dials[dial]
         super().release()
         self._dials.update(dict.fromkeys(waiting))
 
-    def cut(self, number: int, pairs: Cut) -> None:
-        """Let nothing pass between these, until `join`."""
-        self._cuts[number] = pairs
+    def partition(self, number: int, pairs: Partition) -> None:
+        """Block traffic between pairs of addresses until `heal`."""
+        self._partitions[number] = pairs
 
-    def join(self, number: int) -> None:
-        """Take a cut back."""
-        self._cuts.pop(number, None)
-        self._simulated_ways.opened()
+    def heal(self, number: int) -> None:
+        """End a partition."""
+        self._partitions.pop(number, None)
+        self._delay_model.opened()
 
 
 class PlacedNet(VirtualNet):
-    """A process' net whose connects also need the way back."""
+    """The net of a process; its connects need both directions."""
 
     def _knock(self, dial: _Dial, address: Address) -> None:
         if self.network.held(dial.there, dial.here) and not dial.done.done():
@@ -108,7 +108,7 @@
 
 
 class SimulatedProcess(Process):
-    """A process that keeps the tasks which were put into it from outside."""
+    """A process that references the tasks which `run_in` starts in it."""
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
@@ -116,14 +116,14 @@
 
     @classmethod
     def begin(cls, world: World, name: str) -> SimulatedProcess:
-        """A new process."""
+        """Start a new process."""
         process = cls.start(world, name)
         assert isinstance(process, cls)
         return process
 
 
 def run_in(process: SimulatedProcess, work: Callable[[], object]) -> None:
-    """Have a process call something in this instant; a coroutine that it returns is run as a task."""
+    """Run a call in a process at the current time; a coroutine that it returns becomes a task."""
 
     def begin() -> None:
         found = work()
--- a/coveport/serving/simulation/traffic.py
+++ b/coveport/serving/simulation/traffic.py
@@ -1,4 +1,4 @@
-"""Requests of many clients over a time, in simulated worlds and on real sockets alike."""
+"""Open-loop load of one client, in simulated time and on real sockets alike."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 async def drive(
-    net: Net, client: Client, kind: RequestKind, rate: float, until_s: float, chance: Random
+    net: Net, client: Client, kind: RequestKind, rate: float, until_s: float, rng: Random
 ) -> None:
-    """Have a client ask at random moments, so many times a second on average; returns when all have ended."""
-    asked: set[asyncio.Task[bool]] = set()
+    """Send requests as a Poisson process of `rate` a second; return when all have ended."""
+    requests: set[asyncio.Task[bool]] = set()
     while True:
-        pause_s = chance.expovariate(rate)
-        if net.now_s() + pause_s >= until_s:
+        interval_s = rng.expovariate(rate)
+        if net.now_s() + interval_s >= until_s:
             break
-        await asyncio.sleep(pause_s)
-        task = asyncio.get_running_loop().create_task(client.ask(kind))
-        asked.add(task)
-        task.add_done_callback(asked.discard)
-    if asked:
-        await asyncio.gather(*asked)
+        await asyncio.sleep(interval_s)
+        task = asyncio.get_running_loop().create_task(client.send_request(kind))
+        requests.add(task)
+        task.add_done_callback(requests.discard)
+    if requests:
+        await asyncio.gather(*requests)
--- a/coveport/serving/simulation/world.py
+++ b/coveport/serving/simulation/world.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process and simulated time: the real programs among stand-ins, by one seed."""
+"""A deployment in one process and simulated time: real programs, emulated nodes and clients."""
 
 from __future__ import annotations
 
@@ -18,34 +18,35 @@
     Deployment,
     MachineSpot,
     coordinator_settings,
+    node_figures,
     proxy_settings,
 )
 from coveport.serving.simulation.disk import SimulatedDisk
 from coveport.serving.simulation.events import (
-    Book,
+    AttemptEnded,
+    AttemptStarted,
+    EventLog,
     OrderEnded,
-    OrderSent,
+    OrderStarted,
     ProxyStarted,
-    TryEnded,
-    TrySent,
     Verdict,
 )
 from coveport.serving.simulation.figures import KindFigures, figures
 from coveport.serving.simulation.history import Breach
 from coveport.serving.simulation.judge import judge
 from coveport.serving.simulation.machines import Machine
-from coveport.serving.simulation.model_server import ModelServer, NodeFigures
+from coveport.serving.simulation.model_server import ModelServer
 from coveport.serving.simulation.operator import EditionNumbers, Operator, OrderNumbers
 from coveport.serving.simulation.registration import Registration
 from coveport.serving.simulation.stand_in_programs import (
-    Asks,
     ClientProgram,
+    ClientWorkload,
     NodeProgram,
     SimulatedNode,
     open_simulated,
     run_nothing,
 )
-from coveport.serving.simulation.topology import OUTSIDE, PlacedNetwork, SimulatedWays
+from coveport.serving.simulation.topology import OUTSIDE, PlacedNetwork, ZoneDelayModel
 from coveport.serving.simulation.zones import Zone
 from coveport.testbed.simulated_network.world import World
 
@@ -53,31 +54,31 @@
 READ_BACK_S: Final = 4.0
 SETTLE_S: Final = 16.0  # after the traffic: the longest request has ended
 START_SPREAD_S: Final = 0.3
-LOOK_LIST_S: Final = 0.1
-LOOK_END_S: Final = 0.25  # how often it is looked whether all has ended
+ENDPOINT_POLL_S: Final = 0.1
+END_POLL_S: Final = 0.25  # period of the check whether all requests have ended
 
 
 @dataclass(frozen=True, slots=True)
 class DayResult:
-    """What came of a day."""
+    """The result of a day."""
 
-    book: Book
+    event_log: EventLog
     breaches: tuple[Breach, ...]
     kinds: dict[str, KindFigures]
-    problems: tuple[str, ...]  # faults that the programs did not take
+    problems: tuple[str, ...]  # errors that the programs did not handle
     trace: str  # a hash of all that was exchanged
 
     @property
-    def served_share(self) -> float:
-        """Of all requests."""
-        asked = sum(one.asked for one in self.kinds.values())
-        return sum(one.served for one in self.kinds.values()) / asked if asked else 0.0
+    def served_fraction(self) -> float:
+        """Return a fraction of all requests."""
+        requests = sum(kind.requests for kind in self.kinds.values())
+        return sum(kind.served for kind in self.kinds.values()) / requests if requests else 0.0
 
     @property
-    def in_time_share(self) -> float:
-        """Of all requests."""
-        asked = sum(one.asked for one in self.kinds.values())
-        return sum(one.in_time for one in self.kinds.values()) / asked if asked else 0.0
+    def in_time_fraction(self) -> float:
+        """Return a fraction of all requests."""
+        requests = sum(kind.requests for kind in self.kinds.values())
+        return sum(kind.in_time for kind in self.kinds.values()) / requests if requests else 0.0
 
 
 class SimulatedDeployment:
@@ -87,25 +88,25 @@
         self.deployment = deployment
         self.seed = seed
         self.world = World()
-        ways = SimulatedWays(deployment.zones, deployment.delays, Random(f"ways {seed}"))
-        self.network = PlacedNetwork(self.world, ways)
-        self.book = Book()
-        self.chance = Random(f"day {seed}")
+        delay_model = ZoneDelayModel(deployment.zones, deployment.delays, Random(f"ways {seed}"))
+        self.network = PlacedNetwork(self.world, delay_model)
+        self.event_log = EventLog()
+        self.rng = Random(f"day {seed}")
         self.began_s = self.world.now
-        self._zones_by_ip: dict[str, Zone] = {}  # of all coordinators that there ever were
+        self._zones_by_ip: dict[str, Zone] = {}  # of all coordinators, replaced ones too
         self.coordinators = [self._make_coordinator(at) for at in range(len(deployment.zones))]
         self.proxies = self._make_all(deployment.proxies, "proxy", 100, self._run_proxy)
         self.nodes = [
-            SimulatedNode(one, deployment.service)
-            for one in self._make_all(deployment.nodes, "node", 50, self._run_node)
+            SimulatedNode(machine, deployment.service)
+            for machine in self._make_all(deployment.nodes, "node", 50, self._run_node)
         ]
         self.clients = self._make_all(deployment.clients, "client", 200, self._run_client, outside=True)
         self.editions = EditionNumbers(Random(f"editions {seed}"))
         self._numbers = OrderNumbers()
         self._operator_machines: dict[Operator, Machine] = {}
         self.operators = [self.make_operator(at) for at in range(2)]
-        self.traffic_until_s = self.began_s  # until the day is played
-        self.quiet_s = 1.0  # that follow the traffic whatever has ended
+        self.traffic_until_s = self.began_s  # set by `play`
+        self.quiet_s = 1.0  # simulated in any case after the traffic
         self._listed: list[tuple[float, list[str]]] = []  # coordinators' IPs that ran, by time
 
     # Making.
@@ -133,93 +134,90 @@
 
     @property
     def seeds(self) -> tuple[Address, ...]:
-        """What every process is told."""
-        return tuple((one.spot.ip, self.deployment.ports.control) for one in self.coordinators[:3])
+        """Return the seed addresses in the settings of every process."""
+        return tuple(
+            (coordinator.spot.ip, self.deployment.ports.control) for coordinator in self.coordinators[:3]
+        )
 
-    def _run_coordinator(self, machine: Machine, first_boot: bool, log: Any, chance: Random) -> Coordinator:
+    def _run_coordinator(self, machine: Machine, first_boot: bool, log: Any, rng: Random) -> Coordinator:
         assert machine.disk is not None
         settings = coordinator_settings(self.deployment, machine.spot, self.seeds, "data", first_boot)
-        opened = open_simulated(machine, first_boot, chance)
-        return Coordinator(machine.net, settings, opened, chance, log)
+        opened = open_simulated(machine, first_boot, rng)
+        return Coordinator(machine.net, settings, opened, rng, log)
 
-    def _run_proxy(self, machine: Machine, first_boot: bool, log: Any, chance: Random) -> Proxy:
+    def _run_proxy(self, machine: Machine, first_boot: bool, log: Any, rng: Random) -> Proxy:
         ports = self.deployment.ports
         address = f"{machine.spot.ip}:{ports.clients}"
-        self.book.write(ProxyStarted(self.world.now, machine.spot.name, address))
+        self.event_log.write(ProxyStarted(self.world.now, machine.spot.name, address))
         settings = proxy_settings(self.deployment, machine.spot, self.seeds, first_boot)
-        return Proxy(machine.net, settings, chance, log)
-
-    def _run_node(self, machine: Machine, first_boot: bool, log: Any, chance: Random) -> NodeProgram:
-        node = next(one for one in self.nodes if one.machine is machine)
-        told, spot = self.deployment, machine.spot
-        bounds = told.bounds
-        server_figures = NodeFigures(
-            node.service, (spot.ip, told.ports.node), spot.zone.name, spot.zone.region, told.engine,
-            warm_up_rate=told.warm_up_rate,
-            falls_over_above=told.warm_up_rate * bounds.warm_up_overshoot + bounds.warm_up_slack,
-        )  # fmt: skip
-        node.server = ModelServer(machine.net, server_figures, self.book, chance)
+        return Proxy(machine.net, settings, rng, log)
+
+    def _run_node(self, machine: Machine, first_boot: bool, log: Any, rng: Random) -> NodeProgram:
+        node = next(node for node in self.nodes if node.machine is machine)
+        deployment = self.deployment
+        settings = node_figures(deployment, machine.spot.zone, machine.spot.ip, node.service)
+        node.server = ModelServer(machine.net, settings, self.event_log, rng)
         node.registration = Registration(
-            machine.net, node.server, self.listed_control, told.heartbeat_ms, self.book, chance
+            machine.net, node.server, self.listed_control, deployment.heartbeat_ms, self.event_log, rng
         )
-        return NodeProgram(node.server, node.registration, 0.0 if first_boot else told.warm_up_s)
+        return NodeProgram(node.server, node.registration, 0.0 if first_boot else deployment.warm_up_s)
 
-    def _run_client(self, machine: Machine, first_boot: bool, log: Any, chance: Random) -> ClientProgram:
+    def _run_client(self, machine: Machine, first_boot: bool, log: Any, rng: Random) -> ClientProgram:
         zone = machine.spot.zone
         number = self.clients.index(machine)
-        told = ClientFigures(
+        client_figures = ClientFigures(
             zone.name, zone.region, keeps_connections=number % 3 != 0,
             holds_answers=3.0 if number % 4 == 0 else 1.0, ttl_most_s=self.deployment.bounds.ttl_max_s,
-            waits_as_told=number % 5 != 0,
+            honours_retry_after=number % 5 != 0,
         )  # fmt: skip
         client = Client(
-            machine.net, told, partial(self.listed_lookups, zone), self.book, chance,
+            machine.net, client_figures, partial(self.listed_lookups, zone), self.event_log, rng,
             self.deployment.engine.tokens_per_event,
         )  # fmt: skip
         rates = tuple((kind, rate / len(self.clients)) for kind, rate in self.deployment.rates)
-        return ClientProgram(client, machine, Asks(rates, self.traffic_until_s, self.seed))
+        return ClientProgram(client, machine, ClientWorkload(rates, self.traffic_until_s, self.seed))
 
     def replace_coordinator(self, old: Machine) -> Machine:
-        """Another machine, with an empty disk and at another address, in place of one that is gone."""
+        """Replace a lost coordinator by one with an empty disk at a new address."""
         new = self._make_coordinator(self.deployment.zones.index(old.spot.zone))
         self.coordinators[self.coordinators.index(old)] = new
         return new
 
     def make_operator(self, number: int) -> Operator:
-        """One more operator."""
+        """Create an operator on a machine of its own."""
         zone = self.deployment.zones[0]
         spot = MachineSpot(f"operator-{number + 1}", f"10.200.0.{number + 1}", zone)
         place = self.network.place(spot.ip, OUTSIDE)
         machine = Machine(self.network, spot, place, run_nothing, f"{self.seed}")
         machine.start()
-        chance = Random(f"operator {number} {self.seed}")
-        operator = Operator(machine.net, self.listed_control, self.book, chance, self._numbers)
+        rng = Random(f"operator {number} {self.seed}")
+        operator = Operator(machine.net, self.listed_control, self.event_log, rng, self._numbers)
         self._operator_machines[operator] = machine
         return operator
 
     def run_operator(self, operator: Operator, work: Callable[[], object]) -> None:
-        """Have an operator do something."""
+        """Run a call or coroutine on an operator's machine."""
         self._operator_machines[operator].run(work)
 
-    # The outside list of coordinators, which lags.
+    # The outside endpoint list of coordinators, which lags.
 
-    def _look_list(self) -> None:
-        up = [one.spot.ip for one in self.coordinators if one.is_up]
+    def _poll_endpoints(self) -> None:
+        up = [coordinator.spot.ip for coordinator in self.coordinators if coordinator.is_up]
         if not self._listed or self._listed[-1][1] != up:
             self._listed.append((self.world.now, up))
-        self.world.at(self.world.now + LOOK_LIST_S, self._look_list)
+        self.world.at(self.world.now + ENDPOINT_POLL_S, self._poll_endpoints)
 
     def _listed_ips(self) -> list[str]:
         lagging = self.world.now - self.deployment.bounds.seed_lag_s
         old = [ips for when, ips in self._listed if when <= lagging]
-        return old[-1] if old else [one.spot.ip for one in self.coordinators]
+        return old[-1] if old else [coordinator.spot.ip for coordinator in self.coordinators]
 
     def listed_control(self) -> list[Address]:
-        """Where operators and nodes call."""
+        """Return the listed coordinators that operators and nodes call."""
         return [(ip, self.deployment.ports.control) for ip in self._listed_ips()]
 
     def listed_lookups(self, zone: Zone) -> list[Address]:
-        """Where clients of a zone ask, near ones first."""
+        """Return the listed coordinators that clients of a zone look up at, nearest first."""
         ips = sorted(self._listed_ips(), key=lambda ip: self._zones_by_ip[ip].farness(zone))
         return [(ip, self.deployment.ports.lookups) for ip in ips]
 
@@ -227,23 +225,23 @@
 
     @property
     def traffic_from_s(self) -> float:
-        """When traffic starts, in the world's seconds."""
+        """Return when traffic starts, in simulated seconds."""
         return self.began_s + self.deployment.lead_s
 
     def at(self, seconds: float, call: Callable[[], object]) -> None:
-        """Do something so long after traffic starts."""
+        """Schedule a call so many seconds after traffic starts."""
         self.world.at(self.traffic_from_s + seconds, call)
 
     def play(self, length_s: float) -> DayResult:
-        """Start all, let clients ask for so long, read the configuration back, and judge."""
+        """Start all, run the traffic for `length_s`, read the configuration back, and judge."""
         self.traffic_until_s = self.traffic_from_s + length_s
         for machine in (*self.coordinators, *self.proxies):
-            self.world.at(self.began_s + self.chance.random() * START_SPREAD_S, machine.start, True)
+            self.world.at(self.began_s + self.rng.random() * START_SPREAD_S, machine.start, True)
         for node in self.nodes:
-            self.world.at(self.began_s + self.chance.random(), node.machine.start, True)
+            self.world.at(self.began_s + self.rng.random(), node.machine.start, True)
         for machine in self.clients:
             self.world.at(self.traffic_from_s, machine.start, True)
-        self.world.at(self.began_s + START_SPREAD_S, self._look_list)
+        self.world.at(self.began_s + START_SPREAD_S, self._poll_endpoints)
         first = self.operators[0]
         self.world.at(self.began_s + FIRST_ORDER_S, self.run_operator, first, self._put_first)
         self.world.run(self.traffic_until_s + self.quiet_s)
@@ -255,15 +253,15 @@
     def _run_while(self, wanted: Callable[[], bool], most_s: float) -> None:
         until_s = self.world.now + most_s
         while self.world.now < until_s:
-            self.world.run(min(until_s, self.world.now + LOOK_END_S))
+            self.world.run(min(until_s, self.world.now + END_POLL_S))
             if not wanted():
                 return
 
     def _is_asking(self) -> bool:
-        return len(self.book.of(TryEnded)) < len(self.book.of(TrySent))
+        return len(self.event_log.of(AttemptEnded)) < len(self.event_log.of(AttemptStarted))
 
     def _is_ordering(self) -> bool:
-        return len(self.book.of(OrderEnded)) < len(self.book.of(OrderSent))
+        return len(self.event_log.of(OrderEnded)) < len(self.event_log.of(OrderStarted))
 
     async def _put_first(self) -> None:
         operator = self.operators[0]
@@ -274,12 +272,12 @@
                 return
 
     def _result(self) -> DayResult:
-        machines = [*self.coordinators, *self.proxies, *self.clients, *(one.machine for one in self.nodes)]
+        machines = [*self.coordinators, *self.proxies, *self.clients, *(node.machine for node in self.nodes)]
         problems = tuple(
-            f"{one.spot.name}: {problem.get('message')}: {problem.get('exception')!r}"
-            for one in machines
-            for problem in one.problems
+            f"{machine.spot.name}: {problem.get('message')}: {problem.get('exception')!r}"
+            for machine in machines
+            for problem in machine.problems
         )
-        breaches = tuple(judge(self.book, self.deployment.bounds, len(self.coordinators)))
+        breaches = tuple(judge(self.event_log, self.deployment.bounds, len(self.coordinators)))
         trace = hashlib.blake2b(self.network.trace.encode(), digest_size=8).hexdigest()
-        return DayResult(self.book, breaches, figures(self.book, OBJECTIVES), problems, trace)
+        return DayResult(self.event_log, breaches, figures(self.event_log, OBJECTIVES), problems, trace)
--- a/coveport/serving/simulation/zones.py
+++ b/coveport/serving/simulation/zones.py
@@ -13,13 +13,13 @@
     region: str
 
     def farness(self, other: Zone) -> int:
-        """0: the same; 1: another zone of the region; 2: another region."""
+        """Return 0 for the same zone, 1 for another one of the region, 2 for another region."""
         return 0 if self == other else 1 if self.region == other.region else 2
 
 
 @dataclass(frozen=True, slots=True)
 class Delays:
-    """One way, in milliseconds."""
+    """One-way network delays, in milliseconds."""
 
     in_zone_ms: float = 0.1
     between_zones_ms: float = 1.4
--- a/tests/serving/cli/test_core_client.py
+++ b/tests/serving/cli/test_core_client.py
@@ -12,7 +12,7 @@
 from coveport.http1 import Request, RequestParser, write_response
 from coveport.serving.cli.core_client import CoreClient, CoreResponse, CoreUnavailable
 from coveport.serving.cli.http_client import HttpRequest
-from coveport.serving.simulation.topology import SimulatedWays
+from coveport.serving.simulation.topology import ZoneDelayModel
 from coveport.serving.simulation.zones import Delays
 from coveport.testbed.simulated_network.wires import Network, VirtualNet
 from coveport.testbed.simulated_network.world import Process, World
@@ -54,7 +54,7 @@
 
     def __init__(self, *scripts: list[Reply]) -> None:
         self.time = World()
-        network = Network(self.time, SimulatedWays((), Delays(), Random(1)))  # type: ignore[arg-type]
+        network = Network(self.time, ZoneDelayModel((), Delays(), Random(1)))  # type: ignore[arg-type]
         process = Process.start(self.time, "all")
         self._process = process
         self.seen: list[list[Request]] = [[] for _ in scripts]
--- a/tests/serving/coordinator/test_simultaneous_start.py
+++ b/tests/serving/coordinator/test_simultaneous_start.py
@@ -10,7 +10,7 @@
 from coveport.serving.membership.leases import LeaseTable, ProxyLease
 from coveport.serving.membership.node_table import NodeTable
 from coveport.serving.simulation.deployment import Deployment
-from coveport.serving.simulation.faults import Troubles
+from coveport.serving.simulation.faults import FaultInjector
 from coveport.serving.simulation.world import SimulatedDeployment
 from coveport.serving.wire.messages import Update, UpdateRequest
 
@@ -80,9 +80,9 @@
 @pytest.mark.parametrize("seed", [1, 2, 4])
 def test_proxies_serve_within_a_quarter_second_of_the_primary(seed: int) -> None:
     day = SimulatedDeployment(Deployment(proxies=(3, 3, 3)), seed)
-    troubles = Troubles(day)
+    faults = FaultInjector(day)
     for machine in (*day.coordinators, *day.proxies):
-        troubles.lose_power(1.0, machine, for_s=1.0)
+        faults.lose_power(1.0, machine, for_s=1.0)
     day.play(3.0)
     led_s = min(
         seconds(line)
--- a/tests/serving/scale/test_scale_measures.py
+++ b/tests/serving/scale/test_scale_measures.py
@@ -3,29 +3,29 @@
 import pytest
 
 from coveport.serving.scale.measures import CoordinatorReading, Delay, Rate, Reading, summarize, window_rates
-from coveport.serving.scale.slopes import TooFewPointsError, fit_line, size_at
+from coveport.serving.scale.slopes import TooFewPointsError, fit_linear, size_at_bound
 
 
 def test_a_line_is_found_again() -> None:
-    line = fit_line([(size, 2.0 + 0.5 * size) for size in (9, 30, 89, 340)])
-    assert line.base == pytest.approx(2.0)
-    assert line.slope == pytest.approx(0.5)
-    assert line.spread == pytest.approx(0.0, abs=1e-9)
-    assert line.at(600) == pytest.approx(302.0)
-    assert size_at(line, 12.0) == pytest.approx(20.0)
+    fit = fit_linear([(size, 2.0 + 0.5 * size) for size in (9, 30, 89, 340)])
+    assert fit.base == pytest.approx(2.0)
+    assert fit.slope == pytest.approx(0.5)
+    assert fit.spread == pytest.approx(0.0, abs=1e-9)
+    assert fit.at(600) == pytest.approx(302.0)
+    assert size_at_bound(fit, 12.0) == pytest.approx(20.0)
 
 
 def test_spread_and_worst_say_how_far_points_lie_from_the_line() -> None:
-    line = fit_line([(0, 1.0), (0, -1.0), (10, 1.0), (10, -1.0)])
-    assert line.slope == pytest.approx(0.0)
-    assert line.spread == pytest.approx(1.0)
-    assert line.worst == pytest.approx(1.0)
-    assert size_at(line, 5.0) is None
+    fit = fit_linear([(0, 1.0), (0, -1.0), (10, 1.0), (10, -1.0)])
+    assert fit.slope == pytest.approx(0.0)
+    assert fit.spread == pytest.approx(1.0)
+    assert fit.worst == pytest.approx(1.0)
+    assert size_at_bound(fit, 5.0) is None
 
 
 def test_one_size_gives_no_line() -> None:
     with pytest.raises(TooFewPointsError):
-        fit_line([(5, 1.0), (5, 2.0)])
+        fit_linear([(5, 1.0), (5, 2.0)])
 
 
 def test_median_99th_and_worst_are_of_those_measured() -> None:
--- a/tests/serving/simulation/stub_core.py
+++ b/tests/serving/simulation/stub_core.py
@@ -17,7 +17,7 @@
     WeightedService,
 )
 from coveport.serving.simulation.client import Client, ClientFigures, RequestKind
-from coveport.serving.simulation.events import Book
+from coveport.serving.simulation.events import EventLog
 from coveport.serving.simulation.exchange import ServerConnection
 from coveport.serving.simulation.model_server import ModelServer, NodeFigures
 from coveport.serving.simulation.registration import Registration
@@ -26,7 +26,7 @@
     PlacedNet,
     PlacedNetwork,
     SimulatedProcess,
-    SimulatedWays,
+    ZoneDelayModel,
     run_in,
 )
 from coveport.serving.simulation.zones import Delays, Zone
@@ -110,15 +110,15 @@
             connection.answer(200, [], b"{}")
 
 
-class Town:
+class StubDeployment:
     """Nodes, clients and a stub in one simulated world."""
 
     def __init__(self, seed: int = 1) -> None:
         self.world = World()
         self.seed = seed
-        ways = SimulatedWays(ZONES, Delays(), Random(f"ways {seed}"))
+        ways = ZoneDelayModel(ZONES, Delays(), Random(f"ways {seed}"))
         self.network = PlacedNetwork(self.world, ways)
-        self.book = Book()
+        self.event_log = EventLog()
         self.processes: list[SimulatedProcess] = []
         self.core = StubCore(self.net("10.9.0.1", 0), ("10.9.0.1", 7000))
         self.run_in(self.core, self.core.start)
@@ -136,14 +136,14 @@
         run_in(net.process, work)
 
     def node(
-        self, number: int, zone: int = 0, heartbeats: bool = False, cold_s: float = 0.0, **figures: object
+        self, number: int, zone: int = 0, heartbeats: bool = False, warm_up_s: float = 0.0, **figures: object
     ) -> ModelServer:
         """A node that runs."""
         address = (f"10.0.{zone}.{number}", 8080)
         told = NodeFigures(SERVICE, address, ZONES[zone].name, ZONES[zone].region, **figures)  # type: ignore[arg-type]
         net = self.net(address[0], zone)
-        node = ModelServer(net, told, self.book, Random(f"node {number} {zone} {self.seed}"))
-        self.run_in(node, lambda: node.start(cold_s))
+        node = ModelServer(net, told, self.event_log, Random(f"node {number} {zone} {self.seed}"))
+        self.run_in(node, lambda: node.start(warm_up_s))
         self.core.addresses.append("{}:{}".format(*address))
         if heartbeats:
             self.registration(node)
@@ -152,8 +152,8 @@
     def registration(self, node: ModelServer) -> Registration:
         """A node's heartbeats."""
         net = node.__dict__["_net"]
-        chance = Random(f"reports {node.incarnation}")
-        found = Registration(net, node, lambda: [("10.9.0.1", 7000)], 1000.0, self.book, chance)
+        rng = Random(f"reports {node.incarnation}")
+        found = Registration(net, node, lambda: [("10.9.0.1", 7000)], 1000.0, self.event_log, rng)
         self.run_in(node, found.start)
         return found
 
@@ -162,16 +162,17 @@
         net = self.net(f"10.8.0.{number + 1}", OUTSIDE)
         told = ClientFigures(ZONES[0].name, ZONES[0].region, **figures)  # type: ignore[arg-type]
         return Client(
-            net, told, lambda: [("10.9.0.1", 7000)], self.book, Random(f"client {number} {self.seed}")
+            net, told, lambda: [("10.9.0.1", 7000)], self.event_log, Random(f"client {number} {self.seed}")
         )
 
-    def ask(self, client: Client, kind: RequestKind = KIND, times: int = 1) -> list[bool]:
+    def send_requests(self, client: Client, kind: RequestKind = KIND, times: int = 1) -> list[bool]:
         """Requests one after the other; fills the list that it returns as the world runs."""
         served: list[bool] = []
 
         async def work() -> None:
             for _ in range(times):
-                served.append(await client.ask(kind))
+                was_served = await client.send_request(kind)
+                served.append(was_served)
 
         self.run_in(client, work)
         return served
--- a/tests/serving/simulation/test_broken_programs.py
+++ b/tests/serving/simulation/test_broken_programs.py
@@ -14,7 +14,7 @@
 from coveport.serving.simulation.deployment import Deployment
 from coveport.serving.simulation.disk import SimulatedFile
 from coveport.serving.simulation.events import RequestRan
-from coveport.serving.simulation.faults import Troubles
+from coveport.serving.simulation.faults import FaultInjector
 from coveport.serving.simulation.world import DayResult, SimulatedDeployment
 
 Patch = pytest.MonkeyPatch
@@ -101,16 +101,16 @@
 
 def test_a_view_that_tells_all_breaks_nothing(day: SimulatedDeployment, monkeypatch: Patch) -> None:
     break_with(FalseView, monkeypatch)
-    Troubles(day).evacuate(AT_S, "gijon", 7.0)
+    FaultInjector(day).evacuate(AT_S, "gijon", 7.0)
     result = play(day)
     assert rules(result) == set()
-    assert result.served_share > 0.97
+    assert result.served_fraction > 0.97
 
 
 def test_closing_nodes_that_still_get_requests(day: SimulatedDeployment, monkeypatch: Patch) -> None:
     break_with(KeepsClosingNodes, monkeypatch)
     node = day.nodes[0]
-    Troubles(day).close_node(AT_S, node)
+    FaultInjector(day).close_node(AT_S, node)
     # It stays a while longer than it must, as the protocol lets it: else few requests meet it.
     monkeypatch.setattr("coveport.serving.simulation.registration.LINGER_S", 3.0)
     assert rules(play(day)) == {"DRAIN"}
@@ -118,7 +118,7 @@
 
 def test_evacuated_zones_that_still_get_requests(day: SimulatedDeployment, monkeypatch: Patch) -> None:
     break_with(KeepsZones, monkeypatch)
-    Troubles(day).evacuate(AT_S, "gijon", 8.0)
+    FaultInjector(day).evacuate(AT_S, "gijon", 8.0)
     assert rules(play(day)) == {"EVAC"}
 
 
@@ -132,13 +132,13 @@
 ) -> None:
     break_with(RepeatsEverything, monkeypatch)
     for node in day.nodes:
-        day.at(AT_S, lambda node=node: setattr(node.server.faults, "break_off_share", 0.5))  # type: ignore[misc]
+        day.at(AT_S, lambda node=node: setattr(node.server.faults, "break_off_probability", 0.5))  # type: ignore[misc]
     assert "TWICE" in rules(play(day))
 
 
 def test_a_configuration_that_never_comes_into_force(day: SimulatedDeployment, monkeypatch: Patch) -> None:
     break_with(KeepsTheFirst, monkeypatch)
-    Troubles(day).add_route(AT_S, "added")
+    FaultInjector(day).add_route(AT_S, "added")
     assert rules(play(day)) == {"CONFIG"}
 
 
@@ -151,7 +151,7 @@
     def turned_cold(seed: int) -> set[str]:
         day = SimulatedDeployment(told, seed)
         # Told by its heartbeats: a node that turns cold without notice may get what it got before.
-        Troubles(day).crash_node(AT_S, day.nodes[0], for_s=1.0)
+        FaultInjector(day).crash_node(AT_S, day.nodes[0], for_s=1.0)
         return rules(play(day))
 
     assert turned_cold(1) == set()
@@ -161,10 +161,10 @@
 
 def test_a_disk_that_says_synced_and_is_not(day: SimulatedDeployment, monkeypatch: Patch) -> None:
     def lose_power_everywhere(day: SimulatedDeployment) -> DayResult:
-        troubles = Troubles(day)
-        troubles.add_route(AT_S, "added")
+        faults = FaultInjector(day)
+        faults.add_route(AT_S, "added")
         for coordinator in day.coordinators:
-            troubles.lose_power(AT_S + 2.0, coordinator, for_s=1.0)
+            faults.lose_power(AT_S + 2.0, coordinator, for_s=1.0)
         return play(day)
 
     assert rules(lose_power_everywhere(day)) == set()
@@ -175,8 +175,8 @@
 
 def test_nodes_that_break_off_show_in_the_figures(day: SimulatedDeployment) -> None:
     for node in day.nodes:
-        day.at(AT_S, lambda node=node: setattr(node.server.faults, "break_off_share", 0.5))  # type: ignore[misc]
+        day.at(AT_S, lambda node=node: setattr(node.server.faults, "break_off_probability", 0.5))  # type: ignore[misc]
     result = play(day)
     assert rules(result) == set()
-    assert result.served_share < 0.9
-    assert len(result.book.of(RequestRan)) > 50
+    assert result.served_fraction < 0.9
+    assert len(result.event_log.of(RequestRan)) > 50
--- a/tests/serving/simulation/test_control_days.py
+++ b/tests/serving/simulation/test_control_days.py
@@ -17,9 +17,9 @@
 from coveport.serving.coordinator.coordinator import Coordinator
 from coveport.serving.replication.identity import Epoch
 from coveport.serving.simulation.deployment import Deployment
-from coveport.serving.simulation.events import HeartbeatAnswered, Order, OrderEnded, OrderSent, Verdict
+from coveport.serving.simulation.events import HeartbeatAnswered, Order, OrderEnded, OrderStarted, Verdict
 from coveport.serving.simulation.exchange import call
-from coveport.serving.simulation.faults import Troubles
+from coveport.serving.simulation.faults import FaultInjector
 from coveport.serving.simulation.machines import Machine
 from coveport.serving.simulation.world import DayResult, SimulatedDeployment
 from coveport.serving.wire.frames import write_frame
@@ -36,7 +36,7 @@
 
     def __init__(self, seed: int, **told: object) -> None:
         self.day = SimulatedDeployment(Deployment(**told), seed)  # type: ignore[arg-type]
-        self.troubles = Troubles(self.day)
+        self.faults = FaultInjector(self.day)
 
     def play(self, length_s: float) -> DayResult:
         result = self.day.play(length_s)
@@ -86,7 +86,7 @@
     told = ControlDay(SEEDS_THAT_REACH_IT[number])
     day = told.day
     machine = day.coordinators[number]
-    told.troubles.cut_off(AT_S, [machine], LONG_CUT_S, from_machines=day.coordinators)
+    told.faults.isolate(AT_S, [machine], LONG_CUT_S, from_machines=day.coordinators)
     node = day.nodes[0]
     drain_s = day.deployment.bounds.drain_ms / 1000
     names: list[str] = []
@@ -104,7 +104,7 @@
     lists: list[set[str]] = []
     told.at(AT_S + LONG_CUT_S + 1.0, lambda: lists.append(told.listed(machine)))
     result = told.play(AT_S + LONG_CUT_S + 6.0)
-    answered = [one for one in result.book.of(HeartbeatAnswered) if one.incarnation == names[0]]
+    answered = [one for one in result.event_log.of(HeartbeatAnswered) if one.incarnation == names[0]]
     assert any(one.state != "accepting" for one in answered), "the leave was acknowledged"
     assert was_listed == [True], "the one that is cut off did not hear of it"
     assert names[0] not in lists[0]
@@ -115,8 +115,8 @@
     told = ControlDay(2)
     day = told.day
     machine = day.coordinators[0]
-    told.troubles.cut_off(AT_S, [machine], LONG_CUT_S, from_machines=day.coordinators)
-    told.troubles.add_route(AT_S + 2.0, "added")
+    told.faults.isolate(AT_S, [machine], LONG_CUT_S, from_machines=day.coordinators)
+    told.faults.add_route(AT_S + 2.0, "added")
     statuses: list[tuple[str, int]] = []
     zone = day.deployment.zones[1].name
 
@@ -165,15 +165,15 @@
     asked: list[int] = []
     epochs: list[tuple[Epoch, Epoch]] = []
 
-    def cut_off() -> None:
+    def isolate() -> None:
         primary = told.primary()
         behind.append(next(one for one in day.coordinators if one is not primary))
         with_it.append(next(one for one in day.coordinators if one not in (primary, behind[0])))
         day.replace_coordinator(behind[0]).start()
         others = [one for one in day.coordinators if one is not primary]
-        told.troubles.cut_off(AT_S + 2.0, behind, 6.0, from_machines=[primary, *others])
+        told.faults.isolate(AT_S + 2.0, behind, 6.0, from_machines=[primary, *others])
         rest = [one for one in [primary, *others] if one is not with_it[0]]
-        told.troubles.cut_off(AT_S + 7.9, behind + with_it, 5.0, from_machines=rest)
+        told.faults.isolate(AT_S + 7.9, behind + with_it, 5.0, from_machines=rest)
 
     async def leave() -> None:
         view = told.program(behind[0])._replica.view
@@ -187,7 +187,7 @@
         answer = await call(day.operators[0]._net, told.control(behind[0]), request, 1.5)
         asked.append(answer.status if answer is not None else 0)
 
-    told.at(AT_S, cut_off)
+    told.at(AT_S, isolate)
     told.order(AT_S + 9.5, leave)
     day.play(AT_S + 14.0)
     assert epochs[0][0] < epochs[0][1], "the situation is reached"
@@ -265,12 +265,12 @@
     day = told.day
     told.at(AT_S + 0.02, lambda: told.primary().kill())
     for at in range(8):
-        told.troubles.race(AT_S + 0.005 * at)
+        told.faults.race(AT_S + 0.005 * at)
     for machine in day.coordinators:
-        told.troubles.kill(AT_S + 6.0, machine, for_s=0.5)
+        told.faults.kill(AT_S + 6.0, machine, for_s=0.5)
     result = told.play(16.0)
-    ended = {one.number: one for one in result.book.of(OrderEnded)}
-    patches = [one for one in result.book.of(OrderSent) if one.order is Order.PATCH]
+    ended = {one.number: one for one in result.event_log.of(OrderEnded)}
+    patches = [one for one in result.event_log.of(OrderStarted) if one.order is Order.PATCH]
     assert len(patches) == 16
     by_base: dict[int, int] = {}
     for one in patches:
@@ -287,14 +287,14 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_at_the_end_a_disk_is_lost_while_all_other_machines_lose_power(lost: int, seed: int) -> None:
     told = ControlDay(seed)
-    told.troubles.add_route(AT_S, "added")
-    told.troubles.evacuate(AT_S + 0.2, told.day.deployment.zones[1].name, for_s=60.0)
-    told.troubles.end_with_lost_disks(AT_S + 4.0, [told.day.coordinators[lost]])
+    told.faults.add_route(AT_S, "added")
+    told.faults.evacuate(AT_S + 0.2, told.day.deployment.zones[1].name, for_s=60.0)
+    told.faults.end_with_lost_disks(AT_S + 4.0, [told.day.coordinators[lost]])
     result = told.play(16.0)
-    assert [one.verdict for one in result.book.of(OrderEnded)][-1] is Verdict.ACKNOWLEDGED, "read back"
+    assert [one.verdict for one in result.event_log.of(OrderEnded)][-1] is Verdict.ACKNOWLEDGED, "read back"
     for machine in told.day.coordinators:
         assert told.state(machine).evacuated_zones == {told.day.deployment.zones[1].name}
-    assert result.served_share > 0.4
+    assert result.served_fraction > 0.4
 
 
 def test_names_and_writes_that_were_never_synced_are_lost_at_the_first_start() -> None:
@@ -302,9 +302,9 @@
     for seed in range(3):
         told = ControlDay(seed)
         for machine in told.day.coordinators:
-            told.troubles.lose_power(-told.day.deployment.lead_s + 0.2 + 0.15 * seed, machine, for_s=0.5)
+            told.faults.lose_power(-told.day.deployment.lead_s + 0.2 + 0.15 * seed, machine, for_s=0.5)
         result = told.play(6.0)
-        assert result.served_share > 0.9
+        assert result.served_fraction > 0.9
 
 
 # -- 4 and 5. Back after all were restarted; the wrong life --
@@ -326,7 +326,7 @@
 
     told.at(AT_S, leave)
     for machine in day.coordinators:
-        told.troubles.kill(AT_S + 1.0, machine, for_s=0.5)
+        told.faults.kill(AT_S + 1.0, machine, for_s=0.5)
     listed: list[set[str]] = []
 
     async def late() -> None:
--- a/tests/serving/simulation/test_drawn_days.py
+++ b/tests/serving/simulation/test_drawn_days.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from coveport.serving.simulation.schedules import CLOSINGS, DRAWS, LENGTH_S, draw_troubles, play_drawn
+from coveport.serving.simulation.schedules import CLOSINGS, DRAWS, LENGTH_S, draw_faults, play_drawn
 
 
 @pytest.mark.parametrize("seed", [3, 17, 101, 105, 119])  # final faults, dark nodes, kills, rolls, power
@@ -12,22 +12,22 @@
     result, _ = play_drawn(seed)
     assert list(result.problems) == []
     assert [str(one) for one in result.breaches] == []
-    assert result.served_share > 0.75
+    assert result.served_fraction > 0.75
 
 
 def test_a_seed_always_draws_the_same_day() -> None:
-    assert draw_troubles(7) == draw_troubles(7)
-    assert len({draw_troubles(seed) for seed in range(50)}) == 50
+    assert draw_faults(7) == draw_faults(7)
+    assert len({draw_faults(seed) for seed in range(50)}) == 50
 
 
 def test_every_kind_is_drawn_and_none_outside_the_day() -> None:
-    drawn = [one for seed in range(400) for one in draw_troubles(seed)]
+    drawn = [one for seed in range(400) for one in draw_faults(seed)]
     assert {one.name for one in drawn} == {*DRAWS, *CLOSINGS}
     assert all(0 < one.at_s < LENGTH_S for one in drawn)
-    assert {len(draw_troubles(seed)) for seed in range(400)} >= {1, 2, 3, 4}
+    assert {len(draw_faults(seed)) for seed in range(400)} >= {1, 2, 3, 4}
 
 
 def test_a_day_bears_one_loss_of_the_core_at_a_time() -> None:
     heavy = {"coordinator loses its disk", "coordinator loses power", "cut region", "replace coordinator"}
     for seed in range(400):
-        assert sum(one.name in heavy for one in draw_troubles(seed)) <= 1
+        assert sum(one.name in heavy for one in draw_faults(seed)) <= 1
--- a/tests/serving/simulation/test_engine_steps.py
+++ b/tests/serving/simulation/test_engine_steps.py
@@ -8,21 +8,22 @@
     Engine,
     EngineFigures,
     Expired,
+    PrefixSegment,
     Produced,
-    PromptPart,
-    TurnedAway,
+    Rejection,
     Work,
 )
 
 FIGURES = EngineFigures(slots=2, queue=2, kv_cache_tokens=1000, tokens_per_event=5, token_ms=1.0,
-                        token_ms_per_running=0.5, read_tokens_per_ms=10.0, piece_tokens=100)  # fmt: skip
+                        token_ms_per_running=0.5, prefill_tokens_per_ms=10.0,
+                        prefill_chunk_tokens=100)  # fmt: skip
 LATE = 1e9
 
 
 def work(
-    key: str, *parts: tuple[str, int], answer: int = 10, priority: int = 5, deadline: float = LATE
+    key: str, *segments: tuple[str, int], answer: int = 10, priority: int = 5, deadline: float = LATE
 ) -> Work:
-    return Work(key, tuple(PromptPart(*one) for one in parts), answer, deadline, priority)
+    return Work(key, tuple(PrefixSegment(*one) for one in segments), answer, deadline, priority)
 
 
 def play(engine: Engine, steps: int = 1000) -> list[tuple[float, Effect]]:
@@ -61,10 +62,10 @@
     engine = Engine(FIGURES)
     engine.submit(work("a", ("shared", 200), ("own-a", 50)), 0.0)
     play(engine)
-    assert engine.read_tokens == 250
+    assert engine.prefilled_tokens == 250
     engine.submit(work("b", ("shared", 200), ("own-b", 50)), 0.0)
     play(engine)
-    assert engine.read_tokens == 300
+    assert engine.prefilled_tokens == 300
 
 
 def test_a_part_counts_only_with_all_before_it() -> None:
@@ -73,7 +74,7 @@
     play(engine)
     engine.submit(work("b", ("y", 200), ("tail", 50)), 0.0)
     play(engine)
-    assert engine.read_tokens == 500
+    assert engine.prefilled_tokens == 500
 
 
 def test_the_part_unused_the_longest_gives_way() -> None:
@@ -81,13 +82,13 @@
     for key in ("old", "new", "old", "third"):
         engine.submit(work(key, (key, 400)), 0.0)
         play(engine)
-    before = engine.read_tokens
+    before = engine.prefilled_tokens
     engine.submit(work("again", ("old", 400)), 0.0)
     play(engine)
-    assert engine.read_tokens - before == 1  # one token at least is read
+    assert engine.prefilled_tokens - before == 1  # one token at least is read
     engine.submit(work("again", ("new", 400)), 0.0)
     play(engine)
-    assert engine.read_again_tokens == 400
+    assert engine.repeated_prefill_tokens == 400
 
 
 def test_what_runs_beyond_slots_waits_and_beyond_the_queue_is_refused() -> None:
@@ -96,14 +97,14 @@
     engine.step_ms()
     for key in ("b", "c"):
         assert engine.submit(work(key, (key, 10)), 0.0) is None
-    assert engine.submit(work("d", ("d", 10)), 0.0) is TurnedAway.FULL
+    assert engine.submit(work("d", ("d", 10)), 0.0) is Rejection.FULL
     engine.step_ms()
     assert (engine.running, engine.queued) == (2, 1)
 
 
 def test_a_request_larger_than_the_memory_is_refused() -> None:
     engine = Engine(FIGURES)
-    assert engine.submit(work("a", ("a", 995)), 0.0) is TurnedAway.TOO_LARGE
+    assert engine.submit(work("a", ("a", 995)), 0.0) is Rejection.TOO_LARGE
 
 
 def test_the_more_urgent_is_let_in_first() -> None:
@@ -135,7 +136,7 @@
     while not engine.idle:
         now += engine.step_ms()
         engine.step(now)
-        assert engine.memory_used <= FIGURES.kv_cache_tokens or engine.running == 1
+        assert engine.kv_tokens_used <= FIGURES.kv_cache_tokens or engine.running == 1
 
 
 def test_a_deadline_ends_what_waits_and_what_runs() -> None:
@@ -144,10 +145,10 @@
     engine.submit(work("b", ("b", 10), deadline=200.0), 0.0)
     seen = [one for _, one in play(engine) if isinstance(one, Expired)]
     assert seen == [Expired("b", False), Expired("a", True)]
-    assert engine.submit(work("c", ("c", 10), deadline=1.0), 2.0) is TurnedAway.TOO_LATE
+    assert engine.submit(work("c", ("c", 10), deadline=1.0), 2.0) is Rejection.TOO_LATE
 
 
 def test_a_resumed_stream_goes_on_behind_the_last_event() -> None:
     engine = Engine(FIGURES)
-    engine.submit(Work("a", (PromptPart("p", 10),), 25, LATE, resumes_after=3), 0.0)
+    engine.submit(Work("a", (PrefixSegment("p", 10),), 25, LATE, resumes_after=3), 0.0)
     assert [one.number for _, one in play(engine) if isinstance(one, Produced)] == [4, 5]
--- a/tests/serving/simulation/test_judge_rules.py
+++ b/tests/serving/simulation/test_judge_rules.py
@@ -8,45 +8,45 @@
 
 from coveport.serving.settings.boot import Bounds
 from coveport.serving.simulation.events import (
-    Book,
+    AttemptEnded,
+    AttemptStarted,
     Ending,
-    Event,
-    Happening,
+    EventLog,
+    FaultBegan,
+    FaultEnded,
     HeartbeatAnswered,
-    NodeCold,
+    JudgedRoute,
+    LoggedEvent,
     NodeStarted,
     Order,
     OrderEnded,
-    OrderSent,
+    OrderStarted,
     ProxyStarted,
     RequestArrived,
     RequestFinished,
     RequestRan,
-    RequestTurnedAway,
-    RoutePlace,
-    TroubleBegan,
-    TroubleEnded,
-    TryEnded,
-    TrySent,
+    RequestRejected,
+    StreamEvent,
     Verdict,
+    WarmUpBegan,
 )
 from coveport.serving.simulation.judge import judge
-from coveport.serving.simulation.texts import digest, event_text, whole_body
+from coveport.serving.simulation.texts import complete_body, digest, event_text
 
 BOUNDS = Bounds(drain_ms=2500, config_apply_ms=2500, evacuate_ms=5000, retry_slack=2.0, retry_ratio=0.2,
                 warm_up_overshoot=1.5, warm_up_slack=5.0)  # fmt: skip
 PROXY = "10.1.0.10:8263"
 
 
-def place(path: str, *services: str, idempotent: bool = False, homes: tuple[str, ...] = ()) -> RoutePlace:
-    return RoutePlace("a.example", path, frozenset(services), idempotent, True, frozenset(homes), 5.0)
+def place(path: str, *services: str, idempotent: bool = False, homes: tuple[str, ...] = ()) -> JudgedRoute:
+    return JudgedRoute("a.example", path, frozenset(services), idempotent, True, frozenset(homes), 5.0)
 
 
 class Day:
     """A good day, line by line; tests spoil it."""
 
     def __init__(self) -> None:
-        self.lines: list[Happening] = [
+        self.lines: list[LoggedEvent] = [
             ProxyStarted(0.0, "proxy-1", PROXY),
             NodeStarted(0.0, "i-1", "scribe", "10.0.0.1:80", "hall-a", "north"),
             NodeStarted(0.0, "i-2", "scribe", "10.0.1.1:80", "hall-b", "south"),
@@ -60,23 +60,23 @@
         )  # fmt: skip
 
     def order(
-        self, at: float, order: Order, edition: int = 0, routes: tuple[RoutePlace, ...] = (), *,
+        self, at: float, order: Order, edition: int = 0, routes: tuple[JudgedRoute, ...] = (), *,
         based_on: int = 0, verdict: Verdict = Verdict.ACKNOWLEDGED, valid: bool = True, zone: str = "",
         took: float = 0.1,
     ) -> int:  # fmt: skip
         self.numbers += 1
         found = f"digest of {edition} by {self.numbers}" if edition else ""
         self.lines += [
-            OrderSent(at, self.numbers, order, edition, based_on, valid, routes, found, zone),
+            OrderStarted(at, self.numbers, order, edition, based_on, valid, routes, found, zone),
             OrderEnded(at + took, self.numbers, verdict),
         ]
         return self.numbers
 
-    def sent(self, at: float, try_id: str, path: str = "/once/", **more: object) -> TrySent:
-        line = TrySent(
+    def sent(self, at: float, attempt_id: str, path: str = "/once/", **more: object) -> AttemptStarted:
+        line = AttemptStarted(
             at,
-            f"of {try_id}",
-            try_id,
+            f"of {attempt_id}",
+            attempt_id,
             "POST",
             path + "x",
             "a.example",
@@ -91,38 +91,40 @@
         return line
 
     def arrived(
-        self, at: float, try_id: str, path: str = "/once/", node: str = "i-1", after: int = 0
+        self, at: float, attempt_id: str, path: str = "/once/", node: str = "i-1", after: int = 0
     ) -> None:
-        self.lines.append(RequestArrived(at, node, try_id, "POST", path + "x", "a.example", "body", after))
+        self.lines.append(
+            RequestArrived(at, node, attempt_id, "POST", path + "x", "a.example", "body", after)
+        )
 
-    def ran(self, at: float, try_id: str, node: str = "i-1", run: str = "", first: int = 1) -> str:
-        run = run or f"{node}.{try_id}"
-        self.lines.append(RequestRan(at, node, try_id, run, f"stamp {run}", first))
+    def ran(self, at: float, attempt_id: str, node: str = "i-1", run: str = "", first: int = 1) -> str:
+        run = run or f"{node}.{attempt_id}"
+        self.lines.append(RequestRan(at, node, attempt_id, run, f"stamp {run}", first))
         return run
 
-    def ended(self, at: float, try_id: str, run: str, **more: object) -> None:
-        events = tuple(Event(number, run, event_text(run, number)) for number in (1, 2, 3))
-        line = TryEnded(
-            at, try_id, Ending.COMPLETE, 200, f"stamp {run}", try_id, events, at - 0.1, 0.05, "", True
+    def ended(self, at: float, attempt_id: str, run: str, **more: object) -> None:
+        events = tuple(StreamEvent(number, run, event_text(run, number)) for number in (1, 2, 3))
+        line = AttemptEnded(
+            at, attempt_id, Ending.COMPLETE, 200, f"stamp {run}", attempt_id, events, at - 0.1, 0.05, "", True
         )
         self.lines.append(replace(line, **more))  # type: ignore[arg-type]
 
-    def served(self, at: float, try_id: str, path: str = "/once/", node: str = "i-1") -> None:
-        self.sent(at, try_id, path)
-        self.arrived(at + 0.01, try_id, path, node)
-        run = self.ran(at + 0.02, try_id, node)
-        self.ended(at + 0.5, try_id, run)
+    def served(self, at: float, attempt_id: str, path: str = "/once/", node: str = "i-1") -> None:
+        self.sent(at, attempt_id, path)
+        self.arrived(at + 0.01, attempt_id, path, node)
+        run = self.ran(at + 0.02, attempt_id, node)
+        self.ended(at + 0.5, attempt_id, run)
 
-    def answered(self, at: float, try_id: str, status: int, path: str = "/once/", **more: object) -> None:
+    def answered(self, at: float, attempt_id: str, status: int, path: str = "/once/", **more: object) -> None:
         """By the proxy alone."""
-        self.sent(at, try_id, path, **more)
+        self.sent(at, attempt_id, path, **more)
         self.lines.append(
-            TryEnded(at + 0.1, try_id, Ending.COMPLETE, status, "", "", (), 0.0, 0.0, "", False)
+            AttemptEnded(at + 0.1, attempt_id, Ending.COMPLETE, status, "", "", (), 0.0, 0.0, "", False)
         )
 
     def rules(self) -> list[str]:
         self.lines.sort(key=lambda line: line.at_s)
-        return [one.rule for one in judge(Book(self.lines), BOUNDS)]
+        return [one.rule for one in judge(EventLog(self.lines), BOUNDS)]
 
 
 @pytest.fixture
@@ -167,10 +169,14 @@
     day.arrived(20.0, "t")
     run = day.ran(20.1, "t")
     if "body_digest" in spoiled:
-        day.ended(21.0, "t", run, events=(), is_stream=False, body_digest=digest(whole_body(run, "body")))
+        day.ended(21.0, "t", run, events=(), is_stream=False, body_digest=digest(complete_body(run, "body")))
         assert day.rules() == []
         day.lines.pop(
-            next(at for at, one in enumerate(day.lines) if isinstance(one, TryEnded) and one.try_id == "t")
+            next(
+                at
+                for at, one in enumerate(day.lines)
+                if isinstance(one, AttemptEnded) and one.attempt_id == "t"
+            )
         )
         day.ended(21.0, "t", run, events=(), **spoiled)
     else:
@@ -183,18 +189,20 @@
     day.sent(20.0, "t", "/often/")
     day.arrived(20.0, "t", "/often/")
     run = day.ran(20.1, "t")
-    day.ended(21.0, "t", run, events=tuple(Event(at, run, event_text(run, at)) for at in numbers))
+    day.ended(21.0, "t", run, events=tuple(StreamEvent(at, run, event_text(run, at)) for at in numbers))
     assert day.rules() == ["ORDER"]
 
 
 def test_order_runs_may_be_joined_where_the_second_resumes_and_only_there(day: Day) -> None:
-    def join(path: str, first: int, try_id: str) -> None:
-        day.sent(20.0, try_id, path)
-        day.arrived(20.0, try_id, path)
-        one, other = day.ran(20.1, try_id), day.ran(20.3, try_id, "i-2", first=first)
+    def join(path: str, first: int, attempt_id: str) -> None:
+        day.sent(20.0, attempt_id, path)
+        day.arrived(20.0, attempt_id, path)
+        one, other = day.ran(20.1, attempt_id), day.ran(20.3, attempt_id, "i-2", first=first)
         runs = (one, one, other)
-        events = tuple(Event(at, run, event_text(run, at)) for at, run in zip((1, 2, 3), runs, strict=True))
-        day.ended(21.0, try_id, one, events=events)
+        events = tuple(
+            StreamEvent(at, run, event_text(run, at)) for at, run in zip((1, 2, 3), runs, strict=True)
+        )
+        day.ended(21.0, attempt_id, one, events=events)
 
     join("/often/", 3, "well")
     assert day.rules() == []
@@ -208,7 +216,7 @@
     day.sent(20.0, "t")
     day.arrived(20.0, "t")
     run = day.ran(20.1, "t")
-    day.ended(21.0, "t", run, ending=Ending.BROKEN, events=(Event(1, run, event_text(run, 1)),))
+    day.ended(21.0, "t", run, ending=Ending.BROKEN, events=(StreamEvent(1, run, event_text(run, 1)),))
     assert day.rules() == []
 
 
@@ -226,13 +234,13 @@
 
 def test_twice_only_what_is_idempotent_may_run_again(day: Day) -> None:
     for path in ("/often/", "/once/"):
-        try_id = f"t{path}"
-        day.sent(20.0, try_id, path)
-        day.arrived(20.0, try_id, path)
-        run = day.ran(20.1, try_id)
-        day.arrived(20.2, try_id, path, "i-2")
-        day.ran(20.3, try_id, "i-2")
-        day.ended(21.0, try_id, run)
+        attempt_id = f"t{path}"
+        day.sent(20.0, attempt_id, path)
+        day.arrived(20.0, attempt_id, path)
+        run = day.ran(20.1, attempt_id)
+        day.arrived(20.2, attempt_id, path, "i-2")
+        day.ran(20.3, attempt_id, "i-2")
+        day.ended(21.0, attempt_id, run)
         assert day.rules() == (["TWICE"] if path == "/once/" else [])
 
 
@@ -267,22 +275,22 @@
 
 
 def test_lost_around_a_planned_stop(day: Day) -> None:
-    def broken(at: float, try_id: str, node_broke: bool = False) -> None:
-        day.sent(at, try_id)
-        day.arrived(at, try_id)
-        run = day.ran(at + 0.1, try_id)
-        day.lines.append(RequestFinished(at + 0.5, "i-1", try_id, run, 200, False, node_broke))
-        day.ended(at + 0.5, try_id, run, ending=Ending.BROKEN, events=())
-
-    day.lines.append(TroubleBegan(30.0, 1, "term", ("proxy-1",), planned=True))
-    day.lines.append(TroubleEnded(33.0, 1))
+    def broken(at: float, attempt_id: str, node_broke: bool = False) -> None:
+        day.sent(at, attempt_id)
+        day.arrived(at, attempt_id)
+        run = day.ran(at + 0.1, attempt_id)
+        day.lines.append(RequestFinished(at + 0.5, "i-1", attempt_id, run, 200, False, node_broke))
+        day.ended(at + 0.5, attempt_id, run, ending=Ending.BROKEN, events=())
+
+    day.lines.append(FaultBegan(30.0, 1, "term", ("proxy-1",), planned=True))
+    day.lines.append(FaultEnded(33.0, 1))
     broken(25.0, "before")
     broken(31.0, "excused", node_broke=True)
     assert day.rules() == []
     broken(31.0, "t")
     assert day.rules() == ["LOST"]
-    day.lines.append(TroubleBegan(29.0, 2, "kill", ("other",)))
-    day.lines.append(TroubleEnded(29.1, 2))
+    day.lines.append(FaultBegan(29.0, 2, "kill", ("other",)))
+    day.lines.append(FaultEnded(29.1, 2))
     assert day.rules() == []
 
 
@@ -299,10 +307,10 @@
     day.lines.append(HeartbeatAnswered(30.0, "i-1", "gone", "c"))
     day.sent(35.0, "t")
     day.arrived(35.01, "t")
-    day.lines.append(RequestTurnedAway(35.01, "i-1", "t", 421))
+    day.lines.append(RequestRejected(35.01, "i-1", "t", 421))
     assert day.rules() == []
-    day.lines.append(TroubleBegan(50.0, 1, "freeze", ("proxy-1",)))
-    day.lines.append(TroubleEnded(53.0, 1))
+    day.lines.append(FaultBegan(50.0, 1, "freeze", ("proxy-1",)))
+    day.lines.append(FaultEnded(53.0, 1))
     day.served(56.0, "u")
     assert day.rules() == []
     day.served(58.0, "v")
@@ -327,7 +335,7 @@
 
 
 def test_failback_more_than_a_cold_node_bears_in_one_second(day: Day) -> None:
-    day.lines.append(NodeCold(30.0, "i-1", 40.0, 2.0))
+    day.lines.append(WarmUpBegan(30.0, "i-1", 40.0, 2.0))
     for at in range(8):
         day.served(31.0 + at / 10, f"t{at}")
     for at in range(20):
@@ -338,13 +346,13 @@
 
 
 def test_budget_second_arrivals_in_a_window(day: Day) -> None:
-    def again(at: float, try_id: str) -> None:
-        day.sent(at, try_id, "/often/")
+    def again(at: float, attempt_id: str) -> None:
+        day.sent(at, attempt_id, "/often/")
         for node in ("i-1", "i-2"):
-            day.arrived(at, try_id, "/often/", node)
-        day.lines.append(RequestTurnedAway(at, "i-1", try_id, 503))
-        run = day.ran(at + 0.1, try_id, "i-2")
-        day.ended(at + 0.5, try_id, run)
+            day.arrived(at, attempt_id, "/often/", node)
+        day.lines.append(RequestRejected(at, "i-1", attempt_id, 503))
+        run = day.ran(at + 0.1, attempt_id, "i-2")
+        day.ended(at + 0.5, attempt_id, run)
 
     # 2 + 0.2 of those asked in ten seconds: two ask alone, so 2.4; three would be 2.6.
     again(60.0, "a")
@@ -366,10 +374,10 @@
 
 def test_config_a_404_though_the_route_is_there(day: Day) -> None:
     day.order(30.0, Order.PUT, 2, (place("/new/", "scribe"), place("/once/", "scribe")), based_on=1)
-    day.answered(32.0, "soon", 404, "/new/", is_probe=True)
-    day.answered(40.0, "never was", 404, "/nothing/", is_probe=True)
+    day.answered(32.0, "soon", 404, "/new/", is_direct=True)
+    day.answered(40.0, "never was", 404, "/nothing/", is_direct=True)
     assert day.rules() == []
-    day.answered(33.0, "late", 404, "/new/", is_probe=True)
+    day.answered(33.0, "late", 404, "/new/", is_direct=True)
     assert day.rules() == ["CONFIG"]
 
 
@@ -436,7 +444,7 @@
 
 def core_trouble(day: Day, *machines: str) -> None:
     """From 29 s on, to the end of the day."""
-    day.lines.append(TroubleBegan(29.0, 1, "kill", machines, True, False, machines))
+    day.lines.append(FaultBegan(29.0, 1, "kill", machines, True, False, machines))
 
 
 def test_an_unstable_core_widens_the_bound_on_configurations(day: Day) -> None:
@@ -463,7 +471,7 @@
     day.served(60.0, "t")
     core_trouble(day, "coordinator-1", "coordinator-2")
     assert day.rules() == []
-    day.lines = [one for one in day.lines if not isinstance(one, TroubleBegan)]
+    day.lines = [one for one in day.lines if not isinstance(one, FaultBegan)]
     assert day.rules() == ["EVAC"]
-    day.lines.append(TroubleBegan(58.0, 2, "freeze", ("proxy-1",)))
+    day.lines.append(FaultBegan(58.0, 2, "freeze", ("proxy-1",)))
     assert day.rules() == []
--- a/tests/serving/simulation/test_on_loopback.py
+++ b/tests/serving/simulation/test_on_loopback.py
@@ -12,23 +12,23 @@
 from coveport.net.transport import Net
 from coveport.serving.settings.boot import Bounds
 from coveport.serving.simulation.client import Client, ClientFigures
-from coveport.serving.simulation.events import Book, HeartbeatAnswered, RequestRan, TryEnded
+from coveport.serving.simulation.events import AttemptEnded, EventLog, HeartbeatAnswered, RequestRan
 from coveport.serving.simulation.exchange import ServerConnection
 from coveport.serving.simulation.figures import KindFigures
 from coveport.serving.simulation.history import Breach
 from coveport.serving.simulation.judge import judge
+from coveport.serving.simulation.local_day import BROKEN, LocalDayResult, summary
 from coveport.serving.simulation.model_server import ModelServer, NodeFigures
 from coveport.serving.simulation.registration import Registration
-from coveport.serving.simulation.try_day import BROKEN, TryResult, summary
 
 HOST = "127.0.0.1"
 
 
-async def play_on_loopback(book: Book) -> list[bool]:
+async def play_on_loopback(event_log: EventLog) -> list[bool]:
     """A node that reports, and a client that finds it by a lookup."""
     net = Net(asyncio.get_running_loop())
     figures = NodeFigures(SERVICE, (HOST, free_port()), "hall-a", "north")
-    node = ModelServer(net, figures, book, Random(1))
+    node = ModelServer(net, figures, event_log, Random(1))
 
     async def answer(connection: ServerConnection, request: Request) -> None:
         addresses = ["{}:{}".format(*figures.address)]
@@ -39,9 +39,9 @@
     )
     at = [(HOST, core.port)]
     await node.start()
-    registration = Registration(net, node, lambda: list(at), 1000.0, book, Random(2))
-    client = Client(net, ClientFigures("hall-a", "north"), lambda: list(at), book, Random(3))
-    served = [await client.ask(KIND), await client.ask(KIND)]
+    registration = Registration(net, node, lambda: list(at), 1000.0, event_log, Random(2))
+    client = Client(net, ClientFigures("hall-a", "north"), lambda: list(at), event_log, Random(3))
+    served = [await client.send_request(KIND), await client.send_request(KIND)]
     await registration.leave(0.0)
     core.close()
     return served
@@ -56,13 +56,14 @@
 
 
 def test_the_stand_ins_speak_on_real_sockets() -> None:
-    book = Book()
-    assert asyncio.run(play_on_loopback(book)) == [True, True]
-    assert len(book.of(RequestRan)) == 2
-    assert [event.number for event in book.of(TryEnded)[1].events] == list(range(1, 11))
-    assert [line.state for line in book.of(HeartbeatAnswered)] == ["closing", "gone"]
-    assert judge(book, Bounds()) == [
-        Breach("ROUTE", ran.at_s, f"try {ran.try_id} ran at service {SERVICE}") for ran in book.of(RequestRan)
+    event_log = EventLog()
+    assert asyncio.run(play_on_loopback(event_log)) == [True, True]
+    assert len(event_log.of(RequestRan)) == 2
+    assert [event.number for event in event_log.of(AttemptEnded)[1].events] == list(range(1, 11))
+    assert [line.state for line in event_log.of(HeartbeatAnswered)] == ["closing", "gone"]
+    assert judge(event_log, Bounds()) == [
+        Breach("ROUTE", ran.at_s, f"try {ran.attempt_id} ran at service {SERVICE}")
+        for ran in event_log.of(RequestRan)
     ]  # no configuration was ever sent
 
 
@@ -71,18 +72,18 @@
 
 def test_a_day_is_good_only_if_it_was_played_served_and_broke_nothing() -> None:
     breach = Breach("TWICE", 1.0, "a try ran twice")
-    assert TryResult(True, (), {"review": SERVED}, Book()).exit_code == 0
-    assert TryResult(True, (breach,), {"review": SERVED}, Book()).exit_code == BROKEN
-    assert TryResult(True, (), {}, Book()).exit_code == BROKEN
-    assert TryResult(False, (), {"review": SERVED}, Book()).exit_code == BROKEN
+    assert LocalDayResult(True, (), {"review": SERVED}, EventLog()).exit_code == 0
+    assert LocalDayResult(True, (breach,), {"review": SERVED}, EventLog()).exit_code == BROKEN
+    assert LocalDayResult(True, (), {}, EventLog()).exit_code == BROKEN
+    assert LocalDayResult(False, (), {"review": SERVED}, EventLog()).exit_code == BROKEN
 
 
 def test_the_summary_names_figures_and_broken_rules() -> None:
     breach = Breach("TWICE", 1.0, "a try ran twice")
-    good = "\n".join(summary(TryResult(True, (), {"review": SERVED}, Book())))
+    good = "\n".join(summary(LocalDayResult(True, (), {"review": SERVED}, EventLog())))
     assert "no rule was broken" in good
     assert ["review", "10", "9", "8", "100", "200"] in [line.split() for line in good.splitlines()]
-    bad = "\n".join(summary(TryResult(True, (breach,), {"review": SERVED}, Book())))
+    bad = "\n".join(summary(LocalDayResult(True, (breach,), {"review": SERVED}, EventLog())))
     assert "rule broken: TWICE at 1.000 s: a try ran twice" in bad
     assert "no rule" not in bad
-    assert "not played" in "\n".join(summary(TryResult(False, (), {}, Book())))
+    assert "not played" in "\n".join(summary(LocalDayResult(False, (), {}, EventLog())))
--- a/tests/serving/simulation/test_reading_back.py
+++ b/tests/serving/simulation/test_reading_back.py
@@ -10,7 +10,7 @@
 
 from coveport.http1 import write_request
 from coveport.serving.simulation.deployment import Deployment
-from coveport.serving.simulation.faults import Troubles
+from coveport.serving.simulation.faults import FaultInjector
 from coveport.serving.simulation.machines import Machine
 from coveport.serving.simulation.operator import read_edition
 from coveport.serving.simulation.registration import call_following
@@ -24,18 +24,18 @@
 CALL_S = 1.0
 
 
-def all_processes_killed(day: SimulatedDeployment, troubles: Troubles) -> None:
+def all_processes_killed(day: SimulatedDeployment, faults: FaultInjector) -> None:
     for machine in (*day.coordinators, *day.proxies):
-        troubles.kill(END_S, machine, DOWN_S)
+        faults.kill(END_S, machine, DOWN_S)
 
 
-def all_power_lost(day: SimulatedDeployment, troubles: Troubles) -> None:
+def all_power_lost(day: SimulatedDeployment, faults: FaultInjector) -> None:
     for machine in (*day.coordinators, *day.proxies):
-        troubles.lose_power(END_S, machine, DOWN_S)
+        faults.lose_power(END_S, machine, DOWN_S)
 
 
-def a_disk_lost_while_all_others_lose_power(day: SimulatedDeployment, troubles: Troubles) -> None:
-    troubles.end_with_lost_disks(END_S, [day.coordinators[0]], DOWN_S)
+def a_disk_lost_while_all_others_lose_power(day: SimulatedDeployment, faults: FaultInjector) -> None:
+    faults.end_with_lost_disks(END_S, [day.coordinators[0]], DOWN_S)
 
 
 @dataclass
@@ -68,12 +68,12 @@
 )
 @pytest.mark.parametrize("seed", [1, 2])
 def test_every_coordinator_answers_the_newest_again_and_again(
-    end: Callable[[SimulatedDeployment, Troubles], None], seed: int
+    end: Callable[[SimulatedDeployment, FaultInjector], None], seed: int
 ) -> None:
     day = SimulatedDeployment(Deployment(), seed)
-    troubles = Troubles(day)
-    troubles.add_route(CHANGE_S, "added")
-    end(day, troubles)
+    faults = FaultInjector(day)
+    faults.add_route(CHANGE_S, "added")
+    end(day, faults)
     in_touch_s = day.deployment.bounds.in_touch_ms / 1000
     asked_for_s = 2.0 * in_touch_s
     began_s = day.traffic_from_s + END_S + DOWN_S
--- a/tests/serving/simulation/test_recorded_days.py
+++ b/tests/serving/simulation/test_recorded_days.py
@@ -8,16 +8,16 @@
 
 from coveport.serving.simulation.deployment import Deployment
 from coveport.serving.simulation.events import (
-    NodeCold,
+    AttemptEnded,
+    AttemptStarted,
     NodeStarted,
     Order,
     OrderEnded,
-    OrderSent,
-    TryEnded,
-    TrySent,
+    OrderStarted,
     Verdict,
+    WarmUpBegan,
 )
-from coveport.serving.simulation.faults import Troubles
+from coveport.serving.simulation.faults import FaultInjector
 from coveport.serving.simulation.world import DayResult, SimulatedDeployment
 
 POWER_LOST_S = 14.0  # everywhere
@@ -30,45 +30,45 @@
 ACK_S = 5.0  # the operators' bound for an acknowledgement
 
 
-def lose_all_power(day: SimulatedDeployment, troubles: Troubles) -> None:
+def lose_all_power(day: SimulatedDeployment, faults: FaultInjector) -> None:
     """The end of both days, right after a change was acknowledged."""
-    troubles.add_route(POWER_LOST_S - 0.2, "last")
+    faults.add_route(POWER_LOST_S - 0.2, "last")
     for machine in (*day.coordinators, *day.proxies):
-        troubles.lose_power(POWER_LOST_S, machine, for_s=POWER_BACK_S - POWER_LOST_S)
+        faults.lose_power(POWER_LOST_S, machine, for_s=POWER_BACK_S - POWER_LOST_S)
 
 
-def frozen_primary_and_a_cold_zone(day: SimulatedDeployment, troubles: Troubles) -> None:
+def frozen_primary_and_a_cold_zone(day: SimulatedDeployment, faults: FaultInjector) -> None:
     """pnc-coveport: proxies stopped in turn, races, the primary stands still, a region loses its node."""
-    troubles.roll(0.5, day.proxies[:2], gap_s=0.5)
-    troubles.race(1.0)
-    troubles.race(2.0)
-    troubles.crash_node(4.0, day.nodes[4], for_s=4.0)
-    troubles.freeze(FROZEN_S, day.coordinators[0], for_s=3.3)
-    troubles.add_route(5.5, "while-frozen")
-    troubles.race(8.35)  # just when it is back
-    troubles.close_node(9.5, day.nodes[0])
-    lose_all_power(day, troubles)
-
-
-def evacuated_zone_that_goes_down(day: SimulatedDeployment, troubles: Troubles) -> None:
+    faults.roll(0.5, day.proxies[:2], gap_s=0.5)
+    faults.race(1.0)
+    faults.race(2.0)
+    faults.crash_node(4.0, day.nodes[4], for_s=4.0)
+    faults.freeze(FROZEN_S, day.coordinators[0], for_s=3.3)
+    faults.add_route(5.5, "while-frozen")
+    faults.race(8.35)  # just when it is back
+    faults.close_node(9.5, day.nodes[0])
+    lose_all_power(day, faults)
+
+
+def evacuated_zone_that_goes_down(day: SimulatedDeployment, faults: FaultInjector) -> None:
     """whda-coveport: the primary dies at an order's acknowledgement, the zone just taken back goes down."""
-    troubles.evacuate(0.5, "gijon", for_s=4.0)
-    troubles.add_route(1.0, "added")
-    troubles.kill(KILLED_S, day.coordinators[0], for_s=1.0)  # the order to take back is on its way
+    faults.evacuate(0.5, "gijon", for_s=4.0)
+    faults.add_route(1.0, "added")
+    faults.kill(KILLED_S, day.coordinators[0], for_s=1.0)  # the order to take back is on its way
     for node in day.nodes[2:4]:
-        troubles.crash_node(5.0, node, for_s=4.0)
-    troubles.race(6.0)
-    troubles.crash_node(8.0, day.nodes[0], for_s=3.0)
-    lose_all_power(day, troubles)
+        faults.crash_node(5.0, node, for_s=4.0)
+    faults.race(6.0)
+    faults.crash_node(8.0, day.nodes[0], for_s=3.0)
+    lose_all_power(day, faults)
 
 
-Day = Callable[[SimulatedDeployment, Troubles], None]
+Day = Callable[[SimulatedDeployment, FaultInjector], None]
 
 
 def play(day: Day, seed: int) -> tuple[SimulatedDeployment, DayResult]:
     """A recorded day; no rule may be broken."""
     played = SimulatedDeployment(Deployment(proxies=(2, 1, 1)), seed)
-    day(played, Troubles(played))
+    day(played, FaultInjector(played))
     result = played.play(LENGTH_S)
     assert list(result.problems) == []
     assert [str(one) for one in result.breaches] == []
@@ -80,12 +80,14 @@
 ) -> float:
     """Share of the requests that were first asked then and had a whole success in the end."""
     start_s = day.traffic_from_s
-    tries = {one.try_id: one for one in result.book.of(TrySent) if one.kind in kinds.split()}
-    asked = {one.request for one in tries.values() if from_s <= one.first_sent_s - start_s < until_s}
+    attempts = {
+        one.attempt_id: one for one in result.event_log.of(AttemptStarted) if one.kind in kinds.split()
+    }
+    asked = {one.request for one in attempts.values() if from_s <= one.request_started_s - start_s < until_s}
     served = {
-        tries[one.try_id].request
-        for one in result.book.of(TryEnded)
-        if one.try_id in tries and one.status == 200 and one.ending.value == "complete"
+        attempts[one.attempt_id].request
+        for one in result.event_log.of(AttemptEnded)
+        if one.attempt_id in attempts and one.status == 200 and one.ending.value == "complete"
     }
     return len(asked & served) / len(asked)
 
@@ -101,10 +103,12 @@
     return min(times)
 
 
-def changes(result: DayResult) -> list[tuple[OrderSent, OrderEnded]]:
+def changes(result: DayResult) -> list[tuple[OrderStarted, OrderEnded]]:
     """Every change of the configuration or of a zone, with its end."""
-    ended = {one.number: one for one in result.book.of(OrderEnded)}
-    return [(one, ended[one.number]) for one in result.book.of(OrderSent) if one.order is not Order.READ]
+    ended = {one.number: one for one in result.event_log.of(OrderEnded)}
+    return [
+        (one, ended[one.number]) for one in result.event_log.of(OrderStarted) if one.order is not Order.READ
+    ]
 
 
 def assert_changes_answered(result: DayResult) -> None:
@@ -113,7 +117,9 @@
         assert ended.verdict is not Verdict.UNCLEAR, sent
         assert ended.at_s - sent.at_s < ACK_S, sent
     acknowledged = [sent.edition for sent, ended in changes(result) if ended.verdict is Verdict.ACKNOWLEDGED]
-    read = [one for one in result.book.of(OrderEnded) if one.edition and not _is_change(result, one.number)]
+    read = [
+        one for one in result.event_log.of(OrderEnded) if one.edition and not _is_change(result, one.number)
+    ]
     assert [one.edition for one in read] == [max(acknowledged)]
 
 
@@ -138,8 +144,8 @@
     taken_back = [ended for sent, ended in changes(result) if sent.order is Order.TAKE_BACK]
     assert led_from_s(day, 2) - KILLED_S < TAKEN_OVER_S
     assert [one.verdict for one in taken_back] == [Verdict.ACKNOWLEDGED]
-    assert len(result.book.of(NodeStarted)) == 5 + 3
-    assert len(result.book.of(NodeCold)) >= 3  # and FAILBACK held
+    assert len(result.event_log.of(NodeStarted)) == 5 + 3
+    assert len(result.event_log.of(WarmUpBegan)) >= 3  # and FAILBACK held
     # Reviews go on at another node; an offer that ran on a lost node can't be repeated.
     assert served_between(day, result, 0.0, 11.0, "review") == 1.0
     assert served_between(day, result, 0.0, 11.0, "offer") > 0.8
--- a/tests/serving/simulation/test_simulate.py
+++ b/tests/serving/simulation/test_simulate.py
@@ -7,11 +7,11 @@
 import pytest
 
 from coveport.serving.simulation import simulate
-from coveport.serving.simulation.events import Book
+from coveport.serving.simulation.events import EventLog
 from coveport.serving.simulation.history import Breach
 from coveport.serving.simulation.world import DayResult
 
-GOOD = DayResult(Book(), (), {}, (), "trace")
+GOOD = DayResult(EventLog(), (), {}, (), "trace")
 BROKEN = replace(GOOD, breaches=(Breach("EVAC", 2.0, "node i-1 in zone hall-a"),))
 FAULTY = replace(GOOD, problems=("proxy-1: a task failed: KeyError()",))
 
--- a/tests/serving/simulation/test_stand_ins.py
+++ b/tests/serving/simulation/test_stand_ins.py
@@ -5,21 +5,21 @@
 from dataclasses import replace
 
 import pytest
-from stub_core import KIND, UNSAFE_KIND, Town, configuration
+from stub_core import KIND, UNSAFE_KIND, StubDeployment, configuration
 
 from coveport.serving.settings.boot import Bounds
-from coveport.serving.simulation.documents import configuration_document, document_digest, route_places
+from coveport.serving.simulation.documents import configuration_document, document_digest, judged_routes
 from coveport.serving.simulation.engine import EngineFigures
 from coveport.serving.simulation.events import (
+    AttemptEnded,
+    AttemptStarted,
     Ending,
     NodeEnded,
     Order,
-    OrderSent,
+    OrderStarted,
     RequestArrived,
     RequestRan,
-    RequestTurnedAway,
-    TryEnded,
-    TrySent,
+    RequestRejected,
 )
 from coveport.serving.simulation.figures import Objective, figures
 from coveport.serving.simulation.judge import judge
@@ -27,110 +27,115 @@
 BOUNDS = Bounds(retry_slack=5.0)
 
 
-def allow(town: Town) -> None:
+def allow(deployment: StubDeployment) -> None:
     """Let the judge know the routes."""
     made = configuration()
     found = document_digest(configuration_document(made))
-    town.book.write(OrderSent(town.world.now, 1, Order.PUT, 1, 0, True, route_places(made.routes), found))
+    deployment.event_log.write(
+        OrderStarted(deployment.world.now, 1, Order.PUT, 1, 0, True, judged_routes(made.routes), found)
+    )
 
 
 def test_a_calm_hour_of_clients_and_nodes_breaks_nothing() -> None:
-    town = Town()
-    allow(town)
+    deployment = StubDeployment()
+    allow(deployment)
     for number in range(3):
-        town.node(number + 1)
-    asked = [town.ask(town.client(number), kind, 20) for number, kind in enumerate((KIND, UNSAFE_KIND) * 3)]
-    town.run(60.0)
+        deployment.node(number + 1)
+    asked = [
+        deployment.send_requests(deployment.client(number), kind, 20)
+        for number, kind in enumerate((KIND, UNSAFE_KIND) * 3)
+    ]
+    deployment.run(60.0)
     assert [sum(one) for one in asked] == [20] * 6
-    assert judge(town.book, BOUNDS) == []
-    of = figures(town.book, {"review": Objective(0.8, 0.4), "offer": Objective(1.0, 0.4)})
-    assert of["review"].asked == of["review"].in_time == 60
+    assert judge(deployment.event_log, BOUNDS) == []
+    of = figures(deployment.event_log, {"review": Objective(0.8, 0.4), "offer": Objective(1.0, 0.4)})
+    assert of["review"].requests == of["review"].in_time == 60
     assert 0 < of["review"].first_event_ms[0] < 200
 
 
 def test_an_answer_is_a_stream_of_all_events() -> None:
-    town = Town()
-    town.node(1)
-    assert_served = town.ask(town.client())
-    town.run(5.0)
-    line = town.book.of(TryEnded)[0]
+    deployment = StubDeployment()
+    deployment.node(1)
+    assert_served = deployment.send_requests(deployment.client())
+    deployment.run(5.0)
+    line = deployment.event_log.of(AttemptEnded)[0]
     assert assert_served == [True]
     assert [event.number for event in line.events] == list(range(1, 11))
-    assert line.stamp and line.answered_id == line.try_id
+    assert line.stamp and line.answered_id == line.attempt_id
     assert line.first_event_s < line.at_s
 
 
 def test_kept_connections_are_used_again_and_others_are_not() -> None:
     for keeps, most in ((True, 1), (False, 5)):
-        town = Town()
-        town.node(1)
-        before = town.network.connections
-        town.ask(town.client(keeps_connections=keeps), times=5)
-        town.run(1.5)
-        assert len(town.book.of(TrySent)) == 5
+        deployment = StubDeployment()
+        deployment.node(1)
+        before = deployment.network.connections
+        deployment.send_requests(deployment.client(keeps_connections=keeps), times=5)
+        deployment.run(1.5)
+        assert len(deployment.event_log.of(AttemptStarted)) == 5
         # One lookup beside: its answer holds for two seconds.
-        assert town.network.connections - before - 1 == most
+        assert deployment.network.connections - before - 1 == most
 
 
 def test_a_broken_stream_is_resumed_where_it_may_be() -> None:
-    town = Town(seed=3)
-    allow(town)
-    nodes = [town.node(1), town.node(2)]
-    nodes[0].faults.break_off_share = 1.0
-    client = town.client(keeps_connections=False)
-    served = town.ask(client, replace(KIND, retries=3), times=10)
-    town.run(60.0)
+    deployment = StubDeployment(seed=3)
+    allow(deployment)
+    nodes = [deployment.node(1), deployment.node(2)]
+    nodes[0].faults.break_off_probability = 1.0
+    client = deployment.client(keeps_connections=False)
+    served = deployment.send_requests(client, replace(KIND, retries=3), times=10)
+    deployment.run(60.0)
     assert all(served)
-    resumed = [line for line in town.book.of(TrySent) if line.resumes_after]
-    broken = [line for line in town.book.of(TryEnded) if line.ending is Ending.BROKEN]
+    resumed = [line for line in deployment.event_log.of(AttemptStarted) if line.resumes_after]
+    broken = [line for line in deployment.event_log.of(AttemptEnded) if line.ending is Ending.BROKEN]
     assert broken
     assert resumed
     assert len(resumed) <= len(broken)
-    assert [one for one in judge(town.book, BOUNDS) if one.rule not in ("BUDGET",)] == []
+    assert [one for one in judge(deployment.event_log, BOUNDS) if one.rule not in ("BUDGET",)] == []
 
 
 def test_what_may_run_once_is_not_tried_again_after_a_break() -> None:
-    town = Town()
-    town.node(1).faults.break_off_share = 1.0
-    served = town.ask(town.client(), UNSAFE_KIND)
-    town.run(10.0)
+    deployment = StubDeployment()
+    deployment.node(1).faults.break_off_probability = 1.0
+    served = deployment.send_requests(deployment.client(), UNSAFE_KIND)
+    deployment.run(10.0)
     assert served == [False]
-    assert len(town.book.of(TrySent)) == 1
+    assert len(deployment.event_log.of(AttemptStarted)) == 1
 
 
 def test_a_refusal_promises_and_is_tried_again_after_the_wait() -> None:
-    town = Town()
-    town.node(1).faults.refuse_share = 1.0
-    served = town.ask(town.client(), UNSAFE_KIND)
-    town.run(10.0)
-    sent = town.book.of(TrySent)
+    deployment = StubDeployment()
+    deployment.node(1).faults.refuse_probability = 1.0
+    served = deployment.send_requests(deployment.client(), UNSAFE_KIND)
+    deployment.run(10.0)
+    sent = deployment.event_log.of(AttemptStarted)
     assert served == [False]
     assert len(sent) == 2
-    assert sent[0].try_id != sent[1].try_id
+    assert sent[0].attempt_id != sent[1].attempt_id
     assert sent[1].at_s - sent[0].at_s >= 0.2
-    assert not town.book.of(RequestRan)
+    assert not deployment.event_log.of(RequestRan)
 
 
 def test_a_full_node_refuses_and_says_that_it_has_not_run() -> None:
-    town = Town()
-    town.node(1, engine=EngineFigures(slots=1, queue=1))
+    deployment = StubDeployment()
+    deployment.node(1, engine=EngineFigures(slots=1, queue=1))
     for number in range(4):
-        town.ask(town.client(number), replace(KIND, answer_tokens=500, retries=0))
-    town.run(10.0)
-    away = town.book.of(RequestTurnedAway)
+        deployment.send_requests(deployment.client(number), replace(KIND, answer_tokens=500, retries=0))
+    deployment.run(10.0)
+    away = deployment.event_log.of(RequestRejected)
     assert [one.status for one in away] == [503, 503]
-    assert len(town.book.of(RequestRan)) == 2
+    assert len(deployment.event_log.of(RequestRan)) == 2
 
 
 def test_another_incarnation_at_the_address_refuses_with_421() -> None:
     from coveport.http1 import write_request
-    from coveport.serving.simulation.exchange import WholeAnswer, call
+    from coveport.serving.simulation.exchange import CompleteAnswer, call
 
-    town = Town()
-    node = town.node(1)
-    client = town.client()
+    deployment = StubDeployment()
+    node = deployment.node(1)
+    client = deployment.client()
     net = client.__dict__["_net"]
-    found: list[WholeAnswer | None] = []
+    found: list[CompleteAnswer | None] = []
     headers = [("Host", "a"), ("Coveport-Try-Id", "x"), ("Coveport-Tokens", "5,5")]
 
     async def work() -> None:
@@ -138,52 +143,52 @@
             request = write_request("POST", "/r/", [*headers, ("Coveport-Addressee", named)], b"b")
             found.append(await call(net, ("10.0.0.1", 8080), request, 1.0))
 
-    town.run(0.1)
-    town.run_in(client, work)
-    town.run(2.0)
+    deployment.run(0.1)
+    deployment.run_in(client, work)
+    deployment.run(2.0)
     statuses = [one.status for one in found if one is not None]
     assert statuses == [421, 200]
     assert found[0] is not None and "coveport-not-run" in found[0].headers
 
 
 def test_a_dark_node_says_nothing_and_clients_go_elsewhere_in_time() -> None:
-    town = Town()
-    town.node(1).turn_dark(True)
-    town.node(2)
-    served = town.ask(town.client(), replace(KIND, deadline_s=20.0), times=8)
-    town.run(120.0)
-    abandoned = [one for one in town.book.of(TryEnded) if one.ending is Ending.ABANDONED]
-    sent = {one.try_id: one for one in town.book.of(TrySent)}
+    deployment = StubDeployment()
+    deployment.node(1).set_unresponsive(True)
+    deployment.node(2)
+    served = deployment.send_requests(deployment.client(), replace(KIND, deadline_s=20.0), times=8)
+    deployment.run(120.0)
+    abandoned = [one for one in deployment.event_log.of(AttemptEnded) if one.ending is Ending.ABANDONED]
+    sent = {one.attempt_id: one for one in deployment.event_log.of(AttemptStarted)}
     assert abandoned
     assert True in served
-    assert all(one.at_s - sent[one.try_id].at_s == pytest.approx(3.2) for one in abandoned)
+    assert all(one.at_s - sent[one.attempt_id].at_s == pytest.approx(3.2) for one in abandoned)
 
 
 def test_a_cold_node_falls_over_above_what_it_bears() -> None:
-    town = Town()
-    node = town.node(1, cold_s=10.0, warm_up_rate=5.0, falls_over_above=12.0)
+    deployment = StubDeployment()
+    node = deployment.node(1, warm_up_s=10.0, warm_up_rate=5.0, falls_over_above=12.0)
     for number in range(14):
-        town.ask(town.client(number), replace(KIND, retries=0))
-    town.run(3.0)
+        deployment.send_requests(deployment.client(number), replace(KIND, retries=0))
+    deployment.run(3.0)
     assert node.ended
-    assert [one.planned for one in town.book.of(NodeEnded)] == [False]
+    assert [one.planned for one in deployment.event_log.of(NodeEnded)] == [False]
     assert [
         one.rule
-        for one in judge(town.book, Bounds(warm_up_overshoot=1.5, warm_up_slack=4.0))
+        for one in judge(deployment.event_log, Bounds(warm_up_overshoot=1.5, warm_up_slack=4.0))
         if one.rule == "FAILBACK"
     ] == ["FAILBACK"]
-    assert len(town.book.of(RequestArrived)) == 13
+    assert len(deployment.event_log.of(RequestArrived)) == 13
 
 
 def test_the_same_seed_gives_the_same_day() -> None:
     def play(seed: int) -> str:
-        town = Town(seed)
-        town.node(1)
-        town.node(2).faults.break_off_share = 0.3
+        deployment = StubDeployment(seed)
+        deployment.node(1)
+        deployment.node(2).faults.break_off_probability = 0.3
         for number in range(3):
-            town.ask(town.client(number), times=5)
-        town.run(30.0)
-        return town.network.trace
+            deployment.send_requests(deployment.client(number), times=5)
+        deployment.run(30.0)
+        return deployment.network.trace
 
     assert play(5) == play(5)
     assert play(5) != play(6)
