--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -87,13 +87,13 @@
                 Path(folder), instances, settings={"young_s": young_s, "loop": 50}
             ) as one:
                 calls: list[float] = []
-                answer = one.town.discovery.stand._answer
+                answer = one.town.discovery.server._respond
 
                 async def counted(request, answer=answer, calls=calls):  # type: ignore[no-untyped-def]
                     calls.append(time.monotonic())
                     return await answer(request)
 
-                one.town.discovery.stand._answer = counted
+                one.town.discovery.server._respond = counted
                 one.supervise()
                 await one.all_serve()
                 await asyncio.sleep(7.0)  # each has kept what it knows
--- a/coveport/testbed/check/explore.py
+++ b/coveport/testbed/check/explore.py
@@ -15,6 +15,7 @@
 from coveport.balancing import Balancer
 from coveport.sidecar.reducer.reducer import Reducer
 from coveport.testbed.check.chance import Chooser, watched
+from coveport.testbed.check.counterexample import Counterexample
 from coveport.testbed.check.play import Play
 from coveport.testbed.check.replay import replay
 from coveport.testbed.check.rules import Breach
@@ -25,15 +26,6 @@
 TELL_EVERY = 1000  # states
 
 
-@dataclass(frozen=True, slots=True)
-class Found:
-    """A broken rule, and a shortest path to it."""
-
-    breach: Breach
-    path: tuple[tuple[float, Move], ...]  # ms since the world began
-    draws: tuple[float, ...]  # what the module's chance gave on it, each in [0, 1)
-
-
 @dataclass(frozen=True, slots=True)
 class Report:
     """What came of a check."""
@@ -44,7 +36,7 @@
     depth: int  # moves on the longest of the shortest paths to a state
     most_timers: int  # of the module, that waited together in any state
     whole: bool  # False: it was stopped at so many states, and there are more
-    found: tuple[Found, ...]  # one for each rule broken
+    found: tuple[Counterexample, ...]  # one for each rule broken
     doubts: int = 0  # states from which something else followed than from others with the same key
     seconds: float = 0.0  # by the clock given
 
@@ -115,18 +107,21 @@
     )
 
 
-def _shortened(world: World, found: Found, reducer: type[Reducer], balancer: type[Balancer]) -> Found:
-    """The same with each move left out that can be."""
-    length = len(found.path) + 1
-    while len(found.path) < length:
-        length = len(found.path)
-        for place in reversed(range(length)):
-            less = replace(found, path=(*found.path[:place], *found.path[place + 1 :]))
-            for breach in replay(world, less.path, less.draws, reducer=reducer, balancer=balancer):
-                if breach.rule == found.breach.rule:
-                    found = replace(less, breach=breach)
+def _shortened(
+    world: World, counterexample: Counterexample, reducer: type[Reducer], balancer: type[Balancer]
+) -> Counterexample:
+    """Return the counterexample without each move that it does not need."""
+    shortest = counterexample
+    length = len(shortest.path) + 1
+    while len(shortest.path) < length:
+        length = len(shortest.path)
+        for index in reversed(range(length)):
+            shorter = replace(shortest, path=(*shortest.path[:index], *shortest.path[index + 1 :]))
+            for breach in replay(world, shorter.path, shorter.draws, reducer=reducer, balancer=balancer):
+                if breach.rule == shortest.breach.rule:
+                    shortest = replace(shorter, breach=breach)
                     break
-    return found
+    return shortest
 
 
 class _Search:
@@ -151,7 +146,7 @@
         self._parents, self.edges = array("l"), list[bytes]()
         self.waiting: deque[_State] = deque()
         self._random = None if seed is None else Random(seed)
-        self.found: dict[str, Found] = {}
+        self.found: dict[str, Counterexample] = {}
         self.paths = self.depth = self.most_timers = self.doubts = 0
 
     def run(self, most_states: int, audit: bool, sought: Collection[str] = ()) -> None:
@@ -236,7 +231,7 @@
             parent = self._parents[parent]
         path, draws = self._again(chain[::-1] if edge else [])
         for breach in new:
-            self.found.setdefault(breach.rule, Found(breach, path, draws))
+            self.found.setdefault(breach.rule, Counterexample(breach, path, draws))
 
     def _again(self, chain: list[bytes]) -> tuple[tuple[tuple[float, Move], ...], tuple[float, ...]]:
         """Go a path once more from the start; its moves, and what chance gave."""
--- a/coveport/testbed/fault_injection/environment.py
+++ b/coveport/testbed/fault_injection/environment.py
@@ -1,75 +1,17 @@
-"""What stands around the instances of a trial: discovery, ledger nodes with books, and tills."""
+"""Run what surrounds the instances of a trial: discovery, ledger nodes and clients."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import time
-from collections.abc import Awaitable, Callable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-Answer = tuple[int, bytes]
-
-
-@dataclass(frozen=True, slots=True)
-class Request:
-    """A request as a stand-in reads it."""
-
-    method: str
-    target: str
-    headers: Mapping[str, str]  # names in small letters
-    body: bytes
-
-
-class Stand:
-    """An HTTP/1.1 server for one stand-in."""
-
-    def __init__(self, answer: Callable[[Request], Awaitable[Answer]]) -> None:
-        self._answer = answer
-        self.port = 0
-        self._server: asyncio.Server | None = None
-        self._writers: set[asyncio.StreamWriter] = set()
-
-    async def start(self) -> None:
-        """Listen, at the same port as before where there was one."""
-        self._server = await asyncio.start_server(self._came, "127.0.0.1", self.port)
-        self.port = self._server.sockets[0].getsockname()[1]
-
-    def stop(self) -> None:
-        """Be gone, with all connections."""
-        if self._server is not None:
-            self._server.close()
-            self._server = None
-        for writer in list(self._writers):
-            writer.transport.abort()
-
-    async def _came(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._writers.add(writer)
-        try:
-            while True:
-                head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-                method, target, _ = head[0].split(" ", 2)
-                headers = {
-                    name.strip().lower(): value.strip()
-                    for name, _, value in (line.partition(":") for line in head[1:] if line)
-                }
-                body = await reader.readexactly(int(headers.get("content-length", "0")))
-                status, said = await self._answer(Request(method, target, headers, body))
-                writer.write(b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n" % (status, len(said)) + said)
-                await writer.drain()
-        except (
-            OSError,
-            asyncio.IncompleteReadError,
-            asyncio.LimitOverrunError,
-            ValueError,
-            asyncio.CancelledError,
-        ):
-            pass  # its caller went away, or the trial is over
-        finally:
-            self._writers.discard(writer)
-            writer.transport.abort()
+from coveport.testbed.fault_injection.http_stub import HttpStub, Request, Response
+from coveport.testbed.fault_injection.recording_nodes import Cell, LedgerNode
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,9 +33,9 @@
         self.ran: list[Ran] = []
         self.probes = 0
         self.failing = False
-        self.stand = Stand(self._answer)
+        self.server = HttpStub(self._answer)
 
-    async def _answer(self, request: Request) -> Answer:
+    async def _answer(self, request: Request) -> Response:
         path = urlsplit(request.target).path
         if path == "/ping":
             self.probes += 1
@@ -114,7 +56,7 @@
         self.hosts: list[dict[str, object]] = []
         self.seq = 1
         self._changed = asyncio.Event()
-        self.stand = Stand(self._answer)
+        self.server = HttpStub(self._answer)
 
     def tell(self, hosts: list[dict[str, object]]) -> None:
         """Another list."""
@@ -122,7 +64,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def _answer(self, request: Request) -> Answer:
+    async def _answer(self, request: Request) -> Response:
         query = parse_qs(urlsplit(request.target).query)
         after = int(query.get("after", ["0"])[0])
         if after == self.seq:
@@ -156,21 +98,19 @@
         """All of it, up."""
         town = cls([Node(number) for number in range(nodes)])
         for node in town.nodes:
-            await node.stand.start()
-        await town.discovery.stand.start()
+            await node.server.start()
+        await town.discovery.server.start()
         town.list_all()
         return town
 
     @classmethod
     async def start_ledgers(cls, nodes: int, window_s: float) -> Town:
         """The same with ledgers that keep books, two to a cell."""
-        from coveport.testbed.fault_injection.recording_nodes import Cell, LedgerNode
-
         cells = [Cell(window_s) for _ in range((nodes + 1) // 2)]
         town = cls([LedgerNode(number, cells[number // 2], number // 2) for number in range(nodes)])
         for node in town.nodes:
-            await node.stand.start()
-        await town.discovery.stand.start()
+            await node.server.start()
+        await town.discovery.server.start()
         town.list_all()
         return town
 
@@ -178,7 +118,7 @@
         self, ports: Mapping[int, int] | None = None, born_ms: Mapping[int, float] | None = None
     ) -> list[dict[str, object]]:
         """The list; `ports`: by which nodes are reached instead of their own; `born_ms`: of those just up."""
-        at = {node.number: node.stand.port for node in self.nodes} | dict(ports or {})
+        at = {node.number: node.server.port for node in self.nodes} | dict(ports or {})
         return [
             {
                 "host": f"n{node.number}",
@@ -200,8 +140,8 @@
     def stop(self) -> None:
         """Be gone."""
         for node in self.nodes:
-            node.stand.stop()
-        self.discovery.stand.stop()
+            node.server.stop()
+        self.discovery.server.stop()
 
     async def ask(self, instance: int, port: int, number: int, wait_s: float = 1.0) -> int:
         """One operation at an instance; its status, 0 for none."""
--- a/coveport/testbed/fault_injection/fleet/real.py
+++ b/coveport/testbed/fault_injection/fleet/real.py
@@ -108,7 +108,7 @@
             "name": "x",
             "listen": "127.0.0.1:1",
             "seed": "7",
-            "discovery": f"127.0.0.1:{self.town.discovery.stand.port}",
+            "discovery": f"127.0.0.1:{self.town.discovery.server.port}",
             "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256},
             "known": {"seq": 0, "whole": True, "hosts": []},
             "settings": SETTINGS,
--- a/coveport/testbed/fault_injection/real.py
+++ b/coveport/testbed/fault_injection/real.py
@@ -255,15 +255,15 @@
     async def _relay_nodes(self, one: Running) -> None:
         """Links of its own to every node and to discovery."""
         for node in self.town.nodes:
-            one.node_relays[node.number] = await Relay(("127.0.0.1", node.stand.port)).start()
-        await one.discovery.stand.start()
+            one.node_relays[node.number] = await Relay(("127.0.0.1", node.server.port)).start()
+        await one.discovery.server.start()
         one.discovery.tell(self.town.hosts({number: relay.port for number, relay in one.node_relays.items()}))
-        one.discovery_relay = await Relay(("127.0.0.1", one.discovery.stand.port)).start()
+        one.discovery_relay = await Relay(("127.0.0.1", one.discovery.server.port)).start()
 
     def configure(self, one: Running) -> None:
         """Write its files."""
         discovery = (
-            self.town.discovery.stand.port if one.discovery_relay is None else one.discovery_relay.port
+            self.town.discovery.server.port if one.discovery_relay is None else one.discovery_relay.port
         )
         (one.folder / "platform.json").write_text(
             json.dumps(
@@ -507,7 +507,7 @@
                 assert one.process is not None
                 one.process.wait()
                 self._died.append((one.name, boot_s()))
-            one.discovery.stand.stop()
+            one.discovery.server.stop()
             for relay in [
                 *one.relays,
                 *one.node_relays.values(),
--- a/coveport/testbed/fault_injection/recording_nodes.py
+++ b/coveport/testbed/fault_injection/recording_nodes.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from urllib.parse import urlsplit
 
-from coveport.testbed.fault_injection.environment import Answer, Request, Stand
+from coveport.testbed.fault_injection.http_stub import HttpStub, Request, Response
 from coveport.testbed.fault_injection.judge import Finding
 
 CLASSES = {"balance": "safe", "earn": "keyed", "redeem": "unsafe"}
@@ -50,9 +50,9 @@
         self.ran: list[Ran] = []
         self.probes = 0
         self.mute = False  # it runs what comes and says nothing of it
-        self.stand = Stand(self._answer)
+        self.server = HttpStub(self._answer)
 
-    async def _answer(self, request: Request) -> Answer:
+    async def _answer(self, request: Request) -> Response:
         path = urlsplit(request.target).path
         if path == "/ping":
             self.probes += 1
--- a/coveport/testbed/fault_injection/work/broken_variants.py
+++ b/coveport/testbed/fault_injection/work/broken_variants.py
@@ -39,12 +39,7 @@
 from coveport.sidecar.intent_log.takeover import TakeoverAction, TakeoverDecision
 from coveport.sidecar.intent_log.takeover_worker import TakeoverWorker
 from coveport.sidecar.leases.store import Done, Entry, Outcome, Put, Refused, Transaction, Unknown
-
-
-def _plain() -> PayloadCodec:
-    from coveport.testbed.fault_injection.work.sim import Plain
-
-    return Plain()
+from coveport.testbed.fault_injection.work.unencrypted_payloads import UnencryptedPayloads
 
 
 @dataclass(frozen=True)
@@ -59,7 +54,7 @@
     layout: type[RecordLayout] = RecordLayout
     takeover_worker: type[TakeoverWorker] = TakeoverWorker
     sweeper: type[RetentionSweeper] = RetentionSweeper
-    codec: Callable[[], PayloadCodec] = _plain
+    codec: Callable[[], PayloadCodec] = UnencryptedPayloads
     while_played: Callable[[], AbstractContextManager[Any]] = nullcontext
 
 
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -15,7 +15,6 @@
 from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.intent_log.errors import RecordError
 from coveport.sidecar.intent_log.execution import Client
-from coveport.sidecar.intent_log.payloads import PayloadCodec, StoredRequest, StoredResponse
 from coveport.sidecar.intent_log.pending_operation import PendingOperation
 from coveport.sidecar.intent_log.presence import Presence
 from coveport.sidecar.intent_log.record import Record
@@ -132,40 +131,6 @@
     )
 
 
-class Plain(PayloadCodec):
-    """Leaves payloads unencrypted: encryption costs a trial nothing but time."""
-
-    def __init__(self) -> None:
-        super().__init__(None, 65536)
-
-    def encode_request(self, record_id: str, request: StoredRequest) -> bytes:
-        """Return a request as JSON."""
-        return json.dumps(
-            [
-                request.method,
-                request.target,
-                request.body.decode(),
-                request.request_id,
-                request.idempotency_key,
-            ]
-        ).encode()
-
-    def encode_response(self, record_id: str, response: StoredResponse) -> bytes:
-        """Return the body of a response."""
-        return response.body
-
-    def decode_request(self, record_id: str, sealed: bytes) -> StoredRequest | None:
-        """Return a stored request."""
-        if not sealed:
-            return None
-        method, target, body, request_id, key = json.loads(sealed)
-        return StoredRequest(method, target, body.encode(), request_id, key)
-
-    def decode_response(self, record_id: str, sealed: bytes) -> StoredResponse | None:
-        """Return a stored response."""
-        return StoredResponse(sealed) if sealed else None
-
-
 @dataclass
 class _Instance:
     number: int
--- a/tests/sidecar/intent_log/test_processes.py
+++ b/tests/sidecar/intent_log/test_processes.py
@@ -461,7 +461,7 @@
 
 def test_the_nodes_of_a_cell_share_their_keys() -> None:
     """The witness itself: a repeat is one in its cell alone."""
-    from coveport.testbed.fault_injection.environment import Request
+    from coveport.testbed.fault_injection.http_stub import Request
     from coveport.testbed.fault_injection.recording_nodes import Cell
 
     async def asks(node: LedgerNode) -> bool:
--- a/tests/testbed/test_duties_real.py
+++ b/tests/testbed/test_duties_real.py
@@ -170,7 +170,7 @@
         # Each node every half second by one instance; on a busy machine fewer, never several times as many.
         assert all(0 < new - old <= 14 for old, new in zip(before, after, strict=True)), (before, after)
         gone = one.town.nodes[0]
-        gone.stand.stop()
+        gone.server.stop()
         await asyncio.sleep(2.0)
         for instance in one.instances:
             for number in range(6):
