--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -120,7 +120,7 @@
     from coveport.testbed.discrete_event.play import play_day
     from coveport.testbed.drawing import draw
     from coveport.testbed.event_log import NodeIs, Ran
-    from coveport.testbed.scenario import load
+    from coveport.testbed.scenario_file import load
 
     copies, seed, warded = told
     day = draw(load(find("fleet-join"), [f"fleet.sidecars={copies}"]), seed)
--- a/benchmarks/ground_agreement.py
+++ b/benchmarks/ground_agreement.py
@@ -22,7 +22,8 @@
 from coveport.testbed.loopback import GroundError
 from coveport.testbed.outcome import Outcome
 from coveport.testbed.run import play_and_judge
-from coveport.testbed.scenario import Scenario, load
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import load
 
 SOUGHT = 0.05
 SCENARIOS = ("calm", "crash", "slow", "drain-all", "flaky")
--- a/benchmarks/lab_speed.py
+++ b/benchmarks/lab_speed.py
@@ -29,7 +29,8 @@
 from coveport.testbed import measures, oracle
 from coveport.testbed.catalog import find
 from coveport.testbed.drawing import draw
-from coveport.testbed.scenario import Scenario, load
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import load
 from coveport.testbed.simulated_network.play import play_day
 
 LIMIT_S = 300.0  # of wall time for one run
--- a/benchmarks/load_accuracy.py
+++ b/benchmarks/load_accuracy.py
@@ -26,7 +26,8 @@
 from coveport.testbed.oracle import Grace
 from coveport.testbed.oracle import judge as judge_rules
 from coveport.testbed.run import play
-from coveport.testbed.scenario import Scenario, parse
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import parse
 
 SOUGHT_P99_MS = 5.0
 
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -24,7 +24,7 @@
 
 from coveport.testbed.broken import VARIANTS
 from coveport.testbed.catalog import find
-from coveport.testbed.scenario import load
+from coveport.testbed.scenario_file import load
 from coveport.testbed.search.finds import RULE
 from coveport.testbed.search.hunt import look
 from coveport.testbed.search.schedules import draw_schedule
--- a/benchmarks/yardstick.py
+++ b/benchmarks/yardstick.py
@@ -31,7 +31,7 @@
 from benchmarks.common import ROOT, machine, spread, table
 from coveport.testbed.catalog import find
 from coveport.testbed.run import play_and_judge
-from coveport.testbed.scenario import load
+from coveport.testbed.scenario_file import load
 
 LIMIT_S = 120.0  # of wall time for one day of the simulator
 SOUGHT = 0.05  # by so much at most may the service of the calm day differ
--- a/coveport/cli/lab_options.py
+++ b/coveport/cli/lab_options.py
@@ -48,7 +48,7 @@
 
 
 def _expected_errors(ground: str) -> tuple[type[Exception], ...]:
-    from coveport.testbed.scenario import ScenarioError
+    from coveport.testbed.scenario_file import ScenarioError
 
     if ground == "real":
         from coveport.testbed.loopback import GroundError
--- a/coveport/cli/play_day.py
+++ b/coveport/cli/play_day.py
@@ -27,7 +27,7 @@
         from coveport.testbed import explain as explaining
         from coveport.testbed.catalog import find
         from coveport.testbed.run import play
-        from coveport.testbed.scenario import load
+        from coveport.testbed.scenario_file import load
 
         scenario = load(find(day), sets)
         make_parent_folders(json_)
@@ -81,7 +81,7 @@
         from coveport.testbed.outcome import encode
         from coveport.testbed.report import summary_text, write
         from coveport.testbed.run import play_and_judge
-        from coveport.testbed.scenario import load
+        from coveport.testbed.scenario_file import load
 
         path = find(day)
         if is_trial(path):
--- a/coveport/cli/search.py
+++ b/coveport/cli/search.py
@@ -71,7 +71,7 @@
     with usage_errors("virtual", [] if day.startswith("trials/") else [variant]):
         from coveport.testbed.catalog import find
         from coveport.testbed.fault_injection.days import is_trial
-        from coveport.testbed.scenario import load
+        from coveport.testbed.scenario_file import load
         from coveport.testbed.search.hunt import hunt
         from coveport.testbed.sweep import SweepError
 
--- a/coveport/cli/shrink.py
+++ b/coveport/cli/shrink.py
@@ -61,7 +61,7 @@
     """
     with usage_errors("virtual", [variant]):
         from coveport.testbed.catalog import find
-        from coveport.testbed.scenario import load
+        from coveport.testbed.scenario_file import load
         from coveport.testbed.search.shrink import NotShownError
         from coveport.testbed.search.shrink import shrink as smallest
         from coveport.testbed.worker_pool import write_whole
--- a/coveport/serving/simulation/machines.py
+++ b/coveport/serving/simulation/machines.py
@@ -10,7 +10,7 @@
 from coveport.serving.simulation.deployment import MachineSpot
 from coveport.serving.simulation.disk import SimulatedDisk
 from coveport.serving.simulation.topology import PlacedNet, PlacedNetwork, SimulatedProcess, run_in
-from coveport.testbed.simulated_network.wires import Place
+from coveport.testbed.simulated_network.place import Place
 
 RESTART_S: Final = 0.5  # from a process' end to its next start
 
--- a/coveport/serving/simulation/topology.py
+++ b/coveport/serving/simulation/topology.py
@@ -9,13 +9,15 @@
 from typing import TYPE_CHECKING, Final, cast
 
 from coveport.serving.simulation.zones import Delays, Zone
-from coveport.testbed.simulated_network.wires import Network, Place, VirtualNet
+from coveport.testbed.simulated_network.network import Network
+from coveport.testbed.simulated_network.place import Place
+from coveport.testbed.simulated_network.wires import VirtualNet
 from coveport.testbed.simulated_network.world import Process, World
 
 if TYPE_CHECKING:
     from coveport.net.address import Address
     from coveport.testbed.network_model import Ways
-    from coveport.testbed.simulated_network.wires import _Dial
+    from coveport.testbed.simulated_network.network import PendingConnect
 
 JITTER: Final = 0.1  # of every delay
 
@@ -81,11 +83,11 @@
 
     def release(self) -> None:
         """Resume what a partition delayed; unlike in `Network`, a connect waits for both directions."""
-        waiting = [dial for dial in self._dials if self.held(dial.there, dial.here)]
-        for dial in waiting:
-            del self._dials[dial]
+        waiting = [connect for connect in self.pending_connects if self.held(connect.there, connect.here)]
+        for connect in waiting:
+            del self.pending_connects[connect]
         super().release()
-        self._dials.update(dict.fromkeys(waiting))
+        self.pending_connects.update(dict.fromkeys(waiting))
 
     def partition(self, number: int, pairs: Partition) -> None:
         """Block traffic between pairs of addresses until `heal`."""
@@ -100,11 +102,11 @@
 class PlacedNet(VirtualNet):
     """The net of a process; its connects need both directions."""
 
-    def _knock(self, dial: _Dial, address: Address) -> None:
-        if self.network.held(dial.there, dial.here) and not dial.done.done():
-            self.network._dials[dial] = None
+    def _knock(self, connect: PendingConnect, address: Address) -> None:
+        if self.network.held(connect.there, connect.here) and not connect.done.done():
+            self.network.pending_connects[connect] = None
             return
-        super()._knock(dial, address)
+        super()._knock(connect, address)
 
 
 class SimulatedProcess(Process):
--- a/coveport/testbed/catalog.py
+++ b/coveport/testbed/catalog.py
@@ -9,7 +9,7 @@
 import coveport
 from coveport.testbed.fault_injection.days import is_trial
 from coveport.testbed.fault_injection.days import load as trial
-from coveport.testbed.scenario import ScenarioError, load
+from coveport.testbed.scenario_file import ScenarioError, load
 
 
 def folder() -> Path:
--- a/coveport/testbed/fault_injection/days.py
+++ b/coveport/testbed/fault_injection/days.py
@@ -12,7 +12,7 @@
 from coveport.sidecar.config.errors import LeaseTermsError
 from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.testbed.fault_injection.schedules import HOLDER, KINDS, TRAPS, Fault, Trial
-from coveport.testbed.scenario import ScenarioError
+from coveport.testbed.scenario_file import ScenarioError
 
 
 class Told(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/coveport/testbed/fuzz/__init__.py
+++ b/coveport/testbed/fuzz/__init__.py
@@ -28,7 +28,7 @@
         "coveport.net.address",
     ),
     "batches": ("coveport.balancing.simulator_codec",),
-    "scenarios": ("coveport.testbed.scenario", "coveport.testbed.tables"),
+    "scenarios": ("coveport.testbed.scenario", "coveport.testbed.scenario_file", "coveport.testbed.tables"),
     "outcomes": ("coveport.testbed.outcome",),
     "requests-h11": (*HTTP, "h11"),
     "responses-h11": (*HTTP, "h11"),
--- a/coveport/testbed/fuzz/targets.py
+++ b/coveport/testbed/fuzz/targets.py
@@ -29,7 +29,7 @@
 from coveport.sidecar.downstream.operation_reader import read_operation
 from coveport.sidecar.reducer.operation import Operation
 from coveport.sidecar.upstream.http1_messages import encode_request, load_report
-from coveport.testbed import outcome, scenario
+from coveport.testbed import outcome, scenario_file
 from coveport.testbed.fuzz import writers
 
 MOST_BODY = 512  # bytes; less than in service, so that short inputs reach the limit
@@ -401,15 +401,15 @@
         return
     sets = [line.removeprefix(SET) for line in text.splitlines() if line.startswith(SET)]
     try:
-        day = scenario.parse(text, "day", sets)
-    except scenario.ScenarioError as problem:
+        day = scenario_file.parse(text, "day", sets)
+    except scenario_file.ScenarioError as problem:
         said = str(problem)
         must(said.startswith("day: ") and "\n" not in said and said.count(": ") >= 2, "one line", said)
         return
     written = writers.toml(msgspec.to_builtins(day))
     try:
-        again = scenario.parse(written, "day")
-    except scenario.ScenarioError as problem:
+        again = scenario_file.parse(written, "day")
+    except scenario_file.ScenarioError as problem:
         raise BrokenError("written", f"{problem}: {written!r}") from problem
     must(again == day, "stable", written)
 
--- a/coveport/testbed/scenario_checks.py
+++ b/coveport/testbed/scenario_checks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from coveport.testbed.faults import (
     OF_SIDECARS,
@@ -20,12 +20,10 @@
     Upgrade,
     Whom,
 )
+from coveport.testbed.scenario import Scenario
 from coveport.testbed.schema import Fleet, Load
 from coveport.testbed.tables import Figure, Place, one_of, shown
 
-if TYPE_CHECKING:
-    from coveport.testbed.scenario import Scenario
-
 
 def portions(shares: Sequence[float], total: int) -> list[int]:
     """Split `total` by shares (their sum above 0): whole parts first, the rest to the largest remainders."""
--- a/coveport/testbed/search/files.py
+++ b/coveport/testbed/search/files.py
@@ -10,7 +10,8 @@
 from msgspec import NODEFAULT, Struct
 from msgspec.structs import FieldInfo
 
-from coveport.testbed.scenario import Scenario, parse
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import parse
 
 _FIELDS: dict[type[Struct], tuple[FieldInfo, ...]] = {}
 
--- a/coveport/testbed/search/schedules.py
+++ b/coveport/testbed/search/schedules.py
@@ -19,7 +19,8 @@
 from coveport.testbed.drawing import draw
 from coveport.testbed.faults import OF_SIDECARS, OF_STAFF, AnyFault, Restart, Whom
 from coveport.testbed.random_streams import stream
-from coveport.testbed.scenario import Scenario, ScenarioError, nonsense, parse
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import ScenarioError, first_inconsistency, parse
 from coveport.testbed.schema import Expect
 from coveport.testbed.search.aftermath import troubles_of
 from coveport.testbed.search.files import fields, laid, sparse, to_toml
@@ -319,7 +320,7 @@
         except msgspec.ValidationError:
             continue
         tried = msgspec.structs.replace(day, faults=(*before, fault))
-        if not nonsense(tried) and spans_s(tried)[-1][1] <= LAST_S + 6:
+        if not first_inconsistency(tried) and spans_s(tried)[-1][1] <= LAST_S + 6:
             return fault
     return None
 
--- a/coveport/testbed/search/shrink.py
+++ b/coveport/testbed/search/shrink.py
@@ -21,7 +21,8 @@
 from coveport.testbed.fault_schedule import draw_trouble
 from coveport.testbed.faults import OF_SIDECARS, Whom
 from coveport.testbed.fleet import draw_nodes
-from coveport.testbed.scenario import Scenario, ScenarioError, parse
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import ScenarioError, parse
 from coveport.testbed.schema import Expect
 from coveport.testbed.search.aftermath import troubles_of
 from coveport.testbed.search.files import fields, sparse, to_toml
--- a/coveport/testbed/simulated_network/hosts.py
+++ b/coveport/testbed/simulated_network/hosts.py
@@ -6,7 +6,9 @@
 from coveport.net.transport import Net, ProtocolFactory
 from coveport.testbed.backend import Accept
 from coveport.testbed.simulated_network.listening import ListeningSocket
-from coveport.testbed.simulated_network.wires import Network, Place, VirtualNet
+from coveport.testbed.simulated_network.network import Network
+from coveport.testbed.simulated_network.place import Place
+from coveport.testbed.simulated_network.wires import VirtualNet
 from coveport.testbed.simulated_network.world import Process
 
 
--- a/coveport/testbed/simulated_network/listening.py
+++ b/coveport/testbed/simulated_network/listening.py
@@ -6,24 +6,46 @@
 import errno
 from collections import deque
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from coveport.net.address import Address
 from coveport.net.transport import ProtocolFactory
-
-if TYPE_CHECKING:
-    from coveport.testbed.simulated_network.side import Side
-    from coveport.testbed.simulated_network.wires import VirtualNet
+from coveport.testbed.simulated_network.place import Place
+from coveport.testbed.simulated_network.side import Side
+from coveport.testbed.simulated_network.sockets import SocketOwner
+from coveport.testbed.simulated_network.world import World
 
 RETRY_ACCEPT_S = 1.0  # how long asyncio takes no connections after it ran out of descriptors
 
 
+class ListenerOwner(SocketOwner, Protocol):
+    """Describe what a listening socket needs of its process; see `wires.VirtualNet`."""
+
+    @property
+    def world(self) -> World:
+        """Return the world whose clock it runs on."""
+
+    @property
+    def place(self) -> Place:
+        """Return the machine of the process."""
+
+    @property
+    def has_room(self) -> bool:
+        """Return whether there is a file descriptor left."""
+
+    def took(self, side: Side, /) -> None:
+        """Add an accepted connection to those of the process."""
+
+    def stop_listening(self, listener: ListeningSocket, /) -> None:
+        """Remove a listening socket from the process and the network."""
+
+
 class ListeningSocket:
     """A listening socket: what has come and is not accepted yet waits here."""
 
     def __init__(
         self,
-        net: VirtualNet,
+        net: ListenerOwner,
         address: Address,
         factory: ProtocolFactory | None,
         accept: Callable[[int], asyncio.BaseProtocol] | None,
@@ -72,8 +94,7 @@
                 side = self.waiting.popleft()
                 self._took(side)
         self.open = False
-        self.net.network.listens_no_more(self)
-        self.net.listens.remove(self)
+        self.net.stop_listening(self)
         waiting, self.waiting = self.waiting, deque()
         for side in waiting:
             side.refuse()
--- a/coveport/testbed/simulated_network/network.py
+++ b/coveport/testbed/simulated_network/network.py
@@ -2,32 +2,38 @@
 
 from __future__ import annotations
 
+import asyncio
 import errno
 import hashlib
-from typing import TYPE_CHECKING
 
 from coveport.net.address import Address
 from coveport.testbed.network_model import Ways
 from coveport.testbed.simulated_network.harsh import Harsh
+from coveport.testbed.simulated_network.listening import ListeningSocket
+from coveport.testbed.simulated_network.place import Place
+from coveport.testbed.simulated_network.side import Side
+from coveport.testbed.simulated_network.sockets import SimulatedSocket
 from coveport.testbed.simulated_network.world import World
 
-if TYPE_CHECKING:
-    from coveport.testbed.simulated_network.listening import ListeningSocket
-    from coveport.testbed.simulated_network.sockets import SimulatedSocket
-    from coveport.testbed.simulated_network.wires import _Dial
 
+class PendingConnect:
+    """Track a connect until the other machine has answered it."""
 
-class Place:
-    """A machine: an address, a zone, whether it is `far` (see `Network.place`), and if it says anything."""
+    def __init__(self, network: Network, here: Place, there: Place, done: asyncio.Future[None]) -> None:
+        self.network = network
+        self.here = here
+        self.there = there
+        self.done = done
+        self.side: Side | None = None  # our end, once the other machine has answered
+        self.began_s = network.world.now
+        self.retries = 0
+        self.late_s = 0.0  # added to the answer's way back
 
-    __slots__ = ("address", "far", "number", "silent", "zone")
-
-    def __init__(self, address: str, zone: int, number: int = -1, far: bool = False) -> None:
-        self.address = address
-        self.zone = zone
-        self.number = number
-        self.far = far
-        self.silent = False
+    def fail(self, error: OSError) -> None:
+        """End the connect with an error."""
+        self.network.pending_connects.pop(self, None)
+        if not self.done.done():
+            self.done.set_exception(error)
 
 
 class Network:
@@ -42,8 +48,8 @@
         self._beside: dict[Address, list[ListeningSocket]] = {}  # further ones that share an address
         self.places: dict[str, Place] = {}
         self.connections = 0
-        self._held: dict[SimulatedSocket, None] = {}  # sides with something that can't go out for now
-        self._dials: dict[_Dial, None] = {}  # connects that wait for a way
+        self.held_sockets: dict[SimulatedSocket, None] = {}  # with something that can't be sent for now
+        self.pending_connects: dict[PendingConnect, None] = {}  # that wait for an open path
         self._hash = hashlib.blake2b(digest_size=16)
         ways.on_open(self.release)
 
@@ -104,10 +110,10 @@
 
     def release(self) -> None:
         """A way may be open again: what was held goes out, and connects that waited are reset."""
-        for dial in list(self._dials):
-            if not self.held(dial.here, dial.there):
-                dial.lost(ConnectionResetError(errno.ECONNRESET, "the way was shut"))
-        for side in list(self._held):
+        for connect in list(self.pending_connects):
+            if not self.held(connect.here, connect.there):
+                connect.fail(ConnectionResetError(errno.ECONNRESET, "the way was shut"))
+        for side in list(self.held_sockets):
             if not self.held(side.here, side.there):
-                del self._held[side]
+                del self.held_sockets[side]
                 side.flush()
--- a/coveport/testbed/simulated_network/play.py
+++ b/coveport/testbed/simulated_network/play.py
@@ -37,7 +37,8 @@
 from coveport.testbed.playing import Played
 from coveport.testbed.simulated_network.harsh import Harsh
 from coveport.testbed.simulated_network.hosts import VirtualHost
-from coveport.testbed.simulated_network.wires import Network, VirtualNet
+from coveport.testbed.simulated_network.network import Network
+from coveport.testbed.simulated_network.wires import VirtualNet
 from coveport.testbed.simulated_network.world import Process, World
 from coveport.testbed.standins import staff
 from coveport.testbed.standins.clients import Tills
--- a/coveport/testbed/simulated_network/sockets.py
+++ b/coveport/testbed/simulated_network/sockets.py
@@ -5,23 +5,71 @@
 import asyncio
 import errno
 from collections import deque
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from coveport.testbed.simulated_network.harsh import Harsh
-from coveport.testbed.simulated_network.network import Place
-from coveport.testbed.simulated_network.world import Handle
-
-if TYPE_CHECKING:
-    from coveport.testbed.simulated_network.wires import VirtualNet
+from coveport.testbed.simulated_network.place import Place
+from coveport.testbed.simulated_network.world import Handle, Process, World
 
 WINDOW = 256 * 1024  # bytes of one direction that are sent and not read
 END, RESET = object(), object()
 
 
+class SocketNetwork(Protocol):
+    """Describe what a socket needs of the network around it; see `network.Network`."""
+
+    @property
+    def world(self) -> World:
+        """Return the world whose clock it runs on."""
+
+    @property
+    def harsh(self) -> Harsh | None:
+        """Return the draws of a harsh network; None where it is not harsh."""
+
+    @property
+    def start_s(self) -> float:
+        """Return when the day began, in seconds of the world."""
+
+    @property
+    def held_sockets(self) -> dict[SimulatedSocket, None]:
+        """Return the sockets that wait for an open path; a socket adds itself."""
+
+    def held(self, one: Place, other: Place, /) -> bool:
+        """Return whether nothing passes between two machines for now."""
+
+    def delay_s(self, one: Place, other: Place, /) -> float:
+        """Return the delay of the next message between two machines, in seconds."""
+
+    def base_s(self, one: Place, other: Place, /) -> float:
+        """Return the least delay between two machines, in seconds."""
+
+    def note(self, text: bytes, /) -> None:
+        """Add `text` to the trace of all that was exchanged."""
+
+
+class SocketOwner(Protocol):
+    """Describe what a socket needs of the process that holds it; see `wires.VirtualNet`."""
+
+    @property
+    def process(self) -> Process:
+        """Return the process."""
+
+    @property
+    def network(self) -> SocketNetwork:
+        """Return the network that the process is on."""
+
+    @property
+    def read_chunk(self) -> int:
+        """Return the most bytes read at once; 0: all."""
+
+    def gave(self, side: SimulatedSocket, /) -> None:
+        """Forget a socket that was closed."""
+
+
 class SimulatedSocket(asyncio.Transport):
     """One end of a connection as the system keeps it; `side.Side` is the transport on it."""
 
-    def __init__(self, net: VirtualNet, here: Place, there: Place, number: int) -> None:
+    def __init__(self, net: SocketOwner, here: Place, there: Place, number: int) -> None:
         super().__init__()
         self._net = net
         self.network = net.network
@@ -178,7 +226,7 @@
             return
         if self._held or network.held(self.here, self.there):
             self._held.append((what, now, waited))
-            network._held[self] = None
+            network.held_sockets[self] = None
             return
         soonest = at = now + network.delay_s(self.here, self.there)
         if at < self._last_at:
@@ -245,7 +293,7 @@
             # In front of what was sent since: that did not even get under way.
             self.peer._held.insert(self.peer._came_back, (what, handed, waited))
             self.peer._came_back += 1
-            self.network._held[self.peer] = None
+            self.network.held_sockets[self.peer] = None
             return
         if type(what) is bytes:
             self.network.note(b"%.6f %d " % (self.world.now, self.number) + what)
--- a/coveport/testbed/simulated_network/wires.py
+++ b/coveport/testbed/simulated_network/wires.py
@@ -28,36 +28,15 @@
 from coveport.net.address import Address
 from coveport.net.transport import Listening, Net, ProtocolFactory
 from coveport.testbed.simulated_network.listening import ListeningSocket
-from coveport.testbed.simulated_network.network import Network, Place
+from coveport.testbed.simulated_network.network import Network, PendingConnect
+from coveport.testbed.simulated_network.place import Place
 from coveport.testbed.simulated_network.side import Side
-from coveport.testbed.simulated_network.sockets import WINDOW, SimulatedSocket
+from coveport.testbed.simulated_network.sockets import SimulatedSocket
 from coveport.testbed.simulated_network.world import Process
 
-__all__ = ["WINDOW", "Network", "Place", "Side", "VirtualNet"]
-
 AGAIN_S = (1.0, 3.0, 7.0, 15.0, 31.0, 63.0)  # when a connect that is not answered is sent again
 
 
-class _Dial:
-    """A connect on its way."""
-
-    def __init__(self, network: Network, here: Place, there: Place, done: asyncio.Future[None]) -> None:
-        self.network = network
-        self.here = here
-        self.there = there
-        self.done = done
-        self.side: Side | None = None  # our end, once the other machine has answered
-        self.began_s = network.world.now
-        self.tries = 0
-        self.late_s = 0.0  # on the way back, until the answer is there
-
-    def lost(self, problem: OSError) -> None:
-        """It came to nothing."""
-        self.network._dials.pop(self, None)
-        if not self.done.done():
-            self.done.set_exception(problem)
-
-
 class VirtualNet(Net):
     """The outside as one simulated process sees it."""
 
@@ -78,7 +57,7 @@
         self.descriptors = descriptors
         self.read_chunk = read_chunk
         self._sides: dict[SimulatedSocket, None] = {}
-        self._dials = 0  # connects on their way, which hold descriptors too
+        self._connecting = 0  # connects on their way, which hold descriptors too
         self.listens: list[ListeningSocket] = []
         process.at_death.append(self._died)
 
@@ -98,12 +77,12 @@
     @property
     def connecting(self) -> int:
         """Connects that no machine has answered yet."""
-        return self._dials
+        return self._connecting
 
     @property
     def has_room(self) -> bool:
         """Whether there is a descriptor left."""
-        return len(self._sides) + self._dials + len(self.listens) < self.descriptors
+        return len(self._sides) + self._connecting + len(self.listens) < self.descriptors
 
     def took(self, side: Side) -> None:
         """A connection is the process' now."""
@@ -113,6 +92,11 @@
         """A connection is closed."""
         self._sides.pop(side, None)
 
+    def stop_listening(self, listener: ListeningSocket) -> None:
+        """Remove a listening socket from the process and the network."""
+        self.network.listens_no_more(listener)
+        self.listens.remove(listener)
+
     def _died(self) -> None:
         for one in list(self.listens):
             one.close()
@@ -170,85 +154,87 @@
             found.net.place if found is not None else network.places.get(address[0]) or Place(address[0], 0)
         )
         done: asyncio.Future[None] = self.process.create_future()
-        dial = _Dial(network, here, there, done)
+        connect = PendingConnect(network, here, there, done)
         late_s = 0.0
         if network.harsh is not None and there.far:
             late_s, back = network.harsh.late_s()
             if back:
-                dial.late_s, late_s = late_s, 0.0
+                connect.late_s, late_s = late_s, 0.0
         if network.held(here, there):
-            network._dials[dial] = None
+            network.pending_connects[connect] = None
         else:
-            self.world.at(self.world.now + network.delay_s(here, there) + late_s, self._knock, dial, address)
-        self._dials += 1
+            self.world.at(
+                self.world.now + network.delay_s(here, there) + late_s, self._knock, connect, address
+            )
+        self._connecting += 1
         try:
             await done
             # As with asyncio, the protocol has it two turns later: timers that are due are called before.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         except asyncio.CancelledError:
-            network._dials.pop(dial, None)
-            if dial.side is not None:
-                dial.side.give_up(half_open=dial.late_s > 0)
+            network.pending_connects.pop(connect, None)
+            if connect.side is not None:
+                connect.side.give_up(half_open=connect.late_s > 0)
             raise
         finally:
-            if dial.side is None:
-                self._dials -= 1
-        assert dial.side is not None
-        dial.side.begin(factory())
+            if connect.side is None:
+                self._connecting -= 1
+        assert connect.side is not None
+        connect.side.begin(factory())
 
-    def _knock(self, dial: _Dial, address: Address) -> None:
+    def _knock(self, connect: PendingConnect, address: Address) -> None:
         """A connect has reached the machine it is for."""
         network = self.network
-        if dial.done.done() or not self.process.alive:
+        if connect.done.done() or not self.process.alive:
             return
-        if network.held(dial.here, dial.there):
-            network._dials[dial] = None
+        if network.held(connect.here, connect.there):
+            network.pending_connects[connect] = None
             return
         found = network.find(address)
-        back = self.world.now + network.delay_s(dial.there, dial.here) + dial.late_s
+        back = self.world.now + network.delay_s(connect.there, connect.here) + connect.late_s
         if found is None:
             self.world.at(
                 back,
-                dial.lost,
+                connect.fail,
                 ConnectionRefusedError(
                     errno.ECONNREFUSED, f"connect to {address[0]}:{address[1]} was refused"
                 ),
             )
             return
         if found.full:
-            self._knock_again(dial, address)
+            self._knock_again(connect, address)
             return
-        counted = not dial.late_s  # what hangs half open keeps no room
+        counted = not connect.late_s  # what hangs half open keeps no room
         found.coming += counted
         network.connections += 1
-        ours = Side(self, dial.here, dial.there, network.connections * 2)
-        theirs = Side(found.net, dial.there, dial.here, network.connections * 2 + 1)
+        ours = Side(self, connect.here, connect.there, network.connections * 2)
+        theirs = Side(found.net, connect.there, connect.here, network.connections * 2 + 1)
         ours.peer, theirs.peer = theirs, ours
-        dial.side = ours
-        self._dials -= 1
+        connect.side = ours
+        self._connecting -= 1
         self.took(ours)
         # The caller's word that it is up takes one more way; what it sends can't arrive before.
-        theirs_at = back + network.delay_s(dial.here, dial.there)
+        theirs_at = back + network.delay_s(connect.here, connect.there)
         ours._last_at = theirs_at
         theirs._last_at = back
-        self.world.at(back, self._up, dial)
+        self.world.at(back, self._up, connect)
         self.world.at(theirs_at, found.came, theirs, counted)
 
-    def _knock_again(self, dial: _Dial, address: Address) -> None:
+    def _knock_again(self, connect: PendingConnect, address: Address) -> None:
         """The queue was full and the connect was dropped: it is sent again later."""
-        if dial.tries == len(AGAIN_S):
-            dial.lost(TimeoutError(errno.ETIMEDOUT, f"connect to {address[0]}:{address[1]} timed out"))
+        if connect.retries == len(AGAIN_S):
+            connect.fail(TimeoutError(errno.ETIMEDOUT, f"connect to {address[0]}:{address[1]} timed out"))
             return
-        again = dial.began_s + AGAIN_S[dial.tries]
-        dial.tries += 1
-        way_s = self.network.delay_s(dial.here, dial.there)
-        self.world.at(max(again, self.world.now) + way_s, self._knock, dial, address)
-
-    def _up(self, dial: _Dial) -> None:
-        dial.late_s = 0.0
-        if not dial.done.done() and self.process.alive:
-            dial.done.set_result(None)
+        again = connect.began_s + AGAIN_S[connect.retries]
+        connect.retries += 1
+        way_s = self.network.delay_s(connect.here, connect.there)
+        self.world.at(max(again, self.world.now) + way_s, self._knock, connect, address)
+
+    def _up(self, connect: PendingConnect) -> None:
+        connect.late_s = 0.0
+        if not connect.done.done() and self.process.alive:
+            connect.done.set_result(None)
 
     def is_quiet(self, transport: asyncio.Transport) -> bool:
         """Whether nothing has come that we have not read."""
--- a/coveport/testbed/sweep.py
+++ b/coveport/testbed/sweep.py
@@ -287,7 +287,7 @@
     ground: str = "virtual",
 ) -> Plan:
     """Read the scenario at every place of the grid; ScenarioError or OSError where that can't be."""
-    from coveport.testbed.scenario import load
+    from coveport.testbed.scenario_file import load
 
     text = path.read_bytes()
     scenarios = tuple(
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -20,7 +20,7 @@
 
 import coveport.testbed
 from coveport.cli.root import root
-from coveport.testbed import scenario, sweep
+from coveport.testbed import scenario_file, sweep
 
 TOP = Path(__file__).parents[2]
 ENVIRON = {**os.environ, "PYTHONPATH": f"{TOP}{os.pathsep}{TOP / 'tests'}"}
@@ -41,7 +41,7 @@
     """Replace the playing of days; yield its arguments, filled by each call, and its outcome."""
     arguments: dict[str, Any] = {}
     outcome = outcomes.outcome()
-    namespaces = (sys.modules, vars(scenario), vars(coveport.testbed))
+    namespaces = (sys.modules, vars(scenario_file), vars(coveport.testbed))
     before = [(namespace, dict(namespace)) for namespace in namespaces]
     outcomes.stand_in(arguments, outcome)
     monkeypatch.setattr(sweep, "play_day", outcomes.play)
--- a/tests/outcomes.py
+++ b/tests/outcomes.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from coveport.testbed import scenario, sweep
+from coveport.testbed import scenario_file, sweep
 
 BROKEN: dict[str, Any] = {"kept": False, "broken": [{"rule": "ran-twice"}]}
 MISSED: dict[str, Any] = {"expectations": [{"met": False}]}
@@ -89,7 +89,7 @@
             "summary_text": lambda one: f"service {one.service}",
         },
     }
-    vars(scenario).update(load=load, ScenarioError=ScenarioError)
+    vars(scenario_file).update(load=load, ScenarioError=ScenarioError)
     for name, content in parts.items():
         module = sys.modules[f"coveport.testbed.{name}"] = ModuleType(name)
         vars(module).update(content)
--- a/tests/serving/cli/test_core_client.py
+++ b/tests/serving/cli/test_core_client.py
@@ -14,7 +14,8 @@
 from coveport.serving.cli.http_client import HttpRequest
 from coveport.serving.simulation.topology import ZoneDelayModel
 from coveport.serving.simulation.zones import Delays
-from coveport.testbed.simulated_network.wires import Network, VirtualNet
+from coveport.testbed.simulated_network.network import Network
+from coveport.testbed.simulated_network.wires import VirtualNet
 from coveport.testbed.simulated_network.world import Process, World
 
 T = TypeVar("T")
--- a/tests/serving/proxy/proxy_environment.py
+++ b/tests/serving/proxy/proxy_environment.py
@@ -17,7 +17,8 @@
 from coveport.testbed.day import Day
 from coveport.testbed.network_model import CLIENT, Ways
 from coveport.testbed.scenario import Scenario
-from coveport.testbed.simulated_network.wires import Network, VirtualNet
+from coveport.testbed.simulated_network.network import Network
+from coveport.testbed.simulated_network.wires import VirtualNet
 from coveport.testbed.simulated_network.world import Process, World
 
 T = TypeVar("T")
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -29,6 +29,7 @@
 from coveport.testbed.network_model import CLIENT, Ways
 from coveport.testbed.scenario import Scenario
 from coveport.testbed.simulated_network import wires
+from coveport.testbed.simulated_network.network import Network
 from coveport.testbed.simulated_network.world import Process
 from coveport.testbed.simulated_network.world import World as Time
 
@@ -70,7 +71,7 @@
 
     def __init__(self) -> None:
         self.time = Time()
-        self._network = wires.Network(self.time, Ways(DAY))
+        self._network = Network(self.time, Ways(DAY))
         self._place = self._network.place(HOST, CLIENT)
         self.lab = Process.start(self.time, "lab")
         self.net = self.net_of(self.lab)
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from coveport import balancing
-from coveport.testbed import scenario
+from coveport.testbed import scenario, scenario_file
 from coveport.testbed.drawing import draw
 from coveport.testbed.event_log import Answered, Arrived, Asked
 from coveport.testbed.simulated_network.play import play_day
@@ -39,7 +39,7 @@
 
 def named(which: int) -> scenario.Scenario:
     sets = [f'{key}="{names[which]}"' for key, names in NAMES.items()]
-    return scenario.parse(DAY, "names", (*sets, ZONES[which]))
+    return scenario_file.parse(DAY, "names", (*sets, ZONES[which]))
 
 
 def decided(which: int) -> list[tuple[object, ...]]:
--- a/tests/testbed/test_at_size.py
+++ b/tests/testbed/test_at_size.py
@@ -11,7 +11,8 @@
 
 from coveport.testbed import catalog
 from coveport.testbed.run import play_and_judge
-from coveport.testbed.scenario import Scenario, load
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import load
 
 EARLIER_S = 4.0
 
--- a/tests/testbed/test_discrete_event.py
+++ b/tests/testbed/test_discrete_event.py
@@ -8,7 +8,8 @@
 from coveport.balancing import balancer
 from coveport.testbed import catalog, drawing, run
 from coveport.testbed.discrete_event.play import BareError, play_day
-from coveport.testbed.scenario import Scenario, load
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import load
 
 MASS = load(catalog.find("mass-jam"))
 SLICE = replace(MASS, length_s=9.0, faults=(replace(MASS.faults[0], at_s=2.0, for_s=3.0),))
--- a/tests/testbed/test_drawing.py
+++ b/tests/testbed/test_drawing.py
@@ -15,14 +15,14 @@
 from coveport.balancing import simulator_codec
 from coveport.testbed import catalog, drawing
 from coveport.testbed.day import NODE_CHANGES, SIDECAR_CHANGES, Day, sidecar_settings
-from coveport.testbed.scenario import load, parse
+from coveport.testbed.scenario_file import load, parse
 
 WHOLE = """
 import hashlib, msgspec
-from coveport.testbed import catalog, drawing, scenario
+from coveport.testbed import catalog, drawing, scenario_file
 for name in ("crash", "slow+burst", "sidecar-trouble"):
     sets = ["faults.0.whom.share=0.4", "faults.0.whom.count=0"]
-    day = drawing.draw(scenario.load(catalog.find(name), sets), 5)
+    day = drawing.draw(scenario_file.load(catalog.find(name), sets), 5)
     print(hashlib.sha256(msgspec.msgpack.encode(day)).hexdigest())
 """
 
--- a/tests/testbed/test_explain.py
+++ b/tests/testbed/test_explain.py
@@ -9,7 +9,7 @@
 
 from coveport.cli.root import root
 from coveport.testbed import catalog, explain, run
-from coveport.testbed.scenario import load
+from coveport.testbed.scenario_file import load
 
 
 def picture(*sets: str) -> explain.Picture:
--- a/tests/testbed/test_eyes.py
+++ b/tests/testbed/test_eyes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from coveport.testbed import run, scenario
+from coveport.testbed import run, scenario_file
 from coveport.testbed.broken import VARIANTS
 
 TROUBLE = """
@@ -26,7 +26,7 @@
 
 def played(seed: int, variant: str = "", sets: tuple[str, ...] = ()) -> list[str]:
     """The rules broken on a day of trouble."""
-    day = scenario.parse(TROUBLE, "trouble", sets)
+    day = scenario_file.parse(TROUBLE, "trouble", sets)
     _, outcome = run.play_and_judge(day, name="trouble", seed=seed, ground="virtual", variant=variant)
     return [one.rule for one in outcome.broken]
 
--- a/tests/testbed/test_fault_injection.py
+++ b/tests/testbed/test_fault_injection.py
@@ -19,7 +19,7 @@
 from coveport.testbed.fault_injection.schedules import HOLDER, Fault, Trial, draw
 from coveport.testbed.fault_injection.search import hunt, shrink
 from coveport.testbed.fault_injection.virtual import play
-from coveport.testbed.scenario import ScenarioError
+from coveport.testbed.scenario_file import ScenarioError
 
 
 def trial(*faults: Fault, **more: object) -> Trial:
--- a/tests/testbed/test_found.py
+++ b/tests/testbed/test_found.py
@@ -8,7 +8,7 @@
 import pytest
 
 from coveport.testbed import catalog
-from coveport.testbed.scenario import load
+from coveport.testbed.scenario_file import load
 from coveport.testbed.search.hunt import look
 
 FOUND = sorted((catalog.folder() / "found").glob("*.toml"))
--- a/tests/testbed/test_fuzz.py
+++ b/tests/testbed/test_fuzz.py
@@ -19,7 +19,7 @@
 from coveport.testbed import compare, outcome
 from coveport.testbed.fuzz import UNDER_TEST, run, writers
 from coveport.testbed.fuzz.mutate import Mutator, read_dictionary
-from coveport.testbed.scenario import ScenarioError, load, parse
+from coveport.testbed.scenario_file import ScenarioError, load, parse
 
 MUTATIONS = {"scenarios": 300}  # the others are cheap
 REQUEST = b"GET /balance/7 HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1\r\nX-Deadline: 9m\r\n\r\n"
--- a/tests/testbed/test_harsh.py
+++ b/tests/testbed/test_harsh.py
@@ -12,7 +12,7 @@
 import pytest
 
 from coveport.sidecar.effects import Effects
-from coveport.testbed import run, scenario
+from coveport.testbed import run, scenario_file
 from coveport.testbed.broken import VARIANTS, Variant
 from coveport.testbed.event_log import Answered, Arrived, Asked, Life, Linked, Replied, Told
 from coveport.testbed.playing import Played
@@ -54,7 +54,7 @@
 
 
 def play(text: str, seed: int = 1, **more: Any) -> Played:
-    return run.play(scenario.parse(text, "harsh"), seed=seed, ground="virtual", **more)
+    return run.play(scenario_file.parse(text, "harsh"), seed=seed, ground="virtual", **more)
 
 
 def rows(played: Played, kind: type[Any], sidecar: int = -1) -> list[Any]:
@@ -66,7 +66,9 @@
 
 
 def test_a_harsh_day_is_the_same_in_every_process_and_unlike_a_calm_one() -> None:
-    script = f"from coveport.testbed import run, scenario\nday = scenario.parse({HARSH!r}, 'harsh')\n"
+    script = (
+        f"from coveport.testbed import run, scenario_file\nday = scenario_file.parse({HARSH!r}, 'harsh')\n"
+    )
     script += "print(run.play(day, seed=4, ground='virtual').trace)"
     told = [
         subprocess.run(
@@ -93,7 +95,9 @@
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_the_sidecar_keeps_all_rules_on_harsh_days(seed: int) -> None:
-    _, outcome = run.play_and_judge(scenario.parse(HARSH, "harsh"), name="harsh", seed=seed, ground="virtual")
+    _, outcome = run.play_and_judge(
+        scenario_file.parse(HARSH, "harsh"), name="harsh", seed=seed, ground="virtual"
+    )
     assert outcome.kept, outcome.broken[0]
     assert 0.5 < outcome.service < 0.99, "it is harsh, but something goes"
 
@@ -101,7 +105,10 @@
 def test_what_lay_on_a_tills_way_is_not_held_against_the_sidecar() -> None:
     late = CALM + "load.level = 1.3\nload.retries.try_share = 0.2\n[network]\nmerge = 1\nmerge_ms = 60\n"
     _, outcome = run.play_and_judge(
-        scenario.parse(late.replace("load.rate = 40\n", ""), "late"), name="late", seed=1, ground="virtual"
+        scenario_file.parse(late.replace("load.rate = 40\n", ""), "late"),
+        name="late",
+        seed=1,
+        ground="virtual",
     )
     assert outcome.kept, outcome.broken[0]
 
@@ -117,7 +124,7 @@
 @pytest.mark.parametrize("name", ["redeem-resent", "answers-none", "holds-back", "loses-cancels"])
 def test_a_broken_sidecar_is_caught_on_harsh_days_too(name: str) -> None:
     for seed in range(1, 3):
-        day = scenario.parse(HARSH, "harsh", ["load.level=0.7", "load.impatient=0.1"])
+        day = scenario_file.parse(HARSH, "harsh", ["load.level=0.7", "load.impatient=0.1"])
         _, outcome = run.play_and_judge(day, name="harsh", seed=seed, ground="virtual", variant=name)
         if VARIANTS[name].rule in {one.rule for one in outcome.broken}:
             return
@@ -181,7 +188,7 @@
 def test_a_slow_till_blames_nobody_and_its_rows_say_when_it_came(window: int) -> None:
     slow = 'faults = [{kind = "slow_reader", at_s = 0, share = 1, size = 3, whom.numbers = [0]}]'
     sets = [f"network.window={window}", "classes.0.answer=9000", "load.impatient=0.2"]
-    day = scenario.parse(CALM + slow, "slow", sets)
+    day = scenario_file.parse(CALM + slow, "slow", sets)
     played, outcome = run.play_and_judge(day, name="slow", seed=2, ground="virtual")
     assert outcome.kept, outcome.broken[0]
     replied = {row.op: row.at for row in rows(played, Replied)}
@@ -239,7 +246,7 @@
     from coveport.testbed.loopback import GroundError
 
     with pytest.raises(GroundError, match=r"^[^\n]*$") as caught:
-        run.play(scenario.parse(CALM + text, "harsh"), seed=1, ground="real")
+        run.play(scenario_file.parse(CALM + text, "harsh"), seed=1, ground="real")
     assert str(caught.value).startswith(f"{key}: ") and "--ground virtual" in str(caught.value)
 
 
--- a/tests/testbed/test_same_day.py
+++ b/tests/testbed/test_same_day.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from coveport.testbed import catalog, run, scenario
+from coveport.testbed import catalog, run, scenario_file
 from coveport.testbed.event_log import Asked, Life, Unasked
 
 SCRIPT = """
-from coveport.testbed import catalog, run, scenario
-day = scenario.load(catalog.find("flaky"))
+from coveport.testbed import catalog, run, scenario_file
+day = scenario_file.load(catalog.find("flaky"))
 print(run.play(day, seed={seed}, ground="virtual").trace)
 """
 
@@ -39,7 +39,7 @@
     "name", [name for name, _ in catalog.names() if not name.startswith(("found/", "trials/"))]
 )
 def test_every_shipped_day_plays_and_breaks_no_rule(name: str) -> None:
-    day = scenario.load(catalog.find(name))
+    day = scenario_file.load(catalog.find(name))
     played, outcome = run.play_and_judge(day, name=name, seed=2, ground="virtual")
     assert played.notes == []
     assert outcome.kept, outcome.broken[0]
@@ -62,7 +62,7 @@
 for_s = 2
 whom.all = true
 """
-    day = scenario.parse(text, "stall")
+    day = scenario_file.parse(text, "stall")
     played, outcome = run.play_and_judge(day, name="stall", seed=1, ground="virtual")
     assert outcome.kept, "what waited below is answered by the client's time, not by ours"
     due = [row.due for row in played.rows if isinstance(row, Asked) and 3100 < row.due < 4900]
@@ -86,7 +86,7 @@
 at_s = 4
 whom.numbers = [1]
 """
-    day = scenario.parse(text, "killed")
+    day = scenario_file.parse(text, "killed")
     played, outcome = run.play_and_judge(day, name="killed", seed=1, ground="virtual")
     assert outcome.kept
     lives = [row for row in played.rows if isinstance(row, Life) and row.at > 0]
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -7,8 +7,8 @@
 
 from coveport.testbed import catalog
 from coveport.testbed.faults import Crash
-from coveport.testbed.scenario import ScenarioError, load, parse
 from coveport.testbed.scenario_checks import portions
+from coveport.testbed.scenario_file import ScenarioError, load, parse
 
 FAULT = 'title = "t"\n[[faults]]\nat_s = 3\n'
 CLASS = 'title = "t"\n[[classes]]\nname = "a"\nshare = 1\nwork_ms = 9\nrepeats = "keyed"\naim_ms = 50\n'
--- a/tests/testbed/test_search.py
+++ b/tests/testbed/test_search.py
@@ -26,7 +26,8 @@
 from coveport.testbed.faults import FaultBase, Whom
 from coveport.testbed.outcome import Outcome
 from coveport.testbed.playing import Played
-from coveport.testbed.scenario import Scenario, load, parse
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import load, parse
 from coveport.testbed.schema import FigureShare
 from coveport.testbed.search import finds, hunt, reach, schedules
 from coveport.testbed.search.aftermath import aftermath, ratio, troubles_of, without_faults
--- a/tests/testbed/test_shrink.py
+++ b/tests/testbed/test_shrink.py
@@ -6,7 +6,8 @@
 
 from coveport.testbed import catalog
 from coveport.testbed.faults import Cut, Kill, Slow
-from coveport.testbed.scenario import Scenario, load, parse
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import load, parse
 from coveport.testbed.search.aftermath import troubles_of
 from coveport.testbed.search.files import laid, sparse, to_toml
 from coveport.testbed.search.finds import Find
--- a/tests/testbed/test_simulated_network.py
+++ b/tests/testbed/test_simulated_network.py
@@ -15,7 +15,10 @@
 from coveport.testbed.scenario import Scenario
 from coveport.testbed.schema import Network as Figures
 from coveport.testbed.simulated_network.harsh import Harsh
-from coveport.testbed.simulated_network.wires import WINDOW, Network, Side, VirtualNet
+from coveport.testbed.simulated_network.network import Network
+from coveport.testbed.simulated_network.side import Side
+from coveport.testbed.simulated_network.sockets import WINDOW
+from coveport.testbed.simulated_network.wires import VirtualNet
 from coveport.testbed.simulated_network.world import Process, World
 
 DAY = Day(
--- a/tests/testbed/test_staff.py
+++ b/tests/testbed/test_staff.py
@@ -12,7 +12,8 @@
 from coveport.testbed.event_log import AnyRow, Life
 from coveport.testbed.oracle import judge
 from coveport.testbed.run import play_and_judge
-from coveport.testbed.scenario import Scenario, load
+from coveport.testbed.scenario import Scenario
+from coveport.testbed.scenario_file import load
 
 
 def slice_of(name: str, *kinds: str, length_s: float = 16.0) -> Scenario:
--- a/tests/testbed/timeless.py
+++ b/tests/testbed/timeless.py
@@ -10,7 +10,8 @@
 from coveport.testbed.day import Day
 from coveport.testbed.network_model import Ways
 from coveport.testbed.scenario import Scenario
-from coveport.testbed.simulated_network.wires import Network, VirtualNet
+from coveport.testbed.simulated_network.network import Network
+from coveport.testbed.simulated_network.wires import VirtualNet
 from coveport.testbed.simulated_network.world import Process, World
 
 T = TypeVar("T")
