--- a/coveport/serving/simulation/local_day.py
+++ b/coveport/serving/simulation/local_day.py
@@ -268,7 +268,7 @@
         return ["", f"not played: the proxies were not ready within {READY_WITHIN_S:.0f} s"]
     lines = [
         "",
-        f"{'kind':<10}{'requests':>7}{'served':>8}{'in time':>9}{'first event, ms: median, 95%':>32}",
+        f"{'kind':<10}{'asked':>7}{'served':>8}{'in time':>9}{'first event, ms: median, 95%':>32}",
     ]
     for kind, found in result.kinds.items():
         median, late, _ = found.first_event_ms
--- a/tests/serving/simulation/test_on_loopback.py
+++ b/tests/serving/simulation/test_on_loopback.py
@@ -82,6 +82,8 @@
     breach = Breach("TWICE", 1.0, "a try ran twice")
     good = "\n".join(summary(LocalDayResult(True, (), {"review": SERVED}, EventLog())))
     assert "no rule was broken" in good
+    header = "kind        asked  served  in time    first event, ms: median, 95%"
+    assert header in good.splitlines()
     assert ["review", "10", "9", "8", "100", "200"] in [line.split() for line in good.splitlines()]
     bad = "\n".join(summary(LocalDayResult(True, (breach,), {"review": SERVED}, EventLog())))
     assert "rule broken: TWICE at 1.000 s: a try ran twice" in bad
