--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -75,7 +75,7 @@
 
 
 def logger(told: OperatorFile, name: str, incarnation: str, agent: InstanceAgent | None) -> Any:
-    """What writes JSON lines of what this instance holds and does."""
+    """Return the logger of this instance's events, in JSON lines."""
     if agent is not None and not told.log.path:
         return stream_logger(told.fleet_folder, told.log.level, instance=name, incarnation=incarnation)
     file: TextIO = sys.stderr
@@ -161,7 +161,7 @@
     # Life.
 
     def joined(self, effects: Effects, life: Lifecycle) -> None:
-        """The sidecar's parts are there."""
+        """Attach to the sidecar's parts, before anything is opened."""
         self._effects = effects
         counters = effects.counters
         counters.gauge(
@@ -209,7 +209,7 @@
         await self.lease_client.close()
 
     async def leave(self) -> None:
-        """The sidecar has ended."""
+        """Stop, as the sidecar has ended."""
         for task in self._tasks:
             task.cancel()
         if self._leaving is None:
@@ -266,7 +266,7 @@
         self._follow()  # the next may have come meanwhile
 
     def reread(self, running: configuration.Config) -> configuration.Config:
-        """The configuration anew: the platform's file, with the settings of a roll-out in their place."""
+        """Return the configuration, read again; a rollout's settings replace those of the file."""
         loop = asyncio.get_running_loop()
         try:
             config = self._read(running)
@@ -389,7 +389,7 @@
         return None if result is None else _as_probe(destination, result)
 
     def observed(self, destination: int, outcome: balancing.Outcome) -> None:
-        """What we saw of a destination ourselves."""
+        """Note the outcome of an attempt of this instance."""
         node = self._name_of(destination)
         if self._health_checks is not None and node and outcome in TELLING:
             ok = outcome in (balancing.Outcome.OK, balancing.Outcome.FULL)
@@ -406,10 +406,10 @@
     return SafeLoad(rules.cold_from, rules.warm_after_ms / 1000, rules.overload_factor, rules.fall_ms / 1000)
 
 
-def _named(place: EndpointAddress) -> str:
-    """A name that all instances give a destination: its address and when it was started."""
-    (host, port), born = place
-    return f"{host}:{port}@{born:.0f}"
+def _named(endpoint: EndpointAddress) -> str:
+    """Return the name that all instances use for a destination: its address and start time."""
+    (host, port), started_ms = endpoint
+    return f"{host}:{port}@{started_ms:.0f}"
 
 
 def _as_probe(destination: int, seen: HealthCheckResult) -> core.HealthCheckEnded:
--- a/coveport/sidecar/reducer/messages.py
+++ b/coveport/sidecar/reducer/messages.py
@@ -1,4 +1,4 @@
-"""What passes between the reducer and the world: inputs, effects, verdicts."""
+"""Inputs and effects of the reducer, and the verdicts of its answers."""
 
 from __future__ import annotations
 
@@ -24,24 +24,22 @@
 
 @dataclass(slots=True)
 class OperationReceived:
-    """A whole operation has come; from here on one final answer is owed."""
+    """An operation was received; from here on one final answer is owed."""
 
     operation: int
     cls: int
     deadline_ms: float  # on our clock
     repeat: bool = False
     cost_ms: float = 0.0
-    room: bool = True  # False: more has come than we can hold
-    id: str = ""  # what the client calls it; empty: nothing
+    room: bool = True  # False: beyond the capacity for clients
+    id: str = ""  # the client's request id; may be empty
     long: bool = False  # its body is still coming: no deadline holds until `BodyReceived`
-    before: tuple[
-        balancing.PriorAttempt, ...
-    ] = ()  # attempts that were made already; they bear the steps from 0 on
+    before: tuple[balancing.PriorAttempt, ...] = ()  # attempts made already; they have the numbers from 0 on
 
 
 @dataclass(slots=True)
 class BodyReceived:
-    """The last byte of a long operation has come: from here on its time counts."""
+    """The last byte of a long operation was received: its deadline holds from here on."""
 
     operation: int
     deadline_ms: float  # on our clock
@@ -49,7 +47,7 @@
 
 @dataclass(slots=True)
 class AttemptSent:
-    """The last byte of a long operation was handed over: from here on the destination's time counts."""
+    """The last byte of a long operation was sent: the destination's latency counts from here on."""
 
     operation: int
     step: int
@@ -57,7 +55,7 @@
 
 @dataclass(slots=True)
 class AnswerStarted:
-    """A long answer begins to come: a good one, as far as can be told."""
+    """The head of a long, successful answer was received."""
 
     operation: int
     step: int
@@ -66,14 +64,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has closed its connection; nothing is owed any more."""
+    """The client has closed its connection; no answer is owed any more."""
 
     operation: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """How a route step ended; `answer` is what goes to the client where it was served."""
+    """An attempt ended; `answer` goes to the client where it succeeded."""
 
     operation: int
     step: int
@@ -84,7 +82,7 @@
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """How a probe ended."""
+    """A health check ended."""
 
     destination: int
     outcome: balancing.Outcome
@@ -94,28 +92,28 @@
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """Word from discovery, or of its failure."""
+    """Discovery sent an update, or failed."""
 
     update: balancing.EndpointUpdate
 
 
 @dataclass(slots=True)
 class TimerExpired:
-    """A timer of the module is due."""
+    """A timer of the balancer has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class DeadlineExpired:
-    """An operation's time is over: whatever went wrong, it is answered now."""
+    """An operation's deadline has passed: whatever went wrong, it is answered now."""
 
     operation: int
 
 
 @dataclass(slots=True)
 class ConfigurationReloaded:
-    """The configuration was read anew. `discovery`: where it is now; None for either: as before."""
+    """The configuration was read again. `discovery`: its address; None for either: unchanged."""
 
     discovery: Address | None
     settings: balancing.Settings | None = None
@@ -123,7 +121,7 @@
 
 @dataclass(slots=True)
 class SlowStartGranted:
-    """A fresh destination may be sent so many operations more for so long."""
+    """A destination in slow start may be sent `count` operations more within `lasts_ms`."""
 
     destination: int
     count: int
@@ -132,7 +130,7 @@
 
 @dataclass(slots=True)
 class ProcessStalled:
-    """We had no CPU for so long, up to now: what was measured over it says nothing of the destinations."""
+    """The process had no CPU for `lasted_ms` up to now, to be left out of all latencies."""
 
     lasted_ms: float
 
@@ -159,7 +157,7 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Send the operation to a destination, for so long."""
+    """Send the operation to a destination."""
 
     operation: int
     step: int
@@ -169,7 +167,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Give a route step up."""
+    """Cancel an attempt."""
 
     operation: int
     step: int
@@ -177,7 +175,7 @@
 
 @dataclass(slots=True)
 class SendAnswer:
-    """Give the client its one final answer."""
+    """Send the client its one final answer."""
 
     operation: int
     verdict: Verdict
@@ -187,7 +185,7 @@
 
 @dataclass(slots=True)
 class StartAnswer:
-    """Pass a long answer on to the client as it comes: it is the final one."""
+    """Forward a long answer to the client as it is received: it is the final one."""
 
     operation: int
     step: int
@@ -196,7 +194,7 @@
 
 @dataclass(slots=True)
 class EndAnswer:
-    """The long answer that was passed on has ended; not `whole`: the client must be able to tell."""
+    """End the long answer that was forwarded; not `whole`: the client must see that it was cut."""
 
     operation: int
     whole: bool
@@ -220,28 +218,28 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Test a destination."""
+    """Send a health check to a destination."""
 
     destination: int
 
 
 @dataclass(slots=True)
 class RequestEndpoints:
-    """Ask discovery: for the whole list once, or for all changes from now on."""
+    """Request from discovery the complete list once, or all changes from now on."""
 
     whole: bool
 
 
 @dataclass(slots=True)
 class SwitchDiscovery:
-    """Ask another discovery from now on; the last list holds until it has spoken."""
+    """Use another discovery from now on; the last list holds until its first one."""
 
     discovery: Address
 
 
 @dataclass(slots=True)
 class ReportFault:
-    """Log what should not have happened."""
+    """Log a fault of this program."""
 
     text: str
 
--- a/coveport/sidecar/reducer/operation.py
+++ b/coveport/sidecar/reducer/operation.py
@@ -1,4 +1,4 @@
-"""An operation and the answer to it, as all protocols have them in common."""
+"""An operation and its answer, independent of the protocol."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Operation:
-    """What a client asked for, checked. What is passed on to a ledger node is passed on unchanged."""
+    """A client's operation, validated; it is forwarded to a ledger node unchanged."""
 
     method: str
     target: str  # path and query
@@ -19,18 +19,18 @@
     key: str | None
     cls: int  # position in the settings' classes
     wait_ms: float  # how long the client waits, from now on
-    repeat: bool = False  # the client says that it tries again
-    cost_ms: float = 0.0  # what the client thinks it costs; 0: not known
+    repeat: bool = False  # the client marks it as a retry
+    cost_ms: float = 0.0  # the client's estimate; 0: unknown
     content_type: tuple[str, ...] = ()
     accept: tuple[str, ...] = ()
-    room: bool = True  # False: there are more clients than we can hold
+    room: bool = True  # False: beyond the capacity for clients, to be rejected
     upload: Upload | None = None  # its body, where that is long; `body` is empty then
-    before: tuple[PriorAttempt, ...] = ()  # attempts that were made for it already, by whomever
+    before: tuple[PriorAttempt, ...] = ()  # attempts that other instances made already
 
 
 @dataclass(slots=True)
 class Answer:
-    """An answer that a ledger node made for an operation: all of it, or the beginning of a long one."""
+    """A ledger node's answer to an operation: complete, or the head of a long one."""
 
     body: bytes
     content_type: str | None = None
--- a/coveport/sidecar/reducer/phases.py
+++ b/coveport/sidecar/reducer/phases.py
@@ -1,4 +1,4 @@
-"""The phases of the program, from start to exit."""
+"""The phases of the process, from start to exit."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class Phase(Enum):
-    """Where the program is in its life."""
+    """A phase of the process."""
 
     STARTING = "starting"  # no list yet: not ready
     SERVING = "serving"
-    LAMEDUCK = "lameduck"  # drained by staff: takes no new clients, serves those it has; there is a way back
-    DRAINING = "draining"  # told to stop: serves on, then closes what is idle and ends what it owes
+    LAMEDUCK = "lameduck"  # drained by staff: accepts no new clients, serves those it has; can rejoin
+    DRAINING = "draining"  # graceful shutdown: serves on, closes idle connections, answers what is pending
     STOPPED = "stopped"
 
 
@@ -26,7 +26,7 @@
 
 
 class Lifecycle:
-    """The current phase and who wants to hear of a change."""
+    """The current phase, and the listeners to its changes."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
@@ -34,7 +34,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the application may begin to send."""
+        """Whether clients may begin to send (readiness)."""
         return self.phase is Phase.SERVING
 
     def listen(self, listener: Callable[[Phase], None]) -> None:
@@ -42,7 +42,7 @@
         self._listeners.append(listener)
 
     def enter(self, phase: Phase) -> bool:
-        """Go to a phase; False where that is no step from here (a second SIGTERM, say)."""
+        """Enter a phase; return False where there is no transition to it (a second SIGTERM, say)."""
         if phase not in _NEXT[self.phase]:
             return False
         self.phase = phase
--- a/coveport/sidecar/reducer/reducer.py
+++ b/coveport/sidecar/reducer/reducer.py
@@ -137,7 +137,9 @@
             "hosts": len(balancer.hosts),
         }
 
-    def step(self, now_ms: float, item: Input) -> list[Effect]:
+    # The two dispatchers stay whole, most frequent first: a table of bound methods would be state that the
+    # model check copies at every step, and one more call stands on every request's way.
+    def step(self, now_ms: float, item: Input) -> list[Effect]:  # noqa: C901, PLR0912  # see above
         """Apply one input and return the effects, in the order in which they are to be executed."""
         self._now = max(self._now, now_ms)
         effects: list[Effect] = []
@@ -299,7 +301,7 @@
         while self._events:
             try:
                 actions = self._balancer.handle(self._now, self._events.popleft())
-            except Exception:
+            except Exception:  # noqa: BLE001  # reported with its traceback
                 # Guards against a fault in the balancer: what it had decided so far stands in its books
                 # and is carried out, the rest is answered by us.
                 fine = False
@@ -309,7 +311,7 @@
                 fine = self._apply(action) and fine
         return fine
 
-    def _apply(self, action: balancing.Action) -> bool:
+    def _apply(self, action: balancing.Action) -> bool:  # noqa: C901  # see `step`
         """Apply an action of the balancer; return False where it is invalid."""
         if isinstance(action, balancing.Send):
             self._send(action)
--- a/coveport/sidecar/reducer/streams.py
+++ b/coveport/sidecar/reducer/streams.py
@@ -1,4 +1,4 @@
-"""Long bodies on their way: one budget of bytes for the process, and a long request's pieces. Pure."""
+"""Streamed bodies: one budget of buffered bytes for the process, and the chunks of a long request. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Budget:
-    """Bytes held for long bodies, by all connections: at most `most`, and READ_LEAST a stream beyond."""
+    """Bytes buffered for long bodies by all connections: at most `most`, and READ_LEAST a stream beyond."""
 
     def __init__(self, most: int) -> None:
         self.most = most
@@ -21,51 +21,52 @@
         self.peak = 0  # the most that was ever held
 
     def take(self, size: int) -> None:
-        """Bytes are held; fewer where `size` is negative."""
+        """Add buffered bytes; `size` is negative where they are released."""
         self.held += size
         self.peak = max(self.peak, self.held)
 
     @property
     def may_keep(self) -> bool:
-        """Whether bytes may be kept that have been passed on: half is for those that have not."""
+        """Whether bytes may be retained that were forwarded: half is for those that were not."""
         return self.held < self.most // 2
 
     def read_most(self) -> int:
-        """How much one connection may read now."""
+        """Return how many bytes one connection may read now."""
         # An eighth of what is left: so many may read in the same turn of the loop before any has sent it on.
         return min(READ_MOST, max(READ_LEAST, (self.most - self.held) // 8))
 
 
 class Reader(Protocol):
-    """Whoever passes a long request on."""
+    """Forwards a long request."""
 
     def more(self) -> None:
-        """There is more to read, or the end."""
+        """Read on: there is another chunk, or the end."""
 
 
 class Upload:
-    """A long request's body: what has come, and how far each reader is.
+    """A long request's body: the chunks received, and the position of each reader.
 
     `length`: bytes, None where it was not declared. `room`: called when its source may read on. What was
-    passed on is kept for another reader while the budget allows; from then on it is gone, and none may join.
+    forwarded is retained for another reader while the budget allows; then it is released, and none may join.
     """
 
     def __init__(self, budget: Budget, length: int | None, room: Callable[[], None]) -> None:
         self._budget = budget
         self.length = length
         self._room = room
-        self._pieces: deque[bytes] = deque()
-        self._first = 0  # number of the first piece that is held
-        self._readers: dict[Reader, int] = {}  # the piece that each reads next
+        self._chunks: deque[bytes] = deque()
+        self._first = 0  # number of the first chunk that is buffered
+        self._readers: dict[Reader, int] = {}  # the chunk that each reads next
         self._read: dict[Reader, int] = {}  # how many bytes each has read
-        self._came = self._held = 0
+        self._received = 0
+        self._held = 0
         self._kept = True
         self.whole = False
 
     def push(self, data: bytes) -> None:
-        """More has come."""
-        self._pieces.append(data)
-        self._came += len(data)
+        """Append a chunk that was received."""
+        self._chunks.append(data)
+        self._received += len(data)
         self._hold(len(data))
         if not self._budget.may_keep:
             self._kept = False
@@ -74,45 +75,46 @@
         self._tidy()
 
     def finish(self) -> None:
-        """All has come."""
+        """Note that the body is complete."""
         self.whole = True
         for reader in list(self._readers):
             reader.more()
 
     def join(self, reader: Reader) -> bool:
-        """Read it from its first byte on; False where that is gone."""
+        """Add a reader from the first byte on; return False where that was released."""
         if self._first:
             return False
-        self._readers[reader], self._read[reader] = 0, 0
+        self._readers[reader] = 0
+        self._read[reader] = 0
         return True
 
     def leave(self, reader: Reader) -> None:
-        """Read it no more."""
+        """Remove a reader."""
         self._readers.pop(reader, None)
         self._read.pop(reader, None)
         self._tidy()
 
     def next(self, reader: Reader) -> bytes | None:
-        """The next piece; None where it has not come yet, or there is none."""
+        """Return the reader's next chunk; None where it was not received yet, or there is none."""
         at = self._readers[reader] - self._first
-        if not 0 <= at < len(self._pieces):
+        if not 0 <= at < len(self._chunks):
             return None
-        piece = self._pieces[at]
+        chunk = self._chunks[at]
         self._readers[reader] += 1
-        self._read[reader] += len(piece)
-        return piece
+        self._read[reader] += len(chunk)
+        return chunk
 
     def ended(self, reader: Reader) -> bool:
-        """Whether a reader has read all of it."""
-        return self.whole and self._read[reader] == self._came
+        """Return whether a reader has read the complete body."""
+        return self.whole and self._read[reader] == self._received
 
     @property
     def full(self) -> bool:
-        """Whether its source should wait: readers are behind, or there is none."""
-        return self._came - min(self._read.values(), default=0) >= AHEAD
+        """Whether its source should wait: a reader is behind, or there is none."""
+        return self._received - min(self._read.values(), default=0) >= AHEAD
 
     def took(self) -> None:
-        """A reader has read on: the source may, too."""
+        """Release what all have read, and resume the source where it may read on."""
         self._tidy()
         if not self.whole and not self.full:
             self._room()
@@ -123,14 +125,14 @@
         done = min(self._readers.values())
         while self._first < done:
             self._first += 1
-            self._hold(-len(self._pieces.popleft()))
+            self._hold(-len(self._chunks.popleft()))
 
     def _hold(self, size: int) -> None:
         self._held += size
         self._budget.take(size)
 
     def close(self) -> None:
-        """Nobody needs it any more."""
-        self._pieces.clear()
+        """Release all chunks."""
+        self._chunks.clear()
         self._first = 1 << 60
         self._hold(-self._held)
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -51,8 +51,8 @@
 
     `reread` gives the configuration anew, checked against the one that runs, or raises PlatformFileError.
     `reducer` and `effects_type` are there to be replaced by variants that are held against each other.
-    `beside` is told of the parts before anything is opened: what an operator's file turns on stands beside
-    the ordinary way.
+    `joined` is called with the parts before anything is opened: what an operator's file enables attaches
+    there.
     """
     loop = net.loop
     counters, life = Counters(), Lifecycle()
