--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -46,7 +46,17 @@
 ROOT = Path(__file__).resolve().parents[1]
 FILES = (
     "coveport/balancing/balancer.py",
+    "coveport/balancing/balancer_state.py",
+    "coveport/balancing/endpoint_discovery.py",
+    "coveport/balancing/host.py",
+    "coveport/balancing/host_selection.py",
+    "coveport/balancing/load_shedding.py",
+    "coveport/balancing/outlier_ejection.py",
     "coveport/balancing/pending_requests.py",
+    "coveport/balancing/request_state.py",
+    "coveport/balancing/retry_policy.py",
+    "coveport/balancing/slow_start.py",
+    "coveport/balancing/subsetting.py",
     "coveport/sidecar/reducer/reducer.py",
 )
 TESTS = (
--- a/coveport/balancing/actions.py
+++ b/coveport/balancing/actions.py
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class HealthCheck:
-    """Test a host."""
+    """Check the health of a host."""
 
     host: int
 
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Ask discovery for the whole list once."""
+    """Ask discovery for all endpoints once."""
 
 
 Action = Send | Cancel | Fail | Refuse | SetTimer | HealthCheck | Subscribe | FetchEndpoints
--- a/coveport/balancing/events.py
+++ b/coveport/balancing/events.py
@@ -13,7 +13,7 @@
 
 
 class EndpointState(IntEnum):
-    """State of a host in the list."""
+    """State of a host, as discovery reports it."""
 
     READY = 0
     GONE = 2
@@ -21,7 +21,7 @@
 
 
 class EndpointUpdateKind(IntEnum):
-    """What a list update holds: changes, the whole list, the list as last cached, or word of a failure."""
+    """What an endpoint update holds: changes, all endpoints, all as last cached, or that asking failed."""
 
     DELTA = 0
     FULL = 1
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One line of the host list."""
+    """A host, as discovery reports it."""
 
     host: int
     zone: int = 0
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """Word from discovery."""
+    """An update from discovery."""
 
     kind: EndpointUpdateKind
     entries: tuple[Endpoint, ...] = ()
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PriorAttempt:
-    """An attempt that another balancer made for a request, or this one in an earlier life of it."""
+    """An attempt for a request that another balancer made, or this one in an earlier incarnation."""
 
     zone: int
     cell: int
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client is gone; nothing more is owed."""
+    """The client has disconnected: no answer is owed any more."""
 
     id: int
 
@@ -131,7 +131,7 @@
 
 @dataclass(slots=True)
 class HealthCheckResult:
-    """How a probe ended."""
+    """How a health check ended."""
 
     host: int
     outcome: Outcome
@@ -141,7 +141,7 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message of another balancer. This one keeps to its own view and passes it over."""
+    """A message of another balancer, which this one ignores: it keeps to its own view."""
 
     sender: int
     data: bytes
@@ -149,14 +149,17 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings hold from now on; what came before keeps its class and its limits."""
+    """Other settings apply from now on; requests that came before keep their class and limits."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class SlowStartGrant:
-    """A fresh host may be sent so many of ours until then: somebody shares its safe load out."""
+    """A warming host may be sent `count` requests by this balancer until then.
+
+    The slow-start coordinator shares out what a host can take while it warms up.
+    """
 
     host: int
     count: int
--- a/coveport/balancing/locality.py
+++ b/coveport/balancing/locality.py
@@ -1,4 +1,7 @@
-"""Which level of candidates a request goes to, and which of two drawn there takes it. Pure."""
+"""Locality and two draws: the level of candidates a request goes to, and which of two drawn there takes it.
+
+The power of two choices: Mitzenmacher, IEEE TPDS 12(10), 2001. Pure but for the draws.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 def first_usable_level(levels: Iterable[Sequence[C]], is_usable: Callable[[C], bool]) -> Sequence[C]:
-    """The first level that holds a usable candidate; an empty one where none does."""
+    """Return the first level that holds a usable candidate; an empty one where none does."""
     return next((level for level in levels if any(map(is_usable, level))), ())
 
 
@@ -20,7 +23,10 @@
     random: Random | None,
     tie_break: Callable[[C, C], C | None] | None = None,
 ) -> C:
-    """Of two drawn (no `random`: of those given) the less busy; of equals `tie_break`'s one or the first."""
+    """Return the less busy of two drawn, or of two given where there is no `random`.
+
+    Of equals it is the one that `tie_break` prefers, or the first.
+    """
     drawn = candidates if random is None else random.sample(candidates, min(2, len(candidates)))
     first, second = drawn[0], drawn[-1]
     difference = in_flight.get(first, 0) - in_flight.get(second, 0)
--- a/coveport/balancing/pending_requests.py
+++ b/coveport/balancing/pending_requests.py
@@ -1,7 +1,8 @@
-"""The requests that a balancer holds, none looked at without need: an answer makes room for few of thousands.
+"""Queues of pending requests, none looked at without need: an answer frees capacity for few of thousands.
 
-Those of one sort stand in a line, the newest in front, walked until the first that finds no host, as others
-would not either; those of a kind that may go anywhere come after its others. Two heaps tell what is due.
+The requests of a class share a queue, the newest in front. It is walked until the first that finds no host,
+as others would not either. Those that may go to any zone have a queue of their own, behind the others of
+their class. Two heaps tell what is due.
 """
 
 from __future__ import annotations
@@ -13,88 +14,103 @@
 from typing import Generic, TypeVar
 
 
-class Waiter:
-    """What is held. A place under another number than its own is an old one."""
+class PendingRequest:
+    """What is queued. An entry under another number than the request's own is an old one."""
 
     kind: str  # its class
-    hold_until: float  # then it is answered
-    cross_at: float  # from then on it may go anywhere
-    waiting, held_as, stands_as = False, 0, 0  # whether it is held; its number on the heaps and in its line
+    queue_until: float  # then it is answered
+    any_zone_at: float  # from then on it may go to any zone
+    waiting = False  # whether it is queued
+    heap_number = 0  # of its entries on the heaps
+    queue_number = 0  # of its entry in its queue
 
 
-W = TypeVar("W", bound=Waiter)
+R = TypeVar("R", bound=PendingRequest)
+Sort = tuple[str, bool]
+"""The key of a queue: a class, and whether its requests wait for their own zone."""
 
 
-class Held(Generic[W]):
-    """All that is held, by sort: a kind, and whether it waits for its own zone. Times in ms."""
+class PendingRequests(Generic[R]):
+    """All pending requests, in queues by class and by whether they wait for their own zone. Times in ms."""
 
     def __init__(self) -> None:
-        self._lines = dict[tuple[str, bool], deque[tuple[int, W]]]()
-        self._ends = list[tuple[float, int, W]]()
-        self._crossings = list[tuple[float, int, W]]()
-        self.count = self._entries = 0  # how many are held
+        self._queues = dict[Sort, deque[tuple[int, R]]]()
+        self._expiries = list[tuple[float, int, R]]()
+        self._crossings = list[tuple[float, int, R]]()
+        self.count = 0  # of pending requests
+        self._entries = 0  # ever made
 
-    def __iter__(self) -> Iterator[W]:
+    def __iter__(self) -> Iterator[R]:
         return (
-            one
-            for line in self._lines.values()
-            for number, one in line
-            if one.waiting and one.stands_as == number
+            request
+            for queue in self._queues.values()
+            for number, request in queue
+            if request.waiting and request.queue_number == number
         )
 
-    def add(self, one: W, now: float) -> None:
-        """Hold it, in front of its like."""
+    def add(self, request: R, now: float) -> None:
+        """Queue a request, in front of others of its sort."""
         self.count += 1
-        self._stand(one, one.cross_at > now)
-        one.waiting, one.held_as = True, one.stands_as
-        heappush(self._ends, (one.hold_until, one.held_as, one))
-        if one.cross_at > now:
-            heappush(self._crossings, (one.cross_at, one.held_as, one))
-
-    def _stand(self, one: W, near: bool) -> None:
+        self._enqueue(request, near=request.any_zone_at > now)
+        request.waiting = True
+        request.heap_number = request.queue_number
+        heappush(self._expiries, (request.queue_until, request.heap_number, request))
+        if request.any_zone_at > now:
+            heappush(self._crossings, (request.any_zone_at, request.heap_number, request))
+
+    def _enqueue(self, request: R, *, near: bool) -> None:
         self._entries += 1
-        one.stands_as = self._entries
-        self._lines.setdefault((one.kind, near), deque()).appendleft((self._entries, one))
+        request.queue_number = self._entries
+        self._queues.setdefault((request.kind, near), deque()).appendleft((self._entries, request))
 
-    def remove(self, one: W) -> None:
-        """Hold it no more; its places are cleared when they are next come by."""
-        self.count -= one.waiting
-        one.waiting = False
+    def remove(self, request: R) -> None:
+        """Take a request out; its entries are cleared when they are next come by."""
+        self.count -= request.waiting
+        request.waiting = False
         if not self.count:  # nothing of a class that is gone stays behind
-            self._lines = {}
-            self._ends = []
+            self._queues = {}
+            self._expiries = []
             self._crossings = []
 
-    def ended(self, now: float) -> list[W]:
-        """Those whose time is over by now; they stay held until they are removed."""
-        return list(self._due(self._ends, now))
+    def expired(self, now: float) -> list[R]:
+        """Return those whose time is over by now; they stay pending until they are removed."""
+        return list(self._pop_due(self._expiries, now))
 
     @staticmethod
-    def _due(heap: list[tuple[float, int, W]], now: float) -> Iterator[W]:
+    def _pop_due(heap: list[tuple[float, int, R]], now: float) -> Iterator[R]:
         while heap and heap[0][0] <= now:
-            _, number, one = heappop(heap)
-            if one.waiting and one.held_as == number:
-                yield one
-
-    def lines(self, now: float, rank: Callable[[W], float]) -> Iterator[tuple[tuple[str, bool], Iterator[W]]]:
-        """The lines by the rank of their front, each from there; while one is walked none may be added."""
-        for one in self._due(self._crossings, now):
-            self._stand(one, near=False)
-        # Equals go by which line stood first: a name must not decide.
+            _, number, request = heappop(heap)
+            if request.waiting and request.heap_number == number:
+                yield request
+
+    def queues(self, now: float, rank: Callable[[R], float]) -> Iterator[tuple[Sort, Iterator[R]]]:
+        """Yield the queues in the order of their front's rank; while one is walked none may be added."""
+        for request in self._pop_due(self._crossings, now):
+            self._enqueue(request, near=False)
+        # Equals go by which queue was there first: a name must not decide.
         order = sorted(
-            ((rank(line[0][1]), not near, kind, line) for (kind, near), line in self._lines.items() if line),
+            (
+                (rank(queue[0][1]), not near, kind, queue)
+                for (kind, near), queue in self._queues.items()
+                if queue
+            ),
             key=lambda row: row[:2],
         )
-        for _, far, kind, line in order:
-            for end, pop in ((0, line.popleft), (-1, line.pop)):
-                while line and not (line[end][1].waiting and line[end][1].stands_as == line[end][0]):
+        for _, far, kind, queue in order:
+            for end, pop in ((0, queue.popleft), (-1, queue.pop)):
+                while queue and not (queue[end][1].waiting and queue[end][1].queue_number == queue[end][0]):
                     pop()
-            if line:
-                yield (kind, not far), (one for at, one in line if one.waiting and one.stands_as == at)
+            if queue:
+                current = (
+                    request for number, request in queue if request.waiting and request.queue_number == number
+                )
+                yield (kind, not far), current
 
     def next_at(self, now: float) -> float:
-        """When the next may go anywhere or is answered, past what is due by now; infinity where none is."""
-        for heap in (self._ends, self._crossings):
-            while heap and (heap[0][0] <= now or not heap[0][2].waiting or heap[0][2].held_as != heap[0][1]):
+        """Return when the next expires or may go to any zone, past what is due by now; infinity if none."""
+        for heap in (self._expiries, self._crossings):
+            while heap and (
+                heap[0][0] <= now or not heap[0][2].waiting or heap[0][2].heap_number != heap[0][1]
+            ):
                 heappop(heap)
-        return min((heap[0][0] for heap in (self._ends, self._crossings) if heap), default=inf)
+        return min((heap[0][0] for heap in (self._expiries, self._crossings) if heap), default=inf)
--- a/coveport/balancing/settings.py
+++ b/coveport/balancing/settings.py
@@ -20,7 +20,7 @@
 
 
 class Locality(Protocol):
-    """Where a host stands."""
+    """The failure domains of a host."""
 
     @property
     def zone(self) -> int:
@@ -38,32 +38,32 @@
     ZONE = "zone"
     CELL = "cell"
 
-    def covers(self, one: Locality, other: Locality) -> bool:
-        """Whether two places drop each other's repeats."""
-        same_zone = one.zone == other.zone
+    def covers(self, first: Locality, second: Locality) -> bool:
+        """Return whether two localities drop each other's repeats."""
+        same_zone = first.zone == second.zone
         return self is DeduplicationScope.ALL or (
-            same_zone and (self is DeduplicationScope.ZONE or one.cell == other.cell)
+            same_zone and (self is DeduplicationScope.ZONE or first.cell == second.cell)
         )
 
 
-_MOST = sys.float_info.max  # guards against whole numbers beyond all floats, which JSON may hold
+_MAX_FLOAT = sys.float_info.max  # guards against whole numbers beyond all floats, which JSON may hold
 
 
 def _positive(**values: float) -> None:
     for key, value in values.items():
-        if not 0 < value <= _MOST:
+        if not 0 < value <= _MAX_FLOAT:
             raise ValueError(f"{key} must be positive and finite, not {value!r}")
 
 
 def _not_negative(**values: float) -> None:
     for key, value in values.items():
-        if not 0 <= value <= _MOST:
+        if not 0 <= value <= _MAX_FLOAT:
             raise ValueError(f"{key} must be finite and not negative, not {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests: what it is worth, until when, and whether it may run again."""
+    """One class of requests: its value, latency target and deadline, and whether it may run again."""
 
     name: str = ""
     aim_ms: float = 1000.0
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site permits."""
+    """Limits of the site on attempts, hedged requests and health checks."""
 
     max_attempts: int = 3
     second_copies: bool = False
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules on answers, drains and cold hosts."""
+    """Figures of the rules on answers, drains and slow start."""
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
@@ -138,7 +138,7 @@
             raise ValueError(f"cold_from must be at most 1, not {self.cold_from!r}")
 
     def cold_share(self, age_ms: float) -> float:
-        """The part of a warm host's capacity that one has which started so long ago, before it is warm."""
+        """Return the part of its capacity that a host has `age_ms` after its start, before it is warm."""
         return self.cold_from + (1 - self.cold_from) * max(age_ms, 0.0) / self.warm_after_ms
 
 
@@ -159,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is told at its start."""
+    """All that a balancer knows at its start."""
 
     classes: tuple[RequestClass, ...]
     zone: int = 0
--- a/coveport/balancing/simulator_codec.py
+++ b/coveport/balancing/simulator_codec.py
@@ -1,39 +1,35 @@
-"""Codec of the bench's wire: bytes to events, actions to bytes. It decides nothing."""
+"""Codec of the simulator's wire: bytes to events, actions to bytes. It decides nothing.
+
+All numbers are little-endian. Each record begins with a code of two bytes; the codes and layouts are the
+simulator's.
+"""
 
 from __future__ import annotations
 
-import json
 import struct
-from collections.abc import Iterator
-from typing import Any, BinaryIO
-
-from coveport.balancing import actions, events, settings
-
-
-class WireError(Exception):
-    """The peer sent something that is not this protocol."""
+from collections.abc import Callable, Iterator
+from typing import Any, BinaryIO, ClassVar
 
+from coveport.balancing import actions, events
+from coveport.balancing.errors import WireError
 
 _HEADER = struct.Struct("<dIII")
 _ENTRY = struct.Struct("<IBBHBfd")
 _SELECT = struct.Struct("<H")
 _ATTACH = struct.Struct("<QI")
-_LEDGER = struct.Struct("<BI")
-_REGISTRY = struct.Struct("<BIB")
-_SUBMIT = struct.Struct("<QQBdHdH")
-_LEFT = struct.Struct("<Q")
+_HOST_LIST = struct.Struct("<BI")
+_ENDPOINT_UPDATE = struct.Struct("<BIB")
+_REQUEST = struct.Struct("<QQBdHdH")
+_ID_ONLY = struct.Struct("<Q")
 _REPLY = struct.Struct("<QHIHdBB")
-_PING = struct.Struct("<IHdB")
+_HEALTH_CHECK = struct.Struct("<IHdB")
 _PEER = struct.Struct("<HH")
-_FIRST = struct.Struct("<QHId")
+_STREAM_STARTED = struct.Struct("<QHId")
 _CODE = struct.Struct("<H")
+_SELECT_CODE = 12
+_HOST_LIST_CODE = 11
 
 _OUTCOMES = {int(o): o for o in events.Outcome}
-_EFFECTS = {
-    "idempotent": settings.Effect.SAFE,
-    "deduplicated": settings.Effect.KEYED,
-    "at_most_once": settings.Effect.UNSAFE,
-}
 _STATES = {int(s): s for s in events.EndpointState}
 _REPEAT_FLAG, _WRITE_FLAG, _HINT_FLAG = 2, 4, 1
 
@@ -49,7 +45,7 @@
 
 
 class Halt:
-    """An instance is killed; all that it held is void."""
+    """An instance is killed; all its state is void."""
 
     __slots__ = ()
 
@@ -57,84 +53,23 @@
 Item = events.Event | Attach | Halt
 
 
-def _present(section: Any, names: dict[str, str]) -> dict[str, Any]:
-    """Pick the known keys that are there, under our names; absent ones keep our defaults."""
-    if not isinstance(section, dict):
-        return {}
-    return {ours: section[theirs] for theirs, ours in names.items() if section.get(theirs) is not None}
-
-
-_CLASS_KEYS = {
-    key: key for key in ("name", "aim_ms", "deadline_ms", "late_share", "aim_stretch", "window_ms", "stream")
-} | {"gain": "worth"}
-_LIMIT_KEYS = {
-    key: key
-    for key in (
-        "second_copies",
-        "cancel",
-        "probes",
-        "retry_after",
-        "max_retry_after_ms",
-        "connect_timeout_ms",
-    )
-}
-_LIMIT_KEYS["most_tries"] = "max_attempts"
-_RULE_KEYS = {
-    key: key
-    for key in (
-        "answer_slack_ms",
-        "ask_within_ms",
-        "cold_from",
-        "warm_after_ms",
-        "overload_factor",
-        "fall_ms",
-    )
-}
-_RULE_KEYS["stop_sending_within_ms"] = "drain_grace_ms"
-_PRICE_KEYS = {key: key for key in ("cross_zone", "waste", "late_fail", "probe")}
-
-
-def parse_settings(text: str | bytes) -> settings.Settings:
-    """Read the settings; unknown keys are skipped and absent ones take the interface's defaults."""
-    info = json.loads(text)
-    classes = []
-    for one in info.get("classes") or ():
-        values = _present(one, _CLASS_KEYS)
-        values["effect"] = _EFFECTS.get(one.get("semantics"), settings.Effect.UNSAFE)
-        # A scope that is not known is taken as the narrowest one.
-        scopes = {group.value: group for group in settings.DeduplicationScope}
-        values["group"] = scopes.get(one.get("key_scope", "all"), settings.DeduplicationScope.CELL)
-        classes.append(settings.RequestClass(**values))
-    telemetry = info.get("telemetry") or {}
-    return settings.Settings(
-        classes=tuple(classes),
-        must_ask=info.get("registry_mode") == "subscribe",
-        worth_by_work=info.get("value_by") == "work",
-        load_fields=tuple(telemetry.get("fields") or ()),
-        limits=settings.Limits(**_present(info.get("limits"), _LIMIT_KEYS)),
-        rules=settings.Rules(**_present(info.get("invariants"), _RULE_KEYS)),
-        prices=settings.Prices(**_present(info.get("prices"), _PRICE_KEYS)),
-        **_present(info, {"zone": "zone", "peers_total": "peers_total", "round_ms": "tick_ms"}),
-    )
-
-
 def read_exactly(stream: BinaryIO, count: int, *, may_end: bool = False) -> bytes:
     """Read `count` bytes; the input may end before the first of them if `may_end`, never in the middle."""
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     missing = count
     while missing:
-        part = stream.read(missing)
-        if not part:
+        chunk = stream.read(missing)
+        if not chunk:
             if may_end and missing == count:
                 return b""
             raise WireError(f"input ended {missing} bytes short of {count}")
-        parts.append(part)
-        missing -= len(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+        missing -= len(chunk)
+    return b"".join(chunks)
 
 
 def read_batch(stream: BinaryIO) -> tuple[float, int, int, bytes] | None:
-    """The next batch as (clock, number, record count, records), or None at the end of input."""
+    """Return the next batch as (clock in ms, number, record count, records); None at the end of input."""
     header = read_exactly(stream, _HEADER.size, may_end=True)
     if not header:
         return None
@@ -157,12 +92,12 @@
             for _ in range(count):
                 (code,) = _CODE.unpack_from(body, at)
                 at += 2
-                if code == 12:
+                if code == _SELECT_CODE:
                     (instance,) = _SELECT.unpack_from(body, at)
                     at += 2
                     continue
-                if code == 11:
-                    at = self._ledger(body, at)
+                if code == _HOST_LIST_CODE:
+                    at = self._endpoint_list(body, at)
                     continue
                 if instance < 0:
                     raise WireError(f"record {code} before any instance was selected")
@@ -173,9 +108,9 @@
         if at != len(body):
             raise WireError(f"{len(body) - at} bytes left over after {count} records")
 
-    def _ledger(self, body: bytes, at: int) -> int:
-        number, entries = _LEDGER.unpack_from(body, at)
-        at += _LEDGER.size
+    def _endpoint_list(self, body: bytes, at: int) -> int:
+        number, entries = _HOST_LIST.unpack_from(body, at)
+        at += _HOST_LIST.size
         end: int = at + entries * _ENTRY.size
         if end > len(body):
             raise WireError(f"host list {number} of {entries} entries is cut short")
@@ -189,55 +124,84 @@
         return end
 
     def _item(self, code: int, body: bytes, at: int) -> tuple[Item, int]:
-        if code == 3:
-            rid, key, flags, deadline, lane, cost, tenant = _SUBMIT.unpack_from(body, at)
-            return events.Request(
-                rid,
-                deadline,
-                lane,
-                key,
-                cost if flags & _HINT_FLAG else 0.0,
-                tenant,
-                bool(flags & _REPEAT_FLAG),
-                bool(flags & _WRITE_FLAG),
-            ), at + _SUBMIT.size
-        if code == 5:
-            rid, hop, host, how, took, closed, fields = _REPLY.unpack_from(body, at)
-            load, at = self._load(body, at + _REPLY.size, fields)
-            return events.Reply(rid, hop, host, self._outcome(how), took, bool(closed), load), at
-        if code == 7:
-            return events.TimerFired(*_LEFT.unpack_from(body, at)), at + 8
-        if code == 6:
-            return events.ClientDisconnected(*_LEFT.unpack_from(body, at)), at + 8
-        if code == 8:
-            host, how, took, fields = _PING.unpack_from(body, at)
-            load, at = self._load(body, at + _PING.size, fields)
-            return events.HealthCheckResult(host, self._outcome(how), took, load), at
-        if code == 2:
-            form, epoch, number = _REGISTRY.unpack_from(body, at)
-            at += _REGISTRY.size
-            if form not in (0, 1, 2, 3):
-                raise WireError(f"unknown kind of host list: {form}")
-            kind = events.EndpointUpdateKind(form)
-            if kind is events.EndpointUpdateKind.FAILED:
-                return events.EndpointUpdate(kind, (), epoch), at
-            if number not in self._lists:
-                raise WireError(f"host list {number} was never sent")
-            return events.EndpointUpdate(kind, self._lists[number], epoch), at
-        if code == 4:
-            rid, hop, host, _took = _FIRST.unpack_from(body, at)
-            return events.StreamStarted(rid, hop, host), at + _FIRST.size
-        if code == 1:
-            seed, size = _ATTACH.unpack_from(body, at)
-            text, at = self._bytes(body, at + _ATTACH.size, size)
-            return Attach(seed, text), at
-        if code == 9:
-            sender, size = _PEER.unpack_from(body, at)
-            data, at = self._bytes(body, at + _PEER.size, size)
-            return events.PeerMessage(sender, data), at
-        if code == 10:
-            return Halt(), at
-        raise WireError(f"unknown record code {code} at byte {at - 2}")
+        """Return the item of a record, and where the next record begins."""
+        decode = self._DECODERS.get(code)
+        if decode is None:
+            raise WireError(f"unknown record code {code} at byte {at - 2}")
+        return decode(self, body, at)
+
+    def _attach(self, body: bytes, at: int) -> tuple[Item, int]:
+        seed, size = _ATTACH.unpack_from(body, at)
+        text, end = self._bytes(body, at + _ATTACH.size, size)
+        return Attach(seed, text), end
+
+    def _halt(self, _body: bytes, at: int) -> tuple[Item, int]:
+        return Halt(), at
+
+    def _endpoint_update(self, body: bytes, at: int) -> tuple[Item, int]:
+        form, epoch, number = _ENDPOINT_UPDATE.unpack_from(body, at)
+        at += _ENDPOINT_UPDATE.size
+        if form not in (0, 1, 2, 3):
+            raise WireError(f"unknown kind of host list: {form}")
+        kind = events.EndpointUpdateKind(form)
+        if kind is events.EndpointUpdateKind.FAILED:
+            return events.EndpointUpdate(kind, (), epoch), at
+        if number not in self._lists:
+            raise WireError(f"host list {number} was never sent")
+        return events.EndpointUpdate(kind, self._lists[number], epoch), at
+
+    def _request(self, body: bytes, at: int) -> tuple[Item, int]:
+        request, key, flags, deadline, request_class, cost, tenant = _REQUEST.unpack_from(body, at)
+        item = events.Request(
+            request,
+            deadline,
+            request_class,
+            key,
+            cost if flags & _HINT_FLAG else 0.0,
+            tenant,
+            bool(flags & _REPEAT_FLAG),
+            bool(flags & _WRITE_FLAG),
+        )
+        return item, at + _REQUEST.size
+
+    def _stream_started(self, body: bytes, at: int) -> tuple[Item, int]:
+        request, attempt, host, _latency = _STREAM_STARTED.unpack_from(body, at)
+        return events.StreamStarted(request, attempt, host), at + _STREAM_STARTED.size
+
+    def _reply(self, body: bytes, at: int) -> tuple[Item, int]:
+        request, attempt, host, outcome, latency, closed, fields = _REPLY.unpack_from(body, at)
+        load, end = self._load(body, at + _REPLY.size, fields)
+        item = events.Reply(request, attempt, host, self._outcome(outcome), latency, bool(closed), load)
+        return item, end
+
+    def _client_disconnected(self, body: bytes, at: int) -> tuple[Item, int]:
+        return events.ClientDisconnected(*_ID_ONLY.unpack_from(body, at)), at + _ID_ONLY.size
+
+    def _timer_fired(self, body: bytes, at: int) -> tuple[Item, int]:
+        return events.TimerFired(*_ID_ONLY.unpack_from(body, at)), at + _ID_ONLY.size
+
+    def _health_check_result(self, body: bytes, at: int) -> tuple[Item, int]:
+        host, outcome, latency, fields = _HEALTH_CHECK.unpack_from(body, at)
+        load, end = self._load(body, at + _HEALTH_CHECK.size, fields)
+        return events.HealthCheckResult(host, self._outcome(outcome), latency, load), end
+
+    def _peer_message(self, body: bytes, at: int) -> tuple[Item, int]:
+        sender, size = _PEER.unpack_from(body, at)
+        data, end = self._bytes(body, at + _PEER.size, size)
+        return events.PeerMessage(sender, data), end
+
+    _DECODERS: ClassVar[dict[int, Callable[[Decoder, bytes, int], tuple[Item, int]]]] = {
+        1: _attach,
+        2: _endpoint_update,
+        3: _request,
+        4: _stream_started,
+        5: _reply,
+        6: _client_disconnected,
+        7: _timer_fired,
+        8: _health_check_result,
+        9: _peer_message,
+        10: _halt,
+    }
 
     @staticmethod
     def _outcome(how: int) -> events.Outcome:
@@ -271,37 +235,36 @@
 _REPLY_HEADER = struct.Struct("<III").pack
 
 
+_FETCH_CODE = 65
+_ENCODERS: dict[type, Callable[[Any], bytes]] = {
+    actions.Send: lambda send: _SEND(68, send.id, send.host, send.timeout_ms),
+    actions.Cancel: lambda cancel: _CANCEL(69, cancel.id, cancel.attempt),
+    actions.SetTimer: lambda timer: _TIMER(70, timer.delay_ms, timer.token),
+    actions.Fail: lambda fail: _ID(72, fail.id),
+    actions.Refuse: lambda refuse: _REFUSE(74, refuse.id, refuse.wait_ms),
+    actions.Subscribe: lambda _: _FLAG(75, 1),
+    actions.HealthCheck: lambda check: _HOST(77, check.host),
+}
+
+
 def encode_action(action: actions.Action) -> bytes:
-    """One action as a record."""
-    if isinstance(action, actions.Send):
-        return _SEND(68, action.id, action.host, action.timeout_ms)
-    if isinstance(action, actions.SetTimer):
-        return _TIMER(70, action.delay_ms, action.token)
-    if isinstance(action, actions.Cancel):
-        return _CANCEL(69, action.id, action.attempt)
-    if isinstance(action, actions.Fail):
-        return _ID(72, action.id)
-    if isinstance(action, actions.Refuse):
-        return _REFUSE(74, action.id, action.wait_ms)
-    if isinstance(action, actions.HealthCheck):
-        return _HOST(77, action.host)
-    if isinstance(action, actions.Subscribe):
-        return _FLAG(75, 1)
-    return _BARE(65)
+    """Return an action as a record."""
+    encode = _ENCODERS.get(type(action))
+    return _BARE(_FETCH_CODE) if encode is None else encode(action)
 
 
 def encode_at(instance: int) -> bytes:
-    """Selects the instance for the records that follow."""
+    """Return a record that selects the instance for the records that follow."""
     return _AT(76, instance)
 
 
 def encode_fault(text: str) -> bytes:
-    """Says that the decision code failed."""
+    """Return a record that reports a failure of the decision code, with its text."""
     data = text.encode("utf-8", "replace")[:60_000]
     return _TEXT(66, len(data)) + data
 
 
 def encode_reply(number: int, records: list[bytes]) -> bytes:
-    """The reply to batch `number`."""
+    """Return the reply to batch `number`."""
     body = b"".join(records)
     return _REPLY_HEADER(len(records), len(body) + 4, number) + body
--- a/coveport/balancing/simulator_link.py
+++ b/coveport/balancing/simulator_link.py
@@ -1,4 +1,4 @@
-"""The loop between the bench's wire and the decisions: one Balancer for each instance, none shared."""
+"""The loop between the simulator's wire and the decisions: one Balancer for each instance, none shared."""
 
 from __future__ import annotations
 
@@ -6,14 +6,18 @@
 import traceback
 from typing import BinaryIO
 
-from coveport.balancing import actions, simulator_codec
+from coveport.balancing import actions, simulator_codec, simulator_settings
 from coveport.balancing.balancer import Balancer
+from coveport.balancing.errors import WireError
 
 
 def answer(
     balancers: dict[int, Balancer], decoder: simulator_codec.Decoder, now: float, count: int, body: bytes
 ) -> list[bytes]:
-    """The records that answer one batch."""
+    """Return the records that answer one batch.
+
+    A failure of the decision code becomes a record of its own, and the next events are handled as ever.
+    """
     records: list[bytes] = []
     selected = -1
     for instance, item in decoder.decode(body, count):
@@ -21,12 +25,12 @@
         fault = b""
         try:
             if isinstance(item, simulator_codec.Attach):
-                balancers[instance] = Balancer(simulator_codec.parse_settings(item.info), item.seed)
+                balancers[instance] = Balancer(simulator_settings.parse_settings(item.info), item.seed)
             elif isinstance(item, simulator_codec.Halt):
                 balancers.pop(instance, None)
             elif instance in balancers:
                 answers = balancers[instance].handle(now, item)
-        except Exception:  # whatever failed in there, its text is what the operators need
+        except Exception:  # noqa: BLE001 - whatever failed in there, the simulator shows its text
             fault = simulator_codec.encode_fault(traceback.format_exc())
         if answers or fault:
             if instance != selected:
@@ -52,7 +56,7 @@
     """Run on standard input and output; 2 when the input is not this protocol."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (simulator_codec.WireError, ValueError) as problem:
+    except (WireError, ValueError) as problem:
         print(f"coveport.balancing: malformed input: {problem}", file=sys.stderr)
         return 2
     return 0
--- a/coveport/sidecar/config/platform.py
+++ b/coveport/sidecar/config/platform.py
@@ -12,7 +12,7 @@
 from typing import Any, Final
 
 from coveport import balancing
-from coveport.balancing import simulator_codec
+from coveport.balancing import simulator_settings
 from coveport.net.address import Address, parse_address
 from coveport.sidecar.config import reload_checks
 from coveport.sidecar.config.errors import PlatformFileError
@@ -124,7 +124,7 @@
 
 
 def _balancer_settings(document: Mapping[str, Any]) -> balancing.Settings:
-    settings = simulator_codec.parse_settings(json.dumps(document))
+    settings = simulator_settings.parse_settings(json.dumps(document))
     if type(settings.zone) is not int:
         raise PlatformFileError(f"zone must be a whole number, not {settings.zone!r}")
     # Guards against names that are no texts: nothing that comes by HTTP could equal them.
--- a/coveport/sidecar/reducer/reducer.py
+++ b/coveport/sidecar/reducer/reducer.py
@@ -99,23 +99,23 @@
     @property
     def service_ms(self) -> float:
         """Mean time of an operation at a destination, as the balancer knows it."""
-        return self._balancer.service
+        return self._balancer.service_time
 
     def fresh(self) -> dict[int, tuple[int, float]]:
         """Destinations that count as cold: zone, and age in ms."""
         warm = self._settings.rules.warm_after_ms
         return {
-            host.id: (host.zone, self._now - host.cold_at)
+            host.id: (host.zone, self._now - host.slow_start_at)
             for host in self._balancer.hosts.values()
-            if self._now - host.cold_at < warm
+            if self._now - host.slow_start_at < warm
         }
 
     def out(self) -> dict[int, float]:
         """Destinations that are out as they failed, and for how long, ms."""
         return {
-            host.id: max(0.0, self._now - host.down_at)
+            host.id: max(0.0, self._now - host.unresponsive_since)
             for host in self._balancer.hosts.values()
-            if host.trial_at < inf
+            if host.readmit_at < inf
         }
 
     def place_of(self, destination: int) -> tuple[int, int]:
@@ -130,10 +130,10 @@
         return {
             "operations": len(self._operations),
             "ids": len(self._ids),
-            "requests": len(balancer.open),
+            "requests": len(balancer.requests),
             "queue": balancer.queue.count,
-            "flights": len(balancer.flights),
-            "due": len(balancer.due),
+            "flights": len(balancer.in_flight),
+            "due": len(balancer.timers),
             "hosts": len(balancer.hosts),
         }
 
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -12,7 +12,8 @@
 
 from coveport import balancing
 from coveport.balancing import Balancer
-from coveport.balancing import balancer as decide
+from coveport.balancing.host import Host
+from coveport.balancing.request_state import RequestState
 from coveport.sidecar.discovery.endpoint_reader import DiscoveredEndpoints
 from coveport.sidecar.downstream.operation_client import OperationClient
 from coveport.sidecar.effects import Effects
@@ -65,35 +66,35 @@
 
 
 class _DeafToDrains(Balancer):
-    def _list(self, event: balancing.EndpointUpdate) -> None:
+    def _update_endpoints(self, event: balancing.EndpointUpdate) -> None:
         entries = tuple(
             dataclasses.replace(one, state=balancing.EndpointState.READY) for one in event.entries
         )
-        super()._list(balancing.EndpointUpdate(event.kind, entries, event.version))
+        super()._update_endpoints(balancing.EndpointUpdate(event.kind, entries, event.version))
 
 
 class _FloodsTheCold(Balancer):
-    def _has_room(self, host: decide._Host, request: decide._Request, first: bool) -> bool:
+    def _slow_start_allows(self, host: Host, request: RequestState, first: bool) -> bool:
         return True
 
-    def _has_its_part(self) -> bool:
+    def _is_saturated(self) -> bool:
         return False
 
-    def _draw(self, level: list[decide._Host], request: decide._Request) -> decide._Host | None:
-        usable = [host for host in level if host.trial_at == inf and self._legal(request, host)]
-        return max(usable, key=lambda host: (host.cold_at, -host.id), default=None)
+    def _draw(self, level: list[Host], request: RequestState) -> Host | None:
+        usable = [host for host in level if host.readmit_at == inf and self._is_allowed(request, host)]
+        return max(usable, key=lambda host: (host.slow_start_at, -host.id), default=None)
 
 
 class _RefusesAll(Balancer):
-    def _answer(self, request: decide._Request) -> None:
+    def _answer(self, request: RequestState) -> None:
         self.out.append(balancing.Refuse(request.id, 0.0))
         self._end(request.id)
 
 
 class _RandomPick(Balancer):
-    def _draw(self, level: list[decide._Host], request: decide._Request) -> decide._Host | None:
+    def _draw(self, level: list[Host], request: RequestState) -> Host | None:
         tried = [attempt.host for attempt in request.attempts]
-        usable = [host for host in level if host not in tried and self._usable(host, request, True)]
+        usable = [host for host in level if host not in tried and self._is_usable(host, request, True)]
         return self.random.choice(usable) if usable else None
 
 
--- a/coveport/testbed/check/chance.py
+++ b/coveport/testbed/check/chance.py
@@ -14,7 +14,8 @@
 from typing import Any, TypeVar
 
 from coveport.balancing import Balancer
-from coveport.balancing import balancer as decide
+from coveport.balancing.host import Host
+from coveport.balancing.request_state import RequestState
 from coveport.testbed.check.world import NODE
 
 T = TypeVar("T")
@@ -239,7 +240,7 @@
     their order in a list; where states that differ in that count as one, each pick has to try them all.
     """
 
-    def orders(level: list[decide._Host]) -> list[list[decide._Host]]:
+    def orders(level: list[Host]) -> list[list[Host]]:
         found = [level]
         if kinds and len({kinds[host.id - NODE] for host in level}) < len(level):
             found += [
@@ -254,11 +255,11 @@
         return found
 
     class Watched(balancer):  # type: ignore[misc, valid-type]
-        def _draw(self, level: list[decide._Host], request: decide._Request) -> decide._Host | None:
+        def _draw(self, level: list[Host], request: RequestState) -> Host | None:
             chooser = self.random
             assert isinstance(chooser, Chooser)
             # With probes a pick sends some on its way, so it is not pure.
-            host: decide._Host | None = chooser.pick(
+            host: Host | None = chooser.pick(
                 lambda order: super(Watched, self)._draw(order, request),
                 orders(level),
                 not self.limits.probes,
--- a/coveport/testbed/check/rules.py
+++ b/coveport/testbed/check/rules.py
@@ -221,12 +221,12 @@
         ("owed", reducer.owed, len(owed)),
     ]
     if not world.complaints:
-        hosts = *balancer.hosts.values(), *(one.host for one in balancer.flights.values())
+        hosts = *balancer.hosts.values(), *(one.host for one in balancer.in_flight.values())
         pending = {key for host in hosts for key in host.pending}
         held = [request.id for request in balancer.queue if request.waiting]
         tables += [
-            ("open", set(balancer.open), owed),
-            ("flights", set(balancer.flights), out),
+            ("open", set(balancer.requests), owed),
+            ("flights", set(balancer.in_flight), out),
             ("pending", pending, out),
             ("held and over", set(held) - owed, set()),
             ("held twice", len(held) - len(set(held)), 0),
@@ -235,7 +235,7 @@
                 {host for host in balancer.hosts if around.states[host - NODE] is EndpointState.GONE},
                 set(),
             ),
-            ("due without a timer", bool(balancer.due) and not around.timers, False),
+            ("due without a timer", bool(balancer.timers) and not around.timers, False),
         ]
     for name, has, should in tables:
         if has != should:
--- a/coveport/testbed/check/states.py
+++ b/coveport/testbed/check/states.py
@@ -18,7 +18,10 @@
 from typing import Any, cast
 
 from coveport.balancing import Balancer, Effect
-from coveport.balancing import balancer as decide
+from coveport.balancing.balancer import SERVICE_WEIGHT
+from coveport.balancing.host import Attempt, Host
+from coveport.balancing.outlier_ejection import FAILURES_TO_EJECT
+from coveport.balancing.request_state import RequestState
 from coveport.sidecar.reducer.reducer import Reducer
 from coveport.testbed.check.chance import Chooser, Draw
 from coveport.testbed.check.play import Play
@@ -98,22 +101,22 @@
         "random",
         "out",
         "now",
-        "soon",
-        "aim",
-        "dear",
-        "most_out",
-        "slow",
-        "calm",
+        "effective_now",
+        "latency_target",
+        "cross_zone_cost",
+        "max_in_flight",
+        "congested_latency",
+        "retry_ratio",
         "hosts",
         "local",
         "wide",
         "all",
-        "open",
+        "requests",
         "queue",
-        "flights",
-        "due",
-        "came_at",
-        "keep_at",
+        "in_flight",
+        "timers",
+        "arrivals_at",
+        "resubset_at",
     },
     Reducer: {"_settings", "_balancer", "_operations", "_ids", "_now", "_effects"},
     Surroundings: {
@@ -130,22 +133,22 @@
     },
 }
 _OWN = {  # fields that a key tells in its own way
-    decide._Host: {
+    Host: {
         "id",
         "zone",
         "cell",
         "started",
         "pending",
-        "heard_at",
-        "seen_at",
-        "cold_at",
-        "down_at",
-        "trial_at",
-        "paused_until",
-        "failures",
-        "mark",
+        "last_response_at",
+        "last_sample_at",
+        "slow_start_at",
+        "unresponsive_since",
+        "readmit_at",
+        "backoff_until",
+        "consecutive_failures",
+        "rank",
     },
-    decide._Request: {
+    RequestState: {
         "id",
         "kind",
         "cls",
@@ -153,10 +156,15 @@
         "long",
         "deadline",
         "attempts",
-        "cross_at",
-        "hold_until",
+        "any_zone_at",
+        "queue_until",
     },
-    decide._Attempt: {"host", "sent_at", "share", "passed"},  # the last two are told of those that are out
+    Attempt: {
+        "host",
+        "sent_at",
+        "concurrency",
+        "overtaken_by",
+    },  # the last two are told of those that are out
 }
 
 
@@ -199,9 +207,9 @@
         self._now = around.now
         self._ranks = {number: rank for rank, number in enumerate(sorted(around.open))}
         uses: dict[int, list[Any]] = {}  # of a host, by its identity: which attempts name it
-        hosts: dict[int, list[decide._Host]] = {number: [] for number in range(len(around.world.nodes))}
+        hosts: dict[int, list[Host]] = {number: [] for number in range(len(around.world.nodes))}
 
-        def use(host: decide._Host, *what: Any) -> None:
+        def use(host: Host, *what: Any) -> None:
             uses.setdefault(id(host), []).append(what)
             if all(host is not known for known in hosts[host.id - NODE]):
                 hosts[host.id - NODE].append(host)
@@ -212,8 +220,8 @@
             use(host, 1)
         for host in balancer.local:
             use(host, 2)
-        for number, place in sorted(balancer.flights):
-            use(balancer.flights[number, place].host, 3, self._rank(number), place)
+        for number, place in sorted(balancer.in_flight):
+            use(balancer.in_flight[number, place].host, 3, self._rank(number), place)
         operations = tuple(self._operation(play, number, use) for number in self._ranks)
         steps = [
             (asked.steps[place].node, self._rank(number), place)
@@ -229,9 +237,9 @@
             self._world.settings.must_ask and not around.asks and self._instant(around.quiet_since),
             tuple(sorted(self._instant(at) for at, _ in around.timers)),
             self._fields(balancer, _SKIPPED[Balancer] | {"answers"}),
-            min(balancer.answers, round(1 / decide.SERVICE_MEMORY)),
+            min(balancer.answers, round(1 / SERVICE_WEIGHT)),
             tuple(self._rank(request.id) if request.waiting else -1 for request in balancer.queue),
-            tuple(sorted((self._instant(at), self._rank(number)) for at, number in balancer.due)),
+            tuple(sorted((self._instant(at), self._rank(number)) for at, number in balancer.timers)),
             self._fields(play.reducer, _SKIPPED[Reducer]),
             operations,
             tuple(sorted(nodes, key=repr)),
@@ -244,19 +252,19 @@
         wish = around.world.wishes[asked.wish]
         keyed = around.world.settings.classes[wish.cls].effect is Effect.KEYED and not asked.over
         own = play.reducer._operations.get(number)
-        request = play.balancer.open.get(number)
+        request = play.balancer.requests.get(number)
         told: tuple[Any, ...] = ()
         if request is not None:
             attempts = []
             for place, attempt in enumerate(request.attempts):
                 use(attempt.host, 4, self._rank(number), place)
                 sent = self._instant(attempt.sent_at) if keyed and attempt.may_have_run else 0
-                attempts.append((sent, *self._fields(attempt, _OWN[decide._Attempt])))
+                attempts.append((sent, *self._fields(attempt, _OWN[Attempt])))
             told = (
-                self._ahead(request.cross_at, play),
-                self._ahead(request.hold_until, play),
+                self._ahead(request.any_zone_at, play),
+                self._ahead(request.queue_until, play),
                 tuple(attempts),
-                *self._fields(request, _OWN[decide._Request]),
+                *self._fields(request, _OWN[RequestState]),
             )
         return (
             asked.wish,
@@ -315,7 +323,7 @@
             tuple(hosts),
         )
 
-    def _host(self, around: Surroundings, host: decide._Host, uses: list[Any]) -> tuple[Any, ...]:
+    def _host(self, around: Surroundings, host: Host, uses: list[Any]) -> tuple[Any, ...]:
         now = self._now
         starts = [at for (node, _), at in around.births.items() if node == host.id - NODE]
         untold = {"host", "pending", "may_have_run"}
@@ -325,21 +333,25 @@
         )
         sent = [flight.sent_at for flight in host.pending.values()]
         # Asked of the last answer is only whether it came after something else.
-        heard: Any = (host.heard_at < now, host.down_at > host.heard_at, *(host.heard_at < at for at in sent))
+        heard: Any = (
+            host.last_response_at < now,
+            host.unresponsive_since > host.last_response_at,
+            *(host.last_response_at < at for at in sent),
+        )
         if self._exact:
-            heard = self._instant(host.heard_at)
+            heard = self._instant(host.last_response_at)
         return (
             heard,
             flights,
             tuple(uses),
             sum(at <= host.started for at in starts),
-            self._since(host.seen_at, host.pace),
-            self._since(host.cold_at, self._world.settings.rules.warm_after_ms),
-            self._since(host.down_at, self._fall),
-            self._ahead(host.trial_at),
-            self._ahead(host.paused_until),
-            min(host.failures, decide.ACCIDENTS),
-            *self._fields(host, _OWN[decide._Host]),
+            self._since(host.last_sample_at, host.mean_latency),
+            self._since(host.slow_start_at, self._world.settings.rules.warm_after_ms),
+            self._since(host.unresponsive_since, self._fall),
+            self._ahead(host.readmit_at),
+            self._ahead(host.backoff_until),
+            min(host.consecutive_failures, FAILURES_TO_EJECT),
+            *self._fields(host, _OWN[Host]),
         )
 
     # The figures.
@@ -385,6 +397,6 @@
             return value.name
         if isinstance(value, Chooser):
             return ()
-        if isinstance(value, decide._Host):
+        if isinstance(value, Host):
             return value.id  # of a table that is not known here: its nodes are not interchangeable
         return (kind.__name__, *self._fields(value, set()))
--- a/coveport/testbed/discrete_event/sidecars.py
+++ b/coveport/testbed/discrete_event/sidecars.py
@@ -12,7 +12,7 @@
 
 from coveport import balancing
 from coveport.balancing.balancer import Balancer
-from coveport.balancing.simulator_codec import parse_settings
+from coveport.balancing.simulator_settings import parse_settings
 from coveport.sidecar.effects import connect_timeout_ms
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from coveport.balancing.simulator_codec import parse_settings
+from coveport.balancing.simulator_settings import parse_settings
 from coveport.sidecar.config.lease_terms import LeaseTerms
 from coveport.sidecar.intent_log.errors import RecordError
 from coveport.sidecar.intent_log.execution import Client
--- a/coveport/testbed/fuzz/__init__.py
+++ b/coveport/testbed/fuzz/__init__.py
@@ -23,7 +23,7 @@
     "lists": ("coveport.sidecar.discovery.endpoint_reader", "coveport.net.address"),
     "config": (
         "coveport.sidecar.config.platform",
-        "coveport.balancing.simulator_codec",
+        "coveport.balancing.simulator_settings",
         "coveport.balancing.settings",
         "coveport.net.address",
     ),
--- a/coveport/testbed/fuzz/targets.py
+++ b/coveport/testbed/fuzz/targets.py
@@ -22,6 +22,7 @@
 from coveport import balancing, http1
 from coveport.balancing import simulator_codec
 from coveport.balancing.balancer import Balancer
+from coveport.balancing.errors import WireError
 from coveport.net.address import parse_address
 from coveport.sidecar.config import platform
 from coveport.sidecar.config.errors import PlatformFileError
@@ -367,7 +368,7 @@
             found.append((now, number, taken))
             for one in decoder.decode(body, count):
                 taken.append(one)
-    except simulator_codec.WireError:
+    except WireError:
         return found, True
     return found, False
 
--- a/tests/balancing/test_balancer_health.py
+++ b/tests/balancing/test_balancer_health.py
@@ -90,10 +90,10 @@
     driver, waits = quiet(2, seed=seed), []
     host = driver.balancer.hosts[100]
     for one in outcomes:
-        driver.now = host.trial_at if host.trial_at < math.inf else driver.now + 10.0
+        driver.now = host.readmit_at if host.readmit_at < math.inf else driver.now + 10.0
         known(driver, ENDS[one], 100)
         if one != "o":
-            waits.append((host.trial_at - driver.now) / AIM)
+            waits.append((host.readmit_at - driver.now) / AIM)
     return waits
 
 
@@ -115,7 +115,7 @@
 def test_where_classes_differ_the_shortest_aim_counts() -> None:
     driver = Driver(settings(SAFE, dataclasses.replace(SAFE, aim_ms=400.0)), hosts(2, 0))
     known(driver, Outcome.CONNECT_FAILED, 100)
-    assert driver.balancer.hosts[100].trial_at - driver.now <= 300 and driver.balancer.service == 40
+    assert driver.balancer.hosts[100].readmit_at - driver.now <= 300 and driver.balancer.service_time == 40
 
 
 def test_a_trial_is_one_request_that_may_run_twice_and_what_fails_meanwhile_prolongs_nothing() -> None:
@@ -123,10 +123,10 @@
     driver.warm(20.0)
     at_bad = [sent for sent in (tried(driver) for _ in range(8)) if sent and sent.host == 100]
     driver.end(at_bad.pop(), 1.0, Outcome.CONNECT_FAILED)
-    due = driver.balancer.hosts[100].trial_at
+    due = driver.balancer.hosts[100].readmit_at
     for sent in at_bad[1:]:
         driver.end(sent, 1.0, Outcome.CONNECT_FAILED)
-    assert driver.balancer.hosts[100].trial_at == due, "one cause, one strike"
+    assert driver.balancer.hosts[100].readmit_at == due, "one cause, one strike"
     while others := [sent for sent in driver.flying.values() if sent.host == 101]:
         driver.end(others[0], 20.0)
     driver.now = due + 1.0
@@ -159,7 +159,7 @@
     known(driver, Outcome.OK, 100)
     driver.now = sent.at + 900.0
     driver.reply(sent, Outcome.TIMEOUT)
-    assert (driver.balancer.hosts[100].trial_at < math.inf) is out
+    assert (driver.balancer.hosts[100].readmit_at < math.inf) is out
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -173,11 +173,13 @@
     driver.reply(driver.of(held)[0])  # what was held is given a chance too
     known(driver, Outcome.CONNECT_FAILED, 100, 101, 102, 103)
     due = 100 + seed % 3
-    driver.balancer.hosts[due].trial_at = driver.now
-    assert go(driver, due) and driver.balancer.hosts[103].trial_at < math.inf
+    driver.balancer.hosts[due].readmit_at = driver.now
+    assert go(driver, due) and driver.balancer.hosts[103].readmit_at < math.inf
     other = tried(driver)
     assert other and other.host in (100, 101), "the own zone where it has any"
-    assert all(host.trial_at == math.inf for host in driver.balancer.hosts.values()), "in their levels again"
+    assert all(host.readmit_at == math.inf for host in driver.balancer.hosts.values()), (
+        "in their levels again"
+    )
 
 
 # Cold starts.
@@ -201,7 +203,7 @@
     for step in script.split():
         driver.now += float(step[:-1] or 1)
         known(driver, ENDS[step[-1]], 100)
-    assert (driver.balancer.hosts[100].pace == 0.0) is cold, "what was known holds no longer"
+    assert (driver.balancer.hosts[100].mean_latency == 0.0) is cold, "what was known holds no longer"
     driver.now += 200.0
     assert (part(driver, 50) < 0.5) is cold
 
@@ -306,26 +308,28 @@
     driver = quiet()
     for took in paces:
         driver.warm(took, 1, apart=700.0)
-    assert driver.balancer.hosts[100].pace == pytest.approx(expected, rel=0.08)
+    assert driver.balancer.hosts[100].mean_latency == pytest.approx(expected, rel=0.08)
 
 
 def test_answers_of_several_at_once_tell_the_pace_of_one() -> None:
     driver = quiet()
     for number, sent in enumerate([go(driver) for _ in range(3)], 1):
         driver.end(sent, 40.0 * number)
-    assert driver.balancer.hosts[100].pace == pytest.approx(40.0)
-    assert driver.balancer.service == pytest.approx((100.0 + 3 * 40.0) / 4)  # the guess weighs as one answer
+    assert driver.balancer.hosts[100].mean_latency == pytest.approx(40.0)
+    assert driver.balancer.service_time == pytest.approx(
+        (100.0 + 3 * 40.0) / 4
+    )  # the guess weighs as one answer
 
 
 def test_the_fleets_service_time_is_a_mean_first_and_outlasts_one_trouble_later() -> None:
     driver = quiet(2)
     for count in range(1, 40):
         driver.warm(40.0, 1)
-        assert driver.balancer.service == pytest.approx((100.0 + count * 40.0) / (count + 1))
+        assert driver.balancer.service_time == pytest.approx((100.0 + count * 40.0) / (count + 1))
     driver.warm(40.0, 160)
-    before = driver.balancer.service
+    before = driver.balancer.service_time
     driver.warm(400.0, 10, apart=2 * AIM)
-    assert 1.5 * before < driver.balancer.service < 3.5 * before, "ten of fifty answers"
+    assert 1.5 * before < driver.balancer.service_time < 3.5 * before, "ten of fifty answers"
 
 
 @pytest.mark.parametrize("outcome", [o for o in Outcome if o not in (Outcome.OK, Outcome.TIMEOUT)])
@@ -333,7 +337,9 @@
     driver = quiet(1, 1)
     driver.warm(50.0)
     driver.end(go(driver), 700.0, outcome)
-    assert driver.balancer.hosts[100].pace == 50.0 and driver.balancer.service == pytest.approx(50.8, abs=0.5)
+    assert driver.balancer.hosts[100].mean_latency == 50.0 and driver.balancer.service_time == pytest.approx(
+        50.8, abs=0.5
+    )
 
 
 # Silence, and requests that got lost.
@@ -376,9 +382,9 @@
     if outcome is Outcome.OK:
         driver.end(go(driver, 100 if lost else 101), 20.0)  # the host is used or not
     host = driver.balancer.hosts[100]
-    pace = host.pace
+    pace = host.mean_latency
     driver.end(sent[0], 900.0, Outcome.TIMEOUT)
-    assert (host.pace == pace) == lost, "speaks of its host, or not"
+    assert (host.mean_latency == pace) == lost, "speaks of its host, or not"
 
 
 def test_what_got_lost_takes_no_room() -> None:
@@ -399,7 +405,7 @@
     known(driver, Outcome.CONNECT_FAILED, 100)
     driver.now += 240  # a patience and more
     held = driver.request()
-    driver.balancer.hosts[100].trial_at = driver.now + 50
+    driver.balancer.hosts[100].readmit_at = driver.now + 50
     driver.feed(balancing.TimerFired(0))
     assert not driver.of(held)
     driver.now += 60
@@ -414,7 +420,7 @@
     driver.now += 800.0
     known(driver, Outcome.OK, 100)  # it lives
     driver.reply(sent, Outcome.TIMEOUT)
-    assert driver.balancer.hosts[100].pace == pytest.approx(50.0 + (800.0 - 50.0) / 4)
+    assert driver.balancer.hosts[100].mean_latency == pytest.approx(50.0 + (800.0 - 50.0) / 4)
     go(driver, 101)  # a further one would wait at the other
 
 
@@ -438,7 +444,7 @@
     for sent in list(driver.flying.values()):
         driver.reply(sent)
     host = driver.balancer.hosts[100]
-    driver.balancer._judge(host, Outcome.CONNECT_FAILED, 5.0, None)
+    driver.balancer._record_outcome(host, Outcome.CONNECT_FAILED, 5.0, None)
     driver.advance(60_000, tick=500)
     before = len(driver.log)
     driver.serve(20, cls=unsafe)
--- a/tests/balancing/test_balancer_requests.py
+++ b/tests/balancing/test_balancer_requests.py
@@ -11,7 +11,7 @@
 
 from coveport import balancing
 from coveport.balancing import Balancer, DeduplicationScope, Effect, Outcome
-from coveport.balancing.pending_requests import Held
+from coveport.balancing.pending_requests import PendingRequests
 
 AIM, TICK = SAFE.aim_ms, 5.0
 LAST = 200.0  # so long before its aim a held request must go: two answers' time, as long as none has come
@@ -128,7 +128,7 @@
     assert driver.feed(driver.requests[go(driver).id]) == []
 
 
-# Held requests.
+# Queued requests.
 
 
 def test_of_what_is_held_the_most_worth_goes_first_and_the_newest_of_equals() -> None:
@@ -159,9 +159,9 @@
     driver.warm(50.0)
     for answers in range(1, 9):
         driver.warm(400.0, 1, apart=AIM)
-        assert driver.balancer.lately == pytest.approx(400 - 350 * 0.9**answers, rel=0.02)
+        assert driver.balancer.recent_latency == pytest.approx(400 - 350 * 0.9**answers, rel=0.02)
     driver.warm(400.0, 100, apart=AIM)
-    driver.balancer.came = 78.0  # and ten of those below
+    driver.balancer.arrivals = 78.0  # and ten of those below
     out = [go(driver) for _ in range(10)]  # one at each host, as a second one would wait there too long
     held = [driver.request() for _ in range(2)]
     for sent in out[:3]:
@@ -176,7 +176,7 @@
     driver = Driver(site(*classes, peers=1, second_copies=False), LONE)
     driver.warm(200.0, 3, apart=2 * AIM)
     driver.warm(300.0, apart=2 * AIM)
-    driver.balancer.came = 40.0
+    driver.balancer.arrivals = 40.0
     out = [go(driver), go(driver)]
     third = driver.request()
     assert not driver.of(third)
@@ -186,13 +186,13 @@
 
 def test_of_what_is_held_each_stands_in_one_line_and_what_is_due_is_no_longer_to_come() -> None:
     driver = Driver(site(SAFE, second_copies=False), hosts(3, 0))
-    one, two, three = (driver.balancer.open[go(driver).id] for _ in range(3))
-    held = Held[Any]()
+    one, two, three = (driver.balancer.requests[go(driver).id] for _ in range(3))
+    held = PendingRequests[Any]()
     for request, cross, end in ((one, 20.0, 30.0), (two, 10.0, 40.0), (three, 20.0, 50.0), (two, 15.0, 40.0)):
-        request.cross_at, request.hold_until = cross, end
+        request.any_zone_at, request.queue_until = cross, end
         held.remove(request)  # may be held anew
         held.add(request, 10.0)
-    lines = [[list(line) for _, line in held.lines(now, lambda _: 0.0)] for now in (14, 15, 20)]
+    lines = [[list(line) for _, line in held.queues(now, lambda _: 0.0)] for now in (14, 15, 20)]
     assert lines[:2] == [[[two, three, one]], [[three, one], [two]]] and set(lines[2][0]) == {one, two, three}
     assert len(lines[2][0]) == 3 and set(held) == {one, two, three}
     assert [held.next_at(now) for now in (20, 30, 40)] == [30, 40, 50]
@@ -350,11 +350,11 @@
 ) -> None:
     driver = Driver(site(dataclasses.replace(KEYED, late_share=0.2, **cls)), hosts(3, 2))
     driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries[:1]))
-    request = driver.balancer.open[go(driver).id]
+    request = driver.balancer.requests[go(driver).id]
     driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries))
     driver.now += after
     driver.feed(balancing.TimerFired(0))
-    assert driver.balancer._legal(request, driver.balancer.hosts[host]) is again
+    assert driver.balancer._is_allowed(request, driver.balancer.hosts[host]) is again
 
 
 def test_each_earlier_attempt_must_still_be_known_where_a_request_runs_again() -> None:
@@ -526,9 +526,9 @@
         other = (first, second)[cancelled[0]]
         driver.reply(other, Outcome.CONNECT_FAILED, closed=False)
         assert len(driver.of(one)) == 2, "a started answer needs no other"
-        assert one in driver.balancer.open
+        assert one in driver.balancer.requests
         driver.reply((second, first)[cancelled[0]], Outcome.RESET, closed=True)
-    assert one not in driver.balancer.open
+    assert one not in driver.balancer.requests
 
 
 def test_a_closed_reply_ends_a_request_whatever_its_outcome() -> None:
@@ -536,13 +536,13 @@
     one = driver.request()
     driver.answers[one] = "left"
     driver.reply(driver.of(one)[0], Outcome.CONNECT_FAILED, closed=True)
-    assert len(driver.of(one)) == 1 and not driver.balancer.open
+    assert len(driver.of(one)) == 1 and not driver.balancer.requests
     assert driver.feed(balancing.Reply(one, 7, 100, Outcome.OK, 1.0, True)) == []
     two = go(driver)
     driver.feed(balancing.Reply(two.id, 7, 100, Outcome.RESET, 1.0, False))
-    assert two.id in driver.balancer.open, "of an attempt that never was"
+    assert two.id in driver.balancer.requests, "of an attempt that never was"
     driver.reply(two, closed=False)
-    assert not driver.balancer.open, "an answer closes it, whoever says so"
+    assert not driver.balancer.requests, "an answer closes it, whoever says so"
 
 
 # The list, and asking for it.
@@ -560,14 +560,16 @@
     delta(balancing.Endpoint(100, 0), balancing.Endpoint(104, 1), balancing.Endpoint(104, 1))
     assert ready() == [100, 101, 102, 103, 104] and len(driver.balancer.local) == 2, "each once"
     driver.feed(balancing.HealthCheckResult(100, Outcome.CONNECT_FAILED, 1.0))
-    out = driver.balancer.hosts[100].trial_at
+    out = driver.balancer.hosts[100].readmit_at
     delta(balancing.Endpoint(100, 0, 0, balancing.EndpointState.DRAINING))
     assert ready() == [101, 102, 103, 104] and [host.id for host in driver.balancer.local] == [101]
     delta(balancing.Endpoint(100, 0))
-    assert ready() == [100, 101, 102, 103, 104] and driver.balancer.hosts[100].trial_at == out, "the same one"
+    assert ready() == [100, 101, 102, 103, 104] and driver.balancer.hosts[100].readmit_at == out, (
+        "the same one"
+    )
     delta(balancing.Endpoint(100, 0, started_ms=99_000.0))
-    assert driver.balancer.hosts[100].trial_at == math.inf, "a new process, of which nothing is known"
-    assert driver.balancer.hosts[100].cold_at == 99_000.0 and len(driver.balancer.local) == 2
+    assert driver.balancer.hosts[100].readmit_at == math.inf, "a new process, of which nothing is known"
+    assert driver.balancer.hosts[100].slow_start_at == 99_000.0 and len(driver.balancer.local) == 2
     known = driver.balancer.hosts[100]
     delta(balancing.Endpoint(100, 0, started_ms=99_000.0))
     assert driver.balancer.hosts[100] is known, "told again"
@@ -690,14 +692,14 @@
     if trouble == "held":
         for cls in (0, 1, 2):
             driver.request(cls)
-    looked, usable = 0, driver.balancer._usable
+    looked, usable = 0, driver.balancer._is_usable
 
     def counted(*arguments: Any) -> bool:
         nonlocal looked
         looked += 1
         return usable(*arguments)
 
-    monkeypatch.setattr(driver.balancer, "_usable", counted)
+    monkeypatch.setattr(driver.balancer, "_is_usable", counted)
     if trouble == "held":
         driver.feed(balancing.TimerFired(0))
     driver.request()
--- a/tests/balancing/test_balancing_rules.py
+++ b/tests/balancing/test_balancing_rules.py
@@ -277,12 +277,12 @@
     for cls, second_copies, expected in ((0, True, True), (0, False, False), (2, True, False)):
         driver = Driver(settings(second_copies=second_copies))
         one = driver.request(cls)
-        request = driver.balancer.open[one]
+        request = driver.balancer.requests[one]
         other = driver.balancer.hosts[103]
-        assert driver.balancer._legal(request, other) is expected
+        assert driver.balancer._is_allowed(request, other) is expected
         other.ready = False
-        assert not driver.balancer._legal(request, other), "drains or is gone"
-        assert driver.balancer._legal(request, None) is (cls == 0), "refusal while it may have run"
+        assert not driver.balancer._is_allowed(request, other), "drains or is gone"
+        assert driver.balancer._is_allowed(request, None) is (cls == 0), "refusal while it may have run"
 
 
 def test_a_timer_that_comes_a_rounding_early_loses_no_held_request() -> None:
@@ -309,6 +309,6 @@
 def test_answers_past_the_aim_do_not_refuse_all_that_follows() -> None:
     """A jam raises the service time seen over the aim: without a try nothing would tell of its end."""
     driver = Driver(settings(SAFE))
-    driver.balancer.service = 5000.0
+    driver.balancer.service_time = 5000.0
     one = driver.request()
     assert len(driver.of(one)) == 1
--- a/tests/balancing/test_crowded_hosts.py
+++ b/tests/balancing/test_crowded_hosts.py
@@ -10,7 +10,7 @@
 
 from coveport import balancing
 from coveport.balancing import Balancer, Outcome
-from coveport.balancing.pending_requests import Held, Waiter
+from coveport.balancing.pending_requests import PendingRequest, PendingRequests
 
 FAST = dataclasses.replace(SAFE, aim_ms=1000)
 SLOW = dataclasses.replace(UNSAFE, aim_ms=2500)
@@ -35,7 +35,7 @@
     # Some twenty a second are six in three tenths of an aim. What finds nothing held may go (the first that
     # is held came on top); where answers are swift only hosts say when they are full.
     driver = crowded(FAST, took=took)
-    driver.balancer.came = 55.0
+    driver.balancer.arrivals = 55.0
     for _ in range(30):
         driver.request(deadline=1e9)
     driver.advance(took, tick=took)
@@ -51,9 +51,9 @@
 ) -> None:
     # One out for each of two hundred held a copy of five times the mean traffic down, and no other.
     driver = crowded(FAST, peers=peers, took=900.0, each=30)
-    driver.balancer.came, driver.balancer.came_at = 4 * rate, driver.now  # in four aims
+    driver.balancer.arrivals, driver.balancer.arrivals_at = 4 * rate, driver.now  # in four aims
     for count in range(part + 1):
-        assert driver.balancer._has_its_part() is (count >= part)
+        assert driver.balancer._is_saturated() is (count >= part)
         driver.request(deadline=1e9)
     assert out(driver) == part + 1, "nothing is held: the part binds nobody"
 
@@ -63,13 +63,13 @@
     # One look a pace by each of forty copies kept a slow host as busy as before.
     driver = crowded(FAST, peers=peers, took=100.0)
     slow = driver.balancer.hosts[100]
-    slow.pace, slow.seen_at = 900.0, driver.now
+    slow.mean_latency, slow.last_sample_at = 900.0, driver.now
     driver.now += 900.0 * (after - 0.1)
     driver.balancer.handle(driver.now, balancing.TimerFired(0))
-    assert driver.balancer._expected(slow) == 900.0
+    assert driver.balancer._expected_latency(slow) == 900.0
     driver.now += 900.0 * 0.2
     driver.balancer.handle(driver.now, balancing.TimerFired(0))
-    assert driver.balancer._expected(slow) == 0.0
+    assert driver.balancer._expected_latency(slow) == 0.0
 
 
 def test_what_is_lost_holds_up_nobody() -> None:
@@ -118,14 +118,14 @@
     for number in range(held + 30):
         driver.request(number % 3, deadline=1e9)
     looked = 0
-    expected = Balancer._expected
+    expected = Balancer._expected_latency
 
     def counted(*arguments: Any) -> float:
         nonlocal looked
         looked += 1
         return expected(*arguments)
 
-    monkeypatch.setattr(Balancer, "_expected", counted)
+    monkeypatch.setattr(Balancer, "_expected_latency", counted)
     for _ in range(20):
         sent = next(iter(driver.flying.values()))
         driver.advance(1, tick=1)
@@ -133,43 +133,43 @@
     assert driver.balancer.queue.count > held / 2 and looked < 20 * 60, looked
 
 
-class One(Waiter):
-    """What `Held` holds."""
+class One(PendingRequest):
+    """What `PendingRequests` holds."""
 
     def __init__(self, kind: str, until: float, cross: float) -> None:
         self.kind = kind
-        self.hold_until = until
-        self.cross_at = cross
+        self.queue_until = until
+        self.any_zone_at = cross
 
 
 def test_lines_stand_by_kind_the_newest_first_and_those_that_may_go_further_last() -> None:
-    held = Held[One]()
+    held = PendingRequests[One]()
     old, young, other = One("a", 100, 10), One("a", 100, 50), One("b", 90, 5)
     for one in (old, young, other):
         held.add(one, 0)
     assert held.count == 3 and held.next_at(0) == 5
 
     def lines(now: float) -> list[tuple[tuple[str, bool], list[One]]]:
-        return [(sort, list(line)) for sort, line in held.lines(now, lambda one: -ord(one.kind))]
+        return [(sort, list(line)) for sort, line in held.queues(now, lambda one: -ord(one.kind))]
 
     assert lines(0) == [(("b", True), [other]), (("a", True), [young, old])]
     assert lines(20) == [(("b", False), [other]), (("a", True), [young]), (("a", False), [old])]
     held.remove(young)
     held.remove(young)
     assert held.count == 2 and lines(60) == [(("b", False), [other]), (("a", False), [old])]
-    assert held.ended(90) == [other] and held.ended(90) == [] and held.next_at(90) == 100
+    assert held.expired(90) == [other] and held.expired(90) == [] and held.next_at(90) == 100
     held.add(young, 95)
     assert set(held) == {old, other, young}
 
 
 def test_one_that_is_held_again_stands_in_front() -> None:
-    held = Held[One]()
+    held = PendingRequests[One]()
     first, second = One("a", 100, 0), One("a", 100, 0)
     for one in (first, second):
         held.add(one, 1)
     held.remove(first)
     held.add(first, 2)
-    ((_, line),) = held.lines(2, lambda _: 0.0)
+    ((_, line),) = held.queues(2, lambda _: 0.0)
     assert next(line) is first and held.count == 2
 
 
@@ -193,7 +193,7 @@
     # A tenth of all requests twice, by each of forty copies that know little of any host, tips a busy zone.
     driver = Driver(settings(SAFE, peers=peers), hosts(local=30, remote=0))
     driver.warm(20.0)
-    driver.balancer.extra = 0.0
+    driver.balancer.retry_budget = 0.0
     driver.warm(20.0, answers)
     one = driver.request()
     driver.advance(400)  # far later than a host may be
--- a/tests/balancing/test_fault_reactions.py
+++ b/tests/balancing/test_fault_reactions.py
@@ -10,7 +10,8 @@
 from helpers import KEYED, SAFE, UNSAFE, Driver, hosts, settings
 
 from coveport import balancing
-from coveport.balancing import Outcome, balancer
+from coveport.balancing import Outcome
+from coveport.balancing.host import Attempt
 
 
 def shares(driver: Driver, since: int = 0) -> dict[int, int]:
@@ -77,12 +78,12 @@
     driver.serve(20)
     host = driver.balancer.hosts[100]
     for _ in range(3):
-        driver.balancer._judge(host, outcome, 5.0, None)
-    assert host.trial_at < math.inf
+        driver.balancer._record_outcome(host, outcome, 5.0, None)
+    assert host.readmit_at < math.inf
     driver.now += down
     driver.balancer.now = driver.now
-    driver.balancer._judge(host, Outcome.OK, 5.0, None)
-    assert host.cold_at == -math.inf and host.trial_at == math.inf
+    driver.balancer._record_outcome(host, Outcome.OK, 5.0, None)
+    assert host.slow_start_at == -math.inf and host.readmit_at == math.inf
 
 
 def test_a_request_that_gets_lost_does_not_speak_of_its_host() -> None:
@@ -98,10 +99,10 @@
         driver.advance(10)
         assert one.host == lost.host, "later ones are answered there: it is not silent"
         driver.reply(one)
-    pace = driver.balancer.hosts[lost.host].pace
+    pace = driver.balancer.hosts[lost.host].mean_latency
     driver.reply(lost, Outcome.TIMEOUT)
     host = driver.balancer.hosts[lost.host]
-    assert host.trial_at == math.inf and host.pace == pace
+    assert host.readmit_at == math.inf and host.mean_latency == pace
 
 
 def test_held_requests_cost_no_look_through_all_of_them_each_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -111,17 +112,17 @@
     for _ in range(200):
         driver.request()
     for held in list(driver.balancer.queue)[50:]:  # these have been tried once
-        held.attempts.append(balancer._Attempt(driver.balancer.hosts[100], driver.now))
+        held.attempts.append(Attempt(driver.balancer.hosts[100], driver.now))
         held.attempts[0].pending = held.attempts[0].may_have_run = False
     looked = 0
-    usable = driver.balancer._usable
+    usable = driver.balancer._is_usable
 
     def counted(*arguments: Any) -> bool:
         nonlocal looked
         looked += 1
         return usable(*arguments)
 
-    monkeypatch.setattr(driver.balancer, "_usable", counted)
+    monkeypatch.setattr(driver.balancer, "_is_usable", counted)
     driver.reply(next(iter(driver.flying.values())))
     assert driver.balancer.queue.count > 150 and looked < 60
     looked = 0
@@ -140,7 +141,7 @@
     for sent in list(driver.flying.values()):
         driver.reply(sent)
     for host in driver.balancer.hosts.values():
-        host.pace = took
+        host.mean_latency = took
     for _ in range(30):
         driver.request()
     assert max(len(host.pending) for host in driver.balancer.hosts.values()) == most
@@ -378,14 +379,14 @@
     """Looking through all hosts for each event got a day cut off."""
     driver = Driver(settings(SAFE, peers=5000, second_copies=False), hosts(local=count, remote=count))
     looked = 0
-    usable = driver.balancer._usable
+    usable = driver.balancer._is_usable
 
     def counted(*arguments: Any) -> bool:
         nonlocal looked
         looked += 1
         return usable(*arguments)
 
-    monkeypatch.setattr(driver.balancer, "_usable", counted)
+    monkeypatch.setattr(driver.balancer, "_is_usable", counted)
     driver.serve(100)
     assert looked <= 2.5 * 100 and not driver.timers, "two hosts a request, nothing to wake up for"
 
--- a/tests/balancing/test_simulator_codec.py
+++ b/tests/balancing/test_simulator_codec.py
@@ -11,7 +11,7 @@
 import pytest
 
 from coveport import balancing
-from coveport.balancing import simulator_codec, simulator_link
+from coveport.balancing import simulator_codec, simulator_link, simulator_settings
 
 INFO = json.dumps(
     {
@@ -91,7 +91,7 @@
 
 
 def test_settings_skip_unknown_keys_and_default_absent_ones() -> None:
-    parsed = simulator_codec.parse_settings(INFO)
+    parsed = simulator_settings.parse_settings(INFO)
     assert parsed.must_ask and parsed.zone == 1 and parsed.limits.max_attempts == 5
     assert not parsed.limits.probes
     assert (
@@ -102,7 +102,7 @@
 
 
 def test_unknown_effect_and_group_are_read_as_the_strictest() -> None:
-    parsed = simulator_codec.parse_settings(
+    parsed = simulator_settings.parse_settings(
         json.dumps({"classes": [{"semantics": "magic", "key_scope": "rack"}]})
     )
     assert (
@@ -123,7 +123,7 @@
 )
 def test_impossible_settings_name_the_key(change: dict[str, object], key: str) -> None:
     with pytest.raises(ValueError, match=key):
-        simulator_codec.parse_settings(json.dumps(json.loads(INFO) | change))
+        simulator_settings.parse_settings(json.dumps(json.loads(INFO) | change))
 
 
 def test_a_request_is_sent_to_the_listed_host() -> None:
--- a/tests/balancing/test_slow_start_of_a_fleet.py
+++ b/tests/balancing/test_slow_start_of_a_fleet.py
@@ -15,7 +15,7 @@
 import pytest
 
 from coveport import balancing
-from coveport.balancing import Balancer, DeduplicationScope, Effect, Outcome, balancer
+from coveport.balancing import Balancer, DeduplicationScope, Effect, Outcome, slow_start
 
 WORK_MS = 100.0
 ZONES = 3
@@ -112,7 +112,7 @@
                 self.at(self.now + action.delay_ms, "due", copy, action.token)
 
     def send(self, copy: int, action: balancing.Send) -> None:
-        attempt = len(self.copies[copy].open[action.id].attempts) - 1
+        attempt = len(self.copies[copy].requests[action.id].attempts) - 1
         node, key = self.nodes[action.host], (copy, action.id, attempt)
         self.out[key] = action.host
         if node.fails:
@@ -212,5 +212,5 @@
 
 
 def test_a_ramp_twice_as_steep_breaks_the_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(balancer, "COLD_SAFETY", 2 * balancer.COLD_SAFETY)
+    monkeypatch.setattr(slow_start, "COLD_SAFETY", 2 * slow_start.COLD_SAFETY)
     assert all(play(200, RULES["long"], "zone", seed)[0] > 0 for seed in (100, 101, 107))
--- a/tests/balancing/test_subsetting.py
+++ b/tests/balancing/test_subsetting.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from coveport import balancing
-from coveport.balancing import balancer
+from coveport.balancing import subsetting
 
 
 def copy(peers: int, local: int, remote: int = 0, seed: int = 1) -> Driver:
@@ -35,7 +35,9 @@
 ) -> None:
     driver = copy(peers, local, remote, seed)
     before, size = kept(driver), len(driver.balancer.local)
-    assert min(local, balancer.FEWEST) <= size <= local and set(before) <= {100 + n for n in range(local)}
+    assert min(local, subsetting.MIN_SUBSET) <= size <= local and set(before) <= {
+        100 + n for n in range(local)
+    }
     gone = data.draw(st.integers(100, 99 + local))
     driver.feed(
         balancing.EndpointUpdate(
@@ -82,9 +84,9 @@
 
 def test_who_asks_again_is_turned_away_while_answers_are_slow_and_no_sooner() -> None:
     driver = copy(4, 10)
-    aim = driver.balancer.aim
+    aim = driver.balancer.latency_target
     for lately, sent in ((0.2 * aim, True), (0.3 * aim, False)):
-        driver.balancer.lately = lately
+        driver.balancer.recent_latency = lately
         again = driver.request(repeat=True)
         refused = isinstance(driver.answers.get(again), balancing.Refuse)
         assert bool(driver.of(again)) is sent and refused is not sent
@@ -95,6 +97,6 @@
     driver = copy(200, 60, 60)
     for level in (driver.balancer.local, driver.balancer.wide):
         for host in list(level):
-            host.trial_at = driver.now + 1e6
+            host.readmit_at = driver.now + 1e6
         sent = driver.of(driver.request())
         assert sent and sent[0].host not in {host.id for host in level}
--- a/tests/golden/test_golden_decisions.py
+++ b/tests/golden/test_golden_decisions.py
@@ -11,7 +11,8 @@
 from golden_files import read_cases, read_file
 
 from coveport import balancing
-from coveport.balancing import simulator_codec
+from coveport.balancing import simulator_codec, simulator_settings
+from coveport.balancing.errors import WireError
 
 BATCHES = read_cases("decision_batches.json")
 REPLIES = read_cases("decision_replies.json")
@@ -58,7 +59,7 @@
 def test_what_is_no_record_is_refused_as_before() -> None:
     for code in (0, 13, 65):
         body = struct.pack("<HHH", 12, 513, code)
-        with pytest.raises(simulator_codec.WireError, match=f"unknown record code {code} at byte 4"):
+        with pytest.raises(WireError, match=f"unknown record code {code} at byte 4"):
             list(simulator_codec.Decoder().decode(body, 2))
 
 
@@ -84,4 +85,4 @@
 
 
 def test_settings_are_read_as_before() -> None:
-    assert simulator_codec.parse_settings(read_file("decision_settings.json")) == SETTINGS
+    assert simulator_settings.parse_settings(read_file("decision_settings.json")) == SETTINGS
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -160,9 +160,11 @@
     def _cold(self, action: balancing.Send) -> None:
         """A cold host is sent no larger part of the requests than its budget is of its full capacity."""
         rules, started = self.config.rules, self.started[action.host]
-        if started > 0 and self.now - started < rules.warm_after_ms and action.id in self.balancer.open:
+        if started > 0 and self.now - started < rules.warm_after_ms and action.id in self.balancer.requests:
             part = rules.cold_from + (1 - rules.cold_from) * (self.now - started) / rules.warm_after_ms
-            assert self.balancer.open[action.id].chill < rules.overload_factor * part, "cold host pushed over"
+            assert self.balancer.requests[action.id].slow_start_draw < rules.overload_factor * part, (
+                "cold host pushed over"
+            )
 
     def _answered(self, action: balancing.Fail | balancing.Refuse) -> None:
         assert action.id not in self.answers, "answered twice"
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -16,8 +16,11 @@
 
 LOADED = """
 coveport coveport.balancing coveport.balancing.actions coveport.balancing.balancer
-coveport.balancing.events coveport.balancing.settings
-coveport.balancing.locality coveport.balancing.pending_requests coveport.balancing.simulator_codec
+coveport.balancing.balancer_state coveport.balancing.endpoint_discovery coveport.balancing.events
+coveport.balancing.host coveport.balancing.host_selection coveport.balancing.load_shedding
+coveport.balancing.locality coveport.balancing.outlier_ejection coveport.balancing.pending_requests
+coveport.balancing.request_state coveport.balancing.retry_policy coveport.balancing.settings
+coveport.balancing.slow_start coveport.balancing.subsetting coveport.balancing.simulator_settings
 coveport.http1 coveport.http1.errors coveport.http1.fields coveport.http1.message_parser
 coveport.http1.messages coveport.http1.request_parser coveport.http1.response_parser
 coveport.http1.writers coveport.net coveport.net.address coveport.net.clock
--- a/tests/testbed/test_discrete_event.py
+++ b/tests/testbed/test_discrete_event.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec.structs import replace
 
-from coveport.balancing import balancer
+from coveport.balancing import balancer, subsetting
 from coveport.testbed import catalog, drawing, run
 from coveport.testbed.discrete_event.play import BareError, play_day
 from coveport.testbed.scenario import Scenario
@@ -67,9 +67,9 @@
     """Without parts each copy is a stranger everywhere; without the part of what is out nobody holds back."""
     whole = service(SLICE)
     assert whole > 0.75
-    monkeypatch.setattr(balancer, "SHARERS", 10_000)
+    monkeypatch.setattr(subsetting, "BALANCERS_PER_HOST", 10_000)
     strangers = service(SLICE)
     monkeypatch.undo()
-    monkeypatch.setattr(balancer.Balancer, "_has_its_part", lambda _: False)
+    monkeypatch.setattr(balancer.Balancer, "_is_saturated", lambda _: False)
     unheld = service(SLICE)
     assert whole > strangers + 0.02 and whole > unheld + 0.05, (whole, strangers, unheld)
--- a/tests/testbed/test_drawing.py
+++ b/tests/testbed/test_drawing.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from coveport.balancing import simulator_codec
+from coveport.balancing import simulator_settings
 from coveport.testbed import catalog, drawing
 from coveport.testbed.day import NODE_CHANGES, SIDECAR_CHANGES, Day, sidecar_settings
 from coveport.testbed.scenario_file import load, parse
@@ -60,7 +60,7 @@
         json.dumps(drawing.summary(day))
         for sidecar in day.sidecars:
             assert (
-                simulator_codec.parse_settings(json.dumps(sidecar_settings(day, sidecar))).zone
+                simulator_settings.parse_settings(json.dumps(sidecar_settings(day, sidecar))).zone
                 == sidecar.zone
             )
 
--- a/tests/testbed/test_model_check.py
+++ b/tests/testbed/test_model_check.py
@@ -11,7 +11,8 @@
 
 from coveport import balancing
 from coveport.balancing import Balancer
-from coveport.balancing import balancer as decide
+from coveport.balancing.host import Host
+from coveport.balancing.request_state import RequestState
 from coveport.cli.root import root
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.reducer import Reducer
@@ -79,23 +80,23 @@
 
 
 class _DeafToDrains(Balancer):
-    def _list(self, event: balancing.EndpointUpdate) -> None:
+    def _update_endpoints(self, event: balancing.EndpointUpdate) -> None:
         entries = tuple(one for one in event.entries if one.state is not balancing.EndpointState.DRAINING)
-        super()._list(balancing.EndpointUpdate(event.kind, entries, event.version))
+        super()._update_endpoints(balancing.EndpointUpdate(event.kind, entries, event.version))
 
 
 class _ForgetsWhoWaits(Balancer):
-    def _look(self, at: float) -> None:
+    def _check_queue_at(self, at: float) -> None:
         pass
 
 
 class _BlindToCells(Balancer):
-    def _legal(self, request: decide._Request, host: decide._Host | None) -> bool:
+    def _is_allowed(self, request: RequestState, host: Host | None) -> bool:
         cls, request.cls = (
             request.cls,
             dataclasses.replace(request.cls, group=balancing.DeduplicationScope.ZONE),
         )
-        legal = super()._legal(request, host)
+        legal = super()._is_allowed(request, host)
         request.cls = cls
         return legal
 
@@ -201,10 +202,10 @@
 
 class _Hoards(Balancer):
     def _end(self, number: int, stream: int = -1) -> None:
-        request = self.open.get(number)
+        request = self.requests.get(number)
         super()._end(number, stream)
         if request is not None:
-            self.open[number] = request
+            self.requests[number] = request
 
 
 def test_tables_and_timers_are_looked_at() -> None:
