--- a/coveport/testbed/backend.py
+++ b/coveport/testbed/backend.py
@@ -1,7 +1,7 @@
-"""What a stand-in may ask of the ground it stands on, simulated or real.
+"""Define what a stand-in may use of the backend that it runs on, simulated or real.
 
-A stand-in (ledger node, discovery's agent, till) is written once, against `Host` and `coveport.net`'s `Net`,
-and runs on both grounds. Delays and cuts between two hosts are the ground's matter, not the stand-in's.
+A stand-in (ledger node, discovery agent, client) is written once, against `Host` and `coveport.net`'s `Net`,
+and runs on both backends. Delays and partitions between two hosts are the backend's concern.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 from coveport.net.transport import Net, ProtocolFactory
 
 Accept = Callable[[int], asyncio.BaseProtocol]
-"""Makes the protocol of a new connection; its argument is the number of the sidecar that opened it."""
+"""Make the protocol of a new connection; the argument is the number of the sidecar that opened it."""
 
 
 class Host(Protocol):
-    """One party's place on the ground."""
+    """Describe the machine of one stand-in."""
 
     net: Net  # its loop, time and sockets; for `dial`, use `dial` below
 
     def day_ms(self) -> float:
-        """Milliseconds since the day began, on the one clock that all books are kept by."""
+        """Return milliseconds since the day began, on the clock that all event logs share."""
 
     async def listen(self, accept: Accept) -> None:
-        """Take connections from sidecars, at the address that `address` tells each of them."""
+        """Accept connections from sidecars, at the address that `address` returns for each of them."""
 
     def refuse(self) -> None:
-        """Stop listening: new connections are refused. Open ones are the stand-in's to reset."""
+        """Stop listening: new connections are refused. Open ones are left to the stand-in."""
 
     def silence(self, on: bool) -> None:
-        """Let nothing in or out: open connections stay and say nothing, new ones never come up.
+        """Block all traffic, or let it pass again: open connections stay open, new ones do not come up.
 
-        Once it is taken back, what was held arrives, and connections that were waiting to come up are reset.
+        Once it passes again, delayed traffic arrives, and connects that were pending are reset.
         """
 
     def address(self, sidecar: int) -> Address:
-        """Where that sidecar reaches this party."""
+        """Return the address at which a sidecar reaches this stand-in."""
 
     async def dial(self, factory: ProtocolFactory, address: Address) -> None:
-        """Connect (a till to its sidecar); OSError where it is refused."""
+        """Connect a client to its sidecar; raises OSError where that is refused."""
--- a/coveport/testbed/conductor.py
+++ b/coveport/testbed/conductor.py
@@ -15,7 +15,7 @@
     Change,
     Day,
 )
-from coveport.testbed.event_log import Books, Fault
+from coveport.testbed.event_log import EventLog, Fault
 
 Take = Callable[[Change], None]
 
@@ -50,8 +50,8 @@
             net.loop.call_later(max(0.0, change.at - day_ms()) / 1000, due, change)
 
 
-def write_faults(day: Day, books: Books) -> None:
+def write_faults(day: Day, event_log: EventLog) -> None:
     """Enter when each of the day's faults begins and ends; known ahead, so it is done once."""
     for span in day.spans:
-        books.write(Fault(span.begin, span.number, span.kind, True, span.whom))
-        books.write(Fault(span.end, span.number, span.kind, False, span.whom))
+        event_log.write(Fault(span.begin, span.number, span.kind, True, span.whom))
+        event_log.write(Fault(span.end, span.number, span.kind, False, span.whom))
--- a/coveport/testbed/discrete_event/clients.py
+++ b/coveport/testbed/discrete_event/clients.py
@@ -12,7 +12,7 @@
 
 from coveport.testbed.day import Day, Wish
 from coveport.testbed.discrete_event.scheduler import Agenda
-from coveport.testbed.event_log import Answered, Asked, Books, Broke, GaveUp, Unasked
+from coveport.testbed.event_log import Answered, Asked, Broke, EventLog, GaveUp, Unasked
 from coveport.testbed.ids import try_id
 from coveport.testbed.network_model import CLIENT
 from coveport.testbed.random_streams import ends
@@ -59,14 +59,14 @@
     def __init__(
         self,
         agenda: Agenda,
-        books: Books,
+        event_log: EventLog,
         day: Day,
         ask: Callable[[Try, str], bool],
         leave: Callable[[Try], None],
     ) -> None:
         """`ask`: hand a try with its key to its sidecar, False where nobody is there; `leave`: it is gone."""
         self._agenda = agenda
-        self._write = books.write
+        self._write = event_log.write
         self._day = day
         self._ask_sidecar = ask
         self._leave_sidecar = leave
--- a/coveport/testbed/discrete_event/listing.py
+++ b/coveport/testbed/discrete_event/listing.py
@@ -13,7 +13,7 @@
 from coveport.balancing import Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind
 from coveport.testbed.day import NEVER, Change, Day
 from coveport.testbed.discrete_event.scheduler import Agenda
-from coveport.testbed.event_log import Books, Told
+from coveport.testbed.event_log import EventLog, Told
 from coveport.testbed.random_streams import ends
 from coveport.testbed.standins.seen_node import SeenNode
 
@@ -25,11 +25,11 @@
     """The list of nodes, and what each sidecar has been told of it."""
 
     def __init__(
-        self, agenda: Agenda, books: Books, day: Day, tell: Callable[[int, EndpointUpdate], None]
+        self, agenda: Agenda, event_log: EventLog, day: Day, tell: Callable[[int, EndpointUpdate], None]
     ) -> None:
         """`tell`: hand an update to a sidecar, by its number."""
         self._agenda = agenda
-        self._write = books.write
+        self._write = event_log.write
         self._day = day
         self._tell = tell
         self._nodes = {node.number: SeenNode(node.born) for node in day.nodes}
--- a/coveport/testbed/discrete_event/nodes.py
+++ b/coveport/testbed/discrete_event/nodes.py
@@ -9,7 +9,7 @@
 from coveport.testbed import model as core
 from coveport.testbed.day import Change, Day, NodeDrawn, Wish
 from coveport.testbed.discrete_event.scheduler import Agenda, Entry
-from coveport.testbed.event_log import Arrived, Books, Ended, Linked, NodeLoad, Probed, Ran, Replied
+from coveport.testbed.event_log import Arrived, Ended, EventLog, Linked, NodeLoad, Probed, Ran, Replied
 from coveport.testbed.model import Attempt, KeyMemory, NodeModel
 from coveport.testbed.standins.fates import UNRUN, Fate, Fates
 from coveport.testbed.standins.node_state import BusyShare, LoadReports, state_row
@@ -46,7 +46,7 @@
     def __init__(
         self,
         agenda: Agenda,
-        books: Books,
+        event_log: EventLog,
         day: Day,
         drawn: NodeDrawn,
         keys: KeyMemory,
@@ -58,7 +58,7 @@
         self.drawn = drawn
         self.model = NodeModel(drawn, day.scenario.classes, keys)
         self._agenda = agenda
-        self._write = books.write
+        self._write = event_log.write
         self._works = works
         self._zones = zones
         self._base_ms = base_ms
@@ -68,7 +68,7 @@
         self._silent: set[int] = set()
         self._leaving: set[int] = set()
         self._fates = Fates(drawn)
-        self._busy = BusyShare(drawn, self.model)  # for the books
+        self._busy = BusyShare(drawn, self.model)  # for the event log
         self._reports = LoadReports[tuple[float, ...]](drawn, self.model, (0.0, 0.0), lambda *both: both)
         self._due = inf
         self._due_entry = Entry(None, ())
--- a/coveport/testbed/discrete_event/play.py
+++ b/coveport/testbed/discrete_event/play.py
@@ -21,7 +21,7 @@
 from coveport.testbed.discrete_event.scheduler import Agenda
 from coveport.testbed.discrete_event.sidecars import BareSidecar
 from coveport.testbed.discrete_event.slow_start import Life, Warded
-from coveport.testbed.event_log import Books
+from coveport.testbed.event_log import EventLog
 from coveport.testbed.model import KeyMemory
 from coveport.testbed.network_model import Ways
 from coveport.testbed.playing import Played
@@ -41,21 +41,22 @@
 class _Play:
     def __init__(self, day: Day, balancer: Callable[[balancing.Settings, int], Balancer]) -> None:
         self.day = day
-        self.books = Books()
+        self.event_log = EventLog()
         ways = self.ways = Ways(day)
         agenda = self.agenda = Agenda(ways, -BEFORE_MS)
         keys, works = KeyMemory(), WorkBook(day)
         zones = [one.zone for one in day.sidecars]
         self.complaints: list[str] = []
         self.nodes = [
-            BareNode(agenda, self.books, day, drawn, keys, works, zones, ways.base_ms) for drawn in day.nodes
+            BareNode(agenda, self.event_log, day, drawn, keys, works, zones, ways.base_ms)
+            for drawn in day.nodes
         ]
-        self.listing = Listing(agenda, self.books, day, self._tell)
-        self.tills = Tills(agenda, self.books, day, self._ask, self._leave)
+        self.listing = Listing(agenda, self.event_log, day, self._tell)
+        self.tills = Tills(agenda, self.event_log, day, self._ask, self._leave)
         self.sidecars = [
             BareSidecar(
                 agenda,
-                self.books,
+                self.event_log,
                 day,
                 drawn,
                 self.nodes,
@@ -137,7 +138,7 @@
     play = _Play(day, balancer)
     if warded:
         Warded(play, play.sidecars[0].settings.rules, len(day.scenario.fleet.zones))
-    write_faults(day, play.books)
+    write_faults(day, play.event_log)
     gc.collect()
     gc.freeze()
     thresholds = gc.get_threshold()
@@ -147,5 +148,5 @@
     finally:
         gc.set_threshold(*thresholds)
         gc.unfreeze()
-    rows = sorted(play.books.rows, key=lambda row: row.at)
+    rows = sorted(play.event_log.rows, key=lambda row: row.at)
     return Played(day, "bare", rows, wall_s=time.perf_counter() - began, notes=play.complaints)
--- a/coveport/testbed/discrete_event/sidecars.py
+++ b/coveport/testbed/discrete_event/sidecars.py
@@ -23,7 +23,7 @@
 from coveport.testbed.discrete_event.listing import EPOCH_MS
 from coveport.testbed.discrete_event.nodes import SPOILT, BareNode, Link
 from coveport.testbed.discrete_event.scheduler import Agenda, Entry
-from coveport.testbed.event_log import Books, Life
+from coveport.testbed.event_log import EventLog, Life
 
 DRAIN_MS = 700.0  # how long one that was told to stop takes new work
 START_MS = 200.0  # until the next one is ready
@@ -257,7 +257,7 @@
     def __init__(
         self,
         agenda: Agenda,
-        books: Books,
+        event_log: EventLog,
         day: Day,
         drawn: SidecarDrawn,
         nodes: list[BareNode],
@@ -272,7 +272,7 @@
         self.drawn = drawn
         self.nodes = nodes
         self.complaints = complaints
-        self._write = books.write
+        self._write = event_log.write
         self._answered = answered
         self._broke = broke
         self._balancer = balancer
--- a/coveport/testbed/event_log.py
+++ b/coveport/testbed/event_log.py
@@ -1,7 +1,7 @@
-"""The books of a day: what the stand-ins saw and did, row by row. Oracle and measures read only these.
+"""Record a day: what the stand-ins observed and did, row by row. Oracle and measures read nothing else.
 
-Times are milliseconds since the day began. A row is written by the party that saw it, when it saw it, so rows
-of different parties are in order only after sorting by `at`. Nothing in here comes from a sidecar.
+Times are milliseconds since the day began. A row is written by the party that observed it, when it did, so
+rows of different parties are in order only after sorting by `at`. No row comes from a sidecar.
 """
 
 from __future__ import annotations
@@ -12,33 +12,35 @@
 import msgspec
 from msgspec import Struct
 
+DIGEST_BYTES = 8  # enough to tell the bodies of one day apart
+
 
 class Row(Struct, tag=True, array_like=True, gc=False):
-    """What all rows share: when."""
+    """Hold what all rows share: when it happened."""
 
     at: float
 
 
-# Tills and apps.
+# Clients.
 
 
 class Asked(Row):
-    """A till's machine has written the last byte of an operation to a connection that was accepted."""
+    """A client has written the last byte of an operation to an accepted connection."""
 
-    op: str  # X-Request-Id, fresh on every try
-    first: str  # the id of the first try of the same wish; itself for a first try
+    op: str  # X-Request-Id, new for each attempt of the client
+    first: str  # the id of the first attempt of the same operation; its own for a first attempt
     sidecar: int
-    cls: int  # position in the scenario's classes
+    cls: int  # index into the scenario's classes
     key: str  # Idempotency-Key, empty for none
-    due: float  # when the wish was due (for a retry: when the retry was); latency counts from here
+    due: float  # when the operation was due, or this retry of it; latency counts from here
     patience: float  # X-Deadline in ms, counted from `at`
-    conn: int  # the till's connection, numbered over the whole day
+    conn: int  # the client's connection, numbered over the whole day
     repeat: bool  # a client's retry
     digest: str  # of what must reach a node unchanged: see `digest_of_request`
 
 
 class Unasked(Row):
-    """An operation that could not be handed over: refused connection, or a close that crossed it."""
+    """An operation could not be sent: its connection was refused, or closed at the same time."""
 
     op: str
     first: str
@@ -49,25 +51,25 @@
 
 
 class Answered(Row):
-    """The last byte of an answer has come to the till."""
+    """The last byte of a response has arrived at the client."""
 
     op: str
     status: int
     digest: str  # of the body
     retry_after_ms: float
-    began: float  # when its first byte came
+    began: float  # when its first byte arrived
 
 
 class Broke(Row):
-    """A connection ended, or could not be read on, while an operation was open on it."""
+    """A connection ended, or its bytes could not be parsed, while an operation was pending on it."""
 
     op: str
-    how: str  # "end", "reset", "garbled", "stray" (bytes that nobody waited for; op is empty)
-    seen: int  # bytes of an answer that had come
+    how: str  # "end", "reset", "garbled", "stray" (bytes outside any response; op is empty)
+    seen: int  # bytes of a response that had arrived
 
 
 class GaveUp(Row):
-    """The till stopped waiting and closed (or half-closed, which asks for the answer all the same)."""
+    """A client stopped waiting and closed; a half-close still asks for the response."""
 
     op: str
     how: str  # "late", "impatient", "half"
@@ -77,24 +79,24 @@
 
 
 class Arrived(Row):
-    """An attempt's last byte has come to a node."""
+    """The last byte of an attempt has arrived at a node."""
 
     op: str
     node: int
     sidecar: int
-    attempt: int  # the node's own number for it, fresh over the whole day
+    attempt: int  # numbered by the node, unique over the whole day
     conn: int
-    began: float  # when its first byte came
-    handed: float  # when the sidecar handed its first byte over, where the ground can tell; else `began`
+    began: float  # when its first byte arrived
+    handed: float  # when the sidecar sent its first byte, where the backend knows; else `began`
     cls: int
     key: str
     digest: str
-    work_ms: float  # on a core of speed 1; what a cold node is loaded with
+    work_ms: float  # on a core of speed 1; the limits of slow start count it
     took: str  # "work", "repeat" (dropped: known key), "full", "drain", "over", "bad"
 
 
 class Ran(Row):
-    """An attempt began to take effect. What is dropped as a repeat takes none and has no row."""
+    """An attempt began to take effect. A dropped duplicate takes none and has no row."""
 
     op: str
     node: int
@@ -104,18 +106,18 @@
 
 
 class Replied(Row):
-    """A node has written the last byte of its answer to an attempt."""
+    """A node has written the last byte of its response to an attempt."""
 
     op: str
     node: int
     attempt: int
     status: int
     digest: str
-    whole: bool  # False: spoilt or cut short on purpose
+    whole: bool  # False: corrupted or truncated on purpose
 
 
 class Ended(Row):
-    """An attempt's connection ended, seen from the node, before the answer was written whole."""
+    """The connection of an attempt ended at the node before the response was written completely."""
 
     op: str
     node: int
@@ -124,7 +126,7 @@
 
 
 class Probed(Row):
-    """A probe came to a node."""
+    """A health check arrived at a node."""
 
     node: int
     sidecar: int
@@ -141,15 +143,15 @@
 
 
 class NodeIs(Row):
-    """A node's state and capacity from here on, until its next row."""
+    """The state and capacity of a node until its next row."""
 
     node: int
     state: str  # "up", "down", "silent", "draining"
     born: float  # when its process started, -1: long before the day
     cores: int
-    speed: float  # of each core now, troubles included
-    cold_from: float  # share of its capacity at `born`; 1.0 where it is warm
-    warm_ms: float  # after which it is warm; capacity grows evenly
+    speed: float  # of each core now, with faults applied
+    cold_from: float  # share of its capacity at `born`; 1.0 without slow start
+    warm_ms: float  # length of the slow start; capacity grows linearly
     zone: int
     cell: int
 
@@ -168,16 +170,16 @@
 
 
 class Told(Row):
-    """Discovery has written word of a node to a sidecar (also the list it was started with)."""
+    """Discovery has written an update of a node to a sidecar (also the list it was started with)."""
 
     sidecar: int
     node: int
     state: str  # "active", "leaving", "left"
-    born: float  # when the node's process started by that word, -1: long before the day
+    born: float  # when the node's process started by that update, -1: long before the day
 
 
 class Called(Row):
-    """A sidecar's call came to discovery."""
+    """A call of a sidecar arrived at discovery."""
 
     sidecar: int
     watch: bool
@@ -187,7 +189,7 @@
 
 
 class Life(Row):
-    """What happened to a sidecar's process."""
+    """Something happened to the process of a sidecar."""
 
     sidecar: int
     # "start", "ready", "unready" (given up), "reload", "term", "kill", "stall", "resume", "exit"; of staff:
@@ -199,19 +201,19 @@
 
 
 class Sample(Row):
-    """What a sidecar's process holds."""
+    """A sample of the resources of a sidecar's process."""
 
     sidecar: int
-    memory_mb: float  # 0 where the ground can't tell
+    memory_mb: float  # 0 where the backend doesn't know
     descriptors: int
-    cpu_s: float  # since its start; 0 where the ground can't tell
+    cpu_s: float  # since its start; 0 where the backend doesn't know
 
 
 # The day.
 
 
 class Fault(Row):
-    """A fault began or ended; `number` is its place in the scenario's list."""
+    """A fault began or ended; `number` is its index in the scenario's list."""
 
     number: int
     kind: str
@@ -220,7 +222,7 @@
 
 
 class Lag(Row):
-    """The lab itself was late: what was due then was done so much later (real ground)."""
+    """The testbed itself was late by so much (real backend only)."""
 
     who: str
     late_ms: float
@@ -249,8 +251,8 @@
 )
 
 
-class Books:
-    """Rows as they come; shared by all parties of one process."""
+class EventLog:
+    """Collect rows as they are written; shared by all parties of one process."""
 
     __slots__ = ("rows", "write")
 
@@ -259,12 +261,12 @@
         self.write = self.rows.append
 
     def packed(self) -> bytes:
-        """All rows as MessagePack, for another process to merge."""
+        """Return all rows as MessagePack, for another process to merge."""
         return msgspec.msgpack.encode(self.rows)
 
     @staticmethod
     def merged(parts: list[bytes]) -> list[AnyRow]:
-        """The rows of several processes in order of time; equal times keep the order of `parts`."""
+        """Return the rows of several processes in order of time; equal times keep the order of `parts`."""
         rows: list[AnyRow] = []
         for part in parts:
             rows.extend(msgspec.msgpack.decode(part, type=list[AnyRow]))
@@ -273,11 +275,11 @@
 
 
 def digest_of_request(method: str, target: str, op: str, key: str, body: bytes) -> str:
-    """Of what must pass through a sidecar unchanged."""
-    told = f"{method} {target} {op} {key} {len(body)}\n".encode("latin-1", "replace") + body
-    return hashlib.blake2b(told, digest_size=8).hexdigest()
+    """Return a digest of what must pass through a sidecar unchanged."""
+    content = f"{method} {target} {op} {key} {len(body)}\n".encode("latin-1", "replace") + body
+    return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def digest_of_body(body: bytes) -> str:
-    """Of an answer's body."""
-    return hashlib.blake2b(body, digest_size=8).hexdigest()
+    """Return a digest of the body of a response."""
+    return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
--- a/coveport/testbed/explain.py
+++ b/coveport/testbed/explain.py
@@ -1,6 +1,6 @@
 """Where a day's worth was lost, by cause and by window, and what the nodes did meanwhile. Pure.
 
-Reads the books alone. A wish (a first try with its client's retries) is lost where no 200 came within its
+Reads the event log alone. A wish (a first try with its client's retries) is lost where no 200 came within its
 class's aim, counted from when it was due. Its cause is that of its last try, by what nodes and till wrote.
 """
 
--- a/coveport/testbed/loopback/orchestrator.py
+++ b/coveport/testbed/loopback/orchestrator.py
@@ -1,4 +1,4 @@
-"""Plays a drawn day with real sidecars on loopback: starts all processes, conducts, ends, merges the books.
+"""Play a drawn day with real sidecars on loopback: start all processes, conduct, end, merge the event logs.
 
 The stand-ins run in processes of their own (`worker`): one for nodes and discovery, one or more for tills.
 Whatever happens, no process and no file of ours is left.
@@ -27,7 +27,7 @@
 from coveport.net.transport import Net
 from coveport.testbed.conductor import OF_SIDECARS, conduct, write_faults
 from coveport.testbed.day import Change, Day
-from coveport.testbed.event_log import Books
+from coveport.testbed.event_log import EventLog
 from coveport.testbed.loopback import control
 from coveport.testbed.loopback.folders import own_folder
 from coveport.testbed.loopback.processes import Brood, Child
@@ -39,7 +39,7 @@
 PARTS = "coveport.testbed.loopback.parts"
 SHARE = 300.0  # operations a second, in the busiest one, that one process plays the tills of
 START_S = 20.0  # a worker listens by then
-BOOKS_S = 20.0  # a worker has handed its books over by then
+EVENT_LOGS_TIMEOUT_S = 20.0  # a worker has handed its event log over by then
 SPARE_S = 30.0  # that a run may take beyond what its parts may
 LEAD_S = 0.15  # from the word that the day begins to its beginning
 SAMPLE_S = 0.5
@@ -76,7 +76,7 @@
         self._writer.write(control.packed(frame))
 
     async def listen(self, on_move: Callable[[control.Moved], None]) -> None:
-        """Take in what it says until its books are here; GroundError where it fails or ends before."""
+        """Take in what it says until its event log is here; GroundError where it fails or ends before."""
         assert self._reader is not None
         while True:
             try:
@@ -132,7 +132,7 @@
         self._brood = brood
         self._parts = parts
         self._progress = progress
-        self.books = Books()
+        self.event_log = EventLog()
         self.notes = list[str]()
         loop = asyncio.get_running_loop()
         self._net = Net(loop)
@@ -145,7 +145,7 @@
             day,
             brood,
             self._clock,
-            self.books,
+            self.event_log,
             self.notes,
             folder,
             command,
@@ -165,10 +165,10 @@
         """The whole run takes no longer."""
         longest = max((one.deadline_ms for one in self.day.scenario.classes), default=0.0)
         quiet_s = self.day.scenario.quiet_s
-        return START_S + READY_S + (self.end_ms + longest) / 1000 + quiet_s + BOOKS_S + SPARE_S
+        return START_S + READY_S + (self.end_ms + longest) / 1000 + quiet_s + EVENT_LOGS_TIMEOUT_S + SPARE_S
 
     async def play(self) -> list[bytes]:
-        """Play the day; the books of all parties."""
+        """Play the day; the event log of all parties."""
         self.sidecars = [Sidecar(drawn, self._setting) for drawn in self.day.sidecars]
         await self._start_workers()
         try:
@@ -233,14 +233,16 @@
             await one.settled.wait()
         self._sample()
         t0 = asyncio.get_running_loop().time() + LEAD_S
-        clock.begin(t0, self.books)
+        clock.begin(t0, self.event_log)
         for worker in self._workers:
             worker.send(control.Begin(t0))
-        write_faults(day, self.books)
+        write_faults(day, self.event_log)
         conduct(day.changes, self._net, clock.day_ms, [(OF_SIDECARS, self._change)])
         await self._wait_for_end()
         await asyncio.gather(*(one.stop() for one in self.sidecars))
-        async with _limit(BOOKS_S, "the lab's own processes did not hand their books over in time"):
+        async with _limit(
+            EVENT_LOGS_TIMEOUT_S, "the lab's own processes did not hand their books over in time"
+        ):
             for worker in self._workers:
                 worker.send(control.Finish())
             booked = [await worker.booked for worker in self._workers]
@@ -251,7 +253,7 @@
             async with asyncio.timeout(2.0):
                 for worker in self._workers:
                     await worker.child.ended.wait()
-        return [*(one.rows for one in booked), self.books.packed()]
+        return [*(one.rows for one in booked), self.event_log.packed()]
 
     async def _wait_for_end(self) -> None:
         """Wait for the last wish and until tills want nothing more, or the tail is over."""
@@ -363,7 +365,7 @@
         run = _Run(day, folder, brood, command or (sys.executable, "-m", "coveport"), parts, progress)
         try:
             async with _limit(run.most_s, "the day took longer than it may"):
-                books = await run.play()
+                event_log = await run.play()
         except OSError as problem:
             raise GroundError(f"the day could not be played: {problem}") from problem
         finally:
@@ -374,7 +376,7 @@
         return Played(
             day,
             "real",
-            Books.merged(books),
+            EventLog.merged(event_log),
             run.late,
             wall_s=time.monotonic() - began,
             logs={one.drawn.number: _tail(one.log) for one in run.sidecars},
--- a/coveport/testbed/loopback/parts.py
+++ b/coveport/testbed/loopback/parts.py
@@ -12,7 +12,7 @@
 from coveport.net.transport import Net
 from coveport.testbed.conductor import OF_DISCOVERY, OF_NETWORK, OF_NODES, conduct
 from coveport.testbed.day import Change, Day, NodeDrawn
-from coveport.testbed.event_log import Books
+from coveport.testbed.event_log import EventLog
 from coveport.testbed.loopback.hosts import AGENTS, NODES, CallerHost, RealHost, address_of
 from coveport.testbed.loopback.timing import DayClock
 from coveport.testbed.model import KeyMemory
@@ -28,7 +28,7 @@
     """What a worker gives its stand-ins."""
 
     day: Day
-    books: Books
+    event_log: EventLog
     net: Net
     clock: DayClock
     sidecars: tuple[int, ...]  # whose tills are played here
@@ -78,13 +78,13 @@
         self._hosts = {drawn.number: self._host(drawn) for drawn in day.nodes}
         self._nodes = {
             drawn.number: LedgerNode(
-                self._hosts[drawn.number], place.books, day, drawn, keys, wishes, self._rtt_ms(drawn.zone)
+                self._hosts[drawn.number], place.event_log, day, drawn, keys, wishes, self._rtt_ms(drawn.zone)
             )
             for drawn in day.nodes
         }
         self._discovery = Discovery(
             day,
-            place.books,
+            place.event_log,
             net,
             clock.day_ms,
             lambda node, sidecar: self._hosts[node].address(sidecar),
@@ -175,7 +175,7 @@
         self._tills = [
             Tills(
                 host,
-                place.books,
+                place.event_log,
                 place.day,
                 one,
                 [wish for wish in place.day.wishes if wish.sidecar == one.number],
--- a/coveport/testbed/loopback/sidecars.py
+++ b/coveport/testbed/loopback/sidecars.py
@@ -15,7 +15,7 @@
 
 from coveport.net.address import Address
 from coveport.testbed.day import Change, Day, SidecarDrawn, sidecar_settings
-from coveport.testbed.event_log import Books, Life, Sample
+from coveport.testbed.event_log import EventLog, Life, Sample
 from coveport.testbed.loopback.control import Known
 from coveport.testbed.loopback.hosts import SIDECARS, address_of, bound
 from coveport.testbed.loopback.processes import Brood, Child
@@ -36,7 +36,7 @@
     day: Day
     brood: Brood
     clock: DayClock
-    books: Books
+    event_log: EventLog
     notes: list[str]
     folder: Path  # for configurations and logs
     command: Sequence[str]
@@ -148,7 +148,7 @@
             if not memory:
                 return  # it has ended, which nobody has noticed yet
             times = (place / "stat").read_text().rpartition(")")[2].split()
-            self._setting.books.write(
+            self._setting.event_log.write(
                 Sample(
                     self._setting.clock.day_ms(),
                     self.drawn.number,
@@ -302,7 +302,7 @@
         self._stalled_until = None
 
     def _live(self, what: str, detail: str = "") -> None:
-        self._setting.books.write(Life(self._setting.clock.day_ms(), self.drawn.number, what, detail))
+        self._setting.event_log.write(Life(self._setting.clock.day_ms(), self.drawn.number, what, detail))
 
     def _note(self, text: str) -> None:
         self._setting.notes.append(f"sidecar {self.drawn.number}: {text}")
--- a/coveport/testbed/loopback/timing.py
+++ b/coveport/testbed/loopback/timing.py
@@ -8,10 +8,10 @@
 import selectors
 import time
 
-from coveport.testbed.event_log import Books, Lag
+from coveport.testbed.event_log import EventLog, Lag
 
 TICK_MS = 10.0
-WRITTEN_MS = 20.0  # lateness from which the books tell of it
+WRITTEN_MS = 20.0  # lateness from which it is logged
 SHORT_S = 0.02
 
 
@@ -26,10 +26,10 @@
         self.t0 = t0
         self._unix_s = unix_s
 
-    def begin(self, t0: float, books: Books) -> None:
+    def begin(self, t0: float, event_log: EventLog) -> None:
         """Set when the day begins, now that it is known, and the rows written so far right."""
         shift = (self.t0 - t0) * 1000
-        for row in books.rows:
+        for row in event_log.rows:
             row.at += shift
         self.t0 = t0
 
@@ -73,12 +73,12 @@
     """Measures how late this process does what is due, every 10 ms."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, clock: DayClock, books: Books, who: str, from_ms: float
+        self, loop: asyncio.AbstractEventLoop, clock: DayClock, event_log: EventLog, who: str, from_ms: float
     ) -> None:
         """Rows say `who`; figures count from `from_ms` of the day."""
         self._loop = loop
         self._clock = clock
-        self._books = books
+        self._event_log = event_log
         self._who = who
         self._from = from_ms
         self._lags: list[float] = []
@@ -89,7 +89,7 @@
         now = self._loop.time()
         late, at = (now - self._due) * 1000, self._clock.day_ms()
         if late > WRITTEN_MS:
-            self._books.write(Lag(at, self._who, late))
+            self._event_log.write(Lag(at, self._who, late))
         if at >= self._from:
             # Guards against a long stop that would count as one tick: each one left out was late, too.
             for left_out in range(math.floor(late / TICK_MS) + 1):
--- a/coveport/testbed/loopback/worker.py
+++ b/coveport/testbed/loopback/worker.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from coveport.testbed.day import Day
-from coveport.testbed.event_log import Books
+from coveport.testbed.event_log import EventLog
 from coveport.testbed.loopback import control
 from coveport.testbed.loopback.parts import Clients, Place, World
 from coveport.testbed.loopback.shaping import ShapedNet
@@ -29,19 +29,19 @@
 
 
 class Worker:
-    """One worker, from its job to its books."""
+    """One worker, from its job to its event log."""
 
     def __init__(self, job: control.Job, writer: asyncio.StreamWriter) -> None:
         self._job = job
         self._writer = writer
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._unexpected)
-        self._books = Books()
+        self._event_log = EventLog()
         self._clock = DayClock(job.t0, job.unix_s)
         day = msgspec.msgpack.decode(Path(job.day).read_bytes(), type=Day)
         place = Place(
             day,
-            self._books,
+            self._event_log,
             ShapedNet(loop),
             self._clock,
             job.sidecars,
@@ -52,7 +52,7 @@
         self._world: World | None = parts.world(place) if job.role == "world" else None
         self._clients: Clients | None = parts.clients(place) if job.role == "tills" else None
         who = "world" if self._world else "tills of " + ", ".join(map(str, job.sidecars))
-        self._lag = LagWatch(loop, self._clock, self._books, who, day.scenario.settle_s * 1000)
+        self._lag = LagWatch(loop, self._clock, self._event_log, who, day.scenario.settle_s * 1000)
         self._looking: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
@@ -69,7 +69,7 @@
         """Do as one frame says."""
         match frame:
             case control.Begin():
-                self._clock.begin(frame.t0, self._books)
+                self._clock.begin(frame.t0, self._event_log)
                 if self._world is not None:
                     await self._world.begin()
                 if self._clients is not None:
@@ -89,7 +89,7 @@
                 if self._looking is not None:
                     self._looking.cancel()
                 lag = self._lag
-                self._send(control.Booked(self._books.packed(), lag.late_ms(0.99), lag.late_ms(1)))
+                self._send(control.Booked(self._event_log.packed(), lag.late_ms(0.99), lag.late_ms(1)))
                 await self._writer.drain()
             case _:
                 raise ValueError(f"{type(frame).__name__} is not for this worker")
--- a/coveport/testbed/measures.py
+++ b/coveport/testbed/measures.py
@@ -1,4 +1,4 @@
-"""Books -> figures. Pure.
+"""Event log -> figures. Pure.
 
 A *wish* is a first try with its client's retries; it counts if it was due from `settle_s` on. It is *served*
 if a 200 came within its class's aim, counted from when its first try was due. Service is the worth of what
@@ -76,7 +76,7 @@
 
 
 class _Wishes:
-    """All wishes of a day, by position: those in the books first, then those that nobody tried."""
+    """All wishes of a day, by position: those in the event log first, then those that nobody tried."""
 
     def __init__(self, played: Played) -> None:
         day = played.day
@@ -268,7 +268,7 @@
 
 
 def faults(played: Played) -> list[Span]:
-    """The day's faults as the books have them, in order."""
+    """The day's faults as the event log has them, in order."""
     spans: dict[int, Span] = {span.number: span for span in played.day.spans}
     for row in played.rows:
         if isinstance(row, event_log.Fault):
--- a/coveport/testbed/network_model.py
+++ b/coveport/testbed/network_model.py
@@ -1,4 +1,4 @@
-"""What lies between two hosts: how long a message takes, what is lost on the way, who is cut off. Pure."""
+"""Model the network between hosts: delay, loss and partitions. Pure."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from coveport.testbed.tables import Figure
 
 CLIENT = -1
-"""Stands for the zone of tills, who sit beside their sidecar."""
+"""The zone of clients, which are next to their sidecar."""
 
-
-PIECE = 16_384
-"""Bytes that may need a round trip of their own, at the least, where windows are as large as usual."""
+CHUNK_BYTES = 16_384
+"""Least number of bytes that may need a round trip of their own, with windows of the usual size."""
 
 
 def harsh_ms(day: Day) -> float:
-    """What segments and merged messages may add to any one way, at the most."""
+    """Return the most that segmenting and merging messages may add to one way, in ms."""
     network = day.scenario.network
     return (_high(network.split_ms) if network.split else 0.0) + (
         _high(network.merge_ms) if network.merge else 0.0
     )
 
 
-def piece(day: Day) -> int:
-    """Bytes that may need a round trip of their own, at the least."""
+def chunk_bytes(day: Day) -> int:
+    """Return the least number of bytes that may need a round trip of their own."""
     window = day.scenario.network.window
-    return min(PIECE, int(window[0] if isinstance(window, tuple) else window))
+    return min(CHUNK_BYTES, int(window[0] if isinstance(window, tuple) else window))
 
 
 def asking_ms(day: Day, cls: int) -> float:
-    """What a harsh network may add to the ways of a class's request and answer, till to sidecar and back."""
+    """Return the most that a harsh network may add between client and sidecar, both ways, in ms."""
     harsh = harsh_ms(day)
-    if not harsh and piece(day) == PIECE:
+    if not harsh and chunk_bytes(day) == CHUNK_BYTES:
         return 0.0
-    one, network = day.scenario.classes[cls], day.scenario.network
+    request_class = day.scenario.classes[cls]
+    network = day.scenario.network
     trip_ms = 2 * day.client_ms * (1 + day.jitter) + (_high(network.split_ms) if network.split else 0.0)
-    return 2 * harsh + (_high(one.body) + _high(one.answer)) // piece(day) * trip_ms
+    return 2 * harsh + (_high(request_class.body) + _high(request_class.answer)) // chunk_bytes(day) * trip_ms
 
 
 def _high(figure: Figure) -> float:
@@ -45,7 +45,7 @@
 
 
 class Ways:
-    """The network's state, changed by the day's changes; draws come from the day's seed."""
+    """Hold the state of the network; faults change it, and draws come from the day's seed."""
 
     def __init__(self, day: Day) -> None:
         network = day.scenario.network
@@ -57,15 +57,15 @@
         self._random = random.Random(f"ways {day.seed}")
         self._added: dict[int, tuple[float, bool]] = {}  # by fault
         self._losses: dict[int, float] = {}
-        self._cut: dict[int, int] = {}  # zone by fault
+        self._cut: dict[int, int] = {}  # zone, by fault
         self._opened: list[Callable[[], None]] = []
 
     def base_ms(self, one: int, other: int) -> float:
-        """One way between two zones in calm, without jitter."""
+        """Return the one-way delay between two zones without jitter and faults, in ms."""
         return self._client if CLIENT in (one, other) else self._cross[one][other]
 
     def delay_ms(self, one: int, other: int) -> float:
-        """One way between two zones for the next message, in ms: drawn, so call it once a message."""
+        """Return the one-way delay of the next message in ms; it is drawn, so call this once a message."""
         base = self.base_ms(one, other)
         delay = base * (1 + self._jitter * self._random.random())
         if CLIENT in (one, other):
@@ -75,12 +75,12 @@
                 delay += added
         loss = self._base_loss + sum(self._losses.values())
         if loss:
-            while self._random.random() < loss:  # each loss is seen as a retransmission's time
+            while self._random.random() < loss:  # each loss costs the time of a retransmission
                 delay += self._loss_ms
         return delay
 
     def held(self, one: int, other: int) -> bool:
-        """Whether nothing passes between two zones for now."""
+        """Return whether a partition blocks traffic between two zones."""
         return (
             one != other
             and CLIENT not in (one, other)
@@ -88,11 +88,11 @@
         )
 
     def on_open(self, listener: Callable[[], None]) -> None:
-        """Call `listener` whenever a cut is taken back."""
+        """Call `listener` whenever a partition ends."""
         self._opened.append(listener)
 
     def change(self, change: Change) -> None:
-        """Take in one of `NETWORK_CHANGES`."""
+        """Apply one of `NETWORK_CHANGES`."""
         table: dict[int, object] = {"delay": self._added, "loss": self._losses, "cut": self._cut}[change.what]  # type: ignore[assignment]
         if not change.on:
             table.pop(change.fault, None)
--- a/coveport/testbed/oracle/__init__.py
+++ b/coveport/testbed/oracle/__init__.py
@@ -1,9 +1,9 @@
-"""The oracle: books -> broken rules. It never asks a sidecar, so it would judge any, in any language. Pure.
+"""Judge a day: event log -> broken rules. It asks no sidecar, so it would judge any, in any language. Pure.
 
 All rows are indexed once (`case`); what the network could do at the most, and when a sidecar had no CPU, is
-worked out from the day and the books (`reach`, `lives`). Then each group of rules is judged by itself:
+worked out from the day and the event log (`reach`, `lives`). Then each group of rules is judged by itself:
 `answers` (what tills got), `attempts` (what was sent for an operation), `nodes` (whom it was sent to) and
-`processes`. Where the books leave something open, the sidecar is in the right; tolerances are in `Grace`.
+`processes`. Where the event log leaves something open, the sidecar is right; tolerances are in `Grace`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def judge(day: Day, rows: Sequence[AnyRow], *, grace: Grace = _VIRTUAL) -> list[Breach]:
-    """All broken rules of a played day, by time; empty where the books show none.
+    """All broken rules of a played day, by time; empty where the event log shows none.
 
     `rows` may come in any order that keeps each party's own; they are not changed. `grace`: by the ground.
     """
--- a/coveport/testbed/oracle/attempts.py
+++ b/coveport/testbed/oracle/attempts.py
@@ -229,7 +229,7 @@
 
 
 def _out_until(case: Case, attempt: Attempt) -> float:
-    """When an attempt was no longer out for its sidecar, at the earliest that the books allow."""
+    """When an attempt was no longer out for its sidecar, at the earliest that the event log allows."""
     row, replied, ended, reach = attempt.row, attempt.replied, attempt.ended, case.reach
     until = inf
     if replied is not None and replied.whole:
--- a/coveport/testbed/oracle/case.py
+++ b/coveport/testbed/oracle/case.py
@@ -1,4 +1,4 @@
-"""The books put in order for judging: operations with their attempts, sidecars with what they heard. Pure."""
+"""Index the event log for judging: operations with their attempts, sidecars with what they heard. Pure."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
     @property
     def end(self) -> float:
-        """When it was over for its till; infinity where the books do not say."""
+        """When it was over for its till; infinity where the event log does not say."""
         end = self.answers[0].at if self.answers else inf
         if self.gave_up is not None and self.gave_up.at < end:
             end = self.gave_up.at
@@ -85,7 +85,7 @@
 
 
 class Case:
-    """A day and its books, indexed once; `breach` collects what is found."""
+    """A day and its event log, indexed once; `breach` collects what is found."""
 
     def __init__(self, day: Day, rows: Sequence[AnyRow], grace: Grace) -> None:
         self.day = day
@@ -124,7 +124,7 @@
             take = takers.get(type(row))
             if take is not None:
                 take(row)
-        self.end = ordered[-1].at if ordered else 0.0  # of the books
+        self.end = ordered[-1].at if ordered else 0.0  # of the event log
         self.by_staff = [row for row in self._lives if row.what in STAFF]
         self.lives = Lives(self._lives, self._lags, grace)
         self.reach = Reach(day, self.nodes, grace)
@@ -149,7 +149,7 @@
         return self.day.scenario.classes[told.cls] if told is not None else None
 
     def handed(self, row: Arrived) -> float:
-        """When its first byte was handed over, at the earliest that the books allow."""
+        """When its first byte was handed over, at the earliest that the event log allows."""
         if row.handed < row.began:
             return row.handed
         return self.reach.since(row.node, row.sidecar, row.began)  # the ground could not tell
--- a/coveport/testbed/oracle/grace.py
+++ b/coveport/testbed/oracle/grace.py
@@ -8,7 +8,7 @@
 
 
 class Breach(Struct, frozen=True):
-    """A rule that the books show broken."""
+    """A rule that the event log shows broken."""
 
     rule: str  # one of `RULES`
     at_ms: float  # since the day began: when it was broken
--- a/coveport/testbed/oracle/lives.py
+++ b/coveport/testbed/oracle/lives.py
@@ -19,7 +19,7 @@
 class Generation:
     """One life of a sidecar's process, from start to end, in ms."""
 
-    begin: float = -inf  # of those whose start is not in the books
+    begin: float = -inf  # of those whose start is not in the event log
     ready: float = inf
     term: float = inf  # SIGTERM
     end: float = inf
--- a/coveport/testbed/oracle/reach.py
+++ b/coveport/testbed/oracle/reach.py
@@ -12,7 +12,7 @@
 
 from coveport.testbed.day import Change, Day
 from coveport.testbed.event_log import NodeIs
-from coveport.testbed.network_model import harsh_ms, piece
+from coveport.testbed.network_model import chunk_bytes, harsh_ms
 from coveport.testbed.oracle.grace import Grace
 from coveport.testbed.oracle.lives import Span
 
@@ -36,7 +36,7 @@
         self._margin = grace.fault_ms
         self._node_zone = {node.number: node.zone for node in day.nodes}
         self._sidecar_zone = {sidecar.number: sidecar.zone for sidecar in day.sidecars}
-        self.harsh_ms, self._piece = harsh_ms(day), piece(day)
+        self.harsh_ms, self._chunk_bytes = harsh_ms(day), chunk_bytes(day)
         self.client_ms = day.client_ms * (1 + day.jitter) + self.harsh_ms  # till to sidecar at the most
         base_loss = max(network.loss) if isinstance(network.loss, tuple) else network.loss
         losses = _spans(day.changes, "loss")
@@ -113,7 +113,7 @@
 
     def trips_ms(self, node: int, sidecar: int, at: float, size: int) -> float:
         """What a body of so many bytes may need on top: windows that fill make it wait for round trips."""
-        return size // self._piece * 2 * self.most_ms(node, sidecar, at)
+        return size // self._chunk_bytes * 2 * self.most_ms(node, sidecar, at)
 
 
 def _lost_ms(loss: float, each_ms: float) -> float:
--- a/coveport/testbed/playing.py
+++ b/coveport/testbed/playing.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Played:
-    """A day and its books."""
+    """A day and its event log."""
 
     day: Day
     ground: str  # "virtual" or "real"
--- a/coveport/testbed/search/finds.py
+++ b/coveport/testbed/search/finds.py
@@ -1,4 +1,4 @@
-"""Books -> what a search looks for, each with a signature that tells one cause from another. Pure.
+"""Event log -> what a search looks for, each with a signature that tells one cause from another. Pure.
 
 A signature holds the kind of find, the rule, the class where the rule turns on it, and the shape of the
 operation's history: what became of its attempts, in the order in which they were handed over (the same
--- a/coveport/testbed/simulated_network/play.py
+++ b/coveport/testbed/simulated_network/play.py
@@ -30,7 +30,7 @@
     write_faults,
 )
 from coveport.testbed.day import Change, Day, SidecarDrawn, Wish, sidecar_settings
-from coveport.testbed.event_log import Books, Life, Sample
+from coveport.testbed.event_log import EventLog, Life, Sample
 from coveport.testbed.faults import OF_STAFF
 from coveport.testbed.model import KeyMemory
 from coveport.testbed.network_model import CLIENT, Ways
@@ -76,7 +76,7 @@
     generation: int
     ended: bool = False
     wanted: bool = False  # its end was asked for
-    stalled: bool = False  # the books say so
+    stalled: bool = False  # the event log says so
     replaced: bool = False  # another one stands beside it and takes over
     console: Address = ("", 0)
 
@@ -180,7 +180,7 @@
         return told
 
     def _write(self, number: int, what: str, detail: str = "") -> None:
-        self._play.books.write(Life(self._play.day_ms(), number, what, detail))
+        self._play.event_log.write(Life(self._play.day_ms(), number, what, detail))
 
     def _ready(self, number: int, running: _Running) -> None:
         if self._running.get(number) is running and not running.ended:
@@ -333,7 +333,9 @@
         """Note what each holds."""
         for number, running in self._running.items():
             if not running.ended:
-                self._play.books.write(Sample(self._play.day_ms(), number, 0.0, running.net.open_sides, 0.0))
+                self._play.event_log.write(
+                    Sample(self._play.day_ms(), number, 0.0, running.net.open_sides, 0.0)
+                )
 
     def held(self) -> dict[int, dict[str, int]]:
         """What those that run hold now; their tables as they print them themselves, where they can."""
@@ -394,7 +396,7 @@
 
     def __init__(self, day: Day, variant: Variant) -> None:
         self.day = day
-        self.books = Books()
+        self.event_log = EventLog()
         self.world = World()
         self.start_s = self.world.now + BEFORE_S
         self.ways = Ways(day)
@@ -408,12 +410,12 @@
             host = self.host(NODES, drawn.number, drawn.zone)
             self._hosts.append(host)
             self.nodes.append(
-                LedgerNode(host, self.books, day, drawn, keys, works, rtt_ms=self._rtt(drawn.zone))
+                LedgerNode(host, self.event_log, day, drawn, keys, works, rtt_ms=self._rtt(drawn.zone))
             )
         unix_offset_ms = (self.world.unix_s() - self.world.now + self.start_s) * 1000
         self.discovery = Discovery(
             day,
-            self.books,
+            self.event_log,
             self.lab_net,
             self.day_ms,
             lambda node, sidecar: self._hosts[node].address(sidecar),
@@ -430,7 +432,7 @@
         self.tills = [
             Tills(
                 self._till_hosts[one.number],
-                self.books,
+                self.event_log,
                 day,
                 one,
                 wishes[one.number],
@@ -530,7 +532,7 @@
     """
     began = time.perf_counter()
     play = _Play(day, variant_named(variant))
-    write_faults(day, play.books)
+    write_faults(day, play.event_log)
     # A day makes no garbage in circles that matters, and looking for some costs a tenth of the time.
     gc.collect()
     gc.freeze()
@@ -548,7 +550,7 @@
         play.lab.kill()
         gc.set_threshold(*thresholds)
         gc.unfreeze()
-    rows = sorted(play.books.rows, key=lambda row: row.at)
+    rows = sorted(play.event_log.rows, key=lambda row: row.at)
     said = {number: "\n".join(lines) for number, lines in play.sidecars.logs.items()}
     if logs is not None:
         logs.mkdir(parents=True, exist_ok=True)
--- a/coveport/testbed/standins/clients.py
+++ b/coveport/testbed/standins/clients.py
@@ -38,8 +38,8 @@
 from coveport.testbed.event_log import (
     Answered,
     Asked,
-    Books,
     Broke,
+    EventLog,
     GaveUp,
     Lag,
     Unasked,
@@ -197,7 +197,7 @@
     def __init__(
         self,
         host: Host,
-        books: Books,
+        event_log: EventLog,
         day: Day,
         sidecar: SidecarDrawn,
         wishes: Sequence[Wish],
@@ -205,7 +205,7 @@
     ) -> None:
         """`wishes`: this sidecar's, in order of time; `address`: where the sidecar listens, at each dial."""
         self.host = host
-        self._write = books.write
+        self._write = event_log.write
         self._day = day
         self._sidecar = sidecar
         self._wishes = wishes
--- a/coveport/testbed/standins/discovery.py
+++ b/coveport/testbed/standins/discovery.py
@@ -25,7 +25,7 @@
 from coveport.net.transport import Net
 from coveport.testbed.backend import Host
 from coveport.testbed.day import NEVER, Change, Day, NodeDrawn
-from coveport.testbed.event_log import Books, Called, Told
+from coveport.testbed.event_log import Called, EventLog, Told
 from coveport.testbed.standins.seen_node import SeenNode
 from coveport.testbed.tables import Figure
 
@@ -185,7 +185,7 @@
     def __init__(
         self,
         day: Day,
-        books: Books,
+        event_log: EventLog,
         net: Net,
         day_ms: Callable[[], float],
         node_address: Callable[[int, int], Address],
@@ -200,7 +200,7 @@
         it; the ground then calls `move` and reloads the sidecar.
         """
         self._day = day
-        self._write = books.write
+        self._write = event_log.write
         self.net = net
         self._day_ms = day_ms
         self._address = node_address
--- a/coveport/testbed/standins/node_state.py
+++ b/coveport/testbed/standins/node_state.py
@@ -1,4 +1,4 @@
-"""What a ledger node tells of itself on any ground: its row in the books, busy share and load reports."""
+"""What a ledger node tells of itself on any ground: its row in the event log, busy share and load reports."""
 
 from __future__ import annotations
 
--- a/coveport/testbed/standins/nodes.py
+++ b/coveport/testbed/standins/nodes.py
@@ -23,8 +23,8 @@
 from coveport.testbed.day import Change, Day, NodeDrawn
 from coveport.testbed.event_log import (
     Arrived,
-    Books,
     Ended,
+    EventLog,
     Linked,
     NodeLoad,
     Probed,
@@ -67,7 +67,7 @@
     def __init__(
         self,
         host: Host,
-        books: Books,
+        event_log: EventLog,
         day: Day,
         drawn: NodeDrawn,
         keys: KeyMemory,
@@ -82,7 +82,7 @@
         self.host = host
         self.drawn = drawn
         self.model = NodeModel(drawn, day.scenario.classes, keys)
-        self._write = books.write
+        self._write = event_log.write
         self._wishes = wishes
         self._rtt_ms = rtt_ms
         self._probes = day.scenario.rules.probes
@@ -97,7 +97,7 @@
         self._silent: dict[int, float] = {}
         self._leaving: dict[int, float] = {}
         self._fates = Fates(drawn)
-        self._busy = BusyShare(drawn, self.model)  # for the books
+        self._busy = BusyShare(drawn, self.model)  # for the event log
         self._reports = LoadReports(drawn, self.model, b"X-Load: fail_rate=0,busy=0\r\n", _load_line)
         self._due = inf
         self._due_timer: asyncio.TimerHandle | None = None
@@ -121,7 +121,7 @@
             self.host.refuse()
 
     def close(self) -> None:
-        """The day is over: let go of everything, without a word in the books."""
+        """The day is over: let go of everything, without a word in the event log."""
         self._stop_timers()
         if self._listening is not None:
             self._listening.cancel()
--- a/tests/testbed/test_clients.py
+++ b/tests/testbed/test_clients.py
@@ -14,7 +14,7 @@
 from coveport import http1
 from coveport.testbed import ids
 from coveport.testbed.day import Wish
-from coveport.testbed.event_log import Answered, Asked, Books, Lag, digest_of_request
+from coveport.testbed.event_log import Answered, Asked, EventLog, Lag, digest_of_request
 from coveport.testbed.scenario import Scenario
 from coveport.testbed.schema import Class, Load, Retries, Rules
 from coveport.testbed.standins import clients as module
@@ -95,14 +95,14 @@
     drawn = day(
         Scenario("t", classes=CLASSES, load=load, rules=Rules(answer_slack_ms=0, max_retry_after_ms=cap_ms))
     )
-    books, sidecar = Books(), Sidecar(script)
+    event_log, sidecar = EventLog(), Sidecar(script)
 
     async def run() -> None:
         server = await timeless.start_server(sidecar.serve)
         address = server.address
         if refused:
             server.close()
-        tills = module.Tills(OneHost(), books, drawn, drawn.sidecars[0], wishes, lambda: address)
+        tills = module.Tills(OneHost(), event_log, drawn, drawn.sidecars[0], wishes, lambda: address)
         tills.start()
         await until(lambda: tills.done)
         await asyncio.sleep(0.01)
@@ -112,7 +112,7 @@
         server.close()
 
     timeless.run(run())
-    return books.rows, sidecar
+    return event_log.rows, sidecar
 
 
 def of(rows: list[Any], kind: type) -> list[Any]:
--- a/tests/testbed/test_discovery_standin.py
+++ b/tests/testbed/test_discovery_standin.py
@@ -12,7 +12,7 @@
 
 from coveport import http1
 from coveport.testbed.day import Change
-from coveport.testbed.event_log import Books, Called, Told
+from coveport.testbed.event_log import Called, EventLog, Told
 from coveport.testbed.scenario import Scenario
 from coveport.testbed.schema import DiscoveryService
 from coveport.testbed.standins import discovery as module
@@ -55,13 +55,13 @@
     """Discovery of the small day."""
 
     def __init__(self, **service: Any) -> None:
-        self.books = Books()
+        self.event_log = EventLog()
         self.moves = list[int]()
         self.host = OneHost()
         scenario = Scenario("t", discovery=DiscoveryService(**{"spread_ms": (5, 15), **service}))
         super().__init__(
             day(scenario),
-            self.books,
+            self.event_log,
             self.host.net,
             self.host.day_ms,
             lambda node, sidecar: (f"127.0.{sidecar}.1", 9000 + node),
@@ -78,7 +78,7 @@
         return Caller(host.address(sidecar)[1])
 
     def rows(self) -> list[tuple[int, str]]:
-        told = [row for row in self.books.rows if isinstance(row, Told)]
+        told = [row for row in self.event_log.rows if isinstance(row, Told)]
         return [(row.node, row.state) for row in told if row.sidecar == 0]
 
 
@@ -105,10 +105,10 @@
     began = place.host.day_ms()
     place.do("die", 1)
     assert [*await asyncio.gather(one.news(1, 1), other.news(1, 1))] == [[("s-1", "left")]] * 2
-    assert min(row.at for row in place.books.rows[-2:]) >= began + 25
+    assert min(row.at for row in place.event_log.rows[-2:]) >= began + 25
     place.do("leaving", 2)
     assert [*await asyncio.gather(one.news(2, 1), other.news(2, 1))] == [[("s-2", "leaving")]] * 2
-    assert [row.sidecar for row in place.books.rows[-2:]] == [1, 0]  # as drawn from the day's seed
+    assert [row.sidecar for row in place.event_log.rows[-2:]] == [1, 0]  # as drawn from the day's seed
     place.do("start", 1)
     place.do("start", 3)
     assert sorted(await one.news(3, 2)) == [("s-1", "active"), ("s-3", "active")]
@@ -116,7 +116,7 @@
     assert len(told["hosts"]) == 2 and all(BORN < entry["born_ms"] < BORN + 5000 for entry in told["hosts"])
     assert health(await one.told()) == {"s-0": "active", "s-2": "leaving", "s-1": "active", "s-3": "active"}
     assert (await one.told(99))["whole"] and (await one.told(-1))["whole"]
-    assert [row.watch for row in place.books.rows if isinstance(row, Called)][:2] == [False, True]
+    assert [row.watch for row in place.event_log.rows if isinstance(row, Called)][:2] == [False, True]
     assert place.rows()[:5] == [(0, "active"), (1, "active"), (2, "active"), (1, "left"), (2, "leaving")]
     assert [(await one.call(path)).status for path in ("/nothing", PATH + "?after=x")] == [404, 400]
 
@@ -131,7 +131,7 @@
     place.do("leaving", 1)
     place.do("die", 1)
     assert await caller.news(1, 2) == [("s-1", "left"), ("s-2", "left")]
-    assert next(row.at for row in place.books.rows if isinstance(row, Told)) >= began + 19.999
+    assert next(row.at for row in place.event_log.rows if isinstance(row, Told)) >= began + 19.999
     place.do("die", 0)
     place.do("start", 0)
     assert await caller.news(3, 1) == [("s-0", "active")]
--- a/tests/testbed/test_loopback.py
+++ b/tests/testbed/test_loopback.py
@@ -20,7 +20,7 @@
 from real_helpers import SIDECAR, tiny_day
 
 from coveport.testbed.day import Change
-from coveport.testbed.event_log import Books, Fault, Lag, Life, Sample
+from coveport.testbed.event_log import EventLog, Fault, Lag, Life, Sample
 from coveport.testbed.loopback import GroundError, play_day
 from coveport.testbed.loopback.folders import own_folder
 from coveport.testbed.loopback.hosts import RealHost, address_of
@@ -207,17 +207,17 @@
 
 def test_lateness_is_counted_for_each_moment_left_out() -> None:
     async def stalled() -> LagWatch:
-        watch = LagWatch(asyncio.get_running_loop(), DayClock(0.0, 0.0), books, "tills", 0.0)
+        watch = LagWatch(asyncio.get_running_loop(), DayClock(0.0, 0.0), event_log, "tills", 0.0)
         await asyncio.sleep(0.02)
         time.sleep(0.2)
         await asyncio.sleep(0.02)
         watch.close()
         return watch
 
-    books = Books()
+    event_log = EventLog()
     watch = asyncio.run(stalled())
     assert watch.late_ms(1) >= 180 and 60 <= watch.late_ms(0.5) < watch.late_ms(1)
-    assert any(isinstance(row, Lag) and row.late_ms >= 180 for row in books.rows)
+    assert any(isinstance(row, Lag) and row.late_ms >= 180 for row in event_log.rows)
 
 
 def test_a_day_is_shared_out_and_refused_where_it_does_not_fit() -> None:
@@ -333,13 +333,15 @@
 
 def sampled(pid: int, is_ready: bool) -> list[Sample]:
     """What is entered of a process."""
-    books = Books()
+    event_log = EventLog()
     sidecar = Sidecar.__new__(Sidecar)
     sidecar._child, sidecar.ready = cast(Any, LookedAt(pid)), is_ready
-    sidecar._setting = cast(Any, SimpleNamespace(books=books, clock=SimpleNamespace(day_ms=lambda: 5.0)))
+    sidecar._setting = cast(
+        Any, SimpleNamespace(event_log=event_log, clock=SimpleNamespace(day_ms=lambda: 5.0))
+    )
     sidecar.drawn = cast(Any, SimpleNamespace(number=0))
     sidecar.sample()
-    return [row for row in books.rows if isinstance(row, Sample)]
+    return [row for row in event_log.rows if isinstance(row, Sample)]
 
 
 def test_a_process_that_has_ended_or_is_not_up_yet_is_no_sample() -> None:
--- a/tests/testbed/test_nodes.py
+++ b/tests/testbed/test_nodes.py
@@ -77,11 +77,11 @@
     """A node that is up, and its books."""
 
     def __init__(self, drawn: dict[str, Any]) -> None:
-        self.host, self.books = LoneHost(), b.Books()
+        self.host, self.event_log = LoneHost(), b.EventLog()
         day = Day(Scenario("t"), 1, (), (), WISHES, (), (), 0, (), 0, 0, 0, 0, 1)
         self.node = LedgerNode(
             cast(Host, self.host),
-            self.books,
+            self.event_log,
             day,
             NodeDrawn(**{**DRAWN, **drawn}),
             KeyMemory(),
@@ -104,7 +104,7 @@
         return response
 
     def rows(self, kind: type[Any]) -> list[Any]:
-        return [row for row in self.books.rows if isinstance(row, kind)]
+        return [row for row in self.event_log.rows if isinstance(row, kind)]
 
     async def seen(self, kind: type[Any], number: int) -> list[Any]:
         while len(self.rows(kind)) < number:
