--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -40,7 +40,9 @@
 
 async def serves(one: FleetTrialReal, at: int) -> bool:
     """Whether an instance serves an operation."""
-    return await one.town.ask(at, one.port + at, 1_000_000 + time.monotonic_ns() % 1_000_000, 5.0) == 200
+    return (
+        await one.environment.ask(at, one.port + at, 1_000_000 + time.monotonic_ns() % 1_000_000, 5.0) == 200
+    )
 
 
 async def kill(instances: int, plays: int) -> list[Row]:
@@ -87,13 +89,13 @@
                 Path(folder), instances, settings={"young_s": young_s, "loop": 50}
             ) as one:
                 calls: list[float] = []
-                answer = one.town.discovery.server._respond
+                answer = one.environment.discovery.server._respond
 
                 async def counted(request, answer=answer, calls=calls):  # type: ignore[no-untyped-def]
                     calls.append(time.monotonic())
                     return await answer(request)
 
-                one.town.discovery.server._respond = counted
+                one.environment.discovery.server._respond = counted
                 one.supervise()
                 await one.all_serve()
                 await asyncio.sleep(7.0)  # each has kept what it knows
--- a/coveport/testbed/drawing.py
+++ b/coveport/testbed/drawing.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from coveport.testbed.day import Day
-from coveport.testbed.fault_schedule import Course, draw_trouble
+from coveport.testbed.fault_schedule import FaultSchedule, draw_fault
 from coveport.testbed.fleet import draw_nodes, draw_sidecars
 from coveport.testbed.random_streams import drawn, stream
 from coveport.testbed.scenario import Scenario
@@ -21,8 +21,8 @@
     """Draw the day of `seed`; ValueError (one line) where it would hold more than `MOST_WISHES` wishes."""
     nodes = draw_nodes(scenario, seed)
     capacity = sum(node.cores * node.speed for node in nodes)
-    troubles = [draw_trouble(scenario, seed, number, nodes) for number in range(len(scenario.faults))]
-    course = Course(scenario, seed, nodes, troubles)
+    drawn_faults = [draw_fault(scenario, seed, number, nodes) for number in range(len(scenario.faults))]
+    fault_schedule = FaultSchedule(scenario, seed, nodes, drawn_faults)
     network, chance = scenario.network, stream(seed, "network")
     same, client, jitter, notice, add = (
         drawn(chance, one)
@@ -42,11 +42,11 @@
     return Day(
         scenario,
         seed,
-        nodes=(*nodes, *course.replacements),
+        nodes=(*nodes, *fault_schedule.replacements),
         sidecars=draw_sidecars(scenario, seed),
-        wishes=draw_wishes(scenario, seed, capacity, troubles),
-        changes=tuple(course.changes),
-        spans=tuple(course.spans),
+        wishes=draw_wishes(scenario, seed, capacity, drawn_faults),
+        changes=tuple(fault_schedule.changes),
+        spans=tuple(fault_schedule.spans),
         same_ms=same,
         cross_ms=tuple(map(tuple, cross)),
         client_ms=client,
--- a/coveport/testbed/fault_injection/environment.py
+++ b/coveport/testbed/fault_injection/environment.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ran:
-    """An operation that a node ran, in its own book."""
+    """Record an operation that a node ran."""
 
     at: float
     node: int
@@ -25,7 +25,7 @@
 
 
 class Node:
-    """A ledger node: runs what it is sent, after its time, and writes it down."""
+    """Serve as a ledger node: run each operation after `service_s` and record it."""
 
     def __init__(self, number: int, service_s: float = 0.01) -> None:
         self.number = number
@@ -50,7 +50,7 @@
 
 
 class Discovery:
-    """Tells the list, the whole of it at once and changes as they come."""
+    """Serve as the discovery service: the full endpoint list at each call, or when it changes."""
 
     def __init__(self) -> None:
         self.hosts: list[dict[str, object]] = []
@@ -59,8 +59,9 @@
         self.server = HttpStub(self._answer)
 
     def tell(self, hosts: list[dict[str, object]]) -> None:
-        """Another list."""
-        self.hosts, self.seq = hosts, self.seq + 1
+        """Publish another endpoint list."""
+        self.hosts = hosts
+        self.seq += 1
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -78,7 +79,7 @@
 
 @dataclass
 class Asked:
-    """What came of what a till asked."""
+    """Record the outcome of a request of a client."""
 
     at: float
     instance: int
@@ -86,38 +87,41 @@
 
 
 @dataclass
-class Town:
-    """Nodes, discovery, and tills that ask instances in turn."""
+class TrialEnvironment:
+    """Run ledger nodes, discovery, and clients that send requests to instances."""
 
     nodes: list[Any]  # Node, or LedgerNode
     discovery: Discovery = field(default_factory=Discovery)
     asked: list[Asked] = field(default_factory=list)
 
     @classmethod
-    async def start(cls, nodes: int) -> Town:
-        """All of it, up."""
-        town = cls([Node(number) for number in range(nodes)])
-        for node in town.nodes:
+    async def start(cls, nodes: int) -> TrialEnvironment:
+        """Start plain nodes and discovery."""
+        environment = cls([Node(number) for number in range(nodes)])
+        for node in environment.nodes:
             await node.server.start()
-        await town.discovery.server.start()
-        town.list_all()
-        return town
+        await environment.discovery.server.start()
+        environment.list_all()
+        return environment
 
     @classmethod
-    async def start_ledgers(cls, nodes: int, window_s: float) -> Town:
-        """The same with ledgers that keep books, two to a cell."""
+    async def start_ledgers(cls, nodes: int, window_s: float) -> TrialEnvironment:
+        """Start recording ledger nodes, two to a cell, and discovery; keys are kept for `window_s`."""
         cells = [Cell(window_s) for _ in range((nodes + 1) // 2)]
-        town = cls([LedgerNode(number, cells[number // 2], number // 2) for number in range(nodes)])
-        for node in town.nodes:
+        environment = cls([LedgerNode(number, cells[number // 2], number // 2) for number in range(nodes)])
+        for node in environment.nodes:
             await node.server.start()
-        await town.discovery.server.start()
-        town.list_all()
-        return town
+        await environment.discovery.server.start()
+        environment.list_all()
+        return environment
 
     def hosts(
         self, ports: Mapping[int, int] | None = None, born_ms: Mapping[int, float] | None = None
     ) -> list[dict[str, object]]:
-        """The list; `ports`: by which nodes are reached instead of their own; `born_ms`: of those just up."""
+        """Return the endpoint list.
+
+        `ports` replaces the ports of nodes by number; `born_ms` gives when nodes started (Unix ms).
+        """
         at = {node.number: node.server.port for node in self.nodes} | dict(ports or {})
         return [
             {
@@ -134,18 +138,19 @@
         ]
 
     def list_all(self, born_ms: Mapping[int, float] | None = None) -> None:
-        """Have discovery list all nodes; `born_ms`: of those that have just started (Unix ms)."""
+        """Publish all nodes; `born_ms` gives when nodes started (Unix ms)."""
         self.discovery.tell(self.hosts(born_ms=born_ms))
 
     def stop(self) -> None:
-        """Be gone."""
+        """Stop all servers."""
         for node in self.nodes:
             node.server.stop()
         self.discovery.server.stop()
 
     async def ask(self, instance: int, port: int, number: int, wait_s: float = 1.0) -> int:
-        """One operation at an instance; its status, 0 for none."""
-        status, began = 0, time.time()
+        """Send one operation to an instance; return the status, 0 for no response."""
+        status = 0
+        began = time.time()
         try:
             reader, writer = await asyncio.wait_for(asyncio.open_connection("127.0.0.1", port), wait_s)
             try:
--- a/coveport/testbed/fault_injection/fleet/real.py
+++ b/coveport/testbed/fault_injection/fleet/real.py
@@ -18,7 +18,7 @@
 
 from coveport.sidecar.supervisor import locks
 from coveport.sidecar.supervisor.control import call
-from coveport.testbed.fault_injection.environment import Town
+from coveport.testbed.fault_injection.environment import TrialEnvironment
 from coveport.testbed.fault_injection.real import SETTINGS, TrialError
 
 WAIT_S = 60.0  # for what takes a second or two on an idle machine
@@ -64,7 +64,7 @@
         self.statuses: list[int] = []  # that clients were answered
 
     async def __aenter__(self) -> FleetTrialReal:
-        self.town = await Town.start_ledgers(self._nodes, 6.0)
+        self.environment = await TrialEnvironment.start_ledgers(self._nodes, 6.0)
         self.port = _free_ports(max(MIN_PORTS, 2 * self.count))  # of the first instance
         self.configure()
         return self
@@ -77,7 +77,7 @@
         for incarnation in self.incarnations().values():
             with contextlib.suppress(ProcessLookupError):
                 os.kill(locks.pid_of(incarnation), signal.SIGKILL)
-        self.town.stop()
+        self.environment.stop()
 
     @property
     def file(self) -> Path:
@@ -108,7 +108,7 @@
             "name": "x",
             "listen": "127.0.0.1:1",
             "seed": "7",
-            "discovery": f"127.0.0.1:{self.town.discovery.server.port}",
+            "discovery": f"127.0.0.1:{self.environment.discovery.server.port}",
             "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256},
             "known": {"seq": 0, "whole": True, "hosts": []},
             "settings": SETTINGS,
@@ -180,7 +180,9 @@
         for number in range(int(rate * duration_s)):
             await asyncio.sleep(max(0.0, began + number / rate - time.monotonic()))
             index = number % self.count
-            requests.append(asyncio.ensure_future(self.town.ask(index, self.port + index, number, wait_s)))
+            requests.append(
+                asyncio.ensure_future(self.environment.ask(index, self.port + index, number, wait_s))
+            )
         statuses = [await request for request in requests]
         self.statuses += statuses
         return statuses
--- a/coveport/testbed/fault_injection/real.py
+++ b/coveport/testbed/fault_injection/real.py
@@ -29,7 +29,7 @@
 from coveport.sidecar.leases.store import Change, Entry
 from coveport.testbed.fault_injection import judge
 from coveport.testbed.fault_injection.clocked import Clocks
-from coveport.testbed.fault_injection.environment import Discovery, Town
+from coveport.testbed.fault_injection.environment import Discovery, TrialEnvironment
 from coveport.testbed.fault_injection.history import Histories, read_lines
 from coveport.testbed.fault_injection.recording_nodes import Tills
 from coveport.testbed.fault_injection.relay import Relay
@@ -179,7 +179,7 @@
 
 
 class RealTrial:
-    """Instances, store and town; use as an async context."""
+    """Run instances, a store and their environment; use as an async context."""
 
     def __init__(
         self,
@@ -229,12 +229,12 @@
 
     async def _begin(self) -> None:
         if self._work is None:
-            self.town = await Town.start(self._nodes)
+            self.environment = await TrialEnvironment.start(self._nodes)
         else:
             (self.folder / "work.key").write_text("k1 " + "5a" * 32 + "\n")
             (self.folder / "work.key").chmod(0o600)
             earn: Any = self._settings["classes"][1]
-            self.town = await Town.start_ledgers(self._nodes, earn["window_ms"] / 1000)
+            self.environment = await TrialEnvironment.start_ledgers(self._nodes, earn["window_ms"] / 1000)
         if self.kind == "etcd":
             self.engine = await asyncio.to_thread(Engine)
         elif self.kind != "sqlite":
@@ -254,16 +254,20 @@
 
     async def _relay_nodes(self, one: Running) -> None:
         """Links of its own to every node and to discovery."""
-        for node in self.town.nodes:
+        for node in self.environment.nodes:
             one.node_relays[node.number] = await Relay(("127.0.0.1", node.server.port)).start()
         await one.discovery.server.start()
-        one.discovery.tell(self.town.hosts({number: relay.port for number, relay in one.node_relays.items()}))
+        one.discovery.tell(
+            self.environment.hosts({number: relay.port for number, relay in one.node_relays.items()})
+        )
         one.discovery_relay = await Relay(("127.0.0.1", one.discovery.server.port)).start()
 
     def configure(self, one: Running) -> None:
         """Write its files."""
         discovery = (
-            self.town.discovery.server.port if one.discovery_relay is None else one.discovery_relay.port
+            self.environment.discovery.server.port
+            if one.discovery_relay is None
+            else one.discovery_relay.port
         )
         (one.folder / "platform.json").write_text(
             json.dumps(
@@ -516,8 +520,8 @@
                 await relay.stop()
         if self.engine is not None:
             self.engine.stop()
-        if hasattr(self, "town"):
-            self.town.stop()
+        if hasattr(self, "environment"):
+            self.environment.stop()
 
     def book(self) -> list[tuple[float, Change]]:
         """The store's book; to be asked while the store is there."""
--- a/coveport/testbed/fault_injection/recording_nodes.py
+++ b/coveport/testbed/fault_injection/recording_nodes.py
@@ -1,7 +1,7 @@
-"""Ledger nodes that keep books of what they ran, tills that ask again, and who holds the two together.
+"""Run ledger nodes that record what they ran and clients that retry, and compare the two.
 
-The nodes' books are the witness: no instance writes them. A node drops repeats of a key by the table of its
-cell, within the window from when the first came, as PROTOCOL has it.
+The records of the nodes are the evidence: no instance writes them. A node drops duplicates of a key by the
+table of its cell, within the window from the arrival of the first one, as PROTOCOL has it.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 
 @dataclass(slots=True)
 class Ran:
-    """An operation that a node ran, or dropped as a repeat."""
+    """Record an operation that a node ran, or dropped as a duplicate."""
 
     at: float
     node: int
     cls: str
-    key: str  # of the operation, as the till has it: in its body
+    key: str  # of the operation, as the client has it: in its body
     id: str
-    repeat: bool  # dropped: the answer of the first was given again
+    repeat: bool  # dropped: the response to the first was sent again
 
 
 @dataclass
 class Cell:
-    """What the nodes of one cell share: keys and the answers to them."""
+    """Hold what the nodes of one cell share: keys and the responses to them."""
 
     window_s: float
-    seen: dict[str, tuple[float, bytes]] = field(default_factory=dict)  # key: when first, and the answer
+    seen: dict[str, tuple[float, bytes]] = field(default_factory=dict)  # arrival of the first, its response
 
 
 class LedgerNode:
-    """A node: runs what it is sent after its time, once it has come whole."""
+    """Serve as a ledger node: run each complete operation, and respond after `service_s`."""
 
     def __init__(self, number: int, cell: Cell, block: int, service_s: float = 0.01) -> None:
         self.number = number
@@ -49,7 +49,7 @@
         self.service_s = service_s
         self.ran: list[Ran] = []
         self.probes = 0
-        self.mute = False  # it runs what comes and says nothing of it
+        self.mute = False  # it runs operations and sends no response
         self.server = HttpStub(self._answer)
 
     async def _answer(self, request: Request) -> Response:
@@ -77,14 +77,14 @@
 
 @dataclass(slots=True)
 class Asked:
-    """What a till asked and was told."""
+    """Record a request of a client and the response to it."""
 
     at: float
     instance: int
     cls: str
     key: str
     id: str
-    status: int  # 0: no answer
+    status: int  # 0: no response
     body: bytes = b""
     retry_after: float | None = None
     took_s: float = 0.0
@@ -92,7 +92,7 @@
 
 @dataclass
 class Tills:
-    """Tills that ask instances, and write down what they are told."""
+    """Send operations to instances, and record the responses."""
 
     asked: list[Asked] = field(default_factory=list)
     _count: int = 0
@@ -109,7 +109,11 @@
         keyed: bool | None = None,
         again: bool = False,
     ) -> Asked:
-        """One operation at an instance. `key`: which one it is; sent as Idempotency-Key where `keyed`."""
+        """Send one operation to an instance.
+
+        `key` identifies it, and is sent as Idempotency-Key where `keyed`; `again` marks a retry. Waits
+        `wait_s` for the connection, and a second more for the response.
+        """
         self._count += 1
         identity = f"t{self._count}"
         one = Asked(time.monotonic(), instance, cls, key, identity, 0)
@@ -152,10 +156,10 @@
     ends: Mapping[str, str] | None = None,
     unrecorded: frozenset[str] = frozenset(),
 ) -> list[Finding]:
-    """Hold tills' view against nodes' books, operation by operation.
+    """Compare what clients saw with what nodes ran, operation by operation.
 
-    `ends`: how each operation's record stands in the end, by key. `unrecorded`: keys that were served while
-    the store was gone, of which nothing is promised.
+    `ends` gives the final status of the record of each operation, by key. `unrecorded` are keys that were
+    served while the store was unavailable, for which nothing is guaranteed.
     """
     asked, found = list(asked), list[Finding]()
     runs: dict[str, list[Ran]] = {}
--- a/coveport/testbed/fault_schedule.py
+++ b/coveport/testbed/fault_schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a scenario, drawn: what changes when, and whom it concerns. Pure."""
+"""Draw the faults of a scenario: what changes when, and which targets it affects. Pure."""
 
 from __future__ import annotations
 
@@ -44,15 +44,15 @@
 from coveport.testbed.random_streams import drawn, stream
 from coveport.testbed.scenario import Scenario
 
-ENDING_MS = 1000.0  # a sidecar told to stop is taken to be back by then, for a fault's end
+ENDING_MS = 1000.0  # a sidecar asked to stop counts as restarted after this, for the end of a fault
 KILLED_MS = 1000.0  # until a killed sidecar is started again where the scenario does not say
 
-LIVES = frozenset({"leaving", "die", "gone", "start", "kill", "launch", "term", "stall", "upgrade"})
+LIFECYCLE_STEPS = frozenset({"leaving", "die", "gone", "start", "kill", "launch", "term", "stall", "upgrade"})
 
 
 @dataclass(slots=True)
-class Trouble:
-    """A fault with its figures drawn. Times in ms."""
+class DrawnFault:
+    """Hold a fault with its figures and targets drawn. Times in ms of the day."""
 
     number: int
     fault: AnyFault
@@ -60,46 +60,49 @@
     length: float  # 0 where the scenario gives none
     end: float
     size: float = 0.0
-    share: float = 0.0  # heavy tail: of the class's wishes; slow readers: of the tills
+    share: float = 0.0  # heavy tail: of the class's operations; slow readers: of the clients
     which: int = 0  # zone of a cut, class of a heavy tail
     targets: tuple[int, ...] = ()  # nodes or sidecars
 
 
-def draw_trouble(scenario: Scenario, seed: int, number: int, nodes: Sequence[NodeDrawn]) -> Trouble:
-    """The fault at position `number` with its figures and targets, from a stream of its own."""
+def draw_fault(scenario: Scenario, seed: int, number: int, nodes: Sequence[NodeDrawn]) -> DrawnFault:
+    """Return the fault at index `number` with its figures and targets, drawn from a stream of its own."""
     fault = scenario.faults[number]
     chance = stream(seed, "fault", number)
-    begin, length = drawn(chance, fault.at_s) * 1000, drawn(chance, fault.for_s) * 1000
-    one = Trouble(number, fault, begin, length, begin + length if length else scenario.length_s * 1000)
-    one.size = drawn(chance, getattr(fault, "size", 0.0))
+    begin = drawn(chance, fault.at_s) * 1000
+    length = drawn(chance, fault.for_s) * 1000
+    drawn_fault = DrawnFault(
+        number, fault, begin, length, begin + length if length else scenario.length_s * 1000
+    )
+    drawn_fault.size = drawn(chance, getattr(fault, "size", 0.0))
     if isinstance(fault, HeavyTail):
-        one.share = drawn(chance, fault.share)
-        one.which = _named(chance, [cls.name for cls in scenario.classes], fault.cls)
+        drawn_fault.share = drawn(chance, fault.share)
+        drawn_fault.which = _named(chance, [cls.name for cls in scenario.classes], fault.cls)
     elif isinstance(fault, Cut):
-        one.which = _named(chance, scenario.fleet.zones, fault.zone)
+        drawn_fault.which = _named(chance, scenario.fleet.zones, fault.zone)
     elif isinstance(fault, Delay):
-        one.size = drawn(chance, fault.added_ms)
+        drawn_fault.size = drawn(chance, fault.added_ms)
     elif not isinstance(fault, Loss | Burst | DiscoveryFault):
-        one.targets = _chosen(chance, scenario, nodes, fault.whom, isinstance(fault, OF_SIDECARS))
+        drawn_fault.targets = _chosen(chance, scenario, nodes, fault.whom, isinstance(fault, OF_SIDECARS))
     if isinstance(fault, SlowReader):
-        one.share = drawn(chance, fault.share)
-    behind = max(len(one.targets) - 1, 0)
+        drawn_fault.share = drawn(chance, fault.share)
+    behind = max(len(drawn_fault.targets) - 1, 0)
     if isinstance(fault, Rolling):
-        one.end = begin + (behind * fault.every_s + fault.gone_s + fault.down_s) * 1000
+        drawn_fault.end = begin + (behind * fault.every_s + fault.gone_s + fault.down_s) * 1000
     elif isinstance(fault, Restart | Upgrade):
-        one.end = begin + behind * fault.every_s * 1000 + ENDING_MS
+        drawn_fault.end = begin + behind * fault.every_s * 1000 + ENDING_MS
     elif isinstance(fault, Kill):
-        one.length = length or KILLED_MS
-        one.end = begin + one.length
+        drawn_fault.length = length or KILLED_MS
+        drawn_fault.end = begin + drawn_fault.length
     elif isinstance(fault, DiscoveryFault) and fault.how == "moves":
-        one.end = begin
-    return one
+        drawn_fault.end = begin
+    return drawn_fault
 
 
 def _named(chance: random.Random, names: Sequence[str], name: str) -> int:
-    """The position of a name, or a drawn one where none is given."""
-    any_of_them = chance.randrange(len(names))
-    return names.index(name) if name else any_of_them
+    """Return the index of a name; a drawn one where no name is given."""
+    random_index = chance.randrange(len(names))
+    return names.index(name) if name else random_index
 
 
 def _chosen(
@@ -115,7 +118,7 @@
     ]
     if whom.kind:
         pool = [number for number in pool if nodes[number].kind == whom.kind]
-    chance.shuffle(pool)  # the first so many, so that a larger share takes the same ones and more
+    chance.shuffle(pool)  # then a prefix, so that a larger share takes the same targets and more
     if whom.share:
         pool = pool[: max(1, int(whom.share * len(pool) + 0.5))]
     elif whom.count:
@@ -125,24 +128,24 @@
 
 @dataclass(slots=True)
 class _Party:
-    """A node's place, or a sidecar, as the day goes on."""
+    """Track the state of a node or sidecar as the day goes on."""
 
-    number: int  # of the node that stands there now
+    number: int  # of the node that runs in this slot now
     state: str = "up"  # "up", "leaving", "down"
-    owner: int = -1  # the fault by which it is not up
-    ending: float = NEVER  # sidecar: told to stop, and perhaps not yet back, until then
-    stalled: float = NEVER  # sidecar: until then
+    owner: int = -1  # index of the fault that took it down
+    ending: float = NEVER  # sidecar: asked to stop, and possibly not restarted, until then
+    stalled: float = NEVER  # sidecar: stalled until then
 
 
-class Course:
-    """Carries the faults' steps out in order of time, leaving out those that make no sense by then.
+class FaultSchedule:
+    """Schedule the steps of all faults in order of time, without those that are not applicable by then.
 
-    Who is down already, or on the way there, is left to the fault that did it. A crash ends a drain, whose
-    return then falls away; a node's place is taken by its replacement, at which later faults aim.
+    A target that is down or draining is left to the fault that did that. A crash ends a drain, whose restart
+    is then dropped; a replacement takes over the slot of its node, and later faults target it.
     """
 
     def __init__(
-        self, scenario: Scenario, seed: int, nodes: Sequence[NodeDrawn], troubles: Sequence[Trouble]
+        self, scenario: Scenario, seed: int, nodes: Sequence[NodeDrawn], drawn_faults: Sequence[DrawnFault]
     ) -> None:
         self._scenario = scenario
         self._seed = seed
@@ -150,44 +153,50 @@
         self.changes: list[Change] = []
         self.replacements: list[NodeDrawn] = []
         self._hit: dict[int, list[int]] = {}  # by fault
-        self._fresh: dict[tuple[int, int], int] = {}  # replacements by fault and place
-        self._began: dict[tuple[int, int], int] = {}  # whom to take it back from, by fault and place
+        self._fresh: dict[tuple[int, int], int] = {}  # replacements by fault and slot
+        self._began: dict[tuple[int, int], int] = {}  # target to revert, by fault and slot
         self._parties = {(False, number): _Party(number) for number in range(scenario.fleet.nodes)}
         self._parties |= {(True, number): _Party(number) for number in range(scenario.fleet.sidecars)}
         # Guards against a kill or launch of a sidecar that still ends: its clients may wait that long.
         self._ending_ms = max([3000.0, *(one.deadline_ms for one in scenario.classes)]) + 1000
-        for trouble in troubles:
-            self._replace(trouble)
+        for drawn_fault in drawn_faults:
+            self._replace(drawn_fault)
         steps = [
-            (at, trouble.number, place, what, trouble)
-            for trouble in troubles
-            for at, place, what in _steps(trouble)
+            (at, drawn_fault.number, place, what, drawn_fault)
+            for drawn_fault in drawn_faults
+            for at, place, what in _steps(drawn_fault)
         ]
-        for at, _, place, what, trouble in sorted(steps, key=lambda step: step[:2]):
-            self._step(at, place, what, trouble)
+        for at, _, place, what, drawn_fault in sorted(steps, key=lambda step: step[:2]):
+            self._step(at, place, what, drawn_fault)
         self.spans = [
-            Span(one.number, str(one.fault.__struct_config__.tag), one.begin, one.end, self._whom(one))
-            for one in troubles
+            Span(
+                fault.number,
+                str(fault.fault.__struct_config__.tag),
+                fault.begin,
+                fault.end,
+                self._whom(fault),
+            )
+            for fault in drawn_faults
         ]
 
-    def _replace(self, trouble: Trouble) -> None:
-        if not (isinstance(trouble.fault, Crash) and trouble.fault.replaced and trouble.length):
+    def _replace(self, drawn_fault: DrawnFault) -> None:
+        if not (isinstance(drawn_fault.fault, Crash) and drawn_fault.fault.replaced and drawn_fault.length):
             return
         kinds = {kind.name: kind for kind in self._scenario.fleet.kinds}
         taken = {node.name for node in (*self._nodes, *self.replacements)}
-        for place in trouble.targets:
+        for place in drawn_fault.targets:
             old, number = self._nodes[place], len(self._nodes) + len(self.replacements)
             new = draw_node(self._scenario, self._seed, number, old.zone, old.cell, kinds[old.kind], taken)
             self.replacements.append(msgspec.structs.replace(new, born=False))
-            self._fresh[trouble.number, place] = number
+            self._fresh[drawn_fault.number, place] = number
 
-    def _step(self, at: float, place: int, what: str, trouble: Trouble) -> None:
-        fault = trouble.fault
-        if place < 0 or what not in LIVES:
-            self._toggle(at, place, what, trouble)
+    def _step(self, at: float, place: int, what: str, drawn_fault: DrawnFault) -> None:
+        fault = drawn_fault.fault
+        if place < 0 or what not in LIFECYCLE_STEPS:
+            self._toggle(at, place, what, drawn_fault)
             return
         party = self._parties[isinstance(fault, OF_SIDECARS), place]
-        mine = party.owner == trouble.number
+        mine = party.owner == drawn_fault.number
         busy = at < party.ending or at < party.stalled
         ok, state = {
             "leaving": (party.state == "up", "leaving"),
@@ -202,43 +211,43 @@
         }[what]
         if not ok:
             return
-        party.state, party.owner = state, trouble.number
+        party.state, party.owner = state, drawn_fault.number
         if what == "start":
-            party.number = self._fresh.get((trouble.number, place), party.number)
+            party.number = self._fresh.get((drawn_fault.number, place), party.number)
         elif what in ("term", "upgrade"):
             party.ending = at + self._ending_ms
         elif what == "stall":
-            party.stalled = at + trouble.length
+            party.stalled = at + drawn_fault.length
         elif what == "kill":
             party.stalled = NEVER
         if what not in ("gone", "start", "launch"):
-            self._hit.setdefault(trouble.number, []).append(party.number)
+            self._hit.setdefault(drawn_fault.number, []).append(party.number)
         self.changes.append(
             Change(
                 at,
-                trouble.number,
+                drawn_fault.number,
                 "die" if what == "gone" else what,
                 True,
                 party.number,
-                trouble.length if what == "stall" else 0.0,
+                drawn_fault.length if what == "stall" else 0.0,
             )
         )
 
-    def _toggle(self, at: float, place: int, what: str, trouble: Trouble) -> None:
-        """Begin something, or take it back (`what` with a minus in front)."""
-        fault, on = trouble.fault, not what.startswith("-")
+    def _toggle(self, at: float, place: int, what: str, drawn_fault: DrawnFault) -> None:
+        """Begin an effect, or revert it (`what` with a leading minus)."""
+        fault, on = drawn_fault.fault, not what.startswith("-")
         target = place
         if place >= 0 and on:
             target = self._parties[isinstance(fault, OF_SIDECARS), place].number
-            self._began[trouble.number, place] = target
-            self._hit.setdefault(trouble.number, []).append(target)
+            self._began[drawn_fault.number, place] = target
+            self._hit.setdefault(drawn_fault.number, []).append(target)
         elif place >= 0:
-            target = self._began[trouble.number, place]
+            target = self._began[drawn_fault.number, place]
         elif isinstance(fault, Cut):
-            target = trouble.which
+            target = drawn_fault.which
         seconds = isinstance(fault, DiscoveryFault | Clock | SlowReader) and what != "discovery-overbooked"
         told = not isinstance(fault, DiscoveryFault) or what in ("discovery-late", "discovery-overbooked")
-        value = trouble.size * (1000 if seconds else 1) if told else 0.0
+        value = drawn_fault.size * (1000 if seconds else 1) if told else 0.0
         if isinstance(fault, Scrape):
             value = fault.every_s * 1000
         share = (
@@ -246,14 +255,14 @@
             if isinstance(fault, Errors | Resets)
             else float(fault.silent)
             if isinstance(fault, Scrape)
-            else trouble.share
-            if trouble.share
+            else drawn_fault.share
+            if drawn_fault.share
             else float(getattr(fault, "within", False))
         )
         self.changes.append(
             Change(
                 at,
-                trouble.number,
+                drawn_fault.number,
                 what.removeprefix("-"),
                 on,
                 target,
@@ -262,12 +271,12 @@
             )
         )
 
-    def _whom(self, trouble: Trouble) -> str:
-        fault, scenario = trouble.fault, self._scenario
+    def _whom(self, drawn_fault: DrawnFault) -> str:
+        fault, scenario = drawn_fault.fault, self._scenario
         if isinstance(fault, Cut):
-            return f"zone {scenario.fleet.zones[trouble.which]}"
+            return f"zone {scenario.fleet.zones[drawn_fault.which]}"
         if isinstance(fault, HeavyTail):
-            return f"class {scenario.classes[trouble.which].name}"
+            return f"class {scenario.classes[drawn_fault.which].name}"
         if isinstance(fault, Burst):
             return "all tills"
         if isinstance(fault, Delay | Loss):
@@ -276,7 +285,7 @@
             return "discovery"
         sidecars = isinstance(fault, OF_SIDECARS)
         party, total = ("sidecar", scenario.fleet.sidecars) if sidecars else ("node", len(self._nodes))
-        hit = sorted(set(self._hit.get(trouble.number, [])))
+        hit = sorted(set(self._hit.get(drawn_fault.number, [])))
         if not hit:
             return f"no {party}"
         if len(hit) == total > 1:
@@ -285,9 +294,11 @@
         return f"{party}{'s' * (len(hit) > 1)} {shown}"
 
 
-def _steps(one: Trouble) -> Iterator[tuple[float, int, str]]:
-    """What a fault does when to which target (-1: not one by one); "gone" is the death that ends a drain."""
-    fault, begin, back = one.fault, one.begin, one.begin + one.length
+def _steps(drawn_fault: DrawnFault) -> Iterator[tuple[float, int, str]]:
+    """Yield the steps of a fault: time in ms, target (-1: no single one) and effect; "gone" ends a drain."""
+    fault = drawn_fault.fault
+    begin = drawn_fault.begin
+    restart = drawn_fault.begin + drawn_fault.length
     what = {
         Slow: "slow",
         Silent: "silent",
@@ -309,28 +320,28 @@
     if isinstance(fault, DiscoveryFault):
         what = f"discovery-{fault.how}"
     if what:
-        for place in one.targets if hasattr(fault, "whom") else (-1,):
+        for place in drawn_fault.targets if hasattr(fault, "whom") else (-1,):
             yield begin, place, what
             if what != "discovery-moves":
-                yield one.end, place, f"-{what}"
-    for position, place in enumerate(one.targets):
+                yield drawn_fault.end, place, f"-{what}"
+    for position, place in enumerate(drawn_fault.targets):
         later = begin + position * getattr(fault, "every_s", 0.0) * 1000
         if isinstance(fault, Crash):
             yield begin, place, "die"
-            if one.length:
-                yield back, place, "start"
+            if drawn_fault.length:
+                yield restart, place, "start"
         elif isinstance(fault, Drain):
             yield begin, place, "leaving"
             yield begin + fault.gone_s * 1000, place, "gone"
-            if one.length:
-                yield back, place, "start"
+            if drawn_fault.length:
+                yield restart, place, "start"
         elif isinstance(fault, Rolling):
             yield later, place, "leaving"
             yield later + fault.gone_s * 1000, place, "gone"
             yield later + (fault.gone_s + fault.down_s) * 1000, place, "start"
         elif isinstance(fault, Kill):
             yield begin, place, "kill"
-            yield back, place, "launch"
+            yield restart, place, "launch"
         elif isinstance(fault, Stall):
             yield begin, place, "stall"
         elif isinstance(fault, Upgrade):
--- a/coveport/testbed/search/aftermath.py
+++ b/coveport/testbed/search/aftermath.py
@@ -17,7 +17,7 @@
 from coveport.testbed import event_log
 from coveport.testbed.day import Day
 from coveport.testbed.event_log import AnyRow
-from coveport.testbed.fault_schedule import Trouble, draw_trouble
+from coveport.testbed.fault_schedule import DrawnFault, draw_fault
 from coveport.testbed.faults import Drain, Whom
 from coveport.testbed.fleet import draw_nodes
 from coveport.testbed.scenario import Scenario
@@ -46,19 +46,19 @@
     short: float  # share of the worth in reach, from the first fault on, that was not served
 
 
-def troubles_of(day: Scenario, seed: int) -> list[Trouble]:
+def troubles_of(day: Scenario, seed: int) -> list[DrawnFault]:
     """Its faults as the seed has them; the end of one that nobody mends is where it is fully there."""
     nodes = draw_nodes(day, seed)
     found = []
     for number in range(len(day.faults)):
-        one = draw_trouble(day, seed, number, nodes)
+        one = draw_fault(day, seed, number, nodes)
         if not is_mended(day, one):
             one.end = one.begin + (one.fault.gone_s * 1000 if isinstance(one.fault, Drain) else 0.0)
         found.append(one)
     return found
 
 
-def is_mended(day: Scenario, one: Trouble) -> bool:
+def is_mended(day: Scenario, one: DrawnFault) -> bool:
     """Whether a fault ends of itself before the day does."""
     return bool(one.length) or abs(one.end - day.length_s * 1000) > 1e-6
 
@@ -68,7 +68,7 @@
     nodes = draw_nodes(day, seed)
     kept = []
     for number, fault in enumerate(day.faults):
-        one = draw_trouble(day, seed, number, nodes)
+        one = draw_fault(day, seed, number, nodes)
         if is_mended(day, one):
             continue
         changes: dict[str, object] = {"at_s": 0.0}
--- a/coveport/testbed/search/shrink.py
+++ b/coveport/testbed/search/shrink.py
@@ -18,7 +18,7 @@
 from lithium.strategies import Minimize, ReductionIterator
 from lithium.testcases import Testcase
 
-from coveport.testbed.fault_schedule import draw_trouble
+from coveport.testbed.fault_schedule import draw_fault
 from coveport.testbed.faults import OF_SIDECARS, Whom
 from coveport.testbed.fleet import draw_nodes
 from coveport.testbed.scenario import Scenario
@@ -216,7 +216,7 @@
     """The same with its faults' targets named, so that each keeps them whatever becomes of the others."""
     nodes, faults = draw_nodes(scenario, scenario.seed), []
     for number, fault in enumerate(scenario.faults):
-        targets = draw_trouble(scenario, scenario.seed, number, nodes).targets
+        targets = draw_fault(scenario, scenario.seed, number, nodes).targets
         if targets and hasattr(fault, "whom") and not fault.whom.all:
             fault = msgspec.structs.replace(fault, whom=Whom(numbers=targets))
         faults.append(fault)
--- a/coveport/testbed/workload.py
+++ b/coveport/testbed/workload.py
@@ -11,7 +11,7 @@
 from numpy.typing import NDArray
 
 from coveport.testbed.day import NEVER, Wish
-from coveport.testbed.fault_schedule import Trouble
+from coveport.testbed.fault_schedule import DrawnFault
 from coveport.testbed.faults import Burst, HeavyTail
 from coveport.testbed.random_streams import arrays, drawn, ends, stream
 from coveport.testbed.scenario import Scenario
@@ -110,14 +110,14 @@
 
 
 def draw_wishes(
-    scenario: Scenario, seed: int, capacity: float, troubles: Sequence[Trouble]
+    scenario: Scenario, seed: int, capacity: float, drawn_faults: Sequence[DrawnFault]
 ) -> tuple[Wish, ...]:
     """All wishes in order of time; `capacity` is the fleet's. ValueError for more than MOST_WISHES.
 
     What a burst adds is drawn by itself, so that the wishes without it stay as they are.
     """
     asking = _asking(scenario, seed, capacity)
-    bursts = [one for one in troubles if isinstance(one.fault, Burst)]
+    bursts = [one for one in drawn_faults if isinstance(one.fault, Burst)]
     times = np.linspace(0, asking.length, int(min(max(asking.length / 2, 2000), 500_000)) + 1)
     usual = asking.rate * _shape(scenario.load, asking, times)
     more = [(one, usual * (one.size - 1) * _ramp(one, times)) for one in bursts if one.size > 1]
@@ -141,7 +141,7 @@
     ]
     batch = _Batch(*(np.concatenate([getattr(part, name) for part in parts]) for name in _Batch.__slots__))
     batch = _picked(batch, np.argsort(batch.due, kind="stable"))
-    for one in troubles:
+    for one in drawn_faults:
         if isinstance(one.fault, HeavyTail):
             there = (batch.cls == one.which) & (batch.due >= one.begin) & (batch.due < one.end)
             heavy = arrays(seed, "fault", one.number).random(int(there.sum())) < one.share
@@ -182,7 +182,7 @@
     return np.ones_like(times)
 
 
-def _ramp(burst: Trouble, times: Floats) -> Floats:
+def _ramp(burst: DrawnFault, times: Floats) -> Floats:
     """How far a burst is there: 0 outside, 1 at its height, straight between."""
     assert isinstance(burst.fault, Burst)
     rise = max(burst.fault.rise_s * 1000, 1e-6)
--- a/tests/sidecar/intent_log/test_processes.py
+++ b/tests/sidecar/intent_log/test_processes.py
@@ -45,7 +45,7 @@
         ) as trial:
             await trial.all_recording(LONG)
             await scenario(trial)
-            findings = judge(trial.tills.asked, [run for node in trial.town.nodes for run in node.ran])
+            findings = judge(trial.tills.asked, [run for node in trial.environment.nodes for run in node.ran])
             assert findings == []
 
     asyncio.run(whole())
@@ -79,13 +79,13 @@
 
 
 def set_service_time(trial: RealTrial, service_s: float) -> None:
-    for node in trial.town.nodes:
+    for node in trial.environment.nodes:
         node.service_s = service_s
 
 
 def set_mute(trial: RealTrial, mute: bool) -> None:
     """Let nodes run operations without a response, or respond again."""
-    for node in trial.town.nodes:
+    for node in trial.environment.nodes:
         node.mute = mute
 
 
@@ -96,7 +96,7 @@
 
 
 def runs_of(trial: RealTrial, key: str) -> list[Any]:
-    return [run for node in trial.town.nodes for run in node.ran if run.key == key]
+    return [run for node in trial.environment.nodes for run in node.ran if run.key == key]
 
 
 async def ask(trial: RealTrial, at: int, cls: str, key: str, **kwargs: Any) -> Asked:
@@ -255,7 +255,7 @@
 
 def test_a_takeover_is_taken_over(tmp_path: Path) -> None:
     async def scenario(trial: RealTrial) -> None:
-        for node in trial.town.nodes:
+        for node in trial.environment.nodes:
             node.mute = True
         asks = [asyncio.ensure_future(ask(trial, 0, "earn", f"e{number}")) for number in range(4)]
         await trial.until(
@@ -268,7 +268,7 @@
         )
         successors = [at for at in (1, 2) if f"s{at}#" in json.dumps(await records(trial))]
         trial.kill(trial.instances[successors[0]])
-        for node in trial.town.nodes:
+        for node in trial.environment.nodes:
             node.mute = False
         keys = {f"e{number}" for number in range(4)}
         remaining = 3 - successors[0]
@@ -292,7 +292,9 @@
             for number in range(3)
             for cls in ("earn", "redeem")
         ]
-        await trial.until(lambda: sum(len(node.ran) for node in trial.town.nodes) >= 6, LONG, "all to run")
+        await trial.until(
+            lambda: sum(len(node.ran) for node in trial.environment.nodes) >= 6, LONG, "all to run"
+        )
         assert await trial.leave(trial.instances[0]) == 0
         assert {(await request).status for request in asks} == {200}
         found = await records(trial)
--- a/tests/sidecar/supervisor/test_fleet_processes.py
+++ b/tests/sidecar/supervisor/test_fleet_processes.py
@@ -117,7 +117,7 @@
         await fleet.all_serve()
         assert fleet.incarnations()["h-4"] == before["h-4"], "the healthy one was left alone"
         for port in range(fleet.port, fleet.port + 4):
-            assert await fleet.town.ask(0, port, port) == 200
+            assert await fleet.environment.ask(0, port, port) == 200
 
     run(tmp_path, 4, work, settings={"hung_s": 1.5})
 
@@ -158,7 +158,7 @@
         assert (await run_command("drain", "h-2")).returncode == 0
         await fleet.until(lambda status: len(fleet.incarnations()) == 3, "one to be down")
         assert "h-2" not in fleet.incarnations()
-        assert await fleet.town.ask(0, fleet.port + 1, 1) == 0, "nobody listens for one that is down"
+        assert await fleet.environment.ask(0, fleet.port + 1, 1) == 0, "nobody listens for one that is down"
         assert (await run_command("drain", "h-2", "--back")).returncode == 0
         await fleet.all_serve(4)
         status = await run_command("status")
@@ -179,11 +179,11 @@
         before = fleet.incarnations()
         loading = asyncio.ensure_future(fleet.load(60.0, 8.0))
         await asyncio.sleep(1.0)
-        started_ms = {node.number: time.time() * 1000 for node in fleet.town.nodes[:2]}
-        fleet.town.list_all(started_ms)
-        hosts = fleet.town.hosts(born_ms=started_ms)
+        started_ms = {node.number: time.time() * 1000 for node in fleet.environment.nodes[:2]}
+        fleet.environment.list_all(started_ms)
+        hosts = fleet.environment.hosts(born_ms=started_ms)
         hosts[2]["health"] = "leaving"
-        fleet.town.discovery.tell(hosts)
+        fleet.environment.discovery.tell(hosts)
         for incarnation in before.values():
             os.kill(locks.pid_of(incarnation), signal.SIGKILL)
         await fleet.all_serve()
@@ -195,7 +195,7 @@
         late = await fleet.load(60.0, 1.0, TIMEOUT_S)
         assert len(late) == 60
         assert late.count(200) + late.count(503) == len(late), "each request is answered"
-        ids = [operation.id for node in fleet.town.nodes for operation in node.ran]
+        ids = [operation.id for node in fleet.environment.nodes for operation in node.ran]
         assert len(ids) <= 3 * len(fleet.statuses)
 
     run(tmp_path, 40, work, settings={"young_s": 60.0})
--- a/tests/testbed/test_duties_real.py
+++ b/tests/testbed/test_duties_real.py
@@ -133,7 +133,7 @@
         assert "can't take it" in found["plan"]["why"] and found["plan"]["done"] <= 2
         await when(one, lambda found: set(found["instances"].values()) == {""}, "all to run their own files")
         for instance in one.instances:
-            assert await one.town.ask(instance.number, instance.port, instance.number) == 200
+            assert await one.environment.ask(instance.number, instance.port, instance.number) == 200
 
     run(tmp_path / "trial", 3, work, duties=("rollout",))
 
@@ -164,18 +164,19 @@
     async def work(one: RealTrial) -> None:
         await one.all_in(LONG)
         await asyncio.sleep(2.0)
-        before = [node.probes for node in one.town.nodes]
+        before = [node.probes for node in one.environment.nodes]
         await asyncio.sleep(3.0)
-        after = [node.probes for node in one.town.nodes]
+        after = [node.probes for node in one.environment.nodes]
         # Each node every half second by one instance; on a busy machine fewer, never several times as many.
         assert all(0 < new - old <= 14 for old, new in zip(before, after, strict=True)), (before, after)
-        gone = one.town.nodes[0]
+        gone = one.environment.nodes[0]
         gone.server.stop()
         await asyncio.sleep(2.0)
         for instance in one.instances:
             for number in range(6):
                 assert (
-                    await one.town.ask(instance.number, instance.port, 100 * instance.number + number) == 200
+                    await one.environment.ask(instance.number, instance.port, 100 * instance.number + number)
+                    == 200
                 )
         for instance in one.instances:
             assert await one.leave(instance) == 0
@@ -199,14 +200,14 @@
             number = 1000 * (instance.number + 1)
             while going:
                 number += 1
-                await one.town.ask(instance.number, instance.port, number)
+                await one.environment.ask(instance.number, instance.port, number)
 
         tills = [asyncio.ensure_future(till(instance)) for instance in one.instances for _ in range(2)]
         await asyncio.sleep(2.0)
-        node = one.town.nodes[0]
+        node = one.environment.nodes[0]
         node.ran.clear()
         born = time.time()
-        one.town.list_all({0: born * 1000})
+        one.environment.list_all({0: born * 1000})
         await asyncio.sleep(2.5)
         one.kill(warden)
         await one.held("warden@0", LONG, besides=warden)
--- a/tests/testbed/test_fault_injection_real.py
+++ b/tests/testbed/test_fault_injection_real.py
@@ -70,7 +70,7 @@
         for relay in first.relays:
             relay.cut(kind != "cut_back", kind != "cut_out")
         later = await one.held("drill", LONG, besides=first)
-        assert await one.town.ask(first.number, first.port, 1) == 200, "tills are served as before"
+        assert await one.environment.ask(first.number, first.port, 1) == 200, "tills are served as before"
         for relay in first.relays:
             relay.heal()
         await one.until(
@@ -146,7 +146,7 @@
         acts = len(judge.accepted(one.book()))
         await asyncio.sleep(0.5)
         assert len(judge.accepted(one.book())) == acts, "nobody does anything"
-        assert await one.town.ask(0, one.instances[0].port, 1) == 200, "tills are served"
+        assert await one.environment.ask(0, one.instances[0].port, 1) == 200, "tills are served"
         for instance in one.instances:
             assert await one.leave(instance) == 0
 
@@ -182,7 +182,7 @@
         ) as process:
             try:
                 await one.until(lambda: any(one.histories().of("duplicate_name")), LONG, "the twin to say so")
-                assert await one.town.ask(0, twin.port, 1) == 200
+                assert await one.environment.ask(0, twin.port, 1) == 200
                 # The first is killed: the twin may have the name once its session is over, and not before.
                 one.kill(first)
                 await one.until(
@@ -268,7 +268,9 @@
 
         async def till(instance: Running) -> None:
             for number in range(1000):
-                await one.town.ask(instance.number, instance.port, 1000 * instance.number + number, 0.3)
+                await one.environment.ask(
+                    instance.number, instance.port, 1000 * instance.number + number, 0.3
+                )
                 await asyncio.sleep(0.05)
 
         tills = [asyncio.ensure_future(till(instance)) for instance in one.instances]
@@ -298,7 +300,7 @@
         first.discovery_relay.cut()
         acts = len(judge.accepted(one.book()))
         await one.until(lambda: len(judge.accepted(one.book())) > acts + 20, LONG, "further acts")
-        assert one.holder("drill") is first and await one.town.ask(0, first.port, 1) == 200
+        assert one.holder("drill") is first and await one.environment.ask(0, first.port, 1) == 200
         assert safe(one) == []
 
     run(tmp_path, Trial(instances=2), work, relayed=True)
