--- a/coveport/balancing/host_selection.py
+++ b/coveport/balancing/host_selection.py
@@ -86,9 +86,10 @@
     def _expected_latency(self, host: Host) -> float:
         """Return the latency to expect there, in ms, by this balancer's answers and what is in flight."""
         in_flight = [attempt for attempt in host.pending.values() if not attempt.lost]
-        forgotten_after = host.mean_latency * max(1.0, self.settings.peers_total / 5)
-        if not in_flight and self.now - host.last_sample_at > forgotten_after:
-            return 0.0  # nothing is known any more: one request may find out, of few balancers at a time
+        if not in_flight:
+            forgotten_after = host.mean_latency * max(1.0, self.settings.peers_total / 5)
+            if self.now - host.last_sample_at > forgotten_after:
+                return 0.0  # nothing is known any more: one request may find out, of few balancers at a time
         oldest = in_flight[0].sent_at if in_flight else self.now
         # An answer that is late is evidence before any time-out.
         return max(host.mean_latency * (len(in_flight) + 1), self.now - oldest)
