--- a/coveport/serving/proxy/admission.py
+++ b/coveport/serving/proxy/admission.py
@@ -92,7 +92,7 @@
 
     _queues: dict[tuple[str, frozenset[str]], AdmissionQueue] = field(default_factory=dict)
 
-    def of(self, service: str, home_regions: frozenset[str]) -> AdmissionQueue:
+    def queue_for(self, service: str, home_regions: frozenset[str]) -> AdmissionQueue:
         """Return the queue of requests that may go to the same nodes."""
         return self._queues.setdefault((service, home_regions), AdmissionQueue())
 
--- a/coveport/serving/proxy/node_acquisition.py
+++ b/coveport/serving/proxy/node_acquisition.py
@@ -17,7 +17,7 @@
 async def acquire_node(context: ProxyContext, request: InFlightRequest) -> KnownNode | None:
     """Return a node for the next attempt, or None where there is none in time."""
     routed = request.routed
-    queue = context.queues.of(routed.service.name, routed.route.home_regions)
+    queue = context.queues.queue_for(routed.service.name, routed.route.home_regions)
     if not len(queue):
         selected = _choose(context, request)
         if not isinstance(selected, NoNode):
--- a/tests/serving/proxy/proxy_environment.py
+++ b/tests/serving/proxy/proxy_environment.py
@@ -91,14 +91,14 @@
         self.nodes: list[ScriptedNode] = []
         self.run(self.data_path.start(), process=self.proxy_process)
 
-    def node(self, script: Script, *, region: str = "r", cold_s: float = 0.0) -> ScriptedNode:
+    def add_node(self, script: Script, *, region: str = "r", cold_s: float = 0.0) -> ScriptedNode:
         """Add a node that the proxy knows of."""
         node = ScriptedNode(script)
         number = len(self.nodes)
         self.nodes.append(node)
         address = f"10.0.1.{number + 1}"
         net = VirtualNet(self.lab, self.network, self.network.place(address, 0 if region == "r" else 1))
-        self.run(net.listen(node.connection, (address, 80), accepts_per_turn=64, backlog=512))
+        self.run(net.listen(node.make_connection, (address, 80), accepts_per_turn=64, backlog=512))
         report = Node(
             incarnation=f"i-{number}",
             sequence=1,
@@ -129,7 +129,7 @@
             if not connection.is_closed:
                 connection.abort()
 
-    def client(self) -> ScriptedClient:
+    def connect_client(self) -> ScriptedClient:
         """Return a client that has connected."""
         client = ScriptedClient()
         self.run(self.client_net.dial(lambda: client, (PROXY_IP, PORT)))
@@ -141,7 +141,7 @@
         assert self.time.run(self.time.now + seconds, task.done), "it takes too long"
         return task.result()
 
-    def until(self, condition: Callable[[], object], seconds: float = 30.0) -> None:
+    def run_until(self, condition: Callable[[], object], seconds: float = 30.0) -> None:
         """Let time pass until the condition holds."""
         assert self.time.run(self.time.now + seconds, lambda: bool(condition())), "it takes too long"
 
--- a/tests/serving/proxy/scripted_node.py
+++ b/tests/serving/proxy/scripted_node.py
@@ -109,7 +109,7 @@
     connections: list[Connection] = field(default_factory=list)
     tasks: set[asyncio.Future[None]] = field(default_factory=set)
 
-    def connection(self) -> Connection:
+    def make_connection(self) -> Connection:
         return Connection(self)
 
 
@@ -150,9 +150,9 @@
         host: str = "one.example",
         body: bytes = b"prompt",
         method: str = "POST",
-        try_id: str = "t-1",
+        attempt_id: str = "t-1",
     ) -> None:
-        headers = [("Host", host), ("Coveport-Try-Id", try_id), *more]
+        headers = [("Host", host), ("Coveport-Try-Id", attempt_id), *more]
         self.send(http1.write_request(method, path, headers, body))
 
     async def response(self, number: int = 0) -> http1.Response | None:
--- a/tests/serving/proxy/test_admission.py
+++ b/tests/serving/proxy/test_admission.py
@@ -69,8 +69,8 @@
 def test_requests_for_different_nodes_wait_in_separate_queues() -> None:
     queues = AdmissionQueues()
     home = frozenset({"r"})
-    assert queues.of("s", home) is queues.of("s", frozenset({"r"}))
-    assert queues.of("s", home) is not queues.of("s", frozenset())
-    assert queues.of("s", home) is not queues.of("t", home)
-    queues.of("s", home).enqueue(0, nothing)
+    assert queues.queue_for("s", home) is queues.queue_for("s", frozenset({"r"}))
+    assert queues.queue_for("s", home) is not queues.queue_for("s", frozenset())
+    assert queues.queue_for("s", home) is not queues.queue_for("t", home)
+    queues.queue_for("s", home).enqueue(0, nothing)
     assert len(queues) == 1
--- a/tests/serving/proxy/test_api_keys.py
+++ b/tests/serving/proxy/test_api_keys.py
@@ -79,14 +79,14 @@
 @pytest.fixture
 def node(environment: ProxyEnvironment) -> ScriptedNode:
     """The only node."""
-    return environment.node(respond)
+    return environment.add_node(respond)
 
 
 def request(
     environment: ProxyEnvironment, *headers: tuple[str, str], path: str = "/private/x"
 ) -> http1.Response:
     """Send one request on a new connection, and return its response."""
-    client = environment.client()
+    client = environment.connect_client()
     client.send_request(path, *headers, host="shop.example")
     response = environment.run(client.response())
     assert response is not None
@@ -119,9 +119,9 @@
 
 
 def test_connection_goes_on_after_a_rejected_key(environment: ProxyEnvironment, node: ScriptedNode) -> None:
-    client = environment.client()
+    client = environment.connect_client()
     for number, key in enumerate((UNKNOWN_KEY, ALPHA_KEY)):
-        client.send_request("/private/x", (KEY, key), host="shop.example", try_id=f"t-{number}")
+        client.send_request("/private/x", (KEY, key), host="shop.example", attempt_id=f"t-{number}")
     responses = [environment.run(client.response(number)) for number in (0, 1)]
     assert [response.status for response in responses if response is not None] == [401, 200]
     assert [arrival.header("Coveport-Try-Id") for arrival in node.arrivals] == ["t-1"]
@@ -240,7 +240,7 @@
 def test_removed_key_is_rejected_from_the_next_request(
     environment: ProxyEnvironment, node: ScriptedNode
 ) -> None:
-    client = environment.client()
+    client = environment.connect_client()
     statuses: list[int] = []
     for edition, keys in enumerate(([ALPHA_KEY, ALPHA_SECOND_KEY], [ALPHA_SECOND_KEY], [ALPHA_KEY]), 2):
         configure(environment, edition, ALPHA | {"ApiKeys": keys}, BETA)
@@ -296,8 +296,8 @@
         await asyncio.sleep(0.15)
         arrival.respond(b"x", 200, ("Keep-Alive", "timeout=5"))
 
-    node = environment.node(respond_late)
-    clients = [environment.client() for _ in range(2)]
+    node = environment.add_node(respond_late)
+    clients = [environment.connect_client() for _ in range(2)]
     for client, key in zip(clients, (BETA_KEY, ALPHA_KEY), strict=True):
         client.send_request("/private/x", (KEY, key), host="shop.example")
         environment.sleep(0.01)
@@ -318,7 +318,7 @@
         else:
             arrival.respond()
 
-    nodes = [environment.node(reject_first) for _ in range(2)]
+    nodes = [environment.add_node(reject_first) for _ in range(2)]
     assert request(environment, (KEY, ALPHA_KEY)).status == 200
     arrivals = [arrival for node in nodes for arrival in node.arrivals]
     assert [arrival.header(TENANT) for arrival in arrivals] == ["alpha", "alpha"]
--- a/tests/serving/proxy/test_forwarding.py
+++ b/tests/serving/proxy/test_forwarding.py
@@ -35,7 +35,7 @@
     environment: ProxyEnvironment, path: str = "/u/x", *more: tuple[str, str], **options: str
 ) -> http1.Response | None:
     """Send one request on a new connection, and return its response."""
-    client = environment.client()
+    client = environment.connect_client()
     client.send_request(path, *more, **options)  # type: ignore[arg-type]
     return environment.run(client.response())
 
@@ -45,8 +45,8 @@
 
 def test_request_is_forwarded_as_it_came() -> None:
     environment = ProxyEnvironment()
-    node = environment.node(respond)
-    client = environment.client()
+    node = environment.add_node(respond)
+    client = environment.connect_client()
     headers = [
         ("Host", "ONE.example:99"),
         ("Coveport-Try-Id", "abc"),
@@ -87,7 +87,7 @@
         else:
             arrival.respond(b"", 421, *misdirected)
 
-    environment.node(respond_by_version)
+    environment.add_node(respond_by_version)
     for headers in ([("Expect-Version", "999")], []):
         response = request_once(environment, "/u/x", *headers)
         assert response is not None and response.status == 200
@@ -96,9 +96,9 @@
 
 def test_events_are_forwarded_as_they_come() -> None:
     environment = ProxyEnvironment()
-    environment.node(five_events)
+    environment.add_node(five_events)
     for path in ("/u/x", "/a/x"):
-        client = environment.client()
+        client = environment.connect_client()
         began = environment.time.now
         client.send_request(path)
         environment.run(client.wait_for(event_bytes(1)))
@@ -111,7 +111,7 @@
 def test_errors_of_the_node_are_forwarded() -> None:
     environment = ProxyEnvironment()
     status = 500
-    environment.node(lambda arrival: arrival.respond(b"why", status))
+    environment.add_node(lambda arrival: arrival.respond(b"why", status))
     for status in (500, 504, 400, 404):
         response = request_once(environment)
         assert response is not None and (response.status, response.body) == (status, b"why")
@@ -121,10 +121,10 @@
 
 def test_connections_to_nodes_and_of_clients_are_reused() -> None:
     environment = ProxyEnvironment()
-    node = environment.node(lambda arrival: arrival.respond(b"x", 200, ("Keep-Alive", "timeout=5")))
-    client = environment.client()
+    node = environment.add_node(lambda arrival: arrival.respond(b"x", 200, ("Keep-Alive", "timeout=5")))
+    client = environment.connect_client()
     for number in range(5):
-        client.send_request("/u/x", try_id=f"t-{number}")
+        client.send_request("/u/x", attempt_id=f"t-{number}")
         assert environment.run(client.response(number)) is not None
         environment.sleep(0.5)
     assert len(node.connections) == 1
@@ -138,7 +138,7 @@
 
 def test_node_that_sends_connection_close_gets_a_new_connection() -> None:
     environment = ProxyEnvironment()
-    node = environment.node(lambda arrival: arrival.respond(b"x", 200, ("Connection", "close")))
+    node = environment.add_node(lambda arrival: arrival.respond(b"x", 200, ("Connection", "close")))
     assert request_once(environment) is not None
     assert request_once(environment) is not None
     assert len(node.connections) == 2 and node.connections[0].is_closed
@@ -147,8 +147,8 @@
 
 def test_request_without_a_route_gets_404_and_the_connection_stays_open() -> None:
     environment = ProxyEnvironment()
-    node = environment.node(respond)
-    client = environment.client()
+    node = environment.add_node(respond)
+    client = environment.connect_client()
     client.send_request("/nothing/x")
     client.send_request("/u/x", host="other.example")
     client.send_request("/u/x")
@@ -173,12 +173,12 @@
     sent: bytes, status: int
 ) -> None:
     environment = ProxyEnvironment()
-    node = environment.node(respond)
+    node = environment.add_node(respond)
     assert environment.view.configuration is not None
     environment.view.configuration = replace(
         environment.view.configuration, limits=ClientLimits(body_bytes=100)
     )
-    client = environment.client()
+    client = environment.connect_client()
     client.send(sent)
     client.send(b"POST /u/x HTTP/1.1\r\nHost: one.example\r\nContent-Length: 0\r\n\r\n")
     environment.run(client.wait_closed())
@@ -190,7 +190,7 @@
 @pytest.mark.parametrize(("header_bytes", "status"), [(1000, 431), (40_000, 200)])
 def test_head_is_bounded_by_the_configuration(header_bytes: int, status: int) -> None:
     environment = ProxyEnvironment()
-    environment.node(respond)
+    environment.add_node(respond)
     assert environment.view.configuration is not None
     limits = ClientLimits(header_bytes=header_bytes)
     environment.view.configuration = replace(environment.view.configuration, limits=limits)
@@ -201,7 +201,7 @@
 
 def test_slow_head_and_idle_connection_are_closed() -> None:
     environment = ProxyEnvironment()
-    client = environment.client()
+    client = environment.connect_client()
     began = environment.time.now
     client.send(b"POST /u/x HTTP/1.1\r\n")
     environment.sleep(2.0)
@@ -209,7 +209,7 @@
     environment.run(client.wait_closed())
     assert [response.status for response in client.responses] == [408]
     assert environment.time.now - began < 4.5
-    idle = environment.client()
+    idle = environment.connect_client()
     began = environment.time.now
     environment.run(idle.wait_closed())
     assert idle.responses == [] and 14.9 < environment.time.now - began < 15.2
@@ -218,8 +218,8 @@
 
 def test_chunked_body_arrives_complete_after_100_continue() -> None:
     environment = ProxyEnvironment()
-    node = environment.node(respond)
-    client = environment.client()
+    node = environment.add_node(respond)
+    client = environment.connect_client()
     client.send(
         b"POST /u/x HTTP/1.1\r\nHost: one.example\r\nCoveport-Try-Id: t-1\r\n"
         b"Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"
@@ -254,8 +254,8 @@
     monkeypatch.setattr(scripted_node, "Connection", EarlyConnection)
     environment = ProxyEnvironment()
     body = bytes(range(256)) * 8000
-    node = environment.node(lambda arrival: arrival.respond() if len(node.arrivals) > 1 else None)
-    client = environment.client()
+    node = environment.add_node(lambda arrival: arrival.respond() if len(node.arrivals) > 1 else None)
+    client = environment.connect_client()
     client.send_request("/u/x", body=body)
     response = environment.run(client.response())
     assert response is not None and response.status == 200
@@ -283,8 +283,8 @@
         arrival.send_event(1)
         arrival.connection.close()
 
-    environment.node(script)
-    environment.node(script)
+    environment.add_node(script)
+    environment.add_node(script)
     headers = [(name, values[0]) for name, values in prompt.items() if name != "coveport-try-id"]
     response = request_once(environment, "/a/x", *headers)
     assert response is not None and response.body == ALL_FIVE
@@ -308,8 +308,8 @@
         else:
             arrival.respond()
 
-    environment.node(script)
-    environment.node(script)
+    environment.add_node(script)
+    environment.add_node(script)
     return order
 
 
@@ -344,8 +344,8 @@
         else:
             arrival.respond()
 
-    environment.node(script)
-    environment.node(script)
+    environment.add_node(script)
+    environment.add_node(script)
     response = request_once(environment, "/u/x")
     assert response is not None and response.status == 200
     assert len(set(order)) == 2
@@ -355,7 +355,7 @@
 @pytest.mark.parametrize("status", [503, 429, 408])
 def test_rejection_without_a_statement_counts_as_run(status: int) -> None:
     environment = ProxyEnvironment()
-    nodes = [environment.node(lambda arrival: arrival.respond(b"", status)) for _ in range(2)]
+    nodes = [environment.add_node(lambda arrival: arrival.respond(b"", status)) for _ in range(2)]
     response = request_once(environment, "/u/x")
     assert response is not None and response.status == 502
     assert sum(len(node.arrivals) for node in nodes) == 1
@@ -364,7 +364,7 @@
 
 def test_attempts_are_bounded_by_the_route_and_end_in_retry_after() -> None:
     environment = ProxyEnvironment()
-    nodes = [environment.node(lambda arrival: arrival.reject()) for _ in range(4)]
+    nodes = [environment.add_node(lambda arrival: arrival.reject()) for _ in range(4)]
     response = request_once(environment, "/u/x")
     assert response is not None and response.status == 503
     assert 0 < float(response.headers["retry-after"][0]) < 1
@@ -384,7 +384,7 @@
             arrival.reject()
 
     for _ in range(2):
-        environment.node(script)
+        environment.add_node(script)
     response = request_once(environment, "/safe/x")
     assert response is not None and response.status == 502
     environment.check()
@@ -395,9 +395,9 @@
         Bounds(retry_ratio=0.0, retry_slack=0.0), (replace(UNSAFE_STREAM, max_attempts=1),)
     )
     for number in range(2):
-        environment.node(respond)
+        environment.add_node(respond)
         environment.refuse_connects(number)
-    good = environment.node(respond)
+    good = environment.add_node(respond)
     for _ in range(6):
         response = request_once(environment, "/u/x")
         assert response is not None and response.status == 200
@@ -408,8 +408,8 @@
 
 def test_unresponsive_machine_delays_a_request_only_briefly() -> None:
     environment = ProxyEnvironment()
-    environment.node(respond)
-    environment.node(respond)
+    environment.add_node(respond)
+    environment.add_node(respond)
     environment.set_unresponsive(0)
     for _ in range(8):
         began = environment.time.now
@@ -427,7 +427,7 @@
 
 def test_retries_stay_within_the_budget() -> None:
     environment = ProxyEnvironment(Bounds(retry_ratio=0.2, retry_slack=5.0))
-    nodes = [environment.node(lambda arrival: arrival.reject()) for _ in range(8)]
+    nodes = [environment.add_node(lambda arrival: arrival.reject()) for _ in range(8)]
     for _ in range(50):
         request_once(environment, "/u/x")
     arrivals = sum(len(node.arrivals) for node in nodes)
@@ -438,7 +438,7 @@
 
 def test_connection_that_the_node_has_closed_is_not_reused() -> None:
     environment = ProxyEnvironment()
-    node = environment.node(lambda arrival: arrival.respond(b"x", 200, ("Keep-Alive", "timeout=5")))
+    node = environment.add_node(lambda arrival: arrival.respond(b"x", 200, ("Keep-Alive", "timeout=5")))
     request_once(environment)
     node.connections[0].close()
     environment.sleep(0.01)
@@ -453,7 +453,7 @@
 
 def test_success_without_the_nodes_stamp_is_not_forwarded() -> None:
     environment = ProxyEnvironment()
-    environment.node(
+    environment.add_node(
         lambda arrival: arrival.connection.write(
             arrival.head(200, ("Content-Length", "2"), stamp=None) + b"no"
         )
@@ -473,10 +473,10 @@
         arrival.respond(b"x", 200, ("Keep-Alive", "timeout=9"))
         arrival.connection.write(surplus)
 
-    environment.node(script)
-    client = environment.client()
+    environment.add_node(script)
+    client = environment.connect_client()
     for number in range(4):
-        client.send_request("/u/x", try_id=f"t-{number}")
+        client.send_request("/u/x", attempt_id=f"t-{number}")
         response = environment.run(client.response(number))
         assert response is not None and response.body == b"x"
         assert response.headers["coveport-try-id"] == [f"t-{number}"]
@@ -497,10 +497,10 @@
             )
         arrival.respond(b"x", 200, ("Keep-Alive", "timeout=9"))
 
-    node = environment.node(script)
-    client = environment.client()
+    node = environment.add_node(script)
+    client = environment.connect_client()
     for number in range(3):
-        client.send_request("/u/x", try_id=f"t-{number}")
+        client.send_request("/u/x", attempt_id=f"t-{number}")
         response = environment.run(client.response(number))
         assert response is not None and response.status == 200 and response.body == b"x"
     assert b"old" not in client.raw
@@ -519,7 +519,7 @@
         arrival.connection.write(garbage)
         arrival.connection.close()
 
-    environment.node(script)
+    environment.add_node(script)
     response = request_once(environment)
     assert response is not None and response.status == 502 and response.body == b""
     environment.check()
@@ -536,8 +536,8 @@
         await asyncio.sleep(0.1)
         getattr(arrival.connection, ends)()
 
-    environment.node(script)
-    client = environment.client()
+    environment.add_node(script)
+    client = environment.connect_client()
     client.send_request("/u/x")
     environment.run(client.wait_for(b"hello"))
     environment.run(client.wait_closed())
@@ -563,8 +563,8 @@
         await asyncio.sleep(0.05)
         arrival.connection.abort()
 
-    environment.node(script)
-    environment.node(script)
+    environment.add_node(script)
+    environment.add_node(script)
     response = request_once(environment, "/a/x")
     assert response is not None and response.body == ALL_FIVE
     passed = ALL_FIVE[:cut].count(b"\n\n")
@@ -588,9 +588,9 @@
                 return
         arrival.end_events()
 
-    environment.node(script)
-    environment.node(script)
-    client = environment.client()
+    environment.add_node(script)
+    environment.add_node(script)
+    client = environment.connect_client()
     client.send_request("/a/x", ("Last-Event-Id", "1"))
     response = environment.run(client.response())
     assert response is not None and response.headers["coveport-postmark"] == ["stamp-1"]
@@ -618,9 +618,9 @@
             arrival.send_event(number)
         arrival.end_events()
 
-    environment.node(script)
-    environment.node(script)
-    client = environment.client()
+    environment.add_node(script)
+    environment.add_node(script)
+    client = environment.connect_client()
     client.send_request("/a/x")
     environment.run(client.wait_closed())
     assert client.responses == [] and client.raw.count(b"data: piece") == 3
@@ -640,9 +640,9 @@
         arrival.send_event(1)
         arrival.connection.close()
 
-    environment.node(script)
-    environment.node(script)
-    client = environment.client()
+    environment.add_node(script)
+    environment.add_node(script)
+    client = environment.connect_client()
     client.send_request("/a/x")
     environment.run(client.wait_closed())
     assert client.responses == [] and event_bytes(1) in client.raw and len(order) == 2
@@ -657,8 +657,8 @@
         arrival.send_event(1)
         arrival.connection.close()
 
-    nodes = [environment.node(script) for _ in range(2)]
-    client = environment.client()
+    nodes = [environment.add_node(script) for _ in range(2)]
+    client = environment.connect_client()
     client.send_request("/u/x")
     environment.run(client.wait_closed())
     assert client.responses == []
@@ -681,11 +681,11 @@
             arrival.send_event(number)
         arrival.end_events()
 
-    environment.node(script)
-    environment.node(script)
-    resumable, unsafe = environment.client(), environment.client()
-    resumable.send_request("/a/x", try_id="t-1")
-    unsafe.send_request("/u/x", try_id="t-2")
+    environment.add_node(script)
+    environment.add_node(script)
+    resumable, unsafe = environment.connect_client(), environment.connect_client()
+    resumable.send_request("/a/x", attempt_id="t-1")
+    unsafe.send_request("/u/x", attempt_id="t-2")
     environment.sleep(0.5)
     unresponsive = False
     response = environment.run(resumable.response(), 2.0)
@@ -710,13 +710,13 @@
             await asyncio.sleep(0.5)
         arrival.end_events()
 
-    busy = environment.node(script)
-    slow = environment.client()
-    quick = environment.client()
-    slow.send_request("/a/x", try_id="slow")
-    quick.send_request("/u/x", try_id="quick")
+    busy = environment.add_node(script)
+    slow = environment.connect_client()
+    quick = environment.connect_client()
+    slow.send_request("/a/x", attempt_id="slow")
+    quick.send_request("/u/x", attempt_id="quick")
     environment.sleep(0.1)
-    idle = environment.node(five_events)
+    idle = environment.add_node(five_events)
     response = environment.run(slow.response())
     assert response is not None and response.body == ALL_FIVE
     assert idle.arrivals == [] and len(busy.arrivals) == 2
@@ -726,11 +726,11 @@
 
 def test_idempotent_request_abandons_a_node_that_sends_nothing_to_anyone() -> None:
     environment = ProxyEnvironment()
-    environment.node(never_respond)
-    client = environment.client()
+    environment.add_node(never_respond)
+    client = environment.connect_client()
     client.send_request("/a/x")
     environment.sleep(0.1)
-    environment.node(five_events)
+    environment.add_node(five_events)
     response = environment.run(client.response(), 3.0)
     assert response is not None and response.body == ALL_FIVE
     assert environment.nodes[0].connections[0].is_closed
@@ -744,7 +744,7 @@
         await asyncio.sleep(3.0)
         arrival.respond()
 
-    node = environment.node(script)
+    node = environment.add_node(script)
     response = request_once(environment, "/safe/x")
     assert response is not None and response.status == 200 and len(node.arrivals) == 1
     environment.check()
@@ -759,7 +759,7 @@
 
 def test_deadline_answers_the_client_and_closes_the_node_connection() -> None:
     environment = ProxyEnvironment()
-    node = environment.node(never_respond)
+    node = environment.add_node(never_respond)
     began = environment.time.now
     response = request_once(environment, "/u/x", ("Coveport-Time-Left", "700"))
     assert response is not None and response.status == 504
@@ -775,10 +775,10 @@
 
 def test_client_that_disconnects_closes_the_node_connection() -> None:
     environment = ProxyEnvironment()
-    node = environment.node(never_respond)
-    client = environment.client()
+    node = environment.add_node(never_respond)
+    client = environment.connect_client()
     client.send_request("/u/x")
-    environment.until(lambda: node.arrivals)
+    environment.run_until(lambda: node.arrivals)
     assert client.transport is not None
     client.transport.abort()
     environment.sleep(0.1)
@@ -799,8 +799,8 @@
             sent += 10_000
         arrival.end_events()
 
-    environment.node(script)
-    client = environment.client()
+    environment.add_node(script)
+    client = environment.connect_client()
     client.send_request("/u/x")
     environment.run(client.wait_for(b"200"))
     assert client.transport is not None
@@ -815,31 +815,35 @@
 
 def test_drain_answers_accepted_requests_and_then_closes() -> None:
     environment = ProxyEnvironment()
-    environment.node(five_events)
-    idle, busy, late = environment.client(), environment.client(), environment.client()
+    environment.add_node(five_events)
+    idle, busy, late = (
+        environment.connect_client(),
+        environment.connect_client(),
+        environment.connect_client(),
+    )
     busy.send_request("/u/x")
     environment.run(busy.wait_for(event_bytes(1)))
     began = environment.time.now
     drained = environment.proxy_process.create_task(environment.data_path.drain(began + 7.0))
     environment.sleep(0.1)
-    late.send_request("/u/x", try_id="t-2")  # has not learned of the drain yet
+    late.send_request("/u/x", attempt_id="t-2")  # has not learned of the drain yet
     response = environment.run(late.response())
     assert response is not None and response.body == ALL_FIVE and response.headers["connection"] == ["close"]
     response = environment.run(busy.response())
     assert response is not None and response.body == ALL_FIVE
-    environment.until(drained.done)
+    environment.run_until(drained.done)
     environment.sleep(0.01)
     assert environment.time.now - began < 2.0
     assert idle.ended and busy.ended and late.ended
     with pytest.raises(ConnectionRefusedError):
-        environment.client()
+        environment.connect_client()
     environment.check()
 
 
 def test_drain_ends_in_time_though_a_node_is_stalled() -> None:
     environment = ProxyEnvironment()
-    environment.node(never_respond)
-    client = environment.client()
+    environment.add_node(never_respond)
+    client = environment.connect_client()
     client.send_request("/u/x")
     environment.sleep(0.1)
     began = environment.time.now
@@ -852,8 +856,8 @@
 
 def test_only_the_own_region_is_used_while_it_has_a_usable_node() -> None:
     environment = ProxyEnvironment()
-    near = [environment.node(respond) for _ in range(2)]
-    far = environment.node(respond, region="q")
+    near = [environment.add_node(respond) for _ in range(2)]
+    far = environment.add_node(respond, region="q")
     for _ in range(20):
         request_once(environment)
     assert far.arrivals == [] and all(node.arrivals for node in near)
@@ -865,10 +869,10 @@
 
 def test_request_with_home_regions_never_leaves_them() -> None:
     environment = ProxyEnvironment(routes=(replace(UNSAFE_STREAM, home_regions=frozenset({"q"})),))
-    near = environment.node(respond)
+    near = environment.add_node(respond)
     response = request_once(environment)
     assert response is not None and response.status == 503
-    far = environment.node(respond, region="q")
+    far = environment.add_node(respond, region="q")
     response = request_once(environment)
     assert response is not None and response.status == 200
     assert near.arrivals == [] and len(far.arrivals) == 1
@@ -877,11 +881,11 @@
 
 def test_node_that_begins_to_drain_during_a_connect_gets_no_request() -> None:
     environment = ProxyEnvironment()
-    closing = environment.node(respond, region="q")  # a latency of 1 ms: a connect takes two
-    client = environment.client()
+    closing = environment.add_node(respond, region="q")  # a latency of 1 ms: a connect takes two
+    client = environment.connect_client()
     client.send_request("/u/x")
     environment.sleep(0.002)
-    alternative = environment.node(respond)
+    alternative = environment.add_node(respond)
     known = environment.view.nodes["i-0"]
     environment.update_node(replace(known, node=replace(known.node, state=NodeState.DRAINING)))
     response = environment.run(client.response())
@@ -894,8 +898,8 @@
 def test_warming_node_gets_no_more_than_this_proxys_quota() -> None:
     environment = ProxyEnvironment()
     environment.view.max_proxies = 9
-    node = environment.node(respond, cold_s=6.0)
-    clients = [environment.client() for _ in range(10)]
+    node = environment.add_node(respond, cold_s=6.0)
+    clients = [environment.connect_client() for _ in range(10)]
     arrivals: list[float] = []
     node.script = lambda arrival: (arrivals.append(environment.time.now), arrival.respond())[1]  # type: ignore[func-returns-value]
     for _ in range(20):
@@ -923,8 +927,8 @@
         await asyncio.sleep(0.15)
         arrival.respond(b"x", 200, ("Keep-Alive", "timeout=5"))
 
-    node = environment.node(script)
-    clients: list[ScriptedClient] = [environment.client() for _ in range(3)]
+    node = environment.add_node(script)
+    clients: list[ScriptedClient] = [environment.connect_client() for _ in range(3)]
     for number, path in enumerate(("/then/0", "/then/1", "/first/2")):
         clients[number].send_request(path)
         environment.sleep(0.01)
@@ -937,8 +941,8 @@
 
 def test_newer_configuration_applies_from_the_next_request() -> None:
     environment = ProxyEnvironment()
-    environment.node(respond)
-    client = environment.client()
+    environment.add_node(respond)
+    client = environment.connect_client()
     client.send_request("/u/x")
     assert environment.run(client.response()) is not None
     moved = replace(UNSAFE_STREAM, path_prefix="/v/")
@@ -956,7 +960,7 @@
     assert environment.view.configuration is not None
     services = (SERVICE, replace(SERVICE, name="none"))
     environment.view.configuration = Configuration(1, (split,), services)
-    node = environment.node(respond)
+    node = environment.add_node(respond)
     for _ in range(30):
         response = request_once(environment, "/safe/x")
         assert response is not None and response.status == 200
--- a/tests/serving/proxy/test_headers.py
+++ b/tests/serving/proxy/test_headers.py
@@ -21,8 +21,8 @@
 @pytest.mark.parametrize("text", NO_NUMBERS, ids=CASES)
 def test_a_time_left_that_is_no_number_does_not_end_the_connection(text: str) -> None:
     environment = ProxyEnvironment()
-    node = environment.node(respond)
-    client = environment.client()
+    node = environment.add_node(respond)
+    client = environment.connect_client()
     client.send_request("/u/x", ("Coveport-Time-Left", text))
     response = environment.run(client.response())
     assert response is not None and response.status == 200
--- a/tests/serving/proxy/test_hostile_nodes.py
+++ b/tests/serving/proxy/test_hostile_nodes.py
@@ -26,20 +26,20 @@
     random: Random
     runs: dict[str, int] = field(default_factory=dict)  # by try
 
-    def event(self, try_id: str, number: int) -> bytes:
-        return b"id: %d\ndata: %s part %d\n\n" % (number, try_id.encode(), number)
+    def event(self, attempt_id: str, number: int) -> bytes:
+        return b"id: %d\ndata: %s part %d\n\n" % (number, attempt_id.encode(), number)
 
-    def complete_body(self, try_id: str) -> bytes:
-        return b"".join(self.event(try_id, number) for number in range(1, EVENTS + 1))
+    def complete_body(self, attempt_id: str) -> bytes:
+        return b"".join(self.event(attempt_id, number) for number in range(1, EVENTS + 1))
 
-    def surplus(self, try_id: str) -> bytes:
-        body = b"surplus of " + try_id.encode()
-        headers = [("Coveport-Try-Id", f"old-{try_id}"), ("Coveport-Postmark", "s")]
+    def surplus(self, attempt_id: str) -> bytes:
+        body = b"surplus of " + attempt_id.encode()
+        headers = [("Coveport-Try-Id", f"old-{attempt_id}"), ("Coveport-Postmark", "s")]
         return http1.write_response(200, headers, body)
 
     async def respond(self, arrival: Arrival) -> None:
         """One of many bad ends, or a good one."""
-        random, try_id = self.random, arrival.header("Coveport-Try-Id") or ""
+        random, attempt_id = self.random, arrival.header("Coveport-Try-Id") or ""
         way = random.choice(
             ["good"] * 3 + ["refuse", "misdirect", "reset", "close", "cut", "cut", "garble", "mangle"]
         )
@@ -50,7 +50,7 @@
         if way == "misdirect":
             arrival.reject(421)
             return
-        self.runs[try_id] = self.runs.get(try_id, 0) + 1
+        self.runs[attempt_id] = self.runs.get(attempt_id, 0) + 1
         if way == "reset":
             arrival.connection.abort()
         elif way == "close":
@@ -59,22 +59,22 @@
             arrival.connection.write(random.randbytes(random.randrange(1, 60)))
             arrival.connection.close()
         else:
-            await self._stream(arrival, try_id, way)
+            await self._stream(arrival, attempt_id, way)
 
-    async def _stream(self, arrival: Arrival, try_id: str, way: str) -> None:
+    async def _stream(self, arrival: Arrival, attempt_id: str, way: str) -> None:
         random = self.random
         if way == "late surplus":
-            arrival.connection.write(self.surplus(try_id))
+            arrival.connection.write(self.surplus(attempt_id))
         data = bytearray(arrival.head(200, http1.CHUNKED, ("Keep-Alive", "timeout=5")))
         first = int(arrival.header("Last-Event-Id") or 0) + 1
         for number in range(first, EVENTS + 1):
-            data += http1.write_chunk(self.event(try_id, number))
+            data += http1.write_chunk(self.event(attempt_id, number))
         data += http1.LAST_CHUNK
         if way == "mangle":
             del data[random.randrange(len(data)) :]
             data += random.randbytes(20)
         if way == "extra":
-            data += self.surplus(try_id)[: random.choice([1, 20, 1000])]
+            data += self.surplus(attempt_id)[: random.choice([1, 20, 1000])]
         if way == "cut":
             del data[random.randrange(len(data)) :]
         while data and not arrival.connection.is_closed:
@@ -92,33 +92,33 @@
     environment = ProxyEnvironment()
     hostile = Hostile(random)
     for _ in range(random.randrange(1, 5)):
-        environment.node(hostile.respond)
+        environment.add_node(hostile.respond)
     asked: list[tuple[ScriptedClient, int, str, str]] = []
     for number in range(random.randrange(1, 4)):
-        client = environment.client()
+        client = environment.connect_client()
         for turn in range(random.randrange(1, 4)):
-            try_id, path = f"try{seed}c{number}t{turn}", random.choice(PATHS)
-            client.send_request(path, try_id=try_id)
-            asked.append((client, turn, try_id, path))
+            attempt_id, path = f"try{seed}c{number}t{turn}", random.choice(PATHS)
+            client.send_request(path, attempt_id=attempt_id)
+            asked.append((client, turn, attempt_id, path))
         environment.sleep(random.choice([0.0, 0.01, 0.2]))
     environment.sleep(12.0)
     served = 0
-    for client, turn, try_id, path in asked:
+    for client, turn, attempt_id, path in asked:
         if path == "/u/x":
-            assert hostile.runs.get(try_id, 0) <= 1
+            assert hostile.runs.get(attempt_id, 0) <= 1
         answer = client.responses[turn] if turn < len(client.responses) else None
         if answer is None:
             continue
         if answer.status == 200:
             served += 1
-            assert answer.body == hostile.complete_body(try_id)
-            assert answer.headers["coveport-try-id"] == [try_id] and "coveport-postmark" in answer.headers
+            assert answer.body == hostile.complete_body(attempt_id)
+            assert answer.headers["coveport-try-id"] == [attempt_id] and "coveport-postmark" in answer.headers
         else:
             assert answer.status in (502, 503, 504) and answer.body == b""
             if answer.status == 503:
-                assert not hostile.runs.get(try_id)
+                assert not hostile.runs.get(attempt_id)
     for client in {id(client): client for client, *_ in asked}.values():
-        check_client(client, {try_id for sender, _, try_id, _ in asked if sender is client})
+        check_client(client, {attempt_id for sender, _, attempt_id, _ in asked if sender is client})
     environment.check()
     return served
 
@@ -126,9 +126,9 @@
 def check_client(client: ScriptedClient, tries: set[str]) -> None:
     """Nothing that was said to others, and no event of an answer twice, also where it was not whole."""
     assert b"surplus" not in client.raw
-    for try_id, data in bodies(bytes(client.raw)):
+    for attempt_id, data in bodies(bytes(client.raw)):
         said = re.findall(rb"data: (\w+) part (\d)\n\n", data)
-        assert try_id in tries and {name.decode() for name, _ in said} <= {try_id}
+        assert attempt_id in tries and {name.decode() for name, _ in said} <= {attempt_id}
         assert [int(number) for _, number in said] == list(range(1, len(said) + 1))
 
 
--- a/tests/serving/proxy/test_load_sampler.py
+++ b/tests/serving/proxy/test_load_sampler.py
@@ -59,8 +59,8 @@
 def test_waiting_requests_count_in_the_own_zone_whatever_their_home_regions() -> None:
     proxy = SampledProxy(SCALED)
     proxy.counters.record_selected(node(zone="far"))
-    proxy.queues.of("s", frozenset()).enqueue(0, lambda: None)
-    proxy.queues.of("s", frozenset({"r"})).enqueue(0, lambda: None)
+    proxy.queues.queue_for("s", frozenset()).enqueue(0, lambda: None)
+    proxy.queues.queue_for("s", frozenset({"r"})).enqueue(0, lambda: None)
     assert proxy.next_loads() == (ServiceLoad("s", "far", 1, 0, 1), ServiceLoad("s", "z", 0, 2, 0))
 
 
--- a/tests/serving/proxy/test_outlier_ejection.py
+++ b/tests/serving/proxy/test_outlier_ejection.py
@@ -21,11 +21,11 @@
     def serve(arrival: Arrival) -> None:
         arrival.respond()
 
-    environment.node(fail)
-    environment.node(serve)
+    environment.add_node(fail)
+    environment.add_node(serve)
     statuses = []
     for _ in range(40):
-        client = environment.client()
+        client = environment.connect_client()
         client.send_request("/u/x")
         response = environment.run(client.response())
         assert response is not None
--- a/tests/serving/proxy/test_real_sockets.py
+++ b/tests/serving/proxy/test_real_sockets.py
@@ -56,17 +56,17 @@
         self.data_path = DataPath(self.net, settings, self.view, Random(1))
         self.nodes: list[ScriptedNode] = []
 
-    async def node(self, script: Script) -> ScriptedNode:
+    async def add_node(self, script: Script) -> ScriptedNode:
         node = ScriptedNode(script)
         port = free_port()
-        await self.net.listen(node.connection, (HOST, port), accepts_per_turn=64, backlog=64)
+        await self.net.listen(node.make_connection, (HOST, port), accepts_per_turn=64, backlog=64)
         name = f"i-{len(self.nodes)}"
         report = Node(name, 1, "s", f"{HOST}:{port}", "z", "r", 64, NodeState.ACCEPTING)
         self.view.nodes = self.view.nodes.set(name, KnownNode(report, self.net.now_s(), 0.0, FOREVER))
         self.nodes.append(node)
         return node
 
-    async def client(self) -> ScriptedClient:
+    async def connect_client(self) -> ScriptedClient:
         client = ScriptedClient()
         await self.net.dial(lambda: client, (HOST, self.port))
         return client
@@ -100,8 +100,8 @@
 
 def test_large_body_is_forwarded_completely_both_ways() -> None:
     async def day(environment: RealEnvironment) -> None:
-        await environment.node(lambda arrival: arrival.respond(arrival.request.body))
-        client = await environment.client()
+        await environment.add_node(lambda arrival: arrival.respond(arrival.request.body))
+        client = await environment.connect_client()
         body = Random(1).randbytes(4 * 1024 * 1024)
         for number in range(2):
             client.send_request("/u/x", body=body)
@@ -129,8 +129,8 @@
             environment.net.reset(transport)
 
         for _ in range(2):
-            await environment.node(script)
-        client = await environment.client()
+            await environment.add_node(script)
+        client = await environment.connect_client()
         client.send_request("/a/x")
         response = await client.response()
         assert response is not None and response.body == ALL_SIX
@@ -144,11 +144,11 @@
         assert environment.view.configuration is not None
         once = replace(UNSAFE_STREAM, max_attempts=1)
         environment.view.configuration = replace(environment.view.configuration, routes=(once,))
-        await environment.node(lambda arrival: arrival.respond())
+        await environment.add_node(lambda arrival: arrival.respond())
         known = environment.view.nodes["i-0"]
         gone = replace(known.node, incarnation="i-gone", address=f"{HOST}:{free_port()}")
         environment.view.nodes = environment.view.nodes.set("i-gone", replace(known, node=gone))
-        client = await environment.client()
+        client = await environment.connect_client()
         for number in range(8):
             client.send_request("/u/x")
             response = await client.response(number)
@@ -168,15 +168,15 @@
             await going_on.wait()
             arrival.end_events()
 
-        await environment.node(script)
-        idle, busy = await environment.client(), await environment.client()
+        await environment.add_node(script)
+        idle, busy = await environment.connect_client(), await environment.connect_client()
         busy.send_request("/u/x")
         await busy.wait_for(event_bytes(1))
         draining = asyncio.ensure_future(environment.data_path.drain(environment.net.now_s() + 8.0))
         await idle.wait_closed()
         assert not draining.done()
         with pytest.raises(ConnectionRefusedError):
-            await environment.client()
+            await environment.connect_client()
         going_on.set()
         response = await busy.response()
         assert response is not None and response.body == event_bytes(1)
@@ -202,8 +202,8 @@
             )
 
         environment.net.set_unacknowledged_timeout = watched  # type: ignore[method-assign]
-        await environment.node(lambda arrival: arrival.respond(b"x", 200, ("Keep-Alive", "timeout=9")))
-        client = await environment.client()
+        await environment.add_node(lambda arrival: arrival.respond(b"x", 200, ("Keep-Alive", "timeout=9")))
+        client = await environment.connect_client()
         for number, path in enumerate(("/u/x", "/a/x", "/a/x", "/u/x")):
             client.send_request(path)
             assert await client.response(number) is not None
--- a/tests/serving/proxy/test_request_priority.py
+++ b/tests/serving/proxy/test_request_priority.py
@@ -30,7 +30,7 @@
 def forwarded_priority(
     environment: ProxyEnvironment, node_arrivals: list[Arrival], *headers: tuple[str, str]
 ) -> str:
-    client = environment.client()
+    client = environment.connect_client()
     client.send_request("/a/x", *headers)
     assert environment.run(client.response()) is not None
     return node_arrivals[-1].header("Priority") or ""
@@ -44,7 +44,7 @@
         arrivals.append(arrival)
         arrival.respond()
 
-    environment.node(respond)
+    environment.add_node(respond)
     long = ("Coveport-Prompt-Prefix", "aa:8000,bb:100")
     assert forwarded_priority(environment, arrivals, long) == "4"
     assert forwarded_priority(environment, arrivals, long) == "2", "the prefix is cached there"
--- a/tests/serving/proxy/test_startup_gate.py
+++ b/tests/serving/proxy/test_startup_gate.py
@@ -29,7 +29,7 @@
 
 
 def send_request(environment: ProxyEnvironment) -> ScriptedClient:
-    client = environment.client()
+    client = environment.connect_client()
     client.send_request("/u/x")
     return client
 
@@ -45,7 +45,7 @@
     client = send_request(environment)
     environment.sleep(0.3)
     environment.view.configuration = configuration
-    environment.node(respond)
+    environment.add_node(respond)
     assert wait_for_response(environment, client).status == 200
     environment.check()
 
@@ -73,7 +73,7 @@
     clients = [send_request(environment) for _ in range(20)]
     environment.sleep(0.2)
     environment.view.configuration = configuration
-    node = environment.node(respond)
+    node = environment.add_node(respond)
     assert [wait_for_response(environment, client).status for client in clients] == [200] * 20
     assert len(node.connections) <= 20
     assert (PROXY_IP, PORT) in environment.network.listening
--- a/tests/serving/proxy/test_telemetry_reporter.py
+++ b/tests/serving/proxy/test_telemetry_reporter.py
@@ -136,14 +136,14 @@
 
 
 def request_once(environment: ProxyEnvironment, path: str) -> http1.Response | None:
-    client = environment.client()
+    client = environment.connect_client()
     client.send_request(path)
     return environment.run(client.response())
 
 
 def test_a_request_of_a_tenant_counts_once_a_node_answers_it() -> None:
     environment = TenantEnvironment()
-    environment.node(respond)
+    environment.add_node(respond)
     assert environment.counts() == {}
     request_once(environment, "/u/x")
     request_once(environment, "/safe/x")
@@ -153,14 +153,14 @@
 
 def test_a_request_without_a_tenant_does_not_count() -> None:
     environment = TenantEnvironment(tenant=None)
-    environment.node(respond)
+    environment.add_node(respond)
     request_once(environment, "/u/x")
     assert environment.counts() == {}
 
 
 def test_what_no_node_ran_does_not_count() -> None:
     environment = TenantEnvironment()
-    environment.node(lambda arrival: arrival.reject())
+    environment.add_node(lambda arrival: arrival.reject())
     request_once(environment, "/u/x")
     assert environment.counts() == {}
 
@@ -179,7 +179,7 @@
         arrival.send_event(after + 2)
         arrival.end_events()
 
-    nodes = [environment.node(break_off_or_finish) for _ in range(2)]
+    nodes = [environment.add_node(break_off_or_finish) for _ in range(2)]
     response = request_once(environment, RESUMABLE.path_prefix + "x")
     assert response is not None and response.body.count(b"data:") == 3
     assert sum(len(node.arrivals) for node in nodes) == 2
@@ -203,6 +203,6 @@
         answered.append(environment.time.now)
         arrival.respond()
 
-    environment.node(answer, region="q")
+    environment.add_node(answer, region="q")
     request_once(environment, "/u/x")
     assert moments == pytest.approx(answered, abs=2e-4)
--- a/tests/serving/proxy/test_tenant_header.py
+++ b/tests/serving/proxy/test_tenant_header.py
@@ -61,9 +61,9 @@
     environment: ProxyEnvironment, path: str, *headers: tuple[str, str], client: ScriptedClient | None = None
 ) -> int | None:
     """Return the status of one request, on a new connection unless there is one."""
-    client = client or environment.client()
+    client = client or environment.connect_client()
     number = len(client.responses)
-    client.send_request(path, *headers, try_id=f"t-{number}")
+    client.send_request(path, *headers, attempt_id=f"t-{number}")
     response = environment.run(client.response(number))
     return response.status if response is not None else None
 
@@ -81,7 +81,7 @@
 
 def test_key_of_a_client_reaches_no_node() -> None:
     environment = start(ACME, ZENITH)
-    node = environment.node(respond)
+    node = environment.add_node(respond)
     for path in (CLOSED, RESUMABLE, PUBLIC):
         for name in (KEY_HEADER, "x-api-key", "X-API-KEY"):
             assert status_of(environment, path, (name, ACME_KEY)) == 200
@@ -93,8 +93,8 @@
 
 def test_node_gets_the_tenant_of_each_requests_key() -> None:
     environment = start(ACME, ZENITH)
-    node = environment.node(respond)
-    client = environment.client()
+    node = environment.add_node(respond)
+    client = environment.connect_client()
     for key in (ACME_KEY, ZENITH_KEY, ACME_NEW_KEY):
         assert status_of(environment, CLOSED, (KEY_HEADER, key), client=client) == 200
     assert tenants_in(node.arrivals) == [["acme"], ["zenith"], ["acme"]]
@@ -103,7 +103,7 @@
 
 def test_tenant_that_a_client_names_reaches_no_node() -> None:
     environment = start(ACME, ZENITH)
-    node = environment.node(respond)
+    node = environment.add_node(respond)
     claims: list[list[tuple[str, str]]] = [
         [(TENANT_HEADER, "zenith")],
         [("coveport-SENDER", "zenith")],
@@ -119,7 +119,7 @@
 
 def test_key_that_is_named_as_a_connection_option_still_counts() -> None:
     environment = start(ACME, ZENITH)
-    node = environment.node(respond)
+    node = environment.add_node(respond)
     options = ("Connection", "keep-alive, x-api-key")
     assert status_of(environment, CLOSED, options, (KEY_HEADER, ACME_KEY)) == 200
     assert tenants_in(node.arrivals) == [["acme"]]
@@ -138,8 +138,8 @@
         else:
             arrival.respond()
 
-    environment.node(script)
-    environment.node(script)
+    environment.add_node(script)
+    environment.add_node(script)
     headers = [(TENANT_HEADER, "zenith"), (KEY_HEADER, ACME_KEY)]
     assert status_of(environment, CLOSED, *headers) == 200
     assert environment.metric("retries") == 1
@@ -165,9 +165,9 @@
             arrival.send_event(number)
         arrival.end_events()
 
-    environment.node(script)
-    environment.node(script)
-    client = environment.client()
+    environment.add_node(script)
+    environment.add_node(script)
+    client = environment.connect_client()
     client.send_request(RESUMABLE, ("Last-Event-Id", "2"), (TENANT_HEADER, "zenith"), (KEY_HEADER, ACME_KEY))
     response = environment.run(client.response())
     assert response is not None and response.body == b"".join(map(event_bytes, range(3, 6)))
@@ -179,7 +179,7 @@
 
 def test_request_without_one_known_key_gets_401_and_reaches_no_node() -> None:
     environment = start(ACME, ZENITH)
-    node = environment.node(respond)
+    node = environment.add_node(respond)
     refused: list[list[tuple[str, str]]] = [
         [],
         [(KEY_HEADER, "")],
@@ -200,7 +200,7 @@
 
 def test_public_route_needs_no_key_and_forwards_no_tenant_that_a_client_names() -> None:
     environment = start(ACME, ZENITH)
-    node = environment.node(respond)
+    node = environment.add_node(respond)
     claim = (TENANT_HEADER, "zenith")
     assert status_of(environment, PUBLIC) == 200
     assert status_of(environment, PUBLIC, claim) == 200
@@ -211,8 +211,8 @@
 
 def test_keys_of_a_newer_configuration_apply_from_the_next_request() -> None:
     environment = start(ACME, ZENITH)
-    node = environment.node(respond)
-    client = environment.client()
+    node = environment.add_node(respond)
+    client = environment.connect_client()
     assert status_of(environment, CLOSED, (KEY_HEADER, ACME_KEY), client=client) == 200
     configure(environment, tenant("acme", ACME_NEW_KEY), tenant("zenith", ZENITH_KEY, ACME_KEY), edition=3)
     assert status_of(environment, CLOSED, (KEY_HEADER, ACME_KEY), client=client) == 200
@@ -224,7 +224,7 @@
 
 def test_configuration_without_tenants_asks_for_no_key() -> None:
     environment = start()
-    node = environment.node(respond)
+    node = environment.add_node(respond)
     assert status_of(environment, CLOSED) == 200
     assert len(node.arrivals) == 1
     environment.check()
--- a/tests/serving/proxy/test_tenant_index.py
+++ b/tests/serving/proxy/test_tenant_index.py
@@ -68,13 +68,13 @@
 
 def test_a_tenant_is_served_in_its_home_regions_alone() -> None:
     environment = ProxyEnvironment()
-    near, far = environment.node(respond), environment.node(respond, region="q")
+    near, far = environment.add_node(respond), environment.add_node(respond, region="q")
     configuration = environment.view.configuration
     assert configuration is not None
     tenants = (Tenant("abroad", ("k1",), home_regions=frozenset({"q"})),)
     environment.view.configuration = replace(configuration, tenants=tenants)
     for _ in range(6):
-        client = environment.client()
+        client = environment.connect_client()
         client.send_request("/a/x", ("X-Api-Key", "k1"))
         response = environment.run(client.response())
         assert response is not None and response.status == 200
