--- a/coveport/serving/proxy/admission.py
+++ b/coveport/serving/proxy/admission.py
@@ -1,8 +1,8 @@
-"""Admission control: requests that find no node to use now wait in a bounded priority queue. Pure.
+"""Admission control: requests for which no node has capacity wait in a bounded priority queue. Pure.
 
-They wait only while a response within the route's latency target is still possible, and at most a fifth of
-it; after that they are rejected, so that the client knows at once. There is one queue for each service and
-set of home regions, so that none waits behind a request for which there is no capacity elsewhere. Nobody
+A request waits only while a response within the route's latency target is still possible, and for at most a
+fifth of that target; then it is rejected, so that the client can react at once. There is one queue for each
+service and set of home regions, so that a request isn't blocked behind one that needs other nodes. No request
 waits while a usable node has capacity.
 """
 
@@ -15,14 +15,14 @@
 
 from coveport.serving.model.configuration import Route
 
-MAX_QUEUED_REQUESTS = 256  # bounds memory and the length of a search for the last; not measured
-MAX_WAIT_TARGET_RATIO = 0.2  # a rejection after a quarter of the target counts as late; not measured
-MAX_WAIT_S = 0.5  # for long targets: a client can retry elsewhere meanwhile; not measured
-MAX_WAIT_WITHOUT_TARGET_S = 0.2  # for routes that have no target; not measured
+MAX_QUEUED_REQUESTS = 256  # bounds memory, and the linear search for the last request
+MAX_WAIT_TARGET_RATIO = 0.2  # a rejection after a quarter of the target counts as late
+MAX_WAIT_S = 0.5  # upper bound for long targets: the client can retry elsewhere instead
+MAX_WAIT_WITHOUT_TARGET_S = 0.2  # for routes without a latency target
 
 
 def max_wait_s(route: Route) -> float:
-    """Return how many seconds a request of this route may wait for capacity."""
+    """Return the longest time in seconds that a request of this route may wait for capacity."""
     if route.latency_target_ms <= 0:
         return MAX_WAIT_WITHOUT_TARGET_S
     return min(MAX_WAIT_S, MAX_WAIT_TARGET_RATIO * route.latency_target_ms / 1000)
@@ -30,11 +30,11 @@
 
 @dataclass(order=True, slots=True)
 class QueuedRequest:
-    """A request that waits: ordered by priority (lowest number first), then by arrival."""
+    """A waiting request, ordered by priority (lowest number first), then by arrival."""
 
     priority: int
-    number: int
-    wake: Callable[[], None] = field(compare=False)  # called when it becomes first, or is removed
+    arrival_number: int
+    wake: Callable[[], None] = field(compare=False)  # called when the request becomes first, or is removed
     is_removed: bool = field(compare=False, default=False)
 
 
@@ -43,38 +43,39 @@
     """The waiting requests, in the order in which they are admitted."""
 
     max_length: int = MAX_QUEUED_REQUESTS
-    _heap: list[QueuedRequest] = field(default_factory=list)  # removed ones are dropped when they come first
-    _numbers: count[int] = field(default_factory=count)
+    _heap: list[QueuedRequest] = field(default_factory=list)  # removed requests leave once first
+    _arrival_numbers: count[int] = field(default_factory=count)
     _length: int = 0
 
     def __len__(self) -> int:
         return self._length
 
     def enqueue(self, priority: int, wake: Callable[[], None]) -> QueuedRequest | None:
-        """Add a request; None where the queue is full of requests of the same or a higher priority.
+        """Add a request and return its entry, or None where it is rejected.
 
-        Where the queue is full otherwise, the last of those of lower priority is removed and woken.
+        If the queue is full, its last request is removed and woken, provided that its priority is lower than
+        that of the new request; otherwise the new request is rejected.
         """
         if self._length >= self.max_length:
-            last = max(queued for queued in self._heap if not queued.is_removed)
-            if last.priority <= priority:
+            last_queued = max(queued for queued in self._heap if not queued.is_removed)
+            if last_queued.priority <= priority:
                 return None
-            self.remove(last)
-            last.wake()
-        queued = QueuedRequest(priority, next(self._numbers), wake)
+            self.remove(last_queued)
+            last_queued.wake()
+        queued = QueuedRequest(priority, next(self._arrival_numbers), wake)
         heapq.heappush(self._heap, queued)
         self._length += 1
         return queued
 
     def remove(self, queued: QueuedRequest) -> None:
-        """Remove a request, and wake the one that becomes first. Does nothing where it was removed before."""
+        """Remove a request, and wake the request that becomes first; do nothing if it was already removed."""
         if queued.is_removed:
             return
         was_first = self.is_first(queued)
         queued.is_removed = True
         self._length -= 1
-        if was_first and (following := self._first()) is not None:
-            following.wake()
+        if was_first and (new_first := self._first()) is not None:
+            new_first.wake()
 
     def is_first(self, queued: QueuedRequest) -> bool:
         """Return whether the request is the next to be admitted."""
@@ -88,16 +89,16 @@
 
 @dataclass(slots=True)
 class AdmissionQueues:
-    """The queues by service and home regions."""
+    """The admission queues, by service and home regions."""
 
     _queues: dict[tuple[str, frozenset[str]], AdmissionQueue] = field(default_factory=dict)
 
     def queue_for(self, service: str, home_regions: frozenset[str]) -> AdmissionQueue:
-        """Return the queue of requests that may go to the same nodes."""
+        """Return the queue of the requests for this service with these home regions."""
         return self._queues.setdefault((service, home_regions), AdmissionQueue())
 
     def lengths_by_service(self) -> dict[str, int]:
-        """Return how many requests wait for nodes of each service."""
+        """Return the number of waiting requests of each service."""
         lengths: dict[str, int] = {}
         for (service, _), queue in self._queues.items():
             lengths[service] = lengths.get(service, 0) + len(queue)
--- a/coveport/serving/proxy/client_connection.py
+++ b/coveport/serving/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's HTTP/1.1 connection: reads requests one after the other, and writes their responses."""
+"""A client's HTTP/1.1 connection: reads requests in turn, and writes their responses."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from coveport.serving.model.configuration import ClientLimits
 from coveport.serving.proxy.response_writing import status_line, write_response
 
-MAX_PIPELINED_BYTES = 64 * 1024  # of further requests, while one is answered: bounds memory; not measured
-MAX_UNSENT_BYTES = 64 * 1024  # of a response, for a slow client: bounds memory; not measured
-LINGER_S = 1.0  # a client that is still sending reads its rejection before the close; not measured
-IDLE_MARGIN_S = 2.0  # clients are asked to stop using an idle connection so long before it is closed
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"  # RFC 9110, 10.1.1
+MAX_PIPELINED_BYTES = 64 * 1024  # pipelined behind the current request: bounds memory
+MAX_UNSENT_BYTES = 64 * 1024  # buffered of a response for a slow client: bounds memory
+LINGER_S = 1.0  # lets a client that is still sending read the rejection before the close
+IDLE_MARGIN_S = 2.0  # the announced Keep-Alive time-out is this much shorter than the actual one
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"  # RFC 9110, 10.1.1
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its listener."""
+    """The interface of the listener that a connection uses."""
 
-    def connected(self, connection: ClientConnection) -> None:
+    def add_connection(self, connection: ClientConnection) -> None:
         """Add a new connection."""
 
-    def disconnected(self, connection: ClientConnection) -> None:
+    def remove_connection(self, connection: ClientConnection) -> None:
         """Remove a connection that has ended."""
 
     @property
@@ -33,14 +33,14 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether connections end with their next response."""
+        """Whether connections are closed after their next response."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """Hands requests to a handler, which answers through `begin`, `write` and `finish`, or `answer`.
+    """Passes requests to a handler, which responds through `begin`, `write` and `finish`, or `answer`.
 
-    Reading and writing stand in one class: both decide on how the connection ends, and `write` runs for every
-    event, straight on the transport.
+    One class reads and writes, since both sides decide how the connection ends, and since `write` is called
+    for every event and should use the transport directly.
     """
 
     def __init__(self, net: Net, owner: ConnectionOwner, limits: Callable[[], ClientLimits]) -> None:
@@ -53,27 +53,27 @@
         self._timer: asyncio.TimerHandle | None = None
         self._writable = asyncio.Event()
         self._writable.set()
-        self._is_rejected = False  # what still comes is discarded
-        self._is_paused = False
-        self._has_begun = False  # the head of the current response is written
-        self._is_finished = False  # all of the current response is written
+        self._is_rejected = False  # further received bytes are discarded
+        self._is_reading_paused = False
+        self._has_begun = False  # the head of the current response has been written
+        self._is_finished = False  # the current response has been written completely
         self._is_chunked = False
-        self._is_framed = False  # the end of the response differs from the end of the connection
+        self._is_framed = False  # the response has a length or is chunked: its end isn't the connection's
         self._keeps_alive = False
-        self._is_reading_head = False  # the running timer bounds the reading of a head
+        self._is_reading_head = False  # the running timer limits the time to read a head
 
-    # The callbacks of asyncio.Protocol.
+    # Callbacks of asyncio.Protocol.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read requests."""
+        """Start to read requests."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
-        self._owner.connected(self)
+        self._owner.add_connection(self)
         self._wait_for_request()
 
     def data_received(self, data: bytes) -> None:
-        """Parse the bytes, and begin the next request when it is complete."""
+        """Parse the bytes, and start the next request if it is complete."""
         if self._is_rejected:
             return
         self._parser.feed(data)
@@ -82,32 +82,32 @@
         elif (
             len(self._parser.buffer) > MAX_PIPELINED_BYTES
             and self._transport is not None
-            and not self._is_paused
+            and not self._is_reading_paused
         ):
-            self._is_paused = True
+            self._is_reading_paused = True
             self._transport.pause_reading()
 
     def pause_writing(self) -> None:
-        """Hold back writers: the client reads more slowly than the node sends."""
+        """Block writers: the client reads more slowly than the node sends."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Unblock writers."""
         self._writable.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the request in flight: its client is gone."""
+        """Cancel the request in flight, as its client has disconnected."""
         self._stop_timer()
         self._transport = None
         self._writable.set()
         if self._task is not None:
             self._task.cancel()
-        self._owner.disconnected(self)
+        self._owner.remove_connection(self)
 
     # Requests.
 
     def _advance(self) -> None:
-        """Begin the next request, if it is complete."""
+        """Start the next request if it is complete."""
         try:
             request = self._parser.next_request()
         except http1.RemoteProtocolError as error:
@@ -115,7 +115,7 @@
             return
         if request is None:
             if self._parser.wants_continue and self._transport is not None:
-                self._transport.write(CONTINUE)
+                self._transport.write(CONTINUE_RESPONSE)
             self._wait_for_request()
             return
         self._stop_timer()
@@ -129,7 +129,7 @@
         self._task = None
         failed = not task.cancelled() and task.exception() is not None
         if failed:
-            context = {"message": "a request", "exception": task.exception()}
+            context = {"message": "request handler failed", "exception": task.exception()}
             self._net.loop.call_exception_handler(context)
         transport = self._transport
         if transport is None:
@@ -139,13 +139,13 @@
         elif not self._keeps_alive or (self._owner.is_draining and not self._parser.is_mid_message):
             transport.close()
         else:
-            if self._is_paused:
-                self._is_paused = False
+            if self._is_reading_paused:
+                self._is_reading_paused = False
                 transport.resume_reading()
             self._advance()
 
     def _reject(self, status: int) -> None:
-        """Answer an invalid request, and end the connection."""
+        """Respond to an invalid request, and close the connection."""
         transport = self._transport
         if transport is None:
             return
@@ -155,16 +155,15 @@
             transport.write_eof()
         self._start_timer(LINGER_S, self.abort)
 
-    # Timeouts.
+    # Time-outs.
 
     def _wait_for_request(self) -> None:
         limits = self._limits()
         if not self._parser.is_mid_message:
             self._stop_timer()
             self._start_timer(limits.idle_ms / 1000, self.close_idle)
-        elif (
-            self._parser.received_body_bytes
-        ):  # the head is read: the body may take any time while bytes keep coming
+        elif self._parser.received_body_bytes:
+            # A body may take any time while bytes keep coming.
             self._stop_timer()
             self._start_timer(limits.idle_ms / 1000, self._on_read_timeout)
         elif self._timer is None or not self._is_reading_head:
@@ -189,12 +188,12 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is being answered or read."""
+        """Whether no request is being read or processed."""
         return self._task is None and not self._parser.is_mid_message
 
     @property
     def has_begun(self) -> bool:
-        """Whether the client has the head of the current response."""
+        """Whether the head of the current response has been written."""
         return self._has_begun
 
     def _connection_headers(self) -> list[tuple[str, str]]:
@@ -213,7 +212,7 @@
             self._transport.write(write_response(status, [*headers, *self._connection_headers()], body))
 
     def begin(self, status: int, headers: list[tuple[str, str]], length: int | None) -> None:
-        """Write the head of a response; without a length its body is chunked."""
+        """Write the head of a response; without a length the body is chunked (HTTP/1.0: unframed)."""
         if self._transport is None:
             return
         self._has_begun = True
@@ -230,7 +229,7 @@
         self._transport.write(http1.write_head(status_line(status), head))
 
     def write(self, data: bytes) -> None:
-        """Write bytes of the body. Runs for every event: no further calls here."""
+        """Write bytes of the body. Runs for every event, so it makes no further calls."""
         if self._transport is not None and data:
             self._transport.write(http1.write_chunk(data) if self._is_chunked else data)
 
@@ -242,24 +241,24 @@
             self._is_finished = True
 
     async def wait_writable(self) -> None:
-        """Wait until the client has read enough for more to be written."""
+        """Wait until the client has read enough that more can be written."""
         await self._writable.wait()
 
     def close_idle(self) -> None:
-        """Close the connection unless a request is on it."""
+        """Close the connection unless a request is in flight on it."""
         if self._transport is not None and self._task is None:
             self._transport.close()
 
     def abort(self) -> None:
-        """End the connection so that the response can't look complete.
+        """Close the connection in a way that makes the response look incomplete to the client.
 
-        The client still gets what was written.
+        Unless the connection must be reset for that, the client still receives the bytes written so far.
         """
         transport = self._transport
         if transport is None:
             return
         self._keeps_alive = False
-        if self._has_begun and not self._is_framed:  # a close would look like the end of the body
+        if self._has_begun and not self._is_framed:  # a plain close would mark the end of the body
             self._net.reset(transport)
             return
         transport.close()
--- a/coveport/serving/proxy/client_listener.py
+++ b/coveport/serving/proxy/client_listener.py
@@ -12,19 +12,19 @@
 from coveport.serving.model.configuration import ClientLimits
 from coveport.serving.proxy.client_connection import ClientConnection
 
-MAX_ACCEPTS_PER_TURN = 64  # so that a burst of connects doesn't hold up requests in flight; not measured
-ACCEPT_BACKLOG = 512  # connections that wait in the kernel; not measured
-DRAIN_ACCEPT_S = 1.0  # clients that have not yet learned of the stop still connect; not measured
-DRAIN_POLL_S = 0.05  # a stop takes this much longer at most
+MAX_ACCEPTS_PER_TURN = 64  # a burst of connects must not delay requests in flight
+ACCEPT_BACKLOG = 512  # connections queued in the kernel
+DRAIN_ACCEPT_S = 1.0  # clients that have not yet learned of the stop still connect for this long
+DRAIN_POLL_S = 0.05  # delays the stop by at most this much
 
 RequestHandler = Callable[[http1.Request, ClientConnection], Coroutine[Any, Any, None]]
 
 
 class ClientListener:
-    """Owns the listening socket and the connections of clients."""
+    """Owns the listening socket and the client connections."""
 
     def __init__(self, net: Net, handle: RequestHandler, limits: Callable[[], ClientLimits]) -> None:
-        """`handle` answers one request; `limits` returns those of the configuration in force."""
+        """`handle` responds to one request; `limits` returns the limits of the active configuration."""
         self._net = net
         self._limits = limits
         self._connections: set[ClientConnection] = set()
@@ -36,10 +36,10 @@
         return len(self._connections)
 
     async def start(self, address: Address) -> None:
-        """Listen to clients.
+        """Listen for clients.
 
         Raises:
-            OSError: the address can't be listened on.
+            OSError: listening on the address failed.
 
         """
         self._listening = await self._net.listen(
@@ -49,18 +49,18 @@
             backlog=ACCEPT_BACKLOG,
         )
 
-    def connected(self, connection: ClientConnection) -> None:
+    def add_connection(self, connection: ClientConnection) -> None:
         """Add a new connection."""
         self._connections.add(connection)
 
-    def disconnected(self, connection: ClientConnection) -> None:
+    def remove_connection(self, connection: ClientConnection) -> None:
         """Remove a connection that has ended."""
         self._connections.discard(connection)
 
     async def drain(self, until_s: float) -> None:
-        """Answer what was accepted, and accept nothing new after one more second.
+        """Respond to accepted requests, and stop accepting connections after `DRAIN_ACCEPT_S`.
 
-        Returns when no connection is left, at `until_s` (monotonic) at the latest.
+        Return when no connection is left, at `until_s` (monotonic) at the latest.
         """
         self.is_draining = True
         accepts_until_s = min(until_s, self._net.now_s() + DRAIN_ACCEPT_S)
--- a/coveport/serving/proxy/connection_pool.py
+++ b/coveport/serving/proxy/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to nodes: few, and reused, since each new one costs a handshake."""
+"""Pool of connections to nodes, which are reused, since each new connection costs a handshake."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from coveport.serving.proxy.errors import ConnectFailedError
 from coveport.serving.proxy.node_connection import NodeConnection
 
-LOCAL_CONNECT_TIMEOUT_S = 0.4  # leaves half of an target of 0.8 s for another node; not measured
-REMOTE_CONNECT_TIMEOUT_S = 0.6  # to another region: round trips are longer; not measured
+LOCAL_CONNECT_TIMEOUT_S = 0.4  # leaves half of a latency target of 0.8 s for another node
+REMOTE_CONNECT_TIMEOUT_S = 0.6  # round trips to another region are longer
 
 
 class ConnectionPool:
-    """Connections by incarnation: idle ones, and those in use."""
+    """Idle connections and connections in use, by the incarnation of the node."""
 
     def __init__(self, net: Net, region: str) -> None:
         self._net = net
         self._region = region
         self._idle: dict[str, list[NodeConnection]] = {}
         self._in_use: dict[str, set[NodeConnection]] = {}
-        self._shortest_connects_s: dict[str, float] = {}  # by zone of the nodes
-        self.connects = 0
+        self._shortest_connect_s_by_zone: dict[str, float] = {}
+        self.connects = 0  # connection attempts so far
 
     def has_capacity(self, incarnation: str, max_connections: int) -> bool:
-        """Return whether one more request stays within the node's connections; 0: not bounded."""
+        """Return whether one more connection stays within `max_connections` of the node; 0: no limit."""
         return max_connections <= 0 or len(self._in_use.get(incarnation, ())) < max_connections
 
     def last_received_s(self, incarnation: str) -> float:
@@ -35,11 +35,11 @@
         in_use = self._in_use.get(incarnation, ())
         return max((connection.last_received_s for connection in in_use), default=0.0)
 
-    async def take(self, node: Node) -> NodeConnection:
+    async def acquire(self, node: Node) -> NodeConnection:
         """Return a connection to the node, idle or new.
 
         Raises:
-            ConnectFailedError: none came up.
+            ConnectFailedError: no new connection could be established.
 
         """
         now_s = self._net.now_s()
@@ -60,44 +60,44 @@
         return connection
 
     async def check_connect(self, node: Node) -> bool:
-        """Return whether a connection to the node comes up; it is kept for the next request."""
+        """Return whether a new connection to the node can be established; keep it for the next request."""
         connection = NodeConnection(self._net)
         try:
             await self._connect(node, connection)
         except ConnectFailedError:
             return False
-        self._keep(node, connection)
+        self._add_to_idle(node, connection)
         return True
 
     async def _connect(self, node: Node, connection: NodeConnection) -> None:
         self.connects += 1
         is_local = node.region == self._region
         timeout_s = LOCAL_CONNECT_TIMEOUT_S if is_local else REMOTE_CONNECT_TIMEOUT_S
-        began_s = self._net.now_s()
+        start_s = self._net.now_s()
         try:
             async with asyncio.timeout(timeout_s):
                 await self._net.dial(lambda: connection, parse_address(node.address))
         except (OSError, TimeoutError, ValueError) as error:
             raise ConnectFailedError(node.address, timeout_s, error) from None
-        connection.one_way_s = self._one_way_s(node.zone, self._net.now_s() - began_s)
+        connection.one_way_delay_s = self._one_way_delay_s(node.zone, self._net.now_s() - start_s)
 
-    def _one_way_s(self, zone: str, connect_s: float) -> float:
-        """Return half of the shortest connect to a zone: delays on the machines lengthen most of them."""
-        shortest_s = min(connect_s, self._shortest_connects_s.get(zone, connect_s))
-        self._shortest_connects_s[zone] = shortest_s
+    def _one_way_delay_s(self, zone: str, connect_s: float) -> float:
+        """Return half of the shortest connect time to a zone, as machine delays lengthen most connects."""
+        shortest_s = min(connect_s, self._shortest_connect_s_by_zone.get(zone, connect_s))
+        self._shortest_connect_s_by_zone[zone] = shortest_s
         return shortest_s / 2
 
     def release(self, node: Node, connection: NodeConnection) -> None:
-        """Return a connection whose response is complete, for reuse if it can carry another request."""
+        """Give back a connection whose response is complete; it is reused if it can carry another request."""
         self._remove_from_use(node, connection)
-        self._keep(node, connection)
+        self._add_to_idle(node, connection)
 
     def drop(self, node: Node, connection: NodeConnection) -> None:
-        """Close a connection whose response is not complete or not wanted."""
+        """Close a connection whose response is incomplete or no longer needed."""
         self._remove_from_use(node, connection)
         connection.close()
 
-    def _keep(self, node: Node, connection: NodeConnection) -> None:
+    def _add_to_idle(self, node: Node, connection: NodeConnection) -> None:
         if connection.release(self._net.now_s()):
             self._idle.setdefault(node.incarnation, []).append(connection)
 
@@ -111,7 +111,7 @@
             self._in_use.pop(node.incarnation, None)
 
     def sweep(self, is_known: Callable[[str], bool]) -> None:
-        """Close idle connections that nodes would close soon, and those to nodes that are gone."""
+        """Close idle connections that the nodes would close soon, and those to unknown nodes."""
         now_s = self._net.now_s()
         for incarnation in list(self._idle):
             reusable = []
--- a/coveport/serving/proxy/data_path.py
+++ b/coveport/serving/proxy/data_path.py
@@ -1,10 +1,10 @@
-"""The data path of a proxy: answers the requests of clients by forwarding them to nodes.
+"""The data path of a proxy: serves client requests by forwarding them to nodes.
 
-The way of a request, a module a step: `client_listener` accepts, `client_connection` parses, `startup_gate`
-delays what comes too early, `request_routing` routes, `exchange` makes the attempts. Of each attempt,
-`node_acquisition` and `admission` wait for capacity, `node_selection` selects a node, `request_forwarder`
-sends, `response_relay` relays the response, and `retry_policy` decides on another; `failure_response` ends a
-request that no node answered.
+A request passes through these modules: `client_listener` accepts the connection, `client_connection` parses
+the request, `startup_gate` delays it if it comes before the configuration, `request_routing` routes it, and
+`exchange` makes the attempts. In each attempt, `node_acquisition` and `admission` wait for capacity,
+`node_selection` selects a node, `request_forwarder` sends the request, `response_relay` relays the response,
+and `retry_policy` decides whether to retry. `failure_response` responds where no node did.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from coveport.serving.proxy.event_stream import EventSequence
 from coveport.serving.proxy.exchange import Exchange
 from coveport.serving.proxy.failure_response import RETRY_AFTER_S, send_routing_failure
-from coveport.serving.proxy.headers import first
+from coveport.serving.proxy.headers import first_value
 from coveport.serving.proxy.in_flight_request import InFlightRequest
 from coveport.serving.proxy.load_sampler import LoadSampler
 from coveport.serving.proxy.node_maintenance import NodeMaintenance
@@ -41,7 +41,7 @@
 
 
 class DataPath:
-    """Everything between clients and nodes."""
+    """The components of a proxy that forward client requests to nodes."""
 
     reloadable = frozenset(
         {"bounds.retry_ratio", "bounds.retry_slack", "bounds.warm_up_overshoot", "bounds.warm_up_slack"}
@@ -57,7 +57,7 @@
     ) -> None:
         """Create a data path.
 
-        `random` is the source of every draw of the data path. `telemetry` is told of requests of tenants.
+        `random` is the source of all random choices of the data path. `telemetry` counts tenants' requests.
         """
         self._net = net
         self._settings = settings
@@ -76,7 +76,7 @@
         self._requests_in_flight = 0
 
     def apply_bounds(self, bounds: Bounds) -> None:
-        """Take the bounds that can change while the data path runs (`reloadable`)."""
+        """Apply the bounds that can change while the data path runs (`reloadable`)."""
         budget = self._context.budget
         budget.ratio = bounds.retry_ratio
         budget.slack = bounds.retry_slack
@@ -85,10 +85,10 @@
         slow_start.slack = bounds.warm_up_slack
 
     async def start(self) -> None:
-        """Begin to serve clients.
+        """Start to serve clients.
 
         Raises:
-            OSError: the address for clients can't be listened on.
+            OSError: listening on the address for clients failed.
 
         """
         assert self._settings.clients is not None
@@ -96,16 +96,16 @@
         self._maintenance.start()
 
     async def drain(self, until_s: float) -> None:
-        """Answer what was accepted, and accept nothing new after one second.
+        """Respond to accepted requests, stop accepting connections after one second, then stop.
 
-        It ends at `until_s` on the clock of `Net.now_s` at the latest.
+        Return at `until_s` on the clock of `Net.now_s` at the latest.
         """
         await self._listener.drain(until_s)
         self._maintenance.stop()
         self._context.pool.close()
 
     def metrics(self) -> dict[str, float]:
-        """Return counts for the log."""
+        """Return the counters and gauges that are logged."""
         return {
             **self._counters.counts,
             "clients": float(len(self._listener)),
@@ -129,7 +129,7 @@
         return configuration.limits if configuration is not None else ClientLimits()
 
     async def _handle(self, message: http1.Request, client: ClientConnection) -> None:
-        """Answer a request."""
+        """Respond to a request."""
         arrived_s = self._net.now_s()
         self._counters.add("requests")
         self._requests_in_flight += 1
@@ -143,7 +143,7 @@
                 send_routing_failure(client, self._counters, routed)
                 return
             deadline_s = arrived_s + request_timeout_s(message, routed.route)
-            sequence = EventSequence(first(message.headers, Header.LAST_EVENT_ID))
+            sequence = EventSequence(first_value(message.headers, Header.LAST_EVENT_ID))
             request = InFlightRequest(message, client, routed, deadline_s, sequence)
             self._context.budget.record_request(routed.service.name, arrived_s)
             await Exchange(self._context, request).run()
--- a/coveport/serving/proxy/event_stream.py
+++ b/coveport/serving/proxy/event_stream.py
@@ -15,69 +15,70 @@
 
 @dataclass(slots=True)
 class EventSplitter:
-    """Takes bytes and returns complete events; an event that breaks off is never returned."""
+    """Splits received bytes into complete events; an incomplete event is never returned."""
 
-    incomplete: bytearray = field(default_factory=bytearray)  # the beginning of an event
+    incomplete: bytearray = field(default_factory=bytearray)  # the start of an event whose end is missing
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the events that these bytes complete, each with the blank line at its end.
+        """Return the events that these bytes complete, each with its terminating blank line.
 
-        One loop without helpers, since it runs for every read of a stream.
+        Written as one loop without helper functions, since it runs for every read of a stream.
         """
-        begin = 0
-        search = max(0, len(self.incomplete) - _MAX_EVENT_END_BYTES + 1)
+        event_begin = 0
+        search_begin = max(0, len(self.incomplete) - _MAX_EVENT_END_BYTES + 1)
         self.incomplete += data
         events: list[bytes] = []
-        while (end := _EVENT_END.search(self.incomplete, search)) is not None:
-            events.append(bytes(self.incomplete[begin : end.end()]))
-            begin = end.end()
-            search = begin
-        del self.incomplete[:begin]
+        while (event_end := _EVENT_END.search(self.incomplete, search_begin)) is not None:
+            events.append(bytes(self.incomplete[event_begin : event_end.end()]))
+            event_begin = event_end.end()
+            search_begin = event_begin
+        del self.incomplete[:event_begin]
         return events
 
 
 def event_id(event: bytes) -> str | None:
-    """Return the id that an event carries, if any."""
-    found = _ID.search(event)
-    return found[1].decode("latin-1") if found is not None else None
+    """Return the id of an event, or None if it has none."""
+    match = _ID.search(event)
+    return match[1].decode("latin-1") if match is not None else None
 
 
 @dataclass(slots=True)
 class EventSequence:
-    """The ids forwarded so far: which events may come next, also from another node."""
+    """The event ids forwarded so far, which determine the events that may follow, also from another node."""
 
-    last_id: str | None = None  # of the last complete event that the client has
-    _max_id_step: int = 0  # the most by which ids rose; 0: not known
+    last_id: str | None = None  # id of the last complete event that the client received
+    _max_id_step: int = 0  # largest difference between consecutive ids; 0: unknown
     _is_resuming: bool = False  # the next event is the first of another node's stream
 
     def begin_stream(self) -> None:
-        """Note that a node's stream begins; one that resumes another may leave nothing out."""
+        """Record that a node's stream begins; a stream that resumes another must not skip events."""
         self._is_resuming = True
 
     def may_follow(self, event: bytes) -> bool:
         """Return whether the event may come next.
 
-        Ids that are numbers must rise; where a stream is resumed, by no more than they rose before.
+        Numeric ids must increase. The first id of a resumed stream may exceed the last one by no more than
+        the largest step seen so far.
         """
-        found = _as_number(event_id(event))
-        last = _as_number(self.last_id)
-        if found is None or last is None:
+        number = _as_number(event_id(event))
+        last_number = _as_number(self.last_id)
+        if number is None or last_number is None:
             return True
-        if found <= last:
+        if number <= last_number:
             return False
-        return not (self._is_resuming and self._max_id_step) or found - last <= self._max_id_step
+        return not (self._is_resuming and self._max_id_step) or number - last_number <= self._max_id_step
 
     def record_forwarded(self, event: bytes) -> None:
         """Record that the event was written to the client."""
         self._is_resuming = False
-        found = event_id(event)
-        if found is None:
+        forwarded_id = event_id(event)
+        if forwarded_id is None:
             return
-        number = _as_number(found)
-        last = _as_number(self.last_id)
-        if number is not None and last is not None:
-            self._max_id_step = max(self._max_id_step, number - last)
-        self.last_id = found
+        number = _as_number(forwarded_id)
+        last_number = _as_number(self.last_id)
+        if number is not None and last_number is not None:
+            self._max_id_step = max(self._max_id_step, number - last_number)
+        self.last_id = forwarded_id
 
 
 def _as_number(event_id: str | None) -> int | None:
--- a/coveport/serving/proxy/exchange.py
+++ b/coveport/serving/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""Carries one client's request from its route to its response: attempts at nodes until one answers."""
+"""Processes one routed client request: makes attempts at nodes until one responds."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from coveport.serving.proxy.failure_response import send_failure, send_routing_failure
-from coveport.serving.proxy.headers import first
+from coveport.serving.proxy.headers import first_value
 from coveport.serving.proxy.in_flight_request import InFlightRequest
 from coveport.serving.proxy.node_acquisition import acquire_node
 from coveport.serving.proxy.node_connection import NodeConnection
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """The attempts of one request, until it is answered or its deadline passes."""
+    """The attempts of one request, until it has a response or its deadline passes."""
 
     context: ProxyContext
     request: InFlightRequest
@@ -32,17 +32,17 @@
         request = self.request
         self._relay = ResponseRelay(
             request.client,
-            first(request.message.headers, Header.ATTEMPT_ID),
+            first_value(request.message.headers, Header.ATTEMPT_ID),
             request.routed.route.resumable,
             self.context.counters,
             request.sequence,
-            self._record_begun,
+            self._record_success_start,
         )
         self._retries = RetryPolicy(self.context, request)
         self._forwarder = RequestForwarder(self.context, request, self._retries, self._relay)
 
     async def run(self) -> None:
-        """Answer the request: with a node's response, else with a failure, at its deadline at the latest."""
+        """Respond with a node's response or with a failure, by the deadline at the latest."""
         try:
             async with asyncio.timeout_at(self.request.deadline_s):
                 if not await self._attempt_until_complete():
@@ -51,27 +51,27 @@
             self.context.counters.add("deadline")
             send_failure(self.context, self.request, at_deadline=True)
 
-    def _record_begun(self, connection: NodeConnection) -> None:
-        """Count the request for its tenant: once, also where a second node resumes its stream."""
+    def _record_success_start(self, connection: NodeConnection) -> None:
+        """Count the request for its tenant, only once even if a second node resumes the stream."""
         request = self.request
         tenant = request.routed.tenant
         telemetry = self.context.telemetry
-        if telemetry is not None and tenant is not None and not request.has_begun_running:
-            telemetry.record_begun(tenant, connection.last_received_s - connection.one_way_s)
-        request.has_begun_running = True
+        if telemetry is not None and tenant is not None and not request.has_success_started:
+            telemetry.record_begun(tenant, connection.last_received_s - connection.one_way_delay_s)
+        request.has_success_started = True
 
     async def _attempt_until_complete(self) -> bool:
-        """Try nodes and return True when the client has a response, False when no retry is left."""
+        """Make attempts; return True when the client has a response, False when no retry is allowed."""
         try:
             while True:
-                known = await acquire_node(self.context, self.request)
-                if known is None:
+                known_node = await acquire_node(self.context, self.request)
+                if known_node is None:
                     return False
-                if not self._is_routed_by_newest():
-                    if self._route_anew():
+                if not self._is_route_current():
+                    if self._reroute():
                         continue
                     return True
-                outcome = await self._forwarder.forward(known)
+                outcome = await self._forwarder.forward(known_node)
                 if outcome is AttemptOutcome.COMPLETE:
                     return True
                 if not self._retries.may_retry(outcome):
@@ -79,12 +79,12 @@
         finally:
             self._retries.release()
 
-    def _is_routed_by_newest(self) -> bool:
-        """Return whether the newest configuration decided; a request that was sent keeps its route."""
+    def _is_route_current(self) -> bool:
+        """Return whether the route can be used: the newest configuration chose it, or an attempt was sent."""
         return self.request.attempts > 0 or self.context.router.is_current(self.request.routed)
 
-    def _route_anew(self) -> bool:
-        """Route the request by the newest configuration; False: it was answered, as it is refused there."""
+    def _reroute(self) -> bool:
+        """Route the request by the newest configuration; if that fails, send the failure and return False."""
         request = self.request
         routed = self.context.router.route(request.message)
         if isinstance(routed, RoutingFailure):
--- a/coveport/serving/proxy/failure_response.py
+++ b/coveport/serving/proxy/failure_response.py
@@ -1,4 +1,4 @@
-"""The proxy's own answer to a request for which no node gave one."""
+"""The proxy's own responses to requests that no node responded to."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from coveport.serving.proxy.request_routing import RoutingFailure
 from coveport.serving.wire.names import CanonicalHeader
 
-RETRY_AFTER_S = 0.3  # on average; capacity frees up within it, and clients don't return at once; not measured
+RETRY_AFTER_S = 0.3  # mean; long enough for capacity to become free, randomized to spread the retries
 
-AUTHENTICATION_SCHEME = "ApiKey"  # RFC 9110, 11.6.1: a 401 names one
+AUTHENTICATION_SCHEME = "ApiKey"  # RFC 9110, 11.6.1: a 401 response must name a scheme
 
 
 def send_routing_failure(client: ClientConnection, counters: Counters, failure: RoutingFailure) -> None:
-    """Answer 404 where no route takes the request, 401 where it has no API key that is known."""
+    """Respond with 404 where no route matches the request, with 401 where it has no valid API key."""
     if failure is RoutingFailure.NO_ROUTE:
         counters.add("no_route")
         client.answer(404, [])
@@ -25,7 +25,7 @@
 
 
 def send_failure(context: ProxyContext, request: InFlightRequest, *, at_deadline: bool = False) -> None:
-    """Answer 503 with Retry-After where nothing ran, else 502, or 504 at the deadline.
+    """Respond with 503 and Retry-After if the request can't have run, else with 502, or 504 at the deadline.
 
     A response that has begun is aborted instead, so that it doesn't look complete.
     """
--- a/coveport/serving/proxy/forwarded_request.py
+++ b/coveport/serving/proxy/forwarded_request.py
@@ -1,4 +1,4 @@
-"""Writes a client's request as one node gets it."""
+"""Builds the request that is forwarded to a node."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def write_forwarded_request(
     request: InFlightRequest, incarnation: str, prefix_cache: PrefixCacheIndex, now_s: float
 ) -> bytes:
-    """Return head and body of the request, addressed to one incarnation."""
+    """Return the bytes of the request for one incarnation: head and body."""
     message = request.message
     headers = _headers(request, incarnation, prefix_cache, now_s)
     return http1.write_request(message.method, message.target, headers, message.body)
@@ -50,9 +50,9 @@
 def _priority(
     request: InFlightRequest, incarnation: str, prefix_cache: PrefixCacheIndex, now_s: float
 ) -> int:
-    """Return the priority for the node.
+    """Return the priority that is sent to the node.
 
-    The time that a client spent before its request came here shows in the time that is left to it.
+    The time left in the request also reflects the time that the client spent before it reached this proxy.
     """
     route = request.routed.route
     spent_s = max(0.0, route.timeout_ms / 1000 - (request.deadline_s - now_s))
--- a/coveport/serving/proxy/headers.py
+++ b/coveport/serving/proxy/headers.py
@@ -1,4 +1,4 @@
-"""Reads headers, and selects those that a proxy forwards. Pure."""
+"""Parses headers, and selects the headers that a proxy forwards. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 Headers = Mapping[str, list[str]]
 
-# RFC 9110, 7.6.1: these concern one connection alone.
+# RFC 9110, 7.6.1: these headers apply to one connection only.
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -26,18 +26,18 @@
 )
 STATUSES_WITHOUT_BODY = frozenset({204, 304})
 
-# A header is decoded as latin-1, which has digits beyond ASCII; more digits than these are no number of use.
+# ASCII digits only: headers are decoded as latin-1, which has others. No useful number has more than 15.
 _WHOLE_NUMBER: Final = re.compile(r"[0-9]{1,15}")
 
 
 def connection_options(headers: Headers) -> frozenset[str]:
-    """Return the options that the `Connection` headers name, in lower case."""
+    """Return the options listed in the `Connection` headers, in lower case."""
     values = headers.get("connection", ())
     return frozenset(option.strip(" \t").lower() for value in values for option in value.split(","))
 
 
 def end_to_end_headers(headers: Headers, excluded: frozenset[str] = frozenset()) -> Iterator[tuple[str, str]]:
-    """Yield the headers that concern more than one connection, without the excluded ones."""
+    """Yield the end-to-end headers, except the excluded ones."""
     connection_only = connection_options(headers)
     for name, values in headers.items():
         if name in _HOP_BY_HOP or name in connection_only or name in excluded:
@@ -46,24 +46,24 @@
             yield name, value
 
 
-def first(headers: Headers, name: str) -> str | None:
-    """Return a header's first value."""
+def first_value(headers: Headers, name: str) -> str | None:
+    """Return the first value of a header, or None if the header is absent."""
     values = headers.get(name)
     return values[0] if values else None
 
 
 def whole_number(text: str) -> int | None:
-    """Return the number that ASCII digits write; None for anything else."""
+    """Return the value of a string of ASCII digits, or None for any other string."""
     return int(text) if _WHOLE_NUMBER.fullmatch(text) else None
 
 
 def utf8_value(text: str) -> str:
-    """Return a text as the value of a header whose bytes are its UTF-8: the codec writes latin-1."""
+    """Return a header value that the codec, which writes latin-1, encodes as the UTF-8 bytes of the text."""
     return text.encode().decode("latin-1")
 
 
 def keep_alive_s(headers: Headers) -> float | None:
-    """Return how many seconds the peer keeps an idle connection, if it says so."""
+    """Return how many seconds the peer keeps an idle connection open, or None if not specified."""
     for parameters in headers.get("keep-alive", ()):
         for parameter in parameters.split(","):
             name, _, value = parameter.strip().partition("=")
@@ -74,10 +74,10 @@
 
 
 def is_unframed(status: int, headers: Headers) -> bool:
-    """Return whether a node's response has no framing, and yet doesn't say that the connection closes.
+    """Return whether a response has neither framing headers nor `Connection: close`.
 
-    A node that keeps connections frames its responses: late bytes of another response, in the middle of this
-    one's head, have spoiled the framing header.
+    A node that keeps its connections open always frames its responses. If the framing is missing, late bytes
+    of another response have corrupted the head.
     """
     if status in STATUSES_WITHOUT_BODY or "content-length" in headers or "transfer-encoding" in headers:
         return False
--- a/coveport/serving/proxy/in_flight_request.py
+++ b/coveport/serving/proxy/in_flight_request.py
@@ -1,4 +1,4 @@
-"""What is known of one client request over all its attempts."""
+"""The state of one client request across all its attempts."""
 
 from __future__ import annotations
 
@@ -18,11 +18,10 @@
     client: ClientConnection
     routed: RoutedRequest
     deadline_s: float  # on the clock of `Net.now_s`
-    sequence: EventSequence  # of the events that the client has
-    attempts: int = 0  # requests written to nodes
+    sequence: EventSequence  # ids of the events that the client has received
+    attempts: int = 0  # how often the request was written to a node
     failed_connects: int = 0
     may_have_run: bool = False
-    has_begun_running: bool = False  # a node has begun to answer it with success
-    failed_nodes: set[str] = field(
-        default_factory=set
-    )  # incarnations whose response broke off or was an error
+    has_success_started: bool = False  # a node has started a successful response
+    # Incarnations whose response broke off or was an error.
+    failed_nodes: set[str] = field(default_factory=set)
--- a/coveport/serving/proxy/node_acquisition.py
+++ b/coveport/serving/proxy/node_acquisition.py
@@ -1,4 +1,4 @@
-"""Acquires a node for the next attempt of a request, through admission control where all are at capacity."""
+"""Acquires a node for the next attempt, through admission control if all nodes are at capacity."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from coveport.serving.proxy.node_selection import NoNode
 from coveport.serving.proxy.proxy_context import ProxyContext
 
-POLL_S = 0.02  # how often the first in the queue looks for capacity: small beside its wait; not measured
-MIN_TIME_LEFT_S = 0.01  # with less time to the deadline no node can answer; not measured
+POLL_INTERVAL_S = 0.02  # the first queued request looks for capacity this often: short against its wait
+MIN_TIME_LEFT_S = 0.01  # with less time left until the deadline no node can respond
 
 
 async def acquire_node(context: ProxyContext, request: InFlightRequest) -> KnownNode | None:
-    """Return a node for the next attempt, or None where there is none in time."""
+    """Return a node for the next attempt, or None if none has capacity in time."""
     routed = request.routed
     queue = context.queues.queue_for(routed.service.name, routed.route.home_regions)
     if not len(queue):
@@ -41,7 +41,7 @@
             if is_first and not isinstance(selected := _choose(context, request), NoNode):
                 return selected
             woken.clear()
-            await _wait(woken, min(POLL_S, until_s - now_s) if is_first else until_s - now_s)
+            await _wait(woken, min(POLL_INTERVAL_S, until_s - now_s) if is_first else until_s - now_s)
             now_s = context.net.now_s()
     finally:
         queue.remove(queued)
@@ -53,7 +53,7 @@
 
 
 async def _wait(woken: asyncio.Event, timeout_s: float) -> None:
-    """Return when woken, or after `timeout_s`."""
+    """Return when `woken` is set, or after `timeout_s`."""
     try:
         async with asyncio.timeout(timeout_s):
             await woken.wait()
--- a/coveport/serving/proxy/node_connection.py
+++ b/coveport/serving/proxy/node_connection.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 connection to a node, with one request on it at a time."""
+"""An HTTP/1.1 connection to a node, which carries one request at a time."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from coveport.serving.proxy.errors import BrokenResponseError
 from coveport.serving.proxy.headers import is_unframed, keep_alive_s
 
-MAX_BUFFERED_BYTES = 64 * 1024  # of a response, for a slow client: bounds memory; not measured
-MAX_RESPONSE_BYTES = 1 << 40  # no bound: responses are forwarded as they come
-UNACKNOWLEDGED_MS = 2000  # until a peer that acknowledges nothing is taken for dead; not measured
-DEFAULT_IDLE_S = 0.4  # where the node names no keep-alive time, which may be under a second; not measured
-IDLE_MARGIN_S = 1.0  # a connection is closed so long before the node would; not measured
-IDLE_MARGIN_RATIO = 0.4  # or by this part of the node's time, if that is less; not measured
+MAX_BUFFERED_BYTES = 64 * 1024  # buffered of a response for a slow client: bounds memory
+MAX_RESPONSE_BYTES = 1 << 40  # effectively unbounded: responses are forwarded as they arrive
+UNACKNOWLEDGED_TIMEOUT_MS = 2000  # TCP: a peer that acknowledges nothing for this long is unreachable
+DEFAULT_IDLE_TIMEOUT_S = 0.4  # for nodes without a Keep-Alive time-out, which may be under a second
+IDLE_MARGIN_S = 1.0  # an idle connection is closed this long before the node closes it
+IDLE_MARGIN_RATIO = 0.4  # the margin is at most this part of the idle time-out
 
 
 class NodeConnection(asyncio.Protocol):
@@ -28,28 +28,28 @@
         self._waiter: asyncio.Future[None] | None = None
         self._is_ended = False
         self._is_reset = False
-        self._is_paused = False
+        self._is_reading_paused = False
         self._is_in_use = False
         self._keeps_alive = True
-        self._has_carried_response = False  # one before the current one
-        self._unacknowledged_ms = 0  # bound that is set on the socket; 0: none
-        self._idle_s = DEFAULT_IDLE_S
-        self.is_desynchronized = False  # it carried a response to another request: not reused
+        self._has_carried_response = False  # a response before the current one
+        self._unacknowledged_timeout_ms = 0  # as set on the socket; 0: the system's default
+        self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S  # after which the node closes the connection
+        self.is_desynchronized = False  # received a response to another request: must not be reused
         self.idle_since_s = 0.0
         self.last_received_s = 0.0
-        self.one_way_s = 0.0  # from the node to here, without delays on either machine
-        self.on_received: Callable[[], None] | None = None  # called for bytes of the current response
+        self.one_way_delay_s = 0.0  # network delay from the node, without delays on either machine
+        self.on_received: Callable[[], None] | None = None  # called when bytes of the current response arrive
 
-    # The callbacks of asyncio.Protocol.
+    # Callbacks of asyncio.Protocol.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Buffer bytes for the reader. Runs for every read: keep its calls few."""
-        if not self._is_in_use:  # they belong to no request
+        """Buffer bytes for the reader. Runs for every read, so it makes few calls."""
+        if not self._is_in_use:  # the bytes belong to no request
             self.close()
             return
         self.last_received_s = self._net.now_s()
@@ -59,29 +59,29 @@
         if (
             len(self._parser.buffer) > MAX_BUFFERED_BYTES
             and self._transport is not None
-            and not self._is_paused
+            and not self._is_reading_paused
         ):
-            self._is_paused = True
+            self._is_reading_paused = True
             self._transport.pause_reading()
         self._wake()
 
     def eof_received(self) -> bool:
-        """Note that the node sends nothing more."""
+        """Record that the node sends no more bytes."""
         self._is_ended = True
         self._wake()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection is gone."""
+        """Record that the connection is closed, and whether it was reset."""
         self._is_ended = True
         self._is_reset = self._is_reset or exc is not None
         self._wake()
 
-    # The interface of `request_forwarder` and `response_relay`.
+    # Interface for `request_forwarder` and `response_relay`.
 
     @property
     def is_open(self) -> bool:
-        """Whether a request may still be sent on it."""
+        """Whether a request can still be sent on the connection."""
         transport = self._transport
         return (
             transport is not None
@@ -91,31 +91,31 @@
         )
 
     def send(self, request: bytes, *, ends_when_unacknowledged: bool) -> bool:
-        """Write a complete request; return False where the connection was broken and took none of it.
+        """Write a complete request; return False if the connection was broken and no byte was sent.
 
         Args:
             request: head and body.
-            ends_when_unacknowledged: whether the connection ends when the node's machine acknowledges
-                nothing. A request that can't be retried waits instead.
+            ends_when_unacknowledged: whether the connection ends when the node's machine stops acknowledging.
+                A request that can't be retried keeps waiting instead.
 
         """
         assert self._transport is not None
-        unacknowledged_ms = UNACKNOWLEDGED_MS if ends_when_unacknowledged else 0
-        if unacknowledged_ms != self._unacknowledged_ms:
-            self._unacknowledged_ms = unacknowledged_ms
-            self._net.set_unacknowledged_timeout(self._transport, unacknowledged_ms)
+        timeout_ms = UNACKNOWLEDGED_TIMEOUT_MS if ends_when_unacknowledged else 0
+        if timeout_ms != self._unacknowledged_timeout_ms:
+            self._unacknowledged_timeout_ms = timeout_ms
+            self._net.set_unacknowledged_timeout(self._transport, timeout_ms)
         self._is_in_use = True
         if not self.is_open:
             return False
         self._transport.write(request)
-        # A transport that closes within the write found the connection reset: the kernel took no byte.
+        # If the transport closes during the write, the connection was reset and the kernel accepted no byte.
         return not self._transport.is_closing()
 
     async def read_head(self) -> http1.Response:
         """Return the head of the next response.
 
         Raises:
-            BrokenResponseError: there will be none.
+            BrokenResponseError: the connection ended, or the response is invalid.
 
         """
         while True:
@@ -127,21 +127,21 @@
                 raise BrokenResponseError("head", "HTTP/1.1", str(error)) from None
             if response is not None:
                 if self._has_carried_response and is_unframed(response.status, response.headers):
-                    raise BrokenResponseError("head", "a length or Connection: close", "neither")
+                    raise BrokenResponseError("head", "a length or Connection: close", "neither of them")
                 self._has_carried_response = True
                 self._keeps_alive = response.keep_alive
-                idle_s = keep_alive_s(response.headers)
-                self._idle_s = DEFAULT_IDLE_S if idle_s is None else idle_s
+                idle_timeout_s = keep_alive_s(response.headers)
+                self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S if idle_timeout_s is None else idle_timeout_s
                 return response
             await self._wait_for_bytes("head")
 
     async def read_data(self) -> tuple[bytes, bool]:
-        """Return the next bytes of the body, and whether it ends with them.
+        """Return the next bytes of the body, and whether they are the last.
 
-        One loop without helpers, since it runs for every read.
+        Written as one loop without helper functions, since it runs for every read.
 
         Raises:
-            BrokenResponseError: the body breaks off.
+            BrokenResponseError: the body is invalid or ended before it was complete.
 
         """
         while True:
@@ -156,11 +156,11 @@
             await self._wait_for_bytes("body")
 
     async def _wait_for_bytes(self, stage: str) -> None:
-        """Wait until the node has sent something."""
+        """Wait until bytes arrive or the connection ends."""
         if self._is_ended:
             raise BrokenResponseError(stage, "more bytes", "the end of the connection")
-        if self._is_paused and self._transport is not None:
-            self._is_paused = False
+        if self._is_reading_paused and self._transport is not None:
+            self._is_reading_paused = False
             self._transport.resume_reading()
         self._waiter = asyncio.get_running_loop().create_future()
         try:
@@ -177,7 +177,9 @@
         self._is_in_use = False
         self.on_received = None
         self.idle_since_s = now_s
-        is_broken = self._is_ended or self._is_paused or self._parser.is_mid_message or self.is_desynchronized
+        is_broken = (
+            self._is_ended or self._is_reading_paused or self._parser.is_mid_message or self.is_desynchronized
+        )
         if is_broken or not self._keeps_alive:
             self.close()
             return False
@@ -185,11 +187,11 @@
 
     def is_expiring(self, now_s: float) -> bool:
         """Return whether the node may close the idle connection soon."""
-        margin_s = min(IDLE_MARGIN_S, IDLE_MARGIN_RATIO * self._idle_s)
-        return now_s >= self.idle_since_s + self._idle_s - margin_s
+        margin_s = min(IDLE_MARGIN_S, IDLE_MARGIN_RATIO * self._idle_timeout_s)
+        return now_s >= self.idle_since_s + self._idle_timeout_s - margin_s
 
     def close(self) -> None:
-        """Abort the connection, and with it what the node still runs for it."""
+        """Abort the connection; the node then cancels a request that still runs for it."""
         self._is_ended = True
         if self._transport is not None:
             self._transport.abort()
--- a/coveport/serving/proxy/proxy_context.py
+++ b/coveport/serving/proxy/proxy_context.py
@@ -1,4 +1,4 @@
-"""What all requests of a proxy share."""
+"""The components that all requests of a proxy share."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class ProxyContext:
-    """The parts of a proxy that outlive a request."""
+    """The components of a proxy that outlive a request."""
 
     net: Net
     view: ControlView
@@ -31,4 +31,4 @@
     queues: AdmissionQueues
     counters: Counters
     router: RequestRouter
-    telemetry: TelemetryReporter | None = None  # None: nobody wants to know
+    telemetry: TelemetryReporter | None = None  # None: tenants' requests are not counted
--- a/coveport/serving/proxy/request_forwarder.py
+++ b/coveport/serving/proxy/request_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards a request to one node: connect, write, relay the response, and record how the node behaved."""
+"""Forwards a request to one node: connects, sends, relays the response, and records the node's behaviour."""
 
 from __future__ import annotations
 
@@ -25,81 +25,81 @@
     retries: RetryPolicy
     relay: ResponseRelay
 
-    async def forward(self, known: KnownNode) -> AttemptOutcome:
-        """Send the request to one node, and relay its response."""
+    async def forward(self, known_node: KnownNode) -> AttemptOutcome:
+        """Send the request to one node, relay the response, and return the outcome."""
         context = self.context
-        node = known.node
+        node = known_node.node
         selected_s = context.net.now_s()
-        context.observations.record_selected(known, self.request.routed, selected_s)
+        context.observations.record_selected(known_node, self.request.routed, selected_s)
         try:
-            connection = await context.pool.take(node)
+            connection = await context.pool.acquire(node)
         except ConnectFailedError:
-            context.observations.record_finished(known)
+            context.observations.record_finished(known_node)
             context.counters.add("connects_failed")
             context.observations.outliers.record_unreachable(node.incarnation, context.net.now_s())
             return AttemptOutcome.NOT_SENT
         except BaseException:
-            context.observations.record_finished(known)
+            context.observations.record_finished(known_node)
             raise
         is_reusable = False
         try:
-            if not self._write(known, connection, selected_s):
+            if not self._write(known_node, connection, selected_s):
                 return AttemptOutcome.NOT_SENT
-            outcome = await self._relay(known, connection)
+            outcome = await self._relay(known_node, connection)
             is_reusable = outcome in (AttemptOutcome.COMPLETE, AttemptOutcome.NOT_RUN)
             return outcome
         finally:
-            context.observations.record_finished(known)
+            context.observations.record_finished(known_node)
             if is_reusable:
                 context.pool.release(node, connection)
             else:
                 context.pool.drop(node, connection)
 
-    def _write(self, known: KnownNode, connection: NodeConnection, selected_s: float) -> bool:
-        """Write the request; return False where nothing was sent after all."""
+    def _write(self, known_node: KnownNode, connection: NodeConnection, selected_s: float) -> bool:
+        """Write the request; return False if nothing was sent."""
         context = self.context
         request = self.request
         now_s = context.net.now_s()
-        # The view may have changed while the connection came up.
-        if not context.selector.is_still_eligible(known, now_s):
+        # The view may have changed while the connection was established.
+        if not context.selector.is_still_eligible(known_node, now_s):
             return False
-        incarnation = known.node.incarnation
+        incarnation = known_node.node.incarnation
         message = write_forwarded_request(request, incarnation, context.observations.prefix_cache, now_s)
         if not connection.send(message, ends_when_unacknowledged=request.routed.route.is_idempotent):
             return False
-        context.observations.record_forwarded(known, request.routed, selected_s, now_s)
+        context.observations.record_forwarded(known_node, request.routed, selected_s, now_s)
         if request.attempts:
             self.retries.spend(now_s)
             context.counters.add("resumed" if request.client.has_begun else "retries")
         request.attempts += 1
         return True
 
-    def _observe_gaps(self, known: KnownNode, connection: NodeConnection) -> None:
-        """Record when bytes of this response come. The callback runs for every read: one call deep."""
+    def _observe_event_gaps(self, known_node: KnownNode, connection: NodeConnection) -> None:
+        """Record when bytes of this response arrive. The callback runs for every read, so it is short."""
         net = self.context.net
         observations = self.context.observations
         routed = self.request.routed
         gaps = StreamGaps()
 
         def on_received() -> None:
-            observations.record_received(known, routed, gaps, net.now_s())
+            observations.record_received(known_node, routed, gaps, net.now_s())
 
         connection.on_received = on_received
 
-    async def _relay(self, known: KnownNode, connection: NodeConnection) -> AttemptOutcome:
-        """Relay the response, and record it as a sign of the node's health.
+    async def _relay(self, known_node: KnownNode, connection: NodeConnection) -> AttemptOutcome:
+        """Relay the response, and record the outcome for outlier ejection.
 
-        Each read of the response resumes all coroutines down to here, so this is one and not several.
+        This is a single coroutine, since every read of the response resumes all nested coroutines.
         """
         request = self.request
-        incarnation = known.node.incarnation
+        incarnation = known_node.node.incarnation
         may_have_run_before = request.may_have_run
         request.may_have_run = True
-        self._observe_gaps(known, connection)
+        self._observe_event_gaps(known_node, connection)
         is_idempotent = request.routed.route.is_idempotent
-        stall = stall_timeouts(self.context, request, self.retries, known) if is_idempotent else None
+        timeouts = stall_timeouts(self.context, request, self.retries, known_node) if is_idempotent else None
         try:
-            outcome = await self.relay.relay(connection, stall, self.retries.may_retry_error)
+            outcome = await self.relay.relay(connection, timeouts, self.retries.may_retry_after_error)
         except BrokenResponseError:
             self._record_broken_response(incarnation)
             return AttemptOutcome.FAILED
--- a/coveport/serving/proxy/request_priority.py
+++ b/coveport/serving/proxy/request_priority.py
@@ -1,31 +1,31 @@
-"""The priority that a node is given with a request: the order in which it admits and prefills. Pure.
+"""The priority sent to a node with a request: the order in which the node admits and prefills. Pure.
 
-Nodes prefill prompts one after the other, so a long one delays all behind it. Requests that can still meet
-their target go before those that can't, and short prompts before long ones: that delays the fewest, and a
-long prompt loses little by the short ones. Measurement `overload-signs` has the gain.
+A node prefills prompts in sequence, so a long prompt delays all prompts behind it. Requests that can still
+meet their latency target go before requests that can't, and short prompts before long ones: this delays the
+fewest requests, and short prompts delay a long one only a little. Measurement `overload-signs` has the gain.
 """
 
 from __future__ import annotations
 
-# Tokens that a node has yet to prefill: an idle node's time to the first event grows with them
-# (docs/policy.md, late first events). The steps between the priorities were not measured alone.
-SHORT_PROMPT_TOKENS = 1500  # less is done in one step
-MEDIUM_PROMPT_TOKENS = 4000  # several steps, as `node_selection.LONG_PREFILL_TOKENS`
+# Numbers of uncached tokens from which a prompt gets the next lower priority. The time to the first event on
+# an idle node grows with them (docs/policy.md, late first events).
+SHORT_PROMPT_TOKENS = 1500  # fewer tokens are prefilled in one step
+MEDIUM_PROMPT_TOKENS = 4000  # takes several steps, as `node_selection.LONG_PREFILL_TOKENS`
 LONG_PROMPT_TOKENS = 9000
 
-HIGHEST_PRIORITY = 2  # a node admits 0 first, and assumes 5 where it is given none; not measured
-LATE_PRIORITY = 7  # after every request that can still be in time
+HIGHEST_PRIORITY = 2  # nodes admit 0 first, and use 5 for requests without a priority
+LATE_PRIORITY = 7  # behind all requests that can still meet their target
 
 
 def request_priority(uncached_tokens: int, slack_s: float) -> int:
     """Return a priority from 0, which is admitted first, to 9.
 
     Args:
-        uncached_tokens: what the node has yet to prefill.
-        slack_s: time left until the response misses its latency target; negative: it has.
+        uncached_tokens: number of tokens that the node must still prefill.
+        slack_s: time left until the latency target of the response; negative if it has passed.
 
     """
     if slack_s <= 0:
         return LATE_PRIORITY + (uncached_tokens >= MEDIUM_PROMPT_TOKENS)
-    bounds = (SHORT_PROMPT_TOKENS, MEDIUM_PROMPT_TOKENS, LONG_PROMPT_TOKENS)
-    return HIGHEST_PRIORITY + sum(uncached_tokens >= bound for bound in bounds)
+    thresholds = (SHORT_PROMPT_TOKENS, MEDIUM_PROMPT_TOKENS, LONG_PROMPT_TOKENS)
+    return HIGHEST_PRIORITY + sum(uncached_tokens >= threshold for threshold in thresholds)
--- a/coveport/serving/proxy/response_relay.py
+++ b/coveport/serving/proxy/response_relay.py
@@ -1,4 +1,7 @@
-"""Relays a node's response to the client: never another request's, and never as complete what broke off."""
+"""Relays a node's response to the client.
+
+A response to another request is never forwarded, and a truncated response never looks complete.
+"""
 
 from __future__ import annotations
 
@@ -11,19 +14,19 @@
 from coveport.serving.proxy.counters import Counters
 from coveport.serving.proxy.errors import BrokenResponseError
 from coveport.serving.proxy.event_stream import EventSequence, EventSplitter
-from coveport.serving.proxy.headers import end_to_end_headers, first
+from coveport.serving.proxy.headers import end_to_end_headers, first_value
 from coveport.serving.proxy.node_connection import NodeConnection
 from coveport.serving.proxy.stall_timeouts import StallTimeouts, read_or_abandon
 from coveport.serving.wire.names import Header
 
-REJECTION_STATUSES = frozenset({408, 421, 429, 503})  # a client may take these for "did not run"
-MISDIRECTED = 421
-RETRIABLE_ERROR_STATUSES = frozenset({500, 502})  # ran and failed: another node may succeed
-MAX_STALE_RESPONSES = 2  # to other requests, skipped in front of ours; not measured
+REJECTION_STATUSES = frozenset({408, 421, 429, 503})  # clients may read these as "did not run"
+MISDIRECTED_STATUS = 421
+RETRIABLE_ERROR_STATUSES = frozenset({500, 502})  # the request ran and failed; another node may succeed
+MAX_STALE_RESPONSES = 2  # skipped ahead of the expected response
 
 
 class RelayOutcome(Enum):
-    """What came of relaying one response."""
+    """The outcome of relaying one response."""
 
     FORWARDED = "the client has the complete response"
     SERVER_ERROR_FORWARDED = "the client has the node's own error"
@@ -34,38 +37,38 @@
 
 @dataclass(slots=True)
 class ResponseRelay:
-    """Relays the responses to one request, over all nodes that it is sent to."""
+    """Relays the responses to one request, from all nodes that it is sent to."""
 
     client: ClientConnection
-    attempt_id: str | None  # which a response must repeat
+    attempt_id: str | None  # sent with the request; a response must repeat it
     is_resumable: bool
     counters: Counters
     sequence: EventSequence
-    on_begun: Callable[[NodeConnection], None]  # called where a node begins to answer with success
+    on_success_start: Callable[[NodeConnection], None]  # called when a successful response starts
     splitter: EventSplitter = field(default_factory=EventSplitter)
 
     async def relay(
-        self, connection: NodeConnection, stall: StallTimeouts | None, may_retry: Callable[[], bool]
+        self, connection: NodeConnection, timeouts: StallTimeouts | None, may_retry: Callable[[], bool]
     ) -> RelayOutcome:
-        """Read a response and forward it.
+        """Read a response, forward it to the client, and return the outcome.
 
         Args:
-            connection: the request has been written to it.
-            stall: None where the node is never abandoned.
-            may_retry: asked where the node answers with an error, whether another node may be tried.
+            connection: carries the request, which has been written.
+            timeouts: None if the node is never abandoned.
+            may_retry: called after an error status; returns whether another node may be tried.
 
         Raises:
-            BrokenResponseError: the response broke off, or is none to this request.
+            BrokenResponseError: the response broke off, or belongs to another request.
 
         """
-        response = await self._matching_head(connection, stall)
+        response = await self._matching_head(connection, timeouts)
         if response.status in REJECTION_STATUSES:
             return await self._read_rejection(connection, response)
         if 200 <= response.status < 300:
-            await self._forward_success(connection, response, stall)
+            await self._forward_success(connection, response, timeouts)
             return RelayOutcome.FORWARDED
         if self.client.has_begun:
-            raise BrokenResponseError("head", "a stream that is resumed", f"status {response.status}")
+            raise BrokenResponseError("head", "the resumed stream", f"status {response.status}")
         if response.status in RETRIABLE_ERROR_STATUSES and may_retry():
             await self._skip_body(connection, response)
             return RelayOutcome.SERVER_ERROR
@@ -73,14 +76,16 @@
         is_server_error = response.status in RETRIABLE_ERROR_STATUSES
         return RelayOutcome.SERVER_ERROR_FORWARDED if is_server_error else RelayOutcome.FORWARDED
 
-    async def _matching_head(self, connection: NodeConnection, stall: StallTimeouts | None) -> http1.Response:
-        """Return the head of the response to this attempt; skip complete ones to others in front of it."""
+    async def _matching_head(
+        self, connection: NodeConnection, timeouts: StallTimeouts | None
+    ) -> http1.Response:
+        """Return the head of the response to this attempt; skip complete responses to other requests."""
         for _ in range(MAX_STALE_RESPONSES + 1):
-            if stall is None:
+            if timeouts is None:
                 response = await connection.read_head()
             else:
-                response = await read_or_abandon(connection.read_head, stall, stall.head_s)
-            attempt_id = first(response.headers, Header.ATTEMPT_ID)
+                response = await read_or_abandon(connection.read_head, timeouts, timeouts.head_s)
+            attempt_id = first_value(response.headers, Header.ATTEMPT_ID)
             if attempt_id == self.attempt_id:
                 return response
             if attempt_id is None:
@@ -91,10 +96,12 @@
         raise BrokenResponseError("head", f"attempt id {self.attempt_id!r}", f"{attempt_id!r}")
 
     async def _read_rejection(self, connection: NodeConnection, response: http1.Response) -> RelayOutcome:
-        if response.status != MISDIRECTED and Header.NOT_RUN not in response.headers:
-            raise BrokenResponseError("head", "whether the request ran", f"{response.status} without it")
+        if response.status != MISDIRECTED_STATUS and Header.NOT_RUN not in response.headers:
+            raise BrokenResponseError(
+                "head", "a statement whether the request ran", f"status {response.status} without it"
+            )
         await self._skip_body(connection, response)
-        return RelayOutcome.MISDIRECTED if response.status == MISDIRECTED else RelayOutcome.REJECTED
+        return RelayOutcome.MISDIRECTED if response.status == MISDIRECTED_STATUS else RelayOutcome.REJECTED
 
     async def _skip_body(self, connection: NodeConnection, response: http1.Response) -> None:
         is_last = not response.is_streamed
@@ -102,20 +109,20 @@
             _, is_last = await connection.read_data()
 
     async def _forward_success(
-        self, connection: NodeConnection, response: http1.Response, stall: StallTimeouts | None
+        self, connection: NodeConnection, response: http1.Response, timeouts: StallTimeouts | None
     ) -> None:
         if Header.STAMP not in response.headers:
-            raise BrokenResponseError("head", "the node's stamp", "none")
+            raise BrokenResponseError("head", "a stamp of the node", "no stamp")
         if "content-encoding" in response.headers:
             raise BrokenResponseError("head", "no content encoding", response.headers["content-encoding"][0])
-        self.on_begun(connection)
+        self.on_success_start(connection)
         if self.is_resumable:
-            await self._forward_events(connection, response, stall)
+            await self._forward_events(connection, response, timeouts)
         else:
             await self._forward_body(connection, response)
 
     async def _forward_body(self, connection: NodeConnection, response: http1.Response) -> None:
-        """Forward a body as it comes."""
+        """Forward the head, and the body as it arrives."""
         is_last = not response.is_streamed
         headers = list(end_to_end_headers(response.headers))
         self.client.begin(response.status, headers, 0 if is_last else response.content_length)
@@ -126,19 +133,19 @@
         self.client.finish()
 
     async def _forward_events(
-        self, connection: NodeConnection, response: http1.Response, stall: StallTimeouts | None
+        self, connection: NodeConnection, response: http1.Response, timeouts: StallTimeouts | None
     ) -> None:
-        """Forward complete events, so that another node can resume the stream after any of them."""
+        """Forward complete events only, so that another node can resume the stream after any of them."""
         self.splitter.incomplete.clear()
         self.sequence.begin_stream()
         if not self.client.has_begun:
             self.client.begin(response.status, list(end_to_end_headers(response.headers)), None)
         is_last = not response.is_streamed
         while not is_last:
-            if stall is None:
+            if timeouts is None:
                 data, is_last = await connection.read_data()
             else:
-                data, is_last = await read_or_abandon(connection.read_data, stall, stall.event_s)
+                data, is_last = await read_or_abandon(connection.read_data, timeouts, timeouts.event_s)
             for event in self.splitter.feed(data):
                 self._forward_event(event)
             await self.client.wait_writable()
@@ -147,6 +154,8 @@
 
     def _forward_event(self, event: bytes) -> None:
         if not self.sequence.may_follow(event):
-            raise BrokenResponseError("body", f"an event after id {self.sequence.last_id!r}", "another")
+            raise BrokenResponseError(
+                "body", f"an event that follows id {self.sequence.last_id!r}", "an event that does not"
+            )
         self.client.write(event)
         self.sequence.record_forwarded(event)
--- a/coveport/serving/proxy/response_writing.py
+++ b/coveport/serving/proxy/response_writing.py
@@ -1,10 +1,10 @@
-"""Writes the status line of a response, and complete responses of the proxy itself. Pure."""
+"""Writes status lines, and complete responses of the proxy itself. Pure."""
 
 from __future__ import annotations
 
 from coveport import http1
 
-_REASONS = {
+_REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -21,10 +21,10 @@
 
 
 def status_line(status: int) -> str:
-    """Return the first line of a response."""
-    return f"HTTP/1.1 {status} {_REASONS.get(status, 'Unknown')}"
+    """Return the status line of a response, without a line end."""
+    return f"HTTP/1.1 {status} {_REASON_PHRASES.get(status, 'Unknown')}"
 
 
 def write_response(status: int, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
-    """Return the bytes of a complete response of our own."""
+    """Return the bytes of a complete response of the proxy."""
     return http1.write_head(status_line(status), [*headers, ("Content-Length", str(len(body)))]) + body
--- a/coveport/serving/proxy/retry_budget.py
+++ b/coveport/serving/proxy/retry_budget.py
@@ -1,12 +1,13 @@
 """A proxy's quota of the retry budget. Pure.
 
 The rule (`settings.boot.Bounds`): in each sliding window the requests that reach nodes of a service beyond
-the first attempt of each request, summed over all proxies, are at most ratio x requests + slack. Each proxy
-keeps to ratio x its own requests, and to an equal share of the slack; both with a margin, since windows of
-the rule begin at other moments than ours. An attempt that was rejected, and a 421, count; a connection that
-never came up does not.
+the first attempt of each request, summed over all proxies, are at most ratio x requests + slack. The quota
+of a proxy is ratio x its own requests plus an equal part of the slack, both with a margin, since the windows
+of the rule begin at other times than the windows here. Rejected attempts and 421 responses count; a
+connection that could not be established does not.
 
-A retry is reserved when it is decided, and spent when it is sent: others are decided in between.
+A retry is reserved when it is decided and spent when it is sent, since further retries may be decided in
+between.
 """
 
 from __future__ import annotations
@@ -16,53 +17,53 @@
 
 from coveport.serving.proxy.sliding_window import SlidingWindow
 
-RATIO_MARGIN = 0.9  # of the ratio: windows of the rule hold other requests; measurement `retry-windows`
-SLACK_MARGIN = 0.8  # of the slack, likewise; measurement `retry-windows`
+RATIO_MARGIN = 0.9  # part of the ratio in use: the rule's windows differ; measurement `retry-windows`
+SLACK_MARGIN = 0.8  # part of the slack in use, for the same reason; measurement `retry-windows`
 
 
 @dataclass(slots=True)
 class _ServiceBudget:
     requests: SlidingWindow
     retries: SlidingWindow
-    reserved: int = 0
+    reserved: int = 0  # retries decided and not yet sent
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Counts requests and retries by service."""
+    """The requests and retries of each service, and the retries that the quota still allows."""
 
     ratio: float
     slack: float
     window_s: float
-    _services: dict[str, _ServiceBudget] = field(default_factory=dict)
+    _budgets_by_service: dict[str, _ServiceBudget] = field(default_factory=dict)
 
-    def _of(self, service: str) -> _ServiceBudget:
-        found = self._services.get(service)
-        if found is None:
-            found = _ServiceBudget(SlidingWindow(self.window_s), SlidingWindow(self.window_s))
-            self._services[service] = found
-        return found
+    def _budget_of(self, service: str) -> _ServiceBudget:
+        budget = self._budgets_by_service.get(service)
+        if budget is None:
+            budget = _ServiceBudget(SlidingWindow(self.window_s), SlidingWindow(self.window_s))
+            self._budgets_by_service[service] = budget
+        return budget
 
     def record_request(self, service: str, now_s: float) -> None:
         """Count a client's request for the service."""
-        self._of(service).requests.add(now_s)
+        self._budget_of(service).requests.add(now_s)
 
     def reserve(self, service: str, max_proxies: int, now_s: float) -> bool:
-        """Reserve one retry and return True, if the budget has room for it."""
-        budget = self._of(service)
-        allowed = self.ratio * RATIO_MARGIN * budget.requests.count(now_s)
-        allowed += floor(self.slack * SLACK_MARGIN / max(1, max_proxies))
-        if budget.retries.count(now_s) + budget.reserved + 1 > allowed:
+        """Reserve one retry and return True, if the quota allows it."""
+        budget = self._budget_of(service)
+        max_retries = self.ratio * RATIO_MARGIN * budget.requests.count(now_s)
+        max_retries += floor(self.slack * SLACK_MARGIN / max(1, max_proxies))
+        if budget.retries.count(now_s) + budget.reserved + 1 > max_retries:
             return False
         budget.reserved += 1
         return True
 
     def spend(self, service: str, now_s: float) -> None:
-        """Count a reserved retry that is sent."""
-        budget = self._of(service)
+        """Turn a reserved retry into a sent one."""
+        budget = self._budget_of(service)
         budget.reserved -= 1
         budget.retries.add(now_s)
 
     def release(self, service: str) -> None:
-        """Give back a reserved retry that is not sent."""
-        self._of(service).reserved -= 1
+        """Cancel the reservation of a retry that is not sent."""
+        self._budget_of(service).reserved -= 1
--- a/coveport/serving/proxy/retry_policy.py
+++ b/coveport/serving/proxy/retry_policy.py
@@ -1,14 +1,14 @@
 """Decides whether a request may be sent to another node after an attempt.
 
-| the attempt ended with | another node may be tried |
+| outcome of the attempt | the request may be retried |
 | --- | --- |
-| no connection | yes: nothing was sent; this counts neither as an attempt nor against the retry budget |
+| no connection | yes: nothing was sent; counts neither as an attempt nor against the retry budget |
 | 503, 429 or 408 with a statement that the request did not run; 421 | yes |
-| a reset, an invalid response, a stall, or a rejection without that statement | only if it is idempotent |
-| the same in the middle of a resumable stream | yes, after the last complete event that the client has |
-| 500 or 502 of the node | only if it is idempotent; else the client gets the response |
+| a reset, an invalid response, a stall, or a rejection without that statement | if it is idempotent |
+| the same in the middle of a resumable stream | yes, after the last complete event that the client received |
+| 500 or 502 of the node | if it is idempotent; else the response is forwarded to the client |
 
-Each retry needs an attempt left (`Route.max_attempts`) and a reservation in the retry budget.
+A retry must also stay within `Route.max_attempts`, and needs a reservation in the retry budget.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from coveport.serving.proxy.in_flight_request import InFlightRequest
 from coveport.serving.proxy.proxy_context import ProxyContext
 
-MAX_FAILED_CONNECTS = 4  # of one request: each may take a good part of its latency target; not measured
+MAX_FAILED_CONNECTS = 4  # per request; each may take a large part of its latency target
 
 
 class AttemptOutcome(Enum):
@@ -40,7 +40,7 @@
     _has_reservation: bool = False
 
     def may_retry(self, outcome: AttemptOutcome) -> bool:
-        """Return whether another node may be tried after an attempt that ended so; reserves the retry."""
+        """Return whether another node may be tried after this outcome; if so, reserve the retry."""
         if outcome is AttemptOutcome.NOT_SENT:
             self.request.failed_connects += 1
             return self.request.failed_connects < MAX_FAILED_CONNECTS
@@ -52,17 +52,17 @@
     def may_run_twice(self) -> bool:
         """Whether the request may be sent again although it may have run.
 
-        A response that has begun must be resumable.
+        If the response to the client has begun, the stream must be resumable.
         """
         route = self.request.routed.route
         return route.resumable if self.request.client.has_begun else route.is_idempotent
 
-    def may_retry_error(self) -> bool:
-        """Return whether another node may be tried after an error of a node; reserves the retry."""
+    def may_retry_after_error(self) -> bool:
+        """Return whether another node may be tried after a node's error; if so, reserve the retry."""
         return self.may_run_twice and self.reserve()
 
     def reserve(self) -> bool:
-        """Reserve one retry, if the route and the budget allow it, and return whether one is reserved."""
+        """Reserve one retry, if the route and the budget allow it; return whether a retry is reserved."""
         if self._has_reservation:
             return True
         routed = self.request.routed
@@ -74,12 +74,12 @@
         return self._has_reservation
 
     def spend(self, now_s: float) -> None:
-        """Spend the reservation: the retry is sent."""
+        """Spend the reservation, as the retry is sent."""
         self._has_reservation = False
         self.context.budget.spend(self.request.routed.service.name, now_s)
 
     def release(self) -> None:
-        """Give back the reservation, if there is one."""
+        """Cancel the reservation, if there is one."""
         if self._has_reservation:
             self._has_reservation = False
             self.context.budget.release(self.request.routed.service.name)
--- a/coveport/serving/proxy/route_table.py
+++ b/coveport/serving/proxy/route_table.py
@@ -10,7 +10,7 @@
 
 
 def host_name(host: str) -> str:
-    """Return a Host header's name as routes are compared: lower case, without the port."""
+    """Return the name in a Host header in lower case and without the port, for comparison with routes."""
     name, colon, port = host.strip().rpartition(":")
     if colon and (port.isdigit() or not port) and not name.endswith(":"):
         host = name
@@ -19,16 +19,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """A configuration, indexed for lookups."""
+    """A configuration with indexes for routes, services and tenants."""
 
     configuration: Configuration
-    routes_by_host: dict[str, tuple[Route, ...]]  # longest prefix first
+    routes_by_host: dict[str, tuple[Route, ...]]  # sorted by length of the path prefix, longest first
     services: dict[str, Service]
     tenants: TenantIndex | None  # None: requests need no API key
 
     @classmethod
     def of(cls, configuration: Configuration) -> RouteTable:
-        """Index a configuration."""
+        """Return the table of a configuration."""
         by_host: dict[str, list[Route]] = {}
         for route in configuration.routes:
             by_host.setdefault(route.host.lower(), []).append(route)
@@ -41,7 +41,7 @@
         return cls(configuration, ordered, services, tenants)
 
     def find(self, host: str, target: str) -> Route | None:
-        """Return the route with the longest prefix of the path, or None where no route matches."""
+        """Return the route with the longest matching path prefix, or None if no route matches."""
         path = target.partition("?")[0]
         for route in self.routes_by_host.get(host_name(host), ()):
             if path.startswith(route.path_prefix):
@@ -50,14 +50,14 @@
 
 
 def choose_service(route: Route, random: Random) -> str | None:
-    """Draw one of the route's services by weight, or return None where no service has any."""
-    total = sum(weighted.weight for weighted in route.services)
-    if total <= 0:
+    """Return one of the route's services, drawn by weight, or None if none has a positive weight."""
+    total_weight = sum(weighted.weight for weighted in route.services)
+    if total_weight <= 0:
         return None
-    remaining = random.random() * total
+    remaining_weight = random.random() * total_weight
     for weighted in route.services:
-        remaining -= weighted.weight
-        if remaining < 0:
+        remaining_weight -= weighted.weight
+        if remaining_weight < 0:
             return weighted.service
-    # Rounding may leave a remainder behind the last weight.
+    # Rounding errors may leave a small remainder after the last weight.
     return next(weighted.service for weighted in reversed(route.services) if weighted.weight > 0)
--- a/coveport/serving/proxy/routed_request.py
+++ b/coveport/serving/proxy/routed_request.py
@@ -1,4 +1,4 @@
-"""What selecting a node for a request depends on. Pure."""
+"""The inputs of node selection for one request. Pure."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class RoutedRequest:
     """A request's route, the service drawn for it, the segments of its prompt, and its tenant."""
 
-    route: Route  # with the tenant's priority and home regions
+    route: Route  # includes the tenant's priority and home regions
     service: Service
     segments: tuple[PromptSegment, ...] = ()
-    tenant: str | None = None  # name; None: its route is public, or there are no tenants
-    edition: int = 0  # of the configuration that decided
+    tenant: str | None = None  # name; None if the route is public or no tenants are configured
+    edition: int = 0  # edition of the configuration that routed the request
--- a/coveport/serving/proxy/stall_policy.py
+++ b/coveport/serving/proxy/stall_policy.py
@@ -1,4 +1,4 @@
-"""Decides when a node that sends nothing is abandoned for another one."""
+"""Decides when an unresponsive node is abandoned for another node."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from coveport.serving.proxy.retry_policy import RetryPolicy
 from coveport.serving.proxy.stall_timeouts import StallTimeouts
 
-HEAD_STALL_S = 2.0  # to the first byte: shorter, it would move requests out of a long queue; not measured
-HEAD_STALL_PER_TOKEN_S = 0.00005  # of the prompt, which is prefilled first; not measured
-EVENT_STALL_S = 1.2  # between events, where the route's target for gaps is short; not measured
-EVENT_STALL_GAPS = 3  # or so many times that target; not measured
-NODE_STALL_S = 0.8  # the node sends nothing to other requests either; measurement `unresponsive-time`
+HEAD_STALL_S = 2.0  # to the first byte; a shorter time would move requests out of a node's long queue
+HEAD_STALL_PER_TOKEN_S = 0.00005  # extra time per token of the prompt, which is prefilled first
+EVENT_STALL_S = 1.2  # between events: the minimum for routes with a short inter-token target
+EVENT_STALL_TARGET_RATIO = 3  # between events, as a multiple of the inter-token target
+NODE_STALL_S = 0.8  # without bytes on any connection to the node; measurement `unresponsive-time`
 
 
 def stall_timeouts(
-    context: ProxyContext, request: InFlightRequest, retries: RetryPolicy, known: KnownNode
+    context: ProxyContext, request: InFlightRequest, retries: RetryPolicy, known_node: KnownNode
 ) -> StallTimeouts:
-    """Return how long the node may send nothing in answer to an idempotent request."""
+    """Return the stall time-outs of an idempotent request."""
     route = request.routed.route
     tokens = sum(segment.tokens for segment in request.routed.segments)
     return StallTimeouts(
         head_s=max(HEAD_STALL_S, route.latency_target_ms / 1000) + HEAD_STALL_PER_TOKEN_S * tokens,
-        event_s=max(EVENT_STALL_S, EVENT_STALL_GAPS * route.inter_token_target_ms / 1000),
-        may_abandon=partial(_may_abandon, context, request, retries, known),
+        event_s=max(EVENT_STALL_S, EVENT_STALL_TARGET_RATIO * route.inter_token_target_ms / 1000),
+        may_abandon=partial(_may_abandon, context, request, retries, known_node),
     )
 
 
 def _may_abandon(
-    context: ProxyContext, request: InFlightRequest, retries: RetryPolicy, known: KnownNode
+    context: ProxyContext, request: InFlightRequest, retries: RetryPolicy, known_node: KnownNode
 ) -> bool:
-    """Return whether the node sends nothing to anyone, and another can take the request.
+    """Return whether the node is unresponsive to all requests, and another node can take this one.
 
-    Reserves the retry where it returns True.
+    If so, the retry is reserved.
     """
-    incarnation = known.node.incarnation
+    incarnation = known_node.node.incarnation
     now_s = context.net.now_s()
     if context.pool.last_received_s(incarnation) > now_s - NODE_STALL_S or not retries.may_run_twice:
         return False
--- a/coveport/serving/proxy/stall_timeouts.py
+++ b/coveport/serving/proxy/stall_timeouts.py
@@ -1,4 +1,4 @@
-"""Reads from a node with a time limit, after which the node may be abandoned."""
+"""Reads from a node with a time-out, after which the node may be abandoned."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from coveport.serving.proxy.errors import BrokenResponseError
 
-Read = TypeVar("Read")
+ReadResult = TypeVar("ReadResult")
 
 
 @dataclass(slots=True)
 class StallTimeouts:
-    """How many seconds a node may send nothing before `may_abandon` is asked."""
+    """Times in seconds without bytes from a node after which `may_abandon` is called."""
 
     head_s: float  # before the head of the response
     event_s: float  # between events of a stream
-    may_abandon: Callable[[], bool]  # whether another node may, and can, take the request
+    may_abandon: Callable[[], bool]  # whether to abandon the node, as another one can take the request
 
 
 async def read_or_abandon(
-    read: Callable[[], Awaitable[Read]], stall: StallTimeouts, timeout_s: float
-) -> Read:
-    """Return what is read; each time nothing came for `timeout_s`, ask whether to abandon the node.
+    read: Callable[[], Awaitable[ReadResult]], timeouts: StallTimeouts, timeout_s: float
+) -> ReadResult:
+    """Return the result of `read`; after every `timeout_s` without one, abandon the node if allowed.
 
     Raises:
         BrokenResponseError: the node is abandoned, or the response broke off.
@@ -35,5 +35,5 @@
             async with asyncio.timeout(timeout_s):
                 return await read()
         except TimeoutError:
-            if stall.may_abandon():
+            if timeouts.may_abandon():
                 raise BrokenResponseError("read", f"bytes within {timeout_s} s", "none") from None
--- a/tests/serving/proxy/test_admission.py
+++ b/tests/serving/proxy/test_admission.py
@@ -36,7 +36,7 @@
         assert len(queue) == len(here)
         order = sorted(
             (queued for queued in here if queued is not None),
-            key=lambda queued: (queued.priority, queued.number),
+            key=lambda queued: (queued.priority, queued.arrival_number),
         )
         assert [queue.is_first(queued) for queued in order] == [queued is order[0] for queued in order]
 
--- a/tests/serving/proxy/test_broken_variants.py
+++ b/tests/serving/proxy/test_broken_variants.py
@@ -227,7 +227,7 @@
 
 @caught_by(forwarding_tests.test_client_that_disconnects_closes_the_node_connection)
 def ignores_disconnected_clients(patch: Patch) -> None:
-    patch.setattr(ClientConnection, "connection_lost", lambda self, _: self._owner.disconnected(self))
+    patch.setattr(ClientConnection, "connection_lost", lambda self, _: self._owner.remove_connection(self))
 
 
 # Streams.
