--- a/coveport/serving/proxy/admission.py
+++ b/coveport/serving/proxy/admission.py
@@ -43,7 +43,8 @@
     """The waiting requests, in the order in which they are admitted."""
 
     max_length: int = MAX_QUEUED_REQUESTS
-    _heap: list[QueuedRequest] = field(default_factory=list)  # removed requests leave once first
+    # A removed request stays in the heap until it becomes first.
+    _heap: list[QueuedRequest] = field(default_factory=list)
     _arrival_numbers: count[int] = field(default_factory=count)
     _length: int = 0
 
--- a/coveport/serving/proxy/event_stream.py
+++ b/coveport/serving/proxy/event_stream.py
@@ -60,13 +60,13 @@
         Numeric ids must increase. The first id of a resumed stream may exceed the last one by no more than
         the largest step seen so far.
         """
-        number = _as_number(event_id(event))
+        next_number = _as_number(event_id(event))
         last_number = _as_number(self.last_id)
-        if number is None or last_number is None:
+        if next_number is None or last_number is None:
             return True
-        if number <= last_number:
+        if next_number <= last_number:
             return False
-        return not (self._is_resuming and self._max_id_step) or number - last_number <= self._max_id_step
+        return not (self._is_resuming and self._max_id_step) or next_number - last_number <= self._max_id_step
 
     def record_forwarded(self, event: bytes) -> None:
         """Record that the event was written to the client."""
--- a/coveport/serving/proxy/retry_budget.py
+++ b/coveport/serving/proxy/retry_budget.py
@@ -38,11 +38,11 @@
     _budgets_by_service: dict[str, _ServiceBudget] = field(default_factory=dict)
 
     def _budget_of(self, service: str) -> _ServiceBudget:
-        budget = self._budgets_by_service.get(service)
-        if budget is None:
-            budget = _ServiceBudget(SlidingWindow(self.window_s), SlidingWindow(self.window_s))
-            self._budgets_by_service[service] = budget
-        return budget
+        service_budget = self._budgets_by_service.get(service)
+        if service_budget is None:
+            service_budget = _ServiceBudget(SlidingWindow(self.window_s), SlidingWindow(self.window_s))
+            self._budgets_by_service[service] = service_budget
+        return service_budget
 
     def record_request(self, service: str, now_s: float) -> None:
         """Count a client's request for the service."""
--- a/tests/serving/proxy/proxy_environment.py
+++ b/tests/serving/proxy/proxy_environment.py
@@ -59,15 +59,15 @@
 
 
 class ProxyEnvironment:
-    """Time, a network, one proxy, and a process that its nodes and clients live in."""
+    """A simulated network with one proxy, and a process that runs its nodes and clients."""
 
     def __init__(self, bounds: Bounds | None = None, routes: tuple[Route, ...] = ()) -> None:
         self.time = World()
         self.network = Network(self.time, Ways(DAY))
-        self.lab = Process.start(self.time, "lab")
+        self.peer_process = Process.start(self.time, "lab")
         self.proxy_process = Process.start(self.time, "proxy")
         self.net = VirtualNet(self.proxy_process, self.network, self.network.place(PROXY_IP, 0))
-        self.client_net = VirtualNet(self.lab, self.network, self.network.place(CLIENT_IP, CLIENT))
+        self.client_net = VirtualNet(self.peer_process, self.network, self.network.place(CLIENT_IP, CLIENT))
         self.view = ControlView()
         routes = routes or (RESUMABLE, UNSAFE_STREAM, SAFE)
         self.view.configuration = Configuration(1, routes, (SERVICE,))
@@ -92,12 +92,14 @@
         self.run(self.data_path.start(), process=self.proxy_process)
 
     def add_node(self, script: Script, *, region: str = "r", cold_s: float = 0.0) -> ScriptedNode:
-        """Add a node that the proxy knows of."""
+        """Add a node that is in the proxy's view."""
         node = ScriptedNode(script)
         number = len(self.nodes)
         self.nodes.append(node)
         address = f"10.0.1.{number + 1}"
-        net = VirtualNet(self.lab, self.network, self.network.place(address, 0 if region == "r" else 1))
+        net = VirtualNet(
+            self.peer_process, self.network, self.network.place(address, 0 if region == "r" else 1)
+        )
         self.run(net.listen(node.make_connection, (address, 80), accepts_per_turn=64, backlog=512))
         report = Node(
             incarnation=f"i-{number}",
@@ -113,17 +115,17 @@
         self.update_node(KnownNode(report, now_s, now_s + cold_s if cold_s else 0.0, FOREVER))
         return node
 
-    def update_node(self, known: KnownNode) -> None:
-        """Put a node into the proxy's view."""
-        self.view.nodes = self.view.nodes.set(known.node.incarnation, known)
+    def update_node(self, known_node: KnownNode) -> None:
+        """Add or replace a node in the proxy's view."""
+        self.view.nodes = self.view.nodes.set(known_node.node.incarnation, known_node)
         self.view.notify_listeners()
 
     def set_unresponsive(self, number: int, *, is_unresponsive: bool = True) -> None:
-        """Let a node's machine send nothing at all."""
+        """Make a node's machine stop sending anything, or resume."""
         self.network.places[f"10.0.1.{number + 1}"].silent = is_unresponsive
 
     def refuse_connects(self, number: int) -> None:
-        """Let a node's machine refuse connects, and reset its connections."""
+        """Make a node's machine refuse connects, and reset its connections."""
         del self.network.listening[f"10.0.1.{number + 1}", 80]
         for connection in self.nodes[number].connections:
             if not connection.is_closed:
@@ -137,16 +139,16 @@
 
     def run(self, coro: Coroutine[Any, Any, T], seconds: float = 30.0, process: Process | None = None) -> T:
         """Run a coroutine to its end and return its result."""
-        task = (process or self.lab).create_task(coro)
-        assert self.time.run(self.time.now + seconds, task.done), "it takes too long"
+        task = (process or self.peer_process).create_task(coro)
+        assert self.time.run(self.time.now + seconds, task.done), f"not finished after {seconds} s"
         return task.result()
 
     def run_until(self, condition: Callable[[], object], seconds: float = 30.0) -> None:
-        """Let time pass until the condition holds."""
-        assert self.time.run(self.time.now + seconds, lambda: bool(condition())), "it takes too long"
+        """Advance the simulated time until the condition holds."""
+        assert self.time.run(self.time.now + seconds, lambda: bool(condition())), f"not met after {seconds} s"
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         self.time.run(self.time.now + seconds)
 
     def metric(self, name: str) -> float:
@@ -154,7 +156,7 @@
         return self.data_path.metrics().get(name, 0.0)
 
     def check(self) -> None:
-        """Assert that no exception was lost and no request is in flight."""
+        """Assert that no process has an unhandled exception and no request is in flight."""
         assert self.proxy_process.problems == []
-        assert self.lab.problems == []
+        assert self.peer_process.problems == []
         assert self.metric("in_flight") == 0
--- a/tests/serving/proxy/scripted_node.py
+++ b/tests/serving/proxy/scripted_node.py
@@ -1,4 +1,4 @@
-"""Test doubles of the data path: nodes that follow a script, and a client."""
+"""Test doubles for tests of the data path: nodes that follow a script, and a client."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from coveport import http1
 
-STAMP = "Coveport-Postmark"
+STAMP_HEADER = "Coveport-Postmark"
 
 
 @dataclass
@@ -19,21 +19,23 @@
     def header(self, name: str) -> str | None:
         return self.request.get(name.lower())
 
-    def head(self, status: int = 200, *more: tuple[str, str], stamp: str | None = "stamp-1") -> bytes:
-        headers = [("Coveport-Try-Id", self.header("Coveport-Try-Id") or ""), *more]
+    def head(
+        self, status: int = 200, *extra_headers: tuple[str, str], stamp: str | None = "stamp-1"
+    ) -> bytes:
+        headers = [("Coveport-Try-Id", self.header("Coveport-Try-Id") or ""), *extra_headers]
         if stamp is not None:
-            headers.append((STAMP, stamp))
+            headers.append((STAMP_HEADER, stamp))
         return http1.write_head(f"HTTP/1.1 {status} X", headers)
 
-    def respond(self, body: bytes = b"hello", status: int = 200, *more: tuple[str, str]) -> None:
-        self.connection.write(self.head(status, *more, ("Content-Length", str(len(body)))) + body)
+    def respond(self, body: bytes = b"hello", status: int = 200, *extra_headers: tuple[str, str]) -> None:
+        self.connection.write(self.head(status, *extra_headers, ("Content-Length", str(len(body)))) + body)
 
     def reject(self, status: int = 503) -> None:
         self.connection.write(self.head(status, ("Coveport-Not-Run", "1"), ("Content-Length", "0")))
 
     def begin_events(self) -> None:
-        kind = ("Content-Type", "text/event-stream")
-        self.connection.write(self.head(200, kind, ("Transfer-Encoding", "chunked")))
+        content_type = ("Content-Type", "text/event-stream")
+        self.connection.write(self.head(200, content_type, ("Transfer-Encoding", "chunked")))
 
     def send_event(self, number: int) -> None:
         self.connection.write(http1.write_chunk(event_bytes(number)))
@@ -52,8 +54,8 @@
         self.parser = http1.RequestParser(8 << 20, max_head_bytes=1 << 20)
         self.transport: asyncio.Transport | None = None
         self.is_closed = False
-        self._sent = asyncio.Event()
-        self._sent.set()
+        self._all_sent = asyncio.Event()
+        self._all_sent.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -65,9 +67,9 @@
         while (request := self.parser.next_request()) is not None:
             arrival = Arrival(request, self)
             self.node.arrivals.append(arrival)
-            done = self.node.script(arrival)
-            if done is not None:
-                task = asyncio.ensure_future(done)
+            script_run = self.node.script(arrival)
+            if script_run is not None:
+                task = asyncio.ensure_future(script_run)
                 self.node.tasks.add(task)
                 task.add_done_callback(self.node.tasks.discard)
 
@@ -75,16 +77,16 @@
         self.is_closed = True
 
     def pause_writing(self) -> None:
-        self._sent.clear()
+        self._all_sent.clear()
 
     def resume_writing(self) -> None:
-        self._sent.set()
+        self._all_sent.set()
 
     async def wait_until_sent(self) -> None:
-        """Wait until the transport holds nothing more to send."""
+        """Wait until the write buffer of the transport is empty."""
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=0)
-        await self._sent.wait()
+        await self._all_sent.wait()
 
     def write(self, data: bytes) -> None:
         assert self.transport is not None
@@ -114,30 +116,30 @@
 
 
 class ScriptedClient(asyncio.Protocol):
-    """Sends requests and parses responses strictly."""
+    """A client that sends requests and parses responses strictly."""
 
     def __init__(self) -> None:
         self.parser = http1.ResponseParser(1 << 30)
         self.transport: asyncio.Transport | None = None
-        self.ended = False
-        self.raw = bytearray()
+        self.is_closed = False
+        self.received = bytearray()
         self.responses: list[http1.Response] = []
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.raw += data
+        self.received += data
         self.parser.feed(data)
         while (response := self.parser.next_response()) is not None:
             self.responses.append(response)
-        self._news.set()
+        self._changed.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.ended = True
-        self._news.set()
+        self.is_closed = True
+        self._changed.set()
 
     def send(self, data: bytes) -> None:
         assert self.transport is not None
@@ -146,33 +148,33 @@
     def send_request(
         self,
         path: str = "/a/x",
-        *more: tuple[str, str],
+        *extra_headers: tuple[str, str],
         host: str = "one.example",
         body: bytes = b"prompt",
         method: str = "POST",
         attempt_id: str = "t-1",
     ) -> None:
-        headers = [("Host", host), ("Coveport-Try-Id", attempt_id), *more]
+        headers = [("Host", host), ("Coveport-Try-Id", attempt_id), *extra_headers]
         self.send(http1.write_request(method, path, headers, body))
 
     async def response(self, number: int = 0) -> http1.Response | None:
-        """Return the response of that number; None where the connection ended without it."""
+        """Return the response of this number, or None if the connection ended without it."""
         while len(self.responses) <= number:
-            if self.ended:
+            if self.is_closed:
                 return None
-            self._news.clear()
-            await self._news.wait()
+            self._changed.clear()
+            await self._changed.wait()
         return self.responses[number]
 
     async def wait_for(self, data: bytes) -> None:
-        """Wait until these bytes were received."""
-        while data not in self.raw:
-            assert not self.ended, bytes(self.raw)
-            self._news.clear()
-            await self._news.wait()
+        """Wait until these bytes have been received."""
+        while data not in self.received:
+            assert not self.is_closed, bytes(self.received)
+            self._changed.clear()
+            await self._changed.wait()
 
     async def wait_closed(self) -> None:
         """Wait until the connection has ended."""
-        while not self.ended:
-            self._news.clear()
-            await self._news.wait()
+        while not self.is_closed:
+            self._changed.clear()
+            await self._changed.wait()
--- a/tests/serving/proxy/test_admission.py
+++ b/tests/serving/proxy/test_admission.py
@@ -1,4 +1,4 @@
-"""The admission queue: who waits, and who is admitted first."""
+"""Tests of the admission queue: the order of admission and the bound on its length."""
 
 from __future__ import annotations
 
@@ -13,32 +13,34 @@
 ROUTE = Route("r", "h", "/", RouteKind.UNSAFE, 5000, latency_target_ms=800)
 
 
-def nothing() -> None:
+def ignore_wake() -> None:
     pass
 
 
 def test_wait_of_any_latency_target_is_under_a_quarter_of_it() -> None:
-    for objective in (100, 800, 1200, 60_000):
-        assert 0 < max_wait_s(replace(ROUTE, latency_target_ms=objective)) < objective / 4000
+    for target_ms in (100, 800, 1200, 60_000):
+        assert 0 < max_wait_s(replace(ROUTE, latency_target_ms=target_ms)) < target_ms / 4000
     assert 0 < max_wait_s(replace(ROUTE, latency_target_ms=0)) <= 0.5
 
 
 @given(st.lists(st.integers(0, 3), max_size=40), st.data())
-def test_first_is_the_oldest_of_the_highest_priority(ranks: list[int], data: st.DataObject) -> None:
+def test_first_is_the_oldest_of_the_highest_priority(priorities: list[int], data: st.DataObject) -> None:
     queue = AdmissionQueue()
-    here = []
-    for rank in ranks:
-        here.append(queue.enqueue(rank, nothing))
+    waiting = []
+    for priority in priorities:
+        waiting.append(queue.enqueue(priority, ignore_wake))
         if data.draw(st.booleans()):
-            leaving = here.pop(data.draw(st.integers(0, len(here) - 1)))
-            assert leaving is not None
-            queue.remove(leaving)
-        assert len(queue) == len(here)
-        order = sorted(
-            (queued for queued in here if queued is not None),
+            removed = waiting.pop(data.draw(st.integers(0, len(waiting) - 1)))
+            assert removed is not None
+            queue.remove(removed)
+        assert len(queue) == len(waiting)
+        admission_order = sorted(
+            (queued for queued in waiting if queued is not None),
             key=lambda queued: (queued.priority, queued.arrival_number),
         )
-        assert [queue.is_first(queued) for queued in order] == [queued is order[0] for queued in order]
+        assert [queue.is_first(queued) for queued in admission_order] == [
+            queued is admission_order[0] for queued in admission_order
+        ]
 
 
 def test_request_is_woken_when_it_becomes_first() -> None:
@@ -58,12 +60,12 @@
 def test_full_queue_removes_its_last_for_a_higher_priority() -> None:
     queue = AdmissionQueue(max_length=3)
     woken: list[str] = []
-    calm = [queue.enqueue(2, lambda: woken.append("calm")) for _ in range(3)]
-    assert queue.enqueue(2, nothing) is None
-    urgent = queue.enqueue(0, nothing)
+    low_priority = [queue.enqueue(2, lambda: woken.append("low")) for _ in range(3)]
+    assert queue.enqueue(2, ignore_wake) is None
+    urgent = queue.enqueue(0, ignore_wake)
     assert urgent is not None and queue.is_first(urgent) and len(queue) == 3
-    assert [queued.is_removed for queued in calm if queued is not None] == [False, False, True]
-    assert woken == ["calm"]
+    assert [queued.is_removed for queued in low_priority if queued is not None] == [False, False, True]
+    assert woken == ["low"]
 
 
 def test_requests_for_different_nodes_wait_in_separate_queues() -> None:
@@ -72,5 +74,5 @@
     assert queues.queue_for("s", home) is queues.queue_for("s", frozenset({"r"}))
     assert queues.queue_for("s", home) is not queues.queue_for("s", frozenset())
     assert queues.queue_for("s", home) is not queues.queue_for("t", home)
-    queues.queue_for("s", home).enqueue(0, nothing)
+    queues.queue_for("s", home).enqueue(0, ignore_wake)
     assert len(queues) == 1
--- a/tests/serving/proxy/test_broken_variants.py
+++ b/tests/serving/proxy/test_broken_variants.py
@@ -1,4 +1,4 @@
-"""Variants of the data path with one fault each, and the test that catches it."""
+"""Variants of the data path with one fault each, and the test that must detect the fault."""
 
 from __future__ import annotations
 
@@ -27,27 +27,27 @@
 from coveport.serving.proxy.slow_start import SlowStartLimiter
 
 Patch = pytest.MonkeyPatch
-Break = Callable[[Patch], None]
-BROKEN_STREAM = forwarding_tests.test_resumable_stream_is_resumed_at_any_byte
-VARIANTS: dict[str, tuple[Break, Callable[[], None]]] = {}
+Variant = Callable[[Patch], None]
+RESUMED_STREAM_TEST = forwarding_tests.test_resumable_stream_is_resumed_at_any_byte
+VARIANTS: dict[str, tuple[Variant, Callable[[], None]]] = {}
 
 
-def caught_by(check: Callable[[], None]) -> Callable[[Break], Break]:
-    """Register a variant that fails this check."""
+def caught_by(check: Callable[[], None]) -> Callable[[Variant], Variant]:
+    """Register a variant that must fail this check."""
 
-    def keep(variant: Break) -> Break:
+    def register(variant: Variant) -> Variant:
         VARIANTS[variant.__name__] = (variant, check)
         return variant
 
-    return keep
+    return register
 
 
 def always(value: Any) -> Callable[..., Any]:
     return lambda *args, **kwargs: value
 
 
-def _extreme(pick: Callable[..., str]) -> Callable[..., str]:
-    """Return a replacement of the draw that picks by load from all nodes."""
+def _pick_by_load(pick: Callable[..., str]) -> Callable[..., str]:
+    """Return a replacement for the random draw that applies `pick` (min or max) to the load of all nodes."""
     return lambda names, loads, *_: pick(names, key=lambda name: loads.get(name, 0))
 
 
@@ -56,12 +56,12 @@
 
 @caught_by(lambda: node_selection_tests.test_every_node_that_the_model_allows_is_chosen_sometimes(3))
 def draws_the_busier_node(patch: Patch) -> None:
-    patch.setattr(node_selection, "less_busy_of_two", _extreme(max))
+    patch.setattr(node_selection, "less_busy_of_two", _pick_by_load(max))
 
 
 @caught_by(lambda: node_selection_tests.test_every_node_that_the_model_allows_is_chosen_sometimes(3))
 def draws_the_least_busy_node_of_all(patch: Patch) -> None:
-    patch.setattr(node_selection, "less_busy_of_two", _extreme(min))
+    patch.setattr(node_selection, "less_busy_of_two", _pick_by_load(min))
 
 
 @caught_by(forwarding_tests.test_only_the_own_region_is_used_while_it_has_a_usable_node)
@@ -71,11 +71,11 @@
 
 @caught_by(forwarding_tests.test_request_with_home_regions_never_leaves_them)
 def ignores_home_regions(patch: Patch) -> None:
-    allowed = node_eligibility.eligible_nodes
+    eligible_nodes = node_eligibility.eligible_nodes
     patch.setattr(
         node_selection,
         "eligible_nodes",
-        lambda view, service, _, now: allowed(view, service, frozenset(), now),
+        lambda view, service, _, now: eligible_nodes(view, service, frozenset(), now),
     )
 
 
@@ -128,7 +128,7 @@
 
 
 @caught_by(lambda: slow_start_tests.test_sum_over_all_proxies_stays_under_the_rule(89))
-def takes_no_turns_at_a_warming_node(patch: Patch) -> None:
+def sends_without_an_interval_to_a_warming_node(patch: Patch) -> None:
     patch.setattr("coveport.serving.proxy.slow_start._turn_interval_s", always(0.0))
 
 
@@ -146,7 +146,7 @@
 
 
 @caught_by(lambda: forwarding_tests.test_rejection_without_a_statement_counts_as_run(503))
-def takes_every_rejection_for_not_run(patch: Patch) -> None:
+def treats_every_rejection_as_not_run(patch: Patch) -> None:
     async def read_rejection(self: ResponseRelay, connection: NodeConnection, response: Any) -> RelayOutcome:
         await self._skip_body(connection, response)
         return RelayOutcome.REJECTED
@@ -243,12 +243,12 @@
     patch.setattr(EventSequence, "begin_stream", always(None))
 
 
-@caught_by(lambda: BROKEN_STREAM(28))
+@caught_by(lambda: RESUMED_STREAM_TEST(28))
 def forwards_incomplete_events(patch: Patch) -> None:
     patch.setattr(EventSplitter, "feed", lambda self, data: [data] if data else [])
 
 
-@caught_by(lambda: BROKEN_STREAM(28))
+@caught_by(lambda: RESUMED_STREAM_TEST(28))
 def sends_no_last_event_id(patch: Patch) -> None:
     headers = forwarded_request._headers
     patch.setattr(
--- a/tests/serving/proxy/test_event_stream.py
+++ b/tests/serving/proxy/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Cutting streams at events, and joining what another node continues."""
+"""Splitting event streams into events, and resuming them from another node."""
 
 from __future__ import annotations
 
@@ -25,17 +25,19 @@
 
 
 @given(streams(), st.lists(st.integers(0, 200)), st.binary(max_size=5))
-def test_complete_events_come_out_however_the_bytes_come_in(
-    stream: tuple[bytes, int], cuts: list[int], tail: bytes
+def test_splitter_returns_complete_events_for_any_split_of_the_bytes(
+    stream: tuple[bytes, int], cuts: list[int], incomplete: bytes
 ) -> None:
     data, count = stream
-    tail = tail.replace(b"\n", b"").replace(b"\r", b"")
-    edges = sorted({0, len(data) + len(tail), *(cut for cut in cuts if cut < len(data) + len(tail))})
+    incomplete = incomplete.replace(b"\n", b"").replace(b"\r", b"")
+    boundaries = sorted(
+        {0, len(data) + len(incomplete), *(cut for cut in cuts if cut < len(data) + len(incomplete))}
+    )
     splitter = EventSplitter()
     events = []
-    for begin, end in pairwise(edges):
-        events += splitter.feed((data + tail)[begin:end])
-    assert b"".join(events) == data and bytes(splitter.incomplete) == tail
+    for begin, end in pairwise(boundaries):
+        events += splitter.feed((data + incomplete)[begin:end])
+    assert b"".join(events) == data and bytes(splitter.incomplete) == incomplete
     assert len(events) == count
     assert [event_id(event) for event in events] == [str(number) for number in range(count)]
 
@@ -57,8 +59,9 @@
     return b"id: %d\ndata: x\n\n" % number
 
 
-def passed(*numbers: int, last: str | None = None) -> EventSequence:
-    sequence = EventSequence(last)
+def sequence_after(*numbers: int, last_id: str | None = None) -> EventSequence:
+    """Return a sequence whose stream has forwarded events with these ids."""
+    sequence = EventSequence(last_id)
     sequence.begin_stream()
     for number in numbers:
         assert sequence.may_follow(event(number))
@@ -67,27 +70,27 @@
 
 
 def test_event_whose_id_does_not_rise_may_not_follow() -> None:
-    sequence = passed(1, 2, 3)
+    sequence = sequence_after(1, 2, 3)
     assert not sequence.may_follow(event(3)) and not sequence.may_follow(event(2))
     assert sequence.may_follow(event(4)) and sequence.may_follow(b"data: without an id\n\n")
 
 
-def test_resumed_stream_may_leave_no_event_out() -> None:
-    sequence = passed(5, 10, 15)
-    assert sequence.may_follow(event(25))  # a run may do as it likes
+def test_resumed_stream_must_not_skip_events() -> None:
+    sequence = sequence_after(5, 10, 15)
+    assert sequence.may_follow(event(25))  # within the stream of one node any step is allowed
     sequence.begin_stream()
     assert not sequence.may_follow(event(25))
-    assert sequence.may_follow(event(20)) and sequence.may_follow(event(17))  # the last event may hold less
+    assert sequence.may_follow(event(20)) and sequence.may_follow(event(17))  # also smaller steps
     sequence.record_forwarded(event(20))
     assert sequence.last_id == "20" and sequence.may_follow(event(40))
 
 
 def test_events_that_the_client_has_may_not_follow() -> None:
-    sequence = passed(last="12")
+    sequence = sequence_after(last_id="12")
     assert not sequence.may_follow(event(12)) and sequence.may_follow(event(13))
 
 
-def test_ids_that_are_no_numbers_are_recorded_and_not_compared() -> None:
+def test_non_numeric_ids_are_recorded_and_not_compared() -> None:
     sequence = EventSequence()
     sequence.record_forwarded(b"id: one\n\n")
     assert sequence.last_id == "one" and sequence.may_follow(b"id: a\n\n")
--- a/tests/serving/proxy/test_forwarding.py
+++ b/tests/serving/proxy/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests and responses through a proxy, against nodes that fail at chosen bytes."""
+"""Requests and responses through a proxy, with nodes that fail at chosen points of a response."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 def request_once(
-    environment: ProxyEnvironment, path: str = "/u/x", *more: tuple[str, str], **options: str
+    environment: ProxyEnvironment, path: str = "/u/x", *extra_headers: tuple[str, str], **options: str
 ) -> http1.Response | None:
     """Send one request on a new connection, and return its response."""
     client = environment.connect_client()
-    client.send_request(path, *more, **options)  # type: ignore[arg-type]
+    client.send_request(path, *extra_headers, **options)  # type: ignore[arg-type]
     return environment.run(client.response())
 
 
@@ -64,13 +64,13 @@
     (arrival,) = node.arrivals
     assert (arrival.request.method, arrival.request.target) == ("PATCH", "/u/x?y=%20z")
     assert arrival.request.body == b"\0body"
-    left = int(arrival.header("Coveport-Time-Left") or 0)
-    assert 2900 < left < 3000
+    time_left_ms = int(arrival.header("Coveport-Time-Left") or 0)
+    assert 2900 < time_left_ms < 3000
     assert arrival.request.headers == {
         "host": ["ONE.example:99"],
         "coveport-try-id": ["abc"],
         "coveport-model": ["m"],
-        "coveport-time-left": [str(left)],
+        "coveport-time-left": [str(time_left_ms)],
         "coveport-addressee": ["i-0"],
         "content-length": ["5"],
     }
@@ -128,7 +128,7 @@
         assert environment.run(client.response(number)) is not None
         environment.sleep(0.5)
     assert len(node.connections) == 1
-    environment.sleep(4.5)  # the node would close it after 5 s
+    environment.sleep(4.5)  # the node would close the connection after 5 s
     assert node.connections[0].is_closed
     client.send_request("/u/x")
     assert environment.run(client.response(5)) is not None
@@ -232,8 +232,8 @@
     environment.check()
 
 
-class EarlyConnection(Connection):
-    """Rejects its first request at the first bytes, and reads the rest of the body later."""
+class EarlyRejectingConnection(Connection):
+    """Rejects its first request on the first bytes, and reads the rest of the body later."""
 
     has_rejected = False
 
@@ -248,10 +248,10 @@
         super().data_received(data)
 
 
-def test_rest_of_a_body_precedes_the_next_request_after_an_early_answer(
+def test_rest_of_a_body_precedes_the_next_request_after_an_early_rejection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(scripted_node, "Connection", EarlyConnection)
+    monkeypatch.setattr(scripted_node, "Connection", EarlyRejectingConnection)
     environment = ProxyEnvironment()
     body = bytes(range(256)) * 8000
     node = environment.add_node(lambda arrival: arrival.respond() if len(node.arrivals) > 1 else None)
@@ -297,8 +297,11 @@
 # At most once, and retries.
 
 
-def break_off_first(environment: ProxyEnvironment) -> list[str]:
-    """Add two nodes; the first request is reset. Returns the nodes' names in the order of arrivals."""
+def add_nodes_that_reset_the_first_request(environment: ProxyEnvironment) -> list[str]:
+    """Add two nodes and reset the connection of the first request.
+
+    Return the incarnations that requests are addressed to, in the order of arrival.
+    """
     order: list[str] = []
 
     def script(arrival: Arrival) -> None:
@@ -315,7 +318,7 @@
 
 def test_unsafe_request_that_may_have_run_is_not_retried() -> None:
     environment = ProxyEnvironment()
-    order = break_off_first(environment)
+    order = add_nodes_that_reset_the_first_request(environment)
     response = request_once(environment, "/u/x")
     assert response is not None and response.status == 502
     assert len(order) == 1
@@ -325,7 +328,7 @@
 @pytest.mark.parametrize("path", ["/safe/x", "/a/x"])
 def test_idempotent_request_is_retried_at_another_node(path: str) -> None:
     environment = ProxyEnvironment()
-    order = break_off_first(environment)
+    order = add_nodes_that_reset_the_first_request(environment)
     response = request_once(environment, path)
     assert response is not None and response.status == 200
     assert len(set(order)) == 2
@@ -397,11 +400,11 @@
     for number in range(2):
         environment.add_node(respond)
         environment.refuse_connects(number)
-    good = environment.add_node(respond)
+    reachable = environment.add_node(respond)
     for _ in range(6):
         response = request_once(environment, "/u/x")
         assert response is not None and response.status == 200
-    assert len(good.arrivals) == 6
+    assert len(reachable.arrivals) == 6
     assert environment.metric("connects_failed") <= 2
     environment.check()
 
@@ -418,7 +421,7 @@
         assert environment.time.now - began < 0.6
     assert environment.metric("connects_failed") == 1
     environment.set_unresponsive(0, is_unresponsive=False)
-    environment.sleep(10.0)  # a health check finds it
+    environment.sleep(10.0)  # a health check succeeds in this time
     for _ in range(20):
         request_once(environment, "/u/x")
     assert environment.nodes[0].arrivals
@@ -481,7 +484,7 @@
         assert response is not None and response.body == b"x"
         assert response.headers["coveport-try-id"] == [f"t-{number}"]
         environment.sleep(0.3)
-    assert len(client.responses) == 4 and b"old" not in client.raw
+    assert len(client.responses) == 4 and b"old" not in client.received
     environment.check()
 
 
@@ -503,7 +506,7 @@
         client.send_request("/u/x", attempt_id=f"t-{number}")
         response = environment.run(client.response(number))
         assert response is not None and response.status == 200 and response.body == b"x"
-    assert b"old" not in client.raw
+    assert b"old" not in client.received
     assert len(node.connections) == 2  # the connection with the stale response is not reused
     assert environment.metric("surplus") == 1
     environment.check()
@@ -567,8 +570,8 @@
     environment.add_node(script)
     response = request_once(environment, "/a/x")
     assert response is not None and response.body == ALL_FIVE
-    passed = ALL_FIVE[:cut].count(b"\n\n")
-    assert order == [None, str(passed) if passed else None]
+    complete_events = ALL_FIVE[:cut].count(b"\n\n")
+    assert order == [None, str(complete_events) if complete_events else None]
     environment.check()
 
 
@@ -614,7 +617,7 @@
             await asyncio.sleep(0.01)
             arrival.connection.abort()
             return
-        for number in range(resumed_at, 6):  # 4 would go on
+        for number in range(resumed_at, 6):  # only 4 would continue the stream
             arrival.send_event(number)
         arrival.end_events()
 
@@ -623,7 +626,7 @@
     client = environment.connect_client()
     client.send_request("/a/x")
     environment.run(client.wait_closed())
-    assert client.responses == [] and client.raw.count(b"data: piece") == 3
+    assert client.responses == [] and client.received.count(b"data: piece") == 3
     environment.check()
 
 
@@ -645,7 +648,7 @@
     client = environment.connect_client()
     client.send_request("/a/x")
     environment.run(client.wait_closed())
-    assert client.responses == [] and event_bytes(1) in client.raw and len(order) == 2
+    assert client.responses == [] and event_bytes(1) in client.received and len(order) == 2
     environment.check()
 
 
@@ -701,7 +704,7 @@
 
     async def script(arrival: Arrival) -> None:
         if arrival.header("Coveport-Try-Id") == "slow":
-            await asyncio.sleep(3.5)  # as behind a long queue
+            await asyncio.sleep(3.5)  # as if queued behind many requests
             await five_events(arrival)
             return
         arrival.begin_events()
@@ -724,7 +727,7 @@
     environment.check()
 
 
-def test_idempotent_request_abandons_a_node_that_sends_nothing_to_anyone() -> None:
+def test_idempotent_request_abandons_an_unresponsive_node() -> None:
     environment = ProxyEnvironment()
     environment.add_node(never_respond)
     client = environment.connect_client()
@@ -737,7 +740,7 @@
     environment.check()
 
 
-def test_stalled_node_is_waited_for_where_no_other_can_take_the_request() -> None:
+def test_stalled_node_is_not_abandoned_without_an_alternative() -> None:
     environment = ProxyEnvironment()
 
     async def script(arrival: Arrival) -> None:
@@ -750,7 +753,7 @@
     environment.check()
 
 
-# Deadlines, clients that disconnect, drain.
+# Deadlines, disconnecting clients, draining.
 
 
 def never_respond(_: Arrival) -> None:
@@ -769,7 +772,7 @@
     began = environment.time.now
     response = request_once(environment, "/u/x", ("Coveport-Time-Left", "60000"))
     assert response is not None and response.status == 504
-    assert 4.9 < environment.time.now - began < 5.1  # the route's
+    assert 4.9 < environment.time.now - began < 5.1  # the time-out of the route
     environment.check()
 
 
@@ -806,7 +809,7 @@
     assert client.transport is not None
     client.transport.pause_reading()
     environment.sleep(1.0)
-    assert sent < 1_000_000  # two windows of the network and two buffers of the proxy
+    assert sent < 1_000_000  # two flow-control windows of the network and two buffers of the proxy
     client.transport.resume_reading()
     response = environment.run(client.response())
     assert response is not None and len(response.body) == 4_000_000
@@ -826,7 +829,7 @@
     began = environment.time.now
     drained = environment.proxy_process.create_task(environment.data_path.drain(began + 7.0))
     environment.sleep(0.1)
-    late.send_request("/u/x", attempt_id="t-2")  # has not learned of the drain yet
+    late.send_request("/u/x", attempt_id="t-2")  # this client has not learned of the drain yet
     response = environment.run(late.response())
     assert response is not None and response.body == ALL_FIVE and response.headers["connection"] == ["close"]
     response = environment.run(busy.response())
@@ -834,7 +837,7 @@
     environment.run_until(drained.done)
     environment.sleep(0.01)
     assert environment.time.now - began < 2.0
-    assert idle.ended and busy.ended and late.ended
+    assert idle.is_closed and busy.is_closed and late.is_closed
     with pytest.raises(ConnectionRefusedError):
         environment.connect_client()
     environment.check()
@@ -881,16 +884,16 @@
 
 def test_node_that_begins_to_drain_during_a_connect_gets_no_request() -> None:
     environment = ProxyEnvironment()
-    closing = environment.add_node(respond, region="q")  # a latency of 1 ms: a connect takes two
+    closing = environment.add_node(respond, region="q")  # one-way latency 1 ms: a connect takes 2 ms
     client = environment.connect_client()
     client.send_request("/u/x")
     environment.sleep(0.002)
     alternative = environment.add_node(respond)
-    known = environment.view.nodes["i-0"]
-    environment.update_node(replace(known, node=replace(known.node, state=NodeState.DRAINING)))
+    known_node = environment.view.nodes["i-0"]
+    environment.update_node(replace(known_node, node=replace(known_node.node, state=NodeState.DRAINING)))
     response = environment.run(client.response())
     assert response is not None and response.status == 200
-    assert len(closing.connections) == 1  # it was on its way there
+    assert len(closing.connections) == 1  # the connect had already started
     assert closing.arrivals == [] and len(alternative.arrivals) == 1
     environment.check()
 
@@ -904,13 +907,13 @@
     node.script = lambda arrival: (arrivals.append(environment.time.now), arrival.respond())[1]  # type: ignore[func-returns-value]
     for _ in range(20):
         for client in clients:
-            if len(client.responses) or not client.raw:
+            if len(client.responses) or not client.received:
                 client.send_request("/u/x")
         environment.sleep(0.2)
     quota = (9.8 * 1.5 + 5) / 9
     assert len(arrivals) >= 3
-    for at in arrivals:
-        assert sum(at <= later < at + 1.0 for later in arrivals) <= quota
+    for begin in arrivals:
+        assert sum(begin <= arrival_s < begin + 1.0 for arrival_s in arrivals) <= quota
     environment.check()
 
 
--- a/tests/serving/proxy/test_real_sockets.py
+++ b/tests/serving/proxy/test_real_sockets.py
@@ -1,4 +1,4 @@
-"""The data path on the system's own sockets: what virtual wires can't show."""
+"""The data path on real sockets: behaviour that the simulated network can't show."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from coveport.serving.settings.boot import BootSettings, Bounds
 
 HOST = "127.0.0.1"
-LONG_S = 20.0  # real seconds that no test takes
+TEST_TIMEOUT_S = 20.0  # wall-clock time
 
 
 def free_port() -> int:
@@ -30,7 +30,7 @@
 
 
 class RealEnvironment:
-    """One proxy, some nodes and clients in one loop."""
+    """One proxy with its nodes and clients in one event loop."""
 
     def __init__(self) -> None:
         self.net = Net(asyncio.get_running_loop())
@@ -72,19 +72,19 @@
         return client
 
 
-def play(day: Callable[[RealEnvironment], Awaitable[None]]) -> None:
-    """Run a test's own day."""
+def run_scenario(scenario: Callable[[RealEnvironment], Awaitable[None]]) -> None:
+    """Run a scenario with a proxy, drain the proxy, and check that there was no unhandled exception."""
 
     async def run() -> None:
         environment = RealEnvironment()
         problems: list[dict[str, object]] = []
         environment.net.loop.set_exception_handler(lambda _, context: problems.append(context))
         await environment.data_path.start()
-        await day(environment)
+        await scenario(environment)
         await environment.data_path.drain(environment.net.now_s())
         assert problems == []
 
-    asyncio.run(asyncio.wait_for(run(), LONG_S))
+    asyncio.run(asyncio.wait_for(run(), TEST_TIMEOUT_S))
 
 
 async def six_events(arrival: Arrival) -> None:
@@ -99,7 +99,7 @@
 
 
 def test_large_body_is_forwarded_completely_both_ways() -> None:
-    async def day(environment: RealEnvironment) -> None:
+    async def scenario(environment: RealEnvironment) -> None:
         await environment.add_node(lambda arrival: arrival.respond(arrival.request.body))
         client = await environment.connect_client()
         body = Random(1).randbytes(4 * 1024 * 1024)
@@ -108,12 +108,12 @@
             response = await client.response(number)
             assert response is not None and response.status == 200 and response.body == body
 
-    play(day)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("cut", [0, 5, 30, 75])
 def test_stream_that_is_reset_is_resumed_at_another_node(cut: int) -> None:
-    async def day(environment: RealEnvironment) -> None:
+    async def scenario(environment: RealEnvironment) -> None:
         arrivals: list[Arrival] = []
 
         async def script(arrival: Arrival) -> None:
@@ -136,18 +136,18 @@
         assert response is not None and response.body == ALL_SIX
         assert len(arrivals) == 2
 
-    play(day)
+    run_scenario(scenario)
 
 
 def test_refused_connect_costs_no_attempt() -> None:
-    async def day(environment: RealEnvironment) -> None:
+    async def scenario(environment: RealEnvironment) -> None:
         assert environment.view.configuration is not None
-        once = replace(UNSAFE_STREAM, max_attempts=1)
-        environment.view.configuration = replace(environment.view.configuration, routes=(once,))
+        single_attempt = replace(UNSAFE_STREAM, max_attempts=1)
+        environment.view.configuration = replace(environment.view.configuration, routes=(single_attempt,))
         await environment.add_node(lambda arrival: arrival.respond())
-        known = environment.view.nodes["i-0"]
-        gone = replace(known.node, incarnation="i-gone", address=f"{HOST}:{free_port()}")
-        environment.view.nodes = environment.view.nodes.set("i-gone", replace(known, node=gone))
+        known_node = environment.view.nodes["i-0"]
+        stopped_node = replace(known_node.node, incarnation="i-gone", address=f"{HOST}:{free_port()}")
+        environment.view.nodes = environment.view.nodes.set("i-gone", replace(known_node, node=stopped_node))
         client = await environment.connect_client()
         for number in range(8):
             client.send_request("/u/x")
@@ -155,17 +155,17 @@
             assert response is not None and response.status == 200
         assert environment.data_path.metrics().get("connects_failed", 0) == 1
 
-    play(day)
+    run_scenario(scenario)
 
 
 def test_drain_ends_when_all_requests_are_answered() -> None:
-    async def day(environment: RealEnvironment) -> None:
-        going_on = asyncio.Event()
+    async def scenario(environment: RealEnvironment) -> None:
+        may_finish = asyncio.Event()
 
         async def script(arrival: Arrival) -> None:
             arrival.begin_events()
             arrival.send_event(1)
-            await going_on.wait()
+            await may_finish.wait()
             arrival.end_events()
 
         await environment.add_node(script)
@@ -177,37 +177,37 @@
         assert not draining.done()
         with pytest.raises(ConnectionRefusedError):
             await environment.connect_client()
-        going_on.set()
+        may_finish.set()
         response = await busy.response()
         assert response is not None and response.body == event_bytes(1)
         await draining
         await busy.wait_closed()
 
-    play(day)
+    run_scenario(scenario)
 
 
 def test_user_timeout_is_set_only_for_idempotent_requests() -> None:
-    async def day(environment: RealEnvironment) -> None:
-        seen: list[tuple[int, int]] = []
-        bound = environment.net.set_unacknowledged_timeout
+    async def scenario(environment: RealEnvironment) -> None:
+        socket_options: list[tuple[int, int]] = []
+        set_timeout = environment.net.set_unacknowledged_timeout
 
-        def watched(transport: asyncio.Transport, milliseconds: int) -> None:
-            bound(transport, milliseconds)
+        def set_and_record_timeout(transport: asyncio.Transport, milliseconds: int) -> None:
+            set_timeout(transport, milliseconds)
             raw_socket = transport.get_extra_info("socket")
-            seen.append(
+            socket_options.append(
                 (
                     raw_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT),
                     raw_socket.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE),
                 )
             )
 
-        environment.net.set_unacknowledged_timeout = watched  # type: ignore[method-assign]
+        environment.net.set_unacknowledged_timeout = set_and_record_timeout  # type: ignore[method-assign]
         await environment.add_node(lambda arrival: arrival.respond(b"x", 200, ("Keep-Alive", "timeout=9")))
         client = await environment.connect_client()
         for number, path in enumerate(("/u/x", "/a/x", "/a/x", "/u/x")):
             client.send_request(path)
             assert await client.response(number) is not None
-        assert seen == [(2000, 1), (0, 0)]
+        assert socket_options == [(2000, 1), (0, 0)]
         assert len(environment.nodes[0].connections) == 1
 
-    play(day)
+    run_scenario(scenario)
--- a/tests/serving/proxy/test_request_priority.py
+++ b/tests/serving/proxy/test_request_priority.py
@@ -1,4 +1,4 @@
-"""The priority that nodes are given: in time before late, short before long."""
+"""Request priorities: requests in time go before late ones, short prompts before long ones."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 def forwarded_priority(
-    environment: ProxyEnvironment, node_arrivals: list[Arrival], *headers: tuple[str, str]
+    environment: ProxyEnvironment, arrivals: list[Arrival], *headers: tuple[str, str]
 ) -> str:
     client = environment.connect_client()
     client.send_request("/a/x", *headers)
     assert environment.run(client.response()) is not None
-    return node_arrivals[-1].header("Priority") or ""
+    return arrivals[-1].header("Priority") or ""
 
 
 def test_priority_depends_on_uncached_tokens_and_time_spent() -> None:
@@ -45,11 +45,13 @@
         arrival.respond()
 
     environment.add_node(respond)
-    long = ("Coveport-Prompt-Prefix", "aa:8000,bb:100")
-    assert forwarded_priority(environment, arrivals, long) == "4"
-    assert forwarded_priority(environment, arrivals, long) == "2", "the prefix is cached there"
-    assert forwarded_priority(environment, arrivals, long, ("Coveport-Time-Left", "4000")) == "7", (
+    long_prompt = ("Coveport-Prompt-Prefix", "aa:8000,bb:100")
+    assert forwarded_priority(environment, arrivals, long_prompt) == "4"
+    assert forwarded_priority(environment, arrivals, long_prompt) == "2", "the prefix is cached on the node"
+    assert forwarded_priority(environment, arrivals, long_prompt, ("Coveport-Time-Left", "4000")) == "7", (
         "its latency target has passed"
     )
-    assert forwarded_priority(environment, arrivals, ("Priority", "0")) == "", "a client sets none"
+    assert forwarded_priority(environment, arrivals, ("Priority", "0")) == "", (
+        "a client can't set the priority"
+    )
     environment.check()
--- a/tests/serving/proxy/test_route_table.py
+++ b/tests/serving/proxy/test_route_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and services by weight."""
+"""Selection of routes by host and longest path prefix, and of services by weight."""
 
 from __future__ import annotations
 
@@ -39,21 +39,23 @@
     st.sampled_from(["", "?q=/a/b/"]),
 )
 def test_longest_prefix_of_the_path_wins(
-    prefixes: set[str], steps: list[str], slash: bool, query: str
+    prefixes: set[str], steps: list[str], has_trailing_slash: bool, query: str
 ) -> None:
     routes = tuple(replace(ROUTE, name=prefix, path_prefix=prefix) for prefix in sorted(prefixes))
     table = RouteTable.of(Configuration(1, routes, (Service("s"),)))
-    path = "/" + "/".join(steps) + ("/" if slash and steps else "")
-    fitting = [prefix for prefix in prefixes if path[: len(prefix)] == prefix]
-    found = table.find("one.example", path + query)
-    assert (found.path_prefix if found is not None else None) == max(fitting, key=len, default=None)
+    path = "/" + "/".join(steps) + ("/" if has_trailing_slash and steps else "")
+    matching_prefixes = [prefix for prefix in prefixes if path[: len(prefix)] == prefix]
+    route = table.find("one.example", path + query)
+    assert (route.path_prefix if route is not None else None) == max(matching_prefixes, key=len, default=None)
     assert table.find("two.example", path) is None
 
 
 def test_services_are_chosen_by_weight() -> None:
-    shares = (WeightedService("a", 90), WeightedService("none", 0), WeightedService("b", 10))
+    weighted_services = (WeightedService("a", 90), WeightedService("none", 0), WeightedService("b", 10))
     random = Random(5)
-    counts = Counter(choose_service(replace(ROUTE, services=shares), random) for _ in range(10_000))
+    counts = Counter(
+        choose_service(replace(ROUTE, services=weighted_services), random) for _ in range(10_000)
+    )
     assert counts["none"] == 0 and abs(counts["b"] - 1000) < 150 and counts["a"] + counts["b"] == 10_000
     assert choose_service(replace(ROUTE, services=()), random) is None
     assert choose_service(replace(ROUTE, services=(WeightedService("a", 0),)), random) is None
