--- a/coveport/serving/proxy/admission.py
+++ b/coveport/serving/proxy/admission.py
@@ -52,7 +52,7 @@
         return self._length
 
     def enqueue(self, priority: int, wake: Callable[[], None]) -> QueuedRequest | None:
-        """Add a request and return its entry, or None where it is rejected.
+        """Add a request and return its entry, or None if the request is rejected.
 
         If the queue is full, its last request is removed and woken, provided that its priority is lower than
         that of the new request; otherwise the new request is rejected.
--- a/coveport/serving/proxy/data_path.py
+++ b/coveport/serving/proxy/data_path.py
@@ -4,7 +4,7 @@
 the request, `startup_gate` delays it if it comes before the configuration, `request_routing` routes it, and
 `exchange` makes the attempts. In each attempt, `node_acquisition` and `admission` wait for capacity,
 `node_selection` selects a node, `request_forwarder` sends the request, `response_relay` relays the response,
-and `retry_policy` decides whether to retry. `failure_response` responds where no node did.
+and `retry_policy` decides whether to retry. `failure_response` responds if no node did.
 """
 
 from __future__ import annotations
@@ -96,7 +96,7 @@
         self._maintenance.start()
 
     async def drain(self, until_s: float) -> None:
-        """Respond to accepted requests, stop accepting connections after one second, then stop.
+        """Respond to accepted requests, and accept no new connections after one second.
 
         Return at `until_s` on the clock of `Net.now_s` at the latest.
         """
--- a/coveport/serving/proxy/event_stream.py
+++ b/coveport/serving/proxy/event_stream.py
@@ -1,4 +1,4 @@
-"""Splits a `text/event-stream` into events, and checks that a resumed stream continues it. Pure.
+"""Splits a `text/event-stream` into events, and checks that a resumed stream continues the first. Pure.
 
 The format is that of the WHATWG HTML standard, 9.2 (server-sent events).
 """
--- a/coveport/serving/proxy/headers.py
+++ b/coveport/serving/proxy/headers.py
@@ -26,7 +26,7 @@
 )
 STATUSES_WITHOUT_BODY = frozenset({204, 304})
 
-# ASCII digits only: headers are decoded as latin-1, which has others. No useful number has more than 15.
+# ASCII digits only: headers are decoded as latin-1, which has more. No useful number has over 15 digits.
 _WHOLE_NUMBER: Final = re.compile(r"[0-9]{1,15}")
 
 
--- a/coveport/serving/proxy/retry_budget.py
+++ b/coveport/serving/proxy/retry_budget.py
@@ -59,7 +59,7 @@
         return True
 
     def spend(self, service: str, now_s: float) -> None:
-        """Turn a reserved retry into a sent one."""
+        """Count a reserved retry as sent."""
         budget = self._budget_of(service)
         budget.reserved -= 1
         budget.retries.add(now_s)
--- a/coveport/serving/proxy/stall_timeouts.py
+++ b/coveport/serving/proxy/stall_timeouts.py
@@ -18,7 +18,7 @@
 
     head_s: float  # before the head of the response
     event_s: float  # between events of a stream
-    may_abandon: Callable[[], bool]  # whether to abandon the node, as another one can take the request
+    may_abandon: Callable[[], bool]  # returns whether to abandon the node for another
 
 
 async def read_or_abandon(
--- a/tests/serving/proxy/scripted_node.py
+++ b/tests/serving/proxy/scripted_node.py
@@ -121,7 +121,7 @@
     def __init__(self) -> None:
         self.parser = http1.ResponseParser(1 << 30)
         self.transport: asyncio.Transport | None = None
-        self.is_closed = False
+        self.is_disconnected = False
         self.received = bytearray()
         self.responses: list[http1.Response] = []
         self._changed = asyncio.Event()
@@ -138,7 +138,7 @@
         self._changed.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.is_closed = True
+        self.is_disconnected = True
         self._changed.set()
 
     def send(self, data: bytes) -> None:
@@ -160,7 +160,7 @@
     async def response(self, number: int = 0) -> http1.Response | None:
         """Return the response of this number, or None if the connection ended without it."""
         while len(self.responses) <= number:
-            if self.is_closed:
+            if self.is_disconnected:
                 return None
             self._changed.clear()
             await self._changed.wait()
@@ -169,12 +169,12 @@
     async def wait_for(self, data: bytes) -> None:
         """Wait until these bytes have been received."""
         while data not in self.received:
-            assert not self.is_closed, bytes(self.received)
+            assert not self.is_disconnected, bytes(self.received)
             self._changed.clear()
             await self._changed.wait()
 
     async def wait_closed(self) -> None:
         """Wait until the connection has ended."""
-        while not self.is_closed:
+        while not self.is_disconnected:
             self._changed.clear()
             await self._changed.wait()
--- a/tests/serving/proxy/test_admission.py
+++ b/tests/serving/proxy/test_admission.py
@@ -27,8 +27,8 @@
 def test_first_is_the_oldest_of_the_highest_priority(priorities: list[int], data: st.DataObject) -> None:
     queue = AdmissionQueue()
     waiting = []
-    for priority in priorities:
-        waiting.append(queue.enqueue(priority, ignore_wake))
+    for drawn_priority in priorities:
+        waiting.append(queue.enqueue(drawn_priority, ignore_wake))
         if data.draw(st.booleans()):
             removed = waiting.pop(data.draw(st.integers(0, len(waiting) - 1)))
             assert removed is not None
--- a/tests/serving/proxy/test_broken_variants.py
+++ b/tests/serving/proxy/test_broken_variants.py
@@ -71,11 +71,11 @@
 
 @caught_by(forwarding_tests.test_request_with_home_regions_never_leaves_them)
 def ignores_home_regions(patch: Patch) -> None:
-    eligible_nodes = node_eligibility.eligible_nodes
+    unpatched_eligible_nodes = node_eligibility.eligible_nodes
     patch.setattr(
         node_selection,
         "eligible_nodes",
-        lambda view, service, _, now: eligible_nodes(view, service, frozenset(), now),
+        lambda view, service, _, now: unpatched_eligible_nodes(view, service, frozenset(), now),
     )
 
 
--- a/tests/serving/proxy/test_event_stream.py
+++ b/tests/serving/proxy/test_event_stream.py
@@ -26,18 +26,22 @@
 
 @given(streams(), st.lists(st.integers(0, 200)), st.binary(max_size=5))
 def test_splitter_returns_complete_events_for_any_split_of_the_bytes(
-    stream: tuple[bytes, int], cuts: list[int], incomplete: bytes
+    stream: tuple[bytes, int], cuts: list[int], incomplete_tail: bytes
 ) -> None:
     data, count = stream
-    incomplete = incomplete.replace(b"\n", b"").replace(b"\r", b"")
+    incomplete_tail = incomplete_tail.replace(b"\n", b"").replace(b"\r", b"")
     boundaries = sorted(
-        {0, len(data) + len(incomplete), *(cut for cut in cuts if cut < len(data) + len(incomplete))}
+        {
+            0,
+            len(data) + len(incomplete_tail),
+            *(cut for cut in cuts if cut < len(data) + len(incomplete_tail)),
+        }
     )
     splitter = EventSplitter()
     events = []
     for begin, end in pairwise(boundaries):
-        events += splitter.feed((data + incomplete)[begin:end])
-    assert b"".join(events) == data and bytes(splitter.incomplete) == incomplete
+        events += splitter.feed((data + incomplete_tail)[begin:end])
+    assert b"".join(events) == data and bytes(splitter.incomplete) == incomplete_tail
     assert len(events) == count
     assert [event_id(event) for event in events] == [str(number) for number in range(count)]
 
@@ -59,9 +63,9 @@
     return b"id: %d\ndata: x\n\n" % number
 
 
-def sequence_after(*numbers: int, last_id: str | None = None) -> EventSequence:
+def sequence_after(*numbers: int, initial_id: str | None = None) -> EventSequence:
     """Return a sequence whose stream has forwarded events with these ids."""
-    sequence = EventSequence(last_id)
+    sequence = EventSequence(initial_id)
     sequence.begin_stream()
     for number in numbers:
         assert sequence.may_follow(event(number))
@@ -86,7 +90,7 @@
 
 
 def test_events_that_the_client_has_may_not_follow() -> None:
-    sequence = sequence_after(last_id="12")
+    sequence = sequence_after(initial_id="12")
     assert not sequence.may_follow(event(12)) and sequence.may_follow(event(13))
 
 
--- a/tests/serving/proxy/test_forwarding.py
+++ b/tests/serving/proxy/test_forwarding.py
@@ -837,7 +837,7 @@
     environment.run_until(drained.done)
     environment.sleep(0.01)
     assert environment.time.now - began < 2.0
-    assert idle.is_closed and busy.is_closed and late.is_closed
+    assert idle.is_disconnected and busy.is_disconnected and late.is_disconnected
     with pytest.raises(ConnectionRefusedError):
         environment.connect_client()
     environment.check()
--- a/tests/serving/proxy/test_request_priority.py
+++ b/tests/serving/proxy/test_request_priority.py
@@ -28,12 +28,12 @@
 
 
 def forwarded_priority(
-    environment: ProxyEnvironment, arrivals: list[Arrival], *headers: tuple[str, str]
+    environment: ProxyEnvironment, node_arrivals: list[Arrival], *headers: tuple[str, str]
 ) -> str:
     client = environment.connect_client()
     client.send_request("/a/x", *headers)
     assert environment.run(client.response()) is not None
-    return arrivals[-1].header("Priority") or ""
+    return node_arrivals[-1].header("Priority") or ""
 
 
 def test_priority_depends_on_uncached_tokens_and_time_spent() -> None:
