--- a/coveport/serving/coordinator/coordinator.py
+++ b/coveport/serving/coordinator/coordinator.py
@@ -300,7 +300,7 @@
         match message:
             case UpdateRequest():
                 self._versions.record_proxy(message.lease.name, message.protocol_version)
-                self._reports.receive_departed(message.deregistered)
+                self._reports.receive_deregistered(message.deregistered)
                 if message.telemetry is not None:
                     self.telemetry.receive_from_proxy(message.telemetry)
                 self._subscriptions.receive(connection, message)
--- a/coveport/serving/coordinator/node_report_replication.py
+++ b/coveport/serving/coordinator/node_report_replication.py
@@ -36,7 +36,7 @@
 
     confirmation_id: int
     replicated: asyncio.Future[bool]
-    holders: dict[MemberId, Epoch] = field(default_factory=dict)  # and the view that each one knows
+    acknowledgements: dict[MemberId, Epoch] = field(default_factory=dict)  # view epoch by acknowledging member
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
             ack = NodeReportsAck(message.confirmation_id, self._peers.view_epoch())
             self._peers.send(sender, ack)
 
-    def receive_departed(self, incarnations: Iterable[str]) -> None:
+    def receive_deregistered(self, incarnations: Iterable[str]) -> None:
         """Apply what a proxy knows of departed nodes: after all coordinators restarted it alone remembers."""
         self._apply(tuple(deregistration(incarnation) for incarnation in incarnations), "")
 
@@ -107,7 +107,7 @@
         pending = self._pending.get(message.confirmation_id)
         if pending is None:
             return
-        pending.holders[sender] = message.view
+        pending.acknowledgements[sender] = message.view
         if self._is_replicated(pending) and not pending.replicated.done():
             pending.replicated.set_result(True)
 
@@ -146,8 +146,8 @@
 
     def _is_replicated(self, pending: PendingReport) -> bool:
         own_view = self._peers.view_epoch()
-        voters = [holder for holder, view in pending.holders.items() if view == own_view]
-        return len(pending.holders) >= self._required_acks and self._peers.is_majority(voters)
+        voters = [member for member, view in pending.acknowledgements.items() if view == own_view]
+        return len(pending.acknowledgements) >= self._required_acks and self._peers.is_majority(voters)
 
     def _apply(self, nodes: tuple[Node, ...], sender: str) -> None:
         now_s = self._net.now_s()
--- a/coveport/serving/settings/reader.py
+++ b/coveport/serving/settings/reader.py
@@ -42,37 +42,39 @@
 }
 
 
-def read_boot_settings(path: str, needed: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
-    """Return the settings in a file, or why there are none; `needed` as in `parse_boot_settings`."""
+def read_boot_settings(path: str, required: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
+    """Return the settings in a file, or why there are none; `required` as in `parse_boot_settings`."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, ValueError) as error:
         return Refusal(UNREADABLE, (Finding("", f"can't be read: {error}"),))
-    return parse_boot_settings(text, needed)
+    return parse_boot_settings(text, required)
 
 
-def parse_boot_settings(text: str, needed: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
+def parse_boot_settings(text: str, required: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
     """Return the settings in a TOML text, or a finding for each fault. Unknown fields are ignored.
 
-    `needed`: settings that the role can't start without, beside those that are always required.
+    `required`: settings that the role can't start without, beside those that are always required.
     """
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         return Refusal(INVALID, (Finding("", f"is not TOML: {error}"),))
     findings = Findings()
-    settings = _BootSettingsReader(data, findings, needed).read()
+    settings = _BootSettingsReader(data, findings, required).read()
     return Refusal(INVALID, tuple(findings)) if findings else settings
 
 
 class _BootSettingsReader:
     """Reads the settings of one file."""
 
-    def __init__(self, data: Mapping[str, Any], findings: Findings, needed: Collection[RoleSetting]) -> None:
+    def __init__(
+        self, data: Mapping[str, Any], findings: Findings, required: Collection[RoleSetting]
+    ) -> None:
         self._data = data
         self._findings = findings
         self._fields = FieldReader(data, findings)
-        self._needed = needed
+        self._required = required
 
     def read(self) -> BootSettings:
         """Return the settings; they are of no use where there are findings."""
@@ -134,17 +136,19 @@
     def _listen_addresses(self, serves: tuple[str, ...]) -> dict[str, Address | None]:
         """Return the address of each listener; None where the file has none."""
         table = self._fields.table(Boot.LISTEN)
-        needed = {listener for role in serves for listener in _LISTENERS.get(role, ())}.union(self._needed)
+        required = {listener for role in serves for listener in _LISTENERS.get(role, ())}.union(
+            self._required
+        )
         addresses: dict[str, Address | None] = {}
         for listener, name in wire.LISTEN.items():
             location = f"{Boot.LISTEN}.{name}"
             addresses[listener] = self._fields.address(table[name], location) if name in table else None
-            if name not in table and listener in needed:
+            if name not in table and listener in required:
                 self._findings.add(location, "is missing")
         return addresses
 
     def _data_dir(self) -> str | None:
-        if Boot.DATA_DIR in self._data or "data_dir" in self._needed:
+        if Boot.DATA_DIR in self._data or "data_dir" in self._required:
             return self._fields.required(Boot.DATA_DIR, str, "")
         return None
 
--- a/tests/serving/membership/report_explorer.py
+++ b/tests/serving/membership/report_explorer.py
@@ -254,7 +254,7 @@
                 ),
                 [node.incarnation for node in coordinator.table.deregistrations(100.0)],
                 sorted(
-                    (confirmation_id, sorted(report.holders), report.replicated.done())
+                    (confirmation_id, sorted(report.acknowledgements), report.replicated.done())
                     for confirmation_id, report in coordinator.reporting._pending.items()
                 ),
             )
--- a/tests/serving/membership/test_report_interleavings.py
+++ b/tests/serving/membership/test_report_interleavings.py
@@ -54,7 +54,7 @@
 
 def any_view_counts(self: NodeReportReplicator, pending: PendingReport) -> bool:
     """Count each holder as a member of the view known here, as an earlier version did."""
-    holders = list(pending.holders)
+    holders = list(pending.acknowledgements)
     return len(holders) >= self._required_acks and self._peers.is_majority(holders)
 
 
@@ -154,7 +154,7 @@
         coordinator = cluster.coordinators["A"]
         if order == "before":
             cluster.take("heartbeat", "A")
-        coordinator.reporting.receive_departed((NODE,))
+        coordinator.reporting.receive_deregistered((NODE,))
         if order == "after":
             cluster.take("heartbeat", "A")
         while any(cluster.links.values()):
