--- a/coveport/serving/coordinator/committed_services.py
+++ b/coveport/serving/coordinator/committed_services.py
@@ -1,4 +1,4 @@
-"""What the duties read of the acknowledged state: services, and evacuated zones."""
+"""The services and evacuated zones of the newest committed state, which the duties read."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 
 
 class CommittedServices:
-    """Reads a configuration only when it is asked for: a coordinator that holds no duty needs none."""
+    """The newest committed services and evacuated zones.
+
+    The configuration is parsed on demand: a coordinator that holds no duty doesn't need it.
+    """
 
     def __init__(self) -> None:
         self._state = initial_state()
         self._services: tuple[Service, ...] = ()
-        self._read_edition = self._state.edition
+        self._parsed_edition = self._state.edition
 
     def record_committed(self, state: ControlState) -> None:
-        """Take a newer committed state."""
+        """Replace the state by a newer committed one."""
         self._state = state
 
     def evacuated_zones(self) -> frozenset[str]:
@@ -25,11 +28,12 @@
         return self._state.evacuated_zones
 
     def services(self) -> tuple[Service, ...]:
-        """Return the services of the newest configuration; none before the first."""
+        """Return the services of the newest configuration; empty before the first one."""
         text = self._state.configuration_text
-        if self._state.edition != self._read_edition and text is not None:
-            self._read_edition = self._state.edition
+        if self._state.edition != self._parsed_edition and text is not None:
+            self._parsed_edition = self._state.edition
             configuration = read_configuration(text)
-            # What was committed was checked; another program's is left alone.
+            # A configuration is validated before its commit, so only another version of this program could
+            # have committed one that can't be read here.
             self._services = () if isinstance(configuration, Refusal) else configuration.services
         return self._services
--- a/coveport/serving/coordinator/control_service.py
+++ b/coveport/serving/coordinator/control_service.py
@@ -16,15 +16,15 @@
 
 PRIMARY_TIMEOUT_S: Final = 0.88  # callers time out after 1 s, of which the network takes up to 0.1 s
 PRIMARY_POLL_S: Final = 0.02
-OUTCOME_TIMEOUT_S: Final = 4.0  # after which no caller waits for a command any more
-DISCONNECT_WAIT_S: Final = 0.15  # over a round trip, within which the end of a caller's connection arrives
+OUTCOME_TIMEOUT_S: Final = 4.0  # by then the callers of a command have given up
+DISCONNECT_WAIT_S: Final = 0.15  # longer than the round trip within which a caller's disconnect arrives
 
 
 class ControlService:
     """Submits commands and reads on behalf of `OperatorApi`; owns no state."""
 
     def __init__(self, net: Net, runtime: ReplicaRuntime, describe: Callable[[], dict[str, Any]]) -> None:
-        """Create a service; `describe` gives the body of the operators' status call."""
+        """Create a service; `describe` returns the body of the operators' status call."""
         self._net = net
         self._runtime = runtime
         self._describe = describe
@@ -34,38 +34,45 @@
         return self._describe()
 
     async def find_other_primary(self) -> str | None:
-        """Return the inner address of the primary if that is another coordinator.
+        """Return the inner address of the primary if another coordinator is the primary.
 
-        Wait for a primary for up to `PRIMARY_TIMEOUT_S`. None: it is this one, or there is none.
+        Wait for a primary for up to `PRIMARY_TIMEOUT_S`. Return None where this coordinator is the primary,
+        or where none was elected in that time.
         """
         until_s = self._net.now_s() + PRIMARY_TIMEOUT_S
         while self._net.now_s() < until_s:
             replica = self._runtime.replica
-            if self._leads():
+            if self._is_primary_with_quorum():
                 return None
             if not replica.is_primary and replica.primary_address is not None:
                 return replica.primary_address
             await asyncio.sleep(PRIMARY_POLL_S)
         return None
 
-    def _leads(self) -> bool:
-        """Whether this is the primary and has a quorum: without one it could only let its callers wait."""
+    def _is_primary_with_quorum(self) -> bool:
+        """Return whether this coordinator is the primary and has a quorum.
+
+        A primary without a quorum can't commit anything: its callers would wait until they time out.
+        """
         replica = self._runtime.replica
         return replica.is_primary and replica.has_quorum(self._net.now_s())
 
     async def wait_for_disconnect(self) -> None:
-        """Wait until a caller that has left would have been noticed: its request is cancelled in here."""
+        """Wait long enough to notice that the caller has disconnected: its request is cancelled meanwhile."""
         await asyncio.sleep(DISCONNECT_WAIT_S)
 
     async def submit(self, command: bytes) -> ApiResponse:
-        """Run a command; 503 where this coordinator doesn't lead, or the outcome is unknown."""
-        if not self._leads():
+        """Run a command and return its response.
+
+        The status is 503 where this coordinator is not a primary with a quorum, or the outcome is unknown.
+        """
+        if not self._is_primary_with_quorum():
             return _response(NotPrimary(None))
         return _response(await self._with_timeout(self._runtime.submit(command)))
 
     async def read_configuration(self) -> ApiResponse:
-        """Return the newest configuration; 404 where there is none, 503 as for `submit`."""
-        if not self._leads():
+        """Return the newest configuration; status 404 where there is none, 503 as for `submit`."""
+        if not self._is_primary_with_quorum():
             return _response(NotPrimary(None))
         outcome = await self._with_timeout(self._runtime.read_newest())
         if not isinstance(outcome, Newest):
@@ -92,6 +99,6 @@
                 body[ERROR] = findings
             return json_response(result.status, body)
         case NotPrimary():
-            return json_response(503, {ERROR: "no primary for now"})
+            return json_response(503, {ERROR: "there is no primary at the moment"})
         case _:
-            return json_response(503, {ERROR: "it is unclear whether the change was taken; send it again"})
+            return json_response(503, {ERROR: "the outcome of the change is unknown; send the change again"})
--- a/coveport/serving/coordinator/control_state_machine.py
+++ b/coveport/serving/coordinator/control_state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that the replicas run: the changes of `configuration.state_machine`."""
+"""The replicated state machine: applies commands by `configuration.state_machine`."""
 
 from __future__ import annotations
 
--- a/coveport/serving/coordinator/coordinator.py
+++ b/coveport/serving/coordinator/coordinator.py
@@ -1,4 +1,4 @@
-"""One coordinator: makes its parts, connects them, and starts and stops them."""
+"""A coordinator: creates its components, connects them to each other, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -64,12 +64,15 @@
 from coveport.serving.wire.versions import PROTOCOL_VERSION
 
 MAINTENANCE_INTERVAL_S: Final = 0.1
-NODE_TIMEOUT_HEARTBEATS: Final = 4.5  # a node that missed so many is removed
-FULL_TABLE_HEARTBEATS: Final = 2.5  # within so many every live node has reported, to us or to a peer
-HANDOVER_MIN_S: Final = 0.4  # a stop leaves at least so much time for another primary to take over ...
-HANDOVER_MAX_PART: Final = 0.5  # ... and at most this part of the platform's grace period
+NODE_TIMEOUT_HEARTBEATS: Final = 4.5  # a node that sent none for this many intervals is removed
+FULL_TABLE_HEARTBEATS: Final = (
+    2.5  # within this many intervals every live node has reported here or to a peer
+)
+HANDOVER_MIN_S: Final = 0.4  # a stop leaves at least this time for another primary to take over
+HANDOVER_MAX_FRACTION: Final = 0.5  # the wait for it ends after this part of the platform's grace period
 HANDOVER_POLL_S: Final = 0.05
-REFRESH_PEERS_S: Final = 5.0  # after a stall, peers heard within so long before it are asked for their tables
+# After a stall the tables are requested from peers that sent something within this time before the stall.
+PEER_REFRESH_WINDOW_S: Final = 5.0
 
 
 class Coordinator:
@@ -85,7 +88,7 @@
         random_source: random.Random,
         log: EventLogger,
     ) -> None:
-        """Create a coordinator that is not started; `opened` is its disk.
+        """Create a coordinator that is not started; `opened` is the storage on its disk.
 
         Raise UnreadableStateError where the state on the disk can't be read.
         """
@@ -102,7 +105,7 @@
         self.table = NodeTable(NODE_TIMEOUT_HEARTBEATS * settings.heartbeat_ms / 1000)
         self.leases = LeaseTable()
         self.history = StateHistory()
-        self._committed_edition = 0  # the newest that was logged
+        self._committed_edition = 0  # newest edition that was logged
         self.traffic = Traffic()
         self._versions = PeerVersions()
         self._rejections = RejectionThrottle(net.now_s)
@@ -254,13 +257,13 @@
         self._log.info("coordinator_started", name=self._settings.name, zone=self._settings.zone)
 
     def apply_settings(self, settings: BootSettings) -> None:
-        """Take the settings that can change while this coordinator runs (`reloadable`)."""
+        """Apply the settings that can change while this coordinator runs (`reloadable`)."""
         self._settings = settings
         self._lookup_api.max_ttl_s = settings.bounds.ttl_max_s
         self._replica.add_peers(_inner_addresses(settings))
 
     async def stop(self) -> None:
-        """Hand over to another primary and to other replicas, respond to what was received, and close."""
+        """Hand over to another primary and to other replicas, respond to pending requests, and close."""
         self._log.info("coordinator_stopping")
         self._duties.stop()
         self._runtime.request_shutdown()
@@ -278,9 +281,10 @@
     async def _wait_for_handover(self) -> None:
         """Wait until a view without this coordinator is active.
 
-        Half of the grace period at the most: where too few others are there, no such view comes.
+        The wait ends at `HANDOVER_MAX_FRACTION` of the grace period: no such view becomes active while too
+        few other coordinators are live.
         """
-        until_s = self._net.now_s() + self._settings.bounds.grace_s * HANDOVER_MAX_PART
+        until_s = self._net.now_s() + self._settings.bounds.grace_s * HANDOVER_MAX_FRACTION
         await asyncio.sleep(HANDOVER_MIN_S)
         while self._net.now_s() < until_s:
             if self._replica.is_safe_to_stop(self._net.now_s()):
@@ -294,7 +298,7 @@
             for address, locality in localities.items()
         )
 
-    # Input: messages of proxies and of other coordinators, and what the parts report.
+    # Input: messages of proxies and of other coordinators, and callbacks of the components.
 
     def _receive(self, connection: Connection, message: Message) -> None:
         match message:
@@ -331,7 +335,8 @@
             self._log.error("frame_rejected", sender=connection.peer_host, error=str(error))
 
     def _on_peer_connected(self, address: str) -> None:
-        # The tables go before our first ping: once the peer counts us as live, it has our node table.
+        # The tables are sent before the first ping, so that a peer that counts this coordinator as live has
+        # its node table.
         self._send_tables(address)
         self.telemetry.record_connected(address)
         self._runtime.record_connected(address)
@@ -347,8 +352,8 @@
         self._services.record_committed(effect.state)
         self._duties.record_committed(effect.state)
         self.telemetry.ledger.drop_until(effect.state.duties.last_fixed_window)
-        is_of_duties = effect.command is not None and is_duty_command(effect.command)
-        if is_of_duties and self.history.is_next(effect.sequence):
+        is_duty_change = effect.command is not None and is_duty_command(effect.command)
+        if is_duty_change and self.history.is_next(effect.sequence):
             self.history.advance_duties()
             return
         state = encode_state(without_duties(effect.state))
@@ -362,16 +367,19 @@
             self._log.info("configuration_committed", edition=edition, sequence=effect.sequence)
 
     def _on_stall(self, stall_s: float) -> None:
-        """Discard what may be stale: bytes in our connections, time-outs of nodes, tables of peers."""
+        """Discard state that may be stale after a stall, and request the tables of live peers again.
+
+        Stale may be the quorum, the lease of the duties, time-outs of nodes, and bytes in HTTP connections.
+        """
         self._quorum_status.reset()
         self._duties.record_stall()
         self.table.reset_timeouts(self._net.now_s())
         for server in self._servers:
             server.reset_all()
-        for address in self._peers.live(within_s=stall_s + REFRESH_PEERS_S):
+        for address in self._peers.live(within_s=stall_s + PEER_REFRESH_WINDOW_S):
             self._peers.send(address, TableRequest())
 
-    # Time.
+    # Timers.
 
     def _run_maintenance(self) -> None:
         self._maintenance_timer = self._net.loop.call_later(MAINTENANCE_INTERVAL_S, self._run_maintenance)
@@ -399,7 +407,7 @@
         self._record_timed_out(self.table.expire(now_s))
 
     def _remove_unlisted_nodes(self, listed: Iterable[Node]) -> None:
-        """Remove nodes that a peer's complete table lacks: they timed out while we could not receive."""
+        """Remove nodes that a peer's complete table lacks: they timed out during a stall here."""
         incarnations = {node.incarnation for node in listed}
         self._record_timed_out(self.table.expire_unlisted(incarnations, self._net.now_s()))
 
@@ -410,6 +418,6 @@
 
 
 def _inner_addresses(settings: BootSettings) -> tuple[str, ...]:
-    """Return the inner addresses of the seeds: ports are alike on all machines."""
+    """Return the inner addresses of the seeds; all machines use the same inner port."""
     _, port = settings.inner
     return tuple(f"{seed}:{port}" for seed, _ in settings.seeds)
--- a/coveport/serving/coordinator/coordinator_liveness.py
+++ b/coveport/serving/coordinator/coordinator_liveness.py
@@ -1,4 +1,4 @@
-"""Which coordinators were lost lately, and which clients lose time because of it. Pure.
+"""Tracks lost coordinators, and which clients' look-ups they delay. Does no I/O.
 
 Clients look up proxies at the nearest coordinators first, and wait for a second at each that does not
 respond. A client whose nearest coordinator is lost waits that second at every look-up.
@@ -12,11 +12,12 @@
 
 from coveport.serving.wire.messages import CoordinatorEndpoint
 
-SAME_ZONE: Final = 0  # distances between a client and a coordinator
+# Distances between a client and a coordinator.
+SAME_ZONE: Final = 0
 SAME_REGION: Final = 1
 OTHER_REGION: Final = 2
-RESTART_ALLOWANCE_S: Final = 1.0  # a coordinator that was live so lately may be restarting
-FORGET_AFTER_S: Final = 60.0  # after so long it has probably left the clients' lists too
+RESTART_ALLOWANCE_S: Final = 1.0  # a coordinator that was live this recently may be restarting
+FORGET_AFTER_S: Final = 60.0  # after this time clients have probably dropped a lost coordinator too
 
 
 @dataclass(slots=True)
@@ -28,17 +29,22 @@
     _last_live_s: dict[str, float] = field(default_factory=dict)
 
     def record_live(self, endpoints: Iterable[CoordinatorEndpoint], now_s: float) -> None:
-        """Record that these are live now, and forget those that were lost long ago."""
+        """Record the coordinators that are live now, and forget those that were lost long ago."""
         for endpoint in endpoints:
             self._endpoints[endpoint.address] = endpoint
             self._last_live_s[endpoint.address] = now_s
-        expired = [address for address, at_s in self._last_live_s.items() if now_s - at_s > FORGET_AFTER_S]
+        expired = [
+            address for address, live_s in self._last_live_s.items() if now_s - live_s > FORGET_AFTER_S
+        ]
         for address in expired:
             del self._endpoints[address]
             del self._last_live_s[address]
 
     def is_lookup_delayed(self, zone: str, region: str, now_s: float) -> bool:
-        """Whether a client there that calls us has probably waited at a lost coordinator before."""
+        """Return whether a client that calls this coordinator has probably timed out at a lost one first.
+
+        `zone` and `region` are those of the client.
+        """
         own_distance = self._distance(self.own, zone, region)
         lost = (endpoint for address, endpoint in self._endpoints.items() if self._is_lost(address, now_s))
         return any(self._distance(endpoint, zone, region) <= own_distance for endpoint in lost)
--- a/coveport/serving/coordinator/duty_factory.py
+++ b/coveport/serving/coordinator/duty_factory.py
@@ -1,4 +1,4 @@
-"""Makes the duties of a coordinator from its settings, and what runs them."""
+"""Creates the duties of a coordinator from its settings, and their runner."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from coveport.net.transport import Net
 from coveport.serving.coordinator.committed_services import CommittedServices
-from coveport.serving.coordinator.duty_lease_keeper import DutyLeaseKeeper
+from coveport.serving.coordinator.duty_lease_keeper import DutyLeaseManager
 from coveport.serving.coordinator.duty_runner import DutyRunner
 from coveport.serving.coordinator.fleet_duty import FleetTables, make_fleet_duty
 from coveport.serving.coordinator.peer_versions import PeerVersions
@@ -29,12 +29,12 @@
 from coveport.serving.settings.boot import BootSettings, PlatformSettings
 from coveport.serving.wire.versions import DUTIES_VERSION
 
-NO_PLATFORM: Final = PlatformSettings(("", 0))  # it wants no duties
+NO_PLATFORM: Final = PlatformSettings(("", 0))  # a platform without duties
 
 
 @dataclass(frozen=True, slots=True)
 class DutySources:
-    """What the duties read of a coordinator."""
+    """The components of a coordinator that the duties read."""
 
     telemetry: TelemetryReplicator
     leases: LeaseTable
@@ -46,12 +46,12 @@
 def make_duties(
     settings: BootSettings, platform: PlatformSettings, sources: DutySources, log: EventLogger
 ) -> tuple[Duty, ...]:
-    """Return the duties that the platform wants."""
-    makers: dict[DutyKind, Callable[[], Duty]] = {
+    """Return the duties that the platform's settings name."""
+    factories: dict[DutyKind, Callable[[], Duty]] = {
         DutyKind.USAGE_REPORTS: lambda: _make_usage_duty(settings, sources, log),
         DutyKind.FLEET_ORDERS: lambda: _make_fleet_duty(settings, sources, log),
     }
-    return tuple(make() for kind, make in makers.items() if kind in platform.duties)
+    return tuple(create() for kind, create in factories.items() if kind in platform.duties)
 
 
 def _make_usage_duty(settings: BootSettings, sources: DutySources, log: EventLogger) -> Duty:
@@ -73,16 +73,16 @@
     random_source: random.Random,
     log: EventLogger,
 ) -> DutyRunner:
-    """Return the runner of this run's duties; it does nothing where there are none."""
+    """Return a runner for the duties in the settings; it does nothing where there are none."""
     platform = settings.platform or NO_PLATFORM
     duties = make_duties(settings, platform, sources, log)
     incarnation = f"{random_source.getrandbits(64):016x}" if duties else ""
     holder = DutyHolder(settings.name, incarnation)
 
     def may_submit() -> bool:
-        return versions.all_read(DUTIES_VERSION, runtime.replica.peer_addresses)
+        return versions.all_support(DUTIES_VERSION, runtime.replica.peer_addresses)
 
     lease = DutyLease(holder, settings.bounds.lease_ms / 1000)
-    keeper = DutyLeaseKeeper(net, runtime, lease, may_submit, log)
+    lease_manager = DutyLeaseManager(net, runtime, lease, may_submit, log)
     client = PlatformClient(net, platform.address)
-    return DutyRunner(net, keeper, client, duties, platform.calls_per_s, log)
+    return DutyRunner(net, lease_manager, client, duties, platform.calls_per_s, log)
--- a/coveport/serving/coordinator/duty_lease_keeper.py
+++ b/coveport/serving/coordinator/duty_lease_keeper.py
@@ -1,7 +1,7 @@
-"""Keeps the lease of the duties: watches who leads, confirms, acquires, and commits commands under its fence.
+"""Manages the lease of the duties: acquires and confirms it, and commits commands under its fencing token.
 
-`duties.lease` decides; here are time and the replica. What may have changed during an await is looked at
-again after it: leadership before the lease is used.
+`duties.lease` decides; this module adds the clock and the replica. After each await it observes again whether
+this coordinator is the primary, before it uses the lease.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from coveport.serving.replication.identity import Epoch
 from coveport.serving.replication.state_machine import Refused
 
-COMMAND_TIMEOUT_S: Final = 4.0  # of a command without an outcome, as of operators' commands
+COMMAND_TIMEOUT_S: Final = 4.0  # for the outcome of a command; the same as for operators' commands
 
 
 @dataclass(frozen=True, slots=True)
 class Tenure:
-    """A time during which this run holds the duties without a break."""
+    """An uninterrupted period during which this coordinator process holds the duties."""
 
-    number: int  # rises with each
-    holder: str  # as the platform is told
-    fence: int
+    number: int  # increases with each tenure of this process
+    holder: str  # name of this coordinator in calls to the platform
+    fence: int  # fencing token of the lease
 
 
-class DutyLeaseKeeper:
-    """Owns the lease of this run."""
+class DutyLeaseManager:
+    """Owns the lease of this coordinator process."""
 
     def __init__(
         self,
@@ -45,46 +45,49 @@
         may_submit: Callable[[], bool],
         log: EventLogger,
     ) -> None:
-        """Create a keeper that follows; `may_submit`: whether all coordinators read the commands."""
+        """Create a manager without the lease.
+
+        `may_submit`: whether all coordinators support the duties' commands.
+        """
         self._net = net
         self._runtime = runtime
         self._lease = lease
         self._may_submit = may_submit
         self._log = log
-        self._view: Epoch | None = None  # that is led; None: as a follower
+        self._led_view: Epoch | None = None  # view that this coordinator leads; None: it is a follower
         self._tenure: Tenure | None = None
-        self._tenures = 0
+        self._tenure_count = 0
 
     # -- queries --
 
     @property
     def phase(self) -> LeasePhase:
-        """What this coordinator is to the duties."""
+        """The phase of this coordinator in acquiring and holding the lease."""
         return self._lease.phase(self._net.now_s())
 
     def left_s(self) -> float:
-        """Return for how long a call may go on from now."""
+        """Return for how many seconds from now a call may continue."""
         return self._lease.left_s(self._net.now_s())
 
     def current_tenure(self) -> Tenure | None:
-        """Return the tenure under which a call may begin right now; None: none may."""
+        """Return the tenure under which a call may begin now; None where no call may begin."""
         self._observe()
         return self._tenure
 
     def is_step_due(self) -> bool:
-        """Whether `advance` has something to do."""
+        """Return whether `advance` has a step to do."""
         self._observe()
         return self._lease.next_step(self._net.now_s()) is not LeaseStep.WAIT and self._may_submit()
 
     # -- inputs --
 
     def record_stall(self) -> None:
-        """Trust nothing from before a stall: this run acts again once it is confirmed anew."""
+        """Void confirmations from before a stall: calls may begin again after a new confirmation."""
         self._lease = self._lease.void(self._net.now_s())
         self._end_tenure("stalled")
 
-    def record_refusal(self, fence: int) -> None:
-        """Lay a fence down that the platform has refused."""
+    def record_rejected_fence(self, fence: int) -> None:
+        """Give up a fencing token that the platform has rejected."""
         self._lease = self._lease.refuse(fence, self._net.now_s())
         self._end_tenure("the platform refused the fence")
 
@@ -100,25 +103,25 @@
                 pass
 
     async def submit(self, command: DutyCommand) -> bool:
-        """Commit a command; return whether that is certain."""
+        """Commit a command; return False where it was refused or its outcome is unknown."""
         if not self._may_submit():
             return False
         outcome = await self._outcome_of(command)
         if isinstance(outcome, Refused):
             reason = outcome.result.reason.name.lower()
             self._log.warning("duty_command_refused", command=type(command).__name__, reason=reason)
-            self._lease = self._lease.acquired()  # what was read no longer holds
+            self._lease = self._lease.acquired()  # the state that was read is out of date
         return isinstance(outcome, Done)
 
     # -- leadership and tenure --
 
     def _observe(self) -> None:
-        """Find out whether this coordinator leads, under which view, and whether it may act."""
+        """Update lease and tenure: whether this coordinator is the primary, in which view, and may act."""
         replica = self._runtime.replica
         view = replica.view_epoch if replica.is_primary else None
         now_s = self._net.now_s()
-        if view != self._view:
-            self._view = view
+        if view != self._led_view:
+            self._led_view = view
             self._lease = self._lease.lose() if view is None else self._lease.lead(now_s)
         if not self._lease.may_act(now_s):
             self._end_tenure("no longer primary" if view is None else "not confirmed")
@@ -126,8 +129,8 @@
             self._begin_tenure()
 
     def _begin_tenure(self) -> None:
-        self._tenures += 1
-        self._tenure = Tenure(self._tenures, self._lease.own.name, self._lease.held_fence)
+        self._tenure_count += 1
+        self._tenure = Tenure(self._tenure_count, self._lease.own.name, self._lease.held_fence)
         self._log.info("duties_acquired", holder=self._tenure.holder, fence=self._tenure.fence)
 
     def _end_tenure(self, reason: str) -> None:
@@ -138,17 +141,17 @@
     # -- the replica --
 
     async def _confirm(self) -> None:
-        asked_at_s = self._net.now_s()
-        self._lease = self._lease.ask(asked_at_s)
+        requested_at_s = self._net.now_s()
+        self._lease = self._lease.ask(requested_at_s)
         outcome = await self._runtime.read_newest()
         self._observe()
         if isinstance(outcome, Newest):
             state: ControlState = outcome.state
-            self._lease = self._lease.confirm(asked_at_s, state.duties)
+            self._lease = self._lease.confirm(requested_at_s, state.duties)
 
     async def _acquire(self) -> None:
         read = self._lease.read
-        assert read is not None  # or the step would have been to confirm
+        assert read is not None  # else the next step would be CONFIRM
         await self.submit(AcquireDuties(self._lease.own, read.fence))
         self._lease = self._lease.acquired()
 
--- a/coveport/serving/coordinator/duty_runner.py
+++ b/coveport/serving/coordinator/duty_runner.py
@@ -1,7 +1,7 @@
-"""Does the duties while this coordinator holds them: commits what each wants, and calls the platform.
+"""Performs the duties while this coordinator holds them: commits their commands and calls the platform.
 
-Each `Duty` decides what is to be done, `duty_lease_keeper` whether it may be; the tasks are here. The tenure
-is asked for again after each await, and once more right before the bytes of a call go.
+Each `Duty` decides which command or call is next, and `duty_lease_keeper` whether it may be made; this module
+runs the tasks. The tenure is checked again after each await, and right before the bytes of a call are sent.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 from coveport.net.transport import Net
 from coveport.serving.configuration.state import ControlState
-from coveport.serving.coordinator.duty_lease_keeper import DutyLeaseKeeper, Tenure
+from coveport.serving.coordinator.duty_lease_keeper import DutyLeaseManager, Tenure
 from coveport.serving.coordinator.platform_client import CallResult, Credentials, PlatformClient
 from coveport.serving.duties.duty import CallOutcome, Duty, PlatformCall
 from coveport.serving.duties.state import DutyState
 from coveport.serving.log import EventLogger
 
-RETRY_PAUSE_S: Final = 0.5  # after a command that did not succeed
+RETRY_PAUSE_S: Final = 0.5  # before the next command of a duty whose last one was not committed
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 
 
 class TaskKind(Enum):
-    """What a task does."""
+    """The work that a task does."""
 
     LEASE = "lease"
     COMMANDS = "commands"
@@ -43,35 +43,35 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskKey:
-    """One task of a key runs at a time."""
+    """Identifies a task; at most one task with a key runs at a time."""
 
     kind: TaskKind
-    position: int = 0  # of the duty
+    duty_index: int = 0  # index among the duties; 0 for the lease
 
 
 class DutyRunner:
-    """Owns the tasks of the duties, and when the platform was called last."""
+    """Owns the tasks of the duties, and the time of the last call to the platform."""
 
     def __init__(
         self,
         net: Net,
-        keeper: DutyLeaseKeeper,
+        lease_manager: DutyLeaseManager,
         client: PlatformClient,
         duties: Sequence[Duty],
         calls_per_s: float,
         log: EventLogger,
     ) -> None:
-        """Create a runner; `calls_per_s`: that the platform takes."""
+        """Create a runner; `calls_per_s`: the platform's limit on the rate of calls."""
         self._net = net
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._client = client
         self._duties = tuple(duties)
         self._call_interval_s = 1.0 / calls_per_s
         self._log = log
         self._state = DutyState()
-        self._taken_over: Tenure | None = None  # the newest tenure of which the duties know
+        self._notified_tenure: Tenure | None = None  # newest tenure for which the duties took over
         self._next_call_at_s = 0.0
-        self._paused_until_s = [0.0] * len(self._duties)  # by position of the duty
+        self._paused_until_s = [0.0] * len(self._duties)  # by index of the duty
         self._commit_locks = [asyncio.Lock() for _ in self._duties]
         self._tasks: dict[TaskKey, asyncio.Task[None]] = {}
         self._last_call: LastCall | None = None
@@ -80,30 +80,30 @@
     # -- inputs --
 
     def tick(self) -> None:
-        """Look at time and leadership, and start what is due; to be called several times a second."""
+        """Start the tasks that are due; to be called several times a second."""
         if self._is_stopping or not self._duties:
             return
-        if self._keeper.is_step_due():
-            self._start(TaskKey(TaskKind.LEASE), self._keeper.advance)
+        if self._lease_manager.is_step_due():
+            self._start(TaskKey(TaskKind.LEASE), self._lease_manager.advance)
         if self._tenure() is not None:
-            for position in range(len(self._duties)):
-                self._start(TaskKey(TaskKind.COMMANDS, position), partial(self._commit, position))
-                self._start(TaskKey(TaskKind.CALLS, position), partial(self._make_calls, position))
+            for duty_index in range(len(self._duties)):
+                self._start(TaskKey(TaskKind.COMMANDS, duty_index), partial(self._commit, duty_index))
+                self._start(TaskKey(TaskKind.CALLS, duty_index), partial(self._make_calls, duty_index))
 
     def record_committed(self, state: ControlState) -> None:
-        """Take a newer committed state."""
+        """Replace the state of the duties by that of a newer committed state."""
         self._state = state.duties
 
     def record_stall(self) -> None:
-        """Trust nothing from before a stall."""
-        self._keeper.record_stall()
+        """Void confirmations of the lease from before a stall."""
+        self._lease_manager.record_stall()
 
     def stop(self) -> None:
-        """Make no further call; those that are under way may still end."""
+        """Start no further call; calls in flight may still complete."""
         self._is_stopping = True
 
     def close(self) -> None:
-        """Give up what is under way."""
+        """Cancel the tasks that are still running."""
         self._is_stopping = True
         for task in self._tasks.values():
             task.cancel()
@@ -111,15 +111,15 @@
     # -- outputs --
 
     def describe(self) -> dict[str, Any]:
-        """Return what operators want to know, as JSON-compatible values; nothing without duties."""
+        """Return the duties' part of the status call, as JSON-compatible values; empty without duties."""
         if not self._duties:
             return {}
         state = self._state
         return {
-            "phase": self._keeper.phase.value,
+            "phase": self._lease_manager.phase.value,
             "holder": state.holder.name if state.holder else "",
             "fence": state.fence,
-            "lease_left_s": round(self._keeper.left_s(), 2),
+            "lease_left_s": round(self._lease_manager.left_s(), 2),
             "last_call": self._describe_last_call(),
             "unsent_reports": len(state.unsent_reports),
             "last_fixed_window": state.last_fixed_window,
@@ -139,51 +139,51 @@
     # -- tenure and tasks --
 
     def _tenure(self) -> Tenure | None:
-        """Return the tenure under which a duty may act right now, once all duties know of it."""
+        """Return the tenure under which a duty may act now; let the duties take over for a new one first."""
         if self._is_stopping:
             return None
-        tenure = self._keeper.current_tenure()
-        if tenure is not None and tenure != self._taken_over:
-            self._taken_over = tenure
+        tenure = self._lease_manager.current_tenure()
+        if tenure is not None and tenure != self._notified_tenure:
+            self._notified_tenure = tenure
             for duty in self._duties:
                 duty.take_over(self._state, self._net.now_s())
         return tenure
 
-    def _start(self, key: TaskKey, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Start a task, unless the one before it is still at work."""
+    def _start(self, key: TaskKey, create_coroutine: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        """Start a task, unless the previous task with this key is still running."""
         if key not in self._tasks:
-            task = self._net.loop.create_task(work())
+            task = self._net.loop.create_task(create_coroutine())
             self._tasks[key] = task
-            task.add_done_callback(lambda ended: self._end(key, ended))
+            task.add_done_callback(lambda ended_task: self._end(key, ended_task))
 
-    def _end(self, key: TaskKey, ended: asyncio.Task[None]) -> None:
+    def _end(self, key: TaskKey, ended_task: asyncio.Task[None]) -> None:
         del self._tasks[key]
-        if not ended.cancelled() and (error := ended.exception()) is not None:
-            self._net.loop.call_exception_handler({"message": "a duty failed", "exception": error})
+        if not ended_task.cancelled() and (error := ended_task.exception()) is not None:
+            self._net.loop.call_exception_handler({"message": "a task of a duty failed", "exception": error})
 
     # -- duties --
 
-    async def _commit(self, position: int) -> None:
-        """Commit what a duty wants, also while a call of it is under way."""
-        duty = self._duties[position]
-        async with self._commit_locks[position]:
-            while not self._is_paused(position) and (tenure := self._tenure()) is not None:
+    async def _commit(self, duty_index: int) -> None:
+        """Commit the commands of a duty, also while a call of it is in flight."""
+        duty = self._duties[duty_index]
+        async with self._commit_locks[duty_index]:
+            while not self._is_paused(duty_index) and (tenure := self._tenure()) is not None:
                 command = duty.next_command(self._state, tenure.fence, self._net.now_s())
                 if command is None:
                     return
-                if not await self._keeper.submit(command):
-                    self._paused_until_s[position] = self._net.now_s() + RETRY_PAUSE_S
+                if not await self._lease_manager.submit(command):
+                    self._paused_until_s[duty_index] = self._net.now_s() + RETRY_PAUSE_S
 
-    def _is_paused(self, position: int) -> bool:
-        return self._net.now_s() < self._paused_until_s[position]
+    def _is_paused(self, duty_index: int) -> bool:
+        return self._net.now_s() < self._paused_until_s[duty_index]
 
-    async def _make_calls(self, position: int) -> None:
-        """Make the calls that are due for a duty, each after the commands before it."""
-        duty = self._duties[position]
+    async def _make_calls(self, duty_index: int) -> None:
+        """Make the calls that are due for a duty; commit its commands before each call."""
+        duty = self._duties[duty_index]
         while True:
-            await self._commit(position)
+            await self._commit(duty_index)
             tenure = self._tenure()
-            if tenure is None or self._is_paused(position):
+            if tenure is None or self._is_paused(duty_index):
                 return
             call = duty.next_call(self._state, self._net.now_s())
             if call is None:
@@ -192,7 +192,7 @@
             duty.record_outcome(call, result.outcome, self._net.now_s())
 
     async def _make_call(self, call: PlatformCall, tenure: Tenure) -> CallResult:
-        await self._wait_for_turn()
+        await self._wait_for_rate_limit()
         result = await self._post(call, tenure)
         self._last_call = LastCall(call.path, result.outcome, self._net.now_s())
         if result.outcome is not CallOutcome.ACCEPTED:
@@ -200,19 +200,19 @@
                 "platform_call_failed", path=call.path, outcome=result.outcome.value, detail=result.detail
             )
         if result.outcome is CallOutcome.FENCED:
-            self._keeper.record_refusal(tenure.fence)
+            self._lease_manager.record_rejected_fence(tenure.fence)
         return result
 
-    async def _wait_for_turn(self) -> None:
-        """Keep calls apart by the platform's rate."""
+    async def _wait_for_rate_limit(self) -> None:
+        """Wait until the platform's rate limit allows the next call."""
         now_s = self._net.now_s()
-        turn_s = max(now_s, self._next_call_at_s)
-        self._next_call_at_s = turn_s + self._call_interval_s
-        if turn_s > now_s:
-            await asyncio.sleep(turn_s - now_s)
+        allowed_at_s = max(now_s, self._next_call_at_s)
+        self._next_call_at_s = allowed_at_s + self._call_interval_s
+        if allowed_at_s > now_s:
+            await asyncio.sleep(allowed_at_s - now_s)
 
     async def _post(self, call: PlatformCall, tenure: Tenure) -> CallResult:
-        """Make a call, and give it up where the tenure ends before it does."""
+        """Make a call, and cancel it where the tenure ends first."""
 
         def may_send() -> bool:
             return self._tenure() == tenure
@@ -220,8 +220,8 @@
         credentials = Credentials(tenure.holder, tenure.fence)
         post = self._net.loop.create_task(self._client.post(call, credentials, may_send))
         try:
-            while not post.done() and self._keeper.current_tenure() == tenure:
-                await asyncio.wait({post}, timeout=self._keeper.left_s())
+            while not post.done() and self._lease_manager.current_tenure() == tenure:
+                await asyncio.wait({post}, timeout=self._lease_manager.left_s())
         finally:
             post.cancel()
         if post.done() and not post.cancelled():
--- a/coveport/serving/coordinator/fleet_duty.py
+++ b/coveport/serving/coordinator/fleet_duty.py
@@ -1,4 +1,4 @@
-"""The duty of ordering nodes, connected to this coordinator's tables; renders the platform's call."""
+"""Connects the duty that orders nodes to this coordinator's tables, and encodes its calls."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetTables:
-    """The tables of a coordinator that tell of proxies, nodes and services."""
+    """The tables of a coordinator with proxies, nodes and services."""
 
     telemetry: TelemetryTable
     leases: LeaseTable
@@ -33,7 +33,7 @@
 
 
 def make_fleet_duty(settings: BootSettings, tables: FleetTables, log: EventLogger) -> FleetController:
-    """Return the duty that keeps the nodes of services at their demand."""
+    """Return the duty that scales the nodes of each service to its demand."""
 
     def live_proxies(now_s: float) -> tuple[LiveProxy, ...]:
         return tuple(
@@ -64,6 +64,6 @@
 
 
 def fleet_call(order: FleetOrder) -> PlatformCall:
-    """Return the call for an order: the same bytes for equal orders."""
+    """Return the call for an order; equal orders give the same bytes."""
     body = {Fleet.SERVICE: order.service, Fleet.ZONE: order.zone, Fleet.WANTED: order.wanted}
     return PlatformCall(Path.FLEET, json.dumps(body, ensure_ascii=False, separators=(",", ":")).encode())
--- a/coveport/serving/coordinator/heartbeat.py
+++ b/coveport/serving/coordinator/heartbeat.py
@@ -1,4 +1,4 @@
-"""Reads the body of a heartbeat."""
+"""Parses and validates the body of a heartbeat."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from coveport.serving.wire.names import Heartbeat
 
 _STATES: Final = {Heartbeat.ACCEPTING: NodeState.ACCEPTING, Heartbeat.CLOSING: NodeState.DRAINING}
-_INCARNATION: Final = re.compile(r"[!-~]+")  # it goes to nodes as the value of a header
+_INCARNATION: Final = re.compile(r"[!-~]+")  # sent to nodes as the value of a header
 _INCARNATION_LOCATION: Final = "path"
-_NUMBER_LIMIT: Final = 1e15  # numbers below it are exact as floats
+_NUMBER_LIMIT: Final = 1e15  # whole numbers below this are exact as floats
 
 
 def read_heartbeat(incarnation: str, body: bytes, regions: Mapping[str, str]) -> Node | Refusal:
     """Return the node that a heartbeat describes, or a refusal with all findings.
 
-    `regions`: region by zone, of all zones.
+    `regions`: the region of each zone, for all zones.
     """
     try:
         fields = json.loads(body)
@@ -32,20 +32,20 @@
     findings = Findings()
     if not _INCARNATION.fullmatch(incarnation):
         findings.add(_INCARNATION_LOCATION, "must be visible ASCII")
-    service = _text(fields, Heartbeat.SERVICE, findings)
-    address = _text(fields, Heartbeat.ADDRESS, findings)
-    zone = _text(fields, Heartbeat.ZONE, findings)
+    service = _string_field(fields, Heartbeat.SERVICE, findings)
+    address = _string_field(fields, Heartbeat.ADDRESS, findings)
+    zone = _string_field(fields, Heartbeat.ZONE, findings)
     state = _STATES.get(str(fields.get(Heartbeat.STATE)))
     if state is None:
-        findings.add(Heartbeat.STATE, "neither accepting nor closing")
+        findings.add(Heartbeat.STATE, "must be accepting or closing")
     if zone and zone not in regions:
         findings.add(Heartbeat.ZONE, f"unknown zone {zone!r}")
     if address:
         _check_address(address, findings)
-    sequence = _number(fields, Heartbeat.SEQUENCE, findings)
-    slots = _number(fields, Heartbeat.SLOTS, findings)
-    warm_up_left_ms = _number(fields, Heartbeat.WARM_UP_LEFT_MS, findings)
-    shutdown_in_ms = _number(fields, Heartbeat.SHUTDOWN_IN_MS, findings)
+    sequence = _number_field(fields, Heartbeat.SEQUENCE, findings)
+    slots = _number_field(fields, Heartbeat.SLOTS, findings)
+    warm_up_left_ms = _number_field(fields, Heartbeat.WARM_UP_LEFT_MS, findings)
+    shutdown_in_ms = _number_field(fields, Heartbeat.SHUTDOWN_IN_MS, findings)
     if findings or state is None:
         return Refusal(str(findings), tuple(findings))
     return Node(
@@ -69,18 +69,18 @@
         findings.add(Heartbeat.ADDRESS, str(error))
 
 
-def _text(fields: dict[str, Any], name: str, findings: Findings) -> str:
+def _string_field(fields: dict[str, Any], name: str, findings: Findings) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        findings.add(name, "not a text")
+        findings.add(name, "must be a non-empty string")
         return ""
     return value
 
 
-def _number(fields: dict[str, Any], name: str, findings: Findings) -> float:
+def _number_field(fields: dict[str, Any], name: str, findings: Findings) -> float:
     value = fields.get(name, 0)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not 0 <= value < _NUMBER_LIMIT:
-        findings.add(name, "not a number")
+        findings.add(name, "must be a number from 0 to below 1e15")
         return 0.0
     return float(value)
--- a/coveport/serving/coordinator/inner_listener.py
+++ b/coveport/serving/coordinator/inner_listener.py
@@ -14,7 +14,7 @@
 from coveport.serving.wire.messages import Hello, Message
 from coveport.serving.wire.traffic import Traffic
 
-ACCEPT_BATCH: Final = 64  # connections accepted in one turn of the loop
+ACCEPT_BATCH: Final = 64  # connections accepted in one iteration of the event loop
 LISTEN_BACKLOG: Final = 1024
 
 MessageHandler = Callable[[Connection, Message], None]
@@ -22,7 +22,10 @@
 
 
 class InnerListener:
-    """A listening address; `Connection.peer` is the `Hello` of a coordinator, and None of a proxy."""
+    """The listener at the inner address.
+
+    `Connection.peer` is the `Hello` of a coordinator, and None for a proxy.
+    """
 
     def __init__(
         self,
@@ -38,8 +41,8 @@
     ) -> None:
         """Create a listener; `own_disk` is the identity of this coordinator's disk.
 
-        `on_message` gets every message but `Hello`, and `on_closed` each connection at its end.
-        `on_protocol_error` is called where another program, or another version of ours, connected.
+        `on_message` is called with every message but `Hello`, and `on_closed` with each closed connection.
+        `on_protocol_error` is called where another program, or an incompatible version, connected.
         """
         self._net = net
         self._own_disk = own_disk
@@ -53,13 +56,13 @@
         self._listening: Listening | None = None
 
     async def start(self, address: Address) -> None:
-        """Start to listen; raise OSError where the address can't be bound."""
+        """Start listening; raise OSError where the address can't be bound."""
         self._listening = await self._net.listen(
             self._make_connection, address, accepts_per_turn=ACCEPT_BATCH, backlog=LISTEN_BACKLOG
         )
 
     def close(self) -> None:
-        """Accept no further connections; the open ones stay."""
+        """Stop accepting connections; open connections stay open."""
         if self._listening is not None:
             self._listening.close()
 
@@ -74,7 +77,10 @@
             self._on_message(connection, message)
 
     def _identify(self, connection: Connection, hello: Hello) -> None:
-        """Record who dialed, once a connection. A peer with our own identity runs on a copy of our disk."""
+        """Record which coordinator dialed; reset the connection at a second `Hello`.
+
+        A peer with the identity of this coordinator's disk runs on a copy of that disk, and is reset too.
+        """
         if hello.disk == self._own_disk:
             self._log.error("duplicate_identity", address=hello.address)
             connection.abort()
--- a/coveport/serving/coordinator/lease_replication.py
+++ b/coveport/serving/coordinator/lease_replication.py
@@ -13,7 +13,7 @@
 
 
 class LeaseReplicator:
-    """Owns when renewals were last sent; the leases themselves are in the `LeaseTable`."""
+    """Owns the time at which renewals were last sent; the `LeaseTable` owns the leases."""
 
     def __init__(self, leases: LeaseTable, peers: PeerConnections, now_s: Callable[[], float]) -> None:
         self._leases = leases
@@ -22,7 +22,7 @@
         self._last_sent_s = 0.0
 
     def receive(self, message: LeasesRenewed) -> None:
-        """Apply renewals that another coordinator replicates."""
+        """Apply renewals that another coordinator has sent."""
         now_s = self._now_s()
         for lease in message.leases:
             self._leases.renew(lease, now_s, local=False)
@@ -34,12 +34,12 @@
             self._peers.send(address, LeasesRenewed(leases))
 
     def send_renewed_if_due(self) -> None:
-        """Call `send_renewed` where `REPLICATION_INTERVAL_S` has passed since the last time."""
+        """Call `send_renewed` if `REPLICATION_INTERVAL_S` has passed since the last renewals were sent."""
         if self._now_s() - self._last_sent_s >= REPLICATION_INTERVAL_S:
             self.send_renewed()
 
     def send_renewed(self) -> None:
-        """Send the leases that were renewed here since the last time to all live peers."""
+        """Send the leases renewed here since the last call to all live peers."""
         since_s = self._last_sent_s
         self._last_sent_s = self._now_s()
         leases = tuple(self._leases.renewed_locally_since(since_s))
--- a/coveport/serving/coordinator/lookup_api.py
+++ b/coveport/serving/coordinator/lookup_api.py
@@ -1,4 +1,4 @@
-"""The clients' API: which proxies to call."""
+"""The clients' API for looking up proxies."""
 
 from __future__ import annotations
 
@@ -11,11 +11,10 @@
 from coveport.serving.web.router import route
 from coveport.serving.wire.names import ERROR, Lookup, Path
 
-MAX_ADDRESSES: Final = 64
-TTL_S: Final = 1.0  # short: a lost proxy must not be called for long
-TTL_WHILE_DELAYED_S: Final = (
-    4.0  # longer where each look-up costs the client a second; see coordinator_liveness
-)
+MAX_ADDRESSES: Final = 64  # in a response
+TTL_S: Final = 1.0  # short, so that clients stop calling a lost proxy soon
+# Longer while each look-up costs the client a second at a lost coordinator; see `coordinator_liveness`.
+TTL_WHILE_DELAYED_S: Final = 4.0
 
 
 class LookupApi:
@@ -28,7 +27,7 @@
         now_s: Callable[[], float],
         max_ttl_s: float,
     ) -> None:
-        """`max_ttl_s`: the longest time, in seconds, for which a client may keep an answer."""
+        """Create handlers; `max_ttl_s`: the upper limit on the TTL of a response, in seconds."""
         self.max_ttl_s = max_ttl_s
         self._leases = leases
         self._liveness = liveness
@@ -36,7 +35,7 @@
 
     @route("GET", Path.LOOKUP)
     async def lookup(self, request: ApiRequest) -> ApiResponse:
-        """Return the ready proxies of the nearest group that has any; 503 where none is ready."""
+        """Return the ready proxies of the nearest group with ready proxies; 503 where no proxy is ready."""
         zone = request.query.get(Lookup.ZONE, "")
         region = request.query.get(Lookup.REGION, "")
         now_s = self._now_s()
--- a/coveport/serving/coordinator/node_api.py
+++ b/coveport/serving/coordinator/node_api.py
@@ -24,11 +24,11 @@
         regions: Mapping[str, str],
         log: EventLogger,
     ) -> None:
-        """Create handlers; `regions`: region by zone.
+        """Create handlers; `regions`: the region of each zone.
 
-        `has_quorum`: whether this coordinator has one. Without it heartbeats are applied, but the node is
-        sent to another coordinator: the others hear nothing of it through this one. Reports that were
-        replicated to a majority (`closing`, deregistrations) need no such check.
+        `has_quorum`: whether this coordinator has a quorum. Without a quorum heartbeats are applied, but the
+        response sends the node to another coordinator, since this one can't replicate them. Reports that
+        were replicated to a majority (`closing`, deregistrations) need no such check.
         """
         self._reports = reports
         self._has_quorum = has_quorum
@@ -37,9 +37,9 @@
 
     @route("PUT", Path.NODES)
     async def heartbeat(self, request: ApiRequest) -> ApiResponse:
-        """Register a node, or record that it is live and in which state.
+        """Register a node, or record that it is live, and its state.
 
-        400 where the heartbeat is invalid, 503 where the node should report to another coordinator.
+        Return 400 where the heartbeat is invalid, 503 where the node should report to another coordinator.
         """
         incarnation = request.path_suffix
         node = read_heartbeat(incarnation, request.body, self._regions)
@@ -48,16 +48,16 @@
             return json_response(400, {ERROR: node.reason})
         if not await self._reports.accept(node):
             self._log.warning("heartbeat_not_replicated", node=incarnation, state=node.state.value)
-            return json_response(503, {ERROR: "no other coordinator confirmed it"})
+            return json_response(503, {ERROR: "too few coordinators acknowledged the report"})
         if node.state is NodeState.ACCEPTING and not self._has_quorum():
-            return json_response(503, {ERROR: "out of touch with the core"})
+            return json_response(503, {ERROR: "this coordinator has no quorum"})
         return json_response(200, {})
 
     @route("DELETE", Path.NODES)
     async def deregister(self, request: ApiRequest) -> ApiResponse:
-        """Remove a node for good; 503 where too few coordinators recorded it in time."""
+        """Remove a node for good; return 503 where too few coordinators acknowledged that in time."""
         incarnation = request.path_suffix
         if not await self._reports.accept(deregistration(incarnation)):
-            return json_response(503, {ERROR: "no other coordinator confirmed it"})
+            return json_response(503, {ERROR: "too few coordinators acknowledged the deregistration"})
         self._log.info("node_deregistered", node=incarnation)
         return json_response(200, {})
--- a/coveport/serving/coordinator/node_report_replication.py
+++ b/coveport/serving/coordinator/node_report_replication.py
@@ -1,14 +1,14 @@
 """Applies nodes' reports to the node table and replicates them to the other coordinators.
 
-Reports are heartbeats and deregistrations. A deregistration and a heartbeat of a draining node are
-acknowledged only once a majority of the core's members hold them, requested after the report came, and as
-many other coordinators as may be lost at one time. Members count only if they know the same view as this
-coordinator: after a partition it might count a former majority.
-
-Whoever applies a report for the first time replicates it, and a new connection brings the complete table,
-tombstones included, before all else. So a coordinator with a quorum hears of each report that was
-acknowledged, whichever others were cut off; and those that are cut off together with this coordinator can't
-acknowledge among themselves.
+Reports are heartbeats and deregistrations. A deregistration or a heartbeat of a draining node is acknowledged
+to the node only after a majority of the core's members, and as many other coordinators as may fail at the
+same time, have acknowledged it in response to a request sent after the report arrived. Members count only if
+they have the same view as this coordinator: after a partition it might count a former majority.
+
+A coordinator that applies a report for the first time replicates it, and the first message on a new
+connection is the complete table, tombstones included. So a coordinator with a quorum receives each report
+that was acknowledged, whichever other coordinators were partitioned; and coordinators in a minority partition
+can't acknowledge a report among themselves.
 """
 
 from __future__ import annotations
@@ -24,35 +24,37 @@
 from coveport.serving.replication.identity import Epoch, MemberId
 from coveport.serving.wire.messages import Message, NodeReports, NodeReportsAck
 
-ACK_TIMEOUT_S: Final = 0.75  # the node waits a second for its response
-RETRY_INTERVAL_S: Final = 0.25  # a request may be lost with a connection, or the views differ for a moment
-BATCH_INTERVAL_S: Final = 0.25  # ordinary heartbeats are replicated together
-NO_ACK: Final = 0  # as the confirmation id of reports that need no acknowledgement
+ACK_TIMEOUT_S: Final = 0.75  # below the node's time-out of 1 s
+RETRY_INTERVAL_S: Final = 0.25  # a request may be lost with its connection, or the views may differ briefly
+BATCH_INTERVAL_S: Final = 0.25  # between messages with the heartbeats that changed nothing
+NO_ACK: Final = 0  # confirmation id of reports that need no acknowledgement
 
 
 @dataclass(slots=True)
 class PendingReport:
-    """A report that waits until enough coordinators hold it."""
+    """A report that has not been acknowledged by enough coordinators."""
 
     confirmation_id: int
     replicated: asyncio.Future[bool]
-    acknowledgements: dict[MemberId, Epoch] = field(default_factory=dict)  # view epoch by acknowledging member
+    acknowledgements: dict[MemberId, Epoch] = field(
+        default_factory=dict
+    )  # view epoch by acknowledging member
 
 
 @dataclass(frozen=True, slots=True)
 class ReportPeers:
-    """What replication of reports needs of the other coordinators. Addresses are inner ones."""
+    """Functions that the replication of reports calls; all addresses are inner addresses."""
 
     send: Callable[[str, Message], None]
-    live: Callable[[], list[str]]  # those that sent something lately
-    known: Callable[[], list[str]]  # all
-    view_epoch: Callable[[], Epoch]  # of the view that this coordinator knows
-    is_majority: Callable[[Collection[MemberId]], bool]  # with this coordinator, in that view
-    has_quorum: Callable[[], bool]  # this coordinator: what comes without one may have been held up
+    live: Callable[[], list[str]]  # addresses of connected peers that sent something lately
+    known: Callable[[], list[str]]  # addresses of all peers, connected or not
+    view_epoch: Callable[[], Epoch]  # epoch of this coordinator's newest view
+    is_majority: Callable[[Collection[MemberId]], bool]  # these members and this coordinator, in that view
+    has_quorum: Callable[[], bool]  # reports received without a quorum may be delayed ones
 
 
 class NodeReportReplicator:
-    """Owns the reports that wait for acknowledgements, and the batch of heartbeats to replicate."""
+    """Owns the reports that await acknowledgements, and the batch of heartbeats to replicate."""
 
     def __init__(
         self,
@@ -65,7 +67,8 @@
     ) -> None:
         """Create a replicator.
 
-        `required_acks`: how many other coordinators must hold a `closing` before it is acknowledged.
+        `required_acks`: how many other coordinators must acknowledge a report of a draining or deregistered
+        node before it is acknowledged to the node.
         `first_confirmation_id`: drawn at random, so that a late acknowledgement for an earlier incarnation of
         this process isn't taken for one of this incarnation.
         """
@@ -79,7 +82,7 @@
         self._last_confirmation_id = first_confirmation_id
 
     async def accept(self, node: Node) -> bool:
-        """Apply and replicate what a node reported here; whether it may be acknowledged to the node."""
+        """Apply and replicate a report of a node; return whether to acknowledge it to the node."""
         is_change = self._table.apply_report(node, self._net.now_s())
         if is_change:
             self._on_table_changed()
@@ -92,18 +95,21 @@
         return True
 
     def receive_reports(self, sender: str, message: NodeReports) -> None:
-        """Apply reports that another coordinator replicates, and acknowledge them if it wants that."""
+        """Apply reports from another coordinator, and acknowledge them if an acknowledgement is requested."""
         self._apply(message.nodes, sender)
         if message.confirmation_id != NO_ACK:
             ack = NodeReportsAck(message.confirmation_id, self._peers.view_epoch())
             self._peers.send(sender, ack)
 
     def receive_deregistered(self, incarnations: Iterable[str]) -> None:
-        """Apply what a proxy knows of departed nodes: after all coordinators restarted it alone remembers."""
+        """Apply the deregistrations that a proxy has recorded.
+
+        After a restart of all coordinators, proxies are the only processes that still have them.
+        """
         self._apply(tuple(deregistration(incarnation) for incarnation in incarnations), "")
 
     def receive_ack(self, sender: MemberId, message: NodeReportsAck) -> None:
-        """Record that another coordinator holds a report."""
+        """Record that another coordinator has acknowledged a report."""
         pending = self._pending.get(message.confirmation_id)
         if pending is None:
             return
@@ -112,9 +118,10 @@
             pending.replicated.set_result(True)
 
     def send_table(self, peer: str, *, knows_all_nodes: bool = False) -> None:
-        """Send all nodes that were reported lately to a peer, tombstones included.
+        """Send all nodes that were reported lately, and the tombstones, to a peer.
 
-        `knows_all_nodes`: this coordinator has heard of every live node, so the peer may drop others.
+        `knows_all_nodes`: this coordinator has received reports of every live node, so the peer may remove
+        nodes that are not sent.
         """
         now_s = self._net.now_s()
         nodes = (*self._table.confirmed_nodes(now_s), *self._table.deregistrations(now_s))
@@ -132,7 +139,7 @@
         return pending
 
     async def _replicate(self, node: Node) -> bool:
-        """Replicate a report until enough coordinators hold it; False where that takes too long."""
+        """Replicate a report; return whether enough coordinators acknowledged it within `ACK_TIMEOUT_S`."""
         pending = self.start_replication(node)
         try:
             async with asyncio.timeout(ACK_TIMEOUT_S):
--- a/coveport/serving/coordinator/operator_api.py
+++ b/coveport/serving/coordinator/operator_api.py
@@ -1,13 +1,13 @@
 """The operators' API: the configuration, evacuations of zones, and the status of a coordinator.
 
-Changes are made by the primary. Any other coordinator redirects the caller there (307), and waits for a
-moment for a primary while a new one is elected. Each response was confirmed by the core, a refusal too: a
-coordinator without a quorum could refuse what was accepted long ago.
-
-A request for an evacuation has no version, so a delayed duplicate of it looks like a new one. The caller of a
-duplicate has left: it was held up in a queue, in the network or in a process that stood still. Hence the
-short wait before such a request is submitted, in which the end of the caller's connection is noticed; a
-request whose caller has left is cancelled.
+Changes are made by the primary. Any other coordinator redirects the caller to the primary (307); during an
+election it waits briefly for a new primary. Each response is confirmed by a majority of the core, also a
+rejection: a coordinator without a quorum could reject a change that was accepted long ago.
+
+A request for an evacuation has no version, so a delayed duplicate looks like a new request. A duplicate that
+was delayed in a queue, in the network or in a stalled process has a caller that has disconnected since.
+Therefore such a request is submitted only after a short wait, in which a disconnect is noticed; a request
+whose caller has disconnected is cancelled.
 """
 
 from __future__ import annotations
@@ -26,23 +26,26 @@
 from coveport.serving.web.router import route
 from coveport.serving.wire.names import ERROR, Header, Path
 
-_TEMPORARY_REDIRECT: Final = 307  # the caller repeats its method and body there (RFC 9110, 15.4.8)
+_TEMPORARY_REDIRECT: Final = 307  # the caller repeats method and body at the new location (RFC 9110, 15.4.8)
 
 
 class ControlPlane(Protocol):
-    """What the handlers need of the core."""
+    """The operations of the core that the handlers call."""
 
     async def submit(self, command: bytes) -> ApiResponse:
         """Run a command at the primary, and return the response to its caller."""
 
     async def read_configuration(self) -> ApiResponse:
-        """Return the newest configuration as the core confirms it."""
+        """Return the newest configuration, confirmed by a majority of the core."""
 
     async def wait_for_disconnect(self) -> None:
-        """Wait until a caller that has left would have been noticed."""
+        """Wait long enough to notice that the caller has disconnected."""
 
     async def find_other_primary(self) -> str | None:
-        """Return the inner address of the primary if that is another coordinator; None: this one, or none."""
+        """Return the inner address of the primary if another coordinator is the primary.
+
+        Return None where this coordinator is the primary, or where there is no primary.
+        """
 
     def describe(self) -> dict[str, Any]:
         """Return the status of this coordinator, as JSON-compatible values."""
@@ -52,24 +55,24 @@
     """Handlers of the operators' requests."""
 
     def __init__(self, control_plane: ControlPlane, control_port: int, zones: frozenset[str]) -> None:
-        """Create handlers; `control_port` is where the other coordinators serve this API."""
+        """Create handlers; `control_port` is the port at which all coordinators serve this API."""
         self._control_plane = control_plane
         self._control_port = control_port
         self._zones = zones
 
     @route("PUT", Path.CONFIG)
     async def put_configuration(self, request: ApiRequest) -> ApiResponse:
-        """Replace the configuration by a complete one."""
+        """Replace the whole configuration."""
         return await self._change_configuration(request, PutConfiguration)
 
     @route("PATCH", Path.CONFIG)
     async def patch_configuration(self, request: ApiRequest) -> ApiResponse:
-        """Change named items of the configuration."""
+        """Change some items of the configuration, each by its name."""
         return await self._change_configuration(request, PatchConfiguration)
 
     @route("GET", Path.CONFIG)
     async def get_configuration(self, request: ApiRequest) -> ApiResponse:
-        """Return the newest configuration, complete."""
+        """Return the newest configuration as a whole."""
         other_primary = await self._control_plane.find_other_primary()
         if other_primary is not None:
             return self._redirect(request, other_primary)
@@ -87,7 +90,7 @@
 
     @route("GET", Path.STATUS)
     async def status(self, request: ApiRequest) -> ApiResponse:
-        """Return what this coordinator knows, whether it has a quorum or not."""
+        """Return the status of this coordinator, with or without a quorum."""
         return json_response(200, self._control_plane.describe())
 
     async def _change_configuration(
@@ -127,5 +130,5 @@
         return None
     value = value.strip().strip('"')
     if not (value.isascii() and value.isdigit()):
-        return json_response(400, {ERROR: "If-Match is not a number"})
+        return json_response(400, {ERROR: "If-Match must be a number"})
     return int(value)
--- a/coveport/serving/coordinator/peer_connections.py
+++ b/coveport/serving/coordinator/peer_connections.py
@@ -1,8 +1,8 @@
-"""Connections to the other coordinators: this one dials each of them, and each of them dials this one.
+"""Connections to the other coordinators: each coordinator dials every other one.
 
-Messages may be lost; whoever sends one repeats it where it matters. A connection is dropped and dialed again
-where its peer sent nothing for `PEER_TIMEOUT_S`, though it pings several times in that, so that the end of a
-partition isn't noticed only by TCP's long retransmission time-outs.
+Messages may be lost; a sender repeats a message whose loss matters. Peers ping several times within
+`PEER_TIMEOUT_S`. A connection whose peer sent nothing for that long is dropped and dialed again, since TCP's
+long retransmission time-outs would notice the end of a partition too late.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 
 CONNECT_TIMEOUT_S: Final = 0.5
 REDIAL_INTERVAL_S: Final = 0.2
-LIVE_REDIAL_INTERVAL_S: Final = 0.02  # to a peer that has just sent something
+LIVE_REDIAL_INTERVAL_S: Final = 0.02  # for a peer that has just sent something
 PEER_TIMEOUT_S: Final = 1.0
 
 PeerMessageHandler = Callable[[Hello, Message], None]
-PeerConnectedHandler = Callable[[str], None]  # of the peer's inner address
+PeerConnectedHandler = Callable[[str], None]  # called with the peer's inner address
 
 
 @dataclass(slots=True)
 class _Peer:
     address: str
     connection: Connection | None = None
-    last_received_s: float = 0.0  # when it last sent anything to us, on any connection
+    last_received_s: float = 0.0  # when the peer last sent anything, on any connection
     dial_task: asyncio.Task[None] | None = None
     last_dial_s: float = -1.0
 
 
 class PeerConnections:
-    """All other coordinators by inner address."""
+    """The connections to all other coordinators, by inner address."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
     ) -> None:
         """Create an empty set of peers; `hello` is the first message on each connection that is dialed.
 
-        `on_protocol_error`: called where a peer can't read our messages.
+        `on_protocol_error`: called where a peer can't read the messages of this coordinator.
         """
         self._net = net
         self._hello = hello
@@ -61,15 +61,15 @@
         self._peers: dict[str, _Peer] = {}
 
     def set_addresses(self, addresses: Iterable[str]) -> None:
-        """Stay connected to these, and to no others."""
-        wanted = set(addresses) - {self._hello.address}
-        for address in wanted - self._peers.keys():
+        """Connect to the peers at these addresses, and disconnect all others."""
+        new_addresses = set(addresses) - {self._hello.address}
+        for address in new_addresses - self._peers.keys():
             self._peers[address] = _Peer(address)
-        for address in self._peers.keys() - wanted:
+        for address in self._peers.keys() - new_addresses:
             self._disconnect(self._peers.pop(address))
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message to a peer; it is lost where there is no connection."""
+        """Send a message to a peer; without an open connection, lose the message and dial the peer."""
         peer = self._peers.get(address)
         if peer is None:
             self._peers[address] = peer = _Peer(address)
@@ -92,20 +92,20 @@
         ]
 
     def receive(self, hello: Hello, message: Message) -> None:
-        """Handle a message on a connection that a peer dialed; `hello` was the first one on it."""
+        """Handle a message on a connection that a peer dialed; `hello` was its first message."""
         peer = self._peers.get(hello.address)
         if peer is not None:
             self._record_received(peer)
         self._on_message(hello, message)
 
     def _record_received(self, peer: _Peer) -> None:
-        """Where we aren't connected to a peer that is live, dial it without waiting for `maintain`."""
+        """Record that a peer is live; without a connection, dial it now rather than in `maintain`."""
         peer.last_received_s = self._net.now_s()
         if peer.dial_task is None and (peer.connection is None or not peer.connection.is_open):
             self._dial(peer, LIVE_REDIAL_INTERVAL_S)
 
     def maintain(self) -> None:
-        """Dial peers that have no connection or timed out; to be called several times a second."""
+        """Dial peers that are disconnected or timed out; to be called several times a second."""
         now_s = self._net.now_s()
         for peer in self._peers.values():
             connection = peer.connection
@@ -156,7 +156,7 @@
         self._on_connected(peer.address)
 
     def _ignore_message(self, connection: Connection, message: Message) -> None:
-        """Peers send on the connections that they dial themselves; nothing else comes here."""
+        """Ignore messages on dialed connections: peers send on the connections that they dial themselves."""
 
     def _on_closed(self, connection: Connection) -> None:
         peer = connection.peer
--- a/coveport/serving/coordinator/peer_versions.py
+++ b/coveport/serving/coordinator/peer_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the programs that are connected to a coordinator: its status and upgrades depend on them."""
+"""Protocol versions that the connected coordinators and proxies have announced, for status and upgrades."""
 
 from __future__ import annotations
 
@@ -10,35 +10,43 @@
 
 
 class PeerVersions:
-    """Owns the announced version of each coordinator and proxy."""
+    """Owns the announced protocol version of each coordinator and proxy."""
 
     def __init__(self) -> None:
-        self._of_coordinators: dict[str, int] = {}  # by inner address
-        self._of_proxies: dict[str, int] = {}  # by name; of those that subscribe here
+        self._coordinator_versions: dict[str, int] = {}  # by inner address
+        self._proxy_versions: dict[str, int] = {}  # by name; proxies that subscribe here
 
     def record_coordinator(self, address: str, version: int) -> None:
-        """Record what a coordinator announced when it connected."""
-        self._of_coordinators[address] = version
+        """Record the version that a coordinator announced when it connected."""
+        self._coordinator_versions[address] = version
 
-    def of_coordinator(self, address: str) -> int:
-        """Return what a coordinator announced; the lowest version where it hasn't connected yet."""
-        return self._of_coordinators.get(address, UNANNOUNCED_VERSION)
+    def coordinator_version(self, address: str) -> int:
+        """Return the version of a coordinator; the lowest one where it hasn't connected yet."""
+        return self._coordinator_versions.get(address, UNANNOUNCED_VERSION)
 
     def record_proxy(self, name: str, version: int) -> None:
-        """Record what a proxy announced with a request."""
-        self._of_proxies[name] = version
+        """Record the version that a proxy announced with a request."""
+        self._proxy_versions[name] = version
 
-    def all_read(self, version: int, coordinators: Iterable[str]) -> bool:
-        """Whether none of these (inner addresses) has announced an older version, when it last connected."""
-        return all(self._of_coordinators.get(address, version) >= version for address in coordinators)
+    def all_support(self, version: int, coordinators: Iterable[str]) -> bool:
+        """Return whether no coordinator of these inner addresses has announced an older version.
+
+        A coordinator that has not connected yet counts as supporting the version.
+        """
+        return all(self._coordinator_versions.get(address, version) >= version for address in coordinators)
 
     def describe(self, coordinators: Iterable[str], proxies: Iterable[str]) -> dict[str, Any]:
         """Return the versions of the given live coordinators (inner addresses) and proxies (names).
 
-        `lowest` is the lowest of all, our own included: while it is below `own`, an upgrade is under way.
+        `lowest` is the lowest version, that of this process included. An upgrade is in progress while it is
+        below `own`.
         """
-        known = {name: self._of_coordinators[name] for name in coordinators if name in self._of_coordinators}
-        proxy_versions = [self._of_proxies[name] for name in proxies if name in self._of_proxies]
+        known = {
+            name: self._coordinator_versions[name]
+            for name in coordinators
+            if name in self._coordinator_versions
+        }
+        proxy_versions = [self._proxy_versions[name] for name in proxies if name in self._proxy_versions]
         by_version = Counter(proxy_versions)
         return {
             "own": PROTOCOL_VERSION,
--- a/coveport/serving/coordinator/platform_client.py
+++ b/coveport/serving/coordinator/platform_client.py
@@ -1,7 +1,7 @@
 """Calls to the platform's API, each on a connection of its own.
 
-Calls are rare (a few in a minute), and a new connection carries no bytes from before: what a partition held
-up of a call that was given up is lost with the reset of its connection.
+Calls are rare (a few in a minute). With a connection for each call, the bytes of a cancelled call that a
+partition has delayed are discarded when its connection is reset.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 from coveport.serving.web.http_client import HttpRequest, RequestFailure, send_request
 from coveport.serving.wire.names import CanonicalHeader
 
-CALL_TIMEOUT_S: Final = 4.0  # a slow platform answers within it; a silent one is asked again after it
+CALL_TIMEOUT_S: Final = 4.0  # long enough for a slow platform; the call is repeated after it
 
-# The same body would be rejected again. Any other error may pass, and a report that was given up is lost.
+# With these the same body would be rejected again. After any other error, which may be temporary, the call is
+# repeated: a report that is not repeated would be lost.
 INVALID_CALL_STATUSES: Final = frozenset(
     {HTTPStatus.BAD_REQUEST, HTTPStatus.REQUEST_ENTITY_TOO_LARGE, HTTPStatus.UNPROCESSABLE_ENTITY}
 )
@@ -27,22 +28,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """Who calls, as the platform is told."""
+    """Identity of the caller, sent to the platform with each call."""
 
     holder: str
-    fence: int
+    fence: int  # fencing token
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """How a call ended, and what was seen, for the log."""
+    """Outcome of a call, and its detail for the log."""
 
     outcome: CallOutcome
     detail: str
 
 
 class PlatformClient:
-    """Sends one call; who may send is decided by its caller."""
+    """Sends calls; the caller of `post` decides whether a call may be sent."""
 
     def __init__(self, net: Net, address: Address) -> None:
         self._net = net
@@ -51,17 +52,20 @@
     async def post(
         self, call: PlatformCall, credentials: Credentials, may_send: Callable[[], bool]
     ) -> CallResult:
-        """Make a call; `may_send` is asked right before its bytes go. Cancelled, it resets the connection."""
+        """Make a call; its connection is reset if this task is cancelled.
+
+        `may_send` is checked right before the bytes are sent.
+        """
         headers = (
             (CanonicalHeader.HOLDER, credentials.holder),
             (CanonicalHeader.FENCE, str(credentials.fence)),
             ("Content-Type", "application/json"),
         )
         request = HttpRequest("POST", call.path, headers, call.body)
-        answer = await send_request(self._net, self._address, request, CALL_TIMEOUT_S, may_send)
-        if isinstance(answer, RequestFailure):
-            return CallResult(CallOutcome.UNKNOWN, answer.reason)
-        return CallResult(_outcome(answer.status), f"status {answer.status}")
+        response = await send_request(self._net, self._address, request, CALL_TIMEOUT_S, may_send)
+        if isinstance(response, RequestFailure):
+            return CallResult(CallOutcome.UNKNOWN, response.reason)
+        return CallResult(_outcome(response.status), f"status {response.status}")
 
 
 def _outcome(status: int) -> CallOutcome:
--- a/coveport/serving/coordinator/quorum_status.py
+++ b/coveport/serving/coordinator/quorum_status.py
@@ -1,6 +1,6 @@
-"""Whether this coordinator has a quorum, and for how long: what it may claim in its updates depends on it.
+"""Tracks whether this coordinator has a quorum, and since when, for its updates to proxies and nodes.
 
-It is for proxies and nodes. Operators' reads and refusals wait for a majority asked anew: see
+Reads and rejections for operators need a new confirmation by a majority instead: see
 `replication.quorum_check`.
 """
 
@@ -12,7 +12,7 @@
 
 
 class QuorumStatus:
-    """The last observation of the replica's quorum; `refresh` is called several times a second."""
+    """The replica's quorum as last observed; `refresh` is called several times a second."""
 
     def __init__(
         self,
@@ -23,7 +23,8 @@
     ) -> None:
         """Create a status without a quorum.
 
-        `full_table_after_s`: a coordinator that has had a quorum for so long has heard of every live node.
+        `full_table_after_s`: a coordinator that has had a quorum for this time has a report of every live
+        node.
         """
         self._now_s = now_s
         self._replica_has_quorum = replica_has_quorum
@@ -39,15 +40,15 @@
             self._quorum_since_s = self._now_s()
 
     def reset(self) -> None:
-        """Forget the quorum after a stall: for a while this process could not hear of nodes."""
+        """Discard the observed quorum after a stall, during which this process received no reports."""
         self._quorum_since_s = None
 
     def has_quorum(self) -> bool:
-        """Whether this coordinator was connected to a majority of the members at the last refresh."""
+        """Return whether this coordinator was connected to a majority of the members at the last refresh."""
         return self._quorum_since_s is not None
 
     def knows_all_nodes(self) -> bool:
-        """Whether the quorum has lasted long enough to have heard of every live node."""
+        """Return whether the quorum has lasted long enough to have a report of every live node."""
         if self._quorum_since_s is None:
             return False
         return self._now_s() - self._quorum_since_s >= self._full_table_after_s
--- a/coveport/serving/coordinator/replica_runtime.py
+++ b/coveport/serving/coordinator/replica_runtime.py
@@ -1,4 +1,4 @@
-"""Runs this coordinator's replica: feeds it time, messages and commands, and carries out its effects."""
+"""Runs this coordinator's replica: passes ticks, messages and commands to it, and executes its effects."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaCallbacks:
-    """What the runtime calls when the replica wants something outside of it."""
+    """Functions that the runtime calls for effects of the replica."""
 
     send: Callable[[str, object], None]  # inner address, message
     on_committed: Callable[[CommittedState], None]
 
 
 class ReplicaRuntime:
-    """One replica, its timer, its writer, and the calls that wait for it."""
+    """A replica, its timer, its writer, and the calls that await an outcome."""
 
     def __init__(
         self,
@@ -66,11 +66,11 @@
         self._logged_view: object = None
 
     def start(self) -> None:
-        """Start to tick."""
+        """Start the tick timer."""
         self._tick()
 
     def stop(self) -> None:
-        """Stop ticking; nothing is sent or written from here on but in response to input."""
+        """Stop the tick timer; from here on the replica only responds to input."""
         if self._tick_timer is not None:
             self._tick_timer.cancel()
 
@@ -83,11 +83,11 @@
         self._handle(Connected(address))
 
     def request_shutdown(self) -> None:
-        """Let another replica lead and hold the state: this process is about to stop."""
+        """Let the replica hand over leadership and its state before this process stops."""
         self._handle(ShutdownRequested())
 
     async def submit(self, command: bytes) -> Outcome:
-        """Run a command; cancelled, it is withdrawn where it was not started yet."""
+        """Run a command; if this task is cancelled, withdraw a command that was not started yet."""
         return await self._call(lambda call_id: Submit(call_id, command))
 
     async def read_newest(self) -> Outcome:
@@ -97,14 +97,14 @@
     async def _call(self, make_event: Callable[[int], Event]) -> Outcome:
         self._last_call_id += 1
         call_id = self._last_call_id
-        answer: asyncio.Future[Outcome] = self._net.loop.create_future()
-        self._pending_calls[call_id] = answer
+        outcome: asyncio.Future[Outcome] = self._net.loop.create_future()
+        self._pending_calls[call_id] = outcome
         try:
             self._handle(make_event(call_id))
-            return await answer
+            return await outcome
         finally:
             self._pending_calls.pop(call_id, None)
-            if not answer.done() or answer.cancelled():
+            if not outcome.done() or outcome.cancelled():
                 self._handle(CancelCall(call_id))
 
     def _tick(self) -> None:
@@ -114,7 +114,7 @@
 
     def _handle(self, event: Event) -> None:
         for effect in self.replica.handle(self._net.now_s(), event):
-            self._carry_out(effect)
+            self._execute(effect)
         self._log_view_change()
 
     def _log_view_change(self) -> None:
@@ -123,23 +123,23 @@
             self._logged_view = view
             self._log.info("view_changed", **view)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case Send(address, message):
                 self._callbacks.send(address, message)
             case Persist(token, records):
                 self._writer.submit(records, lambda error: self._on_written(token, error))
             case Answer(call_id, outcome):
-                self._answer(call_id, outcome)
+                self._set_outcome(call_id, outcome)
             case CommittedState():
                 self._callbacks.on_committed(effect)
             case MessageRejected(sender, problem):
                 self._log.error("message_rejected", sender=sender, error=problem)
 
-    def _answer(self, call_id: int, outcome: Outcome) -> None:
-        answer = self._pending_calls.get(call_id)
-        if answer is not None and not answer.done():
-            answer.set_result(outcome)
+    def _set_outcome(self, call_id: int, outcome: Outcome) -> None:
+        pending_call = self._pending_calls.get(call_id)
+        if pending_call is not None and not pending_call.done():
+            pending_call.set_result(outcome)
 
     def _on_written(self, token: int, error: OSError | None) -> None:
         if error is None:
--- a/coveport/serving/coordinator/stall_detector.py
+++ b/coveport/serving/coordinator/stall_detector.py
@@ -1,4 +1,4 @@
-"""Detects that this process did not run for a while: it was frozen, or had no processor."""
+"""Detects stalls of this process: it was frozen, or got no processor time."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from coveport.serving.log import EventLogger
 
 TICK_INTERVAL_S: Final = 0.05
-STALL_THRESHOLD_S: Final = 0.6  # a tick that is later than this: the process was frozen, or had no processor
+STALL_THRESHOLD_S: Final = 0.6  # a tick that is later than this counts as a stall
 
 
 class StallDetector:
-    """Compares the time of each tick with the time at which it should have come."""
+    """Compares the time of each tick with the time at which it was due."""
 
     def __init__(
         self, now_s: Callable[[], float], on_stall: Callable[[float], None], log: EventLogger
@@ -27,7 +27,7 @@
         self._last_tick_s = now_s()
 
     def check(self) -> None:
-        """Report a stall that has just ended; to be called before input that arrived meanwhile is handled.
+        """Report a stall that has just ended; to be called before input that arrived during it is handled.
 
         The event loop may read sockets before it runs the timer of the next tick.
         """
--- a/coveport/serving/coordinator/status_report.py
+++ b/coveport/serving/coordinator/status_report.py
@@ -1,4 +1,4 @@
-"""What a coordinator knows, for operators' status calls."""
+"""The body of operators' status calls."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReporter:
-    """Reads the tables of a coordinator; owns nothing."""
+    """Renders the status of a coordinator from its components; owns no state."""
 
-    name: str  # of the machine
+    name: str  # name of the machine
     now_s: Callable[[], float]
     replica: Replica
     quorum_status: QuorumStatus
@@ -31,7 +31,7 @@
     describe_duties: Callable[[], dict[str, Any]]
 
     def describe(self) -> dict[str, Any]:
-        """Return the body of the status call; its keys are fixed, see the operators' pages."""
+        """Return the body of the status call; its keys are documented for operators and must not change."""
         coordinators = [endpoint.address for endpoint in self.quorum_status.live_coordinators()]
         proxies = [lease.name for lease in self.leases.active(self.now_s())]
         return {
--- a/coveport/serving/coordinator/subscriptions.py
+++ b/coveport/serving/coordinator/subscriptions.py
@@ -1,4 +1,4 @@
-"""Proxies' subscriptions, by long polling: a request is answered at a change, or after a time-out."""
+"""Proxies' subscriptions by long polling: a request is answered after a change, or after a time-out."""
 
 from __future__ import annotations
 
@@ -17,20 +17,19 @@
 from coveport.serving.wire.messages import CoordinatorEndpoint, Update, UpdateRequest
 from coveport.serving.wire.shared_update import SharedUpdate
 
-POLL_TIMEOUT_S: Final = (
-    0.4  # a request is answered after so long without a change; the next one renews the lease
-)
-NO_VERSION: Final = -1  # of a node table or a state: a proxy that has none
+# A request is answered after this time without a change; the proxy's next request renews its lease.
+POLL_TIMEOUT_S: Final = 0.4
+NO_VERSION: Final = -1  # version of a node table or state that a proxy doesn't have
 
 
 class CoordinatorStatus(Protocol):
-    """What a coordinator says of itself in each update."""
+    """The status of a coordinator that each update contains."""
 
     def has_quorum(self) -> bool:
-        """Whether it is connected to a majority of the core's members."""
+        """Return whether the coordinator is connected to a majority of the core's members."""
 
     def knows_all_nodes(self) -> bool:
-        """Whether it has had a quorum for long enough to have heard of every node."""
+        """Return whether its quorum has lasted long enough to have a report of every live node."""
 
     def live_coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
         """Return the live coordinators, this one included."""
@@ -44,7 +43,7 @@
 
 
 class Subscriptions:
-    """Owns the update requests that wait for an answer, one a connection."""
+    """Owns the pending update requests, at most one for each connection."""
 
     def __init__(
         self,
@@ -58,8 +57,9 @@
     ) -> None:
         """Create an empty set of subscriptions.
 
-        `table_id`: differs between incarnations of coordinators, since revisions of one node table say
-        nothing of another one. `on_lease_changed`: called where clients should learn of a proxy at once.
+        `table_id`: identifies the node table of one incarnation of a coordinator; revisions of different
+        tables are not comparable. `on_lease_changed`: called after a change of a proxy's lease that
+        clients' look-ups should reflect at once.
         """
         self._net = net
         self._table = table
@@ -82,13 +82,13 @@
             self._answer(connection)
 
     def unsubscribe(self, connection: Connection) -> None:
-        """Forget a proxy that subscribes elsewhere from now on; its lease stays."""
+        """Drop the request of a proxy that now subscribes at another coordinator; its lease stays."""
         pending = self._pending.pop(connection, None)
         if pending is not None:
             pending.timer.cancel()
 
     def connection_lost(self, connection: Connection) -> None:
-        """Forget a proxy, and end its lease: it was most likely killed."""
+        """Drop the request of a disconnected proxy and end its lease: the proxy was most likely killed."""
         pending = self._pending.pop(connection, None)
         if pending is None:
             return
@@ -96,7 +96,7 @@
         self._leases.release(pending.request.lease)
 
     def notify(self) -> None:
-        """Answer the pending requests, once all changes of this turn of the loop are applied."""
+        """Answer the pending requests, after all changes of this iteration of the event loop are applied."""
         if not self._is_answer_scheduled:
             self._is_answer_scheduled = True
             self._net.loop.call_soon(self._answer_all)
@@ -108,11 +108,11 @@
                 self._answer(pending.connection)
 
     def _needs_answer(self, request: UpdateRequest) -> bool:
-        """Whether there is something that the proxy doesn't have, or it should subscribe elsewhere."""
+        """Return whether the proxy lacks a change, or should subscribe at another coordinator."""
         has_quorum = self._status.has_quorum()
         have_both_just_started = request.state_sequence < 0 and self._history.sequence < 0
         if have_both_just_started and not has_quorum:
-            return False  # the first state will be here in a moment, if anywhere
+            return False  # after a start of the whole system the first state comes here as soon as anywhere
         return (
             request.table_id != self._table_id
             or request.node_revision < self._table.revision
@@ -131,7 +131,11 @@
         connection.send_frame(Update, frame)
 
     def _max_proxies(self) -> int:
-        """Return how many proxies there are at most; until that is known, 0 or more than they suppose."""
+        """Return the upper limit on the number of proxies.
+
+        Until reports of all nodes are in, return 0 (unknown) unless the limit exceeds the one that proxies
+        start with.
+        """
         max_proxies = self._leases.max_proxies()
         return max_proxies if self._status.knows_all_nodes() or max_proxies > INITIAL_MAX_PROXIES else 0
 
@@ -153,7 +157,7 @@
         )
 
     def _make_update(self, requested: RequestedVersions, current: CurrentVersions, now_s: float) -> Update:
-        """Make an update whose request number and proxy count are filled in for each proxy."""
+        """Create an update without request number and proxy count, which are filled in for each proxy."""
         nodes = self._table.changes_since(requested.node_revision, now_s)
         changes = self._history.changes_since(requested.state_sequence)
         return Update(
--- a/coveport/serving/coordinator/update_cache.py
+++ b/coveport/serving/coordinator/update_cache.py
@@ -1,4 +1,4 @@
-"""Caches encoded updates for a moment, since most proxies request updates from the same versions."""
+"""Caches encoded updates briefly, since most proxies request updates since the same versions."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from coveport.serving.wire.messages import CoordinatorEndpoint, Update
 from coveport.serving.wire.shared_update import SharedUpdate
 
-LIFETIME_S: Final = 0.25  # for so long the remaining times in an update may be out of date ...
-DRAINING_LIFETIME_S: Final = 0.05  # ... or so long, where a node says when it will be gone
+LIFETIME_S: Final = 0.25  # limits how outdated the remaining times in a cached update may be
+DRAINING_LIFETIME_S: Final = 0.05  # the same for an update with a draining node
 
 
 @dataclass(frozen=True, slots=True)
 class RequestedVersions:
-    """The versions that a proxy has; proxies with the same ones get the same update."""
+    """The versions that a proxy has; proxies with the same versions receive the same update."""
 
-    node_revision: int  # -1: none, the full table is needed
+    node_revision: int  # -1: the proxy has no table and needs the full one
     state_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class CurrentVersions:
-    """What each update of a moment says of this coordinator and its newest versions."""
+    """Status and newest versions of this coordinator, which are the same in all updates until they change."""
 
     has_quorum: bool
     knows_all_nodes: bool
@@ -35,13 +35,15 @@
     """Updates by requested versions, valid while the current versions stay the same."""
 
     def __init__(self) -> None:
-        self._updates: dict[RequestedVersions, tuple[SharedUpdate, float]] = {}  # and until when it is valid
+        self._updates: dict[
+            RequestedVersions, tuple[SharedUpdate, float]
+        ] = {}  # update, and the time until which it is valid
         self._current: CurrentVersions | None = None
 
     def find(
         self, requested: RequestedVersions, current: CurrentVersions, now_s: float
     ) -> SharedUpdate | None:
-        """Return a valid update, or None; a change of the current versions empties the cache."""
+        """Return a valid update, or None; empty the cache where the current versions have changed."""
         if current != self._current:
             self._updates.clear()
             self._current = current
@@ -49,7 +51,7 @@
         return update if now_s <= valid_until_s else None
 
     def add(self, requested: RequestedVersions, update: Update, now_s: float) -> SharedUpdate:
-        """Encode and keep an update that `find` has just not found."""
+        """Encode and cache an update for which `find` returned None."""
         is_draining = any(node.shutdown_in_ms for node in update.nodes)
         valid_until_s = now_s + (DRAINING_LIFETIME_S if is_draining else LIFETIME_S)
         shared = SharedUpdate(update)
--- a/coveport/serving/coordinator/usage_duty.py
+++ b/coveport/serving/coordinator/usage_duty.py
@@ -1,4 +1,4 @@
-"""The duty of reporting usage, connected to this coordinator's tables; renders the platform's call."""
+"""Connects the duty that reports usage to this coordinator's tables, and encodes its calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     clock: TrueClock,
     log: EventLogger,
 ) -> UsageSchedule:
-    """Return the duty that reports what `telemetry` has of the proxies with a lease."""
+    """Return the duty that reports the usage in `telemetry`, for proxies with a lease."""
 
     def live_proxies(now_s: float) -> frozenset[ReportSource]:
         return frozenset(ReportSource(lease.name, lease.incarnation) for lease in leases.active(now_s))
@@ -35,7 +35,7 @@
 
 
 def usage_call(report: UsageReport) -> PlatformCall:
-    """Return the call for a report: the same bytes for equal reports."""
+    """Return the call for a report; equal reports give the same bytes."""
     counts = {count.tenant: count.requests for count in report.counts}
     body = {Usage.WINDOW: report.window, Usage.COUNTS: counts}
     text = json.dumps(body, ensure_ascii=False, separators=(",", ":"))
--- a/coveport/serving/settings/boot.py
+++ b/coveport/serving/settings/boot.py
@@ -1,7 +1,7 @@
-"""The boot settings of a process, as the other packages use them; `reader` makes them from a file.
+"""The settings of a process, as the other packages use them; `reader` reads them from a file.
 
-docs/operators/start.md describes each setting under the name that it has in the file; `wire.settings` maps
-the names.
+docs/operators/start.md describes each setting under its name in the file; `wire.settings` maps field names to
+those names.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """How many failures at the same time the system must survive."""
+    """The number of simultaneous failures, by failure domain, that the system must tolerate."""
 
     machines: int = 0
     zones: int = 0
@@ -23,20 +23,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessLimits:
-    """Resources of the machine that this process may use."""
+    """Limits on the machine's resources that this process may use."""
 
     memory_mb: float = 0.0
-    descriptors: int = 1024  # open files and sockets
-    link_mbps: float = 1000.0  # megabits a second
+    descriptors: int = 1024  # open files and sockets together
+    link_mbps: float = 1000.0  # network bandwidth, megabits a second
     disk_mb: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds of the operators' rules, in the units that the names say.
+    """Bounds of the operators' rules, in the unit of each name's suffix.
 
-    A process is steered by `grace_s`, `retry_*`, `warm_up_*`, `lease_ms` and `usage_window_s`. The others are
-    what its behaviour is measured by: the simulation checks them.
+    A process uses `grace_s`, `ttl_max_s`, `retry_*`, `warm_up_*`, `lease_ms`, `usage_window_s` and
+    `usage_delay_s`. The simulation checks the system's behaviour against the others.
     """
 
     seed_lag_s: float = 3.0
@@ -59,11 +59,11 @@
     recover_s: float = 12.0
     pass_ms: float = 250.0
     ttl_max_s: float = 5.0
-    is_fenced: bool = False  # the platform refuses calls with a lower fence than it has seen
+    is_fenced: bool = False  # whether the platform rejects calls with a lower fencing token than it has seen
     lease_ms: float = 3000.0
     thaw_slack_ms: float = 300.0
     usage_window_s: float = 5.0
-    usage_error: float = 0.05  # part of the true count
+    usage_error: float = 0.05  # fraction of the true count
     usage_delay_s: float = 10.0
     revoked_closed: bool = False
     revoke_ms: float = 5000.0
@@ -71,32 +71,32 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """The platform's API for the duties of one coordinator at a time."""
+    """The platform's API, which the coordinator that holds the duties calls."""
 
     address: Address
     duties: frozenset[DutyKind] = frozenset()
-    calls_per_s: float = 1.0  # that it takes of all coordinators together
+    calls_per_s: float = 1.0  # rate limit for all coordinators together
 
 
 @dataclass(frozen=True, slots=True)
 class BootSettings:
-    """All settings of a process; they hold until its next start.
+    """All settings of a process; most of them are fixed until its next start.
 
-    The log event `settings_changed` has the names of these fields.
+    The log event `settings_changed` contains names of these fields.
     """
 
     name: str
     ip: str
     zone: str
     region: str
-    inner_ports: tuple[int, int]  # first and last, for this system's own processes
+    inner_ports: tuple[int, int]  # first and last port that this system's processes use among each other
     seeds: tuple[Address, ...]  # control addresses of coordinators
     first_boot: bool
     loss_counted: bool
     data_dir: str | None  # None: no disk
     serves: tuple[str, ...]
-    heartbeat_ms: float  # interval at which nodes report
-    regions: dict[str, str]  # region by zone, of all zones
+    heartbeat_ms: float  # interval between the heartbeats of a node
+    regions: dict[str, str]  # region of each zone, for all zones
     clients: Address | None = None  # listener for clients (proxy)
     readiness: Address | None = None  # listener for the platform's readiness checks (proxy)
     control: Address | None = None  # listener for operators and nodes (coordinator)
@@ -104,9 +104,9 @@
     limits: ProcessLimits = ProcessLimits()
     tolerated: FaultTolerance = FaultTolerance()
     bounds: Bounds = Bounds()
-    platform: PlatformSettings | None = None  # None: there are no duties
+    platform: PlatformSettings | None = None  # None: the coordinators have no duties
 
     @property
     def inner(self) -> Address:
-        """The address at which this system's own processes reach this one."""
+        """The address at which the other processes of this system reach this process."""
         return self.ip, self.inner_ports[0]
--- a/coveport/serving/settings/bound_checks.py
+++ b/coveport/serving/settings/bound_checks.py
@@ -1,7 +1,7 @@
-"""Compares the operators' bounds with the times that this system needs, and finds those that are too tight.
+"""Finds bounds of the operators that are below the times that this system requires.
 
-The times are fixed, so a deployment with tighter bounds than they allow would break a rule under the faults
-named here. It is still served: the operators decide.
+The required times are fixed, so a deployment with a tighter bound would break a rule under the fault named
+here. The process runs nevertheless: the decision is the operators'.
 """
 
 from __future__ import annotations
@@ -15,39 +15,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnTime:
-    """What this system needs for something that a bound limits."""
+class RequiredTime:
+    """The lowest value of a bound that this system can meet."""
 
-    field: str  # of `Bounds`
+    field: str  # name of a field of `Bounds`
     needed: float  # in the unit of the field
-    reason: str
-
-
-# A proxy whose coordinator falls silent asks another one after 1.2 s and a connect of up to 0.5 s
-# (`proxy.subscription`); the table of docs/design/control-safety.md has the measured worst of CatchUpS.
-OWN_TIMES: Final = (
-    OwnTime("config_apply_ms", 1700.0, "a proxy leaves a silent coordinator"),
-    OwnTime("evacuate_ms", 1700.0, "a proxy leaves a silent coordinator"),
-    OwnTime("drain_ms", 1700.0, "a proxy leaves a silent coordinator"),
-    OwnTime("catch_up_s", 2.5, "a replica is replaced"),
-    OwnTime("acknowledge_ms", 2500.0, "another primary takes over"),
-    OwnTime("grace_s", 2.0, "a proxy takes connections for another second"),
+    reason: str  # event that takes this time
+
+
+# A proxy whose coordinator stops responding subscribes at another coordinator after 1.2 s and a connect of up
+# to 0.5 s (`proxy.subscription`). The table of docs/design/control-safety.md has the worst case of CatchUpS.
+REQUIRED_TIMES: Final = (
+    RequiredTime("config_apply_ms", 1700.0, "a proxy leaves a silent coordinator"),
+    RequiredTime("evacuate_ms", 1700.0, "a proxy leaves a silent coordinator"),
+    RequiredTime("drain_ms", 1700.0, "a proxy leaves a silent coordinator"),
+    RequiredTime("catch_up_s", 2.5, "a replica is replaced"),
+    RequiredTime("acknowledge_ms", 2500.0, "another primary takes over"),
+    RequiredTime("grace_s", 2.0, "a proxy takes connections for another second"),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class TightBound:
-    """A bound below the time that is needed."""
+    """A bound below the required time."""
 
-    key: str  # in the settings file
+    key: str  # key of the bound in the settings file
     bound: float
     needed: float
     reason: str
 
 
 def tight_bounds(bounds: Bounds) -> Iterator[TightBound]:
-    """Return the bounds that are tighter than our own times, in their own units."""
-    for own in OWN_TIMES:
-        bound = getattr(bounds, own.field)
-        if bound < own.needed:
-            yield TightBound(BOUNDS[own.field], bound, own.needed, own.reason)
+    """Return the bounds below the required times, each in the unit of its bound."""
+    for required in REQUIRED_TIMES:
+        bound = getattr(bounds, required.field)
+        if bound < required.needed:
+            yield TightBound(BOUNDS[required.field], bound, required.needed, required.reason)
--- a/coveport/serving/settings/field_reader.py
+++ b/coveport/serving/settings/field_reader.py
@@ -1,4 +1,4 @@
-"""Reads single fields of a parsed TOML file; faults are collected with their location."""
+"""Reads single fields of a parsed TOML file, and collects faults with their locations."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class FieldReader:
     """Reads the fields of one file.
 
-    Each method returns a value of the right type whatever the file holds: a fault goes to the findings, and a
-    harmless value takes its place, so that all faults of a file are found together.
+    Each method always returns a value of the right type: a faulty field adds a finding and reads as a
+    harmless default, so that all faults of a file are found in one run.
     """
 
     def __init__(self, data: Mapping[str, Any], findings: Findings) -> None:
@@ -24,7 +24,7 @@
         self.findings = findings
 
     def required(self, name: str, kind: type[Value], default: Value) -> Value:
-        """Return a field of a type, which must be there; a string must not be empty."""
+        """Return a required field of a type; a string must not be empty."""
         if name not in self.data:
             self.findings.add(name, "is missing")
             return default
@@ -37,11 +37,11 @@
         return value
 
     def required_strings(self, name: str) -> tuple[str, ...]:
-        """Return a list of strings at the top, which must be there."""
+        """Return a required list of strings at the top level."""
         return self.strings(self.data, name, name)
 
     def strings(self, table: Mapping[str, Any], name: str, location: str) -> tuple[str, ...]:
-        """Return a list of strings of a table, which must be there."""
+        """Return a required list of strings of a table."""
         value = table.get(name)
         if isinstance(value, list) and all(isinstance(item, str) for item in value):
             return tuple(value)
@@ -49,7 +49,7 @@
         return ()
 
     def flag(self, table: Mapping[str, Any], name: str, location: str) -> bool:
-        """Return a boolean of a table, which must be there."""
+        """Return a boolean of a table; the caller has checked that the field is present."""
         value = table[name]
         if isinstance(value, bool):
             return value
@@ -65,7 +65,7 @@
         return {}
 
     def address(self, text: object, location: str) -> Address | None:
-        """Return a value as an address, IP and port; None where it is none."""
+        """Return the address, IP and port, in a text; None where the text is not an address."""
         try:
             return parse_address(text)
         except ValueError as error:
@@ -75,7 +75,7 @@
     def number(
         self, table: Mapping[str, Any], name: str, location: str, *, is_zero_allowed: bool = True
     ) -> float:
-        """Return a number of a table, which must be there, finite and not negative."""
+        """Return a required number of a table; it must be finite and not negative."""
         if name not in table:
             self.findings.add(location, "is missing")
             return 0.0
--- a/coveport/serving/settings/reader.py
+++ b/coveport/serving/settings/reader.py
@@ -1,6 +1,6 @@
 """Reads and checks the settings file of a process, described in docs/operators/start.md.
 
-The outcome is the settings, or every fault of the file with its location.
+The result is the settings, or a finding with its location for each fault of the file.
 """
 
 from __future__ import annotations
@@ -29,12 +29,11 @@
 UNREADABLE: Final = "unreadable settings"
 MAX_PORT: Final = 65535
 
-# Settings that may be left out in general, but that a role may require: its disk and the addresses it listens
-# on.
+# Optional settings that a role may require: its data directory and the addresses at which it listens.
 RoleSetting = Literal["data_dir", "clients", "readiness", "control", "lookups"]
 Numbers = TypeVar("Numbers", ProcessLimits, FaultTolerance, Bounds)
 
-# The listeners of a process, by what it serves.
+# The listeners that a process needs, by the APIs that it serves.
 _LISTENERS: Final[dict[str, tuple[RoleSetting, ...]]] = {
     names.SERVES_CLIENTS: ("clients", "readiness"),
     names.SERVES_CONTROL: ("control",),
@@ -43,7 +42,7 @@
 
 
 def read_boot_settings(path: str, required: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
-    """Return the settings in a file, or why there are none; `required` as in `parse_boot_settings`."""
+    """Return the settings in a file, or a refusal; `required` as in `parse_boot_settings`."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, ValueError) as error:
@@ -52,9 +51,9 @@
 
 
 def parse_boot_settings(text: str, required: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
-    """Return the settings in a TOML text, or a finding for each fault. Unknown fields are ignored.
+    """Return the settings in a TOML text, or a refusal with a finding for each fault. Ignore unknown fields.
 
-    `required`: settings that the role can't start without, beside those that are always required.
+    `required`: optional settings without which the role can't start.
     """
     try:
         data = tomllib.loads(text)
@@ -77,7 +76,7 @@
         self._required = required
 
     def read(self) -> BootSettings:
-        """Return the settings; they are of no use where there are findings."""
+        """Return the settings; invalid where there are findings."""
         fields = self._fields
         serves = fields.required_strings(Boot.SERVES)
         listen = self._listen_addresses(serves)
@@ -118,13 +117,13 @@
         return text
 
     def _inner_ports(self) -> tuple[int, int]:
-        """Return the first and the last port of the range for this system's own processes."""
+        """Return the first and the last port that this system's processes use among each other."""
         value = self._data.get(Boot.INNER_PORTS)
         if value is None:
             self._findings.add(Boot.INNER_PORTS, "is missing")
             return 0, 0
         if not _is_port_range(value):
-            self._findings.add(Boot.INNER_PORTS, "must be the first and the last of a range of ports")
+            self._findings.add(Boot.INNER_PORTS, "must be the first and the last port of a range")
             return 0, 0
         return value[0], value[1]
 
@@ -163,35 +162,35 @@
         return regions
 
     def _check_locality(self, settings: BootSettings) -> None:
-        """Check that the zone is one of all zones, and in the region that is named with it."""
+        """Check that the table of zones has the zone of this process, with the region of this process."""
         if Boot.REGIONS not in self._data:
             self._findings.add(Boot.REGIONS, "is missing")
             return
         region = settings.regions.get(settings.zone)
         if settings.zone and settings.zone not in self._fields.table(Boot.REGIONS):
-            self._findings.add(Boot.ZONE, f"{Boot.REGIONS} does not have {settings.zone!r}")
+            self._findings.add(Boot.ZONE, f"{Boot.REGIONS} has no zone {settings.zone!r}")
         if region is not None and settings.region and region != settings.region:
             self._findings.add(Boot.REGION, f"{Boot.REGIONS} has {region!r} for this zone")
 
     def _platform(self) -> PlatformSettings | None:
-        """Return the platform's API; None where the file has none. Duties with other names are ignored."""
+        """Return the platform's API; None where the file has none. Ignore unknown duties."""
         if Boot.PLATFORM not in self._data:
             return None
         table = self._fields.table(Boot.PLATFORM)
         address, duties, calls_per_s = (wire.PLATFORM[key] for key in ("address", "duties", "calls_per_s"))
         read_address = self._fields.address(table.get(address), f"{Boot.PLATFORM}.{address}")
-        wanted = self._fields.strings(table, duties, f"{Boot.PLATFORM}.{duties}")
+        names_of_duties = self._fields.strings(table, duties, f"{Boot.PLATFORM}.{duties}")
         return PlatformSettings(
             read_address or ("", 0),
-            frozenset(kind for kind, name in wire.DUTIES.items() if name in wanted),
+            frozenset(kind for kind, name in wire.DUTIES.items() if name in names_of_duties),
             self._fields.number(table, calls_per_s, f"{Boot.PLATFORM}.{calls_per_s}", is_zero_allowed=False),
         )
 
     def _numbers(self, name: str, keys: Mapping[str, str], defaults: Numbers) -> Numbers:
-        """Return a table of numbers and flags; those that are missing keep their defaults.
+        """Return a table of numbers and flags; missing fields keep their defaults.
 
-        `keys`: the keys of the table by field of the result. A field whose default is an int takes whole
-        numbers, one whose default is a bool takes true or false.
+        `keys`: the key in the table of each field of the result. The type of a field's default is required:
+        whole numbers for an int, true or false for a bool.
         """
         table = self._fields.table(name)
         values: dict[str, Any] = {}
--- a/coveport/serving/settings/reload.py
+++ b/coveport/serving/settings/reload.py
@@ -1,6 +1,6 @@
-"""SIGHUP: reads and checks the settings file again; what a role can take at once takes effect.
+"""Reloads the settings file at a SIGHUP, and applies the changes that a role can apply while it runs.
 
-The rest waits for the next start. A file that can't be used changes nothing.
+Other changes take effect at the next start. An invalid file changes nothing.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 
 class ReloadingRole(Protocol):
-    """A role that takes some settings while it runs."""
+    """A role that can apply changes of some settings while it runs."""
 
-    reloadable: frozenset[str]  # the names of those settings, as `changed_settings` has them
+    reloadable: frozenset[str]  # names of those settings, as in `changed_settings`
 
     def apply_settings(self, settings: BootSettings) -> None:
-        """Take the reloadable ones of these settings."""
+        """Apply the reloadable settings among these."""
 
 
 def changed_settings(running: BootSettings, candidate: BootSettings) -> tuple[str, ...]:
-    """Return the names of the settings that differ; within a table as in `bounds.grace_s`."""
+    """Return the names of the settings that differ; a field of a table is named as in `bounds.grace_s`."""
     return tuple(_changed(running, candidate, ""))
 
 
@@ -39,7 +39,7 @@
 
 
 def with_changes(running: BootSettings, candidate: BootSettings, names: Collection[str]) -> BootSettings:
-    """Return the running settings with the candidate's values of these names."""
+    """Return the running settings, with the candidate's values for the settings in `names`."""
     values: dict[str, Any] = {}
     for name in names:
         table, _, key = name.rpartition(".")
@@ -53,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChange:
-    """The names of the settings that differ from those in effect before."""
+    """The names of the settings that a reload has found changed."""
 
-    applied: tuple[str, ...]  # in effect from here on
-    at_next_start: tuple[str, ...]
+    applied: tuple[str, ...]  # in effect now
+    at_next_start: tuple[str, ...]  # in effect from the next start on
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
     role: ReloadingRole
 
     def reload(self) -> SettingsChange | Refusal:
-        """Read the file again and apply what can be; refuse a file that can't be used, with its findings."""
+        """Read the file again and apply reloadable changes; return a refusal where the file is invalid."""
         candidate = read_boot_settings(self.path)
         if isinstance(candidate, Refusal):
             return candidate
--- a/tests/serving/coordinator/duty_world.py
+++ b/tests/serving/coordinator/duty_world.py
@@ -13,7 +13,7 @@
 from coveport.serving.configuration.commands import decode_command
 from coveport.serving.configuration.state import ControlState
 from coveport.serving.configuration.state_machine import apply
-from coveport.serving.coordinator.duty_lease_keeper import DutyLeaseKeeper
+from coveport.serving.coordinator.duty_lease_keeper import DutyLeaseManager
 from coveport.serving.coordinator.duty_runner import DutyRunner
 from coveport.serving.coordinator.platform_client import PlatformClient
 from coveport.serving.duties.commands import DutyCommand
@@ -136,7 +136,7 @@
         runtime: Any = self.runtime
         log = self._log()
         lease = DutyLease(OWN, LEASE_S)
-        keeper = DutyLeaseKeeper(self.net, runtime, lease, lambda: self.reads_all, log)
+        keeper = DutyLeaseManager(self.net, runtime, lease, lambda: self.reads_all, log)
         client = PlatformClient(self.net, PLATFORM_ADDRESS)
         self.runner = DutyRunner(self.net, keeper, client, [self.duty], CALLS_PER_S, log)
         self.runner.record_committed(self.runtime.state)
--- a/tests/serving/coordinator/test_peer_versions.py
+++ b/tests/serving/coordinator/test_peer_versions.py
@@ -23,11 +23,11 @@
     versions = PeerVersions()
     for address, version in announced.items():
         versions.record_coordinator(address, version)
-    assert versions.all_read(DUTIES_VERSION, ("a", "b")) is expected
+    assert versions.all_support(DUTIES_VERSION, ("a", "b")) is expected
 
 
 def test_an_upgraded_coordinator_no_longer_holds_anything_back() -> None:
     versions = PeerVersions()
     versions.record_coordinator("a", DUTIES_VERSION - 1)
     versions.record_coordinator("a", DUTIES_VERSION)
-    assert versions.all_read(DUTIES_VERSION, ("a",))
+    assert versions.all_support(DUTIES_VERSION, ("a",))
--- a/tests/serving/settings/test_bound_checks.py
+++ b/tests/serving/settings/test_bound_checks.py
@@ -1,4 +1,4 @@
-"""Bounds that are tighter than what this system needs are logged, each with its key."""
+"""Each bound below the time that this system requires is logged with its key."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from coveport.serving.proxy.subscription import ANSWER_TIMEOUT_S, CONNECT_TIMEOUT_S
 from coveport.serving.role_process import log_tight_bounds
 from coveport.serving.settings.boot import Bounds
-from coveport.serving.settings.bound_checks import OWN_TIMES, tight_bounds
+from coveport.serving.settings.bound_checks import REQUIRED_TIMES, tight_bounds
 from coveport.serving.wire.settings import BOUNDS
 
 
-def test_the_usual_bounds_are_wide_enough() -> None:
+def test_default_bounds_are_not_too_tight() -> None:
     assert list(tight_bounds(Bounds())) == []
 
 
-@pytest.mark.parametrize("own", OWN_TIMES, ids=[own.field for own in OWN_TIMES])
-def test_each_bound_below_what_is_needed_is_logged_once_by_its_key(own: Any) -> None:
+@pytest.mark.parametrize("required", REQUIRED_TIMES, ids=[required.field for required in REQUIRED_TIMES])
+def test_each_bound_below_its_required_time_is_logged_once_by_its_key(required: Any) -> None:
     events: list[dict[str, Any]] = []
 
     class Log:
@@ -28,12 +28,12 @@
             assert event == "bound_too_tight"
             events.append(values)
 
-    tight = replace(Bounds(), **{own.field: own.needed - 0.1})
+    tight = replace(Bounds(), **{required.field: required.needed - 0.1})
     log_tight_bounds(replace(read_valid(PROXY), bounds=tight), Log())  # type: ignore[arg-type]
-    assert [event["key"] for event in events] == [BOUNDS[own.field]]
-    assert list(tight_bounds(replace(Bounds(), **{own.field: own.needed}))) == []
+    assert [event["key"] for event in events] == [BOUNDS[required.field]]
+    assert list(tight_bounds(replace(Bounds(), **{required.field: required.needed}))) == []
 
 
-def test_the_time_to_leave_a_silent_coordinator_is_that_of_the_subscription() -> None:
-    needed = {own.field: own.needed for own in OWN_TIMES}
-    assert needed["config_apply_ms"] == 1000 * (ANSWER_TIMEOUT_S + CONNECT_TIMEOUT_S)
+def test_time_to_leave_an_unresponsive_coordinator_matches_the_subscription() -> None:
+    required = {time.field: time.needed for time in REQUIRED_TIMES}
+    assert required["config_apply_ms"] == 1000 * (ANSWER_TIMEOUT_S + CONNECT_TIMEOUT_S)
