--- a/coveport/serving/coordinator/coordinator.py
+++ b/coveport/serving/coordinator/coordinator.py
@@ -64,10 +64,8 @@
 from coveport.serving.wire.versions import PROTOCOL_VERSION
 
 MAINTENANCE_INTERVAL_S: Final = 0.1
-NODE_TIMEOUT_HEARTBEATS: Final = 4.5  # a node that sent none for this many intervals is removed
-FULL_TABLE_HEARTBEATS: Final = (
-    2.5  # within this many intervals every live node has reported here or to a peer
-)
+NODE_TIMEOUT_HEARTBEATS: Final = 4.5  # intervals without a heartbeat after which a node is removed
+FULL_TABLE_HEARTBEATS: Final = 2.5  # intervals within which every live node reports here or to a peer
 HANDOVER_MIN_S: Final = 0.4  # a stop leaves at least this time for another primary to take over
 HANDOVER_MAX_FRACTION: Final = 0.5  # the wait for it ends after this part of the platform's grace period
 HANDOVER_POLL_S: Final = 0.05
@@ -369,7 +367,7 @@
     def _on_stall(self, stall_s: float) -> None:
         """Discard state that may be stale after a stall, and request the tables of live peers again.
 
-        Stale may be the quorum, the lease of the duties, time-outs of nodes, and bytes in HTTP connections.
+        The quorum, the lease of the duties, time-outs of nodes and bytes in HTTP connections may be stale.
         """
         self._quorum_status.reset()
         self._duties.record_stall()
--- a/coveport/serving/coordinator/node_report_replication.py
+++ b/coveport/serving/coordinator/node_report_replication.py
@@ -36,9 +36,7 @@
 
     confirmation_id: int
     replicated: asyncio.Future[bool]
-    acknowledgements: dict[MemberId, Epoch] = field(
-        default_factory=dict
-    )  # view epoch by acknowledging member
+    acknowledgements: dict[MemberId, Epoch] = field(default_factory=dict)  # view epoch by member
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/serving/coordinator/replica_runtime.py
+++ b/coveport/serving/coordinator/replica_runtime.py
@@ -97,14 +97,14 @@
     async def _call(self, make_event: Callable[[int], Event]) -> Outcome:
         self._last_call_id += 1
         call_id = self._last_call_id
-        outcome: asyncio.Future[Outcome] = self._net.loop.create_future()
-        self._pending_calls[call_id] = outcome
+        outcome_future: asyncio.Future[Outcome] = self._net.loop.create_future()
+        self._pending_calls[call_id] = outcome_future
         try:
             self._handle(make_event(call_id))
-            return await outcome
+            return await outcome_future
         finally:
             self._pending_calls.pop(call_id, None)
-            if not outcome.done() or outcome.cancelled():
+            if not outcome_future.done() or outcome_future.cancelled():
                 self._handle(CancelCall(call_id))
 
     def _tick(self) -> None:
@@ -137,9 +137,9 @@
                 self._log.error("message_rejected", sender=sender, error=problem)
 
     def _set_outcome(self, call_id: int, outcome: Outcome) -> None:
-        pending_call = self._pending_calls.get(call_id)
-        if pending_call is not None and not pending_call.done():
-            pending_call.set_result(outcome)
+        outcome_future = self._pending_calls.get(call_id)
+        if outcome_future is not None and not outcome_future.done():
+            outcome_future.set_result(outcome)
 
     def _on_written(self, token: int, error: OSError | None) -> None:
         if error is None:
--- a/coveport/serving/coordinator/telemetry_replication.py
+++ b/coveport/serving/coordinator/telemetry_replication.py
@@ -15,9 +15,7 @@
 from coveport.serving.wire.versions import TELEMETRY_VERSION
 
 PRIMARY_INTERVAL_S: Final = 0.5  # the duties of the primary need reports soon
-FOLLOWER_INTERVAL_S: Final = (
-    2.0  # followers need reports only as primaries later; this interval saves half of the bytes
-)
+FOLLOWER_INTERVAL_S: Final = 2.0  # longer, since followers need reports only later: saves half of the bytes
 
 
 @dataclass(slots=True)
@@ -66,9 +64,7 @@
         self._unsent_to_primary = _UnsentCounts()
         self._unsent_to_followers = _UnsentCounts()
         self._new_peers: set[str] = set()  # addresses of peers that need all reports
-        self._synced_primary: str | None = (
-            None  # primary that lacks nothing but the counts in `_unsent_to_primary`
-        )
+        self._synced_primary: str | None = None  # primary that lacks only the counts in `_unsent_to_primary`
         self._sent_to_primary_s = 0.0
         self._sent_to_followers_s = 0.0
 
--- a/coveport/serving/role_process.py
+++ b/coveport/serving/role_process.py
@@ -45,7 +45,7 @@
 
     `required`: the settings that this role can't do without.
     """
-    settings = read_boot_settings(settings_path, required=required)
+    settings = read_boot_settings(settings_path, required_settings=required)
     if isinstance(settings, Refusal):
         for finding in settings.findings:
             print(f"coveport: settings: {finding}", file=sys.stderr)
--- a/coveport/serving/settings/reader.py
+++ b/coveport/serving/settings/reader.py
@@ -41,26 +41,26 @@
 }
 
 
-def read_boot_settings(path: str, required: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
-    """Return the settings in a file, or a refusal; `required` as in `parse_boot_settings`."""
+def read_boot_settings(path: str, required_settings: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
+    """Return the settings in a file, or a refusal; `required_settings` as in `parse_boot_settings`."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, ValueError) as error:
         return Refusal(UNREADABLE, (Finding("", f"can't be read: {error}"),))
-    return parse_boot_settings(text, required)
+    return parse_boot_settings(text, required_settings)
 
 
-def parse_boot_settings(text: str, required: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
+def parse_boot_settings(text: str, required_settings: Collection[RoleSetting] = ()) -> BootSettings | Refusal:
     """Return the settings in a TOML text, or a refusal with a finding for each fault. Ignore unknown fields.
 
-    `required`: optional settings without which the role can't start.
+    `required_settings`: optional settings without which the role can't start.
     """
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         return Refusal(INVALID, (Finding("", f"is not TOML: {error}"),))
     findings = Findings()
-    settings = _BootSettingsReader(data, findings, required).read()
+    settings = _BootSettingsReader(data, findings, required_settings).read()
     return Refusal(INVALID, tuple(findings)) if findings else settings
 
 
@@ -68,12 +68,12 @@
     """Reads the settings of one file."""
 
     def __init__(
-        self, data: Mapping[str, Any], findings: Findings, required: Collection[RoleSetting]
+        self, data: Mapping[str, Any], findings: Findings, required_settings: Collection[RoleSetting]
     ) -> None:
         self._data = data
         self._findings = findings
         self._fields = FieldReader(data, findings)
-        self._required = required
+        self._required_settings = required_settings
 
     def read(self) -> BootSettings:
         """Return the settings; invalid where there are findings."""
@@ -135,19 +135,19 @@
     def _listen_addresses(self, serves: tuple[str, ...]) -> dict[str, Address | None]:
         """Return the address of each listener; None where the file has none."""
         table = self._fields.table(Boot.LISTEN)
-        required = {listener for role in serves for listener in _LISTENERS.get(role, ())}.union(
-            self._required
+        required_listeners = {listener for role in serves for listener in _LISTENERS.get(role, ())}.union(
+            self._required_settings
         )
         addresses: dict[str, Address | None] = {}
         for listener, name in wire.LISTEN.items():
             location = f"{Boot.LISTEN}.{name}"
             addresses[listener] = self._fields.address(table[name], location) if name in table else None
-            if name not in table and listener in required:
+            if name not in table and listener in required_listeners:
                 self._findings.add(location, "is missing")
         return addresses
 
     def _data_dir(self) -> str | None:
-        if Boot.DATA_DIR in self._data or "data_dir" in self._required:
+        if Boot.DATA_DIR in self._data or "data_dir" in self._required_settings:
             return self._fields.required(Boot.DATA_DIR, str, "")
         return None
 
--- a/tests/serving/coordinator/duty_world.py
+++ b/tests/serving/coordinator/duty_world.py
@@ -1,4 +1,4 @@
-"""A duty runner in simulated time: a scripted replica, a platform with scripted answers, a duty."""
+"""A duty runner in simulated time, with a scripted replica, platform and duty."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 from coveport.testbed.simulated_network.world import Process, World
 
 PLATFORM_ADDRESS = ("10.0.0.1", 80)
-OWN = DutyHolder("one", "a")
-OTHER = DutyHolder("two", "b")
+OWN_HOLDER = DutyHolder("one", "a")
+OTHER_HOLDER = DutyHolder("two", "b")
 LEASE_S = 3.0
 CALLS_PER_S = 10.0
 TICK_S = 0.1
 
 
 class ScriptedRuntime:
-    """The core: commands and reads succeed at once while this coordinator leads and `answers`."""
+    """A replica whose commands and reads succeed at once while it is primary and `is_responding`."""
 
     def __init__(self, on_committed: Callable[[ControlState], None]) -> None:
         self._on_committed = on_committed
         self.replica = SimpleNamespace(is_primary=True, view_epoch=Epoch(1, "d"))
         self.state = ControlState()
-        self.answers = True
+        self.is_responding = True
         self.commands: list[DutyCommand] = []
 
     async def submit(self, command: bytes) -> Outcome:
@@ -62,16 +62,16 @@
         return Newest(1, self.state) if self.replica.is_primary else NotPrimary(None)
 
     async def _wait(self) -> None:
-        if not self.answers:
+        if not self.is_responding:
             await asyncio.Event().wait()
 
 
 class ScriptedDuty:
-    """Makes the calls that a test hands it, one after the other."""
+    """Returns the commands and calls that a test has queued, one after the other."""
 
     def __init__(self) -> None:
         self.calls: list[PlatformCall] = []
-        self.wanted: list[Callable[[int], DutyCommand]] = []  # by the fence
+        self.make_commands: list[Callable[[int], DutyCommand]] = []  # queued commands, made with the fence
         self.outcomes: list[CallOutcome] = []
         self.takeovers = 0
 
@@ -79,7 +79,7 @@
         self.takeovers += 1
 
     def next_command(self, state: DutyState, fence: int, now_s: float) -> DutyCommand | None:
-        return self.wanted.pop(0)(fence) if self.wanted else None
+        return self.make_commands.pop(0)(fence) if self.make_commands else None
 
     def next_call(self, state: DutyState, now_s: float) -> PlatformCall | None:
         return self.calls.pop(0) if self.calls else None
@@ -89,7 +89,7 @@
 
 
 class Platform(asyncio.Protocol):
-    """One connection: answers with a status, after a delay; 0: never."""
+    """A connection of the platform: responds with `response_status`, or never where that is 0."""
 
     def __init__(self, world: DutyWorld) -> None:
         self._world = world
@@ -98,33 +98,33 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._world.connected += 1
+        self._world.connection_count += 1
 
     def data_received(self, data: bytes) -> None:
         self._parser.feed(data)
         request = self._parser.next_request()
         assert request is not None
-        self._world.seen.append((self._world.time.now - self._world.began_s, request))
-        if self._world.status:
-            self._transport.write(write_response(self._world.status))
+        self._world.requests.append((self._world.time.now - self._world.started_at_s, request))
+        if self._world.response_status:
+            self._transport.write(write_response(self._world.response_status))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._world.ended_at_s.append(self._world.time.now - self._world.began_s)
+        self._world.connection_ends_s.append(self._world.time.now - self._world.started_at_s)
 
 
 class DutyWorld:
-    """All of it; times are in seconds from the start."""
+    """The runner, its scripted partners and their clock; recorded times are in seconds since the start."""
 
     def __init__(self, state: DutyState = DutyState()) -> None:  # noqa: B008 - frozen
         self.time = World()
-        self.began_s = self.time.now
+        self.started_at_s = self.time.now
         network = Network(self.time, ZoneDelayModel((), Delays(), Random(1)))  # type: ignore[arg-type]
-        self.status = 200
-        self.connected = 0
-        self.seen: list[tuple[float, Request]] = []
-        self.ended_at_s: list[float] = []
+        self.response_status = 200
+        self.connection_count = 0
+        self.requests: list[tuple[float, Request]] = []
+        self.connection_ends_s: list[float] = []
         self.logged: list[tuple[str, dict[str, Any]]] = []
-        self.reads_all = True  # all coordinators read the commands
+        self.all_support_duties = True  # whether all coordinators support the duties
         platform = VirtualNet(self._process("platform"), network, network.place(PLATFORM_ADDRESS[0], -1))
         listen = platform.listen(lambda: Platform(self), PLATFORM_ADDRESS, accepts_per_turn=9, backlog=9)
         platform.process.create_task(listen)
@@ -135,10 +135,10 @@
         self.duty = ScriptedDuty()
         runtime: Any = self.runtime
         log = self._log()
-        lease = DutyLease(OWN, LEASE_S)
-        keeper = DutyLeaseManager(self.net, runtime, lease, lambda: self.reads_all, log)
+        lease = DutyLease(OWN_HOLDER, LEASE_S)
+        lease_manager = DutyLeaseManager(self.net, runtime, lease, lambda: self.all_support_duties, log)
         client = PlatformClient(self.net, PLATFORM_ADDRESS)
-        self.runner = DutyRunner(self.net, keeper, client, [self.duty], CALLS_PER_S, log)
+        self.runner = DutyRunner(self.net, lease_manager, client, [self.duty], CALLS_PER_S, log)
         self.runner.record_committed(self.runtime.state)
         self.process.call_soon(self._tick)
 
@@ -158,12 +158,12 @@
     def run(self, duration_s: float) -> None:
         self.time.run(self.time.now + duration_s)
 
-    def call(self, count: int = 1) -> None:
-        """Want so many calls."""
+    def queue_calls(self, count: int = 1) -> None:
+        """Queue this many calls of the duty."""
         self.duty.calls += [PlatformCall("/fleet", b'{"Wanted":%d}' % number) for number in range(count)]
 
     def events(self, name: str) -> list[dict[str, Any]]:
         return [keys for event, keys in self.logged if event == name]
 
     def fences(self) -> list[str | None]:
-        return [request.get("coveport-fence") for _, request in self.seen]
+        return [request.get("coveport-fence") for _, request in self.requests]
--- a/tests/serving/coordinator/subscription_fakes.py
+++ b/tests/serving/coordinator/subscription_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes around `Subscriptions`: timers that are fired by hand, a clock, a status, a connection."""
+"""Fakes for tests of `Subscriptions`: an event loop with manual timers, a clock, a status, a connection."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 class FakeTimer:
     """A timer that is pending until it is cancelled."""
 
-    def __init__(self, loop: FakeLoop, call: object, arguments: tuple[object, ...]) -> None:
+    def __init__(self, loop: FakeLoop, callback: object, arguments: tuple[object, ...]) -> None:
         self.loop = loop
-        self.call = call
+        self.callback = callback
         self.arguments = arguments
 
     def cancel(self) -> None:
@@ -20,30 +20,30 @@
 
 
 class FakeLoop:
-    """Keeps timers until `fire` is called; runs other callbacks at once."""
+    """An event loop whose timers run only in `fire`; other callbacks run at once."""
 
     def __init__(self) -> None:
         self.timers: list[FakeTimer] = []
         self.delays_s: list[float] = []
 
-    def call_later(self, delay_s: float, call: object, *arguments: object) -> FakeTimer:
+    def call_later(self, delay_s: float, callback: object, *arguments: object) -> FakeTimer:
         self.delays_s.append(delay_s)
-        self.timers.append(FakeTimer(self, call, arguments))
+        self.timers.append(FakeTimer(self, callback, arguments))
         return self.timers[-1]
 
-    def call_soon(self, call: object) -> None:
-        assert callable(call)
-        call()
+    def call_soon(self, callback: object) -> None:
+        assert callable(callback)
+        callback()
 
     def fire(self) -> None:
-        """Fire the only timer."""
+        """Run the callback of the only timer."""
         (timer,) = self.timers
-        assert callable(timer.call)
-        timer.call(*timer.arguments)
+        assert callable(timer.callback)
+        timer.callback(*timer.arguments)
 
 
 class FakeNet(Net):
-    """A time that a test sets, and a `FakeLoop`."""
+    """A network with a clock that a test sets, and a `FakeLoop`."""
 
     def __init__(self) -> None:
         self.fake_loop = FakeLoop()
@@ -55,7 +55,7 @@
 
 
 class FakeStatus:
-    """A `CoordinatorStatus` that a test sets."""
+    """A `CoordinatorStatus` with values that a test sets."""
 
     def __init__(
         self, *, quorum: bool, all_nodes: bool, coordinators: tuple[CoordinatorEndpoint, ...] = ()
@@ -75,7 +75,7 @@
 
 
 class FakeConnection:
-    """Decodes the updates that are sent on it."""
+    """A connection that decodes and records the updates sent on it."""
 
     def __init__(self) -> None:
         self.updates: list[Update] = []
--- a/tests/serving/coordinator/test_control_service.py
+++ b/tests/serving/coordinator/test_control_service.py
@@ -1,4 +1,4 @@
-"""Operators' commands where this coordinator is primary, another one is, or there is none for now."""
+"""Operators' commands where this coordinator is primary, another one is, or no primary is elected."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ScriptedRuntime:
-    """A replica runtime whose outcome a test sets; without one it never answers."""
+    """A replica runtime with an outcome that a test sets; without an outcome it never responds."""
 
     def __init__(self) -> None:
         self.has_quorum = True
@@ -44,7 +44,10 @@
     call: Callable[[ControlService], Coroutine[Any, Any, Any]],
     step: tuple[float, Callable[[], None]] | None = None,
 ) -> tuple[Any, float]:
-    """Return a call's result and its duration in simulated seconds; `step`: what happens when meanwhile."""
+    """Return a call's result and its duration in simulated seconds.
+
+    `step`: a delay in seconds, and a change that is made after it, during the call.
+    """
     world = World()
     process = Process.start(world, "coordinator")
     net = SimpleNamespace(now_s=lambda: world.now)
@@ -79,13 +82,13 @@
     assert PRIMARY_TIMEOUT_S <= took_s < CALLER_TIMEOUT_S - 0.08
 
 
-def test_a_primary_that_is_elected_meanwhile_is_found() -> None:
+def test_primary_that_is_elected_during_the_wait_is_found() -> None:
     runtime = ScriptedRuntime()
 
-    def elected() -> None:
+    def elect() -> None:
         runtime.replica.primary_address = "10.0.0.3:7300"
 
-    address, took_s = run(runtime, ControlService.find_other_primary, (0.5, elected))
+    address, took_s = run(runtime, ControlService.find_other_primary, (0.5, elect))
     assert address == "10.0.0.3:7300"
     assert 0.5 <= took_s < 0.55
 
@@ -100,7 +103,7 @@
         (OutcomeUnknown(), 503),
     ],
 )
-def test_outcome_becomes_its_response(outcome: Any, status: int) -> None:
+def test_outcome_maps_to_its_status(outcome: Any, status: int) -> None:
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
     runtime.outcome = outcome
@@ -142,10 +145,10 @@
 
 
 def test_primary_without_quorum_starts_nothing_and_responds_before_its_caller_times_out() -> None:
-    """It could only let the caller wait, and the command might be committed after a later one elsewhere."""
+    """The command would have no outcome in time, and might be committed after one of another primary."""
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
-    runtime.replica.primary_address = "10.0.0.1:7300"  # its own
+    runtime.replica.primary_address = "10.0.0.1:7300"  # of this coordinator
     runtime.has_quorum = False
     runtime.outcome = Done(ChangeResult(200, 7))
     address, took_s = run(runtime, ControlService.find_other_primary)
@@ -156,14 +159,14 @@
         assert (response.status, took_s) == (503, 0.0)
 
 
-def test_primary_that_has_a_quorum_again_accepts_the_call_that_waited() -> None:
+def test_call_waits_until_the_primary_has_a_quorum_again() -> None:
     runtime = ScriptedRuntime()
     runtime.replica.is_primary = True
     runtime.has_quorum = False
 
-    def heal() -> None:
+    def restore_quorum() -> None:
         runtime.has_quorum = True
 
-    address, took_s = run(runtime, ControlService.find_other_primary, (0.4, heal))
+    address, took_s = run(runtime, ControlService.find_other_primary, (0.4, restore_quorum))
     assert address is None
     assert 0.4 <= took_s < 0.45
--- a/tests/serving/coordinator/test_disconnected_callers.py
+++ b/tests/serving/coordinator/test_disconnected_callers.py
@@ -1,4 +1,4 @@
-"""A request whose caller has disconnected is not started any more: the caller retried it elsewhere."""
+"""A request whose caller has disconnected is not submitted: the caller retries it at another coordinator."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """A caller's connection, with what was written to it."""
+    """A caller's connection that records the written bytes."""
 
     def __init__(self) -> None:
         super().__init__({"sockname": ("10.0.0.1", 7000)})
         self.written = b""
-        self.is_over = False
+        self.is_closed = False
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         self.written += bytes(data)
 
     def is_closing(self) -> bool:
-        return self.is_over
+        return self.is_closed
 
     def close(self) -> None:
-        self.is_over = True
+        self.is_closed = True
 
     def abort(self) -> None:
-        self.is_over = True
+        self.is_closed = True
 
 
 class ScriptedReplica:
-    """A replica that records events; it answers submits with `outcome` where there is one."""
+    """A replica that records events, and answers submits with `outcome` unless that is None."""
 
     def __init__(self) -> None:
         self.is_primary = True
@@ -92,7 +92,7 @@
         self.http_server.reset_all()
 
     def call(self) -> tuple[_Connection, FakeTransport]:
-        """Connect, and send a request without a version."""
+        """Connect, and send a request for an evacuation."""
         connection, transport = _Connection(self.http_server), FakeTransport()
         self.process.call_soon(connection.connection_made, transport)
         self.process.call_soon(connection.data_received, EVACUATION)
@@ -102,42 +102,42 @@
         self.world.run(self.world.now + duration_s)
 
 
-def disconnect(connection: _Connection, how: str) -> None:
-    if how == "closes":
+def disconnect(connection: _Connection, kind: str) -> None:
+    if kind == "closes":
         connection.eof_received()
     else:
         connection.connection_lost(ConnectionResetError())
 
 
-@pytest.mark.parametrize("how", ["closes", "resets"])
-def test_request_whose_caller_left_while_there_was_no_primary_is_never_submitted(how: str) -> None:
-    """An earlier version waited on for a primary and submitted it to itself 0.8 s later."""
+@pytest.mark.parametrize("kind", ["closes", "resets"])
+def test_request_whose_caller_disconnects_during_an_election_is_never_submitted(kind: str) -> None:
+    """An earlier version kept waiting for a primary, became primary, and submitted it 0.8 s later."""
     server = ControlServer()
     server.replica.is_primary = False
     connection, _ = server.call()
     server.run(0.4)
-    server.process.call_soon(disconnect, connection, how)
+    server.process.call_soon(disconnect, connection, kind)
     server.run(0.1)
     server.replica.is_primary = True
     server.run(5.0)
     assert server.replica.events_of(Submit) == []
 
 
-@pytest.mark.parametrize("how", ["closes", "resets"])
+@pytest.mark.parametrize("kind", ["closes", "resets"])
 @pytest.mark.parametrize("after_s", [0.0, DISCONNECT_WAIT_S / 2])
-def test_delayed_duplicate_that_comes_with_its_callers_end_is_never_submitted(
-    how: str, after_s: float
+def test_delayed_duplicate_that_arrives_with_its_callers_disconnect_is_never_submitted(
+    kind: str, after_s: float
 ) -> None:
-    """A link that held up both delivers them together."""
+    """A link that has delayed both delivers them together."""
     server = ControlServer()
     connection, _ = server.call()
     server.run(after_s)
-    server.process.call_soon(disconnect, connection, how)
+    server.process.call_soon(disconnect, connection, kind)
     server.run(5.0)
     assert server.replica.events_of(Submit) == []
 
 
-def test_submitted_request_whose_caller_leaves_is_cancelled() -> None:
+def test_submitted_request_whose_caller_disconnects_is_cancelled() -> None:
     server = ControlServer()
     connection, _ = server.call()
     server.run(DISCONNECT_WAIT_S + 0.1)
@@ -149,7 +149,7 @@
 
 
 def test_submitted_request_without_an_outcome_is_cancelled_when_its_caller_gets_503() -> None:
-    """An earlier version left it in the primary's queue, which the next view takes over."""
+    """An earlier version left the command in the primary's queue, which the next view takes over."""
     server = ControlServer()
     _, transport = server.call()
     server.run(DISCONNECT_WAIT_S + 4.2)
@@ -166,7 +166,7 @@
     assert transport.written
 
 
-def test_bytes_that_waited_during_a_stall_are_dropped_unread() -> None:
+def test_bytes_received_during_a_stall_are_dropped() -> None:
     """The loop reads sockets before it runs the tick that would detect the stall."""
     server = ControlServer()
     server.runtime.start()
@@ -174,30 +174,32 @@
     connection, transport = _Connection(server.http_server), FakeTransport()
     server.process.call_soon(connection.connection_made, transport)
     server.run(0.01)
-    server.runtime.stop()  # no tick comes in front of the bytes
+    server.runtime.stop()  # no tick runs before the bytes are read
     server.run(STALL_THRESHOLD_S + 2 * TICK_INTERVAL_S)
     server.process.call_soon(connection.data_received, EVACUATION)
     server.run(5.0)
     assert len(server.stalls_s) == 1
-    assert transport.is_over
+    assert transport.is_closed
     assert server.replica.events_of(Submit) == []
     assert len(server.replica.events_of(Tick)) > 10
 
 
-def without_cancelling(self: _Connection) -> None:
-    """The variant that goes on with a request whose caller has left."""
+def cancel_nothing(self: _Connection) -> None:
+    """Replace `_cancel_response` in a variant that continues requests of disconnected callers."""
 
 
 @pytest.mark.parametrize(
     "check",
     [
-        lambda: test_request_whose_caller_left_while_there_was_no_primary_is_never_submitted("resets"),
-        lambda: test_delayed_duplicate_that_comes_with_its_callers_end_is_never_submitted("closes", 0.0),
-        test_submitted_request_whose_caller_leaves_is_cancelled,
+        lambda: test_request_whose_caller_disconnects_during_an_election_is_never_submitted("resets"),
+        lambda: test_delayed_duplicate_that_arrives_with_its_callers_disconnect_is_never_submitted(
+            "closes", 0.0
+        ),
+        test_submitted_request_whose_caller_disconnects_is_cancelled,
     ],
-    ids=["no primary", "with its end", "submitted"],
+    ids=["during an election", "with its disconnect", "submitted"],
 )
-def test_variant_that_never_cancels_is_caught(check: Callable[[], None], monkeypatch: Any) -> None:
-    monkeypatch.setattr(_Connection, "_cancel_response", without_cancelling)
+def test_variant_that_never_cancels_fails_the_checks(check: Callable[[], None], monkeypatch: Any) -> None:
+    monkeypatch.setattr(_Connection, "_cancel_response", cancel_nothing)
     with pytest.raises((AssertionError, ValueError)):
         check()
--- a/tests/serving/coordinator/test_fleet_duty.py
+++ b/tests/serving/coordinator/test_fleet_duty.py
@@ -1,4 +1,4 @@
-"""The platform's call for an order of nodes, byte by byte, and what is read of the acknowledged state."""
+"""The exact call for an order of nodes, and the services read from committed states."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from coveport.serving.model.configuration import Scaling
 
 
-def test_an_order_is_rendered_as_the_platform_wants_it() -> None:
+def test_order_is_encoded_in_the_format_of_the_platform() -> None:
     body = b'{"Service":"huvo11a","Zone":"hobart-hall","Wanted":6}'
     assert fleet_call(FleetOrder("huvo11a", "hobart-hall", 6)) == PlatformCall("/fleet", body)
 
@@ -28,7 +28,7 @@
     assert services.evacuated_zones() == frozenset()
 
 
-def test_a_configuration_that_this_program_cannot_read_has_no_services() -> None:
+def test_configuration_that_cannot_be_read_has_no_services() -> None:
     services = CommittedServices()
     services.record_committed(ControlState(b"{}", edition=1))
     assert services.services() == ()
--- a/tests/serving/coordinator/test_node_api.py
+++ b/tests/serving/coordinator/test_node_api.py
@@ -1,4 +1,4 @@
-"""Heartbeats as the API of nodes accepts and rejects them."""
+"""Heartbeats that the nodes' API accepts, acknowledges or rejects."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def test_heartbeat_without_quorum_is_accepted_and_not_acknowledged() -> None:
-    """Other coordinators would hear nothing of a node that reports to a partitioned one, and remove it."""
+    """Other coordinators don't receive reports to a partitioned coordinator, and would remove the node."""
     replicator = FakeReplicator()
     assert put(replicator, has_quorum=False) == 503
     assert len(replicator.accepted) == 1
--- a/tests/serving/coordinator/test_peer_versions.py
+++ b/tests/serving/coordinator/test_peer_versions.py
@@ -1,4 +1,4 @@
-"""Which announced versions hold commands of the duties back."""
+"""Whether all coordinators support a protocol version, as the commands of the duties require."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         ({"a": DUTIES_VERSION, "elsewhere": DUTIES_VERSION - 1}, True),
     ],
 )
-def test_an_older_coordinator_among_those_asked_about_is_found(
+def test_version_is_supported_unless_a_listed_coordinator_is_older(
     announced: dict[str, int], expected: bool
 ) -> None:
     versions = PeerVersions()
@@ -26,7 +26,7 @@
     assert versions.all_support(DUTIES_VERSION, ("a", "b")) is expected
 
 
-def test_an_upgraded_coordinator_no_longer_holds_anything_back() -> None:
+def test_version_is_supported_after_the_older_coordinator_is_upgraded() -> None:
     versions = PeerVersions()
     versions.record_coordinator("a", DUTIES_VERSION - 1)
     versions.record_coordinator("a", DUTIES_VERSION)
--- a/tests/serving/coordinator/test_simultaneous_start.py
+++ b/tests/serving/coordinator/test_simultaneous_start.py
@@ -1,4 +1,4 @@
-"""Proxies and coordinators start at the same time after a power loss: which waits for which."""
+"""Update requests while proxies and coordinators start at the same time, as after a power loss."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self.connection = FakeConnection()
 
     def request(self, sequence: int = -1) -> list[Update]:
-        """Have the proxy request an update; all that it got so far."""
+        """Request an update for the proxy; return all updates that it has received."""
         lease = ProxyLease("p", "127.0.0.2:1", "a", "north", False, 1, 1)
         request = UpdateRequest(lease, "", -1, sequence, 1)
         self.subscriptions.receive(self.connection, request)  # type: ignore[arg-type]
@@ -79,25 +79,25 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 4])
 def test_proxies_serve_within_a_quarter_second_of_the_primary(seed: int) -> None:
-    day = SimulatedDeployment(Deployment(proxies=(3, 3, 3)), seed)
-    faults = FaultInjector(day)
-    for machine in (*day.coordinators, *day.proxies):
+    deployment = SimulatedDeployment(Deployment(proxies=(3, 3, 3)), seed)
+    faults = FaultInjector(deployment)
+    for machine in (*deployment.coordinators, *deployment.proxies):
         faults.lose_power(1.0, machine, for_s=1.0)
-    day.play(3.0)
-    led_s = min(
-        seconds(line)
-        for machine in day.coordinators
+    deployment.play(3.0)
+    primary_s = min(
+        log_time_s(line)
+        for machine in deployment.coordinators
         for line in machine.log_lines
         if "event=view_changed role=primary epoch=2 " in line
     )
     serving_s = [
-        max(seconds(line) for line in machine.log_lines if "event=proxy_serving" in line)
-        for machine in day.proxies
+        max(log_time_s(line) for line in machine.log_lines if "event=proxy_serving" in line)
+        for machine in deployment.proxies
     ]
-    assert led_s > day.traffic_from_s + 2.0
-    assert max(serving_s) - led_s < 0.25
+    assert primary_s > deployment.traffic_from_s + 2.0
+    assert max(serving_s) - primary_s < 0.25
 
 
-def seconds(line: str) -> float:
-    """The time of a log line, on the world's clock."""
+def log_time_s(line: str) -> float:
+    """Return the time of a log line, in seconds on the simulated clock."""
     return float(line.split()[0].removeprefix("at="))
--- a/tests/serving/coordinator/test_state_history.py
+++ b/tests/serving/coordinator/test_state_history.py
@@ -1,4 +1,4 @@
-"""Which changes of the state a proxy is sent, by the sequence number that it has."""
+"""The changes that are sent to a proxy, by the sequence number of its state."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def history_of(commands: int) -> StateHistory:
-    """Return a history with the state of sequence 0 and so many commands after it."""
+    """Return a history with the state of sequence number 0 and this many commands after it."""
     history = StateHistory()
     history.advance(0, b"state 0", None)
     for sequence in range(1, commands + 1):
@@ -46,7 +46,7 @@
     assert (history.sequence, history.encoded_state) == (sequence, b"snapshot")
 
 
-def test_changes_of_the_duties_alone_are_left_out() -> None:
+def test_changes_of_the_duties_alone_are_omitted() -> None:
     history = history_of(2)
     history.advance_duties()
     history.advance(4, b"state 4", b"command 4")
--- a/tests/serving/coordinator/test_telemetry_replication.py
+++ b/tests/serving/coordinator/test_telemetry_replication.py
@@ -1,4 +1,4 @@
-"""Reports of proxies on their way between coordinators."""
+"""Replication of proxies' reports between coordinators."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FakePeers:
-    """Peers that are live until a test says otherwise; keeps what is sent."""
+    """Live peers, which a test can change; records the messages that are sent to them."""
 
     def __init__(self, *addresses: str) -> None:
         self.addresses = list(addresses)
@@ -36,13 +36,13 @@
         self.sent.append((address, message))
 
     def take(self) -> list[tuple[str, TelemetryShared]]:
-        """Return what was sent since the last call."""
+        """Return the messages that were sent since the last call."""
         sent, self.sent = self.sent, []
         return sent
 
 
 class Clock:
-    """A time that goes on when it is told to."""
+    """A clock that a test advances."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -72,7 +72,7 @@
     return ProxyTelemetry(proxy, 1, sequence, window, windows, LOADS)
 
 
-def test_peers_get_the_changes_of_an_interval_in_one_report_a_proxy() -> None:
+def test_peers_get_the_changes_of_an_interval_in_one_report_for_each_proxy() -> None:
     replicator, peers, clock = make_replicator("c2", "c3")
     replicator.receive_from_proxy(report(1, a=1, b=1))
     replicator.receive_from_proxy(report(2, a=2))
@@ -99,7 +99,7 @@
     assert peers.take() == [("c3", TelemetryShared((report(1, a=1),)))]
 
 
-def test_a_new_primary_gets_at_once_what_only_the_one_before_has() -> None:
+def test_new_primary_gets_changes_that_only_the_previous_primary_has() -> None:
     replicator, peers, clock = make_replicator("c2", "c3")
     peers.primary = "c2"
     clock.pass_interval(replicator)
@@ -115,7 +115,7 @@
     assert peers.take() == [("c3", TelemetryShared((report(3, a=3),)))]
 
 
-def test_a_primary_sends_to_the_others_at_the_long_interval() -> None:
+def test_primary_sends_to_followers_at_their_interval() -> None:
     replicator, peers, clock = make_replicator("c2")
     peers.primary = "c1"
     clock.pass_interval(replicator)
@@ -126,7 +126,7 @@
     assert peers.take() == [("c2", TelemetryShared((report(1, a=1),)))]
 
 
-def test_a_primary_that_was_silent_for_a_moment_misses_nothing() -> None:
+def test_primary_that_reconnects_gets_all_changes() -> None:
     replicator, peers, clock = make_replicator("c2", "c3")
     peers.primary = "c2"
     clock.pass_interval(replicator)
@@ -140,7 +140,7 @@
     assert ("c2", TelemetryShared((report(1, a=1),))) in peers.take()
 
 
-def test_what_a_peer_shared_is_kept_and_not_passed_on() -> None:
+def test_reports_from_a_peer_are_recorded_and_not_forwarded() -> None:
     replicator, peers, clock = make_replicator("c2", "c3")
     replicator.receive_shared(TelemetryShared((report(1, a=4),)))
     clock.pass_interval(replicator)
@@ -150,7 +150,7 @@
     assert entry is not None and entry.loads == LOADS
 
 
-def test_a_peer_that_connects_gets_everything_whoever_received_it() -> None:
+def test_peer_that_connects_gets_reports_received_here_and_by_other_peers() -> None:
     replicator, peers, clock = make_replicator("c2", "c3")
     replicator.receive_shared(TelemetryShared((report(1, a=4),)))
     replicator.receive_from_proxy(report(1, "p2", b=1))
@@ -160,29 +160,29 @@
     clock.pass_interval(replicator)
     ((address, message),) = peers.take()
     assert address == "c3"
-    assert sorted(message.reports, key=lambda one: one.proxy) == [report(1, a=4), report(1, "p2", b=1)]
+    assert sorted(message.reports, key=lambda sent: sent.proxy) == [report(1, a=4), report(1, "p2", b=1)]
 
 
-def test_counts_of_a_proxy_that_is_long_gone_reach_a_peer_that_connects() -> None:
+def test_peer_that_connects_gets_counts_of_a_proxy_that_ended_long_ago() -> None:
     replicator, _, clock = make_replicator("c2")
     replicator.receive_from_proxy(report(1, a=4))
     clock.now_s += RETENTION_S
     clock.pass_interval(replicator)
-    other, _, _ = make_replicator()
+    peer_replicator, _, _ = make_replicator()
     replicator.record_connected("c2")
     clock.pass_interval(replicator)
     peers = replicator._peers
     assert isinstance(peers, FakePeers)
-    other.receive_shared(peers.take()[-1][1])
-    assert other.ledger.counts(WINDOW) == (TenantCount("a", 4),)
-    assert other.table.find(ReportSource("p1", 1)) is None, "it is no sign of a live proxy"
+    peer_replicator.receive_shared(peers.take()[-1][1])
+    assert peer_replicator.ledger.counts(WINDOW) == (TenantCount("a", 4),)
+    assert peer_replicator.table.find(ReportSource("p1", 1)) is None, "counts alone make no live proxy"
 
 
-def test_coordinators_of_older_versions_get_none() -> None:
+def test_coordinators_of_older_versions_get_no_reports() -> None:
     replicator, peers, clock = make_replicator("c2")
     peers.addresses.append("c3")
     replicator._versions.record_coordinator("c3", TELEMETRY_VERSION - 1)
-    peers.addresses.append("c4")  # it hasn't said its version yet
+    peers.addresses.append("c4")  # has not announced its version yet
     replicator.record_connected("c4")
     replicator.receive_from_proxy(report(1, a=1))
     clock.pass_interval(replicator)
@@ -192,7 +192,7 @@
     assert peers.take() == [("c4", TelemetryShared((report(1, a=1),)))]
 
 
-def test_a_late_report_without_news_is_not_passed_on() -> None:
+def test_late_report_without_changes_is_not_forwarded() -> None:
     replicator, peers, clock = make_replicator("c2")
     replicator.receive_from_proxy(report(2, a=2))
     clock.pass_interval(replicator)
--- a/tests/serving/coordinator/test_update_cache.py
+++ b/tests/serving/coordinator/test_update_cache.py
@@ -1,4 +1,4 @@
-"""Requests with the same versions share one encoded update, and no update is out of date."""
+"""Requests with the same versions share one encoded update, and no update is outdated."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def encoded_updates(monkeypatch: pytest.MonkeyPatch) -> list[Update]:
-    """All updates that are encoded from here on."""
+    """Return a list to which each update is added when it is encoded."""
     updates: list[Update] = []
 
     def encode(update: Update) -> object:
@@ -69,11 +69,11 @@
     assert len(encoded_updates) == 1
 
 
-def test_proxies_that_restart_with_the_core_learn_that_they_are_more_than_they_suppose() -> None:
+def test_max_proxies_above_the_initial_value_is_sent_before_all_nodes_are_known() -> None:
     coordinator = Coordinator()
     coordinator.status.all_nodes = False
-    named = [coordinator.request(number).max_proxies for number in range(89)]
-    assert named == [0] * INITIAL_MAX_PROXIES + list(range(INITIAL_MAX_PROXIES + 1, 90))
+    max_proxies = [coordinator.request(number).max_proxies for number in range(89)]
+    assert max_proxies == [0] * INITIAL_MAX_PROXIES + list(range(INITIAL_MAX_PROXIES + 1, 90))
 
 
 def test_request_after_a_change_gets_the_change(encoded_updates: list[Update]) -> None:
@@ -108,12 +108,12 @@
     coordinator.leases.renew(ProxyLease("p", "127.0.0.2:1", "a", "north", True, 0, 1), 100.0, local=True)
     coordinator.table.apply_report(reported, 100.0)
 
-    def left_ms(at_s: float) -> float:
+    def remaining_ms(at_s: float) -> float:
         coordinator.net.time_s = at_s
         (sent,) = coordinator.request(1).nodes
         return sent.warm_up_left_ms + sent.shutdown_in_ms
 
-    assert left_ms(100.02) == pytest.approx(2980.0)
-    assert left_ms(100.02 + lifetime_s * 0.9) == pytest.approx(2980.0)
+    assert remaining_ms(100.02) == pytest.approx(2980.0)
+    assert remaining_ms(100.02 + lifetime_s * 0.9) == pytest.approx(2980.0)
     later_s = 100.02 + lifetime_s * 1.2
-    assert left_ms(later_s) == pytest.approx((103.0 - later_s) * 1000)
+    assert remaining_ms(later_s) == pytest.approx((103.0 - later_s) * 1000)
--- a/tests/serving/coordinator/test_usage_duty.py
+++ b/tests/serving/coordinator/test_usage_duty.py
@@ -1,4 +1,4 @@
-"""The platform's call for a usage report, byte by byte."""
+"""The exact call for a usage report."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from coveport.serving.model.telemetry import TenantCount
 
 
-def test_a_report_is_rendered_as_the_platform_wants_it() -> None:
+def test_report_is_encoded_in_the_format_of_the_platform() -> None:
     report = UsageReport(353445120, (TenantCount("goka901", 412), TenantCount("nowu640", 7)))
     body = b'{"WindowNo":353445120,"Counts":{"goka901":412,"nowu640":7}}'
     assert usage_call(report) == PlatformCall("/usage", body)
--- a/tests/serving/settings/settings_examples.py
+++ b/tests/serving/settings/settings_examples.py
@@ -1,4 +1,4 @@
-"""Settings files without faults, one for each role."""
+"""Valid settings files, one for each role."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def read_valid(text: str) -> BootSettings:
-    """Return the settings in a text that has no faults."""
+    """Return the settings in a valid text."""
     settings = parse_boot_settings(text)
     assert isinstance(settings, BootSettings), settings
     return settings
--- a/tests/serving/settings/test_boot_settings_reader.py
+++ b/tests/serving/settings/test_boot_settings_reader.py
@@ -31,7 +31,7 @@
 
 
 def fault_locations(text: str) -> list[str]:
-    """Return the location of each fault of a text."""
+    """Return the location of each fault in a text."""
     settings = parse_boot_settings(text)
     return [finding.location for finding in settings.findings] if isinstance(settings, Refusal) else []
 
@@ -57,7 +57,7 @@
     assert (settings.control, settings.lookups) == (("10.1.0.10", 8263), ("10.1.0.10", 8268))
 
 
-def test_bounds_that_are_missing_keep_their_defaults() -> None:
+def test_missing_bounds_keep_their_defaults() -> None:
     assert read_valid(PROXY).bounds.evacuate_ms == Bounds().evacuate_ms
 
 
@@ -65,7 +65,7 @@
     assert read_valid(PROXY).platform is None
 
 
-def test_duties_that_are_not_known_are_ignored() -> None:
+def test_unknown_duties_are_ignored() -> None:
     text = PLATFORM.replace('"metering"', '"metering", "sweeping"')
     expected = PlatformSettings(("10.200.0.1", 8346), frozenset({DutyKind.USAGE_REPORTS}), 50.0)
     assert read_valid(text).platform == read_valid(PLATFORM).platform == expected
@@ -149,7 +149,7 @@
     assert table in fault_locations(text)
 
 
-def test_a_text_that_is_no_toml_has_a_finding_without_location() -> None:
+def test_text_that_is_not_toml_has_a_finding_without_location() -> None:
     assert fault_locations("NodeName = ") == [""]
 
 
@@ -181,7 +181,7 @@
     file = tmp_path / "boot.toml"
     file.write_text(text)
     command = [sys.executable, "-m", "coveport.serving", role, "--settings", str(file)]
-    ran = subprocess.run(command, capture_output=True, text=True, check=False, timeout=60)
-    assert ran.returncode == 2
-    (line,) = ran.stderr.splitlines()
+    completed = subprocess.run(command, capture_output=True, text=True, check=False, timeout=60)
+    assert completed.returncode == 2
+    (line,) = completed.stderr.splitlines()
     assert line.startswith("coveport: settings: ") and finding in line
--- a/tests/serving/settings/test_bound_checks.py
+++ b/tests/serving/settings/test_bound_checks.py
@@ -35,5 +35,5 @@
 
 
 def test_time_to_leave_an_unresponsive_coordinator_matches_the_subscription() -> None:
-    required = {time.field: time.needed for time in REQUIRED_TIMES}
-    assert required["config_apply_ms"] == 1000 * (ANSWER_TIMEOUT_S + CONNECT_TIMEOUT_S)
+    needed_by_field = {time.field: time.needed for time in REQUIRED_TIMES}
+    assert needed_by_field["config_apply_ms"] == 1000 * (ANSWER_TIMEOUT_S + CONNECT_TIMEOUT_S)
--- a/tests/serving/settings/test_role_process.py
+++ b/tests/serving/settings/test_role_process.py
@@ -1,4 +1,4 @@
-"""A role as a process: why it can't start is one line on standard error, and an exit code."""
+"""A role that can't start prints the reason in one line on standard error, and exits with its code."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
             break
     process.send_signal(signal.SIGTERM)
     process.communicate(timeout=TIMEOUT_S)
-    _make_newer(data)
+    _upgrade_format(data)
     error_text = start(tmp_path, data).communicate(timeout=TIMEOUT_S)[1]
     assert len(error_text.splitlines()) == 1, error_text
     assert error_text.startswith(f"coveport: {data}: ")
 
 
-def _make_newer(data: Path) -> None:
-    """Rewrite each file's header as the next version of the program would."""
+def _upgrade_format(data: Path) -> None:
+    """Rewrite each file's header with the next format version."""
     header = struct.Struct(">4sHQ8sI")
     changed = 0
     for path in data.iterdir():
@@ -61,7 +61,7 @@
     assert changed and SALT_BYTES == 8
 
 
-def test_a_folder_that_cannot_be_made_gives_one_line(tmp_path: Path) -> None:
+def test_data_directory_that_cannot_be_created_gives_one_line(tmp_path: Path) -> None:
     file = tmp_path / "file"
     file.write_text("", encoding="utf-8")
     process = start(tmp_path, file / "data")
--- a/tests/serving/settings/test_settings_reload.py
+++ b/tests/serving/settings/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: what can be taken takes effect, the rest is named, a file that can't be used changes nothing."""
+"""Reloads at a SIGHUP: reloadable settings take effect, others are logged, an invalid file is rejected."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RecordingLog:
-    """A log that keeps its events."""
+    """A log that records its events."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict[str, Any]]] = []
@@ -32,7 +32,7 @@
 
 @dataclass
 class RecordingRole:
-    """A role that keeps the settings that it was given."""
+    """A role that records the applied settings."""
 
     reloadable: frozenset[str] = frozenset({"seeds", "bounds.grace_s"})
     applied: list[BootSettings] = field(default_factory=list)
@@ -55,7 +55,7 @@
     assert changed_settings(read_valid(PROXY), read_valid(PROXY)) == ()
 
 
-def test_a_setting_that_waits_for_the_next_start_is_named_and_not_taken(tmp_path: Path) -> None:
+def test_setting_for_the_next_start_is_logged_and_not_applied(tmp_path: Path) -> None:
     text = PROXY.replace("BeatMs = 1200", "BeatMs = 900")
     reloader, role, log = reload(tmp_path / "boot.toml", text)
     assert log.events == [("settings_changed", {"applied": [], "at_next_start": ["heartbeat_ms"]})]
@@ -63,7 +63,7 @@
     assert reloader.running == read_valid(PROXY)
 
 
-def test_a_setting_that_can_be_taken_takes_effect_once(tmp_path: Path) -> None:
+def test_reloadable_setting_is_applied_once(tmp_path: Path) -> None:
     reloader, role, log = reload(tmp_path / "boot.toml", OTHER_SEEDS)
     assert log.events == [("settings_changed", {"applied": ["seeds"], "at_next_start": []})]
     assert [settings.seeds[0] for settings in role.applied] == [("10.9.9.9", 8262)]
@@ -72,7 +72,7 @@
     assert len(role.applied) == 1
 
 
-def test_of_two_settings_the_one_that_cannot_be_taken_stays_as_it_runs(tmp_path: Path) -> None:
+def test_only_the_reloadable_one_of_two_changes_is_applied(tmp_path: Path) -> None:
     text = OTHER_SEEDS.replace("BeatMs = 1200", "BeatMs = 900")
     reloader, role, log = reload(tmp_path / "boot.toml", text)
     assert log.events == [("settings_changed", {"applied": ["seeds"], "at_next_start": ["heartbeat_ms"]})]
@@ -80,7 +80,7 @@
     assert reloader.running == role.applied[0]
 
 
-def test_a_setting_within_a_table_is_named_and_taken_alone() -> None:
+def test_setting_within_a_table_is_named_and_applied_alone() -> None:
     running, candidate = read_valid(PROXY), read_valid(OTHER_SEEDS)
     candidate = with_changes(candidate, candidate, ())
     bounds = type(running.bounds)(grace_s=3.0, drain_ms=1.0)
@@ -94,15 +94,15 @@
     assert after.seeds == candidate.seeds
 
 
-def test_a_platform_that_comes_or_goes_is_one_setting() -> None:
-    without = read_valid(PROXY)
-    with_platform = replace(without, platform=PlatformSettings(("10.200.0.1", 8346)))
-    assert changed_settings(without, with_platform) == ("platform",)
-    assert changed_settings(with_platform, without) == ("platform",)
+def test_added_or_removed_platform_is_one_changed_setting() -> None:
+    without_platform = read_valid(PROXY)
+    with_platform = replace(without_platform, platform=PlatformSettings(("10.200.0.1", 8346)))
+    assert changed_settings(without_platform, with_platform) == ("platform",)
+    assert changed_settings(with_platform, without_platform) == ("platform",)
 
 
 @pytest.mark.parametrize("role", [Coordinator, Proxy])
-def test_every_reloadable_name_is_one_that_changed_settings_can_have(role: Any) -> None:
+def test_reloadable_names_are_names_of_settings(role: Any) -> None:
     settings = read_valid(PROXY)
     names = {f.name for f in fields(settings)}
     tables = ("bounds", "limits", "tolerated")
@@ -110,7 +110,7 @@
     assert role.reloadable <= names
 
 
-def test_a_file_that_cannot_be_used_is_rejected_with_its_findings(tmp_path: Path) -> None:
+def test_invalid_file_is_rejected_with_its_findings(tmp_path: Path) -> None:
     _, role, log = reload(tmp_path / "boot.toml", PROXY.replace("BeatMs = 1200", "BeatMs = -1"))
     [(event, values)] = log.events
     assert event == "settings_rejected"
@@ -125,7 +125,7 @@
     assert role.applied == []
 
 
-def test_the_names_in_the_log_stay_as_they_are() -> None:
+def test_setting_names_in_log_events_are_unchanged() -> None:
     names = """
         name ip zone region inner_ports seeds first_boot loss_counted data_dir serves heartbeat_ms regions
         clients readiness control lookups limits tolerated bounds platform
