--- a/tests/serving/coordinator/test_disconnected_callers.py
+++ b/tests/serving/coordinator/test_disconnected_callers.py
@@ -102,37 +102,37 @@
         self.world.run(self.world.now + duration_s)
 
 
-def disconnect(connection: _Connection, kind: str) -> None:
-    if kind == "closes":
+def disconnect(connection: _Connection, disconnect_kind: str) -> None:
+    if disconnect_kind == "closes":
         connection.eof_received()
     else:
         connection.connection_lost(ConnectionResetError())
 
 
-@pytest.mark.parametrize("kind", ["closes", "resets"])
-def test_request_whose_caller_disconnects_during_an_election_is_never_submitted(kind: str) -> None:
+@pytest.mark.parametrize("disconnect_kind", ["closes", "resets"])
+def test_request_whose_caller_disconnects_during_an_election_is_never_submitted(disconnect_kind: str) -> None:
     """An earlier version kept waiting for a primary, became primary, and submitted it 0.8 s later."""
     server = ControlServer()
     server.replica.is_primary = False
     connection, _ = server.call()
     server.run(0.4)
-    server.process.call_soon(disconnect, connection, kind)
+    server.process.call_soon(disconnect, connection, disconnect_kind)
     server.run(0.1)
     server.replica.is_primary = True
     server.run(5.0)
     assert server.replica.events_of(Submit) == []
 
 
-@pytest.mark.parametrize("kind", ["closes", "resets"])
+@pytest.mark.parametrize("disconnect_kind", ["closes", "resets"])
 @pytest.mark.parametrize("after_s", [0.0, DISCONNECT_WAIT_S / 2])
 def test_delayed_duplicate_that_arrives_with_its_callers_disconnect_is_never_submitted(
-    kind: str, after_s: float
+    disconnect_kind: str, after_s: float
 ) -> None:
     """A link that has delayed both delivers them together."""
     server = ControlServer()
     connection, _ = server.call()
     server.run(after_s)
-    server.process.call_soon(disconnect, connection, kind)
+    server.process.call_soon(disconnect, connection, disconnect_kind)
     server.run(5.0)
     assert server.replica.events_of(Submit) == []
 
--- a/tests/serving/coordinator/test_duty_runner.py
+++ b/tests/serving/coordinator/test_duty_runner.py
@@ -245,12 +245,12 @@
     world = DutyWorld()
     world.queue_calls()
     world.run(1.0)
-    status = world.runner.describe()
-    assert (status["phase"], status["holder"], status["fence"], status["unsent_reports"]) == (
+    described = world.runner.describe()
+    assert (described["phase"], described["holder"], described["fence"], described["unsent_reports"]) == (
         "holding",
         "one",
         1,
         0,
     )
-    assert 0.0 < status["lease_left_s"] < LEASE_S
-    assert (status["last_call"]["path"], status["last_call"]["outcome"]) == ("/fleet", "accepted")
+    assert 0.0 < described["lease_left_s"] < LEASE_S
+    assert (described["last_call"]["path"], described["last_call"]["outcome"]) == ("/fleet", "accepted")
--- a/tests/serving/coordinator/test_telemetry_replication.py
+++ b/tests/serving/coordinator/test_telemetry_replication.py
@@ -160,7 +160,10 @@
     clock.pass_interval(replicator)
     ((address, message),) = peers.take()
     assert address == "c3"
-    assert sorted(message.reports, key=lambda sent: sent.proxy) == [report(1, a=4), report(1, "p2", b=1)]
+    assert sorted(message.reports, key=lambda sent_report: sent_report.proxy) == [
+        report(1, a=4),
+        report(1, "p2", b=1),
+    ]
 
 
 def test_peer_that_connects_gets_counts_of_a_proxy_that_ended_long_ago() -> None:
--- a/tests/serving/coordinator/test_update_cache.py
+++ b/tests/serving/coordinator/test_update_cache.py
@@ -72,8 +72,8 @@
 def test_max_proxies_above_the_initial_value_is_sent_before_all_nodes_are_known() -> None:
     coordinator = Coordinator()
     coordinator.status.all_nodes = False
-    max_proxies = [coordinator.request(number).max_proxies for number in range(89)]
-    assert max_proxies == [0] * INITIAL_MAX_PROXIES + list(range(INITIAL_MAX_PROXIES + 1, 90))
+    early_max_proxies = [coordinator.request(number).max_proxies for number in range(89)]
+    assert early_max_proxies == [0] * INITIAL_MAX_PROXIES + list(range(INITIAL_MAX_PROXIES + 1, 90))
 
 
 def test_request_after_a_change_gets_the_change(encoded_updates: list[Update]) -> None:
