--- a/coveport/serving/membership/node_table.py
+++ b/coveport/serving/membership/node_table.py
@@ -2,15 +2,17 @@
 
 Every coordinator accepts heartbeats and forwards them to its peers, so no coordinator owns the table:
 
-- Of two reports on an incarnation the newer one wins, and draining is never undone.
-- Each change gets a revision of this table; a subscriber that names its revision gets the changes since.
-- An incarnation that times out is removed, and a later heartbeat brings it back. Time counts only while this
-  coordinator was able to receive (see `NodeTable.reset_timeouts`); what it missed, the complete table of a
-  coordinator that heard of every node makes up for (see `NodeTable.expire_unlisted`).
-- A deregistration leaves a tombstone, and nothing brings the incarnation back. Tombstones are sent like
-  entries, to proxies and to coordinators that were partitioned or restarted, and outlive delayed heartbeats.
-- Of two incarnations at one address the one that reported last is valid: a restarted node is known by its new
-  incarnation at once.
+- Of two reports on an incarnation the newer one is applied, and draining is never undone.
+- Each change gets a revision of this table; a subscriber that sends its revision gets the changes since then.
+- An incarnation that times out is removed, and a later heartbeat adds it again. Time-outs run only while this
+  coordinator is able to receive (see `NodeTable.reset_timeouts`). After a partition or stall it removes the
+  nodes that are missing in the complete table of a coordinator that has reports on every live node (see
+  `NodeTable.expire_unlisted`).
+- A deregistration leaves a tombstone, and no later report adds the incarnation again. Tombstones are sent
+  like entries, to proxies and to coordinators that were partitioned or restarted, and are kept for longer
+  than heartbeats are delayed.
+- Of two incarnations at one address the one that reported last is valid: the new incarnation of a restarted
+  node replaces the previous one at once.
 """
 
 from __future__ import annotations
@@ -23,30 +25,30 @@
 
 from coveport.serving.model.node import Node, NodeState, deregistration
 
-# A warm-up that ends later than known by more than this is a change that routing must know of; less is the
-# jitter of heartbeats, which give the time left.
+# A warm-up that ends later than known by more than this is a change, which routing needs. Smaller differences
+# are jitter of the heartbeats, which give the remaining time.
 WARM_UP_CHANGE_S: Final = 0.3
-TOMBSTONE_S: Final = 600.0  # longer than a partition delays messages
-UNCONFIRMED: Final = -inf  # as the time of a report
-MAX_TOMBSTONES: Final = 8192  # beyond that the oldest are dropped
-MAX_REMOVALS: Final = 4096  # a subscriber that missed more gets the complete table
+TOMBSTONE_S: Final = 600.0  # longer than a partition can delay messages
+UNCONFIRMED: Final = -inf  # value of `NodeEntry.reported_at_s`: the report may have been delayed
+MAX_TOMBSTONES: Final = 8192  # the oldest ones above this number are dropped
+MAX_REMOVALS: Final = 4096  # a subscriber that missed more removals gets the complete table
 
 
 @dataclass(slots=True)
 class NodeEntry:
-    """An incarnation, with its times on this coordinator's clock."""
+    """An incarnation of a node, with times on this coordinator's clock."""
 
     node: Node
-    reported_at_s: float  # when the newest report arrived; UNCONFIRMED where it may have been held up
-    last_seen_s: float  # the same, or later: when its time-out began
-    warming_until_s: float  # 0.0: it has warmed up
-    shutdown_at_s: float  # 0.0: not announced
-    revision: int  # of the table, when the entry last changed
+    reported_at_s: float  # arrival of the newest report; UNCONFIRMED if it may have been delayed
+    last_seen_s: float  # start of the time-out: arrival of the newest report, or a later reset
+    warming_until_s: float  # 0.0: the node is warmed up
+    shutdown_at_s: float  # 0.0: no shutdown is announced
+    revision: int  # revision of the table at the entry's last change
 
     def snapshot_at(self, now_s: float) -> Node:
-        """Return the node with its remaining times counted from now."""
+        """Return the node with its remaining times as of `now_s`."""
         warm_up_left_ms = max(0.0, self.warming_until_s - now_s) * 1000
-        # Never 0, which would say that no shutdown is announced.
+        # Never 0, which means that no shutdown is announced.
         shutdown_in_ms = max(1.0, (self.shutdown_at_s - now_s) * 1000) if self.shutdown_at_s else 0.0
         if (warm_up_left_ms, shutdown_in_ms) == (self.node.warm_up_left_ms, self.node.shutdown_in_ms):
             return self.node
@@ -55,18 +57,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TableChanges:
-    """The changes since a revision."""
+    """The changes since a revision of the table."""
 
-    revision: int  # that they lead to
+    revision: int  # revision of the table after these changes
     is_complete: bool  # `nodes` is the complete table, not a difference
     nodes: tuple[Node, ...]
-    removed: tuple[str, ...]  # incarnations
-    deregistered: tuple[str, ...] = ()  # incarnations that never come back, sent before or not
+    removed: tuple[str, ...]  # incarnations that are no longer in the table
+    deregistered: tuple[str, ...] = ()  # incarnations with a tombstone, whether sent before or not
 
 
 @dataclass(frozen=True, slots=True)
 class _Removal:
-    revision: int  # of the table, by the removal
+    revision: int  # revision of the table after the removal
     incarnation: str
 
 
@@ -74,13 +76,13 @@
     """All known nodes."""
 
     def __init__(self, timeout_s: float) -> None:
-        """`timeout_s`: a node without a report for longer is removed."""
+        """Create an empty table, which removes a node after `timeout_s` without a report."""
         self._timeout_s = timeout_s
         self._entries: dict[str, NodeEntry] = {}  # by incarnation, in the order of their revisions
         self._incarnation_at: dict[str, str] = {}  # by address
-        self._tombstones: dict[str, float] = {}  # when each is dropped, by incarnation; the oldest first
+        self._tombstones: dict[str, float] = {}  # expiry times by incarnation, the oldest first
         self._removals: list[_Removal] = []
-        self._removals_from = 0  # the revision behind which `_removals` has all
+        self._removals_complete_since = 0  # `_removals` holds all removals after this revision
         self.revision = 0
 
     def __len__(self) -> int:
@@ -94,10 +96,10 @@
         return self._entries.values()
 
     def confirmed_nodes(self, now_s: float) -> tuple[Node, ...]:
-        """Return the nodes that were reported within the time-out, to be sent to another coordinator.
+        """Return the nodes that reported within the time-out, to be sent to another coordinator.
 
-        One that is kept only because its time-out began anew may have crashed: the receiver would take it for
-        newly reported.
+        A node that is kept only because its time-out was reset may have crashed, and the receiver would treat
+        it as newly reported.
         """
         return tuple(
             entry.snapshot_at(now_s)
@@ -108,7 +110,8 @@
     def apply_report(self, node: Node, now_s: float, *, is_confirmed: bool = True) -> bool:
         """Apply a report, from the node itself or forwarded; return whether peers must get it at once.
 
-        `is_confirmed`: it can't have been held up for long, by a partition or a stall of this coordinator.
+        `is_confirmed`: the report can't have been delayed for long by a partition or a stall of this
+        coordinator.
         """
         if node.incarnation in self._tombstones:
             return False
@@ -124,7 +127,9 @@
         if is_change:
             self.revision += 1
             entry.revision = self.revision
-            self._entries.pop(node.incarnation, None)  # it goes to the end
+            self._entries.pop(
+                node.incarnation, None
+            )  # the changed entry is appended, in the order of revisions
         else:
             assert known is not None
             entry.revision = known.revision
@@ -134,21 +139,21 @@
         return is_change
 
     def _claim_address(self, node: Node) -> None:
-        """Remove the incarnation that was at the node's address before."""
+        """Record the node's address, and remove the incarnation that had it before."""
         previous = self._incarnation_at.get(node.address)
         self._incarnation_at[node.address] = node.incarnation
         if previous is not None and previous != node.incarnation and previous in self._entries:
             self._remove(previous)
 
     def reset_timeouts(self, now_s: float) -> None:
-        """Count the time-outs from now: this coordinator was frozen, partitioned or just started."""
+        """Restart all time-outs, after this coordinator was frozen, partitioned or just started."""
         for entry in self._entries.values():
             entry.last_seen_s = max(entry.last_seen_s, now_s)
 
     def expire(self, now_s: float) -> list[str]:
-        """Remove nodes that timed out and old tombstones; return the incarnations of those nodes.
+        """Remove nodes that timed out and old tombstones; return the incarnations of the removed nodes.
 
-        One that was draining gets a tombstone, as an earlier heartbeat, delayed, must not undo that.
+        A draining node gets a tombstone, so that a delayed heartbeat from before can't undo the draining.
         """
         timed_out = [
             name for name, entry in self._entries.items() if now_s - entry.last_seen_s > self._timeout_s
@@ -160,11 +165,12 @@
         return timed_out
 
     def expire_unlisted(self, listed: Collection[str], now_s: float) -> list[str]:
-        """Remove nodes without a report for the time-out that are not listed; return their incarnations.
+        """Remove unlisted nodes that did not report within the time-out; return their incarnations.
 
-        `listed`: the complete table of a coordinator that has heard of every live node. This one may have
-        been frozen or partitioned, so that the time-outs of its own entries began anew. A listed node stays,
-        and counts as reported from its next report on: the table may itself have been held up.
+        `listed`: the incarnations in the complete table of a coordinator that has reports on every live node.
+        This coordinator may have been frozen or partitioned, in which case its own time-outs were reset. A
+        listed node is kept, but counts as reported only after its next report: the received table may itself
+        have been delayed.
         """
         unlisted = [
             name
@@ -182,8 +188,8 @@
             self._remove(incarnation)
 
     def changes_since(self, revision: int, now_s: float) -> TableChanges:
-        """Return the changes since a revision; the complete table where it is too old or -1."""
-        if revision < self._removals_from or revision > self.revision:
+        """Return the changes since a revision; the complete table if the revision is too old or -1."""
+        if revision < self._removals_complete_since or revision > self.revision:
             nodes = tuple(entry.snapshot_at(now_s) for entry in self._entries.values())
             return TableChanges(self.revision, True, nodes, (), tuple(self._tombstones))
         newest_first = reversed(self._entries.values())
@@ -197,7 +203,7 @@
         return TableChanges(self.revision, False, nodes, removed, deregistered)
 
     def deregistrations(self, now_s: float) -> list[Node]:
-        """Return the tombstones as reports for peers, with the time for which each is still kept."""
+        """Return the tombstones as reports for peers, each with its remaining retention time."""
         return [
             deregistration(name, 1000 * (until_s - now_s))
             for name, until_s in self._tombstones.items()
@@ -205,7 +211,7 @@
         ]
 
     def _add_tombstone(self, incarnation: str, until_s: float) -> None:
-        """Remove an incarnation for good; a change also where it was not known here."""
+        """Remove an incarnation for good; this is a change even if the table never had it."""
         self._tombstones[incarnation] = until_s
         if len(self._tombstones) > MAX_TOMBSTONES:
             del self._tombstones[next(iter(self._tombstones))]
@@ -219,11 +225,11 @@
         self._removals.append(_Removal(self.revision, incarnation))
         if len(self._removals) > MAX_REMOVALS:
             dropped = self._removals.pop(0)
-            self._removals_from = dropped.revision
+            self._removals_complete_since = dropped.revision
 
 
 def _make_entry(node: Node, now_s: float, *, is_confirmed: bool) -> NodeEntry:
-    """Return the entry of a report received now; its revision is still open."""
+    """Return the entry for a report received now; the caller sets its revision."""
     reported_at_s = now_s if is_confirmed else UNCONFIRMED
     warming_until_s = now_s + node.warm_up_left_ms / 1000 if node.warm_up_left_ms > 0 else 0.0
     shutdown_at_s = now_s + node.shutdown_in_ms / 1000 if node.shutdown_in_ms > 0 else 0.0
@@ -231,17 +237,17 @@
 
 
 def _differs(known: NodeEntry, entry: NodeEntry) -> bool:
-    """Return whether a report has more than that the node lives: something that routing must know."""
-    before = known.node
-    after = entry.node
-    if (before.state, before.address, before.service, before.slots) != (
-        after.state,
-        after.address,
-        after.service,
-        after.slots,
+    """Return whether a report changes something that routing depends on."""
+    known_node = known.node
+    reported_node = entry.node
+    if (known_node.state, known_node.address, known_node.service, known_node.slots) != (
+        reported_node.state,
+        reported_node.address,
+        reported_node.service,
+        reported_node.slots,
     ):
         return True
     if bool(known.shutdown_at_s) != bool(entry.shutdown_at_s):
         return True
-    # A warm-up that simply runs down is known; one that begins again or ends later is a change.
+    # The countdown of a warm-up is expected; a warm-up that begins again or ends later is a change.
     return entry.warming_until_s > known.warming_until_s + WARM_UP_CHANGE_S
--- a/coveport/serving/storage/disk.py
+++ b/coveport/serving/storage/disk.py
@@ -8,7 +8,7 @@
 
 
 class File(Protocol):
-    """An open file. All calls may block, and raise OSError."""
+    """An open file. Any call may block or raise OSError."""
 
     def read_all(self) -> bytes:
         """Return the whole content."""
@@ -20,23 +20,23 @@
         """Truncate, or extend with zeros, to a length in bytes."""
 
     def sync(self) -> None:
-        """Return when what was written survives a loss of power."""
+        """Return once the written data survives a power loss."""
 
     def close(self) -> None:
         """Close the descriptor."""
 
 
 class Disk(Protocol):
-    """A directory of files. All calls may block, and raise OSError."""
+    """A directory of files. Any call may block or raise OSError."""
 
     def file_names(self) -> list[str]:
         """Return the names of all files."""
 
     def open(self, name: str) -> File:
-        """Open a file for reading and writing; create it where there is none."""
+        """Open a file for reading and writing; create it if it doesn't exist."""
 
     def sync_directory(self) -> None:
-        """Return when created and removed names survive a loss of power."""
+        """Return once created and removed names survive a power loss."""
 
 
 class OsFile:
@@ -71,7 +71,7 @@
         os.ftruncate(self._descriptor, length)
 
     def sync(self) -> None:
-        """Return when what was written survives a loss of power."""
+        """Return once the written data survives a power loss."""
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
@@ -80,7 +80,7 @@
 
 
 class OsDisk:
-    """A directory of the operating system, created where there is none."""
+    """A directory of the operating system, created if it doesn't exist."""
 
     def __init__(self, directory: str) -> None:
         self._directory = directory
@@ -91,11 +91,11 @@
         return os.listdir(self._directory)
 
     def open(self, name: str) -> OsFile:
-        """Open a file for reading and writing; create it where there is none."""
+        """Open a file for reading and writing; create it if it doesn't exist."""
         return OsFile(os.path.join(self._directory, name))
 
     def sync_directory(self) -> None:
-        """Return when created and removed names survive a loss of power, the directory's own included."""
+        """Return once created and removed names, and the directory's own name, survive a power loss."""
         _sync_names_in(self._directory)
         with contextlib.suppress(PermissionError):  # the parent may belong to another user
             _sync_names_in(os.path.dirname(os.path.abspath(self._directory)))
--- a/coveport/serving/storage/errors.py
+++ b/coveport/serving/storage/errors.py
@@ -12,7 +12,7 @@
 
 
 class CorruptedRecordsError(StorageError):
-    """Records that were synced can't be read any more, though later ones can: the disk lost data."""
+    """Synced records are unreadable although later ones are readable: the disk lost data."""
 
 
 class DirectoryLockedError(StorageError, OSError):
--- a/coveport/serving/storage/open_store.py
+++ b/coveport/serving/storage/open_store.py
@@ -1,7 +1,7 @@
 """Opens the storage of a coordinator, and gives an empty disk its identity.
 
-A disk that lost records which had been synced is opened as an empty one: what it promised and acknowledged
-is unknown, and only a new identity keeps the other replicas from counting on it.
+A disk that lost synced records is treated as empty: its earlier promises and acknowledgements are unknown,
+and only a new identity keeps the other replicas from relying on them.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedStore:
-    """A store on a disk, and the state it held."""
+    """A store on a disk, and the state that was read from it."""
 
     store: RecordStore
     durable: DurableState
-    damage: str = ""  # which former records were lost; all of them count as forgotten
+    damage: str = ""  # description of the lost records; if not empty, all former records are discarded
 
 
 @dataclass(frozen=True, slots=True)
 class OpenedStorage:
-    """The state that the disk held, and the writer for what follows."""
+    """The state that was read from the disk, and the writer for further records."""
 
     durable: DurableState
     writer: RecordWriter
-    damage: str = ""  # as in OpenedStore
+    damage: str = ""  # see `OpenedStore.damage`
     lock: DirectoryLock | None = None
 
 
-def open_store(disk: Disk, first_boot: bool, draw: Callable[[int], bytes]) -> OpenedStore:
-    """Open the store on a disk; give an empty or damaged one a new identity, synced when this returns.
+def open_store(disk: Disk, first_boot: bool, random_bytes: Callable[[int], bytes]) -> OpenedStore:
+    """Open the store on a disk; give an empty or damaged disk a new identity, synced when this returns.
 
-    `draw(n)` returns n random bytes. Raises OSError, UnsupportedFormatError, and MalformedMessageError where
-    a record can't be decoded.
+    `random_bytes(n)` returns n random bytes. Raises OSError, UnsupportedFormatError, and
+    MalformedMessageError if a record can't be decoded.
     """
     codec: MessageCodec[Record] = MessageCodec(RECORDS)
-    store = RecordStore(Ring(disk, lambda: draw(SALT_BYTES)), codec.encode, codec.decode)
+    store = RecordStore(Ring(disk, lambda: random_bytes(SALT_BYTES)), codec.encode, codec.decode)
     damage = ""
     try:
         durable = store.open()
@@ -58,7 +58,7 @@
         durable = DurableState()
         damage = str(error)
     if not durable.disk:
-        identity = IdentityRecord(draw(IDENTITY_BYTES).hex(), first_boot and not damage)
+        identity = IdentityRecord(random_bytes(IDENTITY_BYTES).hex(), first_boot and not damage)
         store.append([identity])
         durable.absorb(identity)
     return OpenedStore(store, durable, damage)
@@ -69,8 +69,8 @@
 ) -> OpenedStorage:
     """Lock a directory, open the store in it, and start the thread that writes to it.
 
-    `call_soon` runs a function in the caller's thread, as `loop.call_soon_threadsafe` does. Raises as
-    `open_store` does, and DirectoryLockedError.
+    `call_soon` runs a function in the caller's thread, as `loop.call_soon_threadsafe` does. Raises
+    DirectoryLockedError, and the errors of `open_store`.
     """
     os.makedirs(directory, exist_ok=True)
     lock = DirectoryLock(directory)
--- a/coveport/serving/storage/ring_format.py
+++ b/coveport/serving/storage/ring_format.py
@@ -1,7 +1,7 @@
-"""The bytes of a ring's files in format 2: a header, then frames, each with a record and its checksum.
+"""Encodes a ring's files in format 2: a header, then frames, each with a record and its checksum.
 
-A header gives the generation's number, a random salt and how many records its snapshot has. Checksums cover
-the salt and that number, so a frame that an earlier generation left in the same file is never valid.
+A header holds the generation's number, a random salt and the number of records in its snapshot. Checksums
+cover the salt and the generation's number, so a frame that an earlier generation left in the file is invalid.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 MAGIC: Final = b"CVPR"
 FORMAT_VERSION: Final = 2
-HIGHEST_PLAUSIBLE_VERSION: Final = 1000  # a number above that is garbage, not a version
+HIGHEST_PLAUSIBLE_VERSION: Final = 1000  # a higher number is garbage, not a version
 SALT_BYTES: Final = 8
-TAG_BYTES: Final = 4  # of the salt, at the start of each frame: how a frame behind a corrupted one is found
+TAG_BYTES: Final = 4  # part of the salt in front of each frame, to find a frame behind a corrupted one
 
 _HEADER = struct.Struct(">4sHQ8sI")  # magic, version, generation, salt, records in the snapshot
 _CHECKSUM = struct.Struct(">I")
@@ -31,13 +31,13 @@
 class Header:
     """The header of a generation."""
 
-    generation: int  # its number
+    generation: int  # number of the generation
     salt: bytes
-    snapshot_records: int
+    snapshot_records: int  # number of records in the snapshot
 
     @property
     def tag(self) -> bytes:
-        """Return the first bytes of each frame."""
+        """The first bytes of each frame."""
         return self.salt[:TAG_BYTES]
 
 
@@ -46,7 +46,7 @@
     """A valid record. Positions count the records of a generation from 0."""
 
     position: int
-    batch: int  # position of the first record that was written with it
+    batch_position: int  # position of the first record in the same batch
     record: bytes
 
 
@@ -57,16 +57,16 @@
 
 
 def decode_header(data: memoryview) -> Header | None:
-    """Return the header that the data begins with; None where there is no valid one of this format.
+    """Return the header at the start of the data; None if there is no valid header of this format.
 
-    Raises UnsupportedFormatError where there is a valid one of a newer format.
+    Raises UnsupportedFormatError if there is a valid header of a newer format.
     """
     if len(data) < HEADER_BYTES:
         return None
     header = bytes(data[: _HEADER.size])
     magic, version, generation, salt, snapshot_records = _HEADER.unpack(header)
-    (expected,) = _CHECKSUM.unpack_from(data, _HEADER.size)
-    if magic != MAGIC or zlib.crc32(header) != expected:
+    (stored_crc,) = _CHECKSUM.unpack_from(data, _HEADER.size)
+    if magic != MAGIC or zlib.crc32(header) != stored_crc:
         return None
     if FORMAT_VERSION < version <= HIGHEST_PLAUSIBLE_VERSION:
         raise UnsupportedFormatError(
@@ -76,26 +76,30 @@
 
 
 def encode_frame(header: Header, frame: Frame) -> bytes:
-    """Return a record of a generation with what stands in front of it."""
-    fixed = _FRAME.pack(header.tag, len(frame.record), frame.position, frame.batch)
-    return fixed + _CHECKSUM.pack(checksum(header, fixed, frame.record)) + frame.record
+    """Return a frame as bytes: its fixed fields, the checksum, and the record."""
+    fixed_fields = _FRAME.pack(header.tag, len(frame.record), frame.position, frame.batch_position)
+    return fixed_fields + _CHECKSUM.pack(checksum(header, fixed_fields, frame.record)) + frame.record
 
 
 def decode_frame(data: memoryview, offset: int, header: Header) -> Frame | None:
-    """Return the frame at an offset in bytes; None where there is no valid one of this generation."""
+    """Return the frame at an offset in bytes; None if there is no valid frame of this generation."""
     start = offset + FRAME_OVERHEAD_BYTES
     if start > len(data):
         return None
-    fixed = bytes(data[offset : offset + _FRAME.size])
-    tag, length, position, batch = _FRAME.unpack(fixed)
+    fixed_fields = bytes(data[offset : offset + _FRAME.size])
+    tag, length, position, batch_position = _FRAME.unpack(fixed_fields)
     if tag != header.tag or start + length > len(data):
         return None
-    (expected,) = _CHECKSUM.unpack_from(data, offset + _FRAME.size)
+    (stored_crc,) = _CHECKSUM.unpack_from(data, offset + _FRAME.size)
     record = bytes(data[start : start + length])
-    return Frame(position, batch, record) if checksum(header, fixed, record) == expected else None
+    return (
+        Frame(position, batch_position, record)
+        if checksum(header, fixed_fields, record) == stored_crc
+        else None
+    )
 
 
-def checksum(header: Header, fixed: bytes, record: bytes) -> int:
-    """Return the CRC-32 of a record, the fixed part of its frame, and its generation."""
+def checksum(header: Header, fixed_fields: bytes, record: bytes) -> int:
+    """Return the CRC-32 of a record, the fixed fields of its frame, and its generation."""
     generation = header.salt + _GENERATION_NUMBER.pack(header.generation)
-    return zlib.crc32(record, zlib.crc32(fixed, zlib.crc32(generation)))
+    return zlib.crc32(record, zlib.crc32(fixed_fields, zlib.crc32(generation)))
--- a/coveport/serving/storage/ring_format_1.py
+++ b/coveport/serving/storage/ring_format_1.py
@@ -1,4 +1,4 @@
-"""Reads a generation in format 1 of the ring, which older programs wrote: one copy, without batches."""
+"""Reads a generation in format 1 of the ring, which older programs wrote: a single copy, without batches."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 def read(data: bytes) -> Format1Generation | None:
-    """Return the generation in a file of that format; None where there is none."""
+    """Return the generation in a file of format 1; None if there is none."""
     if len(data) < _HEADER_BYTES:
         return None
     header = data[: _HEADER.size]
     magic, version, number, salt, snapshot_records = _HEADER.unpack(header)
-    (expected,) = _CHECKSUM.unpack_from(data, _HEADER.size)
-    if magic != MAGIC or version != FORMAT_VERSION or zlib.crc32(header) != expected:
+    (stored_crc,) = _CHECKSUM.unpack_from(data, _HEADER.size)
+    if magic != MAGIC or version != FORMAT_VERSION or zlib.crc32(header) != stored_crc:
         return None
     records = _read_records(data, salt)
     return Format1Generation(number, records, len(records) >= snapshot_records)
@@ -43,9 +43,9 @@
     records: list[bytes] = []
     offset = _HEADER_BYTES
     while offset + _FRAME.size <= len(data):
-        length, expected = _FRAME.unpack_from(data, offset)
+        length, stored_crc = _FRAME.unpack_from(data, offset)
         record = data[offset + _FRAME.size : offset + _FRAME.size + length]
-        if len(record) < length or _checksum(salt, len(records), record) != expected:
+        if len(record) < length or _checksum(salt, len(records), record) != stored_crc:
             break
         records.append(record)
         offset += _FRAME.size + length
--- a/coveport/serving/storage/ring_recovery.py
+++ b/coveport/serving/storage/ring_recovery.py
@@ -1,9 +1,9 @@
-"""Reads what a file of a ring holds, and tells a torn tail from lost data.
+"""Reads the generation in a file of a ring, and distinguishes a torn tail from lost data.
 
-The records of a generation are read up to the first that is corrupted in both copies. Where no later batch
-follows, it belongs to the batch that was being written when power was lost: it was never synced, and nobody
-relied on it. Where one follows, the disk has lost what it had synced, since a batch is only written after all
-before it were synced.
+The records of a generation are read up to the first one that is corrupted in both copies. If no later batch
+follows, the record belongs to the batch that was being written at the power loss: it was never synced, and
+nothing relies on it. If a later batch follows, the disk has lost synced data, since a batch is only written
+after all earlier ones were synced.
 """
 
 from __future__ import annotations
@@ -28,11 +28,12 @@
     number: int
     records: list[bytes]
     has_complete_snapshot: bool
-    corrupted_position: int | None = None  # of a record that is corrupted though a later batch is valid
+    # Position of a record that is corrupted although a later batch is valid.
+    corrupted_position: int | None = None
 
 
 def read_generation(file_index: int, data: bytes) -> Generation | None:
-    """Return the generation that a file's content holds; None where there is no valid header.
+    """Return the generation in a file's content; None if there is no valid header.
 
     Raises UnsupportedFormatError.
     """
@@ -64,7 +65,7 @@
     while True:
         decoded = (decode_frame(copy, offset, header) for copy in copies)
         position = len(records)
-        frame = next((each for each in decoded if each is not None and each.position == position), None)
+        frame = next((item for item in decoded if item is not None and item.position == position), None)
         if frame is None:
             return records, offset
         records.append(frame.record)
@@ -79,7 +80,7 @@
         offset = data.find(header.tag, start, stop)
         while offset >= 0:
             frame = decode_frame(view[:stop], offset, header)
-            if frame is not None and frame.batch > position:
+            if frame is not None and frame.batch_position > position:
                 return True
             offset = data.find(header.tag, offset + 1, stop)
     return False
--- a/coveport/serving/storage/store.py
+++ b/coveport/serving/storage/store.py
@@ -9,9 +9,9 @@
 
 
 class RecordStore:
-    """Appends records to a ring, and compacts them into a snapshot where they no longer fit.
+    """Appends records to a ring, and compacts them into a snapshot when they no longer fit.
 
-    Not thread-safe. Records of a failed write are kept and written with the next.
+    Not thread-safe. Records of a failed write are kept and written with the next one.
     """
 
     def __init__(
@@ -23,20 +23,20 @@
         self._state = DurableState()
 
     def open(self) -> DurableState:
-        """Return the state on the disk, synced by then.
+        """Return the state on the disk, synced when this returns.
 
-        Raises OSError, UnsupportedFormatError, CorruptedRecordsError, and MalformedMessageError where a
+        Raises OSError, UnsupportedFormatError, CorruptedRecordsError, and MalformedMessageError if a
         record can't be decoded.
         """
         records = [self._decode(data) for data in self._ring.open()]
         self._state = recover(records)
         if records:
-            self._begin_after_opening()
+            self._rewrite_after_opening()
         return recover(records)
 
-    def _begin_after_opening(self) -> None:
-        """Write what was read once more: a process that was killed may have left it unsynced."""
-        self._begin()
+    def _rewrite_after_opening(self) -> None:
+        """Write the read records again: a process that was killed may have left them unsynced."""
+        self._begin_generation()
 
     def append(self, records: Sequence[Record]) -> None:
         """Append records, synced when this returns. After an OSError they are written with the next call."""
@@ -46,10 +46,10 @@
         if self._ring.has_capacity(encoded):
             self._ring.append(encoded)
         else:
-            self._begin()
+            self._begin_generation()
 
-    def _begin(self) -> None:
-        """Begin a generation of the ring whose snapshot is the whole state."""
+    def _begin_generation(self) -> None:
+        """Begin a generation of the ring with the whole state as its snapshot."""
         self._ring.begin([self._encode(record) for record in snapshot_records(self._state)])
 
     def close(self) -> None:
--- a/coveport/serving/storage/writer.py
+++ b/coveport/serving/storage/writer.py
@@ -1,4 +1,4 @@
-"""Writes records in a thread of its own, so that a slow or hanging disk blocks nothing else."""
+"""Writes records in a separate thread, so that a slow or hanging disk blocks no other work."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from coveport.serving.storage.store import RecordStore
 
 WriteCallback = Callable[[OSError | None], None]
-"""Called after a write, with the error if the disk refused it."""
+"""Called after a write, with None or the error of the failed write."""
 
 
 class RecordWriter(Protocol):
@@ -23,7 +23,7 @@
 
 
 class InlineWriter:
-    """Writes at once, in the caller's thread: for tests and simulations."""
+    """Writes immediately in the caller's thread, for tests and simulations."""
 
     def __init__(self, store: RecordStore) -> None:
         self._store = store
@@ -45,7 +45,7 @@
 
 
 class ThreadWriter:
-    """Writes in a thread of its own; all queued records are written together, with one sync.
+    """Writes in a separate thread; all queued records are written together, with one sync.
 
     `call_soon` runs a function in the submitter's thread, as `loop.call_soon_threadsafe` does.
     """
@@ -62,7 +62,7 @@
         self._queue.put(_Write(records, on_written))
 
     def close(self, timeout_s: float) -> None:
-        """End the thread after everything submitted is written; wait for it that long at most."""
+        """End the thread after all submitted records are written; wait at most `timeout_s` for its end."""
         self._queue.put(None)
         self._thread.join(timeout_s)
 
@@ -78,7 +78,7 @@
                 return
 
     def _drain_queue(self, batch: list[_Write]) -> bool:
-        """Move all that is queued to the batch; return whether the thread is to end after it."""
+        """Move all queued writes to the batch; return whether the thread must end after it."""
         while True:
             try:
                 write = self._queue.get_nowait()
--- a/coveport/serving/wire/codec.py
+++ b/coveport/serving/wire/codec.py
@@ -1,6 +1,6 @@
-"""Encodes the dataclasses of one protocol, or of one kind of file, and decodes them again.
+"""Encodes the dataclasses of one protocol, or of one kind of file, and decodes them.
 
-A codec numbers its classes in the order in which it was given them: a peer must have been given the same.
+A codec numbers its classes in their given order, which must be the same for the writer and the reader.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
 
 class MessageCodec(Generic[T]):
-    """Bytes of any one of the given dataclasses: its number, one byte, then its fields."""
+    """Encodes each message as the number of its class, one byte, followed by its fields."""
 
     def __init__(self, kinds: Sequence[type]) -> None:
         self._kinds = tuple(kinds)
         self._numbers = {kind: number for number, kind in enumerate(self._kinds)}
-        self._formats: dict[int, DataclassFormat] = {}  # made when first used, which keeps the start short
+        self._formats: dict[int, DataclassFormat] = {}  # created on first use, to keep the start short
 
     def _format(self, number: int) -> Any:
-        known = self._formats.get(number)
-        if known is None:
-            known = self._formats[number] = DataclassFormat(self._kinds[number])
-        return known
+        known_format = self._formats.get(number)
+        if known_format is None:
+            known_format = self._formats[number] = DataclassFormat(self._kinds[number])
+        return known_format
 
     def encode(self, message: T) -> bytes:
-        """Return a message as bytes; raise LocalProtocolError where its class is none of the codec's."""
+        """Return a message as bytes; raise LocalProtocolError if the codec doesn't have its class."""
         number = self._numbers.get(type(message))
         if number is None:
-            raise LocalProtocolError(f"the codec has no message of the class {type(message).__qualname__}")
+            raise LocalProtocolError(f"the codec does not have the class {type(message).__qualname__}")
         return bytes([number]) + bytes(self._format(number).build(message))
 
     def decode(self, data: bytes) -> T:
-        """Return the message that the bytes hold; raise MalformedMessageError where they hold none."""
+        """Return the message in the bytes; raise MalformedMessageError if they are not a valid one."""
         if not data or data[0] >= len(self._kinds):
             raise MalformedMessageError("unknown kind of message")
         try:
--- a/coveport/serving/wire/configuration.py
+++ b/coveport/serving/wire/configuration.py
@@ -1,4 +1,4 @@
-"""The external names of a configuration's fields, by the names that this system uses for them."""
+"""The external names of a configuration's fields, by their names in this system's classes."""
 
 from __future__ import annotations
 
--- a/coveport/serving/wire/connection.py
+++ b/coveport/serving/wire/connection.py
@@ -1,4 +1,4 @@
-"""A TCP connection between two of this system's processes, with framed messages both ways."""
+"""A TCP connection between two of this system's processes, with framed messages in both directions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from coveport.serving.wire.traffic import Traffic
 from coveport.serving.wire.versions import FRAME_VERSION
 
-# Beyond this the peer doesn't read: the connection is aborted, so that a frozen peer can't fill the memory.
+# With more unsent bytes the connection is aborted, so that a frozen peer can't exhaust the memory.
 MAX_UNSENT_BYTES: Final = 16 * 1024 * 1024
 
 MessageHandler = Callable[["Connection", Message], None]
@@ -23,7 +23,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """Either end of a connection; messages are handed to the owner as they arrive."""
+    """One end of a connection; messages are passed to the owner as they arrive."""
 
     def __init__(
         self,
@@ -35,9 +35,10 @@
     ) -> None:
         """Create one end, for a listener or for `connect`.
 
-        `on_message`: called for each message. `on_closed`: called once, when the connection is over.
+        `on_message`: called for each message. `on_closed`: called once, when the connection is closed.
         `traffic`: counts the messages; several connections may share it. `on_protocol_error`: called before
-        the connection ends because the peer sent something that is no message, or can't read ours.
+        the connection is closed because the peer sent an invalid message, or can't read this program's
+        messages.
         """
         self._net = net
         self._on_message = on_message
@@ -46,12 +47,12 @@
         self._traffic = traffic if traffic is not None else Traffic()
         self._reader = FrameReader()
         self._transport: asyncio.Transport | None = None
-        self.last_received_s = 0.0  # in the net's clock; at first when the connection was made
-        self.peer: object = None  # whatever the owner keeps with the connection
+        self.last_received_s = 0.0  # by the net's clock; at first the time at which the connection was made
+        self.peer: object = None  # data that the owner attaches to the connection
 
     @property
     def peer_host(self) -> str:
-        """The IP address of the other end; empty where the connection is over."""
+        """The IP address of the peer; empty if the connection is closed."""
         name = self._transport.get_extra_info("peername") if self._transport is not None else None
         return str(name[0]) if name else ""
 
@@ -61,19 +62,19 @@
         return self._transport is not None and not self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; messages can be sent from here on."""
+        """Store the transport; messages can be sent from now on."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self.last_received_s = self._net.now_s()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notify the owner."""
+        """Notify the owner that the connection is closed."""
         self._transport = None
         if self._on_closed is not None:
             self._on_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hand complete messages to the owner."""
+        """Pass complete messages to the owner; end the connection after a protocol error."""
         self.last_received_s = self._net.now_s()
         try:
             for payload in self._reader.feed(data):
@@ -95,16 +96,16 @@
             self._on_protocol_error(self, error)
 
     def send(self, message: Message) -> None:
-        """Send a message; it is dropped where the connection is over or the peer doesn't read."""
+        """Send a message; drop it if the connection is closed or the peer doesn't read."""
         self.send_frame(type(message), write_frame(CODEC.encode(message)))
 
     def send_frame(self, kind: type, frame: bytes) -> None:
-        """Send a message of class `kind` that is framed already, as `send` does."""
+        """Send a message of class `kind` that is already framed, as `send` does."""
         if self._write(frame):
             self._traffic.record_sent(kind, len(frame))
 
     def _write(self, frame: bytes) -> bool:
-        """Hand a frame to the transport, and return whether it took it."""
+        """Pass a frame to the transport; return False if it was dropped."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return False
@@ -115,12 +116,12 @@
         return True
 
     def close(self) -> None:
-        """Close the connection once all that was sent is on its way."""
+        """Close the connection after all buffered messages are sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close the connection at once; what is not yet on its way is lost."""
+        """Close the connection at once; buffered messages are lost."""
         if self._transport is not None:
             self._net.reset(self._transport)
 
@@ -134,7 +135,7 @@
     traffic: Traffic | None = None,
     on_protocol_error: ProtocolErrorHandler | None = None,
 ) -> Connection | None:
-    """Open a connection; return None where it is refused or takes longer than `timeout_s`."""
+    """Open a connection; return None if it is refused or takes longer than `timeout_s`."""
     created: list[Connection] = []
 
     def factory() -> Connection:
--- a/coveport/serving/wire/dataclass_formats.py
+++ b/coveport/serving/wire/dataclass_formats.py
@@ -1,9 +1,9 @@
 """`construct` formats of dataclasses, derived from the annotations of their fields.
 
-Fields may be int (any size), float, bool, str, bytes, enumerations of str, `X | None`, tuples of any one
-type, and nested dataclasses. They follow each other in their order, without names: renaming one leaves the
-bytes as they are. Fields that a later version added (`versions.added_in`) may be absent at the end of a whole
-message, not within a nested value, which has no end of its own.
+The supported types are int (any size), float, bool, str, bytes, enumerations of str, `X | None`, tuples of
+one type, and nested dataclasses. Fields are encoded in their order, without names, so renaming a field leaves
+the bytes unchanged. Fields that a later version added (`versions.added_in`) may be missing at the end of a
+whole message, but not within a nested value, whose end isn't marked.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 T = TypeVar("T")
 
-MAX_CACHED_ENCODINGS: Final = 4096  # of one class; more than the nodes and proxies of a large deployment
+MAX_CACHED_ENCODINGS: Final = 4096  # per class; more than the nodes and proxies of a large deployment
 
 _cached_kinds: set[type] = set()
 
@@ -38,16 +38,16 @@
 
 
 def cache_encodings(kind: type[T]) -> type[T]:
-    """Keep the bytes of a dataclass' values where they are parts of messages; for values that are sent often.
+    """Cache the encodings of a dataclass's values within messages; meant for values that are sent often.
 
-    Equal values must have equal bytes.
+    Equal values must have equal encodings.
     """
     _cached_kinds.add(kind)
     return kind
 
 
 class DataclassFormat(c.Construct):  # type: ignore[misc]  # construct has no types
-    """A dataclass: its fields one after the other."""
+    """The format of a dataclass: its fields one after the other."""
 
     def __init__(self, kind: type) -> None:
         super().__init__()
@@ -57,25 +57,25 @@
         self._fields = [(field.name, _format_of(hints[field.name])) for field in declared]
         self._original_count = sum(not is_added(field) for field in declared)
         if any(is_added(field) for field in declared[: self._original_count]):
-            raise LocalProtocolError(f"{kind.__qualname__}: added fields must stand behind all others")
+            raise LocalProtocolError(f"{kind.__qualname__}: added fields must come after all others")
 
     def _parse(self, stream: Any, context: Any, path: str) -> Any:
         original = self._fields[: self._original_count]
-        values = [item._parsereport(stream, context, path) for _, item in original]
-        for _, item in self._fields[self._original_count :]:
+        values = [field_format._parsereport(stream, context, path) for _, field_format in original]
+        for _, field_format in self._fields[self._original_count :]:
             if _is_at_end(stream):
-                break  # written by an older version: the dataclass has the defaults
-            values.append(item._parsereport(stream, context, path))
+                break  # an older version wrote the message: the other fields get their defaults
+            values.append(field_format._parsereport(stream, context, path))
         return self._kind(*values)
 
     def _build(self, value: Any, stream: Any, context: Any, path: str) -> Any:
-        for name, item in self._fields:
-            item._build(getattr(value, name), stream, context, path)
+        for name, field_format in self._fields:
+            field_format._build(getattr(value, name), stream, context, path)
         return value
 
 
 class _CachedDataclassFormat(c.Construct):  # type: ignore[misc]
-    """A dataclass whose values are sent again and again: the bytes of those sent last are kept."""
+    """The format of a dataclass whose values are sent repeatedly: recent encodings are cached."""
 
     def __init__(self, kind: type) -> None:
         super().__init__()
@@ -91,44 +91,44 @@
 
 
 class _TupleFormat(c.Construct):  # type: ignore[misc]
-    """A tuple of one type: the number of items, then each."""
+    """The format of a tuple of one type: the number of items, then each item."""
 
-    def __init__(self, item: Any) -> None:
+    def __init__(self, item_format: Any) -> None:
         super().__init__()
-        self._item = item
+        self._item_format = item_format
 
     def _parse(self, stream: Any, context: Any, path: str) -> Any:
         count = c.VarInt._parse(stream, context, path)
-        return tuple([self._item._parsereport(stream, context, path) for _ in range(count)])
+        return tuple([self._item_format._parsereport(stream, context, path) for _ in range(count)])
 
     def _build(self, value: Any, stream: Any, context: Any, path: str) -> Any:
         c.VarInt._build(len(value), stream, context, path)
         for item in value:
-            self._item._build(item, stream, context, path)
+            self._item_format._build(item, stream, context, path)
         return value
 
 
 class _OptionalFormat(c.Construct):  # type: ignore[misc]
-    """A value or None: a flag, then the value if there is one."""
+    """The format of a value or None: a flag, then the value if there is one."""
 
-    def __init__(self, item: Any) -> None:
+    def __init__(self, item_format: Any) -> None:
         super().__init__()
-        self._item = item
+        self._item_format = item_format
 
     def _parse(self, stream: Any, context: Any, path: str) -> Any:
         if not c.Flag._parse(stream, context, path):
             return None
-        return self._item._parsereport(stream, context, path)
+        return self._item_format._parsereport(stream, context, path)
 
     def _build(self, value: Any, stream: Any, context: Any, path: str) -> Any:
         c.Flag._build(value is not None, stream, context, path)
         if value is not None:
-            self._item._build(value, stream, context, path)
+            self._item_format._build(value, stream, context, path)
         return value
 
 
 class _EnumerationFormat(c.Construct):  # type: ignore[misc]
-    """A member of an enumeration of strings, by its value."""
+    """The format of a member of an enumeration of strings: its value."""
 
     def __init__(self, kind: type[enum.Enum]) -> None:
         super().__init__()
@@ -143,7 +143,7 @@
 
 
 def _is_at_end(stream: Any) -> bool:
-    """Return whether a seekable stream has no further byte; its position stays."""
+    """Return whether a seekable stream has no further byte, without changing its position."""
     position = stream.tell()
     has_more = bool(stream.read(1))
     stream.seek(position)
@@ -151,24 +151,24 @@
 
 
 def _nested_format(kind: type) -> Any:
-    """Return the format of a dataclass within another one."""
+    """Return the format of a dataclass that is a field of another one."""
     if any(is_added(field) for field in dataclasses.fields(kind)):
-        raise LocalProtocolError(f"{kind.__qualname__} is nested: it can't have added fields")
+        raise LocalProtocolError(f"{kind.__qualname__} is nested, so it can't have added fields")
     return _CachedDataclassFormat(kind) if kind in _cached_kinds else DataclassFormat(kind)
 
 
 def _format_of(hint: Any) -> Any:
-    """Return the format of an annotation; raise LocalProtocolError where there is none."""
+    """Return the format of a type annotation; raise LocalProtocolError if it isn't supported."""
     if hint in _SCALARS:
         return _SCALARS[hint]
     origin = typing.get_origin(hint)
     arguments = typing.get_args(hint)
     if origin in (types.UnionType, typing.Union) and len(arguments) == 2 and type(None) in arguments:
-        return _OptionalFormat(_format_of(next(item for item in arguments if item is not type(None))))
+        return _OptionalFormat(_format_of(next(option for option in arguments if option is not type(None))))
     if origin is tuple and len(arguments) == 2 and arguments[1] is Ellipsis:
         return _TupleFormat(_format_of(arguments[0]))
     if isinstance(hint, type) and issubclass(hint, enum.Enum):
         return _EnumerationFormat(hint)
     if isinstance(hint, type) and dataclasses.is_dataclass(hint):
         return _nested_format(hint)
-    raise LocalProtocolError(f"a field is annotated with {hint!r}, which has no format")
+    raise LocalProtocolError(f"the field type {hint!r} is not supported")
--- a/coveport/serving/wire/errors.py
+++ b/coveport/serving/wire/errors.py
@@ -1,8 +1,8 @@
 """Errors of frames and messages between this system's own processes.
 
-As in h11, the class says whose fault it is: `RemoteProtocolError` where the bytes are wrong, whoever wrote
-them (a peer, or an earlier process whose stored records are read), `LocalProtocolError` where this process
-asked for something that the protocol can't express.
+As in h11, the class shows which side is at fault. `RemoteProtocolError`: the bytes that a peer sent, or that
+an earlier process stored, are invalid. `LocalProtocolError`: this process tried to encode something that the
+protocol doesn't support.
 """
 
 from __future__ import annotations
@@ -15,34 +15,34 @@
 
 
 class LocalProtocolError(ProtocolError):
-    """A message or a type of field has no form in the protocol: a mistake of the calling code."""
+    """The protocol has no encoding for a message or a field type: an error of the calling code."""
 
 
 class RemoteProtocolError(ProtocolError):
-    """The bytes that were read aren't what this version of the protocol writes."""
+    """The bytes that were read are not valid in this version of the protocol."""
 
 
 class MalformedFrameError(RemoteProtocolError):
-    """The header of a frame is wrong, its payload is too long, or its checksum differs."""
+    """The header of a frame is invalid, its payload is too long, or its checksum doesn't match."""
 
 
 class UnsupportedVersionError(MalformedFrameError):
-    """A frame of a program whose messages can't be read: it is too old, or too new."""
+    """A frame was written by a program that is too old or too new for its messages to be read."""
 
     def __init__(self, version: int) -> None:
-        """`version`: that of the frame's header."""
+        """Create the error for the version in a frame's header."""
         super().__init__(f"frames of version {version}; this program reads version {FRAME_VERSION} only")
         self.version = version
 
 
 class VersionRejectedError(RemoteProtocolError):
-    """The peer said that it can't read our frames."""
+    """The peer reported that it can't read this program's frames."""
 
     def __init__(self, frame_version: int) -> None:
-        """`frame_version`: the version that the peer reads."""
+        """Create the error for the only version that the peer reads."""
         super().__init__(f"the peer reads frames of version {frame_version} only, not {FRAME_VERSION}")
         self.frame_version = frame_version
 
 
 class MalformedMessageError(RemoteProtocolError):
-    """The payload of a frame or of a stored record is no message of the codec."""
+    """The payload of a frame or a stored record is not a valid message of the codec."""
--- a/coveport/serving/wire/frames.py
+++ b/coveport/serving/wire/frames.py
@@ -1,6 +1,6 @@
 """Frames between this system's own processes: magic and version, length, CRC-32, then one message.
 
-All numbers of the header are big-endian. Frames of another version can't be read (see `versions`).
+All numbers in the header are big-endian. Frames of another version can't be read (see `versions`).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from coveport.serving.wire.errors import MalformedFrameError, UnsupportedVersionError
 from coveport.serving.wire.versions import FRAME_VERSION
 
-MAX_PAYLOAD_BYTES: Final = 48 * 1024 * 1024  # a whole configuration and every node fit well below
+MAX_PAYLOAD_BYTES: Final = 48 * 1024 * 1024  # far more than a complete configuration and all nodes need
 
 _HEADER = c.Struct(
     "magic" / c.Const(b"CVP"),
@@ -26,21 +26,21 @@
 
 
 def write_frame(payload: bytes) -> bytes:
-    """Return a message's bytes with the header in front."""
+    """Return a message's bytes, preceded by the header."""
     header = {"version": FRAME_VERSION, "length": len(payload), "checksum": zlib.crc32(payload)}
     return bytes(_HEADER.build(header)) + payload
 
 
 class FrameReader:
-    """Cuts a stream of bytes into the payloads of its frames."""
+    """Splits a stream of bytes into the payloads of its frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Take more bytes of the stream and yield the payloads that are complete.
+        """Add bytes of the stream, and yield the payloads that are complete.
 
-        Raises MalformedFrameError or UnsupportedVersionError; the stream can't be read on after it.
+        Raises MalformedFrameError or UnsupportedVersionError, after which the stream is unreadable.
         """
         self._buffer += data
         while len(self._buffer) >= HEADER_BYTES:
@@ -51,9 +51,7 @@
             payload = bytes(self._buffer[HEADER_BYTES:end])
             del self._buffer[:end]
             if zlib.crc32(payload) != checksum:
-                raise MalformedFrameError(
-                    f"the checksum of a frame of {length} bytes differs from its header's"
-                )
+                raise MalformedFrameError(f"checksum mismatch in a frame with a payload of {length} bytes")
             yield payload
 
 
@@ -67,6 +65,6 @@
         raise UnsupportedVersionError(header.version)
     if header.length > MAX_PAYLOAD_BYTES:
         raise MalformedFrameError(
-            f"a frame of {header.length} bytes; at most {MAX_PAYLOAD_BYTES} are allowed"
+            f"frame payload of {header.length} bytes exceeds the limit of {MAX_PAYLOAD_BYTES} bytes"
         )
     return header.length, header.checksum
--- a/coveport/serving/wire/message_labels.py
+++ b/coveport/serving/wire/message_labels.py
@@ -1,6 +1,6 @@
-"""The label of each kind of message in outputs for people, such as the counts of `status`.
+"""The labels of the message classes in output for operators, such as the counts of `status`.
 
-Labels are part of those outputs: they stay when a class is renamed.
+Labels are part of that output: they stay when a class is renamed.
 """
 
 from __future__ import annotations
--- a/coveport/serving/wire/messages.py
+++ b/coveport/serving/wire/messages.py
@@ -1,8 +1,8 @@
-"""Messages among coordinators, and between proxies and coordinators, beside those of replication.
+"""Messages among coordinators, and between proxies and coordinators, except those of replication.
 
 Fields are encoded by their order and type (see `dataclass_formats`), classes by their position in `MESSAGES`:
-neither may be moved. A new field goes to the end of its message, declared with `added_in`; another type, or a
-new field of a nested dataclass, needs a new version of the frames (see `versions`).
+neither may be moved. A new field goes to the end of its message, declared with `added_in`. A changed type, or
+a new field of a nested dataclass, needs a new version of the frames (see `versions`).
 """
 
 from __future__ import annotations
@@ -25,66 +25,66 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message on every connection between coordinators: the identity of the one that dialed."""
+    """The first message on every connection between coordinators, with the identity of the dialer."""
 
-    address: str  # its inner address, ip:port
-    disk: str  # identity of its disk
-    protocol_version: int = added_in(4, UNANNOUNCED_VERSION)  # of the program that dialed
+    address: str  # inner address of the sender, ip:port
+    disk: str  # identity of the sender's disk
+    protocol_version: int = added_in(4, UNANNOUNCED_VERSION)  # protocol version of the sender's program
 
 
 @dataclass(frozen=True, slots=True)
 class NodeReports:
     """Reports on nodes, forwarded by the coordinator that received them."""
 
-    confirmation_id: int  # not 0: answer with a `NodeReportsAck` of this number
+    confirmation_id: int  # if not 0, the receiver answers with a `NodeReportsAck` of this number
     nodes: tuple[Node, ...]
-    is_complete_table: bool = added_in(
-        4, default=False
-    )  # `nodes` is all that the sender lists, tombstones too
+    # Whether `nodes` is the sender's complete table, with its tombstones.
+    is_complete_table: bool = added_in(4, default=False)
 
 
 @dataclass(frozen=True, slots=True)
 class NodeReportsAck:
-    """The sender has stored the reports of that number in its node table."""
+    """The sender has applied the reports with this number to its node table."""
 
     confirmation_id: int
-    view: Epoch  # of the newest view that the sender has accepted: it votes for that view's members alone
+    # Epoch of the newest view that the sender has accepted: its confirmation counts only in that view.
+    view: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class TableRequest:
-    """Asks for the whole node table and all leases, after a start or a stall."""
+    """A request for the complete node table and all leases, after a start or a stall."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeasesRenewed:
-    """Leases of proxies that were renewed at the sender lately."""
+    """Leases of proxies that were recently renewed at the sender."""
 
     leases: tuple[ProxyLease, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class UpdateRequest:
-    """A proxy's request for everything newer than the versions it has; it renews the proxy's lease."""
+    """A proxy's request for everything newer than its own data; it renews the proxy's lease."""
 
     lease: ProxyLease
-    table_id: str  # identity of the node table that `node_revision` is of; empty: none
+    table_id: str  # identity of the node table to which `node_revision` belongs; empty: none
     node_revision: int
-    state_sequence: int  # of the acknowledged state; -1: none
+    state_sequence: int  # sequence number of the proxy's acknowledged state; -1: none
     request_number: int
-    deregistered: tuple[str, ...] = ()  # incarnations known to be gone for good; sent once a connection
-    protocol_version: int = added_in(4, UNANNOUNCED_VERSION)  # of the proxy's program
-    telemetry: ProxyTelemetry | None = added_in(5, None)  # noqa: RUF009  # None: nothing new
+    deregistered: tuple[str, ...] = ()  # incarnations known to be deregistered; sent once per connection
+    protocol_version: int = added_in(4, UNANNOUNCED_VERSION)  # protocol version of the proxy's program
+    telemetry: ProxyTelemetry | None = added_in(5, None)  # noqa: RUF009  # None: no changes
 
 
 @dataclass(frozen=True, slots=True)
 class Unsubscribe:
-    """A proxy's last message on a connection: it has gone to a nearer coordinator, its lease stays."""
+    """A proxy's last message on a connection: it uses a nearer coordinator, and its lease stays valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """One committed command, to be applied to the state before it."""
+    """One committed command, to be applied to the preceding state."""
 
     sequence: int
     command: bytes
@@ -94,47 +94,50 @@
 class CoordinatorEndpoint:
     """Address and locality of a live coordinator."""
 
-    address: str  # its inner address, ip:port
+    address: str  # inner address, ip:port
     zone: str
     region: str
 
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """The answer to an `UpdateRequest`: what is newer, or nothing once the request has waited for a while."""
+    """The answer to an `UpdateRequest`: everything newer, or nothing after the maximum wait.
+
+    A proxy that gets an update without `has_quorum` requests its next one from another coordinator.
+    """
 
     request_number: int
-    has_quorum: bool  # the sender is in touch with a majority of the core; otherwise ask another
-    knows_all_nodes: bool  # ... and has been for long enough that every live node has reported
+    has_quorum: bool  # whether the sender is in contact with a majority of the core
+    knows_all_nodes: bool  # whether that contact has lasted long enough for a report of every live node
     table_id: str
     node_revision: int
-    is_full_table: bool  # `nodes` is the whole table; otherwise what changed since the revision asked with
+    is_full_table: bool  # `nodes` is the complete table; otherwise the changes since the requested revision
     nodes: tuple[Node, ...]
     removed: tuple[str, ...]  # incarnations that are no longer in the table
-    deregistered: tuple[str, ...]  # incarnations that never come back
+    deregistered: tuple[str, ...]  # incarnations that never return
     state_sequence: int
-    state: bytes | None  # the whole acknowledged state ...
-    changes: tuple[StateChange, ...]  # ... or what led there from the sequence asked with
-    coordinators: tuple[CoordinatorEndpoint, ...]  # those that are alive, the sender included
-    max_proxies: int  # upper bound of the number of proxies, or of those known by now; 0: not known yet
+    state: bytes | None  # the complete acknowledged state; None: see `changes`
+    changes: tuple[StateChange, ...]  # without `state`: the commands since the requested sequence number
+    coordinators: tuple[CoordinatorEndpoint, ...]  # live coordinators, including the sender
+    max_proxies: int  # upper bound of the number of proxies, or the number known so far; 0: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class VersionRejected:
-    """The last message on a connection: the sender can't read the frames that it got."""
+    """The last message on a connection: the sender can't read the received frames."""
 
-    frame_version: int  # that the sender reads
+    frame_version: int  # version that the sender reads
 
 
 @dataclass(frozen=True, slots=True)
 class TelemetryShared:
-    """What proxies have reported to the sender, or what has changed of it since its last such message."""
+    """Telemetry that proxies reported to the sender: all, or the changes since its last such message."""
 
     reports: tuple[ProxyTelemetry, ...]
 
 
 Message = object
-MESSAGES: Final[tuple[type, ...]] = (  # the order gives each kind its number on the wire
+MESSAGES: Final[tuple[type, ...]] = (  # the position is the number of the class on the wire
     Hello,
     NodeReports,
     NodeReportsAck,
--- a/coveport/serving/wire/names.py
+++ b/coveport/serving/wire/names.py
@@ -1,6 +1,6 @@
 """The external names of the HTTP interfaces, as the operators' protocol defines them.
 
-No other module repeats them: what this system calls differently is translated here.
+No other module repeats them: this module maps this system's own terms to them.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     TOKENS: Final = "coveport-tokens"
     PRIORITY: Final = "priority"
     VERSIONS: Final = "versions"
-    EXPECT_VERSION: Final = "expect-version"  # of the weights; a node with others answers 421
+    EXPECT_VERSION: Final = "expect-version"  # version of the weights; a node with other weights answers 421
     API_KEY: Final = "x-api-key"
     TENANT: Final = "coveport-sender"
 
@@ -41,7 +41,7 @@
     PRIORITY: Final = "Priority"
     TENANT: Final = "Coveport-Sender"
     AUTHENTICATE: Final = "WWW-Authenticate"
-    HOLDER: Final = "Coveport-Holder"  # of a duty, in calls to the platform
+    HOLDER: Final = "Coveport-Holder"  # holder of a duty; sent in calls to the platform
     FENCE: Final = "Coveport-Fence"
 
 
@@ -50,13 +50,13 @@
 
     READY: Final = "/coveport/ready"
     LOOKUP: Final = "/coveport/lookup"
-    NODES: Final = "/coveport/nodes/"  # + incarnation
+    NODES: Final = "/coveport/nodes/"  # followed by the incarnation
     CONFIG: Final = "/coveport/config"
-    EVACUATION: Final = "/coveport/evacuation/"  # + zone
+    EVACUATION: Final = "/coveport/evacuation/"  # followed by the zone
     REPORT: Final = "/coveport/report"
-    USAGE: Final = "/usage"  # of the platform
-    FLEET: Final = "/fleet"  # of the platform
-    STATUS: Final = "/coveport/status"  # beyond the protocol: the state of the core, for people
+    USAGE: Final = "/usage"  # served by the platform
+    FLEET: Final = "/fleet"  # served by the platform
+    STATUS: Final = "/coveport/status"  # not part of the protocol: the state of the core, for operators
 
 
 class Heartbeat:
@@ -73,11 +73,11 @@
     FORWARD_TO: Final = "ForwardTo"
     ACCEPTING: Final = "accepting"
     CLOSING: Final = "closing"
-    SOFTWARE: Final = "Edition"  # of the node
+    SOFTWARE: Final = "Edition"  # version of the node's software
     PHASE: Final = "Phase"
     MODELS: Final = "Models"
     MODEL_NAME: Final = "Name"
-    WEIGHTS: Final = "Edition"  # of a model
+    WEIGHTS: Final = "Edition"  # version of a model's weights
     ADAPTERS: Final = "Adapters"
 
 
@@ -112,7 +112,7 @@
 
 
 class Fleet:
-    """Fields of an order of nodes from the platform."""
+    """Fields of a fleet order, which requests nodes from the platform."""
 
     SERVICE: Final = "Service"
     ZONE: Final = "Zone"
@@ -128,9 +128,9 @@
     MEMORY_TOTAL: Final = "KvTotal"
 
 
-ERROR: Final = "Error"  # field of a response that rejects a call: one reason or a list
+ERROR: Final = "Error"  # field of the response to a rejected call: one reason or a list
 
-SETTINGS_VARIABLE: Final = "COVEPORT_NODE_FILE"  # environment variable: path of the settings file
+SETTINGS_VARIABLE: Final = "COVEPORT_NODE_FILE"  # environment variable with the path of the settings file
 
 # Values of the setting `Serves`.
 SERVES_CLIENTS: Final = "counter"
--- a/coveport/serving/wire/rejection_throttle.py
+++ b/coveport/serving/wire/rejection_throttle.py
@@ -1,6 +1,6 @@
-"""Limits the log lines about a peer whose messages can't be read, or that can't read ours, to one a minute.
+"""Limits the log lines about a peer to one a minute if its messages or this program's can't be read.
 
-Such a peer dials, or is dialed, again several times a second.
+The connection to such a peer is opened again several times a second, by either side.
 """
 
 from __future__ import annotations
@@ -12,18 +12,20 @@
 
 
 class RejectionThrottle:
-    """Owns when each peer was last logged."""
+    """Stores the time at which each peer was last logged."""
 
     def __init__(self, now_s: Callable[[], float]) -> None:
-        """`now_s`: the clock, in seconds."""
+        """Create a throttle with the clock `now_s`, in seconds."""
         self._now_s = now_s
         self._logged_at_s: dict[str, float] = {}  # by IP address
 
     def should_log(self, host: str) -> bool:
-        """Return whether a rejection of the peer at an IP address is to be logged; it counts as logged."""
+        """Return whether to log a rejection of the peer at an IP address; if so, record it as logged."""
         now_s = self._now_s()
         self._logged_at_s = {
-            known: at_s for known, at_s in self._logged_at_s.items() if now_s - at_s < LOG_INTERVAL_S
+            logged_host: at_s
+            for logged_host, at_s in self._logged_at_s.items()
+            if now_s - at_s < LOG_INTERVAL_S
         }
         if host in self._logged_at_s:
             return False
--- a/coveport/serving/wire/settings.py
+++ b/coveport/serving/wire/settings.py
@@ -1,4 +1,4 @@
-"""The external names of the boot settings, by the names that this system uses for them."""
+"""The external names of the boot settings, by their names in this system."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Boot:
-    """Fields at the top of the settings file."""
+    """Top-level fields of the settings file."""
 
     NAME: Final = "NodeName"
     IP: Final = "Ip"
--- a/coveport/serving/wire/shared_update.py
+++ b/coveport/serving/wire/shared_update.py
@@ -1,7 +1,8 @@
 """One update for many proxies: encoded once, completed for each request.
 
-Hundreds of proxies ask with the same versions and get the same answer. With 600 nodes, encoding the node
-table for each of them would keep a coordinator busy for longer than its peers wait for a ping of the primary.
+Hundreds of proxies send requests with the same versions and get the same answer. With 600 nodes, encoding
+the node table for each of them would keep a coordinator busy for longer than its peers' time-out for pings of
+the primary.
 """
 
 from __future__ import annotations
@@ -15,26 +16,26 @@
 from coveport.serving.wire.messages import CODEC, Update
 
 _PLACEHOLDER: Final = 0
-_KIND_BYTES: Final = 1  # the number of the message's class, in front of its fields
+_KIND_BYTES: Final = 1  # size of the class number in front of the fields
 
 
 class SharedUpdate:
     """The encoding of an update without its first field, `request_number`, and its last, `max_proxies`."""
 
     def __init__(self, update: Update) -> None:
-        """Encode `update`, whose values of these two fields don't matter."""
+        """Encode `update`; its values of these two fields are ignored."""
         encoded = CODEC.encode(replace(update, request_number=_PLACEHOLDER, max_proxies=_PLACEHOLDER))
         placeholder_bytes = len(_encode_number(_PLACEHOLDER))
-        self._kind = encoded[:_KIND_BYTES]
+        self._class_number = encoded[:_KIND_BYTES]
         self._shared = encoded[_KIND_BYTES + placeholder_bytes : -placeholder_bytes]
 
     def frame(self, request_number: int, max_proxies: int) -> bytes:
         """Return the complete frame that answers a request."""
         first_field = _encode_number(request_number)
         last_field = _encode_number(max_proxies)
-        return write_frame(self._kind + first_field + self._shared + last_field)
+        return write_frame(self._class_number + first_field + self._shared + last_field)
 
 
 def _encode_number(number: int) -> bytes:
-    """Return an integer as `codec` encodes it."""
+    """Return the encoding of an integer field."""
     return bytes(c.ZigZag.build(number))
--- a/coveport/serving/wire/traffic.py
+++ b/coveport/serving/wire/traffic.py
@@ -12,7 +12,7 @@
     """Messages of one kind in one direction."""
 
     messages: int = 0
-    frame_bytes: int = 0  # with the frames' headers
+    frame_bytes: int = 0  # including the frames' headers
 
     def add(self, frame_bytes: int) -> None:
         """Count one more message."""
--- a/coveport/serving/wire/versions.py
+++ b/coveport/serving/wire/versions.py
@@ -1,13 +1,13 @@
-"""Versions of the messages between this system's own processes; two neighbouring versions work side by side.
+"""Versions of the messages between this system's own processes; two neighbouring versions are compatible.
 
-Every frame that this program writes can be read by each program since `FRAME_VERSION`. What a later version
-adds to a message stands behind its older fields, each declared with `added_in`: a reader that doesn't know a
-field ignores the bytes behind those that it knows, and a reader that gets none takes the default. A process
-announces its own version in its first message on a connection (`Hello`, `UpdateRequest`), and a class of
-message that is new is sent only to peers whose announcement covers it.
+Every frame that this program writes can be read by each program since `FRAME_VERSION`. A later version adds
+fields at the end of a message, each declared with `added_in`: a reader of an older version ignores the bytes
+behind the fields that it has, and a reader of a newer version uses the default of a missing field. A process
+announces its own version in its first message on a connection (`Hello`, `UpdateRequest`), and a new class of
+message is sent only to peers whose announced version includes it.
 
-So coordinators and proxies may be upgraded one after the other, in any order, and back. Weighed and not
-taken: see docs/design/upgrades.md.
+Coordinators and proxies can therefore be upgraded one after the other, in any order, and downgraded again.
+For rejected alternatives see docs/design/upgrades.md.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 import dataclasses
 from typing import Any, Final
 
-FRAME_VERSION: Final = 3  # in the header of each frame; a program with another one can't read our messages
-UNANNOUNCED_VERSION: Final = 3  # of a peer that announces none: the last program before announcements
-# 4: announcements, complete node tables marked as such, refusals by version; 5: duties and telemetry
+FRAME_VERSION: Final = 3  # in the header of each frame; a program with another version can't read the frame
+UNANNOUNCED_VERSION: Final = 3  # version of a peer that announces none: the last one before announcements
+# Version 4 added announcements, marked complete node tables and version rejections; 5 duties and telemetry.
 PROTOCOL_VERSION: Final = 5
 DUTIES_VERSION: Final = 5  # older coordinators can't read the commands of the duties
-TELEMETRY_VERSION: Final = 5  # since which peers read `TelemetryShared`
+TELEMETRY_VERSION: Final = 5  # older peers can't read `TelemetryShared`
 
 _ADDED_IN: Final = "added_in"
 
 
 def added_in(version: int, default: Any) -> Any:
-    """Return a dataclass field that older versions neither write nor read; it must stand behind their fields.
+    """Return a dataclass field that older versions neither write nor read; it must come after their fields.
 
-    `default`: its value in messages of older versions.
+    `default`: the value of the field in messages of older versions.
     """
     return dataclasses.field(default=default, metadata={_ADDED_IN: version})
 
--- a/tests/serving/storage/test_ring_basics.py
+++ b/tests/serving/storage/test_ring_basics.py
@@ -15,7 +15,7 @@
 
 
 def ring_in(folder: Path, **settings: int) -> Ring:
-    return Ring(OsDisk(str(folder)), salt=lambda: os.urandom(8), **settings)
+    return Ring(OsDisk(str(folder)), generate_salt=lambda: os.urandom(8), **settings)
 
 
 def test_appended_records_are_read_after_reopening(tmp_path: Path) -> None:
--- a/tests/serving/storage/test_store_crashes.py
+++ b/tests/serving/storage/test_store_crashes.py
@@ -184,7 +184,7 @@
         (Ring, "_next_index", always_the_same_file),
         (ring, "read_generation", any_generation),
         (ring_format, "checksum", lambda header, frame, record: len(record)),
-        (RecordStore, "_begin_after_opening", lambda self: None),
+        (RecordStore, "_rewrite_after_opening", lambda self: None),
     ],
     ids=lambda value: getattr(value, "__name__", str(value)),
 )
