--- a/tests/serving/membership/test_leases.py
+++ b/tests/serving/membership/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: members while they renew, counted for a while after."""
+"""Leases: proxies are members while they renew, and their quota stays reserved for a while after."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     assert table.addresses_for("z1", "r1", 64, LEASE_DURATION_S + 0.1) == []
 
 
-def test_an_expired_proxy_counts_for_the_budgets_for_a_while() -> None:
+def test_the_quota_of_an_expired_proxy_stays_reserved_for_a_while() -> None:
     table = LeaseTable()
     table.renew(lease(1), 0.0, local=True)
     table.renew(lease(2), 20.0, local=True)
@@ -84,14 +84,14 @@
 
 
 def test_a_proxy_restarted_after_its_clock_stepped_back_is_a_member_at_once_where_it_renews() -> None:
-    """Found by review: its renewals were passed over for 30 s, and no client was sent there."""
+    """Regression: its renewals were ignored for 30 s, and no client was sent to it."""
     table = LeaseTable()
     table.renew(lease(1, renewal=500, incarnation=2_000), 0.0, local=True)
     assert table.renew(lease(1, renewal=1, incarnation=1_000, ready=False), 0.4, local=True)
     assert table.addresses_for("z1", "r1", 64, 0.5) == []
 
 
-def test_such_a_proxy_is_a_member_elsewhere_once_its_previous_incarnation_expired() -> None:
+def test_a_proxy_whose_clock_stepped_back_is_a_member_elsewhere_after_its_previous_lease_expired() -> None:
     table = LeaseTable()
     table.renew(lease(1, renewal=500, incarnation=2_000), 0.0, local=False)
     assert not table.renew(lease(1, renewal=1, incarnation=1_000, ready=False), LEASE_DURATION_S, local=False)
--- a/tests/serving/membership/test_node_table.py
+++ b/tests/serving/membership/test_node_table.py
@@ -20,8 +20,8 @@
     return Node(incarnation, sequence, "chat", f"10.0.0.1:{incarnation}", "z1", "r1", 64, state, **times)
 
 
-def restarted(incarnation: str, sequence: int) -> Node:
-    """Return one of several incarnations at the same address."""
+def node_at_shared_address(incarnation: str, sequence: int) -> Node:
+    """Return a report of one of several incarnations at the same address."""
     return replace(node(incarnation, sequence), address="10.0.0.1:80")
 
 
@@ -104,7 +104,7 @@
     assert [changed.incarnation for changed in changes.nodes] == ["stays"]
 
 
-reports = st.lists(
+report_steps = st.lists(
     st.tuples(
         st.sampled_from(["a", "b", "c"]),
         st.integers(1, 6),
@@ -116,18 +116,18 @@
 )
 
 
-@given(reports)
+@given(report_steps)
 def test_changes_add_up_to_the_table(steps: list[tuple[str, int, NodeState, int, bool]]) -> None:
-    """A subscriber that asks now and then, with the revision it has, has all entries of the table."""
+    """A subscriber that sometimes requests the changes since its revision has all entries of the table."""
     table = NodeTable(TIMEOUT_S)
     subscribed = dict[str, Node]()
     revision = -1
     now = 0.0
-    for incarnation, sequence, state, elapsed_ms, does_ask in steps:
+    for incarnation, sequence, state, elapsed_ms, is_requested in steps:
         now += elapsed_ms / 1000
         table.apply_report(node(incarnation, sequence, state), now)
         table.expire(now)
-        if does_ask:
+        if is_requested:
             changes = table.changes_since(revision, now)
             revision = changes.revision
             subscribed = {} if changes.is_complete else subscribed
@@ -139,7 +139,7 @@
             }
 
 
-@given(reports, st.randoms())
+@given(report_steps, st.randoms())
 def test_the_order_of_reports_does_not_matter(
     steps: list[tuple[str, int, NodeState, int, bool]], random_source: object
 ) -> None:
@@ -159,11 +159,11 @@
 
 
 def test_a_restarted_node_replaces_its_previous_incarnation() -> None:
-    """Found by a simulated day: requests went to the old incarnation of a restarted node for 5 s."""
+    """Regression: requests went to the previous incarnation of a restarted node for 5 s."""
     table = NodeTable(TIMEOUT_S)
-    table.apply_report(restarted("before", 8), 0.0)
+    table.apply_report(node_at_shared_address("before", 8), 0.0)
     revision = table.revision
-    table.apply_report(restarted("after", 1), 1.0)
+    table.apply_report(node_at_shared_address("after", 1), 1.0)
     changes = table.changes_since(revision, 1.0)
     assert [changed.incarnation for changed in changes.nodes] == ["after"]
     assert changes.removed == ("before",)
@@ -171,19 +171,19 @@
 
 def test_a_delayed_heartbeat_of_the_previous_incarnation_does_not_last() -> None:
     table = NodeTable(TIMEOUT_S)
-    table.apply_report(restarted("before", 8), 0.0)
-    table.apply_report(restarted("after", 1), 1.0)
-    table.apply_report(restarted("before", 9), 1.1)
-    table.apply_report(restarted("after", 2), 2.0)
+    table.apply_report(node_at_shared_address("before", 8), 0.0)
+    table.apply_report(node_at_shared_address("after", 1), 1.0)
+    table.apply_report(node_at_shared_address("before", 9), 1.1)
+    table.apply_report(node_at_shared_address("after", 2), 2.0)
     assert [entry.node.incarnation for entry in table.entries()] == ["after"]
 
 
 def test_changes_since_each_revision_are_those_that_came_after_it() -> None:
-    """Compare with a scan of all entries and removals."""
+    """Compare the changes with a scan of all entries and removals."""
     random_source = Random(5)
     table = NodeTable(5.0)
     alive: list[str] = []
-    seen: dict[str, int] = {}
+    seen_incarnations: dict[str, int] = {}
     for step in range(300):
         if alive and random_source.random() < 0.3:
             incarnation = random_source.choice(alive)
@@ -195,47 +195,47 @@
         )
         table.apply_report(Node(incarnation, step, "s", address, "a", "north", 8, state), 0.0)
         alive = [entry.node.incarnation for entry in table.entries()]
-        seen.setdefault(incarnation, step)
+        seen_incarnations.setdefault(incarnation, step)
         for revision in (0, random_source.randrange(table.revision + 1), table.revision):
             changes = table.changes_since(revision, 0.0)
             expected = {entry.node.incarnation for entry in table.entries() if entry.revision > revision}
             assert {changed.incarnation for changed in changes.nodes} == expected
             assert not set(changes.removed) & set(alive)
     all_changes = table.changes_since(0, 0.0)
-    assert set(all_changes.removed) | set(alive) == set(seen)
+    assert set(all_changes.removed) | set(alive) == set(seen_incarnations)
 
 
 def test_a_node_that_a_complete_table_lacks_is_removed_once_it_has_timed_out_here() -> None:
-    """Time-outs began anew after a partition; the others have counted on."""
+    """This table's time-outs were reset after a partition, those of the complete table's sender were not."""
     table = NodeTable(TIMEOUT_S)
     table.apply_report(node("i-crashed", 3), 0.0)
     table.apply_report(node("i-live", 3), 0.0)
-    table.apply_report(node("i-here", 3), 0.0)
+    table.apply_report(node("i-local", 3), 0.0)
     table.reset_timeouts(20.0)
-    table.apply_report(node("i-here", 9), 19.0)  # within the partition, it reported to this coordinator alone
+    table.apply_report(node("i-local", 9), 19.0)  # during the partition it reported only to this coordinator
     revision = table.revision
     assert table.expire_unlisted({"i-live"}, 20.0) == ["i-crashed"]
     assert "i-crashed" not in table
     assert "i-live" in table
-    assert "i-here" in table
+    assert "i-local" in table
     assert table.changes_since(revision, 20.0).removed == ("i-crashed",)
     assert table.expire_unlisted({"i-live"}, 20.0) == []
 
 
-def test_a_node_that_was_kept_over_a_partition_is_not_passed_on_until_it_reports() -> None:
-    """Passed on as newly reported, a crashed node would come back everywhere: it did."""
+def test_a_node_that_was_kept_over_a_partition_is_not_sent_to_peers_until_it_reports() -> None:
+    """Regression: a crashed node that is sent as newly reported is added again at every coordinator."""
     table = NodeTable(TIMEOUT_S)
     table.apply_report(node("i-crashed", 3), 0.0)
     table.apply_report(node("i-live", 3), 0.0)
     table.reset_timeouts(20.0)
     assert table.confirmed_nodes(20.0) == ()
     table.apply_report(node("i-live", 4), 20.1)
-    assert [one.incarnation for one in table.confirmed_nodes(20.2)] == ["i-live"]
-    assert [one.incarnation for one in table.confirmed_nodes(20.1 + TIMEOUT_S)] == ["i-live"]
+    assert [confirmed.incarnation for confirmed in table.confirmed_nodes(20.2)] == ["i-live"]
+    assert [confirmed.incarnation for confirmed in table.confirmed_nodes(20.1 + TIMEOUT_S)] == ["i-live"]
 
 
-def test_a_report_that_may_have_been_held_up_counts_for_nothing_against_a_later_complete_table() -> None:
-    """It came as the partition healed, sent before it began, and so did a table of that time."""
+def test_an_unconfirmed_report_does_not_keep_a_node_that_a_later_complete_table_lacks() -> None:
+    """The report and a complete table were sent before a partition, and arrive when it heals."""
     table = NodeTable(TIMEOUT_S)
     table.apply_report(node("i-crashed", 3), 20.0, is_confirmed=False)
     table.apply_report(node("i-live", 3), 20.0, is_confirmed=False)
@@ -244,11 +244,11 @@
     assert table.confirmed_nodes(20.1) == ()
     assert table.expire_unlisted({"i-live"}, 20.2) == ["i-crashed"]
     table.apply_report(node("i-live", 4), 20.3)
-    assert [one.incarnation for one in table.confirmed_nodes(20.4)] == ["i-live"]
+    assert [confirmed.incarnation for confirmed in table.confirmed_nodes(20.4)] == ["i-live"]
 
 
 def test_a_node_that_a_complete_table_lacks_stays_until_its_time_out() -> None:
-    """The sender may not have heard of it yet."""
+    """The sender of the table may not have received a report of the node yet."""
     table = NodeTable(TIMEOUT_S)
     table.apply_report(node("i-new", 1), 10.0)
     assert table.expire_unlisted(set(), 10.0 + TIMEOUT_S) == []
@@ -263,7 +263,7 @@
     assert len(table) == 0
 
 
-def test_a_node_that_was_dropped_as_unlisted_comes_back_with_its_next_heartbeat() -> None:
+def test_a_node_that_was_removed_as_unlisted_comes_back_with_its_next_heartbeat() -> None:
     table = NodeTable(TIMEOUT_S)
     table.apply_report(node(sequence=1), 0.0)
     assert table.expire_unlisted(set(), 20.0) == ["i-1"]
--- a/tests/serving/storage/test_ring_basics.py
+++ b/tests/serving/storage/test_ring_basics.py
@@ -1,4 +1,4 @@
-"""The ring on real files: what was appended is there after opening again, also after moves to other files."""
+"""The ring on real files: appended records are read after reopening, also after moves to other files."""
 
 from __future__ import annotations
 
@@ -54,8 +54,8 @@
         if data:
             for copy in (0, len(data) // 2):
                 data[copy + 4 : copy + 6] = (3).to_bytes(2, "big")
-                checked = bytes(data[copy : copy + HEADER_BYTES - 4])
-                data[copy + HEADER_BYTES - 4 : copy + HEADER_BYTES] = zlib.crc32(checked).to_bytes(4, "big")
+                header = bytes(data[copy : copy + HEADER_BYTES - 4])
+                data[copy + HEADER_BYTES - 4 : copy + HEADER_BYTES] = zlib.crc32(header).to_bytes(4, "big")
             path.write_bytes(data)
     with pytest.raises(UnsupportedFormatError) as raised:
         ring_in(tmp_path).open()
--- a/tests/serving/storage/test_writer.py
+++ b/tests/serving/storage/test_writer.py
@@ -1,4 +1,4 @@
-"""Writers: records in order, errors passed on, and records of a failed write written with the next."""
+"""Writers: records in order, errors in the callback, and failed writes repeated with the next one."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from coveport.serving.wire.codec import MessageCodec
 
 CODEC: MessageCodec[Record] = MessageCodec(RECORDS)
-WAIT_S = 20.0  # a test that waits this long has failed
+WAIT_S = 20.0  # the test fails after waiting for this long
 
 
 def store_on(disk: FaultyDisk) -> RecordStore:
@@ -40,9 +40,9 @@
             calls.get(timeout=WAIT_S)()
 
     write(IdentityRecord("disk", True))
-    disk.refuses = True
+    disk.is_failing = True
     write(PromisedEpochRecord(Epoch(3, "x")))
-    disk.refuses = False
+    disk.is_failing = False
     write(PromisedEpochRecord(Epoch(2, "y")))
     assert [type(error) for error in results] == [type(None), OSError, type(None)]
     if isinstance(writer, ThreadWriter):
--- a/tests/serving/wire/test_codec.py
+++ b/tests/serving/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages become bytes and come back; frames survive any chunking and no damage."""
+"""Messages are decoded as they were encoded; frames are read in any chunks, and rejected if corrupted."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 @dataclass(frozen=True, slots=True)
 class Outer:
     flag: bool
-    share: float
+    ratio: float
     data: bytes
     colour: Colour
-    maybe: Inner | None
-    many: tuple[Inner, ...]
+    optional_item: Inner | None
+    items: tuple[Inner, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
 
 
 @given(st.one_of(inners, outers, st.just(Empty())))
-def test_a_message_comes_back_as_it_was(message: object) -> None:
+def test_a_decoded_message_equals_the_encoded_one(message: object) -> None:
     assert CODEC.decode(CODEC.encode(message)) == message
 
 
@@ -66,17 +66,17 @@
 
 
 @given(st.lists(st.binary(max_size=50), max_size=5), st.integers(1, 40))
-def test_frames_survive_any_chunking(payloads: list[bytes], step: int) -> None:
+def test_frames_survive_any_chunking(payloads: list[bytes], chunk_bytes: int) -> None:
     stream = b"".join(map(write_frame, payloads))
     reader = FrameReader()
     received: list[bytes] = []
-    for start in range(0, len(stream), step):
-        received.extend(reader.feed(stream[start : start + step]))
+    for start in range(0, len(stream), chunk_bytes):
+        received.extend(reader.feed(stream[start : start + chunk_bytes]))
     assert received == payloads
 
 
 @given(st.binary(min_size=1, max_size=50), st.data())
-def test_a_damaged_frame_never_comes_through_as_another(payload: bytes, data: st.DataObject) -> None:
+def test_a_corrupted_frame_is_never_read_as_another_one(payload: bytes, data: st.DataObject) -> None:
     frame = bytearray(write_frame(payload))
     offset = data.draw(st.integers(0, len(frame) - 1))
     frame[offset] ^= 1 << data.draw(st.integers(0, 7))
@@ -84,7 +84,7 @@
         received = list(FrameReader().feed(bytes(frame)))
     except MalformedFrameError:
         return
-    assert received == []  # a longer length: the reader waits for the rest
+    assert received == []  # the corrupted length is larger: the reader waits for more bytes
 
 
 def test_a_frame_of_a_newer_version_is_malformed() -> None:
@@ -103,19 +103,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ManyCached:
-    many: tuple[Cached, ...]
+    items: tuple[Cached, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ManyInner:
-    many: tuple[Inner, ...]
+    items: tuple[Inner, ...]
 
 
 cache_encodings(Cached)
 
 
 @given(st.lists(st.tuples(st.integers(-5, 5), st.sampled_from("ab")), max_size=30))
-def test_cached_values_have_the_same_bytes_as_others(pairs: list[tuple[int, str]]) -> None:
+def test_cached_values_have_the_same_bytes_as_uncached_ones(pairs: list[tuple[int, str]]) -> None:
     codec: MessageCodec[object] = MessageCodec((ManyCached, ManyInner))
     cached = ManyCached(tuple(Cached(*pair) for pair in pairs))
     encoded = codec.encode(cached)
@@ -129,12 +129,12 @@
     numbers: list[int]
 
 
-def test_a_message_that_the_codec_does_not_have_is_an_error_of_this_process() -> None:
+def test_encoding_a_class_that_the_codec_lacks_raises_a_local_protocol_error() -> None:
     with pytest.raises(LocalProtocolError, match="Cached"):
         CODEC.encode(Cached(1, "a"))
 
 
-def test_a_field_without_a_format_is_an_error_of_this_process() -> None:
+def test_encoding_an_unsupported_field_type_raises_a_local_protocol_error() -> None:
     codec: MessageCodec[object] = MessageCodec((WithoutFormat,))
     with pytest.raises(LocalProtocolError, match="list"):
         codec.encode(WithoutFormat([1]))
--- a/tests/serving/wire/test_malformed_frames.py
+++ b/tests/serving/wire/test_malformed_frames.py
@@ -1,4 +1,4 @@
-"""A malformed frame ends its connection, and nothing of it is handed to the owner."""
+"""A malformed frame ends its connection, and none of its content is passed to the owner."""
 
 from __future__ import annotations
 
@@ -18,11 +18,17 @@
 from coveport.serving.wire.versions import FRAME_VERSION
 
 EPOCH = Epoch(3, "d1")
-SOUND = (Hello("10.0.0.1:7300", "d1"), Prepare(EPOCH), Confirm(EPOCH, 4), TableRequest(), Confirmed(EPOCH, 4))
+VALID_MESSAGES = (
+    Hello("10.0.0.1:7300", "d1"),
+    Prepare(EPOCH),
+    Confirm(EPOCH, 4),
+    TableRequest(),
+    Confirmed(EPOCH, 4),
+)
 
 
 class Transport(asyncio.Transport):
-    """Records what was written, and whether it was aborted or closed."""
+    """Records the written bytes, and whether the transport was aborted or closed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -45,7 +51,7 @@
 
 
 class AbortingNet:
-    """A net whose connections are aborted at once."""
+    """A net that only marks a reset transport as aborted."""
 
     def now_s(self) -> float:
         return 1.0
@@ -54,17 +60,17 @@
         transport.is_aborted = True
 
 
-ERRORS: list[RemoteProtocolError] = []  # of the last connection
+ERRORS: list[RemoteProtocolError] = []  # protocol errors of the last connection
 
 
 def receive(*chunks: bytes) -> tuple[list[Message], bool]:
-    """Return the messages that come through, and whether the connection was aborted."""
+    """Return the received messages, and whether the connection was aborted."""
     received, transport = receive_on_transport(*chunks)
     return received, transport.is_aborted
 
 
 def receive_on_transport(*chunks: bytes) -> tuple[list[Message], Transport]:
-    """Return the messages that come through, and the transport of the connection."""
+    """Return the received messages, and the transport of the connection."""
     received: list[Message] = []
     ERRORS.clear()
     connection = Connection(
@@ -84,19 +90,19 @@
     return write_frame(CODEC.encode(message))
 
 
-def with_version(version: int) -> bytes:
-    data = bytearray(frame(SOUND[1]))
+def frame_of_version(version: int) -> bytes:
+    data = bytearray(frame(VALID_MESSAGES[1]))
     data[3] = version
     return bytes(data)
 
 
 TOO_LONG = b"CVP" + bytes([FRAME_VERSION]) + (frames.MAX_PAYLOAD_BYTES + 1).to_bytes(4, "big") + bytes(4)
-UNKNOWN_KIND = write_frame(b"\xff" + CODEC.encode(SOUND[1])[1:])
-TRUNCATED_MESSAGE = write_frame(CODEC.encode(SOUND[0])[:-3])
+UNKNOWN_KIND = write_frame(b"\xff" + CODEC.encode(VALID_MESSAGES[1])[1:])
+TRUNCATED_MESSAGE = write_frame(CODEC.encode(VALID_MESSAGES[0])[:-3])
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         TOO_LONG,
         UNKNOWN_KIND,
@@ -107,24 +113,28 @@
     ],
     ids=["too long", "unknown kind", "truncated message", "rejection", "empty", "another protocol"],
 )
-def test_a_malformed_frame_aborts_the_connection_and_earlier_messages_count(bad: bytes) -> None:
-    received, is_aborted = receive(frame(SOUND[0]), bad, frame(SOUND[1]))
-    assert received == [SOUND[0]]
+def test_a_malformed_frame_aborts_the_connection_after_earlier_messages_were_passed_on(
+    malformed: bytes,
+) -> None:
+    received, is_aborted = receive(frame(VALID_MESSAGES[0]), malformed, frame(VALID_MESSAGES[1]))
+    assert received == [VALID_MESSAGES[0]]
     assert is_aborted
     assert len(ERRORS) == 1 and str(ERRORS[0]), "the owner gets the reason, once"
 
 
 @pytest.mark.parametrize("version", [FRAME_VERSION - 1, FRAME_VERSION + 1, 0, 255])
-def test_a_frame_of_another_version_is_answered_with_the_one_that_is_read(version: int) -> None:
-    received, transport = receive_on_transport(frame(SOUND[0]), with_version(version), frame(SOUND[1]))
-    assert received == [SOUND[0]]
-    assert transport.is_closed, "not aborted: the answer is still to be sent"
+def test_a_frame_of_another_version_is_answered_with_the_supported_version(version: int) -> None:
+    received, transport = receive_on_transport(
+        frame(VALID_MESSAGES[0]), frame_of_version(version), frame(VALID_MESSAGES[1])
+    )
+    assert received == [VALID_MESSAGES[0]]
+    assert transport.is_closed, "closed, not aborted: the answer must still be sent"
     [payload] = FrameReader().feed(transport.written)
     assert CODEC.decode(payload) == VersionRejected(FRAME_VERSION)
     assert len(ERRORS) == 1 and f"version {version};" in str(ERRORS[0])
 
 
-def test_the_owner_is_told_that_the_peer_cannot_read_our_frames() -> None:
+def test_the_owner_is_notified_that_the_peer_rejected_the_frame_version() -> None:
     received, transport = receive_on_transport(frame(VersionRejected(7)))
     assert received == []
     assert transport.is_aborted
@@ -134,35 +144,35 @@
     assert error.frame_version == 7
 
 
-def test_an_incomplete_frame_is_waited_for_and_gives_no_message() -> None:
-    data = frame(SOUND[0])
+def test_an_incomplete_frame_gives_no_message_and_keeps_the_connection_open() -> None:
+    data = frame(VALID_MESSAGES[0])
     for end in range(len(data)):
         assert receive(data[:end]) == ([], False)
 
 
-def test_any_single_flipped_bit_gives_no_false_message() -> None:
-    """The checksum covers the message; a flipped header is another length, magic or version."""
-    data = b"".join(frame(message) for message in SOUND)
+def test_any_single_flipped_bit_gives_no_wrong_message() -> None:
+    """The checksum covers the message; a flipped bit in the header changes length, magic or version."""
+    data = b"".join(frame(message) for message in VALID_MESSAGES)
     for offset in range(len(data)):
         for bit in range(8):
             flipped = bytearray(data)
             flipped[offset] ^= 1 << bit
             received, _ = receive(bytes(flipped))
-            assert received == list(SOUND[: len(received)]), f"byte {offset}, bit {bit}"
-            assert len(received) < len(SOUND)
+            assert received == list(VALID_MESSAGES[: len(received)]), f"byte {offset}, bit {bit}"
+            assert len(received) < len(VALID_MESSAGES)
 
 
-def test_a_hundred_thousand_mutated_streams_give_no_message_that_was_not_sent() -> None:
-    """Bytes dropped, doubled, swapped and flipped, in streams of frames, from one seed."""
+def test_a_hundred_thousand_mutations_give_no_message_that_was_not_sent() -> None:
+    """Drop, repeat, swap and flip bytes in streams of frames, with a fixed seed."""
     random = Random(20261202)
-    stream = [frame(message) for message in SOUND]
+    stream = [frame(message) for message in VALID_MESSAGES]
     for _ in range(100_000 // 10):  # ten mutations each
         data = bytearray(b"".join(random.choices(stream, k=4)))
         original = bytes(data)
         for _ in range(10):
             _mutate(data, random)
         received, _ = receive(bytes(data))
-        allowed = {zlib.crc32(CODEC.encode(message)) for message in SOUND}
+        allowed = {zlib.crc32(CODEC.encode(message)) for message in VALID_MESSAGES}
         assert all(zlib.crc32(CODEC.encode(message)) in allowed for message in received), original
 
 
--- a/tests/serving/wire/test_shared_update.py
+++ b/tests/serving/wire/test_shared_update.py
@@ -30,6 +30,6 @@
 
 @pytest.mark.parametrize("request_number", [0, 1, 63, 64, 100_000, 2**40])
 def test_a_shared_update_has_the_bytes_of_an_update_encoded_for_its_request(request_number: int) -> None:
-    for proxies in (0, 1, 340, 10_000):
-        complete = replace(UPDATE, request_number=request_number, max_proxies=proxies)
-        assert SharedUpdate(UPDATE).frame(request_number, proxies) == write_frame(CODEC.encode(complete))
+    for proxy_count in (0, 1, 340, 10_000):
+        complete = replace(UPDATE, request_number=request_number, max_proxies=proxy_count)
+        assert SharedUpdate(UPDATE).frame(request_number, proxy_count) == write_frame(CODEC.encode(complete))
