--- a/coveport/serving/membership/leases.py
+++ b/coveport/serving/membership/leases.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-LEASE_DURATION_S: Final = 1.2  # after its last renewal; an expired lease's address isn't given to clients
-# Time after its last renewal for which a proxy's quota stays reserved, since it may only be partitioned.
+LEASE_DURATION_S: Final = 1.2  # from the last renewal; clients don't get the address of an expired lease
+# Time from the last renewal for which a quota stays reserved, since the proxy may only be partitioned.
 QUOTA_RETENTION_S: Final = 30.0
 
 
@@ -99,10 +99,11 @@
 
 
 def _is_older(lease: ProxyLease, known_entry: _LeaseEntry, now_s: float, local: bool) -> bool:
-    """Return whether a renewal is older than the known one.
+    """Return whether a renewal is older than the known entry.
 
-    Incarnations are ordered by the time of day at their start, which may step back: one that seems older
-    counts where the proxy itself renews with it, or where the lease of the known_entry one has expired.
+    Incarnations are ordered by the wall clock at their start, which may step back. An incarnation that
+    appears older is therefore accepted if the proxy renews at this coordinator, or if the known lease has
+    expired.
     """
     if lease.incarnation == known_entry.lease.incarnation:
         return lease.renewal <= known_entry.lease.renewal
--- a/coveport/serving/membership/node_table.py
+++ b/coveport/serving/membership/node_table.py
@@ -25,8 +25,8 @@
 
 from coveport.serving.model.node import Node, NodeState, deregistration
 
-# A warm-up that ends later than known by more than this is a change, which routing needs. Smaller differences
-# are jitter of the heartbeats, which give the remaining time.
+# A warm-up that ends later than recorded by more than this is a change that routing needs. Smaller
+# differences are jitter of the heartbeats, which give the remaining time.
 WARM_UP_CHANGE_S: Final = 0.3
 TOMBSTONE_S: Final = 600.0  # longer than a partition can delay messages
 UNCONFIRMED: Final = -inf  # value of `NodeEntry.reported_at_s`: the report may have been delayed
@@ -48,7 +48,7 @@
     def snapshot_at(self, now_s: float) -> Node:
         """Return the node with its remaining times as of `now_s`."""
         warm_up_left_ms = max(0.0, self.warming_until_s - now_s) * 1000
-        # Never 0, which means that no shutdown is announced.
+        # Never 0, which would mean that no shutdown is announced.
         shutdown_in_ms = max(1.0, (self.shutdown_at_s - now_s) * 1000) if self.shutdown_at_s else 0.0
         if (warm_up_left_ms, shutdown_in_ms) == (self.node.warm_up_left_ms, self.node.shutdown_in_ms):
             return self.node
@@ -127,9 +127,7 @@
         if is_change:
             self.revision += 1
             entry.revision = self.revision
-            self._entries.pop(
-                node.incarnation, None
-            )  # the changed entry is appended, in the order of revisions
+            self._entries.pop(node.incarnation, None)  # the new entry is inserted at the end
         else:
             assert known is not None
             entry.revision = known.revision
@@ -146,14 +144,14 @@
             self._remove(previous)
 
     def reset_timeouts(self, now_s: float) -> None:
-        """Restart all time-outs, after this coordinator was frozen, partitioned or just started."""
+        """Restart all time-outs at `now_s`: this coordinator was frozen, partitioned or just started."""
         for entry in self._entries.values():
             entry.last_seen_s = max(entry.last_seen_s, now_s)
 
     def expire(self, now_s: float) -> list[str]:
         """Remove nodes that timed out and old tombstones; return the incarnations of the removed nodes.
 
-        A draining node gets a tombstone, so that a delayed heartbeat from before can't undo the draining.
+        A draining node gets a tombstone, so that a delayed earlier heartbeat can't undo the draining.
         """
         timed_out = [
             name for name, entry in self._entries.items() if now_s - entry.last_seen_s > self._timeout_s
--- a/tests/serving/membership/test_node_table.py
+++ b/tests/serving/membership/test_node_table.py
@@ -223,7 +223,7 @@
 
 
 def test_a_node_that_was_kept_over_a_partition_is_not_sent_to_peers_until_it_reports() -> None:
-    """Regression: a crashed node that is sent as newly reported is added again at every coordinator."""
+    """Regression: a crashed node was sent as newly reported, and added again at every coordinator."""
     table = NodeTable(TIMEOUT_S)
     table.apply_report(node("i-crashed", 3), 0.0)
     table.apply_report(node("i-live", 3), 0.0)
--- a/tests/serving/storage/faulty_disk.py
+++ b/tests/serving/storage/faulty_disk.py
@@ -21,12 +21,12 @@
     current: bytearray = field(default_factory=bytearray)
 
 
-def _apply(content: bytearray, step: tuple[int, bytes] | int) -> None:
-    if isinstance(step, int):
-        del content[step:]
-        content.extend(bytes(step - len(content)))
+def _apply(content: bytearray, change: tuple[int, bytes] | int) -> None:
+    if isinstance(change, int):
+        del content[change:]
+        content.extend(bytes(change - len(content)))
         return
-    offset, data = step
+    offset, data = change
     if len(content) < offset + len(data):
         content.extend(bytes(offset + len(data) - len(content)))
     content[offset : offset + len(data)] = data
@@ -83,18 +83,20 @@
             if name in self.unsynced_names and random_source.random() < 0.5:
                 continue
             survived = bytearray(content.synced)
-            for step in content.pending:
+            for change in content.pending:
                 if loss == "none" or (loss in ("any", "torn") and random_source.random() < 0.5):
                     continue
-                if loss == "torn" and isinstance(step, tuple):
-                    self._apply_torn(random_source, survived, step)
+                if loss == "torn" and isinstance(change, tuple):
+                    self._apply_torn(random_source, survived, change)
                 else:
-                    _apply(survived, step)
+                    _apply(survived, change)
             survivor.contents[name] = Content(bytearray(survived), [], bytearray(survived))
         return survivor
 
-    def _apply_torn(self, random_source: random.Random, survived: bytearray, step: tuple[int, bytes]) -> None:
-        offset, data = step
+    def _apply_torn(
+        self, random_source: random.Random, survived: bytearray, change: tuple[int, bytes]
+    ) -> None:
+        offset, data = change
         for start in range(0, len(data), SECTOR_BYTES):
             if random_source.random() < 0.5:
                 _apply(survived, (offset + start, data[start : start + SECTOR_BYTES]))
@@ -143,8 +145,8 @@
             self._content.pending = []
             raise OSError(5, "sync failed")
         if self._content.pending:
-            for step in self._content.pending:
-                _apply(self._content.synced, step)
+            for change in self._content.pending:
+                _apply(self._content.synced, change)
             self._content.pending = []
 
     def close(self) -> None:
--- a/tests/serving/storage/test_ring_corruption.py
+++ b/tests/serving/storage/test_ring_corruption.py
@@ -1,4 +1,4 @@
-"""Flipped bits and lost sectors are read from the other copy, or reported: they are no torn tail."""
+"""Flipped bits and lost sectors are read from the other copy; records lost in both are reported."""
 
 from __future__ import annotations
 
