--- a/coveport/serving/membership/leases.py
+++ b/coveport/serving/membership/leases.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyLease:
-    """What a proxy reports about itself with each renewal.
+    """A proxy's report about itself, sent with each renewal.
 
     Leases are sent within messages, which encode fields in their order: no field may be moved or retyped.
     """
--- a/tests/serving/membership/report_explorer.py
+++ b/tests/serving/membership/report_explorer.py
@@ -28,7 +28,7 @@
 
 
 class StaleEntryError(Exception):
-    """A connected coordinator lists a node as accepting that left, which was acknowledged."""
+    """A connected coordinator lists a node as accepting whose deregistration was acknowledged."""
 
 
 class StubFuture:
