--- a/coveport/serving/replication/leader_role.py
+++ b/coveport/serving/replication/leader_role.py
@@ -54,7 +54,7 @@
         self.election = Election(context, now_s)
         self.primary: Primary | None = None
         self.attempt: ViewChangeAttempt | None = None
-        self.highest_seen = context.journal.durable.promised
+        self.highest_epoch_seen = context.journal.durable.promised
         self.outvoted_since_s: float | None = None
         self.may_bootstrap = may_bootstrap
         self._context = context
@@ -117,7 +117,7 @@
 
     def on_ping(self, now_s: float, sender: MemberId, ping: Ping) -> None:
         """Find out from a ping whether another leads, or a higher epoch was promised to another."""
-        self.highest_seen = max(self.highest_seen, ping.promised)
+        self.highest_epoch_seen = max(self.highest_epoch_seen, ping.promised)
         primary = self.primary
         if primary is None:
             return
@@ -128,7 +128,7 @@
 
     def _on_fenced(self, now_s: float, message: Fenced) -> None:
         """Give up what a member rejected, for it promised a higher epoch."""
-        self.highest_seen = max(self.highest_seen, message.promised)
+        self.highest_epoch_seen = max(self.highest_epoch_seen, message.promised)
         if self.attempt is not None and message.refused == self.attempt.epoch:
             self._give_up_attempt(now_s)
         elif self._bootstrap is not None and message.refused == self._bootstrap.view.epoch:
@@ -166,7 +166,7 @@
     def on_promised_epoch_raised(self, now_s: float) -> None:
         """End the roles whose epoch is below what this member has promised by now."""
         promised = self._context.journal.durable.promised
-        self.highest_seen = max(self.highest_seen, promised)
+        self.highest_epoch_seen = max(self.highest_epoch_seen, promised)
         if self.attempt is not None and promised > self.attempt.epoch:
             self.attempt = None
         if self._bootstrap is not None and promised > self._bootstrap.view.epoch:
@@ -192,10 +192,10 @@
         view = self._context.journal.durable.view
         if view is None:
             return
-        epoch = max(self.highest_seen, self._context.journal.durable.promised).after(
+        epoch = max(self.highest_epoch_seen, self._context.journal.durable.promised).after(
             self._context.own_id.disk
         )
-        self.highest_seen = epoch
+        self.highest_epoch_seen = epoch
         if self.primary is not None:
             self.primary.is_paused = True
         self.attempt = ViewChangeAttempt(self._context, now_s, epoch, view, request.proposal, request.avoided)
@@ -272,8 +272,8 @@
             return
         members = ready_seeds(self._context, self._seeds, now_s)
         if members is not None:
-            epoch = self.highest_seen.after(self._context.own_id.disk)
-            self.highest_seen = epoch  # no other proposal has this number
+            epoch = self.highest_epoch_seen.after(self._context.own_id.disk)
+            self.highest_epoch_seen = epoch  # no other proposal has this number
             self._bootstrap = Bootstrap(self._context, now_s, members, epoch, self._initial_state)
 
     def _tick_primary(self, now_s: float, primary: Primary) -> None:
--- a/coveport/serving/replication/view_change.py
+++ b/coveport/serving/replication/view_change.py
@@ -35,7 +35,7 @@
 from coveport.serving.replication.replica_context import ReplicaContext
 from coveport.serving.replication.timings import transfer_s
 
-MORE_PROMISES_S = 0.12  # after a majority promised, for the promises of others alive, to choose among
+EXTRA_PROMISES_WAIT_S = 0.12  # after a majority promised, for the promises of others alive, to choose among
 INSTALL_TIMEOUT_S = 0.45  # plus the time for the bytes; then another replica is chosen
 
 
@@ -173,7 +173,7 @@
         missing = [
             member for member in self._voters() - self._promises.keys() if self._is_usable(member, now_s)
         ]
-        if missing and waited_s < MORE_PROMISES_S:
+        if missing and waited_s < EXTRA_PROMISES_WAIT_S:
             return
         self._begin_fetch(now_s)
 
--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -255,7 +255,7 @@
         """Let one member take an event, and apply its effects."""
         member: Replica = unpack(point.members[index])
         if isinstance(event, ViewChangeRequest):
-            member._leader_role.highest_seen = self._highest_promised(point)
+            member._leader_role.highest_epoch_seen = self._highest_promised(point)
             member._leader_role.start_view_change(NOW_S, event)
             member._run_to_fixpoint(NOW_S)
             effects = member._context.outbox.take()
@@ -501,8 +501,8 @@
         if leader.view is None or leader.identity not in leader.view.members:
             return False
         self.closing_faults += 1
-        leader._leader_role.highest_seen = max(
-            member._leader_role.highest_seen for member in members.values()
+        leader._leader_role.highest_epoch_seen = max(
+            member._leader_role.highest_epoch_seen for member in members.values()
         )
         wiped = {self.ids[self._index(gone)] for gone in (lost, point.wiped) if gone}
         leader._leader_role.start_view_change(
@@ -586,7 +586,7 @@
 def frozen_clock() -> Iterator[None]:
     """Nobody waits for time to pass or judges others by it."""
     with (
-        mock.patch.object(view_change, "MORE_PROMISES_S", 0.0),
+        mock.patch.object(view_change, "EXTRA_PROMISES_WAIT_S", 0.0),
         mock.patch.object(ReplicaContext, "is_usable", always_usable),
     ):
         yield
