--- a/coveport/serving/replication/journal.py
+++ b/coveport/serving/replication/journal.py
@@ -52,7 +52,7 @@
 
     def write(self, record: Record) -> None:
         """Add a record to the durable state; it is synced some time later."""
-        self.durable.absorb(record)
+        self.durable.apply_record(record)
         self._records.append(record)
 
     def send_when_synced(self, to_address: str, message: Message) -> None:
--- a/coveport/serving/replication/records.py
+++ b/coveport/serving/replication/records.py
@@ -96,7 +96,7 @@
         """Whether a state was ever installed here."""
         return self.snapshot_sequence >= 0
 
-    def absorb(self, record: Record) -> None:
+    def apply_record(self, record: Record) -> None:
         """Add one record. Raises InconsistentRecordsError for a command that doesn't follow."""
         match record:
             case IdentityRecord():
@@ -116,9 +116,9 @@
                 self.commands = []
                 self.promised = max(self.promised, record.epoch)
             case CommandRecord():
-                self._absorb_command(record)
+                self._apply_command(record)
 
-    def _absorb_command(self, record: CommandRecord) -> None:
+    def _apply_command(self, record: CommandRecord) -> None:
         if record.epoch != self.state_epoch or record.sequence != self.sequence + 1:
             raise InconsistentRecordsError(f"command {record.sequence} doesn't follow {self.sequence}")
         if self.commands is None:
@@ -130,7 +130,7 @@
     """Return what the records of a disk add up to. Raises InconsistentRecordsError."""
     durable = DurableState()
     for record in records:
-        durable.absorb(record)
+        durable.apply_record(record)
     return durable
 
 
--- a/coveport/serving/storage/open_store.py
+++ b/coveport/serving/storage/open_store.py
@@ -60,7 +60,7 @@
     if not durable.disk:
         identity = IdentityRecord(draw(IDENTITY_BYTES).hex(), first_boot and not damage)
         store.append([identity])
-        durable.absorb(identity)
+        durable.apply_record(identity)
     return OpenedStore(store, durable, damage)
 
 
--- a/coveport/serving/storage/store.py
+++ b/coveport/serving/storage/store.py
@@ -41,7 +41,7 @@
     def append(self, records: Sequence[Record]) -> None:
         """Append records, synced when this returns. After an OSError they are written with the next call."""
         for record in records:
-            self._state.absorb(record)
+            self._state.apply_record(record)
         encoded = [self._encode(record) for record in records]
         if self._ring.has_capacity(encoded):
             self._ring.append(encoded)
--- a/tests/serving/storage/test_store_crashes.py
+++ b/tests/serving/storage/test_store_crashes.py
@@ -201,7 +201,7 @@
         expected = DurableState()
         for number, batch in enumerate(itertools.islice(batches(), 24)):
             for record in batch:
-                expected.absorb(record)
+                expected.apply_record(record)
             disk.refuses = refused_at <= number < refused_at + 3
             if disk.refuses:
                 with pytest.raises(OSError, match="refused"):
@@ -221,7 +221,7 @@
         expected = DurableState()
         for number, batch in enumerate(itertools.islice(batches(), 24)):
             for record in batch:
-                expected.absorb(record)
+                expected.apply_record(record)
             disk.failing_syncs = failures if number == failed_at else 0
             with contextlib.suppress(OSError):
                 store.append(batch)
@@ -239,7 +239,7 @@
         refused = 0
         for number, batch in enumerate(itertools.islice(batches(), 24)):
             for record in batch:
-                expected.absorb(record)
+                expected.apply_record(record)
             if number == 3:
                 disk.free_bytes = free_bytes
             if refused >= 3:
@@ -250,7 +250,7 @@
                 refused += 1
         disk.free_bytes = None
         store.append([PromisedEpochRecord(Epoch(9000, "x"))])
-        expected.absorb(PromisedEpochRecord(Epoch(9000, "x")))
+        expected.apply_record(PromisedEpochRecord(Epoch(9000, "x")))
         recovered = normalized(store_on(disk.lose_power(seed), 5).open())
         assert recovered == normalized(expected), (free_bytes, seed)
 
