--- a/coveport/serving/replication/acceptor.py
+++ b/coveport/serving/replication/acceptor.py
@@ -1,7 +1,7 @@
-"""Owns the promise and the state held here; does what every member does as a witness or backup.
+"""Owns this member's promise and state, and handles the requests that witnesses and backups serve.
 
-A member answers only once what it says is synced. It rejects every message whose epoch is below its promise:
-that is the one rule which keeps a deposed primary or candidate from doing anything.
+A member answers only after the records behind its answer are synced. It rejects every request whose epoch is
+below its promise: this rule alone keeps a deposed primary or candidate from having any effect.
 """
 
 from __future__ import annotations
@@ -40,15 +40,15 @@
 )
 from coveport.serving.replication.state_machine import Applied, Refused, StateMachine
 
-# The log is compacted: after so many commands, or bytes of commands, the complete state is written instead,
-# so that a start replays little and the disk's ring of files always has room.
+# Log compaction: after this many commands, or bytes of commands, the complete state is written in their
+# place, so that a start replays few commands and the ring of files on the disk always has room.
 COMPACT_COMMANDS = 64
 COMPACT_BYTES = 256 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class PrecomputedState:
-    """The state after a command that the primary here has applied but not yet appended."""
+    """The state after a command that the local primary has applied but not yet appended."""
 
     epoch: Epoch
     sequence: int
@@ -56,7 +56,7 @@
 
 
 class Acceptor:
-    """Knows nothing of who leads."""
+    """The promise, the accepted view and the state of one member, independent of its role."""
 
     def __init__(
         self, journal: Journal, outbox: Outbox, state_machine: StateMachine, may_bootstrap: bool
@@ -71,17 +71,17 @@
 
     @property
     def durable(self) -> DurableState:
-        """What this member has written, synced or not yet."""
+        """Everything that this member has written, synced or not."""
         return self._journal.durable
 
     @property
     def has_no_view(self) -> bool:
-        """Whether no view was ever accepted here."""
+        """Whether this member has never accepted a view."""
         return self.durable.view is None
 
     @property
     def view_epoch(self) -> Epoch:
-        """Epoch of the newest accepted view; NO_EPOCH: there is none."""
+        """Epoch of the newest accepted view; NO_EPOCH if there is none."""
         return self.durable.view.epoch if self.durable.view else NO_EPOCH
 
     def _replay(self) -> Any:
@@ -95,8 +95,8 @@
     def _is_fenced(self, sender: MemberId, epoch: Epoch) -> bool:
         """Return whether `epoch` is below the promise; if so, answer with Fenced.
 
-        Asked for requests of candidates and primaries. What only reports (Ping, Committed, ViewActivated) or
-        brings up to date is never fenced.
+        Only requests of candidates and primaries are checked. Reports (Ping, Committed, ViewActivated) and
+        catch-up messages are never fenced.
         """
         if epoch >= self.durable.promised:
             return False
@@ -109,7 +109,7 @@
     # -- a view change --
 
     def prepare(self, sender: MemberId, message: Prepare) -> None:
-        """Promise to reject all lower epochs, and say what is held here."""
+        """Promise to reject all lower epochs; answer with the view and the state's position."""
         if self._is_fenced(sender, message.epoch):
             return
         if message.epoch > self.durable.promised:
@@ -121,7 +121,7 @@
         self._reply_when_synced(sender, answer)
 
     def fetch(self, sender: MemberId, message: Fetch) -> None:
-        """Send the state to the candidate to which the newest promise was given."""
+        """Send the state to the candidate that received the newest promise."""
         if self._is_fenced(sender, message.epoch) or message.epoch != self.durable.promised:
             return
         if self.durable.has_state:
@@ -129,13 +129,13 @@
             self._outbox.send(sender.address, answer)
 
     def encoded_state(self) -> bytes:
-        """Return the state held here as bytes."""
+        """Return this member's state as bytes."""
         if not self.durable.commands:
             return self.durable.snapshot
         return self._state_machine.encode(self.state)
 
     def install(self, sender: MemberId, message: Install) -> None:
-        """Replace the state held here, once for an epoch. A state that can't be read is not answered."""
+        """Replace the state, once for each epoch. A state that can't be decoded gets no answer."""
         if self._is_fenced(sender, message.epoch):
             return
         if self.durable.state_epoch != message.epoch:
@@ -148,7 +148,7 @@
         self._reply_when_synced(sender, Installed(message.epoch))
 
     def read_state(self, sender: MemberId, data: bytes) -> Any | UnreadableStateError:
-        """Return the state that another member sent. An unreadable one is reported and the error returned."""
+        """Return the state that `sender` sent; if it can't be decoded, report and return the error."""
         try:
             return self._state_machine.decode(data)
         except UnreadableStateError as problem:
@@ -156,7 +156,7 @@
             return problem
 
     def accept(self, sender: MemberId, message: Accept) -> None:
-        """Store a view. The first view of all is stored only by a member that may bootstrap and has none."""
+        """Store a view. A bootstrap view is stored only if this member may bootstrap and has no view."""
         view = message.view
         if self._is_fenced(sender, view.epoch):
             return
@@ -168,14 +168,14 @@
         self._reply_when_synced(sender, Accepted(view.epoch))
 
     def record_active_view(self, message: ViewActivated) -> None:
-        """Record that the view accepted here is active, and no other. No answer is sent."""
+        """Record that the accepted view is active; ignore messages about other views. Send no answer."""
         if message.epoch == self.view_epoch and message.epoch > self.durable.active_epoch:
             self._journal.write(ActiveEpochRecord(message.epoch))
 
     # -- commands --
 
     def append(self, sender: MemberId, message: Append) -> None:
-        """Apply and store the primary's next command, if it is of the epoch that this replica serves."""
+        """Apply and store the primary's next command, if its epoch is that of this replica's state."""
         if self._is_fenced(sender, message.epoch) or message.epoch != self.durable.state_epoch:
             return
         if message.sequence > self.durable.sequence + 1:
@@ -185,11 +185,11 @@
         self._reply_when_synced(sender, Appended(message.epoch, message.sequence))
 
     def apply_tentatively(self, command: bytes) -> Applied | Refused:
-        """Return what a command would do to the state held here."""
+        """Return the outcome of a command on the present state, without changing it."""
         return self._state_machine.apply(self.state, command)
 
     def precompute(self, epoch: Epoch, sequence: int, state: Any) -> None:
-        """Keep the state after a command, so that the primary doesn't apply its own command twice."""
+        """Cache the state after a command, so that the primary doesn't apply its own command twice."""
         self._precomputed = PrecomputedState(epoch, sequence, state)
 
     def _append(self, message: Append) -> None:
@@ -213,6 +213,6 @@
         return self._state_machine.replay(self.state, message.command)
 
     def confirm(self, sender: MemberId, message: Confirm) -> None:
-        """Answer that nothing higher was promised so far."""
+        """Confirm that this member has promised no higher epoch so far."""
         if not self._is_fenced(sender, message.epoch):
             self._outbox.send(sender.address, Confirmed(message.epoch, message.number))
--- a/coveport/serving/replication/bootstrap.py
+++ b/coveport/serving/replication/bootstrap.py
@@ -1,16 +1,18 @@
-"""The first view of all: the lowest seed that may bootstrap proposes it, and all such seeds must accept it.
+"""Bootstrap: the lowest seed that may bootstrap proposes the first view, and all such seeds must accept it.
 
-A seed may bootstrap while its disk, created when the whole system started, holds no view. One that lost this
-disk comes back with another and never may: the first view is made without it, if the others are a majority of
-the seeds and none of them has a view. At most one bootstrap gets every acceptance that it needs:
+A seed may bootstrap while its disk, created when the whole system started, holds no view. A seed that lost
+this disk comes back with a new one and may never bootstrap: the first view is formed without it, if the other
+seeds are a majority and none of them has a view. At most one bootstrap gets every acceptance that it needs:
 
-- Two first views are proposed by majorities of the seeds, so one seed belongs to both, and it accepts one.
-- A view that a seed accepted without the others counts as inactive: that seed may not bootstrap any more, and
-  those that have not accepted are no majority, or see its view and wait for it.
+- Each first view has a majority of the seeds as its members, so two such views share a seed, and that seed
+  accepts only one of them.
+- A first view that only some of its members accepted counts as inactive. The seeds that accepted it may not
+  bootstrap any more; the remaining seeds are no majority, or see that view in pings and propose none.
 
-A proposer that restarted proposes again, under a higher epoch than any that a seed promised. One whose
-member lost its disk gives up: where nobody has accepted it proposes again without that seed, else a seed that
-accepted starts an election, as in any view that nobody leads, and a majority of its members decides.
+A proposer that restarted proposes again, under a higher epoch than any that a seed promised. A proposer gives
+up when a member of its view lost its disk. If no seed has accepted the view, it proposes another without that
+seed. Otherwise a seed that accepted starts an election, as in any view without an active primary, and a
+majority of the members decides.
 """
 
 from __future__ import annotations
@@ -22,7 +24,7 @@
 
 
 class Bootstrap:
-    """The proposer's side."""
+    """The proposer's side of a bootstrap."""
 
     def __init__(
         self,
@@ -32,9 +34,9 @@
         epoch: Epoch,
         state: bytes,
     ) -> None:
-        machines = [context.machine(member, now_s) for member in seeds]
-        own_machine = context.machine(context.own_id, now_s)
-        replicas = choose_replicas(own_machine, machines, context.wanted_replicas(len(seeds)), ())
+        machines = [context.machine_status(member, now_s) for member in seeds]
+        own_machine = context.machine_status(context.own_id, now_s)
+        replicas = choose_replicas(own_machine, machines, context.target_replicas(len(seeds)), ())
         self.view = View(epoch, context.own_id, replicas, seeds)
         self.is_active = False
         self._context = context
@@ -65,7 +67,7 @@
                 self._context.send(member, Accept(self.view, is_bootstrap=True))
 
     def handle(self, now_s: float, sender: MemberId, message: Message) -> None:
-        """Take a seed's answer. One of another epoch is ignored."""
+        """Count a seed's answer; ignore an answer with another epoch."""
         match message:
             case Installed(epoch) if epoch == self.view.epoch and not self._is_installed():
                 self._installed.add(sender)
@@ -76,17 +78,17 @@
                 self.is_active = self._accepted.issuperset(self.view.members)
 
     def has_lost_member(self) -> bool:
-        """Return whether a seed that must answer never will: another disk is at its address."""
+        """Return whether a seed that must answer never will, since its address now has another disk."""
         return any(self._context.peers.is_replaced(member) for member in self.view.members)
 
     def tick(self, now_s: float) -> None:
-        """Repeat what wasn't answered."""
-        if now_s - self._last_send_s >= self._context.timings.resend_s:
+        """Resend the requests that weren't answered."""
+        if now_s - self._last_send_s >= self._context.timings.resend_interval_s:
             self._send(now_s)
 
 
 def ready_seeds(context: ReplicaContext, seeds: tuple[str, ...], now_s: float) -> tuple[MemberId, ...] | None:
-    """Return the members of the first view, ourselves first, if we may propose it; else None.
+    """Return the members of the first view, this member first, if it may propose that view; else None.
 
     All seeds must be usable. `seeds` are inner addresses.
     """
--- a/coveport/serving/replication/catch_up.py
+++ b/coveport/serving/replication/catch_up.py
@@ -1,4 +1,4 @@
-"""Keeps peers, and the committed log here, up to date with what the primary has committed."""
+"""Keeps the peers and the local committed log up to date with the commands that the primary has committed."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
         self._leader_role = leader_role
 
     def on_ping(self, now_s: float, peer: Peer, ping: Ping) -> None:
-        """Send a peer what it lacks, at most every `catch_up_gap_s`.
+        """Send a peer the view and the state that it lacks, at most every `catch_up_interval_s`.
 
-        The active primary does so for all; any coordinator does for a peer that has contact with no primary.
+        The active primary serves all peers; other coordinators serve peers without contact with a primary.
         """
         context = self._context
-        if now_s - peer.catch_up_at_s < context.timings.catch_up_gap_s:
+        if now_s - peer.last_catch_up_at_s < context.timings.catch_up_interval_s:
             return
         was_behind = self._send_missing_view(peer, ping)
         is_responsible = self._leader_role.is_active or not ping.primary
         if is_responsible and ping.committed < context.committed_log.sequence:
             was_behind |= context.committed_log.catch_up(now_s, peer, ping.committed)
         if was_behind:
-            peer.catch_up_at_s = now_s
+            peer.last_catch_up_at_s = now_s
 
     def _send_missing_view(self, peer: Peer, ping: Ping) -> bool:
-        """As active primary, send the view, or that it is active; return whether the peer lacked that."""
+        """As the active primary, send the view and that it is active; return whether the peer lacked that."""
         primary = self._leader_role.primary
         if primary is None or primary.is_paused:
             return False
@@ -45,7 +45,7 @@
         return True
 
     def commit_own_state(self, epoch: Epoch, committed: int) -> None:
-        """Take the state held here for committed, if the primary of its epoch said that it is."""
+        """Add this replica's state to the committed log, if the primary of `epoch` has committed up to it."""
         acceptor = self._context.acceptor
         durable = acceptor.durable
         if durable.state_epoch == epoch and durable.sequence == committed:
--- a/coveport/serving/replication/committed_log.py
+++ b/coveport/serving/replication/committed_log.py
@@ -1,7 +1,7 @@
-"""Owns the newest committed state known here and the last commands that led to it; brings peers up to date.
+"""Owns the newest committed state that has arrived here and its last commands; brings peers up to date.
 
-Every coordinator has one, member of the core or not. The state never goes back, and nothing that isn't
-committed is ever in it.
+Every coordinator has a committed log, whether it is a member of the core or not. The state never goes back,
+and it contains committed commands only.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from coveport.serving.replication.peers import Peer, PendingSnapshot
 from coveport.serving.replication.state_machine import StateMachine
 
-# A snapshot that was sent has arrived after LEAST_TRANSFER_S and the time for its bytes, or is lost.
-LEAST_TRANSFER_S = 0.4
-SLOWEST_BYTES_PER_S = 1e6
-# A peer that lacks more than these commands, or bytes of commands, is sent a snapshot.
+# A snapshot counts as lost unless it arrives within MIN_TRANSFER_S plus the time for its bytes.
+MIN_TRANSFER_S = 0.4
+MIN_TRANSFER_BYTES_PER_S = 1e6
+# The newest commands are kept up to this number and size; a peer that lacks more is sent a snapshot.
 RECENT_COMMANDS = 64
 RECENT_BYTES = 1024 * 1024
 
 
 class CommittedLog:
-    """The committed state, its sequence, and the commands before it that are kept for peers."""
+    """The committed state, its sequence, and the recent commands kept for peers."""
 
     def __init__(self, outbox: Outbox, state_machine: StateMachine) -> None:
         self._outbox = outbox
@@ -36,34 +36,34 @@
         self._recent_bytes = 0
 
     def advance(self, sequence: int, state: Any, command: bytes | None = None) -> None:
-        """Take a newer committed state; `command` led to it from the one before. An older one is ignored."""
+        """Replace the committed state unless `sequence` is older; `command` led to it from `sequence - 1`."""
         if sequence <= self.sequence:
             return
         if command is None or sequence != self.sequence + 1:
             self._recent.clear()
             self._recent_bytes = 0
         if command is not None:
-            self._remember(command)
+            self._keep_recent(command)
         self.sequence = sequence
         self.state = state
         self._outbox.publish_committed(sequence, state, command)
 
-    def _remember(self, command: bytes) -> None:
+    def _keep_recent(self, command: bytes) -> None:
         self._recent.append(command)
         self._recent_bytes += len(command)
         while len(self._recent) > RECENT_COMMANDS or self._recent_bytes > RECENT_BYTES:
             self._recent_bytes -= len(self._recent.popleft())
 
-    # -- catching up here --
+    # -- catching up from a peer --
 
     def apply_commands(self, message: CatchUpCommands) -> None:
-        """Apply committed commands, as far as they follow. Raises DivergedStateError."""
+        """Apply committed commands; skip those that aren't next in sequence. Raises DivergedStateError."""
         for sequence, command in enumerate(message.commands, start=message.first):
             if self.state is not None and sequence == self.sequence + 1:
                 self.advance(sequence, self._state_machine.replay(self.state, command), command)
 
     def install_snapshot(self, sender: MemberId, message: CatchUpSnapshot) -> None:
-        """Take a complete committed state; an unreadable one is reported."""
+        """Replace the state by a complete committed state; report a snapshot that can't be decoded."""
         if message.sequence <= self.sequence:
             return
         try:
@@ -74,10 +74,10 @@
     # -- bringing peers up to date --
 
     def catch_up(self, now_s: float, peer: Peer, sequence: int) -> bool:
-        """Send a peer that has the state of `sequence` what it lacks; return whether something was sent.
+        """Send a peer the commands after `sequence`, or a snapshot; return whether a message was sent.
 
-        No second snapshot is sent while one may still arrive: a large one that was sent again and again would
-        never get through a slow link.
+        No second snapshot is sent while the first may still arrive: a large snapshot that is resent again and
+        again would never get through a slow link.
         """
         if peer.snapshot is not None and peer.snapshot.is_pending(sequence, now_s):
             return False
@@ -85,17 +85,17 @@
         if message is None:
             return False
         if isinstance(message, CatchUpSnapshot):
-            transfer_s = LEAST_TRANSFER_S + len(message.state) / SLOWEST_BYTES_PER_S
+            transfer_s = MIN_TRANSFER_S + len(message.state) / MIN_TRANSFER_BYTES_PER_S
             peer.snapshot = PendingSnapshot(message.sequence, now_s + transfer_s)
         self._outbox.send(peer.address, message)
         return True
 
     def missing_after(self, sequence: int) -> CatchUpCommands | CatchUpSnapshot | None:
-        """Return what a peer that has the state of `sequence` (-1: none) lacks; None: nothing."""
-        lacking = self.sequence - sequence
-        if lacking <= 0:
+        """Return the message that brings a peer from `sequence` (-1: no state) up to date; None if it is."""
+        missing_count = self.sequence - sequence
+        if missing_count <= 0:
             return None
-        if sequence >= 0 and lacking <= len(self._recent):
-            commands = tuple(self._recent)[-lacking:]
+        if sequence >= 0 and missing_count <= len(self._recent):
+            commands = tuple(self._recent)[-missing_count:]
             return CatchUpCommands(sequence + 1, commands)
         return CatchUpSnapshot(self.sequence, self._state_machine.encode(self.state))
--- a/coveport/serving/replication/election.py
+++ b/coveport/serving/replication/election.py
@@ -1,4 +1,4 @@
-"""Decides when a member starts an election: nobody leads, its turn has come, a majority is in reach."""
+"""Decides when a member starts an election: no primary leads, its time-out is over, a majority answers."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
     def __init__(self, context: ReplicaContext, now_s: float) -> None:
         self._context = context
         self._leaderless_since_s: float | None = None
-        self._not_before_s = now_s
-        self._need_all_until_s = now_s
+        self._earliest_start_s = now_s
+        self._all_members_required_until_s = now_s
 
-    def need_all_members_until(self, until_s: float) -> None:
-        """Start no election before that unless every member is in contact: the process has just started."""
-        self._need_all_until_s = until_s
+    def require_all_members_until(self, until_s: float) -> None:
+        """Start no election before `until_s` unless all members are reachable, as after a process start."""
+        self._all_members_required_until_s = until_s
 
     def delay_election_until(self, until_s: float) -> None:
-        """Start no election before that."""
-        self._not_before_s = max(self._not_before_s, until_s)
+        """Start no election before `until_s`."""
+        self._earliest_start_s = max(self._earliest_start_s, until_s)
 
     def leader_address(self, view: View | None, now_s: float) -> str:
-        """Return the address of the active primary, if it is another that we have contact with; else ""."""
+        """Return the address of the active primary if it is a peer in contact; else ""."""
         if view is None or view.primary == self._context.own_id:
             return ""
         ping = self._context.peers.ping_of(view.primary, now_s)
@@ -40,12 +40,12 @@
         return view.primary.address
 
     def reaches_majorities(self, view: View, now_s: float) -> bool:
-        """Return whether we have two-way contact with a majority of each group."""
+        """Return whether this member has two-way contact with a majority of each group."""
         peers = self._context.peers
         return self._has_majorities(view, lambda member: peers.is_alive(member, now_s))
 
     def reaches_majorities_now(self, view: View, now_s: float) -> bool:
-        """Return whether an election started now would be answered: the contact is also fresh."""
+        """Return whether the contact with a majority of each group is fresh enough to start an election."""
         return self._has_majorities(view, lambda member: self._is_reached_now(member, now_s))
 
     def _has_majorities(self, view: View, is_present: Callable[[MemberId], bool]) -> bool:
@@ -58,7 +58,7 @@
         return peers.is_alive(member, now_s) and peers.is_fresh(member, now_s)
 
     def must_start(self, view: View | None, now_s: float) -> bool:
-        """Return whether to start an election now. Also notes since when nobody leads."""
+        """Return whether to start an election now. Also record since when there has been no primary."""
         if view is None or self._context.own_id not in view.members or self.leader_address(view, now_s):
             self._leaderless_since_s = None
             return False
@@ -71,20 +71,20 @@
 
     def _may_start(self, view: View, now_s: float) -> bool:
         context = self._context
-        if now_s < self._not_before_s or not context.is_usable(context.own_id, now_s):
+        if now_s < self._earliest_start_s or not context.is_usable(context.own_id, now_s):
             return False
         if not self.reaches_majorities_now(view, now_s):
             return False
-        if now_s < self._need_all_until_s and not all(
+        if now_s < self._all_members_required_until_s and not all(
             self._is_reached_now(member, now_s) for member in view.members
         ):
             return False
-        return not self._is_led_for_others(view, now_s)
+        return not self._is_other_in_contact_with_primary(view, now_s)
 
-    def _is_led_for_others(self, view: View, now_s: float) -> bool:
+    def _is_other_in_contact_with_primary(self, view: View, now_s: float) -> bool:
         """Return whether another member has contact with an active primary.
 
-        A partition between that primary and us alone is no reason for an election.
+        A partition that separates only this member from that primary is no reason for an election.
         """
         pings = (self._context.peers.ping_of(member, now_s) for member in view.members)
         return any(
@@ -94,13 +94,15 @@
         )
 
     def _timeout_s(self, view: View, now_s: float) -> float:
-        """Return the election time-out: candidates start one after the other, in the agreed order.
+        """Return the election time-out, staggered so that candidates start in the agreed order.
 
-        A primary that is alive gets time to activate its view first.
+        A primary that is alive first gets time to activate its view.
         """
         context = self._context
         order = candidate_order(view)
-        ahead = sum(context.is_usable(member, now_s) for member in order[: order.index(context.own_id)])
+        candidates_ahead = sum(
+            context.is_usable(member, now_s) for member in order[: order.index(context.own_id)]
+        )
         is_primary_alive = view.primary != context.own_id and context.is_usable(view.primary, now_s)
-        timeout_s = context.timings.stagger_s * ahead
-        return timeout_s + (context.timings.activation_s if is_primary_alive else 0.0)
+        timeout_s = context.timings.candidate_stagger_s * candidates_ahead
+        return timeout_s + (context.timings.activation_timeout_s if is_primary_alive else 0.0)
--- a/coveport/serving/replication/errors.py
+++ b/coveport/serving/replication/errors.py
@@ -8,12 +8,12 @@
 
 
 class UnreadableStateError(ReplicationError):
-    """Bytes that hold no state, or not the one that was encoded."""
+    """The bytes of a state can't be decoded, or are corrupted."""
 
 
 class InconsistentRecordsError(ReplicationError, ValueError):
-    """Records of a disk that don't follow from each other."""
+    """A record on the disk doesn't follow from the records before it."""
 
 
 class DivergedStateError(ReplicationError, ValueError):
-    """A command that was applied elsewhere is refused here: the state machine isn't deterministic."""
+    """A command that another replica applied is refused here: the state machine isn't deterministic."""
--- a/coveport/serving/replication/events.py
+++ b/coveport/serving/replication/events.py
@@ -1,6 +1,6 @@
-"""Events that a replica takes, outcomes of calls, and effects that it asks for.
+"""Events that a replica handles, outcomes of calls, and effects that it returns.
 
-`Replica.handle` turns one event into effects; its caller carries them out in their order.
+`Replica.handle` turns one event into effects; its caller carries out the effects in their order.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed. Due every 50 ms or so."""
+    """The clock event, about every 50 ms."""
 
 
 @dataclass(frozen=True, slots=True)
 class Connected:
-    """A connection to this coordinator has come up; earlier messages to it may be lost."""
+    """A connection to the coordinator at `address` was established; earlier messages to it may be lost."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A message arrived. Messages may be lost, duplicated and late."""
+    """A message arrived. Messages may be lost, duplicated and delayed."""
 
     sender: MemberId
     message: Message
@@ -38,21 +38,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Persisted:
-    """Everything up to and including the Persist effect of this token is synced."""
+    """All records up to and including the Persist effect with this token are synced."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PersistFailed:
-    """The disk failed to write; nothing of this token counts as synced."""
+    """The disk failed to write; no record of the Persist effect with this token counts as synced."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """A caller wants a command run. The answer repeats `request`."""
+    """A caller submits a command. The answer repeats `request`."""
 
     request: int
     command: bytes
@@ -60,21 +60,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadNewest:
-    """A caller wants the newest acknowledged state (a linearizable read). The answer repeats `request`."""
+    """A caller reads the newest acknowledged state (a linearizable read). The answer repeats `request`."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelCall:
-    """Nobody waits for a call any more. It isn't run if it has not been started; otherwise it goes on."""
+    """The caller of `request` has gone. The call is dropped unless it has started; then it continues."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process is about to stop: others should lead and hold the state."""
+    """The process is about to stop: its roles should move to other coordinators."""
 
 
 Event = (
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The command is synced by all replicas and can't be lost any more."""
+    """The command is committed: all replicas of the view have synced it."""
 
     result: Any
 
@@ -109,14 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotPrimary:
-    """Nothing was done; ask `primary` (inner address; None: not known)."""
+    """The call had no effect here; the caller should send it to `primary`."""
 
-    primary: str | None
+    primary: str | None  # inner address; None: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The command may have been run or not, or may yet be run."""
+    """The command may or may not have been applied, or may still be applied later."""
 
 
 Outcome = Done | Refused | Newest | NotPrimary | OutcomeUnknown
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message, at most once."""
+    """Send a message, with at-most-once delivery."""
 
     to_address: str
     message: Message
@@ -134,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write the records and sync, in the order of the tokens; answer with Persisted or PersistFailed."""
+    """Write and sync the records, in the order of the tokens; answer with Persisted or PersistFailed."""
 
     token: int
     records: tuple[Record, ...]
@@ -150,16 +150,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CommittedState:
-    """A newer committed state is known here."""
+    """A newer committed state is available at this coordinator."""
 
     sequence: int
     state: Any
-    command: bytes | None = None  # that led there from the state before, if that was known here
+    command: bytes | None = None  # leads from the state of `sequence - 1` to this one; None: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class MessageRejected:
-    """A message was rejected for a fault that no correct coordinator makes; for the log."""
+    """A message was rejected for a fault that a correct coordinator never makes; reported in the log."""
 
     sender: str  # inner address
     problem: str
--- a/coveport/serving/replication/identity.py
+++ b/coveport/serving/replication/identity.py
@@ -1,4 +1,4 @@
-"""Members of the core, epochs and views, and which of them form a quorum."""
+"""Members of the core, epochs, views, and the quorum rules."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Epoch:
-    """Orders the view changes, as a ballot number does. No two candidates share one or use one twice."""
+    """A ballot number: it orders the view changes. Each epoch is used by one candidate, for one attempt."""
 
     number: int
     candidate: str  # the candidate's disk id
 
     def after(self, candidate: str) -> Epoch:
-        """Return a higher epoch, for `candidate`."""
+        """Return the next higher epoch, for `candidate`."""
         return Epoch(self.number + 1, candidate)
 
 
@@ -42,19 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """Who leads, who holds the state and who votes, under one epoch."""
+    """The primary, the replicas and the voting members under one epoch."""
 
     epoch: Epoch
     primary: MemberId
-    replicas: tuple[MemberId, ...]  # the primary first; all of them hold every acknowledged change
-    members: tuple[MemberId, ...]  # whose majority decides on the next view
-    previous_members: tuple[MemberId, ...] = ()  # their majority counts too until this view is known active
+    replicas: tuple[MemberId, ...]  # the primary first; each replica holds every acknowledged change
+    members: tuple[MemberId, ...]  # the voters; the next view needs a majority of them
+    previous_members: tuple[MemberId, ...] = ()  # voters too until this view is known to be active
 
     def quorum_groups(self, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
-        """Return the groups of which each must give its majority to a next view (Raft's joint consensus).
+        """Return the groups of voters; the next view needs a majority of each (Raft's joint consensus).
 
-        `active_epoch` is the epoch of a view that is known to be active. A later active view proves nothing
-        about this one: this may be a branch that never became active, whose members decided on nothing.
+        `active_epoch` is the epoch of the newest view known to be active. A later active view doesn't prove
+        that this view became active: this view may be a branch whose members never decided anything.
         """
         if not self.previous_members or active_epoch == self.epoch:
             return (self.members,)
--- a/coveport/serving/replication/journal.py
+++ b/coveport/serving/replication/journal.py
@@ -1,4 +1,4 @@
-"""Owns the durable state: what is written, what of it is synced, and whether the disk is healthy."""
+"""Owns the durable state: the written records, which of them are synced, and the health of the disk."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from coveport.serving.replication.records import DurableState, Record
 from coveport.serving.replication.timings import Timings
 
-RETRY_S = 0.5  # how often an empty write tells whether a disk that failed works again
+RETRY_INTERVAL_S = 0.5  # after a failed write, interval of the empty writes that probe the disk
 
 
 @dataclass(frozen=True, slots=True)
 class PendingMessage:
-    """A message that is sent once what it says is synced."""
+    """A message that is sent after the records behind it are synced."""
 
     to_address: str
     message: Message
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class PendingBatch:
-    """Records on their way to the disk, and the messages that wait for them."""
+    """One Persist effect in flight, and the messages to send after it is synced."""
 
     token: int
     started_at_s: float
@@ -32,10 +32,10 @@
 
 
 class Journal:
-    """Changes `durable` at once and sends what depends on it only when it is synced.
+    """Changes `durable` at once, and sends messages that depend on a change only after it is synced.
 
-    Storage syncs in the order of the tokens. After a failure it keeps the records and writes them with the
-    next token, so that a synced token proves that all before it are synced too.
+    The storage syncs in the order of the tokens. After a failure it keeps the records and writes them with
+    the next token, so that a synced token proves that all earlier tokens are synced too.
     """
 
     def __init__(self, durable: DurableState, outbox: Outbox, timings: Timings) -> None:
@@ -43,20 +43,20 @@
         self._outbox = outbox
         self._timings = timings
         self._records: list[Record] = []
-        self._messages: list[PendingMessage] = []  # that wait for `_records`
+        self._messages: list[PendingMessage] = []  # sent after `_records` are synced
         self._batches: deque[PendingBatch] = deque()
         self._last_token = 0
         self._is_failing = False
-        self._fault_at_s = float("-inf")
+        self._last_fault_at_s = float("-inf")
         self._flushed_at_s = float("-inf")
 
     def write(self, record: Record) -> None:
-        """Add a record to the durable state; it is synced some time later."""
+        """Add a record to the durable state; the next flush writes it."""
         self.durable.apply_record(record)
         self._records.append(record)
 
     def send_when_synced(self, to_address: str, message: Message) -> None:
-        """Send once all that was written so far is synced."""
+        """Send a message after all records written so far are synced."""
         if not self._records and not self._batches:
             self._outbox.send(to_address, message)
         elif self._records:
@@ -65,8 +65,8 @@
             self._batches[-1].messages.append(PendingMessage(to_address, message))
 
     def flush(self, now_s: float) -> Persist | None:
-        """Return what must be written to the disk now, if anything."""
-        must_retry = self._is_failing and now_s - self._flushed_at_s >= RETRY_S
+        """Return the Persist effect that is needed now; None if there is nothing to write."""
+        must_retry = self._is_failing and now_s - self._flushed_at_s >= RETRY_INTERVAL_S
         if not self._records and not must_retry:
             return None
         self._last_token += 1
@@ -78,27 +78,27 @@
         return persist
 
     def persisted(self, token: int, now_s: float) -> None:
-        """Note that all up to `token` is synced, and send what waited for it."""
+        """Mark the batches up to `token` as synced, and send their messages."""
         self._is_failing = False
         while self._batches and self._batches[0].token <= token:
             batch = self._batches.popleft()
-            if now_s - batch.started_at_s > self._timings.disk_s:
-                self._fault_at_s = now_s
+            if now_s - batch.started_at_s > self._timings.sync_timeout_s:
+                self._last_fault_at_s = now_s
             for pending in batch.messages:
                 self._outbox.send(pending.to_address, pending.message)
 
     def failed(self, now_s: float) -> None:
-        """Note that the disk failed to write; what waits for it goes on waiting."""
+        """Mark the disk as failing; pending messages stay pending."""
         self._is_failing = True
-        self._fault_at_s = now_s
+        self._last_fault_at_s = now_s
 
     def restart_timers(self, now_s: float) -> None:
-        """Count the time of pending batches from now: the process was frozen, not the disk slow."""
+        """Count the time of pending batches from now: the process was frozen, the disk wasn't slow."""
         for batch in self._batches:
             batch.started_at_s = now_s
 
     def is_healthy(self, now_s: float) -> bool:
-        """Return whether the disk has been syncing in time."""
-        if self._batches and now_s - self._batches[0].started_at_s > self._timings.disk_s:
-            self._fault_at_s = now_s
-        return not self._is_failing and now_s - self._fault_at_s >= self._timings.disk_rest_s
+        """Return whether the disk works and has had no late or failed sync for `disk_recovery_s`."""
+        if self._batches and now_s - self._batches[0].started_at_s > self._timings.sync_timeout_s:
+            self._last_fault_at_s = now_s
+        return not self._is_failing and now_s - self._last_fault_at_s >= self._timings.disk_recovery_s
--- a/coveport/serving/replication/messages.py
+++ b/coveport/serving/replication/messages.py
@@ -1,7 +1,7 @@
-"""Messages between replicas. Each answer repeats the epoch of what it answers.
+"""Messages between replicas. Each answer repeats the epoch of its request.
 
 A message is encoded as its fields in their order (`wire/codec.py`): a field may be renamed, never moved or
-retyped, and `MESSAGES` gives each kind its number on the wire.
+retyped. The position of a class in `MESSAGES` is its number on the wire.
 """
 
 from __future__ import annotations
@@ -13,46 +13,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Health check and summary of the sender; every coordinator sends one to each peer every `ping_s`."""
+    """Heartbeat with the sender's status; each coordinator pings each peer every `ping_interval_s`."""
 
-    counter: int  # the sender's clock in milliseconds; rises with each ping
-    echo: int  # newest counter that the sender received from the receiver; 0: none
+    counter: int  # the sender's clock in milliseconds
+    echo: int  # newest `counter` that the sender received from the receiver; 0: none
     locality: Locality
     promised: Epoch  # the sender rejects all lower epochs
-    view_epoch: Epoch  # of the newest view that it accepted
-    active_epoch: Epoch  # of the newest view that it knows to be active
-    committed: int  # sequence of its committed state; -1: it has none
-    primary: str  # address of the active primary that it is in contact with; empty: none
-    is_leading: bool  # it is the active primary and has two-way contact with a majority
-    is_healthy: bool  # its disk syncs in time
+    view_epoch: Epoch  # of the newest view that the sender accepted; NO_EPOCH: none
+    active_epoch: Epoch  # of the newest view that the sender has recorded as active
+    committed: int  # sequence of the sender's committed state; -1: none
+    primary: str  # address of the active primary that the sender is in contact with; empty: none
+    is_leading: bool  # the sender is the active primary and has two-way contact with a majority
+    is_healthy: bool  # the sender's disk syncs in time
     is_shutting_down: bool
-    may_bootstrap: bool  # it has accepted no view, and was started with the whole system
-    reaches: tuple[str, ...]  # addresses of the peers with which it has two-way contact
+    may_bootstrap: bool  # the sender has accepted no view, and its disk dates from the system's first start
+    reaches: tuple[str, ...]  # addresses of the peers with which the sender has two-way contact
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Sent by a candidate: ask the receiver to reject everything below its epoch (Paxos' phase 1a)."""
+    """Sent by a candidate: request a promise to reject all lower epochs (Paxos' phase 1a)."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Answer to Prepare (Paxos' phase 1b): the sender rejects all below `epoch`. Sent once that is synced."""
+    """Answer to Prepare (Paxos' phase 1b): the sender has synced its promise to reject all lower epochs."""
 
     epoch: Epoch
-    view: View | None  # the newest that the sender accepted
+    view: View | None  # the newest view that the sender accepted
     active_epoch: Epoch
-    state_epoch: Epoch  # under which its state was installed; NO_EPOCH: it has none
+    state_epoch: Epoch  # under which the sender's state was installed; NO_EPOCH: it has no state
     state_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """Answer to a request whose epoch, `refused`, is below the one that the sender promised.
+    """Answer to a request whose epoch, `refused`, is below the sender's promise.
 
-    Requests are Prepare, Fetch, Install, Accept, Append and Confirm; see `Acceptor`.
+    The requests are Prepare, Fetch, Install, Accept, Append and Confirm; see `Acceptor`.
     """
 
     refused: Epoch
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Sent by a candidate to a replica that promised: ask for its state."""
+    """Sent by a candidate to a replica that answered with a Promise: request its state."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Fetched:
-    """Answer to Fetch: the state as it was when the promise was given."""
+    """Answer to Fetch: the state; it has not changed since the promise."""
 
     epoch: Epoch
     sequence: int
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """Sent by a candidate: replace the state of a replica of the view that it prepares."""
+    """Sent by a candidate to each replica of its next view: replace the receiver's state."""
 
     epoch: Epoch
     sequence: int
@@ -86,36 +86,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Installed:
-    """Answer to Install, sent once the state is synced."""
+    """Answer to Install, sent after the state is synced."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Ask the receiver to store a view. Sent by a candidate, and by the primary to those who missed it."""
+    """Sent by a candidate, and by the primary to peers that missed it: request to store a view."""
 
     view: View
-    is_bootstrap: bool  # the first view of all: only a member without a view accepts it
+    is_bootstrap: bool  # the view of a bootstrap: only a member without a view accepts it
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Answer to Accept, sent once the view is synced."""
+    """Answer to Accept, sent after the view is synced."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class ViewActivated:
-    """The view of this epoch is active: its `previous_members` no longer count."""
+    """The view of this epoch is active: its `previous_members` are voters no longer."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Sent by the primary to its backups: the next command."""
+    """Sent by the primary to its backups: store the next command."""
 
     epoch: Epoch
     sequence: int
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """Answer to Append, sent once everything up to `sequence` is synced."""
+    """Answer to Append, sent after all commands up to `sequence` are synced."""
 
     epoch: Epoch
     sequence: int
@@ -133,9 +133,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """Sent by the primary to all members before it answers a read: ask whether a higher epoch was promised.
+    """Sent by the primary to all members before it answers a read: check that it still leads.
 
-    Raft's ReadIndex asks a majority for the same reason.
+    Members that promised a higher epoch answer with Fenced. Raft's ReadIndex checks a majority likewise.
     """
 
     epoch: Epoch
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirmed:
-    """Answer to Confirm: the sender had promised nothing higher when it sent this."""
+    """Answer to Confirm: the sender had promised no higher epoch when it sent this."""
 
     epoch: Epoch
     number: int
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """Sent by the primary to backups, which hold the commands already: all up to `sequence` are committed."""
+    """Sent by the primary to its backups: the commands up to `sequence`, which they hold, are committed."""
 
     epoch: Epoch
     sequence: int
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CatchUpCommands:
-    """Committed commands that follow the receiver's committed state."""
+    """Committed commands that the receiver lacks."""
 
     first: int  # sequence of the first command
     commands: tuple[bytes, ...]
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CatchUpSnapshot:
-    """A complete committed state, for a receiver that is too far behind for single commands."""
+    """A complete committed state, for a receiver that lacks more commands than the sender keeps."""
 
     sequence: int
     state: bytes
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Sent by a primary that shuts down: ask the receiver to lead at once (Raft's TimeoutNow)."""
+    """Sent by a primary that shuts down: request the receiver to lead at once (Raft's TimeoutNow)."""
 
     epoch: Epoch
 
@@ -203,7 +203,7 @@
     | TransferLeadership
 )
 
-# In the order of their numbers on the wire.
+# Sorted by their numbers on the wire.
 MESSAGES = (
     Ping,
     Prepare,
--- a/coveport/serving/replication/outbox.py
+++ b/coveport/serving/replication/outbox.py
@@ -1,4 +1,4 @@
-"""Collects the effects of one step, and a replica's messages to itself."""
+"""Collects the effects of one event, and the messages of a replica to itself."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Outbox:
-    """Filled by all modules of a replica; emptied at the end of each step."""
+    """The effects of the event being handled; all modules of a replica add to it."""
 
     def __init__(self, own_id: MemberId) -> None:
         self.to_self: deque[Message] = deque()
@@ -26,22 +26,22 @@
         self._effects: list[Effect] = []
 
     def send(self, to_address: str, message: Message) -> None:
-        """Send to another coordinator, or to this replica within the present step."""
+        """Send a message to a peer; a message to this replica is handled as part of the same event."""
         if to_address == self._own_address:
             self.to_self.append(message)
         else:
             self._effects.append(Send(to_address, message))
 
     def answer(self, request: int, outcome: Outcome) -> None:
-        """Answer a caller."""
+        """Answer the call `request`."""
         self._effects.append(Answer(request, outcome))
 
     def publish_committed(self, sequence: int, state: object, command: bytes | None) -> None:
-        """Publish a newer committed state, and the command that led there, if it is known."""
+        """Publish a newer committed state, with the command that led to it unless that is unknown."""
         self._effects.append(CommittedState(sequence, state, command))
 
     def reject_message(self, sender: MemberId, problem: Exception) -> None:
-        """Report a message that was rejected, for the log."""
+        """Report a rejected message, for the log."""
         self._effects.append(MessageRejected(sender.address, str(problem)))
 
     def persist(self, persist: Persist) -> None:
--- a/coveport/serving/replication/peers.py
+++ b/coveport/serving/replication/peers.py
@@ -1,7 +1,8 @@
-"""Owns the table of the other coordinators: who is alive, and what each last said of itself.
+"""Owns the table of the other coordinators: whether each is alive, and the status in its newest ping.
 
-Alive is two-way: a peer is alive when it recently echoed one of our own pings. A peer that we hear but that
-doesn't hear us isn't. A ping's counter is its sender's clock in milliseconds, so that an echo tells its age.
+A peer is alive while contact is two-way, that is, while it has recently echoed a ping from here. A peer whose
+pings arrive but which doesn't receive pings from here isn't alive. A ping's counter is its sender's clock in
+milliseconds, so the sender can compute the age of an echo.
 """
 
 from __future__ import annotations
@@ -21,35 +22,35 @@
     """A complete state that was sent to a peer."""
 
     sequence: int
-    deadline_s: float  # by then it has arrived, or is lost
+    deadline_s: float  # after this the snapshot counts as lost
 
     def is_pending(self, committed: int, now_s: float) -> bool:
-        """Return whether it may still arrive at a peer that has the state of `committed`."""
+        """Return whether the snapshot may still arrive at a peer that has the state of `committed`."""
         return committed < self.sequence and now_s < self.deadline_s
 
 
 @dataclass(slots=True)
 class Peer:
-    """One address."""
+    """The coordinator at one inner address."""
 
     address: str
     identity: MemberId | None = None
-    ping: Ping | None = None  # the newest received
-    last_counter: int = 0  # of that ping
-    echoed_at_s: float = float("-inf")  # when the newest ping of ours that it echoed was sent
+    ping: Ping | None = None  # the newest ping from this peer
+    last_counter: int = 0  # counter of that ping
+    echoed_at_s: float = float("-inf")  # when the newest ping that this peer echoed was sent
     alive_since_s: float = 0.0
-    catch_up_at_s: float = float("-inf")  # when it was last sent something that it lacked
-    snapshot: PendingSnapshot | None = None  # the complete state that it was last sent
-    pinged_at_s: float = float("-inf")  # when it was last sent a ping
+    last_catch_up_at_s: float = float("-inf")  # when a missing view or state was last sent to this peer
+    snapshot: PendingSnapshot | None = None  # the last complete state sent to this peer
+    last_ping_at_s: float = float("-inf")  # when a ping was last sent to this peer
 
     @property
     def locality(self) -> Locality:
-        """Where it runs, as far as it said."""
+        """The failure domains from its newest ping."""
         return self.ping.locality if self.ping else UNKNOWN_LOCALITY
 
 
 class Peers:
-    """All addresses other than our own."""
+    """All known coordinators other than this one, by address."""
 
     def __init__(self, own_id: MemberId, timings: Timings, now_s: float) -> None:
         self._own_id = own_id
@@ -61,20 +62,20 @@
         return iter(list(self._peers.values()))
 
     def add(self, address: str) -> None:
-        """Add an address, unless it is known or our own."""
+        """Add an address, unless it is empty, present already or the own address."""
         if address and address != self._own_id.address and address not in self._peers:
             self._peers[address] = Peer(address)
 
     def restart_timers(self, now_s: float) -> None:
-        """Count the time without contact from now: the process was frozen, not the peers silent."""
+        """Count the time without contact from now: the process was frozen, the peers weren't silent."""
         self._awake_since_s = now_s
 
     def get(self, address: str) -> Peer | None:
-        """Return the peer at an address."""
+        """Return the peer at an address; None if the address is unknown."""
         return self._peers.get(address)
 
     def record_ping(self, now_s: float, sender: MemberId, ping: Ping) -> Peer:
-        """Record a ping, and the addresses in it; return its sender."""
+        """Record a ping and add the addresses in it; return its sender."""
         self.add(sender.address)
         peer = self._peers[sender.address]
         was_alive = self._is_alive(peer, now_s) and peer.identity == sender
@@ -97,27 +98,27 @@
         return now_s - peer.echoed_at_s < self._timings.suspect_s
 
     def is_alive(self, member: MemberId, now_s: float) -> bool:
-        """Return whether we have two-way contact with this very member. With ourselves we have."""
+        """Return whether there is two-way contact with this very disk at the address; True for the own id."""
         if member == self._own_id:
             return True
         peer = self._peers.get(member.address)
         return peer is not None and peer.identity == member and self._is_alive(peer, now_s)
 
     def is_fresh(self, member: MemberId, now_s: float) -> bool:
-        """Return whether the last contact is younger than `fresh_s`, which is less than `suspect_s`.
+        """Return whether the last contact is younger than `max_contact_age_s`, which is below `suspect_s`.
 
-        A coordinator that is cut off loses its peers one after the other; the last ones look alive a little
-        longer, and an election with them would only hold the others up.
+        A coordinator that is cut off loses its peers one after the other. The last ones still count as alive
+        for a moment; an election that relies on them would fail and delay the other members.
         """
-        return member == self._own_id or self.since_contact_s(member, now_s) < self._timings.fresh_s
+        return member == self._own_id or self.since_contact_s(member, now_s) < self._timings.max_contact_age_s
 
     def is_suspect(self, member: MemberId, now_s: float) -> bool:
-        """Return whether it has been without contact for too long, counted only while we were awake."""
+        """Return whether a member isn't alive although this process has run unfrozen for `suspect_s`."""
         awake_s = now_s - self._awake_since_s
         return awake_s >= self._timings.suspect_s and not self.is_alive(member, now_s)
 
     def since_contact_s(self, member: MemberId, now_s: float) -> float:
-        """Return the seconds since the last contact, counted only while we were awake."""
+        """Return the seconds since the last contact, but at most since this process started or last froze."""
         if member == self._own_id:
             return 0.0
         peer = self._peers.get(member.address)
@@ -125,22 +126,22 @@
         return now_s - max(last_s, self._awake_since_s)
 
     def is_replaced(self, member: MemberId) -> bool:
-        """Return whether another disk answers at its address: this member will never come back."""
+        """Return whether the member's address now has another disk, so that the member never comes back."""
         peer = self._peers.get(member.address)
         return peer is not None and peer.identity is not None and peer.identity != member
 
     def ping_of(self, member: MemberId, now_s: float) -> Ping | None:
-        """Return the newest ping of a live member; None for ourselves."""
+        """Return the newest ping of a live peer; None for other members and the own id."""
         if member == self._own_id or not self.is_alive(member, now_s):
             return None
         peer = self._peers[member.address]
         return peer.ping
 
     def locality_of(self, member: MemberId) -> Locality:
-        """Return where a member runs, as far as known."""
+        """Return a member's failure domains, from the newest ping from its address."""
         peer = self._peers.get(member.address)
         return peer.locality if peer is not None else UNKNOWN_LOCALITY
 
     def alive(self, now_s: float) -> list[Peer]:
-        """Return those alive now."""
+        """Return the peers that are alive."""
         return [peer for peer in self._peers.values() if self._is_alive(peer, now_s)]
--- a/coveport/serving/replication/ping_sender.py
+++ b/coveport/serving/replication/ping_sender.py
@@ -1,4 +1,4 @@
-"""Sends this coordinator's pings: several times a second, to every peer, who it is and how it is."""
+"""Sends this coordinator's pings, which carry its status, to every peer several times a second."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from coveport.serving.replication.peers import MS_PER_S, Peer
 from coveport.serving.replication.replica_context import ReplicaContext
 
-ANSWER_GAP_S = 0.02  # a peer that comes up is answered out of turn, but no more often than this
+MIN_ANSWER_INTERVAL_S = 0.02  # limits the extra pings to a peer that has just become alive
 
 
 class PingSender:
-    """Owns the schedule of pings."""
+    """The schedule and the content of the pings."""
 
     def __init__(self, context: ReplicaContext, leader_role: LeaderRole) -> None:
         self._context = context
@@ -21,22 +21,22 @@
         self._last_send_s = float("-inf")
 
     def expedite(self) -> None:
-        """Send to all at the next tick: something has changed that the others must know at once."""
+        """Ping all peers at the next tick, since this coordinator's status has changed."""
         self._last_send_s = float("-inf")
 
     def tick(self, now_s: float) -> None:
-        """Send to all peers, every `ping_s`."""
-        if now_s - self._last_send_s >= self._context.timings.ping_s:
+        """Ping all peers if `ping_interval_s` has passed."""
+        if now_s - self._last_send_s >= self._context.timings.ping_interval_s:
             self._last_send_s = now_s
             self.send(now_s, self._context.peers)
 
     def answer(self, now_s: float, peer: Peer) -> None:
-        """Let a peer that has just come up learn at once that contact is two-way."""
-        if now_s - peer.pinged_at_s >= ANSWER_GAP_S:
+        """Ping a peer that has just become alive, so that it finds at once that contact is two-way."""
+        if now_s - peer.last_ping_at_s >= MIN_ANSWER_INTERVAL_S:
             self.send(now_s, [peer])
 
     def send(self, now_s: float, peers: Iterable[Peer]) -> None:
-        """Send to these peers now."""
+        """Ping `peers` now."""
         context = self._context
         durable = context.journal.durable
         reaches = tuple(peer.address for peer in context.peers.alive(now_s))
@@ -44,7 +44,7 @@
         is_leading = is_healthy and self._leader_role.leads_majorities(now_s)
         other_primary = self._leader_role.election.leader_address(durable.view, now_s)
         for peer in peers:
-            peer.pinged_at_s = now_s
+            peer.last_ping_at_s = now_s
             ping = Ping(
                 counter=int(now_s * MS_PER_S),
                 echo=peer.last_counter,
--- a/coveport/serving/replication/placement.py
+++ b/coveport/serving/replication/placement.py
@@ -1,4 +1,4 @@
-"""Chooses which machines are members of the core, and which of those are replicas. Pure functions."""
+"""Chooses which machines are members of the core, and which members are replicas. Pure functions."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 
 from coveport.serving.replication.identity import Locality, MemberId
 
-MAX_MEMBERS = 7  # a larger core waits for more syncs, and tolerates no more than is ever asked for
-MAX_POOL = 10  # machines of which all subsets are rated: 1,023 at most
+MAX_MEMBERS = 7  # a larger core waits for more syncs and tolerates more losses than any deployment needs
+MAX_CANDIDATES = 10  # machines considered as members; all their subsets are rated, 1,023 at most
 
 
 @dataclass(frozen=True, slots=True)
 class MachineStatus:
-    """What the primary knows of a machine that is a member or could be one."""
+    """The primary's information on a machine that is a member or could become one."""
 
     member: MemberId
     locality: Locality
-    is_usable: bool  # fit to be a replica: alive, disk healthy, not shutting down
-    is_lost: bool  # a member that may be swapped for another machine; never usable
-    is_droppable: bool  # a member that may be removed without another in its stead
+    is_usable: bool  # may be a replica: alive, disk healthy, not shutting down
+    is_lost: bool  # a member that may be replaced by another machine; never usable
+    is_droppable: bool  # a member that may be removed without a replacement
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class SurvivableLosses:
-    """How much a set of members tolerates; more is better, the first field first."""
+    """The further losses that a set of members tolerates; compared field by field, more is better."""
 
-    machine_losses: int  # how many more machines may be lost, as far as asked for
-    region_loss: bool
-    zone_loss: bool
+    machine_losses: int  # number of machines; capped at the losses that must be tolerated, at least 1
+    region_loss: bool  # whether it tolerates the loss of any one region
+    zone_loss: bool  # whether it tolerates the loss of any one zone
 
 
 def choose_replicas(
-    primary: MachineStatus, others: Iterable[MachineStatus], count: int, present: Sequence[MemberId]
+    primary: MachineStatus, candidates: Iterable[MachineStatus], count: int, current: Sequence[MemberId]
 ) -> tuple[MemberId, ...]:
     """Return up to `count` replicas, the primary first.
 
-    Prefers machines in other regions, then in other zones, then those of `present`.
+    Prefers machines in further regions, then in further zones, then the `current` replicas.
     """
     chosen = [primary]
-    remaining = [machine for machine in others if machine.is_usable and machine.member != primary.member]
+    remaining = [machine for machine in candidates if machine.is_usable and machine.member != primary.member]
     while remaining and len(chosen) < count:
         regions = {machine.locality.region for machine in chosen}
         zones = {machine.locality.zone for machine in chosen}
@@ -50,7 +50,7 @@
             key=lambda machine: (
                 machine.locality.region in regions,
                 machine.locality.zone in zones,
-                machine.member not in present,
+                machine.member not in current,
                 machine.member,
             ),
         )
@@ -63,12 +63,12 @@
     replicas: Iterable[MemberId], localities: Mapping[MemberId, Locality]
 ) -> tuple[int, int]:
     """Return in how many regions and zones the replicas run."""
-    found = [localities[member] for member in replicas if member in localities]
-    return len({locality.region for locality in found}), len({locality.zone for locality in found})
+    known = [localities[member] for member in replicas if member in localities]
+    return len({locality.region for locality in known}), len({locality.zone for locality in known})
 
 
 def rate_fault_tolerance(machines: Sequence[MachineStatus], tolerated_losses: int) -> SurvivableLosses:
-    """Return what a set of members tolerates on top of what is lost already."""
+    """Return which losses a set of members tolerates in addition to its lost members."""
     live = [machine for machine in machines if not machine.is_lost]
     quorum = len(machines) // 2 + 1
     spare = len(live) - quorum
@@ -87,28 +87,28 @@
 
 def choose_members(
     own_id: MemberId,
-    present: Sequence[MachineStatus],
+    current: Sequence[MachineStatus],
     newcomers: Sequence[MachineStatus],
     tolerated_losses: int,
 ) -> tuple[MemberId, ...] | None:
-    """Return members that tolerate strictly more than the present ones; None if there are none.
+    """Return the best set of members that tolerates strictly more than the current one; None without one.
 
-    Of several such sets it takes an odd number of members, then the fewest changes. A lost member may be
-    swapped for another machine; a droppable one may be removed without another in its stead.
+    Among equally tolerant sets, prefers an odd number of members, then the fewest changes. A lost member may
+    be replaced by another machine; a droppable member may be removed without a replacement.
     """
-    present_tolerance = rate_fault_tolerance(present, tolerated_losses)
-    pool = (list(present) + list(newcomers))[:MAX_POOL]
-    present_members = {machine.member for machine in present}
+    current_tolerance = rate_fault_tolerance(current, tolerated_losses)
+    candidates = (list(current) + list(newcomers))[:MAX_CANDIDATES]
+    current_members = {machine.member for machine in current}
     best: tuple[MemberId, ...] | None = None
     best_key: tuple[SurvivableLosses, bool, int, int] | None = None
-    for subset in _subsets(pool):
-        if not _is_allowed(own_id, present, subset):
+    for subset in _subsets(candidates):
+        if not _is_allowed(own_id, current, subset):
             continue
         tolerance = rate_fault_tolerance(subset, tolerated_losses)
-        if tolerance <= present_tolerance:
+        if tolerance <= current_tolerance:
             continue
         members = tuple(machine.member for machine in subset)
-        changes = len(present_members.symmetric_difference(members))
+        changes = len(current_members.symmetric_difference(members))
         key = (tolerance, len(subset) % 2 == 1, -changes, len(subset))
         if best_key is None or key > best_key:
             best = members
@@ -116,18 +116,18 @@
     return best
 
 
-def _subsets(pool: Sequence[MachineStatus]) -> Iterable[Sequence[MachineStatus]]:
-    for size in range(1, min(len(pool), MAX_MEMBERS) + 1):
-        yield from combinations(pool, size)
+def _subsets(candidates: Sequence[MachineStatus]) -> Iterable[Sequence[MachineStatus]]:
+    for size in range(1, min(len(candidates), MAX_MEMBERS) + 1):
+        yield from combinations(candidates, size)
 
 
-def _is_allowed(own_id: MemberId, present: Sequence[MachineStatus], subset: Sequence[MachineStatus]) -> bool:
+def _is_allowed(own_id: MemberId, current: Sequence[MachineStatus], subset: Sequence[MachineStatus]) -> bool:
     members = {machine.member for machine in subset}
     if own_id not in members:
         return False
-    left_out = [machine for machine in present if machine.member not in members]
-    if any(not machine.is_lost for machine in left_out) and len(subset) < len(present):
+    removed = [machine for machine in current if machine.member not in members]
+    if any(not machine.is_lost for machine in removed) and len(subset) < len(current):
         return False
-    added = len(subset) + len(left_out) - len(present)
-    dropped = len(left_out) - added
-    return dropped <= sum(machine.is_droppable for machine in left_out)
+    added = len(subset) + len(removed) - len(current)
+    dropped = len(removed) - added
+    return dropped <= sum(machine.is_droppable for machine in removed)
--- a/coveport/serving/replication/primary.py
+++ b/coveport/serving/replication/primary.py
@@ -1,6 +1,7 @@
 """Owns the active primary's queue of commands.
 
-One command is replicated at a time. It is answered once all replicas of the view have synced it.
+The primary replicates one command at a time, and answers its caller after all replicas of the view have
+synced the command.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedCommand:
-    """A command that isn't started."""
+    """A command whose replication hasn't started."""
 
     request: int
     command: bytes
@@ -28,30 +29,30 @@
 
 @dataclass(slots=True)
 class InFlightCommand:
-    """The one command that is being replicated."""
+    """The command that is being replicated."""
 
     request: int
     sequence: int
     command: bytes
-    state: Any  # after it
-    result: Any  # for its caller
+    state: Any  # the state after the command
+    result: Any  # for the caller
     started_at_s: float
     last_send_s: float
-    appended: set[MemberId] = field(default_factory=set)  # replicas that have synced it
+    appended: set[MemberId] = field(default_factory=set)  # replicas that have synced the command
 
     @property
     def transfer_s(self) -> float:
-        """How long its bytes take at most."""
+        """The longest time for sending and syncing the command's bytes, in seconds."""
         return transfer_s(len(self.command))
 
 
 class Primary:
-    """Exists as long as its view is the newest promised here."""
+    """The primary role in one view, until this member promises a higher epoch to another candidate."""
 
     def __init__(self, context: ReplicaContext, view: View) -> None:
         self.view = view
-        self.is_paused = False  # while it prepares its own next view
-        self.is_closing = False  # starts nothing new, for another is about to lead
+        self.is_paused = False  # set during a view change of this primary: no call is started
+        self.is_handing_over = False  # set before a backup takes over: no call is started
         self._context = context
         self._queue: deque[QueuedCommand] = deque()
         self._in_flight: InFlightCommand | None = None
@@ -65,10 +66,10 @@
     # -- begin and end --
 
     def begin(self, now_s: float, predecessor: Primary | None, continues_own_state: bool) -> None:
-        """Take the state of the view for committed: the view is active.
+        """Commit the state of the view, which is active now, and take over the predecessor's calls.
 
-        `predecessor` is this replica's primary role in the view before. With `continues_own_state` the state
-        includes the command that it had in flight.
+        `predecessor` is this replica's primary role in the previous view. With `continues_own_state`, the
+        state includes the command that the predecessor had in flight.
         """
         context = self._context
         sequence = context.acceptor.durable.sequence
@@ -79,14 +80,14 @@
         self._send_snapshots(now_s)
         if predecessor is None:
             return
-        self._take_calls_of(predecessor)
+        self._take_over_calls(predecessor)
         if in_flight is not None:
             is_done = command is not None
             outcome = Done(in_flight.result) if is_done else OutcomeUnknown()
             context.outbox.answer(in_flight.request, outcome)
 
-    def _take_calls_of(self, predecessor: Primary) -> None:
-        """Take over what waits. A refusal under the view before may not hold under this one: run it again."""
+    def _take_over_calls(self, predecessor: Primary) -> None:
+        """Take over pending calls; rerun refused commands, since the new view's state may accept them."""
         self._queue = predecessor._queue
         for answer in predecessor._quorum_checks.take_all():
             if answer.command is None:
@@ -95,7 +96,7 @@
                 self._queue.append(QueuedCommand(answer.request, answer.command))
 
     def end(self, primary_address: str | None) -> None:
-        """Answer all that wait: another leads, or may lead."""
+        """Answer all pending calls, since another member leads or may lead."""
         answer = self._context.outbox.answer
         if self._in_flight is not None:
             answer(self._in_flight.request, OutcomeUnknown())
@@ -117,17 +118,17 @@
         self._quorum_checks.add(UnconfirmedAnswer(request))
 
     def cancel(self, request: int) -> None:
-        """Remove a call that nobody waits for any more, unless it has been started.
+        """Remove a call whose caller has gone, unless it has been started.
 
-        A caller that got no answer sends the same call again elsewhere; this one must not take effect much
-        later.
+        A caller without an answer sends the same call to another coordinator; the first one must not take
+        effect much later.
         """
         self._queue = deque(queued for queued in self._queue if queued.request != request)
         self._quorum_checks.cancel(request)
 
     def advance(self, now_s: float) -> None:
-        """Start what can be started."""
-        if self.is_paused or self.is_closing:
+        """Start the next command and the next quorum check, where possible."""
+        if self.is_paused or self.is_handing_over:
             return
         while self._in_flight is None and self._queue:
             self._start(self._queue.popleft(), now_s)
@@ -164,7 +165,7 @@
                 self._context.send(member, message)
 
     def on_appended(self, now_s: float, sender: MemberId, message: Appended) -> None:
-        """Count a replica that has synced the command in flight; once all have, it is committed."""
+        """Count a replica that has synced the command in flight; commit when all replicas have."""
         in_flight = self._in_flight
         if in_flight is None or message.epoch != self.view.epoch or message.sequence != in_flight.sequence:
             return
@@ -177,46 +178,51 @@
         self._announce_committed(now_s)
 
     def on_confirmed(self, sender: MemberId, message: Confirmed) -> None:
-        """Count a confirmation that this primary still leads."""
+        """Pass a confirmation that this primary still leads to the quorum checks."""
         self._quorum_checks.on_confirmed(sender, message)
 
     def _announce_committed(self, now_s: float) -> None:
-        """Tell the backups what is committed, and send the newest command to those that aren't replicas."""
+        """Send the committed sequence to the backups, and the newest command to the other live peers."""
         context = self._context
         committed = Committed(self.view.epoch, context.committed_log.sequence)
         for member in self.view.replicas[1:]:
             context.send(member, committed)
         replica_addresses = {member.address for member in self.view.replicas}
         for peer in context.peers.alive(now_s):
-            known = peer.ping.committed if peer.ping else -1
-            if peer.address in replica_addresses or known < 0:
+            peer_sequence = peer.ping.committed if peer.ping else -1
+            if peer.address in replica_addresses or peer_sequence < 0:
                 continue
-            message = context.committed_log.missing_after(max(known, context.committed_log.sequence - 1))
+            message = context.committed_log.missing_after(
+                max(peer_sequence, context.committed_log.sequence - 1)
+            )
             if isinstance(message, CatchUpCommands):
                 context.outbox.send(peer.address, message)
 
     def _send_snapshots(self, now_s: float) -> None:
-        """Send the state to coordinators that just started: their proxies serve nothing without it."""
+        """Send the state to coordinators that just started: their proxies can't serve without it."""
         context = self._context
         for peer in context.peers.alive(now_s):
             is_replica = peer.identity in self.view.replicas
             if is_replica or peer.ping is None or peer.ping.committed >= 0:
                 continue
             if context.committed_log.catch_up(now_s, peer, peer.ping.committed):
-                peer.catch_up_at_s = now_s
+                peer.last_catch_up_at_s = now_s
 
     # -- time --
 
     def tick(self, now_s: float) -> None:
-        """Repeat what wasn't answered."""
+        """Resend requests that weren't answered, and check time-outs."""
         in_flight = self._in_flight
-        resend_s = self._context.timings.resend_s
-        if in_flight is not None and now_s - in_flight.last_send_s >= resend_s + in_flight.transfer_s:
+        resend_interval_s = self._context.timings.resend_interval_s
+        if (
+            in_flight is not None
+            and now_s - in_flight.last_send_s >= resend_interval_s + in_flight.transfer_s
+        ):
             self._send_append(in_flight, now_s)
         self._quorum_checks.tick(now_s)
 
     def slow_replicas(self, now_s: float) -> set[MemberId]:
-        """Return the backups that have not synced the command in flight in time."""
+        """Return the backups that have not acknowledged the command in flight in time."""
         in_flight = self._in_flight
         if in_flight is None:
             return set()
@@ -226,6 +232,6 @@
         return set(self.view.replicas) - in_flight.appended - {self._context.own_id}
 
     def restart_timers(self, now_s: float) -> None:
-        """Count the time of the command in flight from now: the process was frozen, no backup slow."""
+        """Count the time of the command in flight from now: the process was frozen, no backup was slow."""
         if self._in_flight is not None:
             self._in_flight.started_at_s = now_s
--- a/coveport/serving/replication/quorum_check.py
+++ b/coveport/serving/replication/quorum_check.py
@@ -1,7 +1,8 @@
-"""Owns the answers that wait until a majority has confirmed that the primary still leads.
+"""Owns the answers that are held until a majority has confirmed that the primary still leads.
 
-A refusal or a read depends on the newest state, so it is given only after a majority of the members, asked
-after the call came, answered that they promised nothing higher. Raft's ReadIndex works in the same way.
+A refusal or a read depends on the newest state. So it is answered only after a check that started after the
+call arrived, in which a majority of the members confirmed that they have promised no higher epoch. Raft's
+ReadIndex works in the same way.
 """
 
 from __future__ import annotations
@@ -14,21 +15,21 @@
 from coveport.serving.replication.replica_context import ReplicaContext
 from coveport.serving.replication.state_machine import Refused
 
-MAX_CHECKS = 2  # in flight at once; further answers wait and share the next one
+MAX_CHECKS_IN_FLIGHT = 2  # further answers wait and share the next check
 
 
 @dataclass(frozen=True, slots=True)
 class UnconfirmedAnswer:
-    """The answer to a call, valid if no higher epoch was promised: a refusal, or the newest state."""
+    """A refusal or a read of the newest state, valid only if the primary still leads."""
 
     request: int
-    command: bytes | None = None  # None: the call is a read
+    command: bytes | None = None  # the refused command; None: the call is a read
     refusal: Refused | None = None
 
 
 @dataclass(slots=True)
 class QuorumCheck:
-    """One question to all members, and the answers that wait for it."""
+    """One round of Confirm messages to all members, and the answers that depend on it."""
 
     number: int
     started_at_s: float
@@ -43,16 +44,16 @@
     def __init__(self, context: ReplicaContext, view: View) -> None:
         self._context = context
         self._view = view
-        self._unchecked: list[UnconfirmedAnswer] = []  # for the next check
+        self._unchecked: list[UnconfirmedAnswer] = []  # answers for the next check
         self._checks: list[QuorumCheck] = []
         self._last_number = 0
 
     def add(self, answer: UnconfirmedAnswer) -> None:
-        """Give an answer once a check that starts from now on succeeds."""
+        """Hold an answer until a check that starts later than this call has succeeded."""
         self._unchecked.append(answer)
 
     def cancel(self, request: int) -> None:
-        """Remove the answer to a call that nobody waits for any more."""
+        """Remove the answer to a call whose caller has gone."""
         self._unchecked = [answer for answer in self._unchecked if answer.request != request]
         for check in self._checks:
             check.answers = [answer for answer in check.answers if answer.request != request]
@@ -65,8 +66,8 @@
         return answers
 
     def start_if_needed(self, now_s: float) -> None:
-        """Start a check if answers wait for one and not too many are in flight."""
-        if not self._unchecked or len(self._checks) >= MAX_CHECKS:
+        """Start a check if there are unchecked answers and not too many checks in flight."""
+        if not self._unchecked or len(self._checks) >= MAX_CHECKS_IN_FLIGHT:
             return
         self._last_number += 1
         self._checks.append(QuorumCheck(self._last_number, now_s, now_s, self._unchecked))
@@ -75,7 +76,7 @@
             self._context.send(member, Confirm(self._view.epoch, self._last_number))
 
     def on_confirmed(self, sender: MemberId, message: Confirmed) -> None:
-        """Count a confirmation; give the answers of each check that has a majority."""
+        """Count a confirmation; send the answers of each check that has a majority."""
         if message.epoch != self._view.epoch:
             return
         for check in self._checks:
@@ -88,24 +89,24 @@
                 self._context.outbox.answer(answer.request, self.confirmed_outcome(answer))
 
     def confirmed_outcome(self, answer: UnconfirmedAnswer) -> Outcome:
-        """Return the outcome once the check has succeeded: a read sees the newest state."""
+        """Return the outcome for an answer whose check has succeeded."""
         if answer.refusal is not None:
             return answer.refusal
         return Newest(self._context.committed_log.sequence, self._context.committed_log.state)
 
     def tick(self, now_s: float) -> None:
-        """Ask again those that didn't answer; give up a check that got no majority in time."""
+        """Resend Confirm to members that didn't answer; give up checks without a majority in time."""
         timings = self._context.timings
         for check in list(self._checks):
-            if now_s - check.started_at_s >= timings.confirm_s:
+            if now_s - check.started_at_s >= timings.confirmation_timeout_s:
                 self._checks.remove(check)
                 for answer in check.answers:
                     self._context.outbox.answer(answer.request, NotPrimary(None))
-            elif now_s - check.last_send_s >= timings.resend_s:
+            elif now_s - check.last_send_s >= timings.resend_interval_s:
                 check.last_send_s = now_s
-                self._ask_again(check)
+                self._resend(check)
 
-    def _ask_again(self, check: QuorumCheck) -> None:
+    def _resend(self, check: QuorumCheck) -> None:
         for member in self._view.members:
             if member not in check.confirmed:
                 self._context.send(member, Confirm(self._view.epoch, check.number))
--- a/coveport/serving/replication/reconfiguration.py
+++ b/coveport/serving/replication/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Decides, at the active primary, when a next view with other replicas or members is needed."""
+"""Decides, at the active primary, when a view with other replicas or members is needed."""
 
 from __future__ import annotations
 
@@ -17,33 +17,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewChangeRequest:
-    """Why a next view is needed, and with whom."""
+    """The reason for a view change, and its constraints on members and replicas."""
 
     reason: str
-    is_urgent: bool  # an urgent one doesn't wait for `change_gap_s`
+    is_urgent: bool  # true: start without regard to `view_change_interval_s`
     proposal: MembershipProposal | None = None
-    avoided: frozenset[MemberId] = frozenset()  # that shouldn't be replicas of the next view
+    avoided: frozenset[MemberId] = frozenset()  # members that shouldn't be replicas of the next view
 
 
 @dataclass(frozen=True, slots=True)
 class MachineStatuses:
-    """What members are chosen from."""
+    """The machines among which members are chosen."""
 
-    present: list[MachineStatus]
-    newcomers: list[MachineStatus]
+    current: list[MachineStatus]  # the members of the view
+    newcomers: list[MachineStatus]  # coordinators that could become members
 
 
 class Reconfigurer:
-    """Compares the view, at every tick, with the one that the machines allow."""
+    """Compares the view, at every tick, with the best view that the available machines allow."""
 
     def __init__(self, context: ReplicaContext) -> None:
         self._context = context
-        # The choice of members rates up to 1,023 sets, so it is made only when a status has changed.
-        self._rated: MachineStatuses | None = None
-        self._chosen: tuple[MemberId, ...] | None = None
+        # The choice of members rates up to 1,023 sets, so it is cached until a status changes.
+        self._rated_statuses: MachineStatuses | None = None
+        self._chosen_members: tuple[MemberId, ...] | None = None
 
     def needed_view_change(self, view: View, slow: set[MemberId], now_s: float) -> ViewChangeRequest | None:
-        """Return the next change of the view, if one is needed; `slow`: backups whose answer is overdue."""
+        """Return the view change that is needed now; None if there is none.
+
+        `slow` are the backups that have not acknowledged the command in flight in time.
+        """
         context = self._context
         suspects = {member for member in view.replicas if context.peers.is_suspect(member, now_s)}
         impaired = {member for member in view.replicas if not context.is_usable(member, now_s)} - suspects
@@ -68,46 +71,46 @@
 
     def _can_replace(self, view: View, impaired: set[MemberId], now_s: float) -> bool:
         usable = {member for member in view.members if self._context.is_usable(member, now_s)}
-        return len(usable) >= self._context.least_replicas(len(view.members)) and usable.isdisjoint(impaired)
+        return len(usable) >= self._context.min_replicas(len(view.members)) and usable.isdisjoint(impaired)
 
     def _has_better_replicas(self, view: View, now_s: float) -> bool:
-        """Return whether there could be more replicas, or as many in more regions or zones."""
+        """Return whether more replicas are possible, or the same number in more regions or zones."""
         context = self._context
-        steady = [member for member in view.members if self._is_steady(member, now_s)]
-        machines = [context.machine(member, now_s) for member in steady]
-        own_machine = context.machine(context.own_id, now_s)
-        count = context.wanted_replicas(len(view.members))
+        stable = [member for member in view.members if self._is_alive_long_enough(member, now_s)]
+        machines = [context.machine_status(member, now_s) for member in stable]
+        own_machine = context.machine_status(context.own_id, now_s)
+        count = context.target_replicas(len(view.members))
         wanted = choose_replicas(own_machine, machines, count, view.replicas)
         if len(wanted) != len(view.replicas):
             return len(wanted) > len(view.replicas)
         localities = {member: context.locality_of(member) for member in (*view.replicas, *wanted)}
         return count_failure_domains(wanted, localities) > count_failure_domains(view.replicas, localities)
 
-    def _is_steady(self, member: MemberId, now_s: float) -> bool:
+    def _is_alive_long_enough(self, member: MemberId, now_s: float) -> bool:
         if member == self._context.own_id:
             return True
         peer = self._context.peers.get(member.address)
         if peer is None or not self._context.is_usable(member, now_s):
             return False
-        return now_s - peer.alive_since_s >= self._context.timings.steady_s
+        return now_s - peer.alive_since_s >= self._context.timings.min_alive_s
 
     def _proposal(self, view: View, now_s: float) -> MembershipProposal | None:
         context = self._context
-        present = [context.machine(member, now_s) for member in view.members]
-        statuses = MachineStatuses(present, self._newcomers(view, now_s))
-        if statuses != self._rated:
-            self._rated = statuses
-            self._chosen = choose_members(
-                context.own_id, statuses.present, statuses.newcomers, context.tolerated_losses
+        current = [context.machine_status(member, now_s) for member in view.members]
+        statuses = MachineStatuses(current, self._newcomers(view, now_s))
+        if statuses != self._rated_statuses:
+            self._rated_statuses = statuses
+            self._chosen_members = choose_members(
+                context.own_id, statuses.current, statuses.newcomers, context.tolerated_losses
             )
-        if self._chosen is None:
+        if self._chosen_members is None:
             return None
-        return MembershipProposal(view.epoch, tuple(sorted(self._chosen)))
+        return MembershipProposal(view.epoch, tuple(sorted(self._chosen_members)))
 
     def _newcomers(self, view: View, now_s: float) -> list[MachineStatus]:
         """Return usable coordinators that could become members.
 
-        One at a member's address has replaced that member, and need not have been alive for long.
+        A coordinator at a member's address has replaced that member, and is exempt from `min_alive_s`.
         """
         context = self._context
         member_addresses = {member.address for member in view.members}
@@ -116,6 +119,6 @@
             candidate = peer.identity
             if candidate is None or candidate in view.members or not context.is_usable(candidate, now_s):
                 continue
-            if candidate.address in member_addresses or self._is_steady(candidate, now_s):
-                newcomers.append(context.machine(candidate, now_s))
+            if candidate.address in member_addresses or self._is_alive_long_enough(candidate, now_s):
+                newcomers.append(context.machine_status(candidate, now_s))
         return sorted(newcomers, key=lambda machine: machine.member)
--- a/coveport/serving/replication/records.py
+++ b/coveport/serving/replication/records.py
@@ -1,7 +1,7 @@
-"""Records that a replica keeps on its disk, and the durable state that they add up to.
+"""Records that a replica keeps on its disk, and the durable state that results from them.
 
-A record is stored as its fields in their order: a field may be renamed, never moved or retyped, and `RECORDS`
-gives each kind its number on the disk.
+A record is stored as its fields in their order: a field may be renamed, never moved or retyped. The position
+of a class in `RECORDS` is its number on the disk.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 class IdentityRecord:
     """The first record on an empty disk."""
 
-    disk: str
-    created_at_bootstrap: bool  # written while the whole system started for the first time
+    disk: str  # the disk id, random hex
+    created_at_bootstrap: bool  # written during the first start of the whole system
 
 
 @dataclass(frozen=True, slots=True)
 class PromisedEpochRecord:
-    """Everything below `epoch` is rejected from now on."""
+    """The promise to reject all epochs below `epoch`."""
 
     epoch: Epoch
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRecord:
-    """A complete state; replaces all states and commands before it."""
+    """A complete state, which replaces all earlier states and commands."""
 
     epoch: Epoch
     sequence: int
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandRecord:
-    """The command that leads to the state of `sequence`."""
+    """The command that leads from the state of `sequence - 1` to that of `sequence`."""
 
     epoch: Epoch
     sequence: int
@@ -61,7 +61,7 @@
 
 
 Record = IdentityRecord | PromisedEpochRecord | ViewRecord | ActiveEpochRecord | StateRecord | CommandRecord
-# In the order of their numbers on the disk.
+# Sorted by their numbers on the disk.
 RECORDS = (
     IdentityRecord,
     PromisedEpochRecord,
@@ -74,9 +74,9 @@
 
 @dataclass(slots=True)
 class DurableState:
-    """The sum of all records."""
+    """The result of applying all records."""
 
-    disk: str = ""  # empty: the disk was found empty
+    disk: str = ""  # the disk id; empty: the disk was found empty
     created_at_bootstrap: bool = False
     promised: Epoch = NO_EPOCH
     view: View | None = None
@@ -84,20 +84,20 @@
     state_epoch: Epoch = NO_EPOCH
     snapshot: bytes = b""
     snapshot_sequence: int = -1
-    commands: list[bytes] | None = None  # those after the snapshot
+    commands: list[bytes] | None = None  # commands after the snapshot; None: no state
 
     @property
     def sequence(self) -> int:
-        """Sequence of the newest command; -1 without a state."""
+        """Sequence of the newest command; -1 if there is no state."""
         return self.snapshot_sequence + len(self.commands or ())
 
     @property
     def has_state(self) -> bool:
-        """Whether a state was ever installed here."""
+        """Whether a state has ever been installed."""
         return self.snapshot_sequence >= 0
 
     def apply_record(self, record: Record) -> None:
-        """Add one record. Raises InconsistentRecordsError for a command that doesn't follow."""
+        """Apply one record. Raises InconsistentRecordsError for a command out of sequence."""
         match record:
             case IdentityRecord():
                 self.disk = record.disk
@@ -127,7 +127,7 @@
 
 
 def recover(records: Iterable[Record]) -> DurableState:
-    """Return what the records of a disk add up to. Raises InconsistentRecordsError."""
+    """Return the durable state that results from the records of a disk. Raises InconsistentRecordsError."""
     durable = DurableState()
     for record in records:
         durable.apply_record(record)
@@ -135,7 +135,7 @@
 
 
 def snapshot_records(durable: DurableState) -> tuple[Record, ...]:
-    """Return the fewest records that add up to the same."""
+    """Return the fewest records that result in the same durable state."""
     records: list[Record] = []
     if durable.disk:
         records.append(IdentityRecord(durable.disk, durable.created_at_bootstrap))
--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -1,10 +1,10 @@
-"""One replica of the control state: hands each event to the module that decides, returns the effects.
+"""One replica of the control state: dispatches each event to the responsible module, returns the effects.
 
-It dispatches; only the waits before an election after a start, a stall and a promise are set here. Owners:
+Besides dispatching, this module sets only the election delays after a start, a stall and a promise. Owners:
 
-- `acceptor.py`: the promise and the state held here; `journal.py`: the disk
-- `committed_log.py`: the committed state; `catch_up.py`: what others lack of it
-- `peers.py`: who is alive; `ping_sender.py`: the pings that report this replica's state
+- `acceptor.py`: the promise and the state of this replica; `journal.py`: the disk
+- `committed_log.py`: the committed state; `catch_up.py`: catch-up of peers that lack some of it
+- `peers.py`: the liveness of peers; `ping_sender.py`: the pings that report this replica's status
 - `leader_role.py`: follower, candidate or primary; with `election.py`, `view_change.py`, `bootstrap.py`,
   `primary.py`, `quorum_check.py` and `reconfiguration.py`
 """
@@ -55,24 +55,28 @@
 from coveport.serving.replication.state_machine import StateMachine
 from coveport.serving.replication.timings import Timings
 
-# A member that has just started first finds out who leads, unless all members answered before that.
-AFTER_START_S = 0.25
-# One that was frozen waits before it starts an election: what it knows of the others is old.
-AFTER_STALL_S = 0.5
+# A member that has just started listens for an active primary before an election, unless all members answer
+# earlier.
+STARTUP_ELECTION_DELAY_S = 0.25
+# A member that was frozen delays elections, since its status of the peers is outdated.
+STALL_ELECTION_DELAY_S = 0.5
 
 
 class Replica:
-    """Created once in a process, from what its disk held. Raises UnreadableStateError, DivergedStateError."""
+    """Entry point of the package; created once in a process, from the durable state on its disk.
+
+    Raises UnreadableStateError and DivergedStateError if that state can't be restored.
+    """
 
     def __init__(
         self,
         identity: MemberId,
         locality: Locality,
         seeds: tuple[str, ...],  # inner addresses
-        tolerated_losses: int,  # machines
+        tolerated_losses: int,  # number of machines
         durable: DurableState,
         state_machine: StateMachine,
-        jitter: Callable[[], float],  # 0 to 1, seeded by the caller
+        jitter: Callable[[], float],  # returns a random number from 0 to 1; seeded by the caller
         initial_state: bytes,
         now_s: float,
         timings: Timings = Timings(),  # noqa: B008 - frozen
@@ -93,7 +97,7 @@
             peers=Peers(identity, timings, now_s),
         )
         self._leader_role = LeaderRole(self._context, now_s, seeds, may_bootstrap, initial_state)
-        self._leader_role.election.need_all_members_until(now_s + AFTER_START_S)
+        self._leader_role.election.require_all_members_until(now_s + STARTUP_ELECTION_DELAY_S)
         self._ping_sender = PingSender(self._context, self._leader_role)
         self._catch_up = CatchUp(self._context, self._leader_role)
         self._last_tick_s = now_s
@@ -102,7 +106,7 @@
         self._add_peers_of_view()
 
     def add_peers(self, addresses: Iterable[str]) -> None:
-        """Stay in contact with these inner addresses too, members or not."""
+        """Add inner addresses of coordinators to stay in contact with, members or not."""
         for address in addresses:
             self._context.peers.add(address)
 
@@ -120,17 +124,17 @@
 
     @property
     def view_epoch(self) -> Epoch:
-        """Epoch of the newest accepted view; NO_EPOCH: none is known."""
+        """Epoch of the newest accepted view; NO_EPOCH if there is none."""
         return self._context.acceptor.view_epoch
 
     @property
     def is_primary(self) -> bool:
-        """Whether this is the active primary, as far as it knows."""
+        """Whether this replica acts as the active primary; a newer view may exist elsewhere."""
         return self._leader_role.is_active
 
     @property
     def primary_address(self) -> str | None:
-        """Inner address of the active primary; None if there is contact with none."""
+        """Inner address of the active primary; None without contact to one."""
         return self._leader_role.primary_address(self._now_s)
 
     @property
@@ -139,31 +143,31 @@
         return tuple(peer.address for peer in self._context.peers)
 
     def has_quorum(self, now_s: float) -> bool:
-        """Return whether we have two-way contact with a majority and with an active primary."""
+        """Return whether this replica has two-way contact with a majority and with an active primary."""
         view = self.view
         if view is None or not self._leader_role.election.reaches_majorities(view, now_s):
             return False
         return self.is_primary or bool(self._leader_role.election.leader_address(view, now_s))
 
-    def is_majority(self, others: Collection[MemberId]) -> bool:
-        """Return whether these, with us, are a majority of each group that decides; False without a view."""
+    def is_majority(self, members: Collection[MemberId]) -> bool:
+        """Return whether `members` and this replica are a majority of each group; False without a view."""
         view = self.view
         if view is None:
             return False
         groups = view.quorum_groups(self._context.journal.durable.active_epoch)
-        return has_majorities({*others, self._context.own_id}, groups)
+        return has_majorities({*members, self._context.own_id}, groups)
 
     def live_localities(self, now_s: float) -> dict[str, Locality]:
-        """Return the locality of each live coordinator, by inner address; ourselves included."""
+        """Return the locality of each live coordinator, this one included, by inner address."""
         localities = {peer.address: peer.locality for peer in self._context.peers.alive(now_s)}
         return localities | {self._context.own_id.address: self._context.locality}
 
     def is_safe_to_stop(self, now_s: float) -> bool:
-        """Return whether this process may end: no view needs what it holds."""
+        """Return whether this process may end: no view needs its state or its vote any more."""
         return is_safe_to_stop(self._context, now_s)
 
     def describe(self) -> dict[str, object]:
-        """Return role, view and progress, for the log and for `status`."""
+        """Return the role, the view and the committed sequence, for the log and for `status`."""
         durable = self._context.journal.durable
         view = durable.view
         return {
@@ -183,7 +187,7 @@
     # -- events --
 
     def handle(self, now_s: float, event: Event) -> list[Effect]:
-        """Take one event; return the effects to carry out, in order. Raises DivergedStateError."""
+        """Handle one event; return the effects to carry out, in order. Raises DivergedStateError."""
         self._now_s = now_s
         match event:
             case Tick():
@@ -206,7 +210,7 @@
         return self._context.outbox.take()
 
     def _run_to_fixpoint(self, now_s: float) -> None:
-        """Take the messages of this replica to itself and start calls, until nothing more follows."""
+        """Handle this replica's messages to itself and start calls, until there are no further messages."""
         outbox = self._context.outbox
         while True:
             while outbox.to_self:
@@ -220,7 +224,7 @@
                 return
 
     def _on_connected(self, now_s: float, address: str) -> None:
-        """Send a ping at once: what was sent on the connection before is lost."""
+        """Send a ping at once, since messages on the previous connection may be lost."""
         peer = self._context.peers.get(address)
         if peer is not None:
             peer.snapshot = None
@@ -232,17 +236,17 @@
         self._on_tick(now_s)
 
     def _on_tick(self, now_s: float) -> None:
-        if now_s - self._last_tick_s >= self._context.timings.stall_s:
+        if now_s - self._last_tick_s >= self._context.timings.stall_threshold_s:
             self._on_stall(now_s)
         self._last_tick_s = now_s
         self._ping_sender.tick(now_s)
         self._leader_role.tick(now_s)
 
     def _on_stall(self, now_s: float) -> None:
-        """Blame neither disk nor peers for the time during which this process was frozen."""
+        """Restart timers, so that a freeze of this process doesn't count as a fault of disk or peers."""
         self._context.journal.restart_timers(now_s)
         self._context.peers.restart_timers(now_s)
-        self._leader_role.on_stall(now_s, now_s + AFTER_STALL_S)
+        self._leader_role.on_stall(now_s, now_s + STALL_ELECTION_DELAY_S)
 
     # -- messages --
 
--- a/coveport/serving/replication/replica_context.py
+++ b/coveport/serving/replication/replica_context.py
@@ -1,4 +1,4 @@
-"""What the modules of one replica share: its settings, its state holders, and what is known of a member."""
+"""The context that the modules of one replica share: settings, state holders, and the status of members."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @dataclass(slots=True)
 class ReplicaContext:
-    """Shared by the roles of one replica."""
+    """The shared objects and settings of one replica."""
 
     own_id: MemberId
     locality: Locality
-    tolerated_losses: int  # machines
+    tolerated_losses: int  # number of machines
     timings: Timings
-    jitter: Callable[[], float]  # 0 to 1
+    jitter: Callable[[], float]  # returns a random number from 0 to 1
     outbox: Outbox
     journal: Journal
     acceptor: Acceptor
@@ -33,22 +33,22 @@
     is_shutting_down: bool = False
 
     def send(self, member: MemberId, message: Message) -> None:
-        """Send to a member, ourselves included."""
+        """Send a message to a member, which may be this replica itself."""
         self.outbox.send(member.address, message)
 
     def is_usable(self, member: MemberId, now_s: float) -> bool:
-        """Return whether a member is alive, its disk healthy, and it isn't shutting down."""
+        """Return whether a member is alive, has a healthy disk and isn't shutting down."""
         if member == self.own_id:
             return self.journal.is_healthy(now_s) and not self.is_shutting_down
         ping = self.peers.ping_of(member, now_s)
         return ping is not None and ping.is_healthy and not ping.is_shutting_down
 
     def locality_of(self, member: MemberId) -> Locality:
-        """Return where a member runs, as far as known."""
+        """Return a member's failure domains; UNKNOWN_LOCALITY before its first ping."""
         return self.locality if member == self.own_id else self.peers.locality_of(member)
 
-    def machine(self, member: MemberId, now_s: float) -> MachineStatus:
-        """Return what is known of a member's machine."""
+    def machine_status(self, member: MemberId, now_s: float) -> MachineStatus:
+        """Return the status of a member's machine."""
         since_contact_s = self.peers.since_contact_s(member, now_s)
         is_replaced = self.peers.is_replaced(member)
         ping = self.peers.ping_of(member, now_s)
@@ -57,14 +57,14 @@
             member=member,
             locality=self.locality_of(member),
             is_usable=self.is_usable(member, now_s),
-            is_lost=is_replaced or is_shutting_down or since_contact_s >= self.timings.replace_s,
-            is_droppable=is_replaced or since_contact_s >= self.timings.drop_s,
+            is_lost=is_replaced or is_shutting_down or since_contact_s >= self.timings.replace_after_s,
+            is_droppable=is_replaced or since_contact_s >= self.timings.drop_after_s,
         )
 
-    def least_replicas(self, member_count: int) -> int:
-        """Return how many replicas a view has at least; as many are alive whenever a majority is."""
+    def min_replicas(self, member_count: int) -> int:
+        """Return the minimum number of replicas of a view; a live majority always has enough members."""
         return min(self.tolerated_losses + 1, member_count // 2 + 1)
 
-    def wanted_replicas(self, member_count: int) -> int:
-        """Return how many replicas a view has when enough members are usable."""
+    def target_replicas(self, member_count: int) -> int:
+        """Return the number of replicas of a view that has enough usable members."""
         return min(self.tolerated_losses + 1, member_count)
--- a/coveport/serving/replication/shutdown.py
+++ b/coveport/serving/replication/shutdown.py
@@ -1,4 +1,4 @@
-"""Decides when the process of a replica may stop without making the core tolerate less."""
+"""Decides when the process of a replica may stop without reducing the core's fault tolerance."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def is_safe_to_stop(context: ReplicaContext, now_s: float) -> bool:
-    """Return whether no view needs the state held here, and another has this vote if one can."""
+    """Return whether no view needs this replica's state, and its vote has moved if a spare can take it."""
     durable = context.journal.durable
     view = durable.view
     if view is None:
@@ -18,7 +18,7 @@
 
 
 def _has_spare(context: ReplicaContext, view: View, now_s: float) -> bool:
-    """Return whether a live coordinator that is no member could take our vote."""
+    """Return whether a usable coordinator outside the view could become a member in this one's place."""
     candidates = [peer.identity for peer in context.peers.alive(now_s) if peer.identity is not None]
     return any(
         candidate not in view.members and context.is_usable(candidate, now_s) for candidate in candidates
--- a/coveport/serving/replication/state_machine.py
+++ b/coveport/serving/replication/state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that is replicated, as the core sees it."""
+"""The interface of the replicated state machine."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The command is valid: the state after it, and the result for its caller."""
+    """The outcome of a valid command: the state after it, and the result for its caller."""
 
     state: Any
     result: Any
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The command is invalid in this state: the reason, for its caller. Also the outcome of a Submit."""
+    """The outcome of a command that is invalid in the state; `result` is the reason, for its caller."""
 
     result: Any
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateMachine:
-    """How commands change a state, and how a state is encoded. `decode` raises UnreadableStateError."""
+    """The functions that apply commands and encode states. `decode` raises UnreadableStateError."""
 
     apply: Apply
     encode: Callable[[Any], bytes]
--- a/coveport/serving/replication/view_change.py
+++ b/coveport/serving/replication/view_change.py
@@ -1,15 +1,16 @@
-"""One attempt of one candidate to bring a view into force: prepare, fetch, install, accept.
+"""One attempt of a candidate to activate a new view: prepare, fetch, install, accept.
 
-Each step is repeated to those that don't answer:
+In each step, the candidate resends its request to the members that haven't answered:
 
-1. PREPARING: promises of a majority of each group of the newest view seen. A newer view in a promise widens
-   the groups that are asked.
-2. FETCHING: the state of one that promised and holds all that was acknowledged: a replica of the newest
-   view, or one whose state was installed under a later epoch.
-3. INSTALLING: the state synced at all replicas of the new view.
-4. ACCEPTING: the view synced at a majority of its members and, if these changed, of the members before.
+1. PREPARING: collect promises from a majority of each group of voters of the newest view seen. A newer view
+   in a promise replaces these groups.
+2. FETCHING: fetch the state from a member that promised and holds all acknowledged commands: a replica of the
+   newest view, or a member whose state was installed under a later epoch.
+3. INSTALLING: sync the state at all replicas of the new view.
+4. ACCEPTING: sync the view at a majority of its members and, if the members change, of the previous members.
 
-Then the view is active. docs/design/replication.md, 'Invariants', says why this loses nothing.
+Then the view is active. docs/design/replication.md, 'Invariants', explains why this loses no acknowledged
+command.
 """
 
 from __future__ import annotations
@@ -35,12 +36,12 @@
 from coveport.serving.replication.replica_context import ReplicaContext
 from coveport.serving.replication.timings import transfer_s
 
-EXTRA_PROMISES_WAIT_S = 0.12  # after a majority promised, for the promises of others alive, to choose among
-INSTALL_TIMEOUT_S = 0.45  # plus the time for the bytes; then another replica is chosen
+EXTRA_PROMISES_WAIT_S = 0.12  # after a majority promised, so that more states are available to choose from
+INSTALL_TIMEOUT_S = 0.45  # plus the time for the state's bytes; after this, another replica is chosen
 
 
 class Step(Enum):
-    """How far an attempt has come."""
+    """Steps of an attempt, in their order."""
 
     PREPARING = "preparing"
     FETCHING = "fetching"
@@ -51,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipProposal:
-    """Members to change to, if the newest view is still the one of `base` and is active."""
+    """Members of the next view, valid only while the view of `base` is the newest one and active."""
 
     base: Epoch
     members: tuple[MemberId, ...]
 
 
 class ViewChangeAttempt:
-    """The attempt of one epoch. Its owner gives it up when a step takes longer than `timeout_s`."""
+    """The attempt with one epoch. Its owner gives it up when a step takes longer than `timeout_s`."""
 
     def __init__(
         self,
@@ -73,7 +74,7 @@
         self.step = Step.PREPARING
         self.step_began_at_s = now_s
         self.view: View | None = None  # the new view, once it is proposed
-        self.excluded_by: View | None = None  # a newer view of which the candidate is no member
+        self.excluded_by: View | None = None  # a newer view whose members don't include the candidate
         self._context = context
         self._proposal = proposal
         self._avoided = set(avoided)
@@ -82,7 +83,7 @@
         self._promises: dict[MemberId, Promise] = {}
         self._majority_at_s: float | None = None
         self._source: MemberId | None = None
-        self._unreadable: set[MemberId] = set()  # members whose state can't be read
+        self._unreadable: set[MemberId] = set()  # members whose state can't be decoded
         self._sequence = -1
         self._state = b""
         self._replicas: tuple[MemberId, ...] = ()
@@ -94,20 +95,20 @@
 
     @property
     def continues_own_state(self) -> bool:
-        """Whether the view goes on from what the candidate itself held."""
+        """Whether the new view continues from the candidate's own state."""
         return self._source == self._context.own_id
 
     @property
     def timeout_s(self) -> float:
-        """How long the present step may take."""
-        return self._context.timings.attempt_s + self._transfer_s
+        """Time-out of the present step, in seconds."""
+        return self._context.timings.step_timeout_s + self._transfer_s
 
     @property
     def _transfer_s(self) -> float:
         return transfer_s(len(self._state))
 
     def handle(self, now_s: float, sender: MemberId, message: Message) -> None:
-        """Take an answer. One of another epoch or step is ignored."""
+        """Handle an answer; ignore answers for another epoch or step."""
         match message:
             case Promise():
                 self.on_promise(now_s, sender, message)
@@ -134,12 +135,12 @@
     def _send_prepares(self, now_s: float) -> None:
         self._last_send_s = now_s
         if self._context.own_id not in self._promises:
-            return  # our own promise must be synced before anyone learns of the epoch
+            return  # the candidate syncs its own promise before it sends the epoch to others
         for member in sorted(self._voters() - self._promises.keys()):
             self._context.send(member, Prepare(self.epoch))
 
     def on_promise(self, now_s: float, sender: MemberId, message: Promise) -> None:
-        """Count a promise; a newer view in it may bring in further voters, or exclude the candidate."""
+        """Count a promise; a newer view in it may add voters, or exclude the candidate."""
         if message.epoch != self.epoch or self.step is not Step.PREPARING:
             return
         voters_before = self._voters()
@@ -156,10 +157,10 @@
         self._advance_from_promises(now_s)
 
     def _may_lead_after(self, view: View) -> bool:
-        """Return whether the candidate may lead the next view after this one.
+        """Return whether the candidate may lead the view after `view`.
 
-        A primary is a replica, and only members are asked for the state: at one that is no member it would
-        be lost.
+        A primary is a replica, and later candidates fetch the state from members only: a replica that is no
+        member would hold acknowledged commands that no candidate finds.
         """
         return self._context.own_id in view.members
 
@@ -178,19 +179,19 @@
         self._begin_fetch(now_s)
 
     def _sources(self) -> list[MemberId]:
-        """Return those that promised and hold all that was acknowledged in the newest view and before."""
+        """Return the members that promised and hold all commands acknowledged up to the newest view."""
         return [
             member
             for member, promise in self._promises.items()
-            if self._holds_all(member, promise) and member not in self._unreadable
+            if self._holds_all_acknowledged(member, promise) and member not in self._unreadable
         ]
 
-    def _holds_all(self, member: MemberId, promise: Promise) -> bool:
-        """Return whether a member holds all that the newest view acknowledged.
+    def _holds_all_acknowledged(self, member: MemberId, promise: Promise) -> bool:
+        """Return whether a member holds all commands that the newest view acknowledged.
 
-        A replica of that view does, and one that installed a state under a later epoch. One that installed
-        under the view's own epoch, but was given up as too slow before the view was proposed, holds only what
-        there was then: the view's commands were never sent to it.
+        That is true of a replica of that view, and of a member that installed a state under a later epoch. It
+        is false of a member that installed the state under the view's own epoch but was replaced as too slow
+        before the view was proposed: it never received the view's commands.
         """
         newest = self._newest
         if promise.state_epoch == NO_EPOCH:
@@ -203,16 +204,16 @@
 
     def _begin_fetch(self, now_s: float) -> None:
         own_id = self._context.own_id
-        best = max(
+        source = max(
             self._sources(),
             key=lambda member: (self._promises[member].state_sequence, member == own_id, member),
         )
-        self._source = best
+        self._source = source
         self._enter(Step.FETCHING, now_s)
-        self._context.send(best, Fetch(self.epoch))
+        self._context.send(source, Fetch(self.epoch))
 
     def on_fetched(self, now_s: float, sender: MemberId, message: Fetched) -> None:
-        """Take the state; after an unreadable one another source is asked."""
+        """Keep the fetched state; if it can't be decoded, choose another source."""
         if message.epoch != self.epoch or self.step is not Step.FETCHING or sender != self._source:
             return
         if isinstance(self._context.acceptor.read_state(sender, message.state), UnreadableStateError):
@@ -240,13 +241,15 @@
     def _choose_replicas(self, now_s: float) -> None:
         context = self._context
         members = self._next_members()
-        machines = [context.machine(member, now_s) for member in members if self._is_usable(member, now_s)]
-        own_machine = context.machine(context.own_id, now_s)
-        wanted = context.wanted_replicas(len(members))
+        machines = [
+            context.machine_status(member, now_s) for member in members if self._is_usable(member, now_s)
+        ]
+        own_machine = context.machine_status(context.own_id, now_s)
+        wanted = context.target_replicas(len(members))
         replicas = choose_replicas(own_machine, machines, wanted, self._newest.replicas)
         self._replicas_chosen_at_s = now_s
-        if len(replicas) < context.least_replicas(len(members)):
-            self._avoided.clear()  # too few are left: try those again that were too slow
+        if len(replicas) < context.min_replicas(len(members)):
+            self._avoided.clear()  # too few are left: try the slow replicas again
             return
         self._replicas = replicas
         self._send_installs(now_s)
@@ -258,7 +261,7 @@
                 self._context.send(member, Install(self.epoch, self._sequence, self._state))
 
     def on_installed(self, now_s: float, sender: MemberId, message: Installed) -> None:
-        """Count a replica that has synced the state; once all have, propose the view."""
+        """Count a replica that has synced the state; propose the view when all replicas have."""
         if message.epoch != self.epoch or self.step is not Step.INSTALLING:
             return
         self._installed.add(sender)
@@ -295,7 +298,7 @@
             self._context.send(member, Accept(self.view, is_bootstrap=False))
 
     def on_accepted(self, now_s: float, sender: MemberId, message: Accepted) -> None:
-        """Count a member that has synced the view; with a majority of each group it is active."""
+        """Count a member that has synced the view; with a majority of each group the view is active."""
         if message.epoch != self.epoch or self.view is None or self.step is not Step.ACCEPTING:
             return
         self._accepted.add(sender)
@@ -305,8 +308,8 @@
     # -- time --
 
     def tick(self, now_s: float) -> None:
-        """Repeat what wasn't answered; choose another replica for one that is slow."""
-        must_resend = now_s - self._last_send_s >= self._context.timings.resend_s
+        """Resend requests that weren't answered; replace replicas that are slow."""
+        must_resend = now_s - self._last_send_s >= self._context.timings.resend_interval_s
         match self.step:
             case Step.PREPARING:
                 self._advance_from_promises(now_s)
@@ -325,5 +328,5 @@
             slow = set(self._replicas) - self._installed - {self._context.own_id}
             self._avoided.update(slow)
             self._choose_replicas(now_s)
-        elif now_s - self._last_send_s >= self._context.timings.resend_s + self._transfer_s:
+        elif now_s - self._last_send_s >= self._context.timings.resend_interval_s + self._transfer_s:
             self._send_installs(now_s)
--- a/tests/serving/replication/test_committed_log.py
+++ b/tests/serving/replication/test_committed_log.py
@@ -5,7 +5,7 @@
 import pytest
 from core_world import STATE_MACHINE, State, change, encode_state
 
-from coveport.serving.replication.committed_log import LEAST_TRANSFER_S, RECENT_COMMANDS, CommittedLog
+from coveport.serving.replication.committed_log import MIN_TRANSFER_S, RECENT_COMMANDS, CommittedLog
 from coveport.serving.replication.errors import DivergedStateError, ReplicationError
 from coveport.serving.replication.events import CommittedState, MessageRejected, Send
 from coveport.serving.replication.identity import MemberId
@@ -68,8 +68,8 @@
 def test_a_snapshot_is_sent_again_only_when_the_first_can_no_longer_arrive() -> None:
     case = Log(changes=1)
     assert case.log.catch_up(10.0, case.peer, -1)
-    assert not case.log.catch_up(10.0 + LEAST_TRANSFER_S / 2, case.peer, -1)
-    assert case.log.catch_up(10.0 + 2 * LEAST_TRANSFER_S, case.peer, -1)
+    assert not case.log.catch_up(10.0 + MIN_TRANSFER_S / 2, case.peer, -1)
+    assert case.log.catch_up(10.0 + 2 * MIN_TRANSFER_S, case.peer, -1)
     assert [effect.to_address for effect in case.outbox.take() if isinstance(effect, Send)] == [
         PEER.address
     ] * 2
--- a/tests/serving/replication/test_view_change_sources.py
+++ b/tests/serving/replication/test_view_change_sources.py
@@ -58,7 +58,7 @@
     slow = world.machines[view.replicas[1].address]
     slow.disk.hangs_until_s = world.now_s + 0.7
     assert machine.incarnation is not None
-    machine.incarnation.replica._leader_role.outvoted_since_s = world.now_s - 1.0
+    machine.incarnation.replica._leader_role.higher_promise_since_s = world.now_s - 1.0
     world.run_for(0.1)
     world.run_for(3.0, until=lambda: bool(world.primaries()))
     machine, after = leader(world)
