--- a/coveport/serving/replication/placement.py
+++ b/coveport/serving/replication/placement.py
@@ -34,14 +34,16 @@
 
 
 def choose_replicas(
-    primary: MachineStatus, candidates: Iterable[MachineStatus], count: int, current: Sequence[MemberId]
+    primary: MachineStatus, other_machines: Iterable[MachineStatus], count: int, current: Sequence[MemberId]
 ) -> tuple[MemberId, ...]:
     """Return up to `count` replicas, the primary first.
 
     Prefers machines in further regions, then in further zones, then the `current` replicas.
     """
     chosen = [primary]
-    remaining = [machine for machine in candidates if machine.is_usable and machine.member != primary.member]
+    remaining = [
+        machine for machine in other_machines if machine.is_usable and machine.member != primary.member
+    ]
     while remaining and len(chosen) < count:
         regions = {machine.locality.region for machine in chosen}
         zones = {machine.locality.zone for machine in chosen}
--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -149,13 +149,13 @@
             return False
         return self.is_primary or bool(self._leader_role.election.leader_address(view, now_s))
 
-    def is_majority(self, members: Collection[MemberId]) -> bool:
-        """Return whether `members` and this replica are a majority of each group; False without a view."""
+    def is_majority(self, other_members: Collection[MemberId]) -> bool:
+        """Return whether `other_members` and this replica are a majority of each group; False without a view."""
         view = self.view
         if view is None:
             return False
         groups = view.quorum_groups(self._context.journal.durable.active_epoch)
-        return has_majorities({*members, self._context.own_id}, groups)
+        return has_majorities({*other_members, self._context.own_id}, groups)
 
     def live_localities(self, now_s: float) -> dict[str, Locality]:
         """Return the locality of each live coordinator, this one included, by inner address."""
