--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -150,7 +150,10 @@
         return self.is_primary or bool(self._leader_role.election.leader_address(view, now_s))
 
     def is_majority(self, other_members: Collection[MemberId]) -> bool:
-        """Return whether `other_members` and this replica are a majority of each group; False without a view."""
+        """Return whether `other_members` and this replica are a majority of each group of voters.
+
+        Without a view, return False.
+        """
         view = self.view
         if view is None:
             return False
--- a/tests/serving/replication/test_committed_log.py
+++ b/tests/serving/replication/test_committed_log.py
@@ -1,4 +1,4 @@
-"""The committed state of one coordinator, and what a peer that is behind is sent of it."""
+"""The committed log of one coordinator, and the catch-up messages that it sends to peers."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 PEER = MemberId("10.0.0.2:7300", "another disk")
 
 
-class Log:
-    """A committed log with the effects that it had."""
+class LogFixture:
+    """A committed log with its outbox, after a number of changes."""
 
     def __init__(self, changes: int) -> None:
         self.outbox = Outbox(MemberId("10.0.0.1:7300", "a disk"))
@@ -33,72 +33,74 @@
 
 
 def test_an_older_state_is_ignored() -> None:
-    case = Log(changes=3)
-    case.log.advance(2, ("an older one",))
-    assert (case.log.sequence, len(case.log.state), case.outbox.take()) == (3, 3, [])
+    fixture = LogFixture(changes=3)
+    fixture.log.advance(2, ("an older one",))
+    assert (fixture.log.sequence, len(fixture.log.state), fixture.outbox.take()) == (3, 3, [])
 
 
 def test_a_newer_state_is_published() -> None:
-    case = Log(changes=1)
-    case.log.advance(5, ("a newer one",))
-    assert case.outbox.take() == [CommittedState(5, ("a newer one",), None)]
+    fixture = LogFixture(changes=1)
+    fixture.log.advance(5, ("a newer one",))
+    assert fixture.outbox.take() == [CommittedState(5, ("a newer one",), None)]
 
 
-@pytest.mark.parametrize("known", [-1, 0, 1, 2, 3])
-def test_a_peer_is_sent_the_commands_that_it_lacks_or_a_snapshot_without_any_state(known: int) -> None:
-    message = Log(changes=3).log.missing_after(known)
-    if known == 3:
+@pytest.mark.parametrize("peer_sequence", [-1, 0, 1, 2, 3])
+def test_a_peer_is_sent_the_commands_that_it_lacks_or_a_snapshot_without_any_state(
+    peer_sequence: int,
+) -> None:
+    message = LogFixture(changes=3).log.missing_after(peer_sequence)
+    if peer_sequence == 3:
         assert message is None
-    elif known < 0:
+    elif peer_sequence < 0:
         assert isinstance(message, CatchUpSnapshot)
         assert message.sequence == 3
     else:
         assert isinstance(message, CatchUpCommands)
-        assert (message.first, len(message.commands)) == (known + 1, 3 - known)
+        assert (message.first, len(message.commands)) == (peer_sequence + 1, 3 - peer_sequence)
 
 
 @pytest.mark.parametrize(
     ("missed", "kind"), [(RECENT_COMMANDS, CatchUpCommands), (RECENT_COMMANDS + 1, CatchUpSnapshot)]
 )
 def test_a_peer_that_missed_more_than_the_recent_commands_is_sent_a_snapshot(missed: int, kind: type) -> None:
-    log = Log(changes=RECENT_COMMANDS + 5).log
+    log = LogFixture(changes=RECENT_COMMANDS + 5).log
     assert isinstance(log.missing_after(log.sequence - missed), kind)
 
 
 def test_a_snapshot_is_sent_again_only_when_the_first_can_no_longer_arrive() -> None:
-    case = Log(changes=1)
-    assert case.log.catch_up(10.0, case.peer, -1)
-    assert not case.log.catch_up(10.0 + MIN_TRANSFER_S / 2, case.peer, -1)
-    assert case.log.catch_up(10.0 + 2 * MIN_TRANSFER_S, case.peer, -1)
-    assert [effect.to_address for effect in case.outbox.take() if isinstance(effect, Send)] == [
+    fixture = LogFixture(changes=1)
+    assert fixture.log.catch_up(10.0, fixture.peer, -1)
+    assert not fixture.log.catch_up(10.0 + MIN_TRANSFER_S / 2, fixture.peer, -1)
+    assert fixture.log.catch_up(10.0 + 2 * MIN_TRANSFER_S, fixture.peer, -1)
+    assert [effect.to_address for effect in fixture.outbox.take() if isinstance(effect, Send)] == [
         PEER.address
     ] * 2
 
 
 def test_commands_that_do_not_follow_are_skipped() -> None:
-    case = Log(changes=2)
+    fixture = LogFixture(changes=2)
     commands = tuple(change(number - 1, number, "x") for number in range(1, 5))
-    case.log.apply_commands(CatchUpCommands(1, commands))
-    assert (case.log.sequence, len(case.log.state)) == (4, 4)
-    case.log.apply_commands(CatchUpCommands(9, (change(8, 9, "x"),)))
-    assert case.log.sequence == 4
+    fixture.log.apply_commands(CatchUpCommands(1, commands))
+    assert (fixture.log.sequence, len(fixture.log.state)) == (4, 4)
+    fixture.log.apply_commands(CatchUpCommands(9, (change(8, 9, "x"),)))
+    assert fixture.log.sequence == 4
 
 
 def test_a_committed_command_that_is_refused_here_is_an_error() -> None:
-    case = Log(changes=2)
+    fixture = LogFixture(changes=2)
     with pytest.raises(DivergedStateError) as caught:
-        case.log.apply_commands(CatchUpCommands(3, (change(7, 8, "x"),)))
+        fixture.log.apply_commands(CatchUpCommands(3, (change(7, 8, "x"),)))
     assert isinstance(caught.value, ReplicationError)
-    assert case.log.sequence == 2
+    assert fixture.log.sequence == 2
 
 
 def test_a_snapshot_replaces_the_state_and_an_unreadable_one_is_reported() -> None:
-    case = Log(changes=1)
-    case.log.install_snapshot(PEER, CatchUpSnapshot(7, encode_state(("0|7|x",))))
-    assert (case.log.sequence, case.log.state) == (7, ("0|7|x",))
-    case.outbox.take()
-    case.log.install_snapshot(PEER, CatchUpSnapshot(9, b"\xff"))
-    (effect,) = case.outbox.take()
+    fixture = LogFixture(changes=1)
+    fixture.log.install_snapshot(PEER, CatchUpSnapshot(7, encode_state(("0|7|x",))))
+    assert (fixture.log.sequence, fixture.log.state) == (7, ("0|7|x",))
+    fixture.outbox.take()
+    fixture.log.install_snapshot(PEER, CatchUpSnapshot(9, b"\xff"))
+    (effect,) = fixture.outbox.take()
     assert isinstance(effect, MessageRejected)
     assert effect.sender == PEER.address
-    assert case.log.sequence == 7
+    assert fixture.log.sequence == 7
--- a/tests/serving/replication/test_core_basics.py
+++ b/tests/serving/replication/test_core_basics.py
@@ -1,4 +1,4 @@
-"""Founding, writing, reading and one hand-over, each in a calm world."""
+"""Bootstrap, writes, reads, restarts and one fail-over, in a world without further faults."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from coveport.serving.replication.events import Done, Newest, Outcome, ReadNewest, Submit
 from coveport.serving.replication.identity import Locality
 
-THREE = [Locality("a1", "a"), Locality("b1", "b"), Locality("c1", "c")]
+THREE_LOCALITIES = [Locality("a1", "a"), Locality("b1", "b"), Locality("c1", "c")]
 
 
-def founded(seed: int = 1, **settings: object) -> World:
-    world = World(seed, THREE, **settings)  # type: ignore[arg-type]
+def bootstrapped_world(seed: int = 1, **settings: object) -> World:
+    world = World(seed, THREE_LOCALITIES, **settings)  # type: ignore[arg-type]
     world.start_all()
     world.run_for(4.0, until=lambda: bool(world.primaries()))
     assert world.primaries()
@@ -36,8 +36,8 @@
     return outcomes[0] if outcomes else None
 
 
-def test_three_seeds_found_one_core_and_take_a_change() -> None:
-    world = founded()
+def test_three_seeds_bootstrap_one_core_and_accept_a_change() -> None:
+    world = bootstrapped_world()
     assert write(world, change(0, 5, "x")) == Done("done")
     assert read(world) == Newest(1, ("0|5|x",))
     world.run_for(1.0)
@@ -46,12 +46,12 @@
         assert machine.incarnation.committed[-1][1] == ("0|5|x",)
 
 
-def test_another_leads_after_the_primary_is_killed() -> None:
-    world = founded()
+def test_another_member_leads_after_the_primary_is_killed() -> None:
+    world = bootstrapped_world()
     assert write(world, change(0, 5, "x")) == Done("done")
-    lost = world.primary()
-    assert lost is not None
-    lost.kill()
+    killed_machine = world.primary()
+    assert killed_machine is not None
+    killed_machine.kill()
     killed_at_s = world.now_s
     world.run_for(5.0, until=lambda: bool(world.primaries()))
     assert world.now_s - killed_at_s < 2.0
@@ -60,7 +60,7 @@
 
 
 def test_all_killed_at_once_come_back_with_what_was_acknowledged() -> None:
-    world = founded()
+    world = bootstrapped_world()
     assert write(world, change(0, 5, "x")) == Done("done")
     for machine in world.machines.values():
         machine.kill(power=True)
@@ -72,8 +72,8 @@
     assert read(world) == Newest(1, ("0|5|x",))
 
 
-def test_members_that_all_started_anew_do_not_wait_to_listen() -> None:
-    world = founded()
+def test_a_restart_of_all_members_skips_the_startup_election_delay() -> None:
+    world = bootstrapped_world()
     assert write(world, change(0, 5, "x")) == Done("done")
     for machine in world.machines.values():
         machine.kill()
@@ -86,22 +86,22 @@
     for machine in world.machines.values():
         assert machine.incarnation is not None
         assert machine.incarnation.committed[-1][1] == ("0|5|x",), (
-            "a new primary teaches those without a state"
+            "a new primary sends the state to the members without one"
         )
 
 
-def test_a_founder_does_not_stand_against_its_own_founding() -> None:
+def test_the_bootstrap_proposer_starts_no_election_against_its_own_view() -> None:
     for seed in range(1, 8):
-        world = founded(seed)
+        world = bootstrapped_world(seed)
         world.run_for(1.0)
         primary = world.primary()
         assert primary is not None and primary.incarnation is not None
         assert primary.incarnation.replica.describe()["epoch"] == 1
 
 
-def test_one_that_starts_anew_beside_a_primary_leaves_it_in_place() -> None:
+def test_a_restarted_member_does_not_replace_an_active_primary() -> None:
     for seed in range(1, 8):
-        world = founded(seed)
+        world = bootstrapped_world(seed)
         primary = world.primary()
         assert primary is not None
         peers = [machine for machine in world.machines.values() if machine is not primary]
--- a/tests/serving/replication/test_core_interleavings.py
+++ b/tests/serving/replication/test_core_interleavings.py
@@ -1,4 +1,4 @@
-"""All interleavings of a few members, up to a bound; more with COVEPORT_CORE_STATES=30000."""
+"""All interleavings of a few members, up to a number of states; COVEPORT_CORE_STATES=30000 explores more."""
 
 from __future__ import annotations
 
@@ -9,7 +9,16 @@
 import pytest
 from core_explorer import FROM_THE_MIDST, SCENARIOS, Explorer, Scenario, frozen_clock
 
-LOSABLE = ("Prepare", "Promise", "Install", "Accept", "ViewActivated", "Append", "Committed", "Confirm")
+LOSABLE_KINDS = (
+    "Prepare",
+    "Promise",
+    "Install",
+    "Accept",
+    "ViewActivated",
+    "Append",
+    "Committed",
+    "Confirm",
+)
 WALKS = int(os.environ.get("COVEPORT_CORE_WALKS", "6"))
 STATES = int(os.environ.get("COVEPORT_CORE_STATES", "500"))
 DEPTH = 60
@@ -25,15 +34,15 @@
 
 
 @pytest.mark.parametrize("scenario", FROM_THE_MIDST, ids=lambda scenario: scenario.name)
-def test_a_scenario_begins_where_it_says(scenario: Scenario) -> None:
+def test_a_scenario_begins_after_its_prefix(scenario: Scenario) -> None:
     with frozen_clock():
         point = Explorer(scenario).first_point()
     assert [note.strip() for note in point.trail] == list(scenario.prefix)
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
-def test_drawn_paths_to_their_ends_keep_what_was_acknowledged(scenario: Scenario) -> None:
-    """Beyond the depth that all interleavings reach: each path ends only when nothing more can happen."""
+def test_random_paths_to_their_ends_keep_what_was_acknowledged(scenario: Scenario) -> None:
+    """Random paths go deeper than the search of all interleavings: each ends when no event is left."""
     explorer = Explorer(scenario)
     for seed in range(WALKS):
         explorer.walk(random.Random(seed))
@@ -42,13 +51,13 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
-def test_drawn_paths_with_lost_messages_keep_what_was_acknowledged(scenario: Scenario) -> None:
-    """Two messages of one kind are lost with their connections, and what was sent after them arrives."""
-    lost = 0
+def test_random_paths_with_lost_messages_keep_what_was_acknowledged(scenario: Scenario) -> None:
+    """Two messages of one kind are lost with their connections; messages sent after them arrive."""
+    lost_count = 0
     for seed in range(2 * WALKS):
-        chance = random.Random(seed)
-        kind = chance.choice(LOSABLE)
+        rng = random.Random(seed)
+        kind = rng.choice(LOSABLE_KINDS)
         budget = replace(scenario.budget, losses=(kind, kind))
         explorer = Explorer(replace(scenario, budget=budget))
-        lost += sum(note.startswith("lose") for note in explorer.walk(chance).trail)
-    assert lost, "the situation is reached"
+        lost_count += sum(note.startswith("lose") for note in explorer.walk(rng).trail)
+    assert lost_count, "the situation is reached"
--- a/tests/serving/replication/test_core_variants.py
+++ b/tests/serving/replication/test_core_variants.py
@@ -1,4 +1,4 @@
-"""Each broken variant of the core is caught, by the interleavings that lead to its fault."""
+"""Each broken variant of the core is caught by a scenario whose interleavings lead to its fault."""
 
 from __future__ import annotations
 
@@ -6,13 +6,15 @@
 from core_explorer import SCENARIOS, Explorer, InvariantError
 from core_variants import VARIANTS, broken
 
-STATES = 12_000  # three times what the slowest needs: how many are alike hangs on the order that sets have
+STATES = 12_000  # three times the need of the slowest variant, which varies with the iteration order of sets
 SCENARIO_BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
-TAKEN_IN = "a member is taken in while the excluded backup campaigns with the members before"
+MEMBER_JOINS = "a member is taken in while the excluded backup campaigns with the members before"
 SUPERSEDED_READS = "a superseded primary reads, writes and campaigns"
 SUPERSEDED_WRITES = "a superseded primary with a command in flight campaigns"
-NOT_WHICH_MEMBERS = "a former primary hears that a later view is active, but not which members it has"
-CAUGHT_IN = {
+LATER_VIEW_WITH_UNKNOWN_MEMBERS = (
+    "a former primary hears that a later view is active, but not which members it has"
+)
+SCENARIO_OF_VARIANT = {
     "promise_not_synced": "the witness loses power after it promised to a second candidate",
     "view_not_synced": SUPERSEDED_WRITES,
     "append_answered_before_sync": "a replica loses power in a hand-over",
@@ -28,23 +30,23 @@
     "takes_any_state": "an excluded backup campaigns with its old state",
     "ignores_newer_views": SUPERSEDED_WRITES,
     "half_is_enough": SUPERSEDED_READS,
-    "old_members_dont_count": TAKEN_IN,
+    "old_members_dont_count": MEMBER_JOINS,
     "replicas_not_awaited": "a change in flight, two candidates",
-    "view_not_awaited": TAKEN_IN,
+    "view_not_awaited": MEMBER_JOINS,
     "shows_uncommitted": SUPERSEDED_WRITES,
     "acceptor_keeps_no_fence": "the witness loses power after it promised to a second candidate",
     "in_flight_counts_as_done": SUPERSEDED_WRITES,
-    "later_view_activates_earlier_ones": NOT_WHICH_MEMBERS,
+    "later_view_activates_earlier_ones": LATER_VIEW_WITH_UNKNOWN_MEMBERS,
 }
 
 
 def test_every_variant_has_its_scenario() -> None:
-    assert CAUGHT_IN.keys() == VARIANTS.keys()
+    assert SCENARIO_OF_VARIANT.keys() == VARIANTS.keys()
     assert len(VARIANTS) >= 12
 
 
 @pytest.mark.parametrize("name", sorted(VARIANTS))
 def test_a_broken_variant_is_caught(name: str) -> None:
-    explorer = Explorer(SCENARIO_BY_NAME[CAUGHT_IN[name]])
+    explorer = Explorer(SCENARIO_BY_NAME[SCENARIO_OF_VARIANT[name]])
     with broken(name), pytest.raises(InvariantError):
         explorer.run(60, STATES)
--- a/tests/serving/replication/test_durable_records.py
+++ b/tests/serving/replication/test_durable_records.py
@@ -1,4 +1,4 @@
-"""What the records of a disk add up to."""
+"""The durable state that results from the records of a disk."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 FIRST, SECOND = Epoch(1, "disk-A"), Epoch(2, "disk-B")
 A = MemberId("A", "disk-A")
 VIEW = View(FIRST, A, (A,), (A,))
-ALL: tuple[Record, ...] = (
+RECORDS: tuple[Record, ...] = (
     IdentityRecord("disk-A", True),
     ViewRecord(VIEW),
     ActiveEpochRecord(FIRST),
@@ -32,8 +32,8 @@
 )
 
 
-def test_records_add_up_and_their_snapshot_adds_up_to_the_same() -> None:
-    durable = recover(ALL)
+def test_a_snapshot_of_the_records_results_in_the_same_durable_state() -> None:
+    durable = recover(RECORDS)
     assert (durable.disk, durable.created_at_bootstrap) == ("disk-A", True)
     assert (durable.view, durable.active_epoch, durable.promised) == (VIEW, FIRST, SECOND)
     assert (durable.state_epoch, durable.snapshot_sequence, durable.sequence) == (FIRST, 4, 6)
@@ -42,12 +42,12 @@
 
 
 def test_a_later_state_replaces_the_commands_before_it() -> None:
-    durable = recover((*ALL, StateRecord(SECOND, 9, b"newer")))
+    durable = recover((*RECORDS, StateRecord(SECOND, 9, b"newer")))
     assert (durable.state_epoch, durable.sequence, durable.commands) == (SECOND, 9, [])
 
 
 def test_a_promise_never_goes_back() -> None:
-    assert recover((*ALL, PromisedEpochRecord(FIRST))).promised == SECOND
+    assert recover((*RECORDS, PromisedEpochRecord(FIRST))).promised == SECOND
 
 
 @pytest.mark.parametrize(
@@ -57,4 +57,4 @@
 )
 def test_a_command_that_does_not_follow_is_an_error(record: Record) -> None:
     with pytest.raises(InconsistentRecordsError, match="doesn't follow 6"):
-        recover((*ALL, record))
+        recover((*RECORDS, record))
--- a/tests/serving/replication/test_partition_during_reconfiguration.py
+++ b/tests/serving/replication/test_partition_during_reconfiguration.py
@@ -1,4 +1,4 @@
-"""A coordinator is cut off for twenty seconds just as it is taken in or leaves, while operators go on."""
+"""A coordinator is partitioned for 21 s while it joins or leaves the core, under concurrent operators."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 from core_history import Verdict
 from core_schedules import Schedule
 from core_world import Machine, World
-from test_core_faults import leader
+from test_core_faults import primary_and_view
 
 from coveport.serving.replication.events import ShutdownRequested
 
-CUT_S = 21.0
+PARTITION_S = 21.0
 SEEDS = range(4)
 
 
 def partition(world: World, machine: Machine) -> Callable[[], None]:
-    """Nothing passes between it and any other; what ends that."""
+    """Block all links of a machine; return a function that unblocks them."""
     links = {(machine.address, peer) for peer in world.machines}
     links |= {(receiver, sender) for sender, receiver in links}
     world.blocked_links |= links
     return lambda: world.blocked_links.difference_update(links)
 
 
-def taken_in(schedule: Schedule, after_s: float) -> Machine:
-    """A member is gone for good; its successor comes, and is cut off so long after its start."""
+def join_core(schedule: Schedule, after_s: float) -> Machine:
+    """Remove a member for good and start its replacement; return the replacement `after_s` later."""
     world = schedule.world
-    _, view = leader(world)
-    victim = world.machines[world.random.choice(view.members).address]
-    victim.remove()
-    newcomer = world.add_machine(victim.locality)
+    _, view = primary_and_view(world)
+    removed_machine = world.machines[world.random.choice(view.members).address]
+    removed_machine.remove()
+    newcomer = world.add_machine(removed_machine.locality)
     newcomer.start()
     world.run_for(after_s)
     return newcomer
 
 
-def leaving(schedule: Schedule, after_s: float) -> Machine:
-    """A member was told to stop so long ago; another could take its place."""
+def leave_core(schedule: Schedule, after_s: float) -> Machine:
+    """Shut down a member that a spare could replace; return that member `after_s` later."""
     world = schedule.world
-    _, view = leader(world)
+    _, view = primary_and_view(world)
     member = world.machines[world.random.choice(view.members).address]
     newcomer = world.add_machine(member.locality)
     newcomer.start()
@@ -52,9 +52,9 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("after_s", [0.0, 0.05, 0.1, 0.2, 0.5, 1.0, 1.2, 1.5, 2.0])
-@pytest.mark.parametrize("role", [taken_in, leaving])
-def test_cut_off_as_it_comes_or_goes(
-    role: Callable[[Schedule, float], Machine], after_s: float, seed: int
+@pytest.mark.parametrize("reconfigure", [join_core, leave_core])
+def test_a_coordinator_partitioned_while_joining_or_leaving_catches_up(
+    reconfigure: Callable[[Schedule, float], Machine], after_s: float, seed: int
 ) -> None:
     schedule = Schedule(9000 + seed)
     world = schedule.world
@@ -65,18 +65,20 @@
     for operator in schedule.operators:
         operator.begin()
     world.run_for(0.5)
-    machine = role(schedule, after_s)
+    machine = reconfigure(schedule, after_s)
     heal = partition(world, machine)
-    acknowledged = len(schedule.calls)
-    world.run_for(CUT_S)
-    while_cut = [call for call in schedule.calls[acknowledged:] if call.verdict is Verdict.ACCEPTED]
-    assert while_cut, "the others go on"
+    calls_before = len(schedule.calls)
+    world.run_for(PARTITION_S)
+    accepted_during_partition = [
+        call for call in schedule.calls[calls_before:] if call.verdict is Verdict.ACCEPTED
+    ]
+    assert accepted_during_partition, "the other members accept changes"
     heal()
     world.run_for(3.0)
     assert schedule._finish().violations == []
-    newest = leader(world)[0].incarnation
+    newest = primary_and_view(world)[0].incarnation
     assert newest is not None and machine.incarnation is not None
     assert (
         machine.incarnation.replica._context.committed_log.sequence
         == newest.replica._context.committed_log.sequence
-    ), "it caught up"
+    ), "the machine has caught up"
--- a/tests/serving/replication/test_placement.py
+++ b/tests/serving/replication/test_placement.py
@@ -1,4 +1,4 @@
-"""Which machines become members and replicas."""
+"""The choice of members and replicas among machines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def machine(name: str, zone: str, is_lost: bool = False, is_droppable: bool = False) -> MachineStatus:
-    """A machine in a zone whose first letter is its region."""
+    """Return the status of a machine; the first letter of its zone is its region."""
     return MachineStatus(
         member=MemberId(name, f"disk-{name}"),
         locality=Locality(zone, zone[0]),
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("others", "expected"),
+    ("other_machines", "expected"),
     [
         ([machine("B", "a1"), machine("C", "a2")], ["A", "C"]),
         ([machine("B", "a2"), machine("C", "b1")], ["A", "C"]),
@@ -45,9 +45,9 @@
     ids=["another zone", "another region", "the lowest", "none that is lost", "fewer than wanted"],
 )
 def test_replicas_are_chosen_in_other_failure_domains(
-    others: list[MachineStatus], expected: list[str]
+    other_machines: list[MachineStatus], expected: list[str]
 ) -> None:
-    assert names(choose_replicas(A, others, 2, ())) == expected
+    assert names(choose_replicas(A, other_machines, 2, ())) == expected
 
 
 def test_a_present_replica_is_kept_where_another_is_no_better() -> None:
@@ -79,7 +79,7 @@
     assert names(chosen) == (["A", "B", "C"] if is_droppable else [])
 
 
-def test_of_three_members_a_droppable_one_is_kept_since_two_tolerate_nothing_more() -> None:
+def test_a_droppable_member_of_three_is_kept_since_two_members_tolerate_no_more() -> None:
     lost = machine("C", "c1", is_lost=True, is_droppable=True)
     assert choose_members(A.member, [A, B, lost], [], 1) is None
 
