--- a/tests/serving/replication/test_catch_up.py
+++ b/tests/serving/replication/test_catch_up.py
@@ -47,7 +47,7 @@
     return machine.start
 
 
-def freeze(world: World, machine: Machine) -> Callable[[], object]:
+def freeze_machine(world: World, machine: Machine) -> Callable[[], object]:
     machine.freeze()
     return machine.thaw
 
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("role", ["primary", "backup", "witness"])
-@pytest.mark.parametrize("fault", [isolate, lose_power, freeze, slow_disk, full_disk])
+@pytest.mark.parametrize("fault", [isolate, lose_power, freeze_machine, slow_disk, full_disk])
 def test_a_member_that_missed_a_thousand_changes_leads_with_all_of_them(
     fault: Callable[[World, Machine], Callable[[], object]], role: str
 ) -> None:
