--- a/coveport/serving/model/configuration.py
+++ b/coveport/serving/model/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, as the system uses it. `wire/configuration.py` has the names of its JSON."""
+"""The operator's configuration as the system uses it; its JSON names are in `wire/configuration.py`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 
     SAFE = "safe"  # idempotent: may run more than once
     UNSAFE = "unsafe"  # runs at most once per attempt of the client
-    STREAMING = "streaming"  # answered with events; runs at most once unless the route is resumable
+    STREAMING = (
+        "streaming"  # answered with a stream of events; runs at most once unless the route is resumable
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,26 +26,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests for a host and a path prefix go."""
+    """The services and rules for requests with a host and a path prefix."""
 
     name: str
     host: str
     path_prefix: str
     kind: RouteKind
     timeout_ms: float  # deadline of a request, unless its client gives an earlier one
-    latency_target_ms: float = 0.0  # an answer within that earns its full value; 0: none
-    priority: int = 0  # 0 is served first
+    latency_target_ms: float = 0.0  # a response within it has its full value; 0: no target
+    priority: int = 0  # requests of priority 0 are served first
     services: tuple[WeightedService, ...] = ()
-    max_attempts: int = 1  # nodes that one request may be sent to, one after the other
+    max_attempts: int = 1  # most nodes that a request may be sent to, one after another
     session_affinity: bool = False  # accepted in a configuration, but not acted on
-    resumable: bool = False  # a stream may go on at another node, behind its last event
-    inter_token_target_ms: float = 0.0  # the longest gap between two events that is still in time
-    home_regions: frozenset[str] = frozenset()  # empty: anywhere
-    is_public: bool = False  # needs no API key
+    resumable: bool = False  # a stream may continue on another node after its last event
+    inter_token_target_ms: float = 0.0  # longest gap between two events that is not late; 0: no target
+    home_regions: frozenset[str] = frozenset()  # regions whose nodes may serve; empty: any
+    is_public: bool = False  # whether requests need no API key
 
     @property
     def is_idempotent(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Whether a request may run more than once."""
         return self.kind is RouteKind.SAFE or (self.kind is RouteKind.STREAMING and self.resumable)
 
 
@@ -52,17 +54,17 @@
     """The capacity of a model server."""
 
     slots: int = 0  # requests that run concurrently
-    kv_cache_tokens: int = 0  # capacity, for running requests and cached prefixes together
+    kv_cache_tokens: int = 0  # capacity for running requests and cached prefixes together
     tokens_per_event: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Scaling:
-    """How many nodes of a service the platform may be asked for, in each zone."""
+    """Limits on the number of nodes of a service in each zone that is ordered from the platform."""
 
     min_nodes: int
     max_nodes: int
-    boot_s: float = 0.0  # from an order until the new nodes serve
+    boot_s: float = 0.0  # time from an order until the new nodes serve
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,11 +73,11 @@
 
     name: str
     health_path: str = "/health"
-    max_connections: int = 0  # of one node, from all proxies together; 0: no limit given
+    max_connections: int = 0  # connections to one node from all proxies together; 0: no limit
     warm_up_s: float = 0.0
-    warm_up_rate: float = 0.0  # requests a second that a node takes while it warms up; 0: no limit
+    warm_up_rate: float = 0.0  # requests per second to a node that is warming up; 0: no limit
     engine: Engine | None = None
-    scaling: Scaling | None = None  # None: the number of nodes can't be changed
+    scaling: Scaling | None = None  # None: the service is not scaled
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,13 +86,13 @@
 
     name: str
     api_keys: tuple[str, ...] = field(default=(), repr=False)
-    priority: int | None = None  # goes before that of the route; None: the route's
-    home_regions: frozenset[str] = frozenset()  # they bind beside those of the route; empty: anywhere
+    priority: int | None = None  # overrides the route's priority; None: the route's applies
+    home_regions: frozenset[str] = frozenset()  # apply in addition to the route's; empty: any
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Limits on what a client sends, and on the time that it takes."""
+    """Limits on the size and the duration of client requests."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
--- a/coveport/serving/model/findings.py
+++ b/coveport/serving/model/findings.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """A fault: its location (a path such as `Routes[3].DeadlineMs`) and what is wrong."""
+    """A fault in an input: its location (a path such as `Routes[3].DeadlineMs`) and its description."""
 
     location: str
     message: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why there is no result. Returned, not raised, as a refusal is an ordinary outcome; it is falsy."""
+    """The reason why there is no result. It is falsy, and returned, not raised: it is an ordinary outcome."""
 
     reason: str
     findings: tuple[Finding, ...] = ()
--- a/coveport/serving/model/node.py
+++ b/coveport/serving/model/node.py
@@ -8,49 +8,53 @@
 
 
 class NodeState(Enum):
-    """Whether a node accepts new requests. The values are those on the wire between our processes."""
+    """Whether a node accepts new requests. The values are sent between the system's processes."""
 
     ACCEPTING = "accepting"
-    DRAINING = "closing"  # finishes the requests it has; never undone within an incarnation
-    DEREGISTERED = "gone"  # never comes back
+    DRAINING = "closing"  # finishes its requests; an incarnation never accepts again
+    DEREGISTERED = "gone"  # final for an incarnation
 
 
-_STATE_ORDER: Final = (NodeState.ACCEPTING, NodeState.DRAINING, NodeState.DEREGISTERED)  # never goes back
+_STATE_ORDER: Final = (
+    NodeState.ACCEPTING,
+    NodeState.DRAINING,
+    NodeState.DEREGISTERED,
+)  # a state is never followed by an earlier one
 
 
 @dataclass(frozen=True, slots=True)
 class Node:
     """One incarnation of a node: one start of its process.
 
-    It is sent within messages, which are encoded by the order of fields: none may be moved or retyped.
+    Messages contain nodes, and encode fields by their order: no field may be moved or change its type.
     """
 
     incarnation: str  # InstanceId on the wire: new at every start
-    sequence: int  # of the heartbeat with this report; the highest wins
+    sequence: int  # sequence number of the heartbeat with this report; the highest wins
     service: str
     address: str  # ip:port
     zone: str
     region: str
-    slots: int  # requests that it runs concurrently
+    slots: int  # requests that the node runs concurrently
     state: NodeState
-    # Both times count from when the report was received, as clocks differ between machines.
-    warm_up_left_ms: float = 0.0  # until it has warmed up; 0: it has
-    shutdown_in_ms: float = 0.0  # until it ends, whatever it still runs; 0: not announced
+    # Both times start at the receipt of the report, because clocks differ between machines.
+    warm_up_left_ms: float = 0.0  # remaining warm-up time; 0: the node has warmed up
+    shutdown_in_ms: float = 0.0  # time until the node ends, even with requests running; 0: not announced
 
     def is_newer_than(self, other: Node) -> bool:
-        """Return whether this report replaces another of the same incarnation."""
+        """Return whether this report replaces the other report on the same incarnation."""
         rank = _STATE_ORDER.index(self.state)
         other_rank = _STATE_ORDER.index(other.state)
         return rank > other_rank or (rank == other_rank and self.sequence > other.sequence)
 
 
-DEREGISTRATION_SEQUENCE: Final = 1 << 60  # above that of every heartbeat
+DEREGISTRATION_SEQUENCE: Final = 1 << 60  # higher than that of any heartbeat
 
 
-def deregistration(incarnation: str, remembered_ms: float = 0.0) -> Node:
-    """Return the report that an incarnation is gone for good.
+def deregistration(incarnation: str, tombstone_left_ms: float = 0.0) -> Node:
+    """Return the report that an incarnation is deregistered.
 
-    `remembered_ms`: for how long its tombstone is still kept; 0: the longest.
+    `tombstone_left_ms` is the remaining retention of its tombstone; 0: the full retention.
     """
     return Node(
         incarnation=incarnation,
@@ -61,5 +65,5 @@
         region="",
         slots=0,
         state=NodeState.DEREGISTERED,
-        shutdown_in_ms=remembered_ms,
+        shutdown_in_ms=tombstone_left_ms,
     )
--- a/coveport/serving/model/true_clock.py
+++ b/coveport/serving/model/true_clock.py
@@ -1,4 +1,4 @@
-"""Unix time that a step of the wall clock doesn't move: the monotonic clock plus a median offset. Pure."""
+"""Unix time that ignores steps of the wall clock: the monotonic clock plus a median offset. Pure."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import Final
 
 SAMPLE_INTERVAL_S: Final = 1.0
-SAMPLE_RETENTION_S: Final = 60.0  # a step of the wall clock counts once it has lasted half of this
+SAMPLE_RETENTION_S: Final = 60.0  # a step of the wall clock takes effect after half of this time
 
 
 class TrueClock:
-    """Owns the offsets that the wall clock has had to the monotonic clock lately."""
+    """A clock with the median of the recent offsets between the wall clock and the monotonic clock."""
 
     def __init__(self) -> None:
         """Create a clock; `observe` must be called before the first `unix_s`."""
@@ -18,7 +18,7 @@
         self._offset_s = 0.0
 
     def observe(self, monotonic_s: float, unix_s: float) -> None:
-        """Take what both clocks say now; to be called often: all but one call a second are ignored."""
+        """Record both clocks' current times; calls within `SAMPLE_INTERVAL_S` of the last are ignored."""
         samples = self._samples
         if samples and monotonic_s - samples[-1][0] < SAMPLE_INTERVAL_S:
             return
@@ -29,5 +29,5 @@
         self._offset_s = offsets[(len(offsets) - 1) // 2]
 
     def unix_s(self, monotonic_s: float) -> float:
-        """Return the Unix time at a moment of the monotonic clock."""
+        """Return the Unix time at a time of the monotonic clock."""
         return monotonic_s + self._offset_s
--- a/coveport/serving/proxy/coordinator_selection.py
+++ b/coveport/serving/proxy/coordinator_selection.py
@@ -1,7 +1,7 @@
-"""Selects the coordinator that a proxy asks: the nearest live one, others while that one fails. Pure.
+"""Selects the coordinator that a proxy polls: the nearest live one, or another while that one fails. Pure.
 
-Near ones cost fewer bytes between zones and regions and answer sooner; which ones are near is known only once
-a coordinator has named all live ones.
+A near coordinator answers sooner, and its answers cost fewer bytes between zones and regions. The localities
+of the coordinators are unknown until one of them has sent the list of all live ones.
 """
 
 from __future__ import annotations
@@ -12,40 +12,40 @@
 
 from coveport.serving.wire.messages import CoordinatorEndpoint
 
-FAILURE_BACKOFF_S = 4.0  # in which a failed one is passed over for one further away; not measured
+FAILURE_BACKOFF_S = 4.0  # time after a failure in which coordinators further away are preferred
 
-SAME_ZONE, SAME_REGION, OTHER_REGION, UNKNOWN_LOCALITY = range(4)  # distances
+SAME_ZONE, SAME_REGION, OTHER_REGION, UNKNOWN_LOCALITY = range(4)  # distances, nearest first
 
 
 @dataclass(slots=True)
 class CoordinatorSelector:
-    """What one proxy knows of coordinators."""
+    """The coordinators that one proxy can poll, with their localities and recent failures."""
 
     zone: str
     region: str
-    seeds: tuple[str, ...]  # inner addresses, in the order to begin with
-    _live: dict[str, CoordinatorEndpoint] = field(default_factory=dict)  # by address
-    _failed_at_s: dict[str, float] = field(default_factory=dict)
+    seeds: tuple[str, ...]  # addresses between the system's processes, in the order of the first polls
+    _live_endpoints: dict[str, CoordinatorEndpoint] = field(default_factory=dict)  # by address
+    _failed_at_s: dict[str, float] = field(default_factory=dict)  # time of the last failure, by address
 
     def update_endpoints(self, endpoints: Iterable[CoordinatorEndpoint]) -> None:
         """Replace the list of live coordinators."""
-        self._live = {endpoint.address: endpoint for endpoint in endpoints}
+        self._live_endpoints = {endpoint.address: endpoint for endpoint in endpoints}
 
     def record_failure(self, address: str, now_s: float) -> None:
         """Record that a coordinator did not answer, or has no quorum."""
         self._failed_at_s[address] = now_s
 
     def by_preference(self, now_s: float) -> list[str]:
-        """Return all known coordinators, the one to ask first in front."""
-        known = dict.fromkeys([*self._live, *self.seeds])
-        return sorted(known, key=lambda address: self._rank(address, now_s))
+        """Return the addresses of all known coordinators in the order of preference."""
+        addresses = dict.fromkeys([*self._live_endpoints, *self.seeds])
+        return sorted(addresses, key=lambda address: self._rank(address, now_s))
 
     def nearer_than(self, address: str, now_s: float) -> str | None:
-        """Return a nearer coordinator that is live and did not fail recently, if there is one."""
+        """Return a live coordinator nearer than `address` that did not fail recently, or None."""
         for candidate in self.by_preference(now_s):
             if candidate == address:
                 return None
-            if candidate in self._live and not self._is_backing_off(candidate, now_s):
+            if candidate in self._live_endpoints and not self._is_backing_off(candidate, now_s):
                 return candidate if self._distance(candidate) < self._distance(address) else None
         return None
 
@@ -58,7 +58,7 @@
         return now_s - self._failed_at_s.get(address, -inf) < FAILURE_BACKOFF_S
 
     def _distance(self, address: str) -> int:
-        endpoint = self._live.get(address)
+        endpoint = self._live_endpoints.get(address)
         if endpoint is None:
             return UNKNOWN_LOCALITY
         if endpoint.zone == self.zone:
--- a/coveport/serving/proxy/counters.py
+++ b/coveport/serving/proxy/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the data path did since it started, for the log."""
+"""Counts the events of the data path since its start, for the log."""
 
 from __future__ import annotations
 
--- a/coveport/serving/proxy/latency_estimate.py
+++ b/coveport/serving/proxy/latency_estimate.py
@@ -1,13 +1,14 @@
-"""Estimates how fast nodes answer this proxy's streams, and finds nodes that don't answer at all. Pure.
+"""Estimates the latency of nodes in this proxy's streams, and finds nodes that don't respond at all. Pure.
 
-- A node is *saturated* while the mean gap between the events of this proxy's streams there is more than a
-  part of the route's target: it prefills in every step, and each further request makes its streams late.
-- A node is *unresponsive* while requests are pending there and it has sent nothing at all for
-  `UNRESPONSIVE_S`: its region may be partitioned off. A request that can't be retried would be lost there.
-  A connect that comes up ends the suspicion.
+- A node is *saturated* while the mean gap between the events of this proxy's streams there exceeds
+  `SATURATED_GAP_RATIO` of the route's target: it prefills in every step, and each further request makes its
+  streams late.
+- A node is *unresponsive* while requests are pending there and it has sent no byte for `UNRESPONSIVE_S`: its
+  region may be partitioned off, and a request that can't be retried would be lost there. A successful connect
+  makes it responsive again.
 
-Both stand in one class because both are updated for every read of a response: two classes would be one more
-call there.
+One class holds both estimates because both are updated for every read of a response: two classes would need
+one more call there.
 """
 
 from __future__ import annotations
@@ -15,19 +16,21 @@
 from dataclasses import dataclass, field
 from math import exp
 
-DECAY_S = 0.7  # time constant of the mean: some twenty events of an undisturbed stream; not measured
-MIN_GAPS = 1.5  # decayed count of gaps from which on the mean is used: one alone may be chance; not measured
-SATURATED_GAP_RATIO = 0.15  # of the target; undisturbed: under 0.1; measurement `saturated-gap`
-UNRESPONSIVE_S = 0.8  # with 0.5 s live nodes were left; measurement `unresponsive-time`
+DECAY_S = 0.7  # time constant of the mean: about twenty events of an undisturbed stream
+MIN_GAPS = 1.5  # least decayed count of gaps for a mean: a single long gap may be chance
+SATURATED_GAP_RATIO = (
+    0.15  # of the target; undisturbed streams stay under 0.1 (docs/policy.md, `saturated-gap`)
+)
+UNRESPONSIVE_S = 0.8  # 0.5 s ejected live nodes (docs/policy.md, `unresponsive-time`)
 
 
 @dataclass(slots=True)
 class _NodeLatency:
-    gap_sum_s: float = 0.0  # decaying
-    gap_count: float = 0.0  # decaying alike
-    decayed_at_s: float = 0.0
-    pending_requests: int = 0  # of this proxy, sent and not completely answered
-    last_received_s: float = 0.0  # or when the first pending request was sent, or a connect came up
+    gap_sum_s: float = 0.0  # decaying sum of the gaps
+    gap_count: float = 0.0  # decaying count of the gaps
+    decayed_at_s: float = 0.0  # time of the last decay
+    pending_requests: int = 0  # this proxy's requests that were sent and not completely answered
+    last_received_s: float = 0.0  # time of the last byte, successful connect, or send without others pending
 
     def decay(self, now_s: float) -> None:
         factor = exp(-max(0.0, now_s - self.decayed_at_s) / DECAY_S)
@@ -50,13 +53,16 @@
         node.pending_requests += 1
 
     def record_ended(self, incarnation: str) -> None:
-        """Record that a request is no longer pending there."""
+        """Record that a request to the node is no longer pending."""
         node = self._nodes.get(incarnation)
         if node is not None and node.pending_requests:
             node.pending_requests -= 1
 
     def record_received(self, incarnation: str, gap_s: float | None, now_s: float) -> None:
-        """Record bytes of a response, and the gap since those before; None: they are its first."""
+        """Record that bytes of a response were received.
+
+        `gap_s` is the time since the previous bytes of the response; None: these are its first.
+        """
         node = self._nodes.setdefault(incarnation, _NodeLatency())
         node.last_received_s = now_s
         if gap_s is not None:
@@ -65,15 +71,15 @@
             node.gap_count += 1
 
     def record_reachable(self, incarnation: str, now_s: float) -> None:
-        """Record that a connect came up: whatever is pending, the node can be reached."""
+        """Record that a connect to the node succeeded: it is reachable, even if its responses are pending."""
         node = self._nodes.get(incarnation)
         if node is not None:
             node.last_received_s = now_s
 
     def is_saturated(self, incarnation: str, gap_target_s: float, now_s: float) -> bool:
-        """Return whether streams there are about to be late; False where too few events tell.
+        """Return whether the node is saturated; False where too few gaps are recorded.
 
-        `gap_target_s` is the route's target for gaps between events; 0: it has none.
+        `gap_target_s` is the route's target for gaps between events; 0: the route has no target.
         """
         node = self._nodes.get(incarnation)
         if node is None or gap_target_s <= 0:
@@ -85,7 +91,7 @@
         )
 
     def unresponsive(self, now_s: float) -> list[str]:
-        """Return the nodes with pending requests that have sent nothing for too long."""
+        """Return the incarnations with pending requests that have sent nothing for `UNRESPONSIVE_S`."""
         return [
             incarnation
             for incarnation, node in self._nodes.items()
@@ -93,7 +99,7 @@
         ]
 
     def forget_all_but(self, incarnations: frozenset[str]) -> None:
-        """Drop the estimates of nodes that are gone and have no pending requests."""
+        """Drop the estimates of all other nodes, except those with pending requests."""
         gone = [
             name
             for name, node in self._nodes.items()
--- a/coveport/serving/proxy/load_sampler.py
+++ b/coveport/serving/proxy/load_sampler.py
@@ -1,6 +1,6 @@
 """Counts the load that this proxy puts on nodes, by service and zone, for its reports to coordinators. Pure.
 
-The counts are kept as requests come and go, so a report costs no look at each request.
+The counts are updated when attempts begin and end, so a report needs no iteration over requests.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from coveport.serving.model.telemetry import ServiceLoad
 from coveport.serving.model.view import ControlView
 
-# Between two reports of the load: a node takes seconds to boot, and bytes to other regions cost.
+# Between two reports of the load. Nodes take seconds to boot, and bytes to other regions cost money.
 SAMPLE_INTERVAL_S: Final = 1.0
 
 
 class LoadKey(NamedTuple):
-    """Nodes of one service in one zone."""
+    """The nodes of one service in one zone."""
 
     service: str
     zone: str
@@ -28,10 +28,10 @@
 
 @dataclass(slots=True)
 class LoadCounters:
-    """Requests at nodes, by service and zone of the nodes."""
+    """Attempts of this proxy at nodes, by service and zone of the nodes."""
 
-    in_flight: dict[LoadKey, int] = field(default_factory=dict)
-    arrivals: dict[LoadKey, int] = field(default_factory=dict)  # since the proxy started
+    in_flight: dict[LoadKey, int] = field(default_factory=dict)  # attempts that have not ended
+    arrivals: dict[LoadKey, int] = field(default_factory=dict)  # attempts since the proxy started
 
     def record_selected(self, node: Node) -> None:
         """Count an attempt that begins."""
@@ -46,7 +46,7 @@
 
 
 class LoadSampler:
-    """Makes the loads of a report, of the services whose number of nodes can be changed."""
+    """Samples the loads of the services that are scaled, for the reports."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         zone: str,
         now_s: Callable[[], float],
     ) -> None:
-        """`zone`: of this proxy; the requests that wait in it count there."""
+        """Create a sampler; `zone` is that of this proxy, where its waiting requests are counted."""
         self._view = view
         self._counters = counters
         self._waiting_by_service = waiting_by_service
@@ -65,7 +65,7 @@
         self._sampled_at_s = -inf
 
     def next_loads(self) -> tuple[ServiceLoad, ...]:
-        """Return the loads; none where nobody can use them, or the last ones were a moment ago."""
+        """Return the loads; empty if no service is scaled or the last sample is younger than its interval."""
         services = frozenset(service.name for service in self._scaled_services())
         now_s = self._now_s()
         if not services or now_s - self._sampled_at_s < SAMPLE_INTERVAL_S:
--- a/coveport/serving/proxy/node_directory.py
+++ b/coveport/serving/proxy/node_directory.py
@@ -1,7 +1,8 @@
-"""Merges the reports of coordinators on nodes into what a proxy knows, with tombstones of those that left.
+"""Merges coordinators' reports on nodes into a proxy's node table, and keeps tombstones. Pure.
 
-A coordinator may be behind: just restarted, or partitioned off. So of two reports on an incarnation the newer
-counts whichever coordinator sent it, and an incarnation that was deregistered is never added again. Pure.
+A coordinator may lag behind after a restart or while it is partitioned off. Therefore the newer of two
+reports on an incarnation wins, regardless of the coordinator that sent it, and an incarnation that was
+deregistered is never added again.
 """
 
 from __future__ import annotations
@@ -14,20 +15,20 @@
 from coveport.serving.model.view import KnownNode
 from coveport.serving.wire.messages import Update
 
-MAX_TOMBSTONES = 4096  # bounds memory; the oldest are dropped; not measured
-TOMBSTONE_REPORT_S = 60.0  # in which a coordinator that is asked anew is sent a tombstone; not measured
+MAX_TOMBSTONES = 4096  # bounds memory: the oldest are dropped
+TOMBSTONE_REPORT_S = 60.0  # age up to which a tombstone is sent in the first request to a coordinator
 
 Nodes = immutables.Map[str, KnownNode]  # by incarnation
 
 
 class NodeDirectory:
-    """One proxy's tombstones."""
+    """The tombstones of one proxy, and the rules by which it merges reports."""
 
     def __init__(self) -> None:
-        self._learned_at_s: dict[str, float] = {}  # by deregistered incarnation; the oldest first
+        self._tombstoned_at_s: dict[str, float] = {}  # by deregistered incarnation, oldest first
 
     def merge(self, nodes: Nodes, update: Update, now_s: float) -> Nodes:
-        """Return the nodes known after an update; the same object where that changed nothing."""
+        """Return the nodes after an update; the same object where the update changes nothing."""
         for incarnation in update.deregistered:
             self._add_tombstone(incarnation, now_s)
             nodes = _without(nodes, incarnation)
@@ -42,12 +43,12 @@
         return nodes
 
     def recently_deregistered(self, now_s: float) -> tuple[str, ...]:
-        """Return recent tombstones, for a coordinator that may have missed them."""
+        """Return the incarnations with recent tombstones, for a coordinator that may lack them."""
         since_s = now_s - TOMBSTONE_REPORT_S
-        return tuple(name for name, learned_s in self._learned_at_s.items() if learned_s >= since_s)
+        return tuple(name for name, tombstoned_s in self._tombstoned_at_s.items() if tombstoned_s >= since_s)
 
     def _with_report(self, nodes: Nodes, node: Node, now_s: float) -> Nodes:
-        if node.incarnation in self._learned_at_s:
+        if node.incarnation in self._tombstoned_at_s:
             return nodes
         known = nodes.get(node.incarnation)
         is_same_report = known is not None and known.node.sequence == node.sequence
@@ -58,23 +59,23 @@
     def _with_removal(self, nodes: Nodes, incarnation: str, now_s: float) -> Nodes:
         known = nodes.get(incarnation)
         if known is not None and known.node.state is NodeState.DRAINING:
-            self._add_tombstone(incarnation, now_s)  # it was draining, so it does not come back
+            self._add_tombstone(incarnation, now_s)  # a draining incarnation never accepts again
         return _without(nodes, incarnation)
 
     def _add_tombstone(self, incarnation: str, now_s: float) -> None:
-        self._learned_at_s.setdefault(incarnation, now_s)
-        if len(self._learned_at_s) > MAX_TOMBSTONES:
-            del self._learned_at_s[next(iter(self._learned_at_s))]
+        self._tombstoned_at_s.setdefault(incarnation, now_s)
+        if len(self._tombstoned_at_s) > MAX_TOMBSTONES:
+            del self._tombstoned_at_s[next(iter(self._tombstoned_at_s))]
 
 
 def _without(nodes: Nodes, incarnation: str) -> Nodes:
     return nodes.delete(incarnation) if incarnation in nodes else nodes
 
 
-def _known_node(node: Node, now_s: float, before: KnownNode | None) -> KnownNode:
-    """Return the node with its remaining times as times on this process' clock."""
+def _known_node(node: Node, now_s: float, previous: KnownNode | None) -> KnownNode:
+    """Convert the remaining times of a report to times on this process' clock."""
     warming_until_s = now_s + node.warm_up_left_ms / 1000 if node.warm_up_left_ms > 0 else 0.0
     shutdown_at_s = now_s + node.shutdown_in_ms / 1000 if node.shutdown_in_ms > 0 else inf
-    if before is not None:
-        shutdown_at_s = min(shutdown_at_s, before.shutdown_at_s)
+    if previous is not None:
+        shutdown_at_s = min(shutdown_at_s, previous.shutdown_at_s)
     return KnownNode(node, now_s, warming_until_s, shutdown_at_s)
--- a/coveport/serving/proxy/node_eligibility.py
+++ b/coveport/serving/proxy/node_eligibility.py
@@ -1,6 +1,6 @@
-"""Which nodes the control plane allows for a request, and how near they are. Pure.
+"""Finds the nodes that the control plane allows for a request, and groups them by locality. Pure.
 
-What this proxy observes of nodes is added by `node_selection`.
+`node_selection` filters them further by this proxy's own observations.
 """
 
 from __future__ import annotations
@@ -24,23 +24,24 @@
 def eligible_nodes(
     view: ControlView, service: str, home_regions: frozenset[str], now_s: float
 ) -> list[KnownNode]:
-    """Return the service's nodes that the control plane and the home regions allow; no regions: any.
+    """Return the service's nodes that the control plane and the home regions allow.
 
-    Sorted, because the order of the view's map depends on Python's hash seed and seeded draws must repeat.
+    Empty `home_regions` allow any region. The nodes are sorted because the order of the view's map depends on
+    Python's hash seed, and seeded draws must be repeatable.
     """
-    found = [
+    nodes = [
         known
         for known in view.nodes.values()
         if known.node.service == service
         and is_eligible(view, known, now_s)
         and (not home_regions or known.node.region in home_regions)
     ]
-    return sorted(found, key=lambda known: known.node.incarnation)
+    return sorted(nodes, key=lambda known: known.node.incarnation)
 
 
 @dataclass(frozen=True, slots=True)
 class NodesByLocality:
-    """Candidates in the proxy's own region, and in all others."""
+    """Candidates in the proxy's own region, and those in all other regions."""
 
     local: list[KnownNode] = field(default_factory=list)
     remote: list[KnownNode] = field(default_factory=list)
@@ -52,7 +53,7 @@
 
 
 def group_by_locality(nodes: Iterable[KnownNode], region: str) -> NodesByLocality:
-    """Group nodes by locality, as seen from a region."""
+    """Group nodes into those of a region and those of all other regions."""
     by_locality = NodesByLocality()
     for known in nodes:
         (by_locality.local if known.node.region == region else by_locality.remote).append(known)
--- a/coveport/serving/proxy/node_maintenance.py
+++ b/coveport/serving/proxy/node_maintenance.py
@@ -1,4 +1,4 @@
-"""Periodic work on what a proxy knows of nodes: expiry, unresponsive nodes, health checks."""
+"""Maintains a proxy's records of nodes: expires them, ejects unresponsive nodes, checks unreachable ones."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from coveport.serving.proxy.counters import Counters
 from coveport.serving.proxy.node_observations import NodeObservations
 
-SWEEP_INTERVAL_S = 0.2  # small beside the times it looks for (0.4 s and more); not measured
+SWEEP_INTERVAL_S = 0.2  # short compared with the times that a sweep checks, 0.4 s and more
 
 
 class NodeMaintenance:
-    """Sweeps the records of nodes every `SWEEP_INTERVAL_S`."""
+    """A sweep over the records of nodes every `SWEEP_INTERVAL_S`."""
 
     def __init__(
         self,
@@ -33,11 +33,11 @@
         self._health_checks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Sweep now and from then on."""
+        """Sweep now, and schedule the next sweeps."""
         self._sweep()
 
     def stop(self) -> None:
-        """Sweep no more."""
+        """Cancel the next sweep."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -55,7 +55,7 @@
     def _eject_unresponsive_nodes(self) -> None:
         for incarnation in self._observations.latency.unresponsive(self._net.now_s()):
             self._counters.add("silent")
-            # The time without a response begins anew, beside the health checks.
+            # Restarts the time without a response, so that one such period is not counted in every sweep.
             self._observations.latency.record_reachable(incarnation, self._net.now_s())
             self._observations.outliers.record_unreachable(incarnation, self._net.now_s())
 
@@ -66,7 +66,7 @@
             task.add_done_callback(self._health_checks.discard)
 
     async def _check_health(self, incarnation: str) -> None:
-        """Connect to a node that could not be reached, and record the result."""
+        """Try to connect to an unreachable node, and record the result."""
         known = self._view.nodes.get(incarnation)
         if known is None:
             return
--- a/coveport/serving/proxy/node_observations.py
+++ b/coveport/serving/proxy/node_observations.py
@@ -1,4 +1,4 @@
-"""Records what this proxy's own attempts show of nodes, for selecting among them. Pure."""
+"""Records what this proxy observes of nodes in its own attempts, for node selection. Pure."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from coveport.serving.proxy.routed_request import RoutedRequest
 from coveport.serving.proxy.slow_start import SlowStartLimiter
 
-DELAYED_SEND_S = 0.1  # a send so long after its choice may fall into another window; not measured
+DELAYED_SEND_S = 0.1  # a send so long after the selection may fall into the next slow-start window
 
 
 @dataclass(slots=True)
 class NodeObservations:
-    """The estimates and counts of a proxy, each by incarnation."""
+    """The estimates and counts of one proxy, by incarnation of the nodes."""
 
     view: ControlView
     outliers: OutlierDetector
@@ -26,7 +26,7 @@
     latency: LatencyEstimator = field(default_factory=LatencyEstimator)
     overload: OverloadEstimator = field(default_factory=OverloadEstimator)
     prefix_cache: PrefixCacheIndex = field(default_factory=PrefixCacheIndex)
-    in_flight: dict[str, int] = field(default_factory=dict)  # this proxy's requests
+    in_flight: dict[str, int] = field(default_factory=dict)  # attempts of this proxy that have not ended
     loads: LoadCounters = field(default_factory=LoadCounters)
 
     def record_selected(self, known: KnownNode, routed: RoutedRequest, now_s: float) -> None:
@@ -49,7 +49,7 @@
     def record_received(
         self, known: KnownNode, routed: RoutedRequest, gaps: StreamGaps, now_s: float
     ) -> None:
-        """Record that bytes of the response came. Runs for every read: keep its calls few."""
+        """Record that bytes of the response were received. Runs for every read: keep its calls few."""
         incarnation = known.node.incarnation
         gap_s = gaps.record_event(now_s)
         self.latency.record_received(incarnation, gap_s, now_s)
@@ -68,7 +68,7 @@
             self.in_flight.pop(incarnation, None)
 
     def forget_all_but(self, incarnations: frozenset[str]) -> None:
-        """Drop what is known of nodes that are gone."""
+        """Drop the observations of all other nodes."""
         self.outliers.forget_all_but(incarnations)
         self.slow_start.forget_all_but(incarnations)
         self.latency.forget_all_but(incarnations)
--- a/coveport/serving/proxy/node_selection.py
+++ b/coveport/serving/proxy/node_selection.py
@@ -1,25 +1,26 @@
-"""Selects the node for one attempt of a request, from all that the proxy knows of nodes. Pure.
+"""Selects the node for one attempt of a request, from the view and this proxy's observations. Pure.
 
-The first of these groups that holds a node is used:
+The candidates are the first group that is not empty:
 
-1. preferred nodes (below), of the own region, then of any region;
-2. usable nodes that are not saturated, of the own region, then of any;
-3. usable nodes, of the own region, then of any;
-4. nodes that are unusable as they are ejected, and for nothing else: what Envoy calls panic routing.
+1. preferred nodes (below) of the proxy's region, else of any region;
+2. usable nodes that are not saturated, of the proxy's region, else of any region;
+3. usable nodes of the proxy's region, else of any region;
+4. nodes that would be usable if they were not ejected, where all nodes are ejected: panic routing, as Envoy
+   calls it.
 
-Within it, a prompt whose segments are known is narrowed down to at most two nodes (`prefix_cache`). Then the
-power of two choices: two nodes are drawn at random, and the one with fewer of this proxy's own requests in
-flight takes the request. Ties go to the node that has more of the prompt's prefix cached, else to either at
+For a prompt with named segments, at most two of the candidates remain (`prefix_cache`). Then the power of
+two choices applies: two nodes are drawn at random, and the one with fewer of this proxy's requests in flight
+takes the request. On a tie the node with more of the prompt's prefix in its cache takes it, else either at
 random.
 
 A node is not usable while
 
-- it drains, is gone, or its announced end has passed (`node_eligibility`);
+- it is draining or deregistered, or its announced shutdown time has passed (`node_eligibility`);
 - its zone is evacuated, or it is outside the home regions of the request (`node_eligibility`);
-- an attempt of this request failed there, and there are others;
-- it warms up and this proxy's quota of requests to it is spent (`slow_start`);
-- it is ejected as an outlier (`outlier_ejection`), or has just rejected a request for want of capacity;
-- this proxy's share of its connections is in use (`connection_pool`).
+- an attempt of this request has failed there, and there are untried nodes;
+- it is warming up and this proxy's quota of requests to it is used up (`slow_start`);
+- it is ejected as an outlier (`outlier_ejection`), or has just rejected a request for lack of capacity;
+- this proxy's quota of its connections is in use (`connection_pool`).
 
 Among usable nodes those are preferred that are neither saturated (`latency_estimate`) nor overloaded for a
 prompt of this length (`overload_estimate`).
@@ -46,11 +47,11 @@
 from coveport.serving.proxy.prefix_cache import AFFINITY_NODES, affinity_candidates
 from coveport.serving.proxy.routed_request import RoutedRequest
 
-LONG_PREFILL_TOKENS = 4000  # takes a node several steps in a row; not measured alone
+LONG_PREFILL_TOKENS = 4000  # a prompt of this length takes a node several steps in a row
 
 
 class NoNode(Enum):
-    """Why no node was selected."""
+    """The reason why no node was selected."""
 
     NONE_ELIGIBLE = "no node is open to the request"
     ALL_AT_CAPACITY = "all nodes are full or warming up"
@@ -58,7 +59,7 @@
 
 @dataclass(slots=True)
 class NodeSelector:
-    """Selects nodes by the view, the connections in use, and what was observed of nodes."""
+    """Selects nodes by the view, the connections in use, and the observations of nodes."""
 
     view: ControlView
     region: str
@@ -69,9 +70,9 @@
     def choose(
         self, routed: RoutedRequest, failed_nodes: Collection[str], now_s: float
     ) -> KnownNode | NoNode:
-        """Return the node for one attempt; nodes where this request failed come last.
+        """Return the node for one attempt; one of `failed_nodes` only where no other node is eligible.
 
-        The predicates are closures, and the preferences stand in one expression, because this runs for every
+        The predicates are closures, and the preferences one expression, for speed: this runs for every
         attempt over every node of the service.
         """
         service = routed.service
@@ -130,7 +131,7 @@
         )
 
     def _max_connections(self, service: Service) -> int:
-        """Return this proxy's share of a node's connections; 0: not bounded."""
+        """Return how many connections this proxy may have to one node; 0: no limit."""
         if service.max_connections <= 0:
             return 0
         return max(1, service.max_connections // max(1, self.view.max_proxies))
@@ -138,13 +139,16 @@
     def _panic_candidates(
         self, by_locality: NodesByLocality, service: Service, now_s: float
     ) -> list[KnownNode]:
-        """Return nodes with capacity where all nodes are ejected: better than certain failure."""
+        """Return the nodes with capacity if all nodes are ejected, else none.
+
+        An attempt at an ejected node may succeed; without a node the request would fail.
+        """
         nodes = [*by_locality.local, *by_locality.remote]
         if not all(self._is_ejected(known, now_s) for known in nodes):
             return []
         return by_locality.first_usable(lambda known: self._has_capacity(known, service, now_s))
 
     def is_still_eligible(self, known: KnownNode, now_s: float) -> bool:
-        """Return whether a selected node may still be sent to, by the newest view."""
+        """Return whether the newest view still allows requests to a selected node."""
         current = self.view.nodes.get(known.node.incarnation)
         return current is not None and is_eligible(self.view, current, now_s)
--- a/coveport/serving/proxy/outlier_ejection.py
+++ b/coveport/serving/proxy/outlier_ejection.py
@@ -1,13 +1,13 @@
 """Ejects nodes whose responses to this proxy fail: outlier detection with circuit breaking. Pure.
 
 A node whose recent attempts all failed is ejected until a health check succeeds; the ejection time is
-jittered and doubles with each failure. Where no connection came up, the health check is a connect of its own,
-so that no request is lost to it. Where responses broke off, the circuit is half-open after the ejection time:
-one request at a time is let through. A rejection for want of capacity makes a node unusable for a short
-moment only, and shows that it is alive.
+jittered and doubles with each failure. After a failed connect, the health check is a separate connect, so
+that it costs no request. After broken responses, the circuit is half-open at the end of the ejection time:
+one request at a time is let through. A rejection for lack of capacity makes a node unusable for only
+`AT_CAPACITY_S`, and shows that it is alive.
 
-A node that answers part of its requests with errors of its own is *degraded*: it is ejected by their share
-among its recent responses, and each request that is served meanwhile lets that share fall again.
+A node that answers some of its requests with its own errors is *degraded*: it is ejected when the ratio of
+such errors among its recent responses is too high, and each request served meanwhile lowers that ratio.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from math import exp
 from random import Random
 
-CONSECUTIVE_FAILURES_TO_EJECT = 2  # one alone may be chance; not measured
-BASE_EJECTION_S = 0.4  # about what a failed connect costs; not measured
-MAX_EJECTION_S = 4.0  # a recovered node is found again within this; not measured
-AT_CAPACITY_S = 0.15  # capacity that frees up meanwhile is found soon; not measured
-DEGRADED_FAILURES = 1.2  # a decaying count, so two in a row reach it; not measured
-DEGRADED_FAILURE_RATIO = 0.25  # of the responses counted; measurement `degraded-nodes`
-FAILURE_DECAY_S = 15.0  # time constant of both counts; measurement `degraded-nodes`
-CHECK_TIMEOUT_S = 3.0  # after that a check without a result no longer blocks the next; not measured
+CONSECUTIVE_FAILURES_TO_EJECT = 2  # a single failure may be chance
+BASE_EJECTION_S = 0.4  # about the time that a failed connect costs
+MAX_EJECTION_S = 4.0  # bounds the time until a recovered node is used again
+AT_CAPACITY_S = 0.15  # short, so that capacity that frees up is soon used
+DEGRADED_FAILURES = 1.2  # decaying count; two failures in a row reach it
+DEGRADED_FAILURE_RATIO = 0.25  # of the responses counted (docs/policy.md, `degraded-nodes`)
+FAILURE_DECAY_S = 15.0  # time constant of both counts (docs/policy.md, `degraded-nodes`)
+CHECK_TIMEOUT_S = 3.0  # a check without a result blocks the next one for this long
 
 
 @dataclass(slots=True)
 class _NodeRecord:
     consecutive_failures: int = 0
     is_unreachable: bool = False  # the last connect failed
-    ejection_s: float = BASE_EJECTION_S  # of the next ejection
-    next_check_at_s: float = 0.0
+    ejection_s: float = BASE_EJECTION_S  # length of the next ejection
+    next_check_at_s: float = 0.0  # time of the next health check or half-open request
     at_capacity_until_s: float = 0.0
-    failures: float = 0.0  # decaying count of responses with an error of the node's own
+    failures: float = 0.0  # decaying count of responses with the node's own error
     served: float = 0.0  # decaying count of other responses since the first failure
-    counted_at_s: float = 0.0
+    counted_at_s: float = 0.0  # time of the last update of both counts
 
     def is_failing(self, now_s: float) -> bool:
         return self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT or self.is_degraded(now_s)
@@ -62,25 +62,25 @@
 
 @dataclass(slots=True)
 class OutlierDetector:
-    """What this proxy's attempts show of each node, by incarnation."""
+    """Records of this proxy's attempts at each node, by incarnation."""
 
     random: Random
     _records: dict[str, _NodeRecord] = field(default_factory=dict)
 
     def is_ejected(self, incarnation: str, now_s: float) -> bool:
-        """Return whether failures keep requests off the node; False while the circuit is half-open."""
+        """Return whether the node is ejected; False while its circuit is half-open."""
         record = self._records.get(incarnation)
         if record is None or not record.is_failing(now_s):
             return False
         return record.is_unreachable or now_s < record.next_check_at_s
 
     def at_capacity_until_s(self, incarnation: str) -> float:
-        """Return until when the node is known to reject requests."""
+        """Return the time until which the node is expected to reject requests."""
         record = self._records.get(incarnation)
         return record.at_capacity_until_s if record is not None else 0.0
 
     def scheduled_health_checks(self, now_s: float) -> list[str]:
-        """Return the nodes to connect to now; each is returned once per check."""
+        """Return the incarnations to connect to now; each of them is returned once per check."""
         scheduled = []
         for incarnation, record in self._records.items():
             if record.is_unreachable and now_s >= record.next_check_at_s:
@@ -89,19 +89,19 @@
         return scheduled
 
     def record_attempt(self, incarnation: str, now_s: float) -> None:
-        """Record that a request goes to the node: where the circuit is half-open, no other does meanwhile."""
+        """Record that a request is sent to the node; a half-open circuit then admits no other meanwhile."""
         record = self._records.get(incarnation)
         if record is not None and record.is_failing(now_s):
             record.next_check_at_s = max(record.next_check_at_s, now_s + CHECK_TIMEOUT_S)
 
     def record_recovered(self, incarnation: str) -> None:
-        """Record that the node answered, or that a health check's connect came up."""
+        """Record that the node answered, or that the connect of a health check succeeded."""
         record = self._records.get(incarnation)
         if record is not None:
             record.recover()
 
     def record_served(self, incarnation: str, now_s: float) -> None:
-        """Record a response that is no error of the node's own."""
+        """Record a response that is not the node's own error."""
         record = self._records.get(incarnation)
         if record is None:
             return
@@ -112,7 +112,7 @@
                 record.next_check_at_s = now_s + self._jittered(BASE_EJECTION_S)
 
     def record_server_error(self, incarnation: str, now_s: float) -> None:
-        """Record that the node ran a request and answered with an error of its own (500, 502)."""
+        """Record that the node ran a request and answered with its own error (500, 502)."""
         record = self._records.setdefault(incarnation, _NodeRecord())
         record.consecutive_failures = 0
         record.is_unreachable = False
@@ -121,14 +121,14 @@
             self._eject(record, now_s)
 
     def record_broken_response(self, incarnation: str, now_s: float) -> None:
-        """Record a response that was reset, broke off, was invalid or did not come."""
+        """Record a response that was reset, truncated, invalid or missing."""
         record = self._records.setdefault(incarnation, _NodeRecord())
         record.consecutive_failures += 1
         if record.is_failing(now_s):
             self._eject(record, now_s)
 
     def record_unreachable(self, incarnation: str, now_s: float) -> None:
-        """Record that no connection came up."""
+        """Record that a connect to the node failed."""
         record = self._records.setdefault(incarnation, _NodeRecord())
         record.consecutive_failures = max(record.consecutive_failures, CONSECUTIVE_FAILURES_TO_EJECT)
         record.is_unreachable = True
@@ -138,11 +138,11 @@
         """Record that another incarnation answered at the node's address (421)."""
         record = self._records.setdefault(incarnation, _NodeRecord())
         record.consecutive_failures = max(record.consecutive_failures, CONSECUTIVE_FAILURES_TO_EJECT)
-        record.ejection_s = MAX_EJECTION_S  # an incarnation that is gone does not come back
+        record.ejection_s = MAX_EJECTION_S  # the incarnation has ended and does not return
         self._eject(record, now_s)
 
     def record_at_capacity(self, incarnation: str, now_s: float) -> None:
-        """Record that the node rejected a request for want of capacity."""
+        """Record that the node rejected a request for lack of capacity."""
         record = self._records.setdefault(incarnation, _NodeRecord())
         record.recover()
         record.at_capacity_until_s = now_s + self._jittered(AT_CAPACITY_S)
@@ -155,6 +155,6 @@
         record.ejection_s = min(record.ejection_s * 2, MAX_EJECTION_S)
 
     def forget_all_but(self, incarnations: frozenset[str]) -> None:
-        """Drop the records of nodes that are gone."""
-        for gone in self._records.keys() - incarnations:
-            del self._records[gone]
+        """Drop the records of all other nodes."""
+        for incarnation in self._records.keys() - incarnations:
+            del self._records[incarnation]
--- a/coveport/serving/proxy/overload_estimate.py
+++ b/coveport/serving/proxy/overload_estimate.py
@@ -4,12 +4,12 @@
 between their events, on a slow node beyond the route's target. Such a node is *overloaded* for a request
 whose prompt takes it several steps to prefill.
 
-There are two signs. Either a gap near the target was seen there. Or one is to be expected: the worst gap
-seen on any node lasts as much longer on a slower one as that is slower. The speed of a node shows in its gaps
-while it prefills nothing, when they are steady: the mean of a few in a row is taken, and of all such means a
-low quantile, estimated by stochastic approximation (Robbins and Monro, 1951).
+There are two signs of overload. Either a gap near the target was observed on the node, or such a gap is
+expected: the worst gap observed on any node, scaled by the ratio of the two nodes' speeds. The speed of a
+node shows in its gaps while it prefills nothing, when they are steady. It is estimated as a low quantile of
+the means of a few gaps in a row, by stochastic approximation (Robbins and Monro, 1951).
 
-Measurement `overload-signs` compares the two.
+The row `overload-signs` in docs/policy.md compares the two signs.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 from dataclasses import dataclass, field
 from math import inf
 
-WORST_GAP_TTL_S = 30.0  # as `NEAR_LIMIT_TTL_S`: both answer how long a load lasts; not measured alone
-NEAR_LIMIT_TTL_S = 30.0  # how long a gap near the target counts; measurement `near-limit-ttl`
-NEAR_LIMIT_RATIO = 0.9  # of the target: the next gap may be late; not measured
-OUTAGE_GAP_RATIO = 2.0  # of the target: a longer gap is an outage, no overload; not measured
-GAPS_PER_MEAN = 6  # evens out jitter, short enough to fit between two prefills; not measured
-MIN_MEANS = 20  # until then a node's speed is unknown: the quantile needs some to settle; not measured
-QUANTILE = 0.2  # of a node's means: one in which nothing was prefilled; not measured
-QUANTILE_STEP = 0.03  # relative change of the estimate by one mean; not measured
-FASTEST_REFRESH_S = 0.5  # a search over all nodes for every node asked about is quadratic at 600 nodes
-SLOWER_RATIO = 1.12  # steady gaps that differ by less are of equally fast nodes; not measured
-MIN_STEADY_GAP_S = 1e-6  # divisor's lower bound
+WORST_GAP_TTL_S = 30.0  # equals `NEAR_LIMIT_TTL_S`: both estimate how long a load lasts
+NEAR_LIMIT_TTL_S = 30.0  # how long a gap near the target counts (docs/policy.md, `near-limit-ttl`)
+NEAR_LIMIT_RATIO = 0.9  # of the target: after such a gap the next may be late
+OUTAGE_GAP_RATIO = 2.0  # of the target: a longer gap is an outage and does not count
+GAPS_PER_MEAN = 6  # smooths jitter, yet few enough to fit between two prefills
+MIN_MEANS = 20  # with fewer means a node's speed is unknown: the quantile has not converged
+QUANTILE = 0.2  # of a node's means: low enough for a mean without prefills
+QUANTILE_STEP = 0.03  # scale of the estimate's relative change by one mean
+FASTEST_REFRESH_S = 0.5  # a search over all nodes for each candidate would be quadratic (600 nodes)
+SLOWER_RATIO = 1.12  # nodes whose steady gaps differ by less count as equally fast
+MIN_STEADY_GAP_S = 1e-6  # lower bound of a divisor
 
 
 @dataclass(slots=True)
 class StreamGaps:
-    """The last gaps between events of one stream."""
+    """The most recent gaps between events of one stream."""
 
     _last_event_at_s: float | None = None
     _last_gaps_s: deque[float] = field(default_factory=lambda: deque(maxlen=GAPS_PER_MEAN))
 
     def record_event(self, now_s: float) -> float | None:
-        """Record an event and return the gap before it in seconds; None for the first."""
-        before_s = self._last_event_at_s
+        """Record an event, and return the gap before it in seconds; None for the first event."""
+        previous_event_at_s = self._last_event_at_s
         self._last_event_at_s = now_s
-        if before_s is None:
+        if previous_event_at_s is None:
             return None
-        self._last_gaps_s.append(now_s - before_s)
-        return now_s - before_s
+        self._last_gaps_s.append(now_s - previous_event_at_s)
+        return now_s - previous_event_at_s
 
     @property
     def mean_s(self) -> float | None:
@@ -55,9 +55,9 @@
 
 @dataclass(slots=True)
 class _NodeSpeed:
-    means: int = 0
+    means: int = 0  # number of means recorded
     steady_gap_s: float = 0.0  # estimate of the quantile
-    near_limit_at_s: float = -inf  # when a gap there was last near the target
+    near_limit_at_s: float = -inf  # time of the node's last gap near the target
 
     def record(self, mean_s: float) -> None:
         self.means += 1
@@ -76,25 +76,25 @@
 @dataclass(frozen=True, slots=True)
 class _WorstGap:
     gap_s: float
-    steady_gap_s: float  # of the node where it was seen
+    steady_gap_s: float  # that of the node where the gap was observed
     seen_at_s: float
 
 
 @dataclass(slots=True)
 class OverloadEstimator:
-    """Speeds by incarnation, from this proxy's own streams, and the worst recent gap of all."""
+    """The speeds of nodes in this proxy's streams, by incarnation, and the worst recent gap of all nodes."""
 
     _speeds: dict[str, _NodeSpeed] = field(default_factory=dict)
     _worst: _WorstGap = _WorstGap(0.0, 1.0, -inf)
     _fastest_s: float = inf  # the shortest steady gap of all nodes
-    _fastest_at_s: float = -inf  # when that was computed
+    _fastest_at_s: float = -inf  # when `_fastest_s` was computed
 
     def record_gap(
         self, incarnation: str, gap_s: float, mean_s: float | None, gap_target_s: float, now_s: float
     ) -> None:
-        """Record a gap between two events of a stream there, and the mean of its last few gaps.
+        """Record a gap between two events of a stream from the node, and the mean of its last gaps.
 
-        `gap_target_s` is the route's target for gaps; 0: it has none.
+        `gap_target_s` is the route's target for gaps; 0: the route has no target.
         """
         if gap_target_s <= 0 or gap_s > OUTAGE_GAP_RATIO * gap_target_s:
             return
@@ -110,7 +110,7 @@
         return now_s - self._worst.seen_at_s < WORST_GAP_TTL_S
 
     def is_overloaded(self, incarnation: str, gap_target_s: float, now_s: float) -> bool:
-        """Return whether a long prompt would probably make streams late there, and not on other nodes."""
+        """Return whether a long prompt would probably make streams late on this node, but not on others."""
         speed = self._speeds.get(incarnation)
         if speed is None or gap_target_s <= 0:
             return False
@@ -131,6 +131,6 @@
         return self._fastest_s
 
     def forget_all_but(self, incarnations: frozenset[str]) -> None:
-        """Drop the speeds of nodes that are gone."""
-        for gone in self._speeds.keys() - incarnations:
-            del self._speeds[gone]
+        """Drop the speeds of all other nodes."""
+        for incarnation in self._speeds.keys() - incarnations:
+            del self._speeds[incarnation]
--- a/coveport/serving/proxy/process.py
+++ b/coveport/serving/proxy/process.py
@@ -19,7 +19,7 @@
 from coveport.serving.web.router import Router
 from coveport.serving.web.server import HttpServer
 
-SHUTDOWN_TIME_RATIO = 0.9  # of the grace period: the rest is for the end of the process; not measured
+SHUTDOWN_TIME_RATIO = 0.9  # part of the grace period for draining; the rest is for the process exit
 METRICS_INTERVAL_S = 10.0  # between two log lines of metrics
 
 
@@ -36,7 +36,7 @@
         log: EventLogger,
         usage_window_s: float | None = None,
     ) -> None:
-        """`usage_window_s`: length of the windows in which usage is reported; None: it isn't."""
+        """Create a proxy; `usage_window_s` is the length of usage windows, None if usage is not reported."""
         assert settings.clients is not None
         self._net = net
         self._settings = settings
@@ -62,19 +62,19 @@
         return self._is_serving and not self._is_stopping and bool(self.view.nodes)
 
     def apply_settings(self, settings: BootSettings) -> None:
-        """Take the settings that can change while this proxy runs (`reloadable`)."""
+        """Apply the settings that can change while this proxy runs (`reloadable`)."""
         self._settings = settings
         self._selector.seeds = self._shuffled_seeds()
         self.data_path.apply_bounds(settings.bounds)
 
     def _shuffled_seeds(self) -> tuple[str, ...]:
-        """Return the inner addresses of the seeds in an order of this proxy's own."""
+        """Return the inner addresses of the seeds in random order, so that proxies differ in it."""
         seeds = [f"{host}:{self._settings.inner_ports[0]}" for host, _ in self._settings.seeds]
         self._random.shuffle(seeds)
         return tuple(seeds)
 
     async def start(self) -> None:
-        """Listen to clients, and subscribe to the configuration that their first requests wait for."""
+        """Start to listen for clients, and subscribe to the configuration that the first requests need."""
         self.view.listeners.append(self._on_view_changed)
         await self.data_path.start()
         if self._readiness is not None:
@@ -84,7 +84,7 @@
         self._log.info("proxy_started", name=self._settings.name, zone=self._settings.zone)
 
     async def stop(self) -> None:
-        """Shut down gracefully: accept connections for one more second, answer everything accepted."""
+        """Shut down gracefully: accept connections for one more second, and answer all accepted requests."""
         self._is_stopping = True
         self._log.info("proxy_stopping", **self.data_path.metrics())
         until_s = self._net.now_s() + self._settings.bounds.grace_s * SHUTDOWN_TIME_RATIO
@@ -139,5 +139,5 @@
 
 
 def _usage_window_s(settings: BootSettings) -> float | None:
-    """Return the length of the windows in which usage is reported; None: no platform wants any duty."""
+    """Return the length of usage windows; None without a platform, which would receive the usage reports."""
     return settings.bounds.usage_window_s if settings.platform is not None else None
--- a/coveport/serving/proxy/prompt_segments.py
+++ b/coveport/serving/proxy/prompt_segments.py
@@ -1,4 +1,4 @@
-"""The segments of a prompt that a client names in `Coveport-Prompt-Prefix`. Pure."""
+"""Parses the prompt segments that a client names in `Coveport-Prompt-Prefix`. Pure."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptSegment:
-    """A run of a prompt's tokens, shared by all requests that name the same id."""
+    """A sequence of a prompt's tokens, the same in all requests that name its id."""
 
     id: str
     tokens: int
 
 
 def parse_segments(value: str | None) -> tuple[PromptSegment, ...]:
-    """Return the segments that `ID:TOKENS,ID:TOKENS` names, in order; empty where it is anything else."""
+    """Return the segments named by `ID:TOKENS,ID:TOKENS`, in order; empty if the value is malformed."""
     if not value:
         return ()
     segments = []
--- a/coveport/serving/proxy/readiness.py
+++ b/coveport/serving/proxy/readiness.py
@@ -1,4 +1,4 @@
-"""The readiness check of the platform: whether this proxy serves clients."""
+"""Answers the platform's readiness check: whether this proxy serves clients."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class ReadinessApi:
-    """Handlers of the platform's requests."""
+    """The handler of the readiness check."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
 
     @route("GET", Path.READY)
     async def ready(self, request: ApiRequest) -> ApiResponse:
-        """Return 200 where the proxy serves clients, else 503."""
+        """Return 200 if the proxy serves clients, else 503."""
         return ApiResponse(200 if self._is_ready() else 503)
--- a/coveport/serving/proxy/route_table.py
+++ b/coveport/serving/proxy/route_table.py
@@ -37,7 +37,7 @@
             for host, routes in by_host.items()
         }
         services = {service.name: service for service in configuration.services}
-        tenants = None if configuration.tenants is None else TenantIndex.of(configuration.tenants)
+        tenants = None if configuration.tenants is None else TenantIndex.from_tenants(configuration.tenants)
         return cls(configuration, ordered, services, tenants)
 
     def find(self, host: str, target: str) -> Route | None:
--- a/coveport/serving/proxy/sliding_window.py
+++ b/coveport/serving/proxy/sliding_window.py
@@ -1,4 +1,4 @@
-"""Counts events within the last so many seconds. Pure."""
+"""Counts the events of the last `span_s` seconds. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class SlidingWindow:
-    """Times of the events of the last `span_s` seconds."""
+    """The times of the events of the last `span_s` seconds."""
 
     span_s: float
     _times_s: deque[float] = field(default_factory=deque)
@@ -18,7 +18,7 @@
         self._times_s.append(now_s)
 
     def count(self, now_s: float) -> int:
-        """Return how many events fall into the span that ends now, and drop the older ones."""
+        """Return the number of events in the span that ends now, and drop older events."""
         times_s = self._times_s
         while times_s and times_s[0] <= now_s - self.span_s:
             times_s.popleft()
--- a/coveport/serving/proxy/slow_start.py
+++ b/coveport/serving/proxy/slow_start.py
@@ -1,12 +1,12 @@
-"""Limits what this proxy sends to a node in its warm-up: this proxy's quota of the slow start. Pure.
+"""Limits the requests that this proxy sends to a node that is warming up: its quota in slow start. Pure.
 
-The rule (`settings.boot.Bounds`): over all proxies a node in its warm-up receives at most
-rate x overshoot + slack requests in any second. Each proxy sends its equal quota in any `WINDOW_S`, a little
-longer than the rule's second because sends arrive with unequal delays. Where the quota is less than one
-request, proxies take turns: one request in a time that is longer by as much, begun at a random moment, so
-that they don't send their one request together.
+The rule (`settings.boot.Bounds`): a node that is warming up receives at most rate x overshoot + slack
+requests from all proxies together in any second. Each proxy sends at most its equal quota in any `WINDOW_S`,
+which is a little longer than the rule's second because sends arrive with unequal delays. If the quota is
+less than one request, proxies take turns: each sends one request in a proportionally longer interval, which
+starts at a random moment so that proxies don't send at the same time.
 
-Sends to warm nodes are counted too: a node whose warm-up begins anew has received them.
+Sends to warm nodes are counted too, because a node's warm-up may begin again shortly after them.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 from coveport.serving.model.view import ControlView, KnownNode
 from coveport.serving.proxy.sliding_window import SlidingWindow
 
-WINDOW_S = 1.2  # the rule's second, and the difference of two delays; measurement `slow-start-sum`
-BOUND_MARGIN = 0.97  # of the rule's bound: the longer window is most of the margin; `slow-start-sum`
-TURN_MARGIN = 0.4  # of the bound where proxies take turns by chance; `slow-start-sum`
+WINDOW_S = 1.2  # the rule's second plus the difference of two delays (docs/policy.md, `slow-start-sum`)
+BOUND_MARGIN = 0.97  # of the rule's bound; most of the margin is the longer window (`slow-start-sum`)
+TURN_MARGIN = 0.4  # of the bound while proxies take turns at random (`slow-start-sum`)
 
 
 def is_warming_up(known: KnownNode, service: Service, view: ControlView, now_s: float) -> bool:
-    """Return whether the node is, or may be, in its warm-up."""
+    """Return whether the node is, or may be, warming up."""
     if known.warming_until_s > now_s:
         return True
     ended_s = view.evacuation_ended_at_s.get(known.node.zone)
     if ended_s is None or now_s >= ended_s + service.warm_up_s:
         return False
-    return known.received_at_s <= ended_s  # no report since: its warm-up may have begun meanwhile
+    return known.received_at_s <= ended_s  # without a newer report, its warm-up may have begun
 
 
 @dataclass(slots=True)
 class _NodeQuota:
     sends: SlidingWindow = field(default_factory=lambda: SlidingWindow(WINDOW_S))
-    turn_at_s: float | None = None  # this proxy's next turn, while proxies take turns at the node
+    turn_at_s: float | None = None  # time of this proxy's next turn; None unless proxies take turns
 
 
 @dataclass(slots=True)
 class SlowStartLimiter:
-    """Counts sends by incarnation."""
+    """The sends and turns of one proxy, by incarnation of the nodes."""
 
     overshoot: float
     slack: float
@@ -50,7 +50,7 @@
     _quotas: dict[str, _NodeQuota] = field(default_factory=dict)
 
     def may_send(self, known: KnownNode, service: Service, view: ControlView, now_s: float) -> bool:
-        """Return whether one more request may go to this node now. Draws once when turns begin."""
+        """Return whether one more request may be sent to the node now. Draws once when turns begin."""
         if service.warm_up_rate <= 0:
             return True
         node = self._quotas.setdefault(known.node.incarnation, _NodeQuota())
@@ -65,27 +65,27 @@
         return now_s >= node.turn_at_s
 
     def record_send(self, known: KnownNode, service: Service, view: ControlView, now_s: float) -> None:
-        """Record that a request goes to this node."""
+        """Record that a request is sent to the node."""
         if service.warm_up_rate <= 0:
             return
         node = self._quotas.setdefault(known.node.incarnation, _NodeQuota())
         node.sends.add(now_s)
-        node.sends.count(now_s)  # drops the old ones
+        node.sends.count(now_s)  # drops the sends before the window
         quota = self._quota(service, view)
         if quota < 1 and node.turn_at_s is not None:
             node.turn_at_s = now_s + _turn_interval_s(quota) * (0.5 + self.random.random())
 
     def _quota(self, service: Service, view: ControlView) -> float:
-        """Return how many requests in a window are this proxy's."""
+        """Return how many requests this proxy may send in a window; may be a fraction of one."""
         bound = service.warm_up_rate * self.overshoot + self.slack
         return BOUND_MARGIN * bound / max(1, view.max_proxies)
 
     def forget_all_but(self, incarnations: frozenset[str]) -> None:
-        """Drop the counts of nodes that are gone."""
-        for gone in self._quotas.keys() - incarnations:
-            del self._quotas[gone]
+        """Drop the counts of all other nodes."""
+        for incarnation in self._quotas.keys() - incarnations:
+            del self._quotas[incarnation]
 
 
 def _turn_interval_s(quota: float) -> float:
-    """Return the mean time between two turns of this proxy; `quota` is less than one request a window."""
+    """Return the mean time between two turns of this proxy; `quota` is below one request a window."""
     return WINDOW_S / (TURN_MARGIN * quota)
--- a/coveport/serving/proxy/startup_gate.py
+++ b/coveport/serving/proxy/startup_gate.py
@@ -1,8 +1,8 @@
-"""Delays requests that come before the proxy knows a configuration and nodes.
+"""Delays requests that arrive before the proxy has a configuration and nodes.
 
-A proxy that was just started receives both within a few hundred milliseconds, also where all coordinators
-start with it. A client that is rejected meanwhile spends one of its few attempts; one that waits is served on
-its first.
+A proxy receives both within a few hundred milliseconds of its start, even if all coordinators start at the
+same time. A client that is rejected meanwhile uses up one of its few attempts; a client that waits is served
+on its first attempt.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from coveport.net.transport import Net
 from coveport.serving.model.view import ControlView
 
-MAX_WAIT_S = 0.5  # of one request: some latency targets are under a second; not measured
-STARTUP_WINDOW_S = 2.0  # after that the coordinators are taken for unreachable; not measured
+MAX_WAIT_S = 0.5  # per request; short because some latency targets are under a second
+STARTUP_WINDOW_S = 2.0  # after this time the coordinators are assumed to be unreachable
 
 
 class StartupGate:
-    """Opens for good when the first configuration and nodes are known."""
+    """A gate that opens permanently when the first configuration and nodes have been received."""
 
     def __init__(self, net: Net, view: ControlView) -> None:
         self._net = net
         self._view = view
-        self._until_s = net.now_s() + STARTUP_WINDOW_S
+        self._window_end_s = net.now_s() + STARTUP_WINDOW_S
         self._opened = asyncio.Event()
         view.listeners.append(self._open_if_known)
 
@@ -31,13 +31,13 @@
             self._opened.set()
 
     async def wait(self) -> None:
-        """Return when the proxy can serve, or when the time for waiting is over."""
+        """Return when the proxy can serve, or when the maximum wait has passed."""
         now_s = self._net.now_s()
-        until_s = min(now_s + MAX_WAIT_S, self._until_s)
-        if self._opened.is_set() or now_s >= until_s:
+        deadline_s = min(now_s + MAX_WAIT_S, self._window_end_s)
+        if self._opened.is_set() or now_s >= deadline_s:
             return
         try:
-            async with asyncio.timeout(until_s - now_s):
+            async with asyncio.timeout(deadline_s - now_s):
                 await self._opened.wait()
         except TimeoutError:
             return
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -1,6 +1,6 @@
-"""Subscribes a proxy to updates: asks a coordinator with the versions it has, another when that one fails.
+"""Subscribes a proxy to updates: polls a coordinator with the proxy's versions, or another if that one fails.
 
-Each request renews the proxy's lease. While no coordinator answers, the proxy serves on with what it has.
+Each request renews the proxy's lease. While no coordinator answers, the proxy keeps its current view.
 """
 
 from __future__ import annotations
@@ -24,24 +24,22 @@
 from coveport.serving.wire.messages import Message, Unsubscribe, Update, UpdateRequest
 from coveport.serving.wire.rejection_throttle import RejectionThrottle
 
-CONNECT_TIMEOUT_S = 0.5  # a round trip between regions and a retransmission fit; not measured
-ANSWER_TIMEOUT_S = (
-    1.2  # in which a coordinator has to send any byte: it answers after 0.4 s at the latest; not measured
-)
-MIN_BACKOFF_S = 0.05  # after all coordinators were asked in vain, doubling from then on; not measured
-MAX_BACKOFF_S = 0.25  # a new primary is found within this and its jitter; not measured
+CONNECT_TIMEOUT_S = 0.5  # enough for a round trip between regions and a retransmission
+ANSWER_TIMEOUT_S = 1.2  # time without any byte; a live coordinator answers within 0.4 s
+MIN_BACKOFF_S = 0.05  # after no coordinator answered; doubles with each further round
+MAX_BACKOFF_S = 0.25  # with its jitter, bounds the time until a new primary is found
 
 
 @dataclass(frozen=True, slots=True)
 class SelfReports:
-    """What a proxy reports of itself with its requests."""
+    """The reports on a proxy that go with its requests for updates."""
 
-    make_lease: Callable[[int], ProxyLease]  # for a request number
-    telemetry: TelemetryReporter | None = None  # None: nobody wants to know
+    make_lease: Callable[[int], ProxyLease]  # called with the request number
+    telemetry: TelemetryReporter | None = None  # None: usage is not reported
 
 
 class Subscription:
-    """One proxy's requests for updates."""
+    """The requests of one proxy for updates."""
 
     def __init__(
         self,
@@ -62,35 +60,35 @@
         self._updates: asyncio.Queue[Update] = asyncio.Queue()
         self._request_number = 0
         self._task: asyncio.Task[None] | None = None
-        self._answered_at_s = -inf  # when a coordinator with a quorum last answered
+        self._answered_at_s = -inf  # time of the last answer by a coordinator with a quorum
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start to poll coordinators."""
         self._task = self._net.loop.create_task(self._run())
 
     def stop(self) -> None:
-        """Ask no more, and let the lease run out."""
+        """Stop polling, and let the lease expire."""
         if self._task is not None:
             self._task.cancel()
 
     async def _run(self) -> None:
         backoff_s = MIN_BACKOFF_S
         while True:
-            before_s = self._answered_at_s
+            previous_answer_at_s = self._answered_at_s
             for address in self._selector.by_preference(self._net.now_s()):
-                await self._follow(address)
-                if self._answered_at_s > before_s:
+                await self._poll(address)
+                if self._answered_at_s > previous_answer_at_s:
                     break
-            # Without a state the proxy serves nothing, so it doesn't back off.
-            is_quick = self._answered_at_s > before_s or not self._updater.has_state
-            backoff_s = MIN_BACKOFF_S if is_quick else min(2 * backoff_s, MAX_BACKOFF_S)
+            # A proxy without a state can't serve, so it does not back off.
+            resets_backoff = self._answered_at_s > previous_answer_at_s or not self._updater.has_state
+            backoff_s = MIN_BACKOFF_S if resets_backoff else min(2 * backoff_s, MAX_BACKOFF_S)
             await asyncio.sleep(backoff_s * self._random.uniform(0.5, 1.5))
 
-    async def _follow(self, address: str) -> None:
-        """Ask one coordinator until it fails, moving on to nearer ones as they become known."""
+    async def _poll(self, address: str) -> None:
+        """Poll one coordinator until it fails, and switch to nearer ones when they become known."""
         connection = await self._connect(address)
         while connection is not None:
-            nearer = await self._ask_until_failure(connection, address)
+            nearer = await self._poll_until_failure(connection, address)
             if nearer is None:
                 self._selector.record_failure(address, self._net.now_s())
                 connection.abort()
@@ -114,8 +112,8 @@
             self._selector.record_failure(address, self._net.now_s())
         return connection
 
-    async def _ask_until_failure(self, connection: Connection, address: str) -> str | None:
-        """Ask on one connection; return a nearer coordinator to move to, or None where this one failed."""
+    async def _poll_until_failure(self, connection: Connection, address: str) -> str | None:
+        """Poll on one connection; return a nearer coordinator to switch to, or None after a failure."""
         while not self._updates.empty():
             self._updates.get_nowait()
         if self._reports.telemetry is not None:
@@ -131,7 +129,7 @@
                 return None
             self._apply(update)
             if self._updater.needs_full_state and update.state is not None:
-                return None  # the state that this coordinator has can't be decoded
+                return None  # this coordinator's state can't be decoded
             if not update.has_quorum:
                 self._log.debug("coordinator_without_quorum", coordinator=address)
                 return None
@@ -147,7 +145,7 @@
         return self._updater.request(lease, self._request_number, deregistered, telemetry)
 
     async def _wait_for_update(self, connection: Connection) -> Update | None:
-        """Return the answer to the current request; None where no byte came for `ANSWER_TIMEOUT_S`."""
+        """Return the answer to the current request; None after `ANSWER_TIMEOUT_S` without any byte."""
         while True:
             try:
                 async with asyncio.timeout(ANSWER_TIMEOUT_S):
--- a/coveport/serving/proxy/telemetry_reporter.py
+++ b/coveport/serving/proxy/telemetry_reporter.py
@@ -1,4 +1,4 @@
-"""Makes a proxy's reports of its traffic, which go with its requests for updates."""
+"""Makes a proxy's reports on its traffic, which are sent with its requests for updates."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from coveport.serving.model.true_clock import TrueClock
 from coveport.serving.proxy.usage_counter import UsageCounter
 
-MIN_INTERVAL_S: Final = 0.3  # between two reports; a request for updates goes each 0.4 s at least
+MIN_INTERVAL_S: Final = 0.3  # between two reports; requests for updates are at most 0.4 s apart
 
 
 class TelemetryReporter:
-    """Owns the true time of a proxy, its usage counts, and the numbers of its reports."""
+    """Owns the true clock of a proxy, its usage counts, and the sequence numbers of its reports."""
 
     def __init__(
         self,
@@ -23,31 +23,31 @@
         incarnation: int,
         usage_window_s: float,
     ) -> None:
-        """`name`: of the machine. `incarnation`: as in the proxy's lease."""
+        """Create a reporter; `name` is that of the machine, `incarnation` that of the proxy's lease."""
         self._net = net
         self._name = name
         self._incarnation = incarnation
         self._usage = UsageCounter(usage_window_s)
-        # Asked for each report; empty where nothing is to be reported.
+        # Called for each report; returns an empty tuple if there are no loads to report.
         self.current_loads: Callable[[], tuple[ServiceLoad, ...]] = tuple
         self._clock = TrueClock()
         self._sequence = 0
-        self._reported_window: int | None = None  # the open window of the last report on this connection
+        self._reported_window: int | None = None  # open window of the last report on this connection
         self._reported_at_s: float | None = None
 
     def record_begun(self, tenant: str, at_s: float) -> None:
-        """Count a request of a tenant that began to run at a moment on the clock of `Net.now_s`."""
+        """Count a tenant's request that began to run at `at_s` on the clock of `Net.now_s`."""
         self._observe_clocks()
         self._usage.add(tenant, self._clock.unix_s(at_s))
 
     def begin_connection(self) -> None:
-        """Let the next report hold everything that is kept: another coordinator gets it."""
+        """Make the next report complete, as it goes to another coordinator."""
         self._usage.mark_all_changed()
         self._reported_window = None
         self._reported_at_s = None
 
     def next_report(self) -> ProxyTelemetry | None:
-        """Return the next report; None where nothing changed, or the last one was a moment ago."""
+        """Return the next report; None if nothing changed, or within `MIN_INTERVAL_S` of the last report."""
         self._observe_clocks()
         now_s = self._net.now_s()
         if self._reported_at_s is not None and now_s - self._reported_at_s < MIN_INTERVAL_S:
--- a/coveport/serving/proxy/tenant_index.py
+++ b/coveport/serving/proxy/tenant_index.py
@@ -1,4 +1,4 @@
-"""Finds the tenant of a request by its API key, and what the tenant changes of a route. Pure."""
+"""Finds the tenant of a request by its API key, and applies the tenant's settings to a route. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from coveport.serving.proxy.headers import Headers
 from coveport.serving.wire.names import Header
 
-# Stands for the home regions of a request that no region may serve: none has an empty name.
+# Home regions of a request that no region may serve: no region has an empty name.
 NO_REGION: Final = frozenset({""})
 
 
@@ -18,29 +18,29 @@
 class TenantIndex:
     """The tenants of one configuration, by API key.
 
-    A lookup by hash takes no longer for a key that is nearly right: Python's hash of strings is keyed by a
-    random secret of the process, so its time tells a caller nothing of the keys.
+    The duration of a lookup reveals nothing about the keys, even for a nearly correct key: Python's hash of
+    strings is keyed by a random secret of the process.
     """
 
     tenants_by_key: dict[str, Tenant]
 
     @classmethod
-    def of(cls, tenants: Iterable[Tenant]) -> TenantIndex:
+    def from_tenants(cls, tenants: Iterable[Tenant]) -> TenantIndex:
         """Index the tenants of a configuration."""
         return cls({key: tenant for tenant in tenants for key in tenant.api_keys})
 
     def find(self, headers: Headers) -> Tenant | None:
-        """Return the tenant of a request; None unless it carries exactly one key, which is known."""
+        """Return the tenant of a request; None unless it has exactly one API key, and that is a tenant's."""
         keys = headers.get(Header.API_KEY, ())
         return self.tenants_by_key.get(keys[0]) if len(keys) == 1 else None
 
     def admits(self, route: Route, headers: Headers, tenant: Tenant | None) -> bool:
-        """Return whether a route takes a request: by its tenant or, where it is public, without any key."""
+        """Return whether a route admits a request: with a tenant or, if it is public, without an API key."""
         return tenant is not None or (route.is_public and not any(headers.get(Header.API_KEY, ())))
 
 
 def route_for_tenant(route: Route, tenant: Tenant | None) -> Route:
-    """Return the route with the tenant's priority, and with the home regions that both allow."""
+    """Return the route with the tenant's priority and the home regions that both of them allow."""
     if tenant is None:
         return route
     priority = route.priority if tenant.priority is None else tenant.priority
@@ -51,7 +51,7 @@
 
 
 def _common_regions(first: frozenset[str], second: frozenset[str]) -> frozenset[str]:
-    """Return the regions that both allow; an empty set allows any."""
+    """Return the regions that both sets allow; an empty set allows any region."""
     if not first or not second:
         return first or second
     return first & second or NO_REGION
--- a/coveport/serving/proxy/usage_counter.py
+++ b/coveport/serving/proxy/usage_counter.py
@@ -1,4 +1,4 @@
-"""Counts the requests of tenants that began to run, by usage window. Pure."""
+"""Counts the requests that began to run, by tenant and usage window. Pure."""
 
 from __future__ import annotations
 
@@ -6,20 +6,22 @@
 
 from coveport.serving.model.telemetry import TenantCount, WindowCounts, usage_window_at
 
-KEPT_WINDOWS: Final = 12  # reported again at a new connection: longer than a proxy is without a coordinator
-SETTLING_S: Final = 0.25  # an event is counted at most so long after its moment, way and event loop included
+KEPT_WINDOWS: Final = (
+    12  # reported again on a new connection; more than a proxy is ever without a coordinator
+)
+SETTLING_S: Final = 0.25  # longest delay of a count after its event, in the network and the event loop
 
 
 class UsageCounter:
-    """Owns the counts of the last windows, and which of them changed since they were last taken."""
+    """Owns the counts of the last windows, and the set of those changed since the last `take_changes`."""
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
         self._counts: dict[int, dict[str, int]] = {}  # by window and tenant
-        self._changed: dict[int, set[str]] = {}  # tenants by window
+        self._changed: dict[int, set[str]] = {}  # tenants whose counts changed, by window
 
     def add(self, tenant: str, unix_s: float) -> None:
-        """Count a request that began to run at a moment of true time."""
+        """Count a request that began to run at `unix_s` on the true clock."""
         window = usage_window_at(unix_s, self._window_s)
         counts = self._counts.get(window)
         if counts is None:
@@ -29,7 +31,7 @@
         self._changed.setdefault(window, set()).add(tenant)
 
     def open_window(self, unix_s: float) -> int:
-        """Return the first window whose counts may still change at a moment of true time."""
+        """Return the first window whose counts may still change at `unix_s` on the true clock."""
         return usage_window_at(unix_s - SETTLING_S, self._window_s)
 
     def take_changes(self) -> tuple[WindowCounts, ...]:
@@ -45,10 +47,10 @@
         )
 
     def mark_all_changed(self) -> None:
-        """Let the next `take_changes` return all counts that are kept."""
+        """Make the next `take_changes` return all retained counts."""
         self._changed = {window: set(counts) for window, counts in self._counts.items()}
 
-    def _forget_all_but(self, newest: int) -> None:
-        for window in sorted(self._counts)[:-newest]:
+    def _forget_all_but(self, max_windows: int) -> None:
+        for window in sorted(self._counts)[:-max_windows]:
             del self._counts[window]
             self._changed.pop(window, None)
--- a/coveport/serving/proxy/view_updater.py
+++ b/coveport/serving/proxy/view_updater.py
@@ -1,7 +1,8 @@
 """Applies the updates of coordinators to a proxy's view.
 
-The view never goes back: states are applied by rising sequence, reports on nodes by incarnation and sequence
-number (`node_directory`). What can't be applied is requested again as a complete state.
+The view never returns to an older version: states are applied in the order of their sequence numbers,
+reports on nodes by incarnation and sequence number (`node_directory`). If changes can't be applied, the
+complete state is requested.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 from coveport.serving.wire.versions import PROTOCOL_VERSION
 
 NO_STATE_SEQUENCE = -1  # requests the complete state
-NO_TENANTS = -1  # in the log: requests need no API key
+NO_TENANTS = -1  # logged where requests need no API key
 NO_NODE_REVISION = -1  # requests the complete node table
 
 
 class ViewUpdater:
-    """The versions that a proxy has, and the view that they make."""
+    """A proxy's versions of the state and the node table, and the view made from them."""
 
     def __init__(self, view: ControlView, log: EventLogger) -> None:
         self._view = view
@@ -36,19 +37,19 @@
         self._sequence = NO_STATE_SEQUENCE
         self._table_id = ""
         self._node_revision = NO_NODE_REVISION
-        self._has_full_table = False  # a coordinator that knows all nodes has sent the table in full
+        self._has_full_table = False  # whether the full table of a coordinator with all nodes was received
         self._directory = NodeDirectory()
         self._max_proxies = 0
-        self.needs_full_state = False  # the last changes could not be applied, or the state not be decoded
+        self.needs_full_state = False  # after changes that can't be applied, or a state that can't be decoded
         view.max_proxies = INITIAL_MAX_PROXIES
 
     @property
     def has_state(self) -> bool:
-        """Whether any state was applied: without one the proxy can't serve."""
+        """Whether any state was applied; without a state the proxy can't serve."""
         return self._sequence >= 0
 
     def recently_deregistered(self, now_s: float) -> tuple[str, ...]:
-        """Return the incarnations to name in the first request to a coordinator."""
+        """Return the deregistered incarnations for the first request to a coordinator."""
         return self._directory.recently_deregistered(now_s)
 
     def request(
@@ -58,7 +59,7 @@
         deregistered: tuple[str, ...],
         telemetry: ProxyTelemetry | None,
     ) -> UpdateRequest:
-        """Return the request for what is newer than the versions here."""
+        """Return the request for everything newer than this proxy's versions."""
         sequence = NO_STATE_SEQUENCE if self.needs_full_state else self._sequence
         return UpdateRequest(
             lease,
@@ -72,7 +73,7 @@
         )
 
     def apply(self, update: Update, now_s: float) -> None:
-        """Apply an update to the view, and notify its listeners of a change."""
+        """Apply an update to the view, and notify the listeners if the view changed."""
         is_changed = self._apply_state(update, now_s)
         is_changed |= self._apply_nodes(update, now_s)
         self._apply_max_proxies(update)
@@ -80,28 +81,28 @@
             self._view.notify_listeners()
 
     def _apply_max_proxies(self, update: Update) -> None:
-        """Raise the number of proxies, which divides all quotas.
+        """Raise the number of proxies, by which all limits are divided into quotas.
 
-        It never falls while this process runs: proxies that are partitioned off still spend their quota.
+        It never falls while this process runs, because partitioned proxies still use their quotas.
         """
         if update.max_proxies > self._max_proxies:
             self._max_proxies = update.max_proxies
             self._view.max_proxies = update.max_proxies
 
     def _apply_state(self, update: Update, now_s: float) -> bool:
-        """Take a newer state; return whether the view changed: other commands than the duties' came."""
+        """Apply a newer state; return whether anything but the state of duties changed."""
         if update.state_sequence <= self._sequence:
             return False
         state = self._decode(update.state) if update.state is not None else self._replay(update.changes)
         self.needs_full_state = state is None
         if state is None:
             return False
-        is_first = not self.has_state
-        before = self._state
+        is_first_state = not self.has_state
+        previous = self._state
         self._state = state
         self._sequence = update.state_sequence
-        self._activate(before, state, now_s)
-        return is_first or without_duties(state) != without_duties(before)
+        self._activate(previous, state, now_s)
+        return is_first_state or without_duties(state) != without_duties(previous)
 
     def _decode(self, data: bytes) -> ControlState | None:
         try:
@@ -120,12 +121,12 @@
             state = applied.state
         return state
 
-    def _activate(self, before: ControlState, state: ControlState, now_s: float) -> None:
-        """Put a newer acknowledged state into the view."""
-        for zone in before.evacuated_zones - state.evacuated_zones:
+    def _activate(self, previous: ControlState, state: ControlState, now_s: float) -> None:
+        """Apply a newer acknowledged state to the view."""
+        for zone in previous.evacuated_zones - state.evacuated_zones:
             self._view.evacuation_ended_at_s[zone] = now_s
         self._view.evacuated_zones = state.evacuated_zones
-        if state.edition == before.edition or state.configuration_text is None:
+        if state.edition == previous.edition or state.configuration_text is None:
             return
         document = read_document(state.configuration_text)
         if isinstance(document, Refusal):
@@ -145,15 +146,15 @@
             self._log.warning("configuration_fields_ignored", edition=state.edition, fields=fields)
 
     def _apply_nodes(self, update: Update, now_s: float) -> bool:
-        before = self._view.nodes
-        self._view.nodes = self._directory.merge(before, update, now_s)
+        previous = self._view.nodes
+        self._view.nodes = self._directory.merge(previous, update, now_s)
         self._update_node_revision(update)
-        return self._view.nodes is not before
+        return self._view.nodes is not previous
 
     def _update_node_revision(self, update: Update) -> None:
-        """Set which differences to request next.
+        """Set the versions of the node table from which the next differences are requested.
 
-        Once a coordinator knows all nodes, its table is requested in full one more time.
+        Once a coordinator knows all nodes, its full table is requested one more time.
         """
         if update.table_id != self._table_id:
             self._has_full_table = False
@@ -166,7 +167,7 @@
 
 
 def _apply_command(state: ControlState, command: bytes) -> Applied | None:
-    """Return the state after a command; None where it does not apply, or a newer program encoded it."""
+    """Return the state after a command; None if it does not apply, or has a newer program's encoding."""
     try:
         applied = apply(state, command)
     except MalformedMessageError:
--- a/coveport/serving/web/http_client.py
+++ b/coveport/serving/web/http_client.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request on a connection of its own."""
+"""Sends one HTTP/1.1 request on a new connection."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from coveport.net.address import Address
 from coveport.net.transport import Net
 
-MAX_RESPONSE_BYTES: Final = 64 * 1024 * 1024  # bounds what a faulty peer can make a verb hold
+MAX_RESPONSE_BYTES: Final = 64 * 1024 * 1024  # bounds the memory that a faulty peer can make a command use
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A request; sending it again sends the same bytes."""
+    """A request; sent again, it has the same bytes."""
 
     method: str
     path: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFailure:
-    """No complete response came: the request may have been carried out or not."""
+    """The lack of a complete response: the request may have been carried out or not."""
 
     reason: str
 
@@ -38,9 +38,9 @@
     timeout_s: float,
     may_send: Callable[[], bool] = lambda: True,
 ) -> Response | RequestFailure:
-    """Send a request and wait for its response; connecting counts toward the time-out.
+    """Send a request and wait for its response; the time-out includes the connect.
 
-    `may_send`: asked once it is connected, right before the request is written.
+    `may_send` is called once after the connect, right before the request is written; False withdraws it.
     """
     exchange = _Exchange(net, request, f"{address[0]}:{address[1]}", may_send)
     try:
@@ -48,7 +48,7 @@
             await net.dial(lambda: exchange, address)
             return await exchange.outcome
     except TimeoutError:
-        return RequestFailure(f"no answer within {timeout_s:g} s")
+        return RequestFailure(f"no response within {timeout_s:g} s")
     except OSError as error:
         return RequestFailure(error.strerror or str(error) or type(error).__name__)
     finally:
@@ -56,7 +56,7 @@
 
 
 class _Exchange(asyncio.Protocol):
-    """Writes one request and reads its response; `outcome` is done by then."""
+    """Writes one request and reads its response, which completes `outcome`."""
 
     def __init__(self, net: Net, request: HttpRequest, host: str, may_send: Callable[[], bool]) -> None:
         headers = (("Host", host), ("Connection", "close"), *request.headers)
@@ -70,29 +70,29 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if self.outcome.done():  # given up while it was being connected
+        if self.outcome.done():  # timed out or cancelled during the connect
             return
         if self._may_send():
             transport.write(self._request)
         else:
-            self._finish(RequestFailure("it was no longer to be sent"))
+            self._finish(RequestFailure("the request was withdrawn before it was written"))
 
     def data_received(self, data: bytes) -> None:
         self._parser.feed(data)
         try:
             response = self._parser.next_response()
         except RemoteProtocolError as error:
-            self._finish(RequestFailure(f"the answer is malformed: {error}"))
+            self._finish(RequestFailure(f"malformed response: {error}"))
             return
         if response is not None:
             self._finish(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
         response = self._response_at_end() if exc is None else None
-        self._finish(response or RequestFailure("the connection ended without a whole answer"))
+        self._finish(response or RequestFailure("the connection was closed before a complete response"))
 
     def _response_at_end(self) -> Response | None:
-        """Return the response whose length only the end of the connection tells, if there is one."""
+        """Return the response that ends with the connection, or None if there is no such response."""
         try:
             return self._parser.receive_eof()
         except RemoteProtocolError:
@@ -103,12 +103,12 @@
             self.outcome.set_result(outcome)
 
     def close(self) -> None:
-        """End the connection at once; where no response has come, what is on its way is lost."""
-        is_over = self.outcome.done() and not self.outcome.cancelled()
+        """Close the connection at once; reset it, which discards data in transit, if there is no outcome."""
+        has_outcome = self.outcome.done() and not self.outcome.cancelled()
         self.outcome.cancel()
         if self._transport is None:
             return
-        if is_over:
+        if has_outcome:
             self._transport.abort()
         else:
             self._net.reset(self._transport)
--- a/coveport/serving/web/messages.py
+++ b/coveport/serving/web/messages.py
@@ -1,4 +1,4 @@
-"""Requests to the system's own HTTP API, and the responses to them."""
+"""Requests to the system's HTTP API, and the responses to them."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiRequest:
-    """One request, with its target taken apart by the router."""
+    """One request, with its target split by the router."""
 
     method: str
     path: str
-    path_suffix: str  # what follows a route's prefix, decoded; empty: the route is a complete path
+    path_suffix: str  # decoded rest of the path after a route's prefix; empty: the route is a complete path
     query: dict[str, str]
     headers: dict[str, list[str]]  # by name in lower case
     body: bytes
-    local_host: str  # the address of ours that the client connected to
+    local_host: str  # the server's address to which the client connected
 
     def header(self, name: str) -> str | None:
-        """Return a header's first value, or None where the request has no such header."""
+        """Return the first value of a header, or None if the request lacks it."""
         values = self.headers.get(name)
         return values[0] if values else None
 
--- a/coveport/serving/web/router.py
+++ b/coveport/serving/web/router.py
@@ -1,4 +1,4 @@
-"""Finds the handler of a request. Routes are declared beside their handlers, with the decorator `route`."""
+"""Finds the handler of a request. Routes are declared with the decorator `route` of their handlers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from coveport.serving.web.messages import ApiRequest, ApiResponse, json_response
 from coveport.serving.wire.names import ERROR
 
-_ROUTES_ATTRIBUTE = "routes"  # of a handler: where `route` keeps what it declares
+_ROUTES_ATTRIBUTE = "routes"  # attribute of a handler that holds the routes declared with `route`
 
 Handler = Callable[[ApiRequest], Awaitable[ApiResponse]]
 DeclaredHandler = TypeVar("DeclaredHandler", bound=Callable[..., Awaitable[ApiResponse]])
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What a handler responds to: a method, and a path that is complete or, ending with a slash, a prefix."""
+    """A method, and a path that is complete or, if it ends with a slash, a prefix."""
 
     method: str
     path: str
@@ -36,10 +36,10 @@
 
 
 class Router:
-    """The routes that the methods of some objects declare."""
+    """The routes that are declared by the methods of some objects."""
 
     def __init__(self, *handler_objects: object) -> None:
-        self._handlers: dict[str, dict[str, Handler]] = {}  # by a route's path, then by its method
+        self._handlers: dict[str, dict[str, Handler]] = {}  # by path of the route, then by method
         for handler_object in handler_objects:
             self._add_routes_of(handler_object)
 
@@ -51,9 +51,9 @@
                 handlers[declared.method] = getattr(handler_object, name)
 
     async def dispatch(self, request: Request, local_host: str) -> ApiResponse:
-        """Return the response of the request's handler; 404 or 405 where there is none.
+        """Return the response of the request's handler; 404 or 405 if there is no handler.
 
-        `local_host`: the address of ours that the client connected to.
+        `local_host` is the server's address to which the client connected.
         """
         target = urlsplit(request.target)
         match = self._match(target.path)
@@ -76,7 +76,7 @@
         )
 
     def _match(self, path: str) -> tuple[str, str] | None:
-        """Return the path of the route that a request's path belongs to, and the decoded rest of it."""
+        """Return the path of the route that matches a request's path, and the decoded rest of that path."""
         if path in self._handlers and not path.endswith("/"):
             return path, ""
         prefix, slash, suffix = path.rpartition("/")
--- a/coveport/serving/web/server.py
+++ b/coveport/serving/web/server.py
@@ -1,4 +1,4 @@
-"""Listens for HTTP/1.1 requests and responds to them, one after the other on each connection."""
+"""Listens for HTTP/1.1 requests and responds to them, one after another on each connection."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 MAX_BODY_BYTES: Final = 8 * 1024 * 1024  # twice the largest configuration, 4 MiB
 IDLE_TIMEOUT_S: Final = 60.0
-ACCEPT_BATCH: Final = 64  # connections accepted in one turn of the loop
+ACCEPT_BATCH: Final = 64  # connections accepted in one turn of the event loop
 LISTEN_BACKLOG: Final = 512
 
 RequestHandler = Callable[[http1.Request, str], Awaitable[ApiResponse]]
@@ -31,7 +31,7 @@
     ) -> None:
         """Create a server that does not listen yet.
 
-        `handle_request` gets a request and the address of ours that the client connected to.
+        `handle_request` is called with a request and the server's address to which the client connected.
         `before_data` is called before received bytes are parsed; it may reset connections.
         """
         self.net = net
@@ -42,20 +42,20 @@
         self.connections: set[_Connection] = set()
 
     async def start(self) -> None:
-        """Start to listen; raise OSError where the address can't be bound."""
+        """Start to listen; raise OSError if the address can't be bound."""
         self._listening = await self.net.listen(
             lambda: _Connection(self), self._address, accepts_per_turn=ACCEPT_BATCH, backlog=LISTEN_BACKLOG
         )
 
     def stop(self) -> None:
-        """Accept no further connections, close the idle ones, and the others after their response."""
+        """Stop accepting; close idle connections now, and the others after their response."""
         if self._listening is not None:
             self._listening.close()
         for connection in list(self.connections):
             connection.close_when_idle()
 
     def reset_all(self) -> None:
-        """Abort every connection: bytes that wait in them may be from before a stall of this process."""
+        """Abort all connections: their unread bytes may have been sent before a stall of this process."""
         for connection in list(self.connections):
             connection.abort()
 
@@ -85,11 +85,11 @@
             self._idle_timer.cancel()
 
     def eof_received(self) -> None:
-        """Cancel the response: the client has left. The transport closes itself."""
+        """Cancel the response, because the client has closed the connection. The transport closes itself."""
         self._cancel_response()
 
     def _cancel_response(self) -> None:
-        """Nobody waits for the response: what the request asks for must not be started any more."""
+        """Cancel the response without a client, so that the requested action is not started any more."""
         if self._response_task is not None:
             self._response_task.cancel()
 
@@ -126,8 +126,10 @@
         local_host = str(self._transport.get_extra_info("sockname")[0])
         try:
             response = await self._server.handle_request(request, local_host)
-        except Exception as error:  # noqa: BLE001  # a defect of ours must not leave the client without a response
-            self._server.net.loop.call_exception_handler({"message": "a call", "exception": error})
+        except Exception as error:  # noqa: BLE001  # the client gets a response even after a defect
+            self._server.net.loop.call_exception_handler(
+                {"message": "HTTP handler failed", "exception": error}
+            )
             response = ApiResponse(500)
         self._response_task = None
         self._write(response, request.keep_alive and not self._is_draining)
@@ -142,12 +144,12 @@
             self._transport.close()
 
     def close_when_idle(self) -> None:
-        """Close now, or after the response that is being made."""
+        """Close the connection now, or after the current response."""
         self._is_draining = True
         if self._response_task is None and self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once, whatever is unsent."""
+        """Close the connection at once, and discard unsent bytes."""
         if self._transport is not None:
             self._transport.abort()
--- a/tests/serving/proxy/test_api_keys.py
+++ b/tests/serving/proxy/test_api_keys.py
@@ -1,4 +1,4 @@
-"""API keys of tenants: which requests a proxy forwards, and as whose."""
+"""API keys of tenants: which requests a proxy forwards, and for which tenant."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
 
 
 def configure(environment: ProxyEnvironment, edition: int, *tenants: Json, **changed: Any) -> None:
-    """Activate a configuration with these tenants, a route that needs a key, and a public one."""
+    """Activate a configuration with these tenants, a route that needs a key, and a public route."""
     activate(environment, edition, Senders=list(tenants), **changed)
 
 
 def configure_without_tenants(environment: ProxyEnvironment) -> None:
-    """Activate a configuration that has no list of tenants."""
+    """Activate a configuration without a list of tenants."""
     activate(environment, 2, Routes=[route("private", Kind="unsafe", Service="s", HomeRegions=[])])
 
 
@@ -63,9 +63,9 @@
         route("public", Kind="unsafe", Service="s", HomeRegions=[], Public=True),
     ]
     fields = {"Services": [service("s")]} | changed
-    read = read_configuration(encode_json(make_configuration(edition, *routes, **fields)))
-    assert isinstance(read, Configuration), read
-    environment.view.configuration = read
+    configuration = read_configuration(encode_json(make_configuration(edition, *routes, **fields)))
+    assert isinstance(configuration, Configuration), configuration
+    environment.view.configuration = configuration
 
 
 @pytest.fixture
@@ -94,14 +94,14 @@
 
 
 def tenants_of(node: ScriptedNode) -> list[str | None]:
-    """Return the tenant that each request names which the node got."""
+    """Return the tenant named in each request that the node received."""
     return [arrival.header(TENANT) for arrival in node.arrivals]
 
 
 # Requests without a valid key.
 
 
-def test_request_without_one_known_key_is_rejected_and_reaches_no_node(
+def test_request_without_exactly_one_known_key_is_rejected_and_reaches_no_node(
     environment: ProxyEnvironment, node: ScriptedNode
 ) -> None:
     statuses = {case: request(environment, *headers).status for case, headers in INVALID_CREDENTIALS.items()}
@@ -118,7 +118,9 @@
     environment.check()
 
 
-def test_connection_goes_on_after_a_rejected_key(environment: ProxyEnvironment, node: ScriptedNode) -> None:
+def test_connection_stays_usable_after_a_rejected_key(
+    environment: ProxyEnvironment, node: ScriptedNode
+) -> None:
     client = environment.connect_client()
     for number, key in enumerate((UNKNOWN_KEY, ALPHA_KEY)):
         client.send_request("/private/x", (KEY, key), host="shop.example", attempt_id=f"t-{number}")
@@ -144,7 +146,7 @@
     environment.check()
 
 
-def test_no_key_is_rejected_before_a_configuration_is_known(
+def test_keys_are_not_checked_before_a_configuration_is_known(
     environment: ProxyEnvironment, node: ScriptedNode
 ) -> None:
     environment.view.configuration = None
@@ -225,7 +227,7 @@
     environment.check()
 
 
-def test_client_cannot_name_its_tenant_where_there_are_none(
+def test_client_cannot_name_its_tenant_without_configured_tenants(
     environment: ProxyEnvironment, node: ScriptedNode
 ) -> None:
     configure_without_tenants(environment)
@@ -270,8 +272,8 @@
 
 def test_moved_key_names_its_new_tenant(environment: ProxyEnvironment, node: ScriptedNode) -> None:
     assert request(environment, (KEY, ALPHA_SECOND_KEY)).status == 200
-    moved = [ALPHA | {"ApiKeys": [ALPHA_KEY]}, BETA | {"ApiKeys": [BETA_KEY, ALPHA_SECOND_KEY]}]
-    configure(environment, 2, *moved)
+    changed_tenants = [ALPHA | {"ApiKeys": [ALPHA_KEY]}, BETA | {"ApiKeys": [BETA_KEY, ALPHA_SECOND_KEY]}]
+    configure(environment, 2, *changed_tenants)
     assert request(environment, (KEY, ALPHA_SECOND_KEY)).status == 200
     assert tenants_of(node) == ["alpha", "beta"]
     environment.check()
@@ -280,16 +282,16 @@
 def test_route_that_is_no_longer_public_needs_a_key(
     environment: ProxyEnvironment, node: ScriptedNode
 ) -> None:
-    closed = route("public", Kind="unsafe", Service="s", HomeRegions=[], Public=False)
-    configure(environment, 2, ALPHA, BETA, Routes=[closed])
+    private_route = route("public", Kind="unsafe", Service="s", HomeRegions=[], Public=False)
+    configure(environment, 2, ALPHA, BETA, Routes=[private_route])
     assert request(environment, path="/public/x").status == 401
     assert node.arrivals == []
     environment.check()
 
 
 def test_waiting_request_is_rejected_when_its_key_is_removed(environment: ProxyEnvironment) -> None:
-    patient = route("private", Kind="unsafe", Service="s", HomeRegions=[], TargetMs=2000, Public=False)
-    limited: dict[str, Any] = {"Routes": [patient], "Services": [service("s", MaxConns=1)]}
+    queueing_route = route("private", Kind="unsafe", Service="s", HomeRegions=[], TargetMs=2000, Public=False)
+    limited: dict[str, Any] = {"Routes": [queueing_route], "Services": [service("s", MaxConns=1)]}
     configure(environment, 2, ALPHA, BETA, **limited)
 
     async def respond_late(arrival: Arrival) -> None:
--- a/tests/serving/proxy/test_broken_variants.py
+++ b/tests/serving/proxy/test_broken_variants.py
@@ -99,7 +99,7 @@
     patch.setattr(OutlierDetector, "record_attempt", always(None))
 
 
-@caught_by(node_selection_tests.test_where_all_are_ejected_they_are_tried)
+@caught_by(node_selection_tests.test_ejected_nodes_are_used_if_all_nodes_are_ejected)
 def never_routes_in_panic(patch: Patch) -> None:
     patch.setattr(NodeSelector, "_panic_candidates", always([]))
 
--- a/tests/serving/proxy/test_coordinator_selection.py
+++ b/tests/serving/proxy/test_coordinator_selection.py
@@ -1,4 +1,4 @@
-"""The nearest coordinator that works is asked."""
+"""Selection of the nearest coordinator that works."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     assert selector.nearer_than("own-region", 10.1 + FAILURE_BACKOFF_S) == "own-zone"
 
 
-def test_where_all_failed_the_first_to_fail_comes_first() -> None:
+def test_if_all_failed_the_earliest_failure_comes_first() -> None:
     selector = make_selector()
     selector.update_endpoints(ENDPOINTS)
     for number, address in enumerate(("own-region", "far", "own-zone")):
@@ -45,7 +45,7 @@
     assert selector.by_preference(12.1) == ["own-region", "far", "own-zone"]
 
 
-def test_coordinator_that_is_not_live_is_never_moved_to() -> None:
+def test_coordinator_that_is_not_live_is_never_preferred_to_the_current_one() -> None:
     selector = make_selector()
     selector.update_endpoints(ENDPOINTS[:2])
     assert selector.nearer_than("far", 0.0) == "own-region"
--- a/tests/serving/proxy/test_load_sampler.py
+++ b/tests/serving/proxy/test_load_sampler.py
@@ -1,4 +1,4 @@
-"""The load that a proxy reports, against a count of every request."""
+"""The load that a proxy reports, compared with a count of every request."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SampledProxy:
-    """The counters and queues of a proxy in zone `z`, and its time."""
+    """The load counters and queues of a proxy in zone `z`, with a settable clock."""
 
     def __init__(self, *services: Service) -> None:
         self.now_s = 100.0
@@ -49,14 +49,14 @@
     assert proxy.next_loads() == ()
 
 
-def test_a_second_report_comes_after_the_interval() -> None:
+def test_loads_are_sampled_again_only_after_the_interval() -> None:
     proxy = SampledProxy(SCALED)
     assert proxy.next_loads()
     assert proxy.sampler.next_loads() == ()
     assert proxy.next_loads()
 
 
-def test_waiting_requests_count_in_the_own_zone_whatever_their_home_regions() -> None:
+def test_waiting_requests_count_in_the_proxys_zone_for_any_home_regions() -> None:
     proxy = SampledProxy(SCALED)
     proxy.counters.record_selected(node(zone="far"))
     proxy.queues.queue_for("s", frozenset()).enqueue(0, lambda: None)
--- a/tests/serving/proxy/test_node_directory.py
+++ b/tests/serving/proxy/test_node_directory.py
@@ -1,4 +1,4 @@
-"""Reports on nodes from coordinators that may be behind."""
+"""Merging of reports on nodes from coordinators that may lag behind."""
 
 from __future__ import annotations
 
@@ -14,32 +14,37 @@
 
 
 def update(
-    *nodes: Node, removed: tuple[str, ...] = (), deregistered: tuple[str, ...] = (), whole: bool = False
+    *nodes: Node,
+    removed: tuple[str, ...] = (),
+    deregistered: tuple[str, ...] = (),
+    is_full_table: bool = False,
 ) -> Update:
-    return Update(1, True, True, "t", 1, whole, nodes, removed, deregistered, 1, None, (), (), 0)
+    return Update(1, True, True, "t", 1, is_full_table, nodes, removed, deregistered, 1, None, (), (), 0)
 
 
 def run(*updates: Update) -> tuple[NodeDirectory, Nodes]:
     directory, nodes = NodeDirectory(), Nodes()
-    for at_s, single in enumerate(updates):
-        nodes = directory.merge(nodes, single, float(at_s))
+    for at_s, next_update in enumerate(updates):
+        nodes = directory.merge(nodes, next_update, float(at_s))
     return directory, nodes
 
 
 @pytest.mark.parametrize(
-    "behind", [update(node(2)), update(node(9), whole=True)], ids=["difference", "whole"]
+    "stale_update", [update(node(2)), update(node(9), is_full_table=True)], ids=["difference", "full table"]
 )
 @pytest.mark.parametrize(
-    "left",
+    "deregistration",
     [
         update(deregistered=("i-1",)),
         update(removed=("i-1",), deregistered=("i-1",)),
-        update(deregistered=("i-1",), whole=True),
+        update(deregistered=("i-1",), is_full_table=True),
     ],
-    ids=["told alone", "with its removal", "in a whole table"],
+    ids=["alone", "with the removal", "in a full table"],
 )
-def test_deregistered_node_is_not_added_by_a_coordinator_that_is_behind(left: Update, behind: Update) -> None:
-    _, nodes = run(update(node(1)), left, behind)
+def test_deregistered_node_is_not_added_by_a_coordinator_that_is_behind(
+    deregistration: Update, stale_update: Update
+) -> None:
+    _, nodes = run(update(node(1)), deregistration, stale_update)
     assert "i-1" not in nodes
 
 
@@ -49,10 +54,10 @@
 
 
 def test_draining_is_undone_neither_by_an_older_report_nor_by_a_removal() -> None:
-    closing = update(node(5, NodeState.DRAINING))
-    _, nodes = run(closing, update(node(9)))
+    draining = update(node(5, NodeState.DRAINING))
+    _, nodes = run(draining, update(node(9)))
     assert nodes["i-1"].node.state is NodeState.DRAINING
-    _, nodes = run(closing, update(removed=("i-1",)), update(node(4)))
+    _, nodes = run(draining, update(removed=("i-1",)), update(node(4)))
     assert "i-1" not in nodes
 
 
@@ -61,7 +66,7 @@
     assert nodes["i-1"].node.sequence == 2
 
 
-def test_update_without_news_returns_the_same_map() -> None:
+def test_update_without_changes_returns_the_same_map() -> None:
     directory, nodes = run(update(node(3)))
     assert directory.merge(nodes, update(node(2), deregistered=("i-9",)), 2.0) is nodes
 
@@ -70,6 +75,6 @@
     directory, _ = run(update(deregistered=("i-1",)))
     assert directory.recently_deregistered(TOMBSTONE_REPORT_S) == ("i-1",)
     assert directory.recently_deregistered(TOMBSTONE_REPORT_S + 0.1) == ()
-    many = tuple(f"i-{number}" for number in range(MAX_TOMBSTONES + 50))
-    directory, _ = run(update(deregistered=many))
+    incarnations = tuple(f"i-{number}" for number in range(MAX_TOMBSTONES + 50))
+    directory, _ = run(update(deregistered=incarnations))
     assert len(directory.recently_deregistered(0.0)) == MAX_TOMBSTONES
--- a/tests/serving/proxy/test_outlier_ejection.py
+++ b/tests/serving/proxy/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""A node that fails part of what it runs, though it answers at once and its health is good."""
+"""Ejection of nodes that fail some requests, although they answer at once and pass health checks."""
 
 from __future__ import annotations
 
@@ -64,16 +64,16 @@
     outliers = OutlierDetector(Random(1))
     outliers.record_server_error("n", NOW)
     outliers.record_server_error("n", NOW)
-    now_s, trials = NOW, 0
+    now_s, half_open_requests = NOW, 0
     while outliers.is_ejected("n", now_s + 0.01):
-        now_s += MAX_EJECTION_S * 1.3  # a trial is due
+        now_s += MAX_EJECTION_S * 1.3  # the circuit is half-open
         assert not outliers.is_ejected("n", now_s)
         outliers.record_served("n", now_s)
-        trials += 1
-    assert 1 <= trials <= 6
+        half_open_requests += 1
+    assert 1 <= half_open_requests <= 6
 
 
-def test_errors_of_long_ago_have_decayed() -> None:
+def test_old_errors_have_decayed() -> None:
     outliers = OutlierDetector(Random(1))
     outliers.record_server_error("n", NOW)
     outliers.record_server_error("n", NOW)
--- a/tests/serving/proxy/test_prefix_cache.py
+++ b/tests/serving/proxy/test_prefix_cache.py
@@ -1,4 +1,4 @@
-"""Estimates of the nodes' prefix caches, and affinity."""
+"""Estimates of the nodes' prefix caches, and cache affinity."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     assert parse_segments(None) == parse_segments("") == parse_segments("5c:x") == parse_segments("5c") == ()
 
 
-def test_segment_counts_only_behind_those_before_it() -> None:
+def test_segment_counts_only_if_all_segments_before_it_count() -> None:
     index = PrefixCacheIndex()
     index.record_forwarded(SEGMENTS[1:], "a")
     assert index.cached_tokens(SEGMENTS, "a") == 0
@@ -36,8 +36,8 @@
     assert index.preferred_node(SEGMENTS, "a", "b") == "a" == index.preferred_node(SEGMENTS, "b", "a")
 
 
-def test_where_both_have_as_much_cached_all_proxies_prefer_the_same_node_and_segments_spread() -> None:
-    """Each proxy has an index of its own: without an agreed choice every node would prefill every segment."""
+def test_on_equal_caches_all_proxies_prefer_the_same_node_and_segments_spread() -> None:
+    """Proxies share no index, so with different preferences every node would prefill every segment."""
     names = [f"n{number}" for number in range(8)]
     counts = dict.fromkeys(names, 0)
     for number in range(400):
@@ -47,10 +47,12 @@
             PrefixCacheIndex().preferred_node(segments, "n1", "n0"),
         }
         assert len(preferred) == 1
-        best = names[0]
+        preferred_name = names[0]
         for name in names[1:]:
-            best = PrefixCacheIndex().preferred_node(segments, best, name) or best
-        counts[best] += 1
+            preferred_name = (
+                PrefixCacheIndex().preferred_node(segments, preferred_name, name) or preferred_name
+            )
+        counts[preferred_name] += 1
     assert min(counts.values()) > 20
 
 
@@ -78,27 +80,27 @@
     assert index.uncached_tokens(SEGMENTS, "a") == 250
 
 
-def test_prompts_with_long_shared_prefixes_keep_to_few_nodes_and_others_go_anywhere() -> None:
+def test_only_prompts_with_long_shared_prefixes_are_limited_to_few_nodes() -> None:
     names = tuple(f"n{number}" for number in range(8))
     long = (PromptSegment("a", MIN_AFFINITY_TOKENS - 10), PromptSegment("b", 10), PromptSegment("own", 5000))
     short = (PromptSegment("a", MIN_AFFINITY_TOKENS - 11), PromptSegment("b", 10), PromptSegment("own", 5000))
-    reusable = affinity_candidates(long, names, 2)
-    assert len(reusable) == 2 and set(reusable) == set(affinity_candidates(long, names[::-1], 2))
+    candidates = affinity_candidates(long, names, 2)
+    assert len(candidates) == 2 and set(candidates) == set(affinity_candidates(long, names[::-1], 2))
     assert affinity_candidates(short, names, 2) == names == affinity_candidates((), names, 2)
     assert affinity_candidates(long, names[:2], 2) == names[:2]
 
 
-def test_every_node_gets_its_share_of_the_segments_and_their_second_choices_spread() -> None:
-    """A checksum gave one of 36 nodes three times its share, and all segments of a node one second choice."""
+def test_segments_and_their_second_choices_spread_evenly_over_nodes() -> None:
+    """A checksum gave one of 36 nodes three times the mean, and all segments of a node one second choice."""
     names = [f"i-{number * 7919:08x}" for number in range(36)]
-    first: Counter[str] = Counter()
-    second: dict[str, Counter[str]] = defaultdict(Counter)
+    first_choices: Counter[str] = Counter()
+    second_choices: dict[str, Counter[str]] = defaultdict(Counter)
     for number in range(7200):
         segments = (PromptSegment(f"{number * 104729:010x}", MIN_AFFINITY_TOKENS), PromptSegment("own", 10))
         top, runner_up = affinity_candidates(segments, names, 2)
-        first[top] += 1
-        second[top][runner_up] += 1
-    share = 7200 / len(names)
-    assert 0.7 * share < min(first[name] for name in names)
-    assert max(first.values()) < 1.3 * share
-    assert all(max(others.values()) < 0.15 * sum(others.values()) for others in second.values())
+        first_choices[top] += 1
+        second_choices[top][runner_up] += 1
+    mean_count = 7200 / len(names)
+    assert 0.7 * mean_count < min(first_choices[name] for name in names)
+    assert max(first_choices.values()) < 1.3 * mean_count
+    assert all(max(counts.values()) < 0.15 * sum(counts.values()) for counts in second_choices.values())
--- a/tests/serving/proxy/test_slow_start.py
+++ b/tests/serving/proxy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What a cold node receives from all proxies together."""
+"""The requests that a node in its warm-up receives from all proxies together."""
 
 from __future__ import annotations
 
@@ -17,59 +17,63 @@
 NODE = Node("n", 1, "s", "10.0.0.1:80", "z", "r", 64, NodeState.ACCEPTING)
 
 
-def cold(until_s: float) -> KnownNode:
-    return KnownNode(NODE, 0.0, until_s, FOREVER)
+def known_node(warming_until_s: float) -> KnownNode:
+    return KnownNode(NODE, 0.0, warming_until_s, FOREVER)
 
 
-def arrivals(proxies: int, seed: int, seconds: float, *, turns_cold_at_s: float = 0.0) -> list[float]:
-    """Every proxy sends as soon as it may, 50 times a second, each with a way of its own to the node."""
+def arrivals(proxies: int, seed: int, seconds: float, *, warm_up_at_s: float = 0.0) -> list[float]:
+    """Return the arrival times at a node to which every proxy sends as soon as it may.
+
+    Each proxy may send 50 times a second, with its own network delay to the node. Before `warm_up_at_s` it
+    sends only once a second; these sends are not returned.
+    """
     random = Random(seed)
     view = ControlView(max_proxies=proxies)
-    credits = [SlowStartLimiter(1.5, 5, Random(random.random())) for _ in range(proxies)]
-    ways = [random.random() * 0.05 for _ in range(proxies)]
-    found = []
+    limiters = [SlowStartLimiter(1.5, 5, Random(random.random())) for _ in range(proxies)]
+    delays_s = [random.random() * 0.05 for _ in range(proxies)]
+    arrival_times = []
     for step in range(int(seconds * 50)):
         now = step / 50
-        node = cold(seconds if now >= turns_cold_at_s else 0.0)
-        for credit, way in zip(credits, ways, strict=True):
-            warm = now < turns_cold_at_s
-            if (not warm or step % 50 == 0) and credit.may_send(node, SERVICE, view, now):
-                credit.record_send(node, SERVICE, view, now)
-                if not warm:
-                    found.append(now + way)
-    return sorted(found)
+        node = known_node(seconds if now >= warm_up_at_s else 0.0)
+        for limiter, delay_s in zip(limiters, delays_s, strict=True):
+            is_warm = now < warm_up_at_s
+            if (not is_warm or step % 50 == 0) and limiter.may_send(node, SERVICE, view, now):
+                limiter.record_send(node, SERVICE, view, now)
+                if not is_warm:
+                    arrival_times.append(now + delay_s)
+    return sorted(arrival_times)
 
 
 def most_in_a_second(times: list[float]) -> int:
-    most, begin = 0, 0
-    for end, at in enumerate(times):
-        while times[begin] <= at - 1.0:
-            begin += 1
-        most = max(most, end - begin + 1)
+    most, first = 0, 0
+    for last, time_s in enumerate(times):
+        while times[first] <= time_s - 1.0:
+            first += 1
+        most = max(most, last - first + 1)
     return most
 
 
 @pytest.mark.parametrize("proxies", [1, 3, 7, 9, 19, 20, 89, 340])
 def test_sum_over_all_proxies_stays_under_the_rule(proxies: int) -> None:
     for seed in range(5):
-        found = arrivals(proxies, seed, 8.0)
-        assert most_in_a_second(found) <= BOUND
-        assert len(found) >= 8  # and it is not starved either
+        times = arrivals(proxies, seed, 8.0)
+        assert most_in_a_second(times) <= BOUND
+        assert len(times) >= 8  # the node still receives requests
 
 
 @pytest.mark.parametrize("proxies", [9, 89])
-def test_node_whose_warm_up_begins_anew_is_not_sent_to_by_all_at_once(proxies: int) -> None:
+def test_node_whose_warm_up_restarts_does_not_receive_from_all_proxies_at_once(proxies: int) -> None:
     for seed in range(5):
-        found = arrivals(proxies, seed, 6.0, turns_cold_at_s=2.0)
-        assert most_in_a_second(found) <= BOUND
+        times = arrivals(proxies, seed, 6.0, warm_up_at_s=2.0)
+        assert most_in_a_second(times) <= BOUND
 
 
 def test_warm_node_is_not_limited() -> None:
-    credit, view = SlowStartLimiter(1.5, 5, Random(1)), ControlView(max_proxies=9)
+    limiter, view = SlowStartLimiter(1.5, 5, Random(1)), ControlView(max_proxies=9)
     for _ in range(200):
-        assert credit.may_send(cold(0.0), SERVICE, view, 10.0)
-        credit.record_send(cold(0.0), SERVICE, view, 10.0)
-    assert not credit.may_send(cold(20.0), SERVICE, view, 10.5)  # what it had counts once it is cold
+        assert limiter.may_send(known_node(0.0), SERVICE, view, 10.0)
+        limiter.record_send(known_node(0.0), SERVICE, view, 10.0)
+    assert not limiter.may_send(known_node(20.0), SERVICE, view, 10.5)  # earlier sends count in the warm-up
 
 
 def test_node_counts_as_warming_up_after_an_evacuation_until_it_reports() -> None:
@@ -80,12 +84,12 @@
     assert not is_warming_up(KnownNode(NODE, 9.0, 0.0, FOREVER), SERVICE, view, 13.0)
 
 
-def test_gone_nodes_are_dropped() -> None:
-    credit, view = SlowStartLimiter(1.5, 5, Random(1)), ControlView(max_proxies=9)
+def test_counts_of_removed_nodes_are_dropped() -> None:
+    limiter, view = SlowStartLimiter(1.5, 5, Random(1)), ControlView(max_proxies=9)
     for _ in range(5):
-        credit.record_send(cold(20.0), SERVICE, view, 10.0)
-    assert not credit.may_send(cold(20.0), SERVICE, view, 10.0)
-    credit.forget_all_but(frozenset({"n"}))
-    assert not credit.may_send(cold(20.0), SERVICE, view, 10.0)
-    credit.forget_all_but(frozenset())
-    assert credit.may_send(cold(20.0), SERVICE, view, 10.0)
+        limiter.record_send(known_node(20.0), SERVICE, view, 10.0)
+    assert not limiter.may_send(known_node(20.0), SERVICE, view, 10.0)
+    limiter.forget_all_but(frozenset({"n"}))
+    assert not limiter.may_send(known_node(20.0), SERVICE, view, 10.0)
+    limiter.forget_all_but(frozenset())
+    assert limiter.may_send(known_node(20.0), SERVICE, view, 10.0)
--- a/tests/serving/proxy/test_startup_gate.py
+++ b/tests/serving/proxy/test_startup_gate.py
@@ -1,4 +1,4 @@
-"""Clients that come before a proxy knows anything wait a moment, and no longer."""
+"""Bounded waits of requests that arrive before a proxy has a configuration and nodes."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 
 @pytest.fixture
 def environment() -> ProxyEnvironment:
-    """A proxy that was just started."""
+    """A proxy right after its start."""
     return ProxyEnvironment()
 
 
-def forget_configuration(environment: ProxyEnvironment) -> Configuration:
+def remove_configuration(environment: ProxyEnvironment) -> Configuration:
+    """Remove the configuration from the proxy's view, and return it."""
     configuration = environment.view.configuration
     assert configuration is not None
     environment.view.configuration = None
@@ -35,13 +36,13 @@
 
 
 def wait_for_response(environment: ProxyEnvironment, client: ScriptedClient) -> http1.Response:
-    found = environment.run(client.response())
-    assert found is not None
-    return found
+    response = environment.run(client.response())
+    assert response is not None
+    return response
 
 
-def test_request_that_comes_briefly_early_is_served(environment: ProxyEnvironment) -> None:
-    configuration = forget_configuration(environment)
+def test_request_shortly_before_the_first_configuration_is_served(environment: ProxyEnvironment) -> None:
+    configuration = remove_configuration(environment)
     client = send_request(environment)
     environment.sleep(0.3)
     environment.view.configuration = configuration
@@ -51,16 +52,16 @@
 
 
 def test_request_without_a_configuration_is_rejected_after_its_wait(environment: ProxyEnvironment) -> None:
-    forget_configuration(environment)
+    remove_configuration(environment)
     began_s = environment.time.now
-    found = wait_for_response(environment, send_request(environment))
-    assert found.status == 503 and "retry-after" in found.headers
+    response = wait_for_response(environment, send_request(environment))
+    assert response.status == 503 and "retry-after" in response.headers
     assert MAX_WAIT_S <= environment.time.now - began_s < MAX_WAIT_S + 0.1
     environment.check()
 
 
 def test_request_long_after_the_start_is_rejected_at_once(environment: ProxyEnvironment) -> None:
-    forget_configuration(environment)
+    remove_configuration(environment)
     environment.sleep(STARTUP_WINDOW_S)
     began_s = environment.time.now
     assert wait_for_response(environment, send_request(environment)).status == 503
@@ -68,8 +69,8 @@
     environment.check()
 
 
-def test_requests_that_wait_are_all_served_completely(environment: ProxyEnvironment) -> None:
-    configuration = forget_configuration(environment)
+def test_all_waiting_requests_are_served_completely(environment: ProxyEnvironment) -> None:
+    configuration = remove_configuration(environment)
     clients = [send_request(environment) for _ in range(20)]
     environment.sleep(0.2)
     environment.view.configuration = configuration
--- a/tests/serving/proxy/test_subscription.py
+++ b/tests/serving/proxy/test_subscription.py
@@ -1,4 +1,4 @@
-"""Updates that a proxy can't apply: it keeps its state and requests a full one. Time-outs of an answer."""
+"""Updates that a proxy can't apply, after which it requests the full state, and time-outs of answers."""
 
 from __future__ import annotations
 
@@ -71,12 +71,12 @@
 REJECTED_COMMAND = encode_command(PutConfiguration(9, b"{}"))
 
 
-@pytest.mark.parametrize("bad", [REJECTED_COMMAND, INVALID_COMMAND])
-def test_rejected_changes_are_requested_as_a_full_state_once(bad: bytes) -> None:
+@pytest.mark.parametrize("rejected_command", [REJECTED_COMMAND, INVALID_COMMAND])
+def test_rejected_changes_are_requested_as_a_full_state_once(rejected_command: bytes) -> None:
     subscription, view, log = make_subscription()
     subscription._apply(update(3, SNAPSHOT))
-    subscription._apply(update(4, None, bad))
-    assert view.evacuated_zones == {"a"}, "what it has stays in force"
+    subscription._apply(update(4, None, rejected_command))
+    assert view.evacuated_zones == {"a"}, "the current state stays in force"
     assert subscription._request(()).state_sequence == -1
     assert log.events == ["change_rejected"]
     subscription._apply(update(4, encode_state(ControlState(evacuated_zones=frozenset({"a", "b"})))))
@@ -85,18 +85,18 @@
 
 
 @pytest.mark.parametrize("commands", [(), (encode_command(AcquireDuties(DutyHolder("one", "a"), 0)),)])
-def test_changes_of_the_duties_alone_wake_nobody(commands: tuple[bytes, ...]) -> None:
+def test_changes_of_duties_alone_notify_no_listener(commands: tuple[bytes, ...]) -> None:
     subscription, view, log = make_subscription()
     subscription._apply(update(3, SNAPSHOT))
     subscription._apply(update(3, None))
-    woken: list[int] = []
-    view.listeners.append(lambda: woken.append(1))
+    notifications: list[int] = []
+    view.listeners.append(lambda: notifications.append(1))
     unchanged = replace(update(4, None, *commands), node_revision=0)
     subscription._apply(unchanged)
-    assert (woken, log.events) == ([], [])
+    assert (notifications, log.events) == ([], [])
     assert subscription._request(()).state_sequence == 4
     subscription._apply(update(5, None, encode_command(StartEvacuation("b"))))
-    assert woken == [1]
+    assert notifications == [1]
     assert view.evacuated_zones == {"a", "b"}
 
 
@@ -108,19 +108,19 @@
     assert subscription._request(()).state_sequence == -1
     assert log.events == ["snapshot_rejected"]
     subscription._apply(update(3, SNAPSHOT))
-    assert view.evacuated_zones == {"a"}, "it never goes back"
+    assert view.evacuated_zones == {"a"}, "the state never returns to an older one"
 
 
 @pytest.mark.parametrize(
-    ("more", "events"),
+    ("extra_fields", "events"),
     [
         ({}, ["configuration_activated"]),
         ({"Remark": 1}, ["configuration_activated", "configuration_fields_ignored"]),
     ],
 )
-def test_fields_that_are_not_acted_on_are_logged(more: Json, events: list[str]) -> None:
+def test_ignored_fields_are_logged(extra_fields: Json, events: list[str]) -> None:
     subscription, view, log = make_subscription()
-    text = encode_json(make_configuration(7, **more))
+    text = encode_json(make_configuration(7, **extra_fields))
     subscription._apply(update(3, encode_state(ControlState(configuration_text=text, edition=7))))
     assert view.configuration is not None and view.configuration.edition == 7
     assert log.events == events
@@ -134,7 +134,7 @@
     assert subscription._request(()).state_sequence == 5
 
 
-def test_another_coordinator_is_told_all_counts_of_tenants_again() -> None:
+def test_another_coordinator_receives_all_tenant_counts_again() -> None:
     subscription, _, _ = make_subscription()
     reporter = TelemetryReporter(FrozenNet(), "p", 1, 5.0)
     subscription._reports = replace(subscription._reports, telemetry=reporter)
@@ -142,14 +142,14 @@
     first = subscription._request(()).telemetry
     assert first is not None and len(first.windows) == 1
     assert subscription._request(()).telemetry is None
-    closed: Any = SimpleNamespace(is_open=False)
-    asyncio.run(subscription._ask_until_failure(closed, "10.0.0.2:7300"))
+    closed_connection: Any = SimpleNamespace(is_open=False)
+    asyncio.run(subscription._poll_until_failure(closed_connection, "10.0.0.2:7300"))
     second = subscription._request(()).telemetry
     assert second is not None and second.windows == first.windows
 
 
 def wait_for_answer(received_every_s: float, answered_at_s: float) -> tuple[Update | None, float]:
-    """Return the update of a wait in simulated time, and how many seconds it took."""
+    """Return the update that a wait in simulated time receives, and the seconds of the wait."""
     subscription, _, _ = make_subscription()
     world = World()
     process = Process.start(world, "proxy")
@@ -173,8 +173,8 @@
     return task.result(), ended_s[0] - began_s
 
 
-def test_large_answer_is_waited_for_while_bytes_come() -> None:
-    """A fixed limit would abandon the coordinator again and again: a longer state would never arrive."""
+def test_wait_for_a_large_answer_continues_while_bytes_arrive() -> None:
+    """With a fixed time-out, a proxy would abandon every coordinator and never receive a large state."""
     answer, took_s = wait_for_answer(received_every_s=0.3, answered_at_s=9.0)
     assert answer is not None and took_s == pytest.approx(9.0, abs=0.01)
 
--- a/tests/serving/proxy/test_telemetry_reporter.py
+++ b/tests/serving/proxy/test_telemetry_reporter.py
@@ -1,4 +1,4 @@
-"""A proxy's reports: when there is one, and what a request of a tenant adds to them."""
+"""A proxy's reports: when they are made, and which requests of tenants they count."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     return reporter, net
 
 
-def test_a_report_holds_what_changed_since_the_one_before() -> None:
+def test_a_report_holds_the_changes_since_the_previous_report() -> None:
     reporter, net = make_reporter()
     net.time_s += 1.0
     reporter.record_begun("a", net.time_s)
@@ -51,7 +51,7 @@
     )
     reporter.record_begun("a", net.time_s)
     net.time_s += MIN_INTERVAL_S / 2
-    assert reporter.next_report() is None, "the last one was a moment ago"
+    assert reporter.next_report() is None, "the last report is younger than the interval"
     net.time_s += MIN_INTERVAL_S
     assert reporter.next_report() == ProxyTelemetry(
         "p1", 7, 2, WINDOW, (WindowCounts(WINDOW, (TenantCount("a", 2),)),)
@@ -75,7 +75,7 @@
     assert second == replace(first, sequence=2)
 
 
-def test_loads_are_asked_for_with_each_report() -> None:
+def test_current_loads_are_read_for_each_report() -> None:
     reporter, net = make_reporter()
     load = ServiceLoad("s", "z", 1, 2, 3)
     reporter.current_loads = lambda: (load,)
@@ -104,7 +104,7 @@
 
 
 class TenantEnvironment(ProxyEnvironment):
-    """A data path whose requests are all of one tenant."""
+    """A data path whose requests all belong to one tenant, or to none."""
 
     def __init__(self, tenant: str | None = "acme") -> None:
         super().__init__()
@@ -124,11 +124,11 @@
         self.reporter.begin_connection()
         report = self.reporter.next_report()
         assert report is not None
-        found: dict[str, int] = {}
+        requests_by_tenant: dict[str, int] = {}
         for window in report.windows:
             for count in window.counts:
-                found[count.tenant] = found.get(count.tenant, 0) + count.requests
-        return found
+                requests_by_tenant[count.tenant] = requests_by_tenant.get(count.tenant, 0) + count.requests
+        return requests_by_tenant
 
 
 def respond(arrival: Arrival) -> None:
@@ -158,7 +158,7 @@
     assert environment.counts() == {}
 
 
-def test_what_no_node_ran_does_not_count() -> None:
+def test_a_request_that_no_node_ran_does_not_count() -> None:
     environment = TenantEnvironment()
     environment.add_node(lambda arrival: arrival.reject())
     request_once(environment, "/u/x")
@@ -187,22 +187,22 @@
     environment.check()
 
 
-def test_the_way_from_a_node_of_another_region_is_taken_off() -> None:
+def test_network_delay_from_a_node_in_another_region_is_subtracted() -> None:
     environment = TenantEnvironment()
-    moments: list[float] = []
+    begun_times_s: list[float] = []
     record_begun = environment.reporter.record_begun
 
-    def note(tenant: str, at_s: float) -> None:
-        moments.append(at_s)
+    def record(tenant: str, at_s: float) -> None:
+        begun_times_s.append(at_s)
         record_begun(tenant, at_s)
 
-    environment.reporter.record_begun = note  # type: ignore[method-assign]
-    answered: list[float] = []
+    environment.reporter.record_begun = record  # type: ignore[method-assign]
+    answer_times_s: list[float] = []
 
     def answer(arrival: Arrival) -> None:
-        answered.append(environment.time.now)
+        answer_times_s.append(environment.time.now)
         arrival.respond()
 
     environment.add_node(answer, region="q")
     request_once(environment, "/u/x")
-    assert moments == pytest.approx(answered, abs=2e-4)
+    assert begun_times_s == pytest.approx(answer_times_s, abs=2e-4)
--- a/tests/serving/proxy/test_tenant_header.py
+++ b/tests/serving/proxy/test_tenant_header.py
@@ -1,4 +1,4 @@
-"""Tenants on the way through a proxy: keys stay here, nodes get the name of the key's tenant."""
+"""Forwarding of tenants: a proxy removes API keys, and sends the name of the key's tenant to nodes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def configure(environment: ProxyEnvironment, *tenants: Json, edition: int = 1) -> None:
-    """Put a configuration with these tenants into force; without any it has no list of them."""
+    """Activate a configuration with these tenants; without any, it has no list of tenants."""
     routes = [
         route(
             path.split("/")[1],
@@ -39,8 +39,8 @@
         )
         for path in (CLOSED, RESUMABLE, PUBLIC)
     ]
-    listed = {"Senders": list(tenants)} if tenants else {}
-    raw = make_configuration(edition, *routes, Services=[service("s")], **listed)
+    tenant_fields = {"Senders": list(tenants)} if tenants else {}
+    raw = make_configuration(edition, *routes, Services=[service("s")], **tenant_fields)
     configuration = read_configuration(encode_json(raw))
     assert isinstance(configuration, Configuration), configuration
     environment.view.configuration = configuration
@@ -60,7 +60,7 @@
 def status_of(
     environment: ProxyEnvironment, path: str, *headers: tuple[str, str], client: ScriptedClient | None = None
 ) -> int | None:
-    """Return the status of one request, on a new connection unless there is one."""
+    """Return the status of one request, on a new connection unless `client` is given."""
     client = client or environment.connect_client()
     number = len(client.responses)
     client.send_request(path, *headers, attempt_id=f"t-{number}")
@@ -69,12 +69,12 @@
 
 
 def tenants_in(arrivals: list[Arrival]) -> list[list[str]]:
-    """Return the tenants that nodes were told, all values for each request."""
+    """Return the tenants that nodes received, all header values for each request."""
     return [arrival.request.headers.get(TENANT_HEADER.lower(), []) for arrival in arrivals]
 
 
 def keys_in(arrivals: list[Arrival]) -> list[str]:
-    """Return the keys that nodes got in any header."""
+    """Return the API keys that nodes received in any header."""
     heads = "".join(repr(arrival.request.headers) for arrival in arrivals)
     return [key for key in KEYS if key in heads]
 
@@ -129,11 +129,11 @@
 
 def test_retry_carries_the_tenant_and_no_key() -> None:
     environment = start(ACME, ZENITH)
-    order: list[Arrival] = []
+    arrivals: list[Arrival] = []
 
     def script(arrival: Arrival) -> None:
-        order.append(arrival)
-        if len(order) == 1:
+        arrivals.append(arrival)
+        if len(arrivals) == 1:
             arrival.reject()
         else:
             arrival.respond()
@@ -143,20 +143,20 @@
     headers = [(TENANT_HEADER, "zenith"), (KEY_HEADER, ACME_KEY)]
     assert status_of(environment, CLOSED, *headers) == 200
     assert environment.metric("retries") == 1
-    assert tenants_in(order) == [["acme"], ["acme"]]
-    assert keys_in(order) == []
+    assert tenants_in(arrivals) == [["acme"], ["acme"]]
+    assert keys_in(arrivals) == []
     environment.check()
 
 
 def test_resumed_stream_carries_the_tenant_and_no_key() -> None:
     environment = start(ACME, ZENITH)
-    order: list[Arrival] = []
+    arrivals: list[Arrival] = []
 
     async def script(arrival: Arrival) -> None:
-        order.append(arrival)
+        arrivals.append(arrival)
         first = int(arrival.header("Last-Event-Id") or 0) + 1
         arrival.begin_events()
-        if len(order) == 1:
+        if len(arrivals) == 1:
             arrival.send_event(first)
             await asyncio.sleep(0.01)
             arrival.connection.abort()
@@ -171,16 +171,16 @@
     client.send_request(RESUMABLE, ("Last-Event-Id", "2"), (TENANT_HEADER, "zenith"), (KEY_HEADER, ACME_KEY))
     response = environment.run(client.response())
     assert response is not None and response.body == b"".join(map(event_bytes, range(3, 6)))
-    assert [arrival.header("Last-Event-Id") for arrival in order] == ["2", "3"]
-    assert tenants_in(order) == [["acme"], ["acme"]]
-    assert keys_in(order) == []
+    assert [arrival.header("Last-Event-Id") for arrival in arrivals] == ["2", "3"]
+    assert tenants_in(arrivals) == [["acme"], ["acme"]]
+    assert keys_in(arrivals) == []
     environment.check()
 
 
-def test_request_without_one_known_key_gets_401_and_reaches_no_node() -> None:
+def test_request_without_exactly_one_known_key_gets_401_and_reaches_no_node() -> None:
     environment = start(ACME, ZENITH)
     node = environment.add_node(respond)
-    refused: list[list[tuple[str, str]]] = [
+    rejected_headers: list[list[tuple[str, str]]] = [
         [],
         [(KEY_HEADER, "")],
         [(KEY_HEADER, "unknown")],
@@ -193,7 +193,9 @@
         [(TENANT_HEADER, "acme")],
     ]
     for path in (CLOSED, RESUMABLE):
-        assert [status_of(environment, path, *headers) for headers in refused] == [401] * len(refused)
+        assert [status_of(environment, path, *headers) for headers in rejected_headers] == [401] * len(
+            rejected_headers
+        )
     assert node.arrivals == []
     environment.check()
 
@@ -222,7 +224,7 @@
     environment.check()
 
 
-def test_configuration_without_tenants_asks_for_no_key() -> None:
+def test_configuration_without_tenants_needs_no_key() -> None:
     environment = start()
     node = environment.add_node(respond)
     assert status_of(environment, CLOSED) == 200
--- a/tests/serving/proxy/test_tenant_index.py
+++ b/tests/serving/proxy/test_tenant_index.py
@@ -1,4 +1,4 @@
-"""The tenant of a request by its key, and the route as the tenant changes it."""
+"""Lookup of tenants by API key, and the settings of a tenant applied to a route."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
     ],
 )
 def test_a_tenant_is_found_by_exactly_one_known_key(keys: list[str], expected: str | None) -> None:
-    index = TenantIndex.of([Tenant("one", ("k1", "k2")), Tenant("two", ("k3",))])
-    found = index.find({"x-api-key": keys} if keys else {})
-    assert (found.name if found else None) == expected
+    index = TenantIndex.from_tenants([Tenant("one", ("k1", "k2")), Tenant("two", ("k3",))])
+    tenant = index.find({"x-api-key": keys} if keys else {})
+    assert (tenant.name if tenant else None) == expected
 
 
 def test_a_key_is_not_shown_in_the_text_of_a_tenant() -> None:
@@ -45,13 +45,15 @@
 
 
 @given(REGIONS, REGIONS, st.sampled_from(["north", "south", "east", "west"]))
-def test_home_regions_of_route_and_tenant_bind_together(
-    of_route: frozenset[str], of_tenant: frozenset[str], region: str
+def test_home_regions_of_route_and_tenant_both_apply(
+    route_regions: frozenset[str], tenant_regions: frozenset[str], region: str
 ) -> None:
-    route = replace(RESUMABLE, home_regions=of_route)
-    both = route_for_tenant(route, Tenant("one", home_regions=of_tenant)).home_regions
-    is_allowed = (not of_route or region in of_route) and (not of_tenant or region in of_tenant)
-    assert (not both or region in both) == is_allowed
+    route = replace(RESUMABLE, home_regions=route_regions)
+    common_regions = route_for_tenant(route, Tenant("one", home_regions=tenant_regions)).home_regions
+    is_allowed = (not route_regions or region in route_regions) and (
+        not tenant_regions or region in tenant_regions
+    )
+    assert (not common_regions or region in common_regions) == is_allowed
 
 
 def test_route_and_tenant_without_a_common_home_region_allow_no_region() -> None:
@@ -59,7 +61,7 @@
     assert route_for_tenant(route, Tenant("one", home_regions=frozenset({"south"}))).home_regions == NO_REGION
 
 
-def test_priority_of_the_tenant_goes_before_that_of_the_route() -> None:
+def test_priority_of_the_tenant_overrides_that_of_the_route() -> None:
     route = replace(RESUMABLE, priority=2)
     assert route_for_tenant(route, Tenant("one", priority=0)).priority == 0
     assert route_for_tenant(route, Tenant("one")) is route
--- a/tests/serving/proxy/test_usage_counter.py
+++ b/tests/serving/proxy/test_usage_counter.py
@@ -1,4 +1,4 @@
-"""Counting the requests of tenants by window."""
+"""Counts of the requests of tenants by usage window."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 WINDOW_S = 5.0
 
 
-def test_a_request_counts_in_the_window_of_its_moment() -> None:
+def test_a_request_counts_in_the_window_of_its_time() -> None:
     counter = UsageCounter(WINDOW_S)
     for tenant, unix_s in [("b", 99.9), ("a", 100.0), ("a", 104.99), ("a", 105.0)]:
         counter.add(tenant, unix_s)
@@ -31,7 +31,7 @@
     assert counter.take_changes() == (WindowCounts(20, (TenantCount("a", 2), TenantCount("b", 1))),)
 
 
-def test_the_last_windows_are_kept() -> None:
+def test_only_the_last_windows_are_kept() -> None:
     counter = UsageCounter(WINDOW_S)
     for number in range(KEPT_WINDOWS + 5):
         counter.add("a", number * WINDOW_S)
--- a/tests/serving/web/mutated_requests.py
+++ b/tests/serving/web/mutated_requests.py
@@ -1,6 +1,6 @@
-"""Clients whose bytes are mutated, beside a valid one, against the real HTTP server; no event loop, no time.
+"""Sends mutated requests and valid ones to the real HTTP server, without an event loop or a clock.
 
-`PYTHONPATH=. python tests/serving/web/mutated_requests.py --count 1000000` for more than the tests run.
+`PYTHONPATH=. python tests/serving/web/mutated_requests.py --count 1000000` runs more of them than the tests.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class PairingError(Exception):
-    """A client got what belongs to another request."""
+    """A client received a response to another request."""
 
 
 @dataclass
 class FakeTask:
-    """A response that is being made, in place of an asyncio task."""
+    """A task for one response, in place of an asyncio task."""
 
     coroutine: Coroutine[Any, Any, None]
     is_done: bool = False
@@ -47,7 +47,7 @@
 
 
 class FakeLoop:
-    """Keeps tasks, which are run in any order."""
+    """An event loop whose tasks the exchange runs in any order."""
 
     def __init__(self) -> None:
         self.tasks: list[FakeTask] = []
@@ -64,7 +64,7 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """Keeps what is written."""
+    """A transport that records the written bytes."""
 
     def __init__(self, name: str) -> None:
         super().__init__()
@@ -79,7 +79,7 @@
         return self.is_done
 
     def write(self, data: Any) -> None:
-        assert not self.is_done, "nothing is written after the close"
+        assert not self.is_done, "no bytes may be written after the close"
         self.written += data
 
     def close(self) -> None:
@@ -102,7 +102,7 @@
 
 
 class Exchange:
-    """Some clients at the same time."""
+    """Two or three concurrent clients: the first is valid, the others send mutated bytes."""
 
     def __init__(self, seed: int) -> None:
         self.random_source = Random(seed)
@@ -115,7 +115,7 @@
         ]
 
     async def _answer(self, request: http1.Request, local_host: str) -> ApiResponse:
-        client = next(other for other in self.clients if other.name == local_host)
+        client = next(client for client in self.clients if client.name == local_host)
         client.received.append((request.target, request.body))
         return ApiResponse(200, f"{client.name} {len(client.received)}".encode())
 
@@ -137,14 +137,14 @@
         return Client(name, sent, bytes(data), transport, connection)
 
     def run(self) -> int:
-        """Send all bytes in chunks, in any order; return the number of responses. Raise PairingError."""
+        """Send all bytes in chunks in random order; return the number of responses, or raise PairingError."""
         remaining = [(client, bytearray(client.data)) for client in self.clients]
         while remaining:
             client, data = self.random_source.choice(remaining)
-            step = self.random_source.randrange(1, 120)
+            chunk_length = self.random_source.randrange(1, 120)
             if not client.transport.is_done:
-                client.connection.data_received(bytes(data[:step]))
-            del data[:step]
+                client.connection.data_received(bytes(data[:chunk_length]))
+            del data[:chunk_length]
             if not data or (client is not self.clients[0] and self.random_source.random() < 0.01):
                 remaining.remove((client, data))
                 if self.random_source.random() < 0.3 and client is not self.clients[0]:
@@ -161,10 +161,12 @@
         own_prefix = f"{client.name} ".encode()
         other_prefixes = [f"{other.name} ".encode() for other in self.clients if other is not client]
         if any(prefix in client.transport.written for prefix in other_prefixes):
-            raise PairingError(f"{client.name} got another's response")
+            raise PairingError(f"{client.name} received another client's response")
         responses = client.transport.written.count(own_prefix)
         if responses > len(client.received):
-            raise PairingError(f"{client.name} got {responses} responses to {len(client.received)} requests")
+            raise PairingError(
+                f"{client.name} received {responses} responses to {len(client.received)} requests"
+            )
         if client is self.clients[0] and (client.received != client.sent or responses != len(client.sent)):
             raise PairingError(
                 f"the valid {client.name} sent {client.sent}, but the server received {client.received}"
@@ -174,7 +176,7 @@
             for number in range(responses)
         ]
         if positions != sorted(positions) or -1 in positions:
-            raise PairingError(f"{client.name} got its responses in another order")
+            raise PairingError(f"{client.name} received its responses in the wrong order")
         return responses
 
 
@@ -202,7 +204,7 @@
 
 
 def main() -> None:
-    """Run the exchanges that the command line names."""
+    """Run the exchanges selected on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--count", type=int, default=100_000)
@@ -210,7 +212,7 @@
     responses = sum(
         Exchange(seed).run() for seed in range(arguments.first, arguments.first + arguments.count)
     )
-    print(f"{arguments.count} exchanges, {responses} responses, each to its client")
+    print(f"{arguments.count} exchanges, {responses} responses, each for its own request")
 
 
 if __name__ == "__main__":
--- a/tests/serving/web/test_mutated_requests.py
+++ b/tests/serving/web/test_mutated_requests.py
@@ -1,4 +1,4 @@
-"""Whatever one connection sends, each response goes to its own request, and valid clients are served."""
+"""Each response belongs to its own request, and valid clients are served, beside mutated requests."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 EXCHANGES = int(os.environ.get("COVEPORT_MUTATED_CALLS", "4000"))
 
 
-def play(exchanges: int) -> int:
-    """Run exchanges; return how many requests got a response."""
+def count_responses(exchanges: int) -> int:
+    """Run exchanges, and return the number of responses."""
     return sum(Exchange(seed).run() for seed in range(exchanges))
 
 
-def test_mutated_request_never_gets_anothers_response_or_harms_a_valid_one() -> None:
-    assert play(EXCHANGES) > EXCHANGES
+def test_mutated_requests_never_receive_others_responses_or_disturb_valid_ones() -> None:
+    assert count_responses(EXCHANGES) > EXCHANGES
 
 
-def test_variant_that_responds_to_the_last_caller_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The connection forgets whose request it responds to."""
+def test_variant_that_responds_on_the_previous_connection_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The variant writes each response to the connection of the response before it."""
     original = server._Connection._write
     writers: list[server._Connection] = []
 
@@ -34,11 +34,11 @@
 
     monkeypatch.setattr(server._Connection, "_write", write)
     with pytest.raises((PairingError, AssertionError)):
-        play(200)
+        count_responses(200)
 
 
-def test_variant_that_reads_a_body_as_the_next_request_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The length of a body is ignored: what follows the head is read as another request."""
+def test_variant_that_drops_requests_with_a_body_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The variant ignores requests that have a body, so that valid clients miss responses."""
     original = http1.RequestParser.next_request
 
     def next_request(self: http1.RequestParser) -> http1.Request | None:
@@ -47,4 +47,4 @@
 
     monkeypatch.setattr(http1.RequestParser, "next_request", next_request)
     with pytest.raises(PairingError):
-        play(200)
+        count_responses(200)
