--- a/coveport/serving/model/configuration.py
+++ b/coveport/serving/model/configuration.py
@@ -11,9 +11,7 @@
 
     SAFE = "safe"  # idempotent: may run more than once
     UNSAFE = "unsafe"  # runs at most once per attempt of the client
-    STREAMING = (
-        "streaming"  # answered with a stream of events; runs at most once unless the route is resumable
-    )
+    STREAMING = "streaming"  # answered with events; runs at most once unless the route is resumable
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +35,7 @@
     priority: int = 0  # requests of priority 0 are served first
     services: tuple[WeightedService, ...] = ()
     max_attempts: int = 1  # most nodes that a request may be sent to, one after another
-    session_affinity: bool = False  # accepted in a configuration, but not acted on
+    session_affinity: bool = False  # accepted in a configuration, but ignored
     resumable: bool = False  # a stream may continue on another node after its last event
     inter_token_target_ms: float = 0.0  # longest gap between two events that is not late; 0: no target
     home_regions: frozenset[str] = frozenset()  # regions whose nodes may serve; empty: any
--- a/coveport/serving/model/node.py
+++ b/coveport/serving/model/node.py
@@ -15,11 +15,8 @@
     DEREGISTERED = "gone"  # final for an incarnation
 
 
-_STATE_ORDER: Final = (
-    NodeState.ACCEPTING,
-    NodeState.DRAINING,
-    NodeState.DEREGISTERED,
-)  # a state is never followed by an earlier one
+# A state is never followed by an earlier one.
+_STATE_ORDER: Final = (NodeState.ACCEPTING, NodeState.DRAINING, NodeState.DEREGISTERED)
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/serving/proxy/latency_estimate.py
+++ b/coveport/serving/proxy/latency_estimate.py
@@ -18,9 +18,8 @@
 
 DECAY_S = 0.7  # time constant of the mean: about twenty events of an undisturbed stream
 MIN_GAPS = 1.5  # least decayed count of gaps for a mean: a single long gap may be chance
-SATURATED_GAP_RATIO = (
-    0.15  # of the target; undisturbed streams stay under 0.1 (docs/policy.md, `saturated-gap`)
-)
+# Ratio of the mean gap to the target; undisturbed streams stay under 0.1 (docs/policy.md, `saturated-gap`).
+SATURATED_GAP_RATIO = 0.15
 UNRESPONSIVE_S = 0.8  # 0.5 s ejected live nodes (docs/policy.md, `unresponsive-time`)
 
 
--- a/coveport/serving/proxy/load_sampler.py
+++ b/coveport/serving/proxy/load_sampler.py
@@ -15,7 +15,7 @@
 from coveport.serving.model.telemetry import ServiceLoad
 from coveport.serving.model.view import ControlView
 
-# Between two reports of the load. Nodes take seconds to boot, and bytes to other regions cost money.
+# Time between two load reports; long, as nodes take seconds to boot and bytes to other regions have a cost.
 SAMPLE_INTERVAL_S: Final = 1.0
 
 
--- a/coveport/serving/proxy/node_eligibility.py
+++ b/coveport/serving/proxy/node_eligibility.py
@@ -47,7 +47,7 @@
     remote: list[KnownNode] = field(default_factory=list)
 
     def first_usable(self, is_usable: Callable[[KnownNode], bool]) -> list[KnownNode]:
-        """Return the usable local nodes or, only where there are none, the usable remote ones."""
+        """Return the usable local nodes or, if there are none, the usable remote nodes."""
         usable = [known for known in self.local if is_usable(known)]
         return usable or [known for known in self.remote if is_usable(known)]
 
--- a/coveport/serving/proxy/outlier_ejection.py
+++ b/coveport/serving/proxy/outlier_ejection.py
@@ -21,7 +21,7 @@
 MAX_EJECTION_S = 4.0  # bounds the time until a recovered node is used again
 AT_CAPACITY_S = 0.15  # short, so that capacity that frees up is soon used
 DEGRADED_FAILURES = 1.2  # decaying count; two failures in a row reach it
-DEGRADED_FAILURE_RATIO = 0.25  # of the responses counted (docs/policy.md, `degraded-nodes`)
+DEGRADED_FAILURE_RATIO = 0.25  # failures among the counted responses (docs/policy.md, `degraded-nodes`)
 FAILURE_DECAY_S = 15.0  # time constant of both counts (docs/policy.md, `degraded-nodes`)
 CHECK_TIMEOUT_S = 3.0  # a check without a result blocks the next one for this long
 
--- a/coveport/serving/proxy/overload_estimate.py
+++ b/coveport/serving/proxy/overload_estimate.py
@@ -20,11 +20,11 @@
 
 WORST_GAP_TTL_S = 30.0  # equals `NEAR_LIMIT_TTL_S`: both estimate how long a load lasts
 NEAR_LIMIT_TTL_S = 30.0  # how long a gap near the target counts (docs/policy.md, `near-limit-ttl`)
-NEAR_LIMIT_RATIO = 0.9  # of the target: after such a gap the next may be late
-OUTAGE_GAP_RATIO = 2.0  # of the target: a longer gap is an outage and does not count
+NEAR_LIMIT_RATIO = 0.9  # ratio of a gap to the target from which the next gap may be late
+OUTAGE_GAP_RATIO = 2.0  # ratio to the target above which a gap is an outage and does not count
 GAPS_PER_MEAN = 6  # smooths jitter, yet few enough to fit between two prefills
 MIN_MEANS = 20  # with fewer means a node's speed is unknown: the quantile has not converged
-QUANTILE = 0.2  # of a node's means: low enough for a mean without prefills
+QUANTILE = 0.2  # quantile of a node's means, low enough to be a mean without prefills
 QUANTILE_STEP = 0.03  # scale of the estimate's relative change by one mean
 FASTEST_REFRESH_S = 0.5  # a search over all nodes for each candidate would be quadratic (600 nodes)
 SLOWER_RATIO = 1.12  # nodes whose steady gaps differ by less count as equally fast
--- a/coveport/serving/proxy/prefix_cache.py
+++ b/coveport/serving/proxy/prefix_cache.py
@@ -17,7 +17,7 @@
 
 MAX_SEGMENTS = 2048  # bounds memory: the least recently used are dropped
 NODES_PER_SEGMENT = 4  # the last nodes that received it; earlier ones have probably evicted it
-RANK_BYTES = 8  # size of a hash; long enough that ranks of two nodes don't collide
+RANK_BYTES = 8  # hash size, large enough that no two nodes get the same rank
 AFFINITY_NODES = 2  # nodes of a locality that share a prefix (docs/policy.md, `affinity-nodes`)
 # Shorter prefixes are prefilled in one step (docs/policy.md, `affinity-min-tokens`).
 MIN_AFFINITY_TOKENS = 1000
--- a/coveport/serving/proxy/process.py
+++ b/coveport/serving/proxy/process.py
@@ -20,7 +20,7 @@
 from coveport.serving.web.server import HttpServer
 
 SHUTDOWN_TIME_RATIO = 0.9  # part of the grace period for draining; the rest is for the process exit
-METRICS_INTERVAL_S = 10.0  # between two log lines of metrics
+METRICS_INTERVAL_S = 10.0  # time between two log lines of metrics
 
 
 class Proxy:
@@ -68,7 +68,7 @@
         self.data_path.apply_bounds(settings.bounds)
 
     def _shuffled_seeds(self) -> tuple[str, ...]:
-        """Return the inner addresses of the seeds in random order, so that proxies differ in it."""
+        """Return the inner addresses of the seeds, in an order that is random for each proxy."""
         seeds = [f"{host}:{self._settings.inner_ports[0]}" for host, _ in self._settings.seeds]
         self._random.shuffle(seeds)
         return tuple(seeds)
--- a/coveport/serving/proxy/slow_start.py
+++ b/coveport/serving/proxy/slow_start.py
@@ -20,8 +20,8 @@
 from coveport.serving.proxy.sliding_window import SlidingWindow
 
 WINDOW_S = 1.2  # the rule's second plus the difference of two delays (docs/policy.md, `slow-start-sum`)
-BOUND_MARGIN = 0.97  # of the rule's bound; most of the margin is the longer window (`slow-start-sum`)
-TURN_MARGIN = 0.4  # of the bound while proxies take turns at random (`slow-start-sum`)
+BOUND_MARGIN = 0.97  # part of the rule's bound in use; most margin is the longer window (`slow-start-sum`)
+TURN_MARGIN = 0.4  # part of the quota in use while proxies take random turns (`slow-start-sum`)
 
 
 def is_warming_up(known: KnownNode, service: Service, view: ControlView, now_s: float) -> bool:
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -26,7 +26,7 @@
 
 CONNECT_TIMEOUT_S = 0.5  # enough for a round trip between regions and a retransmission
 ANSWER_TIMEOUT_S = 1.2  # time without any byte; a live coordinator answers within 0.4 s
-MIN_BACKOFF_S = 0.05  # after no coordinator answered; doubles with each further round
+MIN_BACKOFF_S = 0.05  # first backoff after a round without any answer; doubles in each further round
 MAX_BACKOFF_S = 0.25  # with its jitter, bounds the time until a new primary is found
 
 
--- a/coveport/serving/proxy/telemetry_reporter.py
+++ b/coveport/serving/proxy/telemetry_reporter.py
@@ -10,7 +10,7 @@
 from coveport.serving.model.true_clock import TrueClock
 from coveport.serving.proxy.usage_counter import UsageCounter
 
-MIN_INTERVAL_S: Final = 0.3  # between two reports; requests for updates are at most 0.4 s apart
+MIN_INTERVAL_S: Final = 0.3  # time between two reports; requests for updates are at most 0.4 s apart
 
 
 class TelemetryReporter:
--- a/coveport/serving/proxy/usage_counter.py
+++ b/coveport/serving/proxy/usage_counter.py
@@ -6,9 +6,8 @@
 
 from coveport.serving.model.telemetry import TenantCount, WindowCounts, usage_window_at
 
-KEPT_WINDOWS: Final = (
-    12  # reported again on a new connection; more than a proxy is ever without a coordinator
-)
+# Windows that are reported again on a new connection; they cover the longest time without a coordinator.
+KEPT_WINDOWS: Final = 12
 SETTLING_S: Final = 0.25  # longest delay of a count after its event, in the network and the event loop
 
 
