--- a/coveport/serving/configuration/commands.py
+++ b/coveport/serving/configuration/commands.py
@@ -5,7 +5,12 @@
 from dataclasses import dataclass
 from typing import Final
 
-from coveport.serving.duties.commands import AcquireDuties, DutyCommand, FixUsageReports, RecordFleetOrders
+from coveport.serving.duties.commands import (
+    AcquireDuties,
+    FixUsageReports,
+    RecordFleetOrders,
+    SingletonCommand,
+)
 from coveport.serving.wire.codec import MessageCodec
 
 
@@ -39,16 +44,16 @@
     zone: str
 
 
-Command = PutConfiguration | PatchConfiguration | StartEvacuation | EndEvacuation | DutyCommand
+Command = PutConfiguration | PatchConfiguration | StartEvacuation | EndEvacuation | SingletonCommand
 
 _CONFIGURATION_COMMANDS: Final = (PutConfiguration, PatchConfiguration, StartEvacuation, EndEvacuation)
-_DUTY_COMMANDS: Final = (AcquireDuties, FixUsageReports, RecordFleetOrders)  # since version 5
+_SINGLETON_COMMANDS: Final = (AcquireDuties, FixUsageReports, RecordFleetOrders)  # since version 5
 
 # The order gives each command its number on the wire and on disk.
-_CODEC: Final[MessageCodec[Command]] = MessageCodec((*_CONFIGURATION_COMMANDS, *_DUTY_COMMANDS))
+_CODEC: Final[MessageCodec[Command]] = MessageCodec((*_CONFIGURATION_COMMANDS, *_SINGLETON_COMMANDS))
 
 
-def is_duty_command(data: bytes) -> bool:
+def is_singleton_command(data: bytes) -> bool:
     """Return whether an encoded command changes the state of the duties alone, which proxies don't need."""
     return data[0] >= len(_CONFIGURATION_COMMANDS)
 
--- a/coveport/serving/configuration/duty_state_codec.py
+++ b/coveport/serving/configuration/duty_state_codec.py
@@ -5,37 +5,37 @@
 import json
 from typing import Any, Final
 
-from coveport.serving.duties.state import DutyHolder, DutyState, FleetOrder, UsageReport
+from coveport.serving.duties.state import FleetOrder, LeaseOwner, SingletonState, UsageReport
 from coveport.serving.model.telemetry import TenantCount
 from coveport.serving.wire.errors import MalformedMessageError
 
-INITIAL_DUTIES: Final = DutyState()
+INITIAL_SINGLETON_STATE: Final = SingletonState()
 
 
-def encode_duties(state: DutyState) -> bytes:
+def encode_singleton_state(state: SingletonState) -> bytes:
     """Return the state as bytes; none for the initial state. Equal states give equal bytes."""
-    if state == INITIAL_DUTIES:
+    if state == INITIAL_SINGLETON_STATE:
         return b""
-    holder = [state.holder.name, state.holder.incarnation] if state.holder else None
+    owner = [state.owner.name, state.owner.incarnation] if state.owner else None
     reports = [
         [report.window, [[count.tenant, count.requests] for count in report.counts]]
         for report in state.unsent_reports
     ]
     orders = [[order.service, order.zone, order.wanted] for order in state.fleet_orders]
-    stored = [holder, state.fence, state.last_fixed_window, reports, orders]
+    stored = [owner, state.fencing_token, state.last_fixed_window, reports, orders]
     return json.dumps(stored, ensure_ascii=True, separators=(",", ":")).encode("ascii")
 
 
-def decode_duties(data: bytes) -> DutyState:
+def decode_singleton_state(data: bytes) -> SingletonState:
     """Return the state in the bytes. Raises MalformedMessageError where they hold none."""
     if not data:
-        return INITIAL_DUTIES
+        return INITIAL_SINGLETON_STATE
     try:
-        holder, *figures, reports, orders = json.loads(data)
-        fence, last_fixed_window = _fields(figures, int, int)
-        return DutyState(
-            None if holder is None else DutyHolder(*_fields(holder, str, str)),
-            fence,
+        owner, *figures, reports, orders = json.loads(data)
+        fencing_token, last_fixed_window = _fields(figures, int, int)
+        return SingletonState(
+            None if owner is None else LeaseOwner(*_fields(owner, str, str)),
+            fencing_token,
             last_fixed_window,
             tuple(_report(report) for report in reports),
             tuple(FleetOrder(*_fields(order, str, str, int)) for order in orders),
--- a/coveport/serving/configuration/state.py
+++ b/coveport/serving/configuration/state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-from coveport.serving.duties.state import DutyState
+from coveport.serving.duties.state import SingletonState
 from coveport.serving.model.findings import Finding
 
 # How many changes are recognised when a client sends them again. Older ones get no clear answer
@@ -29,7 +29,7 @@
     edition: int = 0  # of that configuration; 0: there is none
     evacuated_zones: frozenset[str] = frozenset()
     applied_changes: tuple[AppliedChange, ...] = ()  # the newest `MAX_APPLIED_CHANGES`, oldest first
-    duties: DutyState = DutyState()  # noqa: RUF009 - frozen
+    singleton_state: SingletonState = SingletonState()  # noqa: RUF009 - frozen
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,9 +41,9 @@
     findings: tuple[Finding, ...] = ()
 
 
-def without_duties(state: ControlState) -> ControlState:
+def without_singleton_state(state: ControlState) -> ControlState:
     """Return what proxies need of a state."""
-    return replace(state, duties=DutyState())
+    return replace(state, singleton_state=SingletonState())
 
 
 def initial_state() -> ControlState:
--- a/coveport/serving/configuration/state_codec.py
+++ b/coveport/serving/configuration/state_codec.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from coveport.serving.configuration.digest import DIGEST_BYTES, digest_of
-from coveport.serving.configuration.duty_state_codec import decode_duties, encode_duties
+from coveport.serving.configuration.duty_state_codec import decode_singleton_state, encode_singleton_state
 from coveport.serving.configuration.state import AppliedChange, ControlState
 from coveport.serving.wire.codec import MessageCodec
 from coveport.serving.wire.errors import MalformedMessageError
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _StoredStateWithDuties:
+class _StoredStateWithSingletons:
     """The same, with the state of the duties behind it: programs before version 5 ignore that."""
 
     configuration_text: bytes | None
@@ -41,7 +41,9 @@
 
 # Both have the same number. A state without duties is written as before version 5, and read by either.
 _CODEC: Final[MessageCodec[_StoredState]] = MessageCodec((_StoredState,))
-_CODEC_WITH_DUTIES: Final[MessageCodec[_StoredStateWithDuties]] = MessageCodec((_StoredStateWithDuties,))
+_CODEC_WITH_SINGLETONS: Final[MessageCodec[_StoredStateWithSingletons]] = MessageCodec(
+    (_StoredStateWithSingletons,)
+)
 
 
 def encode_state(state: ControlState) -> bytes:
@@ -51,9 +53,9 @@
     )
     zones = tuple(sorted(state.evacuated_zones))
     fields = (state.configuration_text, state.edition, zones, changes)
-    duties = encode_duties(state.duties)
+    duties = encode_singleton_state(state.singleton_state)
     stored = (
-        _CODEC_WITH_DUTIES.encode(_StoredStateWithDuties(*fields, duties))
+        _CODEC_WITH_SINGLETONS.encode(_StoredStateWithSingletons(*fields, duties))
         if duties
         else _CODEC.encode(_StoredState(*fields))
     )
@@ -65,7 +67,7 @@
 
     Raises MalformedMessageError where the bytes hold no state, or not the one that was encoded.
     """
-    stored = _CODEC_WITH_DUTIES.decode(_verified(data) if data.startswith(_DIGEST_MARKER) else data)
+    stored = _CODEC_WITH_SINGLETONS.decode(_verified(data) if data.startswith(_DIGEST_MARKER) else data)
     length = len(stored.applied_changes)
     if length % _APPLIED_CHANGE.size:
         raise MalformedMessageError(
@@ -80,7 +82,7 @@
         stored.edition,
         frozenset(stored.evacuated_zones),
         tuple(changes),
-        decode_duties(stored.duties),
+        decode_singleton_state(stored.duties),
     )
 
 
--- a/coveport/serving/configuration/state_machine.py
+++ b/coveport/serving/configuration/state_machine.py
@@ -25,8 +25,13 @@
     ChangeResult,
     ControlState,
 )
-from coveport.serving.duties.commands import AcquireDuties, DutyCommand, FixUsageReports, RecordFleetOrders
-from coveport.serving.duties.state_machine import DutyRefusal, apply_duty_command
+from coveport.serving.duties.commands import (
+    AcquireDuties,
+    FixUsageReports,
+    RecordFleetOrders,
+    SingletonCommand,
+)
+from coveport.serving.duties.state_machine import CommandRefusal, apply_singleton_command
 from coveport.serving.model.findings import Finding, Refusal
 from coveport.serving.replication.state_machine import Applied, Refused
 from coveport.serving.wire.names import Config
@@ -57,14 +62,14 @@
         case PutConfiguration() | PatchConfiguration():
             return _change_configuration(state, command)
         case AcquireDuties() | FixUsageReports() | RecordFleetOrders():
-            return _change_duties(state, command)
+            return _change_singleton_state(state, command)
 
 
-def _change_duties(state: ControlState, command: DutyCommand) -> Applied | Refused:
-    duties = apply_duty_command(state.duties, command)
-    if isinstance(duties, DutyRefusal):
-        return Refused(duties)
-    return _applied(replace(state, duties=duties))
+def _change_singleton_state(state: ControlState, command: SingletonCommand) -> Applied | Refused:
+    singleton_state = apply_singleton_command(state.singleton_state, command)
+    if isinstance(singleton_state, CommandRefusal):
+        return Refused(singleton_state)
+    return _applied(replace(state, singleton_state=singleton_state))
 
 
 def _applied(state: ControlState) -> Applied:
--- a/coveport/serving/coordinator/coordinator.py
+++ b/coveport/serving/coordinator/coordinator.py
@@ -8,8 +8,8 @@
 from typing import Final
 
 from coveport.net.transport import Net
-from coveport.serving.configuration.commands import is_duty_command
-from coveport.serving.configuration.state import initial_state, without_duties
+from coveport.serving.configuration.commands import is_singleton_command
+from coveport.serving.configuration.state import initial_state, without_singleton_state
 from coveport.serving.configuration.state_codec import encode_state
 from coveport.serving.coordinator.committed_services import CommittedServices
 from coveport.serving.coordinator.control_service import ControlService
@@ -349,12 +349,12 @@
         self._quorum_status.refresh()
         self._services.record_committed(effect.state)
         self._duties.record_committed(effect.state)
-        self.telemetry.ledger.drop_until(effect.state.duties.last_fixed_window)
-        is_duty_change = effect.command is not None and is_duty_command(effect.command)
-        if is_duty_change and self.history.is_next(effect.sequence):
+        self.telemetry.usage_log.drop_until(effect.state.singleton_state.last_fixed_window)
+        is_singleton_change = effect.command is not None and is_singleton_command(effect.command)
+        if is_singleton_change and self.history.is_next(effect.sequence):
             self.history.advance_duties()
             return
-        state = encode_state(without_duties(effect.state))
+        state = encode_state(without_singleton_state(effect.state))
         self.history.advance(effect.sequence, state, effect.command)
         self._subscriptions.notify()
 
--- a/coveport/serving/coordinator/duty_factory.py
+++ b/coveport/serving/coordinator/duty_factory.py
@@ -17,10 +17,10 @@
 from coveport.serving.coordinator.replica_runtime import ReplicaRuntime
 from coveport.serving.coordinator.telemetry_replication import TelemetryReplicator
 from coveport.serving.coordinator.usage_duty import make_usage_duty
-from coveport.serving.duties.duty import Duty
-from coveport.serving.duties.kinds import DutyKind
-from coveport.serving.duties.lease import DutyLease
-from coveport.serving.duties.state import DutyHolder
+from coveport.serving.duties.duty import SingletonTask
+from coveport.serving.duties.kinds import SingletonTaskKind
+from coveport.serving.duties.lease import SingletonLease
+from coveport.serving.duties.state import LeaseOwner
 from coveport.serving.duties.usage_schedule import UsageTimings
 from coveport.serving.log import EventLogger
 from coveport.serving.membership.leases import LeaseTable
@@ -45,21 +45,21 @@
 
 def make_duties(
     settings: BootSettings, platform: PlatformSettings, sources: DutySources, log: EventLogger
-) -> tuple[Duty, ...]:
+) -> tuple[SingletonTask, ...]:
     """Return the duties that the platform's settings name."""
-    factories: dict[DutyKind, Callable[[], Duty]] = {
-        DutyKind.USAGE_REPORTS: lambda: _make_usage_duty(settings, sources, log),
-        DutyKind.FLEET_ORDERS: lambda: _make_fleet_duty(settings, sources, log),
+    factories: dict[SingletonTaskKind, Callable[[], SingletonTask]] = {
+        SingletonTaskKind.USAGE_REPORTS: lambda: _make_usage_duty(settings, sources, log),
+        SingletonTaskKind.FLEET_ORDERS: lambda: _make_fleet_duty(settings, sources, log),
     }
     return tuple(create() for kind, create in factories.items() if kind in platform.duties)
 
 
-def _make_usage_duty(settings: BootSettings, sources: DutySources, log: EventLogger) -> Duty:
+def _make_usage_duty(settings: BootSettings, sources: DutySources, log: EventLogger) -> SingletonTask:
     timings = UsageTimings(settings.bounds.usage_window_s, settings.bounds.usage_delay_s)
     return make_usage_duty(timings, sources.telemetry, sources.leases, sources.clock, log)
 
 
-def _make_fleet_duty(settings: BootSettings, sources: DutySources, log: EventLogger) -> Duty:
+def _make_fleet_duty(settings: BootSettings, sources: DutySources, log: EventLogger) -> SingletonTask:
     tables = FleetTables(sources.telemetry.table, sources.leases, sources.nodes, sources.services)
     return make_fleet_duty(settings, tables, log)
 
@@ -77,12 +77,12 @@
     platform = settings.platform or NO_PLATFORM
     duties = make_duties(settings, platform, sources, log)
     incarnation = f"{random_source.getrandbits(64):016x}" if duties else ""
-    holder = DutyHolder(settings.name, incarnation)
+    holder = LeaseOwner(settings.name, incarnation)
 
     def may_submit() -> bool:
         return versions.all_support(DUTIES_VERSION, runtime.replica.peer_addresses)
 
-    lease = DutyLease(holder, settings.bounds.lease_ms / 1000)
+    lease = SingletonLease(holder, settings.bounds.lease_ms / 1000)
     lease_manager = DutyLeaseManager(net, runtime, lease, may_submit, log)
     client = PlatformClient(net, platform.address)
     return DutyRunner(net, lease_manager, client, duties, platform.calls_per_s, log)
--- a/coveport/serving/coordinator/duty_lease_keeper.py
+++ b/coveport/serving/coordinator/duty_lease_keeper.py
@@ -15,8 +15,8 @@
 from coveport.serving.configuration.commands import encode_command
 from coveport.serving.configuration.state import ControlState
 from coveport.serving.coordinator.replica_runtime import ReplicaRuntime
-from coveport.serving.duties.commands import AcquireDuties, DutyCommand
-from coveport.serving.duties.lease import DutyLease, LeasePhase, LeaseStep
+from coveport.serving.duties.commands import AcquireDuties, SingletonCommand
+from coveport.serving.duties.lease import LeasePhase, LeaseStep, SingletonLease
 from coveport.serving.log import EventLogger
 from coveport.serving.replication.events import Done, Newest, Outcome, OutcomeUnknown
 from coveport.serving.replication.identity import Epoch
@@ -41,7 +41,7 @@
         self,
         net: Net,
         runtime: ReplicaRuntime,
-        lease: DutyLease,
+        lease: SingletonLease,
         may_submit: Callable[[], bool],
         log: EventLogger,
     ) -> None:
@@ -83,12 +83,12 @@
 
     def record_stall(self) -> None:
         """Void confirmations from before a stall: calls may begin again after a new confirmation."""
-        self._lease = self._lease.void(self._net.now_s())
+        self._lease = self._lease.invalidate(self._net.now_s())
         self._end_tenure("stalled")
 
     def record_rejected_fence(self, fence: int) -> None:
         """Give up a fencing token that the platform has rejected."""
-        self._lease = self._lease.refuse(fence, self._net.now_s())
+        self._lease = self._lease.reject_token(fence, self._net.now_s())
         self._end_tenure("the platform refused the fence")
 
     async def advance(self) -> None:
@@ -102,7 +102,7 @@
             case LeaseStep.WAIT:
                 pass
 
-    async def submit(self, command: DutyCommand) -> bool:
+    async def submit(self, command: SingletonCommand) -> bool:
         """Commit a command; return False where it was refused or its outcome is unknown."""
         if not self._may_submit():
             return False
@@ -110,7 +110,7 @@
         if isinstance(outcome, Refused):
             reason = outcome.result.reason.name.lower()
             self._log.warning("duty_command_refused", command=type(command).__name__, reason=reason)
-            self._lease = self._lease.acquired()  # the state that was read is out of date
+            self._lease = self._lease.record_acquisition_end()  # the state that was read is out of date
         return isinstance(outcome, Done)
 
     # -- leadership and tenure --
@@ -122,15 +122,15 @@
         now_s = self._net.now_s()
         if view != self._led_view:
             self._led_view = view
-            self._lease = self._lease.lose() if view is None else self._lease.lead(now_s)
+            self._lease = self._lease.stop_leading() if view is None else self._lease.start_leading(now_s)
         if not self._lease.may_act(now_s):
             self._end_tenure("no longer primary" if view is None else "not confirmed")
-        elif self._tenure is None or self._tenure.fence != self._lease.held_fence:
+        elif self._tenure is None or self._tenure.fence != self._lease.held_token:
             self._begin_tenure()
 
     def _begin_tenure(self) -> None:
         self._tenure_count += 1
-        self._tenure = Tenure(self._tenure_count, self._lease.own.name, self._lease.held_fence)
+        self._tenure = Tenure(self._tenure_count, self._lease.own_identity.name, self._lease.held_token)
         self._log.info("duties_acquired", holder=self._tenure.holder, fence=self._tenure.fence)
 
     def _end_tenure(self, reason: str) -> None:
@@ -142,20 +142,20 @@
 
     async def _confirm(self) -> None:
         requested_at_s = self._net.now_s()
-        self._lease = self._lease.ask(requested_at_s)
+        self._lease = self._lease.record_request(requested_at_s)
         outcome = await self._runtime.read_newest()
         self._observe()
         if isinstance(outcome, Newest):
             state: ControlState = outcome.state
-            self._lease = self._lease.confirm(requested_at_s, state.duties)
+            self._lease = self._lease.confirm(requested_at_s, state.singleton_state)
 
     async def _acquire(self) -> None:
-        read = self._lease.read
-        assert read is not None  # else the next step would be CONFIRM
-        await self.submit(AcquireDuties(self._lease.own, read.fence))
-        self._lease = self._lease.acquired()
+        confirmed_state = self._lease.confirmed_state
+        assert confirmed_state is not None  # else the next step would be CONFIRM
+        await self.submit(AcquireDuties(self._lease.own_identity, confirmed_state.fencing_token))
+        self._lease = self._lease.record_acquisition_end()
 
-    async def _outcome_of(self, command: DutyCommand) -> Outcome:
+    async def _outcome_of(self, command: SingletonCommand) -> Outcome:
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT_S):
                 return await self._runtime.submit(encode_command(command))
--- a/coveport/serving/coordinator/duty_runner.py
+++ b/coveport/serving/coordinator/duty_runner.py
@@ -1,7 +1,8 @@
 """Performs the duties while this coordinator holds them: commits their commands and calls the platform.
 
-Each `Duty` decides which command or call is next, and `duty_lease_keeper` whether it may be made; this module
-runs the tasks. The tenure is checked again after each await, and right before the bytes of a call are sent.
+Each `SingletonTask` decides which command or call is next, and `duty_lease_keeper` whether it may be made;
+this module runs the asyncio tasks. The tenure is checked again after each await, and right before the bytes
+of a call are sent.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 from coveport.serving.configuration.state import ControlState
 from coveport.serving.coordinator.duty_lease_keeper import DutyLeaseManager, Tenure
 from coveport.serving.coordinator.platform_client import CallResult, Credentials, PlatformClient
-from coveport.serving.duties.duty import CallOutcome, Duty, PlatformCall
-from coveport.serving.duties.state import DutyState
+from coveport.serving.duties.duty import CallOutcome, PlatformCall, SingletonTask
+from coveport.serving.duties.state import SingletonState
 from coveport.serving.log import EventLogger
 
 RETRY_PAUSE_S: Final = 0.5  # before the next command of a duty whose last one was not committed
@@ -57,7 +58,7 @@
         net: Net,
         lease_manager: DutyLeaseManager,
         client: PlatformClient,
-        duties: Sequence[Duty],
+        duties: Sequence[SingletonTask],
         calls_per_s: float,
         log: EventLogger,
     ) -> None:
@@ -68,7 +69,7 @@
         self._duties = tuple(duties)
         self._call_interval_s = 1.0 / calls_per_s
         self._log = log
-        self._state = DutyState()
+        self._state = SingletonState()
         self._notified_tenure: Tenure | None = None  # newest tenure for which the duties took over
         self._next_call_at_s = 0.0
         self._paused_until_s = [0.0] * len(self._duties)  # by index of the duty
@@ -92,7 +93,7 @@
 
     def record_committed(self, state: ControlState) -> None:
         """Replace the state of the duties by that of a newer committed state."""
-        self._state = state.duties
+        self._state = state.singleton_state
 
     def record_stall(self) -> None:
         """Void confirmations of the lease from before a stall."""
@@ -117,8 +118,8 @@
         state = self._state
         return {
             "phase": self._lease_manager.phase.value,
-            "holder": state.holder.name if state.holder else "",
-            "fence": state.fence,
+            "holder": state.owner.name if state.owner else "",
+            "fence": state.fencing_token,
             "lease_left_s": round(self._lease_manager.left_s(), 2),
             "last_call": self._describe_last_call(),
             "unsent_reports": len(state.unsent_reports),
--- a/coveport/serving/coordinator/telemetry_replication.py
+++ b/coveport/serving/coordinator/telemetry_replication.py
@@ -9,7 +9,7 @@
 from coveport.serving.coordinator.peer_connections import PeerConnections
 from coveport.serving.coordinator.peer_versions import PeerVersions
 from coveport.serving.duties.telemetry_table import NO_SEQUENCE, ReportedState, TelemetryTable
-from coveport.serving.duties.usage_ledger import ReportSource, UsageLedger
+from coveport.serving.duties.usage_ledger import ReportSource, UsageLog
 from coveport.serving.model.telemetry import ProxyTelemetry, TenantCount, WindowCounts
 from coveport.serving.wire.messages import TelemetryShared
 from coveport.serving.wire.versions import TELEMETRY_VERSION
@@ -45,7 +45,7 @@
 
 
 class TelemetryReplicator:
-    """Owns the usage ledger, the table of reports, and the changes that peers still lack."""
+    """Owns the usage log, the table of reports, and the changes that peers still lack."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         now_s: Callable[[], float],
     ) -> None:
         """Create a replicator; `primary_address` returns the primary's inner address, or None without one."""
-        self.ledger = UsageLedger()
+        self.usage_log = UsageLog()
         self.table = TelemetryTable()
         self._peers = peers
         self._versions = versions
@@ -71,7 +71,7 @@
     def receive_from_proxy(self, report: ProxyTelemetry) -> None:
         """Record a report of a proxy that subscribes here."""
         is_newer = self.table.record(report, self._now_s())
-        increased = self.ledger.merge(report)
+        increased = self.usage_log.merge(report)
         if is_newer or increased:
             source = ReportSource(report.proxy, report.incarnation)
             self._unsent_to_primary.add(source, increased)
@@ -81,7 +81,7 @@
         """Record reports that another coordinator has received."""
         for report in message.reports:
             self.table.record(report, self._now_s())
-            self.ledger.merge(report)
+            self.usage_log.merge(report)
 
     def record_connected(self, address: str) -> None:
         """Record that all reports must be sent to a peer that has connected."""
@@ -112,7 +112,7 @@
             windows_by_source: dict[ReportSource, tuple[WindowCounts, ...]] = {
                 entry.source: () for entry in self.table.newest_runs()
             }
-            self._send(new_peers, windows_by_source | self.ledger.by_source())
+            self._send(new_peers, windows_by_source | self.usage_log.by_source())
 
     def _send_to_primary(self, peers: list[str]) -> None:
         changes = self._unsent_to_primary.take()
--- a/coveport/serving/coordinator/usage_duty.py
+++ b/coveport/serving/coordinator/usage_duty.py
@@ -30,7 +30,7 @@
     def log_rejection(window: int) -> None:
         log.error("usage_report_rejected", window=window)
 
-    sources = UsageSources(telemetry.ledger, telemetry.table, live_proxies)
+    sources = UsageSources(telemetry.usage_log, telemetry.table, live_proxies)
     return UsageSchedule(timings, sources, clock, usage_call, log_rejection)
 
 
--- a/coveport/serving/duties/commands.py
+++ b/coveport/serving/duties/commands.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass
 
-from coveport.serving.duties.state import DutyHolder, FleetOrder, UsageReport
+from coveport.serving.duties.state import FleetOrder, LeaseOwner, UsageReport
 
 
 @dataclass(frozen=True, slots=True)
 class AcquireDuties:
-    """Become the holder, under the next fence; refused where the fence is no longer `previous_fence`."""
+    """Become the holder, under the next fence; refused where the fence is no longer `previous_token`."""
 
-    holder: DutyHolder
-    previous_fence: int
+    owner: LeaseOwner
+    previous_token: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
     Refused under another fence. A window that is fixed already keeps its counts.
     """
 
-    fence: int
+    fencing_token: int
     reports: tuple[UsageReport, ...]  # by rising window
     accepted_windows: tuple[int, ...]
 
@@ -31,8 +31,8 @@
 class RecordFleetOrders:
     """Record orders before they are first sent. Refused under another fence."""
 
-    fence: int
+    fencing_token: int
     orders: tuple[FleetOrder, ...]
 
 
-DutyCommand = AcquireDuties | FixUsageReports | RecordFleetOrders
+SingletonCommand = AcquireDuties | FixUsageReports | RecordFleetOrders
--- a/coveport/serving/duties/duty.py
+++ b/coveport/serving/duties/duty.py
@@ -10,8 +10,8 @@
 from enum import Enum
 from typing import Protocol
 
-from coveport.serving.duties.commands import DutyCommand
-from coveport.serving.duties.state import DutyState
+from coveport.serving.duties.commands import SingletonCommand
+from coveport.serving.duties.state import SingletonState
 
 
 class CallOutcome(Enum):
@@ -32,16 +32,16 @@
     body: bytes  # JSON; a call that is repeated has the same bytes
 
 
-class Duty(Protocol):
+class SingletonTask(Protocol):
     """One kind of call."""
 
-    def take_over(self, state: DutyState, now_s: float) -> None:
+    def take_over(self, state: SingletonState, now_s: float) -> None:
         """Begin to hold the duty, with the state that the holder before left."""
 
-    def next_command(self, state: DutyState, fence: int, now_s: float) -> DutyCommand | None:
+    def next_command(self, state: SingletonState, fence: int, now_s: float) -> SingletonCommand | None:
         """Return what must be committed before any further call; None: nothing now."""
 
-    def next_call(self, state: DutyState, now_s: float) -> PlatformCall | None:
+    def next_call(self, state: SingletonState, now_s: float) -> PlatformCall | None:
         """Return the call to make now; None: nothing is due, or a pause lasts. One at a time is under way."""
 
     def record_outcome(self, call: PlatformCall, outcome: CallOutcome, now_s: float) -> None:
--- a/coveport/serving/duties/fleet_controller.py
+++ b/coveport/serving/duties/fleet_controller.py
@@ -11,19 +11,19 @@
 from math import inf
 from typing import Final
 
-from coveport.serving.duties.commands import DutyCommand, RecordFleetOrders
+from coveport.serving.duties.commands import RecordFleetOrders, SingletonCommand
 from coveport.serving.duties.duty import CallOutcome, PlatformCall
 from coveport.serving.duties.fleet_observation import FleetObservation, FleetSubject
 from coveport.serving.duties.fleet_planner import FleetPlanner
 from coveport.serving.duties.fleet_sizing import ToleratedLosses, clamp
-from coveport.serving.duties.retry_pause import RetryPause
-from coveport.serving.duties.state import DutyState, FleetOrder
+from coveport.serving.duties.retry_pause import RetryBackoff
+from coveport.serving.duties.state import FleetOrder, SingletonState
 
 LOOK_INTERVAL_S: Final = 0.25  # between two observations
 STALL_S: Final = 1.5  # without being asked for longer, what was seen before says nothing of now
 CALL_INTERVAL_S: Final = 1.0  # between two calls for one subject, repeats included
-MIN_PAUSE_S: Final = 1.0
-MAX_PAUSE_S: Final = 8.0  # calls are paid for, also those that fail
+MIN_BACKOFF_S: Final = 1.0
+MAX_BACKOFF_S: Final = 8.0  # calls are paid for, also those that fail
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
         self._render = render
         self._on_rejected = on_rejected
         self._planner = FleetPlanner(tolerated)
-        self._pause = RetryPause(MIN_PAUSE_S, MAX_PAUSE_S)
+        self._pause = RetryBackoff(MIN_BACKOFF_S, MAX_BACKOFF_S)
         self._calls = _Calls()
         self._recorded: dict[FleetSubject, FleetOrder] = {}  # by this holder
         self._called: FleetOrder | None = None  # last
@@ -64,7 +64,7 @@
         self._looked_at_s = -inf
         self._asked_at_s = -inf
 
-    def take_over(self, state: DutyState, now_s: float) -> None:
+    def take_over(self, state: SingletonState, now_s: float) -> None:
         """Begin to hold the duty: nothing is known of the platform's answers to recorded orders."""
         self._calls = _Calls()
         self._recorded.clear()
@@ -74,7 +74,7 @@
         self._looked_at_s = -inf
         self._asked_at_s = now_s
 
-    def next_command(self, state: DutyState, fence: int, now_s: float) -> DutyCommand | None:
+    def next_command(self, state: SingletonState, fence: int, now_s: float) -> SingletonCommand | None:
         """Return the command that records new orders; None: there are none."""
         observation = self._look(state, now_s)
         wanted = _wanted(state)
@@ -84,7 +84,7 @@
         self._recorded.update((subject_of(order), order) for order in orders)
         return RecordFleetOrders(fence, orders) if orders else None
 
-    def next_call(self, state: DutyState, now_s: float) -> PlatformCall | None:
+    def next_call(self, state: SingletonState, now_s: float) -> PlatformCall | None:
         """Return the call for a recorded order that the platform may not have taken yet."""
         observation = self._look(state, now_s)
         if self._pause.lasts(now_s):
@@ -114,7 +114,7 @@
             case CallOutcome.FENCED:
                 pass  # the same order goes under the next fence
 
-    def _look(self, state: DutyState, now_s: float) -> FleetObservation:
+    def _look(self, state: SingletonState, now_s: float) -> FleetObservation:
         """Return what is seen of the fleet now, or was seen a moment ago."""
         if now_s - self._asked_at_s > STALL_S:
             self._planner.forget(now_s)
@@ -127,7 +127,7 @@
         return self._observation
 
     def _unanswered(
-        self, state: DutyState, observation: FleetObservation, now_s: float
+        self, state: SingletonState, observation: FleetObservation, now_s: float
     ) -> frozenset[FleetSubject]:
         """Return the subjects with an order of this holder that may not be taken; all in a pause."""
         if self._pause.lasts(now_s):
@@ -167,7 +167,7 @@
     return FleetSubject(order.service, order.zone)
 
 
-def _wanted(state: DutyState) -> dict[FleetSubject, int]:
+def _wanted(state: SingletonState) -> dict[FleetSubject, int]:
     return {subject_of(order): order.wanted for order in state.fleet_orders}
 
 
--- a/coveport/serving/duties/kinds.py
+++ b/coveport/serving/duties/kinds.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 
-class DutyKind(Enum):
+class SingletonTaskKind(Enum):
     """What one coordinator at a time does for all."""
 
     USAGE_REPORTS = "usage_reports"
--- a/coveport/serving/duties/lease.py
+++ b/coveport/serving/duties/lease.py
@@ -29,12 +29,12 @@
 from enum import Enum
 from typing import Final
 
-from coveport.serving.duties.state import NO_FENCE, DutyHolder, DutyState
+from coveport.serving.duties.state import NO_FENCING_TOKEN, LeaseOwner, SingletonState
 
 MARGIN_RATIO: Final = 0.1  # of the lease: at 3 s two holders are 0.6 s apart
 RENEWAL_RATIO: Final = 0.25  # of the lease, between two confirmations: several may fail before it ends
 NEVER_S: Final = float("-inf")
-FIRST_FENCE: Final = NO_FENCE + 1  # its holder has no predecessor
+FIRST_FENCING_TOKEN: Final = NO_FENCING_TOKEN + 1  # its holder has no predecessor
 
 
 class LeasePhase(Enum):
@@ -55,20 +55,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DutyLease:
+class SingletonLease:
     """The lease as this run sees it; each input returns the lease after it."""
 
-    own: DutyHolder
+    own_identity: LeaseOwner
     length_s: float
     leading_since_s: float | None = None  # None: not the active primary
-    asked_at_s: float = NEVER_S  # when the newest confirmation was asked for
-    void_until_s: float = NEVER_S  # confirmations that were asked for before don't count
-    read: DutyState | None = None  # as the newest confirmation gave it; None: to be confirmed first
-    held_fence: int = NO_FENCE  # the newest fence under which this run has held the duties
+    requested_at_s: float = NEVER_S  # when the newest confirmation was asked for
+    invalid_before_s: float = NEVER_S  # confirmations that were asked for before don't count
+    confirmed_state: SingletonState | None = None  # read by the newest confirmation; None: none counts
+    held_token: int = NO_FENCING_TOKEN  # the newest fence under which this run has held the duties
     acts_from_s: float = NEVER_S  # under that fence
     valid_until_s: float = NEVER_S
-    refused_fence: int = NO_FENCE  # that the platform refused; no lower one is used any more either
-    acquires_from_s: float = NEVER_S  # after a refusal
+    rejected_token: int = NO_FENCING_TOKEN  # that the platform refused; no lower one is used any more either
+    may_acquire_from_s: float = NEVER_S  # after a refusal
 
     @property
     def margin_s(self) -> float:
@@ -77,52 +77,54 @@
 
     # -- inputs --
 
-    def lead(self, now_s: float) -> DutyLease:
+    def start_leading(self, now_s: float) -> SingletonLease:
         """Begin as the primary of a view that became active just now, or a little before."""
         return replace(
-            self, leading_since_s=now_s, read=None, asked_at_s=NEVER_S, valid_until_s=NEVER_S
-        ).void(now_s)
+            self, leading_since_s=now_s, confirmed_state=None, requested_at_s=NEVER_S, valid_until_s=NEVER_S
+        ).invalidate(now_s)
 
-    def lose(self) -> DutyLease:
+    def stop_leading(self) -> SingletonLease:
         """End as the primary: another leads, or may lead."""
-        return replace(self, leading_since_s=None, read=None, valid_until_s=NEVER_S)
+        return replace(self, leading_since_s=None, confirmed_state=None, valid_until_s=NEVER_S)
 
-    def void(self, now_s: float) -> DutyLease:
+    def invalidate(self, now_s: float) -> SingletonLease:
         """Trust nothing from before, as after a stall, until it is confirmed anew."""
-        return replace(self, read=None, asked_at_s=NEVER_S, void_until_s=now_s, valid_until_s=NEVER_S)
+        return replace(
+            self, confirmed_state=None, requested_at_s=NEVER_S, invalid_before_s=now_s, valid_until_s=NEVER_S
+        )
 
-    def ask(self, now_s: float) -> DutyLease:
+    def record_request(self, now_s: float) -> SingletonLease:
         """Note that a confirmation is asked for now."""
-        return replace(self, asked_at_s=now_s)
+        return replace(self, requested_at_s=now_s)
 
-    def confirm(self, asked_at_s: float, state: DutyState) -> DutyLease:
+    def confirm(self, requested_at_s: float, state: SingletonState) -> SingletonLease:
         """Take a confirmed read that was asked for at that time."""
-        if self.leading_since_s is None or asked_at_s < self.void_until_s:
+        if self.leading_since_s is None or requested_at_s < self.invalid_before_s:
             return self
-        confirmed = replace(self, read=state)
-        if not confirmed._is_holder(state):
+        confirmed = replace(self, confirmed_state=state)
+        if not confirmed._is_owner(state):
             return replace(confirmed, valid_until_s=NEVER_S)
-        if state.fence != self.held_fence:
+        if state.fencing_token != self.held_token:
             confirmed = replace(
-                confirmed, held_fence=state.fence, acts_from_s=confirmed._acquires_from_s(state)
+                confirmed, held_token=state.fencing_token, acts_from_s=confirmed._may_acquire_from_s(state)
             )
-        return replace(confirmed, valid_until_s=asked_at_s + self.length_s - self.margin_s)
+        return replace(confirmed, valid_until_s=requested_at_s + self.length_s - self.margin_s)
 
-    def acquired(self) -> DutyLease:
+    def record_acquisition_end(self) -> SingletonLease:
         """Note that an acquisition has ended, whatever its outcome: it has to be confirmed."""
-        return replace(self, read=None, asked_at_s=NEVER_S)
+        return replace(self, confirmed_state=None, requested_at_s=NEVER_S)
 
-    def refuse(self, fence: int, now_s: float) -> DutyLease:
+    def reject_token(self, fencing_token: int, now_s: float) -> SingletonLease:
         """Lay a fence down that the platform has refused, for good."""
-        if fence <= self.refused_fence:
+        if fencing_token <= self.rejected_token:
             return self
         return replace(
             self,
-            read=None,
-            asked_at_s=NEVER_S,
-            refused_fence=fence,
+            confirmed_state=None,
+            requested_at_s=NEVER_S,
+            rejected_token=fencing_token,
             valid_until_s=NEVER_S,
-            acquires_from_s=now_s + self.length_s,
+            may_acquire_from_s=now_s + self.length_s,
         )
 
     # -- outputs --
@@ -139,9 +141,13 @@
         """Return what to do now."""
         if self.leading_since_s is None:
             return LeaseStep.WAIT
-        if self.read is not None and not self._is_holder(self.read):
-            return LeaseStep.ACQUIRE if now_s >= self._acquires_from_s(self.read) else LeaseStep.WAIT
-        is_due = now_s - self.asked_at_s >= RENEWAL_RATIO * self.length_s
+        if self.confirmed_state is not None and not self._is_owner(self.confirmed_state):
+            return (
+                LeaseStep.ACQUIRE
+                if now_s >= self._may_acquire_from_s(self.confirmed_state)
+                else LeaseStep.WAIT
+            )
+        is_due = now_s - self.requested_at_s >= RENEWAL_RATIO * self.length_s
         return LeaseStep.CONFIRM if is_due else LeaseStep.WAIT
 
     def phase(self, now_s: float) -> LeasePhase:
@@ -152,12 +158,14 @@
             return LeasePhase.HOLDING
         return LeasePhase.ACQUIRING if self.next_step(now_s) is LeaseStep.ACQUIRE else LeasePhase.WAITING
 
-    def _is_holder(self, state: DutyState) -> bool:
-        return state.holder == self.own and state.fence > self.refused_fence
+    def _is_owner(self, state: SingletonState) -> bool:
+        return state.owner == self.own_identity and state.fencing_token > self.rejected_token
 
-    def _acquires_from_s(self, state: DutyState) -> float:
+    def _may_acquire_from_s(self, state: SingletonState) -> float:
         """Return from when nobody else's lease can be valid, given what was read."""
-        has_predecessor = state.holder not in (None, self.own) or state.fence > FIRST_FENCE
+        has_predecessor = (
+            state.owner not in (None, self.own_identity) or state.fencing_token > FIRST_FENCING_TOKEN
+        )
         if not has_predecessor or self.leading_since_s is None:
-            return self.acquires_from_s
-        return max(self.acquires_from_s, self.leading_since_s + self.length_s + self.margin_s)
+            return self.may_acquire_from_s
+        return max(self.may_acquire_from_s, self.leading_since_s + self.length_s + self.margin_s)
--- a/coveport/serving/duties/retry_pause.py
+++ b/coveport/serving/duties/retry_pause.py
@@ -6,16 +6,16 @@
 from math import inf
 from typing import Final
 
-MIN_PAUSE_S: Final = 0.1  # a burst over the platform's rate is over
-MAX_PAUSE_S: Final = 1.0  # of the delay that a platform that is back still adds
+MIN_BACKOFF_S: Final = 0.1  # a burst over the platform's rate is over
+MAX_BACKOFF_S: Final = 1.0  # of the delay that a platform that is back still adds
 
 
 @dataclass(slots=True)
-class RetryPause:
+class RetryBackoff:
     """Doubles with each failure in a row; one holder calls, so it needs no jitter."""
 
-    min_s: float = MIN_PAUSE_S
-    max_s: float = MAX_PAUSE_S
+    min_s: float = MIN_BACKOFF_S
+    max_s: float = MAX_BACKOFF_S
     _next_s: float = field(init=False)
     _until_s: float = field(init=False, default=-inf)
 
--- a/coveport/serving/duties/state.py
+++ b/coveport/serving/duties/state.py
@@ -6,12 +6,12 @@
 
 from coveport.serving.model.telemetry import TenantCount
 
-NO_FENCE = 0  # before the first holder
+NO_FENCING_TOKEN = 0  # before the first holder
 NO_WINDOW = -1
 
 
 @dataclass(frozen=True, slots=True)
-class DutyHolder:
+class LeaseOwner:
     """One run of one coordinator: a machine that restarts, or is replaced, is another holder."""
 
     name: str  # of its machine, as the platform is told
@@ -36,11 +36,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DutyState:
+class SingletonState:
     """Acknowledged like the configuration: never lost, forked or set back."""
 
-    holder: DutyHolder | None = None
-    fence: int = NO_FENCE  # rises with every change of the holder, and when one lays a refused fence down
+    owner: LeaseOwner | None = None
+    fencing_token: int = NO_FENCING_TOKEN  # rises with each acquisition of the lease
     last_fixed_window: int = NO_WINDOW  # counts of this window and all before it are fixed
     unsent_reports: tuple[UsageReport, ...] = ()  # fixed, and not known to be accepted; oldest first
     fleet_orders: tuple[FleetOrder, ...] = ()  # the newest of each service and zone
--- a/coveport/serving/duties/state_machine.py
+++ b/coveport/serving/duties/state_machine.py
@@ -7,8 +7,13 @@
 from itertools import pairwise
 from typing import Final
 
-from coveport.serving.duties.commands import AcquireDuties, DutyCommand, FixUsageReports, RecordFleetOrders
-from coveport.serving.duties.state import DutyState, UsageReport
+from coveport.serving.duties.commands import (
+    AcquireDuties,
+    FixUsageReports,
+    RecordFleetOrders,
+    SingletonCommand,
+)
+from coveport.serving.duties.state import SingletonState, UsageReport
 
 # Tenants in all unsent reports together, about 1 MB of state. Windows beyond that aren't fixed: their counts
 # wait at the proxies and coordinators, and are offered again once the platform has accepted older ones.
@@ -24,30 +29,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DutyRefusal:
+class CommandRefusal:
     """The answer to the caller of a refused command."""
 
     reason: RefusalReason
-    fence: int  # current
+    fencing_token: int  # current
 
 
-def apply_duty_command(state: DutyState, command: DutyCommand) -> DutyState | DutyRefusal:
+def apply_singleton_command(
+    state: SingletonState, command: SingletonCommand
+) -> SingletonState | CommandRefusal:
     """Return the state after a command, or why it is refused."""
     match command:
-        case AcquireDuties(holder, previous_fence):
-            if previous_fence != state.fence:
-                return DutyRefusal(RefusalReason.FENCE_CHANGED, state.fence)
-            return replace(state, holder=holder, fence=state.fence + 1)
+        case AcquireDuties(owner, previous_token):
+            if previous_token != state.fencing_token:
+                return CommandRefusal(RefusalReason.FENCE_CHANGED, state.fencing_token)
+            return replace(state, owner=owner, fencing_token=state.fencing_token + 1)
         case FixUsageReports():
             return _fix_usage_reports(state, command)
         case RecordFleetOrders():
             return _record_fleet_orders(state, command)
 
 
-def _fix_usage_reports(state: DutyState, command: FixUsageReports) -> DutyState | DutyRefusal:
+def _fix_usage_reports(state: SingletonState, command: FixUsageReports) -> SingletonState | CommandRefusal:
     reason = _fault_of_reports(state, command)
     if reason is not None:
-        return DutyRefusal(reason, state.fence)
+        return CommandRefusal(reason, state.fencing_token)
     accepted = set(command.accepted_windows)
     unsent = tuple(report for report in state.unsent_reports if report.window not in accepted)
     candidates = tuple(report for report in command.reports if report.window > state.last_fixed_window)
@@ -56,9 +63,9 @@
     return replace(state, last_fixed_window=last_fixed_window, unsent_reports=(*unsent, *fixed))
 
 
-def _fault_of_reports(state: DutyState, command: FixUsageReports) -> RefusalReason | None:
+def _fault_of_reports(state: SingletonState, command: FixUsageReports) -> RefusalReason | None:
     windows = [report.window for report in command.reports]
-    if command.fence != state.fence:
+    if command.fencing_token != state.fencing_token:
         return RefusalReason.FENCE_CHANGED
     if any(window < 0 for window in windows):
         return RefusalReason.NEGATIVE_WINDOW
@@ -83,8 +90,10 @@
     return max(1, len(report.counts))
 
 
-def _record_fleet_orders(state: DutyState, command: RecordFleetOrders) -> DutyState | DutyRefusal:
-    if command.fence != state.fence:
-        return DutyRefusal(RefusalReason.FENCE_CHANGED, state.fence)
+def _record_fleet_orders(
+    state: SingletonState, command: RecordFleetOrders
+) -> SingletonState | CommandRefusal:
+    if command.fencing_token != state.fencing_token:
+        return CommandRefusal(RefusalReason.FENCE_CHANGED, state.fencing_token)
     orders = {(order.service, order.zone): order for order in (*state.fleet_orders, *command.orders)}
     return replace(state, fleet_orders=tuple(orders[subject] for subject in sorted(orders)))
--- a/coveport/serving/duties/telemetry_table.py
+++ b/coveport/serving/duties/telemetry_table.py
@@ -75,7 +75,7 @@
         entries = (self._entries.get(source) for source in live)
         return all(entry is not None and entry.open_window > window for entry in entries)
 
-    def has_silent_proxies(self, window: int, live: Collection[ReportSource]) -> bool:
+    def has_unresponsive_proxies(self, window: int, live: Collection[ReportSource]) -> bool:
         """Return whether a proxy without a live lease may have counted in a window and not reported it."""
         live_names = {source.proxy for source in live}
         return any(
--- a/coveport/serving/duties/usage_ledger.py
+++ b/coveport/serving/duties/usage_ledger.py
@@ -22,7 +22,7 @@
     incarnation: int
 
 
-class UsageLedger:
+class UsageLog:
     """Owns the counts of the windows that are not fixed."""
 
     def __init__(self) -> None:
--- a/coveport/serving/duties/usage_schedule.py
+++ b/coveport/serving/duties/usage_schedule.py
@@ -11,18 +11,18 @@
 from dataclasses import dataclass
 from typing import Final
 
-from coveport.serving.duties.commands import DutyCommand, FixUsageReports
+from coveport.serving.duties.commands import FixUsageReports, SingletonCommand
 from coveport.serving.duties.duty import CallOutcome, PlatformCall
-from coveport.serving.duties.retry_pause import RetryPause
-from coveport.serving.duties.state import NO_WINDOW, DutyState, UsageReport
+from coveport.serving.duties.retry_pause import RetryBackoff
+from coveport.serving.duties.state import NO_WINDOW, SingletonState, UsageReport
 from coveport.serving.duties.telemetry_table import TelemetryTable
-from coveport.serving.duties.usage_ledger import MAX_WINDOWS, ReportSource, UsageLedger
+from coveport.serving.duties.usage_ledger import MAX_WINDOWS, ReportSource, UsageLog
 from coveport.serving.model.telemetry import usage_window_at
 from coveport.serving.model.true_clock import TrueClock
 
 GRACE_S: Final = 0.6  # after a window's end: reports that are on their way through another coordinator
 REPORT_MARGIN_S: Final = 3.0  # for the commit and a slow call, before the report is late; not measured
-SILENT_WAIT_RATIO: Final = 0.5  # of the delay that a report may have: so long for silent proxies
+UNRESPONSIVE_WAIT_RATIO: Final = 0.5  # of the delay that a report may have: so long for silent proxies
 TAKEOVER_GRACE_S: Final = 0.5  # in which proxies and peers report to a coordinator that has just started
 MAX_REPORTS_PER_COMMAND: Final = 12  # bounds the command after a pause
 
@@ -39,7 +39,7 @@
 class UsageSources:
     """What the schedule reads of proxies."""
 
-    ledger: UsageLedger
+    usage_log: UsageLog
     table: TelemetryTable
     live_proxies: Callable[[float], Collection[ReportSource]]  # at a monotonic time
 
@@ -61,27 +61,27 @@
         self._clock = clock
         self._render = render
         self._on_rejected = on_rejected
-        self._pause = RetryPause()
+        self._pause = RetryBackoff()
         self._taken_over_at_s = 0.0
         self._done: set[int] = set()  # unsent in the state, but accepted or rejected since
         self._called_window = NO_WINDOW
 
-    def take_over(self, state: DutyState, now_s: float) -> None:
+    def take_over(self, state: SingletonState, now_s: float) -> None:
         """Begin to hold the duty."""
         self._taken_over_at_s = now_s
         self._pause.reset()
 
-    def next_command(self, state: DutyState, fence: int, now_s: float) -> DutyCommand | None:
+    def next_command(self, state: SingletonState, fence: int, now_s: float) -> SingletonCommand | None:
         """Return the command that fixes the windows whose counts are complete; None: there are none."""
         reports = tuple(
-            UsageReport(window, self._sources.ledger.counts(window))
+            UsageReport(window, self._sources.usage_log.counts(window))
             for window in self._windows_to_fix(state, now_s)
         )
         if not reports:
             return None
         return FixUsageReports(fence, reports, self._done_windows(state))
 
-    def next_call(self, state: DutyState, now_s: float) -> PlatformCall | None:
+    def next_call(self, state: SingletonState, now_s: float) -> PlatformCall | None:
         """Return the call for the oldest report that is not sent."""
         if self._pause.lasts(now_s):
             return None
@@ -105,12 +105,12 @@
             case CallOutcome.FENCED:
                 pass  # the same report goes under the next fence
 
-    def _done_windows(self, state: DutyState) -> tuple[int, ...]:
+    def _done_windows(self, state: SingletonState) -> tuple[int, ...]:
         """Return the windows that the state can forget; those that it has forgotten are forgotten here."""
         self._done.intersection_update(report.window for report in state.unsent_reports)
         return tuple(sorted(self._done))
 
-    def _windows_to_fix(self, state: DutyState, now_s: float) -> list[int]:
+    def _windows_to_fix(self, state: SingletonState, now_s: float) -> list[int]:
         first = self._first_window(state, now_s)
         if first is None or now_s - self._taken_over_at_s < TAKEOVER_GRACE_S:
             return []
@@ -121,14 +121,14 @@
             windows.append(window)
         return windows
 
-    def _first_window(self, state: DutyState, now_s: float) -> int | None:
+    def _first_window(self, state: SingletonState, now_s: float) -> int | None:
         """Return the first window that is not fixed.
 
         While none is, every holder begins with the first count: one before it may have held without fixing.
         """
         if state.last_fixed_window != NO_WINDOW:
             return max(state.last_fixed_window + 1, self._window_at(now_s) - MAX_WINDOWS)
-        return self._sources.ledger.first_window()
+        return self._sources.usage_log.first_window()
 
     def _is_complete(self, window: int, now_s: float) -> bool:
         """Return whether a window has ended and nothing more of it is worth waiting for."""
@@ -144,8 +144,8 @@
         live = self._sources.live_proxies(now_s)
         if not table.has_final_counts(window, live):
             return False
-        waits_for_silent = after_end_s < self._timings.delay_s * SILENT_WAIT_RATIO
-        return not (waits_for_silent and table.has_silent_proxies(window, live))
+        waits_for_silent = after_end_s < self._timings.delay_s * UNRESPONSIVE_WAIT_RATIO
+        return not (waits_for_silent and table.has_unresponsive_proxies(window, live))
 
     def _window_at(self, now_s: float) -> int:
         return usage_window_at(self._clock.unix_s(now_s), self._timings.window_s)
--- a/coveport/serving/proxy/view_updater.py
+++ b/coveport/serving/proxy/view_updater.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from coveport.serving.configuration.reader import read_document
-from coveport.serving.configuration.state import ControlState, initial_state, without_duties
+from coveport.serving.configuration.state import ControlState, initial_state, without_singleton_state
 from coveport.serving.configuration.state_codec import decode_state
 from coveport.serving.configuration.state_machine import apply
 from coveport.serving.log import EventLogger
@@ -101,7 +101,7 @@
         self._state = state
         self._sequence = update.state_sequence
         self._activate(before, state, now_s)
-        return is_first or without_duties(state) != without_duties(before)
+        return is_first or without_singleton_state(state) != without_singleton_state(before)
 
     def _decode(self, data: bytes) -> ControlState | None:
         try:
--- a/coveport/serving/settings/boot.py
+++ b/coveport/serving/settings/boot.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from coveport.net.address import Address
-from coveport.serving.duties.kinds import DutyKind
+from coveport.serving.duties.kinds import SingletonTaskKind
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
     """The platform's API, which the coordinator that holds the duties calls."""
 
     address: Address
-    duties: frozenset[DutyKind] = frozenset()
+    duties: frozenset[SingletonTaskKind] = frozenset()
     calls_per_s: float = 1.0  # rate limit for all coordinators together
 
 
--- a/coveport/serving/simulation/soak.py
+++ b/coveport/serving/simulation/soak.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Final
 
-from coveport.serving.duties.kinds import DutyKind
+from coveport.serving.duties.kinds import SingletonTaskKind
 from coveport.serving.model.configuration import Scaling, Tenant
 from coveport.serving.settings.boot import FaultTolerance, PlatformSettings
 from coveport.serving.simulation.deployment import BOUNDS, Deployment
@@ -37,7 +37,7 @@
     tenants=TENANTS,
     tolerated=FaultTolerance(2, 1, 1),
     bounds=replace(BOUNDS, is_fenced=True),
-    platform=PlatformSettings(("10.250.0.1", 8346), frozenset(DutyKind), 20.0),
+    platform=PlatformSettings(("10.250.0.1", 8346), frozenset(SingletonTaskKind), 20.0),
     scaling=Scaling(1, 6, 3.0),
     clients_reuse_open_connections=True,
 )
--- a/coveport/serving/wire/settings.py
+++ b/coveport/serving/wire/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from coveport.serving.duties.kinds import DutyKind
+from coveport.serving.duties.kinds import SingletonTaskKind
 
 
 class Boot:
@@ -73,4 +73,4 @@
     "revoke_ms": "RevokeMs",
 }
 PLATFORM: Final = {"address": "Address", "duties": "Duties", "calls_per_s": "DutyRateS"}
-DUTIES: Final = {DutyKind.USAGE_REPORTS: "metering", DutyKind.FLEET_ORDERS: "fleet_size"}
+DUTIES: Final = {SingletonTaskKind.USAGE_REPORTS: "metering", SingletonTaskKind.FLEET_ORDERS: "fleet_size"}
--- a/tests/golden/golden_settings_cases.py
+++ b/tests/golden/golden_settings_cases.py
@@ -14,8 +14,8 @@
 )
 from coveport.serving.configuration.state import AppliedChange, ControlState
 from coveport.serving.duties.commands import AcquireDuties, FixUsageReports, RecordFleetOrders
-from coveport.serving.duties.kinds import DutyKind
-from coveport.serving.duties.state import DutyHolder, DutyState, FleetOrder, UsageReport
+from coveport.serving.duties.kinds import SingletonTaskKind
+from coveport.serving.duties.state import FleetOrder, LeaseOwner, SingletonState, UsageReport
 from coveport.serving.model.configuration import (
     ClientLimits,
     Configuration,
@@ -125,7 +125,7 @@
         revoked_closed=True,
         revoke_ms=26.5,
     ),
-    platform=PlatformSettings(("10.200.0.1", 8346), frozenset(DutyKind), 27.5),
+    platform=PlatformSettings(("10.200.0.1", 8346), frozenset(SingletonTaskKind), 27.5),
 )
 PROXY_TEXT = """\
 NodeName = "counter-mill-1"
@@ -257,7 +257,7 @@
     "patch without an edition": PatchConfiguration(None, b"{}"),
     "start an evacuation": StartEvacuation("hall"),
     "end an evacuation": EndEvacuation("mill"),
-    "acquire the duties": AcquireDuties(DutyHolder("counter-hall-1", "7f3a91c2"), 11),
+    "acquire the duties": AcquireDuties(LeaseOwner("counter-hall-1", "7f3a91c2"), 11),
     "fix no usage reports": FixUsageReports(12, (), ()),
     "fix usage reports": FixUsageReports(
         12,
@@ -280,15 +280,15 @@
         (AppliedChange(6, bytes(range(16))), AppliedChange(7, b"\xff" * 16)),
     ),
     "with a holder of the duties": ControlState(
-        duties=DutyState(DutyHolder("counter-hall-1", "7f3a91c2"), 12)
+        singleton_state=SingletonState(LeaseOwner("counter-hall-1", "7f3a91c2"), 12)
     ),
     "with everything and duties": ControlState(
         CONFIGURATION_WRITTEN.encode(),
         7,
         frozenset({"mill"}),
         (AppliedChange(7, b"\xff" * 16),),
-        DutyState(
-            DutyHolder("counter-hall-1", "7f3a91c2"),
+        SingletonState(
+            LeaseOwner("counter-hall-1", "7f3a91c2"),
             12,
             353_445_121,
             (
--- a/tests/serving/coordinator/duty_world.py
+++ b/tests/serving/coordinator/duty_world.py
@@ -16,10 +16,10 @@
 from coveport.serving.coordinator.duty_lease_keeper import DutyLeaseManager
 from coveport.serving.coordinator.duty_runner import DutyRunner
 from coveport.serving.coordinator.platform_client import PlatformClient
-from coveport.serving.duties.commands import DutyCommand
+from coveport.serving.duties.commands import SingletonCommand
 from coveport.serving.duties.duty import CallOutcome, PlatformCall
-from coveport.serving.duties.lease import DutyLease
-from coveport.serving.duties.state import DutyHolder, DutyState
+from coveport.serving.duties.lease import SingletonLease
+from coveport.serving.duties.state import LeaseOwner, SingletonState
 from coveport.serving.replication.events import Done, Newest, NotPrimary, Outcome
 from coveport.serving.replication.identity import Epoch
 from coveport.serving.replication.state_machine import Applied
@@ -30,8 +30,8 @@
 from coveport.testbed.simulated_network.world import Process, World
 
 PLATFORM_ADDRESS = ("10.0.0.1", 80)
-OWN_HOLDER = DutyHolder("one", "a")
-OTHER_HOLDER = DutyHolder("two", "b")
+OWN_HOLDER = LeaseOwner("one", "a")
+OTHER_HOLDER = LeaseOwner("two", "b")
 LEASE_S = 3.0
 CALLS_PER_S = 10.0
 TICK_S = 0.1
@@ -45,7 +45,7 @@
         self.replica = SimpleNamespace(is_primary=True, view_epoch=Epoch(1, "d"))
         self.state = ControlState()
         self.is_responding = True
-        self.commands: list[DutyCommand] = []
+        self.commands: list[SingletonCommand] = []
 
     async def submit(self, command: bytes) -> Outcome:
         await self._wait()
@@ -71,17 +71,17 @@
 
     def __init__(self) -> None:
         self.calls: list[PlatformCall] = []
-        self.make_commands: list[Callable[[int], DutyCommand]] = []  # queued commands, made with the fence
+        self.make_commands: list[Callable[[int], SingletonCommand]] = []  # queued; take the fencing token
         self.outcomes: list[CallOutcome] = []
         self.takeovers = 0
 
-    def take_over(self, state: DutyState, now_s: float) -> None:
+    def take_over(self, state: SingletonState, now_s: float) -> None:
         self.takeovers += 1
 
-    def next_command(self, state: DutyState, fence: int, now_s: float) -> DutyCommand | None:
+    def next_command(self, state: SingletonState, fence: int, now_s: float) -> SingletonCommand | None:
         return self.make_commands.pop(0)(fence) if self.make_commands else None
 
-    def next_call(self, state: DutyState, now_s: float) -> PlatformCall | None:
+    def next_call(self, state: SingletonState, now_s: float) -> PlatformCall | None:
         return self.calls.pop(0) if self.calls else None
 
     def record_outcome(self, call: PlatformCall, outcome: CallOutcome, now_s: float) -> None:
@@ -115,7 +115,7 @@
 class DutyWorld:
     """The runner, its scripted partners and their clock; recorded times are in seconds since the start."""
 
-    def __init__(self, state: DutyState = DutyState()) -> None:  # noqa: B008 - frozen
+    def __init__(self, state: SingletonState = SingletonState()) -> None:  # noqa: B008 - frozen
         self.time = World()
         self.started_at_s = self.time.now
         network = Network(self.time, ZoneDelayModel((), Delays(), Random(1)))  # type: ignore[arg-type]
@@ -131,11 +131,11 @@
         self.process = self._process("one")
         self.net = VirtualNet(self.process, network, network.place("10.0.9.9", -1))
         self.runtime = ScriptedRuntime(lambda state: self.runner.record_committed(state))
-        self.runtime.state = replace(ControlState(), duties=state)
+        self.runtime.state = replace(ControlState(), singleton_state=state)
         self.duty = ScriptedDuty()
         runtime: Any = self.runtime
         log = self._log()
-        lease = DutyLease(OWN_HOLDER, LEASE_S)
+        lease = SingletonLease(OWN_HOLDER, LEASE_S)
         lease_manager = DutyLeaseManager(self.net, runtime, lease, lambda: self.all_support_duties, log)
         client = PlatformClient(self.net, PLATFORM_ADDRESS)
         self.runner = DutyRunner(self.net, lease_manager, client, [self.duty], CALLS_PER_S, log)
--- a/tests/serving/coordinator/test_duty_runner.py
+++ b/tests/serving/coordinator/test_duty_runner.py
@@ -14,10 +14,10 @@
 from coveport.serving.duties.commands import AcquireDuties, RecordFleetOrders
 from coveport.serving.duties.duty import CallOutcome
 from coveport.serving.duties.lease import MARGIN_RATIO
-from coveport.serving.duties.state import DutyState, FleetOrder
+from coveport.serving.duties.state import FleetOrder, SingletonState
 from coveport.serving.replication.identity import Epoch
 
-HELD_BY_OTHER = DutyState(OTHER_HOLDER, 4)
+HELD_BY_OTHER = SingletonState(OTHER_HOLDER, 4)
 ACQUISITION_DELAY_S = LEASE_S * (1 + MARGIN_RATIO)
 ORDER = FleetOrder("s", "z", 3)
 
@@ -71,7 +71,7 @@
     world.queue_calls()
     world.run(1.0)
     assert world.runtime.commands[-1] == RecordFleetOrders(1, (ORDER,))
-    assert world.runtime.state.duties.fleet_orders == (ORDER,)
+    assert world.runtime.state.singleton_state.fleet_orders == (ORDER,)
     assert len(world.requests) == 1
 
 
@@ -192,7 +192,7 @@
 def test_holder_that_is_replaced_in_the_committed_state_makes_no_calls() -> None:
     world = DutyWorld()
     world.run(1.0)
-    world.runtime.state = ControlState(duties=HELD_BY_OTHER)
+    world.runtime.state = ControlState(singleton_state=HELD_BY_OTHER)
     world.run(1.5)
     world.queue_calls()
     world.run(0.5)
--- a/tests/serving/coordinator/test_telemetry_replication.py
+++ b/tests/serving/coordinator/test_telemetry_replication.py
@@ -145,7 +145,7 @@
     replicator.receive_shared(TelemetryShared((report(1, a=4),)))
     clock.pass_interval(replicator)
     assert peers.take() == []
-    assert replicator.ledger.counts(WINDOW) == (TenantCount("a", 4),)
+    assert replicator.usage_log.counts(WINDOW) == (TenantCount("a", 4),)
     entry = replicator.table.find(ReportSource("p1", 1))
     assert entry is not None and entry.loads == LOADS
 
@@ -177,7 +177,7 @@
     peers = replicator._peers
     assert isinstance(peers, FakePeers)
     peer_replicator.receive_shared(peers.take()[-1][1])
-    assert peer_replicator.ledger.counts(WINDOW) == (TenantCount("a", 4),)
+    assert peer_replicator.usage_log.counts(WINDOW) == (TenantCount("a", 4),)
     assert peer_replicator.table.find(ReportSource("p1", 1)) is None, "counts alone make no live proxy"
 
 
--- a/tests/serving/duties/fleet_world.py
+++ b/tests/serving/duties/fleet_world.py
@@ -14,7 +14,7 @@
 from coveport.serving.duties.fleet_controller import FleetController, subject_of
 from coveport.serving.duties.fleet_observation import FleetObserver, FleetSources, FleetSubject, LiveProxy
 from coveport.serving.duties.fleet_sizing import ToleratedLosses
-from coveport.serving.duties.state import DutyState, FleetOrder
+from coveport.serving.duties.state import FleetOrder, SingletonState
 from coveport.serving.duties.telemetry_table import TelemetryTable
 from coveport.serving.duties.usage_ledger import ReportSource
 from coveport.serving.model.configuration import Scaling, Service
@@ -54,7 +54,7 @@
     service: Service = SERVICE
     tolerated: ToleratedLosses = ONE_ZONE
     now_s: float = 0.0
-    state: DutyState = field(default_factory=DutyState)
+    state: SingletonState = field(default_factory=SingletonState)
     outcome: CallOutcome = CallOutcome.ACCEPTED
     is_taken_when_unknown: bool = False
     cut_zones: set[str] = field(default_factory=set)  # from the holder; all else goes on in them
--- a/tests/serving/duties/lease_model.py
+++ b/tests/serving/duties/lease_model.py
@@ -13,14 +13,14 @@
 from dataclasses import dataclass, replace
 
 from coveport.serving.duties.commands import AcquireDuties
-from coveport.serving.duties.lease import DutyLease, LeaseStep
-from coveport.serving.duties.state import NO_FENCE, DutyHolder, DutyState
-from coveport.serving.duties.state_machine import apply_duty_command
+from coveport.serving.duties.lease import LeaseStep, SingletonLease
+from coveport.serving.duties.state import NO_FENCING_TOKEN, LeaseOwner, SingletonState
+from coveport.serving.duties.state_machine import apply_singleton_command
 
 NAMES = ("a", "b")
 TIME_PASSES = "time passes"
 LEARNS = tuple(f"{name} learns" for name in NAMES)
-INITIAL = DutyState()
+INITIAL = SingletonState()
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     """A linearizable read whose answer is on its way."""
 
     asked_at: int
-    state: DutyState  # as it was confirmed
+    state: SingletonState  # as it was confirmed
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 class Candidate:
     """One machine; its lease is that of its present run."""
 
-    lease: DutyLease
+    lease: SingletonLease
     run: int = 1
     led_epoch: int = 0  # that it believes it leads; 0: none
     read: Read | None = None
@@ -72,8 +72,8 @@
     now: int = 0
     leader: int = 0
     epoch: int = 1
-    duties: DutyState = INITIAL
-    highest_fence: int = NO_FENCE  # that the platform has seen
+    duties: SingletonState = INITIAL
+    highest_fence: int = NO_FENCING_TOKEN  # that the platform has seen
     runs_by_fence: tuple[tuple[int, tuple[int, int]], ...] = ()
     accepted: tuple[tuple[int, int], ...] = ()  # machine and newest time, of the last two holders that acted
     violation: str = ""
@@ -84,14 +84,14 @@
         return replace(self, candidates=(candidate, second) if at == 0 else (first, candidate))
 
 
-def beginning(length: int, budget: Budget, highest_fence: int = NO_FENCE) -> Situation:
+def beginning(length: int, budget: Budget, highest_fence: int = NO_FENCING_TOKEN) -> Situation:
     """Return the situation before anything: the first machine leads."""
     candidates = (_started(0, 1, length), _started(1, 1, length))
     return _led(Situation(length, candidates, budget, highest_fence=highest_fence))
 
 
 def _started(at: int, run: int, length: int) -> Candidate:
-    return Candidate(DutyLease(DutyHolder(NAMES[at], str(run)), float(length)), run)
+    return Candidate(SingletonLease(LeaseOwner(NAMES[at], str(run)), float(length)), run)
 
 
 def moves(situation: Situation) -> Iterator[tuple[str, Situation]]:
@@ -129,16 +129,16 @@
     candidate = situation.candidates[at]
     if candidate.is_frozen or candidate.led_epoch == situation.epoch:
         return situation
-    lease = candidate.lease.lead(situation.now)
+    lease = candidate.lease.start_leading(situation.now)
     return situation.with_candidate(at, replace(candidate, lease=lease, led_epoch=situation.epoch))
 
 
 def _apply(situation: Situation, at: int) -> Situation:
     candidate = situation.candidates[at]
     assert candidate.acquisition is not None
-    after = apply_duty_command(situation.duties, candidate.acquisition)
-    duties = after if isinstance(after, DutyState) else situation.duties
-    done = replace(candidate, acquisition=None, lease=candidate.lease.acquired())
+    after = apply_singleton_command(situation.duties, candidate.acquisition)
+    duties = after if isinstance(after, SingletonState) else situation.duties
+    done = replace(candidate, acquisition=None, lease=candidate.lease.record_acquisition_end())
     return replace(situation, duties=duties).with_candidate(at, done)
 
 
@@ -162,13 +162,13 @@
         frozen = replace(candidate, is_frozen=True)
         yield "freezes", spent.with_candidate(at, frozen)
         if candidate.lease.may_act(situation.now):
-            act = Act(candidate.lease.held_fence, is_late=True)
+            act = Act(candidate.lease.held_token, is_late=True)
             yield "freezes after a check", spent.with_candidate(at, replace(frozen, late_act=act))
 
 
 def _observations(situation: Situation, at: int, candidate: Candidate) -> Iterator[tuple[str, Situation]]:
     if situation.leader != at and candidate.led_epoch:
-        lease = candidate.lease.lose()
+        lease = candidate.lease.stop_leading()
         yield "learns", situation.with_candidate(at, replace(candidate, lease=lease, led_epoch=0))
 
 
@@ -179,7 +179,9 @@
         lease = candidate.lease.confirm(read.asked_at, read.state)
         yield "gets an answer", situation.with_candidate(at, replace(candidate, lease=lease, read=None))
     elif candidate.lease.next_step(now) is LeaseStep.CONFIRM and situation.leader == at:
-        asked = replace(candidate, lease=candidate.lease.ask(now), read=Read(now, situation.duties))
+        asked = replace(
+            candidate, lease=candidate.lease.record_request(now), read=Read(now, situation.duties)
+        )
         yield "is confirmed", situation.with_candidate(at, asked)
 
 
@@ -188,11 +190,11 @@
     if candidate.acquisition is not None:
         if situation.leader == at:
             yield "has its command applied", _apply(situation, at)
-        unclear = replace(candidate, acquisition=None, lease=lease.acquired())
+        unclear = replace(candidate, acquisition=None, lease=lease.record_acquisition_end())
         yield "hears nothing of its command", situation.with_candidate(at, unclear)
     elif lease.next_step(situation.now) is LeaseStep.ACQUIRE:
-        assert lease.read is not None
-        command = AcquireDuties(lease.own, lease.read.fence)
+        assert lease.confirmed_state is not None
+        command = AcquireDuties(lease.own_identity, lease.confirmed_state.fencing_token)
         yield "acquires", situation.with_candidate(at, replace(candidate, acquisition=command))
 
 
@@ -204,7 +206,7 @@
             _call(situation.with_candidate(at, replace(candidate, late_act=None)), at, act),
         )
     elif candidate.lease.may_act(situation.now):
-        yield "calls", _call(situation, at, Act(candidate.lease.held_fence))
+        yield "calls", _call(situation, at, Act(candidate.lease.held_token))
 
 
 def _call(situation: Situation, at: int, act: Act) -> Situation:
@@ -219,7 +221,7 @@
     if act.fence < situation.highest_fence:
         refused = replace(
             candidate,
-            lease=candidate.lease.refuse(act.fence, situation.now),
+            lease=candidate.lease.reject_token(act.fence, situation.now),
             refused_fences=candidate.refused_fences | {act.fence},
         )
         return situation.with_candidate(at, refused)
--- a/tests/serving/duties/test_duty_state_machine.py
+++ b/tests/serving/duties/test_duty_state_machine.py
@@ -9,48 +9,57 @@
 from hypothesis import strategies as st
 
 from coveport.serving.duties import state_machine
-from coveport.serving.duties.commands import AcquireDuties, DutyCommand, FixUsageReports, RecordFleetOrders
-from coveport.serving.duties.state import DutyHolder, DutyState, FleetOrder, UsageReport
-from coveport.serving.duties.state_machine import DutyRefusal, RefusalReason, apply_duty_command
+from coveport.serving.duties.commands import (
+    AcquireDuties,
+    FixUsageReports,
+    RecordFleetOrders,
+    SingletonCommand,
+)
+from coveport.serving.duties.state import FleetOrder, LeaseOwner, SingletonState, UsageReport
+from coveport.serving.duties.state_machine import (
+    CommandRefusal,
+    RefusalReason,
+    apply_singleton_command,
+)
 from coveport.serving.model.telemetry import TenantCount
 
-FIRST, SECOND = DutyHolder("one", "a"), DutyHolder("two", "b")
+FIRST, SECOND = LeaseOwner("one", "a"), LeaseOwner("two", "b")
 
 
 def report(window: int, requests: int = 1) -> UsageReport:
     return UsageReport(window, (TenantCount("tenant", requests),))
 
 
-def run(state: DutyState, *commands: DutyCommand) -> DutyState:
+def run(state: SingletonState, *commands: SingletonCommand) -> SingletonState:
     """Return the state after commands that must be taken."""
     for command in commands:
-        after = apply_duty_command(state, command)
-        assert isinstance(after, DutyState), after
+        after = apply_singleton_command(state, command)
+        assert isinstance(after, SingletonState), after
         state = after
     return state
 
 
-def held(fence: int = 1) -> DutyState:
-    return DutyState(FIRST, fence)
+def held(fence: int = 1) -> SingletonState:
+    return SingletonState(FIRST, fence)
 
 
 def test_the_fence_rises_with_every_acquisition() -> None:
-    state = run(DutyState(), AcquireDuties(FIRST, 0), AcquireDuties(SECOND, 1), AcquireDuties(SECOND, 2))
-    assert (state.holder, state.fence) == (SECOND, 3)
+    state = run(SingletonState(), AcquireDuties(FIRST, 0), AcquireDuties(SECOND, 1), AcquireDuties(SECOND, 2))
+    assert (state.owner, state.fencing_token) == (SECOND, 3)
 
 
-@pytest.mark.parametrize("previous_fence", [0, 2])
-def test_a_second_acquisition_on_one_fence_is_refused(previous_fence: int) -> None:
-    command = AcquireDuties(SECOND, previous_fence)
-    assert apply_duty_command(held(), command) == DutyRefusal(RefusalReason.FENCE_CHANGED, 1)
+@pytest.mark.parametrize("previous_token", [0, 2])
+def test_a_second_acquisition_on_one_fence_is_refused(previous_token: int) -> None:
+    command = AcquireDuties(SECOND, previous_token)
+    assert apply_singleton_command(held(), command) == CommandRefusal(RefusalReason.FENCE_CHANGED, 1)
 
 
 @pytest.mark.parametrize(
     "command", [FixUsageReports(1, (report(5),), ()), RecordFleetOrders(1, (FleetOrder("s", "z", 3),))]
 )
-def test_a_command_under_an_older_fence_is_refused(command: DutyCommand) -> None:
+def test_a_command_under_an_older_fence_is_refused(command: SingletonCommand) -> None:
     state = run(held(), AcquireDuties(SECOND, 1))
-    assert apply_duty_command(state, command) == DutyRefusal(RefusalReason.FENCE_CHANGED, 2)
+    assert apply_singleton_command(state, command) == CommandRefusal(RefusalReason.FENCE_CHANGED, 2)
 
 
 def test_a_window_that_is_fixed_keeps_its_counts() -> None:
@@ -82,7 +91,7 @@
 )
 def test_malformed_windows_are_refused(windows: tuple[int, ...], reason: RefusalReason) -> None:
     command = FixUsageReports(1, tuple(report(window) for window in windows), ())
-    assert apply_duty_command(held(), command) == DutyRefusal(reason, 1)
+    assert apply_singleton_command(held(), command) == CommandRefusal(reason, 1)
 
 
 def test_reports_beyond_the_bound_wait_unfixed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -127,16 +136,18 @@
 
 
 @given(st.lists(COMMANDS, max_size=25))
-def test_no_fence_has_two_holders_and_no_window_has_two_counts(commands: list[DutyCommand]) -> None:
-    state = DutyState()
-    holders: dict[int, DutyHolder | None] = {}
+def test_no_fence_has_two_holders_and_no_window_has_two_counts(commands: list[SingletonCommand]) -> None:
+    state = SingletonState()
+    holders: dict[int, LeaseOwner | None] = {}
     counts: dict[int, UsageReport] = {}
     for command in commands:
-        after = apply_duty_command(state, command)
-        if isinstance(after, DutyRefusal):
+        after = apply_singleton_command(state, command)
+        if isinstance(after, CommandRefusal):
             continue
-        assert after.fence >= state.fence and after.last_fixed_window >= state.last_fixed_window
-        assert holders.setdefault(after.fence, after.holder) == after.holder
+        assert (
+            after.fencing_token >= state.fencing_token and after.last_fixed_window >= state.last_fixed_window
+        )
+        assert holders.setdefault(after.fencing_token, after.owner) == after.owner
         windows = [one.window for one in after.unsent_reports]
         assert windows == sorted(set(windows)) and all(
             window <= after.last_fixed_window for window in windows
@@ -149,13 +160,13 @@
 
 
 @given(st.lists(COMMANDS, max_size=8))
-def test_a_command_that_is_repeated_changes_nothing_more(commands: list[DutyCommand]) -> None:
+def test_a_command_that_is_repeated_changes_nothing_more(commands: list[SingletonCommand]) -> None:
     """Its outcome may have been unclear; an acquisition is refused then."""
-    state = DutyState()
+    state = SingletonState()
     for command in commands:
-        after = apply_duty_command(state, command)
-        if isinstance(after, DutyRefusal):
+        after = apply_singleton_command(state, command)
+        if isinstance(after, CommandRefusal):
             continue
-        again = apply_duty_command(after, command)
-        assert again == after if not isinstance(command, AcquireDuties) else isinstance(again, DutyRefusal)
+        again = apply_singleton_command(after, command)
+        assert again == after if not isinstance(command, AcquireDuties) else isinstance(again, CommandRefusal)
         state = after
--- a/tests/serving/duties/test_fleet_controller.py
+++ b/tests/serving/duties/test_fleet_controller.py
@@ -16,7 +16,7 @@
 from coveport.serving.duties.fleet_controller import subject_of
 from coveport.serving.duties.fleet_sizing import ToleratedLosses
 from coveport.serving.duties.fleet_stability import QUIET_S
-from coveport.serving.duties.state import DutyState, FleetOrder
+from coveport.serving.duties.state import FleetOrder, SingletonState
 
 Curve = Callable[[str, float], float]
 assert SERVICE.scaling is not None
@@ -204,7 +204,7 @@
 
 def test_another_holder_sends_a_recorded_order_for_more_that_never_arrived() -> None:
     world = FleetWorld(constant(0))
-    world.state = DutyState(fleet_orders=(FleetOrder("s", "a1", 12),))
+    world.state = SingletonState(fleet_orders=(FleetOrder("s", "a1", 12),))
     world.begin_holder()
     world.run(15)
     assert [order for _, order in world.calls] == [FleetOrder("s", "a1", 12)]
@@ -212,7 +212,7 @@
 
 def test_a_recorded_order_for_fewer_waits_for_a_quiet_time() -> None:
     world = FleetWorld(constant(16))
-    world.state = DutyState(fleet_orders=(FleetOrder("s", "a1", 8),))
+    world.state = SingletonState(fleet_orders=(FleetOrder("s", "a1", 8),))
     world.begin_holder()
     world.run(QUIET_S - 0.2)
     assert world.calls == []
--- a/tests/serving/duties/test_lease_interleavings.py
+++ b/tests/serving/duties/test_lease_interleavings.py
@@ -11,8 +11,8 @@
 import pytest
 from lease_model import LEARNS, TIME_PASSES, Budget, Situation, beginning, faults, moves
 
-from coveport.serving.duties.lease import NEVER_S, DutyLease
-from coveport.serving.duties.state import DutyState
+from coveport.serving.duties.lease import NEVER_S, SingletonLease
+from coveport.serving.duties.state import SingletonState
 
 SHORT_LEASE = 2
 SHORT_END = 9
@@ -81,38 +81,38 @@
     assert sum(len(end.accepted) == 2 for end in ends) > WALKS / 20, "holders change"
 
 
-def acquires_at_once(lease: DutyLease, state: DutyState) -> float:
+def acquires_at_once(lease: SingletonLease, state: SingletonState) -> float:
     return NEVER_S
 
 
 def confirms_from_the_answer(
-    confirm: Callable[[DutyLease, float, DutyState], DutyLease],
-) -> Callable[[DutyLease, float, DutyState], DutyLease]:
-    def confirmed(lease: DutyLease, asked_at_s: float, state: DutyState) -> DutyLease:
-        after = confirm(lease, asked_at_s, state)
+    confirm: Callable[[SingletonLease, float, SingletonState], SingletonLease],
+) -> Callable[[SingletonLease, float, SingletonState], SingletonLease]:
+    def confirmed(lease: SingletonLease, requested_at_s: float, state: SingletonState) -> SingletonLease:
+        after = confirm(lease, requested_at_s, state)
         is_valid = after.valid_until_s > lease.valid_until_s
         return replace(after, valid_until_s=after.valid_until_s + DELAY) if is_valid else after
 
     return confirmed
 
 
-def never_refused(lease: DutyLease, fence: int, now_s: float) -> DutyLease:
+def never_refused(lease: SingletonLease, fencing_token: int, now_s: float) -> SingletonLease:
     return lease
 
 
-def named_alike(lease: DutyLease, state: DutyState) -> bool:
-    return state.holder is not None and state.holder.name == lease.own.name
+def named_alike(lease: SingletonLease, state: SingletonState) -> bool:
+    return state.owner is not None and state.owner.name == lease.own_identity.name
 
 
-def without_end(lease: DutyLease, now_s: float) -> bool:
+def without_end(lease: SingletonLease, now_s: float) -> bool:
     return lease.leading_since_s is not None and lease.valid_until_s > NEVER_S
 
 
 VARIANTS: dict[str, tuple[str, Any]] = {
-    "acquires without a wait": ("_acquires_from_s", acquires_at_once),
-    "counts the lease from the answer": ("confirm", confirms_from_the_answer(DutyLease.confirm)),
-    "ignores a refusal": ("refuse", never_refused),
-    "takes another run's fence for its own": ("_is_holder", named_alike),
+    "acquires without a wait": ("_may_acquire_from_s", acquires_at_once),
+    "counts the lease from the answer": ("confirm", confirms_from_the_answer(SingletonLease.confirm)),
+    "ignores a refusal": ("reject_token", never_refused),
+    "takes another run's fence for its own": ("_is_owner", named_alike),
     "acts beyond the end of its lease": ("may_act", without_end),
 }
 
@@ -120,5 +120,5 @@
 @pytest.mark.parametrize("variant", VARIANTS)
 def test_a_broken_lease_is_found(variant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     method, broken = VARIANTS[variant]
-    monkeypatch.setattr(DutyLease, method, broken)
+    monkeypatch.setattr(SingletonLease, method, broken)
     assert first_found(VARIANT_WALKS)
--- a/tests/serving/duties/test_telemetry_table.py
+++ b/tests/serving/duties/test_telemetry_table.py
@@ -46,15 +46,15 @@
 def test_a_proxy_without_a_lease_may_still_count_until_it_is_forgotten() -> None:
     table = TelemetryTable()
     table.record(report(FIRST, 1, 7), 0.0)
-    assert table.has_silent_proxies(7, [SECOND])
-    assert not table.has_silent_proxies(6, [SECOND]), "it has reported that window"
+    assert table.has_unresponsive_proxies(7, [SECOND])
+    assert not table.has_unresponsive_proxies(6, [SECOND]), "it has reported that window"
     table.expire(RETENTION_S + 1)
-    assert not table.has_silent_proxies(7, [SECOND])
+    assert not table.has_unresponsive_proxies(7, [SECOND])
 
 
 def test_a_run_that_another_one_has_followed_is_waited_for_no_longer() -> None:
     table = TelemetryTable()
     table.record(report(FIRST, 1, 7), 0.0)
-    assert not table.has_silent_proxies(7, [ReportSource("p1", 2)])
+    assert not table.has_unresponsive_proxies(7, [ReportSource("p1", 2)])
     table.record(report(ReportSource("p1", 2), 1, 8), 1.0)
-    assert not table.has_silent_proxies(7, [])
+    assert not table.has_unresponsive_proxies(7, [])
--- a/tests/serving/duties/test_usage_ledger.py
+++ b/tests/serving/duties/test_usage_ledger.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coveport.serving.duties.usage_ledger import MAX_WINDOWS, ReportSource, UsageLedger
+from coveport.serving.duties.usage_ledger import MAX_WINDOWS, ReportSource, UsageLog
 from coveport.serving.model.telemetry import ProxyTelemetry, TenantCount, WindowCounts
 from coveport.serving.proxy.usage_counter import UsageCounter
 
@@ -23,12 +23,12 @@
     return ProxyTelemetry(proxy, incarnation, sequence, window, (WindowCounts(window, tenants),))
 
 
-def sums(ledger: UsageLedger, window: int = FIRST_WINDOW) -> dict[str, int]:
+def sums(ledger: UsageLog, window: int = FIRST_WINDOW) -> dict[str, int]:
     return {count.tenant: count.requests for count in ledger.counts(window)}
 
 
 def test_counts_are_summed_over_proxies_and_their_incarnations() -> None:
-    ledger = UsageLedger()
+    ledger = UsageLog()
     ledger.merge(report("p1", 1, 4, a=3, b=1))
     ledger.merge(report("p1", 2, 1, a=2))
     ledger.merge(report("p2", 1, 9, a=10))
@@ -37,7 +37,7 @@
 
 
 def test_only_what_rises_is_returned_to_be_passed_on() -> None:
-    ledger = UsageLedger()
+    ledger = UsageLog()
     ledger.merge(report("p1", 1, 1, a=3, b=1))
     (risen,) = ledger.merge(report("p1", 1, 2, a=3, b=2))
     assert risen == WindowCounts(FIRST_WINDOW, (TenantCount("b", 2),))
@@ -45,7 +45,7 @@
 
 
 def test_what_is_dropped_is_not_counted_again() -> None:
-    ledger = UsageLedger()
+    ledger = UsageLog()
     ledger.merge(report("p1", 1, 1, a=3))
     ledger.drop_until(FIRST_WINDOW)
     assert ledger.merge(report("p1", 1, 2, a=5)) == ()
@@ -56,18 +56,18 @@
 
 
 def test_without_a_majority_the_oldest_windows_go_first() -> None:
-    ledger = UsageLedger()
+    ledger = UsageLog()
     for number in range(MAX_WINDOWS + 3):
         ledger.merge(report("p1", 1, number + 1, FIRST_WINDOW + number, a=1))
     assert ledger.first_window() == FIRST_WINDOW + 3
 
 
 def test_another_coordinator_gets_everything_by_source() -> None:
-    ledger = UsageLedger()
+    ledger = UsageLog()
     ledger.merge(report("p1", 1, 1, a=3))
     ledger.merge(report("p1", 1, 2, FIRST_WINDOW + 1, b=1))
     ledger.merge(report("p2", 7, 1, a=1))
-    other = UsageLedger()
+    other = UsageLog()
     for source, windows in ledger.by_source().items():
         other.merge(ProxyTelemetry(source.proxy, source.incarnation, 0, 0, windows))
     assert other.by_source() == ledger.by_source()
@@ -133,7 +133,7 @@
         kept.append(proxy.reports[-1])
     arrivals = [*lost, *kept, *random.sample(lost, len(lost) // 2)]
     random.shuffle(arrivals)
-    ledger = UsageLedger()
+    ledger = UsageLog()
     for arrival in arrivals:
         ledger.merge(arrival)
     counted = {
--- a/tests/serving/duties/test_usage_schedule.py
+++ b/tests/serving/duties/test_usage_schedule.py
@@ -192,7 +192,7 @@
     world.run(400.0)
     world.take_over()
     world.run(401.0)
-    command = world.schedule.next_command(world.state, world.state.fence, world.now_s)
+    command = world.schedule.next_command(world.state, world.state.fencing_token, world.now_s)
     assert isinstance(command, FixUsageReports)
     assert [report.window for report in command.reports] == list(range(FIRST_WINDOW + 2, FIRST_WINDOW + 14))
 
--- a/tests/serving/duties/usage_world.py
+++ b/tests/serving/duties/usage_world.py
@@ -10,9 +10,9 @@
 from coveport.serving.coordinator.usage_duty import usage_call
 from coveport.serving.duties.commands import FixUsageReports
 from coveport.serving.duties.duty import CallOutcome, PlatformCall
-from coveport.serving.duties.state import DutyHolder, DutyState
+from coveport.serving.duties.state import LeaseOwner, SingletonState
 from coveport.serving.duties.telemetry_table import TelemetryTable
-from coveport.serving.duties.usage_ledger import ReportSource, UsageLedger
+from coveport.serving.duties.usage_ledger import ReportSource, UsageLog
 from coveport.serving.duties.usage_schedule import UsageSchedule, UsageSources, UsageTimings
 from coveport.serving.membership.leases import LEASE_DURATION_S
 from coveport.serving.model.telemetry import ProxyTelemetry
@@ -68,25 +68,27 @@
         self.proxies = [CountingProxy(f"p{number}") for number in range(proxies)]
         self.truth: dict[int, Counter[str]] = {}
         self.platform = Platform()
-        self.state = DutyState(DutyHolder("c1", "1"), 1)
+        self.state = SingletonState(LeaseOwner("c1", "1"), 1)
         self.rejected: list[int] = []
         self.clock_step_s = 0.0
         self.requests_per_step = 1
         self.loses_commits = False
         self.is_held = True
-        self.ledger = UsageLedger()
+        self.usage_log = UsageLog()
         self.table = TelemetryTable()
         self.clock = TrueClock()
         self.schedule = self._make_schedule()
 
     def _make_schedule(self) -> UsageSchedule:
-        sources = UsageSources(self.ledger, self.table, self._live_proxies)
+        sources = UsageSources(self.usage_log, self.table, self._live_proxies)
         return UsageSchedule(TIMINGS, sources, self.clock, usage_call, self.rejected.append)
 
     def take_over(self) -> None:
         """Let another coordinator hold the duty; it has what proxies reported, and the state."""
         self.schedule = self._make_schedule()
-        self.state = replace(self.state, holder=DutyHolder("c2", "1"), fence=self.state.fence + 1)
+        self.state = replace(
+            self.state, owner=LeaseOwner("c2", "1"), fencing_token=self.state.fencing_token + 1
+        )
         self.schedule.take_over(self.state, self.now_s)
 
     def _live_proxies(self, now_s: float) -> list[ReportSource]:
@@ -127,10 +129,10 @@
                 proxy.heard_at_s = self.now_s
                 report = proxy.report(self.unix_s)
                 self.table.record(report, self.now_s)
-                self.ledger.merge(report)
+                self.usage_log.merge(report)
 
     def _act(self) -> None:
-        command = self.schedule.next_command(self.state, self.state.fence, self.now_s)
+        command = self.schedule.next_command(self.state, self.state.fencing_token, self.now_s)
         if isinstance(command, FixUsageReports) and not self.loses_commits:
             self._commit(command)
         call = self.schedule.next_call(self.state, self.now_s)
@@ -139,7 +141,7 @@
 
     def _commit(self, command: FixUsageReports) -> None:
         """Apply a command as the replicas do."""
-        assert command.fence == self.state.fence
+        assert command.fencing_token == self.state.fencing_token
         last = self.state.last_fixed_window
         new = tuple(report for report in command.reports if report.window > last)
         kept = tuple(
@@ -147,7 +149,7 @@
         )
         last = new[-1].window if new else last
         self.state = replace(self.state, last_fixed_window=last, unsent_reports=kept + new)
-        self.ledger.drop_until(last)
+        self.usage_log.drop_until(last)
 
     def _post(self, call: PlatformCall) -> CallOutcome:
         window = self.schedule._called_window
--- a/tests/serving/proxy/test_subscription.py
+++ b/tests/serving/proxy/test_subscription.py
@@ -16,7 +16,7 @@
 from coveport.serving.configuration.state import ControlState
 from coveport.serving.configuration.state_codec import encode_state
 from coveport.serving.duties.commands import AcquireDuties
-from coveport.serving.duties.state import DutyHolder
+from coveport.serving.duties.state import LeaseOwner
 from coveport.serving.membership.leases import ProxyLease
 from coveport.serving.model.view import ControlView
 from coveport.serving.proxy.coordinator_selection import CoordinatorSelector
@@ -84,7 +84,7 @@
     assert subscription._request(()).state_sequence == 4
 
 
-@pytest.mark.parametrize("commands", [(), (encode_command(AcquireDuties(DutyHolder("one", "a"), 0)),)])
+@pytest.mark.parametrize("commands", [(), (encode_command(AcquireDuties(LeaseOwner("one", "a"), 0)),)])
 def test_changes_of_the_duties_alone_wake_nobody(commands: tuple[bytes, ...]) -> None:
     subscription, view, log = make_subscription()
     subscription._apply(update(3, SNAPSHOT))
--- a/tests/serving/settings/test_boot_settings_reader.py
+++ b/tests/serving/settings/test_boot_settings_reader.py
@@ -11,7 +11,7 @@
 import pytest
 from settings_examples import COORDINATOR, PROXY, read_valid
 
-from coveport.serving.duties.kinds import DutyKind
+from coveport.serving.duties.kinds import SingletonTaskKind
 from coveport.serving.model.findings import Refusal
 from coveport.serving.settings.boot import Bounds, PlatformSettings
 from coveport.serving.settings.reader import parse_boot_settings, read_boot_settings
@@ -67,7 +67,7 @@
 
 def test_unknown_duties_are_ignored() -> None:
     text = PLATFORM.replace('"metering"', '"metering", "sweeping"')
-    expected = PlatformSettings(("10.200.0.1", 8346), frozenset({DutyKind.USAGE_REPORTS}), 50.0)
+    expected = PlatformSettings(("10.200.0.1", 8346), frozenset({SingletonTaskKind.USAGE_REPORTS}), 50.0)
     assert read_valid(text).platform == read_valid(PLATFORM).platform == expected
 
 
--- a/tests/serving/simulation/test_duty_days.py
+++ b/tests/serving/simulation/test_duty_days.py
@@ -11,11 +11,11 @@
 
 from coveport.serving.coordinator import duty_factory
 from coveport.serving.coordinator.coordinator import Coordinator
-from coveport.serving.duties.commands import DutyCommand, FixUsageReports
+from coveport.serving.duties.commands import FixUsageReports, SingletonCommand
 from coveport.serving.duties.duty import CallOutcome, PlatformCall
-from coveport.serving.duties.kinds import DutyKind
-from coveport.serving.duties.lease import DutyLease
-from coveport.serving.duties.state import DutyState, UsageReport
+from coveport.serving.duties.kinds import SingletonTaskKind
+from coveport.serving.duties.lease import SingletonLease
+from coveport.serving.duties.state import SingletonState, UsageReport
 from coveport.serving.model.telemetry import TenantCount
 from coveport.serving.settings.boot import PlatformSettings
 from coveport.serving.simulation.deployment import BOUNDS, Deployment
@@ -25,7 +25,7 @@
 from coveport.serving.simulation.platform import SimulatedPlatform
 from coveport.serving.simulation.world import SimulatedDeployment
 
-PLATFORM = PlatformSettings(("10.250.0.1", 8346), frozenset(DutyKind), 50.0)
+PLATFORM = PlatformSettings(("10.250.0.1", 8346), frozenset(SingletonTaskKind), 50.0)
 WINDOW_S = 0.5
 RETRY_S = 0.3
 QUIET_S = 14.0  # after drawn faults
@@ -40,11 +40,11 @@
         self.takeovers = 0
         self.retry_at_s = 0.0
 
-    def take_over(self, state: DutyState, now_s: float) -> None:
+    def take_over(self, state: SingletonState, now_s: float) -> None:
         self.takeovers += 1
         self.accepted = set()
 
-    def next_command(self, state: DutyState, fence: int, now_s: float) -> DutyCommand | None:
+    def next_command(self, state: SingletonState, fence: int, now_s: float) -> SingletonCommand | None:
         window = int(now_s / WINDOW_S)
         known = self.accepted & {report.window for report in state.unsent_reports}
         if window <= state.last_fixed_window:
@@ -52,7 +52,7 @@
         report = UsageReport(window, (TenantCount("tenant", id(self) % 1000),))
         return FixUsageReports(fence, (report,), tuple(sorted(known)))
 
-    def next_call(self, state: DutyState, now_s: float) -> PlatformCall | None:
+    def next_call(self, state: SingletonState, now_s: float) -> PlatformCall | None:
         waiting = [report for report in state.unsent_reports if report.window not in self.accepted]
         if not waiting or now_s < self.retry_at_s:
             return None
@@ -126,7 +126,7 @@
 def assert_all_windows_are_sent(day: DutyDay, slack: int) -> None:
     """Every window that was fixed has reached the platform, but for the newest."""
     primary = day.program(day.primary())
-    state: DutyState = primary._replica._context.committed_log.state.duties
+    state: SingletonState = primary._replica._context.committed_log.state.singleton_state
     fixed = state.last_fixed_window
     sent = set(day.accepted())
     assert len(state.unsent_reports) <= slack + 1
@@ -268,21 +268,21 @@
     assert_all_windows_are_sent(day, 2)
 
 
-def any_fence(lease: DutyLease, state: DutyState) -> bool:
-    return state.holder is not None
+def any_fence(lease: SingletonLease, state: SingletonState) -> bool:
+    return state.owner is not None
 
 
 def test_a_holder_that_takes_anothers_fence_is_seen_by_the_platform(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(DutyLease, "_is_holder", any_fence)
+    monkeypatch.setattr(SingletonLease, "_is_owner", any_fence)
     with pytest.raises(AssertionError, match="sent by two machines"):
         test_another_takes_over_after_a_lease_and_sends_what_was_fixed(kill, 1, monkeypatch)
 
 
-def never_refused(lease: DutyLease, fence: int, now_s: float) -> DutyLease:
+def never_refused(lease: SingletonLease, fencing_token: int, now_s: float) -> SingletonLease:
     return lease
 
 
 def test_a_holder_that_keeps_a_refused_fence_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(DutyLease, "refuse", never_refused)
+    monkeypatch.setattr(SingletonLease, "reject_token", never_refused)
     with pytest.raises(AssertionError):
         test_a_fence_that_the_platform_refused_is_laid_down_for_the_next(monkeypatch)
--- a/tests/serving/simulation/test_telemetry_days.py
+++ b/tests/serving/simulation/test_telemetry_days.py
@@ -48,10 +48,14 @@
         """Return what a coordinator has counted."""
         coordinator = machine.program
         assert isinstance(coordinator, Coordinator)
-        ledger = coordinator.telemetry.ledger
-        windows = {counts.window for source in ledger.by_source().values() for counts in source}
+        usage_log = coordinator.telemetry.usage_log
+        windows = {counts.window for source in usage_log.by_source().values() for counts in source}
         return Counter(
-            {(window, count.tenant): count.requests for window in windows for count in ledger.counts(window)}
+            {
+                (window, count.tenant): count.requests
+                for window in windows
+                for count in usage_log.counts(window)
+            }
         )
 
 
