--- a/coveport/serving/duties/commands.py
+++ b/coveport/serving/duties/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the duty holder, applied by every replica (`state_machine`)."""
+"""Commands of the lease owner, applied by every replica (`state_machine`)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireDuties:
-    """Become the holder, under the next fence; refused where the fence is no longer `previous_token`."""
+    """Acquire the lease under the next fencing token; refused unless the current one is `previous_token`."""
 
     owner: LeaseOwner
     previous_token: int
@@ -17,19 +17,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FixUsageReports:
-    """Fix the counts of windows, and forget reports that the platform has accepted.
+    """Fix the counts of windows, and drop reports that the platform has accepted.
 
-    Refused under another fence. A window that is fixed already keeps its counts.
+    Refused under any but the current fencing token. A window that is already fixed keeps its counts.
     """
 
     fencing_token: int
-    reports: tuple[UsageReport, ...]  # by rising window
+    reports: tuple[UsageReport, ...]  # sorted by window
     accepted_windows: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RecordFleetOrders:
-    """Record orders before they are first sent. Refused under another fence."""
+    """Record orders before they are first sent; refused under any but the current fencing token."""
 
     fencing_token: int
     orders: tuple[FleetOrder, ...]
--- a/coveport/serving/duties/demand_history.py
+++ b/coveport/serving/duties/demand_history.py
@@ -1,4 +1,4 @@
-"""The demand of the last seconds for nodes of one service in one zone: its peak, and where it goes. Pure."""
+"""The recent demand for nodes of one service in one zone: its peak and its forecast. Pure."""
 
 from __future__ import annotations
 
@@ -7,65 +7,65 @@
 from math import sqrt
 from typing import Final, NamedTuple
 
-# The demand that is kept in mind before nodes are let go: about half of a wave of the traffic; not measured.
+# Nodes are removed only as far as the peak demand of this window allows: about half a wave of the traffic.
 PEAK_WINDOW_S: Final = 12.0
-TREND_WINDOW_S: Final = 2.0  # two of them are compared: the trend of the arrivals; not measured
-# A rise of fewer standard deviations of a Poisson count is taken for chance.
+TREND_WINDOW_S: Final = 2.0  # the arrivals of the two newest windows are compared
+# A rise by fewer standard deviations of a Poisson count counts as chance.
 SIGNIFICANT_DEVIATIONS: Final = 3.0
-MAX_GROWTH: Final = 2.0  # a trend is not extended further: traffic grows in bursts, not without end
+MAX_GROWTH: Final = 2.0  # limit of a forecast, as a factor: traffic grows in bursts, not without end
 
 
 class DemandSample(NamedTuple):
-    """One look."""
+    """The demand at one time."""
 
     at_s: float
-    demand: int  # slots in use or waited for
-    arrivals: int  # since the start of counting
+    demand: int  # slots in use, and requests that wait for a slot
+    arrivals: int  # requests since the start of counting
 
 
 @dataclass(slots=True)
 class DemandHistory:
-    """The samples of `PEAK_WINDOW_S`, the oldest first."""
+    """The samples of the last `PEAK_WINDOW_S`, oldest first."""
 
     _samples: deque[DemandSample] = field(default_factory=deque)
 
     def record(self, sample: DemandSample) -> None:
-        """Take a sample, and forget those that are too old."""
+        """Add a sample, and drop samples from before the window."""
         self._samples.append(sample)
         while self._samples[0].at_s < sample.at_s - PEAK_WINDOW_S:
             self._samples.popleft()
 
     def clear(self) -> None:
-        """Forget all: what was seen says nothing of now."""
+        """Drop all samples, since they no longer describe the current demand."""
         self._samples.clear()
 
     def peak(self) -> int:
-        """Return the highest demand that is remembered."""
+        """Return the highest demand of the samples."""
         return max((sample.demand for sample in self._samples), default=0)
 
     def arrivals(self) -> int:
-        """Return how many requests arrived in the time that is remembered."""
+        """Return how many requests arrived between the oldest and the newest sample."""
         return self._samples[-1].arrivals - self._samples[0].arrivals if self._samples else 0
 
     def forecast(self, lead_s: float) -> float:
-        """Return the demand to expect after `lead_s`, at least that of now."""
+        """Return the demand expected after `lead_s`; never below the current demand."""
         if not self._samples:
             return 0.0
         return self._samples[-1].demand * min(MAX_GROWTH, 1 + self._growth_per_s() * lead_s)
 
     def _growth_per_s(self) -> float:
-        """Return by which part of themselves the arrivals grow in a second; 0: they don't, beyond chance."""
-        now = self._samples[-1]
-        recent_from = self._last_at(now.at_s - TREND_WINDOW_S)
-        before_from = self._last_at(now.at_s - 2 * TREND_WINDOW_S)
-        if recent_from is None or before_from is None:
+        """Return the relative growth of the arrivals per second; 0 where they grow no more than by chance."""
+        newest = self._samples[-1]
+        recent_start = self._last_at(newest.at_s - TREND_WINDOW_S)
+        previous_start = self._last_at(newest.at_s - 2 * TREND_WINDOW_S)
+        if recent_start is None or previous_start is None:
             return 0.0
-        before = recent_from.arrivals - before_from.arrivals
-        rise = now.arrivals - recent_from.arrivals - before
-        if rise <= SIGNIFICANT_DEVIATIONS * sqrt(2 * before + rise + 1):
+        previous_arrivals = recent_start.arrivals - previous_start.arrivals
+        rise = newest.arrivals - recent_start.arrivals - previous_arrivals
+        if rise <= SIGNIFICANT_DEVIATIONS * sqrt(2 * previous_arrivals + rise + 1):
             return 0.0
-        return rise / max(1, before) / TREND_WINDOW_S
+        return rise / max(1, previous_arrivals) / TREND_WINDOW_S
 
     def _last_at(self, at_s: float) -> DemandSample | None:
-        """Return the last sample of that time or before."""
+        """Return the newest sample taken at `at_s` or before."""
         return next((sample for sample in reversed(self._samples) if sample.at_s <= at_s), None)
--- a/coveport/serving/duties/duty.py
+++ b/coveport/serving/duties/duty.py
@@ -1,7 +1,7 @@
-"""What the runner of the duties asks of each duty: commands to commit first, then calls to the platform.
+"""Interface of a singleton task: its runner commits the task's commands, then calls the platform.
 
-The runner (`coordinator/duty_runner.py`) holds the lease and does the I/O; a duty decides. It is asked only
-while this coordinator holds the duties, with the newest committed state, several times a second.
+The runner (`coordinator/duty_runner.py`) has the lease and does the I/O; a task decides. Its methods are
+called only while this coordinator owns the lease, with the newest committed state, several times a second.
 """
 
 from __future__ import annotations
@@ -15,34 +15,36 @@
 
 
 class CallOutcome(Enum):
-    """How a call to the platform ended."""
+    """The outcome of a call to the platform."""
 
     ACCEPTED = "accepted"  # 2xx
-    FENCED = "fenced"  # 409: another holder has used a higher fence
-    THROTTLED = "throttled"  # 429: over the platform's rate
-    REJECTED = "rejected"  # another 4xx: the same call would be rejected again
-    UNKNOWN = "unknown"  # no answer, 5xx, or the connection broke: it may have been taken
+    FENCED = "fenced"  # 409: the platform has seen a higher fencing token
+    THROTTLED = "throttled"  # 429: above the platform's rate limit
+    REJECTED = "rejected"  # another 4xx: a repeat would be rejected too
+    UNKNOWN = "unknown"  # no response, 5xx or a broken connection: it may have been accepted
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformCall:
-    """One POST to the platform; the runner adds holder and fence."""
+    """One POST to the platform; the runner adds lease owner and fencing token."""
 
     path: str
-    body: bytes  # JSON; a call that is repeated has the same bytes
+    body: bytes  # JSON; a repeat has the same bytes
 
 
 class SingletonTask(Protocol):
-    """One kind of call."""
+    """A task that one coordinator at a time performs; it makes one kind of call."""
 
     def take_over(self, state: SingletonState, now_s: float) -> None:
-        """Begin to hold the duty, with the state that the holder before left."""
+        """Start the task, with the state that the previous lease owner left."""
 
-    def next_command(self, state: SingletonState, fence: int, now_s: float) -> SingletonCommand | None:
-        """Return what must be committed before any further call; None: nothing now."""
+    def next_command(
+        self, state: SingletonState, fencing_token: int, now_s: float
+    ) -> SingletonCommand | None:
+        """Return the command to commit before any further call; None where there is none now."""
 
     def next_call(self, state: SingletonState, now_s: float) -> PlatformCall | None:
-        """Return the call to make now; None: nothing is due, or a pause lasts. One at a time is under way."""
+        """Return the call to make now; None where none is due or in a backoff. One at a time is in flight."""
 
     def record_outcome(self, call: PlatformCall, outcome: CallOutcome, now_s: float) -> None:
-        """Take note of how the call that `next_call` returned last ended."""
+        """Record the outcome of the call that `next_call` returned last."""
--- a/coveport/serving/duties/fleet_stability.py
+++ b/coveport/serving/duties/fleet_stability.py
@@ -1,4 +1,4 @@
-"""Since when the holder has seen all of a settled fleet under load: only then may nodes be let go. Pure."""
+"""Tracks for how long a complete fleet has been observed under load, before nodes may be removed. Pure."""
 
 from __future__ import annotations
 
@@ -7,48 +7,48 @@
 from math import inf
 from typing import Final
 
-from coveport.serving.duties.fleet_observation import FleetObservation, FleetSubject
+from coveport.serving.duties.fleet_observation import FleetObservation, NodeGroup
 
-QUIET_S: Final = 5.0  # so long nothing may have been missing before nodes are let go; not measured
+STABILIZATION_S: Final = 5.0  # complete observations needed for this long before nodes are removed
 
 
 @dataclass(slots=True)
 class FleetStability:
-    """Remembers when something was missing last."""
+    """Tracks when nodes or observations were last missing."""
 
     _unstable_at_s: float = inf
-    _accepting: dict[FleetSubject, int] = field(default_factory=dict)  # at the last look
-    _loaded_since_s: dict[str, float] = field(default_factory=dict)  # by service
+    _accepting: dict[NodeGroup, int] = field(default_factory=dict)  # in the last observation
+    _loaded_since_s: dict[str, float] = field(default_factory=dict)  # first time with demand, by service
 
     def reset(self, now_s: float) -> None:
-        """Begin anew: as another holder, or after a stall."""
+        """Restart the stabilization, for a new lease owner or after a stall."""
         self._unstable_at_s = now_s
         self._accepting.clear()
         self._loaded_since_s.clear()
 
-    def record(self, observation: FleetObservation, wanted: Mapping[FleetSubject, int], now_s: float) -> None:
-        """Take an observation. `wanted`: the orders in force."""
+    def record(self, observation: FleetObservation, wanted: Mapping[NodeGroup, int], now_s: float) -> None:
+        """Add an observation. `wanted`: the numbers of nodes ordered, by group."""
         if not observation.is_complete or self._lacks_nodes(observation, wanted):
             self._unstable_at_s = now_s
-        self._accepting = {subject: fleet.accepting for subject, fleet in observation.fleets.items()}
-        for subject, fleet in observation.fleets.items():
+        self._accepting = {group: fleet.accepting for group, fleet in observation.fleets.items()}
+        for group, fleet in observation.fleets.items():
             if fleet.demand:
-                self._loaded_since_s.setdefault(subject.service, now_s)
+                self._loaded_since_s.setdefault(group.service, now_s)
 
-    def allows_fewer(self, service: str, now_s: float) -> bool:
-        """Return whether nodes of a service may be let go."""
-        since_s = max(self._unstable_at_s, self._loaded_since_s.get(service, inf))
-        return now_s - since_s >= QUIET_S
+    def allows_scale_down(self, service: str, now_s: float) -> bool:
+        """Return whether nodes of a service may be removed."""
+        stable_since_s = max(self._unstable_at_s, self._loaded_since_s.get(service, inf))
+        return now_s - stable_since_s >= STABILIZATION_S
 
-    def _lacks_nodes(self, observation: FleetObservation, wanted: Mapping[FleetSubject, int]) -> bool:
-        """Return whether a zone has fewer nodes than ordered or, without an order, than at the last look."""
+    def _lacks_nodes(self, observation: FleetObservation, wanted: Mapping[NodeGroup, int]) -> bool:
+        """Return whether a group has fewer nodes than ordered or, without an order, than observed last."""
         return any(
-            _accepting(observation, subject) < wanted.get(subject, before)
-            for subject, before in {**wanted, **self._accepting}.items()
-            if subject.service in observation.services
+            _accepting(observation, group) < wanted.get(group, expected)
+            for group, expected in {**wanted, **self._accepting}.items()
+            if group.service in observation.services
         )
 
 
-def _accepting(observation: FleetObservation, subject: FleetSubject) -> int:
-    fleet = observation.fleets.get(subject)
+def _accepting(observation: FleetObservation, group: NodeGroup) -> int:
+    fleet = observation.fleets.get(group)
     return fleet.accepting if fleet is not None else 0
--- a/coveport/serving/duties/kinds.py
+++ b/coveport/serving/duties/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of duties that the platform may want."""
+"""The kinds of singleton tasks that the platform may require."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SingletonTaskKind(Enum):
-    """What one coordinator at a time does for all."""
+    """A task that one coordinator at a time performs for the whole deployment."""
 
     USAGE_REPORTS = "usage_reports"
     FLEET_ORDERS = "fleet_orders"
--- a/coveport/serving/duties/lease.py
+++ b/coveport/serving/duties/lease.py
@@ -1,26 +1,26 @@
-"""The lease of a holder of the duties: when this run of a coordinator may act, and what it does next. Pure.
+"""The lease of the singleton tasks: when this run of a coordinator may act, and its next step. Pure.
 
-All times are of this process' monotonic clock. `L` is the length of the lease, `M` the margin, a part of it.
+All times are on this process' monotonic clock. `L` is the length of the lease, `M` its margin, a part of `L`.
 
-1. A primary whose view became active at `a` acquires nothing before `a + L + M`, unless nobody ever held the
-   duties. Acquiring raises the replicated fence by one, from the fence that was read.
-2. A confirmation is a linearizable read: a majority that is asked after `t` answers that it promised nothing
-   higher. One that names this run as the holder makes the lease valid until `t + L - M`.
-3. A call begins only while the lease is valid, and is given up when it no longer is.
+1. A primary whose view became active at `a` does not acquire the lease before `a + L + M`, unless it never
+   had an owner. An acquisition raises the replicated fencing token by one, from the value that was read.
+2. A confirmation is a linearizable read: a majority answers, after the request at `t`, that it has promised
+   no higher epoch. If the state read names this run as the owner, the lease is valid until `t + L - M`.
+3. A call begins only while the lease is valid, and is cancelled when the lease ends.
 
-No two holders act at a time: let A have asked for its last confirmation at `t`, and B's view be active at
-`a`. The majority that confirmed A shares a member with the one that promised B's epoch, and that member
-confirmed first: `t < a`. A's last act is before `t + L - M`, so before `a + L - M`; B's first is after
-`a + L + M`. Between them lie `2 * M` for drift of the clocks, and for a call that is under way.
+Two owners never act at the same time. Let A have requested its last confirmation at `t`, and let B's view
+become active at `a`. The majority that confirmed A shares a member with the majority that promised B's epoch,
+and this member confirmed first: `t < a`. A's last act is before `t + L - M`, thus before `a + L - M`; B's
+first act is after `a + L + M`. The `2 * M` between them allow for clock drift, and for a call in flight.
 
-Nobody acts, then another, then the first again, within `L`: A acquires anew only in a view that became active
-after B's last confirmation, which B asked for before its last act, and not before `L + M` after that.
+A, B and A again never act within `L`: A acquires the lease again only in a view that became active after B's
+last confirmation, which B requested before its last act, and not before `L + M` after that.
 
-What a frozen process had checked before the freeze may go out after it: then under a fence that is lower than
-another's, which the platform refuses, or nobody else has acted in between.
+A process that is frozen after its check may send a call when it resumes. Either the call has a lower fencing
+token than another owner's, and the platform refuses it, or no other owner has acted meanwhile.
 
-A fence that was acquired in one view and is first confirmed in a later one (the command went on from view to
-view) counts as acquired in the later one: the holder before may have confirmed in a view between them.
+A fencing token that is acquired in one view and first confirmed in a later one (the command was carried over
+to it) counts as acquired in the later view: the previous owner may have confirmed in a view between the two.
 """
 
 from __future__ import annotations
@@ -31,23 +31,23 @@
 
 from coveport.serving.duties.state import NO_FENCING_TOKEN, LeaseOwner, SingletonState
 
-MARGIN_RATIO: Final = 0.1  # of the lease: at 3 s two holders are 0.6 s apart
-RENEWAL_RATIO: Final = 0.25  # of the lease, between two confirmations: several may fail before it ends
+MARGIN_RATIO: Final = 0.1  # of the lease length: with 3 s, two owners are 0.6 s apart
+RENEWAL_RATIO: Final = 0.25  # of the lease length, between confirmations: several may fail in a lease
 NEVER_S: Final = float("-inf")
-FIRST_FENCING_TOKEN: Final = NO_FENCING_TOKEN + 1  # its holder has no predecessor
+FIRST_FENCING_TOKEN: Final = NO_FENCING_TOKEN + 1  # its owner has no predecessor
 
 
 class LeasePhase(Enum):
-    """What a coordinator is to the duties."""
+    """Phase of a coordinator in acquiring and holding the lease."""
 
     FOLLOWER = "follower"  # not the active primary
-    WAITING = "waiting"  # the primary; a lease of the holder before may be valid
-    ACQUIRING = "acquiring"  # the primary; nobody's lease is valid
+    WAITING = "waiting"  # the primary; the previous owner's lease may be valid
+    ACQUIRING = "acquiring"  # the primary; no lease is valid
     HOLDING = "holding"
 
 
 class LeaseStep(Enum):
-    """What the runner does next."""
+    """The next step of the lease manager."""
 
     WAIT = "wait"
     CONFIRM = "confirm"  # a linearizable read
@@ -56,49 +56,49 @@
 
 @dataclass(frozen=True, slots=True)
 class SingletonLease:
-    """The lease as this run sees it; each input returns the lease after it."""
+    """The lease from the view of this run; immutable: each input returns the lease after it."""
 
     own_identity: LeaseOwner
     length_s: float
     leading_since_s: float | None = None  # None: not the active primary
-    requested_at_s: float = NEVER_S  # when the newest confirmation was asked for
-    invalid_before_s: float = NEVER_S  # confirmations that were asked for before don't count
+    requested_at_s: float = NEVER_S  # when the newest confirmation was requested
+    invalid_before_s: float = NEVER_S  # confirmations that were requested before do not count
     confirmed_state: SingletonState | None = None  # read by the newest confirmation; None: none counts
-    held_token: int = NO_FENCING_TOKEN  # the newest fence under which this run has held the duties
-    acts_from_s: float = NEVER_S  # under that fence
+    held_token: int = NO_FENCING_TOKEN  # the newest token with which this run was the owner
+    acts_from_s: float = NEVER_S  # with that token
     valid_until_s: float = NEVER_S
-    rejected_token: int = NO_FENCING_TOKEN  # that the platform refused; no lower one is used any more either
-    may_acquire_from_s: float = NEVER_S  # after a refusal
+    rejected_token: int = NO_FENCING_TOKEN  # highest token that the platform refused; none up to it is used
+    may_acquire_from_s: float = NEVER_S  # later than otherwise after a refused token
 
     @property
     def margin_s(self) -> float:
-        """For drift of the clocks, and a call that is under way."""
+        """The margin for clock drift and for a call in flight."""
         return MARGIN_RATIO * self.length_s
 
     # -- inputs --
 
     def start_leading(self, now_s: float) -> SingletonLease:
-        """Begin as the primary of a view that became active just now, or a little before."""
+        """Start as the primary of a view that has just become active."""
         return replace(
             self, leading_since_s=now_s, confirmed_state=None, requested_at_s=NEVER_S, valid_until_s=NEVER_S
         ).invalidate(now_s)
 
     def stop_leading(self) -> SingletonLease:
-        """End as the primary: another leads, or may lead."""
+        """Stop as the primary, since another coordinator leads or may lead."""
         return replace(self, leading_since_s=None, confirmed_state=None, valid_until_s=NEVER_S)
 
     def invalidate(self, now_s: float) -> SingletonLease:
-        """Trust nothing from before, as after a stall, until it is confirmed anew."""
+        """Invalidate all confirmations so far, as after a stall; a new one is needed."""
         return replace(
             self, confirmed_state=None, requested_at_s=NEVER_S, invalid_before_s=now_s, valid_until_s=NEVER_S
         )
 
     def record_request(self, now_s: float) -> SingletonLease:
-        """Note that a confirmation is asked for now."""
+        """Record that a confirmation is requested now."""
         return replace(self, requested_at_s=now_s)
 
     def confirm(self, requested_at_s: float, state: SingletonState) -> SingletonLease:
-        """Take a confirmed read that was asked for at that time."""
+        """Process a confirmed read that was requested at `requested_at_s`."""
         if self.leading_since_s is None or requested_at_s < self.invalid_before_s:
             return self
         confirmed = replace(self, confirmed_state=state)
@@ -111,11 +111,11 @@
         return replace(confirmed, valid_until_s=requested_at_s + self.length_s - self.margin_s)
 
     def record_acquisition_end(self) -> SingletonLease:
-        """Note that an acquisition has ended, whatever its outcome: it has to be confirmed."""
+        """Record that an acquisition has ended; its outcome is found by the next confirmation."""
         return replace(self, confirmed_state=None, requested_at_s=NEVER_S)
 
     def reject_token(self, fencing_token: int, now_s: float) -> SingletonLease:
-        """Lay a fence down that the platform has refused, for good."""
+        """Give up a fencing token permanently, as the platform has refused it."""
         if fencing_token <= self.rejected_token:
             return self
         return replace(
@@ -130,15 +130,15 @@
     # -- outputs --
 
     def may_act(self, now_s: float) -> bool:
-        """Whether a call may begin now."""
+        """Return whether a call may begin now."""
         return self.leading_since_s is not None and self.acts_from_s <= now_s < self.valid_until_s
 
     def left_s(self, now_s: float) -> float:
-        """Return for how long a call may go on from now."""
+        """Return for how many seconds from now a call may continue."""
         return self.valid_until_s - now_s if self.may_act(now_s) else 0.0
 
     def next_step(self, now_s: float) -> LeaseStep:
-        """Return what to do now."""
+        """Return the step to take now."""
         if self.leading_since_s is None:
             return LeaseStep.WAIT
         if self.confirmed_state is not None and not self._is_owner(self.confirmed_state):
@@ -151,7 +151,7 @@
         return LeaseStep.CONFIRM if is_due else LeaseStep.WAIT
 
     def phase(self, now_s: float) -> LeasePhase:
-        """Return what this coordinator is to the duties, for people."""
+        """Return the current phase, for the status call."""
         if self.leading_since_s is None:
             return LeasePhase.FOLLOWER
         if self.may_act(now_s):
@@ -162,7 +162,7 @@
         return state.owner == self.own_identity and state.fencing_token > self.rejected_token
 
     def _may_acquire_from_s(self, state: SingletonState) -> float:
-        """Return from when nobody else's lease can be valid, given what was read."""
+        """Return the time from which no other lease can be valid, according to the state read."""
         has_predecessor = (
             state.owner not in (None, self.own_identity) or state.fencing_token > FIRST_FENCING_TOKEN
         )
--- a/coveport/serving/duties/retry_pause.py
+++ b/coveport/serving/duties/retry_pause.py
@@ -1,4 +1,4 @@
-"""How long a duty pauses after calls that the platform did not take. Pure."""
+"""Backoff between calls of a singleton task after calls that the platform did not accept. Pure."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from math import inf
 from typing import Final
 
-MIN_BACKOFF_S: Final = 0.1  # a burst over the platform's rate is over
-MAX_BACKOFF_S: Final = 1.0  # of the delay that a platform that is back still adds
+MIN_BACKOFF_S: Final = 0.1  # by then a burst above the platform's rate limit has ended
+MAX_BACKOFF_S: Final = 1.0  # limits the further delay after the platform has recovered
 
 
 @dataclass(slots=True)
 class RetryBackoff:
-    """Doubles with each failure in a row; one holder calls, so it needs no jitter."""
+    """A backoff that doubles with each consecutive failure; without jitter, as only one coordinator calls."""
 
     min_s: float = MIN_BACKOFF_S
     max_s: float = MAX_BACKOFF_S
@@ -22,16 +22,16 @@
     def __post_init__(self) -> None:
         self._next_s = self.min_s
 
-    def lasts(self, now_s: float) -> bool:
-        """Return whether nothing may be called yet."""
+    def is_active(self, now_s: float) -> bool:
+        """Return whether no call may be made yet."""
         return now_s < self._until_s
 
     def record_failure(self, now_s: float) -> None:
-        """Begin a pause."""
+        """Start a backoff."""
         self._until_s = now_s + self._next_s
         self._next_s = min(2 * self._next_s, self.max_s)
 
     def reset(self) -> None:
-        """End the pause: the platform has answered, or another holder begins."""
+        """End the backoff, after an answer of the platform or with a new lease owner."""
         self._next_s = self.min_s
         self._until_s = -inf
--- a/coveport/serving/duties/state.py
+++ b/coveport/serving/duties/state.py
@@ -1,4 +1,4 @@
-"""The replicated state of the duties: who holds them, the fence, and what must outlive the holder."""
+"""The replicated state of the singleton tasks: lease owner, fencing token, unsent reports and orders."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 from coveport.serving.model.telemetry import TenantCount
 
-NO_FENCING_TOKEN = 0  # before the first holder
+NO_FENCING_TOKEN = 0  # before the first lease owner
 NO_WINDOW = -1
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseOwner:
-    """One run of one coordinator: a machine that restarts, or is replaced, is another holder."""
+    """One run of one coordinator: after a restart or a replacement, a machine is another owner."""
 
-    name: str  # of its machine, as the platform is told
+    name: str  # of the machine, as sent to the platform
     incarnation: str  # random, drawn at each start of the process
 
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """The counts of one window, fixed before they are first sent: every holder sends the same."""
+    """The counts of one window, fixed before they are first sent: all lease owners send the same."""
 
     window: int
-    counts: tuple[TenantCount, ...]  # by rising name of the tenant
+    counts: tuple[TenantCount, ...]  # sorted by tenant name
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SingletonState:
-    """Acknowledged like the configuration: never lost, forked or set back."""
+    """The state, acknowledged like the configuration: never lost, forked or reverted."""
 
     owner: LeaseOwner | None = None
     fencing_token: int = NO_FENCING_TOKEN  # rises with each acquisition of the lease
     last_fixed_window: int = NO_WINDOW  # counts of this window and all before it are fixed
-    unsent_reports: tuple[UsageReport, ...] = ()  # fixed, and not known to be accepted; oldest first
-    fleet_orders: tuple[FleetOrder, ...] = ()  # the newest of each service and zone
+    unsent_reports: tuple[UsageReport, ...] = ()  # fixed, but not known to be accepted; oldest first
+    fleet_orders: tuple[FleetOrder, ...] = ()  # the newest for each service and zone
--- a/coveport/serving/duties/state_machine.py
+++ b/coveport/serving/duties/state_machine.py
@@ -1,4 +1,4 @@
-"""Applies the commands of the duty holder to their state: deterministic, so that all replicas agree."""
+"""Applies the commands of the lease owner to the replicated state; deterministic, so that replicas agree."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 )
 from coveport.serving.duties.state import SingletonState, UsageReport
 
-# Tenants in all unsent reports together, about 1 MB of state. Windows beyond that aren't fixed: their counts
-# wait at the proxies and coordinators, and are offered again once the platform has accepted older ones.
+# Tenant counts in all unsent reports, about 1 MB of state. Further windows are not fixed: their counts stay
+# at the proxies and coordinators, and are submitted again once the platform has accepted older reports.
 MAX_UNSENT_COUNTS: Final = 50_000
 
 
@@ -33,7 +33,7 @@
     """The answer to the caller of a refused command."""
 
     reason: RefusalReason
-    fencing_token: int  # current
+    fencing_token: int  # the current token
 
 
 def apply_singleton_command(
@@ -52,18 +52,18 @@
 
 
 def _fix_usage_reports(state: SingletonState, command: FixUsageReports) -> SingletonState | CommandRefusal:
-    reason = _fault_of_reports(state, command)
+    reason = _find_fault(state, command)
     if reason is not None:
         return CommandRefusal(reason, state.fencing_token)
     accepted = set(command.accepted_windows)
     unsent = tuple(report for report in state.unsent_reports if report.window not in accepted)
     candidates = tuple(report for report in command.reports if report.window > state.last_fixed_window)
-    fixed = _that_fit(unsent, candidates)
+    fixed = _take_fitting(unsent, candidates)
     last_fixed_window = fixed[-1].window if fixed else state.last_fixed_window
     return replace(state, last_fixed_window=last_fixed_window, unsent_reports=(*unsent, *fixed))
 
 
-def _fault_of_reports(state: SingletonState, command: FixUsageReports) -> RefusalReason | None:
+def _find_fault(state: SingletonState, command: FixUsageReports) -> RefusalReason | None:
     windows = [report.window for report in command.reports]
     if command.fencing_token != state.fencing_token:
         return RefusalReason.FENCE_CHANGED
@@ -74,14 +74,14 @@
     return None
 
 
-def _that_fit(
+def _take_fitting(
     unsent: tuple[UsageReport, ...], candidates: tuple[UsageReport, ...]
 ) -> tuple[UsageReport, ...]:
     """Return the first candidates that `MAX_UNSENT_COUNTS` leaves room for."""
-    used = sum(_size(report) for report in unsent)
+    used_count = sum(_size(report) for report in unsent)
     for index, report in enumerate(candidates):
-        used += _size(report)
-        if used > MAX_UNSENT_COUNTS and (unsent or index):  # a single report always fits
+        used_count += _size(report)
+        if used_count > MAX_UNSENT_COUNTS and (unsent or index):  # a single report always fits
             return candidates[:index]
     return candidates
 
@@ -96,4 +96,4 @@
     if command.fencing_token != state.fencing_token:
         return CommandRefusal(RefusalReason.FENCE_CHANGED, state.fencing_token)
     orders = {(order.service, order.zone): order for order in (*state.fleet_orders, *command.orders)}
-    return replace(state, fleet_orders=tuple(orders[subject] for subject in sorted(orders)))
+    return replace(state, fleet_orders=tuple(orders[group] for group in sorted(orders)))
--- a/coveport/serving/duties/usage_ledger.py
+++ b/coveport/serving/duties/usage_ledger.py
@@ -1,7 +1,7 @@
-"""The requests of tenants that all proxies have counted, by usage window. Pure.
+"""The usage log: requests of tenants as counted by all proxies, by usage window. Pure.
 
-Counts are absolute and only rise within an incarnation of a proxy, so reports are merged by the maximum: in
-any order, repeated or received by way of another coordinator, they lead to the same ledger.
+Counts are absolute and never decrease within an incarnation of a proxy. Reports are merged by the maximum, so
+that they give the same log in any order, also if repeated or forwarded by another coordinator.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from coveport.serving.duties.state import NO_WINDOW
 from coveport.serving.model.telemetry import ProxyTelemetry, TenantCount, WindowCounts
 
-MAX_WINDOWS: Final = 120  # that are not fixed yet: ten minutes without a majority, at windows of 5 s
+MAX_WINDOWS: Final = 120  # windows not yet fixed: ten minutes without a majority, with windows of 5 s
 
 
 class ReportSource(NamedTuple):
@@ -23,58 +23,58 @@
 
 
 class UsageLog:
-    """Owns the counts of the windows that are not fixed."""
+    """Owns the counts of the windows that are not yet fixed."""
 
     def __init__(self) -> None:
         self._windows: dict[int, dict[ReportSource, dict[str, int]]] = {}  # the last key is the tenant
         self._last_dropped = NO_WINDOW
 
     def merge(self, report: ProxyTelemetry) -> tuple[WindowCounts, ...]:
-        """Take a report, and return those of its counts that are higher than what was known."""
+        """Merge a report; return its counts that are higher than the known ones."""
         source = ReportSource(report.proxy, report.incarnation)
-        risen = (self._merge_window(source, counts) for counts in report.windows)
-        return tuple(counts for counts in risen if counts.counts)
+        increased = (self._merge_window(source, counts) for counts in report.windows)
+        return tuple(counts for counts in increased if counts.counts)
 
     def _merge_window(self, source: ReportSource, reported: WindowCounts) -> WindowCounts:
         window = reported.window
         if window <= self._last_dropped:
             return WindowCounts(window, ())
         known = self._windows.get(window, {}).get(source, {})
-        risen = tuple(count for count in reported.counts if count.requests > known.get(count.tenant, 0))
-        if risen:
+        increased = tuple(count for count in reported.counts if count.requests > known.get(count.tenant, 0))
+        if increased:
             counts = self._windows.setdefault(window, {}).setdefault(source, {})
-            counts.update((count.tenant, count.requests) for count in risen)
-            self._drop_surplus()
-        return WindowCounts(window, risen)
+            counts.update((count.tenant, count.requests) for count in increased)
+            self._limit_windows()
+        return WindowCounts(window, increased)
 
-    def _drop_surplus(self) -> None:
+    def _limit_windows(self) -> None:
         if len(self._windows) > MAX_WINDOWS:
             self.drop_until(min(self._windows))
 
     def drop_until(self, window: int) -> None:
-        """Forget a window and all before it, and ignore what is reported of them from now on."""
+        """Drop a window and all earlier windows; later reports of them are ignored."""
         if window <= self._last_dropped:
             return
         self._last_dropped = window
-        for known in [known for known in self._windows if known <= window]:
-            del self._windows[known]
+        for dropped in [dropped for dropped in self._windows if dropped <= window]:
+            del self._windows[dropped]
 
     def first_window(self) -> int | None:
-        """Return the first window with a count; None where there is none."""
+        """Return the first window with counts; None where there is none."""
         return min(self._windows, default=None)
 
     def counts(self, window: int) -> tuple[TenantCount, ...]:
-        """Return the sums of a window over all proxies, by rising name of the tenant."""
+        """Return the sums of a window over all proxies, sorted by tenant name."""
         sums: Counter[str] = Counter()
         for counts in self._windows.get(window, {}).values():
             sums.update(counts)
         return tuple(TenantCount(tenant, sums[tenant]) for tenant in sorted(sums))
 
     def by_source(self) -> dict[ReportSource, tuple[WindowCounts, ...]]:
-        """Return all counts by the run of a proxy that made them."""
-        found: dict[ReportSource, list[WindowCounts]] = {}
+        """Return all counts by the run of a proxy that reported them."""
+        windows_by_source: dict[ReportSource, list[WindowCounts]] = {}
         for window in sorted(self._windows):
             for source, counts in self._windows[window].items():
                 tenants = tuple(TenantCount(tenant, counts[tenant]) for tenant in sorted(counts))
-                found.setdefault(source, []).append(WindowCounts(window, tenants))
-        return {source: tuple(windows) for source, windows in found.items()}
+                windows_by_source.setdefault(source, []).append(WindowCounts(window, tenants))
+        return {source: tuple(windows) for source, windows in windows_by_source.items()}
--- a/tests/serving/duties/fleet_world.py
+++ b/tests/serving/duties/fleet_world.py
@@ -1,4 +1,4 @@
-"""Fleet orders in simulated time: nodes that boot and drain, proxies that report, holders, and a platform."""
+"""Fleet orders in simulated time: nodes that boot and drain, proxies, lease owners and a platform."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from coveport.serving.coordinator.fleet_duty import fleet_call
 from coveport.serving.duties.commands import RecordFleetOrders
 from coveport.serving.duties.duty import CallOutcome, PlatformCall
-from coveport.serving.duties.fleet_controller import FleetController, subject_of
-from coveport.serving.duties.fleet_observation import FleetObserver, FleetSources, FleetSubject, LiveProxy
+from coveport.serving.duties.fleet_controller import FleetController, group_of
+from coveport.serving.duties.fleet_observation import FleetObserver, FleetSources, LiveProxy, NodeGroup
 from coveport.serving.duties.fleet_sizing import ToleratedLosses
 from coveport.serving.duties.state import FleetOrder, SingletonState
 from coveport.serving.duties.telemetry_table import TelemetryTable
@@ -35,7 +35,7 @@
 
 @dataclass
 class SimulatedNode:
-    """A node that boots, serves, drains and is gone, or crashes."""
+    """A node that boots, serves, and then drains or crashes."""
 
     name: str
     zone: str
@@ -46,7 +46,7 @@
 
 @dataclass
 class FleetWorld:
-    """Time, and everything around a holder of the duties. `rate`: requests a second in a zone at a time."""
+    """Simulated time and the surroundings of a lease owner. `rate`: requests per second by zone and time."""
 
     rate: Callable[[str, float], float]
     nodes_per_zone: int = 10
@@ -56,9 +56,9 @@
     now_s: float = 0.0
     state: SingletonState = field(default_factory=SingletonState)
     outcome: CallOutcome = CallOutcome.ACCEPTED
-    is_taken_when_unknown: bool = False
-    cut_zones: set[str] = field(default_factory=set)  # from the holder; all else goes on in them
-    silent_zones: set[str] = field(default_factory=set)  # whose proxies have a lease but report nothing
+    accepts_when_unknown: bool = False
+    unreachable_zones: set[str] = field(default_factory=set)  # from the lease owner; they still serve
+    unresponsive_zones: set[str] = field(default_factory=set)  # proxies with a lease but no reports
     evacuated_zones: set[str] = field(default_factory=set)
     nodes: list[SimulatedNode] = field(default_factory=list)
     calls: list[tuple[float, FleetOrder]] = field(default_factory=list)
@@ -69,18 +69,18 @@
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
         self._numbers = 0
-        self._in_flight: dict[str, list[float]] = {zone: [] for zone in REGIONS}  # when each ends
+        self._in_flight: dict[str, list[float]] = {zone: [] for zone in REGIONS}  # end times of the requests
         self._arrivals: Counter[str] = Counter()
         self._sequence = 0
         for zone in REGIONS:
             for _ in range(self.nodes_per_zone):
                 self._add_node(zone, 0.0)
-        self.begin_holder()
+        self.start_lease_owner()
 
-    # -- the holder --
+    # -- the lease owner --
 
-    def begin_holder(self) -> None:
-        """Let another coordinator take over, with the recorded state and what is reported from now on."""
+    def start_lease_owner(self) -> None:
+        """Let another coordinator take over with the recorded state; it gets reports from now on."""
         self.table = TelemetryTable()
         sources = FleetSources(
             self.table,
@@ -97,7 +97,9 @@
 
     def _live_proxies(self) -> tuple[LiveProxy, ...]:
         return tuple(
-            LiveProxy(ReportSource(f"p-{zone}", 1), zone) for zone in REGIONS if zone not in self.cut_zones
+            LiveProxy(ReportSource(f"p-{zone}", 1), zone)
+            for zone in REGIONS
+            if zone not in self.unreachable_zones
         )
 
     def _known_nodes(self) -> list[Node]:
@@ -114,8 +116,8 @@
         region = REGIONS[node.zone]
         return Node(node.name, 1, "s", node.name, node.zone, region, SLOTS, state, warm_up_left_ms)
 
-    def _run_holder(self) -> None:
-        """Do what the runner of the duties does on a tick."""
+    def _run_lease_owner(self) -> None:
+        """Do one tick of the task runner."""
         for _ in range(20):
             command = self.controller.next_command(self.state, 1, self.now_s)
             if command is not None:
@@ -126,11 +128,11 @@
             if call is None:
                 return
             self.controller.record_outcome(call, self._receive_call(call), self.now_s)
-        raise AssertionError("the holder finds no end")
+        raise AssertionError("the lease owner has more than 20 steps in a tick")
 
     def _commit(self, command: RecordFleetOrders) -> None:
-        orders = {subject_of(order): order for order in self.state.fleet_orders}
-        orders.update((subject_of(order), order) for order in command.orders)
+        orders = {group_of(order): order for order in self.state.fleet_orders}
+        orders.update((group_of(order), order) for order in command.orders)
         self.commands += [(self.now_s, order) for order in command.orders]
         self.state = replace(self.state, fleet_orders=tuple(orders[key] for key in sorted(orders)))
 
@@ -140,8 +142,8 @@
         body = json.loads(call.body)
         order = FleetOrder(body["Service"], body["Zone"], body["Wanted"])
         self.calls.append((self.now_s, order))
-        is_taken = self.outcome is CallOutcome.UNKNOWN and self.is_taken_when_unknown
-        if self.outcome is CallOutcome.ACCEPTED or is_taken:
+        is_accepted = self.outcome is CallOutcome.UNKNOWN and self.accepts_when_unknown
+        if self.outcome is CallOutcome.ACCEPTED or is_accepted:
             self._resize(order.zone, order.wanted)
         return self.outcome
 
@@ -160,7 +162,7 @@
     # -- nodes and requests --
 
     def crash(self, zone: str, count: int) -> None:
-        """End nodes for good; the platform doesn't replace them by itself."""
+        """Remove nodes abruptly; the platform does not replace them without an order."""
         for node in [node for node in self.nodes if node.zone == zone][:count]:
             self.nodes.remove(node)
 
@@ -172,7 +174,7 @@
 
     def _advance_nodes(self) -> None:
         for node in self.nodes:
-            if node.zone not in self.cut_zones:
+            if node.zone not in self.unreachable_zones:
                 node.last_seen_s = max(node.last_seen_s, self.now_s)
         self.nodes = [
             node
@@ -192,7 +194,7 @@
                 self._in_flight[zone].append(self.now_s + self.random.expovariate(1 / SERVICE_TIME_S))
 
     def _draw_arrivals(self, zone: str) -> int:
-        """Draw a binomial count with the mean of the rate."""
+        """Draw the number of arrivals in a step, binomial with the mean of the rate."""
         mean = self.rate(zone, self.now_s) * STEP_S
         draws = 4 * max(1, round(mean))
         return sum(self.random.random() < mean / draws for _ in range(draws))
@@ -200,13 +202,13 @@
     def _report(self) -> None:
         self._sequence += 1
         for zone in REGIONS:
-            if zone not in self.cut_zones | self.silent_zones:
+            if zone not in self.unreachable_zones | self.unresponsive_zones:
                 load = ServiceLoad("s", zone, len(self._in_flight[zone]), 0, self._arrivals[zone])
                 report = ProxyTelemetry(f"p-{zone}", 1, self._sequence, 1, (), (load,))
                 self.table.record(report, self.now_s)
 
-    def run(self, for_s: float, is_asked: bool = True) -> None:
-        """Let time pass. `is_asked`: the holder acts; else it is frozen."""
+    def run(self, for_s: float, is_polled: bool = True) -> None:
+        """Simulate `for_s` seconds; the lease owner is frozen unless `is_polled`."""
         until_s = self.now_s + for_s - STEP_S / 2
         while self.now_s < until_s:
             self.now_s += STEP_S
@@ -214,22 +216,22 @@
             self._advance_requests()
             if round(self.now_s / STEP_S) % round(REPORT_INTERVAL_S / STEP_S) == 0:
                 self._report()
-            if is_asked:
-                self._run_holder()
+            if is_polled:
+                self._run_lease_owner()
 
-    # -- what is seen of it --
+    # -- results --
 
     def count(self, zone: str) -> int:
-        """Return the nodes of a zone that don't drain, those that boot included."""
+        """Return the number of nodes in a zone that are not draining; includes booting nodes."""
         return sum(node.zone == zone and node.drains_from_s is None for node in self.nodes)
 
     def downward_calls(self, since_s: float = 0.0) -> list[tuple[float, FleetOrder]]:
-        """Return the calls for fewer nodes than the order before asked for."""
-        found = []
-        before: dict[FleetSubject, int] = {}
+        """Return the calls for fewer nodes than the previous order of the group."""
+        downward_calls = []
+        last_wanted: dict[NodeGroup, int] = {}
         for at_s, order in self.calls:
-            subject = subject_of(order)
-            if order.wanted < before.get(subject, self.nodes_per_zone) and at_s > since_s:
-                found.append((at_s, order))
-            before[subject] = order.wanted
-        return found
+            group = group_of(order)
+            if order.wanted < last_wanted.get(group, self.nodes_per_zone) and at_s > since_s:
+                downward_calls.append((at_s, order))
+            last_wanted[group] = order.wanted
+        return downward_calls
--- a/tests/serving/duties/test_duty_state_machine.py
+++ b/tests/serving/duties/test_duty_state_machine.py
@@ -1,4 +1,4 @@
-"""Commands of the duty holder, applied to their state."""
+"""Commands of the lease owner, applied to the replicated state."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def run(state: SingletonState, *commands: SingletonCommand) -> SingletonState:
-    """Return the state after commands that must be taken."""
+    """Return the state after commands, none of which may be refused."""
     for command in commands:
         after = apply_singleton_command(state, command)
         assert isinstance(after, SingletonState), after
@@ -39,45 +39,45 @@
     return state
 
 
-def held(fence: int = 1) -> SingletonState:
-    return SingletonState(FIRST, fence)
+def owned_state(fencing_token: int = 1) -> SingletonState:
+    return SingletonState(FIRST, fencing_token)
 
 
-def test_the_fence_rises_with_every_acquisition() -> None:
+def test_the_fencing_token_rises_with_every_acquisition() -> None:
     state = run(SingletonState(), AcquireDuties(FIRST, 0), AcquireDuties(SECOND, 1), AcquireDuties(SECOND, 2))
     assert (state.owner, state.fencing_token) == (SECOND, 3)
 
 
 @pytest.mark.parametrize("previous_token", [0, 2])
-def test_a_second_acquisition_on_one_fence_is_refused(previous_token: int) -> None:
+def test_a_second_acquisition_on_one_fencing_token_is_refused(previous_token: int) -> None:
     command = AcquireDuties(SECOND, previous_token)
-    assert apply_singleton_command(held(), command) == CommandRefusal(RefusalReason.FENCE_CHANGED, 1)
+    assert apply_singleton_command(owned_state(), command) == CommandRefusal(RefusalReason.FENCE_CHANGED, 1)
 
 
 @pytest.mark.parametrize(
     "command", [FixUsageReports(1, (report(5),), ()), RecordFleetOrders(1, (FleetOrder("s", "z", 3),))]
 )
-def test_a_command_under_an_older_fence_is_refused(command: SingletonCommand) -> None:
-    state = run(held(), AcquireDuties(SECOND, 1))
+def test_a_command_under_an_older_fencing_token_is_refused(command: SingletonCommand) -> None:
+    state = run(owned_state(), AcquireDuties(SECOND, 1))
     assert apply_singleton_command(state, command) == CommandRefusal(RefusalReason.FENCE_CHANGED, 2)
 
 
 def test_a_window_that_is_fixed_keeps_its_counts() -> None:
-    state = run(held(), FixUsageReports(1, (report(5, 10), report(6, 20)), ()))
+    state = run(owned_state(), FixUsageReports(1, (report(5, 10), report(6, 20)), ()))
     again = run(state, FixUsageReports(1, (report(5, 99), report(6, 99), report(7, 30)), ()))
     assert again.unsent_reports == (report(5, 10), report(6, 20), report(7, 30))
     assert again.last_fixed_window == 7
 
 
-def test_an_accepted_window_is_forgotten_and_never_fixed_anew() -> None:
-    state = run(held(), FixUsageReports(1, (report(5), report(6)), ()), FixUsageReports(1, (), (5, 6)))
+def test_an_accepted_window_is_dropped_and_never_fixed_again() -> None:
+    state = run(owned_state(), FixUsageReports(1, (report(5), report(6)), ()), FixUsageReports(1, (), (5, 6)))
     assert state.unsent_reports == ()
     again = run(state, FixUsageReports(1, (report(5, 9), report(6, 9)), ()))
     assert again == state
 
 
-def test_reports_outlive_their_holder() -> None:
-    state = run(held(), FixUsageReports(1, (report(5, 10),), ()), AcquireDuties(SECOND, 1))
+def test_reports_outlive_the_lease_owner() -> None:
+    state = run(owned_state(), FixUsageReports(1, (report(5, 10),), ()), AcquireDuties(SECOND, 1))
     assert state.unsent_reports == (report(5, 10),)
 
 
@@ -91,54 +91,59 @@
 )
 def test_malformed_windows_are_refused(windows: tuple[int, ...], reason: RefusalReason) -> None:
     command = FixUsageReports(1, tuple(report(window) for window in windows), ())
-    assert apply_singleton_command(held(), command) == CommandRefusal(reason, 1)
+    assert apply_singleton_command(owned_state(), command) == CommandRefusal(reason, 1)
 
 
-def test_reports_beyond_the_bound_wait_unfixed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reports_beyond_the_limit_are_not_fixed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(state_machine, "MAX_UNSENT_COUNTS", 2)
     offered = FixUsageReports(1, tuple(report(window) for window in (5, 6, 7)), ())
-    full = run(held(), offered)
-    assert ([one.window for one in full.unsent_reports], full.last_fixed_window) == ([5, 6], 6)
+    full = run(owned_state(), offered)
+    assert ([kept.window for kept in full.unsent_reports], full.last_fixed_window) == ([5, 6], 6)
     assert run(full, offered) == full
     after = run(full, replace(offered, accepted_windows=(5,)))
-    assert [one.window for one in after.unsent_reports] == [6, 7]
+    assert [kept.window for kept in after.unsent_reports] == [6, 7]
 
 
-def test_a_single_report_above_the_bound_is_fixed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_single_report_above_the_limit_is_fixed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(state_machine, "MAX_UNSENT_COUNTS", 1)
     large = UsageReport(5, (TenantCount("a", 1), TenantCount("b", 1)))
-    assert run(held(), FixUsageReports(1, (large, report(6)), ())).unsent_reports == (large,)
+    assert run(owned_state(), FixUsageReports(1, (large, report(6)), ())).unsent_reports == (large,)
 
 
 def test_the_newest_order_of_each_service_and_zone_is_kept() -> None:
     first = RecordFleetOrders(1, (FleetOrder("s", "z", 3), FleetOrder("s", "a", 4)))
     second = RecordFleetOrders(1, (FleetOrder("s", "z", 5),))
-    assert run(held(), first, second).fleet_orders == (FleetOrder("s", "a", 4), FleetOrder("s", "z", 5))
+    assert run(owned_state(), first, second).fleet_orders == (
+        FleetOrder("s", "a", 4),
+        FleetOrder("s", "z", 5),
+    )
 
 
-HOLDERS = st.sampled_from([FIRST, SECOND])
-FENCES = st.integers(0, 4)
+OWNERS = st.sampled_from([FIRST, SECOND])
+TOKENS = st.integers(0, 4)
 WINDOWS = st.integers(-1, 8)
 COMMANDS = st.one_of(
-    st.builds(AcquireDuties, HOLDERS, FENCES),
+    st.builds(AcquireDuties, OWNERS, TOKENS),
     st.builds(
         FixUsageReports,
-        FENCES,
+        TOKENS,
         st.lists(st.builds(report, WINDOWS, st.integers(0, 9)), max_size=4).map(tuple),
         st.lists(WINDOWS, max_size=3).map(tuple),
     ),
     st.builds(
         RecordFleetOrders,
-        FENCES,
+        TOKENS,
         st.lists(st.builds(FleetOrder, st.just("s"), st.just("z"), st.integers(0, 3))).map(tuple),
     ),
 )
 
 
 @given(st.lists(COMMANDS, max_size=25))
-def test_no_fence_has_two_holders_and_no_window_has_two_counts(commands: list[SingletonCommand]) -> None:
+def test_no_fencing_token_has_two_owners_and_no_window_has_two_counts(
+    commands: list[SingletonCommand],
+) -> None:
     state = SingletonState()
-    holders: dict[int, LeaseOwner | None] = {}
+    owners: dict[int, LeaseOwner | None] = {}
     counts: dict[int, UsageReport] = {}
     for command in commands:
         after = apply_singleton_command(state, command)
@@ -147,21 +152,21 @@
         assert (
             after.fencing_token >= state.fencing_token and after.last_fixed_window >= state.last_fixed_window
         )
-        assert holders.setdefault(after.fencing_token, after.owner) == after.owner
-        windows = [one.window for one in after.unsent_reports]
+        assert owners.setdefault(after.fencing_token, after.owner) == after.owner
+        windows = [kept.window for kept in after.unsent_reports]
         assert windows == sorted(set(windows)) and all(
             window <= after.last_fixed_window for window in windows
         )
-        for one in after.unsent_reports:
-            assert counts.setdefault(one.window, one) == one
-        gone = {one.window for one in state.unsent_reports} - set(windows)
+        for kept in after.unsent_reports:
+            assert counts.setdefault(kept.window, kept) == kept
+        gone = {kept.window for kept in state.unsent_reports} - set(windows)
         assert not gone or (isinstance(command, FixUsageReports) and gone <= set(command.accepted_windows))
         state = after
 
 
 @given(st.lists(COMMANDS, max_size=8))
 def test_a_command_that_is_repeated_changes_nothing_more(commands: list[SingletonCommand]) -> None:
-    """Its outcome may have been unclear; an acquisition is refused then."""
+    """A command is repeated after an unknown outcome; a repeated acquisition is refused."""
     state = SingletonState()
     for command in commands:
         after = apply_singleton_command(state, command)
--- a/tests/serving/duties/test_fleet_observation.py
+++ b/tests/serving/duties/test_fleet_observation.py
@@ -1,4 +1,4 @@
-"""What an observation of the fleet sums up, and what it says is missing."""
+"""Observations of the fleet: sums of nodes and load, and detection of missing reports."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
     FleetObservation,
     FleetObserver,
     FleetSources,
-    FleetSubject,
     LiveProxy,
+    NodeGroup,
 )
 from coveport.serving.duties.telemetry_table import TelemetryTable
 from coveport.serving.duties.usage_ledger import ReportSource
@@ -19,12 +19,12 @@
 from coveport.serving.model.telemetry import ProxyTelemetry, ServiceLoad
 
 NODE = Node("n", 1, "s", "n", "z", "r", 16, NodeState.ACCEPTING)
-SUBJECT = FleetSubject("s", "z")
+GROUP = NodeGroup("s", "z")
 
 
 @dataclass
-class Seen:
-    """The tables that are read; their time is 100 s."""
+class Sources:
+    """The sources of an observer, at a time of 100 s."""
 
     nodes: list[Node] = field(default_factory=lambda: [NODE])
     live: list[str] = field(default_factory=lambda: ["p"])
@@ -57,74 +57,74 @@
 
 
 def test_loads_of_all_proxies_are_summed() -> None:
-    seen = Seen(live=["p", "q"])
-    seen.report("p", in_flight=3, waiting=1)
-    seen.report("q", in_flight=4)
-    observation = seen.observe()
-    assert observation.fleets[SUBJECT].demand == 8
+    sources = Sources(live=["p", "q"])
+    sources.report("p", in_flight=3, waiting=1)
+    sources.report("q", in_flight=4)
+    observation = sources.observe()
+    assert observation.fleets[GROUP].demand == 8
     assert observation.is_complete
 
 
-def test_nodes_are_counted_by_what_they_can_still_take() -> None:
-    seen = Seen()
-    seen.nodes = [
+def test_nodes_are_counted_by_state() -> None:
+    sources = Sources()
+    sources.nodes = [
         NODE,
         replace(NODE, warm_up_left_ms=500),
         replace(NODE, state=NodeState.DRAINING),
         replace(NODE, shutdown_in_ms=2000),
         replace(NODE, service="fixed"),
     ]
-    fleet = seen.observe().fleets[SUBJECT]
-    assert (fleet.accepting, fleet.warming, fleet.closing, fleet.slots) == (2, 1, 2, 32)
-    assert set(seen.observe().fleets) == {SUBJECT}
+    fleet = sources.observe().fleets[GROUP]
+    assert (fleet.accepting, fleet.warming_up, fleet.closing, fleet.slots) == (2, 1, 2, 32)
+    assert set(sources.observe().fleets) == {GROUP}
 
 
-def test_a_live_proxy_without_a_report_is_a_gap() -> None:
-    seen = Seen(live=["p", "q"])
-    seen.report("p")
-    assert not seen.observe().is_complete
+def test_without_a_report_of_a_live_proxy_an_observation_is_incomplete() -> None:
+    sources = Sources(live=["p", "q"])
+    sources.report("p")
+    assert not sources.observe().is_complete
 
 
-def test_an_old_report_is_a_gap_and_its_load_does_not_count() -> None:
-    seen = Seen()
-    seen.report(in_flight=5)
-    observation = seen.observe(100.1 + MAX_REPORT_AGE_S)
+def test_with_an_old_report_an_observation_is_incomplete_and_lacks_its_load() -> None:
+    sources = Sources()
+    sources.report(in_flight=5)
+    observation = sources.observe(100.1 + MAX_REPORT_AGE_S)
     assert not observation.is_complete
-    assert observation.fleets[SUBJECT].demand == 0
+    assert observation.fleets[GROUP].demand == 0
 
 
-def test_a_proxy_that_lost_its_lease_and_is_silent_is_a_gap() -> None:
-    seen = Seen()
-    seen.report("gone", at_s=90)
-    seen.report("p")
-    assert not seen.observe().is_complete
+def test_with_an_unresponsive_proxy_without_a_lease_an_observation_is_incomplete() -> None:
+    sources = Sources()
+    sources.report("gone", at_s=90)
+    sources.report("p")
+    assert not sources.observe().is_complete
 
 
-def test_a_zone_without_a_live_proxy_is_a_gap() -> None:
-    seen = Seen(zones={"z": "r", "far": "q"})
-    seen.report()
-    assert not seen.observe().is_complete
+def test_without_a_live_proxy_in_a_zone_an_observation_is_incomplete() -> None:
+    sources = Sources(zones={"z": "r", "far": "q"})
+    sources.report()
+    assert not sources.observe().is_complete
 
 
-def test_an_evacuated_zone_is_a_gap() -> None:
-    seen = Seen(evacuated={"z"})
-    seen.report()
-    assert not seen.observe().is_complete
+def test_with_an_evacuated_zone_an_observation_is_incomplete() -> None:
+    sources = Sources(evacuated={"z"})
+    sources.report()
+    assert not sources.observe().is_complete
 
 
-def test_arrivals_of_a_proxy_seen_for_the_first_time_are_no_burst() -> None:
-    seen = Seen()
-    seen.report(arrivals=500)
-    assert seen.observe().fleets[SUBJECT].arrivals == 0
-    seen.report(arrivals=530, at_s=101)
-    assert seen.observe(101).fleets[SUBJECT].arrivals == 30
+def test_the_first_report_of_a_proxy_does_not_count_as_arrivals() -> None:
+    sources = Sources()
+    sources.report(arrivals=500)
+    assert sources.observe().fleets[GROUP].arrivals == 0
+    sources.report(arrivals=530, at_s=101)
+    assert sources.observe(101).fleets[GROUP].arrivals == 30
 
 
-def test_arrivals_do_not_fall_when_a_proxy_ends() -> None:
-    seen = Seen()
-    seen.report(arrivals=10)
-    seen.observe()
-    seen.report(arrivals=30, at_s=101)
-    seen.observe(101)
-    seen.table.expire(200)
-    assert seen.observe(200).fleets[SUBJECT].arrivals == 20
+def test_total_arrivals_do_not_decrease_when_a_proxy_ends() -> None:
+    sources = Sources()
+    sources.report(arrivals=10)
+    sources.observe()
+    sources.report(arrivals=30, at_s=101)
+    sources.observe(101)
+    sources.table.expire(200)
+    assert sources.observe(200).fleets[GROUP].arrivals == 20
--- a/tests/serving/duties/test_fleet_sizing.py
+++ b/tests/serving/duties/test_fleet_sizing.py
@@ -1,4 +1,4 @@
-"""The demand that moves when a zone or a region is lost, and the nodes that hold it."""
+"""Demand that moves when a zone or a region is lost, and the nodes needed for a demand."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 @pytest.mark.parametrize(
     ("zone", "tolerated", "spare"),
     [
-        ("a1", ZONE, 20.0),  # of its region's other zone
+        ("a1", ZONE, 20.0),  # the demand of the other zone in its region
         ("a2", ZONE, 10.0),
-        ("b1", ZONE, 0.0),  # the zones of the other region have each other
-        ("a1", REGION, 3.0),  # half of the only other region
+        ("b1", ZONE, 0.0),  # a1 and a2 take over from each other
+        ("a1", REGION, 3.0),  # half of the demand of the other region
         ("b1", REGION, 30.0),
         ("a1", ToleratedLosses(2, 1), 23.0),
         ("a1", NONE, 0.0),
     ],
 )
-def test_spare_is_what_moves_with_the_worst_tolerated_loss(
+def test_spare_demand_is_what_moves_with_the_worst_tolerated_loss(
     zone: str, tolerated: ToleratedLosses, spare: float
 ) -> None:
     assert spare_demand(zone, DEMANDS, REGIONS, tolerated) == spare
@@ -43,11 +43,11 @@
 
 
 @given(st.floats(0, 10_000), st.integers(1, 200))
-def test_nodes_hold_the_demand_at_the_target_and_none_too_many(demand: float, slots: int) -> None:
+def test_the_fewest_nodes_that_serve_the_demand_at_the_target_are_returned(demand: float, slots: int) -> None:
     nodes = nodes_for(demand, slots)
     assert nodes * slots * TARGET_OCCUPANCY >= demand - 1e-6
     assert (nodes - 1) * slots * TARGET_OCCUPANCY < demand or nodes == 0
 
 
-def test_numbers_are_held_within_the_bounds_of_the_service() -> None:
+def test_numbers_of_nodes_are_limited_to_the_bounds_of_the_service() -> None:
     assert [clamp(nodes, Scaling(2, 5)) for nodes in (0, 3, 9)] == [2, 3, 5]
--- a/tests/serving/duties/test_retry_pause.py
+++ b/tests/serving/duties/test_retry_pause.py
@@ -1,21 +1,21 @@
-"""Pauses after calls that were not taken."""
+"""Backoff after calls that were not accepted."""
 
 from __future__ import annotations
 
 from coveport.serving.duties.retry_pause import MAX_BACKOFF_S, MIN_BACKOFF_S, RetryBackoff
 
 
-def pause_length_s(pause: RetryBackoff, now_s: float) -> float:
-    """Return how long a pause that begins now lasts, in steps of 10 ms."""
-    pause.record_failure(now_s)
-    return next(step / 100 for step in range(1000) if not pause.lasts(now_s + step / 100))
+def backoff_duration_s(backoff: RetryBackoff, now_s: float) -> float:
+    """Return the duration of a backoff that starts now, in steps of 10 ms."""
+    backoff.record_failure(now_s)
+    return next(step / 100 for step in range(1000) if not backoff.is_active(now_s + step / 100))
 
 
-def test_pauses_double_up_to_a_bound_and_begin_anew_after_a_success() -> None:
-    pause = RetryBackoff()
-    assert not pause.lasts(0.0)
-    lengths = [pause_length_s(pause, 100.0 * number) for number in range(6)]
-    assert lengths == [MIN_BACKOFF_S, 0.2, 0.4, 0.8, MAX_BACKOFF_S, MAX_BACKOFF_S]
-    pause.reset()
-    assert not pause.lasts(500.0)
-    assert pause_length_s(pause, 1000.0) == MIN_BACKOFF_S
+def test_a_backoff_doubles_up_to_a_limit_and_restarts_after_a_success() -> None:
+    backoff = RetryBackoff()
+    assert not backoff.is_active(0.0)
+    durations = [backoff_duration_s(backoff, 100.0 * number) for number in range(6)]
+    assert durations == [MIN_BACKOFF_S, 0.2, 0.4, 0.8, MAX_BACKOFF_S, MAX_BACKOFF_S]
+    backoff.reset()
+    assert not backoff.is_active(500.0)
+    assert backoff_duration_s(backoff, 1000.0) == MIN_BACKOFF_S
--- a/tests/serving/duties/test_telemetry_table.py
+++ b/tests/serving/duties/test_telemetry_table.py
@@ -1,4 +1,4 @@
-"""The newest report of each run of a proxy."""
+"""The table of the newest report of each run of a proxy."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return ProxyTelemetry(source.proxy, source.incarnation, sequence, open_window, (), loads)
 
 
-def test_a_late_report_changes_nothing_and_one_without_loads_leaves_them() -> None:
+def test_an_out_of_order_report_is_ignored_and_a_report_without_loads_keeps_them() -> None:
     table = TelemetryTable()
     assert table.record(report(FIRST, 5, 9, LOADS), 1.0)
     assert not table.record(report(FIRST, 4, 12), 2.0)
@@ -27,7 +27,7 @@
     assert (entry.open_window, entry.loads, entry.received_at_s) == (10, LOADS, 3.0)
 
 
-def test_counts_alone_are_no_sign_of_a_proxy() -> None:
+def test_a_report_of_counts_alone_creates_no_entry() -> None:
     table = TelemetryTable()
     assert not table.record(report(FIRST, NO_SEQUENCE, 0), 1.0)
     assert table.find(FIRST) is None
@@ -36,7 +36,7 @@
 def test_a_window_is_final_once_all_live_proxies_have_left_it() -> None:
     table = TelemetryTable()
     table.record(report(FIRST, 1, 8), 0.0)
-    assert not table.has_final_counts(7, [FIRST, SECOND]), "one has not reported at all"
+    assert not table.has_final_counts(7, [FIRST, SECOND]), "SECOND has not reported at all"
     table.record(report(SECOND, 1, 7), 0.0)
     assert not table.has_final_counts(7, [FIRST, SECOND])
     table.record(report(SECOND, 2, 8), 0.0)
@@ -52,7 +52,7 @@
     assert not table.has_unresponsive_proxies(7, [SECOND])
 
 
-def test_a_run_that_another_one_has_followed_is_waited_for_no_longer() -> None:
+def test_an_earlier_run_of_a_proxy_does_not_count_as_unresponsive() -> None:
     table = TelemetryTable()
     table.record(report(FIRST, 1, 7), 0.0)
     assert not table.has_unresponsive_proxies(7, [ReportSource("p1", 2)])
--- a/tests/serving/duties/test_usage_ledger.py
+++ b/tests/serving/duties/test_usage_ledger.py
@@ -1,4 +1,4 @@
-"""Counts of proxies: merged in any order, with repeats and losses, to the same sums."""
+"""The usage log: counts of proxies give the same sums in any order, with repeats and losses."""
 
 from __future__ import annotations
 
@@ -23,55 +23,55 @@
     return ProxyTelemetry(proxy, incarnation, sequence, window, (WindowCounts(window, tenants),))
 
 
-def sums(ledger: UsageLog, window: int = FIRST_WINDOW) -> dict[str, int]:
-    return {count.tenant: count.requests for count in ledger.counts(window)}
+def sums(usage_log: UsageLog, window: int = FIRST_WINDOW) -> dict[str, int]:
+    return {count.tenant: count.requests for count in usage_log.counts(window)}
 
 
 def test_counts_are_summed_over_proxies_and_their_incarnations() -> None:
-    ledger = UsageLog()
-    ledger.merge(report("p1", 1, 4, a=3, b=1))
-    ledger.merge(report("p1", 2, 1, a=2))
-    ledger.merge(report("p2", 1, 9, a=10))
-    assert sums(ledger) == {"a": 15, "b": 1}
-    assert [count.tenant for count in ledger.counts(FIRST_WINDOW)] == ["a", "b"]
-
-
-def test_only_what_rises_is_returned_to_be_passed_on() -> None:
-    ledger = UsageLog()
-    ledger.merge(report("p1", 1, 1, a=3, b=1))
-    (risen,) = ledger.merge(report("p1", 1, 2, a=3, b=2))
-    assert risen == WindowCounts(FIRST_WINDOW, (TenantCount("b", 2),))
-    assert ledger.merge(report("p1", 1, 1, a=3, b=1)) == ()
-
-
-def test_what_is_dropped_is_not_counted_again() -> None:
-    ledger = UsageLog()
-    ledger.merge(report("p1", 1, 1, a=3))
-    ledger.drop_until(FIRST_WINDOW)
-    assert ledger.merge(report("p1", 1, 2, a=5)) == ()
-    assert ledger.first_window() is None
-    ledger.drop_until(FIRST_WINDOW - 5)
-    ledger.merge(report("p1", 1, 3, a=5))
-    assert ledger.first_window() is None, "a state of before changes nothing"
-
-
-def test_without_a_majority_the_oldest_windows_go_first() -> None:
-    ledger = UsageLog()
+    usage_log = UsageLog()
+    usage_log.merge(report("p1", 1, 4, a=3, b=1))
+    usage_log.merge(report("p1", 2, 1, a=2))
+    usage_log.merge(report("p2", 1, 9, a=10))
+    assert sums(usage_log) == {"a": 15, "b": 1}
+    assert [count.tenant for count in usage_log.counts(FIRST_WINDOW)] == ["a", "b"]
+
+
+def test_only_increased_counts_are_returned() -> None:
+    usage_log = UsageLog()
+    usage_log.merge(report("p1", 1, 1, a=3, b=1))
+    (increased,) = usage_log.merge(report("p1", 1, 2, a=3, b=2))
+    assert increased == WindowCounts(FIRST_WINDOW, (TenantCount("b", 2),))
+    assert usage_log.merge(report("p1", 1, 1, a=3, b=1)) == ()
+
+
+def test_dropped_windows_are_not_counted_again() -> None:
+    usage_log = UsageLog()
+    usage_log.merge(report("p1", 1, 1, a=3))
+    usage_log.drop_until(FIRST_WINDOW)
+    assert usage_log.merge(report("p1", 1, 2, a=5)) == ()
+    assert usage_log.first_window() is None
+    usage_log.drop_until(FIRST_WINDOW - 5)
+    usage_log.merge(report("p1", 1, 3, a=5))
+    assert usage_log.first_window() is None, "dropping earlier windows has no effect"
+
+
+def test_the_oldest_windows_beyond_the_limit_are_dropped() -> None:
+    usage_log = UsageLog()
     for number in range(MAX_WINDOWS + 3):
-        ledger.merge(report("p1", 1, number + 1, FIRST_WINDOW + number, a=1))
-    assert ledger.first_window() == FIRST_WINDOW + 3
+        usage_log.merge(report("p1", 1, number + 1, FIRST_WINDOW + number, a=1))
+    assert usage_log.first_window() == FIRST_WINDOW + 3
 
 
-def test_another_coordinator_gets_everything_by_source() -> None:
-    ledger = UsageLog()
-    ledger.merge(report("p1", 1, 1, a=3))
-    ledger.merge(report("p1", 1, 2, FIRST_WINDOW + 1, b=1))
-    ledger.merge(report("p2", 7, 1, a=1))
-    other = UsageLog()
-    for source, windows in ledger.by_source().items():
-        other.merge(ProxyTelemetry(source.proxy, source.incarnation, 0, 0, windows))
-    assert other.by_source() == ledger.by_source()
-    assert set(ledger.by_source()) == {ReportSource("p1", 1), ReportSource("p2", 7)}
+def test_another_coordinator_gets_all_counts_by_source() -> None:
+    usage_log = UsageLog()
+    usage_log.merge(report("p1", 1, 1, a=3))
+    usage_log.merge(report("p1", 1, 2, FIRST_WINDOW + 1, b=1))
+    usage_log.merge(report("p2", 7, 1, a=1))
+    peer_log = UsageLog()
+    for source, windows in usage_log.by_source().items():
+        peer_log.merge(ProxyTelemetry(source.proxy, source.incarnation, 0, 0, windows))
+    assert peer_log.by_source() == usage_log.by_source()
+    assert set(usage_log.by_source()) == {ReportSource("p1", 1), ReportSource("p2", 7)}
 
 
 requests = st.lists(
@@ -86,7 +86,7 @@
 
 
 class _CountingProxy:
-    """A proxy's counter and its reports, and what it has counted since its first start."""
+    """A proxy's counter and all reports since its first start."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -107,7 +107,7 @@
 
 
 @given(requests, st.integers(0, 1 << 30), st.floats(0.0, 0.7))
-def test_any_order_repeat_and_loss_of_reports_leads_to_what_the_proxies_counted(
+def test_reports_give_the_counts_of_the_proxies_in_any_order_with_repeats_and_losses(
     steps: list[tuple[str, str, float, str]], seed: int, loss: float
 ) -> None:
     random = Random(seed)
@@ -126,19 +126,19 @@
             proxy.counter.mark_all_changed()
             proxy.restart()
             kept.append(proxy.reports[-1])
-    lost = [one for proxy in proxies.values() for one in proxy.reports if random.random() >= loss]
+    delivered = [sent for proxy in proxies.values() for sent in proxy.reports if random.random() >= loss]
     for proxy in proxies.values():
         proxy.counter.mark_all_changed()
         proxy.report()
         kept.append(proxy.reports[-1])
-    arrivals = [*lost, *kept, *random.sample(lost, len(lost) // 2)]
+    arrivals = [*delivered, *kept, *random.sample(delivered, len(delivered) // 2)]
     random.shuffle(arrivals)
-    ledger = UsageLog()
+    usage_log = UsageLog()
     for arrival in arrivals:
-        ledger.merge(arrival)
+        usage_log.merge(arrival)
     counted = {
         (window, tenant): requests
         for window in range(FIRST_WINDOW, FIRST_WINDOW + 3)
-        for tenant, requests in sums(ledger, window).items()
+        for tenant, requests in sums(usage_log, window).items()
     }
     assert counted == dict(truth)
--- a/tests/serving/duties/test_usage_schedule.py
+++ b/tests/serving/duties/test_usage_schedule.py
@@ -1,4 +1,4 @@
-"""Which usage reports are sent when, in simulated time, with proxies, holders and a platform that fail."""
+"""Usage reports in simulated time, with faults of proxies, lease owners and the platform."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 def assert_reported(world: UsageWorld, windows: range) -> None:
-    """Assert that these windows were reported with the true counts, in their order."""
+    """Assert that exactly these windows were reported, in order and with the true counts."""
     assert list(world.platform.accepted_at_s) == list(windows)
     for window in windows:
-        expected = {"WindowNo": window, "Counts": dict(world.truth.get(window, {}))}
-        assert json.loads(world.fixed_counts(window)) == expected
+        expected = {"WindowNo": window, "Counts": dict(world.true_counts.get(window, {}))}
+        assert json.loads(world.sent_body(window)) == expected
 
 
 def test_each_window_is_reported_once_soon_after_its_end() -> None:
@@ -28,7 +28,7 @@
     assert_reported(world, range(FIRST_WINDOW, FIRST_WINDOW + 8))
     assert len(world.platform.calls) == 8
     assert all(world.late_by_s(window) < 1.5 for window in world.platform.accepted_at_s)
-    assert len(world.state.unsent_reports) == 1, "what was accepted goes with the next command"
+    assert len(world.state.unsent_reports) == 1, "an accepted report is dropped by the next command"
 
 
 def test_windows_without_a_request_are_reported_empty() -> None:
@@ -39,14 +39,14 @@
     world.requests_per_step = 1
     world.run(32.0)
     assert_reported(world, range(FIRST_WINDOW, FIRST_WINDOW + 6))
-    assert world.fixed_counts(FIRST_WINDOW + 2) == b'{"WindowNo":340000002,"Counts":{}}'
+    assert world.sent_body(FIRST_WINDOW + 2) == b'{"WindowNo":340000002,"Counts":{}}'
 
 
-def test_the_first_holder_begins_with_the_first_count_also_from_before_its_takeover() -> None:
+def test_the_first_owner_begins_with_the_first_count_even_from_before_its_takeover() -> None:
     world = UsageWorld()
-    world.is_held = False
+    world.has_owner = False
     world.run(23.0)
-    world.is_held = True
+    world.has_owner = True
     world.take_over()
     world.run(42.0)
     assert_reported(world, range(FIRST_WINDOW, FIRST_WINDOW + 8))
@@ -59,40 +59,40 @@
     assert_reported(idle, range(FIRST_WINDOW + 4, FIRST_WINDOW + 8))
 
 
-def test_a_cut_proxy_is_waited_for_while_the_report_is_not_late() -> None:
+def test_counts_of_a_partitioned_proxy_are_awaited_while_the_report_is_in_time() -> None:
     world = UsageWorld()
     world.run(12.0)
-    world.proxies[0].is_cut = True
+    world.proxies[0].is_partitioned = True
     world.run(16.0)
-    world.proxies[0].is_cut = False
+    world.proxies[0].is_partitioned = False
     world.run(42.0)
     assert_reported(world, range(FIRST_WINDOW, FIRST_WINDOW + 8))
     assert all(world.late_by_s(window) < TIMINGS.delay_s for window in world.platform.accepted_at_s)
 
 
-def test_a_proxy_that_stays_away_makes_no_report_late() -> None:
+def test_a_killed_proxy_makes_no_report_late() -> None:
     world = UsageWorld()
     world.run(12.0)
     world.proxies[0].is_killed = True
     world.run(60.0)
     assert list(world.platform.accepted_at_s) == list(range(FIRST_WINDOW, FIRST_WINDOW + 11))
     assert all(world.late_by_s(window) < 6.0 for window in world.platform.accepted_at_s)
-    assert world.late_by_s(FIRST_WINDOW + 10) < 1.5, "it is forgotten after a while"
+    assert world.late_by_s(FIRST_WINDOW + 10) < 1.5, "the proxy is dropped from the table by then"
 
 
 def test_a_live_proxy_that_reports_nothing_makes_no_report_late() -> None:
     world = UsageWorld()
-    world.proxies[0].is_cut = True
+    world.proxies[0].is_partitioned = True
 
     def renew_lease() -> None:
-        world.proxies[0].heard_at_s = world.now_s
+        world.proxies[0].lease_renewed_at_s = world.now_s
 
     world.run(42.0, renew_lease)
     assert all(world.late_by_s(window) < TIMINGS.delay_s - 2.5 for window in world.platform.accepted_at_s)
     assert list(world.platform.accepted_at_s) == list(range(FIRST_WINDOW, FIRST_WINDOW + 7))
 
 
-def test_a_holder_that_follows_sends_the_same_bytes() -> None:
+def test_the_next_owner_sends_the_same_bytes() -> None:
     world = UsageWorld()
     world.platform.outcome = CallOutcome.UNKNOWN
     world.run(12.0)
@@ -103,7 +103,7 @@
     assert_reported(world, range(FIRST_WINDOW, FIRST_WINDOW + 8))
 
 
-def test_a_holder_that_follows_repeats_what_was_accepted_but_is_in_the_state() -> None:
+def test_the_next_owner_repeats_an_accepted_report_that_is_still_in_the_state() -> None:
     world = UsageWorld()
     world.run(12.0)
     calls = len(world.platform.calls)
@@ -126,24 +126,24 @@
     assert_reported(world, range(FIRST_WINDOW, FIRST_WINDOW + 14))
 
 
-def test_windows_that_nobody_fixed_for_a_while_are_fixed_later() -> None:
+def test_windows_without_a_lease_owner_are_fixed_later() -> None:
     world = UsageWorld()
     world.run(12.0)
-    world.is_held = False
+    world.has_owner = False
     world.run(50.0)
-    world.is_held = True
+    world.has_owner = True
     world.take_over()
     world.run(57.0)
     assert_reported(world, range(FIRST_WINDOW, FIRST_WINDOW + 11))
 
 
-def test_a_pause_of_hours_is_caught_up_as_far_as_counts_are_known() -> None:
+def test_after_an_outage_of_hours_the_retained_windows_are_reported() -> None:
     world = UsageWorld()
     world.run(12.0)
-    world.is_held = False
+    world.has_owner = False
     world.requests_per_step = 0
     world.now_s = 5 * 3600.0
-    world.is_held = True
+    world.has_owner = True
     world.take_over()
     world.run(5 * 3600.0 + 20.0)
     windows = list(world.platform.accepted_at_s)
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("step_s", [2.0, -2.0])
-def test_a_step_of_the_holders_clock_moves_nothing(step_s: float) -> None:
+def test_a_step_of_the_owners_clock_has_no_effect(step_s: float) -> None:
     world = UsageWorld()
     world.run(28.0)
     world.clock_step_s = step_s
@@ -163,7 +163,7 @@
     assert all(0.5 < world.late_by_s(window) < 1.5 for window in world.platform.accepted_at_s)
 
 
-def test_a_rejected_report_is_told_and_not_repeated() -> None:
+def test_a_rejected_report_is_signalled_and_not_repeated() -> None:
     world = UsageWorld()
     world.platform.outcome = CallOutcome.REJECTED
     world.run(7.0)
@@ -175,7 +175,7 @@
     assert FIRST_WINDOW not in [report.window for report in world.state.unsent_reports]
 
 
-def test_nothing_is_sent_that_is_not_committed() -> None:
+def test_only_committed_reports_are_sent() -> None:
     world = UsageWorld()
     world.loses_commits = True
     world.run(30.0)
@@ -185,10 +185,10 @@
     assert_reported(world, range(FIRST_WINDOW, FIRST_WINDOW + 8))
 
 
-def test_a_command_after_a_pause_is_bounded() -> None:
+def test_a_command_after_an_outage_has_a_limited_size() -> None:
     world = UsageWorld()
     world.run(12.0)
-    world.is_held = False
+    world.has_owner = False
     world.run(400.0)
     world.take_over()
     world.run(401.0)
@@ -197,9 +197,9 @@
     assert [report.window for report in command.reports] == list(range(FIRST_WINDOW + 2, FIRST_WINDOW + 14))
 
 
-troubles = st.lists(
+fault_steps = st.lists(
     st.tuples(
-        st.sampled_from(["cut", "heal", "down", "up", "take over", "lose commits", "commit"]),
+        st.sampled_from(["partition", "heal", "down", "up", "take over", "lose commits", "commit"]),
         st.floats(0.3, 6.0),
     ),
     max_size=12,
@@ -207,28 +207,28 @@
 
 
 @settings(max_examples=40, deadline=None)
-@given(troubles, st.integers(0, 1 << 30))
-def test_whatever_happens_a_window_has_one_body_and_all_windows_are_reported(
+@given(fault_steps, st.integers(0, 1 << 30))
+def test_under_random_faults_each_window_is_reported_with_one_body(
     steps: list[tuple[str, float]], seed: int
 ) -> None:
     world = UsageWorld(seed=seed)
     world.run(6.0)
-    for trouble, for_s in steps:
-        match trouble:
-            case "cut" | "heal":
-                world.random.choice(world.proxies).is_cut = trouble == "cut"
+    for fault, for_s in steps:
+        match fault:
+            case "partition" | "heal":
+                world.random.choice(world.proxies).is_partitioned = fault == "partition"
             case "down" | "up":
-                is_down = trouble == "down"
+                is_down = fault == "down"
                 world.platform.outcome = CallOutcome.UNKNOWN if is_down else CallOutcome.ACCEPTED
             case "take over":
                 world.take_over()
             case _:
-                world.loses_commits = trouble == "lose commits"
+                world.loses_commits = fault == "lose commits"
         world.run(world.now_s + for_s)
     world.loses_commits = False
     world.platform.outcome = CallOutcome.ACCEPTED
     for proxy in world.proxies:
-        proxy.is_cut = False
+        proxy.is_partitioned = False
     world.run(world.now_s + 20.0)
     reported = list(world.platform.accepted_at_s)
     assert reported == list(range(reported[0], reported[0] + len(reported)))
--- a/tests/serving/duties/usage_world.py
+++ b/tests/serving/duties/usage_world.py
@@ -1,4 +1,4 @@
-"""Usage reports in simulated time: proxies that count, one holder's schedule, its state, and a platform."""
+"""Usage reports in simulated time: counting proxies, a lease owner's schedule and state, and a platform."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 @dataclass
 class CountingProxy:
-    """A proxy that is reached, or cut off, or killed."""
+    """A proxy that may be partitioned or killed."""
 
     name: str
     counter: UsageCounter = field(default_factory=lambda: UsageCounter(TIMINGS.window_s))
     sequence: int = 0
-    is_cut: bool = False
+    is_partitioned: bool = False
     is_killed: bool = False
-    heard_at_s: float = -1e9
+    lease_renewed_at_s: float = -1e9
 
     @property
     def source(self) -> ReportSource:
@@ -51,7 +51,7 @@
 
 @dataclass
 class Platform:
-    """Takes reports: the bodies of each window, and when its first one was accepted."""
+    """Records reports: all bodies of each window, and when the first report of a window was accepted."""
 
     outcome: CallOutcome = CallOutcome.ACCEPTED
     bodies: dict[int, set[bytes]] = field(default_factory=dict)
@@ -60,20 +60,20 @@
 
 
 class UsageWorld:
-    """Time goes in steps; `step_clock` moves the holder's wall clock."""
+    """Time advances in steps; `clock_step_s` offsets the lease owner's wall clock."""
 
     def __init__(self, proxies: int = 3, seed: int = 1) -> None:
         self.now_s = 0.0
         self.random = Random(seed)
         self.proxies = [CountingProxy(f"p{number}") for number in range(proxies)]
-        self.truth: dict[int, Counter[str]] = {}
+        self.true_counts: dict[int, Counter[str]] = {}
         self.platform = Platform()
         self.state = SingletonState(LeaseOwner("c1", "1"), 1)
         self.rejected: list[int] = []
         self.clock_step_s = 0.0
         self.requests_per_step = 1
         self.loses_commits = False
-        self.is_held = True
+        self.has_owner = True
         self.usage_log = UsageLog()
         self.table = TelemetryTable()
         self.clock = TrueClock()
@@ -84,7 +84,7 @@
         return UsageSchedule(TIMINGS, sources, self.clock, usage_call, self.rejected.append)
 
     def take_over(self) -> None:
-        """Let another coordinator hold the duty; it has what proxies reported, and the state."""
+        """Let another coordinator be the lease owner, with the same reports and state."""
         self.schedule = self._make_schedule()
         self.state = replace(
             self.state, owner=LeaseOwner("c2", "1"), fencing_token=self.state.fencing_token + 1
@@ -92,7 +92,9 @@
         self.schedule.take_over(self.state, self.now_s)
 
     def _live_proxies(self, now_s: float) -> list[ReportSource]:
-        return [proxy.source for proxy in self.proxies if now_s - proxy.heard_at_s <= LEASE_DURATION_S]
+        return [
+            proxy.source for proxy in self.proxies if now_s - proxy.lease_renewed_at_s <= LEASE_DURATION_S
+        ]
 
     @property
     def unix_s(self) -> float:
@@ -103,7 +105,7 @@
         return FIRST_WINDOW + int(self.now_s // TIMINGS.window_s)
 
     def run(self, until_s: float, each_step: Callable[[], None] = lambda: None) -> None:
-        """Let time pass."""
+        """Simulate until `until_s`; call `each_step` in each step."""
         while self.now_s < until_s:
             self.now_s = round(self.now_s + STEP_S, 6)
             each_step()
@@ -111,7 +113,7 @@
             self._count_requests()
             self._report()
             self.table.expire(self.now_s)
-            if self.is_held:
+            if self.has_owner:
                 self._act()
 
     def _count_requests(self) -> None:
@@ -119,14 +121,14 @@
         for _ in range(self.requests_per_step if running else 0):
             tenant = self.random.choice(TENANTS)
             self.random.choice(running).counter.add(tenant, self.unix_s)
-            self.truth.setdefault(self.window, Counter())[tenant] += 1
+            self.true_counts.setdefault(self.window, Counter())[tenant] += 1
 
     def _report(self) -> None:
         if round(self.now_s / STEP_S) % round(REPORT_INTERVAL_S / STEP_S):
             return
         for proxy in self.proxies:
-            if not proxy.is_cut and not proxy.is_killed:
-                proxy.heard_at_s = self.now_s
+            if not proxy.is_partitioned and not proxy.is_killed:
+                proxy.lease_renewed_at_s = self.now_s
                 report = proxy.report(self.unix_s)
                 self.table.record(report, self.now_s)
                 self.usage_log.merge(report)
@@ -142,14 +144,14 @@
     def _commit(self, command: FixUsageReports) -> None:
         """Apply a command as the replicas do."""
         assert command.fencing_token == self.state.fencing_token
-        last = self.state.last_fixed_window
-        new = tuple(report for report in command.reports if report.window > last)
+        last_fixed = self.state.last_fixed_window
+        new = tuple(report for report in command.reports if report.window > last_fixed)
         kept = tuple(
             report for report in self.state.unsent_reports if report.window not in command.accepted_windows
         )
-        last = new[-1].window if new else last
-        self.state = replace(self.state, last_fixed_window=last, unsent_reports=kept + new)
-        self.usage_log.drop_until(last)
+        last_fixed = new[-1].window if new else last_fixed
+        self.state = replace(self.state, last_fixed_window=last_fixed, unsent_reports=kept + new)
+        self.usage_log.drop_until(last_fixed)
 
     def _post(self, call: PlatformCall) -> CallOutcome:
         window = self.schedule._called_window
@@ -159,7 +161,7 @@
             self.platform.accepted_at_s.setdefault(window, self.now_s)
         return self.platform.outcome
 
-    def fixed_counts(self, window: int) -> bytes:
+    def sent_body(self, window: int) -> bytes:
         """Return the only body that was sent for a window."""
         (body,) = self.platform.bodies[window]
         return body
