--- a/coveport/serving/configuration/commands.py
+++ b/coveport/serving/configuration/commands.py
@@ -18,7 +18,7 @@
 class PutConfiguration:
     """Replace the whole configuration."""
 
-    if_match: int | None  # the edition that the change is based on; None: the caller gave none
+    if_match: int | None  # edition that the change is based on; None: not given by the caller
     body: bytes  # JSON
 
 
@@ -47,14 +47,14 @@
 Command = PutConfiguration | PatchConfiguration | StartEvacuation | EndEvacuation | SingletonCommand
 
 _CONFIGURATION_COMMANDS: Final = (PutConfiguration, PatchConfiguration, StartEvacuation, EndEvacuation)
-_SINGLETON_COMMANDS: Final = (AcquireDuties, FixUsageReports, RecordFleetOrders)  # since version 5
+_SINGLETON_COMMANDS: Final = (AcquireDuties, FixUsageReports, RecordFleetOrders)  # since protocol version 5
 
 # The order gives each command its number on the wire and on disk.
 _CODEC: Final[MessageCodec[Command]] = MessageCodec((*_CONFIGURATION_COMMANDS, *_SINGLETON_COMMANDS))
 
 
 def is_singleton_command(data: bytes) -> bool:
-    """Return whether an encoded command changes the state of the duties alone, which proxies don't need."""
+    """Return whether an encoded command changes only singleton state, which proxies don't need."""
     return data[0] >= len(_CONFIGURATION_COMMANDS)
 
 
@@ -64,5 +64,5 @@
 
 
 def decode_command(data: bytes) -> Command:
-    """Return the command in the bytes. Raises MalformedMessageError where they hold none."""
+    """Return the command encoded in the bytes. Raises MalformedMessageError where there is none."""
     return _CODEC.decode(data)
--- a/coveport/serving/configuration/digest.py
+++ b/coveport/serving/configuration/digest.py
@@ -5,7 +5,7 @@
 import hashlib
 from typing import Final
 
-DIGEST_BYTES: Final = 16  # stored as such, so it can't change; collisions by chance are out of the question
+DIGEST_BYTES: Final = 16  # part of the stored format, so it can't change; avoids collisions by chance
 
 
 def digest_of(data: bytes) -> bytes:
--- a/coveport/serving/configuration/document.py
+++ b/coveport/serving/configuration/document.py
@@ -1,6 +1,6 @@
-"""A valid configuration together with its canonical JSON text, the text of each route apart.
+"""A valid configuration together with its canonical JSON text; each route has a separate text.
 
-The routes' texts stand apart so that a change of some routes (`route_changes`) leaves the others unread.
+With separate texts, a change of some routes (`route_changes`) does not need to read the other routes.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
     """A valid configuration and its text."""
 
     configuration: Configuration
-    field_texts: dict[str, bytes]  # JSON of each top-level field by its name, in order; of the routes: empty
-    route_texts: dict[str, bytes]  # JSON of each route by its name, in order
+    field_texts: dict[str, bytes]  # JSON of each top-level field by name, in order; empty for the routes
+    route_texts: dict[str, bytes]  # JSON of each route by name, in order
 
     @property
     def ignored_fields(self) -> tuple[str, ...]:
-        """Return the names of the top-level fields that this program keeps but doesn't act on."""
+        """Return the names of the top-level fields that this program keeps but does not use."""
         return tuple(name for name in self.field_texts if name not in _READ_FIELDS)
 
     def text(self) -> bytes:
-        """Return the canonical text, as `write_object` would write the whole."""
+        """Return the canonical text, the same as that of `write_object` for the whole configuration."""
         write = ObjectWriter().write
         fields = (
             write(name) + b":" + (self._routes_text() if name == Config.ROUTES else text)
@@ -44,7 +44,7 @@
 
 
 def make_document(data: Mapping[str, Any], configuration: Configuration) -> Document:
-    """Return the document of a JSON object that was found valid."""
+    """Return the document for a JSON object that has been validated."""
     write = ObjectWriter().write
     field_texts = {name: b"" if name == Config.ROUTES else write(value) for name, value in data.items()}
     route_texts = {route[Config.NAME]: write(route) for route in data[Config.ROUTES]}
--- a/coveport/serving/configuration/document_cache.py
+++ b/coveport/serving/configuration/document_cache.py
@@ -8,10 +8,10 @@
 
 
 class DocumentCache:
-    """The documents used last.
+    """The newest documents.
 
     Checking a change, storing it and acting on it all read the same text. One change may be applied twice, to
-    the proposed and to the committed state, so the document before it is cached too.
+    the proposed and to the committed state, so the previous document is cached too.
     """
 
     CAPACITY: Final = 2
@@ -24,6 +24,6 @@
         return next((document for cached, document in self._entries if cached == text), None)
 
     def add(self, text: bytes, document: Document) -> None:
-        """Cache a document, in place of the oldest."""
+        """Cache a document, and evict the oldest one beyond the capacity."""
         older = [entry for entry in self._entries if entry[0] != text]
         self._entries = [(text, document), *older[: self.CAPACITY - 1]]
--- a/coveport/serving/configuration/duty_state_codec.py
+++ b/coveport/serving/configuration/duty_state_codec.py
@@ -1,4 +1,4 @@
-"""Encodes the state of the duties as JSON lists without names: it holds many small counts."""
+"""Encodes the state of the singleton tasks as JSON lists, without names as it has many small counts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def encode_singleton_state(state: SingletonState) -> bytes:
-    """Return the state as bytes; none for the initial state. Equal states give equal bytes."""
+    """Return the state as bytes, empty for the initial state. Equal states give equal bytes."""
     if state == INITIAL_SINGLETON_STATE:
         return b""
     owner = [state.owner.name, state.owner.incarnation] if state.owner else None
@@ -27,12 +27,12 @@
 
 
 def decode_singleton_state(data: bytes) -> SingletonState:
-    """Return the state in the bytes. Raises MalformedMessageError where they hold none."""
+    """Return the state encoded in the bytes. Raises MalformedMessageError where there is none."""
     if not data:
         return INITIAL_SINGLETON_STATE
     try:
-        owner, *figures, reports, orders = json.loads(data)
-        fencing_token, last_fixed_window = _fields(figures, int, int)
+        owner, *numbers, reports, orders = json.loads(data)
+        fencing_token, last_fixed_window = _fields(numbers, int, int)
         return SingletonState(
             None if owner is None else LeaseOwner(*_fields(owner, str, str)),
             fencing_token,
@@ -41,7 +41,7 @@
             tuple(FleetOrder(*_fields(order, str, str, int)) for order in orders),
         )
     except (ValueError, TypeError) as error:
-        raise MalformedMessageError(f"state of the duties: {error}") from error
+        raise MalformedMessageError(f"state of the singleton tasks: {error}") from error
 
 
 def _report(stored: Any) -> UsageReport:
@@ -49,9 +49,9 @@
     return UsageReport(window, tuple(TenantCount(*_fields(count, str, int)) for count in counts))
 
 
-def _fields(values: Any, *kinds: type) -> list[Any]:
-    """Return a list whose values have exactly these types. Raises ValueError for another one."""
-    if not isinstance(values, list) or tuple(map(type, values)) != kinds:
-        names = ", ".join(kind.__name__ for kind in kinds)
+def _fields(values: Any, *types: type) -> list[Any]:
+    """Return `values` if it is a list with exactly these types. Raises ValueError otherwise."""
+    if not isinstance(values, list) or tuple(map(type, values)) != types:
+        names = ", ".join(expected.__name__ for expected in types)
         raise ValueError(f"expected a list of {names}, got {values!r}")
     return values
--- a/coveport/serving/configuration/json_text.py
+++ b/coveport/serving/configuration/json_text.py
@@ -1,4 +1,4 @@
-"""JSON texts of configurations: read strictly, written in one canonical form."""
+"""JSON texts of configurations: strict reading, and writing in a canonical form."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 """A JSON object whose fields have not been checked."""
 
 UNREADABLE: Final = "unreadable JSON"
-# Nested objects and lists. How deep Python itself reads depends on the caller's stack, while a primary and
-# its backups must agree.
+# Maximum depth of nested objects and lists. Python's own limit depends on the caller's stack, but a primary
+# and its backups must accept the same texts.
 MAX_DEPTH: Final = 32
 _CONTAINERS: Final = (dict, list)
 
 
 def read_object(raw: bytes) -> JsonObject | Refusal:
-    """Return the JSON object in a text, or a refusal where it is truncated or anything else."""
+    """Return the JSON object in a text, or a refusal where the text is truncated or something else."""
     try:
         data = json.loads(raw.decode(), parse_constant=_refuse_constant, parse_float=_finite_float)
         if b"\\u" in raw:
-            write_object(data)  # fails on half of a surrogate pair, which can be read but not written
+            write_object(data)  # raises for half of a surrogate pair, which can be read but not written
     except RecursionError:
         return _refusal("is nested too deeply")
     except ValueError as error:  # UnicodeError and JSONDecodeError included
@@ -36,7 +36,7 @@
 
 
 class ObjectWriter:
-    """Writes the canonical text of many values: no spaces, fields in their order in the input."""
+    """Writes the canonical text of many values: no spaces, fields in the order of the input."""
 
     def __init__(self) -> None:
         self._encoder = json.JSONEncoder(ensure_ascii=False, allow_nan=False, separators=(",", ":"))
--- a/coveport/serving/configuration/patch.py
+++ b/coveport/serving/configuration/patch.py
@@ -1,4 +1,4 @@
-"""Changes named items of a configuration: upserts and removals, by list and name. Order is kept."""
+"""Applies patches to a configuration: upserts and removals of named items. The order is kept."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def apply_patch(current: Mapping[str, Any], change: Mapping[str, Any]) -> JsonObject | Refusal:
-    """Return the configuration after a change, or a refusal; all are JSON objects, neither input is altered.
+    """Return the configuration after a change, or a refusal. The inputs, JSON objects, are not modified.
 
-    Removals come first, then upserts: an item replaces the one of its name at the same position, or is added
-    at the end. The limits are replaced as a whole. Removing a name that isn't there changes nothing.
+    Removals are applied first, then upserts: an item replaces the item with its name at the same position, or
+    is appended. The limits are replaced as a whole. Removing an unknown name has no effect.
     """
     findings = Findings()
     upserts = _section(change, Config.UPSERT, findings)
--- a/coveport/serving/configuration/raw_types.py
+++ b/coveport/serving/configuration/raw_types.py
@@ -1,6 +1,6 @@
-"""The objects of a configuration as they arrive: fields, types and defaults, values not yet validated.
+"""Objects of a configuration as received: fields, types and defaults. Values are not yet validated.
 
-Numbers are floats where JSON may write a whole number as 2.0 (`WHOLE_NUMBERS`).
+Fields for whole numbers are floats where JSON may have 2.0 for 2 (`WHOLE_NUMBERS`).
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class RawScaling:
-    """The number of a service's nodes in a zone."""
+    """Bounds for the number of a service's nodes in each zone."""
 
     min_nodes: float
     max_nodes: float
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True)
 class RawConfiguration:
-    """A configuration, its items not yet checked."""
+    """A configuration whose items are not yet checked."""
 
     edition: int
     routes: list[Any]
@@ -115,4 +115,4 @@
 """The external name of each field, by class."""
 
 WHOLE_NUMBERS: Final = frozenset({"edition", "priority", "max_attempts", "min_nodes", "max_nodes"})
-"""Fields whose numbers must not have a fraction; 2.0 is the same as 2."""
+"""Fields whose numbers must be whole; 2.0 is the same as 2."""
--- a/coveport/serving/configuration/reader.py
+++ b/coveport/serving/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Reads configurations: a valid one, or every fault with its location."""
+"""Reads and validates configurations; reports every fault with its location."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def read_document(raw: bytes) -> Document | Refusal:
-    """Return the document in a JSON text, or a refusal; one of the newest is taken from a cache."""
+    """Return the document in a JSON text, or a refusal; the newest documents are cached."""
     cached = _CACHE.find(raw)
     if cached is not None:
         return cached
@@ -40,7 +40,7 @@
 
 
 def render_document(document: Document) -> bytes:
-    """Return the text of a document, and cache the document for who reads that text next."""
+    """Return the text of a document, and cache the document for the next reader of this text."""
     text = document.text()
     _CACHE.add(text, document)
     return text
--- a/coveport/serving/configuration/route_changes.py
+++ b/coveport/serving/configuration/route_changes.py
@@ -1,9 +1,9 @@
 """Applies a change of some routes to a document without reading the others.
 
-Reading a whole configuration takes 50 us a route, and blocks the process that does it: with 30,000 routes for
-longer than a primary may be unresponsive. The result here is the same, to the byte, as reading and writing
-the whole would give. A change that isn't plainly valid gives None: the whole is read after all, for its
-findings.
+Reading a whole configuration takes 50 us per route and blocks the process. With 30,000 routes this is longer
+than a primary may be unresponsive. The result here is byte for byte the same as that of reading and writing
+the whole configuration. A change that may be invalid is not applied (None): the caller then reads the whole
+configuration, which gives the findings.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _RouteChange:
-    """A change of routes alone."""
+    """A change that affects only routes."""
 
     edition: int
-    upserts: dict[str, JsonObject]  # JSON objects by name
-    removed: frozenset[str]  # names
+    upserts: dict[str, JsonObject]  # routes as JSON objects, by name
+    removed: frozenset[str]  # names of routes
 
 
 def apply_route_changes(document: Document, change: Mapping[str, Any]) -> Document | None:
-    """Apply a valid change of routes alone; None: it changes more, or may be invalid."""
+    """Apply a valid change of routes alone; return None where it changes more or may be invalid."""
     route_change = _read_change(change)
     if route_change is None:
         return None
@@ -70,7 +70,7 @@
 
 
 def _routes_in(section: object) -> list[Any] | None:
-    """Return the routes of a section of a change; None where it has anything in other lists."""
+    """Return the routes in a section of a change; None where the section has items of other lists."""
     if not isinstance(section, dict):
         return None
     for name, items in section.items():
@@ -82,7 +82,7 @@
 
 
 def _by_name(items: list[Any]) -> dict[str, JsonObject] | None:
-    """Return JSON objects by their names; None where one has none, or two have the same."""
+    """Return JSON objects by name; None where an item has no name or two items have the same name."""
     by_name: dict[str, JsonObject] = {}
     for item in items:
         name = item.get(Config.NAME) if isinstance(item, dict) else None
@@ -100,7 +100,7 @@
 
 
 def _has_conflict(document: Document, change: _RouteChange, routes: tuple[Route, ...]) -> bool:
-    """Return whether a route that stays has the host and path prefix of a new one."""
+    """Return whether an unchanged route has the host and path prefix of a new route."""
     claimed = {(route.host, route.path_prefix) for route in routes}
     return any(
         (route.host, route.path_prefix) in claimed
--- a/coveport/serving/configuration/route_reader.py
+++ b/coveport/serving/configuration/route_reader.py
@@ -18,7 +18,7 @@
     """Reads all routes of one configuration."""
 
     def __init__(self, checker: TypeChecker, findings: Findings, services: frozenset[str] | None) -> None:
-        """`services`: the names that routes may use; None: unknown, as that list is invalid."""
+        """Create a reader. `services`: names of the services; None: unknown, as their list is invalid."""
         self._checker = checker
         self._findings = findings
         self._services = services
@@ -26,7 +26,7 @@
         self._first_locations: dict[tuple[str, str], str] = {}  # by host and path prefix
 
     def read(self, items: list[Any]) -> tuple[Route, ...]:
-        """Return the routes in a JSON list; of no use where there are findings."""
+        """Return the routes in a JSON list; not usable where there are findings."""
         routes = []
         for number, item in enumerate(items):
             location = f"{CONFIGURATION['routes']}[{number}]"
@@ -72,7 +72,7 @@
                 self._findings.add(location, f"has the same host and path prefix as {first}")
 
     def _read_services(self, checked: Checked[RawRoute], location: str) -> tuple[WeightedService, ...]:
-        """Return the weighted services of a route where it has some, else its one service."""
+        """Return the weighted services of a route, or its single service with weight 1."""
         raw = checked.value
         if raw.service is not None and "service" not in checked.invalid_fields:
             self._check_service_exists(raw.service, f"{location}.{ROUTE['service']}")
@@ -110,7 +110,7 @@
 
 
 def _faults(raw: RawRoute) -> Iterator[tuple[str, str]]:
-    """Yield the faults of a route's own values: the field and the message."""
+    """Yield field and message of each fault in a route's own values."""
     if not raw.host:
         yield "host", "is empty"
     if not (raw.path_prefix.startswith("/") and raw.path_prefix.endswith("/")):
--- a/coveport/serving/configuration/service_reader.py
+++ b/coveport/serving/configuration/service_reader.py
@@ -13,7 +13,7 @@
 
 
 def read_services(items: list[Any], checker: TypeChecker, findings: Findings) -> tuple[Service, ...]:
-    """Return the services in a JSON list; of no use where there are findings."""
+    """Return the services in a JSON list; not usable where there are findings."""
     services = []
     names: set[str] = set()
     for number, item in enumerate(items):
@@ -30,9 +30,9 @@
 
 
 def service_names(items: list[Any]) -> frozenset[str]:
-    """Return the names of all services in a JSON list, invalid ones too.
+    """Return the names of all services in a JSON list, including invalid ones.
 
-    A route to an invalid service has no fault of its own.
+    A route to an invalid service is not reported as a further fault.
     """
     names = (item.get(SERVICE["name"]) for item in items if isinstance(item, dict))
     return frozenset(name for name in names if isinstance(name, str))
--- a/coveport/serving/configuration/state.py
+++ b/coveport/serving/configuration/state.py
@@ -1,4 +1,4 @@
-"""The acknowledged state that the replication carries: what it holds, and the result of a command."""
+"""The acknowledged state, which is replicated, and the result of a command."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from coveport.serving.duties.state import SingletonState
 from coveport.serving.model.findings import Finding
 
-# How many changes are recognised when a client sends them again. Older ones get no clear answer
-# (`state_machine`), which takes that many further changes while one request is under way.
+# Number of newest changes that are recognised when a client sends them again. For older ones the client gets
+# no definite answer (`state_machine`); this takes that many further changes while its request is in flight.
 MAX_APPLIED_CHANGES: Final = 512
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedChange:
-    """A change of the configuration that was applied."""
+    """A change of the configuration that has been applied."""
 
-    edition: int  # of the configuration that it made
-    digest: bytes  # of its method, the edition it was based on, and its body
+    edition: int  # of the resulting configuration
+    digest: bytes  # of the method, the edition that it is based on, and the body
 
 
 @dataclass(frozen=True, slots=True)
 class ControlState:
-    """What the operators were promised is durable, and what outlives a holder of the duties."""
+    """The changes acknowledged to operators as durable, and the state of the singleton tasks."""
 
-    configuration_text: bytes | None = None  # JSON of the newest configuration, exactly as it is handed out
-    edition: int = 0  # of that configuration; 0: there is none
+    configuration_text: bytes | None = None  # JSON of the newest configuration, exactly as it is served
+    edition: int = 0  # of this configuration; 0: there is none
     evacuated_zones: frozenset[str] = frozenset()
     applied_changes: tuple[AppliedChange, ...] = ()  # the newest `MAX_APPLIED_CHANGES`, oldest first
     singleton_state: SingletonState = SingletonState()  # noqa: RUF009 - frozen
@@ -42,10 +42,10 @@
 
 
 def without_singleton_state(state: ControlState) -> ControlState:
-    """Return what proxies need of a state."""
+    """Return the part of a state that proxies need."""
     return replace(state, singleton_state=SingletonState())
 
 
 def initial_state() -> ControlState:
-    """Return the state of a new system: no configuration, no evacuation, no holder."""
+    """Return the state of a new system: no configuration, no evacuation, no lease owner."""
     return ControlState()
--- a/coveport/serving/configuration/state_codec.py
+++ b/coveport/serving/configuration/state_codec.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _StoredState:
-    """The state as it is written. Applied changes are one byte string, as they are many and small."""
+    """The state as stored. Applied changes are one byte string, as they are many and small."""
 
     configuration_text: bytes | None
     edition: int
@@ -30,16 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _StoredStateWithSingletons:
-    """The same, with the state of the duties behind it: programs before version 5 ignore that."""
+    """The stored state with the singleton tasks' state at its end, which is ignored before version 5."""
 
     configuration_text: bytes | None
     edition: int
     evacuated_zones: tuple[str, ...]
     applied_changes: bytes
-    duties: bytes = added_in(5, b"")
+    singleton_state: bytes = added_in(5, b"")
 
 
-# Both have the same number. A state without duties is written as before version 5, and read by either.
+# Both classes have the same number. A state without singleton tasks is written as before version 5, and can
+# be read by both codecs.
 _CODEC: Final[MessageCodec[_StoredState]] = MessageCodec((_StoredState,))
 _CODEC_WITH_SINGLETONS: Final[MessageCodec[_StoredStateWithSingletons]] = MessageCodec(
     (_StoredStateWithSingletons,)
@@ -47,31 +48,31 @@
 
 
 def encode_state(state: ControlState) -> bytes:
-    """Return a state as bytes, with their digest; equal states give equal bytes."""
+    """Return a state as bytes with a digest; equal states give equal bytes."""
     changes = b"".join(
         _APPLIED_CHANGE.pack(change.edition, change.digest) for change in state.applied_changes
     )
     zones = tuple(sorted(state.evacuated_zones))
     fields = (state.configuration_text, state.edition, zones, changes)
-    duties = encode_singleton_state(state.singleton_state)
+    singleton_state = encode_singleton_state(state.singleton_state)
     stored = (
-        _CODEC_WITH_SINGLETONS.encode(_StoredStateWithSingletons(*fields, duties))
-        if duties
+        _CODEC_WITH_SINGLETONS.encode(_StoredStateWithSingletons(*fields, singleton_state))
+        if singleton_state
         else _CODEC.encode(_StoredState(*fields))
     )
     return _DIGEST_MARKER + digest_of(stored) + stored
 
 
 def decode_state(data: bytes) -> ControlState:
-    """Return the state in the bytes, with a digest or, as older programs wrote it, without one.
+    """Return the state encoded in the bytes, with a digest or, from older programs, without one.
 
-    Raises MalformedMessageError where the bytes hold no state, or not the one that was encoded.
+    Raises MalformedMessageError where the bytes hold no state, or the digest does not match.
     """
     stored = _CODEC_WITH_SINGLETONS.decode(_verified(data) if data.startswith(_DIGEST_MARKER) else data)
     length = len(stored.applied_changes)
     if length % _APPLIED_CHANGE.size:
         raise MalformedMessageError(
-            f"applied changes are cut short: {length} bytes, expected a multiple of {_APPLIED_CHANGE.size}"
+            f"applied changes are truncated: {length} bytes, expected a multiple of {_APPLIED_CHANGE.size}"
         )
     changes = (
         AppliedChange(edition, digest)
@@ -82,12 +83,12 @@
         stored.edition,
         frozenset(stored.evacuated_zones),
         tuple(changes),
-        decode_singleton_state(stored.duties),
+        decode_singleton_state(stored.singleton_state),
     )
 
 
 def _verified(data: bytes) -> bytes:
-    """Return the encoded state behind the digest. Raises MalformedMessageError where they differ."""
+    """Return the encoded state after the digest. Raises MalformedMessageError where they do not match."""
     start = len(_DIGEST_MARKER) + DIGEST_BYTES
     expected = data[len(_DIGEST_MARKER) : start]
     stored = data[start:]
--- a/coveport/serving/configuration/state_machine.py
+++ b/coveport/serving/configuration/state_machine.py
@@ -45,7 +45,7 @@
 
 
 def apply(state: ControlState, command: bytes) -> Applied | Refused:
-    """Return the state after an encoded command with the caller's answer, or the refusal.
+    """Return the state after an encoded command and the answer to the caller, or the refusal.
 
     Raises MalformedMessageError where the bytes hold no command.
     """
@@ -53,7 +53,7 @@
 
 
 def apply_command(state: ControlState, command: Command) -> Applied | Refused:
-    """Do as `apply`, for a command that was decoded."""
+    """Apply a decoded command; see `apply`."""
     match command:
         case StartEvacuation(zone):
             return _applied(replace(state, evacuated_zones=state.evacuated_zones | {zone}))
@@ -96,7 +96,7 @@
 
 
 def _check_if_match(state: ControlState, if_match: int | None) -> Refused | None:
-    """Return why the edition that a change is based on doesn't fit the state; None: it fits."""
+    """Return a refusal where `if_match` does not allow the change in this state; else None."""
     if if_match is None:
         return _refused(state, STATUS_BAD_REQUEST, Finding("If-Match", "is missing; 0 is the first"))
     if _may_have_been_applied(state, if_match):
@@ -112,7 +112,7 @@
 def _may_have_been_applied(state: ControlState, if_match: int) -> bool:
     """Return whether a change based on this edition may have been applied too long ago to be recognised.
 
-    An applied change that is sent again must not be refused, so the caller gets no clear answer.
+    An applied change that is sent again must not be refused, so the caller gets no definite answer.
     """
     return len(state.applied_changes) == MAX_APPLIED_CHANGES and if_match < state.applied_changes[0].edition
 
@@ -124,8 +124,8 @@
 def _digest_of_change(command: ConfigurationCommand) -> bytes:
     """Return the digest by which a change is recognised when it is sent again."""
     method = b"PUT" if isinstance(command, PutConfiguration) else b"PATCH"
-    head = b"%s %s " % (method, str(command.if_match).encode())
-    return digest_of(head + command.body)
+    prefix = b"%s %s " % (method, str(command.if_match).encode())
+    return digest_of(prefix + command.body)
 
 
 def _put(command: PutConfiguration) -> Document | Refusal:
@@ -141,7 +141,7 @@
 
 
 def _patch_routes(state: ControlState, change: JsonObject) -> Document | None:
-    """Apply a change of routes alone; None: it changes more, or may be invalid."""
+    """Apply a change of routes alone; return None where it changes more or may be invalid."""
     if state.configuration_text is None:
         return None
     document = read_document(state.configuration_text)
@@ -149,7 +149,7 @@
 
 
 def _patch_fully(state: ControlState, change: JsonObject) -> Document | Refusal:
-    """Apply any change, and validate the whole configuration that it makes."""
+    """Apply any change, and validate the whole resulting configuration."""
     current = read_object(state.configuration_text or b"{}")
     assert not isinstance(current, Refusal)  # the text of a document
     patched = apply_patch(current, change)
--- a/coveport/serving/configuration/tenant_reader.py
+++ b/coveport/serving/configuration/tenant_reader.py
@@ -11,7 +11,7 @@
 from coveport.serving.model.findings import Findings
 from coveport.serving.wire.configuration import CONFIGURATION, TENANT
 
-_CONTROL: Final = re.compile(r"[\x00-\x1f\x7f]")  # names go to nodes as the value of a header
+_CONTROL: Final = re.compile(r"[\x00-\x1f\x7f]")  # names are sent to nodes as a header value
 
 
 class TenantReader:
@@ -21,10 +21,10 @@
         self._checker = checker
         self._findings = findings
         self._names: set[str] = set()
-        self._location_of_key: dict[str, str] = {}  # location of the tenant that has the key
+        self._locations_by_key: dict[str, str] = {}  # location of the first tenant with the key
 
     def read(self, items: list[Any]) -> tuple[Tenant, ...]:
-        """Return the tenants in a JSON list; of no use where there are findings."""
+        """Return the tenants in a JSON list; not usable where there are findings."""
         tenants = []
         for number, item in enumerate(items):
             location = f"{CONFIGURATION['tenants']}[{number}]"
@@ -59,6 +59,6 @@
             if not key:
                 self._findings.add(location, "is empty")
                 continue
-            holder = self._location_of_key.setdefault(key, tenant_location)
-            if holder != tenant_location:
-                self._findings.add(location, f"is a key of {holder} too")
+            owner_location = self._locations_by_key.setdefault(key, tenant_location)
+            if owner_location != tenant_location:
+                self._findings.add(location, f"is a key of {owner_location} too")
--- a/coveport/serving/configuration/type_checker.py
+++ b/coveport/serving/configuration/type_checker.py
@@ -1,4 +1,4 @@
-"""Checks the fields of JSON objects for their types with `dacite`: every fault, not just the first."""
+"""Checks the types of fields in JSON objects with `dacite`; finds every fault, not just the first."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     "list": [],
     "dict": {},
 }
-"""Values that cause no further findings, by the type's name."""
+"""Valid placeholder values, which cause no further findings, by type name."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,11 +45,11 @@
 
 
 class TypeChecker:
-    """Checks the objects of one configuration; all faults go to its findings.
+    """Checks the objects of one configuration, and adds a finding for each fault.
 
-    Whether an object has the right types follows from its shape: which fields it has, and of which types.
-    `dacite` checks one object of each shape, others of a shape that passed are taken as they are: thousands
-    of routes are alike, and `dacite` takes 0.1 ms for one.
+    Whether the types of an object are valid depends only on its shape: its fields and their types. `dacite`,
+    which takes 0.1 ms per object, checks one object of each shape; more objects of a valid shape are accepted
+    without a check, as a configuration has thousands of similar routes.
     """
 
     def __init__(self, findings: Findings) -> None:
@@ -57,7 +57,7 @@
         self._valid_shapes: set[tuple[Any, ...]] = set()
 
     def check(self, kind: type[Raw], data: object, location: str) -> Checked[Raw] | None:
-        """Return the object of that class in a JSON value; None where the value is no object."""
+        """Return a JSON value as an object of class `kind`; None where the value is no object."""
         if not isinstance(data, dict):
             self._findings.add(location, "must be an object")
             return None
@@ -74,7 +74,7 @@
         return Checked(checked.value, invalid_fields) if invalid_fields else checked
 
     def _check_types(self, kind: type[Raw], data: JsonObject, location: str) -> Checked[Raw]:
-        """Check with `dacite`, which stops at the first fault: replace that field and check again."""
+        """Check with `dacite`; as it stops at the first fault, replace the invalid field and check again."""
         names = FIELD_NAMES[kind]
         repaired = dict(data)
         invalid_fields: set[str] = set()
@@ -112,7 +112,7 @@
 
 
 def _shape_of(value: object) -> object:
-    """Return what decides whether a value's type is right."""
+    """Return the part of a value that determines whether its type is valid."""
     if isinstance(value, list):
         return frozenset(map(type, value))
     return type(value)
@@ -129,7 +129,7 @@
 
 
 def _reject_bool(kind: type) -> Callable[[Any], Any]:
-    """Return a check that `dacite` lacks: in JSON, true and false are no numbers."""
+    """Return a check that `dacite` lacks: in JSON, true and false are not numbers."""
 
     def check(value: Any) -> Any:
         if isinstance(value, bool):
@@ -140,7 +140,7 @@
 
 
 def _require(kind: type) -> Callable[[Any], Any]:
-    """Return a check before `dacite` builds a collection, which fails in many ways on other types."""
+    """Return a check to run before `dacite` builds a collection, as that raises various errors."""
 
     def check(value: Any) -> Any:
         if not isinstance(value, kind):
--- a/coveport/serving/duties/telemetry_table.py
+++ b/coveport/serving/duties/telemetry_table.py
@@ -35,18 +35,18 @@
         if report.sequence == NO_SEQUENCE:
             return False
         source = ReportSource(report.proxy, report.incarnation)
-        entry = self._entries.get(source)
-        if entry is None:
+        last_report = self._entries.get(source)
+        if last_report is None:
             self._entries[source] = ReportedState(
                 source, report.sequence, report.open_window, report.loads, now_s
             )
             return True
-        if report.sequence <= entry.sequence:
+        if report.sequence <= last_report.sequence:
             return False
-        entry.sequence = report.sequence
-        entry.open_window = max(entry.open_window, report.open_window)
-        entry.loads = report.loads or entry.loads
-        entry.received_at_s = now_s
+        last_report.sequence = report.sequence
+        last_report.open_window = max(last_report.open_window, report.open_window)
+        last_report.loads = report.loads or last_report.loads
+        last_report.received_at_s = now_s
         return True
 
     def expire(self, now_s: float) -> None:
--- a/tests/serving/configuration/test_configuration_patch.py
+++ b/tests/serving/configuration/test_configuration_patch.py
@@ -1,4 +1,4 @@
-"""Patching, against a model that is written another way."""
+"""Patches, compared with an independent reference model."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 SECTIONS = st.sampled_from(["Routes", "Services", "Others"])
 
 
-def model(current: Json, change: Json) -> Json:
-    """Ordered by a list of names, with a map of the items: removals, then upserts."""
+def reference_patch(current: Json, change: Json) -> Json:
+    """Return the patched configuration, from a list of names in order and a map of the items."""
     result = copy.deepcopy(current)
     result["Edition"] = change["Edition"]
     sections = {**change.get("Remove", {}), **change.get("Upsert", {})}
@@ -46,7 +46,7 @@
     change = {"Edition": 9, "Upsert": upsert, "Remove": remove}
     current = {"Edition": 7, "Kept": {"as": "it is"}, **current}
     before = copy.deepcopy((current, change))
-    assert apply_patch(current, change) == model(current, change)
+    assert apply_patch(current, change) == reference_patch(current, change)
     assert (current, change) == before
 
 
--- a/tests/serving/configuration/test_configuration_reader.py
+++ b/tests/serving/configuration/test_configuration_reader.py
@@ -1,4 +1,4 @@
-"""Reading and checking a whole configuration."""
+"""Reading and validation of whole configurations."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def faults(raw: bytes) -> dict[str, str]:
-    """Return the messages by location; none where the configuration is valid."""
+    """Return the messages of findings by location; empty where the configuration is valid."""
     read = read_configuration(raw)
     return (
         {finding.location: finding.message for finding in read.findings} if isinstance(read, Refusal) else {}
@@ -26,7 +26,7 @@
 
 
 def read_valid(raw: bytes) -> Configuration:
-    """The configuration, which must be taken."""
+    """Return the configuration, which must be valid."""
     read = read_configuration(raw)
     assert isinstance(read, Configuration), read
     return read
@@ -58,8 +58,10 @@
 
 
 def test_optional_fields_have_defaults() -> None:
-    needed = {key: route("a")[key] for key in ("Name", "Host", "PathPrefix", "Kind", "DeadlineMs", "Service")}
-    read = read_valid(encode_json({"Edition": 1, "Routes": [needed], "Services": [{"Name": "model"}]}))
+    required = {
+        key: route("a")[key] for key in ("Name", "Host", "PathPrefix", "Kind", "DeadlineMs", "Service")
+    }
+    read = read_valid(encode_json({"Edition": 1, "Routes": [required], "Services": [{"Name": "model"}]}))
     assert (read.routes[0].max_attempts, read.routes[0].home_regions) == (1, frozenset())
     assert read.services[0].engine is None
     assert read.limits.body_bytes == 4 * 1024 * 1024
@@ -81,12 +83,12 @@
 
 
 def changed_route(**changed: Any) -> dict[str, Any]:
-    """A configuration whose one route differs."""
+    """Return a configuration whose only route has changed fields."""
     return make_configuration(7, route("a", **changed))
 
 
 def without(name: str) -> dict[str, Any]:
-    """A configuration whose one route lacks a field."""
+    """Return a configuration whose only route lacks a field."""
     return make_configuration(7, {key: value for key, value in route("a").items() if key != name})
 
 
@@ -96,8 +98,11 @@
         changed_route(Shares=[{"Service": "model", "Share": 1}, {"Service": "none", "Share": 1}]),
         "Routes[0].Shares[1].Service",
     ),
-    "same place": (make_configuration(7, route("a"), route("b", PathPrefix="/a/")), "Routes[1]"),
-    "same place in other case": (
+    "same host and path prefix": (
+        make_configuration(7, route("a"), route("b", PathPrefix="/a/")),
+        "Routes[1]",
+    ),
+    "same host in other case, same path prefix": (
         make_configuration(7, route("a"), route("b", PathPrefix="/a/", Host="SHOP.example")),
         "Routes[1]",
     ),
@@ -120,7 +125,7 @@
     "negative timeout": (changed_route(DeadlineMs=-1), "Routes[0].DeadlineMs"),
     "timeout as text": (changed_route(DeadlineMs="5000"), "Routes[0].DeadlineMs"),
     "timeout as true": (changed_route(DeadlineMs=True), "Routes[0].DeadlineMs"),
-    "timeout beyond all numbers": (changed_route(DeadlineMs=10**30), "Routes[0].DeadlineMs"),
+    "timeout above the largest number": (changed_route(DeadlineMs=10**30), "Routes[0].DeadlineMs"),
     "missing name": (without("Name"), "Routes[0].Name"),
     "missing host": (without("Host"), "Routes[0].Host"),
     "empty host": (changed_route(Host=""), "Routes[0].Host"),
@@ -148,7 +153,7 @@
     "edition below 0": (make_configuration(-3), "Edition"),
     "edition true": (make_configuration(True), "Edition"),
     "edition as text": (make_configuration(7, Edition="7"), "Edition"),
-    "edition beyond all numbers": (make_configuration(10**30), "Edition"),
+    "edition above the largest number": (make_configuration(10**30), "Edition"),
 }
 
 
@@ -246,7 +251,7 @@
 
 @given(st.data())
 def test_any_set_of_faults_in_routes_of_any_shape_is_found_completely(data: st.DataObject) -> None:
-    """Routes of one shape are looked at once, so sound ones of the same and of other shapes stand around."""
+    """Only one route of each shape is checked in full, so routes of several shapes are mixed."""
     routes = []
     expected = set()
     for number in range(data.draw(st.integers(1, 5))):
@@ -270,14 +275,14 @@
 @given(st.data())
 def test_any_value_anywhere_is_accepted_or_refused_but_never_raises(data: st.DataObject) -> None:
     configuration = copy.deepcopy(make_configuration(7))
-    inside: Any = configuration
-    while isinstance(inside, dict | list) and inside:
-        keys = sorted(inside) if isinstance(inside, dict) else range(len(inside))
+    container: Any = configuration
+    while isinstance(container, dict | list) and container:
+        keys = sorted(container) if isinstance(container, dict) else range(len(container))
         key = data.draw(st.sampled_from(keys))
-        if data.draw(st.booleans()) or not isinstance(inside[key], dict | list):
-            inside[key] = data.draw(JSON_VALUES)
+        if data.draw(st.booleans()) or not isinstance(container[key], dict | list):
+            container[key] = data.draw(JSON_VALUES)
             break
-        inside = inside[key]
+        container = container[key]
     read = read_configuration(encode_json(configuration))
     assert isinstance(read, Configuration) or read.findings
 
@@ -289,7 +294,7 @@
 
 
 def test_the_slow_check_is_made_once_for_each_shape_of_route(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It takes 0.1 ms, so 4 MiB of routes would hold a coordinator up for seconds."""
+    """The full check takes 0.1 ms, so it would block a coordinator for seconds with 4 MiB of routes."""
     calls = []
     slow_check = dacite.from_dict
 
@@ -298,10 +303,10 @@
         return slow_check(kind, data, config)
 
     monkeypatch.setattr(dacite, "from_dict", counted)
-    alike = [route(f"r{number}") for number in range(300)]
-    others = [
+    similar = [route(f"r{number}") for number in range(300)]
+    weighted = [
         route(f"s{number}", Service=None, Shares=[{"Service": "model", "Share": 1}]) for number in range(300)
     ]
-    assert len(read_valid(encode_json(make_configuration(7, *alike, *others))).routes) == 600
+    assert len(read_valid(encode_json(make_configuration(7, *similar, *weighted))).routes) == 600
     assert calls.count(RawRoute) == 2
     assert len(calls) <= 8
--- a/tests/serving/configuration/test_control_state.py
+++ b/tests/serving/configuration/test_control_state.py
@@ -1,4 +1,4 @@
-"""The acknowledged state: commands applied to it, and its encoding."""
+"""The acknowledged state: effects of commands, and its encoding."""
 
 from __future__ import annotations
 
@@ -115,10 +115,12 @@
 
 def test_evacuations_are_idempotent_and_keep_the_configuration() -> None:
     state, _ = run(initial_state(), put(0, 5))
-    away, statuses = run(state, StartEvacuation("hall"), StartEvacuation("hall"), StartEvacuation("cellar"))
-    assert (away.evacuated_zones, statuses) == (frozenset({"hall", "cellar"}), [200, 200, 200])
-    back, statuses = run(away, EndEvacuation("hall"), EndEvacuation("hall"), EndEvacuation("cellar"))
-    assert (back, statuses) == (state, [200, 200, 200])
+    evacuated, statuses = run(
+        state, StartEvacuation("hall"), StartEvacuation("hall"), StartEvacuation("cellar")
+    )
+    assert (evacuated.evacuated_zones, statuses) == (frozenset({"hall", "cellar"}), [200, 200, 200])
+    restored, statuses = run(evacuated, EndEvacuation("hall"), EndEvacuation("hall"), EndEvacuation("cellar"))
+    assert (restored, statuses) == (state, [200, 200, 200])
 
 
 def test_only_the_newest_changes_are_recognised_again() -> None:
@@ -131,10 +133,12 @@
         state, statuses = run(state, PutConfiguration(edition - 1, bodies[edition]))
         assert statuses == [200]
     assert len(state.applied_changes) == MAX_APPLIED_CHANGES
-    assert run(state, PutConfiguration(0, bodies[1]))[1] == [503], "it was taken: no refusal, no clear answer"
+    assert run(state, PutConfiguration(0, bodies[1]))[1] == [503], (
+        "it was applied long ago: no definite answer"
+    )
     assert run(state, PutConfiguration(1, bodies[2]))[1] == [200]
     assert run(state, PutConfiguration(2, bodies[MAX_APPLIED_CHANGES + 2]))[1] == [412], (
-        "that was never taken"
+        "this change was never applied"
     )
     assert decode_state(encode_state(state)) == state
 
@@ -143,18 +147,18 @@
     "later", [MAX_APPLIED_CHANGES - 1, MAX_APPLIED_CHANGES, MAX_APPLIED_CHANGES + 1, 2 * MAX_APPLIED_CHANGES]
 )
 @pytest.mark.parametrize(
-    "order", [put(1, 2), PatchConfiguration(1, encode_json({"Edition": 2, "Upsert": {"Routes": []}}))]
+    "command", [put(1, 2), PatchConfiguration(1, encode_json({"Edition": 2, "Upsert": {"Routes": []}}))]
 )
-def test_a_command_sent_again_after_many_changes_is_never_refused(later: int, order: Command) -> None:
-    """Taken at first, with `later` changes since: 200 again, or no clear answer, and never twice in force."""
+def test_a_command_sent_again_after_many_changes_is_never_refused(later: int, command: Command) -> None:
+    """A command repeated after `later` changes gets 200 or no definite answer, and is not applied again."""
     state, _ = run(initial_state(), put(0, 1))
-    state, statuses = run(state, order)
+    state, statuses = run(state, command)
     assert statuses == [200]
     empty = [encode_json({"Edition": edition, "Upsert": {"Routes": []}}) for edition in range(3, later + 3)]
     for edition, body in enumerate(empty, start=3):
         state, statuses = run(state, PatchConfiguration(edition - 1, body))
         assert statuses == [200]
-    after, statuses = run(state, order)
+    after, statuses = run(state, command)
     assert statuses == ([200] if later < MAX_APPLIED_CHANGES else [503])
     assert after == state
 
@@ -213,8 +217,8 @@
 
 def test_a_state_of_an_older_program_without_a_digest_is_read() -> None:
     state, _ = run(initial_state(), put(0, 7), StartEvacuation("a"))
-    sealed = encode_state(state)
-    assert decode_state(sealed[17:]) == state
+    encoded = encode_state(state)
+    assert decode_state(encoded[17:]) == state
 
 
 WORDS = ["Name", "Routes", "Services", "Limits", "Edition", "Shares", "Service", "Engine", "x"]
@@ -231,7 +235,7 @@
     st.one_of(st.binary(max_size=40), st.builds(encode_json, JSON_VALUES), st.builds(encode_json, PATCHES))
 )
 def test_any_body_is_answered_by_either_method(body: bytes) -> None:
-    """Whatever raised here would end the primary, and then each backup that takes its place."""
+    """An exception here would crash the primary, and then each backup that replaces it."""
     state, _ = run(initial_state(), put(0, 7))
     for command in (PutConfiguration(7, body), PatchConfiguration(7, body)):
         after, statuses = run(state, command)
--- a/tests/serving/configuration/test_duty_state_codec.py
+++ b/tests/serving/configuration/test_duty_state_codec.py
@@ -1,4 +1,4 @@
-"""The state of the duties within the acknowledged state: its bytes, and commands among the others."""
+"""The state of the singleton tasks within the acknowledged state: its encoding and commands."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from coveport.serving.replication.state_machine import Applied, Refused
 from coveport.serving.wire.errors import MalformedMessageError
 
-HOLDER = LeaseOwner("one", "a")
+OWNER = LeaseOwner("one", "a")
 COUNTS = st.lists(st.builds(TenantCount, st.text(max_size=4), st.integers(0, 10**9)), max_size=4).map(tuple)
 STATES = st.builds(
     SingletonState,
@@ -41,21 +41,23 @@
 
 
 @given(STATES)
-def test_a_state_is_read_back(duties: SingletonState) -> None:
-    assert decode_singleton_state(encode_singleton_state(duties)) == duties
-    state = ControlState(b"{}", 3, frozenset({"hall"}), (), duties)
+def test_an_encoded_state_is_decoded(singleton_state: SingletonState) -> None:
+    assert decode_singleton_state(encode_singleton_state(singleton_state)) == singleton_state
+    state = ControlState(b"{}", 3, frozenset({"hall"}), (), singleton_state)
     assert decode_state(encode_state(state)) == state
 
 
 @given(STATES)
-def test_a_program_before_version_5_reads_the_state_without_the_duties(duties: SingletonState) -> None:
-    state = ControlState(b"{}", 3, frozenset({"hall"}), (), duties)
+def test_a_program_before_version_5_reads_the_state_without_singleton_state(
+    singleton_state: SingletonState,
+) -> None:
+    state = ControlState(b"{}", 3, frozenset({"hall"}), (), singleton_state)
     stored = encode_state(state)[1 + DIGEST_BYTES :]
     assert state_codec._CODEC.decode(stored) == state_codec._StoredState(b"{}", 3, ("hall",), b"")
 
 
-def test_a_state_without_duties_has_the_bytes_of_version_4() -> None:
-    state = ControlState(b"{}", 3, frozenset(), (), SingletonState(HOLDER, 1))
+def test_a_state_without_singleton_state_has_the_bytes_of_version_4() -> None:
+    state = ControlState(b"{}", 3, frozenset(), (), SingletonState(OWNER, 1))
     before = state_codec._CODEC.encode(state_codec._StoredState(b"{}", 3, (), b""))
     assert encode_state(without_singleton_state(state))[1 + DIGEST_BYTES :] == before
 
@@ -67,7 +69,7 @@
         b"null",
         b"{}",
         b"[]",
-        encode_singleton_state(SingletonState(HOLDER, 1))[:-1],
+        encode_singleton_state(SingletonState(OWNER, 1))[:-1],
         b'[["one"],1,-1,[],[]]',
         b'["one",1,-1,[],[]]',
         b"[null,true,-1,[],[]]",
@@ -83,16 +85,16 @@
         decode_singleton_state(data)
 
 
-def test_a_duty_command_leaves_the_configuration_as_it_is() -> None:
+def test_a_singleton_command_keeps_the_configuration() -> None:
     state = ControlState(b"{}", 3, frozenset({"hall"}))
-    applied = apply(state, encode_command(AcquireDuties(HOLDER, 0)))
+    applied = apply(state, encode_command(AcquireDuties(OWNER, 0)))
     assert isinstance(applied, Applied)
-    assert applied.state == ControlState(b"{}", 3, frozenset({"hall"}), (), SingletonState(HOLDER, 1))
+    assert applied.state == ControlState(b"{}", 3, frozenset({"hall"}), (), SingletonState(OWNER, 1))
     assert applied.result.status == 200
 
 
-def test_a_refused_duty_command_tells_the_fence() -> None:
-    refused = apply(ControlState(), encode_command(AcquireDuties(HOLDER, 4)))
+def test_a_refused_singleton_command_returns_the_fencing_token() -> None:
+    refused = apply(ControlState(), encode_command(AcquireDuties(OWNER, 4)))
     assert refused == Refused(CommandRefusal(RefusalReason.FENCE_CHANGED, 0))
 
 
@@ -103,10 +105,10 @@
         (PatchConfiguration(0, b"{}"), False),
         (StartEvacuation("hall"), False),
         (EndEvacuation("hall"), False),
-        (AcquireDuties(HOLDER, 0), True),
+        (AcquireDuties(OWNER, 0), True),
         (FixUsageReports(1, (), ()), True),
         (RecordFleetOrders(1, ()), True),
     ],
 )
-def test_commands_of_the_duties_are_told_from_others(command: Command, expected: bool) -> None:
+def test_singleton_commands_are_distinguished_from_others(command: Command, expected: bool) -> None:
     assert is_singleton_command(encode_command(command)) is expected
--- a/tests/serving/configuration/test_route_changes.py
+++ b/tests/serving/configuration/test_route_changes.py
@@ -1,4 +1,4 @@
-"""A change of some routes gives the same configuration as reading and writing the whole does."""
+"""A change of some routes gives the same result as reading and writing the whole configuration."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     },
     optional={"Extra": st.sampled_from([None, "ü", {"deep": [1, 2.5e-7]}]), "Tries": st.sampled_from([1, 2])},
 )
-FAULTY = st.sampled_from(
+INVALID_ROUTES = st.sampled_from(
     [
         {"Name": "a"},
         {"Name": 3},
@@ -47,7 +47,7 @@
             st.fixed_dictionaries(
                 {"Routes": st.lists(ROUTES, max_size=3)}, optional={"Services": st.just([])}
             ),
-            st.fixed_dictionaries({"Routes": st.lists(st.one_of(ROUTES, FAULTY), max_size=2)}),
+            st.fixed_dictionaries({"Routes": st.lists(st.one_of(ROUTES, INVALID_ROUTES), max_size=2)}),
             st.just({"Services": [{"Name": "u"}]}),
             st.just({"Limits": []}),
             st.just(None),
@@ -74,7 +74,7 @@
 
 
 def apply_by_full_validation(state: ControlState, command: PatchConfiguration) -> Applied | Refused:
-    """Do as `apply_command`, reading and writing everything."""
+    """Apply a command by reading and writing the whole configuration."""
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr(state_machine, "_patch_routes", lambda state, change: None)
         return apply_command(state, command)
@@ -82,7 +82,7 @@
 
 @settings(max_examples=600, deadline=None)
 @given(st.lists(ROUTES, max_size=4, unique_by=lambda route: route["Name"]), CHANGES)
-def test_a_change_gives_the_same_state_and_findings_either_way(
+def test_a_change_gives_the_same_state_and_findings_as_full_validation(
     routes: list[dict[str, Any]], change: dict[str, Any]
 ) -> None:
     state = put(routes)
@@ -136,7 +136,7 @@
     assert cache.find(b"3") is document
 
 
-def test_a_configuration_is_written_as_it_was_before() -> None:
+def test_a_configuration_has_the_same_canonical_text_as_in_earlier_versions() -> None:
     state = put([route("a", "/a/", Extra={"z": "ü", "a": [1.50]})])
     assert state is not None
     assert (
--- a/tests/serving/configuration/test_tenants.py
+++ b/tests/serving/configuration/test_tenants.py
@@ -27,7 +27,7 @@
 
 
 def tenant(name: str, *keys: str, **changed: Any) -> Json:
-    """Return a tenant that holds these keys."""
+    """Return a tenant with these keys."""
     fields: Json = {"Name": name, "ApiKeys": list(keys), "Precedence": 1, "HomeRegions": []}
     return fields | changed
 
@@ -45,7 +45,7 @@
 
 
 def findings(configuration: Json) -> tuple[Finding, ...]:
-    """Return what is wrong with a configuration."""
+    """Return the findings of a configuration; none where it is valid."""
     read = read_configuration(encode_json(configuration))
     return read.findings if isinstance(read, Refusal) else ()
 
@@ -61,7 +61,7 @@
 
 
 def stored(state: ControlState) -> Json:
-    """Return the configuration as it is read back."""
+    """Return the configuration stored in a state."""
     document: Json = json.loads(state.configuration_text or b"{}")
     return document
 
@@ -87,7 +87,7 @@
     ],
     ids=["none", "no key", "no keys", "three keys", "case", "one key twice", "defaults", "unknown field"],
 )
-def test_valid_tenants_are_taken(tenants: list[Json]) -> None:
+def test_valid_tenants_are_accepted(tenants: list[Json]) -> None:
     assert findings(with_tenants(*tenants)) == ()
 
 
@@ -110,20 +110,23 @@
 }
 
 
-def test_each_kind_of_invalid_tenant_has_one_finding_at_its_place() -> None:
-    found = {
+def test_each_kind_of_invalid_tenant_has_one_finding_at_its_location() -> None:
+    locations = {
         kind: [finding.location for finding in findings(make_configuration(7, Senders=tenants))]
         for kind, (tenants, _) in BAD_TENANTS.items()
     }
-    assert found == {kind: [location] for kind, (_, location) in BAD_TENANTS.items()}
+    assert locations == {kind: [location] for kind, (_, location) in BAD_TENANTS.items()}
 
 
 def test_every_key_that_is_shared_has_a_finding_that_does_not_repeat_the_key() -> None:
-    found = findings(
+    key_findings = findings(
         with_tenants(tenant("a", "secret-1", "secret-2"), tenant("b", "secret-2"), tenant("c", "secret-1"))
     )
-    assert [finding.location for finding in found] == ["Senders[1].ApiKeys[0]", "Senders[2].ApiKeys[0]"]
-    assert not any("secret" in finding.message for finding in found)
+    assert [finding.location for finding in key_findings] == [
+        "Senders[1].ApiKeys[0]",
+        "Senders[2].ApiKeys[0]",
+    ]
+    assert not any("secret" in finding.message for finding in key_findings)
 
 
 def test_a_configuration_with_a_shared_key_is_refused_and_changes_nothing() -> None:
@@ -167,7 +170,7 @@
     assert stored(state)["Senders"] == expected
 
 
-def test_the_last_key_and_the_last_tenant_can_be_taken_away() -> None:
+def test_the_last_key_and_the_last_tenant_can_be_removed() -> None:
     state = state_with(tenant("a", "k1"))
     state, statuses = run(
         state,
@@ -215,8 +218,8 @@
     for upserts, removed in changes:
         body = change(state.edition + 1, upserts, removed)
         state, _ = run(state, PatchConfiguration(state.edition, body))
-        held = Counter(key for one in stored(state)["Senders"] for key in one["ApiKeys"])
-        assert all(count == 1 for count in held.values())
+        key_counts = Counter(key for sender in stored(state)["Senders"] for key in sender["ApiKeys"])
+        assert all(count == 1 for count in key_counts.values())
 
 
 @pytest.mark.parametrize("name", ["", " a", "a ", "a\r\nX-Evil: 1", "a\tb", "a\x7f", "\u2003a"])
--- a/tests/serving/duties/fleet_world.py
+++ b/tests/serving/duties/fleet_world.py
@@ -227,11 +227,11 @@
 
     def downward_calls(self, since_s: float = 0.0) -> list[tuple[float, FleetOrder]]:
         """Return the calls for fewer nodes than the previous order of the group."""
-        downward_calls = []
+        calls_for_fewer = []
         last_wanted: dict[NodeGroup, int] = {}
         for at_s, order in self.calls:
             group = group_of(order)
             if order.wanted < last_wanted.get(group, self.nodes_per_zone) and at_s > since_s:
-                downward_calls.append((at_s, order))
+                calls_for_fewer.append((at_s, order))
             last_wanted[group] = order.wanted
-        return downward_calls
+        return calls_for_fewer
--- a/tests/serving/duties/lease_model.py
+++ b/tests/serving/duties/lease_model.py
@@ -244,8 +244,6 @@
 
 def checked(situation: Situation) -> Situation:
     """Return the situation, with a violation where both candidates may act."""
-    if not situation.violation and all(
-        candidate.lease.may_act(situation.now) for candidate in situation.candidates
-    ):
+    if not situation.violation and all(each.lease.may_act(situation.now) for each in situation.candidates):
         return replace(situation, violation="two leases are valid at the same time")
     return situation
