--- a/coveport/serving/duties/kinds.py
+++ b/coveport/serving/duties/kinds.py
@@ -1,12 +1,12 @@
-"""The kinds of duties that the platform may want."""
+"""The kinds of singleton tasks that the platform may require."""
 
 from __future__ import annotations
 
 from enum import Enum
 
 
-class DutyKind(Enum):
-    """What one coordinator at a time does for all."""
+class SingletonTaskKind(Enum):
+    """A task that one coordinator at a time performs for the whole deployment."""
 
     USAGE_REPORTS = "usage_reports"
     FLEET_ORDERS = "fleet_orders"
--- a/coveport/serving/proxy/view_updater.py
+++ b/coveport/serving/proxy/view_updater.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from coveport.serving.configuration.reader import read_document
-from coveport.serving.configuration.state import ControlState, initial_state, without_duties
+from coveport.serving.configuration.state import ControlState, initial_state, without_singleton_state
 from coveport.serving.configuration.state_codec import decode_state
 from coveport.serving.configuration.state_machine import apply
 from coveport.serving.log import EventLogger
@@ -102,7 +102,7 @@
         self._state = state
         self._sequence = update.state_sequence
         self._activate(previous, state, now_s)
-        return is_first_state or without_duties(state) != without_duties(previous)
+        return is_first_state or without_singleton_state(state) != without_singleton_state(previous)
 
     def _decode(self, data: bytes) -> ControlState | None:
         try:
