--- a/coveport/balancing/balancer.py
+++ b/coveport/balancing/balancer.py
@@ -48,7 +48,7 @@
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Return what to do now, after one event."""
         self.now = now_ms
-        self.out = []
+        self.actions = []
         # Timers come rounded: what is due within half a tick counts as due.
         self.effective_now = now_ms + self.settings.tick_ms / 2
         if isinstance(event, Request):
@@ -73,10 +73,10 @@
         if self.effective_now >= self.subscribe_at:
             # An answer is owed; should none come, ask again well before we count as informed anyway.
             self._subscribe_at(now_ms + self.rules.ask_within_ms / 2)
-            self.out.append(Subscribe())
-        return self.out
+            self.actions.append(Subscribe())
+        return self.actions
 
-    def avoided(self) -> int:
+    def unavailable_host_count(self) -> int:
         """Return how many listed hosts get nothing for now."""
         return sum(host.readmit_at < inf or not host.ready for host in self.hosts.values())
 
@@ -107,7 +107,7 @@
                 self._choose_subsets()
         saved = RETRY_RATIO_WHILE_QUEUED if self.queue.count else self.retry_ratio
         self.retry_budget = min(RETRY_BUDGET_BURST, self.retry_budget + saved)
-        sort = request.kind, self.effective_now < request.any_zone_at
+        sort = request.class_name, self.effective_now < request.any_zone_at
         if (self.saturated or sort in self.blocked_queues) and self.effective_now < request.queue_until:
             self._enqueue(request)  # others of its queue wait: to draw for each arrival costs too much
         else:
@@ -118,16 +118,16 @@
         cls = request.cls
         good = self.now + cls.aim_ms + cls.aim_stretch * event.cost_ms
         wait = self.now + cls.deadline_ms if cls.late_share else good  # none where it earns nothing
-        request.give_up = min(event.deadline_ms, wait) - 2 * self.settings.tick_ms
+        request.give_up_at = min(event.deadline_ms, wait) - 2 * self.settings.tick_ms
         # However slow all hosts seem a new one has its time: else nothing would tell when they no longer are.
         last_call = min(LAST_CALL_SERVICE_TIMES * self.service_time, self.latency_target / 2)
-        request.queue_until = min(request.give_up, good - last_call)
+        request.queue_until = min(request.give_up_at, good - last_call)
         # Crossing costs a part of a mean request's value: what is of less value waits longer for its zone.
         hint = event.cost_ms if self.settings.worth_by_work and 0 < event.cost_ms <= cls.deadline_ms else 0.0
         self.mean_cost += ((hint or self.mean_cost) - self.mean_cost) * SERVICE_WEIGHT
         value = cls.worth * (hint or self.mean_cost) / self.mean_cost * len(self.settings.classes)
         part_of_value = min(1.0, self.cross_zone_cost / value) if value > 0 else 1.0
-        request.any_zone_at = self.now + part_of_value * self._patience(cls.aim_ms)
+        request.any_zone_at = self.now + part_of_value * self._latency_limit(cls.aim_ms)
 
     def _send_or_queue(self, request: RequestState) -> None:
         """Send a request, queue it, or answer it."""
@@ -143,16 +143,16 @@
         """Queue a request."""
         # Newest first among equals: the longest waiting is the likeliest to be late, whatever is done.
         self.queue.add(request, self.effective_now)
-        self._check_queue_at(
+        self._schedule_queue_check(
             min(
                 (at for at in (request.queue_until, request.any_zone_at) if at > self.effective_now),
                 default=inf,
             )
         )
 
-    def _check_queue_at(self, at: float) -> None:
+    def _schedule_queue_check(self, at: float) -> None:
         """Have queued requests looked at then; soon in any case."""
-        at = min(at, self.now + self._patience(self.latency_target))
+        at = min(at, self.now + self._latency_limit(self.latency_target))
         if at < self.queue_check_at:
             self.queue_check_at = at
             self._set_timer(at)
@@ -175,12 +175,12 @@
                     self.blocked_queues.add(sort)  # where one finds no host, the others of its queue will not
                     break
         if self.queue_check_at == inf:  # else a check is planned, with each of them in mind
-            self._check_queue_at(self.queue.next_at(self.effective_now))
+            self._schedule_queue_check(self.queue.next_at(self.effective_now))
 
     def _rank(self, request: RequestState) -> float:
         """Return a queue's order: first the class of most value for the time that it takes and can wait."""
         cls = request.cls
-        return -cls.worth / (self.class_latency.get(request.kind, cls.aim_ms) * cls.aim_ms)
+        return -cls.worth / (self.class_latency.get(request.class_name, cls.aim_ms) * cls.aim_ms)
 
     def _send(self, request: RequestState, host: Host) -> None:
         """Start an attempt, where the rules allow it."""
@@ -189,14 +189,16 @@
         self.queue.remove(request)
         key = request.id, len(request.attempts)
         attempt = Attempt(host, self.now)
-        attempt.overtaken_by = LOST_AFTER * request.long  # while it lasts, the client is the one who is slow
+        attempt.overtaken_by = (
+            LOST_AFTER * request.streams_body
+        )  # while it lasts, the client is the one who is slow
         self.in_flight[key] = host.pending[key] = attempt
         host.granted -= 1
         request.attempts.append(attempt)
-        timeout = max(min(request.give_up, request.deadline) - self.now, self.settings.tick_ms)
-        self.out.append(Send(request.id, host.id, timeout))
+        timeout = max(min(request.give_up_at, request.deadline) - self.now, self.settings.tick_ms)
+        self.actions.append(Send(request.id, host.id, timeout))
         if self.limits.second_copies and len(request.attempts) == 1:
-            self._set_timer(self.now + self._patience(request.cls.aim_ms), request.id)
+            self._set_timer(self.now + self._latency_limit(request.cls.aim_ms), request.id)
 
     def _reply(self, event: Reply) -> None:
         """Record how an attempt ended, use the capacity that is free again, and retry or answer."""
@@ -225,17 +227,21 @@
         self._record_outcome(host, event.outcome, event.latency_ms, attempt)
         if event.outcome is Outcome.OK:
             latency = event.latency_ms / attempt.concurrency
-            if (known := self.requests.get(event.id)) is not None and known.kind in self.class_latency:
-                self.class_latency[known.kind] += SERVICE_WEIGHT * (latency - self.class_latency[known.kind])
+            if (known := self.requests.get(event.id)) is not None and known.class_name in self.class_latency:
+                self.class_latency[known.class_name] += SERVICE_WEIGHT * (
+                    latency - self.class_latency[known.class_name]
+                )
             self.recent_latency += RECENT_WEIGHT * (latency - self.recent_latency)
-            self.answers += 1  # each of the first answers weighs as much as the guess did
-            self.service_time += max(SERVICE_WEIGHT, 1 / (1 + self.answers)) * (latency - self.service_time)
+            self.answer_count += 1  # each of the first answers weighs as much as the guess did
+            self.service_time += max(SERVICE_WEIGHT, 1 / (1 + self.answer_count)) * (
+                latency - self.service_time
+            )
 
     def _answer(self, request: RequestState) -> None:
         """Refuse a request where a retry is harmless, and fail it otherwise."""
         # It may return once what is in flight is answered or given up: a latency target at the latest.
         wait = min(request.cls.aim_ms, self.limits.max_retry_after_ms) if self.limits.retry_after else 0.0
-        self.out.append(Refuse(request.id, wait) if self._is_allowed(request, None) else Fail(request.id))
+        self.actions.append(Refuse(request.id, wait) if self._is_allowed(request, None) else Fail(request.id))
         self._end(request.id)
 
     def _end(self, number: int, stream: int = -1) -> None:
@@ -250,7 +256,7 @@
             if index == stream:
                 attempt.overtaken_by = LOST_AFTER  # from its first bytes on its duration is the client's
             elif attempt.pending and self.limits.cancel:
-                self.out.append(Cancel(number, index))
+                self.actions.append(Cancel(number, index))
 
     def _hedge(self, number: int) -> None:
         """Send a hedged request, once the first attempt is later than a host may be."""
--- a/coveport/balancing/balancer_state.py
+++ b/coveport/balancing/balancer_state.py
@@ -36,7 +36,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.random = random.Random(seed)
-        self.out = list[Action]()
+        self.actions = list[Action]()
         self.now = 0.0
         self.effective_now = 0.0  # timers due by then are due now
         self.retry_budget = 0.0  # retry budget saved up
@@ -56,7 +56,7 @@
         self.queue_check_at = inf  # when queued requests are looked at
         self.subscribe_at = -inf if settings.must_ask else inf
         self.subscribe_failures = 0
-        self.answers = 0
+        self.answer_count = 0
         self._apply_settings(settings)
         # Means of latency and cost hint, until answers tell.
         self.service_time = self.mean_cost = self.latency_target / SERVICE_TIMES_PER_TARGET
@@ -83,9 +83,9 @@
         heappush(self.timers, (at, request))
         if at < self.timer_at:
             self.timer_at = at
-            self.out.append(SetTimer(max(at - self.now, self.settings.tick_ms), 0))
+            self.actions.append(SetTimer(max(at - self.now, self.settings.tick_ms), 0))
 
-    def _patience(self, target: float) -> float:
+    def _latency_limit(self, target: float) -> float:
         """Return how long an attempt may take before another is better, in ms.
 
         One as long as the latency target would leave no time for a second.
--- a/coveport/balancing/events.py
+++ b/coveport/balancing/events.py
@@ -89,8 +89,12 @@
     tenant: int = 0
     repeat: bool = False
     write: bool = False
-    long: bool = False  # it is sent while it comes: an attempt takes its client's time before a host has it
-    before: tuple[PriorAttempt, ...] = ()  # they count as its attempts, and bear the numbers from 0 on
+    streams_body: bool = (
+        False  # it is sent while it comes: an attempt takes its client's time before a host has it
+    )
+    prior_attempts: tuple[
+        PriorAttempt, ...
+    ] = ()  # they count as its attempts, and bear the numbers from 0 on
 
 
 @dataclass(slots=True)
--- a/coveport/balancing/host_selection.py
+++ b/coveport/balancing/host_selection.py
@@ -32,7 +32,7 @@
         """Return a host of the nearest level with a usable one; None where the request has to wait."""
         if self.queue.count and self._is_saturated():
             return None
-        levels = self.local, self.wide, self.all
+        levels = self.local, self.wide, self.ready_hosts
         # The levels behind which no further one is tried, where they hold a host that is not ejected.
         stops = levels if self.effective_now < request.any_zone_at else levels[1:]
         for level in levels:
@@ -40,9 +40,9 @@
             if host or level is first_usable_level(stops, lambda host: host.readmit_at == inf):
                 return host
         # Every host looks bad: a fault of this balancer's own view is likelier (Envoy's panic threshold).
-        for host in self.all:
+        for host in self.ready_hosts:
             host.readmit_at = inf
-        return self._draw(self.local or self.all, request)
+        return self._draw(self.local or self.ready_hosts, request)
 
     def _draw(self, level: list[Host], request: RequestState) -> Host | None:
         """Return the less busy of two usable hosts drawn from a level; None where none is usable."""
@@ -69,7 +69,7 @@
             if self.limits.probes:
                 # Drawn and due: no more health checks than requests, however many hosts are ejected.
                 self._eject(host)
-                self.out.append(HealthCheck(host.id))
+                self.actions.append(HealthCheck(host.id))
             if self.limits.probes or (request.cls.effect is Effect.UNSAFE and self.has_repeatable_class):
                 return False
         expected = self._expected_latency(host)
@@ -79,7 +79,7 @@
             host.backoff_until <= self.now
             and (len(host.pending) < most or host.has_capacity(most))
             and self._slow_start_allows(host, request, first)
-            and expected <= self._patience(request.cls.aim_ms)
+            and expected <= self._latency_limit(request.cls.aim_ms)
             and self._is_allowed(request, host)
         )
 
@@ -96,13 +96,13 @@
 
     def _any_capacity(self) -> bool:
         """Return whether any host may have capacity; if not, drawing for each queue is of no use."""
-        patience = self._patience(self.longest_target)
+        patience = self._latency_limit(self.longest_target)
         # Where all are ejected, each is given a chance.
-        return all(host.readmit_at < inf for host in self.all) or any(
+        return all(host.readmit_at < inf for host in self.ready_hosts) or any(
             self.now >= host.readmit_at and not host.pending
             if host.readmit_at < inf
             else host.backoff_until <= self.now
             and host.has_capacity(2 * self.max_in_flight)
             and self._expected_latency(host) <= patience
-            for host in self.all
+            for host in self.ready_hosts
         )
--- a/coveport/balancing/pending_requests.py
+++ b/coveport/balancing/pending_requests.py
@@ -17,7 +17,7 @@
 class PendingRequest:
     """What is queued. An entry under another number than the request's own is an old one."""
 
-    kind: str  # its class
+    class_name: str  # its class
     queue_until: float  # then it is answered
     any_zone_at: float  # from then on it may go to any zone
     waiting = False  # whether it is queued
@@ -26,7 +26,7 @@
 
 
 R = TypeVar("R", bound=PendingRequest)
-Sort = tuple[str, bool]
+QueueKey = tuple[str, bool]
 """The key of a queue: a class, and whether its requests wait for their own zone."""
 
 
@@ -34,7 +34,7 @@
     """All pending requests, in queues by class and by whether they wait for their own zone. Times in ms."""
 
     def __init__(self) -> None:
-        self._queues = dict[Sort, deque[tuple[int, R]]]()
+        self._queues = dict[QueueKey, deque[tuple[int, R]]]()
         self._expiries = list[tuple[float, int, R]]()
         self._crossings = list[tuple[float, int, R]]()
         self.count = 0  # of pending requests
@@ -61,7 +61,7 @@
     def _enqueue(self, request: R, *, near: bool) -> None:
         self._entries += 1
         request.queue_number = self._entries
-        self._queues.setdefault((request.kind, near), deque()).appendleft((self._entries, request))
+        self._queues.setdefault((request.class_name, near), deque()).appendleft((self._entries, request))
 
     def remove(self, request: R) -> None:
         """Take a request out; its entries are cleared when they are next come by."""
@@ -83,7 +83,7 @@
             if request.waiting and request.heap_number == number:
                 yield request
 
-    def queues(self, now: float, rank: Callable[[R], float]) -> Iterator[tuple[Sort, Iterator[R]]]:
+    def queues(self, now: float, rank: Callable[[R], float]) -> Iterator[tuple[QueueKey, Iterator[R]]]:
         """Yield the queues in the order of their front's rank; while one is walked none may be added."""
         for request in self._pop_due(self._crossings, now):
             self._enqueue(request, near=False)
--- a/coveport/balancing/request_state.py
+++ b/coveport/balancing/request_state.py
@@ -17,17 +17,17 @@
         self.cls = settings.classes[event.cls]
         self.limits = settings.limits  # the rules under which it came
         self.id = event.id
-        self.kind = self.cls.name
+        self.class_name = self.cls.name
         self.deadline = event.deadline_ms
-        self.long = event.long
-        self.give_up = event.deadline_ms
+        self.streams_body = event.streams_body
+        self.give_up_at = event.deadline_ms
         self.queue_until = event.deadline_ms
         self.any_zone_at = event.deadline_ms
         self.slow_start_draw = random_source.random()  # which hosts in slow start it may go to
         self.streaming = False
         self.attempts = [
             Attempt(Host(Endpoint(-1, prior.zone, prior.cell), 0.0), prior.sent_ms, prior)
-            for prior in event.before
+            for prior in event.prior_attempts
         ]
         # In which it may run again: what is decided by then is sent in time on a connection yet to come up.
         self.window = self.cls.window_ms - 2 * settings.tick_ms - self.limits.connect_timeout_ms
--- a/coveport/balancing/retry_policy.py
+++ b/coveport/balancing/retry_policy.py
@@ -28,7 +28,7 @@
             or (not request.limits.second_copies and any(attempt.pending for attempt in request.attempts))
         ):
             return False
-        if not risky or cls.effect is not Effect.KEYED or request.long:  # which takes its time
+        if not risky or cls.effect is not Effect.KEYED or request.streams_body:  # which takes its time
             return not risky or cls.effect is Effect.SAFE
         return all(
             self.now - attempt.sent_at < request.window and cls.group.covers(attempt.host, host)
--- a/coveport/balancing/settings.py
+++ b/coveport/balancing/settings.py
@@ -137,7 +137,7 @@
         if self.cold_from > 1:
             raise ValueError(f"cold_from must be at most 1, not {self.cold_from!r}")
 
-    def cold_share(self, age_ms: float) -> float:
+    def capacity_fraction(self, age_ms: float) -> float:
         """Return the part of its capacity that a host has `age_ms` after its start, before it is warm."""
         return self.cold_from + (1 - self.cold_from) * max(age_ms, 0.0) / self.warm_after_ms
 
--- a/coveport/balancing/simulator_codec.py
+++ b/coveport/balancing/simulator_codec.py
@@ -222,7 +222,7 @@
         return body[at : at + size], at + size
 
 
-_AT = struct.Struct("<HH").pack
+_SELECT_INSTANCE = struct.Struct("<HH").pack
 _SEND = struct.Struct("<HQId").pack
 _ID = struct.Struct("<HQ").pack
 _REFUSE = struct.Struct("<HQd").pack
@@ -253,9 +253,9 @@
     return _BARE(_FETCH_CODE) if encode is None else encode(action)
 
 
-def encode_at(instance: int) -> bytes:
+def encode_select(instance: int) -> bytes:
     """Return a record that selects the instance for the records that follow."""
-    return _AT(76, instance)
+    return _SELECT_INSTANCE(76, instance)
 
 
 def encode_fault(text: str) -> bytes:
--- a/coveport/balancing/simulator_link.py
+++ b/coveport/balancing/simulator_link.py
@@ -34,7 +34,7 @@
             fault = simulator_codec.encode_fault(traceback.format_exc())
         if answers or fault:
             if instance != selected:
-                records.append(simulator_codec.encode_at(instance))
+                records.append(simulator_codec.encode_select(instance))
                 selected = instance
             records.extend(map(simulator_codec.encode_action, answers))
             if fault:
--- a/coveport/balancing/slow_start.py
+++ b/coveport/balancing/slow_start.py
@@ -6,7 +6,7 @@
 from coveport.balancing.host import Host
 from coveport.balancing.request_state import RequestState
 
-COLD_SAFETY = 0.25
+SLOW_START_BUDGET_FRACTION = 0.25
 """Part of a warming host's budget that is used: a zone can be asked for three times its all."""
 
 
@@ -22,6 +22,6 @@
         age = self.now - host.slow_start_at
         if age >= self.rules.warm_after_ms or (host.granted > 0 and self.now < host.grant_until):
             return True
-        budget = COLD_SAFETY * self.rules.overload_factor * self.rules.cold_share(age)
+        budget = SLOW_START_BUDGET_FRACTION * self.rules.overload_factor * self.rules.capacity_fraction(age)
         # Where other hosts fail, all that looks further or is tried again would gather at the cold ones.
         return request.slow_start_draw < budget and first and not request.attempts and not host.pending
--- a/coveport/balancing/subsetting.py
+++ b/coveport/balancing/subsetting.py
@@ -34,9 +34,11 @@
 
     def _choose_subsets(self) -> None:
         """Choose the levels."""
-        self.all = [host for host in self.hosts.values() if host.ready]
-        shared = round(BALANCERS_PER_HOST * len(self.all) / self.settings.peers_total)
+        self.ready_hosts = [host for host in self.hosts.values() if host.ready]
+        shared = round(BALANCERS_PER_HOST * len(self.ready_hosts) / self.settings.peers_total)
         most = max(MIN_SUBSET, shared, int(self.arrivals / FIRST_TRIES_PER_HOST))
         self.resubset_at = self.now + ARRIVALS_COUNTED_TARGETS * self.latency_target
-        self.local = lowest_ranked([host for host in self.all if host.zone == self.settings.zone], most)
-        self.wide = lowest_ranked(self.all, 2 * most)
+        self.local = lowest_ranked(
+            [host for host in self.ready_hosts if host.zone == self.settings.zone], most
+        )
+        self.wide = lowest_ranked(self.ready_hosts, 2 * most)
--- a/coveport/sidecar/reducer/reducer.py
+++ b/coveport/sidecar/reducer/reducer.py
@@ -94,7 +94,7 @@
     @property
     def members(self) -> tuple[int, int]:
         """How many destinations are listed, and how many of them the balancer avoids now."""
-        return len(self._balancer.hosts), self._balancer.avoided()
+        return len(self._balancer.hosts), self._balancer.unavailable_host_count()
 
     @property
     def service_ms(self) -> float:
@@ -211,8 +211,8 @@
                 0,
                 item.cost_ms,
                 repeat=item.repeat,
-                long=item.long,
-                before=item.before,
+                streams_body=item.long,
+                prior_attempts=item.before,
             )
         )
         self._close_if_done(item.operation, operation, handled)
@@ -306,7 +306,7 @@
                 # and is carried out, the rest is answered by us.
                 fine = False
                 self._effects.append(ReportFault(traceback.format_exc()))
-                actions = self._balancer.out
+                actions = self._balancer.actions
             for action in actions:
                 fine = self._apply(action) and fine
         return fine
--- a/coveport/sidecar/singletons/slow_start_coordinator.py
+++ b/coveport/sidecar/singletons/slow_start_coordinator.py
@@ -16,8 +16,8 @@
 
 no window sees more of grants than GRANTED_SHARE of what the node bears when the window begins. Instances
 without a grant (no store, no coordinator, an expired grant) keep to a share by count, which the balancer
-holds under COLD_SAFETY of B. GRANTED_SHARE + COLD_SAFETY < 1: whatever is partitioned, both together stay
-below the safe load.
+holds under SLOW_START_BUDGET_FRACTION of B. GRANTED_SHARE + SLOW_START_BUDGET_FRACTION < 1: whatever is
+partitioned, both together stay below the safe load.
 """
 
 from __future__ import annotations
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -87,7 +87,7 @@
 
 class _RefusesAll(Balancer):
     def _answer(self, request: RequestState) -> None:
-        self.out.append(balancing.Refuse(request.id, 0.0))
+        self.actions.append(balancing.Refuse(request.id, 0.0))
         self._end(request.id)
 
 
--- a/coveport/testbed/check/states.py
+++ b/coveport/testbed/check/states.py
@@ -99,7 +99,7 @@
         "rules",
         "limits",
         "random",
-        "out",
+        "actions",
         "now",
         "effective_now",
         "latency_target",
@@ -110,7 +110,7 @@
         "hosts",
         "local",
         "wide",
-        "all",
+        "ready_hosts",
         "requests",
         "queue",
         "in_flight",
@@ -150,10 +150,10 @@
     },
     RequestState: {
         "id",
-        "kind",
+        "class_name",
         "cls",
         "limits",
-        "long",
+        "streams_body",
         "deadline",
         "attempts",
         "any_zone_at",
@@ -216,7 +216,7 @@
 
         for host in balancer.hosts.values():
             use(host, 0)
-        for host in balancer.all:
+        for host in balancer.ready_hosts:
             use(host, 1)
         for host in balancer.local:
             use(host, 2)
@@ -236,8 +236,8 @@
             self._fields(around, _SKIPPED[Surroundings]),
             self._world.settings.must_ask and not around.asks and self._instant(around.quiet_since),
             tuple(sorted(self._instant(at) for at, _ in around.timers)),
-            self._fields(balancer, _SKIPPED[Balancer] | {"answers"}),
-            min(balancer.answers, round(1 / SERVICE_WEIGHT)),
+            self._fields(balancer, _SKIPPED[Balancer] | {"answer_count"}),
+            min(balancer.answer_count, round(1 / SERVICE_WEIGHT)),
             tuple(self._rank(request.id) if request.waiting else -1 for request in balancer.queue),
             tuple(sorted((self._instant(at), self._rank(number)) for at, number in balancer.timers)),
             self._fields(play.reducer, _SKIPPED[Reducer]),
--- a/tests/balancing/test_balancer_requests.py
+++ b/tests/balancing/test_balancer_requests.py
@@ -552,7 +552,7 @@
     driver = Driver(site(SAFE, second_copies=False), hosts(2, 2))
 
     def ready() -> list[int]:
-        return sorted(host.id for host in driver.balancer.all)
+        return sorted(host.id for host in driver.balancer.ready_hosts)
 
     def delta(*entries: balancing.Endpoint) -> None:
         driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, entries))
--- a/tests/balancing/test_crowded_hosts.py
+++ b/tests/balancing/test_crowded_hosts.py
@@ -137,7 +137,7 @@
     """What `PendingRequests` holds."""
 
     def __init__(self, kind: str, until: float, cross: float) -> None:
-        self.kind = kind
+        self.class_name = kind
         self.queue_until = until
         self.any_zone_at = cross
 
@@ -150,7 +150,7 @@
     assert held.count == 3 and held.next_at(0) == 5
 
     def lines(now: float) -> list[tuple[tuple[str, bool], list[One]]]:
-        return [(sort, list(line)) for sort, line in held.queues(now, lambda one: -ord(one.kind))]
+        return [(sort, list(line)) for sort, line in held.queues(now, lambda one: -ord(one.class_name))]
 
     assert lines(0) == [(("b", True), [other]), (("a", True), [young, old])]
     assert lines(20) == [(("b", False), [other]), (("a", True), [young]), (("a", False), [old])]
--- a/tests/balancing/test_locality.py
+++ b/tests/balancing/test_locality.py
@@ -83,7 +83,7 @@
 
 def test_a_cold_host_warms_in_a_straight_line() -> None:
     rules = Rules(cold_from=0.2, warm_after_ms=1000.0)
-    shares = [rules.cold_share(age) for age in (-5.0, 0.0, 500.0, 1000.0)]
+    shares = [rules.capacity_fraction(age) for age in (-5.0, 0.0, 500.0, 1000.0)]
     assert shares == pytest.approx([0.2, 0.2, 0.6, 1.0])
 
 
--- a/tests/balancing/test_simulator_codec.py
+++ b/tests/balancing/test_simulator_codec.py
@@ -81,7 +81,7 @@
         simulator_codec.encode_action(balancing.SetTimer(500.0, 77)).hex()
         == "46000000000000407f404d00000000000000"
     )
-    assert simulator_codec.encode_at(3).hex() == "4c000300"
+    assert simulator_codec.encode_select(3).hex() == "4c000300"
     assert simulator_codec.encode_action(balancing.Cancel(1, 2)) == struct.pack("<HQH", 69, 1, 2)
     assert simulator_codec.encode_action(balancing.Fail(1)) == struct.pack("<HQ", 72, 1)
     assert simulator_codec.encode_action(balancing.Refuse(1, 5.0)) == struct.pack("<HQd", 74, 1, 5.0)
@@ -128,7 +128,7 @@
 
 def test_a_request_is_sent_to_the_listed_host() -> None:
     (reply,) = run(batch(select(3), attach(), LEDGER, REGISTRY, submit(99)))
-    assert simulator_codec.encode_at(3) in reply
+    assert simulator_codec.encode_select(3) in reply
     assert struct.pack("<HQI", 68, 99, 7) in reply
 
 
--- a/tests/balancing/test_slow_start_of_a_fleet.py
+++ b/tests/balancing/test_slow_start_of_a_fleet.py
@@ -212,5 +212,5 @@
 
 
 def test_a_ramp_twice_as_steep_breaks_the_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(slow_start, "COLD_SAFETY", 2 * slow_start.COLD_SAFETY)
+    monkeypatch.setattr(slow_start, "SLOW_START_BUDGET_FRACTION", 2 * slow_start.SLOW_START_BUDGET_FRACTION)
     assert all(play(200, RULES["long"], "zone", seed)[0] > 0 for seed in (100, 101, 107))
--- a/tests/balancing/test_subsetting.py
+++ b/tests/balancing/test_subsetting.py
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize(("peers", "local"), [(1, 30), (6, 10), (10, 17), (12, 4)])
 def test_a_small_fleet_keeps_to_the_whole_zone(peers: int, local: int) -> None:
     driver = copy(peers, local, remote=20 - local if local < 20 else 0)
-    assert len(kept(driver)) == local and len(driver.balancer.wide) == len(driver.balancer.all)
+    assert len(kept(driver)) == local and len(driver.balancer.wide) == len(driver.balancer.ready_hosts)
 
 
 @within(max_examples=40)
@@ -60,7 +60,7 @@
 
 
 def lowest_ranked_local(driver: Driver, size: int) -> set[int]:
-    local = [host for host in driver.balancer.all if host.zone == driver.balancer.settings.zone]
+    local = [host for host in driver.balancer.ready_hosts if host.zone == driver.balancer.settings.zone]
     return {host.id for host in sorted(local, key=lambda host: host.rank)[:size]}
 
 
--- a/tests/golden/test_golden_decisions.py
+++ b/tests/golden/test_golden_decisions.py
@@ -75,10 +75,10 @@
 
 def test_a_reply_is_written_as_before() -> None:
     records = [
-        simulator_codec.encode_at(513),
+        simulator_codec.encode_select(513),
         *(simulator_codec.encode_action(action) for action in ACTIONS.values()),
     ]
-    assert simulator_codec.encode_at(513) == REPLIES["selection"]
+    assert simulator_codec.encode_select(513) == REPLIES["selection"]
     assert simulator_codec.encode_fault("it failed: größe") == REPLIES["fault"]
     assert simulator_codec.encode_reply(77, records) == REPLIES["reply"]
     assert simulator_codec.encode_reply(78, []) == REPLIES["empty reply"]
--- a/tests/golden/write_fixtures.py
+++ b/tests/golden/write_fixtures.py
@@ -134,7 +134,7 @@
     golden_files.write_cases("decision_batches.json", cases.item_batches())
     golden_files.write_file("decision_settings.json", cases.SETTINGS_TEXT)
     replies = {case: decision_wire.encode_action(action) for case, action in cases.ACTIONS.items()}
-    selection = decision_wire.encode_at(513)
+    selection = decision_wire.encode_select(513)
     whole = {
         "selection": selection,
         "fault": decision_wire.encode_fault("it failed: größe"),
--- a/tests/sidecar/reducer/test_reducer.py
+++ b/tests/sidecar/reducer/test_reducer.py
@@ -101,7 +101,7 @@
     assert reducer.owed == 0
 
     def raises(self: Balancer, now_ms: float, event: balancing.Event) -> list[balancing.Action]:
-        self.out = []
+        self.actions = []
         raise KeyError("a fault in the module")
 
     monkeypatch.setattr(Balancer, "handle", raises)
--- a/tests/sidecar/reducer/test_reducer_scripted.py
+++ b/tests/sidecar/reducer/test_reducer_scripted.py
@@ -38,7 +38,7 @@
     def __init__(self, script: dict[type, list[Says]]) -> None:
         self.script = script
         self.told = list[tuple[float, balancing.Event]]()
-        self.out = list[balancing.Action]()
+        self.actions = list[balancing.Action]()
 
     def handle(self, now: float, event: balancing.Event) -> list[balancing.Action]:
         self.told.append((now, event))
@@ -46,7 +46,7 @@
         says = said.pop(0) if said else []
         if isinstance(says, Exception):
             raise says
-        self.out = says
+        self.actions = says
         return says
 
 
@@ -313,7 +313,7 @@
         Request=[[Send(1, 101, 0.0), Send(1, 102, 0.0)]], Reply=[ValueError("one"), ValueError("two")]
     )
     reducer.step(1000.0, came())
-    module.out = []
+    module.actions = []
     (complaint,) = reducer.step(1100.0, AttemptEnded(1, 0, Outcome.RESET))
     assert isinstance(complaint, core.ReportFault) and "one" in complaint.text and reducer.owed == 1
     complaint, answer = reducer.step(1200.0, AttemptEnded(1, 1, Outcome.RESET))
@@ -323,7 +323,7 @@
 def test_what_a_failing_module_had_decided_is_done_and_a_fault_over_one_event_spoils_no_later_one() -> None:
     # The first event leads to a moot send, whose outcome is the second event.
     reducer, module = scripted(Request=[ValueError("fault")], Reply=[[balancing.SetTimer(5.0, 0)]])
-    module.out = [Send(1, 101, 50.0)]
+    module.actions = [Send(1, 101, 50.0)]
     guard, complaint, timer, answer = reducer.step(1000.0, came(deadline=900.0))
     assert guard == SetDeadlineTimer(1, 905.0) and isinstance(complaint, core.ReportFault)
     assert timer == core.SetTimer(5.0, 0) and answer == SendAnswer(1, Verdict.FAILED), "still told as failed"
--- a/tests/testbed/test_model_check.py
+++ b/tests/testbed/test_model_check.py
@@ -86,7 +86,7 @@
 
 
 class _ForgetsWhoWaits(Balancer):
-    def _check_queue_at(self, at: float) -> None:
+    def _schedule_queue_check(self, at: float) -> None:
         pass
 
 
@@ -110,7 +110,7 @@
         how = self.random.choice(range(3)) if self.fails else 0
         self.fails -= how > 0
         if how == 1:
-            self.out = []
+            self.actions = []
             raise KeyError("before")
         actions = super().handle(now_ms, event)
         if how == 2:
