--- a/coveport/balancing/__init__.py
+++ b/coveport/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a client-side load balancer, free of I/O: events in, actions out."""
+"""A client-side load balancer without I/O: it takes events and returns actions."""
 
 from coveport.balancing.actions import (
     Action,
--- a/coveport/balancing/actions.py
+++ b/coveport/balancing/actions.py
@@ -1,7 +1,7 @@
-"""Actions that a balancer asks its caller to carry out, in the order in which they are returned.
+"""Actions that a balancer returns for its caller to carry out, in the order in which they are returned.
 
-Times are milliseconds. Actions are made by the hundred each second, so they are slotted rather than frozen;
-treat them as immutable.
+Times are in milliseconds. Hundreds of actions are created each second, so the classes have slots instead of
+being frozen; treat the objects as immutable.
 """
 
 from __future__ import annotations
@@ -11,7 +11,10 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; attempts of a request are numbered from 0 in this order."""
+    """The start of an attempt at a host.
+
+    A request's attempts are numbered in the order of these actions: from 0, or after its prior attempts.
+    """
 
     id: int
     host: int
@@ -20,7 +23,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """The cancellation of an attempt that is in flight."""
 
     id: int
     attempt: int
@@ -28,14 +31,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed; says nothing of the effect."""
+    """The final answer that a request failed; it may or may not have been executed."""
 
     id: int
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused; a retry is harmless, after `wait_ms` at best."""
+    """The final answer that a request is rejected; a retry is harmless, best after `wait_ms`."""
 
     id: int
     wait_ms: float = 0.0
@@ -43,7 +46,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send `TimerFired(token)` after `delay_ms`."""
+    """A timer: the caller sends `TimerFired(token)` after `delay_ms`."""
 
     delay_ms: float
     token: int
@@ -51,19 +54,19 @@
 
 @dataclass(slots=True)
 class HealthCheck:
-    """Check the health of a host."""
+    """A health check of a host."""
 
     host: int
 
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for all changes from now on."""
+    """A subscription to all endpoint updates from now on."""
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Ask discovery for all endpoints once."""
+    """A single fetch of all endpoints from discovery."""
 
 
 Action = Send | Cancel | Fail | Refuse | SetTimer | HealthCheck | Subscribe | FetchEndpoints
--- a/coveport/balancing/errors.py
+++ b/coveport/balancing/errors.py
@@ -1,9 +1,9 @@
-"""Errors of the decision module."""
+"""Errors of the load balancer."""
 
 
 class BalancingError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class WireError(BalancingError):
-    """The peer sent something that is not the simulator's protocol."""
+    """Input that does not follow the simulator's protocol."""
--- a/coveport/balancing/events.py
+++ b/coveport/balancing/events.py
@@ -1,7 +1,8 @@
 """Events that a balancer handles.
 
-Times are milliseconds on the caller's clock, which only has to move forward. Ids are opaque numbers.
-Events are made by the hundred each second, so they are slotted rather than frozen; treat them as immutable.
+Times are in milliseconds on the caller's clock, which only has to move forward. Ids are opaque numbers.
+Hundreds of events are created each second, so most classes have slots instead of being frozen; treat the
+objects as immutable.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class EndpointState(IntEnum):
-    """State of a host, as discovery reports it."""
+    """The state of a host, as discovery reports it."""
 
     READY = 0
     GONE = 2
@@ -21,7 +22,7 @@
 
 
 class EndpointUpdateKind(IntEnum):
-    """What an endpoint update holds: changes, all endpoints, all as last cached, or that asking failed."""
+    """The content of an endpoint update: changes, all endpoints, the last cached list, or a failed call."""
 
     DELTA = 0
     FULL = 1
@@ -30,7 +31,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended."""
+    """The result of an attempt."""
 
     OK = 200
     ERROR = 500
@@ -39,11 +40,11 @@
     CONNECT_FAILED = 502
     RESET = 598
     CANCELLED = 499
-    MOOT = 410
+    MOOT = 410  # given up before the request was sent
 
 
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
-"""The outcomes that prove that the attempt had no effect."""
+"""The outcomes which prove that the attempt had no effect."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +56,7 @@
     cell: int = 0
     state: EndpointState = EndpointState.READY
     weight: float = 1.0
-    started_ms: float = 0.0  # 0: long ago
+    started_ms: float = 0.0  # 0: not reported, taken as long ago
 
 
 @dataclass(slots=True)
@@ -69,37 +70,33 @@
 
 @dataclass(frozen=True, slots=True)
 class PriorAttempt:
-    """An attempt for a request that another balancer made, or this one in an earlier incarnation."""
+    """An attempt of a request by another balancer, or by this one in an earlier incarnation."""
 
     zone: int
     cell: int
-    sent_ms: float  # on this clock, and no later than it was sent
+    sent_ms: float  # a lower bound of its send time, on this balancer's clock
     may_have_run: bool
 
 
 @dataclass(slots=True)
 class Request:
-    """A client's request; from here on one final answer is owed."""
+    """A client's request, to which the balancer owes one final answer."""
 
     id: int
     deadline_ms: float
     cls: int = 0
     key: int = 0
-    cost_ms: float = 0.0  # 0: not known
+    cost_ms: float = 0.0  # hint of its service time; 0: none
     tenant: int = 0
-    repeat: bool = False
+    repeat: bool = False  # the client's retry of an earlier request
     write: bool = False
-    streams_body: bool = (
-        False  # it is sent while it comes: an attempt takes its client's time before a host has it
-    )
-    prior_attempts: tuple[
-        PriorAttempt, ...
-    ] = ()  # they count as its attempts, and bear the numbers from 0 on
+    streams_body: bool = False  # its body is forwarded as it arrives: an attempt takes as long as the client
+    prior_attempts: tuple[PriorAttempt, ...] = ()  # count as its attempts, numbered from 0
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed answer has begun; the attempt now belongs to the client."""
+    """The start of a streamed answer, which is passed to the client from now on."""
 
     id: int
     attempt: int
@@ -108,7 +105,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """How an attempt ended. `closed`: the client has its answer (or left)."""
+    """The end of an attempt. `closed`: the client has its answer or has disconnected."""
 
     id: int
     attempt: int
@@ -121,21 +118,21 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected: no answer is owed any more."""
+    """The disconnection of a client, to which no answer is owed any more."""
 
     id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """The expiry of a timer."""
 
     token: int
 
 
 @dataclass(slots=True)
 class HealthCheckResult:
-    """How a health check ended."""
+    """The result of a health check."""
 
     host: int
     outcome: Outcome
@@ -145,7 +142,7 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message of another balancer, which this one ignores: it keeps to its own view."""
+    """A message from another balancer. It is ignored: each balancer decides by its own view."""
 
     sender: int
     data: bytes
@@ -153,16 +150,16 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings apply from now on; requests that came before keep their class and limits."""
+    """New settings; earlier requests keep the class and limits under which they arrived."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class SlowStartGrant:
-    """A warming host may be sent `count` requests by this balancer until then.
+    """The permission to send `count` requests to a host that is warming up, until `until_ms`.
 
-    The slow-start coordinator shares out what a host can take while it warms up.
+    The slow-start coordinator divides the capacity of such a host among the balancers.
     """
 
     host: int
--- a/coveport/balancing/host_selection.py
+++ b/coveport/balancing/host_selection.py
@@ -1,4 +1,4 @@
-"""Host selection: the power of two choices, in the nearest level that holds a usable host."""
+"""Host selection: the power of two choices, in the nearest level with a usable host."""
 
 from __future__ import annotations
 
@@ -15,94 +15,94 @@
 from coveport.balancing.slow_start import SlowStart
 from coveport.balancing.subsetting import Subsetting
 
-FAST_TARGETS = 0.15
-"""Part of a target: as much again may be in flight at a host that is expected to answer so soon."""
+FAST_LATENCY_SHARE = 0.15
+"""Fraction of the latency target: a host expected to answer sooner may have twice as many in flight."""
 MAX_DRAWS = 6
-"""Draws to find two usable hosts before a level is looked through."""
+"""Draws to find two usable hosts before all hosts of the level are examined."""
 
 
 class HostSelection(Subsetting, OutlierEjection, SlowStart, RetryPolicy, LoadShedding):
-    """Chooses the host of an attempt.
+    """The choice of the host of an attempt.
 
-    `_is_usable` runs for each host drawn, several times a request, so it and `_draw` stay whole: parted
-    further, their calls would cost more than what they do.
+    `_is_usable` runs for each host drawn, several times a request. It and `_draw` are not split further, as
+    the calls would cost more than the work in them.
     """
 
     def _pick(self, request: RequestState) -> Host | None:
-        """Return a host of the nearest level with a usable one; None where the request has to wait."""
+        """Return a host of the nearest level with a usable host; None if the request has to wait."""
         if self.queue.count and self._is_saturated():
             return None
         levels = self.local, self.wide, self.ready_hosts
-        # The levels behind which no further one is tried, where they hold a host that is not ejected.
-        stops = levels if self.effective_now < request.any_zone_at else levels[1:]
+        # Levels that end the search if they hold a host that is not ejected.
+        final_levels = levels if self.effective_now < request.any_zone_at else levels[1:]
         for level in levels:
             host = self._draw(level, request) if level is self.local or len(level) > len(self.local) else None
-            if host or level is first_usable_level(stops, lambda host: host.readmit_at == inf):
+            if host or level is first_usable_level(final_levels, lambda host: host.readmit_at == inf):
                 return host
-        # Every host looks bad: a fault of this balancer's own view is likelier (Envoy's panic threshold).
+        # All hosts are ejected: a fault in this balancer's view is likelier (Envoy's panic threshold).
         for host in self.ready_hosts:
             host.readmit_at = inf
         return self._draw(self.local or self.ready_hosts, request)
 
     def _draw(self, level: list[Host], request: RequestState) -> Host | None:
-        """Return the less busy of two usable hosts drawn from a level; None where none is usable."""
+        """Return the less busy of two usable hosts drawn from a level; None if no host is usable."""
         tried = [attempt.host for attempt in request.attempts]
-        found = list[Host]()
+        hosts = list[Host]()
         for draw in range(min(MAX_DRAWS, len(level))):
             host = level[int(self.random.random() * len(level))]
-            if host not in found and host not in tried and self._is_usable(host, request, draw < 2):
-                found.append(host)
-                if len(found) == 2:
+            if host not in hosts and host not in tried and self._is_usable(host, request, draw < 2):
+                hosts.append(host)
+                if len(hosts) == 2:
                     break
         else:
             usable = [host for host in level if self._is_usable(host, request, False)]
-            found = [host for host in usable if host not in tried] or usable or found
-        loads = {host: len(host.pending) for host in found}
-        # Two were found in random order: ties fall at random.
-        return less_busy_of_two(found, loads, self.random if len(found) > 2 else None) if found else None
+            hosts = [host for host in usable if host not in tried] or usable or hosts
+        loads = {host: len(host.pending) for host in hosts}
+        # Two drawn hosts are in random order, so ties are broken at random.
+        return less_busy_of_two(hosts, loads, self.random if len(hosts) > 2 else None) if hosts else None
 
-    def _is_usable(self, host: Host, request: RequestState, first: bool) -> bool:
-        """Return whether a host may get a request now; an ejected one that is due gets its health check."""
+    def _is_usable(self, host: Host, request: RequestState, drawn_first: bool) -> bool:
+        """Return whether a host may get a request now; health-check a host whose ejection is over."""
         if host.readmit_at < inf:
             if self.now < host.readmit_at or host.pending:
                 return False
             if self.limits.probes:
-                # Drawn and due: no more health checks than requests, however many hosts are ejected.
+                # Only drawn hosts are checked: no more checks than requests, however many hosts are ejected.
                 self._eject(host)
                 self.actions.append(HealthCheck(host.id))
             if self.limits.probes or (request.cls.effect is Effect.UNSAFE and self.has_repeatable_class):
                 return False
         expected = self._expected_latency(host)
-        # Where answers come this fast, what is in flight is on its way rather than waiting there.
-        most = self.max_in_flight * (2 if expected < self.latency_target * FAST_TARGETS else 1)
+        # With answers this fast, requests in flight are on the network rather than queued at the host.
+        limit = self.max_in_flight * (2 if expected < self.latency_target * FAST_LATENCY_SHARE else 1)
         return (
             host.backoff_until <= self.now
-            and (len(host.pending) < most or host.has_capacity(most))
-            and self._slow_start_allows(host, request, first)
+            and (len(host.pending) < limit or host.has_capacity(limit))
+            and self._slow_start_allows(host, request, drawn_first)
             and expected <= self._latency_limit(request.cls.aim_ms)
             and self._is_allowed(request, host)
         )
 
     def _expected_latency(self, host: Host) -> float:
-        """Return the latency to expect there, in ms, by this balancer's answers and what is in flight."""
+        """Return the expected latency of a host, in ms, from its answers and the requests in flight."""
         in_flight = [attempt for attempt in host.pending.values() if not attempt.lost]
         if not in_flight:
-            forgotten_after = host.mean_latency * max(1.0, self.settings.peers_total / 5)
-            if self.now - host.last_sample_at > forgotten_after:
-                return 0.0  # nothing is known any more: one request may find out, of few balancers at a time
+            stale_after = host.mean_latency * max(1.0, self.settings.peers_total / 5)
+            if self.now - host.last_sample_at > stale_after:
+                return 0.0  # the estimate is stale: one request, of few balancers at a time, may renew it
         oldest = in_flight[0].sent_at if in_flight else self.now
-        # An answer that is late is evidence before any time-out.
+        # A late answer is evidence even before its time-out.
         return max(host.mean_latency * (len(in_flight) + 1), self.now - oldest)
 
     def _any_capacity(self) -> bool:
-        """Return whether any host may have capacity; if not, drawing for each queue is of no use."""
-        patience = self._latency_limit(self.longest_target)
-        # Where all are ejected, each is given a chance.
+        """Return whether any host may have capacity; if not, no host needs to be drawn for any queue."""
+        latency_limit = self._latency_limit(self.longest_target)
+        # If all hosts are ejected, `_pick` readmits them.
         return all(host.readmit_at < inf for host in self.ready_hosts) or any(
             self.now >= host.readmit_at and not host.pending
             if host.readmit_at < inf
             else host.backoff_until <= self.now
             and host.has_capacity(2 * self.max_in_flight)
-            and self._expected_latency(host) <= patience
+            and self._expected_latency(host) <= latency_limit
             for host in self.ready_hosts
         )
--- a/coveport/balancing/load_shedding.py
+++ b/coveport/balancing/load_shedding.py
@@ -1,7 +1,7 @@
-"""Load shedding: this balancer's share of what may wait at the hosts.
+"""Load shedding: this balancer's share of the requests in flight at the hosts.
 
-It guards against balancers that fill each host as far as they may: what all of them have waiting there makes
-it slower, and is late.
+Without it balancers would fill each host as far as they may; the backlog of all of them would slow the host
+down and make its answers late.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from coveport.balancing.subsetting import ARRIVALS_COUNTED_TARGETS
 
 IN_FLIGHT_TARGETS = 0.3
-"""While requests are queued, no more are in flight than come in this part of a target (Little's law)."""
+"""Fraction of a latency target whose arrivals may be in flight while requests are queued (Little's law)."""
 
 
 class LoadShedding(BalancerState):
-    """Keeps requests queued here while enough are in flight."""
+    """The limit on requests in flight above which further requests stay queued."""
 
     def _is_saturated(self) -> bool:
-        """Return whether enough is in flight, while latency is high.
+        """Return whether enough requests are in flight while latency is high.
 
-        Attempts that are lost, or in flight at ejected hosts, hold up nobody and do not count.
+        Attempts that are lost, overdue or at ejected hosts take no capacity and do not count.
         """
         allowance = max(1.0, self.arrivals * IN_FLIGHT_TARGETS / ARRIVALS_COUNTED_TARGETS)
         return (
--- a/coveport/balancing/locality.py
+++ b/coveport/balancing/locality.py
@@ -1,6 +1,6 @@
-"""Locality and two draws: the level of candidates a request goes to, and which of two drawn there takes it.
+"""Locality and the power of two choices: a request's level of candidates, and its choice of two drawn there.
 
-The power of two choices: Mitzenmacher, IEEE TPDS 12(10), 2001. Pure but for the draws.
+The power of two choices: Mitzenmacher, IEEE TPDS 12(10), 2001. The functions are pure but for the draws.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def first_usable_level(levels: Iterable[Sequence[C]], is_usable: Callable[[C], bool]) -> Sequence[C]:
-    """Return the first level that holds a usable candidate; an empty one where none does."""
+    """Return the first level with a usable candidate; an empty level if there is none."""
     return next((level for level in levels if any(map(is_usable, level))), ())
 
 
@@ -23,9 +23,9 @@
     random: Random | None,
     tie_break: Callable[[C, C], C | None] | None = None,
 ) -> C:
-    """Return the less busy of two drawn, or of two given where there is no `random`.
+    """Return the less busy of two candidates drawn by `random`, or of the two given if it is None.
 
-    Of equals it is the one that `tie_break` prefers, or the first.
+    A tie goes to the candidate that `tie_break` prefers, or to the first one.
     """
     drawn = candidates if random is None else random.sample(candidates, min(2, len(candidates)))
     first, second = drawn[0], drawn[-1]
--- a/coveport/balancing/outlier_ejection.py
+++ b/coveport/balancing/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: hosts that fail or do not respond get nothing until they are tried again.
+"""Outlier ejection: hosts that fail or do not respond get no requests until they are tried again.
 
 See Envoy's outlier detection: consecutive failures eject, and each further ejection lasts longer.
 """
@@ -14,25 +14,25 @@
 FIRST_EJECTION_TARGETS = 0.5
 """Mean length of a first ejection, in latency targets."""
 MAX_DOUBLINGS = 5
-"""How often the length of an ejection is doubled at the most."""
+"""Largest number of times that the length of an ejection is doubled."""
 FAILURES_TO_EJECT = 2
 """Errors or resets in a row that eject a host."""
 LATENCY_WEIGHT = 0.25
-"""Weight of the newest answer in a host's average latency: a balancer sees few."""
+"""Weight of the newest answer in a host's average latency; a balancer sees few answers of a host."""
 
 
 class OutlierEjection(BalancerState):
-    """Judges hosts by the outcomes of attempts and health checks."""
+    """The health of hosts, from the outcomes of attempts and health checks."""
 
     def _record_outcome(self, host: Host, outcome: Outcome, latency: float, attempt: Attempt | None) -> None:
-        """Record an outcome of a host; `attempt` is None for a health check."""
+        """Record an outcome at a host; `attempt` is None for a health check."""
         if outcome is Outcome.OK:
             self._record_success(host)
-        elif outcome is Outcome.FULL:  # it lives: not removed, only left alone for about one answer
+        elif outcome is Outcome.FULL:  # it is alive: no ejection, only a pause of about one answer
             host.last_response_at = self.now
             host.backoff_until = self.now + max(host.mean_latency, self.service_time)
         elif outcome in (Outcome.ERROR, Outcome.RESET):
-            # One spoilt or broken answer comes from any host alike; a dead one refuses the next connect.
+            # Any host may send one error or reset; a dead host refuses the next connection.
             host.consecutive_failures += 1
             if host.consecutive_failures >= FAILURES_TO_EJECT or host.readmit_at < inf:
                 self._eject(host, unresponsive=False)
@@ -45,12 +45,12 @@
 
     def _record_success(self, host: Host) -> None:
         if host.readmit_at < inf:
-            down = self.now - host.unresponsive_since
+            outage = self.now - host.unresponsive_since
             if (
-                down > max(self.latency_target, self.rules.fall_ms)
+                outage > max(self.latency_target, self.rules.fall_ms)
                 and host.unresponsive_since > host.last_response_at
             ):
-                # A host back from long silence was most likely restarted: cold, though nobody said so.
+                # A host back from a long silence has probably restarted, even if discovery did not report it.
                 host.slow_start_at = self.now
                 host.mean_latency = 0.0
             host.readmit_at = inf
@@ -70,16 +70,18 @@
                 if not host.mean_latency
                 else host.mean_latency + LATENCY_WEIGHT * (unit_latency - host.mean_latency)
             )
-            # A time-out is news too: else a jammed host looks forgotten, and every balancer sends it another.
+            # A time-out is a sample too: else the estimate of a stuck host goes stale and invites requests.
             host.last_sample_at = self.now
 
     def _eject(self, host: Host, *, unresponsive: bool = True) -> None:
-        """Eject a host, or prolong an ejection that is over. `unresponsive`: it did not answer at all."""
+        """Eject a host, or extend an ejection that is over. `unresponsive`: it did not answer at all."""
         if host.readmit_at == inf or self.now >= host.readmit_at:
             host.ejections += 1
-            wait = self.latency_target * FIRST_EJECTION_TARGETS * 2 ** min(host.ejections - 1, MAX_DOUBLINGS)
-            # With jitter: balancers must not try in step.
-            host.readmit_at = self.now + wait * self.random.uniform(0.5, 1.5)
-            # A host that sends errors lives: taken for restarted, it would be in slow start for seconds.
+            duration = (
+                self.latency_target * FIRST_EJECTION_TARGETS * 2 ** min(host.ejections - 1, MAX_DOUBLINGS)
+            )
+            # Jitter keeps balancers from trying the host at the same time.
+            host.readmit_at = self.now + duration * self.random.uniform(0.5, 1.5)
+            # A host that sends errors is alive: taken for restarted, it would be in slow start for seconds.
             if unresponsive:
                 host.unresponsive_since = min(host.unresponsive_since, self.now)
--- a/coveport/balancing/pending_requests.py
+++ b/coveport/balancing/pending_requests.py
@@ -1,8 +1,9 @@
-"""Queues of pending requests, none looked at without need: an answer frees capacity for few of thousands.
+"""Queues of pending requests that examine few of thousands: an answer frees capacity for few requests.
 
-The requests of a class share a queue, the newest in front. It is walked until the first that finds no host,
-as others would not either. Those that may go to any zone have a queue of their own, behind the others of
-their class. Two heaps tell what is due.
+The requests of a class share a queue, the newest in front. It is iterated up to the first request that finds
+no host, since the ones behind it would find none either. Requests that may go to any zone have a separate
+queue, behind the other requests of their class. Two heaps order the requests by the times at which they
+expire or may go to any zone.
 """
 
 from __future__ import annotations
@@ -15,30 +16,30 @@
 
 
 class PendingRequest:
-    """What is queued. An entry under another number than the request's own is an old one."""
+    """A request that can be queued. An entry with another number than the request's current one is stale."""
 
-    class_name: str  # its class
-    queue_until: float  # then it is answered
-    any_zone_at: float  # from then on it may go to any zone
+    class_name: str  # name of its request class
+    queue_until: float  # when it expires, in ms
+    any_zone_at: float  # when it may go to any zone, in ms
     waiting = False  # whether it is queued
-    heap_number = 0  # of its entries on the heaps
-    queue_number = 0  # of its entry in its queue
+    heap_number = 0  # number of its heap entries
+    queue_number = 0  # number of its queue entry
 
 
 R = TypeVar("R", bound=PendingRequest)
 QueueKey = tuple[str, bool]
-"""The key of a queue: a class, and whether its requests wait for their own zone."""
+"""The key of a queue: a class name, and whether its requests wait for a host of the own zone."""
 
 
 class PendingRequests(Generic[R]):
-    """All pending requests, in queues by class and by whether they wait for their own zone. Times in ms."""
+    """All pending requests, in queues by class and by whether they wait for the own zone. Times are in ms."""
 
     def __init__(self) -> None:
         self._queues = dict[QueueKey, deque[tuple[int, R]]]()
-        self._expiries = list[tuple[float, int, R]]()
-        self._crossings = list[tuple[float, int, R]]()
-        self.count = 0  # of pending requests
-        self._entries = 0  # ever made
+        self._expiries = list[tuple[float, int, R]]()  # heap by `queue_until`, with entry numbers
+        self._zone_expiries = list[tuple[float, int, R]]()  # heap by `any_zone_at`, with entry numbers
+        self.count = 0  # number of pending requests
+        self._entry_count = 0  # number of entries ever made
 
     def __iter__(self) -> Iterator[R]:
         return (
@@ -49,31 +50,33 @@
         )
 
     def add(self, request: R, now: float) -> None:
-        """Queue a request, in front of others of its sort."""
+        """Queue a request, in front of the others in its queue."""
         self.count += 1
-        self._enqueue(request, near=request.any_zone_at > now)
+        self._enqueue(request, own_zone=request.any_zone_at > now)
         request.waiting = True
         request.heap_number = request.queue_number
         heappush(self._expiries, (request.queue_until, request.heap_number, request))
         if request.any_zone_at > now:
-            heappush(self._crossings, (request.any_zone_at, request.heap_number, request))
+            heappush(self._zone_expiries, (request.any_zone_at, request.heap_number, request))
 
-    def _enqueue(self, request: R, *, near: bool) -> None:
-        self._entries += 1
-        request.queue_number = self._entries
-        self._queues.setdefault((request.class_name, near), deque()).appendleft((self._entries, request))
+    def _enqueue(self, request: R, *, own_zone: bool) -> None:
+        self._entry_count += 1
+        request.queue_number = self._entry_count
+        self._queues.setdefault((request.class_name, own_zone), deque()).appendleft(
+            (self._entry_count, request)
+        )
 
     def remove(self, request: R) -> None:
-        """Take a request out; its entries are cleared when they are next come by."""
+        """Remove a request. Its entries are stale from now on, and dropped when they are next met."""
         self.count -= request.waiting
         request.waiting = False
-        if not self.count:  # nothing of a class that is gone stays behind
+        if not self.count:  # a class removed from the settings leaves no entries
             self._queues = {}
             self._expiries = []
-            self._crossings = []
+            self._zone_expiries = []
 
     def expired(self, now: float) -> list[R]:
-        """Return those whose time is over by now; they stay pending until they are removed."""
+        """Return the requests that have expired; they stay pending until they are removed."""
         return list(self._pop_due(self._expiries, now))
 
     @staticmethod
@@ -84,19 +87,19 @@
                 yield request
 
     def queues(self, now: float, rank: Callable[[R], float]) -> Iterator[tuple[QueueKey, Iterator[R]]]:
-        """Yield the queues in the order of their front's rank; while one is walked none may be added."""
-        for request in self._pop_due(self._crossings, now):
-            self._enqueue(request, near=False)
-        # Equals go by which queue was there first: a name must not decide.
+        """Yield the queues by the rank of their front; no request may be added during the iteration."""
+        for request in self._pop_due(self._zone_expiries, now):
+            self._enqueue(request, own_zone=False)
+        # Equal ranks keep the order in which the queues were created: a name must not decide.
         order = sorted(
             (
-                (rank(queue[0][1]), not near, kind, queue)
-                for (kind, near), queue in self._queues.items()
+                (rank(queue[0][1]), not own_zone, class_name, queue)
+                for (class_name, own_zone), queue in self._queues.items()
                 if queue
             ),
             key=lambda row: row[:2],
         )
-        for _, far, kind, queue in order:
+        for _, any_zone, class_name, queue in order:
             for end, pop in ((0, queue.popleft), (-1, queue.pop)):
                 while queue and not (queue[end][1].waiting and queue[end][1].queue_number == queue[end][0]):
                     pop()
@@ -104,13 +107,13 @@
                 current = (
                     request for number, request in queue if request.waiting and request.queue_number == number
                 )
-                yield (kind, not far), current
+                yield (class_name, not any_zone), current
 
     def next_at(self, now: float) -> float:
-        """Return when the next expires or may go to any zone, past what is due by now; infinity if none."""
-        for heap in (self._expiries, self._crossings):
+        """Return when, after `now`, the next request expires or may go to any zone; infinity if never."""
+        for heap in (self._expiries, self._zone_expiries):
             while heap and (
                 heap[0][0] <= now or not heap[0][2].waiting or heap[0][2].heap_number != heap[0][1]
             ):
                 heappop(heap)
-        return min((heap[0][0] for heap in (self._expiries, self._crossings) if heap), default=inf)
+        return min((heap[0][0] for heap in (self._expiries, self._zone_expiries) if heap), default=inf)
--- a/coveport/balancing/retry_policy.py
+++ b/coveport/balancing/retry_policy.py
@@ -1,4 +1,4 @@
-"""Retry policy: which further attempts and which rejections keep the rules on repeated effects."""
+"""Retry policy: the further attempts and rejections that the rules on repeated execution allow."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from coveport.balancing.settings import Effect
 
 RETRY_BUDGET_BURST = 2.0
-"""The most retries saved up; retries may overdraw the budget as much, hedged requests may not."""
+"""Largest retry budget that is saved up; retries may overdraw it by as much, hedged requests may not."""
 
 
 class RetryPolicy(BalancerState):
-    """Says whether a request may be tried again, and where."""
+    """The rules on whether a request may be tried again, and at which host."""
 
     def _is_allowed(self, request: RequestState, host: Host | None) -> bool:
-        """Return whether another attempt at `host`, or a rejection (no host), keeps the rules."""
+        """Return whether the rules allow another attempt at `host`, or a rejection (no host)."""
         cls = request.cls
-        risky = [attempt for attempt in request.attempts if attempt.may_have_run]
+        possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
         if host is None:
-            return not risky or cls.repeats_anywhere
+            return not possibly_run or cls.is_repeatable_anywhere
         if (
             not host.ready
             or request.streaming
@@ -28,23 +28,28 @@
             or (not request.limits.second_copies and any(attempt.pending for attempt in request.attempts))
         ):
             return False
-        if not risky or cls.effect is not Effect.KEYED or request.streams_body:  # which takes its time
-            return not risky or cls.effect is Effect.SAFE
+        if (
+            not possibly_run or cls.effect is not Effect.KEYED or request.streams_body
+        ):  # too slow for the window
+            return not possibly_run or cls.effect is Effect.SAFE
         return all(
             self.now - attempt.sent_at < request.window and cls.group.covers(attempt.host, host)
-            for attempt in risky
+            for attempt in possibly_run
         )
 
     def _may_retry(self, request: RequestState) -> bool:
-        """Return whether time, attempts and the retry budget allow another attempt; charge the budget."""
-        risky = [attempt for attempt in request.attempts if attempt.may_have_run]
-        if risky and request.cls.effect is Effect.KEYED:  # behind its window it would be held for nothing
-            request.queue_until = min(request.queue_until, risky[0].sent_at + request.window)
+        """Return whether time, attempts and retry budget allow another attempt; if so, charge the budget."""
+        possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
+        if possibly_run and request.cls.effect is Effect.KEYED:  # no repeat is allowed after the window
+            request.queue_until = min(request.queue_until, possibly_run[0].sent_at + request.window)
         if (
             self.effective_now >= request.queue_until
             or len(request.attempts) >= request.limits.max_attempts
-            or (risky and (request.cls.effect is Effect.UNSAFE or self.retry_budget <= -RETRY_BUDGET_BURST))
+            or (
+                possibly_run
+                and (request.cls.effect is Effect.UNSAFE or self.retry_budget <= -RETRY_BUDGET_BURST)
+            )
         ):
             return False
-        self.retry_budget -= bool(risky)
+        self.retry_budget -= bool(possibly_run)
         return True
--- a/coveport/balancing/settings.py
+++ b/coveport/balancing/settings.py
@@ -1,6 +1,6 @@
 """Settings of a balancer: request classes, limits of the site, slow-start rules and prices.
 
-Times are milliseconds. A value that no balancer can work with raises `ValueError`, which names the field.
+Times are in milliseconds. A value out of range raises `ValueError`, which names the field.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class Effect(Enum):
-    """What running a request twice would do."""
+    """The effect of running a request twice."""
 
-    SAFE = "safe"  # may be repeated freely
-    KEYED = "keyed"  # repeats are dropped inside a group of hosts, for a while
-    UNSAFE = "unsafe"  # must never run twice
+    SAFE = "safe"  # harmless: the request may be repeated freely
+    KEYED = "keyed"  # for a limited time, hosts of a group drop repeats by the request's key
+    UNSAFE = "unsafe"  # harmful: the request must never run twice
 
 
 class Locality(Protocol):
@@ -24,29 +24,29 @@
 
     @property
     def zone(self) -> int:
-        """Its zone."""
+        """The zone of the host."""
 
     @property
     def cell(self) -> int:
-        """Its cell, unique in its zone."""
+        """The cell of the host, unique within its zone."""
 
 
 class DeduplicationScope(Enum):
-    """Which hosts drop the repeats of a keyed request: all, those of one zone, or those of one cell."""
+    """The hosts that drop each other's repeats of a keyed request: all, or those of a zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
     def covers(self, first: Locality, second: Locality) -> bool:
-        """Return whether two localities drop each other's repeats."""
+        """Return whether hosts at two localities drop each other's repeats."""
         same_zone = first.zone == second.zone
         return self is DeduplicationScope.ALL or (
             same_zone and (self is DeduplicationScope.ZONE or first.cell == second.cell)
         )
 
 
-_MAX_FLOAT = sys.float_info.max  # guards against whole numbers beyond all floats, which JSON may hold
+_MAX_FLOAT = sys.float_info.max  # JSON may hold integers beyond the range of floats
 
 
 def _positive(**values: float) -> None:
@@ -63,17 +63,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests: its value, latency target and deadline, and whether it may run again."""
+    """A class of requests: its value, latency target and deadline, and whether it may be repeated."""
 
     name: str = ""
-    aim_ms: float = 1000.0
+    aim_ms: float = 1000.0  # latency target
     deadline_ms: float = 5000.0
-    worth: float = 1.0
-    late_share: float = 0.0
-    aim_stretch: float = 0.0
+    worth: float = 1.0  # value of an answer within the latency target
+    late_share: float = 0.0  # fraction of the value that a later answer still has
+    aim_stretch: float = 0.0  # fraction of the cost hint by which the target is longer
     effect: Effect = Effect.UNSAFE
-    group: DeduplicationScope = DeduplicationScope.ALL
-    window_ms: float = 0.0
+    group: DeduplicationScope = DeduplicationScope.ALL  # hosts that drop repeats of a keyed request
+    window_ms: float = 0.0  # time for which they drop them
     stream: bool = False
 
     def __post_init__(self) -> None:
@@ -86,8 +86,8 @@
         )
 
     @property
-    def repeats_anywhere(self) -> bool:
-        """Whether another attempt at any host whatever, by whomever, does no harm."""
+    def is_repeatable_anywhere(self) -> bool:
+        """Whether another attempt is harmless at any host, even if the client makes it."""
         return self.effect is Effect.SAFE or (
             self.effect is Effect.KEYED and self.group is DeduplicationScope.ALL
         )
@@ -98,10 +98,10 @@
     """Limits of the site on attempts, hedged requests and health checks."""
 
     max_attempts: int = 3
-    second_copies: bool = False
-    cancel: bool = False
-    probes: bool = False
-    retry_after: bool = False
+    second_copies: bool = False  # whether hedged requests are allowed
+    cancel: bool = False  # whether attempts in flight may be cancelled
+    probes: bool = False  # whether health checks are allowed
+    retry_after: bool = False  # whether a rejection may state when to retry
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 250.0
 
@@ -112,13 +112,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Figures of the rules on answers, drains and slow start."""
+    """Parameters of the rules on answers, draining and slow start."""
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    ask_within_ms: float = 10_000.0
-    cold_from: float = 0.1
-    warm_after_ms: float = 30_000.0
+    ask_within_ms: float = 10_000.0  # time within which discovery must be asked
+    cold_from: float = 0.1  # fraction of its capacity that a host has at its start
+    warm_after_ms: float = 30_000.0  # time from the start of a host to its full capacity
     overload_factor: float = 2.0
     fall_ms: float = 1000.0
 
@@ -138,13 +138,13 @@
             raise ValueError(f"cold_from must be at most 1, not {self.cold_from!r}")
 
     def capacity_fraction(self, age_ms: float) -> float:
-        """Return the part of its capacity that a host has `age_ms` after its start, before it is warm."""
+        """Return the fraction of its capacity that a host has `age_ms` after its start, before it is warm."""
         return self.cold_from + (1 - self.cold_from) * max(age_ms, 0.0) / self.warm_after_ms
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result, each as a fraction of a mean request's worth."""
+    """Costs of a decision, each as a fraction of the value of a mean request."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -159,14 +159,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer knows at its start."""
+    """The configuration of a balancer."""
 
     classes: tuple[RequestClass, ...]
     zone: int = 0
     peers_total: int = 1
-    must_ask: bool = False  # the list comes only to those who ask for it
+    must_ask: bool = False  # whether endpoint updates come only after a subscription
     worth_by_work: bool = False
-    tick_ms: float = 1.0
+    tick_ms: float = 1.0  # resolution of the caller's timers
     load_fields: tuple[str, ...] = ()
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
--- a/coveport/balancing/simulator_codec.py
+++ b/coveport/balancing/simulator_codec.py
@@ -1,7 +1,7 @@
-"""Codec of the simulator's wire: bytes to events, actions to bytes. It decides nothing.
+"""Codec of the simulator's wire format: bytes to events and actions to bytes, without any decision.
 
-All numbers are little-endian. Each record begins with a code of two bytes; the codes and layouts are the
-simulator's.
+All numbers are little-endian. Each record begins with a code of two bytes. The simulator defines the codes
+and layouts.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 _SELECT_CODE = 12
 _HOST_LIST_CODE = 11
 
-_OUTCOMES = {int(o): o for o in events.Outcome}
-_STATES = {int(s): s for s in events.EndpointState}
+_OUTCOMES = {int(outcome): outcome for outcome in events.Outcome}
+_STATES = {int(state): state for state in events.EndpointState}
 _REPEAT_FLAG, _WRITE_FLAG, _HINT_FLAG = 2, 4, 1
 
 
 class Attach:
-    """An instance starts, with nothing but its settings."""
+    """The start of an instance, with its settings and without any other state."""
 
     __slots__ = ("info", "seed")
 
@@ -45,7 +45,7 @@
 
 
 class Halt:
-    """An instance is killed; all its state is void."""
+    """The kill of an instance; all its state is discarded."""
 
     __slots__ = ()
 
@@ -54,7 +54,7 @@
 
 
 def read_exactly(stream: BinaryIO, count: int, *, may_end: bool = False) -> bytes:
-    """Read `count` bytes; the input may end before the first of them if `may_end`, never in the middle."""
+    """Read `count` bytes; with `may_end` the input may end before the first byte, but not after it."""
     chunks: list[bytes] = []
     missing = count
     while missing:
@@ -80,78 +80,78 @@
 
 
 class Decoder:
-    """Turns the records of batches into (instance, item) pairs; holds the numbered host lists."""
+    """A decoder of the records of batches, which keeps the numbered host lists."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[events.Endpoint, ...]] = {}
 
     def decode(self, body: bytes, count: int) -> Iterator[tuple[int, Item]]:
-        """Yield each event with the instance it is for, in order."""
-        at, instance = 0, -1
+        """Yield each item with its instance, in order."""
+        offset, instance = 0, -1
         try:
             for _ in range(count):
-                (code,) = _CODE.unpack_from(body, at)
-                at += 2
+                (code,) = _CODE.unpack_from(body, offset)
+                offset += 2
                 if code == _SELECT_CODE:
-                    (instance,) = _SELECT.unpack_from(body, at)
-                    at += 2
+                    (instance,) = _SELECT.unpack_from(body, offset)
+                    offset += 2
                     continue
                 if code == _HOST_LIST_CODE:
-                    at = self._endpoint_list(body, at)
+                    offset = self._endpoint_list(body, offset)
                     continue
                 if instance < 0:
                     raise WireError(f"record {code} before any instance was selected")
-                item, at = self._item(code, body, at)
+                item, offset = self._item(code, body, offset)
                 yield instance, item
-        except struct.error as problem:
-            raise WireError(f"record cut short at byte {at}: {problem}") from None
-        if at != len(body):
-            raise WireError(f"{len(body) - at} bytes left over after {count} records")
-
-    def _endpoint_list(self, body: bytes, at: int) -> int:
-        number, entries = _HOST_LIST.unpack_from(body, at)
-        at += _HOST_LIST.size
-        end: int = at + entries * _ENTRY.size
+        except struct.error as error:
+            raise WireError(f"record cut short at byte {offset}: {error}") from None
+        if offset != len(body):
+            raise WireError(f"{len(body) - offset} bytes left over after {count} records")
+
+    def _endpoint_list(self, body: bytes, offset: int) -> int:
+        number, entries = _HOST_LIST.unpack_from(body, offset)
+        offset += _HOST_LIST.size
+        end: int = offset + entries * _ENTRY.size
         if end > len(body):
             raise WireError(f"host list {number} of {entries} entries is cut short")
         self._lists[number] = tuple(
-            # A state that is not known is treated as draining: nothing new goes there.
+            # An unknown state is treated as draining: the host gets no new requests.
             events.Endpoint(
                 host, zone, cell, _STATES.get(state, events.EndpointState.DRAINING), weight, started
             )
-            for host, zone, _kind, cell, state, weight, started in _ENTRY.iter_unpack(body[at:end])
+            for host, zone, _kind, cell, state, weight, started in _ENTRY.iter_unpack(body[offset:end])
         )
         return end
 
-    def _item(self, code: int, body: bytes, at: int) -> tuple[Item, int]:
-        """Return the item of a record, and where the next record begins."""
+    def _item(self, code: int, body: bytes, offset: int) -> tuple[Item, int]:
+        """Return the item of a record, and the offset of the next record."""
         decode = self._DECODERS.get(code)
         if decode is None:
-            raise WireError(f"unknown record code {code} at byte {at - 2}")
-        return decode(self, body, at)
+            raise WireError(f"unknown record code {code} at byte {offset - 2}")
+        return decode(self, body, offset)
 
-    def _attach(self, body: bytes, at: int) -> tuple[Item, int]:
-        seed, size = _ATTACH.unpack_from(body, at)
-        text, end = self._bytes(body, at + _ATTACH.size, size)
+    def _attach(self, body: bytes, offset: int) -> tuple[Item, int]:
+        seed, size = _ATTACH.unpack_from(body, offset)
+        text, end = self._bytes(body, offset + _ATTACH.size, size)
         return Attach(seed, text), end
 
-    def _halt(self, _body: bytes, at: int) -> tuple[Item, int]:
-        return Halt(), at
+    def _halt(self, _body: bytes, offset: int) -> tuple[Item, int]:
+        return Halt(), offset
 
-    def _endpoint_update(self, body: bytes, at: int) -> tuple[Item, int]:
-        form, epoch, number = _ENDPOINT_UPDATE.unpack_from(body, at)
-        at += _ENDPOINT_UPDATE.size
-        if form not in (0, 1, 2, 3):
-            raise WireError(f"unknown kind of host list: {form}")
-        kind = events.EndpointUpdateKind(form)
+    def _endpoint_update(self, body: bytes, offset: int) -> tuple[Item, int]:
+        kind_code, version, list_number = _ENDPOINT_UPDATE.unpack_from(body, offset)
+        offset += _ENDPOINT_UPDATE.size
+        if kind_code not in (0, 1, 2, 3):
+            raise WireError(f"unknown kind of host list: {kind_code}")
+        kind = events.EndpointUpdateKind(kind_code)
         if kind is events.EndpointUpdateKind.FAILED:
-            return events.EndpointUpdate(kind, (), epoch), at
-        if number not in self._lists:
-            raise WireError(f"host list {number} was never sent")
-        return events.EndpointUpdate(kind, self._lists[number], epoch), at
+            return events.EndpointUpdate(kind, (), version), offset
+        if list_number not in self._lists:
+            raise WireError(f"host list {list_number} was never sent")
+        return events.EndpointUpdate(kind, self._lists[list_number], version), offset
 
-    def _request(self, body: bytes, at: int) -> tuple[Item, int]:
-        request, key, flags, deadline, request_class, cost, tenant = _REQUEST.unpack_from(body, at)
+    def _request(self, body: bytes, offset: int) -> tuple[Item, int]:
+        request, key, flags, deadline, request_class, cost, tenant = _REQUEST.unpack_from(body, offset)
         item = events.Request(
             request,
             deadline,
@@ -162,32 +162,32 @@
             bool(flags & _REPEAT_FLAG),
             bool(flags & _WRITE_FLAG),
         )
-        return item, at + _REQUEST.size
+        return item, offset + _REQUEST.size
 
-    def _stream_started(self, body: bytes, at: int) -> tuple[Item, int]:
-        request, attempt, host, _latency = _STREAM_STARTED.unpack_from(body, at)
-        return events.StreamStarted(request, attempt, host), at + _STREAM_STARTED.size
+    def _stream_started(self, body: bytes, offset: int) -> tuple[Item, int]:
+        request, attempt, host, _latency = _STREAM_STARTED.unpack_from(body, offset)
+        return events.StreamStarted(request, attempt, host), offset + _STREAM_STARTED.size
 
-    def _reply(self, body: bytes, at: int) -> tuple[Item, int]:
-        request, attempt, host, outcome, latency, closed, fields = _REPLY.unpack_from(body, at)
-        load, end = self._load(body, at + _REPLY.size, fields)
+    def _reply(self, body: bytes, offset: int) -> tuple[Item, int]:
+        request, attempt, host, outcome, latency, closed, fields = _REPLY.unpack_from(body, offset)
+        load, end = self._load(body, offset + _REPLY.size, fields)
         item = events.Reply(request, attempt, host, self._outcome(outcome), latency, bool(closed), load)
         return item, end
 
-    def _client_disconnected(self, body: bytes, at: int) -> tuple[Item, int]:
-        return events.ClientDisconnected(*_ID_ONLY.unpack_from(body, at)), at + _ID_ONLY.size
+    def _client_disconnected(self, body: bytes, offset: int) -> tuple[Item, int]:
+        return events.ClientDisconnected(*_ID_ONLY.unpack_from(body, offset)), offset + _ID_ONLY.size
 
-    def _timer_fired(self, body: bytes, at: int) -> tuple[Item, int]:
-        return events.TimerFired(*_ID_ONLY.unpack_from(body, at)), at + _ID_ONLY.size
+    def _timer_fired(self, body: bytes, offset: int) -> tuple[Item, int]:
+        return events.TimerFired(*_ID_ONLY.unpack_from(body, offset)), offset + _ID_ONLY.size
 
-    def _health_check_result(self, body: bytes, at: int) -> tuple[Item, int]:
-        host, outcome, latency, fields = _HEALTH_CHECK.unpack_from(body, at)
-        load, end = self._load(body, at + _HEALTH_CHECK.size, fields)
+    def _health_check_result(self, body: bytes, offset: int) -> tuple[Item, int]:
+        host, outcome, latency, fields = _HEALTH_CHECK.unpack_from(body, offset)
+        load, end = self._load(body, offset + _HEALTH_CHECK.size, fields)
         return events.HealthCheckResult(host, self._outcome(outcome), latency, load), end
 
-    def _peer_message(self, body: bytes, at: int) -> tuple[Item, int]:
-        sender, size = _PEER.unpack_from(body, at)
-        data, end = self._bytes(body, at + _PEER.size, size)
+    def _peer_message(self, body: bytes, offset: int) -> tuple[Item, int]:
+        sender, size = _PEER.unpack_from(body, offset)
+        data, end = self._bytes(body, offset + _PEER.size, size)
         return events.PeerMessage(sender, data), end
 
     _DECODERS: ClassVar[dict[int, Callable[[Decoder, bytes, int], tuple[Item, int]]]] = {
@@ -204,22 +204,22 @@
     }
 
     @staticmethod
-    def _outcome(how: int) -> events.Outcome:
-        if how not in _OUTCOMES:
-            raise WireError(f"unknown outcome {how}")
-        return _OUTCOMES[how]
+    def _outcome(code: int) -> events.Outcome:
+        if code not in _OUTCOMES:
+            raise WireError(f"unknown outcome {code}")
+        return _OUTCOMES[code]
 
     @staticmethod
-    def _load(body: bytes, at: int, fields: int) -> tuple[tuple[float, ...], int]:
+    def _load(body: bytes, offset: int, fields: int) -> tuple[tuple[float, ...], int]:
         if not fields:
-            return (), at
-        return struct.unpack_from(f"<{fields}f", body, at), at + 4 * fields
+            return (), offset
+        return struct.unpack_from(f"<{fields}f", body, offset), offset + 4 * fields
 
     @staticmethod
-    def _bytes(body: bytes, at: int, size: int) -> tuple[bytes, int]:
-        if at + size > len(body):
-            raise WireError(f"{size} bytes of content are cut short at byte {at}")
-        return body[at : at + size], at + size
+    def _bytes(body: bytes, offset: int, size: int) -> tuple[bytes, int]:
+        if offset + size > len(body):
+            raise WireError(f"{size} bytes of content are cut short at byte {offset}")
+        return body[offset : offset + size], offset + size
 
 
 _SELECT_INSTANCE = struct.Struct("<HH").pack
@@ -248,7 +248,7 @@
 
 
 def encode_action(action: actions.Action) -> bytes:
-    """Return an action as a record."""
+    """Return the record of an action."""
     encode = _ENCODERS.get(type(action))
     return _BARE(_FETCH_CODE) if encode is None else encode(action)
 
--- a/coveport/balancing/simulator_link.py
+++ b/coveport/balancing/simulator_link.py
@@ -1,4 +1,4 @@
-"""The loop between the simulator's wire and the decisions: one Balancer for each instance, none shared."""
+"""The loop between the simulator's wire and the balancers, of which each instance has one of its own."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from coveport.balancing.errors import WireError
 
 
-def answer(
+def answer_batch(
     balancers: dict[int, Balancer], decoder: simulator_codec.Decoder, now: float, count: int, body: bytes
 ) -> list[bytes]:
-    """Return the records that answer one batch.
+    """Return the records that answer a batch.
 
-    A failure of the decision code becomes a record of its own, and the next events are handled as ever.
+    A failure of the decision code becomes a record of its own; later events are handled as usual.
     """
     records: list[bytes] = []
     selected = -1
     for instance, item in decoder.decode(body, count):
-        answers: list[actions.Action] = []
+        returned_actions: list[actions.Action] = []
         fault = b""
         try:
             if isinstance(item, simulator_codec.Attach):
@@ -29,14 +29,14 @@
             elif isinstance(item, simulator_codec.Halt):
                 balancers.pop(instance, None)
             elif instance in balancers:
-                answers = balancers[instance].handle(now, item)
-        except Exception:  # noqa: BLE001 - whatever failed in there, the simulator shows its text
+                returned_actions = balancers[instance].handle(now, item)
+        except Exception:  # noqa: BLE001 - the simulator shows the text of any failure
             fault = simulator_codec.encode_fault(traceback.format_exc())
-        if answers or fault:
+        if returned_actions or fault:
             if instance != selected:
                 records.append(simulator_codec.encode_select(instance))
                 selected = instance
-            records.extend(map(simulator_codec.encode_action, answers))
+            records.extend(map(simulator_codec.encode_action, returned_actions))
             if fault:
                 records.append(fault)
     return records
@@ -48,16 +48,16 @@
     decoder = simulator_codec.Decoder()
     while (batch := simulator_codec.read_batch(source)) is not None:
         now, number, count, body = batch
-        sink.write(simulator_codec.encode_reply(number, answer(balancers, decoder, now, count, body)))
+        sink.write(simulator_codec.encode_reply(number, answer_batch(balancers, decoder, now, count, body)))
         sink.flush()
 
 
 def main() -> int:
-    """Run on standard input and output; 2 when the input is not this protocol."""
+    """Run on standard input and output; return 2 if the input does not follow the protocol."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (WireError, ValueError) as problem:
-        print(f"coveport.balancing: malformed input: {problem}", file=sys.stderr)
+    except (WireError, ValueError) as error:
+        print(f"coveport.balancing: malformed input: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/coveport/balancing/simulator_settings.py
+++ b/coveport/balancing/simulator_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a balancer as the simulator sends them: one JSON object."""
+"""The settings of a balancer as the simulator sends them, in one JSON object."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 }
 
 
-def _present(section: Any, names: dict[str, str]) -> dict[str, Any]:
-    """Return the values of the known keys that are there, by the names of our fields."""
+def _known_values(section: Any, fields: dict[str, str]) -> dict[str, Any]:
+    """Return the present values of known keys, by field name; `fields` maps a key to its field."""
     if not isinstance(section, dict):
         return {}
-    return {ours: section[theirs] for theirs, ours in names.items() if section.get(theirs) is not None}
+    return {field: section[key] for key, field in fields.items() if section.get(key) is not None}
 
 
 _CLASS_KEYS = {
@@ -60,18 +60,18 @@
 
 
 def parse_settings(text: str | bytes) -> Settings:
-    """Return the settings in a JSON text.
+    """Parse settings from a JSON text.
 
-    Unknown keys are skipped, and absent ones take the defaults of the settings' types. A text that is not
+    Unknown keys are skipped, and absent ones take the defaults of the settings classes. A text that is not
     JSON, or a value out of range, raises `ValueError`.
     """
     info = json.loads(text)
     classes = []
     for section in info.get("classes") or ():
-        values = _present(section, _CLASS_KEYS)
+        values = _known_values(section, _CLASS_KEYS)
         values["effect"] = _EFFECTS.get(section.get("semantics"), Effect.UNSAFE)
-        # A scope that is not known is taken as the narrowest one.
-        scopes = {group.value: group for group in DeduplicationScope}
+        # An unknown scope is read as the narrowest one.
+        scopes = {scope.value: scope for scope in DeduplicationScope}
         values["group"] = scopes.get(section.get("key_scope", "all"), DeduplicationScope.CELL)
         classes.append(RequestClass(**values))
     telemetry = info.get("telemetry") or {}
@@ -80,8 +80,8 @@
         must_ask=info.get("registry_mode") == "subscribe",
         worth_by_work=info.get("value_by") == "work",
         load_fields=tuple(telemetry.get("fields") or ()),
-        limits=Limits(**_present(info.get("limits"), _LIMIT_KEYS)),
-        rules=Rules(**_present(info.get("invariants"), _RULE_KEYS)),
-        prices=Prices(**_present(info.get("prices"), _PRICE_KEYS)),
-        **_present(info, {"zone": "zone", "peers_total": "peers_total", "round_ms": "tick_ms"}),
+        limits=Limits(**_known_values(info.get("limits"), _LIMIT_KEYS)),
+        rules=Rules(**_known_values(info.get("invariants"), _RULE_KEYS)),
+        prices=Prices(**_known_values(info.get("prices"), _PRICE_KEYS)),
+        **_known_values(info, {"zone": "zone", "peers_total": "peers_total", "round_ms": "tick_ms"}),
     )
--- a/tests/balancing/test_locality.py
+++ b/tests/balancing/test_locality.py
@@ -92,7 +92,7 @@
         (effect, group)
         for effect in Effect
         for group in DeduplicationScope
-        if RequestClass(effect=effect, group=group).repeats_anywhere
+        if RequestClass(effect=effect, group=group).is_repeatable_anywhere
     }
     assert harmless == {(Effect.SAFE, group) for group in DeduplicationScope} | {
         (Effect.KEYED, DeduplicationScope.ALL)
