--- a/tests/balancing/test_balancer_requests.py
+++ b/tests/balancing/test_balancer_requests.py
@@ -737,8 +737,9 @@
             if isinstance(action, balancing.Send)
         ]
         for send in sends:
-            reply = balancing.Reply(request_id, 0, send.host, balancing.Outcome.OK, 1.0, False)
-            balancer.handle(now + 1, reply)
+            balancer.handle(
+                now + 1, balancing.Reply(request_id, 0, send.host, balancing.Outcome.OK, 1.0, False)
+            )
         return bool(sends)
 
     assert not served(1, 10.0)
--- a/tests/balancing/test_crowded_hosts.py
+++ b/tests/balancing/test_crowded_hosts.py
@@ -155,15 +155,19 @@
 
 def test_queues_are_by_class_newest_first_and_any_zone_requests_last() -> None:
     pending = PendingRequests[QueuedRequest]()
-    old, new = QueuedRequest("a", 100, 10), QueuedRequest("a", 100, 50)
-    other_class = QueuedRequest("b", 90, 5)
+    old, new, other_class = (
+        QueuedRequest("a", 100, 10),
+        QueuedRequest("a", 100, 50),
+        QueuedRequest("b", 90, 5),
+    )
     for request in (old, new, other_class):
         pending.add(request, 0)
     assert pending.count == 3 and pending.next_at(0) == 5
 
     def queues(now: float) -> list[tuple[tuple[str, bool], list[QueuedRequest]]]:
-        ordered = pending.queues(now, lambda request: -ord(request.class_name))
-        return [(key, list(queue)) for key, queue in ordered]
+        return [
+            (key, list(queue)) for key, queue in pending.queues(now, lambda request: -ord(request.class_name))
+        ]
 
     assert queues(0) == [(("b", True), [other_class]), (("a", True), [new, old])]
     assert queues(20) == [(("b", False), [other_class]), (("a", True), [new]), (("a", False), [old])]
--- a/tests/balancing/test_simulator_codec.py
+++ b/tests/balancing/test_simulator_codec.py
@@ -1,4 +1,4 @@
-"""The codec and the loop, on bytes made here."""
+"""The codec and the loop, on bytes built by the tests."""
 
 from __future__ import annotations
 
@@ -53,8 +53,8 @@
     return struct.pack("<HQQBdHdH", 3, request, 0, 1, 1400.0, 0, 12.0, 0)
 
 
-LEDGER = struct.pack("<HBI", 11, 0, 1) + ENTRY
-REGISTRY = struct.pack("<HBIB", 2, 2, 1, 0)
+HOST_LIST = struct.pack("<HBI", 11, 0, 1) + ENTRY
+ENDPOINT_UPDATE = struct.pack("<HBIB", 2, 2, 1, 0)
 
 
 def run(*batches: bytes) -> list[bytes]:
@@ -73,7 +73,7 @@
     assert run(batch())[0] == bytes.fromhex("000000000400000001000000")
 
 
-def test_documented_actions() -> None:
+def test_actions_have_the_documented_bytes() -> None:
     assert simulator_codec.encode_action(balancing.Send(0x0006965B5D9A13C4, 0x03124A07, 80.0)) == (
         struct.pack("<HQId", 68, 0x0006965B5D9A13C4, 0x03124A07, 80.0)
     )
@@ -101,7 +101,7 @@
     assert parsed.classes[0].worth == 2.0 and parsed.rules == balancing.Rules()
 
 
-def test_unknown_effect_and_group_are_read_as_the_strictest() -> None:
+def test_an_unknown_effect_or_group_is_read_as_the_strictest() -> None:
     parsed = simulator_settings.parse_settings(
         json.dumps({"classes": [{"semantics": "magic", "key_scope": "rack"}]})
     )
@@ -121,26 +121,26 @@
         ({"prices": {"waste": -1.0}}, "waste"),
     ],
 )
-def test_impossible_settings_name_the_key(change: dict[str, object], key: str) -> None:
+def test_the_error_on_invalid_settings_names_the_field(change: dict[str, object], key: str) -> None:
     with pytest.raises(ValueError, match=key):
         simulator_settings.parse_settings(json.dumps(json.loads(INFO) | change))
 
 
 def test_a_request_is_sent_to_the_listed_host() -> None:
-    (reply,) = run(batch(select(3), attach(), LEDGER, REGISTRY, submit(99)))
+    (reply,) = run(batch(select(3), attach(), HOST_LIST, ENDPOINT_UPDATE, submit(99)))
     assert simulator_codec.encode_select(3) in reply
     assert struct.pack("<HQI", 68, 99, 7) in reply
 
 
 def test_a_halted_instance_is_forgotten() -> None:
     replies = run(
-        batch(select(3), attach(), LEDGER, REGISTRY),
+        batch(select(3), attach(), HOST_LIST, ENDPOINT_UPDATE),
         batch(struct.pack("<HH", 12, 3), struct.pack("<H", 10), submit(5)),
     )
     assert struct.unpack_from("<I", replies[1])[0] == 0
 
 
-def test_every_event_decodes() -> None:
+def test_every_event_is_decoded() -> None:
     load = struct.pack("<ff", 1.5, 2.0)
     records = [
         select(1),
@@ -178,18 +178,18 @@
         (batch(select(1), b"\x63\0"), "unknown record code 99"),
         (batch(submit(4)), "before any instance"),
         (batch(select(1), submit(4)[:-1]), "cut short"),
-        (batch(select(1), REGISTRY), "never sent"),
+        (batch(select(1), ENDPOINT_UPDATE), "never sent"),
         (struct.pack("<dIII", 0.0, 2, 0, 1), "length 2"),
         (struct.pack("<dIII", 0.0, 12, 0, 1) + b"\0\0\0\0", "left over"),
         (batch(select(1), struct.pack("<HQHIHdBB", 5, 9, 0, 7, 999, 3.0, 1, 0)), "unknown outcome 999"),
     ],
 )
 def test_malformed_input_ends_with_a_clear_message(data: bytes, message: str) -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "coveport.balancing.simulator_link"],
         input=data,
         capture_output=True,
         check=False,
     )
-    assert done.returncode == 2
-    assert message in done.stderr.decode() and b"Traceback" not in done.stderr
+    assert process.returncode == 2
+    assert message in process.stderr.decode() and b"Traceback" not in process.stderr
--- a/tests/balancing/test_subsetting.py
+++ b/tests/balancing/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Where copies are many each keeps to a part of the hosts: how large, how stable, how evenly spread."""
+"""The size, stability and even spread of the subsets of hosts that balancers use in a large fleet."""
 
 from __future__ import annotations
 
@@ -14,48 +14,50 @@
 from coveport.balancing import subsetting
 
 
-def copy(peers: int, local: int, remote: int = 0, seed: int = 1) -> Driver:
+def make_driver(peers: int, local: int, remote: int = 0, seed: int = 1) -> Driver:
     return Driver(settings(SAFE, UNSAFE, peers=peers), hosts(local=local, remote=remote), seed=seed)
 
 
-def kept(driver: Driver) -> set[int]:
+def local_subset(driver: Driver) -> set[int]:
     return {host.id for host in driver.balancer.local}
 
 
 @pytest.mark.parametrize(("peers", "local"), [(1, 30), (6, 10), (10, 17), (12, 4)])
-def test_a_small_fleet_keeps_to_the_whole_zone(peers: int, local: int) -> None:
-    driver = copy(peers, local, remote=20 - local if local < 20 else 0)
-    assert len(kept(driver)) == local and len(driver.balancer.wide) == len(driver.balancer.ready_hosts)
+def test_a_small_fleet_uses_the_whole_zone(peers: int, local: int) -> None:
+    driver = make_driver(peers, local, remote=20 - local if local < 20 else 0)
+    assert len(local_subset(driver)) == local and len(driver.balancer.wide) == len(
+        driver.balancer.ready_hosts
+    )
 
 
 @within(max_examples=40)
 @given(st.integers(16, 1000), st.integers(1, 60), st.integers(0, 90), st.integers(0, 9), st.data())
-def test_few_change_when_a_host_comes_or_goes(
+def test_adding_or_removing_a_host_changes_few_members(
     peers: int, local: int, remote: int, seed: int, data: st.DataObject
 ) -> None:
-    driver = copy(peers, local, remote, seed)
-    before, size = kept(driver), len(driver.balancer.local)
+    driver = make_driver(peers, local, remote, seed)
+    before, size = local_subset(driver), len(driver.balancer.local)
     assert min(local, subsetting.MIN_SUBSET) <= size <= local and set(before) <= {
         100 + n for n in range(local)
     }
-    gone = data.draw(st.integers(100, 99 + local))
+    removed = data.draw(st.integers(100, 99 + local))
     driver.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA,
-            (balancing.Endpoint(gone, 0, state=balancing.EndpointState.GONE),),
+            (balancing.Endpoint(removed, 0, state=balancing.EndpointState.GONE),),
         )
     )
-    after = kept(driver)
-    assert len(after - before) <= 1 and before - after <= {gone, *before} and gone not in after
+    after = local_subset(driver)
+    assert len(after - before) <= 1 and before - after <= {removed, *before} and removed not in after
     assert len(before - after) <= 1 + (len(after) < size)
-    come(driver, 5000)
-    now = kept(driver)
-    grown = max(0, len(now) - len(after))
-    assert len(now - after - {5000, *before}) <= grown and len(after - now) <= 1
-    assert now == lowest_ranked_local(driver, len(now))
+    add_host(driver, 5000)
+    current = local_subset(driver)
+    grown = max(0, len(current) - len(after))
+    assert len(current - after - {5000, *before}) <= grown and len(after - current) <= 1
+    assert current == lowest_ranked_local(driver, len(current))
 
 
-def come(driver: Driver, host: int) -> None:
+def add_host(driver: Driver, host: int) -> None:
     driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, (balancing.Endpoint(host, 0),)))
 
 
@@ -65,66 +67,66 @@
 
 
 def test_a_subset_that_grows_with_a_new_host_takes_the_next_by_rank() -> None:
-    """A new host may raise the rounded size: then one more old host enters, which is no host of before."""
-    driver = copy(16, 6, 2, 4)
-    before = kept(driver)
+    """A new host may raise the rounded size; then one old host enters that was not in the subset before."""
+    driver = make_driver(16, 6, 2, 4)
+    before = local_subset(driver)
     driver.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA,
             (balancing.Endpoint(100, 0, state=balancing.EndpointState.GONE),),
         )
     )
-    after = kept(driver)
-    come(driver, 5000)
-    now = kept(driver)
-    assert len(now) == len(after) + 1
-    assert len(now - after - {5000, *before}) == 1
-    assert now == lowest_ranked_local(driver, len(now))
+    after = local_subset(driver)
+    add_host(driver, 5000)
+    current = local_subset(driver)
+    assert len(current) == len(after) + 1
+    assert len(current - after - {5000, *before}) == 1
+    assert current == lowest_ranked_local(driver, len(current))
 
 
-def test_each_host_is_kept_by_about_as_many_copies_new_ones_too() -> None:
-    copies = [copy(200, 40, 80, seed) for seed in range(200)]
-    for driver in copies:
+def test_hosts_are_in_equally_many_subsets_new_hosts_too() -> None:
+    drivers = [make_driver(200, 40, 80, seed) for seed in range(200)]
+    for driver in drivers:
         driver.feed(
             balancing.EndpointUpdate(
                 balancing.EndpointUpdateKind.DELTA, tuple(balancing.Endpoint(1000 + n, 0) for n in range(8))
             )
         )
-    count = Counter(host for driver in copies for host in kept(driver))
-    # 200 copies of one zone, seven hosts each.
+    count = Counter(host for driver in drivers for host in local_subset(driver))
+    # 200 balancers of one zone, seven hosts each.
     assert len(count) == 48 and min(count.values()) >= 12 and max(count.values()) <= 45
-    fresh, old = (
-        sum(number for host, number in count.items() if (host >= 1000) is new) / many
-        for new, many in ((True, 8), (False, 40))
+    new_mean, old_mean = (
+        sum(number for host, number in count.items() if (host >= 1000) is new) / host_count
+        for new, host_count in ((True, 8), (False, 40))
     )
-    assert abs(fresh - old) < 0.2 * old, (fresh, old)
+    assert abs(new_mean - old_mean) < 0.2 * old_mean, (new_mean, old_mean)
 
 
-def test_who_is_asked_much_keeps_to_more_and_to_fewer_again_in_quiet() -> None:
-    driver = copy(200, 60)
-    few = len(kept(driver))
+def test_the_subset_grows_with_the_load_and_shrinks_again() -> None:
+    driver = make_driver(200, 60)
+    initial_size = len(local_subset(driver))
     driver.serve(900, gap=10.0)
-    many = len(kept(driver))
-    assert many > 5 * few and few <= 6
+    busy_size = len(local_subset(driver))
+    assert busy_size > 5 * initial_size and initial_size <= 6
     for _ in range(4):
         driver.now += 20_000
         driver.serve(1)
-    assert len(kept(driver)) == few
+    assert len(local_subset(driver)) == initial_size
 
 
-def test_who_asks_again_is_turned_away_while_answers_are_slow_and_no_sooner() -> None:
-    driver = copy(4, 10)
-    aim = driver.balancer.latency_target
-    for lately, sent in ((0.2 * aim, True), (0.3 * aim, False)):
-        driver.balancer.recent_latency = lately
-        again = driver.request(repeat=True)
-        refused = isinstance(driver.answers.get(again), balancing.Refuse)
-        assert bool(driver.of(again)) is sent and refused is not sent
-        assert driver.of(driver.request()), "a first try goes in any case"
+def test_client_retries_are_refused_only_while_answers_are_slow() -> None:
+    driver = make_driver(4, 10)
+    target = driver.balancer.latency_target
+    for recent_latency, is_sent in ((0.2 * target, True), (0.3 * target, False)):
+        driver.balancer.recent_latency = recent_latency
+        retry_id = driver.request(repeat=True)
+        is_refused = isinstance(driver.answers.get(retry_id), balancing.Refuse)
+        assert bool(driver.of(retry_id)) is is_sent and is_refused is not is_sent
+        assert driver.of(driver.request()), "a first try is sent in any case"
 
 
-def test_a_part_that_is_out_leads_wide_and_a_wide_part_that_is_out_anywhere() -> None:
-    driver = copy(200, 60, 60)
+def test_requests_go_to_the_next_level_if_all_hosts_of_a_level_are_ejected() -> None:
+    driver = make_driver(200, 60, 60)
     for level in (driver.balancer.local, driver.balancer.wide):
         for host in list(level):
             host.readmit_at = driver.now + 1e6
