--- a/coveport/balancing/balancer.py
+++ b/coveport/balancing/balancer.py
@@ -109,7 +109,7 @@
         self.retry_budget = min(RETRY_BUDGET_BURST, self.retry_budget + earned)
         queue_key = request.class_name, self.effective_now < request.any_zone_at
         if (self.saturated or queue_key in self.blocked_queues) and self.effective_now < request.queue_until:
-            # Others of its queue already wait; drawing hosts for each arrival would cost too much.
+            # Other requests of its queue already wait; drawing hosts for each arrival would cost too much.
             self._enqueue(request)
         else:
             self._send_or_queue(request)
@@ -120,7 +120,7 @@
         target_at = self.now + cls.aim_ms + cls.aim_stretch * event.cost_ms
         latest = self.now + cls.deadline_ms if cls.late_share else target_at  # a late answer may be worthless
         request.give_up_at = min(event.deadline_ms, latest) - 2 * self.settings.tick_ms
-        # At most half a target: however slow the hosts seem, new requests must show when they recover.
+        # At most half a target: even while all hosts are slow, new requests must reveal their recovery.
         margin = min(EXPIRY_SERVICE_TIMES * self.service_time, self.latency_target / 2)
         request.queue_until = min(request.give_up_at, target_at - margin)
         # Another zone costs a part of a mean request's value, so a less valuable request waits longer.
--- a/coveport/balancing/host.py
+++ b/coveport/balancing/host.py
@@ -10,7 +10,7 @@
 from coveport.balancing.events import Endpoint, PriorAttempt
 
 LOST_AFTER = 2
-"""Later attempts answered first after which an attempt counts as lost, and is no evidence on its host."""
+"""Later attempts answered first after which an attempt counts as lost, and is no evidence about its host."""
 
 
 class Attempt:
@@ -23,14 +23,12 @@
         self.sent_at = sent_at
         self.pending = ended is None
         self.may_have_run = ended is None or ended.may_have_run
-        self.concurrency = (
-            len(host.pending) + 1
-        )  # this balancer's attempts in flight at the host, with this one
+        self.concurrency = len(host.pending) + 1  # the balancer's attempts in flight there, with this one
         self.overtaken_by = 0  # attempts sent to the host later but answered earlier
 
     @property
     def lost(self) -> bool:
-        """Whether later attempts overtook it: it is lost or long, and no evidence on its host."""
+        """Whether later attempts overtook it: it is lost or long, and no evidence about its host."""
         return self.overtaken_by >= LOST_AFTER
 
 
--- a/coveport/balancing/request_state.py
+++ b/coveport/balancing/request_state.py
@@ -23,9 +23,7 @@
         self.give_up_at = event.deadline_ms
         self.queue_until = event.deadline_ms
         self.any_zone_at = event.deadline_ms
-        self.slow_start_draw = (
-            random_source.random()
-        )  # random number that decides whether a host in slow start may take it
+        self.slow_start_draw = random_source.random()  # decides whether a host in slow start may take it
         self.streaming = False
         self.attempts = [
             Attempt(Host(Endpoint(-1, prior.zone, prior.cell), 0.0), prior.sent_ms, prior)
--- a/coveport/balancing/retry_policy.py
+++ b/coveport/balancing/retry_policy.py
@@ -28,9 +28,8 @@
             or (not request.limits.second_copies and any(attempt.pending for attempt in request.attempts))
         ):
             return False
-        if (
-            not possibly_run or cls.effect is not Effect.KEYED or request.streams_body
-        ):  # too slow for the window
+        # A streamed body may take longer than the window, so it is not repeated by its key.
+        if not possibly_run or cls.effect is not Effect.KEYED or request.streams_body:
             return not possibly_run or cls.effect is Effect.SAFE
         return all(
             self.now - attempt.sent_at < request.window and cls.group.covers(attempt.host, host)
--- a/tests/balancing/test_balancer_requests.py
+++ b/tests/balancing/test_balancer_requests.py
@@ -338,11 +338,11 @@
     request_id = driver.request(cls)
     driver.reply(driver.of(request_id)[0], (Outcome.RESET, Outcome.CONNECT_FAILED)[cls - 1])
     driver.reply(driver.of(request_id)[1], (Outcome.CONNECT_FAILED, Outcome.RESET)[cls - 1])
-    assert driver.answers[request_id] == balancing.Fail(request_id), "at once"
+    assert driver.answers[request_id] == balancing.Fail(request_id), "answered at once"
 
 
 @pytest.mark.parametrize(
-    ("cls", "host", "after", "again"),
+    ("cls", "host", "after", "is_allowed"),
     [
         ({"group": DeduplicationScope.ALL}, 103, 0.0, True),
         ({"group": DeduplicationScope.ZONE}, 103, 0.0, False),
@@ -358,7 +358,7 @@
     ],
 )
 def test_the_hosts_and_the_time_for_a_repeat_are_limited(
-    cls: dict[str, Any], host: int, after: float, again: bool
+    cls: dict[str, Any], host: int, after: float, is_allowed: bool
 ) -> None:
     driver = Driver(make_settings(dataclasses.replace(KEYED, late_share=0.2, **cls)), hosts(3, 2))
     driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries[:1]))
@@ -366,7 +366,7 @@
     driver.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, driver.entries))
     driver.now += after
     driver.feed(balancing.TimerFired(0))
-    assert driver.balancer._is_allowed(request, driver.balancer.hosts[host]) is again
+    assert driver.balancer._is_allowed(request, driver.balancer.hosts[host]) is is_allowed
 
 
 def test_a_repeat_must_be_within_the_window_of_each_earlier_attempt() -> None:
