--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -177,7 +177,7 @@
     submitted: tuple[tuple[int, str, State], ...] = ()  # request, command, what was acknowledged when it came
     wiped: str = ""
     request: int = 0
-    trail: tuple[str, ...] = field(default=(), compare=False)
+    path: tuple[str, ...] = field(default=(), compare=False)
 
     def digest(self) -> bytes:
         """The same for the same state."""
@@ -200,9 +200,9 @@
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
         self.ids = [MemberId(name, f"disk-{name}") for name in scenario.machines]
-        self.states = 0
-        self.closing_faults = 0
-        self.deepest = 0
+        self.state_count = 0
+        self.final_faults = 0
+        self.max_depth = 0
         self._closed: set[bytes] = set()
 
     # -- setting up --
@@ -222,7 +222,7 @@
             NOW_S,
         )
 
-    def first_point(self) -> Point:
+    def initial_point(self) -> Point:
         """A core is founded; A leads, B is its backup, others are witnesses or blank."""
         founders = self.scenario.founders
         epoch = Epoch(1, "disk-A")
@@ -241,7 +241,7 @@
         packed = tuple(pack(member) for member in members)
         point = Point(packed, tuple(disks), (), self.scenario.budget)
         for note in self.scenario.prefix:
-            point = next((step for step in self.next_points(point) if step.trail[-1].strip() == note), point)
+            point = next((step for step in self.next_points(point) if step.path[-1].strip() == note), point)
         return point
 
     # -- one step --
@@ -261,7 +261,7 @@
             effects = member._context.outbox.take()
         else:
             effects = member.handle(NOW_S, event)
-        point = replace(point, trail=(*point.trail, note), **changes)  # type: ignore[arg-type]
+        point = replace(point, path=(*point.path, note), **changes)  # type: ignore[arg-type]
         return self._apply(point, index, member, effects)
 
     def _highest_promised(self, point: Point) -> Epoch:
@@ -318,9 +318,9 @@
     def _check_committed(self, point: Point, state: State, member: Replica) -> Point:
         shorter, longer = sorted((point.committed, state), key=len)
         if longer[: len(shorter)] != shorter:
-            raise InvariantError(f"forked: {shorter} and {longer} after {point.trail}")
+            raise InvariantError(f"forked: {shorter} and {longer} after {point.path}")
         if member.is_primary and state[: len(point.acknowledged)] != point.acknowledged:
-            raise InvariantError(f"leads without {point.acknowledged} after {point.trail}")
+            raise InvariantError(f"leads without {point.acknowledged} after {point.path}")
         return replace(point, committed=longer)
 
     def _check_answer(self, point: Point, effect: Answer) -> Point:
@@ -328,19 +328,19 @@
             case Done():
                 command = self._submitted(point, effect.request)[0]
                 if command not in point.committed:
-                    raise InvariantError(f"{command} is done though not committed after {point.trail}")
+                    raise InvariantError(f"{command} is done though not committed after {point.path}")
                 return replace(point, acknowledged=point.committed)
             case Refused(result=result):
                 command, known = self._submitted(point, effect.request)
                 if result == ACCEPTED and command not in point.committed:
-                    raise InvariantError(f"{command} is taken though not committed after {point.trail}")
+                    raise InvariantError(f"{command} is taken though not committed after {point.path}")
                 base = int(command.split("|")[0])
                 if result == CONFLICT and base == edition_of(known) == edition_of(point.committed):
-                    raise InvariantError(f"{command} is refused for nothing after {point.trail}")
+                    raise InvariantError(f"{command} is refused for nothing after {point.path}")
             case Newest(state=state):
                 least = dict(point.reads_owed).get(effect.request, 0)
                 if len(state) < least:
-                    raise InvariantError(f"a read saw {len(state)} of {least} after {point.trail}")
+                    raise InvariantError(f"a read saw {len(state)} of {least} after {point.path}")
         return point
 
     def _submitted(self, point: Point, request: int) -> tuple[str, State]:
@@ -428,7 +428,7 @@
         """A connection breaks with a message on its way; those behind it come on the next connection."""
         losses = point.budget.losses
         left = replace(point.budget, losses=_without(losses, losses.index(kind)))
-        return replace(point, links=rest, budget=left, trail=(*point.trail, f"lose {note}"))
+        return replace(point, links=rest, budget=left, path=(*point.path, f"lose {note}"))
 
     def _change(self, member: Replica, kind: str) -> ViewChangeRequest:
         view = member.view
@@ -466,7 +466,7 @@
             disks=tuple(
                 disk if position == index else unchanged for position, unchanged in enumerate(point.disks)
             ),
-            trail=(*point.trail, f"{'wipe' if wiped else 'crash'} {name}"),
+            path=(*point.path, f"{'wipe' if wiped else 'crash'} {name}"),
         )
 
     def _blank_disk(self, name: str) -> Disk:
@@ -486,7 +486,7 @@
             left = [name for name in self.scenario.machines if name not in (lost, point.wiped)]
             if not any([self._lead_once(point, name, lost) for name in left]):
                 raise InvariantError(
-                    f"nobody leads: all lose power, {lost or 'none'} its disk, after {point.trail}"
+                    f"nobody leads: all lose power, {lost or 'none'} its disk, after {point.path}"
                 )
 
     def _lead_once(self, point: Point, name: str, lost: str) -> bool:
@@ -500,7 +500,7 @@
         leader = members[name]
         if leader.view is None or leader.identity not in leader.view.members:
             return False
-        self.closing_faults += 1
+        self.final_faults += 1
         leader._leader_role.highest_epoch_seen = max(
             member._leader_role.highest_epoch_seen for member in members.values()
         )
@@ -510,7 +510,7 @@
         )
         leader._run_to_fixpoint(NOW_S)
         found = self._deliver_all(members, name, leader._context.outbox.take())
-        story = f"all lose power, {lost or 'none'} its disk, {name} leads, after {point.trail}"
+        story = f"all lose power, {lost or 'none'} its disk, {name} leads, after {point.path}"
         newer = leader._leader_role._excluded_by
         if found is None and newer is not None and leader.identity not in newer.members:
             return False
@@ -545,13 +545,13 @@
         """Explore by levels; raises InvariantError with the path that led to it."""
         with frozen_clock():
             seen: set[bytes] = set()
-            level = [self.first_point()]
-            for self.deepest in range(depth + 1):
+            level = [self.initial_point()]
+            for self.max_depth in range(depth + 1):
                 following: list[Point] = []
                 for point in level:
-                    self.states += 1
+                    self.state_count += 1
                     self.close(point)
-                    if self.deepest == depth or self.states + len(following) >= most_states:
+                    if self.max_depth == depth or self.state_count + len(following) >= most_states:
                         continue
                     for step in self.next_points(point):
                         digest = step.digest()
@@ -565,15 +565,15 @@
     def walk(self, chance: Random) -> Point:
         """One path, each step drawn, to its end, which is returned. Raises InvariantError."""
         with frozen_clock():
-            point = self.first_point()
+            point = self.initial_point()
             while True:
-                self.states += 1
+                self.state_count += 1
                 self.close(point)
                 steps = list(self.next_points(point))
                 if not steps:
                     break
                 point = chance.choice(steps)
-            self.deepest = max(self.deepest, len(point.trail))
+            self.max_depth = max(self.max_depth, len(point.path))
             return point
 
 
@@ -635,13 +635,13 @@
 )
 B_TAKES_Z = (*B_LEADS_WITH_C, "submit B", "ViewActivated B>C", "Committed B>C", "Append B>C", "Appended C>B")
 
-FROM_THE_START = (
+SCENARIOS_FROM_START = (
     Scenario(
         "a change in flight, two candidates",
         Budget(campaigns=(("B", ""), ("C", "")), submits=(("A", X),)),
     ),
     Scenario(
-        "a frozen primary reads and writes while others go on",
+        "a frozen primary reads and writes while its backup campaigns",
         Budget(campaigns=(("B", "avoid A"),), submits=(("A", X), ("B", Z)), reads=("A",)),
     ),
     Scenario(
@@ -659,7 +659,7 @@
         Budget(campaigns=(("B", "avoid A"), ("A", "avoid B")), wipes=("C",), submits=(("A", X), ("B", Z))),
     ),
     Scenario(
-        "a wiped backup while the primary goes on with the witness",
+        "a wiped backup while the primary continues with the witness",
         Budget(campaigns=(("A", "avoid B"), ("C", "")), wipes=("B",), submits=(("A", X),)),
     ),
     Scenario(
@@ -668,12 +668,12 @@
         machines=("A", "B", "C", "D"),
     ),
     Scenario(
-        "the primary's command in flight while it leads anew and another does",
+        "a primary with a command in flight and its backup campaign",
         Budget(campaigns=(("A", ""), ("B", "avoid A")), submits=(("A", X), ("B", Z))),
     ),
 )
 
-FROM_THE_MIDST = (
+SCENARIOS_WITH_PREFIX = (
     Scenario(
         "the witness loses power after it promised to a second candidate",
         Budget(campaigns=(("A", "avoid B"), ("B", "avoid A")), crashes=("C",), submits=(("A", X),)),
@@ -695,7 +695,7 @@
         prefix=("submit A", *B_TAKES_Z),
     ),
     Scenario(
-        "an append arrives after the backup went on with another",
+        "an append arrives after the backup promised to another candidate",
         Budget(campaigns=(("C", "avoid A"),), submits=(("A", X), ("C", Z))),
         prefix=("submit A", "campaign C avoid A", "Prepare C>B", "Promise B>C", "Fetch C>B", "Fetched B>C"),
     ),
@@ -712,13 +712,13 @@
         ),
     ),
     Scenario(
-        "a member is taken in while the excluded backup campaigns with the members before",
+        "a member is added while the excluded backup campaigns with the former members",
         Budget(campaigns=(("A", "members ABD avoid B"), ("B", "avoid A")), submits=(("A", X), ("B", Z))),
         machines=("A", "B", "C", "D"),
         prefix=A_TAKES_D_IN,
     ),
     Scenario(
-        "a former primary hears that a later view is active, but not which members it has",
+        "a former primary learns that a later view is active, but not its members",
         Budget(
             campaigns=(("A", "members ABD avoid B"), ("B", "avoid A"), ("A", "avoid BC")),
             submits=(("B", Z),),
@@ -757,7 +757,7 @@
     ),
 )
 
-SCENARIOS = (*FROM_THE_START, *FROM_THE_MIDST)
+SCENARIOS = (*SCENARIOS_FROM_START, *SCENARIOS_WITH_PREFIX)
 
 
 def committed_in(disk: Disk) -> State:
--- a/tests/serving/replication/core_operators.py
+++ b/tests/serving/replication/core_operators.py
@@ -24,7 +24,7 @@
         self.name = name
         self.pause_s = pause_s
         self.is_stopped = False
-        self.known: tuple[str, ...] = ()
+        self.known_state: tuple[str, ...] = ()
         self._count = 0
 
     def begin(self) -> None:
@@ -34,14 +34,14 @@
     def _after_read(self, call: Call) -> None:
         if self.is_stopped:
             return
-        self.known = call.seen
+        self.known_state = call.seen
         self.write(self._after_write)
 
     def _after_write(self, call: Call) -> None:
         if self.is_stopped:
             return
         if call.verdict is Verdict.ACCEPTED:
-            self.known = (*self.known, call.change)
+            self.known_state = (*self.known_state, call.change)
         read_next = call.verdict is Verdict.CONFLICT or self.world.random.random() < 0.4
         following = self.begin if read_next else self._next_change
         self.world.after(self.pause_s * self.world.random.uniform(0.2, 2.0), following)
@@ -65,7 +65,7 @@
     def write(self, then: Callable[[Call], None]) -> None:
         """One change on top of what is known, repeated until it's answered."""
         self._count += 1
-        base = edition_of(self.known)
+        base = edition_of(self.known_state)
         edition = base + self.world.random.randint(1, 4)
         command = change(base, edition, f"{self.name}-{self._count}")
         call = Call(self.name, command.decode(), self.world.now_s)
--- a/tests/serving/replication/core_risk.py
+++ b/tests/serving/replication/core_risk.py
@@ -122,7 +122,7 @@
     world.run_for(2.0)
     _change_often(world, changes)
     newest = _sequence(world)
-    sent = Sent(world, behind.address)
+    sent = SentBytesCounter(world, behind.address)
     world.blocked_links.clear()
     began_s = world.now_s
 
@@ -149,7 +149,7 @@
     return machine.incarnation.replica._context.committed_log.sequence
 
 
-class Sent:
+class SentBytesCounter:
     """Counts the bytes of states and commands sent to one address."""
 
     def __init__(self, world: World, address: str) -> None:
--- a/tests/serving/replication/core_schedules.py
+++ b/tests/serving/replication/core_schedules.py
@@ -148,11 +148,11 @@
         elif how == "hangs":
             disk.hangs_until_s = self.world.now_s + for_s
         else:
-            disk.refuses = True
+            disk.rejects_writes = True
 
         def end() -> None:
             disk.sync_s = SYNC_S
-            disk.refuses = False
+            disk.rejects_writes = False
 
         self.world.after(for_s, end)
 
@@ -433,7 +433,7 @@
         world.loss = 0.0
         for machine in self._present_machines():
             machine.thaw()
-            machine.disk.refuses = False
+            machine.disk.rejects_writes = False
             machine.disk.sync_s = SYNC_S
             machine.disk.hangs_until_s = 0.0
             if machine.incarnation is None:
@@ -446,7 +446,7 @@
         last_writes: list[Call] = []
 
         def write(call: Call) -> None:
-            last.known = call.seen
+            last.known_state = call.seen
             last.write(last_writes.append)
 
         # while others race on, a write may be refused: it's the answer that counts
--- a/tests/serving/replication/core_timings.py
+++ b/tests/serving/replication/core_timings.py
@@ -85,7 +85,7 @@
 
 def refusing_disk(world: World, machine: Machine) -> None:
     """The disk refuses writes."""
-    machine.disk.refuses = True
+    machine.disk.rejects_writes = True
 
 
 def backup_freezes(world: World, machine: Machine) -> None:
--- a/tests/serving/replication/core_variants.py
+++ b/tests/serving/replication/core_variants.py
@@ -72,7 +72,7 @@
     return _answers_before_sync(Appended)
 
 
-def primary_answers_alone() -> Patches:
+def primary_acknowledges_alone() -> Patches:
     """The primary doesn't wait for its backups."""
 
     def on_appended(self: Primary, now_s: float, sender: MemberId, message: Appended) -> None:
@@ -85,7 +85,7 @@
     return [mock.patch.object(Primary, "on_appended", on_appended)]
 
 
-def wiped_member_counts() -> Patches:
+def wiped_member_keeps_identity() -> Patches:
     """A wiped machine comes back as the member that it was."""
 
     def start(self: Machine, first_boot: bool = False) -> None:
@@ -125,7 +125,7 @@
     return [mock.patch.object(Primary, "advance", advance)]
 
 
-def backup_skips_the_fence() -> Patches:
+def backup_ignores_fencing() -> Patches:
     """A backup takes commands below what it promised, and whatever epoch its state is of."""
 
     def append(self: Acceptor, sender: MemberId, message: Append) -> None:
@@ -139,7 +139,7 @@
     return [mock.patch.object(Acceptor, "append", append)]
 
 
-def confirms_though_fenced() -> Patches:
+def fenced_epoch_confirmed() -> Patches:
     """A witness confirms an epoch below what it promised."""
 
     def confirm(self: Acceptor, sender: MemberId, message: Confirm) -> None:
@@ -148,7 +148,7 @@
     return [mock.patch.object(Acceptor, "confirm", confirm)]
 
 
-def takes_any_state() -> Patches:
+def any_state_accepted() -> Patches:
     """A candidate goes on from the first state that it finds, of whatever view."""
 
     def sources(self: ViewChangeAttempt) -> list[MemberId]:
@@ -157,7 +157,7 @@
     return [mock.patch.object(ViewChangeAttempt, "_sources", sources)]
 
 
-def state_by_sequence_alone() -> Patches:
+def state_chosen_by_sequence_only() -> Patches:
     """A candidate goes on from the longest state, of whatever view."""
 
     def sources(self: ViewChangeAttempt) -> list[MemberId]:
@@ -183,7 +183,7 @@
     return _answers_before_sync(Installed)
 
 
-def ignores_newer_views() -> Patches:
+def newer_views_ignored() -> Patches:
     """A candidate doesn't widen to a newer view that a promise shows."""
 
     def on_promise(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Promise) -> None:
@@ -195,7 +195,7 @@
     return [mock.patch.object(ViewChangeAttempt, "on_promise", on_promise)]
 
 
-def half_is_enough() -> Patches:
+def half_counts_as_majority() -> Patches:
     """Half of a group counts as its majority."""
 
     def has_majorities(present: Any, groups: Any) -> bool:
@@ -207,7 +207,7 @@
     ]
 
 
-def old_members_dont_count() -> Patches:
+def old_members_ignored() -> Patches:
     """A change of members is decided by the new ones alone, and the old ones aren't asked."""
 
     def quorum_groups(self: View, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
@@ -239,7 +239,7 @@
     return [mock.patch.object(ViewChangeAttempt, "on_accepted", on_accepted)]
 
 
-def shows_uncommitted() -> Patches:
+def backup_commits_on_append() -> Patches:
     """A backup takes for committed whatever it holds."""
 
     def on_append(self: Replica, sender: MemberId, message: Append) -> None:
@@ -250,7 +250,7 @@
     return [mock.patch.object(Replica, "_on_append", on_append)]
 
 
-def acceptor_keeps_no_fence() -> Patches:
+def acceptor_ignores_fencing() -> Patches:
     """A member stores views and states of epochs below what it promised."""
 
     def is_fenced(self: Acceptor, sender: MemberId, epoch: Epoch) -> bool:
@@ -259,7 +259,7 @@
     return [mock.patch.object(Acceptor, "_is_fenced", is_fenced)]
 
 
-def in_flight_counts_as_done() -> Patches:
+def in_flight_command_assumed_committed() -> Patches:
     """A primary that leads again takes its command for done whatever state it goes on from."""
 
     def begin(self: Primary, now_s: float, predecessor: Primary | None, continues_own_state: bool) -> None:
@@ -293,31 +293,31 @@
         promise_not_synced,
         view_not_synced,
         append_answered_before_sync,
-        primary_answers_alone,
-        wiped_member_counts,
+        primary_acknowledges_alone,
+        wiped_member_keeps_identity,
         read_without_confirmation,
         refusal_without_confirmation,
-        backup_skips_the_fence,
-        confirms_though_fenced,
-        takes_any_state,
-        state_by_sequence_alone,
+        backup_ignores_fencing,
+        fenced_epoch_confirmed,
+        any_state_accepted,
+        state_chosen_by_sequence_only,
         own_state_preferred,
         install_answered_before_sync,
-        ignores_newer_views,
-        half_is_enough,
-        old_members_dont_count,
+        newer_views_ignored,
+        half_counts_as_majority,
+        old_members_ignored,
         replicas_not_awaited,
         view_not_awaited,
-        shows_uncommitted,
-        acceptor_keeps_no_fence,
-        in_flight_counts_as_done,
+        backup_commits_on_append,
+        acceptor_ignores_fencing,
+        in_flight_command_assumed_committed,
         later_view_activates_earlier_ones,
     )
 }
 
 
 @contextmanager
-def broken(name: str) -> Iterator[None]:
+def applied_variant(name: str) -> Iterator[None]:
     """The code with one fault."""
     patches = VARIANTS[name]()
     for patch in patches:
--- a/tests/serving/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -105,7 +105,7 @@
     synced: int = 0  # so many of the records survive a loss of power
     sync_s: float = SYNC_S
     hangs_until_s: float = 0.0
-    refuses: bool = False
+    rejects_writes: bool = False
     busy_until_s: float = 0.0
     since_s: float = 0.0  # when it was new
 
@@ -238,7 +238,7 @@
 
     def _persist(self, incarnation: Incarnation, effect: Persist) -> None:
         disk = self.disk
-        if disk.refuses:
+        if disk.rejects_writes:
             # kept by the storage and written with the next
             disk.records.extend(effect.records)
             failed = PersistFailed(effect.token)
--- a/tests/serving/replication/test_catch_up.py
+++ b/tests/serving/replication/test_catch_up.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 import pytest
-from core_risk import Sent
+from core_risk import SentBytesCounter
 from core_world import ACCEPTED, SYNC_S, Machine, World, change, edition_of
 from test_core_faults import THREE_LOCALITIES, bootstrapped_core, primary_and_view
 
@@ -62,9 +62,9 @@
 
 def full_disk(world: World, machine: Machine) -> Callable[[], object]:
     def heal() -> None:
-        machine.disk.refuses = False
+        machine.disk.rejects_writes = False
 
-    machine.disk.refuses = True
+    machine.disk.rejects_writes = True
     return heal
 
 
@@ -96,7 +96,7 @@
     has_missed_changes = committed_edition(victim) < CHANGES - 64 if victim.incarnation else True
     assert has_missed_changes or fault in (slow_disk, full_disk), "the situation is reached"
     heal()
-    sent = Sent(world, victim.address)
+    sent = SentBytesCounter(world, victim.address)
     started_at_s = world.now_s
     world.run_for(CATCH_UP_S, until=lambda: committed_edition(victim) == CHANGES)
     assert committed_edition(victim) == CHANGES
@@ -129,7 +129,7 @@
     assert outcomes == [Done("done")]
     world.bytes_per_s = 1.5e6
     heal()
-    sent = Sent(world, learner.address)
+    sent = SentBytesCounter(world, learner.address)
     world.run_for(8.0, until=lambda: committed_edition(learner) == 1)
     assert committed_edition(learner) == 1
     assert sent.bytes < (len(world.machines) - 0.5) * value_bytes
--- a/tests/serving/replication/test_core_faults.py
+++ b/tests/serving/replication/test_core_faults.py
@@ -44,7 +44,7 @@
     done: list[Call] = []
 
     def write(call: Call) -> None:
-        operator.known = call.seen
+        operator.known_state = call.seen
         operator.write(done.append)
 
     operator.read(write)
--- a/tests/serving/replication/test_core_interleavings.py
+++ b/tests/serving/replication/test_core_interleavings.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 import pytest
-from core_explorer import FROM_THE_MIDST, SCENARIOS, Explorer, Scenario, frozen_clock
+from core_explorer import SCENARIOS, SCENARIOS_WITH_PREFIX, Explorer, Scenario, frozen_clock
 
 LOSABLE_KINDS = (
     "Prepare",
@@ -28,16 +28,16 @@
 def test_every_state_keeps_what_was_acknowledged(scenario: Scenario) -> None:
     explorer = Explorer(scenario)
     explorer.run(DEPTH, STATES)
-    print(f"{explorer.states} states, {explorer.closing_faults} closing faults, depth {explorer.deepest}")
-    assert explorer.states >= min(STATES, 400)
-    assert explorer.closing_faults > 10
+    print(f"{explorer.state_count} states, {explorer.final_faults} final faults, depth {explorer.max_depth}")
+    assert explorer.state_count >= min(STATES, 400)
+    assert explorer.final_faults > 10
 
 
-@pytest.mark.parametrize("scenario", FROM_THE_MIDST, ids=lambda scenario: scenario.name)
+@pytest.mark.parametrize("scenario", SCENARIOS_WITH_PREFIX, ids=lambda scenario: scenario.name)
 def test_a_scenario_begins_after_its_prefix(scenario: Scenario) -> None:
     with frozen_clock():
-        point = Explorer(scenario).first_point()
-    assert [note.strip() for note in point.trail] == list(scenario.prefix)
+        point = Explorer(scenario).initial_point()
+    assert [note.strip() for note in point.path] == list(scenario.prefix)
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
@@ -46,8 +46,8 @@
     explorer = Explorer(scenario)
     for seed in range(WALKS):
         explorer.walk(random.Random(seed))
-    print(f"{scenario.name}: {WALKS} paths, {explorer.states} states, longest {explorer.deepest}")
-    assert explorer.deepest >= 15
+    print(f"{scenario.name}: {WALKS} paths, {explorer.state_count} states, longest {explorer.max_depth}")
+    assert explorer.max_depth >= 15
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
@@ -59,5 +59,5 @@
         kind = rng.choice(LOSABLE_KINDS)
         budget = replace(scenario.budget, losses=(kind, kind))
         explorer = Explorer(replace(scenario, budget=budget))
-        lost_count += sum(note.startswith("lose") for note in explorer.walk(rng).trail)
+        lost_count += sum(note.startswith("lose") for note in explorer.walk(rng).path)
     assert lost_count, "the situation is reached"
