--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -50,7 +50,7 @@
 from coveport.sidecar.supervisor.errors import NameLockedError
 from coveport.sidecar.supervisor.instance_agent import InstanceAgent
 from coveport.sidecar.supervisor.log_stream import StreamLog, stream_logger
-from coveport.sidecar.telemetry.counters import ENDS, ended
+from coveport.sidecar.telemetry.counters import RESULTS, result_counter
 from coveport.sidecar.telemetry.log import Log
 from coveport.sidecar.upstream.attempt import AttemptResult
 
@@ -160,7 +160,7 @@
 
     # Life.
 
-    def joined(self, effects: Effects, life: Lifecycle) -> None:
+    def attach(self, effects: Effects, life: Lifecycle) -> None:
         """Attach to the sidecar's parts, before anything is opened."""
         self._effects = effects
         counters = effects.counters
@@ -265,7 +265,7 @@
         self.lease_client.publish_status(self._fares())
         self._follow()  # the next may have come meanwhile
 
-    def reread(self, running: configuration.Config) -> configuration.Config:
+    def reload_config(self, running: configuration.Config) -> configuration.Config:
         """Return the configuration, read again; a rollout's settings replace those of the file."""
         loop = asyncio.get_running_loop()
         try:
@@ -301,9 +301,12 @@
         while True:
             await asyncio.sleep(FARES_S)
             names = [one.name for one in self._config.settings.classes]
-            served = sum(counters.get(ended(name, ENDS[0])) for name in names)
+            served = sum(counters.get(result_counter(name, RESULTS[0])) for name in names)
             self._ended.append(
-                (served, sum(counters.get(ended(name, how)) for name in names for how in ENDS))
+                (
+                    served,
+                    sum(counters.get(result_counter(name, result)) for name in names for result in RESULTS),
+                )
             )
             if is_rollout_active(self.lease_client.entries):
                 self.lease_client.publish_status(
@@ -326,7 +329,8 @@
             self._operations.append((now, effects.counters.get("operations")))
             (first, had), (last, has) = self._operations[0], self._operations[-1]
             fresh = {
-                self._name_of(number): (zone, age / 1000) for number, (zone, age) in effects.fresh().items()
+                self._name_of(number): (zone, age / 1000)
+                for number, (zone, age) in effects.in_slow_start().items()
             }
             fresh.pop("", None)
             request = capacity.request(
@@ -424,12 +428,16 @@
     try:
         beside = Beside(told, config, log, agent)
     except EncryptionError as problem:
-        log.say(str(problem))
+        log.write(str(problem))
         return 2
     given = None if agent is None else agent.inherited_listener()
     try:
         return await serve(
-            config, Net(asyncio.get_running_loop(), given), log, reread=beside.reread, joined=beside.joined
+            config,
+            Net(asyncio.get_running_loop(), given),
+            log,
+            reload_config=beside.reload_config,
+            attach=beside.attach,
         )
     finally:
         await beside.leave()
@@ -449,7 +457,7 @@
     try:
         agent = InstanceAgent(told, name, os.environ)
     except NameLockedError as problem:
-        log.say(str(problem))
+        log.write(str(problem))
         return 3
     os.environ["LB_NAME"], os.environ["LB_LISTEN"] = name, told.fleet.address(name)
     code = 1
@@ -467,14 +475,14 @@
     try:
         config = configuration.load(os.environ)
     except PlatformFileError as problem:
-        log.say(str(problem))
+        log.write(str(problem))
         return 2
     unknown = set(told.work.record) - {one.name for one in config.settings.classes}
     if unknown:
-        log.say(f"[work] record: there is no class {', '.join(sorted(unknown))}")
+        log.write(f"[work] record: there is no class {', '.join(sorted(unknown))}")
         return 2
     if agent is not None:
         config = agent.instance_config(config)
         if agent.snapshots.restored is not None or agent.snapshots.error:
-            log.say(f"{config.name}: snapshot: {agent.snapshots.error or 'begins from it'}")
+            log.write(f"{config.name}: snapshot: {agent.snapshots.error or 'begins from it'}")
     return asyncio.run(_serve(told, config, log, agent))
--- a/coveport/sidecar/downstream/client_connection.py
+++ b/coveport/sidecar/downstream/client_connection.py
@@ -30,13 +30,13 @@
 from coveport.sidecar.downstream.upload_timing import UploadTiming
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
-from coveport.sidecar.reducer.streams import MOST_BODY, Upload
+from coveport.sidecar.reducer.streams import MAX_STREAMED_BODY_BYTES, Upload
 from coveport.sidecar.upstream.attempt import Attempt
 
 HEALTH_PATH = "/_health"
 
 _INBOX = memoryview(bytearray(READ_BYTES))  # shared: what is read is taken out before the next read
-_STATUS = {Verdict.SERVED: 200, Verdict.BUSY: 503, Verdict.FAILED: 500, Verdict.DOUBLE: 409}
+_STATUS = {Verdict.SERVED: 200, Verdict.BUSY: 503, Verdict.FAILED: 500, Verdict.DUPLICATE: 409}
 
 
 class ClientConnection(asyncio.BufferedProtocol):
@@ -44,7 +44,7 @@
 
     def __init__(self, context: DownstreamContext) -> None:
         self._context = context
-        self._parser = http1.RequestParser(MOST_BODY, http1.MAX_BODY_BYTES)
+        self._parser = http1.RequestParser(MAX_STREAMED_BODY_BYTES, http1.MAX_BODY_BYTES)
         self._transport: asyncio.Transport | None = None
         # When it went idle, or when the request that is coming in began: the first one with the connection.
         self._phase_began_at = 0.0
@@ -85,7 +85,7 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return where to read to; a streamed body is read within its budget."""
-        return _INBOX[: self._context.budget.read_most()] if self._upload is not None else _INBOX
+        return _INBOX[: self._context.budget.read_limit()] if self._upload is not None else _INBOX
 
     def buffer_updated(self, nbytes: int) -> None:
         """Read what the client has sent."""
@@ -170,7 +170,7 @@
         if request.is_streamed:
             self._keep_alive = False  # until its body is complete: an error leaves the rest of it unread
         operation = read_operation(request, context.classes)
-        operation.room = not self._is_rejected
+        operation.is_admitted = not self._is_rejected
         operation.wait_ms -= max(context.sweep_timer.stalled_s(), self._first_request_stalled_s()) * 1000
         context.counters.add("operations")
         self._operation = context.next_operation_number()
@@ -226,7 +226,7 @@
             assert self._operation is not None
             self._phase_began_at = self._context.net.now_s()
             self._context.on_upload_complete(self._operation, self._context.sweep_timer.stalled_s() * 1000)
-        elif upload.full and not self._is_read_paused and self._transport is not None:
+        elif upload.is_full and not self._is_read_paused and self._transport is not None:
             self._upload_timing.paused(self._context.net.now_s())
             self._pause_reading()
 
@@ -248,7 +248,7 @@
         if upload is not None:
             # Guards against a reset that overtakes the response to a client that is still sending: it sends
             # on for a while, and reads then. A body that is too long was refused by its head.
-            self._max_discarded_bytes = MOST_BODY
+            self._max_discarded_bytes = MAX_STREAMED_BODY_BYTES
             self._linger_s = UPLOAD_LINGER_S
             upload.close()
             if self._transport is not None and not self._transport.is_closing():
@@ -342,7 +342,7 @@
     def _count_unsent(self) -> None:
         """Update the budget with the response bytes that are unsent."""
         unsent = self._transport.get_write_buffer_size() if self._transport is not None else 0
-        self._context.budget.take(unsent - self._unsent_bytes)
+        self._context.budget.add(unsent - self._unsent_bytes)
         self._unsent_bytes = unsent
 
     # The end, and time-outs.
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -24,7 +24,7 @@
 from coveport.sidecar.reducer import messages as core
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.reducer.reducer import Reducer
-from coveport.sidecar.telemetry.counters import Counters, ended
+from coveport.sidecar.telemetry.counters import Counters, result_counter
 from coveport.sidecar.telemetry.log import Log
 from coveport.sidecar.upstream.attempt import LOOP_TURNS_S, Attempt, AttemptResult
 from coveport.sidecar.upstream.connection_pool import ConnectionPool
@@ -41,11 +41,11 @@
 MAX_RETRY_LATENESS_MS = 30.0  # the balancer leaves the time of one connect within the retry window
 
 
-_ENDS = {
+_RESULTS = {
     core.Verdict.SERVED: "completed",
     core.Verdict.BUSY: "rejected",
     core.Verdict.FAILED: "failed",
-    core.Verdict.DOUBLE: "failed",
+    core.Verdict.DUPLICATE: "failed",
 }
 
 
@@ -92,7 +92,7 @@
             net,
             config.discovery,
             self._reader,
-            self.told,
+            self.on_endpoints_update,
             counters,
             log,
             on_demand=config.settings.must_ask,
@@ -111,17 +111,17 @@
             core.SwitchDiscovery: self._switch_discovery,
             core.ReportFault: self._report_fault,
         }
-        self.has_list = False
+        self.has_endpoints = False
         self.health_checks: HealthCheckSharing | None = None
-        self.records: OperationRecorder | None = None
+        self.recorder: OperationRecorder | None = None
         self.pending = 0  # operations taken and not ended
         counters.gauge("pending", lambda: self.pending)
         counters.gauge("members", lambda: self._reducer.members[0])
         counters.gauge("members_unavailable", lambda: self._reducer.members[1])
         for request_class in config.settings.classes:
-            counters.name_class(request_class.name)
+            counters.register_class(request_class.name)
 
-    def know(self) -> None:
+    def load_known_endpoints(self) -> None:
         """Start from the list in the configuration, which the sidecar had last."""
         if self._config.known is None:
             return
@@ -133,7 +133,7 @@
         if update.endpoints:
             # Before the balancer is told, which may ask at once.
             self.endpoint_source.resume_from(update.update.version)
-        self._place(update)
+        self._apply_update(update)
 
     @property
     def owed(self) -> int:
@@ -150,9 +150,9 @@
         """Mean time of an operation at a destination, as the module knows it."""
         return self._reducer.service_ms
 
-    def fresh(self) -> dict[int, tuple[int, float]]:
+    def in_slow_start(self) -> dict[int, tuple[int, float]]:
         """Destinations that count as cold: zone, and age in ms."""
-        return self._reducer.fresh()
+        return self._reducer.in_slow_start()
 
     # Inputs.
 
@@ -167,7 +167,7 @@
             while self._inputs:
                 for effect in self._reducer.step(self._clock.now_ms(), self._inputs.popleft()):
                     try:
-                        self._carry_out(effect)
+                        self._execute(effect)
                     except Exception:  # noqa: BLE001  # logged with its traceback, see below
                         # Guards against one fault taking the other effects along; what it leaves
                         # undone is answered at the deadline.
@@ -196,48 +196,52 @@
         if self._open:
             self._stall_timer = self._net.loop.call_later(STALL_CHECK_INTERVAL_S, self._on_stall_timer)
 
-    def take(self, number: int, client: OperationClient, asked: Operation) -> None:
+    def accept(self, number: int, client: OperationClient, operation: Operation) -> None:
         """Accept an operation from a client; of a long one the body is still coming."""
-        if self.records is not None:
-            recorded = self.records.accept(number, client, asked)
+        if self.recorder is not None:
+            recorded = self.recorder.accept(number, client, operation)
             if recorded is None:
                 return
             client = recorded
-        self._open[number] = OpenOperation(client, asked, self._config.settings.classes[asked.cls].name)
-        if asked.upload is None:
+        self._open[number] = OpenOperation(
+            client, operation, self._config.settings.classes[operation.cls].name
+        )
+        if operation.upload is None:
             self.pending += 1
         else:
             self._open[number].complete = False
         if self._stall_timer is None:
             self._check_stall()
             self._stall_timer = self._net.loop.call_later(STALL_CHECK_INTERVAL_S, self._on_stall_timer)
-        deadline = self._clock.now_ms() + (asked.wait_ms if asked.upload is None else UPLOAD_DEADLINE_MS)
+        deadline = self._clock.now_ms() + (
+            operation.wait_ms if operation.upload is None else UPLOAD_DEADLINE_MS
+        )
         self.feed(
             core.OperationReceived(
                 number,
-                asked.cls,
+                operation.cls,
                 deadline,
-                asked.repeat,
-                asked.cost_ms,
-                asked.room,
-                asked.id,
-                asked.upload is not None,
-                asked.before,
+                operation.repeat,
+                operation.cost_ms,
+                operation.is_admitted,
+                operation.id,
+                operation.upload is not None,
+                operation.prior_attempts,
             )
         )
 
-    def whole(self, number: int, waited_ms: float) -> None:
+    def complete_upload(self, number: int, waited_ms: float) -> None:
         """Note the last byte of a long operation, which may have waited unread for `waited_ms`."""
         opened = self._open.get(number)
         if opened is not None and not opened.complete:
             opened.complete = True
             self.pending += not opened.ended
-            self.feed(core.BodyReceived(number, self._clock.now_ms() + opened.asked.wait_ms - waited_ms))
+            self.feed(core.BodyReceived(number, self._clock.now_ms() + opened.operation.wait_ms - waited_ms))
 
-    def gone(self, number: int) -> None:
+    def client_disconnected(self, number: int) -> None:
         """Note that the client of an operation has disconnected."""
-        if self.records is not None:
-            self.records.client_gone(number)
+        if self.recorder is not None:
+            self.recorder.client_gone(number)
         if number in self._open:
             self._open[number].client = None
             self._ended(self._open[number], "failed")
@@ -258,7 +262,7 @@
     def answered_elsewhere(self, cls: str, verdict: core.Verdict) -> None:
         """Count the answer of an operation that was withdrawn."""
         self.counters.add(f"answers_{verdict.value}")
-        self.counters.add(ended(cls, _ENDS[verdict]))
+        self.counters.add(result_counter(cls, _RESULTS[verdict]))
 
     @property
     def settings(self) -> balancing.Settings:
@@ -269,21 +273,21 @@
         """Return the time in ms by this process' clock."""
         return self._clock.now_ms()
 
-    def place_of(self, destination: int) -> tuple[str, int, int]:
+    def location_of(self, destination: int) -> tuple[str, int, int]:
         """Address, zone and cell of a destination."""
         host, port = self.connection_pool.address(destination) or ("", 0)
-        return (f"{host}:{port}", *self._reducer.place_of(destination))
+        return (f"{host}:{port}", *self._reducer.location_of(destination))
 
-    def told(self, update: DiscoveredEndpoints | None) -> None:
+    def on_endpoints_update(self, update: DiscoveredEndpoints | None) -> None:
         """Apply an update from discovery; None: it failed."""
         if update is None:
             self.feed(core.EndpointsUpdated(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED)))
         else:
-            self.has_list = True
+            self.has_endpoints = True
             self.counters.add("pool_updates")
-            self._place(update)
+            self._apply_update(update)
 
-    def _place(self, update: DiscoveredEndpoints) -> None:
+    def _apply_update(self, update: DiscoveredEndpoints) -> None:
         # First: what is held goes to a new destination, or to one's new address, as soon as the module knows.
         self.connection_pool.update_endpoints(
             update.endpoints, complete=update.update.kind is not balancing.EndpointUpdateKind.DELTA
@@ -295,17 +299,17 @@
         ):  # whoever asked waits for an answer, an empty one too
             self.feed(core.EndpointsUpdated(update.update))
 
-    def out(self) -> dict[int, float]:
+    def ejected(self) -> dict[int, float]:
         """Destinations that are out as they failed, and for how long, ms."""
-        return self._reducer.out()
+        return self._reducer.ejected()
 
-    def hear(self, heard: Callable[[Any, bool], None]) -> None:
+    def set_endpoints_listener(self, listener: Callable[[Any, bool], None]) -> None:
         """Be told each list as discovery tells it, and whether it is a whole one."""
-        self._reader.on_endpoints = heard
+        self._reader.on_endpoints = listener
 
-    def share(self, peers: int) -> None:
+    def set_peer_count(self, peer_count: int) -> None:
         """Set how many instances share the destinations."""
-        settings = replace(self._config.settings, peers_total=peers)
+        settings = replace(self._config.settings, peers_total=peer_count)
         if settings != self._config.settings:
             self._config = replace(self._config, settings=settings)
             self.feed(core.ConfigurationReloaded(None, settings))
@@ -320,12 +324,12 @@
             if getattr(before, name) != getattr(config, name)
         ]
         self.counters.add("config_reloads")
-        self._log.say(
+        self._log.write(
             f"{before.name}: configuration read anew, discovery at {config.discovery[0]}:"
             f"{config.discovery[1]}" + (f"; from the next start: {', '.join(kept)}" if kept else "")
         )
         for request_class in settings.classes:
-            self.counters.name_class(request_class.name)
+            self.counters.register_class(request_class.name)
         # The balancer counts with it from now on.
         self.connection_pool.connect_timeout_s = connect_timeout_ms(settings) / 1000
         changed = settings != before.settings
@@ -334,7 +338,7 @@
 
     # Effects.
 
-    def _carry_out(self, effect: core.Effect) -> None:
+    def _execute(self, effect: core.Effect) -> None:
         self._handlers[type(effect)](effect)
 
     def _set_timer(self, effect: core.SetTimer) -> None:
@@ -342,17 +346,17 @@
 
     def _set_deadline_timer(self, effect: core.SetDeadlineTimer) -> None:
         delay = (effect.at_ms - self._clock.now_ms()) / 1000
-        self._open[effect.operation].guard = self._net.loop.call_later(
+        self._open[effect.operation].deadline_timer = self._net.loop.call_later(
             delay, self.feed, core.DeadlineExpired(effect.operation)
         )
 
     def _cancel(self, effect: core.CancelAttempt) -> None:
         opened = self._open.get(effect.operation)
-        if opened is not None and effect.step in opened.steps:
-            opened.steps[effect.step].cancel()
+        if opened is not None and effect.step in opened.attempts:
+            opened.attempts[effect.step].cancel()
 
     def _request_endpoints(self, effect: core.RequestEndpoints) -> None:
-        self.endpoint_source.request(full=effect.whole)
+        self.endpoint_source.request(full=effect.full)
 
     def _switch_discovery(self, effect: core.SwitchDiscovery) -> None:
         self.endpoint_source.move_to(effect.discovery)
@@ -365,13 +369,13 @@
         opened = self._open[effect.operation]
         self.counters.add("route_steps")
         asked_ms = self._clock.now_ms()
-        if self.records is None:
-            opened.steps[effect.step] = self._start(effect, opened, asked_ms, None)
+        if self.recorder is None:
+            opened.attempts[effect.step] = self._start(effect, opened, asked_ms, None)
         else:
-            self._send_recorded(self.records, effect, opened, asked_ms)
+            self._send_recorded(self.recorder, effect, opened, asked_ms)
 
     def _send_recorded(
-        self, records: OperationRecorder, effect: core.SendAttempt, opened: OpenOperation, asked_ms: float
+        self, recorder: OperationRecorder, effect: core.SendAttempt, opened: OpenOperation, asked_ms: float
     ) -> None:
         deferred = DeferredAttempt(partial(self._attempt_ended, effect, opened))
 
@@ -382,12 +386,12 @@
                 deferred.cancel()
             else:
                 deferred.ended = True
-                opened.steps[effect.step] = self._start(effect, opened, asked_ms, written)
+                opened.attempts[effect.step] = self._start(effect, opened, asked_ms, written)
 
-        opened.steps[effect.step] = deferred
-        if records.send(effect.operation, effect.step, effect.destination, resume):
+        opened.attempts[effect.step] = deferred
+        if recorder.send(effect.operation, effect.step, effect.destination, resume):
             deferred.ended = True
-            opened.steps[effect.step] = self._start(effect, opened, asked_ms, None)
+            opened.attempts[effect.step] = self._start(effect, opened, asked_ms, None)
 
     def _start(
         self,
@@ -401,7 +405,7 @@
         left_ms = effect.timeout_ms - (self._clock.now_ms() - asked_ms)
         return self.connection_pool.send(
             effect.destination,
-            opened.asked,
+            opened.operation,
             max(left_ms, 1.0) / 1000,
             partial(self._attempt_ended, effect, opened),
             partial(self._answer_began, effect, opened),
@@ -410,12 +414,12 @@
         )
 
     def _attempt_ended(self, effect: core.SendAttempt, opened: OpenOperation, result: AttemptResult) -> None:
-        opened.steps.pop(effect.step, None)
+        opened.attempts.pop(effect.step, None)
         self.counters.add(f"outcome_{result.outcome.name.lower()}")
         if self.health_checks is not None:
             self.health_checks.observed(effect.destination, result.outcome)
-        if self.records is not None:
-            self.records.attempt_ended(effect.operation, effect.step, result.outcome)
+        if self.recorder is not None:
+            self.recorder.attempt_ended(effect.operation, effect.step, result.outcome)
         self.feed(
             core.AttemptEnded(effect.operation, effect.step, result.outcome, result.load, result.answer)
         )
@@ -480,7 +484,7 @@
         client = opened.client
         opened.client = None
         self.counters.add(f"answers_{effect.verdict.value}")
-        self._ended(opened, _ENDS[effect.verdict])
+        self._ended(opened, _RESULTS[effect.verdict])
         if client is not None:
             client.answer(effect.verdict, effect.answer, effect.retry_after_ms)
         self._forget(effect.operation, answered=True)
@@ -490,25 +494,25 @@
         if not opened.ended:
             opened.ended = True
             self.pending -= opened.complete
-            self.counters.add(ended(opened.cls, how))
+            self.counters.add(result_counter(opened.class_name, how))
 
     def _begin_answer(self, effect: core.StartAnswer) -> None:
         opened = self._open[effect.operation]
         opened.forwarding = opened.client is not None
-        source = opened.steps[effect.step]
+        source = opened.attempts[effect.step]
         if opened.client is not None and isinstance(source, Attempt):
             opened.client.begin(effect.answer, source)
-        if opened.guard is not None:
-            opened.guard.cancel()
+        if opened.deadline_timer is not None:
+            opened.deadline_timer.cancel()
 
     def _end_answer(self, effect: core.EndAnswer) -> None:
         opened = self._open[effect.operation]
         client = opened.client
         opened.client = None
-        self.counters.add("answers_long" if effect.whole else "answers_long_broken")
-        self._ended(opened, "completed" if effect.whole else "failed")
+        self.counters.add("answers_long" if effect.complete else "answers_long_broken")
+        self._ended(opened, "completed" if effect.complete else "failed")
         if client is not None:
-            client.finish(effect.whole)
+            client.finish(effect.complete)
         self._forget(effect.operation, answered=True)
 
     def _forget(self, number: int, answered: bool = False) -> None:
@@ -517,9 +521,9 @@
             return
         opened.answered = opened.answered or answered
         if opened.answered:
-            if opened.guard is not None:
-                opened.guard.cancel()
-            if not opened.steps:
+            if opened.deadline_timer is not None:
+                opened.deadline_timer.cancel()
+            if not opened.attempts:
                 del self._open[number]
-                if opened.asked.upload is not None:
-                    opened.asked.upload.close()
+                if opened.operation.upload is not None:
+                    opened.operation.upload.close()
--- a/coveport/sidecar/intent_log/execution.py
+++ b/coveport/sidecar/intent_log/execution.py
@@ -33,7 +33,7 @@
 class Executor(Protocol):
     """Executes operations: `coveport.sidecar.effects`, or its simulated double."""
 
-    def take(self, number: int, client: Client, asked: Operation) -> None:
+    def accept(self, number: int, client: Client, operation: Operation) -> None:
         """Execute an operation; its one final response goes to `client`."""
 
     def withdraw(self, number: int) -> None:
@@ -45,7 +45,7 @@
     def now_ms(self) -> float:
         """Return the time in ms by the balancer's clock."""
 
-    def place_of(self, destination: int) -> tuple[str, int, int]:
+    def location_of(self, destination: int) -> tuple[str, int, int]:
         """Return address, zone and cell of a destination."""
 
     @property
--- a/coveport/sidecar/intent_log/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -216,7 +216,7 @@
             source.cost_ms,
             source.content_type,
             source.accept,
-            before=earlier_attempts,
+            prior_attempts=earlier_attempts,
         )
         pending.number = self._next_own_number()
         pending.numbers.add(pending.number)
@@ -231,7 +231,7 @@
         stand_in: Client = AbsentClient(self, pending)
         if client is not None:
             stand_in = RecordingClient(self, pending, client)
-        self._executor.take(pending.number, stand_in, operation)
+        self._executor.accept(pending.number, stand_in, operation)
 
     def _close(
         self,
--- a/coveport/sidecar/intent_log/recorder.py
+++ b/coveport/sidecar/intent_log/recorder.py
@@ -74,7 +74,7 @@
 
     def accept(self, number: int, client: Client, operation: Operation) -> Client | None:
         """Accept an operation; return who gets its response, None where the recorder sees to that itself."""
-        if number in self._by_number or not operation.room:
+        if number in self._by_number or not operation.is_admitted:
             return client
         request_class = self._executor.settings.classes[operation.cls]
         if not self._may_record(operation, request_class.name):
@@ -104,11 +104,11 @@
         if not self.may_write:
             self._count("work_unrecorded")
             if class_name in self._settings.rejected_when_unavailable:
-                operation.room = False
+                operation.is_admitted = False
             return False
         if self.journal.is_full or len(self._waiters) >= MAX_WAITERS:
             self._count("work_no_room")
-            operation.room = False  # rejected at once: later it would be late
+            operation.is_admitted = False  # rejected at once: later it would be late
             return False
         return True
 
@@ -136,7 +136,7 @@
 
     def _begin_attempt(self, pending: PendingOperation, step: int, destination: int) -> bool:
         """Add an attempt; return False where all instances together have made as many as are allowed."""
-        node, zone, cell = self._executor.place_of(destination)
+        node, zone, cell = self._executor.location_of(destination)
         attempt = Attempt(node, zone, cell, self.incarnation, recorded_unix_s=self._unix_s())
         try:
             pending.begin_attempt(step, attempt, self._now_s())
--- a/coveport/sidecar/intent_log/repeated_requests.py
+++ b/coveport/sidecar/intent_log/repeated_requests.py
@@ -120,7 +120,7 @@
             self._answer_client(pending, client, Verdict.SERVED, answer)
             return True
         if decision.action is ReplayAction.KEY_REUSED:
-            self._answer_client(pending, client, Verdict.DOUBLE)
+            self._answer_client(pending, client, Verdict.DUPLICATE)
             return True
         if decision.action is ReplayAction.FAIL:
             self._answer_client(pending, client, Verdict.FAILED)
--- a/coveport/sidecar/open_operation.py
+++ b/coveport/sidecar/open_operation.py
@@ -31,10 +31,10 @@
     """An operation's client, attempts and timer, until it is answered and all attempts have ended."""
 
     client: OperationClient | None
-    asked: Operation
-    cls: str  # the name of its class when it came
-    guard: asyncio.TimerHandle | None = None
-    steps: dict[int, Attempt | DeferredAttempt] = field(default_factory=dict)
+    operation: Operation
+    class_name: str  # the name of its class when it came
+    deadline_timer: asyncio.TimerHandle | None = None
+    attempts: dict[int, Attempt | DeferredAttempt] = field(default_factory=dict)
     answered: bool = False
     forwarding: bool = False  # a long answer is being forwarded
     complete: bool = True  # its last byte was received
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -112,7 +112,7 @@
             runtime,
         )
         self.sweeper = RetentionSweeper(recorder, runtime)
-        effects.records = recorder
+        effects.recorder = recorder
         counters.gauge("work_open", lambda: recorder.tables["work_open"])
         counters.gauge("work_later", lambda: recorder.tables["work_later"])
         counters.gauge("work_groups", lambda: journal.groups)
--- a/coveport/sidecar/reducer/messages.py
+++ b/coveport/sidecar/reducer/messages.py
@@ -16,7 +16,7 @@
     SERVED = "served"
     BUSY = "busy"
     FAILED = "failed"
-    DOUBLE = "double"  # its id is that of an operation still open
+    DUPLICATE = "double"  # its id is that of an operation still open
 
 
 # Inputs.
@@ -31,10 +31,12 @@
     deadline_ms: float  # on our clock
     repeat: bool = False
     cost_ms: float = 0.0
-    room: bool = True  # False: beyond the capacity for clients
+    is_admitted: bool = True  # False: beyond the capacity for clients
     id: str = ""  # the client's request id; may be empty
     long: bool = False  # its body is still coming: no deadline holds until `BodyReceived`
-    before: tuple[balancing.PriorAttempt, ...] = ()  # attempts made already; they have the numbers from 0 on
+    prior_attempts: tuple[
+        balancing.PriorAttempt, ...
+    ] = ()  # attempts made already; they have the numbers from 0 on
 
 
 @dataclass(slots=True)
@@ -121,18 +123,18 @@
 
 @dataclass(slots=True)
 class SlowStartGranted:
-    """A destination in slow start may be sent `count` operations more within `lasts_ms`."""
+    """A destination in slow start may be sent `count` operations more within `valid_ms`."""
 
     destination: int
     count: int
-    lasts_ms: float
+    valid_ms: float
 
 
 @dataclass(slots=True)
 class ProcessStalled:
-    """The process had no CPU for `lasted_ms` up to now, to be left out of all latencies."""
+    """The process had no CPU for `duration_ms` up to now, to be left out of all latencies."""
 
-    lasted_ms: float
+    duration_ms: float
 
 
 Input = (
@@ -194,10 +196,10 @@
 
 @dataclass(slots=True)
 class EndAnswer:
-    """End the long answer that was forwarded; not `whole`: the client must see that it was cut."""
+    """End the long answer that was forwarded; not `complete`: the client must see that it was cut."""
 
     operation: int
-    whole: bool
+    complete: bool
 
 
 @dataclass(slots=True)
@@ -227,7 +229,7 @@
 class RequestEndpoints:
     """Request from discovery the complete list once, or all changes from now on."""
 
-    whole: bool
+    full: bool
 
 
 @dataclass(slots=True)
--- a/coveport/sidecar/reducer/operation.py
+++ b/coveport/sidecar/reducer/operation.py
@@ -23,9 +23,9 @@
     cost_ms: float = 0.0  # the client's estimate; 0: unknown
     content_type: tuple[str, ...] = ()
     accept: tuple[str, ...] = ()
-    room: bool = True  # False: beyond the capacity for clients, to be rejected
+    is_admitted: bool = True  # False: beyond the capacity for clients, to be rejected
     upload: Upload | None = None  # its body, where that is long; `body` is empty then
-    before: tuple[PriorAttempt, ...] = ()  # attempts that other instances made already
+    prior_attempts: tuple[PriorAttempt, ...] = ()  # attempts that other instances made already
 
 
 @dataclass(slots=True)
--- a/coveport/sidecar/reducer/reducer.py
+++ b/coveport/sidecar/reducer/reducer.py
@@ -101,7 +101,7 @@
         """Mean time of an operation at a destination, as the balancer knows it."""
         return self._balancer.service_time
 
-    def fresh(self) -> dict[int, tuple[int, float]]:
+    def in_slow_start(self) -> dict[int, tuple[int, float]]:
         """Destinations that count as cold: zone, and age in ms."""
         warm = self._settings.rules.warm_after_ms
         return {
@@ -110,7 +110,7 @@
             if self._now - host.slow_start_at < warm
         }
 
-    def out(self) -> dict[int, float]:
+    def ejected(self) -> dict[int, float]:
         """Destinations that are out as they failed, and for how long, ms."""
         return {
             host.id: max(0.0, self._now - host.unresponsive_since)
@@ -118,7 +118,7 @@
             if host.readmit_at < inf
         }
 
-    def place_of(self, destination: int) -> tuple[int, int]:
+    def location_of(self, destination: int) -> tuple[int, int]:
         """Zone and cell of a destination; -1 both where it is not known any more."""
         host = self._balancer.hosts.get(destination)
         return (host.zone, host.cell) if host is not None else (-1, -1)
@@ -167,10 +167,10 @@
         elif isinstance(item, AnswerStarted):
             self._answer_started(item)
         elif isinstance(item, ProcessStalled):
-            self._subtract_stall(item.lasted_ms)
+            self._subtract_stall(item.duration_ms)
         elif isinstance(item, SlowStartGranted):
             self._notify_balancer(
-                balancing.SlowStartGrant(item.destination, item.count, self._now + item.lasts_ms)
+                balancing.SlowStartGrant(item.destination, item.count, self._now + item.valid_ms)
             )
         elif isinstance(item, ConfigurationReloaded):
             if item.discovery is not None:
@@ -187,20 +187,20 @@
         return effects
 
     def _operation_received(self, item: OperationReceived) -> None:
-        if not item.room:
+        if not item.is_admitted:
             # Guards against running out of descriptors: turned away unseen, so it has never run.
             self._effects.append(self._rejection(item.operation, self._settings.classes[item.cls].aim_ms))
             return
         if item.id and item.id in self._ids:
             # Guards against a client that uses another's id: what is open keeps its one answer, and the
             # ledger nodes never hold two of a name.
-            self._effects.append(SendAnswer(item.operation, Verdict.DOUBLE))
+            self._effects.append(SendAnswer(item.operation, Verdict.DUPLICATE))
             return
         self._ids.add(item.id)
         operation = self._operations[item.operation] = _Operation(
             item.deadline_ms, item.id, self._settings.limits.max_attempts
         )
-        operation.steps.extend(_Attempt(-1, one.sent_ms, in_flight=False) for one in item.before)
+        operation.steps.extend(_Attempt(-1, one.sent_ms, in_flight=False) for one in item.prior_attempts)
         if not item.long:
             self._set_deadline_timer(item.operation, operation)
         handled = self._notify_balancer(
@@ -212,7 +212,7 @@
                 item.cost_ms,
                 repeat=item.repeat,
                 long=item.long,
-                before=item.before,
+                before=item.prior_attempts,
             )
         )
         self._close_if_done(item.operation, operation, handled)
@@ -260,12 +260,12 @@
         )
         self._close_if_done(item.operation, operation, handled)
 
-    def _subtract_stall(self, lasted_ms: float) -> None:
+    def _subtract_stall(self, duration_ms: float) -> None:
         # Guards against a sidecar that takes its own stall for slow nodes, and refuses for seconds after it.
         for operation in self._operations.values():
             for step in operation.steps:
                 if step.in_flight:
-                    step.sent_at = min(self._now, step.sent_at + lasted_ms)
+                    step.sent_at = min(self._now, step.sent_at + duration_ms)
 
     def _close_if_done(self, number: int, operation: _Operation, handled: bool) -> None:
         # Guards against a balancer that raised over this operation: the answer is owed all the same.
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -41,25 +41,25 @@
     net: Net,
     log: Log,
     *,
-    reread: Callable[[configuration.Config], configuration.Config],
+    reload_config: Callable[[configuration.Config], configuration.Config],
     on_phase: Callable[[Phase], None] | None = None,
     reducer: Callable[[balancing.Settings, int], Reducer] = Reducer,
     effects_type: type[Effects] = Effects,
-    joined: Callable[[Effects, Lifecycle], None] | None = None,
+    attach: Callable[[Effects, Lifecycle], None] | None = None,
 ) -> int:
-    """Run until told to stop and nothing is owed; the exit code.
+    """Run until a signal stops the sidecar and all operations are answered; return the exit code.
 
-    `reread` gives the configuration anew, checked against the one that runs, or raises PlatformFileError.
-    `reducer` and `effects_type` are there to be replaced by variants that are held against each other.
-    `joined` is called with the parts before anything is opened: what an operator's file enables attaches
-    there.
+    `reload_config` returns the configuration, read again and checked against the running one, or raises
+    PlatformFileError. `reducer` and `effects_type` can be replaced by variants that are compared with the
+    shipped ones. `attach` is called before any address is opened: the optional parts that an operator's file
+    enables attach themselves there.
     """
     loop = net.loop
     counters, life = Counters(), Lifecycle()
     budget = Budget(int(max(LONG_LEAST_MB, (config.memory_mb - NEED_MB) * LONG_SHARE) * 1024 * 1024))
     dial = Dialer(config.settings.load_fields, budget)
-    counters.gauge("long_bytes", lambda: budget.held)
-    counters.gauge("long_bytes_peak", lambda: budget.peak)
+    counters.gauge("long_bytes", lambda: budget.buffered_bytes)
+    counters.gauge("long_bytes_peak", lambda: budget.peak_bytes)
     effects = effects_type(net, config, counters, log, dial, reducer)
     listener = Listener(
         net,
@@ -68,9 +68,9 @@
         config.settings.classes,
         is_ready=lambda: life.ready,
         max_clients=connection_limits(config.sockets)[0],
-        submit=effects.take,
-        cancel=effects.gone,
-        on_upload_complete=effects.whole,
+        submit=effects.accept,
+        cancel=effects.client_disconnected,
+        on_upload_complete=effects.complete_upload,
         budget=budget,
     )
 
@@ -81,7 +81,7 @@
             listener.clients.shed(16)
 
     def figures() -> None:
-        log.say(
+        log.write(
             "counters "
             + counters.line(
                 phase=life.phase.value,
@@ -102,7 +102,7 @@
         return None if life.ready else f"not ready: {life.phase.value}"
 
     def info() -> CommandResult:
-        return counters.told()
+        return counters.report_lines()
 
     def lameduck() -> CommandResult:
         if life.phase is Phase.LAMEDUCK or life.enter(Phase.LAMEDUCK):
@@ -125,30 +125,30 @@
     def reload() -> None:
         try:
             nonlocal running
-            running = told = reread(running)
+            running = told = reload_config(running)
             effects.reload(told)
             listener.set_classes(told.settings.classes)
         except PlatformFileError as problem:
             # Guards against a bad file, or one that is half written: we run on with what we have.
             counters.add("config_reload_errors")
-            log.say(f"{config.name}: kept the old configuration: {problem}")
+            log.write(f"{config.name}: kept the old configuration: {problem}")
 
     loop.set_exception_handler(unexpected)
     loop.add_signal_handler(signal.SIGTERM, terminate)
     loop.add_signal_handler(signal.SIGINT, terminate)
     loop.add_signal_handler(signal.SIGHUP, reload)
     loop.add_signal_handler(signal.SIGUSR1, figures)
-    life.listen(lambda phase: log.say(f"{config.name}: {phase.value}"))
+    life.listen(lambda phase: log.write(f"{config.name}: {phase.value}"))
     life.listen(lambda phase: listener.drain(on=phase is Phase.LAMEDUCK))
-    if joined is not None:
-        joined(effects, life)
+    if attach is not None:
+        attach(effects, life)
     if on_phase is not None:
         life.listen(on_phase)
 
-    effects.know()
+    effects.load_known_endpoints()
     effects.endpoint_source.start()
     if config.console is not None and await _open(net, log, admin.open, config.console) is not None:
-        log.say(f"{config.name}: staff call at {config.console[0]}:{config.console[1]}")
+        log.write(f"{config.name}: staff call at {config.console[0]}:{config.console[1]}")
     # Where another serves here already, it goes on until we are ready: clients would find us with no list.
     beside = net.is_taken(config.listen)
     if not beside and not await _listen(config, net, log, listener):
@@ -157,7 +157,7 @@
     known_will_do = net.now_s() + (0.0 if config.settings.must_ask else FIRST_LIST_S)
     while (
         not stop.is_set()
-        and not effects.has_list
+        and not effects.has_endpoints
         and not (effects.connection_pool.known and net.now_s() >= known_will_do)
     ):
         await asyncio.sleep(STEP_S)
@@ -182,7 +182,7 @@
 async def _listen(config: configuration.Config, net: Net, log: Log, listener: Listener) -> bool:
     port = await _open(net, log, listener.open, config.listen)
     if port is not None:
-        log.say(f"{config.name}: listening on {config.listen[0]}:{port}")
+        log.write(f"{config.name}: listening on {config.listen[0]}:{port}")
     return port is not None
 
 
@@ -196,7 +196,7 @@
             return await listen(address)
         except OSError as problem:
             if net.now_s() > give_up:
-                log.say(f"cannot listen on {address[0]}:{address[1]}: {problem}")
+                log.write(f"cannot listen on {address[0]}:{address[1]}: {problem}")
                 return None
             await asyncio.sleep(BIND_STEP_S)
 
@@ -211,7 +211,7 @@
         Net(asyncio.get_running_loop()),
         log,
         on_phase=settled,
-        reread=lambda running: configuration.load(os.environ, again=True, running=running),
+        reload_config=lambda running: configuration.load(os.environ, again=True, running=running),
     )
 
 
@@ -223,6 +223,6 @@
     try:
         config = configuration.load(os.environ)
     except PlatformFileError as problem:
-        log.say(str(problem))
+        log.write(str(problem))
         return 2
     return asyncio.run(_serve(config, log))
--- a/coveport/sidecar/supervisor/instance_agent.py
+++ b/coveport/sidecar/supervisor/instance_agent.py
@@ -86,7 +86,7 @@
         """Begin to report for a sidecar, and to keep its snapshot."""
         self._sidecar = sidecar
         self._destinations = destinations
-        sidecar.hear(self.snapshots.on_endpoints)
+        sidecar.set_endpoints_listener(self.snapshots.on_endpoints)
         lifecycle.listen(self._on_phase)
 
     def leave(self, exit_code: int) -> None:
@@ -99,7 +99,7 @@
     def on_session_count(self, sessions: int) -> None:
         """Take note of how many instances have a session with the store."""
         if self._peers is not None and self._sidecar is not None:
-            self._sidecar.share(self._peers.observe(boot_s(), sessions))
+            self._sidecar.set_peer_count(self._peers.observe(boot_s(), sessions))
 
     def with_peer_count(self, config: Config) -> Config:
         """Return a configuration that was read again, with the present number of peers."""
@@ -137,7 +137,7 @@
                 reported_at = now
                 variables["X_SERVED"] = self._sample_success()
                 if self._peers is not None and self._sidecar is not None:
-                    self._sidecar.share(self._peers.count(now))
+                    self._sidecar.set_peer_count(self._peers.count(now))
             self._notifier.send(**variables)
             await asyncio.sleep(self._heartbeat_interval_s)
 
--- a/coveport/sidecar/supervisor/log_stream.py
+++ b/coveport/sidecar/supervisor/log_stream.py
@@ -71,14 +71,14 @@
         super().__init__(now_s)
         self._logger = logger
 
-    def say(self, text: str) -> None:
+    def write(self, text: str) -> None:
         """Write a line without a kind."""
         if text.startswith(COUNTERS_PREFIX):
             self._logger.info("counters", text=text.removeprefix(COUNTERS_PREFIX))
         else:
             self._logger.info("said", text=text)
 
-    def tell(self, kind: str, text: str) -> None:
+    def write_kind(self, kind: str, text: str) -> None:
         """Write a line of a kind."""
         write = self._logger.error if kind in ERROR_KINDS else self._logger.warning
         write(kind.replace(" ", "_"), text=text)
--- a/coveport/sidecar/supervisor/sidecar_view.py
+++ b/coveport/sidecar/supervisor/sidecar_view.py
@@ -19,17 +19,17 @@
     def settings(self) -> balancing.Settings:
         """The present settings."""
 
-    def hear(self, on_endpoints: Callable[[Any, bool], None], /) -> None:
+    def set_endpoints_listener(self, listener: Callable[[Any, bool], None], /) -> None:
         """Pass on each endpoint list or update, and whether it is a complete list."""
 
     def feed(self, item: core.Input) -> None:
         """Give the reducer an input."""
 
-    def fresh(self) -> dict[int, tuple[int, float]]:
+    def in_slow_start(self) -> dict[int, tuple[int, float]]:
         """Return the destinations in slow start: zone, and age in ms."""
 
-    def out(self) -> dict[int, float]:
+    def ejected(self) -> dict[int, float]:
         """Return the ejected destinations: for how long, ms."""
 
-    def share(self, peers: int) -> None:
+    def set_peer_count(self, peer_count: int) -> None:
         """Set how many instances share the destinations."""
--- a/coveport/sidecar/supervisor/snapshot_manager.py
+++ b/coveport/sidecar/supervisor/snapshot_manager.py
@@ -106,12 +106,12 @@
             list(self._endpoints.hosts.values()),
             ejected={
                 names[number]: ejected_ms / 1000
-                for number, ejected_ms in sidecar.out().items()
+                for number, ejected_ms in sidecar.ejected().items()
                 if names.get(number)
             },
             warming_up={
                 names[number]: now.unix_s * 1000 - age_ms
-                for number, (_, age_ms) in sidecar.fresh().items()
+                for number, (_, age_ms) in sidecar.in_slow_start().items()
                 if names.get(number)
             },
         )
--- a/coveport/sidecar/supervisor/success_window.py
+++ b/coveport/sidecar/supervisor/success_window.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from coveport.sidecar.telemetry.counters import ENDS, Counters, ended
+from coveport.sidecar.telemetry.counters import RESULTS, Counters, result_counter
 
 SAMPLES = 6  # the rate is that of the operations between the oldest and the newest sample
-SUCCEEDED = ENDS[0]
+SUCCEEDED = RESULTS[0]
 
 
 class _Sample(NamedTuple):
@@ -28,8 +28,8 @@
         names = list(classes)
         self._samples.append(
             _Sample(
-                sum(counters.get(ended(name, SUCCEEDED)) for name in names),
-                sum(counters.get(ended(name, how)) for name in names for how in ENDS),
+                sum(counters.get(result_counter(name, SUCCEEDED)) for name in names),
+                sum(counters.get(result_counter(name, result)) for name in names for result in RESULTS),
             )
         )
         oldest, newest = self._samples[0], self._samples[-1]
--- a/coveport/sidecar/telemetry/counters.py
+++ b/coveport/sidecar/telemetry/counters.py
@@ -9,9 +9,9 @@
 import json
 from collections.abc import Callable
 
-ENDS = ("completed", "rejected", "failed")  # how an operation ends: served, refused, failed
+RESULTS = ("completed", "rejected", "failed")  # how an operation ends: served, refused, failed
 # Reported to operators, beside how the operations of each class ended.
-TOLD = (
+REPORTED = (
     "upstream_requests",
     "pending",
     "members",
@@ -22,9 +22,9 @@
 PREFIX = "edge_lb"
 
 
-def ended(cls: str, how: str) -> str:
-    """Return the name of the counter of operations of a class that ended so (one of `ENDS`)."""
-    return f"downstream_requests.{cls}.{how}"
+def result_counter(cls: str, result: str) -> str:
+    """Return the name of the counter of operations of a class that ended so (one of `RESULTS`)."""
+    return f"downstream_requests.{cls}.{result}"
 
 
 class Counters:
@@ -34,7 +34,7 @@
         self._figures: dict[str, int] = {}
         self._gauges: dict[str, Callable[[], int]] = {}
         self._classes: dict[str, None] = {}
-        for name in TOLD:
+        for name in REPORTED:
             self._figures[name] = 0
 
     def add(self, name: str, amount: int = 1) -> None:
@@ -51,14 +51,14 @@
         self._figures.pop(name, None)
         self._gauges[name] = ask
 
-    def name_class(self, cls: str) -> None:
+    def register_class(self, cls: str) -> None:
         """Report a class from now on; it stays when the class is removed."""
         self._classes[cls] = None
 
-    def told(self) -> list[str]:
+    def report_lines(self) -> list[str]:
         """Return the counters and gauges for operators, a line each."""
-        names = [ended(cls, how) for cls in self._classes for how in ENDS]
-        return [f"{PREFIX}.{name}={self.get(name)}" for name in [*names, *TOLD]]
+        names = [result_counter(cls, result) for cls in self._classes for result in RESULTS]
+        return [f"{PREFIX}.{name}={self.get(name)}" for name in [*names, *REPORTED]]
 
     def line(self, **gauges: object) -> str:
         """Return all counters and gauges as one line of JSON, after those given."""
--- a/coveport/sidecar/telemetry/log.py
+++ b/coveport/sidecar/telemetry/log.py
@@ -38,12 +38,12 @@
         state[1] += 1
         left_out = f" ({int(state[2])} like it left out)" if state[2] else ""
         state[2] = 0
-        self.tell(kind, f"{text}{left_out}")
+        self.write_kind(kind, f"{text}{left_out}")
 
-    def say(self, text: str) -> None:
+    def write(self, text: str) -> None:
         """Print a line, without a limit."""
         self._write(f"coveport: {text}")
 
-    def tell(self, kind: str, text: str) -> None:
+    def write_kind(self, kind: str, text: str) -> None:
         """Print a line that is within the limit of its kind."""
-        self.say(f"{kind}: {text}")
+        self.write(f"{kind}: {text}")
--- a/coveport/sidecar/upstream/http1_connection.py
+++ b/coveport/sidecar/upstream/http1_connection.py
@@ -8,7 +8,7 @@
 from coveport.balancing import Outcome
 from coveport.sidecar.reducer.endpoint import EndpointAddress
 from coveport.sidecar.reducer.operation import Answer
-from coveport.sidecar.reducer.streams import MOST_BODY, Budget, Upload
+from coveport.sidecar.reducer.streams import MAX_STREAMED_BODY_BYTES, Budget, Upload
 from coveport.sidecar.upstream.attempt import Attempt, AttemptResult
 from coveport.sidecar.upstream.http1_messages import encode_request, load_report, response_outcome
 from coveport.sidecar.upstream.protocol import Pool
@@ -38,7 +38,7 @@
         self.endpoint = endpoint
         self._fields = fields
         self._attempt: Attempt | None = attempt
-        self._parser = http1.ResponseParser(MOST_BODY, http1.MAX_BODY_BYTES)
+        self._parser = http1.ResponseParser(MAX_STREAMED_BODY_BYTES, http1.MAX_BODY_BYTES)
         self._upload: Upload | None = None  # the long body that is being sent
         self._answer: http1.Response | None = None  # the long answer that is being forwarded
         self._read_paused = False
@@ -92,9 +92,9 @@
             return
         self._upload = attempt.operation.upload
         self._transport.write(encode_request(attempt, self.endpoint))
-        self.more()
+        self.forward_available()
 
-    def more(self) -> None:
+    def forward_available(self) -> None:
         """Forward the chunks of a long body that have been received."""
         upload, transport, attempt = self._upload, self._transport, self._attempt
         if upload is None or transport is None or attempt is None:
@@ -105,8 +105,8 @@
             transport.write(chunk if upload.length is not None else http1.write_chunk(chunk))
             self._update_budget()
             attempt.progress_s = self._pool.net.now_s()
-            upload.took()
-        if not upload.ended(self) or self._write_paused or transport.is_closing():
+            upload.release_read()
+        if not upload.is_read_by(self) or self._write_paused or transport.is_closing():
             return
         self._leave_upload()
         if upload.length is None:
@@ -117,7 +117,7 @@
     def _update_budget(self) -> None:
         """Tell the budget how much of a long body is unsent."""
         left = self._transport.get_write_buffer_size() if self._transport is not None else 0
-        self._budget.take(left - self._unsent_bytes)
+        self._budget.add(left - self._unsent_bytes)
         self._unsent_bytes = left
 
     def _leave_upload(self) -> None:
@@ -152,13 +152,13 @@
         self._write_paused = False
         if self._upload is not None:
             self._update_budget()
-            self._pool.net.loop.call_soon(self.more)
+            self._pool.net.loop.call_soon(self.forward_available)
         elif self._attempt is not None:
             self._attempt.mark_sent()
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return the buffer to read into."""
-        return _INBOX[: self._budget.read_most()] if self._answer is not None else _INBOX
+        return _INBOX[: self._budget.read_limit()] if self._answer is not None else _INBOX
 
     def buffer_updated(self, nbytes: int) -> None:
         """Parse what was read of the answer."""
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -142,22 +142,22 @@
 
 
 class _AnswersLate(_Hands):
-    def take(self, number: int, client: OperationClient, asked: Operation) -> None:
+    def accept(self, number: int, client: OperationClient, operation: Operation) -> None:
         if self.struck(number):
             loop = self._net.loop
-            at = loop.time() + asked.wait_ms / 1000 + 0.04
+            at = loop.time() + operation.wait_ms / 1000 + 0.04
             client = _Later(lambda call: loop.call_at(at, call), client)
-        super().take(number, client, asked)
+        super().accept(number, client, operation)
 
 
 class _HoldsBack(_Hands):
     """What it gives up is answered only when the client's time is nearly over, to spare a retry."""
 
-    def take(self, number: int, client: OperationClient, asked: Operation) -> None:
-        until = self._net.now_s() + 0.95 * asked.wait_ms / 1000
+    def accept(self, number: int, client: OperationClient, operation: Operation) -> None:
+        until = self._net.now_s() + 0.95 * operation.wait_ms / 1000
         loop = self._net.loop
         held = _Later(lambda call: loop.call_later(max(0.0, until - loop.time()), call), client, served=False)
-        super().take(number, held, asked)
+        super().accept(number, held, operation)
 
 
 class _Later:
@@ -188,14 +188,14 @@
 
 
 class _LosesCancels(Effects):
-    def _carry_out(self, effect: core.Effect) -> None:
+    def _execute(self, effect: core.Effect) -> None:
         if not isinstance(effect, core.CancelAttempt):
-            super()._carry_out(effect)
+            super()._execute(effect)
 
 
 class _ChangesKeys(_Hands):
     def _send(self, effect: core.SendAttempt) -> None:
-        asked = self._open[effect.operation].asked
+        asked = self._open[effect.operation].operation
         if asked.key is not None and effect.step:
             asked.key = asked.key[::-1]
         super()._send(effect)
@@ -205,7 +205,7 @@
     """Sends once more what has its answer already."""
 
     def _answer(self, effect: core.SendAnswer) -> None:
-        asked = self._open[effect.operation].asked
+        asked = self._open[effect.operation].operation
         super()._answer(effect)
         if self.struck(effect.operation) and self.connection_pool._endpoints:
             number = next(iter(self.connection_pool._endpoints))
@@ -217,18 +217,18 @@
 class _KeepsTheGone(Effects):
     """Sends where the list said, and goes on where it says no more."""
 
-    def _place(self, update: DiscoveredEndpoints) -> None:
+    def _apply_update(self, update: DiscoveredEndpoints) -> None:
         update.endpoints = [(number, place) for number, place in update.endpoints if place is not None]
         entries = tuple(one for one in update.update.entries if one.state is balancing.EndpointState.READY)
         update.update = balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA, entries, update.update.version
         )
-        super()._place(update)
+        super()._apply_update(update)
 
 
 class _Dies(Effects):
-    def take(self, number: int, client: OperationClient, asked: Operation) -> None:
-        super().take(number, client, asked)
+    def accept(self, number: int, client: OperationClient, operation: Operation) -> None:
+        super().accept(number, client, operation)
         if number == 2 * EVERY:
             raise SystemExit(3)
 
--- a/coveport/testbed/check/rules.py
+++ b/coveport/testbed/check/rules.py
@@ -150,7 +150,7 @@
         ]
         if effect.answer not in made:
             yield Breach("body", f"{name} was served {effect.answer}, which no node made for it")
-    elif effect.verdict is Verdict.DOUBLE and not _doubled(around, effect.operation, asked):
+    elif effect.verdict is Verdict.DUPLICATE and not _doubled(around, effect.operation, asked):
         yield Breach("double", f"{name} was refused as a double of none")
 
 
@@ -171,7 +171,7 @@
         latest = asked.deadline_ms + around.world.settings.rules.answer_slack_ms
         if not asked.over and not asked.deadline_ms <= asked.guard_at <= latest:
             yield Breach("answer-none", f"{name} has no guard between its deadline and the slack's end")
-        if not asked.answered and item.room and _doubled(around, item.operation, asked):
+        if not asked.answered and item.is_admitted and _doubled(around, item.operation, asked):
             yield Breach("double", f"{name} goes on beside another of its name")
     for number, asked in around.open.items():
         name = f"operation {number - OPERATION}"
--- a/coveport/testbed/discrete_event/sidecars.py
+++ b/coveport/testbed/discrete_event/sidecars.py
@@ -33,7 +33,7 @@
     core.Verdict.SERVED: 200,
     core.Verdict.BUSY: 503,
     core.Verdict.FAILED: 500,
-    core.Verdict.DOUBLE: 409,
+    core.Verdict.DUPLICATE: 409,
 }
 
 
--- a/coveport/testbed/discrete_event/slow_start.py
+++ b/coveport/testbed/discrete_event/slow_start.py
@@ -72,7 +72,10 @@
             part, had = self._parts.setdefault(id(life), (CapacityClient(f"{name}#{id(life)}"), life.came))
             rate = (life.came - had) * 1000 / LOOK_MS
             self._parts[id(life)] = part, life.came
-            fresh = {f"n{number}": (zone, age / 1000) for number, (zone, age) in life.reducer.fresh().items()}
+            fresh = {
+                f"n{number}": (zone, age / 1000)
+                for number, (zone, age) in life.reducer.in_slow_start().items()
+            }
             wish = part.request(now, max(rate, 0.5), life.reducer.service_ms / 1000, fresh)
             if wish is not None:
                 self._agenda.at(self._agenda.now + STORE_MS, self._put, REQUEST_PREFIX + name, wish)
--- a/coveport/testbed/fault_injection/work/executors.py
+++ b/coveport/testbed/fault_injection/work/executors.py
@@ -173,7 +173,7 @@
         self.way = way
         self.settings = settings
         self.rng = rng
-        self.records: Any = None
+        self.recorder: Any = None
         self.pending = 0
         self._reducer = Reducer(settings, rng.randrange(1 << 30))
         self._open: dict[int, _Open] = {}
@@ -197,29 +197,29 @@
         """Its clock."""
         return self.world.now * 1000
 
-    def place_of(self, destination: int) -> tuple[str, int, int]:
+    def location_of(self, destination: int) -> tuple[str, int, int]:
         """A node by its number."""
         return f"n{destination}", 0, self.nodes[destination].block
 
-    def take(self, number: int, client: Any, asked: Operation) -> None:
+    def accept(self, number: int, client: Any, operation: Operation) -> None:
         """An operation has come."""
-        if self.records is not None:
-            client = self.records.accept(number, client, asked)
+        if self.recorder is not None:
+            client = self.recorder.accept(number, client, operation)
             if client is None:
                 return
-        self._open[number] = _Open(client, asked)
+        self._open[number] = _Open(client, operation)
         self.pending += 1
         self.feed(
             core.OperationReceived(
                 number,
-                asked.cls,
-                self.now_ms() + asked.wait_ms,
-                asked.repeat,
+                operation.cls,
+                self.now_ms() + operation.wait_ms,
+                operation.repeat,
                 0.0,
-                asked.room,
-                asked.id,
+                operation.is_admitted,
+                operation.id,
                 False,
-                asked.before,
+                operation.prior_attempts,
             )
         )
 
@@ -231,10 +231,10 @@
     def answered_elsewhere(self, cls: str, verdict: core.Verdict) -> None:
         """Nothing is counted here."""
 
-    def gone(self, number: int) -> None:
+    def client_disconnected(self, number: int) -> None:
         """The client has gone away."""
-        if self.records is not None:
-            self.records.client_gone(number)
+        if self.recorder is not None:
+            self.recorder.client_gone(number)
         self._close(number)
         self.feed(core.ClientDisconnected(number))
 
@@ -302,7 +302,7 @@
             effect.timeout_ms,
         )
         opened.steps[effect.step] = step
-        if self.records is None or self.records.send(
+        if self.recorder is None or self.recorder.send(
             effect.operation, effect.step, effect.destination, step.go
         ):
             self.process.call_soon(step.go, lambda: True)
@@ -310,8 +310,8 @@
     def step_ended(self, step: _Step, outcome: balancing.Outcome, answer: Answer | None) -> None:
         """A route step has ended."""
         self._open[step.operation].steps.pop(step.number, None)
-        if self.records is not None:
-            self.records.attempt_ended(step.operation, step.number, outcome)
+        if self.recorder is not None:
+            self.recorder.attempt_ended(step.operation, step.number, outcome)
         self.feed(core.AttemptEnded(step.operation, step.number, outcome, (), answer))
 
 
@@ -405,7 +405,7 @@
         hands.count += 1
         self.number = hands.count
         cls = next(at for at, one in enumerate(hands.settings.classes) if one.name == self.wish.cls)
-        hands.take(
+        hands.accept(
             self.number,
             self,
             Operation(
@@ -430,7 +430,7 @@
         """Its time is over: it closes its connection."""
         if not self.ended:
             if self.number and self.hands.process.alive:
-                self.hands.process.call_soon(self.hands.gone, self.number)
+                self.hands.process.call_soon(self.hands.client_disconnected, self.number)
             self.end("late", b"")
 
     def end(self, verdict: str, body: bytes) -> None:
--- a/coveport/testbed/fault_injection/work/sim.py
+++ b/coveport/testbed/fault_injection/work/sim.py
@@ -287,7 +287,7 @@
         one.counts = {}
         self._leave = getattr(self, "_leave", {})
         self._leave[one.number] = (leave, recorder)
-        hands.records = recorder if trial.record else None
+        hands.recorder = recorder if trial.record else None
         process.call_soon(start)
 
     def _watch_unrecorded(self, recorder: Recorder) -> None:
@@ -298,7 +298,7 @@
         def watched_accept(number: int, client: Client, operation: Operation) -> Client | None:
             before = self.counts.get("work_unrecorded", 0)
             response_to = accept(number, client, operation)
-            if self.counts.get("work_unrecorded", 0) != before and operation.room:
+            if self.counts.get("work_unrecorded", 0) != before and operation.is_admitted:
                 self.unrecorded.add(operation.body.decode())
             return response_to
 
--- a/coveport/testbed/simulated_network/play.py
+++ b/coveport/testbed/simulated_network/play.py
@@ -124,7 +124,7 @@
         try:
             config = self._config(drawn, generation)
         except PlatformFileError as problem:
-            log.say(str(problem))
+            log.write(str(problem))
             running.ended = True
             self._write(number, "exit", "2")
             return
@@ -134,7 +134,7 @@
                 config,
                 net,
                 log,
-                reread=lambda _: self._config(drawn, generation),
+                reload_config=lambda _: self._config(drawn, generation),
                 reducer=self._variant.reducer,
                 effects_type=self._variant.effects,
             )
@@ -142,7 +142,7 @@
         def ended(task: asyncio.Task[int]) -> None:
             problem = None if task.cancelled() else task.exception()
             if problem is not None:
-                log.say(f"ended by {problem!r}")
+                log.write(f"ended by {problem!r}")
             self._ended(number, running, 1 if problem is not None else task.result())
 
         process.call_soon(lambda: process.create_task(run()).add_done_callback(ended))
--- a/coveport/testbed/standins/clients.py
+++ b/coveport/testbed/standins/clients.py
@@ -32,7 +32,7 @@
 
 from coveport import http1
 from coveport.net.address import Address
-from coveport.sidecar.reducer.streams import MOST_BODY
+from coveport.sidecar.reducer.streams import MAX_STREAMED_BODY_BYTES
 from coveport.testbed.backend import Host
 from coveport.testbed.day import Change, Day, SidecarDrawn, Wish
 from coveport.testbed.event_log import (
@@ -115,7 +115,7 @@
         self._tills = tills
         self.number = number
         self.one: _Try | None = one
-        self.parser = http1.ResponseParser(MOST_BODY)
+        self.parser = http1.ResponseParser(MAX_STREAMED_BODY_BYTES)
         self.transport: asyncio.Transport | None = None
         self.opening: asyncio.Task[None] | None = None
         self.used = False  # has carried an operation to its answer
--- a/coveport/testbed/standins/node_link.py
+++ b/coveport/testbed/standins/node_link.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from coveport.http1 import RequestParser
-from coveport.sidecar.reducer.streams import MOST_BODY
+from coveport.sidecar.reducer.streams import MAX_STREAMED_BODY_BYTES
 from coveport.testbed.model import Attempt
 
 INBOX = memoryview(bytearray(64 * 1024))  # shared: what is read is taken out before the next read
@@ -52,7 +52,7 @@
         self.node = node
         self.sidecar = sidecar
         self.number = 0
-        self.parser = RequestParser(MOST_BODY)
+        self.parser = RequestParser(MAX_STREAMED_BODY_BYTES)
         self.transport: asyncio.Transport
         self.began = self.handed = -1.0  # of the request that is coming in; -1: none
         self.ready_at = 0.0  # when the handshake is over
--- a/tests/sidecar/admin/test_admin.py
+++ b/tests/sidecar/admin/test_admin.py
@@ -98,17 +98,17 @@
 
 def test_the_registry_asks_gauges_and_keeps_the_counts_of_a_class_that_went() -> None:
     counters = Counters()
-    counters.name_class("a")
+    counters.register_class("a")
     counters.add("downstream_requests.a.failed")
     counters.gauge("pending", lambda: 3)
-    counters.name_class("b")
-    counters.name_class("a")
+    counters.register_class("b")
+    counters.register_class("a")
     assert {
         "edge_lb.downstream_requests.a.failed=1",
         "edge_lb.downstream_requests.b.completed=0",
         "edge_lb.pending=3",
         "edge_lb.members=0",
-    } <= set(counters.told())
+    } <= set(counters.report_lines())
     assert json.loads(counters.line())["pending"] == 3
 
 
--- a/tests/sidecar/downstream/test_long_bodies.py
+++ b/tests/sidecar/downstream/test_long_bodies.py
@@ -12,7 +12,7 @@
 from world import Seen, receive, reply, request, served
 
 from coveport import http1
-from coveport.sidecar.reducer.streams import READ_LEAST, READ_MOST, Budget, Upload
+from coveport.sidecar.reducer.streams import MAX_READ_BYTES, MIN_READ_BYTES, Budget, Upload
 
 MIB = 1024 * 1024
 LONG = bytes(range(256)) * (MIB // 256)
@@ -25,17 +25,17 @@
         self.upload = upload
         self.got = bytearray()
 
-    def more(self) -> None:
+    def forward_available(self) -> None:
         while (piece := self.upload.next(self)) is not None:
             self.got += piece
-            self.upload.took()
+            self.upload.release_read()
 
 
 def test_the_budget_gives_small_reads_where_it_is_used_up() -> None:
     budget = Budget(MIB)
-    assert budget.read_most() == READ_MOST and budget.may_keep
-    budget.take(MIB)
-    assert budget.read_most() == READ_LEAST and not budget.may_keep and budget.peak == MIB
+    assert budget.read_limit() == MAX_READ_BYTES and budget.may_retain
+    budget.add(MIB)
+    assert budget.read_limit() == MIN_READ_BYTES and not budget.may_retain and budget.peak_bytes == MIB
 
 
 def test_an_upload_is_read_again_only_while_its_bytes_are_kept() -> None:
@@ -44,20 +44,22 @@
     upload.push(b"a" * 400)
     first, second = Taker(upload), Taker(upload)
     assert upload.join(first)
-    first.more()
+    first.forward_available()
     upload.leave(first)
     assert upload.join(second)  # its first bytes are kept
-    second.more()
+    second.forward_available()
     upload.push(b"b" * 400)  # over half of the budget: what has been read is gone
-    assert bytes(second.got) == b"a" * 400 + b"b" * 400 and not upload.join(first) and budget.held == 0
+    assert (
+        bytes(second.got) == b"a" * 400 + b"b" * 400 and not upload.join(first) and budget.buffered_bytes == 0
+    )
     upload.finish()
-    assert upload.ended(second) and not upload.full
+    assert upload.is_read_by(second) and not upload.is_full
     upload.push(b"c" * (70 * 1024))
-    assert not upload.full
+    assert not upload.is_full
     upload.leave(second)
-    assert upload.full  # nobody reads
+    assert upload.is_full  # nobody reads
     upload.close()
-    assert budget.held == 0
+    assert budget.buffered_bytes == 0
 
 
 def in_events(parser: http1.RequestParser, pieces: Iterator[bytes]) -> tuple[bool, bytes, bool]:
@@ -233,7 +235,7 @@
             conn.sendall(request("GET /balance", X_Deadline="1000m"))
         sleep(8)
         figures = one.figures()
-        assert 0 < figures["long_bytes"] <= figures["long_bytes_peak"] < 12 * 2 * READ_MOST
+        assert 0 < figures["long_bytes"] <= figures["long_bytes_peak"] < 12 * 2 * MAX_READ_BYTES
         for conn in conns:
             assert receive(conn)[2] == LONG * 8
             conn.close()
--- a/tests/sidecar/reducer/test_reducer_scripted.py
+++ b/tests/sidecar/reducer/test_reducer_scripted.py
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize(("cls", "wait"), [(0, 700.0), (1, 400.0)])
 def test_what_comes_where_there_is_no_room_is_turned_away_unseen(cls: int, wait: float) -> None:
     reducer, module = scripted()
-    assert reducer.step(1000.0, came(cls=cls, room=False)) == [SendAnswer(1, Verdict.BUSY, None, wait)]
+    assert reducer.step(1000.0, came(cls=cls, is_admitted=False)) == [SendAnswer(1, Verdict.BUSY, None, wait)]
     assert reducer.owed == 0 and not module.told
 
 
@@ -203,7 +203,7 @@
     reducer, module = scripted(Request=[request_says], Reply=[reply_says], TimerFired=[reply_says])
     effects = reducer.step(1000.0, came(id="one"))
     if ends:
-        assert reducer.step(1001.0, came(2, id="one")) == [SendAnswer(2, Verdict.DOUBLE)]
+        assert reducer.step(1001.0, came(2, id="one")) == [SendAnswer(2, Verdict.DUPLICATE)]
         assert reducer.step(1002.0, came(3, id="two"))[0] == SetDeadlineTimer(3, 3005.0)
         assert [event.id for event in told(module) if isinstance(event, balancing.Request)] == [1, 3]
         effects = ends(reducer)
@@ -214,7 +214,7 @@
 def test_an_id_is_taken_until_the_last_route_step_is_over() -> None:
     reducer, _ = scripted(Request=[[Send(1, 101, 0.0), Fail(1)]])
     reducer.step(1000.0, came(id="one"))
-    assert reducer.step(1001.0, came(2, id="one")) == [SendAnswer(2, Verdict.DOUBLE)]
+    assert reducer.step(1001.0, came(2, id="one")) == [SendAnswer(2, Verdict.DUPLICATE)]
     reducer.step(1002.0, AttemptEnded(1, 0, Outcome.CANCELLED))
     assert reducer.step(1003.0, came(3, id="one")) == [SetDeadlineTimer(3, 3005.0)]
 
--- a/tests/sidecar/supervisor/test_log_stream.py
+++ b/tests/sidecar/supervisor/test_log_stream.py
@@ -24,7 +24,7 @@
     log = log_stream.StreamLog(time.monotonic, instance)
     for _ in range(9):
         log.note("bad client", "x")
-    log.say("counters {}")
+    log.write("counters {}")
     rows = read_stream(path, frozenset(), 99)
     assert sum(row["event"] == "bad_client" for row in rows) == 5, "of a kind as many as ever"
     assert rows[-1]["event"] == "counters"
--- a/tests/sidecar/test_effects.py
+++ b/tests/sidecar/test_effects.py
@@ -60,11 +60,11 @@
     async def main() -> None:
         net = Net(asyncio.get_running_loop())
         effects = Effects(net, config, Counters(), Log(net.now_s), _never)
-        effects.know()
+        effects.load_known_endpoints()
         number = 0
         while effects.tables["queue"] < 2:
             number += 1
-            effects.take(
+            effects.accept(
                 number,
                 cast(Any, _Client()),
                 Operation("GET", "/balance", b"", str(number), None, 0, 30_000.0),
@@ -79,11 +79,11 @@
 
         def catch_up() -> None:
             effects.endpoint_source.read_pending = lambda: None  # type: ignore[method-assign]
-            effects.told(update)
+            effects.on_endpoints_update(update)
 
         effects.endpoint_source.read_pending = catch_up  # type: ignore[method-assign]
         effects._last_active_ms -= 1000  # a stall of ours
-        effects.gone(number)
+        effects.client_disconnected(number)
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
         assert effects.owed == number - 1
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -351,7 +351,7 @@
                 platform.load(environ),
                 net,
                 Log(self.process.time, self.log.write),
-                reread=lambda running: platform.load(environ, again=True, running=running),
+                reload_config=lambda running: platform.load(environ, again=True, running=running),
             )
         )
 
--- a/tests/testbed/test_model_check.py
+++ b/tests/testbed/test_model_check.py
@@ -176,7 +176,7 @@
         ("redeem", "span", lambda one: _send(one, timeout_ms=4000.0)),
         ("balance", "attempts", lambda one: _send(one, 1, 2, 3)),
         ("one-at-a-time", "second-copy", lambda one: _send(one, 1)),
-        ("double", "double", lambda one: _answer(one, verdict=core.Verdict.DOUBLE)),
+        ("double", "double", lambda one: _answer(one, verdict=core.Verdict.DUPLICATE)),
         (
             "leaves",
             "after-end",
