--- a/coveport/sidecar/admin/codec.py
+++ b/coveport/sidecar/admin/codec.py
@@ -1,4 +1,4 @@
-"""The admin protocol's lines as bytes: commands in, acknowledgements out. No I/O."""
+"""Decodes commands and encodes responses of the admin protocol. No I/O."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from coveport.sidecar.admin.errors import BadCommandError
 
-MAX_LINE_BYTES = 64  # the longest command has eight
+MAX_LINE_BYTES = 64  # the longest command has 8 bytes
 
 
 class Command(Enum):
-    """What operators may send."""
+    """The commands of the admin protocol."""
 
     PING = "PING"
     INFO = "INFO"
@@ -20,13 +20,13 @@
 
 
 def read_command(buffer: bytes | bytearray, *, is_eof: bool = False) -> Command | None:
-    """Return the command that a connection's bytes make, or None until its line is complete.
+    """Return the command in the bytes received on a connection, or None until its line is complete.
 
-    Raises BadCommandError where there can't be one. `is_eof`: nothing more will come.
+    Raises BadCommandError if the bytes can't become a command. `is_eof`: the client has ended its stream.
     """
     line, line_feed, _ = bytes(buffer[: MAX_LINE_BYTES + 2]).partition(b"\n")
     if not line_feed:
-        # Guards against a line without an end, which would be buffered for ever.
+        # Guards against a line that never ends: it would be buffered without a limit.
         if len(buffer) > MAX_LINE_BYTES:
             raise BadCommandError(f"a call has {MAX_LINE_BYTES} bytes at most")
         if is_eof:
@@ -40,11 +40,11 @@
 
 
 def write_ack(rows: Iterable[str] | None = None) -> bytes:
-    """Return the acknowledgement of a command; `rows`: what it reports, closed by a line `--`."""
+    """Return the acknowledgement of a command; `rows`: its report, which a line `--` ends."""
     lines = ["ACK"] if rows is None else ["ACK", *rows, "--"]
     return "".join(f"{line}\n" for line in lines).encode()
 
 
 def write_nak(reason: str) -> bytes:
-    """Return the refusal of a command, with its reason."""
+    """Return the rejection of a command, with the reason."""
     return f"NAK {reason}\n".encode()
--- a/coveport/sidecar/admin/errors.py
+++ b/coveport/sidecar/admin/errors.py
@@ -4,4 +4,4 @@
 
 
 class BadCommandError(Exception):
-    """The operator sent what is no command; the text is the reason that is answered."""
+    """The bytes received are not a valid command; the text is the reason in the response."""
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -1,4 +1,4 @@
-"""Executes the reducer's effects: attempts, answers, timers, health checks; feeds their results back."""
+"""Executes the reducer's effects (attempts, answers, timers, health checks) and feeds their results back."""
 
 from __future__ import annotations
 
@@ -30,15 +30,16 @@
 from coveport.sidecar.upstream.connection_pool import ConnectionPool
 from coveport.sidecar.upstream.protocol import Dial
 
-# Of the shortest aim: a connection that takes longer leaves no time for a second try, which is harmless, as
-# nothing has run. Machines that vanish refuse nothing; they only show by connections that never come up.
+# Connect time-out as a share of the shortest latency target: a longer connect leaves no time for a second
+# attempt, which is safe, as the first has not run. A machine that has vanished refuses no connection: its
+# connects just never complete.
 CONNECT_SHARE = 0.25
-UPLOAD_DEADLINE_MS = 3_600_000.0  # stands for the deadline of a long operation until its last byte has come
-STALL_CHECK_INTERVAL_S = 0.25  # while anything is open we do something at least so often ...
-STALL_TOLERANCE_MS = 50.0  # ... and where that is later by more than this, we had no CPU
-# How much later than a connection may come up a first attempt may begin: a drain counts from 750 ms on.
+UPLOAD_DEADLINE_MS = 3_600_000.0  # preliminary deadline of a long operation, until its last byte is received
+STALL_CHECK_INTERVAL_S = 0.25  # longest time between stall checks while an operation is open
+STALL_TOLERANCE_MS = 50.0  # a check that is later than this means that the process had no CPU
+# Lateness beyond the connect time-out up to which a first attempt may be sent: a drain counts after 750 ms.
 MAX_START_LATENESS_MS = 300.0
-MAX_RETRY_LATENESS_MS = 30.0  # the balancer leaves the time of one connect within the retry window
+MAX_RETRY_LATENESS_MS = 30.0  # the balancer reserves the time of one connect in the retry window
 
 
 _RESULTS = {
@@ -50,13 +51,13 @@
 
 
 def connect_timeout_ms(settings: balancing.Settings) -> float:
-    """Return the time-out of a connect, which leaves time for a second attempt."""
+    """Return the connect time-out, short enough to leave time for a second attempt."""
     shortest_target_ms = min(request_class.aim_ms for request_class in settings.classes)
     return min(settings.limits.connect_timeout_ms, CONNECT_SHARE * shortest_target_ms)
 
 
 class Effects:
-    """Executes the reducer's effects, and feeds it the inputs that follow."""
+    """Executes the reducer's effects and feeds it the resulting inputs."""
 
     def __init__(
         self,
@@ -77,7 +78,7 @@
         self._busy = False
         self._open: dict[int, OpenOperation] = {}
         self._last_active_ms = self._clock.now_ms()
-        self._stall_timer: asyncio.TimerHandle | None = None  # set while anything is open
+        self._stall_timer: asyncio.TimerHandle | None = None  # set while an operation is open
         self.connection_pool = ConnectionPool(
             net,
             counters,
@@ -114,7 +115,7 @@
         self.has_endpoints = False
         self.health_checks: HealthCheckSharing | None = None
         self.recorder: OperationRecorder | None = None
-        self.pending = 0  # operations taken and not ended
+        self.pending = 0  # operations accepted and not ended
         counters.gauge("pending", lambda: self.pending)
         counters.gauge("members", lambda: self._reducer.members[0])
         counters.gauge("members_unavailable", lambda: self._reducer.members[1])
@@ -122,16 +123,16 @@
             counters.register_class(request_class.name)
 
     def load_known_endpoints(self) -> None:
-        """Start from the list in the configuration, which the sidecar had last."""
+        """Start from the configuration's endpoint list, the last one that the sidecar had."""
         if self._config.known is None:
             return
         try:
             update = self._reader.read(self._config.known, balancing.EndpointUpdateKind.CACHED)
-        except DiscoveryResponseError as problem:
-            self._log.note("endpoint list", f"the known list is garbled: {problem}")
+        except DiscoveryResponseError as error:
+            self._log.note("endpoint list", f"the known list is garbled: {error}")
             return
         if update.endpoints:
-            # Before the balancer is told, which may ask at once.
+            # Comes before the balancer's update: the balancer may request endpoints at once.
             self.endpoint_source.resume_from(update.update.version)
         self._apply_update(update)
 
@@ -142,22 +143,22 @@
 
     @property
     def tables(self) -> dict[str, int]:
-        """How many entries each table has, for whoever looks whether one only grows."""
+        """Entries in each table, to detect a table that only grows."""
         return {**self._reducer.tables, "open": len(self._open), **self.connection_pool.tables}
 
     @property
     def service_ms(self) -> float:
-        """Mean time of an operation at a destination, as the module knows it."""
+        """The balancer's estimate of the mean time of an operation at a destination, in ms."""
         return self._reducer.service_ms
 
     def in_slow_start(self) -> dict[int, tuple[int, float]]:
-        """Destinations that count as cold: zone, and age in ms."""
+        """Return the destinations in slow start: zone, and age in ms."""
         return self._reducer.in_slow_start()
 
     # Inputs.
 
     def feed(self, item: core.Input) -> None:
-        """Give the reducer one input and execute its effects; inputs that those feed are queued."""
+        """Give the reducer an input and execute the effects; inputs that arise meanwhile are queued."""
         self._check_stall()
         self._inputs.append(item)
         if self._busy:
@@ -169,25 +170,25 @@
                     try:
                         self._execute(effect)
                     except Exception:  # noqa: BLE001  # logged with its traceback, see below
-                        # Guards against one fault taking the other effects along; what it leaves
-                        # undone is answered at the deadline.
+                        # Guards against losing the other effects to one fault; the operation concerned
+                        # is answered at its deadline.
                         self.counters.add("complaints")
                         self._log.note("fault", traceback.format_exc())
         finally:
             self._busy = False
 
     def _check_stall(self) -> None:
-        """Detect a stall of this process: so long since the last call that it had no CPU."""
+        """Detect a stall of this process: after so long a time since the last call, it had no CPU."""
         now = self._clock.now_ms()
-        missed = now - self._last_active_ms
+        elapsed_ms = now - self._last_active_ms
         self._last_active_ms = now
-        if missed <= 1000 * STALL_CHECK_INTERVAL_S + STALL_TOLERANCE_MS:
+        if elapsed_ms <= 1000 * STALL_CHECK_INTERVAL_S + STALL_TOLERANCE_MS:
             return
         if self._stall_timer is not None:
             self.counters.add("stalls_measured")
-            self._inputs.append(core.ProcessStalled(missed))
-        # Guards against what waits beside a list that has waited for as long: it would be decided by the old
-        # one, and go to a destination that has long begun to drain.
+            self._inputs.append(core.ProcessStalled(elapsed_ms))
+        # Guards against decisions by the old endpoint list while a newer one waits unread since the stall:
+        # requests would go to a destination that began to drain long ago.
         self.endpoint_source.read_pending()
 
     def _on_stall_timer(self) -> None:
@@ -197,7 +198,7 @@
             self._stall_timer = self._net.loop.call_later(STALL_CHECK_INTERVAL_S, self._on_stall_timer)
 
     def accept(self, number: int, client: OperationClient, operation: Operation) -> None:
-        """Accept an operation from a client; of a long one the body is still coming."""
+        """Accept an operation from a client; the body of a long operation is still being received."""
         if self.recorder is not None:
             recorded = self.recorder.accept(number, client, operation)
             if recorded is None:
@@ -231,7 +232,7 @@
         )
 
     def complete_upload(self, number: int, waited_ms: float) -> None:
-        """Note the last byte of a long operation, which may have waited unread for `waited_ms`."""
+        """Record the last byte of a long operation, which may have waited unread for `waited_ms`."""
         opened = self._open.get(number)
         if opened is not None and not opened.complete:
             opened.complete = True
@@ -239,17 +240,17 @@
             self.feed(core.BodyReceived(number, self._clock.now_ms() + opened.operation.wait_ms - waited_ms))
 
     def client_disconnected(self, number: int) -> None:
-        """Note that the client of an operation has disconnected."""
+        """Record that the client of an operation has disconnected."""
         if self.recorder is not None:
             self.recorder.client_gone(number)
         if number in self._open:
             self._open[number].client = None
-            self._ended(self._open[number], "failed")
+            self._count_result(self._open[number], "failed")
         self.feed(core.ClientDisconnected(number))
         self._forget(number, answered=True)
 
     def withdraw(self, number: int) -> None:
-        """Drop an operation that another instance owns; who withdraws it answers it."""
+        """Drop an operation that another instance owns; the caller answers the client."""
         opened = self._open.get(number)
         if opened is not None:
             opened.client = None
@@ -266,20 +267,20 @@
 
     @property
     def settings(self) -> balancing.Settings:
-        """As they are now."""
+        """The current settings."""
         return self._config.settings
 
     def now_ms(self) -> float:
-        """Return the time in ms by this process' clock."""
+        """Return the time by the reducer's clock, in ms."""
         return self._clock.now_ms()
 
     def location_of(self, destination: int) -> tuple[str, int, int]:
-        """Address, zone and cell of a destination."""
+        """Return address, zone and cell of a destination."""
         host, port = self.connection_pool.address(destination) or ("", 0)
         return (f"{host}:{port}", *self._reducer.location_of(destination))
 
     def on_endpoints_update(self, update: DiscoveredEndpoints | None) -> None:
-        """Apply an update from discovery; None: it failed."""
+        """Apply an update from discovery; None if discovery failed."""
         if update is None:
             self.feed(core.EndpointsUpdated(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED)))
         else:
@@ -288,7 +289,7 @@
             self._apply_update(update)
 
     def _apply_update(self, update: DiscoveredEndpoints) -> None:
-        # First: what is held goes to a new destination, or to one's new address, as soon as the module knows.
+        # The connection pool comes first: the balancer may send queued requests to a new address at once.
         self.connection_pool.update_endpoints(
             update.endpoints, complete=update.update.kind is not balancing.EndpointUpdateKind.DELTA
         )
@@ -296,15 +297,15 @@
             update.update.entries
             or update.update.kind is not balancing.EndpointUpdateKind.DELTA
             or (self._config.settings.must_ask)
-        ):  # whoever asked waits for an answer, an empty one too
+        ):  # a balancer that requested endpoints waits for the answer, even an empty one
             self.feed(core.EndpointsUpdated(update.update))
 
     def ejected(self) -> dict[int, float]:
-        """Destinations that are out as they failed, and for how long, ms."""
+        """Return the ejected destinations, and for how long each has been ejected, in ms."""
         return self._reducer.ejected()
 
     def set_endpoints_listener(self, listener: Callable[[Any, bool], None]) -> None:
-        """Be told each list as discovery tells it, and whether it is a whole one."""
+        """Call `listener` with each list or update from discovery, and whether it is a complete list."""
         self._reader.on_endpoints = listener
 
     def set_peer_count(self, peer_count: int) -> None:
@@ -315,10 +316,10 @@
             self.feed(core.ConfigurationReloaded(None, settings))
 
     def reload(self, config: Config) -> None:
-        """Apply a configuration that was read again; what needs a restart is logged as such."""
+        """Apply a configuration that was read again; log the fields that only a restart changes."""
         before = self._config
         settings = config.settings
-        kept = [
+        restart_fields = [
             name
             for name in ("name", "listen", "console", "sockets", "memory_mb", "zones", "keepalive_ms")
             if getattr(before, name) != getattr(config, name)
@@ -326,11 +327,12 @@
         self.counters.add("config_reloads")
         self._log.write(
             f"{before.name}: configuration read anew, discovery at {config.discovery[0]}:"
-            f"{config.discovery[1]}" + (f"; from the next start: {', '.join(kept)}" if kept else "")
+            f"{config.discovery[1]}"
+            + (f"; from the next start: {', '.join(restart_fields)}" if restart_fields else "")
         )
         for request_class in settings.classes:
             self.counters.register_class(request_class.name)
-        # The balancer counts with it from now on.
+        # The balancer uses the new time-out from now on, too.
         self.connection_pool.connect_timeout_s = connect_timeout_ms(settings) / 1000
         changed = settings != before.settings
         self._config = replace(before, settings=settings)
@@ -368,49 +370,53 @@
     def _send(self, effect: core.SendAttempt) -> None:
         opened = self._open[effect.operation]
         self.counters.add("route_steps")
-        asked_ms = self._clock.now_ms()
+        requested_at_ms = self._clock.now_ms()
         if self.recorder is None:
-            opened.attempts[effect.step] = self._start(effect, opened, asked_ms, None)
+            opened.attempts[effect.step] = self._start(effect, opened, requested_at_ms, None)
         else:
-            self._send_recorded(self.recorder, effect, opened, asked_ms)
+            self._send_recorded(self.recorder, effect, opened, requested_at_ms)
 
     def _send_recorded(
-        self, recorder: OperationRecorder, effect: core.SendAttempt, opened: OpenOperation, asked_ms: float
+        self,
+        recorder: OperationRecorder,
+        effect: core.SendAttempt,
+        opened: OpenOperation,
+        requested_at_ms: float,
     ) -> None:
         deferred = DeferredAttempt(partial(self._attempt_ended, effect, opened))
 
-        def resume(written: Callable[[], bool] | None) -> None:
+        def resume(fence_check: Callable[[], bool] | None) -> None:
             if deferred.ended:
                 return
-            if written is None:
+            if fence_check is None:
                 deferred.cancel()
             else:
                 deferred.ended = True
-                opened.attempts[effect.step] = self._start(effect, opened, asked_ms, written)
+                opened.attempts[effect.step] = self._start(effect, opened, requested_at_ms, fence_check)
 
         opened.attempts[effect.step] = deferred
         if recorder.send(effect.operation, effect.step, effect.destination, resume):
             deferred.ended = True
-            opened.attempts[effect.step] = self._start(effect, opened, asked_ms, None)
+            opened.attempts[effect.step] = self._start(effect, opened, requested_at_ms, None)
 
     def _start(
         self,
         effect: core.SendAttempt,
         opened: OpenOperation,
-        asked_ms: float,
-        written: Callable[[], bool] | None,
+        requested_at_ms: float,
+        fence_check: Callable[[], bool] | None,
     ) -> Attempt:
-        """Start an attempt; `asked_ms`: when the reducer asked for it, from where its time-out counts."""
-        begun_ms = self._clock.now_ms()
-        left_ms = effect.timeout_ms - (self._clock.now_ms() - asked_ms)
+        """Start an attempt; its time-out counts from `requested_at_ms`, when the reducer requested it."""
+        started_at_ms = self._clock.now_ms()
+        remaining_ms = effect.timeout_ms - (self._clock.now_ms() - requested_at_ms)
         return self.connection_pool.send(
             effect.destination,
             opened.operation,
-            max(left_ms, 1.0) / 1000,
+            max(remaining_ms, 1.0) / 1000,
             partial(self._attempt_ended, effect, opened),
             partial(self._answer_began, effect, opened),
             partial(self._attempt_sent, effect),
-            partial(self._may_start, effect, opened, begun_ms, written),
+            partial(self._may_start, effect, opened, started_at_ms, fence_check),
         )
 
     def _attempt_ended(self, effect: core.SendAttempt, opened: OpenOperation, result: AttemptResult) -> None:
@@ -438,38 +444,40 @@
         self,
         effect: core.SendAttempt,
         opened: OpenOperation,
-        begun_ms: float,
-        written: Callable[[], bool] | None,
+        started_at_ms: float,
+        fence_check: Callable[[], bool] | None,
     ) -> bool:
         """Return whether an attempt may still be sent, right before its first byte.
 
-        `begun_ms`: when its connection was begun. `written`: the recorder's own check.
+        `started_at_ms`: when its connection was requested. `fence_check`: the recorder's own check.
         """
-        # Guards against beginning anything for a client that has gone: its end may stand below, unread,
-        # behind what it sent ahead or behind a stall of ours, or be read and not reported yet.
+        # Guards against an attempt for a client that has disconnected: its end of stream may be unread behind
+        # pipelined requests or since a stall of this process, or read and not reported yet.
         if opened.client is None or opened.client.left():
             return False
-        # Guards against such a stall between the decision and the connection: a retry would come after its
-        # window, anything to a destination that has long begun to drain.
+        # Guards against a stall between the decision and the connection: a retry would be sent after its
+        # window, or an attempt to a destination that began to drain long ago.
         connect_ms = 1000 * (self.connection_pool.connect_timeout_s + LOOP_TURNS_S)
-        late_ms = self._clock.now_ms() - begun_ms - connect_ms
+        late_ms = self._clock.now_ms() - started_at_ms - connect_ms
         if late_ms > (MAX_RETRY_LATENESS_MS if effect.step else MAX_START_LATENESS_MS):
             return False
-        return written is None or written()
+        return fence_check is None or fence_check()
 
     def _check_health(self, effect: core.CheckHealth) -> None:
         destination = effect.destination
-        heard = self.health_checks.shared_result(destination) if self.health_checks is not None else None
-        if heard is not None:
+        shared_result = (
+            self.health_checks.shared_result(destination) if self.health_checks is not None else None
+        )
+        if shared_result is not None:
             self.counters.add("probes_spared")
-            self._net.loop.call_soon(self.feed, heard)
+            self._net.loop.call_soon(self.feed, shared_result)
             return
         started = self._clock.now_ms()
-        # The settings say nothing of how long a probe may take: twice what a connection may.
+        # The settings have no time-out of health checks: twice the connect time-out.
         timeout_s = 2 * self._config.settings.limits.connect_timeout_ms / 1000
         self.counters.add("probes")
 
-        def done(result: AttemptResult) -> None:
+        def on_ended(result: AttemptResult) -> None:
             self.counters.add(f"probe_{result.outcome.name.lower()}")
             self.feed(
                 core.HealthCheckEnded(
@@ -477,24 +485,24 @@
                 )
             )
 
-        self.connection_pool.send(destination, None, timeout_s, done)
+        self.connection_pool.send(destination, None, timeout_s, on_ended)
 
     def _answer(self, effect: core.SendAnswer) -> None:
         opened = self._open[effect.operation]
         client = opened.client
         opened.client = None
         self.counters.add(f"answers_{effect.verdict.value}")
-        self._ended(opened, _RESULTS[effect.verdict])
+        self._count_result(opened, _RESULTS[effect.verdict])
         if client is not None:
             client.answer(effect.verdict, effect.answer, effect.retry_after_ms)
         self._forget(effect.operation, answered=True)
 
-    def _ended(self, opened: OpenOperation, how: str) -> None:
-        """Count the end of an operation, once, whatever follows."""
+    def _count_result(self, opened: OpenOperation, result: str) -> None:
+        """Count the result of an operation, once."""
         if not opened.ended:
             opened.ended = True
             self.pending -= opened.complete
-            self.counters.add(result_counter(opened.class_name, how))
+            self.counters.add(result_counter(opened.class_name, result))
 
     def _begin_answer(self, effect: core.StartAnswer) -> None:
         opened = self._open[effect.operation]
@@ -510,7 +518,7 @@
         client = opened.client
         opened.client = None
         self.counters.add("answers_long" if effect.complete else "answers_long_broken")
-        self._ended(opened, "completed" if effect.complete else "failed")
+        self._count_result(opened, "completed" if effect.complete else "failed")
         if client is not None:
             client.finish(effect.complete)
         self._forget(effect.operation, answered=True)
--- a/coveport/sidecar/open_operation.py
+++ b/coveport/sidecar/open_operation.py
@@ -1,4 +1,4 @@
-"""What the executor of effects holds for an operation that is open."""
+"""The state that the executor of effects keeps for each open operation."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class DeferredAttempt:
-    """An attempt that is sent once the recorder allows it."""
+    """An attempt that waits for the recorder's permission to be sent."""
 
-    def __init__(self, done: Callable[[AttemptResult], None]) -> None:
-        self._done = done
+    def __init__(self, on_ended: Callable[[AttemptResult], None]) -> None:
+        self._on_ended = on_ended
         self.ended = False
 
     def cancel(self) -> None:
-        """End it: nothing was sent."""
+        """End the attempt without having sent anything."""
         if not self.ended:
             self.ended = True
-            self._done(AttemptResult(balancing.Outcome.MOOT))
+            self._on_ended(AttemptResult(balancing.Outcome.MOOT))
 
 
 @dataclass(slots=True)
@@ -32,10 +32,10 @@
 
     client: OperationClient | None
     operation: Operation
-    class_name: str  # the name of its class when it came
+    class_name: str  # name of its class when it was received
     deadline_timer: asyncio.TimerHandle | None = None
     attempts: dict[int, Attempt | DeferredAttempt] = field(default_factory=dict)
     answered: bool = False
-    forwarding: bool = False  # a long answer is being forwarded
-    complete: bool = True  # its last byte was received
-    ended: bool = False  # counted under how it ended
+    forwarding: bool = False  # whether a streamed answer is being forwarded
+    complete: bool = True  # whether its last byte was received
+    ended: bool = False  # whether its result was counted
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -1,4 +1,4 @@
-"""Connects a sidecar's intent log to its executor and session, where the operator's file asks for it."""
+"""Connects a sidecar's intent log to its executor and session, if the operator's file enables it."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 from coveport.sidecar.leases.open_store import open_record_store
 from coveport.sidecar.leases.store import Entry
 
-BUSY_ABOVE = 16  # pending operations of its own, above which an instance takes over more slowly
+BUSY_ABOVE = 16  # pending operations above which an instance takes records over more slowly
 TAKEOVER_BURST = 16  # records that may be taken over at once
-DRAIN_MARGIN_S = 1.0  # beyond the longest deadline: what a planned shutdown takes
+DRAIN_MARGIN_S = 1.0  # time that a planned shutdown takes beyond the longest deadline
 
 
 class _InstanceValue(msgspec.Struct):
-    """What of an instance's session key is read here."""
+    """The fields of an instance's session key that are read here."""
 
     incarnation: str = ""
 
 
 def settings_of(operator_file: OperatorFile) -> IntentLogSettings:
-    """Return the settings of the file's `[work]`."""
+    """Return the intent log's settings from the file's section `[work]`."""
     work = operator_file.work
     return IntentLogSettings(
         recorded_classes=frozenset(work.record),
@@ -52,7 +52,7 @@
 
 
 def payload_codec_of(operator_file: OperatorFile) -> PayloadCodec:
-    """Return the codec for the file's keys; EncryptionError where the key file can't be used."""
+    """Return the codec for the file's keys; raise EncryptionError if the key file can't be used."""
     path = operator_file.key_file
     key_ring = None if path is None else KeyRing(read_keys(path))
     return PayloadCodec(key_ring, operator_file.work.body_most)
@@ -61,7 +61,7 @@
 class Recording:
     """Owns the intent log of one instance: recorder, takeover worker and retention sweeper.
 
-    Raises EncryptionError where the key file can't be used.
+    Raises EncryptionError if the key file can't be used.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self.sweeper: RetentionSweeper | None = None
 
     def attach(self, effects: Effects) -> None:
-        """Make the parts, and record the operations that `effects` executes."""
+        """Create the parts and record the operations that `effects` executes."""
         counters = effects.counters
         runtime = Runtime(
             name=self._lease_client.name,
@@ -128,14 +128,14 @@
         return entry.created if entry is not None else 0
 
     def start(self) -> None:
-        """Begin; operations come from here on."""
+        """Start all parts; operations may arrive from now on."""
         if self.recorder is not None and self.takeover_worker is not None and self.sweeper is not None:
             self.recorder.start()
             self.takeover_worker.start()
             self.sweeper.start()
 
     def on_store_change(self, key: str, entry: Entry | None) -> None:
-        """Follow the sessions in the leases' store; `entry` None: the key was deleted."""
+        """Follow the sessions in the leases' store; `entry` is None if the key was deleted."""
         if not key.startswith(INSTANCE_PREFIX):
             return
         name = key[len(INSTANCE_PREFIX) :]
@@ -154,7 +154,7 @@
             self.takeover_worker.owner_lost(self.presence.remove(boot_s(), name))
 
     async def drain(self) -> None:
-        """Announce the shutdown; called before the session is given back."""
+        """Announce the shutdown; called before the session is released."""
         if self.recorder is None or self.takeover_worker is None or self.sweeper is None:
             return
         self.takeover_worker.stop()
@@ -164,13 +164,13 @@
         await self.recorder.drain(longest_s + DRAIN_MARGIN_S)
 
     async def close(self) -> None:
-        """Leave open records to the other instances; called when the sidecar has answered all it could."""
+        """Leave open records to the other instances; called when no more answers can be sent."""
         if self.recorder is not None:
             await self.recorder.close()
 
 
 def _incarnation_in(entry: Entry) -> str:
-    """Return the incarnation in the value of a session key; empty where it can't be read."""
+    """Return the incarnation in the value of a session key; empty if it can't be decoded."""
     try:
         return msgspec.json.decode(entry.value, type=_InstanceValue).incarnation
     except (msgspec.DecodeError, msgspec.ValidationError):
--- a/coveport/sidecar/reducer/endpoint.py
+++ b/coveport/sidecar/reducer/endpoint.py
@@ -5,7 +5,7 @@
 from coveport.net.address import Address
 
 EndpointAddress = tuple[Address, float]
-"""Where a destination listens, and when its process started (Unix ms; 0: unknown, long ago).
+"""A destination's address and the start time of its process (Unix ms; 0: unknown, long ago).
 
-The start time tells a new process from the one that listened at the same address before.
+The start time distinguishes a new process from an earlier one at the same address.
 """
--- a/coveport/sidecar/reducer/messages.py
+++ b/coveport/sidecar/reducer/messages.py
@@ -11,12 +11,12 @@
 
 
 class Verdict(Enum):
-    """How an operation is answered."""
+    """The verdict of an operation's final answer."""
 
     SERVED = "served"
     BUSY = "busy"
     FAILED = "failed"
-    DUPLICATE = "double"  # its id is that of an operation still open
+    DUPLICATE = "double"  # its id is the id of an open operation
 
 
 # Inputs.
@@ -24,32 +24,30 @@
 
 @dataclass(slots=True)
 class OperationReceived:
-    """An operation was received; from here on one final answer is owed."""
+    """An operation was received; it needs one final answer."""
 
     operation: int
     cls: int
-    deadline_ms: float  # on our clock
+    deadline_ms: float  # by the sidecar's clock
     repeat: bool = False
     cost_ms: float = 0.0
-    is_admitted: bool = True  # False: beyond the capacity for clients
+    is_admitted: bool = True  # False: the client limit is exceeded
     id: str = ""  # the client's request id; may be empty
-    long: bool = False  # its body is still coming: no deadline holds until `BodyReceived`
-    prior_attempts: tuple[
-        balancing.PriorAttempt, ...
-    ] = ()  # attempts made already; they have the numbers from 0 on
+    long: bool = False  # its body is still being received: no deadline applies until `BodyReceived`
+    prior_attempts: tuple[balancing.PriorAttempt, ...] = ()  # earlier attempts, numbered from 0
 
 
 @dataclass(slots=True)
 class BodyReceived:
-    """The last byte of a long operation was received: its deadline holds from here on."""
+    """The last byte of a long operation was received: its deadline applies from now on."""
 
     operation: int
-    deadline_ms: float  # on our clock
+    deadline_ms: float  # by the sidecar's clock
 
 
 @dataclass(slots=True)
 class AttemptSent:
-    """The last byte of a long operation was sent: the destination's latency counts from here on."""
+    """The last byte of a long operation was sent: the destination's latency counts from now on."""
 
     operation: int
     step: int
@@ -57,7 +55,7 @@
 
 @dataclass(slots=True)
 class AnswerStarted:
-    """The head of a long, successful answer was received."""
+    """The head of a streamed, successful answer was received."""
 
     operation: int
     step: int
@@ -66,14 +64,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has closed its connection; no answer is owed any more."""
+    """The client has closed its connection; the operation needs no answer any more."""
 
     operation: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended; `answer` goes to the client where it succeeded."""
+    """An attempt ended; if it succeeded, `answer` is sent to the client."""
 
     operation: int
     step: int
@@ -94,7 +92,7 @@
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """Discovery sent an update, or failed."""
+    """Discovery sent an update or failed."""
 
     update: balancing.EndpointUpdate
 
@@ -108,14 +106,14 @@
 
 @dataclass(slots=True)
 class DeadlineExpired:
-    """An operation's deadline has passed: whatever went wrong, it is answered now."""
+    """An operation's deadline has passed: an operation without an answer gets one now."""
 
     operation: int
 
 
 @dataclass(slots=True)
 class ConfigurationReloaded:
-    """The configuration was read again. `discovery`: its address; None for either: unchanged."""
+    """The configuration was reloaded. `discovery`: its address; None in either field: unchanged."""
 
     discovery: Address | None
     settings: balancing.Settings | None = None
@@ -123,7 +121,7 @@
 
 @dataclass(slots=True)
 class SlowStartGranted:
-    """A destination in slow start may be sent `count` operations more within `valid_ms`."""
+    """The sidecar may send a destination in slow start `count` more operations within `valid_ms`."""
 
     destination: int
     count: int
@@ -132,7 +130,7 @@
 
 @dataclass(slots=True)
 class ProcessStalled:
-    """The process had no CPU for `duration_ms` up to now, to be left out of all latencies."""
+    """The process had no CPU for `duration_ms` up to now; no latency may include that time."""
 
     duration_ms: float
 
@@ -177,7 +175,7 @@
 
 @dataclass(slots=True)
 class SendAnswer:
-    """Send the client its one final answer."""
+    """Send the client the operation's one final answer."""
 
     operation: int
     verdict: Verdict
@@ -187,7 +185,7 @@
 
 @dataclass(slots=True)
 class StartAnswer:
-    """Forward a long answer to the client as it is received: it is the final one."""
+    """Forward a streamed answer to the client as it is received: it is the final answer."""
 
     operation: int
     step: int
@@ -196,7 +194,7 @@
 
 @dataclass(slots=True)
 class EndAnswer:
-    """End the long answer that was forwarded; not `complete`: the client must see that it was cut."""
+    """End a forwarded streamed answer; if not `complete`, the client must be able to detect that."""
 
     operation: int
     complete: bool
@@ -204,7 +202,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Feed `TimerExpired(token)` after this long."""
+    """Feed `TimerExpired(token)` after a delay."""
 
     delay_ms: float
     token: int
@@ -212,7 +210,7 @@
 
 @dataclass(slots=True)
 class SetDeadlineTimer:
-    """Feed `DeadlineExpired` then."""
+    """Feed `DeadlineExpired` at a time."""
 
     operation: int
     at_ms: float
@@ -227,14 +225,14 @@
 
 @dataclass(slots=True)
 class RequestEndpoints:
-    """Request from discovery the complete list once, or all changes from now on."""
+    """Request from discovery the full list once, or else all changes from now on."""
 
     full: bool
 
 
 @dataclass(slots=True)
 class SwitchDiscovery:
-    """Use another discovery from now on; the last list holds until its first one."""
+    """Use another discovery from now on; the present list applies until the first list from there."""
 
     discovery: Address
 
--- a/coveport/sidecar/reducer/operation.py
+++ b/coveport/sidecar/reducer/operation.py
@@ -17,21 +17,21 @@
     body: bytes
     id: str
     key: str | None
-    cls: int  # position in the settings' classes
-    wait_ms: float  # how long the client waits, from now on
-    repeat: bool = False  # the client marks it as a retry
-    cost_ms: float = 0.0  # the client's estimate; 0: unknown
+    cls: int  # index of its class in the settings
+    wait_ms: float  # the time that the client waits, counted from the receipt
+    repeat: bool = False  # whether the client marks it as a retry
+    cost_ms: float = 0.0  # the client's estimate of its cost; 0: unknown
     content_type: tuple[str, ...] = ()
     accept: tuple[str, ...] = ()
-    is_admitted: bool = True  # False: beyond the capacity for clients, to be rejected
-    upload: Upload | None = None  # its body, where that is long; `body` is empty then
-    prior_attempts: tuple[PriorAttempt, ...] = ()  # attempts that other instances made already
+    is_admitted: bool = True  # False: the client limit is exceeded, so it is to be rejected
+    upload: Upload | None = None  # a streamed body; `body` is empty then
+    prior_attempts: tuple[PriorAttempt, ...] = ()  # attempts that other instances have made
 
 
 @dataclass(slots=True)
 class Answer:
-    """A ledger node's answer to an operation: complete, or the head of a long one."""
+    """A ledger node's answer to an operation: the complete answer, or the head of a streamed one."""
 
     body: bytes
     content_type: str | None = None
-    length: int | None = None  # of a long one, in bytes, where it was declared
+    length: int | None = None  # declared body length of a streamed answer, in bytes; None: not declared
--- a/coveport/sidecar/reducer/phases.py
+++ b/coveport/sidecar/reducer/phases.py
@@ -9,10 +9,10 @@
 class Phase(Enum):
     """A phase of the process."""
 
-    STARTING = "starting"  # no list yet: not ready
+    STARTING = "starting"  # no endpoint list yet: not ready
     SERVING = "serving"
-    LAMEDUCK = "lameduck"  # drained by staff: accepts no new clients, serves those it has; can rejoin
-    DRAINING = "draining"  # graceful shutdown: serves on, closes idle connections, answers what is pending
+    LAMEDUCK = "lameduck"  # drained by operators: not ready, serves the clients it has; can rejoin
+    DRAINING = "draining"  # graceful shutdown: closes idle connections, still answers requests
     STOPPED = "stopped"
 
 
@@ -26,7 +26,7 @@
 
 
 class Lifecycle:
-    """The current phase, and the listeners to its changes."""
+    """The current phase and the listeners for its changes."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
@@ -34,7 +34,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether clients may begin to send (readiness)."""
+        """Whether the sidecar is ready for clients (readiness)."""
         return self.phase is Phase.SERVING
 
     def listen(self, listener: Callable[[Phase], None]) -> None:
@@ -42,7 +42,7 @@
         self._listeners.append(listener)
 
     def enter(self, phase: Phase) -> bool:
-        """Enter a phase; return False where there is no transition to it (a second SIGTERM, say)."""
+        """Enter a phase; return False if there is no transition to it (as for a second SIGTERM)."""
         if phase not in _NEXT[self.phase]:
             return False
         self.phase = phase
--- a/coveport/sidecar/reducer/reducer.py
+++ b/coveport/sidecar/reducer/reducer.py
@@ -1,7 +1,7 @@
 """The state machine of one sidecar: (time, input) -> effects.
 
-It is the one place where state changes. It owns the Balancer, the operations and their attempts. No I/O,
-no clock, no HTTP: a second protocol would feed the same inputs and execute the same effects.
+All state changes happen here. It owns the Balancer, the operations and their attempts. It has no I/O, no
+clock and no HTTP: a second protocol would feed the same inputs and execute the same effects.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
     Verdict,
 )
 
-# Of the answer slack: when this part has passed, an operation that nobody answered has failed.
+# Share of the answer slack after the deadline at which an operation without an answer fails.
 DEADLINE_SLACK_SHARE = 0.25
 
 
@@ -52,21 +52,21 @@
     destination: int
     sent_at: float
     in_flight: bool = True
-    began_at: float | None = None  # when its answer, a long one, began
+    answer_began_at: float | None = None  # time of a streamed answer's head, in ms; None: not received
 
 
 @dataclass(slots=True)
 class _Operation:
     deadline_ms: float
     id: str
-    most_attempts: int  # as of when it came
-    answered: bool = False  # or the client is gone: nothing is owed
-    steps: list[_Attempt] = field(default_factory=list)
-    stream: int = -1  # the attempt whose answer is being passed on
+    max_attempts: int  # limit at its receipt
+    answered: bool = False  # or its client has disconnected: no answer is needed
+    attempts: list[_Attempt] = field(default_factory=list)
+    stream: int = -1  # number of the attempt whose answer is being forwarded; -1: none
 
     @property
-    def over(self) -> bool:
-        return self.answered and not any(step.in_flight for step in self.steps)
+    def is_over(self) -> bool:
+        return self.answered and not any(attempt.in_flight for attempt in self.attempts)
 
 
 class Reducer:
@@ -81,7 +81,7 @@
         self._settings = settings
         self._balancer = balancer(settings, seed)
         self._operations: dict[int, _Operation] = {}
-        self._ids: set[str] = set()  # of the open operations
+        self._ids: set[str] = set()  # request ids of the open operations
         self._now = 0.0
         self._effects: list[Effect] = []
         self._events: deque[balancing.Event] = deque()
@@ -98,20 +98,20 @@
 
     @property
     def service_ms(self) -> float:
-        """Mean time of an operation at a destination, as the balancer knows it."""
+        """The balancer's estimate of the mean time of an operation at a destination."""
         return self._balancer.service_time
 
     def in_slow_start(self) -> dict[int, tuple[int, float]]:
-        """Destinations that count as cold: zone, and age in ms."""
-        warm = self._settings.rules.warm_after_ms
+        """Return the destinations in slow start: zone, and age in ms."""
+        warm_after_ms = self._settings.rules.warm_after_ms
         return {
             host.id: (host.zone, self._now - host.slow_start_at)
             for host in self._balancer.hosts.values()
-            if self._now - host.slow_start_at < warm
+            if self._now - host.slow_start_at < warm_after_ms
         }
 
     def ejected(self) -> dict[int, float]:
-        """Destinations that are out as they failed, and for how long, ms."""
+        """Return the ejected destinations, and for how long each has been ejected, in ms."""
         return {
             host.id: max(0.0, self._now - host.unresponsive_since)
             for host in self._balancer.hosts.values()
@@ -119,13 +119,13 @@
         }
 
     def location_of(self, destination: int) -> tuple[int, int]:
-        """Zone and cell of a destination; -1 both where it is not known any more."""
+        """Return zone and cell of a destination; -1 for both if it isn't listed any more."""
         host = self._balancer.hosts.get(destination)
         return (host.zone, host.cell) if host is not None else (-1, -1)
 
     @property
     def tables(self) -> dict[str, int]:
-        """How many entries each table has, the balancer's included; all but `hosts` come back to nothing."""
+        """Entries in each table, the balancer's included; all but `hosts` are empty without operations."""
         balancer = self._balancer
         return {
             "operations": len(self._operations),
@@ -137,8 +137,8 @@
             "hosts": len(balancer.hosts),
         }
 
-    # The two dispatchers stay whole, most frequent first: a table of bound methods would be state that the
-    # model check copies at every step, and one more call stands on every request's way.
+    # `step` and `_apply` are chains of branches, most frequent first: a table of bound methods would be state
+    # that the model check copies at every step, and would add a call to every request.
     def step(self, now_ms: float, item: Input) -> list[Effect]:  # noqa: C901, PLR0912  # see above
         """Apply one input and return the effects, in the order in which they are to be executed."""
         self._now = max(self._now, now_ms)
@@ -163,7 +163,7 @@
         elif isinstance(item, AttemptSent):
             operation = self._operations.get(item.operation)
             if operation is not None:
-                operation.steps[item.step].sent_at = self._now
+                operation.attempts[item.step].sent_at = self._now
         elif isinstance(item, AnswerStarted):
             self._answer_started(item)
         elif isinstance(item, ProcessStalled):
@@ -174,12 +174,12 @@
             )
         elif isinstance(item, ConfigurationReloaded):
             if item.discovery is not None:
-                self._effects.append(SwitchDiscovery(item.discovery))  # operations and attempts go on
+                self._effects.append(SwitchDiscovery(item.discovery))  # operations and attempts continue
             if item.settings is not None:
                 self._settings = item.settings
                 self._notify_balancer(balancing.SettingsChanged(item.settings))
         else:
-            # Guards against a balancer that forgets an operation: it gets its answer within the slack.
+            # Guards against a balancer that forgets an operation: the operation is answered within the slack.
             operation = self._operations.get(item.operation)
             if operation is not None and not operation.answered:
                 self._effects.append(ReportFault(f"operation {item.operation} was left unanswered"))
@@ -188,19 +188,21 @@
 
     def _operation_received(self, item: OperationReceived) -> None:
         if not item.is_admitted:
-            # Guards against running out of descriptors: turned away unseen, so it has never run.
+            # Guards against running out of descriptors: rejected before the balancer, so it has never run.
             self._effects.append(self._rejection(item.operation, self._settings.classes[item.cls].aim_ms))
             return
         if item.id and item.id in self._ids:
-            # Guards against a client that uses another's id: what is open keeps its one answer, and the
-            # ledger nodes never hold two of a name.
+            # Guards against two clients with one request id: the open operation keeps its one answer, and no
+            # ledger node gets two operations with the same id.
             self._effects.append(SendAnswer(item.operation, Verdict.DUPLICATE))
             return
         self._ids.add(item.id)
         operation = self._operations[item.operation] = _Operation(
             item.deadline_ms, item.id, self._settings.limits.max_attempts
         )
-        operation.steps.extend(_Attempt(-1, one.sent_ms, in_flight=False) for one in item.prior_attempts)
+        operation.attempts.extend(
+            _Attempt(-1, prior.sent_ms, in_flight=False) for prior in item.prior_attempts
+        )
         if not item.long:
             self._set_deadline_timer(item.operation, operation)
         handled = self._notify_balancer(
@@ -218,8 +220,8 @@
         self._close_if_done(item.operation, operation, handled)
 
     def _set_deadline_timer(self, number: int, operation: _Operation) -> None:
-        guard = operation.deadline_ms + self._settings.rules.answer_slack_ms * DEADLINE_SLACK_SHARE
-        self._effects.append(SetDeadlineTimer(number, guard))
+        expires_at = operation.deadline_ms + self._settings.rules.answer_slack_ms * DEADLINE_SLACK_SHARE
+        self._effects.append(SetDeadlineTimer(number, expires_at))
 
     def _body_received(self, item: BodyReceived) -> None:
         operation = self._operations.get(item.operation)
@@ -229,49 +231,55 @@
 
     def _answer_started(self, item: AnswerStarted) -> None:
         operation = self._operations.get(item.operation)
-        if operation is None or operation.answered or not operation.steps[item.step].in_flight:
-            self._effects.append(CancelAttempt(item.operation, item.step))  # somebody else's answer was first
+        if operation is None or operation.answered or not operation.attempts[item.step].in_flight:
+            self._effects.append(CancelAttempt(item.operation, item.step))  # another answer was first
             return
-        step = operation.steps[item.step]
-        operation.answered, operation.stream, step.began_at = True, item.step, self._now
+        attempt = operation.attempts[item.step]
+        operation.answered, operation.stream, attempt.answer_began_at = True, item.step, self._now
         self._effects.append(StartAnswer(item.operation, item.step, item.answer))
-        self._notify_balancer(balancing.StreamStarted(item.operation, item.step, step.destination))
+        self._notify_balancer(balancing.StreamStarted(item.operation, item.step, attempt.destination))
 
     def _attempt_ended(self, item: AttemptEnded) -> None:
         operation = self._operations.get(item.operation)
-        if operation is None or not operation.steps[item.step].in_flight:
+        if operation is None or not operation.attempts[item.step].in_flight:
             return
-        step = operation.steps[item.step]
-        step.in_flight = False
+        attempt = operation.attempts[item.step]
+        attempt.in_flight = False
         if item.outcome is balancing.Outcome.OK and not operation.answered:
             operation.answered = True
             self._effects.append(SendAnswer(item.operation, Verdict.SERVED, item.answer))
         elif operation.stream == item.step:
             operation.stream = -1
             self._effects.append(EndAnswer(item.operation, item.outcome is balancing.Outcome.OK))
-        # Of a long answer its first bytes alone speak of the destination's pace: the rest is its client's.
-        took = (self._now if step.began_at is None else step.began_at) - step.sent_at
-        # Guards against a balancer that ends one whose answer is still forwarded: it would cancel that.
+        # For a streamed answer, only the head shows the destination's latency: the client paces the body.
+        latency_ms = (
+            self._now if attempt.answer_began_at is None else attempt.answer_began_at
+        ) - attempt.sent_at
+        # Guards against a balancer that ends an operation whose answer is being forwarded, and so cancels it.
         closed = operation.answered and operation.stream < 0
         handled = self._notify_balancer(
             balancing.Reply(
-                item.operation, item.step, step.destination, item.outcome, took, closed, item.load
+                item.operation, item.step, attempt.destination, item.outcome, latency_ms, closed, item.load
             )
         )
         self._close_if_done(item.operation, operation, handled)
 
     def _subtract_stall(self, duration_ms: float) -> None:
-        # Guards against a sidecar that takes its own stall for slow nodes, and refuses for seconds after it.
+        # Guards against counting a stall of this process as slow nodes, and rejecting requests for seconds.
         for operation in self._operations.values():
-            for step in operation.steps:
-                if step.in_flight:
-                    step.sent_at = min(self._now, step.sent_at + duration_ms)
+            for attempt in operation.attempts:
+                if attempt.in_flight:
+                    attempt.sent_at = min(self._now, attempt.sent_at + duration_ms)
 
     def _close_if_done(self, number: int, operation: _Operation, handled: bool) -> None:
-        # Guards against a balancer that raised over this operation: the answer is owed all the same.
-        if not handled and not operation.answered and not any(step.in_flight for step in operation.steps):
+        # Guards against a balancer that raised at this operation: it must be answered all the same.
+        if (
+            not handled
+            and not operation.answered
+            and not any(attempt.in_flight for attempt in operation.attempts)
+        ):
             self._close(number, Verdict.FAILED)
-        elif operation.over:
+        elif operation.is_over:
             self._remove(number)
 
     def _remove(self, number: int) -> None:
@@ -280,7 +288,7 @@
             self._ids.discard(operation.id)
 
     def _close(self, number: int, verdict: Verdict | None) -> None:
-        """End an operation without the balancer: answered here, or its client has disconnected."""
+        """End an operation without the balancer: with a verdict, or because its client has disconnected."""
         operation = self._operations.get(number)
         if operation is None or (operation.answered and operation.stream < 0):
             return
@@ -288,28 +296,28 @@
         if verdict is not None:
             self._effects.append(SendAnswer(number, verdict))
         self._notify_balancer(balancing.ClientDisconnected(number))
-        for attempt, step in enumerate(operation.steps):
-            if step.in_flight:  # the balancer's own cancel may have come already; a second one does nothing
-                self._effects.append(CancelAttempt(number, attempt))
-        if operation.over:
+        for index, attempt in enumerate(operation.attempts):
+            if attempt.in_flight:  # a second cancel, after the balancer's own, does nothing
+                self._effects.append(CancelAttempt(number, index))
+        if operation.is_over:
             self._remove(number)
 
     def _notify_balancer(self, event: balancing.Event) -> bool:
         """Let the balancer handle an event; return False where it raised."""
-        fine = True
+        succeeded = True
         self._events.append(event)
         while self._events:
             try:
                 actions = self._balancer.handle(self._now, self._events.popleft())
             except Exception:  # noqa: BLE001  # reported with its traceback
-                # Guards against a fault in the balancer: what it had decided so far stands in its books
-                # and is carried out, the rest is answered by us.
-                fine = False
+                # Guards against a fault in the balancer: the actions that it had decided on are in its state
+                # and are applied; the reducer itself answers the operation.
+                succeeded = False
                 self._effects.append(ReportFault(traceback.format_exc()))
                 actions = self._balancer.out
             for action in actions:
-                fine = self._apply(action) and fine
-        return fine
+                succeeded = self._apply(action) and succeeded
+        return succeeded
 
     def _apply(self, action: balancing.Action) -> bool:  # noqa: C901  # see `step`
         """Apply an action of the balancer; return False where it is invalid."""
@@ -319,15 +327,15 @@
             self._effects.append(SetTimer(action.delay_ms, action.token))
         elif isinstance(action, balancing.Cancel):
             operation = self._operations.get(action.id)
-            if operation is not None and not 0 <= action.attempt < len(operation.steps):
-                # Guards against a balancer that cancels what it never sent.
-                self._effects.append(ReportFault(f"{action} names no route step"))
+            if operation is not None and not 0 <= action.attempt < len(operation.attempts):
+                # Guards against a balancer that cancels an attempt it never sent.
+                self._effects.append(ReportFault(f"{action} names no attempt of the operation"))
                 return False
             if (
                 operation is not None
-                and operation.steps[action.attempt].in_flight
+                and operation.attempts[action.attempt].in_flight
                 and operation.stream != action.attempt
-            ):  # what is passed on is the client's
+            ):  # an answer that is being forwarded is not cancelled
                 self._effects.append(CancelAttempt(action.id, action.attempt))
         elif isinstance(action, balancing.Refuse | balancing.Fail):
             operation = self._operations.get(action.id)
@@ -338,7 +346,7 @@
                 self._effects.append(SendAnswer(action.id, Verdict.FAILED))
             else:
                 self._effects.append(self._rejection(action.id, action.wait_ms))
-            if operation.over:
+            if operation.is_over:
                 self._remove(action.id)
         elif isinstance(action, balancing.HealthCheck):
             self._effects.append(CheckHealth(action.host))
@@ -355,16 +363,16 @@
         operation = self._operations.get(action.id)
         if operation is None:
             return
-        attempt = len(operation.steps)
-        operation.steps.append(_Attempt(action.host, self._now))
-        left = operation.deadline_ms - self._now
-        if operation.answered or left <= 0 or attempt >= operation.most_attempts:
-            operation.steps[attempt].in_flight = False
+        index = len(operation.attempts)
+        operation.attempts.append(_Attempt(action.host, self._now))
+        remaining_ms = operation.deadline_ms - self._now
+        if operation.answered or remaining_ms <= 0 or index >= operation.max_attempts:
+            operation.attempts[index].in_flight = False
             self._events.append(
                 balancing.Reply(
-                    action.id, attempt, action.host, balancing.Outcome.MOOT, 0.0, operation.answered
+                    action.id, index, action.host, balancing.Outcome.MOOT, 0.0, operation.answered
                 )
             )
             return
-        timeout = min(action.timeout_ms, left) if action.timeout_ms else left
-        self._effects.append(SendAttempt(action.id, attempt, action.host, timeout))
+        timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms else remaining_ms
+        self._effects.append(SendAttempt(action.id, index, action.host, timeout_ms))
--- a/coveport/sidecar/reducer/streams.py
+++ b/coveport/sidecar/reducer/streams.py
@@ -1,4 +1,4 @@
-"""Streamed bodies: one budget of buffered bytes for the process, and the chunks of a long request. Pure."""
+"""Streamed bodies: the process' budget of buffered bytes, and the chunks of a streamed request. Pure."""
 
 from __future__ import annotations
 
@@ -6,12 +6,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_STREAMED_BODY_BYTES = (
-    40 * 1024 * 1024
-)  # bytes of the longest body that is passed on, either way: service has 32 MB
-MAX_READ_BYTES = 64 * 1024  # bytes read at once
-MIN_READ_BYTES = 4 * 1024  # ... where the budget is used up: each stream gets on, however slowly
-MAX_READ_AHEAD_BYTES = 64 * 1024  # bytes of a long request that are read ahead of whoever passes them on
+MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024  # the largest body forwarded either way; production has 32 MB
+MAX_READ_BYTES = 64 * 1024  # bytes per read
+MIN_READ_BYTES = 4 * 1024  # per read with the budget used up: each stream still makes progress
+MAX_READ_AHEAD_BYTES = 64 * 1024  # read ahead of the slowest reader of a streamed request
 
 
 class Budget:
@@ -23,29 +21,29 @@
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self.buffered_bytes = 0
-        self.peak_bytes = 0  # the most that was ever held
+        self.peak_bytes = 0  # maximum of `buffered_bytes` so far
 
     def add(self, size: int) -> None:
-        """Add buffered bytes; `size` is negative where they are released."""
+        """Add buffered bytes; `size` is negative if they are released."""
         self.buffered_bytes += size
         self.peak_bytes = max(self.peak_bytes, self.buffered_bytes)
 
     @property
     def may_retain(self) -> bool:
-        """Whether bytes may be retained that were forwarded: half is for those that were not."""
+        """Whether forwarded bytes may be retained: half of the budget is for bytes not yet forwarded."""
         return self.buffered_bytes < self.max_bytes // 2
 
     def read_limit(self) -> int:
         """Return how many bytes one connection may read now."""
-        # An eighth of what is left: so many may read in the same turn of the loop before any has sent it on.
+        # An eighth of the rest: up to eight connections may read in one turn of the loop before one forwards.
         return min(MAX_READ_BYTES, max(MIN_READ_BYTES, (self.max_bytes - self.buffered_bytes) // 8))
 
 
 class Reader(Protocol):
-    """Forwards a long request."""
+    """Forwards a streamed request."""
 
     def forward_available(self) -> None:
-        """Read on: there is another chunk, or the end."""
+        """Forward what can be read: another chunk was received, or the end."""
 
 
 class Upload:
@@ -61,18 +59,18 @@
         self.length = length
         self._resume_source = resume_source
         self._chunks: deque[bytes] = deque()
-        self._first = 0  # number of the first chunk that is buffered
-        self._readers: dict[Reader, int] = {}  # the chunk that each reads next
-        self._read: dict[Reader, int] = {}  # how many bytes each has read
-        self._received = 0
+        self._first = 0  # number of the first buffered chunk
+        self._readers: dict[Reader, int] = {}  # number of the chunk that each reader reads next
+        self._read_bytes: dict[Reader, int] = {}  # bytes that each reader has read
+        self._received_bytes = 0
         self._buffered_bytes = 0
         self._retains = True
         self.complete = False
 
     def push(self, data: bytes) -> None:
-        """Append a chunk that was received."""
+        """Append a received chunk."""
         self._chunks.append(data)
-        self._received += len(data)
+        self._received_bytes += len(data)
         self._add_buffered(len(data))
         if not self._budget.may_retain:
             self._retains = False
@@ -81,46 +79,46 @@
         self._release()
 
     def finish(self) -> None:
-        """Note that the body is complete."""
+        """Record that the body is complete."""
         self.complete = True
         for reader in list(self._readers):
             reader.forward_available()
 
     def join(self, reader: Reader) -> bool:
-        """Add a reader from the first byte on; return False where that was released."""
+        """Add a reader at the first byte; return False if that byte was released."""
         if self._first:
             return False
         self._readers[reader] = 0
-        self._read[reader] = 0
+        self._read_bytes[reader] = 0
         return True
 
     def leave(self, reader: Reader) -> None:
         """Remove a reader."""
         self._readers.pop(reader, None)
-        self._read.pop(reader, None)
+        self._read_bytes.pop(reader, None)
         self._release()
 
     def next(self, reader: Reader) -> bytes | None:
-        """Return the reader's next chunk; None where it was not received yet, or there is none."""
-        at = self._readers[reader] - self._first
-        if not 0 <= at < len(self._chunks):
+        """Return the reader's next chunk; None if it has not been received or the body has ended."""
+        index = self._readers[reader] - self._first
+        if not 0 <= index < len(self._chunks):
             return None
-        chunk = self._chunks[at]
+        chunk = self._chunks[index]
         self._readers[reader] += 1
-        self._read[reader] += len(chunk)
+        self._read_bytes[reader] += len(chunk)
         return chunk
 
     def is_read_by(self, reader: Reader) -> bool:
         """Return whether a reader has read the complete body."""
-        return self.complete and self._read[reader] == self._received
+        return self.complete and self._read_bytes[reader] == self._received_bytes
 
     @property
     def is_full(self) -> bool:
-        """Whether its source should wait: a reader is behind, or there is none."""
-        return self._received - min(self._read.values(), default=0) >= MAX_READ_AHEAD_BYTES
+        """Whether the source should pause: a reader is behind, or there is no reader."""
+        return self._received_bytes - min(self._read_bytes.values(), default=0) >= MAX_READ_AHEAD_BYTES
 
     def release_read(self) -> None:
-        """Release what all have read, and resume the source where it may read on."""
+        """Release the chunks that all readers have read, and resume the source if it may read on."""
         self._release()
         if not self.complete and not self.is_full:
             self._resume_source()
@@ -128,8 +126,8 @@
     def _release(self) -> None:
         if self._retains or not self._readers:
             return
-        done = min(self._readers.values())
-        while self._first < done:
+        first_unread = min(self._readers.values())
+        while self._first < first_unread:
             self._first += 1
             self._add_buffered(-len(self._chunks.popleft()))
 
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -1,4 +1,4 @@
-"""One instance, wired: configuration, signals, phases, exit code."""
+"""One running instance: its parts, signals, phases and exit code."""
 
 from __future__ import annotations
 
@@ -28,12 +28,14 @@
 from coveport.sidecar.telemetry.log import Log
 from coveport.sidecar.upstream.http1_connection import Dialer
 
-FIRST_LIST_S = 0.5  # how long to wait for discovery before the known list has to do
-BIND_S, BIND_STEP_S = 5.0, 0.1  # the address may be held by the one before us for a moment
-STEP_S = 0.02
-NEED_MB = 30.0  # what a process needs that holds no long body: 22 to 26 MB on the operators' days
-LONG_SHARE = 0.5  # of the memory beyond that: the other half is for small bodies and what is made of bytes
-LONG_LEAST_MB = 1.0
+FIRST_LIST_TIMEOUT_S = 0.5  # wait for discovery's first list before the known list is used
+# The address may still be bound by the previous process for a moment.
+BIND_TIMEOUT_S, BIND_RETRY_INTERVAL_S = 5.0, 0.1
+POLL_INTERVAL_S = 0.02
+BASE_MEMORY_MB = 30.0  # memory of a process without streamed bodies: 22 to 26 MB on the operators' days
+# Share of the memory beyond that for streamed bodies: the other half is for small bodies and parsed messages.
+STREAMED_SHARE = 0.5
+MIN_STREAMED_MB = 1.0
 
 
 async def serve(
@@ -55,8 +57,10 @@
     enables attach themselves there.
     """
     loop = net.loop
-    counters, life = Counters(), Lifecycle()
-    budget = Budget(int(max(LONG_LEAST_MB, (config.memory_mb - NEED_MB) * LONG_SHARE) * 1024 * 1024))
+    counters, lifecycle = Counters(), Lifecycle()
+    budget = Budget(
+        int(max(MIN_STREAMED_MB, (config.memory_mb - BASE_MEMORY_MB) * STREAMED_SHARE) * 1024 * 1024)
+    )
     dial = Dialer(config.settings.load_fields, budget)
     counters.gauge("long_bytes", lambda: budget.buffered_bytes)
     counters.gauge("long_bytes_peak", lambda: budget.peak_bytes)
@@ -66,7 +70,7 @@
         counters,
         log,
         config.settings.classes,
-        is_ready=lambda: life.ready,
+        is_ready=lambda: lifecycle.ready,
         max_clients=connection_limits(config.sockets)[0],
         submit=effects.accept,
         cancel=effects.client_disconnected,
@@ -74,17 +78,17 @@
         budget=budget,
     )
 
-    def unexpected(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        # Guards against a fault in one connection, or EMFILE in accept: logged, and served on.
+    def on_loop_exception(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        # Guards against a fault in one connection, or EMFILE in accept: the sidecar logs it and serves on.
         log.note("unexpected", f"{context.get('message')}: {context.get('exception')!r}")
         if isinstance(context.get("exception"), OSError):
             listener.clients.shed(16)
 
-    def figures() -> None:
+    def log_counters() -> None:
         log.write(
             "counters "
             + counters.line(
-                phase=life.phase.value,
+                phase=lifecycle.phase.value,
                 owed=effects.owed,
                 clients=len(listener.clients),
                 links=effects.connection_pool.count,
@@ -95,24 +99,26 @@
     stop, running = asyncio.Event(), config
 
     def terminate() -> None:
-        if life.enter(Phase.DRAINING):
+        if lifecycle.enter(Phase.DRAINING):
             stop.set()
 
     def ping() -> CommandResult:
-        return None if life.ready else f"not ready: {life.phase.value}"
+        return None if lifecycle.ready else f"not ready: {lifecycle.phase.value}"
 
     def info() -> CommandResult:
         return counters.report_lines()
 
     def lameduck() -> CommandResult:
-        if life.phase is Phase.LAMEDUCK or life.enter(Phase.LAMEDUCK):
+        if lifecycle.phase is Phase.LAMEDUCK or lifecycle.enter(Phase.LAMEDUCK):
             return None
-        return f"not serving: {life.phase.value}"
+        return f"not serving: {lifecycle.phase.value}"
 
     def rejoin() -> CommandResult:
-        if life.phase is Phase.SERVING or (life.phase is Phase.LAMEDUCK and life.enter(Phase.SERVING)):
+        if lifecycle.phase is Phase.SERVING or (
+            lifecycle.phase is Phase.LAMEDUCK and lifecycle.enter(Phase.SERVING)
+        ):
             return None
-        return f"no way back: {life.phase.value}"
+        return f"no way back: {lifecycle.phase.value}"
 
     admin = AdminServer(
         net,
@@ -125,57 +131,58 @@
     def reload() -> None:
         try:
             nonlocal running
-            running = told = reload_config(running)
-            effects.reload(told)
-            listener.set_classes(told.settings.classes)
-        except PlatformFileError as problem:
-            # Guards against a bad file, or one that is half written: we run on with what we have.
+            running = reloaded = reload_config(running)
+            effects.reload(reloaded)
+            listener.set_classes(reloaded.settings.classes)
+        except PlatformFileError as error:
+            # Guards against a wrong or half-written file: the sidecar keeps its configuration.
             counters.add("config_reload_errors")
-            log.write(f"{config.name}: kept the old configuration: {problem}")
+            log.write(f"{config.name}: kept the old configuration: {error}")
 
-    loop.set_exception_handler(unexpected)
+    loop.set_exception_handler(on_loop_exception)
     loop.add_signal_handler(signal.SIGTERM, terminate)
     loop.add_signal_handler(signal.SIGINT, terminate)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    loop.add_signal_handler(signal.SIGUSR1, figures)
-    life.listen(lambda phase: log.write(f"{config.name}: {phase.value}"))
-    life.listen(lambda phase: listener.drain(on=phase is Phase.LAMEDUCK))
+    loop.add_signal_handler(signal.SIGUSR1, log_counters)
+    lifecycle.listen(lambda phase: log.write(f"{config.name}: {phase.value}"))
+    lifecycle.listen(lambda phase: listener.drain(on=phase is Phase.LAMEDUCK))
     if attach is not None:
-        attach(effects, life)
+        attach(effects, lifecycle)
     if on_phase is not None:
-        life.listen(on_phase)
+        lifecycle.listen(on_phase)
 
     effects.load_known_endpoints()
     effects.endpoint_source.start()
     if config.console is not None and await _open(net, log, admin.open, config.console) is not None:
-        log.write(f"{config.name}: staff call at {config.console[0]}:{config.console[1]}")
-    # Where another serves here already, it goes on until we are ready: clients would find us with no list.
-    beside = net.is_taken(config.listen)
-    if not beside and not await _listen(config, net, log, listener):
+        log.write(f"{config.name}: admin address {config.console[0]}:{config.console[1]}")
+    # If another process serves at this address, it goes on until this one has an endpoint list: clients must
+    # not connect to a process without one.
+    is_address_taken = net.is_taken(config.listen)
+    if not is_address_taken and not await _listen(config, net, log, listener):
         return 1
-    # Who must ask asks in its own time, as all that start together ask a small service: none waits for it.
-    known_will_do = net.now_s() + (0.0 if config.settings.must_ask else FIRST_LIST_S)
+    # In subscribe mode the first request is spread over time, as many sidecars may start at once: don't wait.
+    use_known_at = net.now_s() + (0.0 if config.settings.must_ask else FIRST_LIST_TIMEOUT_S)
     while (
         not stop.is_set()
         and not effects.has_endpoints
-        and not (effects.connection_pool.known and net.now_s() >= known_will_do)
+        and not (effects.connection_pool.known and net.now_s() >= use_known_at)
     ):
-        await asyncio.sleep(STEP_S)
-    if beside and not stop.is_set() and not await _listen(config, net, log, listener):
+        await asyncio.sleep(POLL_INTERVAL_S)
+    if is_address_taken and not stop.is_set() and not await _listen(config, net, log, listener):
         return 1
-    life.enter(Phase.SERVING)
+    lifecycle.enter(Phase.SERVING)
     await stop.wait()
 
     await asyncio.sleep(DRAIN_DELAY_S)
     await listener.shut_down()
     while effects.owed or len(listener.clients):
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     effects.endpoint_source.close()
     effects.connection_pool.close()
     listener.close()
     admin.close()
-    life.enter(Phase.STOPPED)
-    figures()
+    lifecycle.enter(Phase.STOPPED)
+    log_counters()
     return 0
 
 
@@ -189,40 +196,40 @@
 async def _open(
     net: Net, log: Log, listen: Callable[[Address], Awaitable[int]], address: Address
 ) -> int | None:
-    """Listen there, and the port; None, with a line that says so, where that can't be."""
-    give_up = net.now_s() + BIND_S
+    """Listen and return the port; if the address can't be bound, log that and return None."""
+    give_up_at = net.now_s() + BIND_TIMEOUT_S
     while True:
         try:
             return await listen(address)
-        except OSError as problem:
-            if net.now_s() > give_up:
-                log.write(f"cannot listen on {address[0]}:{address[1]}: {problem}")
+        except OSError as error:
+            if net.now_s() > give_up_at:
+                log.write(f"cannot listen on {address[0]}:{address[1]}: {error}")
                 return None
-            await asyncio.sleep(BIND_STEP_S)
+            await asyncio.sleep(BIND_RETRY_INTERVAL_S)
 
 
 async def _serve(config: configuration.Config, log: Log) -> int:
-    def settled(phase: Phase) -> None:
+    def freeze_when_serving(phase: Phase) -> None:
         if phase is Phase.SERVING:
-            gc.freeze()  # what is there by now stays: no collection need look at it again
+            gc.freeze()  # the objects created so far stay: collections need not visit them
 
     return await serve(
         config,
         Net(asyncio.get_running_loop()),
         log,
-        on_phase=settled,
+        on_phase=freeze_when_serving,
         reload_config=lambda running: configuration.load(os.environ, again=True, running=running),
     )
 
 
 def main() -> int:
-    """Start the platform's sidecar from the environment; 2 where the configuration is wrong."""
-    # Guards against a SIGHUP that comes before there is a handler: it would end us.
+    """Run the platform's sidecar as the environment configures it; return 2 if the configuration is wrong."""
+    # Guards against a SIGHUP before its handler is installed: it would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     log = Log(time.monotonic)
     try:
         config = configuration.load(os.environ)
-    except PlatformFileError as problem:
-        log.write(str(problem))
+    except PlatformFileError as error:
+        log.write(str(error))
         return 2
     return asyncio.run(_serve(config, log))
--- a/coveport/sidecar/telemetry/log.py
+++ b/coveport/sidecar/telemetry/log.py
@@ -6,8 +6,8 @@
 import sys
 from collections.abc import Callable
 
-BURST = 5  # lines of one kind ...
-SPAN_S = 10.0  # ... in this long; what is left out is counted and said with the next line
+MAX_LINES = 5  # lines of one kind per window; further lines are counted, and the next one gives their number
+WINDOW_S = 10.0
 
 
 def to_stderr(line: str) -> None:
@@ -18,32 +18,32 @@
 
 
 class Log:
-    """The log of one instance: at most BURST lines of a kind in SPAN_S seconds."""
+    """The log of one instance, with a limit of MAX_LINES lines of a kind per WINDOW_S."""
 
     def __init__(self, now_s: Callable[[], float], write: Callable[[str], None] = to_stderr) -> None:
         self._now_s = now_s
         self._write = write
-        self._kinds: dict[str, list[float]] = {}  # kind: start of its span, lines in it, lines left out
+        self._kinds: dict[str, list[float]] = {}  # kind: window start, lines printed, lines left out
 
     def note(self, kind: str, text: str) -> None:
-        """Print a line unless its kind has reached its limit for now."""
+        """Print a line unless its kind has reached the limit of the current window."""
         now = self._now_s()
         state = self._kinds.setdefault(kind, [now, 0, 0])
-        if now - state[0] >= SPAN_S:
+        if now - state[0] >= WINDOW_S:
             state[0] = now
             state[1] = 0
-        if state[1] >= BURST:
+        if state[1] >= MAX_LINES:
             state[2] += 1
             return
         state[1] += 1
-        left_out = f" ({int(state[2])} like it left out)" if state[2] else ""
+        left_out = f" ({int(state[2])} similar lines left out)" if state[2] else ""
         state[2] = 0
         self.write_kind(kind, f"{text}{left_out}")
 
     def write(self, text: str) -> None:
-        """Print a line, without a limit."""
+        """Print a line without a limit."""
         self._write(f"coveport: {text}")
 
     def write_kind(self, kind: str, text: str) -> None:
-        """Print a line that is within the limit of its kind."""
+        """Print a line of a kind without a limit."""
         self.write(f"{kind}: {text}")
--- a/coveport/testbed/check/states.py
+++ b/coveport/testbed/check/states.py
@@ -277,7 +277,9 @@
             and (
                 own.answered,
                 self._instant(own.deadline_ms),
-                tuple((step.in_flight, step.in_flight and self._instant(step.sent_at)) for step in own.steps),
+                tuple(
+                    (step.in_flight, step.in_flight and self._instant(step.sent_at)) for step in own.attempts
+                ),
             ),
             told,
         )
--- a/tests/sidecar/admin/test_admin.py
+++ b/tests/sidecar/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The second address: calls, figures, and draining a sidecar that runs on."""
+"""The admin address: commands, counters, and draining a sidecar that goes on running."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 CONSOLE = ("127.0.0.1", 9100)
 
 
-def staffed(config: Path, *dials: str, **how: Any) -> Any:
-    """A world whose program has a console."""
+def world_with_console(config: Path, *dials: str, **how: Any) -> Any:
+    """A world whose sidecar has an admin address."""
     return world(config, *dials, staff=f"{CONSOLE[0]}:{CONSOLE[1]}", **how)
 
 
-def caller() -> Conn:
+def connect() -> Conn:
     async def dial() -> Conn:
         conn = Conn(ground())
         await ground().net.dial(lambda: conn, CONSOLE)
@@ -34,33 +34,33 @@
     return ground().run(dial(), 10)
 
 
-def said(conn: Conn) -> str:
-    held = b""
+def read_response(conn: Conn) -> str:
+    received = b""
     while data := conn.recv(65536):
-        held += data
-    return held.decode()
+        received += data
+    return received.decode()
 
 
-def call(line: str) -> str:
-    with caller() as conn:
+def send_command(line: str) -> str:
+    with connect() as conn:
         conn.sendall(line.encode())
-        return said(conn)
+        return read_response(conn)
 
 
-def figures() -> dict[str, int]:
-    ack, *rows, end, rest = call("INFO\n").split("\n")
+def read_counters() -> dict[str, int]:
+    ack, *rows, end, rest = send_command("INFO\n").split("\n")
     assert (ack, end, rest) == ("ACK", "--", "")
-    told = dict(row.removeprefix("edge_lb.").split("=") for row in rows)
-    return {name: int(value) for name, value in told.items()}
+    values = dict(row.removeprefix("edge_lb.").split("=") for row in rows)
+    return {name: int(value) for name, value in values.items()}
 
 
-def adds_up(told: dict[str, int], taken: int) -> bool:
-    ends = sum(value for name, value in told.items() if name.startswith("downstream_requests."))
-    return ends + told["pending"] == taken
+def counters_add_up(counters: dict[str, int], accepted: int) -> bool:
+    ends = sum(value for name, value in counters.items() if name.startswith("downstream_requests."))
+    return ends + counters["pending"] == accepted
 
 
 @pytest.mark.parametrize(
-    ("line", "found"),
+    ("line", "command"),
     [
         (b"PING\n", Command.PING),
         (b"INFO\r\nmore", Command.INFO),
@@ -69,12 +69,12 @@
         (b"REJOIN \n", Command.REJOIN),
     ],
 )
-def test_a_call_is_one_line(line: bytes, found: Command | None) -> None:
-    assert read_command(line) is found
+def test_a_command_is_one_line(line: bytes, command: Command | None) -> None:
+    assert read_command(line) is command
 
 
 @pytest.mark.parametrize(
-    ("line", "ended"),
+    ("line", "is_eof"),
     [
         (b"ping\n", False),
         (b"\n", False),
@@ -86,17 +86,17 @@
         (b"PING PING\n", False),
     ],
 )
-def test_what_is_no_call_is_answered_with_a_reason(line: bytes, ended: bool) -> None:
-    with pytest.raises(BadCommandError) as told:
-        read_command(line, is_eof=ended)
-    assert write_nak(str(told.value)).startswith(b"NAK ") and b"\n" not in write_nak(str(told.value))[:-1]
+def test_an_invalid_command_is_rejected_with_a_reason(line: bytes, is_eof: bool) -> None:
+    with pytest.raises(BadCommandError) as raised:
+        read_command(line, is_eof=is_eof)
+    assert write_nak(str(raised.value)).startswith(b"NAK ") and b"\n" not in write_nak(str(raised.value))[:-1]
 
 
-def test_what_is_told_ends_with_two_dashes() -> None:
+def test_a_report_ends_with_two_dashes() -> None:
     assert (write_ack(), write_ack(["a=1"])) == (b"ACK\n", b"ACK\na=1\n--\n")
 
 
-def test_the_registry_asks_gauges_and_keeps_the_counts_of_a_class_that_went() -> None:
+def test_the_registry_reads_gauges_and_keeps_the_counts_of_a_removed_class() -> None:
     counters = Counters()
     counters.register_class("a")
     counters.add("downstream_requests.a.failed")
@@ -112,111 +112,121 @@
     assert json.loads(counters.line())["pending"] == 3
 
 
-def test_no_console_is_opened_where_none_is_told(tmp_path: Path) -> None:
+def test_no_console_is_opened_without_an_address(tmp_path: Path) -> None:
     with world(tmp_path, Server(served).address), pytest.raises(ConnectionRefusedError):
-        caller()
+        connect()
 
 
-def test_calls_are_answered_whoever_else_says_nothing(tmp_path: Path) -> None:
-    with staffed(tmp_path, Server(served).address, sockets=64):
-        silent = [caller() for _ in range(40)]
+def test_commands_are_answered_despite_silent_connections(tmp_path: Path) -> None:
+    with world_with_console(tmp_path, Server(served).address, sockets=64):
+        silent = [connect() for _ in range(40)]
         silent[-1].sendall(b"PI")
-        begun = now()
-        assert call("PING\n") == "ACK\n" and now() - begun < 0.1
-        assert call("NOTHING\n").startswith("NAK unknown call")
-        assert said(silent[-1]) == "NAK no line came\n" and now() - begun < 3
-        assert call("PING\n") == "ACK\n"
+        started_at = now()
+        assert send_command("PING\n") == "ACK\n" and now() - started_at < 0.1
+        assert send_command("NOTHING\n").startswith("NAK unknown call")
+        assert read_response(silent[-1]) == "NAK no line came\n" and now() - started_at < 3
+        assert send_command("PING\n") == "ACK\n"
 
 
-def test_figures_add_up_at_any_moment(tmp_path: Path) -> None:
+def test_counters_add_up_at_any_moment(tmp_path: Path) -> None:
     answers: list[Any] = []
 
     async def handler(seen: Seen) -> bytes | None:
         await asyncio.sleep(0.3)
-        told = answers.pop(0) if answers else 200
-        return served(seen) if told == 200 else None if told is None else SILENT
+        answer = answers.pop(0) if answers else 200
+        return served(seen) if answer == 200 else None if answer is None else SILENT
 
     node = Server(handler)
-    with staffed(tmp_path, node.address) as one:
-        assert figures()["members"] == 1 and figures()["downstream_requests.redeem.completed"] == 0
+    with world_with_console(tmp_path, node.address) as sidecar:
+        assert (
+            read_counters()["members"] == 1 and read_counters()["downstream_requests.redeem.completed"] == 0
+        )
         answers[:] = [None, 200, SILENT]
-        conns = [one.connect() for _ in range(4)]
+        conns = [sidecar.connect() for _ in range(4)]
         for taken, conn in enumerate(conns):
             conn.sendall(request("POST /redeem", X_Deadline="1000m"))
             sleep(0.1)
-            assert adds_up(figures(), taken + 1)
+            assert counters_add_up(read_counters(), taken + 1)
         conns[3].close()
         for _ in range(20):
             sleep(0.1)
-            assert adds_up(figures(), 4)
-        told = figures()
-        assert told["pending"] == 0 and told["upstream_requests"] == 4
-        assert told["downstream_requests.redeem.failed"] == 3  # broken, timed out, its client gone
-        assert one.ask("GET /nothing")[0] == 404 and adds_up(figures(), 4)
-        assert call("LAMEDUCK\n") == "ACK\n" and one.ask("POST /redeem")[0] == 200
-        assert adds_up(figures(), 5) and call("REJOIN\n") == "ACK\n"
+            assert counters_add_up(read_counters(), 4)
+        counters = read_counters()
+        assert counters["pending"] == 0 and counters["upstream_requests"] == 4
+        assert counters["downstream_requests.redeem.failed"] == 3  # reset, timed out, its client disconnected
+        assert sidecar.ask("GET /nothing")[0] == 404 and counters_add_up(read_counters(), 4)
+        assert send_command("LAMEDUCK\n") == "ACK\n" and sidecar.ask("POST /redeem")[0] == 200
+        assert counters_add_up(read_counters(), 5) and send_command("REJOIN\n") == "ACK\n"
         node.close()
-        for held in node.open:
-            held.close()
-        assert one.ask("GET /balance")[0] in (500, 503)
-        assert figures()["members_unavailable"] == 1 and adds_up(figures(), 6)
+        for connection in node.open:
+            connection.close()
+        assert sidecar.ask("GET /balance")[0] in (500, 503)
+        assert read_counters()["members_unavailable"] == 1 and counters_add_up(read_counters(), 6)
 
 
-def test_a_drain_says_no_serves_on_closes_what_rests_and_is_taken_back(tmp_path: Path) -> None:
+def test_a_drain_fails_health_checks_still_serves_and_can_be_undone(tmp_path: Path) -> None:
     async def slow(seen: Seen) -> bytes:
         await asyncio.sleep(1.5)
         return served(seen)
 
-    with staffed(tmp_path, Server(slow).address) as one:
-        kept, busy = one.connect(), one.connect()
-        kept.sendall(request("GET /_health"))
-        assert receive(kept)[0] == 200
+    with world_with_console(tmp_path, Server(slow).address) as sidecar:
+        idle, busy = sidecar.connect(), sidecar.connect()
+        idle.sendall(request("GET /_health"))
+        assert receive(idle)[0] == 200
         busy.sendall(request("POST /redeem", X_Deadline="5000m"))
         sleep(0.1)
-        assert (call("LAMEDUCK\n"), call("LAMEDUCK\n")) == ("ACK\n", "ACK\n")
-        assert call("PING\n") == "NAK not ready: lameduck\n"
-        assert one.ask("GET /_health")[0] == 503
-        late = one.ask("POST /redeem", X_Deadline="5000m")  # who comes all the same is served
+        assert (send_command("LAMEDUCK\n"), send_command("LAMEDUCK\n")) == ("ACK\n", "ACK\n")
+        assert send_command("PING\n") == "NAK not ready: lameduck\n"
+        assert sidecar.ask("GET /_health")[0] == 503
+        late = sidecar.ask("POST /redeem", X_Deadline="5000m")  # requests are still served during a drain
         assert late[0] == 200 and late[1]["connection"] == "close"
-        told = receive(busy)
-        assert told[0] == 200 and told[1]["connection"] == "close" and kept.recv(1) == b"" == busy.recv(1)
-        assert (call("REJOIN\n"), call("REJOIN\n"), call("PING\n")) == ("ACK\n", "ACK\n", "ACK\n")
-        with one.connect() as conn:
+        response = receive(busy)
+        assert (
+            response[0] == 200
+            and response[1]["connection"] == "close"
+            and idle.recv(1) == b"" == busy.recv(1)
+        )
+        assert (send_command("REJOIN\n"), send_command("REJOIN\n"), send_command("PING\n")) == (
+            "ACK\n",
+            "ACK\n",
+            "ACK\n",
+        )
+        with sidecar.connect() as conn:
             for _ in range(2):
                 conn.sendall(request("POST /redeem", X_Deadline="5000m"))
                 assert "connection" not in receive(conn)[1]
                 sleep(1)
 
 
-def test_a_drain_taken_back_in_the_middle_closes_nothing(tmp_path: Path) -> None:
-    with staffed(tmp_path, Server(served).address) as one, one.connect() as kept:
-        kept.sendall(request("POST /redeem"))
-        assert receive(kept)[0] == 200
-        call("LAMEDUCK\n")
+def test_a_drain_that_is_undone_early_closes_no_connection(tmp_path: Path) -> None:
+    with world_with_console(tmp_path, Server(served).address) as sidecar, sidecar.connect() as idle:
+        idle.sendall(request("POST /redeem"))
+        assert receive(idle)[0] == 200
+        send_command("LAMEDUCK\n")
         sleep(0.3)
-        call("REJOIN\n")
+        send_command("REJOIN\n")
         sleep(1.5)
-        kept.sendall(request("POST /redeem"))
-        assert receive(kept)[0] == 200 and one.ask("GET /_health")[0] == 200
+        idle.sendall(request("POST /redeem"))
+        assert receive(idle)[0] == 200 and sidecar.ask("GET /_health")[0] == 200
 
 
-def test_a_drain_and_the_planned_end(tmp_path: Path) -> None:
-    with staffed(tmp_path, Server(served).address) as one:
-        call("LAMEDUCK\n")
-        one.process.send_signal(signal.SIGHUP)
-        one.process.send_signal(signal.SIGTERM)
+def test_a_shutdown_during_a_drain(tmp_path: Path) -> None:
+    with world_with_console(tmp_path, Server(served).address) as sidecar:
+        send_command("LAMEDUCK\n")
+        sidecar.process.send_signal(signal.SIGHUP)
+        sidecar.process.send_signal(signal.SIGTERM)
         sleep(0.1)
-        assert call("REJOIN\n") == "NAK no way back: draining\n"
-        assert call("LAMEDUCK\n") == "NAK not serving: draining\n"
-        assert one.process.wait(5) == 0 and re.search("config_reloads.: 1", one.log.read_text())
+        assert send_command("REJOIN\n") == "NAK no way back: draining\n"
+        assert send_command("LAMEDUCK\n") == "NAK not serving: draining\n"
+        assert sidecar.process.wait(5) == 0 and re.search("config_reloads.: 1", sidecar.log.read_text())
 
 
-def retuned(one: World, classes: list[dict[str, Any]], **limits: Any) -> None:
-    told = json.loads(one.config.read_text())["settings"]
-    one.reload(settings=told | {"classes": classes, "limits": told["limits"] | limits})
+def reload_settings(sidecar: World, classes: list[dict[str, Any]], **limits: Any) -> None:
+    settings = json.loads(sidecar.config.read_text())["settings"]
+    sidecar.reload(settings=settings | {"classes": classes, "limits": settings["limits"] | limits})
 
 
-def test_other_settings_hold_for_what_comes_and_not_for_what_is_open(tmp_path: Path) -> None:
+def test_new_settings_apply_to_new_operations_only(tmp_path: Path) -> None:
     broken: list[Any] = [True]
 
     async def handler(seen: Seen) -> bytes | None:
@@ -224,23 +234,25 @@
         return None if broken and seen.target == "/balance" and broken.pop() else served(seen)
 
     balance, earn, redeem = CLASSES
-    with staffed(tmp_path, Server(handler).address) as one, one.connect() as conn:
+    with world_with_console(tmp_path, Server(handler).address) as sidecar, sidecar.connect() as conn:
         conn.sendall(request("GET /balance"))
         sleep(0.1)
-        # It may not be repeated from now on, but what is open may; and a class goes, another comes.
-        retuned(one, [redeem | {"name": "gift"}, balance | {"semantics": "at_most_once"}, earn], most_tries=1)
+        # New operations of `balance` must not be retried, the open one may; a class is removed, one is added.
+        reload_settings(
+            sidecar, [redeem | {"name": "gift"}, balance | {"semantics": "at_most_once"}, earn], most_tries=1
+        )
         sleep(0.1)
         assert receive(conn)[0] == 200
-        assert one.ask("POST /gift")[0] == 200 and one.ask("POST /redeem")[0] == 404
-        assert one.ask("GET /balance")[0] == 405
-        told = figures()
-        assert (told["downstream_requests.balance.completed"], told["upstream_requests"]) == (1, 3)
-        assert told["downstream_requests.gift.completed"] == 1 and told["config_reloads"] == 1
-        assert told["downstream_requests.redeem.completed"] == 0
+        assert sidecar.ask("POST /gift")[0] == 200 and sidecar.ask("POST /redeem")[0] == 404
+        assert sidecar.ask("GET /balance")[0] == 405
+        counters = read_counters()
+        assert (counters["downstream_requests.balance.completed"], counters["upstream_requests"]) == (1, 3)
+        assert counters["downstream_requests.gift.completed"] == 1 and counters["config_reloads"] == 1
+        assert counters["downstream_requests.redeem.completed"] == 0
 
 
 @pytest.mark.parametrize(
-    ("wrong", "says"),
+    ("wrong", "named_field"),
     [
         ({"classes": []}, "classes"),
         ({"classes": [CLASSES[0], CLASSES[0]]}, "balance"),
@@ -256,21 +268,19 @@
         ({"limits": {}}, "most_tries"),
     ],
 )
-def test_a_file_that_is_wrong_anywhere_changes_nothing(
-    tmp_path: Path, wrong: dict[str, Any], says: str
-) -> None:
-    with staffed(tmp_path, Server(served).address) as one:
-        told = json.loads(one.config.read_text())
-        limits = told["settings"]["limits"]
+def test_an_invalid_file_changes_nothing(tmp_path: Path, wrong: dict[str, Any], named_field: str) -> None:
+    with world_with_console(tmp_path, Server(served).address) as sidecar:
+        content = json.loads(sidecar.config.read_text())
+        limits = content["settings"]["limits"]
         if "limits" in wrong:
             wrong = {
                 "limits": {**limits, **wrong["limits"]}
                 if wrong["limits"]
                 else {key: value for key, value in limits.items() if key != "most_tries"}
             }
-        one.reload(settings=told["settings"] | wrong, discovery="127.0.0.1:1")
+        sidecar.reload(settings=content["settings"] | wrong, discovery="127.0.0.1:1")
         sleep(0.1)
-        assert figures()["config_reload_errors"] == 1 and figures()["config_reloads"] == 0
-        line = one.log.read_text().split("kept the old configuration")[1].splitlines()[0]
-        assert says in line and one.ask("POST /redeem")[0] == 200
-        wait_for(lambda: one.discovery.server.open)
+        assert read_counters()["config_reload_errors"] == 1 and read_counters()["config_reloads"] == 0
+        line = sidecar.log.read_text().split("kept the old configuration")[1].splitlines()[0]
+        assert named_field in line and sidecar.ask("POST /redeem")[0] == 200
+        wait_for(lambda: sidecar.discovery.server.open)
--- a/tests/sidecar/test_descriptors.py
+++ b/tests/sidecar/test_descriptors.py
@@ -1,4 +1,4 @@
-"""How a process' descriptors are shared out."""
+"""The division of a process' file descriptors."""
 
 from __future__ import annotations
 
@@ -6,16 +6,18 @@
 
 from coveport.sidecar.descriptor_limits import connection_limits
 
-OWN = 13  # standard streams, the loop's three, a listener, discovery and its successor, a few clients on top
+NEEDED = 13  # standard streams, the loop's three, a listener, discovery and its successor, a few clients more
 
 
-@pytest.mark.parametrize("most", [24, 26, 40, 64, 96, 160, 256, 384, 1024])
-def test_all_else_has_what_it_needs_however_few_there_are(most: int) -> None:
-    # Found with 26: 13 for clients and 10 for destinations left a listener that ran out again and again.
-    clients, links = connection_limits(most)
-    assert clients >= 2 and links >= 2 and most - clients - links >= OWN
+@pytest.mark.parametrize("max_descriptors", [24, 26, 40, 64, 96, 160, 256, 384, 1024])
+def test_enough_descriptors_are_reserved_at_any_limit(max_descriptors: int) -> None:
+    # With 26 descriptors, 13 for clients and 10 for destinations left a listener that ran out repeatedly.
+    clients, destinations = connection_limits(max_descriptors)
+    assert clients >= 2 and destinations >= 2 and max_descriptors - clients - destinations >= NEEDED
 
 
-@pytest.mark.parametrize(("most", "shares"), [(256, (128, 102)), (1024, (512, 409))])
-def test_larger_limits_are_shared_as_five_to_four_to_one(most: int, shares: tuple[int, int]) -> None:
-    assert connection_limits(most) == shares
+@pytest.mark.parametrize(("max_descriptors", "limits"), [(256, (128, 102)), (1024, (512, 409))])
+def test_larger_limits_are_divided_as_five_to_four_to_one(
+    max_descriptors: int, limits: tuple[int, int]
+) -> None:
+    assert connection_limits(max_descriptors) == limits
--- a/tests/sidecar/test_effects.py
+++ b/tests/sidecar/test_effects.py
@@ -1,4 +1,4 @@
-"""What comes between two inputs of one turn, where real sockets can't be timed to the point."""
+"""Inputs that arise between two others in one turn of the loop: real sockets can't be timed so exactly."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
 from coveport.sidecar.telemetry.log import Log
 from coveport.sidecar.upstream.attempt import Attempt
 
-PATIENT = {"classes": [one | {"aim_ms": 20_000, "deadline_ms": 30_000} for one in CLASSES]}
+LONG_DEADLINES = {
+    "classes": [request_class | {"aim_ms": 20_000, "deadline_ms": 30_000} for request_class in CLASSES]
+}
 
 
 class _Client:
@@ -26,7 +28,7 @@
 
 
 class _Connection:
-    """Stands idle at a destination; what may be sent on it is noted."""
+    """An idle connection to a destination; it records the operations that it may send."""
 
     quiet, waits = True, False
 
@@ -46,20 +48,20 @@
     def drop(self) -> None: ...
 
 
-async def _never(*_: Any) -> None:
+async def _never_connects(*_: Any) -> None:
     await asyncio.Event().wait()
 
 
-def test_a_list_that_is_read_where_a_client_is_told_as_gone_begins_nothing_for_it() -> None:
+def test_an_update_read_while_a_client_disconnects_starts_no_attempt_for_it() -> None:
     pool = Pool()
     pool.put("s-0", "127.0.0.1:1")
     pool.put("s-1", "127.0.0.1:2", "leaving")
-    config = platform.read(configuration(pool, "127.0.0.1:3", told=PATIENT), {}, where="here")
+    config = platform.read(configuration(pool, "127.0.0.1:3", told=LONG_DEADLINES), {}, where="here")
     sent = list[str]()
 
     async def main() -> None:
         net = Net(asyncio.get_running_loop())
-        effects = Effects(net, config, Counters(), Log(net.now_s), _never)
+        effects = Effects(net, config, Counters(), Log(net.now_s), _never_connects)
         effects.load_known_endpoints()
         number = 0
         while effects.tables["queue"] < 2:
@@ -73,20 +75,20 @@
         for _ in range(2):
             effects.connection_pool.put_idle(cast(Any, _Connection(2, endpoint, sent)))
         for connection in effects.connection_pool._idle[2]:
-            connection.idle_since -= 1.0  # long ago
+            connection.idle_since -= 1.0  # idle for long enough to be reused
         pool.put("s-1", "127.0.0.1:2")
         update = effects._reader.read(json.loads(json.dumps(pool.text())), balancing.EndpointUpdateKind.FULL)
 
-        def catch_up() -> None:
+        def read_update() -> None:
             effects.endpoint_source.read_pending = lambda: None  # type: ignore[method-assign]
             effects.on_endpoints_update(update)
 
-        effects.endpoint_source.read_pending = catch_up  # type: ignore[method-assign]
-        effects._last_active_ms -= 1000  # a stall of ours
+        effects.endpoint_source.read_pending = read_update  # type: ignore[method-assign]
+        effects._last_active_ms -= 1000  # a stall of this process
         effects.client_disconnected(number)
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
         assert effects.owed == number - 1
-        assert sent == [str(number - 1)], "what is held and whose client waits, and that alone"
+        assert sent == [str(number - 1)], "only the queued operation whose client is still connected"
 
     asyncio.run(main())
--- a/tests/sidecar/test_plain_start.py
+++ b/tests/sidecar/test_plain_start.py
@@ -1,8 +1,8 @@
-"""`python -m coveport` without arguments loads what is written here, and nothing more.
+"""`python -m coveport` without arguments imports the modules listed here and no others.
 
-A sidecar stands beside every till, and its memory and its start are counted: what the command line and the
-lab need stays out of it. A module that the sidecar itself comes to need is added to the list; one of the
-command line, of the lab or of somebody else's never is.
+A sidecar runs beside every point of sale, so its memory and start-up time matter: the modules of the command
+line and of the testbed stay out of it. A module that the sidecar itself needs is added to the list; a module
+of the command line, of the testbed or of another package never is.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import pytest
 from world import Server, served, world
 
-LOADED = """
+EXPECTED = """
 coveport coveport.balancing coveport.balancing.actions coveport.balancing.balancer
 coveport.balancing.balancer_state coveport.balancing.endpoint_discovery coveport.balancing.events
 coveport.balancing.host coveport.balancing.host_selection coveport.balancing.load_shedding
@@ -48,11 +48,11 @@
 coveport.sidecar.upstream.attempt coveport.sidecar.upstream.http1_connection
 coveport.sidecar.upstream.http1_messages coveport.sidecar.upstream.protocol
 """
-HELD_MIB = 40  # the whole process, once it has served; it was 23 when this was written
+MAX_RESIDENT_MIB = 40  # peak of the process after it has served; it was 23 when the limit was set
 
 
-def run(*command: str) -> str:
-    """What a process says of its imports."""
+def import_log(*command: str) -> str:
+    """Return the standard error of a process that logs its imports."""
     return subprocess.run(
         [sys.executable, "-X", "importtime", *command],
         stderr=subprocess.PIPE,
@@ -62,36 +62,38 @@
     ).stderr
 
 
-def loaded(said: str) -> set[str]:
-    """The modules that were imported from outside the standard library."""
-    names = {line.rpartition("|")[2].strip() for line in said.splitlines() if line.startswith("import time:")}
+def third_party_modules(log: str) -> set[str]:
+    """Return the imported modules that are not in the standard library."""
+    names = {line.rpartition("|")[2].strip() for line in log.splitlines() if line.startswith("import time:")}
     return {name for name in names if name.partition(".")[0] not in sys.stdlib_module_names} - {
         "imported package"
     }
 
 
 @pytest.fixture(scope="module")
-def usual() -> set[str]:
-    """What the environment and the standard library import, or try to."""
-    return loaded(run("-c", "import copy"))
+def baseline() -> set[str]:
+    """The modules that the environment and the standard library import, or try to."""
+    return third_party_modules(import_log("-c", "import copy"))
 
 
-def test_a_wrong_configuration_loads_no_more(usual: set[str], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_wrong_configuration_imports_nothing_else(
+    baseline: set[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setenv("LB_CONFIG", "")
-    said = run("-m", "coveport")
-    assert "LB_CONFIG is not set" in said and loaded(said) - usual == set(LOADED.split())
+    log = import_log("-m", "coveport")
+    assert "LB_CONFIG is not set" in log and third_party_modules(log) - baseline == set(EXPECTED.split())
 
 
-def test_a_sidecar_that_serves_loads_no_more(
-    usual: set[str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_a_serving_sidecar_imports_nothing_else(
+    baseline: set[str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
     node = Server(served)
-    with world(tmp_path, node.address) as one:
-        assert one.ask("GET /balance")[0] == 200
-        status = Path(f"/proc/{one.process.pid}/status")
+    with world(tmp_path, node.address) as sidecar:
+        assert sidecar.ask("GET /balance")[0] == 200
+        status = Path(f"/proc/{sidecar.process.pid}/status")
         if status.exists():
-            held = next(line for line in status.read_text().splitlines() if line.startswith("VmHWM"))
-            assert int(held.split()[1]) < HELD_MIB * 1024
-        assert one.stop() == 0
-        assert loaded(one.log.read_text()) - usual == set(LOADED.split())
+            peak = next(line for line in status.read_text().splitlines() if line.startswith("VmHWM"))
+            assert int(peak.split()[1]) < MAX_RESIDENT_MIB * 1024
+        assert sidecar.stop() == 0
+        assert third_party_modules(sidecar.log.read_text()) - baseline == set(EXPECTED.split())
--- a/tests/sidecar/test_process.py
+++ b/tests/sidecar/test_process.py
@@ -1,6 +1,6 @@
-"""The program as a process of the operating system: what simulated time can't show, or might show otherwise.
+"""The program as an operating-system process: what simulated time can't show, or may show differently.
 
-Tests with `ground` run in both places, so that the two are held against each other.
+Tests with `ground` run with real processes and in simulated time, so that the two are compared.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 import world as real
 from world import Discovery, configuration, free_port, program, receive, reply, request, served, wait_for
 
-ON_BOTH = pytest.mark.parametrize("ground", [real, simulated], ids=lambda one: one.__name__)
+ON_BOTH = pytest.mark.parametrize("ground", [real, simulated], ids=lambda module: module.__name__)
 
 
 @ON_BOTH
 def test_an_operation_passes_through_unchanged(tmp_path: Path, ground: ModuleType) -> None:
     node = ground.Server(served)
-    with ground.world(tmp_path, node.address) as one:
-        status, _, body = one.ask("GET /balance/7?of=me", X_Request_Id="9b1f03aa")
+    with ground.world(tmp_path, node.address) as sidecar:
+        status, _, body = sidecar.ask("GET /balance/7?of=me", X_Request_Id="9b1f03aa")
         assert (status, body) == (200, b"served 9b1f03aa")
-        data = bytes(range(256)) * 256  # 64 KiB: the most there may be, and more than one write takes
+        data = bytes(range(256)) * 256  # 64 KiB: the size limit, and more than one write takes
         node.handler = lambda seen: reply(200, seen.body)
-        assert one.ask("POST /earn", data, Idempotency_Key="k-1")[::2] == (200, data)
-        # Seen in service: answers of hundreds of KiB, though a body should hold no more than 64.
+        assert sidecar.ask("POST /earn", data, Idempotency_Key="k-1")[::2] == (200, data)
+        # Production has answers of hundreds of KiB, although a body should have at most 64 KiB.
         node.handler = lambda seen: reply(200, data * 5)
-        assert one.ask("POST /earn", Idempotency_Key="k-2")[::2] == (200, data * 5)
-        assert one.stop() == 0
-        assert '"phase": "stopped"' in one.log.read_text()
+        assert sidecar.ask("POST /earn", Idempotency_Key="k-2")[::2] == (200, data * 5)
+        assert sidecar.stop() == 0
+        assert '"phase": "stopped"' in sidecar.log.read_text()
     first, second, _ = node.seen
     assert (first.method, first.target, first.body) == ("GET", "/balance/7?of=me", b"")
     assert (second.headers["idempotency-key"], second.body) == ("k-1", data)
@@ -47,38 +47,38 @@
     tmp_path: Path, ground: ModuleType
 ) -> None:
     node = ground.Server(served)
-    with ground.world(tmp_path, node.address) as one, one.connect() as conn:
+    with ground.world(tmp_path, node.address) as sidecar, sidecar.connect() as conn:
         conn.sendall(request("POST /redeem"))
         assert receive(conn)[0] == 200
-        with one.stopped():
-            conn.sendall(request("POST /redeem"))  # read first, as it came first
+        with sidecar.stopped():
+            conn.sendall(request("POST /redeem"))  # read first, as it was received first
             node.open[0].shutdown(socket.SHUT_WR)
         assert receive(conn)[0] == 200 and node.connections == 2
 
 
 @ON_BOTH
-def test_a_rush_of_new_connections_loses_nothing(tmp_path: Path, ground: ModuleType) -> None:
-    # Found on an overloaded day with few descriptors: connections were closed to make room right after
-    # they had been accepted, with their first requests unread.
+def test_a_burst_of_new_connections_loses_nothing(tmp_path: Path, ground: ModuleType) -> None:
+    # In an overloaded run with few descriptors, connections were closed to free descriptors right after they
+    # had been accepted, with their first requests unread.
     node = ground.Server(served)
-    with ground.world(tmp_path, node.address, sockets=96) as one:
-        with one.stopped():
-            rush = [one.connect() for _ in range(60)]
-            for conn in rush:
+    with ground.world(tmp_path, node.address, sockets=96) as sidecar:
+        with sidecar.stopped():
+            connections = [sidecar.connect() for _ in range(60)]
+            for conn in connections:
                 conn.sendall(request("GET /balance", X_Deadline="5000m"))
-        assert {receive(conn)[0] for conn in rush} <= {200, 503}
+        assert {receive(conn)[0] for conn in connections} <= {200, 503}
 
 
 @ON_BOTH
 def test_few_descriptors_are_survived(tmp_path: Path, ground: ModuleType) -> None:
     node = ground.Server(served)
-    with ground.world(tmp_path, node.address, sockets=40) as one:
-        crowd = [one.connect() for _ in range(60)]
-        ground.wait_for(lambda: one.ask("GET /balance")[0] == 200)
-        for conn in crowd:
+    with ground.world(tmp_path, node.address, sockets=40) as sidecar:
+        connections = [sidecar.connect() for _ in range(60)]
+        ground.wait_for(lambda: sidecar.ask("GET /balance")[0] == 200)
+        for conn in connections:
             conn.close()
-        ground.wait_for(lambda: one.ask("GET /balance")[0] == 200)
-        assert one.stop() == 0
+        ground.wait_for(lambda: sidecar.ask("GET /balance")[0] == 200)
+        assert sidecar.stop() == 0
 
 
 @pytest.mark.parametrize("text", [None, "", "[]", "{}", '{"settings":{"classes":[]}}'])
@@ -86,7 +86,7 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    ended = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "coveport"],
         stderr=subprocess.PIPE,
         text=True,
@@ -94,14 +94,14 @@
         env={**os.environ, "LB_CONFIG": str(path)},
         check=False,
     )
-    assert ended.returncode == 2 and len(ended.stderr.splitlines()) == 1
+    assert result.returncode == 2 and len(result.stderr.splitlines()) == 1
 
 
-def test_a_reload_that_comes_before_all_else_is_survived(tmp_path: Path) -> None:
+def test_a_reload_before_the_configuration_is_read_is_survived(tmp_path: Path) -> None:
     discovery, path = Discovery(), tmp_path / "config.json"
     os.mkfifo(path)
     with program(path) as (process, log):
-        with path.open("w") as file:  # waits until it is opened to be read
+        with path.open("w") as file:  # blocks until the process opens it for reading
             process.send_signal(signal.SIGHUP)
             file.write(configuration(discovery, discovery.server.address))
         wait_for(lambda: "serving" in log.read_text())
@@ -110,14 +110,14 @@
     discovery.server.close()
 
 
-def test_an_address_that_is_taken_is_waited_for(tmp_path: Path) -> None:
+def test_a_bound_address_is_retried(tmp_path: Path) -> None:
     discovery, path, port = Discovery(), tmp_path / "config.json", free_port()
-    with socket.create_server(("127.0.0.1", port)) as before:
+    with socket.create_server(("127.0.0.1", port)) as previous:
         path.write_text(configuration(discovery, discovery.server.address, listen=f"127.0.0.1:{port}"))
         with program(path) as (_, log):
-            wait_for(lambda: discovery.server.seen)  # asked once it has tried to listen
+            wait_for(lambda: discovery.server.seen)  # requested after the first try to listen
             assert "listening" not in log.read_text()
-            before.close()
+            previous.close()
             wait_for(lambda: f"listening on 127.0.0.1:{port}" in log.read_text())
     discovery.server.close()
 
@@ -135,8 +135,8 @@
     discovery = toy.stdout.readline().split()[-1]
     config = json.loads((root / "example" / "config.json").read_text())
     try:
-        with real.world(tmp_path, config=config | {"discovery": discovery}) as one:
-            status, _, body = one.ask("POST /redeem/points", b"{}", X_Request_Id="abc")
+        with real.world(tmp_path, config=config | {"discovery": discovery}) as sidecar:
+            status, _, body = sidecar.ask("POST /redeem/points", b"{}", X_Request_Id="abc")
             assert status == 200 and json.loads(body) == {"path": "/redeem/points", "id": "abc", "bytes": 2}
     finally:
         toy.kill()
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read anew, discovery moves, and nothing that is under way notices."""
+"""SIGHUP: the configuration is read again and discovery moves, without an effect on open operations."""
 
 from __future__ import annotations
 
@@ -17,101 +17,104 @@
         return served(seen)
 
     old, new = Server(slow), Server(served)
-    with world(tmp_path, old.address) as one, one.connect() as conn:
-        held = bytearray()
+    with world(tmp_path, old.address) as sidecar, sidecar.connect() as conn:
+        buffer = bytearray()
         conn.sendall(request("POST /redeem", X_Deadline="5000m"))
         wait_for(lambda: len(old.seen) == 1)
-        after = Discovery(seq=0)  # an older version: versions may differ from one discovery to the next
-        after.put("s-new", new.address)
-        one.reload(discovery=after.server.address)
-        wait_for(lambda: len(after.server.seen) > 1)
-        assert "after" not in after.server.seen[0].target and "after" in after.server.seen[1].target
-        one.discovery.put("s-late", old.address)  # what the old one tells from now on is not taken in
-        wait_for(lambda: one.discovery.server.ended > 0)
-        assert receive(conn, held)[0] == 200  # its destination is gone meanwhile, its connection is not
+        new_discovery = Discovery(seq=0)  # a lower version: each discovery has its own version numbers
+        new_discovery.put("s-new", new.address)
+        sidecar.reload(discovery=new_discovery.server.address)
+        wait_for(lambda: len(new_discovery.server.seen) > 1)
+        assert (
+            "after" not in new_discovery.server.seen[0].target
+            and "after" in new_discovery.server.seen[1].target
+        )
+        sidecar.discovery.put("s-late", old.address)  # updates of the old discovery are ignored from now on
+        wait_for(lambda: sidecar.discovery.server.ended > 0)
+        assert receive(conn, buffer)[0] == 200  # its destination was removed meanwhile, its connection stays
         conn.sendall(request("POST /redeem"))
-        assert receive(conn, held)[0] == 200 and len(new.seen) == 1
-        assert one.figures()["config_reloads"] == 1
+        assert receive(conn, buffer)[0] == 200 and len(new.seen) == 1
+        assert sidecar.figures()["config_reloads"] == 1
 
 
-def test_a_reload_keeps_the_old_discovery_until_the_new_one_speaks(tmp_path: Path) -> None:
+def test_a_reload_keeps_the_old_discovery_until_the_new_one_answers(tmp_path: Path) -> None:
     nodes = [Server(served), Server(served)]
-    with world(tmp_path, nodes[0].address) as one:
-        after = Discovery(answer=SILENT)
-        one.reload(discovery=f"127.0.0.1:{free_port()}")  # several in a row: the last one counts
-        one.reload(discovery=after.server.address)
-        wait_for(lambda: len(after.server.seen) > 0)
-        assert one.ask("POST /redeem")[0] == 200  # the last list still holds
-        del one.discovery.hosts["s-0"]
-        one.discovery.put("s-1", nodes[1].address)
-        wait_for(lambda: one.ask("POST /redeem")[0] == 200 and len(nodes[1].seen) > 0)
-        # Changes are no answer to the call for the whole list.
-        after.answer = reply(200, json.dumps({"seq": 9, "whole": False, "hosts": []}).encode())
-        wait_for(lambda: "whole list was asked for" in one.log.read_text())
-        assert one.ask("POST /redeem")[0] == 200
-        after.put("s-0", nodes[0].address)
-        after.answer = None
+    with world(tmp_path, nodes[0].address) as sidecar:
+        new_discovery = Discovery(answer=SILENT)
+        sidecar.reload(discovery=f"127.0.0.1:{free_port()}")  # several in a row: the last one counts
+        sidecar.reload(discovery=new_discovery.server.address)
+        wait_for(lambda: len(new_discovery.server.seen) > 0)
+        assert sidecar.ask("POST /redeem")[0] == 200  # the last list still applies
+        del sidecar.discovery.hosts["s-0"]
+        sidecar.discovery.put("s-1", nodes[1].address)
+        wait_for(lambda: sidecar.ask("POST /redeem")[0] == 200 and len(nodes[1].seen) > 0)
+        # A delta is no valid answer to the request for the full list.
+        new_discovery.answer = reply(200, json.dumps({"seq": 9, "whole": False, "hosts": []}).encode())
+        wait_for(lambda: "whole list was asked for" in sidecar.log.read_text())
+        assert sidecar.ask("POST /redeem")[0] == 200
+        new_discovery.put("s-0", nodes[0].address)
+        new_discovery.answer = None
         before = len(nodes[0].seen)
-        wait_for(lambda: one.ask("POST /redeem")[0] == 200 and len(nodes[0].seen) > before)
-        wait_for(lambda: one.discovery.server.ended > 0)
+        wait_for(lambda: sidecar.ask("POST /redeem")[0] == 200 and len(nodes[0].seen) > before)
+        wait_for(lambda: sidecar.discovery.server.ended > 0)
 
 
 def test_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     node = Server(served)
-    with world(tmp_path, node.address) as one:
-        good = one.config.read_text()
+    with world(tmp_path, node.address) as sidecar:
+        good = sidecar.config.read_text()
         for bad in ("", good[: len(good) // 2], '{"discovery":"127.0.0.1:1"}'):
-            one.config.write_text(bad)
-            before = one.log.read_text().count("kept the old configuration")
-            one.process.send_signal(signal.SIGHUP)
-            wait_for(lambda: one.log.read_text().count("kept the old configuration") > before)  # noqa: B023
-        other = Server(served)
-        del one.discovery.hosts["s-0"]
-        one.discovery.put("s-1", other.address)
-        wait_for(lambda: one.ask("POST /redeem")[0] == 200 and len(other.seen) > 0)
-        assert one.figures()["config_reload_errors"] == 3
-
-
-def test_a_reload_where_the_list_must_be_asked_for(tmp_path: Path) -> None:
+            sidecar.config.write_text(bad)
+            before = sidecar.log.read_text().count("kept the old configuration")
+            sidecar.process.send_signal(signal.SIGHUP)
+            wait_for(lambda: sidecar.log.read_text().count("kept the old configuration") > before)  # noqa: B023
+        replacement = Server(served)
+        del sidecar.discovery.hosts["s-0"]
+        sidecar.discovery.put("s-1", replacement.address)
+        wait_for(lambda: sidecar.ask("POST /redeem")[0] == 200 and len(replacement.seen) > 0)
+        assert sidecar.figures()["config_reload_errors"] == 3
+
+
+def test_a_reload_in_subscribe_mode(tmp_path: Path) -> None:
     nodes = [Server(served), Server(served)]
-    with world(tmp_path, nodes[0].address, told={"registry_mode": "subscribe"}) as one:
-        wait_for(lambda: one.ask("GET /balance")[0] == 200 and len(one.discovery.server.seen) > 0)
-        after = Discovery()
-        after.put("s-1", nodes[1].address)
-        one.reload(discovery=after.server.address)
-        wait_for(lambda: one.ask("POST /redeem")[0] == 200 and len(nodes[1].seen) > 0)
-        after.put("s-0", nodes[0].address)  # the watch has moved along
-        after.put("s-1", nodes[1].address, "leaving")
+    with world(tmp_path, nodes[0].address, told={"registry_mode": "subscribe"}) as sidecar:
+        wait_for(lambda: sidecar.ask("GET /balance")[0] == 200 and len(sidecar.discovery.server.seen) > 0)
+        new_discovery = Discovery()
+        new_discovery.put("s-1", nodes[1].address)
+        sidecar.reload(discovery=new_discovery.server.address)
+        wait_for(lambda: sidecar.ask("POST /redeem")[0] == 200 and len(nodes[1].seen) > 0)
+        new_discovery.put("s-0", nodes[0].address)  # the watch has moved to the new discovery
+        new_discovery.put("s-1", nodes[1].address, "leaving")
         before = len(nodes[0].seen)
-        wait_for(lambda: one.ask("POST /redeem")[0] == 200 and len(nodes[0].seen) > before)
+        wait_for(lambda: sidecar.ask("POST /redeem")[0] == 200 and len(nodes[0].seen) > before)
 
 
 def test_a_reload_before_there_is_any_list(tmp_path: Path) -> None:
     node = Server(served)
-    with world(tmp_path, known=False, ready=False, answer=SILENT) as one:
-        assert one.ask("GET /_health")[0] == 503
-        after = Discovery()
-        after.put("s-0", node.address)
-        one.reload(discovery=after.server.address)
-        wait_for(lambda: one.ask("GET /_health")[0] == 200)
-        assert one.ask("POST /redeem")[0] == 200
+    with world(tmp_path, known=False, ready=False, answer=SILENT) as sidecar:
+        assert sidecar.ask("GET /_health")[0] == 503
+        new_discovery = Discovery()
+        new_discovery.put("s-0", node.address)
+        sidecar.reload(discovery=new_discovery.server.address)
+        wait_for(lambda: sidecar.ask("GET /_health")[0] == 200)
+        assert sidecar.ask("POST /redeem")[0] == 200
 
 
-def test_a_reload_during_the_planned_end(tmp_path: Path) -> None:
+def test_a_reload_during_shutdown(tmp_path: Path) -> None:
     node = Server(served)
-    with world(tmp_path, node.address) as one, one.connect() as conn:
-        after = Discovery()
-        after.put("s-0", node.address)
+    with world(tmp_path, node.address) as sidecar, sidecar.connect() as conn:
+        new_discovery = Discovery()
+        new_discovery.put("s-0", node.address)
         conn.sendall(request("POST /redeem"))
         assert receive(conn)[0] == 200
-        one.process.send_signal(signal.SIGTERM)
-        one.reload(discovery=after.server.address)
+        sidecar.process.send_signal(signal.SIGTERM)
+        sidecar.reload(discovery=new_discovery.server.address)
         conn.sendall(request("POST /redeem"))
-        assert receive(conn)[0] == 200 and one.process.wait(10) == 0
-        assert len(after.server.seen) > 0
+        assert receive(conn)[0] == 200 and sidecar.process.wait(10) == 0
+        assert len(new_discovery.server.seen) > 0
 
 
-def test_the_file_beats_the_variable_only_after_a_reload(tmp_path: Path) -> None:
+def test_the_file_overrides_the_variable_only_after_a_reload(tmp_path: Path) -> None:
     from coveport.sidecar.config import platform as config
 
     path = tmp_path / "config.json"
--- a/tests/sidecar/test_run_line.py
+++ b/tests/sidecar/test_run_line.py
@@ -1,4 +1,4 @@
-"""The program as `run` names it asks the system for no other process and none of the refused calls, ever."""
+"""The program, started by the deploy file's `run` line, starts no process and makes no refused call."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 TRACER = """
 import os, sys
 REFUSED = ("subprocess.", "os.system", "os.exec", "os.fork", "os.posix_spawn", "os.spawn", "pty.")
-def heard(event, args):
+def check_event(event, args):
     if event.startswith(REFUSED):
         os.write(2, f"REFUSED {event} {args!r}\\n".encode())
-sys.addaudithook(heard)
+sys.addaudithook(check_event)
 def refused(name):
     def call(*args, **more):
         os.write(2, f"REFUSED {name}\\n".encode())
@@ -58,39 +58,39 @@
     )
 
 
-@pytest.mark.parametrize("end", [signal.SIGTERM, signal.SIGINT])
-def test_no_life_of_a_sidecar_asks_for_what_is_refused(tmp_path: Path, end: signal.Signals) -> None:
-    """Start, an unreachable discovery, a reload, a bad file, counters, the end."""
+@pytest.mark.parametrize("stop_signal", [signal.SIGTERM, signal.SIGINT])
+def test_a_sidecar_makes_no_refused_call(tmp_path: Path, stop_signal: signal.Signals) -> None:
+    """Covers the start, an unreachable discovery, a reload, a bad file, the counters and the shutdown."""
     assert RUN.startswith("exec ") and not any(sign in RUN for sign in ";&|`$"), "one process, by exec"
     (tmp_path / "sitecustomize.py").write_text(TRACER)
-    told = tmp_path / "config.json"
-    config(told, (0, 1))
-    env = os.environ | {"LB_CONFIG": str(told), "PYTHONPATH": f"{tmp_path}{os.pathsep}{ROOT}"}
+    config_path = tmp_path / "config.json"
+    config(config_path, (0, 1))
+    env = os.environ | {"LB_CONFIG": str(config_path), "PYTHONPATH": f"{tmp_path}{os.pathsep}{ROOT}"}
     line = RUN.replace(".venv/bin/python", sys.executable)
     with subprocess.Popen(
         ["/bin/sh", "-c", line], env=env, cwd=ROOT, text=True, stderr=subprocess.PIPE
-    ) as life:
-        assert life.stderr is not None
-        said = [life.stderr.readline()]
-        while "listening" not in said[-1] and said[-1]:
-            said.append(life.stderr.readline())
-        for number, text in ((signal.SIGHUP, None), (signal.SIGUSR1, None), (signal.SIGHUP, "{")):
+    ) as process:
+        assert process.stderr is not None
+        lines = [process.stderr.readline()]
+        while "listening" not in lines[-1] and lines[-1]:
+            lines.append(process.stderr.readline())
+        for signal_number, text in ((signal.SIGHUP, None), (signal.SIGUSR1, None), (signal.SIGHUP, "{")):
             if text is not None:
-                told.write_text(text)
-            life.send_signal(number)
+                config_path.write_text(text)
+            process.send_signal(signal_number)
             time.sleep(0.2)
-        life.send_signal(end)
-        said.append(life.stderr.read())
-        assert life.wait() == 0, said
-    assert "REFUSED" not in "".join(said), said
-    assert "counters" in "".join(said), "it lived to its end"
+        process.send_signal(stop_signal)
+        lines.append(process.stderr.read())
+        assert process.wait() == 0, lines
+    assert "REFUSED" not in "".join(lines), lines
+    assert "counters" in "".join(lines), "it ran until its shutdown"
 
 
-def test_the_tracer_hears_what_is_refused(tmp_path: Path) -> None:
+def test_the_tracer_reports_refused_calls(tmp_path: Path) -> None:
     (tmp_path / "sitecustomize.py").write_text(TRACER)
     env = os.environ | {"PYTHONPATH": str(tmp_path)}
     for bad in ("os.system('true')", "__import__('subprocess').run(['true'])", "os.sendfile(1, 0, 0, 1)"):
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", f"import os\n{bad}"], env=env, text=True, capture_output=True, check=False
         )
-        assert "REFUSED" in done.stderr, bad
+        assert "REFUSED" in result.stderr, bad
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Replacing the process under load: real processes that share an address, one taking over from the other."""
+"""Replacing the process under load: real processes share an address, and each replaces the one before."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 import pytest
 from world import Discovery, Seen, Server, configuration, free_port, receive, request, served, wait_for
 
-SPAN_S = 0.3  # of load after each step
+LOAD_S = 0.3  # time of load after each step
 
 
 class Fleet:
-    """Processes in one place, one after the other, and clients that ask all the time."""
+    """Successive processes at one address, and clients that send requests all the time."""
 
     def __init__(self, folder: Path, node: Server) -> None:
         self.folder = folder
@@ -31,21 +31,24 @@
         self.discovery.put("s-0", node.address)
         self.listen = f"127.0.0.1:{free_port()}"
         self.running: list[subprocess.Popen[str]] = []
-        self.asked = self.served = 0
-        self.wrong: list[object] = []
+        self.requests = self.served = 0
+        self.failures: list[object] = []
         self._stop = threading.Event()
 
     def start(self, **how: object) -> tuple[subprocess.Popen[str], tuple[str, int]]:
-        """A process, and where its console is."""
+        """Start a process; return it and its admin address."""
         self.number += 1
-        staff = free_port()
+        admin_port = free_port()
         config = self.folder / f"config-{self.number}.json"
-        told = json.loads(
+        config_values = json.loads(
             configuration(
-                self.discovery, self.discovery.server.address, listen=self.listen, staff=f"127.0.0.1:{staff}"
+                self.discovery,
+                self.discovery.server.address,
+                listen=self.listen,
+                staff=f"127.0.0.1:{admin_port}",
             )
         )
-        config.write_text(json.dumps(told | how))
+        config.write_text(json.dumps(config_values | how))
         with (self.folder / f"log-{self.number}").open("w") as sink:
             process = subprocess.Popen(
                 [sys.executable, "-m", "coveport"],
@@ -54,20 +57,20 @@
                 env={**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(self.folder)},
             )
         self.running.append(process)
-        return process, ("127.0.0.1", staff)
+        return process, ("127.0.0.1", admin_port)
 
-    def ready(self, staff: tuple[str, int]) -> bool:
-        with contextlib.suppress(OSError), socket.create_connection(staff, timeout=1) as conn:
+    def ready(self, admin_address: tuple[str, int]) -> bool:
+        with contextlib.suppress(OSError), socket.create_connection(admin_address, timeout=1) as conn:
             conn.sendall(b"PING\n")
             return conn.recv(100).startswith(b"ACK")
         return False
 
     def load(self) -> None:
-        """Ask on kept connections; one that was closed between two requests is opened anew, as clients do."""
+        """Send requests on kept connections; reconnect after a close between two requests, as clients do."""
         host, port = self.listen.split(":")
         conn: socket.socket | None = None
         while not self._stop.is_set():
-            self.asked += 1
+            self.requests += 1
             for fresh in (False, True):
                 try:
                     if conn is None or fresh:
@@ -76,14 +79,14 @@
                     status, headers, _ = receive(conn)
                     self.served += status == 200
                     if status != 200:
-                        self.wrong.append(status)
+                        self.failures.append(status)
                     if headers.get("connection") == "close":
                         conn.close()
                         conn = None
                     break
-                except (OSError, AssertionError) as problem:
+                except (OSError, AssertionError) as error:
                     if fresh:
-                        self.wrong.append(problem)
+                        self.failures.append(error)
             time.sleep(0.002)
         if conn is not None:
             conn.close()
@@ -91,75 +94,77 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    one = Fleet(tmp_path, Server(served))
+    upgrade_fleet = Fleet(tmp_path, Server(served))
     try:
-        yield one
+        yield upgrade_fleet
     finally:
-        one._stop.set()
-        for process in one.running:
+        upgrade_fleet._stop.set()
+        for process in upgrade_fleet.running:
             process.kill()
             process.wait()
-        one.discovery.server.close()
+        upgrade_fleet.discovery.server.close()
 
 
-def test_three_upgrades_in_a_row_lose_nothing(fleet: Fleet) -> None:
+def test_three_successive_upgrades_lose_nothing(fleet: Fleet) -> None:
     (fleet.folder / "coveport.sock").write_text("stale")
-    old, staff = fleet.start()
-    wait_for(lambda: fleet.ready(staff))
+    old, admin_address = fleet.start()
+    wait_for(lambda: fleet.ready(admin_address))
     clients = [threading.Thread(target=fleet.load, daemon=True) for _ in range(4)]
     for client in clients:
         client.start()
-    for meanwhile in ("nothing", "a drain", "a retuning"):
-        time.sleep(SPAN_S)
-        if meanwhile == "a drain":
-            with socket.create_connection(staff, timeout=1) as conn:
+    for event in ("nothing", "a drain", "a reload"):
+        time.sleep(LOAD_S)
+        if event == "a drain":
+            with socket.create_connection(admin_address, timeout=1) as conn:
                 conn.sendall(b"LAMEDUCK\n")
                 assert conn.recv(9) == b"ACK\n"
-        new, staff = fleet.start()
-        if meanwhile == "a retuning":
+        new, admin_address = fleet.start()
+        if event == "a reload":
             old.send_signal(signal.SIGHUP)
-        wait_for(lambda: fleet.ready(staff))  # noqa: B023
+        wait_for(lambda: fleet.ready(admin_address))  # noqa: B023
         old.send_signal(signal.SIGTERM)
         assert old.wait(4) == 0
         old = new
-    time.sleep(SPAN_S)
+    time.sleep(LOAD_S)
     fleet._stop.set()
     for client in clients:
         client.join(5)
     assert "configuration read anew" in (fleet.folder / "log-3").read_text()
-    assert fleet.asked > 200 and fleet.served == fleet.asked and not fleet.wrong
+    assert fleet.requests > 200 and fleet.served == fleet.requests and not fleet.failures
 
 
-def test_a_new_process_that_is_never_ready_takes_no_clients(fleet: Fleet) -> None:
-    _, staff = fleet.start()
-    wait_for(lambda: fleet.ready(staff))
+def test_a_new_process_that_is_never_ready_accepts_no_clients(fleet: Fleet) -> None:
+    _, admin_address = fleet.start()
+    wait_for(lambda: fleet.ready(admin_address))
 
-    def says_nothing(_: Seen) -> bytes:
+    def stay_silent(_: Seen) -> bytes:
         time.sleep(60)
         return b""
 
-    silent = Server(says_nothing)
-    new, other = fleet.start(discovery=silent.address, known={"seq": 0, "whole": True, "hosts": []})
-    wait_for(lambda: "staff call at" in (fleet.folder / "log-2").read_text())
+    silent = Server(stay_silent)
+    new, new_admin_address = fleet.start(
+        discovery=silent.address, known={"seq": 0, "whole": True, "hosts": []}
+    )
+    wait_for(lambda: "admin address" in (fleet.folder / "log-2").read_text())
     time.sleep(0.7)
-    assert not fleet.ready(other) and "listening on" not in (fleet.folder / "log-2").read_text()
+    assert not fleet.ready(new_admin_address) and "listening on" not in (fleet.folder / "log-2").read_text()
     clients = [threading.Thread(target=fleet.load, daemon=True) for _ in range(4)]
     for client in clients:
         client.start()
-    time.sleep(SPAN_S)
-    new.kill()  # the old one has never noticed
-    time.sleep(SPAN_S)
+    time.sleep(LOAD_S)
+    new.kill()  # without an effect on the old process
+    time.sleep(LOAD_S)
     fleet._stop.set()
     for client in clients:
         client.join(5)
-    assert fleet.served == fleet.asked > 20 and not fleet.wrong
+    assert fleet.served == fleet.requests > 20 and not fleet.failures
 
 
-def test_after_a_kill_the_next_one_starts_as_if_there_had_been_none(fleet: Fleet) -> None:
-    old, staff = fleet.start()
-    wait_for(lambda: fleet.ready(staff))
+def test_a_process_starts_normally_after_a_kill(fleet: Fleet) -> None:
+    old, admin_address = fleet.start()
+    wait_for(lambda: fleet.ready(admin_address))
     old.kill()
     old.wait()
-    _, staff = fleet.start()
-    wait_for(lambda: fleet.ready(staff))
+    _, admin_address = fleet.start()
+    wait_for(lambda: fleet.ready(admin_address))
     assert re.search("listening on", (fleet.folder / "log-2").read_text())
--- a/tests/testbed/test_model_check.py
+++ b/tests/testbed/test_model_check.py
@@ -44,7 +44,7 @@
         operation = self._operations.get(item.operation)
         if (
             operation is not None
-            and operation.steps[item.step].in_flight
+            and operation.attempts[item.step].in_flight
             and item.outcome is balancing.Outcome.OK
         ):
             operation.answered = False
