--- a/coveport/cli/rollout.py
+++ b/coveport/cli/rollout.py
@@ -59,7 +59,7 @@
         running_text = operator_file.platform.read_text(encoding="utf-8")
         candidate = json.loads(running_text) | {"settings": settings}
         running = platform.read(running_text, {})
-        platform.read(json.dumps(candidate), {}, again=True, running=running, where=str(file))
+        platform.read(json.dumps(candidate), {}, is_reload=True, running=running, where=str(file))
     except (ValueError, AttributeError) as error:
         raise UnusableError(f"{file}: {error}") from error
     except PlatformFileError as error:
--- a/coveport/sidecar/config/platform.py
+++ b/coveport/sidecar/config/platform.py
@@ -37,11 +37,11 @@
     zones: tuple[str, ...]
     keepalive_ms: float
     console: Address | None = None  # listener for the staff's console; None: nothing is opened
-    known: Any = field(default=None, repr=False)  # nodes known at the start, in discovery's form
+    known_endpoints: Any = field(default=None, repr=False)  # nodes known at the start, in discovery's form
     document: Mapping[str, Any] = field(default_factory=dict, repr=False, compare=False)  # the file's JSON
 
 
-def load(environ: Mapping[str, str], *, running: Config | None = None, again: bool = False) -> Config:
+def load(environ: Mapping[str, str], *, running: Config | None = None, is_reload: bool = False) -> Config:
     """Read the file that LB_CONFIG names, as `read` does."""
     path = environ.get("LB_CONFIG")
     if not path:
@@ -51,27 +51,28 @@
             text = file.read()
     except (OSError, ValueError) as error:
         raise PlatformFileError(f"{path}: {_one_line(error)}") from error
-    return read(text, environ, again=again, running=running, where=path)
+    return read(text, environ, is_reload=is_reload, running=running, where=path)
 
 
 def read(
     text: str,
     environ: Mapping[str, str],
     *,
-    again: bool = False,
+    is_reload: bool = False,
     running: Config | None = None,
     where: str = "configuration",
 ) -> Config:
     """Read and check the file's JSON; raise PlatformFileError, in one line, with what is wrong `where`.
 
-    `again`: the file was replaced while the process runs. What it says of discovery then beats the variable,
+    `is_reload`: the file was replaced while the process runs.
+    What it says of discovery then beats the variable,
     which dates from the start. `running`: what the file replaces, none of whose keys it may leave out.
     """
     try:
         document = _parse(text)
         if running is not None:
             reload_checks.check(document, running.document)
-        return _config(document, environ, again)
+        return _config(document, environ, is_reload)
     except (PlatformFileError, ValueError, TypeError, AttributeError, RecursionError) as error:
         raise PlatformFileError(f"{where}: {_one_line(error)}") from error
 
@@ -86,13 +87,13 @@
     return document
 
 
-def _config(document: Mapping[str, Any], environ: Mapping[str, str], again: bool) -> Config:
+def _config(document: Mapping[str, Any], environ: Mapping[str, str], is_reload: bool) -> Config:
     """Return the configuration; any of the errors that `read` catches says what is wrong."""
     settings = document["settings"]
     limits = document.get("limits") or {}
     seed = document.get("seed", "0")
     console = environ.get("LB_CONSOLE") or document.get("console")
-    discovery = (again and document.get("discovery")) or environ.get("LB_DISCOVERY")
+    discovery = (is_reload and document.get("discovery")) or environ.get("LB_DISCOVERY")
     return Config(
         name=environ.get("LB_NAME") or str(document.get("name", DEFAULT_NAME)),
         listen=parse_address(environ.get("LB_LISTEN") or document.get("listen")),
@@ -104,7 +105,7 @@
         zones=tuple(str(zone) for zone in settings.get("localities") or ()),
         keepalive_ms=_number(settings.get("limits") or {}, "keepalive_ms", DEFAULT_KEEPALIVE_MS),
         console=parse_address(console) if console else None,
-        known=document.get("known"),
+        known_endpoints=document.get("known"),
         document=document,
     )
 
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -278,13 +278,15 @@
 
     def _read(self, running: configuration.Config) -> configuration.Config:
         if self._text is None:
-            return configuration.load(os.environ, again=True, running=running)
+            return configuration.load(os.environ, is_reload=True, running=running)
         try:
             told = json.loads(self._told.platform.read_text(encoding="utf-8"))
             told["settings"] = json.loads(self._text)
         except (OSError, ValueError, TypeError) as problem:
             raise PlatformFileError(f"roll-out: {problem}") from problem
-        return configuration.read(json.dumps(told), os.environ, again=True, running=running, where="roll-out")
+        return configuration.read(
+            json.dumps(told), os.environ, is_reload=True, running=running, where="roll-out"
+        )
 
     # How we fare.
 
--- a/coveport/sidecar/downstream/client_connection.py
+++ b/coveport/sidecar/downstream/client_connection.py
@@ -395,7 +395,7 @@
             and self._context.net.is_quiet(self._transport)
         )
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the client has disconnected, read or not; its operation is cancelled soon then."""
         if self._transport is None:
             return True
@@ -406,7 +406,7 @@
 
     def check(self, now: float) -> None:
         """Enforce the time-outs, and close idle connections during a shutdown."""
-        if self._is_read_paused and self.left():
+        if self._is_read_paused and self.has_disconnected():
             return  # reading would not show its end
         if self._is_write_paused and self._transport is not None:
             unsent = self._transport.get_write_buffer_size()
--- a/coveport/sidecar/downstream/operation_client.py
+++ b/coveport/sidecar/downstream/operation_client.py
@@ -24,5 +24,5 @@
     def answer(self, verdict: Verdict, answer: Answer | None, retry_after_ms: float) -> None:
         """Give the complete response."""
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether it has disconnected, read or not; its operation is cancelled soon then."""
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -123,10 +123,10 @@
 
     def know(self) -> None:
         """Start from the list in the configuration, which the sidecar had last."""
-        if self._config.known is None:
+        if self._config.known_endpoints is None:
             return
         try:
-            update = self._reader.read(self._config.known, balancing.EndpointUpdateKind.CACHED)
+            update = self._reader.read(self._config.known_endpoints, balancing.EndpointUpdateKind.CACHED)
         except DiscoveryResponseError as problem:
             self._log.note("endpoint list", f"the known list is garbled: {problem}")
             return
@@ -443,7 +443,7 @@
         """
         # Guards against beginning anything for a client that has gone: its end may stand below, unread,
         # behind what it sent ahead or behind a stall of ours, or be read and not reported yet.
-        if opened.client is None or opened.client.left():
+        if opened.client is None or opened.client.has_disconnected():
             return False
         # Guards against such a stall between the decision and the connection: a retry would come after its
         # window, anything to a destination that has long begun to drain.
--- a/coveport/sidecar/intent_log/execution.py
+++ b/coveport/sidecar/intent_log/execution.py
@@ -26,7 +26,7 @@
     def answer(self, verdict: Verdict, answer: Answer | None, retry_after_ms: float) -> None:
         """Give the one final response."""
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has disconnected."""
 
 
@@ -96,9 +96,9 @@
             self._pending, verdict, answer, lambda: self._client.answer(verdict, answer, retry_after_ms)
         )
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has disconnected."""
-        return self._client.left()
+        return self._client.has_disconnected()
 
 
 class AbsentClient:
@@ -122,6 +122,6 @@
         """Take the one final response."""
         self._observer.answered(self._pending, verdict, answer, lambda: None)
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return False: a takeover goes on without a client."""
         return False
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -10,7 +10,7 @@
 
 the instance believes in its session while
 
-    now < a + T/(1+d) - m         (`believed_until`; T/(1+d) - m is LeaseTerms.believed_s)
+    now < a + T/(1+d) - m         (`believed_until`; T/(1+d) - m is LeaseTerms.local_validity_s)
 
 and starts nothing new from m before that on (EXPIRING). A renewal whose outcome is unknown may have extended
 the lease in the store; it never moves `a`. No role is safe by this alone: each act is a transaction that
@@ -27,7 +27,7 @@
 import random
 from math import inf
 
-from coveport.sidecar.config.lease_terms import RENEWALS, LeaseTerms
+from coveport.sidecar.config.lease_terms import RENEWALS_PER_TTL, LeaseTerms
 from coveport.sidecar.leases import log_events
 from coveport.sidecar.leases.effects import (
     AcquireRole,
@@ -123,7 +123,7 @@
     @property
     def believed_until(self) -> float:
         """The end of the session as this instance believes in it, s of its own clock."""
-        return self._renewal_sent_at + self.terms.believed_s
+        return self._renewal_sent_at + self.terms.local_validity_s
 
     @property
     def _expiring_from(self) -> float:
@@ -386,7 +386,7 @@
         elif isinstance(outcome, Refused) and not outcome.lease_gone:
             # Of two processes with one name the later one holds nothing while the first lives.
             self._log(log_events.DUPLICATE_NAME, "another instance has our name")
-            self._disconnect_until(now + max(NAME_TAKEN_BACKOFF_S, self.terms.ttl_s / RENEWALS))
+            self._disconnect_until(now + max(NAME_TAKEN_BACKOFF_S, self.terms.ttl_s / RENEWALS_PER_TTL))
         else:
             self._disconnect_until(now + self._next_backoff_s())
 
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -211,7 +211,7 @@
         Net(asyncio.get_running_loop()),
         log,
         on_phase=settled,
-        reread=lambda running: configuration.load(os.environ, again=True, running=running),
+        reread=lambda running: configuration.load(os.environ, is_reload=True, running=running),
     )
 
 
--- a/coveport/sidecar/supervisor/snapshot_manager.py
+++ b/coveport/sidecar/supervisor/snapshot_manager.py
@@ -61,10 +61,10 @@
         except SnapshotError as error:
             self.error = str(error)
             return config
-        if self.restored.endpoints_version <= _endpoints_version(config.known):
+        if self.restored.endpoints_version <= _endpoints_version(config.known_endpoints):
             return config
         self._endpoints.apply({"hosts": self.restored.hosts, "seq": self.restored.endpoints_version}, True)
-        return replace(config, known=snapshot.known_endpoints(self.restored))
+        return replace(config, known_endpoints=snapshot.known_endpoints(self.restored))
 
     def on_endpoints(self, update: Any, is_complete: bool) -> None:
         """Take note of a list or update from discovery."""
--- a/coveport/sidecar/upstream/attempt.py
+++ b/coveport/sidecar/upstream/attempt.py
@@ -56,7 +56,7 @@
         """Read on."""
 
     @property
-    def waits(self) -> bool:
+    def is_waiting_for_client(self) -> bool:
         """Whether a long body stands still because the client's side does."""
 
 
@@ -173,7 +173,7 @@
     def _check_progress(self) -> None:
         """End the attempt if its long body has stalled, unless we or our client held it up."""
         stalled_s = self._pool.net.now_s() - self.progress_s
-        if self.connection is not None and self.connection.waits:
+        if self.connection is not None and self.connection.is_waiting_for_client:
             stalled_s = 0.0
         if stalled_s >= STALL_TIMEOUT_S:
             self.fail_connection()
--- a/coveport/sidecar/upstream/connection_pool.py
+++ b/coveport/sidecar/upstream/connection_pool.py
@@ -136,7 +136,7 @@
 
     def _reuse(self, connection: Connection, attempt: Attempt) -> bool:
         """Send an attempt on an idle connection; False, and it is closed, where that is of no use."""
-        if self.net.now_s() - connection.idle_since < self._idle_s and connection.quiet:
+        if self.net.now_s() - connection.idle_since < self._idle_s and connection.is_quiet:
             self.counters.add("connections_reused")
             connection.carry(attempt)
             return True
--- a/coveport/sidecar/upstream/http1_connection.py
+++ b/coveport/sidecar/upstream/http1_connection.py
@@ -127,7 +127,7 @@
             upload.leave(self)
 
     @property
-    def waits(self) -> bool:
+    def is_waiting_for_client(self) -> bool:
         """Whether a long body stands still because the client's side does."""
         return self._read_paused or (self._upload is not None and not self._write_paused)
 
@@ -274,7 +274,7 @@
             self._transport.abort()
 
     @property
-    def quiet(self) -> bool:
+    def is_quiet(self) -> bool:
         """Whether nothing has come since the last answer: neither an end nor stray bytes."""
         # Guards against a connection that has just been closed: a reset would cost the operation.
         return self._transport is not None and self._pool.net.is_quiet(self._transport)
--- a/coveport/sidecar/upstream/protocol.py
+++ b/coveport/sidecar/upstream/protocol.py
@@ -24,7 +24,7 @@
         """Close at once: the destination must see the end before anything sent elsewhere later."""
 
     @property
-    def quiet(self) -> bool:
+    def is_quiet(self) -> bool:
         """Whether nothing has come since the last answer: neither an end nor stray bytes."""
 
 
--- a/coveport/testbed/broken.py
+++ b/coveport/testbed/broken.py
@@ -183,8 +183,8 @@
     def finish(self, complete: bool) -> None:
         self._client.finish(complete)
 
-    def left(self) -> bool:
-        return self._client.left()
+    def has_disconnected(self) -> bool:
+        return self._client.has_disconnected()
 
 
 class _LosesCancels(Effects):
--- a/coveport/testbed/fault_injection/broken_variants.py
+++ b/coveport/testbed/fault_injection/broken_variants.py
@@ -67,7 +67,7 @@
 
 class _WholeTtl(LeaseTerms):
     @property
-    def believed_s(self) -> float:
+    def local_validity_s(self) -> float:
         return self.ttl_s * 1.05  # no margin, no drift, and a timer's grace as one might grant oneself
 
 
--- a/coveport/testbed/fuzz/targets.py
+++ b/coveport/testbed/fuzz/targets.py
@@ -330,7 +330,7 @@
     must(all(type(one) is str for one in names), "class", f"{names}")
     must(all(type(one) is str for one in read.settings.load_fields), "fields", f"{read.settings.load_fields}")
     with suppress(ValueError):
-        EndpointReader(read.zones).read(read.known, balancing.EndpointUpdateKind.CACHED)
+        EndpointReader(read.zones).read(read.known_endpoints, balancing.EndpointUpdateKind.CACHED)
     balancer = Balancer(read.settings, read.seed)
     balancer.handle(
         0.0,
--- a/tests/sidecar/test_effects.py
+++ b/tests/sidecar/test_effects.py
@@ -21,14 +21,14 @@
 
 
 class _Client:
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         return False
 
 
 class _Connection:
     """Stands idle at a destination; what may be sent on it is noted."""
 
-    quiet, waits = True, False
+    is_quiet, is_waiting_for_client = True, False
 
     def __init__(self, number: int, endpoint: Any, sent: list[str]) -> None:
         self.number = number
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -128,4 +128,4 @@
     )
     environ = {"LB_CONFIG": str(path), "LB_DISCOVERY": "127.0.0.1:3"}
     assert config.load(environ).discovery == ("127.0.0.1", 3)
-    assert config.load(environ, again=True).discovery == ("127.0.0.1", 2)
+    assert config.load(environ, is_reload=True).discovery == ("127.0.0.1", 2)
--- a/tests/sidecar/upstream/test_connection_pool.py
+++ b/tests/sidecar/upstream/test_connection_pool.py
@@ -36,7 +36,7 @@
 
 
 class _Connection:
-    quiet, waits = True, False
+    is_quiet, is_waiting_for_client = True, False
 
     def __init__(self, name: str, endpoint: EndpointAddress) -> None:
         self.name = name
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -351,7 +351,7 @@
                 platform.load(environ),
                 net,
                 Log(self.process.time, self.log.write),
-                reread=lambda running: platform.load(environ, again=True, running=running),
+                reread=lambda running: platform.load(environ, is_reload=True, running=running),
             )
         )
 
