--- a/coveport/sidecar/config/errors.py
+++ b/coveport/sidecar/config/errors.py
@@ -4,16 +4,16 @@
 
 
 class ConfigurationError(Exception):
-    """Base of all errors of this package."""
+    """Base class of the configuration errors."""
 
 
 class PlatformFileError(ConfigurationError):
-    """The platform's JSON file or an LB_* variable can't be used; one line."""
+    """The platform's JSON file or an LB_* variable can't be used; the text is one line."""
 
 
 class OperatorFileError(ConfigurationError):
-    """The operator's TOML file can't be used; a line for each fault."""
+    """The operator's TOML file can't be used; the text has a line for each fault."""
 
 
 class LeaseTermsError(ConfigurationError, ValueError):
-    """Lease terms under which nothing could be held safely, or at all; one line."""
+    """Lease terms that leave no time in which a role can be held safely; the text is one line."""
--- a/coveport/sidecar/config/operator_checks.py
+++ b/coveport/sidecar/config/operator_checks.py
@@ -1,6 +1,6 @@
-"""Checks the sections of the operator's file beyond their types. Pure.
+"""Checks the sections of the operator's file beyond what their types check. Pure.
 
-Each check returns a line for each fault, with the section and the key.
+Each check returns one line per fault, which names the section and the key.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 
 
 class Bounds(NamedTuple):
-    """The values that a number may have, both ends included."""
+    """The range that a number must be in, both ends included."""
 
     key: str
-    least: float
-    most: float
-    text: str = ""  # how a fault calls the bounds; empty: `LEAST to MOST`
+    minimum: float
+    maximum: float
+    text: str = ""  # the range as an error message has it; empty: MINIMUM to MAXIMUM
 
     def accepts(self, section: msgspec.Struct) -> bool:
         """Return whether the section's value is within the bounds."""
         value: float = getattr(section, self.key)
-        return self.least <= value <= self.most
+        return self.minimum <= value <= self.maximum
 
 
 _INTENT_LOG_BOUNDS: Final = (
@@ -68,7 +68,7 @@
 
 
 def store_faults(store: StoreSection) -> list[str]:
-    """Return what is wrong with `[store]`."""
+    """Return the faults of `[store]`."""
     faults = list(_url_faults(store.url))
     if not store.prefix.endswith("/"):
         faults.append(f"[store] prefix must end with a slash, not {store.prefix!r}")
@@ -78,7 +78,7 @@
 def _url_faults(url: str) -> Iterator[str]:
     kind, _, rest = url.partition(":")
     if kind not in ("sqlite", "etcd") or not rest.strip("/"):
-        yield f"[store] url: sqlite:PATH or etcd://HOST:PORT,..., not {url!r}"
+        yield f"[store] url must be sqlite:PATH or etcd://HOST:PORT,..., not {url!r}"
     elif kind == "etcd":
         for endpoint in rest.removeprefix("//").split(","):
             if not _is_endpoint(endpoint.strip()):
@@ -91,43 +91,47 @@
 
 
 def lease_faults(leases: LeaseSection, store: StoreSection | None) -> list[str]:
-    """Return what is wrong with `[leases]`; `store`: where they are kept, if that section could be read."""
+    """Return the faults of `[leases]`; `store`: the `[store]` section, None where it can't be read."""
     faults = []
     try:
         LeaseTerms(leases.ttl, leases.margin, leases.drift).check()
     except LeaseTermsError as error:
         faults.append(f"[leases] {error}")
     if store is not None and store.url.startswith("etcd:") and leases.ttl != int(leases.ttl):
-        faults.append(f"[leases] ttl: such a store counts in whole seconds, not {leases.ttl:g}")
+        faults.append(f"[leases] ttl: an etcd store counts in whole seconds, not {leases.ttl:g}")
     return faults
 
 
-def intent_log_faults(work: IntentLogSection) -> list[str]:
-    """Return what is wrong with `[work]`."""
-    faults = [f"[work] refuse: {name!r} is not recorded" for name in work.refuse if name not in work.record]
+def intent_log_faults(intent_log: IntentLogSection) -> list[str]:
+    """Return the faults of `[work]`."""
+    faults = [
+        f"[work] refuse: {name!r} is not recorded"
+        for name in intent_log.refuse
+        if name not in intent_log.record
+    ]
     faults += [
-        f"[work] {bounds.key}: must be {bounds.text}, not {getattr(work, bounds.key)!r}"
+        f"[work] {bounds.key}: must be {bounds.text}, not {getattr(intent_log, bounds.key)!r}"
         for bounds in _INTENT_LOG_BOUNDS
-        if not bounds.accepts(work)
+        if not bounds.accepts(intent_log)
     ]
     return faults
 
 
 def fleet_faults(fleet: Fleet, instance: InstanceSection | None) -> list[str]:
-    """Return what is wrong with `[fleet]`; `instance`: that section, if it could be read."""
+    """Return the faults of `[fleet]`; `instance`: the `[instance]` section, None where it can't be read."""
     faults = [
-        f"[fleet] {bounds.key}: must be {bounds.least:g} to {bounds.most:g}, "
+        f"[fleet] {bounds.key}: must be {bounds.minimum:g} to {bounds.maximum:g}, "
         f"not {getattr(fleet, bounds.key):g}"
         for bounds in _FLEET_BOUNDS
         if not bounds.accepts(fleet)
     ]
     if fleet.name and not NAME.fullmatch(fleet.name):
-        faults.append(f"[fleet] name: letters, digits, dots and dashes, not {fleet.name!r}")
+        faults.append(f"[fleet] name must consist of letters, digits, dots and dashes, not {fleet.name!r}")
     if fleet.name and instance is not None and instance.name:
-        faults.append("[instance] name: a fleet's instances have names of their own; leave it out")
+        faults.append("[instance] name must be left out: a fleet's instances have names of their own")
     faults += _address_faults(fleet)
     faults += [
-        f"[fleet.each.{name}]: an instance is called {fleet.name}-NUMBER"
+        f"[fleet.each.{name}]: an instance's name must be {fleet.name}-NUMBER"
         for name in fleet.each
         if not fleet.number(name)
     ]
@@ -135,7 +139,7 @@
 
 
 def _address_faults(fleet: Fleet) -> list[str]:
-    """Return what is wrong with the addresses of the instances, up to the first that is none."""
+    """Return the faults of the instances' addresses, up to the first one that is malformed."""
     faults: list[str] = []
     owners: dict[str, str] = {}
     try:
@@ -151,7 +155,7 @@
 
 
 def schema_faults(name: str, kind: type[msgspec.Struct], section: Any) -> list[str]:
-    """Return what a section lacks or has in the wrong type, each fault by itself: none hides another."""
+    """Return the faults of a section: unknown and missing keys, and values of the wrong type; all of them."""
     if not isinstance(section, dict):
         return [f"[{name}] must be a section"]
     fields = {field.name: field for field in msgspec.structs.fields(kind)}
--- a/coveport/sidecar/config/operator_file.py
+++ b/coveport/sidecar/config/operator_file.py
@@ -1,6 +1,6 @@
-"""The operator's own file (TOML): which parts of the fleet's coordination an instance takes part in.
+"""The operator's file (TOML): settings of the fleet's coordination, and an instance's part in it.
 
-Never read on the platform. All faults of a file are reported at once.
+Instances on the platform don't read one. All faults of a file are reported at once.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class OperatorFile(msgspec.Struct, frozen=True):
-    """The whole file, checked."""
+    """The complete file, checked."""
 
     instance: InstanceSection
     store: StoreSection
@@ -35,7 +35,7 @@
     log: LogSection
     work: IntentLogSection
     fleet: Fleet
-    folder: Path  # of the file: relative paths in it begin here
+    folder: Path  # the folder of the file, to which paths in it are relative
 
     @property
     def terms(self) -> LeaseTerms:
@@ -49,34 +49,34 @@
 
     @property
     def sqlite(self) -> Path | None:
-        """The store's file, where the store is SQLite."""
+        """The file of an SQLite store; None for any other store."""
         kind, _, rest = self.store.url.partition(":")
         return self.folder / rest if kind == "sqlite" else None
 
     @property
     def endpoints(self) -> tuple[str, ...]:
-        """The members of the store, HOST:PORT each, where the store is etcd."""
+        """The members of an etcd store, as HOST:PORT; empty for any other store."""
         kind, _, rest = self.store.url.partition("://")
         return tuple(endpoint.strip() for endpoint in rest.split(",")) if kind == "etcd" else ()
 
     @property
     def work_prefix(self) -> str:
-        """The store's prefix of the intent log: outside of what all instances watch."""
+        """The key prefix of the intent log in the store; instances don't watch keys under it."""
         return self.store.prefix.rstrip("/") + "-work/"
 
     @property
     def fleet_prefix(self) -> str:
-        """The store's prefix of supervisors, which are no instances."""
+        """The key prefix of the supervisors in the store; they are not instances."""
         return self.store.prefix.rstrip("/") + "-fleet/"
 
     @property
     def fleet_folder(self) -> Path:
-        """The folder of a fleet's state on this host."""
+        """The folder of the fleet's state on this host."""
         return self.folder / self.fleet.state
 
     @property
     def key_file(self) -> Path | None:
-        """The file of the keys that encrypt members' data; None: such data is left out."""
+        """The file of the keys that encrypt members' data; None: members' data is not stored."""
         return self.folder / self.work.key_file if self.work.key_file else None
 
 
@@ -92,7 +92,7 @@
 
 
 def load(path: Path) -> OperatorFile:
-    """Read and check a file; raise OperatorFileError with its path in front of each fault."""
+    """Read and check a file; raise OperatorFileError, whose lines each begin with the path."""
     try:
         return read(path.read_text(encoding="utf-8"), path.resolve().parent)
     except (OperatorFileError, UnicodeDecodeError) as error:
@@ -121,14 +121,14 @@
 
 
 def _read_section(name: str, kind: type[msgspec.Struct], section: Any, faults: list[str]) -> Any:
-    """Return a section as an instance of its class; None, with its faults added, where it has any."""
+    """Return a section as an instance of its class; None if it has faults, which are added to `faults`."""
     own_faults = checks.schema_faults(name, kind, section)
     faults += own_faults
     return None if own_faults else msgspec.convert(section, kind)
 
 
 def _section_faults(sections: dict[str, Any]) -> list[str]:
-    """Return what is wrong within the sections that have no fault in their schema."""
+    """Return the faults of the sections that could be read."""
     store = sections["store"]
     faults: list[str] = []
     if store is not None:
--- a/coveport/sidecar/config/operator_sections.py
+++ b/coveport/sidecar/config/operator_sections.py
@@ -1,6 +1,6 @@
-"""The sections of the operator's file. Fields have the names of the keys, explained in deploy/coveport.toml.
+"""The sections of the operator's file. Fields have the names of the keys; deploy/coveport.toml explains them.
 
-Each class is the schema of one section; `operator_checks` holds what a type can't say.
+Each class is the schema of one section; `operator_checks` checks what a type can't express.
 """
 
 from __future__ import annotations
@@ -9,25 +9,25 @@
 
 import msgspec
 
-MAX_INSTANCES: Final = 1000  # of a host
+MAX_INSTANCES: Final = 1000  # per host
 
 
 class InstanceSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[instance]`: the identity of this instance."""
 
-    platform: str  # the platform's JSON file, from this file's folder
-    name: str = ""  # empty: the platform file's, or LB_NAME
+    platform: str  # path of the platform's JSON file, relative to this file's folder
+    name: str = ""  # empty: LB_NAME, or the name in the platform's file
 
 
 class StoreSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[store]`: where leases are kept."""
+    """`[store]`: the store of the leases."""
 
     url: str  # sqlite:PATH | etcd://HOST:PORT,HOST:PORT
     prefix: str = "coveport/"
 
 
 class LeaseSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[leases]`: seconds; drift as a fraction."""
+    """`[leases]`: the lease terms in seconds, `drift` as a fraction."""
 
     ttl: float = 3.0
     margin: float = 0.2
@@ -43,35 +43,35 @@
     drill: bool = False
 
     def contended_roles(self, zone: int) -> tuple[str, ...]:
-        """Return the roles with one holder at a time for which an instance of that zone contends.
+        """Return the singleton roles for which an instance of that zone contends.
 
-        Health checking (`looking`) isn't among them: every instance that is asked to does it.
+        Health checking (`looking`) is not a singleton role: each instance where it is on takes part.
         """
         roles = {"warden": f"warden@{zone}", "rollout": "rollout", "drill": "drill"}
         return tuple(role for name, role in roles.items() if getattr(self, name))
 
 
 class IntentLogSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[work]`: the operations that are logged ahead, so that another instance can take them over."""
+    """`[work]`: the operations that are logged before they run, for another instance to take over."""
 
-    record: tuple[str, ...] = ()  # names of classes
-    refuse: tuple[str, ...] = ()  # of those, which are rejected while the store is unreachable
+    record: tuple[str, ...] = ()  # names of the request classes that are logged
+    refuse: tuple[str, ...] = ()  # classes in `record` that are rejected while the store is unreachable
     by_request_id: bool = False  # clients retry with the same X-Request-Id
-    key_file: str = ""  # from this file's folder; empty: requests and responses are left out
+    key_file: str = ""  # path relative to this file's folder; empty: requests and responses are not stored
     kept_s: float = 600.0  # how long a finished operation is retained for retries
-    body_most: int = 65536  # bytes; longer bodies are left out
-    pace: float = 50.0  # records of lost instances that are taken over a second
+    body_most: int = 65536  # bytes; longer bodies are not stored
+    pace: float = 50.0  # records of failed instances that are taken over per second
 
 
 class LogSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[log]`: JSON lines of what is held and done."""
+    """`[log]`: the log of leases and roles, as JSON lines."""
 
     path: str = ""  # empty: standard error
-    level: Literal["debug", "info"] = "info"  # debug: each renewal and each act, for the checks of a trial
+    level: Literal["debug", "info"] = "info"  # debug: also each renewal and each action of a role
 
 
 class InstanceOverrides(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[fleet.each.NAME]`: where one instance differs from the others; 0 or empty: it doesn't."""
+    """`[fleet.each.NAME]`: settings of one instance; 0 or empty: the same as the others'."""
 
     listen: str = ""
     sockets: int = 0
@@ -81,29 +81,29 @@
 class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[fleet]`: the instances of one host under a supervisor, NAME-1, NAME-2, ..."""
 
-    name: str = ""  # of this host's fleet; empty: there is none
-    instances: int = 2
-    listen: str = "127.0.0.1:9100"  # of the first; each further one has the next port
-    state: str = "fleet"  # folder of what is stored on this host, from this file's folder
-    sockets: int = 0  # descriptors of each; 0: as the platform's file says
-    memory_mb: float = 0.0  # of each; 0: as the platform's file says
-    at_once: int = 4  # instances that may be starting at a time
-    a_second: float = 4.0  # instances started a second, after those
-    ready_s: float = 20.0  # time-out from its start until it serves
-    stop_s: float = 15.0  # time-out from SIGTERM until it has ended
-    hung_s: float = 5.0  # without a heartbeat of its loop, after which it is replaced
-    backoff_s: float = 0.5  # before it is restarted after a crash; doubled each time ...
-    backoff_most_s: float = 30.0  # ... up to this
-    loop: int = 5  # so many crashes ...
-    loop_s: float = 60.0  # ... in this time are a crash loop: it isn't restarted ...
-    rest_s: float = 300.0  # ... for so long
-    hold_s: float = 5.0  # rolling restart: how long an instance must serve before the next one's turn
-    young_s: float = 120.0  # an older snapshot of discovery isn't read; 0: none are written
-    peers: bool = False  # how many share a node follows from who has a session; needs one store for all
-    each: dict[str, InstanceOverrides] = {}
+    name: str = ""  # name of this host's fleet; empty: there is no fleet
+    instances: int = 2  # number of instances
+    listen: str = "127.0.0.1:9100"  # address of the first instance; each further one has the next port
+    state: str = "fleet"  # folder of the state on this host, relative to this file's folder
+    sockets: int = 0  # descriptors per instance; 0: as in the platform's file
+    memory_mb: float = 0.0  # memory per instance; 0: as in the platform's file
+    at_once: int = 4  # instances that may be starting at the same time
+    a_second: float = 4.0  # starts per second, after a burst of `at_once`
+    ready_s: float = 20.0  # time-out from an instance's start until it serves
+    stop_s: float = 15.0  # time-out from SIGTERM until the instance has exited
+    hung_s: float = 5.0  # an instance without a heartbeat of its event loop for this long is replaced
+    backoff_s: float = 0.5  # backoff before the restart after a crash; doubled at each further crash
+    backoff_most_s: float = 30.0  # maximum of that backoff
+    loop: int = 5  # number of crashes within `loop_s` that make a crash loop
+    loop_s: float = 60.0  # time in which the crashes of a crash loop are counted
+    rest_s: float = 300.0  # how long an instance in a crash loop isn't restarted
+    hold_s: float = 5.0  # rolling restart: how long an instance must serve before the next one is restarted
+    young_s: float = 120.0  # maximum age of a snapshot of discovery that is read; 0: no snapshots
+    peers: bool = False  # count the sidecars that share a node by their sessions; needs one store for all
+    each: dict[str, InstanceOverrides] = {}  # overrides by instance name
 
     def number(self, name: str) -> int:
-        """Return an instance's number by its name; 0 where it is none of this fleet."""
+        """Return an instance's number by its name; 0 where the name is not one of this fleet."""
         head, _, tail = name.rpartition("-")
         return int(tail) if head == self.name and tail.isascii() and tail.isdigit() else 0
 
@@ -116,8 +116,8 @@
 
         Raises ValueError where `listen` has no port.
         """
-        own = self.each.get(name)
-        if own is not None and own.listen:
-            return own.listen
+        overrides = self.each.get(name)
+        if overrides is not None and overrides.listen:
+            return overrides.listen
         host, _, port = self.listen.rpartition(":")
         return f"{host}:{int(port) + self.number(name) - 1}"
--- a/coveport/sidecar/config/platform.py
+++ b/coveport/sidecar/config/platform.py
@@ -1,6 +1,6 @@
 """The platform's configuration of a sidecar: LB_* variables and a JSON file, checked before the start.
 
-The file's schema is the platform's; `coveport.balancing.simulator_codec` reads its settings for the balancer.
+The platform defines the file's schema; `coveport.balancing.simulator_settings` reads the balancer's settings.
 """
 
 from __future__ import annotations
@@ -30,19 +30,19 @@
     name: str
     listen: Address
     discovery: Address
-    seed: int  # of all random draws
+    seed: int  # seed of all random numbers
     sockets: int  # file descriptors that the process may use
     memory_mb: float
-    settings: balancing.Settings  # of the balancer
+    settings: balancing.Settings  # settings of the balancer
     zones: tuple[str, ...]
     keepalive_ms: float
-    console: Address | None = None  # listener for the staff's console; None: nothing is opened
-    known_endpoints: Any = field(default=None, repr=False)  # nodes known at the start, in discovery's form
-    document: Mapping[str, Any] = field(default_factory=dict, repr=False, compare=False)  # the file's JSON
+    console: Address | None = None  # address of the operators' console; None: there is no console
+    known_endpoints: Any = field(default=None, repr=False)  # list at the start, in discovery's form
+    document: Mapping[str, Any] = field(default_factory=dict, repr=False, compare=False)  # the parsed file
 
 
 def load(environ: Mapping[str, str], *, running: Config | None = None, is_reload: bool = False) -> Config:
-    """Read the file that LB_CONFIG names, as `read` does."""
+    """Read and check the file that LB_CONFIG names; see `read`."""
     path = environ.get("LB_CONFIG")
     if not path:
         raise PlatformFileError("LB_CONFIG is not set")
@@ -62,11 +62,11 @@
     running: Config | None = None,
     where: str = "configuration",
 ) -> Config:
-    """Read and check the file's JSON; raise PlatformFileError, in one line, with what is wrong `where`.
+    """Read and check the file's JSON; raise PlatformFileError with one line that begins with `where`.
 
-    `is_reload`: the file was replaced while the process runs.
-    What it says of discovery then beats the variable,
-    which dates from the start. `running`: what the file replaces, none of whose keys it may leave out.
+    `is_reload`: the file was replaced while the process runs. Its discovery address then takes precedence
+    over the variable, whose value dates from the start. `running`: the configuration that the file replaces,
+    none of whose keys it may leave out.
     """
     try:
         document = _parse(text)
@@ -78,7 +78,7 @@
 
 
 def _parse(text: str) -> dict[str, Any]:
-    """Return the file's JSON object, whose `settings` are an object too."""
+    """Return the file's JSON object; its `settings` are checked to be an object too."""
     document = json.loads(text)
     if not isinstance(document, dict):
         raise PlatformFileError("not an object")
@@ -88,7 +88,7 @@
 
 
 def _config(document: Mapping[str, Any], environ: Mapping[str, str], is_reload: bool) -> Config:
-    """Return the configuration; any of the errors that `read` catches says what is wrong."""
+    """Return the configuration; raise any of the errors that `read` catches where a value is invalid."""
     settings = document["settings"]
     limits = document.get("limits") or {}
     seed = document.get("seed", "0")
@@ -112,7 +112,7 @@
 
 def _number(section: Mapping[str, Any], key: str, default: float, *, least: float = 0) -> float:
     value = section.get(key, default)
-    # Guards against integers beyond all floats, which JSON may hold.
+    # Guards against integers too large for a float, which JSON allows.
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
@@ -128,7 +128,7 @@
     settings = simulator_settings.parse_settings(json.dumps(document))
     if type(settings.zone) is not int:
         raise PlatformFileError(f"zone must be a whole number, not {settings.zone!r}")
-    # Guards against names that are no texts: nothing that comes by HTTP could equal them.
+    # Guards against names that are not strings: nothing in an HTTP message could equal them.
     for key, names in (
         ("classes: name", [operation_class.name for operation_class in settings.classes]),
         ("telemetry: fields", settings.load_fields),
--- a/coveport/sidecar/config/reload_checks.py
+++ b/coveport/sidecar/config/reload_checks.py
@@ -1,4 +1,4 @@
-"""Checks a platform file that replaces a running one, before any of it is taken. Pure."""
+"""Checks a platform file that is to replace the running one, before any of it takes effect. Pure."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from coveport.sidecar.config.errors import PlatformFileError
 
-EFFECTS: Final = ("idempotent", "deduplicated", "at_most_once")
+SEMANTICS: Final = ("idempotent", "deduplicated", "at_most_once")
 
 
 def check(candidate: Mapping[str, Any], running: Mapping[str, Any]) -> None:
-    """Raise PlatformFileError with the first key at fault, and what would be right.
+    """Raise PlatformFileError for the first invalid key, with the values that are allowed.
 
-    Both are the JSON objects of the files. A key that the running file has may not be missing: a file that is
-    truncated or half edited would otherwise be taken with defaults in its place. Each class must have the
+    Both arguments are the JSON objects of the files. Each key of the running file is required: a file that is
+    truncated or half edited would otherwise be applied with defaults for the rest. Each class must have the
     keys that all running classes have.
     """
     _check_keys(candidate, running, "")
@@ -51,7 +51,7 @@
 
 
 def _check_class(candidate: Any, required: set[str], location: str) -> str:
-    """Check that a class has the required keys, and return its name."""
+    """Check that a class has the required keys and a name; return the name."""
     if not isinstance(candidate, dict):
         raise PlatformFileError(f"{location} must be an object")
     missing = sorted(required - {*candidate})
@@ -67,9 +67,9 @@
     for key in ("aim_ms", "deadline_ms"):
         _check_positive(candidate.get(key), f"{location}.{key}")
     semantics = candidate.get("semantics")
-    if semantics not in EFFECTS:
+    if semantics not in SEMANTICS:
         raise PlatformFileError(
-            f"{location}.semantics must be one of {', '.join(EFFECTS)}, not {semantics!r}"
+            f"{location}.semantics must be one of {', '.join(SEMANTICS)}, not {semantics!r}"
         )
 
 
@@ -80,6 +80,6 @@
 
 
 def _check_positive(value: Any, location: str) -> None:
-    # Guards against true, which counts as 1, and integers beyond all floats.
+    # Guards against true, which counts as 1, and integers too large for a float.
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value <= sys.float_info.max:
         raise PlatformFileError(f"{location} must be a positive number, not {value!r}")
--- a/coveport/sidecar/discovery/discovery_client.py
+++ b/coveport/sidecar/discovery/discovery_client.py
@@ -1,4 +1,4 @@
-"""One discovery: requests its list, watches it for changes, retries where it fails or times out."""
+"""Client of one discovery: requests its endpoint list, watches for changes, retries failed calls."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from coveport.sidecar.telemetry.log import Log
 
 PATH = "/catalog/members"
-# A change must be known 6 s after discovery had it and could be reached, whatever failed meanwhile. So a
-# watch that times out, a connect that does and a call that does, one after the other, each with the longest
-# backoff behind it, are over within that: 1.5 + 0.5 + 1.0 + 1.5 s and thrice 0.45 s.
+# The sidecar must have a change within 6 s after discovery had it and was reachable, whatever failed before.
+# So a watch, a connect and a call that time out in succession, each with the longest backoff after it, must
+# take less: 1.5 + 0.5 + 1.0 + 1.5 s and three times 0.45 s.
 WATCH_MS = 1500  # how long discovery holds a watch open without a change
-WATCH_AFTER_FAILURE_MS = 1000  # the same right after a failure: no longer than a call that doesn't wait
+WATCH_AFTER_FAILURE_MS = 1000  # the same right after a failure: no longer than CALL_TIMEOUT_S with the grace
 WATCH_GRACE_S = 0.5  # how much longer a watch may take; discovery may stop answering without closing
-CONNECT_TIMEOUT_S = 1.0  # as long as the system waits before it sends a connect again
-CALL_TIMEOUT_S = 1.5  # of a call that doesn't wait: an overloaded discovery answers in turn
-EMPTY_WATCH_DELAY_S = 0.1  # between watches where one returned no change and did not wait this long
+CONNECT_TIMEOUT_S = 1.0  # as long as the operating system waits before it retransmits a SYN
+CALL_TIMEOUT_S = 1.5  # time-out of a call other than a watch: an overloaded discovery queues its calls
+EMPTY_WATCH_DELAY_S = 0.1  # delay before the next watch if one returned sooner than this, without a change
 BACKOFFS_S = (0.02, 0.1, 0.3)  # mean backoffs after the first, second and further failures in a row
-BACKOFF_JITTER = 0.5  # part of the backoff by which it may be longer or shorter
-MAX_OLDER_LISTS = 3  # in a row, after which discovery counts as started anew with lower versions
+BACKOFF_JITTER = 0.5  # fraction by which a backoff may be longer or shorter than its mean
+MAX_OLDER_LISTS = 3  # older lists in a row, after which discovery counts as restarted with lower versions
 
 OnUpdate = Callable[[DiscoveredEndpoints | None], None]
-"""Gets each list; None: a call that was requested has failed."""
+"""Called with each list that was read, and with None when a call that was requested has failed."""
 
 
 class DiscoveryClient:
     """Requests one discovery's list and watches it.
 
-    `on_demand`: it calls only when requested to, and reports failures; else it retries by itself.
+    `on_demand`: the client calls only on request and reports failures; otherwise it retries on its own.
     """
 
     def __init__(
@@ -63,28 +63,28 @@
         self._connection: DiscoveryConnection | None = None
         self._connecting: asyncio.Task[None] | None = None  # set while a connect is under way
         self._is_busy = False  # a call is under way, or its retry is scheduled
-        self._version: int | None = None  # of the list that is known
+        self._version: int | None = None  # version of the last list that was accepted
         self._was_malformed = False  # the last list could not be used: the next call requests a full one
-        self._is_confirmed = False  # this discovery has returned a list
+        self._is_confirmed = False  # whether this discovery has returned a valid list
         self._is_watching = False
         self._is_full_requested = False
         self._is_closed = False
-        self._failures = 0  # in a row
-        self._older_lists = 0  # in a row
+        self._failures = 0  # failures in a row
+        self._older_lists = 0  # older lists in a row
         self._called_at = 0.0
         self._timer: asyncio.TimerHandle | None = None  # the time-out of the present connect or call
 
     def set_on_demand(self) -> None:
-        """Call only when requested to from here on."""
+        """Call only on request from now on."""
         self._on_demand = True
 
     def resume_from(self, version: int) -> None:
-        """Request only changes since a list of that version, which is known already."""
+        """Request only the changes since the list of that version, which the caller already has."""
         self._version = version
 
     @property
     def is_watching(self) -> bool:
-        """Whether all changes are wanted."""
+        """Whether the list is watched for changes."""
         return self._is_watching
 
     def request(self, *, full: bool) -> None:
@@ -97,12 +97,12 @@
             self._call_next()
 
     def read_pending(self) -> None:
-        """Read what has come already in this turn of the loop."""
+        """Read the data that have already arrived, in this iteration of the event loop."""
         if self._is_busy and self._connection is not None and self._connection.transport is not None:
             self._net.read_now(self._connection.transport)
 
     def close(self) -> None:
-        """Stop calling."""
+        """Close the connection and call no more."""
         self._is_closed = True
         self._disconnect()
 
@@ -121,7 +121,7 @@
             return
         self._connecting = None
         if self._connection is None:
-            return  # closed meanwhile
+            return  # closed in the meantime
         connection = self._connection
         transport = connection.transport
         if transport is None or transport.is_closing():
@@ -153,38 +153,38 @@
 
     def _watch_ms(self) -> int:
         if not self._is_confirmed:
-            return 0  # who starts from a known list wants to know that it holds
+            return 0  # after `resume_from` the first call must return at once, to confirm the list
         return WATCH_AFTER_FAILURE_MS if self._failures else WATCH_MS
 
     def _start_timer(self, seconds: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        # Guards against a discovery that stops answering without closing: no wait is open-ended.
+        # Guards against a discovery that stops answering without closing: all waits have a time-out.
         self._timer = self._net.loop.call_later(seconds, self._time_out)
 
     def _time_out(self) -> None:
         if self._connection is not None:
-            self._fail(self._connection, "silent for too long", is_broken=True)
+            self._fail(self._connection, "timed out", is_broken=True)
 
     def _receive(self, connection: DiscoveryConnection, response: http1.Response | None) -> None:
         """Handle the response to a call, or the end of the connection."""
         if connection is not self._connection:
             return
-        if not self._is_busy:  # no call was under way: no failure, the next one connects again
+        if not self._is_busy:  # no call was under way, so nothing failed; the next call connects again
             self._disconnect()
             return
         if response is None:
             self._fail(connection, "the connection has ended", is_broken=True)
             return
         if response.status != 200:
-            # Guards against an overloaded discovery that is asked for more: what is known is still good, and
-            # the changes since then cost it a line each where the full list costs all of them.
+            # Guards against more load on an overloaded discovery: the present list is still valid, and the
+            # changes since then cost discovery one line each, while the full list costs a line per endpoint.
             self._fail(connection, f"status {response.status}")
             return
         try:
             update = self._read(json.loads(response.body))
         except (ValueError, RecursionError) as error:
-            # Guards against a malformed list: the last good one stays, and the full one is requested.
+            # Guards against a malformed list: the last valid one stays, and the full list is requested.
             self._was_malformed = True
             self._fail(connection, f"garbled: {error}")
             return
@@ -203,47 +203,48 @@
         has_waited = self._is_confirmed
         self._is_confirmed = True
         self._on_update(update)
-        if self._is_busy or self._is_closed:  # the update has led to another request, or to another discovery
+        if self._is_busy or self._is_closed:  # the callback has made another request or closed this client
             return
         waited_s = self._net.now_s() - self._called_at
         if update.update.entries or not has_waited or waited_s > EMPTY_WATCH_DELAY_S:
             self._call_next()
         else:
-            # Guards against a discovery that doesn't wait: called again at once, it would take all the time.
+            # Guards against a discovery that doesn't hold watches open: calls without a pause take all CPU.
             self._is_busy = True
             self._net.loop.call_later(EMPTY_WATCH_DELAY_S, self._call_next)
 
     def _read(self, data: object) -> DiscoveredEndpoints:
-        """Read a list; DiscoveryResponseError where it is malformed, not what was requested, or older."""
-        known = self._version
-        if known is not None and isinstance(data, dict) and isinstance(data.get("seq"), int):
-            # Guards against a stale replica that takes back what is known; one that goes on is no stale one.
-            if data["seq"] < known and self._older_lists < MAX_OLDER_LISTS:
+        """Read a list; DiscoveryResponseError where it is malformed, older or not what was requested."""
+        present = self._version
+        if present is not None and isinstance(data, dict) and isinstance(data.get("seq"), int):
+            # Guards against a stale replica, whose list would undo newer changes. After MAX_OLDER_LISTS of
+            # them the older list is accepted, as discovery has probably restarted.
+            if data["seq"] < present and self._older_lists < MAX_OLDER_LISTS:
                 self._older_lists += 1
                 raise DiscoveryResponseError(
-                    f"version {data['seq']}, older than version {known} that is known"
+                    f"version {data['seq']} is older than the present version {present}"
                 )
             self._older_lists = 0
         if self._wants_full and isinstance(data, dict) and data.get("whole") is False:
-            raise DiscoveryResponseError("changes, where the whole list was asked for")
+            raise DiscoveryResponseError("got changes, but the whole list was asked for")
         return self._reader.read(data)
 
-    def _fail(self, connection: DiscoveryConnection, text: str, *, is_broken: bool = False) -> None:
-        """Note a failure and schedule the retry; `is_broken`: the connection ended or timed out."""
+    def _fail(self, connection: DiscoveryConnection, reason: str, *, is_broken: bool = False) -> None:
+        """Handle a failure and schedule the retry; `is_broken`: the connection ended or timed out."""
         if connection is not self._connection:
             return
-        self._log.note("endpoint list", text)
+        self._log.note("endpoint list", reason)
         self._counters.add("pool_failures")
         self._disconnect()
-        # With jitter, as whatever fails here fails for all sidecars at the same moment.
+        # With jitter, as a failure of discovery affects all sidecars at the same moment.
         mean_s = BACKOFFS_S[min(self._failures, len(BACKOFFS_S) - 1)]
         backoff_s = mean_s * self._rng.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER)
-        # A watch that breaks is no refusal: it is opened anew at once, also if calls are made on demand.
+        # A broken watch is reopened at once, also if calls are made on demand: discovery has not rejected it.
         reopens_watch = is_broken and self._is_confirmed and not self._failures
         self._failures += 1
         self._is_busy = True
         if self._on_demand and not reopens_watch:
-            # Who requests is told of the failure and requests again in its own time.
+            # The callback gets None; its owner decides when to request again.
             self._is_watching = False
             self._is_full_requested = False
             self._is_busy = False
@@ -257,7 +258,7 @@
         self._connection = None
         self._connecting = None
         if connecting is not None:
-            # Guards against a descriptor for each connect that hangs, and one that comes up after all.
+            # Guards against connects that hang and each hold a descriptor, and against a late connection.
             connecting.cancel()
         if self._timer is not None:
             self._timer.cancel()
--- a/coveport/sidecar/discovery/endpoint_reader.py
+++ b/coveport/sidecar/discovery/endpoint_reader.py
@@ -1,4 +1,4 @@
-"""Reads endpoint lists; gives endpoints, zones and cells the numbers that the balancer knows. No I/O."""
+"""Reads endpoint lists; assigns the balancer's numbers of endpoints, zones and cells. No I/O."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True)
 class DiscoveredEndpoints:
-    """A list as read: for the balancer, and each endpoint's address and start (None: gone) by its number."""
+    """A list in the balancer's form, and the address and start time by endpoint number (None: removed)."""
 
     update: balancing.EndpointUpdate
     endpoints: list[tuple[int, EndpointAddress | None]]
 
 
 class _EndpointRow(NamedTuple):
-    """One endpoint of a response, checked."""
+    """One endpoint of a list, checked."""
 
     name: str
     address: Address
@@ -41,9 +41,9 @@
 
 
 class EndpointReader:
-    """Reads discovery's lists; gives endpoints, zones and cells their numbers.
+    """Reads discovery's lists; assigns numbers to endpoints, zones and cells.
 
-    `zones`: those that are configured, numbered from 0. A number is never given twice.
+    `zones`: the configured zones, which are numbered from 0. No number is assigned twice.
     """
 
     def __init__(self, zones: tuple[str, ...]) -> None:
@@ -55,14 +55,13 @@
         self._last_endpoint = 0
         self._last_cell = 0
         self._next_zone = len(zones)
-        self.on_endpoints: Callable[[Any, bool], None] | None = (
-            None  # gets each list as it came, and if it is full
-        )
+        # Called with each list in discovery's form, and whether it is the full list.
+        self.on_endpoints: Callable[[Any, bool], None] | None = None
 
     def read(self, data: Any, kind: balancing.EndpointUpdateKind | None = None) -> DiscoveredEndpoints:
-        """Return a list as read; DiscoveryResponseError where any of it is malformed: then nothing changes.
+        """Read a list; raise DiscoveryResponseError, and change nothing, where any of it is malformed.
 
-        `data`: the list as JSON has it. `kind`: by default what the list says of itself.
+        `data`: the parsed JSON. `kind`: by default full or delta, as the list itself states.
         """
         rows, version, is_full = _check_endpoints(data)
         if kind is None:
@@ -89,11 +88,12 @@
         return DiscoveredEndpoints(balancing.EndpointUpdate(kind, tuple(entries), version), endpoints)
 
     def _forget(self, gone: set[str]) -> None:
-        # Guards against tables that only grow: endpoints are replaced all day, under new names.
+        # Guards against tables that only grow: endpoints are replaced all the time, under new names.
         for name in gone:
             self._endpoint_numbers.pop(name, None)
             self._localities.pop(name, None)
-        # One that stays may move from cell to cell: tidied once there are more than there can be.
+        # Endpoints may also move between cells: the tables are cleaned up once they have more cells or zones
+        # than there are endpoints.
         discovered_zones = len(self._zone_numbers) - len(self._configured_zones)
         if gone or max(len(self._cell_numbers), discovered_zones) > len(self._localities):
             zones = {zone for zone, _ in self._localities.values()}
@@ -135,8 +135,8 @@
     version = data["seq"]
     is_full = data["whole"]
     if not isinstance(hosts, list) or type(version) is not int or type(is_full) is not bool:
-        raise DiscoveryResponseError("hosts, seq or whole is not what it should be")
-    # Guards against an endpoint listed twice: its last entry counts, as for all that read in order.
+        raise DiscoveryResponseError("hosts, seq or whole has the wrong type")
+    # Guards against an endpoint that is listed twice: its last entry counts.
     rows = {row.name: row for row in map(_check_endpoint, hosts)}
     return list(rows.values()), version, is_full
 
@@ -146,19 +146,19 @@
     weight = host.get("share", 1.0)
     started_ms = host.get("born_ms", 0)
     if not isinstance(name, str) or not name:
-        raise DiscoveryResponseError(f"host {name!r} is no name")
+        raise DiscoveryResponseError(f"host {name!r} is not a name")
     for value in (weight, started_ms):
-        # Guards against integers beyond all floats, which JSON may hold.
+        # Guards against integers too large for a float, which JSON allows.
         if (
             isinstance(value, bool)
             or not isinstance(value, int | float)
             or not 0 <= value <= sys.float_info.max
         ):
-            raise DiscoveryResponseError(f"{name!r}: {value!r} is no figure")
+            raise DiscoveryResponseError(f"{name!r}: {value!r} is not a valid number")
     for value in (host["site"], host["block"]):
         if isinstance(value, bool) or not isinstance(value, int | str):
-            raise DiscoveryResponseError(f"{name!r}: {value!r} is no site or block")
-    # A state that is not known is treated as draining: nothing new goes there.
+            raise DiscoveryResponseError(f"{name!r}: {value!r} is not a valid site or block")
+    # An unknown state is treated as draining: the endpoint gets no new operations.
     state = _STATES.get(host["health"], balancing.EndpointState.DRAINING)
     address = _check_address(host["dial"])
     return _EndpointRow(name, address, host["site"], host["block"], state, float(weight), float(started_ms))
--- a/coveport/sidecar/discovery/endpoint_source.py
+++ b/coveport/sidecar/discovery/endpoint_source.py
@@ -1,4 +1,4 @@
-"""Where the endpoint list comes from: one discovery, and during a move its successor beside it."""
+"""The source of the endpoint list: one discovery, and during a move also its successor."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class EndpointSource:
-    """Keeps the endpoint list current by one discovery; moves to another one without a gap.
+    """Keeps the endpoint list up to date from one discovery; moves to another discovery without a gap.
 
-    `on_demand`: the list is requested by `request` alone, and `on_update` gets None for a failure.
+    `on_demand`: calls are made only after `request`, and `on_update` is called with None on a failure.
     """
 
     def __init__(
@@ -42,12 +42,12 @@
         self._successor: DiscoveryClient | None = None
 
     def start(self) -> None:
-        """Begin to watch, unless the list is requested on demand."""
+        """Begin to watch, unless calls are made on demand."""
         if not self._on_demand:
             self._client.request(full=False)
 
     def resume_from(self, version: int) -> None:
-        """Begin from a list of that version, which is known already."""
+        """Begin with the changes since the list of that version, which the caller already has."""
         self._client.resume_from(version)
 
     def request(self, *, full: bool) -> None:
@@ -55,11 +55,11 @@
         self._client.request(full=full)
 
     def move_to(self, address: Address) -> None:
-        """Move to the discovery at an address; until its full list has come the present one goes on."""
+        """Move to the discovery at an address; the present one is used until the new full list has come."""
         if self._is_closed:
             return
         if self._successor is not None:
-            self._successor.close()  # guards against several moves in a row: only the last one counts
+            self._successor.close()  # of several moves in a row only the last one counts
 
         def on_update(update: DiscoveredEndpoints | None) -> None:
             if successor is self._successor:
@@ -67,13 +67,13 @@
             if successor is self._client:
                 self._on_update(update)
 
-        # It retries until it is answered, though nobody has requested it: the list may differ there.
+        # Not on demand, so that the first call is retried until it succeeds: the list there may differ.
         successor = self._new_client(address, on_update, on_demand=False)
         self._successor = successor
         successor.request(full=True)
 
     def _switch_to(self, successor: DiscoveryClient) -> None:
-        # Guards against updates of the old one after the new one's list: their versions differ.
+        # Guards against updates of the old discovery after the new one's list: their versions are unrelated.
         predecessor = self._client
         self._client = successor
         self._successor = None
@@ -96,13 +96,13 @@
         )
 
     def read_pending(self) -> None:
-        """Read what has come already in this turn of the loop."""
+        """Read the data that have already arrived, in this iteration of the event loop."""
         for client in (self._client, self._successor):
             if client is not None:
                 client.read_pending()
 
     def close(self) -> None:
-        """Stop calling."""
+        """Close the connections and call no more."""
         self._is_closed = True
         self._client.close()
         if self._successor is not None:
--- a/coveport/sidecar/discovery/errors.py
+++ b/coveport/sidecar/discovery/errors.py
@@ -4,7 +4,7 @@
 
 
 class DiscoveryResponseError(ValueError):
-    """Discovery's answer is malformed, not what was requested, or older than what is known.
+    """A response of discovery is malformed, not the list that was requested, or older than the present list.
 
-    The text is one line: the field or the line of the list, and what came there.
+    The text is one line: the field or the endpoint, and the value that was received.
     """
--- a/coveport/sidecar/downstream/client_connection.py
+++ b/coveport/sidecar/downstream/client_connection.py
@@ -1,8 +1,9 @@
 """One client connection: reads requests, submits operations, writes their responses.
 
-A connection is idle, reads a request, waits for its response, writes one, or ends: then it only reads on for
-a while, as a close over unread bytes would reset the last response away. It carries one operation at a time;
-what a client sends ahead waits in the parser, and above MAX_PIPELINED_BYTES in the socket.
+A connection is idle, reads a request, waits for its response, writes a response, or is ending. While it is
+ending it discards what it reads, as a close with unread bytes would cause a reset that destroys the last
+response. It carries one operation at a time; pipelined requests wait in the parser, and above
+MAX_PIPELINED_BYTES in the socket.
 """
 
 from __future__ import annotations
@@ -35,42 +36,44 @@
 
 HEALTH_PATH = "/_health"
 
-_INBOX = memoryview(bytearray(READ_BYTES))  # shared: what is read is taken out before the next read
+# Shared by all connections: the bytes are copied out before the next read.
+_INBOX = memoryview(bytearray(READ_BYTES))
 _STATUS = {Verdict.SERVED: 200, Verdict.BUSY: 503, Verdict.FAILED: 500, Verdict.DOUBLE: 409}
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One client connection, with one operation at a time."""
+    """One client connection, which carries one operation at a time."""
 
     def __init__(self, context: DownstreamContext) -> None:
         self._context = context
         self._parser = http1.RequestParser(MOST_BODY, http1.MAX_BODY_BYTES)
         self._transport: asyncio.Transport | None = None
-        # When it went idle, or when the request that is coming in began: the first one with the connection.
+        # When the connection went idle, or when the present request or response began or last made progress;
+        # the first request counts from the connect. Monotonic seconds.
         self._phase_began_at = 0.0
-        self._operation: int | None = None  # the number of the one that waits for its response
-        self._upload: Upload | None = None  # the streamed request body that is coming in
+        self._operation: int | None = None  # the number of the operation that waits for its response
+        self._upload: Upload | None = None  # the streamed request body that is being received
         self._upload_timing = UploadTiming(0.0)
-        self._response_source: Attempt | None = None  # of the streamed response that is being written
+        self._response_source: Attempt | None = None  # source of the streamed response that is being written
         self._is_response_chunked = False
-        self._unsent_bytes = 0  # of responses, when last counted
+        self._unsent_bytes = 0  # response bytes in the write buffer when last counted
         self._keep_alive = True
-        self._omits_body = False  # as the response is to HEAD
-        self._has_been_used = False  # it has carried a complete request
-        self._is_excess = False  # it came when there were too many already
+        self._omits_body = False  # the request is a HEAD request
+        self._has_been_used = False  # whether the connection has carried a complete request
+        self._is_excess = False  # there were more clients than allowed when this one connected
         self._is_write_paused = False
         self._is_read_paused = False
         self._is_ending = False  # the last response has been written, or the client has disconnected
-        self._discarded_bytes = 0  # read while it ends ...
+        self._discarded_bytes = 0  # bytes read since the connection began to end
         self._max_discarded_bytes = MAX_DISCARDED_BYTES
-        self._linger_s = LINGER_S  # ... and for how long it may
-        # While its first request may have waited since a stall of the process: when that began.
+        self._linger_s = LINGER_S  # how long the connection is read on while it is ending
+        # When the stall of the process began during which the first request may have arrived; None: no stall.
         self._stalled_since: float | None = None
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the clients; where they are too many, one that carries nothing is closed for this one."""
+        """Add this client; where there are too many, close a connection that has no operation."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=0)
@@ -84,11 +87,11 @@
             self._is_excess = context.clients.is_overfull
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where to read to; a streamed body is read within its budget."""
+        """Return the buffer to read into; the byte budget limits its size for a streamed body."""
         return _INBOX[: self._context.budget.read_most()] if self._upload is not None else _INBOX
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Read what the client has sent."""
+        """Handle the bytes that were read."""
         if self._is_ending:
             self._discarded_bytes += nbytes
             if self._discarded_bytes > self._max_discarded_bytes:
@@ -100,23 +103,23 @@
             self._stalled_since is not None
             and self._context.net.now_s() > self._phase_began_at + FIRST_TURNS_S
         ):
-            self._stalled_since = None  # there was nothing to read when it was accepted
+            self._stalled_since = None  # nothing was waiting to be read when the connection was accepted
         self._parser.feed(_INBOX[:nbytes])
         if self._upload is not None:
             self._upload_timing.received(self._context.net.now_s())
             self._read_upload(self._upload)
         else:
             self._read_requests()
-        # Guards against a client that sends ahead without end.
+        # Guards against a client that pipelines requests without limit.
         if len(self._parser.buffer) > MAX_PIPELINED_BYTES:
             self._pause_reading()
 
     def pause_writing(self) -> None:
-        """Note that the client does not read as fast as responses are written."""
+        """Record that the client reads more slowly than responses are written."""
         self._is_write_paused = True
 
     def resume_writing(self) -> None:
-        """Go on once all is written."""
+        """Continue once the write buffer is empty."""
         self._is_write_paused = False
         self._count_unsent()
         if self._response_source is not None:
@@ -126,13 +129,13 @@
         self._context.net.loop.call_soon(self._read_requests)
 
     def eof_received(self) -> bool:
-        """Cancel: the client has disconnected, and what it sent before is dropped."""
+        """Cancel the operation: the client has disconnected; its pipelined requests are dropped."""
         self._cancel()
         self._is_ending = True
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the clients, whoever ended the connection."""
+        """Remove this client, whichever side has closed the connection."""
         self._cancel()
         self._is_ending = True
         self._transport = None
@@ -168,7 +171,7 @@
             self._write(200 if context.is_ready() else 503)
             return
         if request.is_streamed:
-            self._keep_alive = False  # until its body is complete: an error leaves the rest of it unread
+            self._keep_alive = False  # until the body is complete: after an error the rest of it is unread
         operation = read_operation(request, context.classes)
         operation.room = not self._is_rejected
         operation.wait_ms -= max(context.sweep_timer.stalled_s(), self._first_request_stalled_s()) * 1000
@@ -180,7 +183,7 @@
             context.submit(self._operation, self, operation)
 
     def _first_request_stalled_s(self) -> float:
-        """Return how long a request may have waited on a connection that was accepted after a stall."""
+        """Return how long the first request may have waited unread; 0 unless it arrived during a stall."""
         since = self._stalled_since
         self._stalled_since = None
         return self._context.net.now_s() - since if since is not None else 0.0
@@ -192,7 +195,7 @@
     def _reject(self, error: http1.RemoteProtocolError) -> None:
         self._context.counters.add(f"rejected_{error.status}")
         self._context.log.note("bad request", f"{error.status}: {error}")
-        # What was read to its end leaves the connection usable, what was not doesn't.
+        # The connection stays usable only if the request was read to its end.
         self._keep_alive = self._keep_alive and error.status in (404, 405)
         self._write(error.status, list(error.headers.items()), f"{error}\n".encode())
 
@@ -218,7 +221,7 @@
         if data:
             upload.push(data)
         if self._upload is not upload:
-            return  # its response came meanwhile
+            return  # the response has come in the meantime
         if is_last:
             self._upload = None
             self._keep_alive = self._parser.keep_alive
@@ -231,13 +234,13 @@
             self._pause_reading()
 
     def _resume_upload(self) -> None:
-        """Read on: whoever sends the body on takes more of it."""
+        """Resume reading: the upload accepts more of the body."""
         if self._upload is not None and self._is_read_paused and self._transport is not None:
             self._upload_timing.resumed(self._context.net.now_s())
             self._resume_reading()
 
     def _abort_upload(self, error: http1.RemoteProtocolError) -> None:
-        """Give up a streamed body: nobody has had its last byte, so nothing runs."""
+        """Reject a streamed body that is malformed or late: no node has its last byte, so nothing runs."""
         self._cancel()
         self._keep_alive = False
         self._reject(error)
@@ -246,8 +249,8 @@
         upload = self._upload
         self._upload = None
         if upload is not None:
-            # Guards against a reset that overtakes the response to a client that is still sending: it sends
-            # on for a while, and reads then. A body that is too long was refused by its head.
+            # Guards against a reset that destroys the response to a client that is still sending: it may send
+            # the rest of the body before it reads. A body that is too long has been rejected by its head.
             self._max_discarded_bytes = MOST_BODY
             self._linger_s = UPLOAD_LINGER_S
             upload.close()
@@ -257,7 +260,7 @@
     # Responses.
 
     def answer(self, verdict: Verdict, answer: Answer | None, retry_after_ms: float) -> None:
-        """Write the one final response to the present operation."""
+        """Write the final response to the present operation."""
         self._operation = None
         self._drop_upload()
         body = b""
@@ -274,7 +277,7 @@
             self._context.net.loop.call_soon(self._read_requests)
 
     def begin(self, answer: Answer, source: Attempt) -> None:
-        """Begin the one final response, a streamed one: its data come from `source`."""
+        """Begin the final response as a stream whose data come from `source`."""
         self._response_source = source
         self._is_response_chunked = answer.length is None and not self._parser.is_http10
         headers = [("Content-Type", answer.content_type)] if answer.content_type is not None else []
@@ -283,7 +286,7 @@
         elif self._is_response_chunked:
             headers.append(http1.CHUNKED)
         else:
-            self._keep_alive = False  # its end is the connection's
+            self._keep_alive = False  # the end of the connection marks the end of the body
         self._keep_alive = self._keep_alive and not self._closes_after_response
         headers.extend(self._connection_header(keep_alive=self._keep_alive))
         self._phase_began_at = self._context.net.now_s()
@@ -291,7 +294,7 @@
             self._transport.write(http1.write_head("HTTP/1.1 200 OK", headers))
 
     def more(self, data: bytes) -> None:
-        """Write more of the streamed response; pause its source while the client doesn't read."""
+        """Write a chunk of the streamed response; pause its source while the client doesn't read."""
         if self._transport is None or self._transport.is_closing():
             return
         self._phase_began_at = self._context.net.now_s()
@@ -301,7 +304,7 @@
             self._response_source.pause()
 
     def finish(self, complete: bool) -> None:
-        """End the streamed response; where it is not complete, with a reset that the client can tell."""
+        """End the streamed response; with a reset if it is incomplete, so that the client can detect it."""
         self._operation = None
         self._response_source = None
         if self._transport is None or self._transport.is_closing():
@@ -331,36 +334,36 @@
     def _connection_header(self, *, keep_alive: bool) -> tuple[tuple[str, str], ...]:
         if not keep_alive:
             return (("Connection", "close"),)
-        # A client of HTTP/1.0 that asked to keep its connection expects a confirmation.
+        # An HTTP/1.0 client that requested keep-alive expects a confirmation.
         return (("Connection", "keep-alive"),) if self._parser.is_http10 else ()
 
     @property
     def _closes_after_response(self) -> bool:
-        # A request that has begun to come in has been taken, or will be soon.
+        # A request that has begun to arrive is still served on this connection.
         return (self._context.closes_after_response or self._is_rejected) and not self._parser.is_mid_message
 
     def _count_unsent(self) -> None:
-        """Update the budget with the response bytes that are unsent."""
+        """Update the budget with the number of response bytes that are unsent."""
         unsent = self._transport.get_write_buffer_size() if self._transport is not None else 0
         self._context.budget.take(unsent - self._unsent_bytes)
         self._unsent_bytes = unsent
 
-    # The end, and time-outs.
+    # Closing, and time-outs.
 
     @property
     def phase_began_at(self) -> float:
-        """When it went idle, or when it connected if it has carried nothing yet; monotonic seconds."""
+        """When the connection went idle, or was opened if it has carried no request; monotonic seconds."""
         return self._phase_began_at
 
     @property
     def _is_rejected(self) -> bool:
-        """Whether there was no capacity for this client when it connected, and there still is none."""
+        """Whether there were too many clients when this one connected, and there still are."""
         return self._is_excess and self._context.clients.is_overfull
 
     def may_close_idle(self, fresh_until: float) -> bool:
-        """Return whether it is between two requests, or before its first and connected by `fresh_until`."""
-        # Guards against losing a request: it may wait unread, or be on its way on a connection just accepted,
-        # and its client sends it again only if it had used the connection before.
+        """Return whether it is between two requests, or has had none and connected before `fresh_until`."""
+        # Guards against losing a request: it may be unread, or on its way on a connection just accepted. A
+        # client resends it only if it has used the connection before.
         return (
             self._has_nothing_in_flight
             and not self._parser.is_mid_message
@@ -369,11 +372,11 @@
         )
 
     def may_close_ending(self) -> bool:
-        """Return whether its last response is with the system, and no unread byte would reset it away."""
+        """Return whether the last response has been written, and no unread bytes would cause a reset."""
         return self._is_ending and not self._is_write_paused and self._is_quiet
 
     def may_close_unused(self) -> bool:
-        """Return whether it has brought no complete request yet, though all it sent is read."""
+        """Return whether it has carried no complete request, though all received bytes have been read."""
         return self._has_nothing_in_flight and not self._has_been_used and self._is_quiet
 
     @property
@@ -388,7 +391,7 @@
 
     @property
     def _is_quiet(self) -> bool:
-        # While reading is paused, nobody knows what waits.
+        # While reading is paused there may be unread bytes.
         return (
             not self._is_read_paused
             and self._transport is not None
@@ -396,7 +399,7 @@
         )
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has disconnected, read or not; its operation is cancelled soon then."""
+        """Return whether the client has disconnected, even if its end is still unread; if so, cancel soon."""
         if self._transport is None:
             return True
         if not self._context.net.has_peer_closed(self._transport):
@@ -407,11 +410,11 @@
     def check(self, now: float) -> None:
         """Enforce the time-outs, and close idle connections during a shutdown."""
         if self._is_read_paused and self.has_disconnected():
-            return  # reading would not show its end
+            return  # while reading is paused, asyncio doesn't report the disconnect
         if self._is_write_paused and self._transport is not None:
             unsent = self._transport.get_write_buffer_size()
             if unsent != self._unsent_bytes:
-                self._phase_began_at = now  # the client reads, however slowly
+                self._phase_began_at = now  # the client has read something
                 self._count_unsent()
         if self._upload is not None:
             if self._is_request_slow(now):
@@ -430,7 +433,7 @@
             if self._is_request_slow(now):
                 self._keep_alive = False
                 self._reject(http1.RemoteProtocolError(408, "the request did not come whole"))
-        # Guards against silent connections: by the hundred they would leave no capacity for others.
+        # Guards against silent connections: hundreds of them would leave no capacity for other clients.
         elif (
             self._context.is_closing
             or not self._context.keeps_idle
@@ -439,7 +442,7 @@
             self.close()
 
     def _is_request_slow(self, now: float) -> bool:
-        """Return whether a request takes longer to come in than it may."""
+        """Return whether the present request takes longer to arrive than allowed."""
         elapsed_s = now - self._phase_began_at
         if self._upload is None:
             if self._context.is_closing:
@@ -461,17 +464,17 @@
             self._transport.resume_reading()
 
     def _end(self) -> None:
-        """Close once all is written and read: bytes left unread would reset the response away."""
+        """Close once all is written and read: unread bytes would cause a reset that destroys the response."""
         self._is_ending = True
         self._context.clients.set_ending(self)
         if self._transport is not None and not self._transport.is_closing():
             self._resume_reading()
-            # Guards against a client that has reset the connection meanwhile.
+            # Guards against a client that has reset the connection in the meantime.
             with contextlib.suppress(OSError):
                 self._transport.write_eof()
 
     def _cancel(self) -> None:
-        """Drop the present operation: nobody waits for its response."""
+        """Cancel the present operation: its client has gone."""
         operation = self._operation
         self._operation = None
         self._response_source = None
--- a/coveport/sidecar/downstream/context.py
+++ b/coveport/sidecar/downstream/context.py
@@ -1,4 +1,4 @@
-"""What all client connections of a listener share."""
+"""The state and callbacks that all client connections of a listener share."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 from coveport.sidecar.telemetry.log import Log
 
 RequestClasses = dict[str, tuple[int, balancing.Effect]]
-"""The number and effect of each class of requests by its name, which is the first part of the path."""
+"""The number and effect of each request class by its name, which is the first part of the path."""
 
 
 @dataclass(slots=True)
 class DownstreamContext:
-    """What all client connections of a listener share.
+    """The state and callbacks that all client connections of a listener share.
 
-    `submit` takes an operation with its number; `cancel` tells that its client has disconnected;
-    `on_upload_complete` that its streamed body is complete, and how many milliseconds it waited unread.
+    `submit` is called with an operation and its number, `cancel` with the number when the client has
+    disconnected, and `on_upload_complete` with the number when the streamed body is complete, and with the
+    milliseconds for which its last bytes may have waited unread.
     """
 
     net: Net
@@ -39,16 +40,16 @@
     cancel: Callable[[int], None]
     on_upload_complete: Callable[[int, float], None]
     is_closing: bool = False  # the graceful shutdown has begun
-    is_draining: bool = False  # drained by an operator: connections close after their response
-    keeps_idle: bool = True  # idle connections stay open
+    is_draining: bool = False  # an operator drains this instance: connections close after their response
+    keeps_idle: bool = True  # whether idle connections stay open
     _last_operation: int = 0
 
     @property
     def closes_after_response(self) -> bool:
-        """Whether connections close after their present response."""
+        """Whether connections are closed after the present response."""
         return self.is_closing or self.is_draining
 
     def next_operation_number(self) -> int:
-        """Return a number that no operation had yet."""
+        """Return the next unused operation number."""
         self._last_operation += 1
         return self._last_operation
--- a/coveport/sidecar/downstream/listener.py
+++ b/coveport/sidecar/downstream/listener.py
@@ -1,4 +1,4 @@
-"""The listener: accepts clients, drains, and ends their connections at a graceful shutdown."""
+"""The listener: accepts clients, drains them, and closes their connections at a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Listener:
-    """Accepts clients and holds their connections; the callbacks are those of `DownstreamContext`."""
+    """Accepts clients and owns their connections; the callbacks are those of `DownstreamContext`."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self.context.classes = _by_name(classes)
 
     async def open(self, address: Address) -> int:
-        """Listen and return the port that was bound; OSError where that can't be."""
+        """Listen and return the port that was bound; OSError where that fails."""
         self._server = await self._net.listen(
             lambda: ClientConnection(self.context),
             address,
@@ -76,9 +76,10 @@
         return self._server.port
 
     def drain(self, *, on: bool) -> None:
-        """Drain, or serve normally again: each request is served either way, but its connection is not kept.
+        """Drain, or serve normally again; `on`: whether to drain.
 
-        Idle connections are closed once new ones have stopped coming.
+        While draining, each request is served, and its connection is closed after the response. Idle
+        connections are closed after a delay, in which load balancers stop opening new ones.
         """
         if self._drain_timer is not None:
             self._drain_timer.cancel()
@@ -93,23 +94,24 @@
         self._check_all()
 
     async def shut_down(self) -> None:
-        """Accept no new connections; close the idle ones now, and each other one after its response."""
+        """Stop accepting; close idle connections now, and each other connection after its response."""
         if self._server is not None:
-            # Guards against losing what the system has accepted: connections may still wait to be taken in.
+            # Guards against losing connections that the system has accepted, but this process has not.
             end = self._net.now_s() + ACCEPT_PENDING_S
             await self._wait_for_accepts(self._server, end)
             self._server.close()
-            await self._wait_for_accepts(self._server, end)  # these are not among the clients yet
+            # Connections that were accepted last are not yet in `clients`.
+            await self._wait_for_accepts(self._server, end)
         self.context.is_closing = True
         self._check_all()
 
     async def _wait_for_accepts(self, server: Listening, end: float) -> None:
-        # The state is the system's, which signals no change of it: there is no event to wait for.
+        # The system doesn't signal when the accept queue is empty, so there is no event to wait for.
         while not server.is_quiet and self._net.now_s() < end:  # noqa: ASYNC110
             await asyncio.sleep(0.001)
 
     def close(self) -> None:
-        """Close all connections that are left."""
+        """Close all remaining connections."""
         self.context.sweep_timer.cancel()
         for client in self.clients:
             client.close()
@@ -117,7 +119,7 @@
     def _sweep(self) -> bool:
         """Check all clients; return whether there are any."""
         self._check_all()
-        self.clients.trim_idle()  # here too: where all that clients may hold is idle, no request triggers it
+        self.clients.trim_idle()  # also here: if all client connections are idle, no request triggers it
         return len(self.clients) > 0
 
     def _check_all(self) -> None:
--- a/coveport/sidecar/downstream/operation_client.py
+++ b/coveport/sidecar/downstream/operation_client.py
@@ -1,4 +1,4 @@
-"""Who has submitted an operation and waits for its response: the client side of any protocol."""
+"""The interface to the client of an operation, for any protocol."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class OperationClient(Protocol):
-    """Submitted an operation and waits for its one final response, complete or streamed."""
+    """The client that has submitted an operation and gets its final response, complete or streamed."""
 
     def begin(self, answer: Answer, source: Attempt) -> None:
         """Begin a streamed response, whose data come from `source`."""
@@ -19,10 +19,10 @@
         """Forward a chunk of the streamed response."""
 
     def finish(self, complete: bool) -> None:
-        """End a streamed response; the client must be able to tell one that is not complete."""
+        """End a streamed response; the client must be able to detect an incomplete one."""
 
     def answer(self, verdict: Verdict, answer: Answer | None, retry_after_ms: float) -> None:
-        """Give the complete response."""
+        """Send the complete response."""
 
     def has_disconnected(self) -> bool:
-        """Return whether it has disconnected, read or not; its operation is cancelled soon then."""
+        """Return whether the client has disconnected; if so, its operation is cancelled soon."""
--- a/coveport/sidecar/downstream/sweep_timer.py
+++ b/coveport/sidecar/downstream/sweep_timer.py
@@ -1,4 +1,4 @@
-"""A periodic sweep whose lateness shows that the process had no CPU."""
+"""A periodic sweep, whose delay shows that the process had no CPU."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class SweepTimer:
-    """Calls `sweep` every SWEEP_S for as long as it returns True, and measures stalls of the process.
+    """Calls `sweep` every SWEEP_S as long as it returns True, and measures stalls of the process.
 
-    `accepts_pending` returns whether connections still wait to be accepted: they came during a stall, too.
+    `accepts_pending` returns whether connections wait to be accepted; after a stall they may date from it.
     """
 
     def __init__(
@@ -26,31 +26,31 @@
         self._accepts_pending = accepts_pending
         self._timer: asyncio.TimerHandle | None = None
         self._scheduled_at = inf
-        self._awake_at = inf  # when the process was last seen on time
+        self._last_on_time_at = inf  # when the process was last seen to run on time
         self._stall_noticed_at = 0.0
-        self.stalled_since: float | None = None  # set while what came during a stall is being read
+        self.stalled_since: float | None = None  # set while requests that arrived during a stall are read
 
     def start(self) -> None:
-        """Begin to sweep, if it doesn't yet."""
+        """Start sweeping, if the timer is not running."""
         if self._timer is None:
             self._schedule()
 
     def cancel(self) -> None:
-        """Sweep no more."""
+        """Stop sweeping."""
         if self._timer is not None:
             self._timer.cancel()
 
     def stalled_s(self) -> float:
-        """Return for how many seconds what is read in this turn may have waited: 0 but after a stall."""
-        # Guards against a deadline that starts when its request is read: after seconds without CPU the client
-        # has long stopped waiting. A late sweep shows it, and all that is readable then came before the
-        # loop's next turn.
+        """Return how long the bytes read in this iteration may have waited, in seconds; 0 without a stall."""
+        # Guards against a deadline that counts from when the request is read: after seconds without CPU its
+        # client may have stopped waiting. A late sweep reveals the stall, and all that can be read before the
+        # next iteration of the event loop may have arrived during it.
         now = self._net.now_s()
         if self.stalled_since is None:
             if now - self._scheduled_at <= SWEEP_LATE_S:
-                self._awake_at = now
+                self._last_on_time_at = now
                 return 0.0
-            self.stalled_since = min(self._awake_at, self._scheduled_at)
+            self.stalled_since = min(self._last_on_time_at, self._scheduled_at)
             self._stall_noticed_at = now
             self._counters.add("stalls")
             self._net.loop.call_soon(self._end_stall)
@@ -58,10 +58,10 @@
 
     def _end_stall(self) -> None:
         if self._accepts_pending() and self._net.now_s() < self._stall_noticed_at + CATCH_UP_S:
-            self._net.loop.call_soon(self._end_stall)  # a few connections are accepted in each turn
+            self._net.loop.call_soon(self._end_stall)  # each iteration accepts only a few connections
             return
         self.stalled_since = None
-        self._awake_at = self._net.now_s()
+        self._last_on_time_at = self._net.now_s()
         if self._timer is not None:
             self._timer.cancel()
             self._schedule()
--- a/coveport/sidecar/upstream/attempt.py
+++ b/coveport/sidecar/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of an operation at one destination, from its connection to its end, whatever the protocol."""
+"""One attempt of an operation at one destination, from the connect to its end, for any protocol."""
 
 from __future__ import annotations
 
@@ -13,55 +13,55 @@
 from coveport.sidecar.reducer.operation import Answer, Operation
 from coveport.sidecar.telemetry.counters import Counters
 
-STALL_TIMEOUT_S = 20.0  # how long a long body may make no progress while the destination is waited for
-LOOP_TURNS_S = 0.01  # a few turns of the loop: enough to see what has arrived already
+STALL_TIMEOUT_S = 20.0  # time-out without progress of a streamed body, while the destination causes the delay
+LOOP_TURNS_S = 0.01  # a few iterations of the event loop: enough to handle all pending events
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended, and its answer where a complete one was received."""
+    """The outcome of an attempt, and its answer if a complete one was received."""
 
     outcome: Outcome
     answer: Answer | None = None
-    load: tuple[float, ...] = ()  # the load report that came along, in the order of the settings
+    load: tuple[float, ...] = ()  # the load report of the response, in the order of the settings' fields
 
 
 Done = Callable[[AttemptResult], None]
 
 
 class Sink(Protocol):
-    """Receives the body of a long answer."""
+    """Receives the body of a streamed answer."""
 
     def more(self, data: bytes) -> None:
-        """Forward a chunk; pause the source where no more can be taken for now."""
+        """Forward a chunk; pause the source while no more can be accepted."""
 
 
 Began = Callable[["Attempt", Answer], Sink | None]
-"""Called where a long answer begins; None where nobody wants it. The attempt can be paused and resumed."""
+"""Called with the attempt, which can be paused, when a streamed answer begins; None: it has no receiver."""
 
 
 class AttemptConnection(Protocol):
     """The connection that carries an attempt."""
 
-    number: int  # of the destination
+    number: int  # the destination's number
     endpoint: EndpointAddress
 
     def release(self, keep: bool) -> None:
-        """Go back to the pool, or close, as the attempt has ended."""
+        """Return to the pool (`keep`) or close, as the attempt has ended."""
 
     def pause(self) -> None:
-        """Stop reading a long answer for now."""
+        """Pause reading a streamed answer."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
 
     @property
     def is_waiting_for_client(self) -> bool:
-        """Whether a long body stands still because the client's side does."""
+        """Whether a streamed body makes no progress because the client sends or reads nothing."""
 
 
 class AttemptPool(Protocol):
-    """What an attempt uses of the pool that it belongs to."""
+    """The part of its pool that an attempt uses."""
 
     net: Net
     counters: Counters
@@ -74,9 +74,9 @@
 class Attempt:
     """One attempt (or health check), whose end is reported exactly once.
 
-    `operation`: None for a health check. `done`: called with the result. `began`: called where a long answer
-    begins. `sent`: called where the last byte of a long operation was handed to the connection. `fence`:
-    called right before the first byte; where it returns False nothing is sent.
+    `operation`: None for a health check. `done`: called with the result. `began`: called when a streamed
+    answer begins. `sent`: called when the last byte of an operation with an upload was written to the
+    connection. `fence`: called right before the first byte; nothing is sent if it returns False.
     """
 
     def __init__(
@@ -99,28 +99,30 @@
         self._started_s = pool.net.now_s()
         self.connection: AttemptConnection | None = None
         self._connecting: asyncio.Task[object] | None = None
-        self.sent = False  # the last byte was handed to an accepted connection: it may run from here on
+        self.sent = False  # the last byte was written to an accepted connection: the operation may run
         self.ended = False
-        self.sink: Sink | None = None  # set once a long answer has begun
-        self.long = operation is not None and operation.upload is not None  # its request body is streamed
-        self.progress_s = pool.net.now_s() if self.long else 0.0  # when bytes of a long body last moved
-        # A long operation takes its client's time until its last byte is sent.
+        self.sink: Sink | None = None  # set once a streamed answer has begun
+        # Whether the request body is streamed.
+        self.has_upload = operation is not None and operation.upload is not None
+        # When a streamed body last made progress.
+        self.progress_s = pool.net.now_s() if self.has_upload else 0.0
+        # The time-out of an operation with an upload starts when its last byte has been sent.
         self._timers = [
             pool.net.loop.call_later(STALL_TIMEOUT_S, self._check_progress)
-            if self.long
+            if self.has_upload
             else pool.net.loop.call_later(timeout_s, self._expire)
         ]
 
     def limit_connect_time(self, timeout_s: float) -> None:
-        """Fail the attempt unless a connection is up after this time."""
+        """Fail the attempt unless its connection is up after this time."""
         self._timers.append(self._pool.net.loop.call_later(timeout_s, self._connect_timed_out))
 
     def await_connection(self, connecting: asyncio.Task[object]) -> None:
-        """Cancel this task if the attempt ends before its connection is up."""
+        """Set the connect task, which is cancelled if the attempt ends before its connection is up."""
         self._connecting = connecting
 
     def _connect_timed_out(self) -> None:
-        # Guards against taking our own lag for theirs: it may be up, and be seen in a few turns.
+        # Guards against a delay of this process: the connection may be up, but the event not handled yet.
         self._timers.append(self._pool.net.loop.call_later(LOOP_TURNS_S, self._fail_connect))
 
     def _fail_connect(self) -> None:
@@ -129,31 +131,33 @@
             self.end(AttemptResult(Outcome.CONNECT_FAILED))
 
     def _expire(self) -> None:
-        # Nothing complete was sent: it can't have run, however the wait ended.
+        # Unless all bytes were sent the operation can't have run, so the outcome is a failed connect.
         self.end(AttemptResult(Outcome.TIMEOUT if self.sent else Outcome.CONNECT_FAILED))
 
     def may_start(self, connection: AttemptConnection) -> bool:
         """Return whether the attempt may still be sent; called right before the first byte."""
-        # Guards against another's process at the address of one that has gone while the connection came up.
+        # Guards against another process at the address of a destination that went away during the connect.
         return self._pool.endpoints.get(connection.number) == connection.endpoint and (
             self.fence is None or self.fence()
         )
 
     @property
     def remaining_s(self) -> float:
-        """The time left; a long operation takes its client's until its last byte has been sent."""
-        # Guards against work for nobody: a connection that took long to come up has taken of that time.
-        return self.timeout_s if self.long else self.timeout_s - (self._pool.net.now_s() - self._started_s)
+        """The remaining time in seconds; with an upload, all of it until its last byte has been sent."""
+        # Guards against work whose result nobody waits for: the time of the connect counts too.
+        return (
+            self.timeout_s if self.has_upload else self.timeout_s - (self._pool.net.now_s() - self._started_s)
+        )
 
     def mark_sent(self) -> None:
-        """Note that the last byte was handed to an accepted connection: the operation may run."""
+        """Record that the last byte was written to an accepted connection: the operation may run."""
         if self.sent:
             return
         self.sent = True
         if self.operation is None:
             return
         self._pool.counters.add("upstream_requests")
-        if self.long and not self.ended:
+        if self.has_upload and not self.ended:
             self._stop_timers()
             wait_s = min(self.timeout_s, self.operation.wait_ms / 1000)
             self._timers = [self._pool.net.loop.call_later(wait_s, self._expire)]
@@ -161,7 +165,7 @@
                 self._on_sent()
 
     def begin(self, answer: Answer) -> bool:
-        """Begin a long answer, for which only progress is timed; return False where nobody wants it."""
+        """Begin a streamed answer, which times out only without progress; False if it has no receiver."""
         self.sink = self._on_began(self, answer) if self._on_began is not None and not self.ended else None
         if self.sink is None or self.ended:
             return False
@@ -171,7 +175,7 @@
         return True
 
     def _check_progress(self) -> None:
-        """End the attempt if its long body has stalled, unless we or our client held it up."""
+        """End the attempt if its streamed body has stalled, unless this side caused the delay."""
         stalled_s = self._pool.net.now_s() - self.progress_s
         if self.connection is not None and self.connection.is_waiting_for_client:
             stalled_s = 0.0
@@ -181,12 +185,12 @@
             self._timers = [self._pool.net.loop.call_later(STALL_TIMEOUT_S - stalled_s, self._check_progress)]
 
     def pause(self) -> None:
-        """Stop reading a long answer: the client takes no more for now."""
+        """Pause reading a streamed answer: the client accepts no more for now."""
         if self.connection is not None:
             self.connection.pause()
 
     def resume(self) -> None:
-        """Read on: the client takes more."""
+        """Resume reading: the client accepts more."""
         self.progress_s = self._pool.net.now_s()
         if self.connection is not None:
             self.connection.resume()
@@ -200,26 +204,25 @@
         self.end(AttemptResult(Outcome.CANCELLED))
 
     def abandon_unsent(self) -> None:
-        """End the attempt where the fence forbade to send it; its connection is unused and kept."""
+        """End an attempt that may not be sent; its connection is unused and stays open."""
         self.end(AttemptResult(Outcome.MOOT), keep=True)
 
     def fail_connection(self) -> None:
-        """End the attempt where its connection broke before a complete answer."""
+        """End the attempt, as its connection broke before a complete answer."""
         self.end(AttemptResult(Outcome.RESET if self.sent else Outcome.CONNECT_FAILED))
 
     def fail_malformed(self) -> None:
-        """End the attempt where the answer is malformed."""
-        # Guards against trusting a malformed answer: a failed attempt that may have run.
+        """End the attempt, as the answer is malformed: the operation may have run."""
         self.end(AttemptResult(Outcome.ERROR if self.sent else Outcome.CONNECT_FAILED))
 
     def end(self, result: AttemptResult, keep: bool = False) -> None:
-        """Report the result, once; close the connection unless `keep` allows another attempt on it."""
+        """Report the result, once; `keep`: return the connection to the pool, instead of closing it."""
         if self.ended:
             return
         self.ended = True
         self._stop_timers()
         if self._connecting is not None and self.connection is None:
-            self._connecting.cancel()  # a late connection must not send for an operation that is over
+            self._connecting.cancel()  # a late connection must not send an operation that has ended
         connection = self.connection
         self.connection = None
         if connection is not None:
--- a/coveport/sidecar/upstream/connection_pool.py
+++ b/coveport/sidecar/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to ledger nodes: connect, reuse, close when idle; one attempt on each at a time."""
+"""The pool of connections to ledger nodes, each of which carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from coveport.sidecar.upstream.attempt import Attempt, AttemptResult, Began, Done
 from coveport.sidecar.upstream.protocol import Connection, Dial
 
-IDLE_SHARE = 0.8  # of the keep-alive limit after which we close: the destination must never close first
-REUSE_DELAY_S = 0.01  # before an idle connection is reused: some bring a second answer ms behind the first
-SWEEP_INTERVAL_S = 0.25  # shortest time between two searches for expired idle connections
-EVICTED_WHEN_EXHAUSTED = 16  # idle connections closed where the process has run out of descriptors
-# An attempt that never ran; that we are short of descriptors must not count against the destination.
+IDLE_SHARE = 0.8  # share of the keep-alive time after which we close: the destination must never close first
+REUSE_DELAY_S = 0.01  # delay before a reuse: some nodes send a second answer milliseconds after the first
+SWEEP_INTERVAL_S = 0.25  # minimum time between two searches for expired idle connections
+EVICTED_WHEN_EXHAUSTED = 16  # idle connections closed when the process has run out of descriptors
+# The attempt never ran; our lack of descriptors must not count as a failure of the destination.
 NO_DESCRIPTOR = Outcome.FULL
 
 
 class ConnectionPool:
-    """The connections to all destinations that the pool config names."""
+    """The connections to all destinations on the endpoint list: connects, reuses, closes when idle."""
 
     def __init__(
         self,
@@ -47,8 +47,8 @@
         self._idle_s = keepalive_ms / 1000 * IDLE_SHARE
         self._max_connections = max_connections
         self._endpoints: dict[int, EndpointAddress] = {}
-        self._idle: dict[int, list[Connection]] = {}  # by destination; the last used at the end
-        self._by_age: OrderedDict[Connection, None] = OrderedDict()  # all idle ones, oldest first
+        self._idle: dict[int, list[Connection]] = {}  # by destination; the last used connection is at the end
+        self._by_age: OrderedDict[Connection, None] = OrderedDict()  # all idle connections, oldest first
         self.connections: dict[Connection, None] = {}
         self.opening = 0
         self._sweeper: asyncio.TimerHandle | None = None  # set while any connection is idle
@@ -56,13 +56,13 @@
     def update_endpoints(
         self, changes: Iterable[tuple[int, EndpointAddress | None]], *, complete: bool
     ) -> None:
-        """Apply a list of endpoints (None: gone); `complete`: there are no others."""
+        """Apply changes of endpoints (None: removed); `complete`: all other endpoints are removed too."""
         changed = dict(changes)
         stale = [number for number in self._endpoints if complete and number not in changed]
         for number, endpoint in [*changed.items(), *((number, None) for number in stale)]:
             if self._endpoints.get(number) != endpoint:
-                # Guards against handing a connection on: one to a process that is gone is of no use, and
-                # whoever listens at its address now may be another destination.
+                # Guards against the use of connections to a process that is gone: the process that now
+                # listens at its address may be another destination.
                 for connection in list(self._idle.get(number, ())):
                     connection.drop()
             if endpoint is None:
@@ -77,7 +77,7 @@
 
     @property
     def count(self) -> int:
-        """Number of connections, those being opened included."""
+        """Number of connections, including those being opened."""
         return len(self.connections) + self.opening
 
     @property
@@ -96,7 +96,7 @@
         return self._endpoints
 
     def address(self, number: int) -> Address | None:
-        """Return the address of a destination; None where it is not known."""
+        """Return the address of a destination; None if it is unknown."""
         endpoint = self._endpoints.get(number)
         return endpoint[0] if endpoint is not None else None
 
@@ -110,19 +110,20 @@
         sent: Callable[[], None] | None = None,
         fence: Callable[[], bool] | None = None,
     ) -> Attempt:
-        """Start an attempt (None: a health check); `done` is called once, never before this returns.
+        """Start an attempt (operation None: a health check); `done` is called once, after this returns.
 
         `began`, `sent` and `fence`: see `Attempt`.
         """
         attempt = Attempt(self, operation, timeout_s, done, began, sent, fence)
         while idle := self._idle.get(number):
-            # Guards against a close right behind an answer, which a reset would show too late, and against a
-            # second answer right behind it, which would be taken for the next operation's.
+            # Guards against a close right after an answer, which would be noticed only by a reset, and
+            # against a second answer right after the first, which would be taken for the next operation's.
             now = self.net.now_s()
             connection = next(
-                (found for found in reversed(idle) if found.idle_since <= now - REUSE_DELAY_S), None
+                (candidate for candidate in reversed(idle) if candidate.idle_since <= now - REUSE_DELAY_S),
+                None,
             )
-            if connection is None:  # its delay ends sooner than another connection would be up
+            if connection is None:  # the rest of the delay is shorter than a connect
                 connection = idle[0]
                 self._take(connection)
                 delay_s = connection.idle_since + REUSE_DELAY_S - now
@@ -135,7 +136,7 @@
         return attempt
 
     def _reuse(self, connection: Connection, attempt: Attempt) -> bool:
-        """Send an attempt on an idle connection; False, and it is closed, where that is of no use."""
+        """Send an attempt on an idle connection; close the connection and return False if it is unusable."""
         if self.net.now_s() - connection.idle_since < self._idle_s and connection.is_quiet:
             self.counters.add("connections_reused")
             connection.carry(attempt)
@@ -144,7 +145,7 @@
         return False
 
     def _reuse_delayed(self, connection: Connection, attempt: Attempt) -> None:
-        """Reuse a connection that was reserved for an attempt until its delay was over."""
+        """Reuse a connection that was reserved for an attempt until its delay had passed."""
         if attempt.ended:
             if connection in self.connections:
                 self._keep(connection)
@@ -160,7 +161,7 @@
         while self.count >= self._max_connections and self._by_age:
             self._evict()
         if self.count >= self._max_connections:
-            self.log.note("descriptors", f"{self.count} connections to destinations are all busy")
+            self.log.note("descriptors", f"all {self.count} connections to destinations are in use")
             self.net.loop.call_soon(attempt.end, AttemptResult(NO_DESCRIPTOR))
         else:
             self._start_connect(number, endpoint, attempt)
@@ -175,11 +176,11 @@
     async def _connect(self, number: int, endpoint: EndpointAddress, attempt: Attempt) -> None:
         try:
             await self.dial(self, number, endpoint, attempt)
-        except OSError as problem:
+        except OSError as error:
             self.counters.add("connects_failed")
-            if self._is_exhausted(problem):
+            if self._is_exhausted(error):
                 host, port = endpoint[0]
-                self.log.note("descriptors", f"no connection to {host}:{port}: {problem}")
+                self.log.note("descriptors", f"no connection to {host}:{port}: {error}")
                 attempt.end(AttemptResult(NO_DESCRIPTOR))
             else:
                 attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
@@ -187,9 +188,9 @@
     def _connect_ended(self, _task: asyncio.Task[object]) -> None:
         self.opening -= 1
 
-    def _is_exhausted(self, problem: OSError) -> bool:
-        """Return whether we ran out of descriptors; if so, close some idle connections."""
-        if problem.errno not in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
+    def _is_exhausted(self, error: OSError) -> bool:
+        """Return whether the process ran out of descriptors; if so, close some idle connections."""
+        if error.errno not in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
             return False
         for _ in range(EVICTED_WHEN_EXHAUSTED):
             if self._by_age:
@@ -203,7 +204,7 @@
 
     def _keep(self, connection: Connection) -> None:
         if self._endpoints.get(connection.number) != connection.endpoint:
-            connection.drop()  # its process is gone meanwhile
+            connection.drop()  # the destination has moved or was removed in the meantime
             return
         self._idle.setdefault(connection.number, []).append(connection)
         self._by_age[connection] = None
--- a/coveport/sidecar/upstream/http1_connection.py
+++ b/coveport/sidecar/upstream/http1_connection.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 to ledger nodes: one connection, one attempt on it at a time."""
+"""HTTP/1.1 connections to ledger nodes, each of which carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from coveport.sidecar.upstream.http1_messages import encode_request, load_report, response_outcome
 from coveport.sidecar.upstream.protocol import Pool
 
-# One buffer for all connections: what is read is taken out of it before the next read begins.
+# Shared by all connections: the bytes are copied out before the next read.
 _INBOX = memoryview(bytearray(64 * 1024))
 
 
 class Connection(asyncio.BufferedProtocol):
     """One connection to a destination; implements `protocol.Connection`.
 
-    `fields`: the names of a load report's figures, in the settings' order. `budget`: of bytes of long bodies.
+    `fields`: the names of a load report's values, in the settings' order. `budget`: limits the bytes of
+    streamed bodies in memory.
     """
 
     def __init__(
@@ -39,10 +40,10 @@
         self._fields = fields
         self._attempt: Attempt | None = attempt
         self._parser = http1.ResponseParser(MOST_BODY, http1.MAX_BODY_BYTES)
-        self._upload: Upload | None = None  # the long body that is being sent
-        self._answer: http1.Response | None = None  # the long answer that is being forwarded
+        self._upload: Upload | None = None  # the streamed request body that is being sent
+        self._answer: http1.Response | None = None  # the streamed answer that is being forwarded
         self._read_paused = False
-        self._unsent_bytes = 0  # bytes of a long body in the write buffer, as the budget counts them
+        self._unsent_bytes = 0  # bytes of a streamed body in the write buffer, as the budget counts them
         self._transport: asyncio.Transport | None = None
         self._write_paused = False
         self.idle_since = 0.0
@@ -51,11 +52,12 @@
         """Send the attempt that the connection was opened for."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # With a limit of 0, `pause_writing` means that bytes are still ours, `resume_writing` that none are.
+        # With a limit of 0, `pause_writing` means that the write buffer holds bytes, `resume_writing` that it
+        # is empty.
         transport.set_write_buffer_limits(high=0)
         attempt = self._attempt
         self._attempt = None
-        if attempt is None or attempt.ended:  # guards against a late connect for what is over
+        if attempt is None or attempt.ended:  # guards against a late connection for an ended attempt
             transport.abort()
             return
         self._pool.add_connection(self)
@@ -71,15 +73,15 @@
         if not attempt.may_start(self):
             self._pool.net.loop.call_soon(attempt.abandon_unsent)
             return
-        if attempt.long:
-            # In the next turn: an attempt never ends before its caller has it.
-            self._pool.net.loop.call_soon(self._send_long, attempt)
+        if attempt.has_upload:
+            # In the next iteration: an attempt must not end before `send` has returned it.
+            self._pool.net.loop.call_soon(self._send_upload, attempt)
             return
         self._transport.write(encode_request(attempt, self.endpoint))
         if not self._write_paused and not self._transport.is_closing():
             attempt.mark_sent()
 
-    def _send_long(self, attempt: Attempt) -> None:
+    def _send_upload(self, attempt: Attempt) -> None:
         if (
             attempt.ended
             or self._transport is None
@@ -88,14 +90,14 @@
         ):
             return
         if not attempt.operation.upload.join(self):
-            attempt.end(AttemptResult(Outcome.MOOT), keep=True)  # its first bytes are released already
+            attempt.end(AttemptResult(Outcome.MOOT), keep=True)  # the first bytes have been released
             return
         self._upload = attempt.operation.upload
         self._transport.write(encode_request(attempt, self.endpoint))
         self.more()
 
     def more(self) -> None:
-        """Forward the chunks of a long body that have been received."""
+        """Forward the chunks of a streamed request body that have been received."""
         upload, transport, attempt = self._upload, self._transport, self._attempt
         if upload is None or transport is None or attempt is None:
             return
@@ -115,10 +117,10 @@
             attempt.mark_sent()
 
     def _update_budget(self) -> None:
-        """Tell the budget how much of a long body is unsent."""
-        left = self._transport.get_write_buffer_size() if self._transport is not None else 0
-        self._budget.take(left - self._unsent_bytes)
-        self._unsent_bytes = left
+        """Update the budget with the number of bytes of a streamed body that are unsent."""
+        unsent = self._transport.get_write_buffer_size() if self._transport is not None else 0
+        self._budget.take(unsent - self._unsent_bytes)
+        self._unsent_bytes = unsent
 
     def _leave_upload(self) -> None:
         upload = self._upload
@@ -128,27 +130,27 @@
 
     @property
     def is_waiting_for_client(self) -> bool:
-        """Whether a long body stands still because the client's side does."""
+        """Whether a streamed body makes no progress because the client sends or reads nothing."""
         return self._read_paused or (self._upload is not None and not self._write_paused)
 
     def pause(self) -> None:
-        """Stop reading for now."""
+        """Pause reading."""
         if not self._read_paused and self._transport is not None and not self._transport.is_closing():
             self._read_paused = True
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         if self._read_paused and self._transport is not None and not self._transport.is_closing():
             self._read_paused = False
             self._transport.resume_reading()
 
     def pause_writing(self) -> None:
-        """Note that bytes are still ours: the transport could not write all."""
+        """Record that the transport could not write all bytes."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
-        """Go on: the transport has written all it had."""
+        """Continue, as the transport has written all bytes."""
         self._write_paused = False
         if self._upload is not None:
             self._update_budget()
@@ -161,9 +163,9 @@
         return _INBOX[: self._budget.read_most()] if self._answer is not None else _INBOX
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Parse what was read of the answer."""
+        """Parse the bytes of the answer that were read."""
         attempt = self._attempt
-        if attempt is None:  # guards against stray bytes: nobody knows what they would answer
+        if attempt is None:  # guards against stray bytes, which belong to no attempt
             self.drop()
             return
         try:
@@ -172,27 +174,27 @@
                 self._forward(attempt, self._answer)
                 return
             response = self._parser.next_response()
-        except http1.RemoteProtocolError as problem:
-            self._fail_malformed(attempt, problem)
+        except http1.RemoteProtocolError as error:
+            self._fail_malformed(attempt, error)
             return
         if response is not None and response.is_streamed:
             self._begin_answer(attempt, response)
         elif response is not None:
             if response.status == 200 and not attempt.sent:
-                # Guards against what can't have been made for an operation that nobody has whole yet.
+                # Guards against a success for an operation that the node has not received completely.
                 attempt.fail_malformed()
                 return
             keep = response.keep_alive and attempt.sent and not self._parser.is_mid_message
             attempt.end(self._result(response), keep)
 
     def _begin_answer(self, attempt: Attempt, response: http1.Response) -> None:
-        """Begin a long answer, whose head was received."""
+        """Begin a streamed answer, whose head was received."""
         outcome = response_outcome(response)
         content_types = response.headers.get("content-type")
         if outcome is not Outcome.OK or not attempt.sent:
             attempt.end(
                 AttemptResult(outcome if attempt.sent else Outcome.CONNECT_FAILED)
-            )  # nobody reads its body
+            )  # the body is not read
             return
         self._answer = response
         if not attempt.begin(
@@ -202,23 +204,23 @@
             return
         try:
             self._forward(attempt, response)
-        except http1.RemoteProtocolError as problem:
-            self._fail_malformed(attempt, problem)
+        except http1.RemoteProtocolError as error:
+            self._fail_malformed(attempt, error)
 
     def _forward(self, attempt: Attempt, response: http1.Response) -> None:
-        data, over = self._parser.next_data()
+        data, is_last = self._parser.next_data()
         attempt.progress_s = self._pool.net.now_s()
         if data and attempt.sink is not None:
             attempt.sink.more(data)
-        if over:
+        if is_last:
             self._finish(attempt, response, keep=response.keep_alive and not self._parser.is_mid_message)
 
     def _finish(self, attempt: Attempt, response: http1.Response, *, keep: bool) -> None:
         self._answer = None
         attempt.end(AttemptResult(Outcome.OK, None, load_report(response, self._fields)), keep)
 
-    def _fail_malformed(self, attempt: Attempt, problem: http1.RemoteProtocolError) -> None:
-        self._pool.log.note("garbled answer", "{}:{}: {}".format(*self.endpoint[0], problem))
+    def _fail_malformed(self, attempt: Attempt, error: http1.RemoteProtocolError) -> None:
+        self._pool.log.note("garbled answer", "{}:{}: {}".format(*self.endpoint[0], error))
         self._pool.counters.add("answers_garbled")
         attempt.fail_malformed()
 
@@ -231,7 +233,7 @@
         )
 
     def eof_received(self) -> bool:
-        """Handle the destination's end of stream, which completes an answer without a length."""
+        """Handle the end of stream, which completes an answer without a length."""
         attempt = self._attempt
         if attempt is not None:
             response = self._parser.receive_eof()
@@ -245,7 +247,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Handle the end of the connection, whoever closed it."""
+        """Handle the end of the connection, whichever side has closed it."""
         self._transport = None
         self._update_budget()
         self._pool.forget(self)
@@ -253,7 +255,7 @@
             self._attempt.fail_connection()
 
     def release(self, keep: bool) -> None:
-        """Go back to the pool, or close, as the attempt has ended."""
+        """Return to the pool (`keep`) or close, as the attempt has ended."""
         self._attempt = None
         self._answer = None
         self._leave_upload()
@@ -268,22 +270,23 @@
         """Close at once."""
         self._pool.forget(self)
         if self._transport is not None:
-            # Guards against a resend that overtakes the close: abort alone closes in the loop's next turn,
-            # and until then the attempt given up would count as still out beside its successor.
+            # Guards against a retry that reaches a node before this close: abort alone closes in the next
+            # iteration of the event loop, and until then the cancelled attempt would count as in flight.
             self._pool.net.shut_down(self._transport)
             self._transport.abort()
 
     @property
     def is_quiet(self) -> bool:
-        """Whether nothing has come since the last answer: neither an end nor stray bytes."""
-        # Guards against a connection that has just been closed: a reset would cost the operation.
+        """Whether nothing has arrived since the last answer: neither an end of stream nor stray bytes."""
+        # Guards against a connection that has just been closed: the operation would fail by a reset.
         return self._transport is not None and self._pool.net.is_quiet(self._transport)
 
 
 class Dialer:
     """Opens connections by HTTP/1.1 over TCP; see `coveport.sidecar.upstream.protocol.Dial`.
 
-    `fields`: the names of a load report's figures, in the settings' order. `budget`: of bytes of long bodies.
+    `fields`: the names of a load report's values, in the settings' order. `budget`: limits the bytes of
+    streamed bodies in memory.
     """
 
     def __init__(self, fields: tuple[str, ...], budget: Budget) -> None:
@@ -291,7 +294,7 @@
         self._budget = budget
 
     async def __call__(self, pool: Pool, number: int, endpoint: EndpointAddress, attempt: Attempt) -> None:
-        """Connect; the connection that comes up sends the attempt."""
+        """Connect; the new connection sends the attempt."""
         await pool.net.dial(
             lambda: Connection(pool, number, endpoint, attempt, self._fields, self._budget), endpoint[0]
         )
--- a/coveport/sidecar/upstream/http1_messages.py
+++ b/coveport/sidecar/upstream/http1_messages.py
@@ -18,7 +18,7 @@
         return Outcome.OK
     if response.status in (503, 504) and response.headers.get("x-not-run") == ["1"]:
         return Outcome.FULL
-    return Outcome.ERROR  # the safe reading of every other status: it may have run
+    return Outcome.ERROR  # with any other status the operation may have run
 
 
 def load_report(response: http1.Response, fields: tuple[str, ...]) -> tuple[float, ...]:
@@ -49,7 +49,7 @@
         headers.append(("Idempotency-Key", operation.key))
     headers.extend(("content-type", value) for value in operation.content_type)
     headers.extend(("accept", value) for value in operation.accept)
-    if operation.upload is not None:  # its body follows
+    if operation.upload is not None:  # the body follows
         length = operation.upload.length
         headers.append(http1.CHUNKED if length is None else ("Content-Length", str(length)))
         return http1.write_head(f"{operation.method} {operation.target} HTTP/1.1", headers)
--- a/coveport/sidecar/upstream/protocol.py
+++ b/coveport/sidecar/upstream/protocol.py
@@ -1,4 +1,4 @@
-"""Interfaces between the connection pool and the protocol that it speaks upstream."""
+"""Interfaces between the connection pool and an upstream protocol."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 
 
 class Connection(AttemptConnection, Protocol):
-    """One connection to a destination (or a stream of one) that carries one attempt at a time."""
+    """One connection to a destination, or a stream of a connection; it carries one attempt at a time."""
 
-    idle_since: float  # when it was put back, in the loop's seconds
+    idle_since: float  # when it returned to the pool, in seconds of the event loop's clock
 
     def carry(self, attempt: Attempt) -> None:
-        """Send an attempt, call its `mark_sent` once the last byte has left us, and end it once."""
+        """Send an attempt, call its `mark_sent` once the last byte was written, and end it once."""
 
     def drop(self) -> None:
-        """Close at once: the destination must see the end before anything sent elsewhere later."""
+        """Close at once: the destination must see the close before a retry reaches another one."""
 
     @property
     def is_quiet(self) -> bool:
-        """Whether nothing has come since the last answer: neither an end nor stray bytes."""
+        """Whether nothing has arrived since the last answer: neither an end of stream nor stray bytes."""
 
 
 class Pool(AttemptPool, Protocol):
-    """What a connection uses of the pool that it belongs to."""
+    """The part of its pool that a connection uses."""
 
     net: Net
     counters: Counters
     log: Log
 
     def add_connection(self, connection: Connection) -> None:
-        """Register a connection that has come up."""
+        """Add a new connection."""
 
     def put_idle(self, connection: Connection) -> None:
         """Keep a connection for its next attempt."""
 
     def forget(self, connection: Connection) -> None:
-        """Remove a connection that is no longer of use."""
+        """Remove a connection that is closed."""
 
 
 Dial = Callable[[Pool, int, EndpointAddress, Attempt], Awaitable[None]]
--- a/tests/sidecar/discovery/test_endpoint_source.py
+++ b/tests/sidecar/discovery/test_endpoint_source.py
@@ -118,9 +118,9 @@
 )
 def test_figures_too_large_are_garbled_and_said_in_one_line(changes: dict[str, object]) -> None:
     # Seen in fuzzing: an OverflowError went past all who expect a ValueError.
-    with pytest.raises(ValueError, match="figure") as problem:
+    with pytest.raises(ValueError, match="not a valid number") as error:
         EndpointReader(()).read(told(1, listed() | changes))
-    assert "\n" not in str(problem.value)
+    assert "\n" not in str(error.value)
 
 
 def test_a_port_of_more_digits_than_python_converts_is_garbled() -> None:
