--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -294,14 +294,14 @@
 
     def _read(self, running: configuration.Config) -> configuration.Config:
         if self._rollout_settings is None:
-            return configuration.load(os.environ, again=True, running=running)
+            return configuration.load(os.environ, is_reload=True, running=running)
         try:
             platform = json.loads(self._operator_file.platform.read_text(encoding="utf-8"))
             platform["settings"] = json.loads(self._rollout_settings)
         except (OSError, ValueError, TypeError) as error:
             raise PlatformFileError(f"roll-out: {error}") from error
         return configuration.read(
-            json.dumps(platform), os.environ, again=True, running=running, where="roll-out"
+            json.dumps(platform), os.environ, is_reload=True, running=running, where="roll-out"
         )
 
     # This instance's status.
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -123,11 +123,11 @@
             counters.register_class(request_class.name)
 
     def load_known_endpoints(self) -> None:
-        """Start from the configuration's endpoint list, the last one that the sidecar had."""
-        if self._config.known is None:
+        """Start from the list in the configuration, which the sidecar had last."""
+        if self._config.known_endpoints is None:
             return
         try:
-            update = self._reader.read(self._config.known, balancing.EndpointUpdateKind.CACHED)
+            update = self._reader.read(self._config.known_endpoints, balancing.EndpointUpdateKind.CACHED)
         except DiscoveryResponseError as error:
             self._log.note("endpoint list", f"the known list is garbled: {error}")
             return
@@ -451,9 +451,9 @@
 
         `started_at_ms`: when its connection was requested. `fence_check`: the recorder's own check.
         """
-        # Guards against an attempt for a client that has disconnected: its end of stream may be unread behind
-        # pipelined requests or since a stall of this process, or read and not reported yet.
-        if opened.client is None or opened.client.left():
+        # Guards against beginning anything for a client that has gone: its end may stand below, unread,
+        # behind what it sent ahead or behind a stall of ours, or be read and not reported yet.
+        if opened.client is None or opened.client.has_disconnected():
             return False
         # Guards against a stall between the decision and the connection: a retry would be sent after its
         # window, or an attempt to a destination that began to drain long ago.
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -218,7 +218,7 @@
         Net(asyncio.get_running_loop()),
         log,
         on_phase=freeze_when_serving,
-        reload_config=lambda running: configuration.load(os.environ, again=True, running=running),
+        reload_config=lambda running: configuration.load(os.environ, is_reload=True, running=running),
     )
 
 
--- a/tests/sidecar/test_effects.py
+++ b/tests/sidecar/test_effects.py
@@ -23,14 +23,14 @@
 
 
 class _Client:
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         return False
 
 
 class _Connection:
     """An idle connection to a destination; it records the operations that it may send."""
 
-    quiet, waits = True, False
+    is_quiet, is_waiting_for_client = True, False
 
     def __init__(self, number: int, endpoint: Any, sent: list[str]) -> None:
         self.number = number
