--- a/coveport/sidecar/config/lease_terms.py
+++ b/coveport/sidecar/config/lease_terms.py
@@ -26,15 +26,15 @@
         """Raise LeaseTermsError where a renewal that gets lost would let the lease lapse."""
         if not (self.ttl_s > 0 and self.margin_s > 0 and 0 <= self.drift < 1):
             raise LeaseTermsError("ttl and margin must be positive, drift at least 0 and under 1")
-        if self.believed_s - self.margin_s <= MIN_BELIEVED_RENEWALS * self.renew_s:
+        if self.validity_s - self.margin_s <= MIN_BELIEVED_RENEWALS * self.renew_s:
             raise LeaseTermsError(
                 f"ttl {self.ttl_s:g} s leaves no room for a renewal that gets lost: with drift "
-                f"{self.drift:g} {self.believed_s:g} s of it are believed in, the last "
+                f"{self.drift:g} {self.validity_s:g} s of it are believed in, the last "
                 f"{self.margin_s:g} s begin nothing, a renewal comes every {self.renew_s:g} s"
             )
 
     @property
-    def believed_s(self) -> float:
+    def validity_s(self) -> float:
         """How long the holder believes in its session, counted from when it sent the renewal."""
         return self.ttl_s / (1 + self.drift) - self.margin_s
 
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -167,7 +167,7 @@
         counters.gauge(
             "duties_held",
             lambda: sum(
-                bool(self.lease_client.lease_state.believed_token(boot_s(), name)) for name in self._wished
+                bool(self.lease_client.lease_state.valid_token(boot_s(), name)) for name in self._wished
             ),
         )
         counters.gauge("store_calls", lambda: sum(self.lease_client.call_counts.values()))
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -237,7 +237,7 @@
             case LogEvent(event, detail):
                 self._history(event, detail=detail)
             case RoleAcquired(role, token):
-                until = round(self.lease_state.believed_until, 4)
+                until = round(self.lease_state.session_valid_until, 4)
                 self._history(log_events.ROLE_ACQUIRED, duty=role, token=token, until=until)
                 self.on_acquired(role, token)
             case RoleLost(role, token, reason):
@@ -263,7 +263,7 @@
             return
         self._apply(self.lease_state.handle_outcome(self._now_s(), call.call, outcome))
         if isinstance(call, RenewLease) and isinstance(outcome, Done):
-            self._history(log_events.LEASE_RENEWED, until=round(self.lease_state.believed_until, 4))
+            self._history(log_events.LEASE_RENEWED, until=round(self.lease_state.session_valid_until, 4))
         if isinstance(call, RegisterInstance):
             self._values.write_status()
 
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -10,7 +10,7 @@
 
 the instance believes in its session while
 
-    now < a + T/(1+d) - m         (`believed_until`; T/(1+d) - m is LeaseTerms.believed_s)
+    now < a + T/(1+d) - m         (`session_valid_until`; T/(1+d) - m is LeaseTerms.validity_s)
 
 and starts nothing new from m before that on (EXPIRING). A renewal whose outcome is unknown may have extended
 the lease in the store; it never moves `a`. No role is safe by this alone: each act is a transaction that
@@ -111,23 +111,23 @@
         token = self._token(name)
         return token if self.session is SessionState.ACTIVE and now < self._expiring_from else 0
 
-    def believed_token(self, now: float, name: str) -> int:
+    def valid_token(self, now: float, name: str) -> int:
         """Return the fencing token while the instance believes that it holds the role, else 0."""
         token = self._token(name)
-        return token if now < self.believed_until else 0
+        return token if now < self.session_valid_until else 0
 
     def _token(self, name: str) -> int:
         role = self.roles[name]
         return role.token if role.state is RoleState.HELD else 0
 
     @property
-    def believed_until(self) -> float:
+    def session_valid_until(self) -> float:
         """The end of the session as this instance believes in it, s of its own clock."""
-        return self._renewal_sent_at + self.terms.believed_s
+        return self._renewal_sent_at + self.terms.validity_s
 
     @property
     def _expiring_from(self) -> float:
-        return self.believed_until - self.terms.margin_s
+        return self.session_valid_until - self.terms.margin_s
 
     @property
     def in_session(self) -> bool:
@@ -149,7 +149,7 @@
         return self._expected_wakeup_at
 
     def _session_timers(self) -> list[float]:
-        timers = [self.believed_until]
+        timers = [self.session_valid_until]
         if not self._read_call:
             timers.append(self._next_read_at)
         if self.session is SessionState.ACTIVE:
@@ -290,15 +290,15 @@
 
     def _expire(self, now: float) -> None:
         starting = self.session in (SessionState.REQUESTING_LEASE, SessionState.REGISTERING)
-        if starting and now >= self.believed_until > -inf:
+        if starting and now >= self.session_valid_until > -inf:
             self._expire_session(now, "the lease was over before we were in")
         if not self.in_session:
             return
-        if now >= self.believed_until:
+        if now >= self.session_valid_until:
             self._expire_session(now, NOT_RENEWED)
         elif now >= self._expiring_from and self.session is SessionState.ACTIVE:
             self._transition(SessionState.EXPIRING)
-            self._log(log_events.SESSION_EXPIRING, f"{self.believed_until - now:.2f} s left")
+            self._log(log_events.SESSION_EXPIRING, f"{self.session_valid_until - now:.2f} s left")
 
     def _request_lease(self, now: float) -> None:
         self._transition(SessionState.REQUESTING_LEASE)
--- a/coveport/testbed/fault_injection/broken_variants.py
+++ b/coveport/testbed/fault_injection/broken_variants.py
@@ -67,7 +67,7 @@
 
 class _WholeTtl(LeaseTerms):
     @property
-    def believed_s(self) -> float:
+    def validity_s(self) -> float:
         return self.ttl_s * 1.05  # no margin, no drift, and a timer's grace as one might grant oneself
 
 
@@ -103,7 +103,7 @@
 
 class _NeverOver(LeaseState):
     def _advance(self, now: float) -> None:
-        if self.in_session and now >= self.believed_until - self.terms.margin_s:
+        if self.in_session and now >= self.session_valid_until - self.terms.margin_s:
             self._renewal_sent_at = now  # the clock alone never ends it: only the store's word does
         super()._advance(now)
 
@@ -165,7 +165,7 @@
     async def commit_fenced(
         self, duty: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), description: str = ""
     ) -> Outcome | None:
-        token = self.lease_state.believed_token(self._now_s(), duty)
+        token = self.lease_state.valid_token(self._now_s(), duty)
         if not token:
             return None
         self._history(log_events.COMMIT_SENT, duty=duty, token=token, what=description)
--- a/coveport/testbed/fault_injection/model.py
+++ b/coveport/testbed/fault_injection/model.py
@@ -267,9 +267,9 @@
 
     def judge(self, state: State) -> str:
         """What is broken here; empty where nothing is."""
-        tokens = {
-            holder.believed_token(state.clock(who), DUTY) for who, holder in enumerate(state.holders)
-        } - {0}
+        tokens = {holder.valid_token(state.clock(who), DUTY) for who, holder in enumerate(state.holders)} - {
+            0
+        }
         if len(tokens) > 1:
             return f"two believe, under {sorted(tokens)}"
         if state.accepted != sorted(state.accepted):
@@ -282,6 +282,6 @@
             found = self.step(state)
             if found:
                 return f"afterwards: {found}"
-        if not any(holder.believed_token(state.clock(who), DUTY) for who, holder in enumerate(state.holders)):
+        if not any(holder.valid_token(state.clock(who), DUTY) for who, holder in enumerate(state.holders)):
             return f"nobody holds it: {[holder.session.value for holder in state.holders]}"
         return ""
--- a/coveport/testbed/fault_injection/virtual.py
+++ b/coveport/testbed/fault_injection/virtual.py
@@ -171,7 +171,7 @@
                     one.process.alive
                     and one.lease_client is not None
                     and any(
-                        one.lease_client.lease_state.believed_token(1e-9, duty) for duty in self.trial.duties
+                        one.lease_client.lease_state.valid_token(1e-9, duty) for duty in self.trial.duties
                     )
                 ):
                     return one
--- a/tests/sidecar/leases/test_lease_state.py
+++ b/tests/sidecar/leases/test_lease_state.py
@@ -68,20 +68,20 @@
 def test_session_is_believed_from_before_the_grant_was_sent() -> None:
     state = new_state()
     establish_session(state, 10.0, 0.5)
-    assert state.believed_until == pytest.approx(10.0 + 3.0 / 1.02 - 0.2)
+    assert state.session_valid_until == pytest.approx(10.0 + 3.0 / 1.02 - 0.2)
 
 
 def test_session_expires_by_the_clock_alone_after_a_margin_without_new_acts() -> None:
     state = new_state()
     _, token = hold_role(state)
-    believed_until = state.believed_until
-    assert state.usable_token(believed_until - 0.21, "d") == token
+    session_valid_until = state.session_valid_until
+    assert state.usable_token(session_valid_until - 0.21, "d") == token
     assert (
-        state.usable_token(believed_until - 0.19, "d") == 0
-        and state.believed_token(believed_until - 0.19, "d") == token
+        state.usable_token(session_valid_until - 0.19, "d") == 0
+        and state.valid_token(session_valid_until - 0.19, "d") == token
     )
-    assert state.believed_token(believed_until, "d") == 0, "without any input"
-    effects = state.handle_timer(believed_until)
+    assert state.valid_token(session_valid_until, "d") == 0, "without any input"
+    effects = state.handle_timer(session_valid_until)
     assert only(effects, RoleLost) and only(effects, RevokeLease)
 
 
@@ -89,10 +89,14 @@
 def test_renewal_without_an_answer_extends_nothing(outcome: Unknown | Refused) -> None:
     state = new_state()
     hold_role(state)
-    believed_until = state.believed_until
+    session_valid_until = state.session_valid_until
     renewal = only(state.handle_timer(11.1), RenewLease)
     effects = state.handle_outcome(11.3, renewal.call, outcome)
-    assert state.believed_until == believed_until if isinstance(outcome, Unknown) else only(effects, RoleLost)
+    assert (
+        state.session_valid_until == session_valid_until
+        if isinstance(outcome, Unknown)
+        else only(effects, RoleLost)
+    )
 
 
 def test_acquisition_without_an_answer_counts_once_its_key_is_read() -> None:
@@ -114,7 +118,7 @@
     state = new_state()
     now = establish_session(state)
     assert not state.handle_role_key(now, "d", Entry("d", b"me", 4, 4, 6), 8)
-    assert state.believed_token(now, "d") == 0
+    assert state.valid_token(now, "d") == 0
 
 
 def test_key_of_an_older_revision_is_ignored() -> None:
@@ -227,7 +231,7 @@
             if isinstance(effect, StoreCall):
                 in_flight.append(effect)
                 sent_at[effect.call] = now
-        if state.believed_token(now, "d"):
+        if state.valid_token(now, "d"):
             assert now < promised[state.lease] - TERMS.margin_s + 1e-9
         if state.usable_token(now, "d"):
             assert now < promised[state.lease] - 2 * TERMS.margin_s + 1e-9
