--- a/coveport/sidecar/leases/__init__.py
+++ b/coveport/sidecar/leases/__init__.py
@@ -1,5 +1,5 @@
-"""Leases: stores that grant them, and what one instance believes of its session and its roles.
+"""Leases: the stores that grant them, and the state of one instance's session and singleton roles.
 
-`store` is what every store can do; `sqlite` (one host) and `etcd` (many hosts) do it, `open_store` picks one.
-`lease_state` decides, without I/O; `lease_client` carries out what it decides.
+`store` is the interface of all stores; `sqlite` (one host) and `etcd` (many hosts) implement it, and
+`open_store` selects one. `lease_state` makes the decisions without I/O; `lease_client` carries them out.
 """
--- a/coveport/sidecar/leases/effects.py
+++ b/coveport/sidecar/leases/effects.py
@@ -1,6 +1,6 @@
-"""Effects that `LeaseState` asks its client for, in order. Pure.
+"""Effects that `LeaseState` returns, and that its client carries out in order. Pure.
 
-Each `StoreCall` carries a number, by which `LeaseState.handle_outcome` takes its outcome.
+Each `StoreCall` has a number; its outcome is passed to `LeaseState.handle_outcome` with this number.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantLease:
-    """Ask the store for a new lease."""
+    """Request a new lease from the store."""
 
     call: int
     ttl_s: float
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisterInstance:
-    """Create this instance's key under the lease, if no other process has the name."""
+    """Create this instance's key under the lease, if no other process is registered under the name."""
 
     call: int
     lease: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRole:
-    """Delete the role's key, if it is still the one with this fencing token."""
+    """Delete the role's key, if it still has this fencing token."""
 
     call: int
     role: str
@@ -52,21 +52,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRoles:
-    """Read the keys of all roles; they come back by `handle_role_key` before the call's outcome."""
+    """Read the keys of all roles; they are passed to `handle_role_key` before the outcome is handled."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class RevokeLease:
-    """Revoke the lease, best effort: nothing waits for the outcome."""
+    """Revoke the lease as best effort: the outcome is ignored."""
 
     lease: int
 
 
 @dataclass(frozen=True, slots=True)
 class RoleAcquired:
-    """The instance holds the role from now on, under this fencing token."""
+    """Report that the instance now holds the role, under this fencing token."""
 
     role: str
     token: int
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleLost:
-    """The instance does not hold the role any more."""
+    """Report that the instance no longer holds the role."""
 
     role: str
     token: int
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Write a line to the log."""
+    """Write an event to the log."""
 
     event: str
     detail: str = ""
--- a/coveport/sidecar/leases/errors.py
+++ b/coveport/sidecar/leases/errors.py
@@ -8,8 +8,11 @@
 
 
 class StoreError(LeaseStoreError):
-    """The store can't be used at all: not its file, or written by a later version. Its text is one line."""
+    """The store can't be used, for example because its file is of another kind or a later version.
+
+    The message is a single line.
+    """
 
 
 class WatchLostError(LeaseStoreError):
-    """A watch can't continue from its revision; the caller must read everything again."""
+    """A watch can't continue from its revision; the caller must read all keys again."""
--- a/coveport/sidecar/leases/etcd.py
+++ b/coveport/sidecar/leases/etcd.py
@@ -1,9 +1,9 @@
-"""The store for many hosts: an etcd cluster, by its published v3 API.
+"""Lease store for instances on several hosts: an etcd cluster, accessed through its v3 API.
 
-Messages and stubs are `aetcd`'s; its client proper leaves out the headers' revision and cluster id, which
-fencing tokens and the guard against a restored store rest on. Endpoints are tried in turn. A transaction
-that was not answered is unknown and is never sent again here, also not to another endpoint; reads, grants
-and renewals are.
+Messages and stubs come from `aetcd`. Its client class is not used because it drops the revision and the
+cluster id of response headers, which fencing tokens and the detection of a restored store need. Endpoints
+are tried in turn. A transaction without a response has an unknown outcome and is never sent again, not to
+another endpoint either; reads, grants and renewals are repeated.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 
 T = TypeVar("T")
 
-CALL_TIMEOUT_S = 0.5  # of one endpoint
-MAX_CONCURRENT_TRANSACTIONS = 32  # of one instance
-HEARTBEAT_INTERVAL_S = 0.5  # between a watch's requests for progress
-MAX_MISSED_HEARTBEATS = 4  # in a row, after which a watch is lost
-# A member that is cut off from its leader ends the stream, where it would idle otherwise.
+CALL_TIMEOUT_S = 0.5  # time-out of a call to one endpoint
+MAX_CONCURRENT_TRANSACTIONS = 32  # per `commit_all` call
+HEARTBEAT_INTERVAL_S = 0.5  # between the progress requests of a watch
+MAX_MISSED_HEARTBEATS = 4  # consecutive intervals without a response, after which a watch is lost
+# Makes a member that has lost its leader end the stream; otherwise the stream would stay open without events.
 REQUIRE_LEADER = (("hasleader", "true"),)
 CHANNEL_OPTIONS = (
     ("grpc.enable_http_proxy", 0),
@@ -46,7 +46,7 @@
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 1000),
 )
-# After these another endpoint may still answer.
+# Status codes after which another endpoint may still answer.
 ENDPOINT_FAILURES = frozenset(
     {
         grpc.StatusCode.UNAVAILABLE,
@@ -55,15 +55,15 @@
         grpc.StatusCode.UNKNOWN,
     }
 )
-ALL_KEYS = b"\0"  # as a range's start and end: from the first key, without end
+ALL_KEYS = b"\0"  # as start of a range: the first key; as end of a range: no upper bound
 
 
 def range_end(prefix: str) -> bytes:
-    """Return the end of the range of all keys that start with a prefix (etcd's API, RangeRequest)."""
-    last = prefix.encode()
-    while last and last[-1] == 0xFF:
-        last = last[:-1]
-    return last[:-1] + bytes([last[-1] + 1]) if last else ALL_KEYS
+    """Return the end of the key range that a prefix covers, as etcd's RangeRequest defines it."""
+    end = prefix.encode()
+    while end and end[-1] == 0xFF:
+        end = end[:-1]
+    return end[:-1] + bytes([end[-1] + 1]) if end else ALL_KEYS
 
 
 def entry_of(message: Any) -> Entry:
@@ -106,40 +106,40 @@
 
 
 class EtcdStore(Store):
-    """One instance's connection to the cluster.
+    """The connection of one instance to the cluster.
 
-    `endpoints` are HOST:PORT each; `call_timeout_s` is how long one of them has to answer a call.
+    `endpoints` are addresses as HOST:PORT; `call_timeout_s` is the time-out of a call to one endpoint.
     """
 
     def __init__(self, endpoints: Sequence[str], call_timeout_s: float = CALL_TIMEOUT_S) -> None:
         if not endpoints:
-            raise StoreError("no endpoint is named")
+            raise StoreError("no etcd endpoint is configured")
         self._endpoints = tuple(endpoints)
         self._call_timeout_s = call_timeout_s
         self._channels: dict[int, Any] = {}
         self._current = 0  # index of the endpoint in use
 
     async def read(self, prefix: str) -> Done | Unknown:
-        """Return all entries whose keys start with a prefix, as the leader has them."""
+        """Return all entries whose keys start with a prefix, by a linearizable read."""
         request = rpc.RangeRequest(key=prefix.encode() or ALL_KEYS, range_end=range_end(prefix))
-        response: Any = await self._call_anywhere(lambda channel: rpc.KVStub(channel).Range(request))
+        response: Any = await self._call_until_answered(lambda channel: rpc.KVStub(channel).Range(request))
         if isinstance(response, Unknown):
             return response
         return _done(response, entries=tuple(map(entry_of, response.kvs)))
 
     async def commit(self, transaction: Transaction) -> Outcome:
-        """Carry a transaction out; it is sent once."""
+        """Carry out a transaction; it is sent only once."""
         request = transaction_request(transaction)
         try:
             response: Any = await self._call_once(lambda channel: rpc.KVStub(channel).Txn(request))
         except grpc.aio.AioRpcError:
-            return await self._lease_gone()
+            return await self._refuse_ended_lease()
         if isinstance(response, Unknown):
             return response
         return _done(response) if response.succeeded else _refused(response)
 
     async def commit_all(self, transactions: Sequence[Transaction]) -> list[Outcome]:
-        """Carry several out, each by a call of its own, some at a time."""
+        """Carry out several transactions, each by its own call, with limited concurrency."""
         slots = asyncio.Semaphore(MAX_CONCURRENT_TRANSACTIONS)
 
         async def commit(transaction: Transaction) -> Outcome:
@@ -149,15 +149,17 @@
         return list(await asyncio.gather(*map(commit, transactions)))
 
     async def grant(self, ttl_s: float) -> Done | Unknown:
-        """Return a new lease. The cluster counts in whole seconds, so the time to live is rounded up."""
+        """Return a new lease. etcd uses whole seconds, so the time to live is rounded up."""
         request = rpc.LeaseGrantRequest(TTL=ceil(ttl_s))
-        response: Any = await self._call_anywhere(lambda channel: rpc.LeaseStub(channel).LeaseGrant(request))
+        response: Any = await self._call_until_answered(
+            lambda channel: rpc.LeaseStub(channel).LeaseGrant(request)
+        )
         if isinstance(response, Unknown):
             return response
         return _done(response, lease=response.ID, ttl_s=float(response.TTL))
 
     async def renew(self, lease: int) -> Outcome:
-        """Renew a lease."""
+        """Renew a lease by its time to live; refused if it has ended."""
 
         async def keep_alive(channel: Any) -> Any:
             stream = rpc.LeaseStub(channel).LeaseKeepAlive(metadata=REQUIRE_LEADER)
@@ -170,7 +172,7 @@
                 raise TimeoutError
             return response
 
-        response = await self._call_anywhere(keep_alive)
+        response = await self._call_until_answered(keep_alive)
         if isinstance(response, Unknown):
             return response
         if response.TTL <= 0:
@@ -178,22 +180,22 @@
         return _done(response, lease=lease, ttl_s=float(response.TTL))
 
     async def revoke(self, lease: int) -> Outcome:
-        """End a lease."""
+        """Revoke a lease, which deletes the keys that are bound to it."""
         request = rpc.LeaseRevokeRequest(ID=lease)
         try:
-            response: Any = await self._call_anywhere(
+            response: Any = await self._call_until_answered(
                 lambda channel: rpc.LeaseStub(channel).LeaseRevoke(request)
             )
         except grpc.aio.AioRpcError:
-            return await self._lease_gone()
+            return await self._refuse_ended_lease()
         if isinstance(response, Unknown):
             return response
         return _done(response, lease=lease)
 
     async def time_left(self, lease: int) -> Outcome:
-        """Return how long a lease lasts without a renewal, in whole seconds."""
+        """Return the remaining time of a lease, in whole seconds."""
         request = rpc.LeaseTimeToLiveRequest(ID=lease)
-        response: Any = await self._call_anywhere(
+        response: Any = await self._call_until_answered(
             lambda channel: rpc.LeaseStub(channel).LeaseTimeToLive(request)
         )
         if isinstance(response, Unknown):
@@ -203,7 +205,7 @@
         return _done(response, lease=lease, ttl_s=float(response.TTL))
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Sequence[Change]]:
-        """Yield the changes after a revision; the watch is lost if its stream is silent for a while."""
+        """Yield the changes after a revision; the watch is lost after too many missed heartbeats."""
         index = self._current
         endpoint = self._endpoints[index]
         stream = rpc.WatchStub(self._channel(index)).Watch(metadata=REQUIRE_LEADER)
@@ -220,14 +222,14 @@
         except grpc.aio.AioRpcError as error:
             raise WatchLostError(f"{endpoint}: {error.details()}") from error
         except asyncio.CancelledError:
-            # Cancelled by its heartbeat, not by our caller.
+            # The heartbeat task cancelled the stream, not the caller.
             if heartbeat.done() and not heartbeat.cancelled():
-                raise WatchLostError(f"{endpoint}: silent") from None
+                raise WatchLostError(f"{endpoint}: no response to heartbeats") from None
             raise
         except asyncio.InvalidStateError as error:
-            raise WatchLostError(f"{endpoint}: the stream broke") from error
+            raise WatchLostError(f"{endpoint}: the watch stream failed") from error
         finally:
-            # Whatever ended it, the next watch starts at another endpoint.
+            # The next watch starts at another endpoint, for any reason that this one ended.
             self._leave_endpoint(index)
             heartbeat.cancel()
             stream.cancel()
@@ -243,12 +245,12 @@
         return self._channels[index]
 
     def _leave_endpoint(self, index: int) -> None:
-        """Go on to the next endpoint, unless another call did so already."""
+        """Switch to the next endpoint, unless another call has already done so."""
         if self._current == index:
             self._current = (index + 1) % len(self._endpoints)
 
     async def _call_once(self, call: Callable[[Any], Awaitable[T]]) -> T | Unknown:
-        """Call the current endpoint; AioRpcError only if it answers that a lease does not exist."""
+        """Call the current endpoint; raises AioRpcError only if the lease does not exist."""
         index = self._current
         endpoint = self._endpoints[index]
         try:
@@ -264,8 +266,8 @@
                 raise
             return Unknown(f"{endpoint}: {error.code().name}: {error.details()}")
 
-    async def _call_anywhere(self, call: Callable[[Any], Awaitable[T]]) -> T | Unknown:
-        """Call the endpoints in turn until one answers: for calls that are idempotent."""
+    async def _call_until_answered(self, call: Callable[[Any], Awaitable[T]]) -> T | Unknown:
+        """Call the endpoints in turn until one answers; only for idempotent calls."""
         outcome: T | Unknown = Unknown("no endpoint was tried")
         for _ in self._endpoints:
             outcome = await self._call_once(call)
@@ -273,8 +275,8 @@
                 break
         return outcome
 
-    async def _lease_gone(self) -> Outcome:
-        # The error has no header; where the store stands is read, as a refusal gives it.
+    async def _refuse_ended_lease(self) -> Outcome:
+        # The error has no response header, so identity and revision of the refusal are read separately.
         current = await self.read("\0")
         if isinstance(current, Unknown):
             return current
@@ -298,17 +300,17 @@
 
 
 def _check_watch(endpoint: str, response: Any, after: int) -> None:
-    """Raise WatchLostError if a watch's response ends it."""
+    """Raise WatchLostError if a response means that the watch has ended."""
     if response is grpc.aio.EOF:
-        raise WatchLostError(f"{endpoint}: the stream ended")
+        raise WatchLostError(f"{endpoint}: the watch stream ended")
     if response.canceled or response.compact_revision:
         raise WatchLostError(f"{endpoint}: {response.cancel_reason or 'compacted'}")
     if response.header.revision < after:
-        raise WatchLostError(f"{endpoint}: the store went back")
+        raise WatchLostError(f"{endpoint}: the store's revision is lower than {after}")
 
 
 async def _send_heartbeats(stream: Any, received: asyncio.Event) -> None:
-    """Request progress at intervals; cancel the stream after too many without a response."""
+    """Send progress requests at intervals; cancel the stream after too many intervals without a response."""
     missed = 0
     while missed < MAX_MISSED_HEARTBEATS:
         await asyncio.sleep(HEARTBEAT_INTERVAL_S)
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -1,8 +1,8 @@
-"""One instance's session and roles at a store: does the I/O that `LeaseState` decides on.
+"""Client of a lease store: carries out the effects of `LeaseState` for one instance's session and roles.
 
-There is one client an instance. Calls never wait for each other, and each is bounded in time, after which
-its outcome is unknown. Every belief and every act goes to a `History`, from which a checker can tell
-afterwards whether two instances ever held a role at once.
+Each instance has one client. Calls run concurrently, and each has a time-out, after which its outcome is
+unknown. State changes and commits are recorded in a `History`, from which a checker can determine later
+whether two instances ever held a role at the same time.
 """
 
 from __future__ import annotations
@@ -51,24 +51,25 @@
 from coveport.sidecar.leases.store_calls import History, StoreCalls
 from coveport.sidecar.leases.store_view import KeyChange, StoreView
 
-CALL_TIMEOUT_SHARE = 1 / 3  # of the time to live: so a renewal can be lost and repeated within it
-CLOSE_TIMEOUT_S = 1.0  # how long a shutdown waits for the store to hear of it
-WATCH_BACKOFF_S = 0.2  # after a watch that broke, doubled up to the maximum
+CALL_TIMEOUT_SHARE = 1 / 3  # share of the time to live: leaves time to repeat a lost renewal
+CLOSE_TIMEOUT_S = 1.0  # time for the store calls of a shutdown
+WATCH_BACKOFF_S = 0.2  # before the first new watch after a lost one; doubles up to the maximum
 MAX_WATCH_BACKOFF_S = 2.0
-MAX_WATCH_BACKOFF_DOUBLINGS = 10  # beyond which the maximum is reached anyway; keeps the power small
-WATCH_BACKOFF_JITTER = (0.5, 1.0)  # share of the backoff that is waited, drawn
-TIMER_GRACE_S = 0.001  # timers are rounded: what is due so soon is due now
-MIN_TIMER_S = 0.001
+MAX_WATCH_BACKOFF_DOUBLINGS = 10  # limits the exponent; the maximum backoff is reached earlier
+WATCH_BACKOFF_JITTER = (0.5, 1.0)  # range of the random factor of the backoff
+TIMER_GRACE_S = 0.001  # tolerance for rounded timers: deadlines within it count as reached
+MIN_TIMER_S = 0.001  # shortest delay of a timer
 
 
 class LeaseClient:
-    """One instance's session and roles at a store.
+    """The session and the roles of one instance at a store.
 
-    `incarnation` identifies this process in every key it writes; `prefix` is that of all keys of the
-    installation; `now_s` is a clock that runs through suspend; `unix_s` is only written down for staff.
+    `incarnation` identifies this process in every key it writes; `prefix` starts all keys of the
+    installation; `now_s` is a clock that keeps counting during suspend; `unix_s` gives the wall-clock time,
+    which is written to role keys for operators only.
 
     `on_acquired` is called with a role and its fencing token, `on_lost` with a role, the token and a reason,
-    `on_change` with each key that changed (without the prefix) and its entry, None if it was deleted.
+    `on_change` with each changed key (without the prefix) and its entry, or None if it was deleted.
     """
 
     def __init__(
@@ -109,19 +110,19 @@
         self.on_lost: Callable[[str, int, str], None] = lambda role, token, reason: None
         self.on_change: Callable[[str, Entry | None], None] = lambda key, entry: None
 
-    # For singleton roles.
+    # Calls of singleton roles.
 
     def usable_token(self, role: str) -> int:
-        """Return the fencing token if something new may be started now, else 0."""
+        """Return the role's fencing token if new work may be started now, else 0."""
         return self.lease_state.usable_token(self._now_s(), role)
 
     async def commit_fenced(
         self, role: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), description: str = ""
     ) -> Outcome | None:
-        """Carry changes out as the holder of a role; None if this instance does not hold it.
+        """Commit changes as the holder of a role; None if this instance does not hold it.
 
-        Keys are without the prefix. The transaction compares the fencing token: the store refuses it once
-        the role is not ours any more.
+        Keys are without the prefix. The transaction compares the fencing token, so the store refuses it
+        once this instance has lost the role.
         """
         token = self.usable_token(role)
         if not token:
@@ -150,18 +151,18 @@
         return outcome
 
     async def read(self, prefix: str) -> Done | None:
-        """Return the entries under a prefix as they stand now; None if the store does not answer."""
+        """Return the current entries under a prefix; None if the outcome of the read is unknown."""
         outcome = await self._call("read", self._store.read(self._prefix + prefix))
         if not isinstance(outcome, Done):
             return None
         entries = tuple(map(self._view.without_prefix, outcome.entries))
         return Done(outcome.identity, outcome.revision, entries)
 
-    # For the instance.
+    # Calls of the instance.
 
     @property
     def entries(self) -> Mapping[str, Entry]:
-        """The store's keys under the prefix, as far as they are known."""
+        """The last known entries of the store under the prefix, by key."""
         return self._view.entries
 
     @property
@@ -171,37 +172,37 @@
 
     @property
     def call_counts(self) -> Mapping[str, int]:
-        """How many calls were made at the store, by kind of call and of outcome."""
+        """The number of calls to the store, by kind of call and outcome."""
         return self._calls.counts
 
     def publish_status(self, status: bytes) -> None:
-        """Write the instance's status, now and after each registration. It goes with the session."""
+        """Write the instance's status now and after each registration; it is deleted with the session."""
         self._values.publish_status(status)
 
     def publish(self, key: str, value: bytes) -> None:
-        """Write a value that goes with the session. Of several for a key the last one counts."""
+        """Write a value that is deleted when the session ends. Later values of a key replace earlier ones."""
         self._values.publish(key, value)
 
     def set_unhealthy(self, reason: str) -> None:
-        """Release what is held and contend for nothing, until called again with an empty reason."""
+        """Release all held roles and contend for none until called again with an empty reason."""
         self._apply(self.lease_state.set_unhealthy(self._now_s(), reason))
 
     def set_contending(self, role: str, *, contending: bool, reason: str) -> None:
-        """Contend for a role, or release it and keep off."""
+        """Contend for a role, or release it and stop contending."""
         effects = self.lease_state.set_contending(self._now_s(), role, contending=contending, reason=reason)
         self._apply(effects)
 
     def step_down(self, role: str, reason: str) -> None:
-        """Release a role once, and let other instances acquire it first."""
+        """Release a role, and rest before contending again, so that another instance can acquire it."""
         self._apply(self.lease_state.step_down(self._now_s(), role, reason))
 
     def start(self) -> None:
-        """Start; there must be a running loop."""
+        """Start the watch and the timers; requires a running event loop."""
         self._watching = asyncio.ensure_future(self._watch())
         self._handle_timer()
 
     async def close(self) -> None:
-        """Release all roles and end; takes CLOSE_TIMEOUT_S for each of two steps if the store is silent."""
+        """Release all roles and stop; takes up to twice CLOSE_TIMEOUT_S if the store does not answer."""
         self._closed = True
         self._values.close()
         self._apply(self.lease_state.close(self._now_s()))
@@ -258,7 +259,7 @@
 
     async def _carry_out(self, call: StoreCall) -> None:
         outcome = await self._make(call)
-        # While closing only releases matter; the rest belongs to a session that is being revoked.
+        # While closing, only the outcomes of releases matter; all other calls belong to the revoked session.
         if self._closed and not isinstance(call, ReleaseRole):
             return
         self._apply(self.lease_state.handle_outcome(self._now_s(), call.call, outcome))
@@ -268,7 +269,7 @@
             self._values.write_status()
 
     async def _make(self, call: StoreCall) -> Outcome:
-        """Make a call. Its kind is part of the counters' names, which are fixed."""
+        """Make a call. Its kind is part of the names of counters and must not change."""
         match call:
             case GrantLease():
                 return await self._call("grant", self._store.grant(call.ttl_s))
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -1,23 +1,24 @@
-"""What one instance believes of its session and its roles. Pure: (time, input) -> effects.
+"""State machine of one instance's session and its roles. Pure: (time, input) -> effects.
 
-All of it rests on one inequality (docs/design/duties.md, Safety; after Gray and Cheriton, SOSP 1989). With
+Safety depends on one inequality (docs/design/duties.md, Safety; after Gray and Cheriton, SOSP 1989). With
 
-    T  LeaseTerms.ttl_s     s      time to live, as the store counts it from when it carried the grant or
-                                   renewal out
-    d  LeaseTerms.drift     share  by which any two clocks may differ
-    m  LeaseTerms.margin_s  s      for what is in flight, and for timers that fire late
-    a  _renewal_sent_at     s      own clock just BEFORE the grant or renewal that was answered last was sent
+    T  LeaseTerms.ttl_s     s      time to live, which the store counts from when it carried out the grant
+                                   or renewal
+    d  LeaseTerms.drift     share  by which the rates of any two clocks may differ
+    m  LeaseTerms.margin_s  s      safety margin for requests in flight and for late timers
+    a  _renewal_sent_at     s      own clock just BEFORE sending the last grant or renewal that succeeded
 
-the instance believes in its session while
+the instance treats its session as valid while
 
     now < a + T/(1+d) - m         (`session_valid_until`; T/(1+d) - m is LeaseTerms.validity_s)
 
-and starts nothing new from m before that on (EXPIRING). A renewal whose outcome is unknown may have extended
-the lease in the store; it never moves `a`. No role is safe by this alone: each act is a transaction that
-compares the fencing token, and the store refuses it once the role's key is not ours any more.
+and starts no new work during the last m seconds of that time (EXPIRING). A renewal whose outcome is unknown
+may have extended the lease in the store; it never moves `a`. This alone does not make a role safe: each
+commit is a transaction that compares the fencing token, and the store refuses it once this instance has lost
+the role's key.
 
-Session:  DISCONNECTED -> REQUESTING_LEASE -> REGISTERING -> ACTIVE <-> EXPIRING -> DISCONNECTED, and from any
-          state CLOSED or STORE_RESET, which are final.
+Session:  DISCONNECTED -> REQUESTING_LEASE -> REGISTERING -> ACTIVE <-> EXPIRING -> DISCONNECTED; from any
+          state to CLOSED or STORE_RESET, which are final.
 Role:     IDLE -> WAITING -> ACQUIRING -> HELD -> RELEASING -> IDLE; ACQUIRING -> UNCERTAIN if the outcome is
           unknown.
 """
@@ -51,33 +52,33 @@
 )
 from coveport.sidecar.leases.store import Done, Entry, Outcome, Refused, Unknown
 
-BACKOFF_S = 0.1  # after a call with an unknown outcome, doubled up to the maximum
+BACKOFF_S = 0.1  # after a call with an unknown outcome; doubles up to the maximum
 MAX_BACKOFF_S = 2.0
-MAX_BACKOFF_DOUBLINGS = 10  # beyond which the maximum is reached anyway; keeps the power small
-BACKOFF_JITTER = (0.5, 1.0)  # share of the backoff that is waited, drawn
-FIRST_RENEWAL_JITTER = (0.7, 1.0)  # share of the renewal interval: instances started together drift apart
-NAME_TAKEN_BACKOFF_S = 1.0  # least wait while another process has the instance's name
-WAIT_PER_INSTANCE_S = 0.001  # contenders wait up to so long for each registered instance, ...
-MAX_CONTENTION_WAIT_S = 0.08  # ... and up to this at most, so that they don't all come at once
-SLOW_RENEWAL_SHARE = 0.25  # of T: after a renewal that took longer the store is too slow to hold more
-STALL_SHARE = 0.2  # of T: a timer that fires later shows an instance that is short of CPU
-NO_CONTENTION_TTLS = 1.0  # in times to live: how long it contends for nothing after either
-LOST_RENEWAL_SHARE = 0.25  # of the renewal interval: longest wait before a renewal is repeated
+MAX_BACKOFF_DOUBLINGS = 10  # limits the exponent; the maximum backoff is reached earlier
+BACKOFF_JITTER = (0.5, 1.0)  # range of the random factor of the backoff
+FIRST_RENEWAL_JITTER = (0.7, 1.0)  # factor of the renewal interval; spreads instances that started together
+NAME_TAKEN_BACKOFF_S = 1.0  # minimum backoff while another process is registered under the name
+WAIT_PER_INSTANCE_S = 0.001  # maximum random wait of a contender, per registered instance
+MAX_CONTENTION_WAIT_S = 0.08  # cap of that wait, which spreads concurrent acquisitions
+SLOW_RENEWAL_SHARE = 0.25  # of T: a slower renewal means that the store is too slow for more roles
+STALL_SHARE = 0.2  # of T: a timer that fires later means that the process lacks CPU time
+NO_CONTENTION_TTLS = 1.0  # in times to live: no contention after a slow renewal or a stall
+LOST_RENEWAL_SHARE = 0.25  # of the renewal interval: maximum backoff before a renewal is repeated
 
 NOT_RENEWED = "not renewed in time"
-LEASE_ENDED = "the store ended our lease"
+LEASE_ENDED = "the store ended the lease"
 
 
 def incarnation_of(value: bytes) -> str:
-    """Return the incarnation that a role's key names; after a space follows since when, for staff."""
+    """Return the incarnation in a role key's value; the acquisition time follows it for operators."""
     return value.split(b" ")[0].decode(errors="replace")
 
 
 class LeaseState:
-    """The beliefs of one instance.
+    """The session and roles of one instance.
 
     `incarnation` identifies this process in every key it writes. `now` of all calls is in s, by a clock that
-    runs through suspend. `rng` is the caller's random generator.
+    keeps counting during suspend. `rng` is the random generator for jitter.
     """
 
     def __init__(
@@ -90,29 +91,29 @@
         self.session = SessionState.DISCONNECTED
         self.lease = 0
         self.roles = {name: Role(name) for name in roles}
-        self.instances = 1  # registered, as far as is known
-        self._renewal_sent_at = -inf  # `a` above
+        self.instances = 1  # last known number of registered instances
+        self._renewal_sent_at = -inf  # `a` in the module docstring
         self._last_call = 0
         self._session_call = 0  # number of the grant or registration in flight
-        self._renewal: tuple[int, float] | None = None  # in flight: call number, and when it was sent
-        self._next_request_at = 0.0  # DISCONNECTED: of a lease; in session: the next renewal
-        self._failures = 0  # calls in a row whose outcome is unknown
+        self._renewal: tuple[int, float] | None = None  # renewal in flight: call number and send time
+        self._next_request_at = 0.0  # when to request a lease (DISCONNECTED) or renew it
+        self._failures = 0  # consecutive calls with an unknown outcome
         self._read_call = 0
         self._next_read_at = inf
         self._no_contention_until = -inf
         self._unhealthy_reason = ""
-        self._expected_wakeup_at = inf  # to notice stalls
+        self._expected_wakeup_at = inf  # for the detection of stalls
         self._effects: list[Effect] = []
 
     # Queries.
 
     def usable_token(self, now: float, name: str) -> int:
-        """Return the fencing token if something new may be started now, else 0. Ask before each act."""
+        """Return the role's fencing token if new work may start now, else 0. Check before each commit."""
         token = self._token(name)
         return token if self.session is SessionState.ACTIVE and now < self._expiring_from else 0
 
     def valid_token(self, now: float, name: str) -> int:
-        """Return the fencing token while the instance believes that it holds the role, else 0."""
+        """Return the role's fencing token while it is held under a valid session, else 0."""
         token = self._token(name)
         return token if now < self.session_valid_until else 0
 
@@ -122,7 +123,7 @@
 
     @property
     def session_valid_until(self) -> float:
-        """The end of the session as this instance believes in it, s of its own clock."""
+        """The time until which the session is valid, in s of this instance's clock."""
         return self._renewal_sent_at + self.terms.validity_s
 
     @property
@@ -131,11 +132,11 @@
 
     @property
     def in_session(self) -> bool:
-        """Whether the instance has a session, be it one that expires soon."""
+        """Whether the instance has a session, including one that is about to expire."""
         return self.session in (SessionState.ACTIVE, SessionState.EXPIRING)
 
     def next_timer(self) -> float:
-        """Return when `handle_timer` is to be called at the latest."""
+        """Return the latest time at which `handle_timer` must be called."""
         timers = [inf]
         if self.session is SessionState.DISCONNECTED:
             timers.append(self._next_request_at)
@@ -161,13 +162,13 @@
     # Inputs.
 
     def handle_timer(self, now: float) -> list[Effect]:
-        """Take note that time has passed."""
+        """Handle the passing of time."""
         self._effects = []
         self._advance(now)
         return self._effects
 
     def handle_outcome(self, now: float, call: int, outcome: Outcome, store_reset: str = "") -> list[Effect]:
-        """Take the outcome of a call. `store_reset`: how it shows that the store went back; empty if not."""
+        """Handle the outcome of a call. `store_reset`: evidence of a store reset; empty if there is none."""
         self._effects = []
         self._advance(now)
         if store_reset:
@@ -177,7 +178,7 @@
         elif self._renewal is not None and call == self._renewal[0]:
             self._handle_renewal(now, outcome)
         elif call == self._read_call:
-            # What was read has come by `handle_role_key`. If nothing was, it is read again.
+            # A successful read was already handled by `handle_role_key`; an unknown one is repeated.
             self._read_call = 0
             self._next_read_at = now + self._next_backoff_s() if isinstance(outcome, Unknown) else inf
         else:
@@ -188,17 +189,17 @@
         return self._effects
 
     def handle_role_key(self, now: float, name: str, entry: Entry | None, revision: int) -> list[Effect]:
-        """Take a role's key as it stood at a revision, from a watch or a read."""
+        """Handle the value of a role's key at a revision, from a watch or a read."""
         self._effects = []
         self._advance(now)
         role = self.roles.get(name)
-        if role is not None and revision >= role.known_revision:  # an older one was overtaken
+        if role is not None and revision >= role.known_revision:  # older revisions are outdated
             role.known_revision = revision
             self._observe_role_key(now, role, entry)
         return self._effects
 
     def handle_watch_lost(self, now: float) -> list[Effect]:
-        """Take note that the watch broke: the keys must be read."""
+        """Handle the loss of the watch: read the roles' keys."""
         self._effects = []
         self._advance(now)
         self._read_roles_by(now)
@@ -206,7 +207,7 @@
         return self._effects
 
     def set_unhealthy(self, now: float, reason: str) -> list[Effect]:
-        """Release what is held and contend for nothing, until called again with an empty reason."""
+        """Release all held roles and contend for none until called again with an empty reason."""
         self._effects = []
         if reason and not self._unhealthy_reason:
             self._log(log_events.UNHEALTHY, reason)
@@ -214,7 +215,7 @@
         if reason:
             self._step_down_unhealthy(now, reason)
         else:
-            self._read_roles_by(now)  # a role may have had no holder all along
+            self._read_roles_by(now)  # a role may have lost its holder in the meantime
         self._advance(now)
         return self._effects
 
@@ -227,7 +228,7 @@
                 role.set_state(RoleState.IDLE)
 
     def set_contending(self, now: float, name: str, *, contending: bool, reason: str) -> list[Effect]:
-        """Contend for a role, or release it and keep off: for staff, a drain, or the operator's file."""
+        """Contend for a role, or release it: by an operator's command, a drain, or the operator's file."""
         self._effects = []
         role = self.roles[name]
         role.contending = contending
@@ -241,7 +242,7 @@
         return self._effects
 
     def step_down(self, now: float, name: str, reason: str) -> list[Effect]:
-        """Release a role once, and let other instances acquire it first."""
+        """Release a role, and rest before contending again, so that another instance can acquire it."""
         self._effects = []
         role = self.roles[name]
         if role.state is RoleState.HELD:
@@ -261,10 +262,10 @@
         self.lease = 0
         return self._effects
 
-    # What time brings about.
+    # Timed actions.
 
     def _advance(self, now: float) -> None:
-        """Do what is due by the clock alone."""
+        """Carry out all actions whose time has come."""
         self._notice_stall(now)
         self._expire(now)
         if self.session is SessionState.DISCONNECTED and now >= self._next_request_at:
@@ -277,13 +278,13 @@
         self._maybe_read_roles(now)
         for role in self.roles.values():
             self._advance_role(now, role)
-        self._maybe_read_roles(now)  # a role's rest may have ended
+        self._maybe_read_roles(now)  # the end of a role's rest may have requested a read
 
     def _notice_stall(self, now: float) -> None:
         late_s = now - self._expected_wakeup_at
         if late_s > STALL_SHARE * self.terms.ttl_s:
-            # An instance that is short of CPU must not acquire what it could not look after. Any late input
-            # shows it: after a stall the timer need not come first.
+            # An instance without enough CPU time must not acquire roles that it can't serve. Every input is
+            # checked, because the timer is not always the first input after a stall.
             self._no_contention_until = now + NO_CONTENTION_TTLS * self.terms.ttl_s
             self._log(log_events.PROCESS_STALLED, f"{late_s:.2f} s")
         self._expected_wakeup_at = inf
@@ -291,7 +292,7 @@
     def _expire(self, now: float) -> None:
         starting = self.session in (SessionState.REQUESTING_LEASE, SessionState.REGISTERING)
         if starting and now >= self.session_valid_until > -inf:
-            self._expire_session(now, "the lease was over before we were in")
+            self._expire_session(now, "the lease ended before the registration finished")
         if not self.in_session:
             return
         if now >= self.session_valid_until:
@@ -335,11 +336,11 @@
 
     # Session.
 
-    def _transition(self, to: SessionState) -> None:
-        ends = to in FINAL_SESSION_STATES and self.session not in FINAL_SESSION_STATES
-        if not ends and to not in SESSION_TRANSITIONS[self.session]:
-            raise AssertionError(f"no transition of the session from {self.session} to {to}")
-        self.session = to
+    def _transition(self, next_state: SessionState) -> None:
+        ends = next_state in FINAL_SESSION_STATES and self.session not in FINAL_SESSION_STATES
+        if not ends and next_state not in SESSION_TRANSITIONS[self.session]:
+            raise AssertionError(f"no transition of the session from {self.session} to {next_state}")
+        self.session = next_state
 
     def _next_call(self) -> int:
         self._last_call += 1
@@ -365,7 +366,7 @@
         if not isinstance(outcome, Done):
             self._disconnect_until(now + self._next_backoff_s())
         elif outcome.ttl_s < self.terms.ttl_s:
-            # All beliefs count on the time to live that was asked for.
+            # The computed validity of the session assumes the requested time to live.
             self._log(log_events.LEASE_TOO_SHORT, f"{outcome.ttl_s:g} s instead of {self.terms.ttl_s:g} s")
             self.lease = outcome.lease
             self._disconnect_until(now + MAX_BACKOFF_S)
@@ -384,8 +385,8 @@
             self._next_read_at = now
             self._log(log_events.SESSION_ESTABLISHED, f"lease {self.lease:x}")
         elif isinstance(outcome, Refused) and not outcome.lease_gone:
-            # Of two processes with one name the later one holds nothing while the first lives.
-            self._log(log_events.DUPLICATE_NAME, "another instance has our name")
+            # If two processes have the same name, the later one gets no session while the first one is alive.
+            self._log(log_events.DUPLICATE_NAME, "another process is registered under this name")
             self._disconnect_until(now + max(NAME_TAKEN_BACKOFF_S, self.terms.ttl_s / RENEWALS))
         else:
             self._disconnect_until(now + self._next_backoff_s())
@@ -402,8 +403,8 @@
     def _expire_session(self, now: float, reason: str) -> None:
         self._lose_all_roles(reason)
         self._log(log_events.SESSION_LOST, reason)
-        # The store may have carried our last renewal out. The lease is revoked all the same: what is bound
-        # to it must not come back to life under a session that we don't believe in.
+        # The store may have carried out the last renewal. The lease is revoked nevertheless: its keys must
+        # not outlive a session that this instance has given up.
         self._disconnect_until(now + self._rng.uniform(0, BACKOFF_S))
 
     def _handle_renewal(self, now: float, outcome: Outcome) -> None:
@@ -420,13 +421,14 @@
         elif isinstance(outcome, Refused):
             self._expire_session(now, LEASE_ENDED)
         else:
-            # To us it did not happen, for our rivals it did. It is repeated soon, while there is time.
+            # Either result is possible: the session is not extended here, but the lease in the store may be,
+            # and other instances then wait for its end. The renewal is repeated soon, while there is time.
             longest_s = self.terms.renew_s * LOST_RENEWAL_SHARE
             self._next_request_at = now + min(self._next_backoff_s(), longest_s)
 
     def _notice_slow_store(self, now: float, took_s: float) -> None:
         if took_s > SLOW_RENEWAL_SHARE * self.terms.ttl_s:
-            # What is held is kept: a successor may be as far from the store. Nothing new is contended for.
+            # Held roles are kept, because a successor may have the same latency. No new role is acquired.
             until = now + NO_CONTENTION_TTLS * self.terms.ttl_s
             self._no_contention_until = max(self._no_contention_until, until)
             self._log(log_events.STORE_SLOW, f"a renewal took {took_s:.2f} s")
@@ -434,7 +436,7 @@
     def _enter_store_reset(self, reason: str) -> None:
         if self.session in FINAL_SESSION_STATES:
             return
-        self._lose_all_roles("the store went back")
+        self._lose_all_roles("the store was reset")
         self._log(log_events.STORE_RESET, reason)
         self.lease = 0
         self._transition(SessionState.STORE_RESET)
@@ -445,20 +447,20 @@
         rested = now >= self._no_contention_until and now >= role.rest_until
         return role.contending and not self._unhealthy_reason and rested
 
-    def _is_ours(self, entry: Entry) -> bool:
-        # Under an older lease of ours the key goes when that lease ends: it is not adopted.
-        ours = incarnation_of(entry.value) == self.incarnation and entry.lease == self.lease != 0
-        return ours and self.in_session
+    def _is_own_key(self, entry: Entry) -> bool:
+        # A key under an older lease of this instance is deleted when that lease ends, so it is not adopted.
+        own_key = incarnation_of(entry.value) == self.incarnation and entry.lease == self.lease != 0
+        return own_key and self.in_session
 
     def _observe_role_key(self, now: float, role: Role, entry: Entry | None) -> None:
-        if entry is not None and self._is_ours(entry):
+        if entry is not None and self._is_own_key(entry):
             if role.state not in (RoleState.HELD, RoleState.RELEASING):
                 self._acquire(now, role, entry.created)
         elif role.state in (RoleState.HELD, RoleState.RELEASING):
-            self._lose_role(now, role, "the key is not ours")
+            self._lose_role(now, role, "another instance holds the key, or it was deleted")
         elif entry is None and self.in_session:
-            # UNCERTAIN: our acquisition may still be carried out. A second one is then refused, and the read
-            # after it finds our key.
+            # UNCERTAIN: the pending acquisition may still be carried out. A second one is then refused, and
+            # the following read finds the key of this instance.
             if role.state in (RoleState.IDLE, RoleState.UNCERTAIN) and role.contending:
                 self._wait_to_acquire(now, role)
         elif role.state in (RoleState.WAITING, RoleState.UNCERTAIN):
@@ -475,7 +477,7 @@
         role.token = token
         role.acquired_at = now
         if not role.contending or self._unhealthy_reason:
-            self._release_role(role, self._unhealthy_reason or "not wished")
+            self._release_role(role, self._unhealthy_reason or "not contending")
         else:
             self._effects.append(RoleAcquired(role.name, token))
 
--- a/coveport/sidecar/leases/log_events.py
+++ b/coveport/sidecar/leases/log_events.py
@@ -1,4 +1,4 @@
-"""Names of the log events of sessions and roles; `docs/duties.md` says what each means to an operator."""
+"""Names of the log events of sessions and roles; `docs/duties.md` explains them for operators."""
 
 from __future__ import annotations
 
@@ -19,5 +19,5 @@
 COMMIT_SENT = "commit_sent"
 COMMIT_FINISHED = "commit_finished"
 
-# Written at each renewal, commit or lost answer: too many for the level of an ordinary log.
+# Logged at debug level: there is one for each renewal, commit and unknown outcome.
 DEBUG_EVENTS = frozenset({LEASE_RENEWED, COMMIT_SENT, COMMIT_FINISHED, STORE_CALL_UNKNOWN})
--- a/coveport/sidecar/leases/open_store.py
+++ b/coveport/sidecar/leases/open_store.py
@@ -1,4 +1,4 @@
-"""Opens the store that an operator's file names; each kind imports what it needs only then."""
+"""Opens the store that the operator's file configures; imports the module of that kind only."""
 
 from __future__ import annotations
 
@@ -7,21 +7,20 @@
 
 
 def open_store(operator_file: OperatorFile) -> Store:
-    """Return the store of leases; StoreError if it can't be used at all."""
+    """Return the lease store; StoreError if it can't be used."""
     if operator_file.sqlite is not None:
         from coveport.sidecar.leases.sqlite import SqliteStore
 
         return SqliteStore(operator_file.sqlite)
     from coveport.sidecar.leases.etcd import EtcdStore
 
-    # All endpoints together must have answered or timed out before the client gives a call up, after a
-    # third of the time to live.
+    # The client's time-out is a third of the time to live. All endpoints must be tried within it.
     endpoints = operator_file.endpoints
     return EtcdStore(endpoints, operator_file.terms.ttl_s / 3 / (len(endpoints) + 1))
 
 
 def open_record_store(operator_file: OperatorFile, call_timeout_s: float) -> Store:
-    """Return the store of operations' records: a file beside that of the leases, or the same etcd."""
+    """Return the store of operation records: a file next to the lease store's, or the same etcd cluster."""
     if operator_file.sqlite is not None:
         from coveport.sidecar.leases.sqlite import SqliteStore
 
--- a/coveport/sidecar/leases/session_values.py
+++ b/coveport/sidecar/leases/session_values.py
@@ -1,7 +1,7 @@
-"""Values that stand in the store for as long as the session: the instance's status, and what it publishes.
+"""Values that the store keeps while the session lasts: the instance's status and its published values.
 
-Each is bound to the session's lease. A value that stood unbound would outlive the session: the instance's
-own name would be taken for ever, by itself.
+Each is bound to the session's lease. Without a lease, a value would outlive the session, and the instance
+could never register its name again.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class WriteCall(Protocol):
-    """Puts a value; `kind` is what the call is counted as."""
+    """Function that puts a value; `kind` names the counter of the call."""
 
     async def __call__(self, kind: str, put: Put) -> Outcome:
         """Return the outcome of the put."""
 
 
 class SessionValues:
-    """Writes the values, one call a key at a time; of several values for a key the last one counts."""
+    """Writer of the values: one call per key at a time; later values of a key replace earlier ones."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._closed = False
         self.status = b"{}"
         self._writing_status = False
-        self._values: dict[str, bytes] = {}  # being written, or to be written next
+        self._values: dict[str, bytes] = {}  # by key: values in flight or to be written next
 
     def close(self) -> None:
         """Start no more writes."""
@@ -51,7 +51,7 @@
         return not self._closed and self._lease_state.in_session
 
     def publish(self, key: str, value: bytes) -> None:
-        """Write a value now; it is lost if there is no session."""
+        """Write a value now; it is discarded if there is no session."""
         writing = key in self._values
         if writing:
             self._values[key] = value
@@ -64,7 +64,7 @@
             value = self._values[key]
             lease = self._lease_state.lease
             if not lease:
-                del self._values[key]  # the session ended in this very turn
+                del self._values[key]  # the session ended before this task ran
                 return
             await self._write("put", Put(key, value, lease))
             if self._values.get(key) is value:
@@ -77,7 +77,7 @@
             self.write_status()
 
     def write_status(self) -> None:
-        """Write the status as it is, unless a write is in flight: that one sees to the rest."""
+        """Write the current status; after a write in flight, another one follows if the status changed."""
         if self._may_write and not self._writing_status:
             self._writing_status = True
             self._start_task(self._write_status())
@@ -86,9 +86,11 @@
         status = self.status
         lease = self._lease_state.lease
         if not lease:
-            self._writing_status = False  # the session ended in this very turn; the next one writes it
+            self._writing_status = (
+                False  # the session ended before this task ran; the next session writes the status
+            )
             return
-        # Refused if the lease is gone, so it never outlives the session.
+        # The put is refused if the lease has ended, so the status never outlives the session.
         outcome = await self._write("fares", Put(self._status_key, status, lease))
         self._writing_status = False
         if isinstance(outcome, Unknown) and not self._closed:
--- a/coveport/sidecar/leases/sqlite.py
+++ b/coveport/sidecar/leases/sqlite.py
@@ -1,7 +1,7 @@
-"""The store for the instances of one host: a SQLite file, a thread of its own, time by the boot clock.
+"""Lease store for the instances of one host: a SQLite file, used by its own thread, timed by the boot clock.
 
-Every transaction first ends the leases that have expired, and only then checks its compares: whichever
-instance comes first after a lease's end ends it for all.
+Every transaction first ends the leases that have expired, and only then checks its compares: the first
+instance that writes after a lease's expiry ends it for all instances.
 """
 
 from __future__ import annotations
@@ -23,28 +23,28 @@
 
 T = TypeVar("T")
 
-LOCK_TIMEOUT_S = 1.0  # how long a call queues for the file until its outcome is unknown
-# A poll for changes is a turn of the thread, and forty instances on one host pay for forty of them.
-WATCH_POLL_S = 0.02  # while there were changes lately
-IDLE_WATCH_POLL_S = 0.05
-IDLE_AFTER_S = 0.5
-ERRORS = (OSError, sqlite3.Error, TimeoutError)
+LOCK_TIMEOUT_S = 1.0  # time-out for the lock of the file, after which the outcome is unknown
+# Each poll for changes costs CPU time in every instance, and there may be forty instances on one host.
+WATCH_POLL_S = 0.02  # poll interval after recent changes
+IDLE_WATCH_POLL_S = 0.05  # poll interval otherwise
+IDLE_AFTER_S = 0.5  # time without a change after which the longer interval applies
+CALL_ERRORS = (OSError, sqlite3.Error, TimeoutError)
 
 
 @dataclass(frozen=True, slots=True)
 class _Poll:
-    """What a watch sees when it looks at the file."""
+    """Result of a watch's poll of the file."""
 
-    data_version: int  # moves with each commit of another connection
+    data_version: int  # SQLite's counter, which changes with each commit of another connection
     revision: int
     changes: Sequence[Change]
 
 
 class SqliteStore(Store):
-    """One instance's connection to the file. It must be closed, or its thread stays.
+    """The connection of one instance to the file. It must be closed to end its thread.
 
-    `now_s` and `boot` are the clock that leases end by, the same for all instances of the host, and the id
-    of the boot that it counts from. `watched` is False if nobody watches: then no history is kept.
+    `now_s` is the clock of lease expiry, the same for all instances of the host, and `boot` returns the id of
+    the boot that it counts from. Without `watched`, no history is kept and `watch` yields no changes.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._thread = ThreadPoolExecutor(1, "leases")
         self._file = SqliteFile(path, boot=boot, lock_timeout_s=lock_timeout_s, keep_history=watched)
 
-    # Calls. Each is one job of the thread.
+    # Calls. Each runs as one job in the thread.
 
     async def read(self, prefix: str) -> Done | Unknown:
         """Return all entries whose keys start with a prefix; expired leases are ended first."""
@@ -73,7 +73,7 @@
         return outcome
 
     async def commit(self, transaction: Transaction) -> Outcome:
-        """Carry a transaction out."""
+        """Carry out a transaction."""
 
         def job(tables: LeaseTables, revision: int) -> Outcome:
             return tables.carry_out(self._file.identity, revision, transaction)
@@ -81,7 +81,7 @@
         return await self._write(job)
 
     async def commit_all(self, transactions: Sequence[Transaction]) -> list[Outcome]:
-        """Carry several out within one transaction of the file: after a crash they are all there or none."""
+        """Carry out several transactions within one of the file: after a crash, all or none are stored."""
 
         def job(tables: LeaseTables) -> list[Outcome]:
             with self._file.writing(tables):
@@ -95,11 +95,11 @@
 
         try:
             return await self._in_thread(job)
-        except ERRORS as error:
+        except CALL_ERRORS as error:
             return [_unknown(error)] * len(transactions)
 
     async def grant(self, ttl_s: float) -> Done | Unknown:
-        """Return a new lease, from now."""
+        """Return a new lease, whose time to live starts now."""
 
         def job(tables: LeaseTables, revision: int) -> Done:
             lease = tables.insert_lease(ttl_s, self._now_s() + ttl_s)
@@ -110,7 +110,7 @@
         return outcome
 
     async def renew(self, lease: int) -> Outcome:
-        """Renew a lease."""
+        """Renew a lease by its time to live; refused if it has ended."""
 
         def job(tables: LeaseTables, revision: int) -> Outcome:
             ttl_s = tables.lease_ttl_s(lease)
@@ -122,7 +122,7 @@
         return await self._write(job)
 
     async def revoke(self, lease: int) -> Outcome:
-        """End a lease."""
+        """Revoke a lease, which deletes the keys that are bound to it."""
 
         def job(tables: LeaseTables, revision: int) -> Outcome:
             revision_after = tables.end_lease(revision, lease)
@@ -133,7 +133,7 @@
         return await self._write(job)
 
     async def time_left(self, lease: int) -> Outcome:
-        """Return how long a lease lasts without a renewal."""
+        """Return the remaining time of a lease."""
 
         def job(tables: LeaseTables, revision: int) -> Outcome:
             until_s = tables.lease_until_s(lease)
@@ -145,39 +145,39 @@
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Sequence[Change]]:
         """Yield the changes after a revision, by polling the file."""
-        seen = _Poll(-1, after, ())
+        last_poll = _Poll(-1, after, ())
         changed_at = self._now_s()
         while True:
             try:
-                poll = await self._in_thread(partial(self._poll, prefix, seen))
-            except ERRORS as error:
+                poll = await self._in_thread(partial(self._poll, prefix, last_poll))
+            except CALL_ERRORS as error:
                 raise WatchLostError(str(error)) from error
-            seen = _Poll(poll.data_version, max(seen.revision, poll.revision), ())
+            last_poll = _Poll(poll.data_version, max(last_poll.revision, poll.revision), ())
             now = self._now_s()
             if poll.changes:
                 changed_at = now
                 yield poll.changes
             await asyncio.sleep(WATCH_POLL_S if now - changed_at < IDLE_AFTER_S else IDLE_WATCH_POLL_S)
 
-    def _poll(self, prefix: str, seen: _Poll, tables: LeaseTables) -> _Poll:
+    def _poll(self, prefix: str, last_poll: _Poll, tables: LeaseTables) -> _Poll:
         first_expiry_s = tables.first_expiry_s()
         if first_expiry_s is not None and first_expiry_s <= self._now_s():
-            # Else a role would stay a dead holder's until some instance happens to write.
+            # Otherwise a stopped holder would keep its role until another instance writes.
             with self._file.writing(tables):
                 tables.end_expired(self._now_s())
         data_version = int(tables.connection.execute("PRAGMA data_version").fetchone()[0])
-        # Our own writes do not move the data version, so the revision is compared too.
+        # Writes of this connection do not change the data version, so the revision is compared too.
         revision = tables.revision
-        if data_version == seen.data_version and revision == seen.revision:
+        if data_version == last_poll.data_version and revision == last_poll.revision:
             return _Poll(data_version, revision, ())
-        return _Poll(data_version, revision, tables.changes(prefix, seen.revision, revision))
+        return _Poll(data_version, revision, tables.changes(prefix, last_poll.revision, revision))
 
     async def close(self) -> None:
         """Close the file and end the thread."""
         await asyncio.get_running_loop().run_in_executor(self._thread, self._file.close)
         self._thread.shutdown(wait=False)
 
-    # In the thread.
+    # Execution in the thread.
 
     async def _in_thread(self, job: Callable[[LeaseTables], T]) -> T:
         def run() -> T:
@@ -186,7 +186,7 @@
         return await asyncio.get_running_loop().run_in_executor(self._thread, run)
 
     async def _write(self, job: Callable[[LeaseTables, int], Outcome]) -> Outcome:
-        """Run a job in a transaction, at the revision after expired leases were ended."""
+        """Run a job in a transaction, after the expired leases were ended; the job gets the new revision."""
 
         def transaction(tables: LeaseTables) -> Outcome:
             with self._file.writing(tables):
@@ -194,10 +194,10 @@
 
         try:
             return await self._in_thread(transaction)
-        except ERRORS as error:
+        except CALL_ERRORS as error:
             return _unknown(error)
 
 
 def _unknown(error: Exception) -> Unknown:
-    # What failed before its commit did not happen; a commit that failed may have. Both are told as one.
+    # A failure before the commit had no effect, a failed commit may have had. They are not distinguished.
     return Unknown(f"{type(error).__name__}: {error}")
--- a/coveport/sidecar/leases/sqlite_file.py
+++ b/coveport/sidecar/leases/sqlite_file.py
@@ -1,8 +1,8 @@
-"""The file of a SQLite store: opens it, queues at its lock, and runs transactions.
+"""File of a SQLite store: opens it, acquires its lock, and runs transactions.
 
-Used by one thread alone. WAL with `synchronous=FULL`: what was reported as done survives a SIGKILL or a loss
-of power. A process that is killed within a transaction leaves the state before it; one that is stopped
-within a transaction holds the file until it goes on.
+Used by one thread only. With WAL and `synchronous=FULL`, a transaction that was reported as done survives a
+SIGKILL or a loss of power. If a process is killed during a transaction, the file keeps the state before it.
+If a process is suspended during a transaction, it keeps the lock until it resumes.
 """
 
 from __future__ import annotations
@@ -20,13 +20,16 @@
 from coveport.sidecar.leases.errors import StoreError
 from coveport.sidecar.leases.sqlite_tables import FORMAT, LeaseTables
 
-LOCK_POLL_S = (0.0005, 0.004)  # between two attempts to lock, drawn so that no two processes keep in step
-PRIMARY_CODE_MASK = 0xFF  # of SQLite's extended result codes
+LOCK_POLL_S = (
+    0.0005,
+    0.004,
+)  # random interval between attempts to lock, so that processes don't stay synchronised
+PRIMARY_CODE_MASK = 0xFF  # mask of the primary code in SQLite's extended result codes
 DAMAGED_CODES = frozenset({sqlite3.SQLITE_NOTADB, sqlite3.SQLITE_CORRUPT})
 
 
 class SqliteFile:
-    """The store's file. `boot` returns the id of the boot that leases' times count from."""
+    """The file of a store. `boot` returns the id of the boot that the leases' times count from."""
 
     def __init__(
         self, path: Path, *, boot: Callable[[], str], lock_timeout_s: float, keep_history: bool
@@ -38,18 +41,18 @@
         self._inode = 0
         self._lock_descriptor = -1
         self._rng = random.Random(os.getpid() ^ time.monotonic_ns())
-        self.tables: LeaseTables | None = None  # while it is open
+        self.tables: LeaseTables | None = None  # None while the file is closed
         self.identity = ""
 
     def open(self) -> LeaseTables:
-        """Return the tables; opens the file if it is not open, or if another one was put in its place."""
+        """Return the tables; opens the file if it is not open or was replaced by another one."""
         try:
             inode = os.stat(self._path).st_ino
         except FileNotFoundError:
             inode = 0
         if self.tables is not None and inode == self._inode:
             return self.tables
-        # What we hold open after a replacement is no other process's store any more.
+        # After a replacement, the open file is no longer the one that other processes use.
         self.close()
         self._lock_descriptor = os.open(f"{self._path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         connection = sqlite3.connect(
@@ -76,7 +79,7 @@
 
     @contextmanager
     def writing(self, tables: LeaseTables) -> Iterator[None]:
-        """Run a transaction that writes: after the lock is taken, and rolled back on an exception."""
+        """Run the block as a writing transaction under the lock; roll back on an exception."""
         with self._locked(), _transaction(tables.connection):
             yield
 
@@ -98,30 +101,32 @@
         connection = tables.connection
         file_format = connection.execute("PRAGMA user_version").fetchone()[0]
         if file_format > FORMAT:
-            raise StoreError(f"{self._path}: of format {file_format}, ours is {FORMAT}")
+            raise StoreError(
+                f"{self._path}: the file has format {file_format}, this version supports {FORMAT}"
+            )
         if not file_format:
             if connection.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]:
-                raise StoreError(f"{self._path}: holds something that is no store of ours")
+                raise StoreError(f"{self._path}: the file is a SQLite database but not a lease store")
             tables.create(uuid.uuid4().hex, self._boot())
 
     def _end_leases_of_other_boot(self, tables: LeaseTables) -> None:
         if tables.read_property("boot") != self._boot():
-            # No process lives that held a lease before the machine was started, and times of another boot
+            # No process that held a lease before the reboot is still running, and times of different boots
             # can't be compared.
             tables.end_all_leases()
             tables.write_property("boot", self._boot())
 
     @contextmanager
     def _locked(self) -> Iterator[None]:
-        """Queue at a lock beside the file: SQLite's own wait for a busy file starves some processes."""
-        give_up_at = time.monotonic() + self._lock_timeout_s
+        """Hold the lock file next to the store: SQLite's own busy time-out starves some processes."""
+        deadline_s = time.monotonic() + self._lock_timeout_s
         while True:
             try:
                 fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 break
             except BlockingIOError:
-                if time.monotonic() > give_up_at:
-                    raise TimeoutError("the store's file is busy") from None
+                if time.monotonic() > deadline_s:
+                    raise TimeoutError("the store's lock file is in use by another process") from None
                 time.sleep(self._rng.uniform(*LOCK_POLL_S))
         try:
             yield
--- a/coveport/sidecar/leases/sqlite_tables.py
+++ b/coveport/sidecar/leases/sqlite_tables.py
@@ -1,6 +1,6 @@
-"""The tables of a SQLite store: keys, leases, and the history that watches read.
+"""Tables of a SQLite store: keys, leases, and the history that watches read.
 
-Every method runs within a transaction of the caller, in the thread of the file.
+Every method runs within a transaction of the caller, in the store's thread.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     Transaction,
 )
 
-FORMAT = 1  # of the file, in its `user_version`; a file of a later format is rejected
-HISTORY_REVISIONS = 4096  # revisions that a watch can look back
-COMPACT_EVERY_REVISIONS = HISTORY_REVISIONS // 8
+FORMAT = 1  # file format, stored as `user_version`; a later format is rejected
+HISTORY_REVISIONS = 4096  # number of revisions that the history keeps for watches
+COMPACT_EVERY_REVISIONS = HISTORY_REVISIONS // 8  # interval of the history's compaction
 
-# SQLite stores these texts with the file, white space included, so they stay as they were written first.
+# SQLite stores these statements in the file, including white space, so they must not be reformatted.
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS about (name TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS entries (key TEXT PRIMARY KEY, value BLOB NOT NULL, created INTEGER NOT NULL,
@@ -40,7 +40,7 @@
 
 
 class LeaseTables:
-    """The tables of one open file. `keep_history`: whether anybody watches."""
+    """The tables of one open file. `keep_history`: whether changes are recorded for watches."""
 
     def __init__(self, connection: sqlite3.Connection, path: Path, *, keep_history: bool) -> None:
         self.connection = connection
@@ -50,7 +50,7 @@
     # Properties of the store.
 
     def create(self, identity: str, boot: str) -> None:
-        """Create the tables in an empty file."""
+        """Create the tables in an empty file, and set the store's properties."""
         for statement in SCHEMA.split(";"):
             self.connection.execute(statement)
         self.connection.executemany(
@@ -63,7 +63,7 @@
         """Return a property of the store; StoreError if it is missing."""
         row = self.connection.execute("SELECT value FROM about WHERE name = ?", (name,)).fetchone()
         if row is None:
-            raise StoreError(f"{self._path}: half written: nothing is said of its {name}")
+            raise StoreError(f"{self._path}: incomplete store: property {name} is missing")
         return str(row[0])
 
     def write_property(self, name: str, value: str) -> None:
@@ -91,21 +91,21 @@
         return None if row is None else float(row[0])
 
     def lease_until_s(self, lease: int) -> float | None:
-        """Return when a lease ends, by the store's clock; None if it has ended."""
+        """Return the expiry time of a lease, by the store's clock; None if it has ended."""
         row = self.connection.execute("SELECT until_s FROM leases WHERE id = ?", (lease,)).fetchone()
         return None if row is None else float(row[0])
 
     def extend_lease(self, lease: int, until_s: float) -> None:
-        """Set when a lease ends."""
+        """Set the expiry time of a lease."""
         self.connection.execute("UPDATE leases SET until_s = ? WHERE id = ?", (until_s, lease))
 
     def first_expiry_s(self) -> float | None:
-        """Return when the first lease ends; None if there is none."""
+        """Return the earliest expiry time of all leases; None if there is no lease."""
         first: float | None = self.connection.execute("SELECT min(until_s) FROM leases").fetchone()[0]
         return first
 
     def end_expired(self, now_s: float) -> int:
-        """End the leases that have expired; return the revision after that."""
+        """End the leases that have expired; return the resulting revision."""
         rows = self.connection.execute("SELECT id FROM leases WHERE until_s <= ?", (now_s,))
         return self._end_leases(self.revision, [row[0] for row in rows])
 
@@ -115,7 +115,7 @@
         self._end_leases(self.revision, [row[0] for row in rows])
 
     def end_lease(self, revision: int, lease: int) -> int | None:
-        """End a lease at a revision; return the revision after that, None if it had ended before."""
+        """End a lease at a revision; return the resulting revision, or None if it had already ended."""
         if self.lease_ttl_s(lease) is None:
             return None
         return self._end_leases(revision, [lease])
@@ -124,17 +124,17 @@
         if not leases:
             return revision
         self.connection.executemany("DELETE FROM leases WHERE id = ?", [(lease,) for lease in leases])
-        bound = [
+        deletions = [
             Delete(row[0])
             for lease in leases
             for row in self.connection.execute("SELECT key FROM entries WHERE lease = ?", (lease,))
         ]
-        return self._apply(revision, bound)
+        return self._apply(revision, deletions)
 
     # Keys.
 
     def carry_out(self, identity: str, revision: int, transaction: Transaction) -> Done | Refused:
-        """Carry a transaction out at a revision, if its compares hold and its leases live."""
+        """Carry out a transaction at a revision, if its compares hold and its leases have not ended."""
         if not all(map(self._compare_holds, transaction.compares)):
             return Refused(identity, revision)
         leases = {change.lease for change in transaction.changes if isinstance(change, Put) and change.lease}
@@ -150,9 +150,9 @@
         return int(row[0] if row else 0) == compare.equals
 
     def _apply(self, revision: int, changes: Sequence[Put | Delete]) -> int:
-        """Make changes at the next revision; return it, or `revision` if they change nothing."""
+        """Apply changes at the next revision; return it, or `revision` if they had no effect."""
         next_revision = revision + 1
-        # Each is made, whether or not one before it changed anything.
+        # A list, so that every change is applied even if an earlier one had an effect.
         changed = [self._apply_one(next_revision, change) for change in changes]
         if not any(changed):
             return revision
@@ -189,7 +189,7 @@
         self.write_property("compacted", str(max(0, up_to)))
 
     def entries(self, prefix: str) -> Iterator[Entry]:
-        """Yield the entries whose keys start with a prefix, in order."""
+        """Yield the entries whose keys start with a prefix, ordered by key."""
         rows = self.connection.execute(
             "SELECT key, value, created, modified, lease FROM entries WHERE key >= ? ORDER BY key", (prefix,)
         )
@@ -199,11 +199,11 @@
             yield Entry(*row)
 
     def changes(self, prefix: str, after: int, revision: int) -> list[Change]:
-        """Return the changes after a revision up to another; WatchLostError if the history lacks them."""
+        """Return the changes after `after` up to `revision`; WatchLostError if the history lacks some."""
         if revision < after:
-            raise WatchLostError(f"the store went back from {after} to {revision}")
+            raise WatchLostError(f"the store's revision went back from {after} to {revision}")
         if after < int(self.read_property("compacted")):
-            raise WatchLostError(f"what came after {after} is not kept any more")
+            raise WatchLostError(f"the history after revision {after} has been compacted")
         rows = self.connection.execute(
             "SELECT revision, key, value, created, lease FROM history "
             "WHERE revision > ? AND revision <= ? ORDER BY revision, key",
--- a/coveport/sidecar/leases/states.py
+++ b/coveport/sidecar/leases/states.py
@@ -1,6 +1,6 @@
-"""States of a session and of a role, as one instance sees them, and the transitions between them. Pure.
+"""States of a session and of a role at one instance, and the transitions between them. Pure.
 
-The values are printed in reports of trials and stay as they are.
+The values appear in trial reports and must not change.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
     REQUESTING_LEASE = "asking"
     REGISTERING = "arriving"  # the instance's key is being created under the lease
     ACTIVE = "in"
-    EXPIRING = "wary"  # not renewed in time so far: nothing new is started
+    EXPIRING = "wary"  # not renewed in time: no new work is started
     CLOSED = "left"
-    STORE_RESET = "estranged"  # the store went back in time, or is another one
+    STORE_RESET = "estranged"  # the store was wiped, restored or replaced
 
 
 class RoleState(Enum):
-    """An instance's part in a role."""
+    """State of a role at one instance."""
 
-    IDLE = "idle"  # another instance holds it, or the holder is not known
-    WAITING = "waiting"  # it has no holder; the instance tries to acquire it after a random wait
+    IDLE = "idle"  # another instance holds the role, or its holder is unknown
+    WAITING = "waiting"  # the role has no holder; the instance tries to acquire it after a random wait
     ACQUIRING = "claiming"
-    UNCERTAIN = "unsure"  # the outcome of the acquisition is unknown: the role may be held
+    UNCERTAIN = "unsure"  # the outcome of the acquisition is unknown: the instance may hold the role
     HELD = "held"
     RELEASING = "releasing"
 
@@ -40,7 +40,7 @@
     SessionState.CLOSED: frozenset(),
     SessionState.STORE_RESET: frozenset(),
 }
-# Reached from any state that is not final itself.
+# States that are reached from any state that is not final.
 FINAL_SESSION_STATES = frozenset({SessionState.CLOSED, SessionState.STORE_RESET})
 
 ROLE_TRANSITIONS: dict[RoleState, frozenset[RoleState]] = {
--- a/coveport/sidecar/leases/store.py
+++ b/coveport/sidecar/leases/store.py
@@ -1,8 +1,8 @@
-"""What a lease store can be asked for, and the three outcomes of a call. No I/O: each store has a module.
+"""Interface of a lease store, and the three outcomes of a call. Each implementation has its own module.
 
 A store keeps small values under keys. It has one revision, which grows by one with each transaction that
-changed something. A lease has a time to live; the keys that are bound to it are deleted when it ends. Each
-call is done, refused or unknown, and the last is not an error: it may have happened, and may still happen.
+has an effect. A lease has a time to live; the keys that are bound to it are deleted when it ends. A call is
+done, refused or unknown. Unknown is not an error: the call may have been carried out, or may still be.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A key as it stands."""
+    """A key with its current value."""
 
     key: str
     value: bytes
-    created: int  # revision at which it was created: the fencing token, if the key is a role's
+    created: int  # revision of its creation; the fencing token of a role's key
     modified: int  # revision of its last put
-    lease: int = 0  # 0: bound to none
+    lease: int = 0  # 0: not bound to a lease
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change that a watch shows: a put, or a delete (`entry` None)."""
+    """A change that a watch yields: a put, or a delete if `entry` is None."""
 
     revision: int
     key: str
@@ -35,7 +35,7 @@
 
 
 class Field(Enum):
-    """Which revision of an entry is compared; both are 0 for a key that does not exist."""
+    """The revision of an entry that a compare reads; 0 for a key that does not exist."""
 
     CREATED = "created"
     MODIFIED = "modified"
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Set a key's value, and bind it to a lease (0: to none)."""
+    """Set a key's value, and bind the key to a lease (0: to no lease)."""
 
     key: str
     value: bytes
@@ -78,11 +78,12 @@
 class Done:
     """The call was carried out.
 
-    `identity` is the store's: another one means another store. `revision` is the store's when the call was
-    carried out. `entries` are those of a read; `lease` and `ttl_s` those of a grant, renewal or query.
+    `identity` identifies the store: a different one means a different store. `revision` is the store's
+    revision when the call was carried out. `entries` are set by a read, `lease` and `ttl_s` by a grant, a
+    renewal or a query of a lease.
     """
 
-    kind: ClassVar[str] = "Done"  # as logs and, in lower case, counters have it
+    kind: ClassVar[str] = "Done"  # name of the outcome in logs and, in lower case, in counters
 
     identity: str
     revision: int
@@ -104,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The call was not answered: it may have happened, and may still happen."""
+    """The call got no answer: it may have been carried out, or may still be."""
 
     kind: ClassVar[str] = "Unknown"
 
@@ -115,22 +116,22 @@
 
 
 class Store(ABC):
-    """A store as one instance reaches it.
+    """The connection of one instance to a store.
 
-    A call that fails on its way is Unknown. StoreError is raised if no further call can succeed.
+    A call that fails in transit has the outcome Unknown. StoreError means that no further call can succeed.
     """
 
     @abstractmethod
     async def read(self, prefix: str) -> Done | Unknown:
-        """Return all entries whose keys start with a prefix, as of one revision; never an old one."""
+        """Return all entries whose keys start with a prefix, all at the current revision."""
 
     @abstractmethod
     async def commit(self, transaction: Transaction) -> Outcome:
-        """Carry a transaction out. The store itself never sends it twice."""
+        """Carry out a transaction. An implementation never sends it twice."""
 
     @abstractmethod
     async def commit_all(self, transactions: Sequence[Transaction]) -> list[Outcome]:
-        """Carry several out, each by itself: a refused one does not stop the rest. As durable as `commit`."""
+        """Carry out several independent transactions, even if some are refused. As durable as `commit`."""
 
     @abstractmethod
     async def grant(self, ttl_s: float) -> Done | Unknown:
@@ -138,30 +139,30 @@
 
     @abstractmethod
     async def renew(self, lease: int) -> Outcome:
-        """Renew a lease for its time to live; refused if it has ended."""
+        """Renew a lease by its time to live; refused if it has ended."""
 
     @abstractmethod
     async def revoke(self, lease: int) -> Outcome:
-        """End a lease, and delete the keys that are bound to it."""
+        """Revoke a lease, and delete the keys that are bound to it."""
 
     @abstractmethod
     async def time_left(self, lease: int) -> Outcome:
-        """Return how long a lease lasts without a renewal, as `ttl_s`; refused if it has ended."""
+        """Return the remaining time of a lease as `ttl_s`; refused if it has ended."""
 
     @abstractmethod
     def watch(self, prefix: str, after: int) -> AsyncIterator[Sequence[Change]]:
-        """Yield the changes later than revision `after`, in order; WatchLostError if that breaks off."""
+        """Yield the changes later than revision `after`, in order; WatchLostError if the watch fails."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Release what the store holds open."""
+        """Release the connections, files and threads of the store."""
 
 
 def create(key: str, value: bytes, lease: int = 0) -> Transaction:
-    """Return a transaction that creates a key, and is refused if it exists."""
+    """Return a transaction that creates a key, and is refused if the key exists."""
     return Transaction((Compare(key, Field.CREATED, 0),), (Put(key, value, lease),))
 
 
 def fenced(key: str, token: int, *changes: Put | Delete, compares: tuple[Compare, ...] = ()) -> Transaction:
-    """Return a transaction that is refused unless `key` is the one that was created at revision `token`."""
+    """Return a transaction that is refused unless `key` was created at revision `token`."""
     return Transaction((Compare(key, Field.CREATED, token), *compares), changes)
--- a/coveport/sidecar/leases/store_view.py
+++ b/coveport/sidecar/leases/store_view.py
@@ -18,20 +18,23 @@
 
 
 class StoreView:
-    """The keys under `prefix`, by their names without it."""
+    """The entries under `prefix`, by their keys without the prefix."""
 
     def __init__(self, prefix: str) -> None:
         self._prefix = prefix
         self.entries: dict[str, Entry] = {}
-        self.revision = 0  # of the store, up to which the entries are known
+        self.revision = 0  # store revision of the entries
 
     def without_prefix(self, entry: Entry) -> Entry:
-        """Return an entry under its name without the prefix."""
+        """Return an entry with the prefix removed from its key."""
         key = entry.key.removeprefix(self._prefix)
         return Entry(key, entry.value, entry.created, entry.modified, entry.lease)
 
     def replace(self, entries: Iterable[Entry], revision: int) -> list[KeyChange] | None:
-        """Take all entries as of a revision (names without the prefix); None if a later one is known."""
+        """Replace all entries by those of a revision (keys without the prefix).
+
+        Return the changes; None if a later revision is known.
+        """
         if revision < self.revision:
             return None
         before = self.entries
@@ -42,7 +45,7 @@
         return changes
 
     def apply(self, change: Change) -> KeyChange | None:
-        """Take a change from the watch; None if a later revision is known."""
+        """Apply a change from the watch and return it; None if a later revision is known."""
         if change.revision < self.revision:
             return None
         self.revision = change.revision
--- a/coveport/sidecar/singletons/drill.py
+++ b/coveport/sidecar/singletons/drill.py
@@ -1,7 +1,6 @@
-"""A role without any effect but its own count: to try a store before relying on it.
+"""Singleton role for testing a store: it only increments a counter.
 
-Every step adds one to the count and stores it, so that a step that was lost can be told from one that was
-done twice.
+Every step increments the counter and stores it, so that lost steps can be distinguished from repeated ones.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class Drill:
-    """Counts its steps, and stores which incarnation made the last one."""
+    """Role that counts its steps and stores the incarnation that made the last one."""
 
     name = "drill"
 
@@ -25,6 +24,6 @@
         self.interval_s = interval_s
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
-        """Return the step that counts one further."""
+        """Return the step that increments the counter."""
         count = int(json.loads(state)["count"]) + 1 if state else 1
         return Step(json.dumps({"count": count, "by": self.incarnation}).encode(), f"count {count}")
--- a/coveport/sidecar/singletons/health_checking.py
+++ b/coveport/sidecar/singletons/health_checking.py
@@ -1,12 +1,13 @@
 """Shared health checks: each ledger node is checked by one instance, which publishes the result. Pure.
 
-Which instance checks which node follows from the names alone (rendezvous hashing, Thaler and Ravishankar
-1998): all instances that see the same names agree without a message, and when one leaves only its own nodes
-move. Where they see different names two instances check one node, or none does for a moment; neither does
-harm. A result stands under `look/NODE`, bound to its author's session, so it goes when the author does.
-
-An instance that would check a node takes another's recent result instead. A result may keep a node out or
-let it in sooner; it never ends an operation.
+The assignment depends only on the names of nodes and instances (rendezvous hashing, Thaler and Ravishankar
+1998): all instances with the same names agree without communication, and when an instance leaves, only its
+own nodes are reassigned. While instances have different names, a node may be checked by two instances or by
+none for a short time; neither does harm. A result is stored under `look/NODE`, bound to its author's session,
+and is deleted when that session ends.
+
+Instead of its own check, an instance uses another instance's recent result. A result may exclude a node or
+readmit it sooner; it never ends an operation.
 """
 
 from __future__ import annotations
@@ -22,25 +23,25 @@
 from coveport.sidecar.leases.store import Entry
 
 RESULT_PREFIX = "look/"
-RESULT_LIFETIME_S = 2.0  # a result is used for so long after it was received
-REPUBLISH_S = 1.0  # an unchanged result is published again after so long, a change at once
-OWN_OBSERVATION_LIFETIME_S = 5.0  # what our own operations saw overrides a result for so long
-MAX_CLOCK_AHEAD_S = 5.0  # a result dated further into the future comes from a wrong clock: it is ignored
+RESULT_LIFETIME_S = 2.0  # time after its receipt during which a result is used
+REPUBLISH_S = 1.0  # interval for unchanged results; a change is published at once
+OWN_OBSERVATION_LIFETIME_S = 5.0  # time during which an own observation overrides a result
+MAX_CLOCK_AHEAD_S = 5.0  # results dated further into the future are ignored: wrong clock
 
 
 class HealthCheckResult(msgspec.Struct, frozen=True):
-    """Result of one instance's check of a node. Names in the store differ where a `name` is given."""
+    """Result of an instance's check of a node. `name` is a field's name in the store, if it differs."""
 
     checked_by: str = msgspec.field(name="by")  # incarnation
     checked_at: float = msgspec.field(name="at")  # unix s, by the author's clock
     ok: bool
     latency_ms: float = msgspec.field(default=0.0, name="ms")
-    sequence: int = msgspec.field(default=0, name="n")  # the author's count of results published
+    sequence: int = msgspec.field(default=0, name="n")  # number of the result, counted by its author
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedResult:
-    """Another's result as it came to us: its age counts from then, whatever the clocks say."""
+    """A result of another instance. Its age counts from its receipt, so that clocks need not agree."""
 
     result: HealthCheckResult
     received_at: float
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnCheck:
-    """The last check of ours of a node; `ok` is the result that was last known."""
+    """Last own check of a node; `ok` is the last known result."""
 
     started_at: float
     ok: bool
@@ -57,12 +58,12 @@
 
 
 def rendezvous_weight(instance: str, node: str) -> int:
-    """Return the weight of an instance for a node; the highest one checks it."""
+    """Return the weight of an instance for a node; the instance with the highest weight checks it."""
     return xxhash.xxh3_64_intdigest(f"{instance}\0{node}".encode())
 
 
 def assigned_checker(node: str, instances: Iterable[str]) -> str:
-    """Return which instance checks a node; empty if there is none."""
+    """Return the instance that checks a node; empty if there are no instances."""
     return max(instances, key=lambda name: (rendezvous_weight(name, node), name), default="")
 
 
@@ -77,9 +78,10 @@
 
 
 class SharedHealthChecks:
-    """One instance's part: the nodes it is to check, and the results it has received.
+    """Shared health checks at one instance: its assigned nodes, and the received results.
 
-    `now` of all calls is a clock of this instance that never steps, in s; `unix` is only published.
+    `now` of all calls is in s of a clock that never steps; `unix` is the wall-clock time, used in published
+    results and to reject results from the future.
     """
 
     def __init__(self, name: str, incarnation: str) -> None:
@@ -87,19 +89,21 @@
         self._incarnation = incarnation
         self._received: dict[str, ReceivedResult] = {}
         self._own_checks: dict[str, OwnCheck] = {}
-        self._observed: dict[str, tuple[float, bool]] = {}  # by our own operations: when last, and whether ok
+        self._observed: dict[
+            str, tuple[float, bool]
+        ] = {}  # by node: last time and success of an own operation
         self._instances: set[str] = set()
-        self._checkers: dict[str, str] = {}  # by node, while the same instances are registered
+        self._checkers: dict[str, str] = {}  # assigned instance by node, for the current set of instances
         self._sequence = 0
 
     def checks_to_start(
         self, now: float, nodes: Iterable[str], entries: Mapping[str, Entry], interval_s: float
     ) -> list[str]:
-        """Return the nodes assigned to this instance whose last check is `interval_s` ago."""
+        """Return the nodes assigned to this instance whose last check started at least `interval_s` ago."""
         instances = {key.removeprefix(INSTANCE_PREFIX) for key in entries if key.startswith(INSTANCE_PREFIX)}
         instances.add(self._name)
         if instances != self._instances:
-            # Assignments are kept: a hash for each pair of node and instance at every check is too much.
+            # Assignments are cached: hashing each pair of node and instance at every check costs too much.
             self._instances = instances
             self._checkers = {}
         return [
@@ -119,17 +123,17 @@
         return last is None or now - last.started_at >= interval_s
 
     def check_started(self, now: float, node: str) -> None:
-        """Note that a check of a node starts."""
-        before = self._last_check(node)
-        self._own_checks[node] = OwnCheck(now, before.ok, before.published_at)
+        """Record the start of a check of a node."""
+        last_check = self._last_check(node)
+        self._own_checks[node] = OwnCheck(now, last_check.ok, last_check.published_at)
 
     def check_finished(
         self, now: float, unix: float, node: str, *, ok: bool, latency_ms: float
     ) -> bytes | None:
-        """Return the result to publish; None if it is neither a change nor due again."""
-        before = self._last_check(node)
-        publish = before.ok is not ok or now - before.published_at >= REPUBLISH_S
-        self._own_checks[node] = OwnCheck(now, ok, now if publish else before.published_at)
+        """Return the result to publish; None if it is unchanged and was published recently."""
+        last_check = self._last_check(node)
+        publish = last_check.ok is not ok or now - last_check.published_at >= REPUBLISH_S
+        self._own_checks[node] = OwnCheck(now, ok, now if publish else last_check.published_at)
         if not publish:
             return None
         self._sequence += 1
@@ -141,14 +145,14 @@
         return self._own_checks.get(node, OwnCheck(-inf, True, -inf))
 
     def operation_observed(self, now: float, node: str, *, ok: bool) -> None:
-        """Note what an operation of our own saw of a node."""
+        """Record whether an operation of this instance succeeded at a node."""
         self._observed[node] = now, ok
 
     def receive(self, now: float, unix: float, node: str, entry: Entry | None) -> HealthCheckResult | None:
-        """Take another's result for a node (None: it went with its author's session).
+        """Handle a changed result of a node; `entry` is None if it was deleted with its author's session.
 
-        Return it if it changes what is known; None if not, if it is our own, or if our own operations saw
-        otherwise lately.
+        Return the result if it differs from the last one; None if not, if this instance is its author, or
+        if recent operations of this instance contradict it.
         """
         if entry is None:
             self._received.pop(node, None)
@@ -157,37 +161,37 @@
             result = msgspec.json.decode(entry.value, type=HealthCheckResult)
         except msgspec.DecodeError:
             return None
-        before = self._received.get(node)
-        overtaken = before is not None and entry.modified <= before.revision
-        if overtaken or result.checked_at > unix + MAX_CLOCK_AHEAD_S:
+        last_received = self._received.get(node)
+        outdated = last_received is not None and entry.modified <= last_received.revision
+        if outdated or result.checked_at > unix + MAX_CLOCK_AHEAD_S:
             return None
         self._received[node] = ReceivedResult(result, now, entry.modified)
-        unchanged = before is not None and before.result.ok is result.ok
+        unchanged = last_received is not None and last_received.result.ok is result.ok
         if unchanged or result.checked_by == self._incarnation:
             return None
-        return None if self._observed_otherwise(now, node, result.ok) else result
+        return None if self._contradicts_observation(now, node, result.ok) else result
 
     def recent_result(self, now: float, node: str) -> HealthCheckResult | None:
-        """Return another's recent result, in place of a check of our own; None if there is none."""
+        """Return another instance's recent result, which replaces an own check; None if there is none."""
         received = self._received.get(node)
         if received is None or received.result.checked_by == self._incarnation:
             return None
         if now - received.received_at > RESULT_LIFETIME_S:
             return None
-        return None if self._observed_otherwise(now, node, received.result.ok) else received.result
+        return None if self._contradicts_observation(now, node, received.result.ok) else received.result
 
-    def _observed_otherwise(self, now: float, node: str, ok: bool) -> bool:
-        # The author may reach the node by another path than we do: what our own operations saw counts more.
+    def _contradicts_observation(self, now: float, node: str, ok: bool) -> bool:
+        # The author may reach the node by a different network path, so own observations take precedence.
         observed = self._observed.get(node)
         if observed is None:
             return False
-        at, was_ok = observed
-        return was_ok is not ok and now - at < OWN_OBSERVATION_LIFETIME_S
+        observed_at, was_ok = observed
+        return was_ok is not ok and now - observed_at < OWN_OBSERVATION_LIFETIME_S
 
     def retain(self, nodes: Iterable[str]) -> None:
-        """Forget all nodes but these."""
+        """Discard the data of all other nodes."""
         listed = set(nodes)
         self._own_checks = {node: check for node, check in self._own_checks.items() if node in listed}
         self._received = {node: result for node, result in self._received.items() if node in listed}
-        self._observed = {node: seen for node, seen in self._observed.items() if node in listed}
+        self._observed = {node: observed for node, observed in self._observed.items() if node in listed}
         self._checkers = {node: checker for node, checker in self._checkers.items() if node in listed}
--- a/coveport/sidecar/singletons/rollout.py
+++ b/coveport/sidecar/singletons/rollout.py
@@ -1,7 +1,7 @@
-"""Roll-out of settings to a tenth of the instances at a time, rolled back if they do harm. Pure.
+"""Roll-out of settings to a tenth of the instances at a time, with roll-back on failures. Pure.
 
-The role's holder decides by `Rollout`; each instance follows by `rollout_follower`. What stands in the store
-is in `rollout_plan`.
+The role's holder makes decisions with `Rollout`; each instance applies them with `rollout_follower`. The
+formats of the store are in `rollout_plan`.
 
 Phases of a plan:  RUNNING <-> PAUSED;  RUNNING, PAUSED -> ROLLING_BACK -> ROLLED_BACK;  RUNNING -> DONE.
 """
@@ -34,13 +34,13 @@
 from coveport.sidecar.singletons.singleton import Step
 
 DECISION_INTERVAL_S = 0.25
-SOAK_S = 5.0  # all updated instances must have run the new settings for so long before the next step
-APPLY_TIMEOUT_S = 30.0  # an instance that has not applied the settings after so long: the plan rolls back
-MAX_SUCCESS_DROP = 0.05  # below the success ratio with the old settings: if it falls further, roll back
-MIN_OPERATIONS = 20  # on either side, below which success ratios are not compared
-MAX_PUTS_PER_STEP = 100  # etcd takes 128 operations in a transaction
+SOAK_S = 5.0  # time that all updated instances must run the new settings before the next step
+APPLY_TIMEOUT_S = 30.0  # time-out for an instance to apply the settings, after which the plan rolls back
+MAX_SUCCESS_DROP = 0.05  # a larger drop below the success ratio of the old settings rolls back
+MIN_OPERATIONS = 20  # minimum on both sides for a comparison of success ratios
+MAX_PUTS_PER_STEP = 100  # etcd accepts at most 128 operations in a transaction
 
-# Action of a command: the phases in which it is accepted, and the phase that it leads to.
+# By action of a command: the phases in which it is accepted, and the phase that it leads to.
 COMMAND_TRANSITIONS: dict[str, tuple[frozenset[RolloutPhase], RolloutPhase]] = {
     "pause": (frozenset({RolloutPhase.RUNNING}), RolloutPhase.PAUSED),
     "resume": (frozenset({RolloutPhase.PAUSED}), RolloutPhase.RUNNING),
@@ -49,9 +49,9 @@
 
 
 class Rollout:
-    """The role of the holder.
+    """Singleton role that carries out a roll-out.
 
-    Its only memory is when it first saw the plan as it is: a successor waits anew.
+    Only its timers are kept in memory, so a successor starts them again.
     """
 
     name = ROLLOUT_ROLE
@@ -65,12 +65,12 @@
         self.interval_s = interval_s
         self._soak_s = soak_s
         self._apply_timeout_s = apply_timeout_s
-        self._state: bytes | None = None  # as it was last seen
-        self._state_since = 0.0
-        self._applied_since: float | None = None  # when all updated instances ran the new settings
+        self._state: bytes | None = None  # last state that was read
+        self._state_since = 0.0  # when that state was first read
+        self._applied_since: float | None = None  # since when all updated instances have run the new settings
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
-        """Return the next step, if any."""
+        """Return the next step; None if there is nothing to do."""
         if self._state != state:
             self._state = state
             self._state_since = now
@@ -91,7 +91,7 @@
         return _advance(plan)
 
     def _find_failure(self, now: float, plan: RolloutPlan, statuses: Mapping[str, InstanceStatus]) -> str:
-        """Return why the plan must roll back; empty if it need not."""
+        """Return the reason to roll back; empty if there is none."""
         updated = [name for name in plan.updated_instances if name in statuses]
         for name in updated:
             if statuses[name].rejected == plan.new_settings:
@@ -109,7 +109,7 @@
     def _has_soaked(self, now: float, plan: RolloutPlan, statuses: Mapping[str, InstanceStatus]) -> bool:
         """Return whether all updated instances have run the new settings for long enough.
 
-        An instance that is away does not count: it catches up by itself.
+        Instances that are not registered are ignored: they apply the settings when they return.
         """
         present = [name for name in plan.updated_instances if name in statuses]
         if any(statuses[name].running != plan.new_settings for name in present):
@@ -125,47 +125,49 @@
 
 
 def _advance(plan: RolloutPlan) -> Step:
-    """Give the new settings to the next step's instances, or to all after the last step."""
+    """Assign the new settings to the instances of the next step, or to all after the last step."""
     desired = encode_desired(plan.new_settings)
     if plan.steps_done >= len(plan.steps):
         return _step(
             plan.with_phase(RolloutPhase.DONE, "all have it"), "done", Put(DESIRED_BY_DEFAULT_KEY, desired)
         )
-    after = msgspec.structs.replace(plan, steps_done=plan.steps_done + 1)
+    next_plan = msgspec.structs.replace(plan, steps_done=plan.steps_done + 1)
     puts = [Put(DESIRED_PREFIX + name, desired) for name in plan.steps[plan.steps_done]]
-    return _step(after, f"step {after.steps_done}", *puts)
+    return _step(next_plan, f"step {next_plan.steps_done}", *puts)
 
 
 def _roll_back(plan: RolloutPlan) -> Step:
-    """Give the old settings to all updated instances, as many at once as a transaction takes."""
+    """Assign the old settings to the updated instances, as many as one transaction accepts."""
     names = plan.updated_instances[plan.rolled_back : plan.rolled_back + MAX_PUTS_PER_STEP]
     if not names:
         return _step(plan.with_phase(RolloutPhase.ROLLED_BACK), "undone")
-    after = msgspec.structs.replace(plan, rolled_back=plan.rolled_back + len(names))
+    next_plan = msgspec.structs.replace(plan, rolled_back=plan.rolled_back + len(names))
     desired = encode_desired(plan.old_settings)
-    return _step(after, f"{len(names)} go back", *(Put(DESIRED_PREFIX + name, desired) for name in names))
+    return _step(next_plan, f"{len(names)} go back", *(Put(DESIRED_PREFIX + name, desired) for name in names))
 
 
 def _handle_command(plan: RolloutPlan | None, entries: Mapping[str, Entry]) -> Step:
-    """Carry out or reject the command that stands in the store, and delete it."""
+    """Carry out or reject the command in the store, and delete it."""
     try:
         command = msgspec.json.decode(entries[COMMAND_KEY].value, type=RolloutCommand)
     except msgspec.DecodeError:
         command = RolloutCommand("?")
     action = command.action
-    taken = Delete(COMMAND_KEY)
+    delete_command = Delete(COMMAND_KEY)
     if action == "start" and (plan is None or plan.phase in FINISHED_PHASES):
         return _start(command, entries)
     if plan is None:
         reply = f"{action}: there is no roll-out"
-        return _step(RolloutPlan("", "", (), RolloutPhase.ROLLED_BACK, last_reply=reply), "refused", taken)
+        return _step(
+            RolloutPlan("", "", (), RolloutPhase.ROLLED_BACK, last_reply=reply), "refused", delete_command
+        )
     accepted_in, phase = COMMAND_TRANSITIONS.get(action, (frozenset(), plan.phase))
     if plan.phase in accepted_in:
         reason = f"aborted by {command.requested_by}" if action == "abort" else ""
-        after = msgspec.structs.replace(plan.with_phase(phase, reason), last_reply=action)
-        return _step(after, action, taken)
+        next_plan = msgspec.structs.replace(plan.with_phase(phase, reason), last_reply=action)
+        return _step(next_plan, action, delete_command)
     reply = f"{action}: refused, the roll-out is {plan.phase.value}"
-    return _step(msgspec.structs.replace(plan, last_reply=reply), reply, taken)
+    return _step(msgspec.structs.replace(plan, last_reply=reply), reply, delete_command)
 
 
 def _start(command: RolloutCommand, entries: Mapping[str, Entry]) -> Step:
--- a/coveport/sidecar/singletons/rollout_follower.py
+++ b/coveport/sidecar/singletons/rollout_follower.py
@@ -1,4 +1,4 @@
-"""Each instance's part in a roll-out: which settings it is to run, by what stands in the store. Pure."""
+"""An instance's part in a roll-out: determines its desired settings from the store. Pure."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 class DesiredSettings:
     """Settings that an instance is to apply."""
 
-    id: str  # empty for those of its own file
-    text: str | None  # JSON; None for those of its own file
+    id: str  # settings id; empty for the settings of its own file
+    text: str | None  # JSON; None for the settings of its own file
 
 
 class RolloutFollower:
-    """Tells which settings the instance is to apply, and keeps what came of it."""
+    """Determines the settings that the instance must apply, and keeps the result."""
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._revision = 0  # of the key that was followed last: an older one is never followed
+        self._revision = 0  # of the key that was applied last; older revisions are ignored
         self.running = ""
         self.rejected = ""
         self.reject_reason = ""
@@ -45,26 +45,26 @@
         if settings_id:
             settings = entries.get(SETTINGS_PREFIX + settings_id)
             if settings is None:
-                return None  # its text comes with a later change
+                return None  # the text arrives with a later change
             text = settings.value.decode(errors="replace")
         self._revision = desired.modified
         return None if settings_id == self.running else DesiredSettings(settings_id, text)
 
     def _latest_desired(self, entries: Mapping[str, Entry]) -> Entry | None:
-        """Return the latest of the keys that apply, if it is later than the one followed last."""
+        """Return the latest key that applies to the instance, if it is later than the last one used."""
         keys = (DESIRED_PREFIX + self._name, DESIRED_BY_DEFAULT_KEY)
         desired = [entries[key] for key in keys if key in entries]
         latest = max(desired, key=lambda entry: entry.modified, default=None)
         return latest if latest is not None and latest.modified > self._revision else None
 
     def record_applied(self, settings: str) -> None:
-        """Note that these settings are in force."""
+        """Record that these settings are in effect."""
         self.running = settings
         self.rejected = ""
         self.reject_reason = ""
 
     def record_rejected(self, settings: str, reason: str) -> None:
-        """Note that these settings can't be used; those that ran before stay in force."""
+        """Record that these settings can't be used; the previous ones stay in effect."""
         self.rejected = settings
         self.reject_reason = reason
 
--- a/coveport/sidecar/singletons/rollout_plan.py
+++ b/coveport/sidecar/singletons/rollout_plan.py
@@ -1,14 +1,14 @@
-"""What a roll-out keeps in the store: its plan, staff's commands, and the status of each instance. Pure.
+"""Formats of a roll-out in the store: its plan, operators' commands, and instances' status. Pure.
 
-    ask/rollout         a command of staff: start (with the settings), pause, resume, abort; deleted by the
-                        step that carries it out
+    ask/rollout         a command of an operator: start (with the settings), pause, resume, abort; deleted by
+                        the step that carries it out
     state/rollout       the plan and its progress
     settings/ID         settings as JSON text; ID is derived from the text
-    want/NAME, want/*   which settings an instance is to run, and which all those are that have no key of
-                        their own; the key of the higher revision counts
-    instance/NAME       status of an instance: what it runs, what it rejected, how many requests succeed
+    want/NAME, want/*   desired settings of an instance, and default for all instances; of the two keys the
+                        one with the higher revision applies
+    instance/NAME       status of an instance: running and rejected settings, success ratio
 
-Names of fields in the store differ from those here where a `name` is given; they are on disk and stay.
+`name` of a field gives its name in the store where it differs; stored names must not change.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 SETTINGS_PREFIX = "settings/"
 DESIRED_PREFIX = "want/"
 DESIRED_BY_DEFAULT_KEY = DESIRED_PREFIX + "*"
-MAX_STEPS = 10  # a plan has so many steps, or one for each instance if there are fewer
-SETTINGS_ID_DIGITS = 16  # of a SHA-256 in hexadecimal: 64 bits are plenty for the settings of one fleet
+MAX_STEPS = 10  # maximum number of steps of a plan; each step has at least one instance
+SETTINGS_ID_DIGITS = 16  # hexadecimal digits of a SHA-256; 64 bits suffice for the settings of a fleet
 
 
 class RolloutPhase(Enum):
-    """Where a plan is. The values are stored."""
+    """Phase of a plan. The values are stored."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -58,14 +58,16 @@
     """A roll-out and its progress."""
 
     new_settings: str = msgspec.field(name="new")  # settings id
-    old_settings: str = msgspec.field(name="old")  # settings id to roll back to; empty: each instance's file
-    steps: tuple[tuple[str, ...], ...]  # names of instances
+    old_settings: str = msgspec.field(name="old")  # settings id for a roll-back; empty: each instance's file
+    steps: tuple[tuple[str, ...], ...]  # names of the instances of each step
     phase: RolloutPhase = RolloutPhase.RUNNING
     steps_done: int = msgspec.field(default=0, name="done")
-    rolled_back: int = msgspec.field(default=0, name="back")  # instances that were given the old settings
+    rolled_back: int = msgspec.field(
+        default=0, name="back"
+    )  # number of instances with the old settings again
     reason: str = msgspec.field(default="", name="why")
     requested_by: str = msgspec.field(default="", name="by")
-    last_reply: str = msgspec.field(default="", name="said")  # to the last command of staff
+    last_reply: str = msgspec.field(default="", name="said")  # reply to the last command of an operator
 
     def with_phase(self, phase: RolloutPhase, reason: str = "") -> RolloutPlan:
         """Return the plan in another phase; AssertionError if there is no such transition."""
@@ -75,43 +77,45 @@
 
     @property
     def updated_instances(self) -> tuple[str, ...]:
-        """The instances that were given the new settings, in order."""
+        """The instances that the new settings were assigned to, in order."""
         return tuple(name for step in self.steps[: self.steps_done] for name in step)
 
 
 class InstanceStatus(msgspec.Struct, frozen=True):
-    """What an instance publishes under its name."""
+    """Status that an instance publishes under its name."""
 
     incarnation: str = ""
-    running: str = msgspec.field(default="", name="runs")  # settings id; empty: those of its own file
+    running: str = msgspec.field(default="", name="runs")  # settings id; empty: settings of its own file
     rejected: str = msgspec.field(default="", name="refused")  # settings id
     reject_reason: str = msgspec.field(default="", name="why")
-    success_ratio: float = msgspec.field(default=1.0, name="served")  # of the operations that ended lately
-    operations: int = msgspec.field(default=0, name="ended")  # how many ended in that time
+    success_ratio: float = msgspec.field(
+        default=1.0, name="served"
+    )  # success ratio of recently finished operations
+    operations: int = msgspec.field(default=0, name="ended")  # number of these operations
 
 
 class RolloutCommand(msgspec.Struct, frozen=True):
-    """A command of staff."""
+    """A command of an operator."""
 
     action: str = msgspec.field(name="do")  # start, pause, resume or abort
-    settings: str = ""  # of a start: JSON text
+    settings: str = ""  # settings as JSON text, if the action is start
     requested_by: str = msgspec.field(default="", name="by")
 
 
 class SuccessRatio(NamedTuple):
-    """Share of operations that succeeded, and of how many."""
+    """Ratio of operations that succeeded, and the number of operations."""
 
     ratio: float
     operations: int
 
 
 def settings_id(settings: str) -> str:
-    """Return the id of settings: the same for the same text."""
+    """Return the id of settings, which is derived from their text."""
     return hashlib.sha256(settings.encode()).hexdigest()[:SETTINGS_ID_DIGITS]
 
 
 def encode_desired(settings: str) -> bytes:
-    """Return the value of a `want/` key: the settings id, empty for an instance's own file."""
+    """Return the value of a `want/` key: the settings id, or an empty id for an instance's own file."""
     return json.dumps({"settings": settings}).encode()
 
 
@@ -140,7 +144,7 @@
 def plan_steps(names: Iterable[str], steps: int = MAX_STEPS) -> tuple[tuple[str, ...], ...]:
     """Return the instances in steps of a tenth each, rounded up.
 
-    They are ordered by a hash of their names, so that neighbours fall into different steps.
+    They are ordered by a hash of their names, so that instances with similar names fall into different steps.
     """
     ordered = sorted(names, key=lambda name: (hashlib.sha256(name.encode()).digest(), name))
     size = max(1, -(-len(ordered) // steps))
@@ -148,7 +152,7 @@
 
 
 def combined_success(statuses: Iterable[InstanceStatus]) -> SuccessRatio:
-    """Return the success ratio of some instances together; 1.0 if no operation ended."""
+    """Return the combined success ratio of several instances; 1.0 without operations."""
     succeeded, operations = 0.0, 0
     for status in statuses:
         succeeded += status.success_ratio * status.operations
@@ -157,7 +161,7 @@
 
 
 def is_rollout_active(entries: Mapping[str, Entry]) -> bool:
-    """Return whether a plan is in progress, so that the status of instances matters."""
+    """Return whether a plan is in progress, which needs the status of instances."""
     entry = entries.get(PLAN_KEY)
     if entry is None:
         return False
--- a/coveport/sidecar/singletons/singleton.py
+++ b/coveport/sidecar/singletons/singleton.py
@@ -1,8 +1,9 @@
-"""A singleton role: decides what its holder does next. Pure.
+"""Interface of a singleton role, which decides on the next step of its holder. Pure.
 
-A role keeps the state that its successor goes on from under `state/NAME`. Each step is one transaction: it
-compares the token and the revision of the state that it was decided on, puts the next state, and makes the
-step's changes. So a step is carried out once or not at all, also when another instance takes over midway.
+A role stores its state under `state/NAME`; a successor continues from it. Each step is one transaction: it
+compares the fencing token and the revision of the state that the decision was based on, puts the next state,
+and makes the step's changes. A step is therefore carried out once or not at all, even if another instance
+takes over in between.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step: the next state, a description for the log, and further changes (keys without the prefix)."""
+    """A step: the next state, a description for the log, and further changes (keys without the prefix)."""
 
     state: bytes
     description: str
@@ -25,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """A role's state as it stands in the store; without a value, and at revision 0, before the first step."""
+    """A role's state in the store; before the first step its value is None and its revision 0."""
 
     value: bytes | None
     revision: int
 
 
 class SingletonRole(Protocol):
-    """The pure half of a role: decides its next step."""
+    """A role's decisions, without I/O."""
 
     name: str
-    interval_s: float  # between two decisions
+    interval_s: float  # interval between decisions
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
-        """Return the next step, or None. `state`: as it stands in the store, None before the first step."""
+        """Return the next step, or None. `state`: the stored state, None before the first step."""
--- a/coveport/sidecar/singletons/singleton_runner.py
+++ b/coveport/sidecar/singletons/singleton_runner.py
@@ -10,13 +10,13 @@
 from coveport.sidecar.leases.store import Compare, Done, Field, Put, Refused
 from coveport.sidecar.singletons.singleton import SingletonRole, Step, StoredState
 
-RETRY_S = 0.1  # wait after a state that could not be read, or a step that was refused
+RETRY_S = 0.1  # delay after a failed read of the state or a refused step
 
 
 class SingletonRunner:
-    """Runs a role for as long as this instance holds it.
+    """Runner of one role while this instance holds it.
 
-    `on_step_done` is called after each step with its token and revision.
+    `on_step_done` is called after each step with the step, the fencing token and the revision.
     """
 
     def __init__(
@@ -33,31 +33,31 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self, token: int) -> None:
-        """Run the role under this token: the instance holds it from now on."""
+        """Start running the role, which the instance has acquired under this fencing token."""
         self.stop()
         self._task = asyncio.ensure_future(self._run(token))
 
     def stop(self) -> None:
-        """Stop: the instance does not hold the role any more."""
+        """Stop running the role, which the instance no longer holds."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     async def read_state(self) -> StoredState | None:
-        """Return the state as it stands in the store; None if the store does not answer."""
+        """Return the stored state; None if the outcome of the read is unknown."""
         key = STATE_PREFIX + self.role.name
-        found = await self._lease_client.read(key)
-        if found is None:
+        current = await self._lease_client.read(key)
+        if current is None:
             return None
-        entry = next((entry for entry in found.entries if entry.key == key), None)
+        entry = next((entry for entry in current.entries if entry.key == key), None)
         return StoredState(None, 0) if entry is None else StoredState(entry.value, entry.modified)
 
     async def _run(self, token: int) -> None:
         state: StoredState | None = None
         while True:
             if state is None:
-                # Read after our key was created, hence after every step of a predecessor that the store
-                # will ever accept.
+                # The read follows the creation of the role's key, after which the store accepts no step of a
+                # predecessor.
                 state = await self.read_state()
                 if state is None:
                     await asyncio.sleep(RETRY_S)
@@ -69,7 +69,7 @@
             await asyncio.sleep(self.role.interval_s)
 
     async def _step(self, token: int, state: StoredState) -> StoredState | None:
-        """Carry out the next step; return the state after it, None if it must be read again."""
+        """Carry out the next step; return the resulting state, or None if it must be read again."""
         step = self.role.decide(self._now_s(), state.value, self._lease_client.entries)
         if step is None:
             return state
@@ -86,4 +86,4 @@
             return StoredState(step.state, outcome.revision)
         if isinstance(outcome, Refused) or outcome is None:
             await asyncio.sleep(RETRY_S)
-        return None  # an unknown outcome may have happened: the state is read before the next step
+        return None  # a step with an unknown outcome may have been stored, so the state is read again
--- a/coveport/sidecar/singletons/slow_start_client.py
+++ b/coveport/sidecar/singletons/slow_start_client.py
@@ -1,4 +1,4 @@
-"""Each instance's part in slow start: what it requests, and which grants it may use. Pure."""
+"""An instance's part in slow start: its capacity requests, and the grants that it may use. Pure."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     CapacityRequest,
 )
 
-REQUEST_INTERVAL_S = GRANT_LIFETIME_S / 2  # so that a grant follows before the last one expires
+REQUEST_INTERVAL_S = GRANT_LIFETIME_S / 2  # a new grant arrives before the last one expires
 
 
 @dataclass(frozen=True, slots=True)
 class UsableGrant:
-    """Operations by node that may be sent while the instance's own clock is below `expires_at`, in s."""
+    """Number of operations by node that may be sent until `expires_at`, in s of the instance's clock."""
 
     expires_at: float
     operations: Mapping[str, int]
@@ -31,16 +31,16 @@
 
     def __init__(self, incarnation: str) -> None:
         self._incarnation = incarnation
-        self._accepted_steps: dict[str, int] = {}  # by zone: step of the grant that was accepted last
+        self._accepted_steps: dict[str, int] = {}  # by zone: step of the last accepted grant
         self._requested_at = -inf
-        self._requested_nodes = 0  # how many nodes the last request named
+        self._requested_nodes = 0  # number of nodes in the last request
 
     def request(
         self, now: float, rate_per_s: float, service_s: float, nodes: Mapping[str, tuple[int, float]]
     ) -> bytes | None:
-        """Return the request to publish now; None if there is nothing to request, or one is recent.
+        """Return the request to publish now; None if nothing is needed or the last request is recent.
 
-        `nodes`: the warming nodes by name, with zone and age in s.
+        `nodes`: zone and age in s of each warming node, by name.
         """
         if not nodes or rate_per_s <= 0:
             return None
@@ -53,15 +53,15 @@
         )
 
     def accept(self, now: float, zone: str, entry: Entry | None) -> UsableGrant | None:
-        """Return what a grant allows; None if it can't be used."""
+        """Return the usable part of a grant; None if it can't be used."""
         if entry is None:
             return None
         try:
             grant = msgspec.json.decode(entry.value, type=CapacityGrant)
         except msgspec.DecodeError:
             return None
-        # A grant is accepted once, and only by the process that requested it: a predecessor of the same
-        # name may have used it.
+        # A grant is accepted once, and only by the process that requested it, because an earlier process of
+        # the same name may have used it.
         if grant.incarnation != self._incarnation or grant.step <= self._accepted_steps.get(zone, 0):
             return None
         self._accepted_steps[zone] = grant.step
--- a/coveport/sidecar/singletons/slow_start_coordinator.py
+++ b/coveport/sidecar/singletons/slow_start_coordinator.py
@@ -1,23 +1,24 @@
 """Coordinator of slow start: grants instances shares of a warming node's safe load. Pure.
 
-Shares are whole operations. One coordinator a zone. What stands in the store is in `slow_start_messages`, an
-instance's part in `slow_start_client`.
+Shares are whole operations. Each zone has one coordinator. The formats of the store are in
+`slow_start_messages`, an instance's part in `slow_start_client`.
 
-No two clocks are compared. An instance may use a grant while its own clock is below requested_at + G, and
-that time was taken before the grant was written; so no grant is used later than G after it was written, by
-any clock within the drift. The coordinator counts a grant as in use for G' = G (1 + drift) from when it
-wrote it. A successor, which knows no times of its predecessor's clock, counts from when it took over, which
-is later.
+Times of different clocks are never compared. An instance may use a grant while its own clock is below
+requested_at + G. It took the time requested_at before the grant was written, so no grant is used later than G
+after it was written, by any clock within the drift. The coordinator counts a grant as in use for
+G' = G (1 + drift) after writing it. A successor can't use times of its predecessor's clock and counts from
+its takeover, which is later.
 
-Let W be the window over which a node's safe load holds, and B(age) what it bears in that window at that
-age, which only grows. What arrives within W was granted within W + G' at most. So where
+Let W be the window of a node's safe load, and B(age) the number of operations that a node of that age can
+carry out in that window; it never falls with age. Operations that arrive within W were granted within W + G'
+at most. So if
 
     granted in the last W + G'  <=  GRANTED_SHARE * B(age - W - G')
 
-no window sees more of grants than GRANTED_SHARE of what the node bears when the window begins. Instances
-without a grant (no store, no coordinator, an expired grant) keep to a share by count, which the balancer
-holds under COLD_SAFETY of B. GRANTED_SHARE + COLD_SAFETY < 1: whatever is partitioned, both together stay
-below the safe load.
+the granted operations in any window stay below GRANTED_SHARE of the safe load at the start of the window.
+Instances without a grant (no store, no coordinator, an expired grant) divide a part of the load by the number
+of instances, which the balancer limits to COLD_SAFETY of B. GRANTED_SHARE + COLD_SAFETY < 1, so both together
+stay below the safe load under any partition.
 """
 
 from __future__ import annotations
@@ -43,15 +44,15 @@
     SafeLoad,
 )
 
-GRANTED_SHARE = 0.4  # of what a node bears, that all grants together may come to
+GRANTED_SHARE = 0.4  # share of a node's safe load that all grants together may use
 DECISION_INTERVAL_S = 0.25
-MAX_GRANTS_PER_STEP = 100  # etcd takes 128 operations in a transaction
+MAX_GRANTS_PER_STEP = 100  # etcd accepts at most 128 operations in a transaction
 
 
 def apportion(total: int, weights: Mapping[str, float], salt: str) -> dict[str, int]:
-    """Return whole shares of `total` by weight: rounded down, the rest to the largest remainders.
+    """Return whole shares of `total` by weight, with the rest assigned by the largest remainders.
 
-    Ties are ordered by a hash of the name and `salt`, so that they don't fall to the same one each time.
+    Ties are ordered by a hash of the name and `salt`, so that they don't favour the same name each time.
     """
     weight_sum = sum(weights.values())
     if total <= 0 or weight_sum <= 0:
@@ -69,9 +70,9 @@
 
 
 class SlowStartCoordinator:
-    """The role of the holder, for one zone.
+    """Singleton role that grants capacity in one zone.
 
-    `incarnation` marks the states it writes; `drift` is the share by which any two clocks may differ.
+    `incarnation` marks the states it writes; `drift` is the share by which two clocks may differ.
     """
 
     def __init__(
@@ -87,19 +88,21 @@
         self._zone = zone
         self._incarnation = incarnation
         self._safe_load = safe_load
-        self.in_use_s = GRANT_LIFETIME_S * (1 + drift)  # G'
-        self._adopted: tuple[bytes | None, float] | None = None  # another's state, and when it was first seen
-        self._has_written = False  # since this process started
-        # By instance: the time of its request, and when it was first seen by our clock.
+        self.in_use_s = GRANT_LIFETIME_S * (1 + drift)  # G': time during which a grant counts as in use
+        self._adopted: tuple[bytes | None, float] | None = (
+            None  # a predecessor's state, and when it was first read
+        )
+        self._has_written = False  # whether this process has written a state
+        # By instance: the time of its request by its own clock, and when it was first read by this clock.
         self._requests_seen: dict[str, tuple[float, float]] = {}
 
     @property
     def _span_s(self) -> float:
-        """W + G': what was granted within it may arrive within one window."""
+        """W + G': operations granted within this time may arrive within one window."""
         return self._safe_load.overload_window_s + self.in_use_s
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
-        """Return the step that answers the open requests as far as the nodes bear it."""
+        """Return the step that answers the open requests within the nodes' safe load."""
         stored = msgspec.json.decode(state, type=CoordinatorState) if state else None
         if stored is None:
             stored = CoordinatorState(self._incarnation)
@@ -108,16 +111,16 @@
         return self._answer_requests(now, stored, entries)
 
     def _adopt(self, now: float, state: bytes | None, stored: CoordinatorState) -> CoordinatorState:
-        """Take over a predecessor's state, with all its grants as written when it was first seen.
+        """Take over a predecessor's state, and date all its grants at the first read of that state.
 
-        The predecessor may be an earlier process of this name: its grants may be in use, for as long as a
-        grant can be, from when we first saw its state.
+        The predecessor may be an earlier process of this instance. Its grants may be in use for a full
+        lifetime from that read on.
         """
         if self._adopted is None or self._adopted[0] != state:
             self._adopted = state, now
-        seen_at = self._adopted[1]
+        adopted_at = self._adopted[1]
         outstanding = {
-            node: [OutstandingGrant(seen_at, sum(grant.operations for grant in grants))]
+            node: [OutstandingGrant(adopted_at, sum(grant.operations for grant in grants))]
             for node, grants in stored.outstanding.items()
         }
         return CoordinatorState(self._incarnation, stored.step, outstanding, stored.answered)
@@ -162,14 +165,14 @@
     ) -> dict[str, int]:
         """Return the operations of one node for each instance that requests it."""
         requesting = {name: request for name, request in requests.items() if node in request.nodes}
-        # The lowest age and the longest operation that any instance reports.
+        # The lowest age and the longest mean time of an operation that any instance reports.
         age_s = min(request.nodes[node][1] for request in requesting.values())
         service_s = max(request.service_s for request in requesting.values())
-        bearable = GRANTED_SHARE * self._safe_load.operations(age_s - self._span_s, service_s)
-        available = int(bearable) - sum(grant.operations for grant in outstanding)
+        grantable = GRANTED_SHARE * self._safe_load.operations(age_s - self._span_s, service_s)
+        available = int(grantable) - sum(grant.operations for grant in outstanding)
         weights = {name: request.rate_per_s for name, request in requesting.items()}
         shares = apportion(available, weights, f"{node} {step}")
-        # More than an instance could send in the time would only keep others from it.
+        # Capacity beyond the rate of an instance would be unused, and unavailable to other instances.
         return {
             name: min(share, ceil(requesting[name].rate_per_s * GRANT_LIFETIME_S))
             for name, share in shares.items()
@@ -190,7 +193,7 @@
             if INSTANCE_PREFIX + name in entries
         }
         answered |= {name: requests[name].requested_at for name in granted}
-        after = CoordinatorState(
+        next_state = CoordinatorState(
             self._incarnation,
             step,
             {node: grants for node, grants in outstanding.items() if grants},
@@ -202,12 +205,12 @@
             grant = CapacityGrant(request.incarnation, request.requested_at, step, operations)
             puts.append(Put(f"{GRANT_PREFIX}{self._zone}/{name}", msgspec.json.encode(grant)))
         total = sum(sum(operations.values()) for operations in granted.values())
-        return Step(msgspec.json.encode(after), f"granted {total} to {len(granted)}", tuple(puts))
+        return Step(msgspec.json.encode(next_state), f"granted {total} to {len(granted)}", tuple(puts))
 
     def _open_requests(
         self, now: float, stored: CoordinatorState, entries: Mapping[str, Entry]
     ) -> dict[str, CapacityRequest]:
-        """Return the requests to answer, of registered instances; so many as fit in a step."""
+        """Return the requests of registered instances to answer, as many as fit in a step."""
         requests: dict[str, CapacityRequest] = {}
         for key, entry in entries.items():
             name = key.removeprefix(REQUEST_PREFIX)
@@ -222,11 +225,11 @@
         return requests
 
     def _is_open(self, now: float, name: str, request: CapacityRequest, stored: CoordinatorState) -> bool:
-        seen = self._requests_seen.get(name)
-        if seen is None or seen[0] != request.requested_at:
-            seen = self._requests_seen[name] = request.requested_at, now
-        if now - seen[1] > GRANT_LIFETIME_S / 2:
-            return False  # a grant for it now would expire on its way
+        first_read = self._requests_seen.get(name)
+        if first_read is None or first_read[0] != request.requested_at:
+            first_read = self._requests_seen[name] = request.requested_at, now
+        if now - first_read[1] > GRANT_LIFETIME_S / 2:
+            return False  # a grant would expire before the instance can use it
         if request.rate_per_s <= 0 or request.service_s <= 0:
             return False
         return stored.answered.get(name) != request.requested_at
--- a/coveport/sidecar/singletons/slow_start_messages.py
+++ b/coveport/sidecar/singletons/slow_start_messages.py
@@ -1,10 +1,10 @@
-"""What slow start keeps in the store: requests for capacity, grants, and the coordinator's state. Pure.
+"""Formats of slow start in the store: capacity requests, grants, and the coordinator's state. Pure.
 
-    need/NAME           an instance's request: a time of its own clock, its rate, the warming nodes it knows
-    grant/ZONE/NAME     what it may send to which node of that zone, with the time of the request it answers
-    state/warden@ZONE   what may still be in use, by node
+    need/NAME           request of an instance: its own clock's time, its rate, the known warming nodes
+    grant/ZONE/NAME     operations that it may send to each node of that zone, and the time of the request
+    state/warden@ZONE   state of the zone's coordinator: grants that may be in use, by node
 
-Names of fields in the store differ from those here where a `name` is given; they are on disk and stay.
+`name` of a field gives its name in the store where it differs; stored names must not change.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 REQUEST_PREFIX = "need/"
 GRANT_PREFIX = "grant/"
 ROLE_NAME_PREFIX = "warden@"  # + zone
-GRANT_LIFETIME_S = 2.0  # G: how long from its request on an instance may use a grant
+GRANT_LIFETIME_S = 2.0  # G: time after its request during which an instance may use a grant
 
 
 @dataclass(frozen=True, slots=True)
 class SafeLoad:
-    """What a warming node bears, by the settings' invariants."""
+    """Load that a warming node can carry without failing, by the invariants of the settings."""
 
-    initial_fraction: float = 0.36  # of its full capacity, when it starts
-    warm_after_s: float = 8.6
-    overload_factor: float = 4.0  # times its present capacity, at which it fails
-    overload_window_s: float = 2.0  # W: it fails when it is sent more for so long
+    initial_fraction: float = 0.36  # share of its full capacity at the start
+    warm_after_s: float = 8.6  # age at which a node has its full capacity
+    overload_factor: float = 4.0  # multiple of its present capacity at which it fails
+    overload_window_s: float = 2.0  # W: duration of such a load after which it fails
 
     def operations(self, age_s: float, service_s: float) -> float:
-        """Return how many operations of this mean time a node of that age bears in W, with one core."""
+        """Return how many operations of a mean time a one-core node of an age can carry out in W."""
         age = min(max(age_s, 0.0), self.warm_after_s)
         warmth = age / self.warm_after_s if self.warm_after_s else 1.0
         capacity_fraction = self.initial_fraction + (1 - self.initial_fraction) * warmth
@@ -41,33 +41,35 @@
 
     incarnation: str = msgspec.field(name="to")  # a later process of the same name can't use the grant
     requested_at: float = msgspec.field(name="stamp")  # s, by the requester's own clock
-    rate_per_s: float = msgspec.field(name="rate")  # first attempts, lately
-    service_s: float = msgspec.field(name="service")  # mean time of an operation, as it knows it
+    rate_per_s: float = msgspec.field(name="rate")  # recent rate of first attempts
+    service_s: float = msgspec.field(
+        name="service"
+    )  # mean time of an operation in s, by the requester's estimate
     nodes: dict[str, tuple[int, float]]  # warming nodes: zone, and age in s
 
 
 class CapacityGrant(msgspec.Struct, frozen=True):
-    """Operations by node that an instance may send."""
+    """Number of operations that an instance may send, by node."""
 
     incarnation: str = msgspec.field(name="to")
-    requested_at: float = msgspec.field(name="stamp")  # of the request it answers
-    step: int  # the coordinator's, so that a grant is accepted once
+    requested_at: float = msgspec.field(name="stamp")  # time of the answered request
+    step: int  # step of the coordinator, by which a grant is accepted only once
     operations: dict[str, int] = msgspec.field(name="counts")
 
 
 class OutstandingGrant(msgspec.Struct, frozen=True):
-    """Operations of a node that were granted, and may be in use."""
+    """Granted operations of a node that may be in use."""
 
     granted_at: float = msgspec.field(name="at")  # s, by the writer's clock
     operations: int = msgspec.field(name="count")
 
 
 class CoordinatorState(msgspec.Struct, frozen=True):
-    """What the coordinator's successor goes on from."""
+    """State of a coordinator, from which a successor continues."""
 
-    written_by: str = msgspec.field(name="by")  # incarnation: times are of its clock
+    written_by: str = msgspec.field(name="by")  # incarnation, whose clock all times in the state refer to
     step: int = 0
     outstanding: dict[str, list[OutstandingGrant]] = msgspec.field(
         default_factory=dict, name="out"
     )  # by node
-    answered: dict[str, float] = {}  # by instance: time of its request that was answered last
+    answered: dict[str, float] = {}  # by instance: time of its last answered request
--- a/tests/sidecar/leases/store_conformance.py
+++ b/tests/sidecar/leases/store_conformance.py
@@ -1,4 +1,4 @@
-"""What every store must do, as cases that run against each; `wait` passes time for the store under test."""
+"""Conformance cases that run against every store; `wait` lets time pass for the store under test."""
 
 from __future__ import annotations
 
@@ -34,7 +34,9 @@
     return outcome
 
 
-async def revisions_grow_and_stand_in_entries(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
+async def revisions_grow_and_are_stored_in_entries(
+    store: Store, wait: Callable[[float], Awaitable[None]]
+) -> None:
     first = await done(store.commit(put("a", b"1")))
     second = await done(store.commit(put("a", b"2")))
     assert second.revision > first.revision and second.identity == first.identity
@@ -43,18 +45,18 @@
     await done(store.commit(Transaction((), (Delete("a"),))))
     third = await done(store.commit(put("a", b"3")))
     (entry,) = (await done(store.read("a"))).entries
-    assert entry.created == third.revision > second.revision, "a key put anew has a higher token"
+    assert entry.created == third.revision > second.revision, "a recreated key has a higher fencing token"
 
 
 async def transaction_that_changes_nothing_has_no_revision(
     store: Store, wait: Callable[[float], Awaitable[None]]
 ) -> None:
     before = await done(store.read(""))
-    after = await done(store.commit(Transaction((), (Delete("nobody"),))))
+    after = await done(store.commit(Transaction((), (Delete("absent"),))))
     assert after.revision == before.revision
 
 
-async def several_transactions_are_carried_out_each_by_itself(
+async def several_transactions_are_carried_out_independently(
     store: Store, wait: Callable[[float], Awaitable[None]]
 ) -> None:
     await done(store.commit(put("a", b"1")))
@@ -70,9 +72,11 @@
     assert isinstance(outcomes[3], Refused) and outcomes[3].lease_gone
     entries = {entry.key: entry for entry in (await done(store.read(""))).entries}
     assert {key: entry.value for key, entry in entries.items()} == {"a": b"1", "b": b"1", "c": b"1"}
-    for at, key in ((1, "b"), (2, "c")):
-        outcome = outcomes[at]
-        assert isinstance(outcome, Done) and outcome.revision == entries[key].modified, "each has its own"
+    for index, key in ((1, "b"), (2, "c")):
+        outcome = outcomes[index]
+        assert isinstance(outcome, Done) and outcome.revision == entries[key].modified, (
+            "each outcome has the revision of its own transaction"
+        )
 
 
 async def reads_are_by_prefix_and_in_order(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
@@ -82,30 +86,32 @@
 
 
 async def transaction_needs_all_its_compares(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
-    here = await done(store.commit(put("a", b"1", created=0)))
+    created = await done(store.commit(put("a", b"1", created=0)))
     assert isinstance(await store.commit(put("a", b"2", created=0)), Refused)
-    both = (Compare("a", Field.CREATED, here.revision), Compare("a", Field.MODIFIED, here.revision + 1))
+    both = (Compare("a", Field.CREATED, created.revision), Compare("a", Field.MODIFIED, created.revision + 1))
     assert isinstance(await store.commit(Transaction(both, (Put("a", b"3"), Put("b", b"3")))), Refused)
     assert [entry.key for entry in (await done(store.read(""))).entries] == ["a"]
     await done(store.commit(Transaction(both[:1], (Put("a", b"4"), Put("b", b"4")))))
-    found = (await done(store.read(""))).entries
-    assert {entry.modified for entry in found} == {here.revision + 1}, "one revision for all of it"
+    entries = (await done(store.read(""))).entries
+    assert {entry.modified for entry in entries} == {created.revision + 1}, "one revision for all changes"
 
 
-async def bound_keys_go_with_their_lease(store: Store, wait: Callable[[float], Awaitable[None]]) -> None:
+async def bound_keys_are_deleted_with_their_lease(
+    store: Store, wait: Callable[[float], Awaitable[None]]
+) -> None:
     lease = (await done(store.grant(1.0))).lease
     await done(store.commit(put("bound", b"", lease)))
     await done(store.commit(put("free", b"")))
     await wait(0.6)
     assert (await done(store.renew(lease))).ttl_s == 1.0
     await wait(0.6)
-    assert len((await done(store.read(""))).entries) == 2, "renewed"
+    assert len((await done(store.read(""))).entries) == 2, "the lease was renewed"
     await wait(1.2)
     assert [entry.key for entry in (await done(store.read(""))).entries] == ["free"]
     renewed = await store.renew(lease)
     assert isinstance(renewed, Refused) and renewed.lease_gone
-    gone = await store.commit(put("late", b"", lease))
-    assert isinstance(gone, Refused) and gone.lease_gone, "nothing binds to a lease that is over"
+    bound_late = await store.commit(put("late", b"", lease))
+    assert isinstance(bound_late, Refused) and bound_late.lease_gone, "no key binds to an ended lease"
 
 
 async def key_put_without_its_lease_is_unbound(
@@ -129,7 +135,9 @@
     assert isinstance(await store.commit(fenced("duty", token, Put("state", b"2"))), Refused)
     later = (await done(store.commit(put("duty", b"you", created=0)))).revision
     assert later > token
-    assert isinstance(await store.commit(fenced("duty", token, Put("state", b"2"))), Refused), "the old token"
+    assert isinstance(await store.commit(fenced("duty", token, Put("state", b"2"))), Refused), (
+        "the old fencing token"
+    )
 
 
 async def watch_yields_all_changes_in_order_once(
@@ -143,17 +151,17 @@
             seen.extend(changes)
 
     task = asyncio.ensure_future(follow())
-    # Long enough that it ends after the commits below on a busy machine too: its end comes last.
+    # Long enough that the lease ends after the commits below, on a busy machine too: it is the last change.
     lease = (await done(store.grant(4.0))).lease
     await done(store.commit(put("w/a", b"1", lease)))
     await done(store.commit(put("x/a", b"1")))
     await done(store.commit(Transaction((), (Put("w/b", b"1"), Put("w/c", b"1")))))
     await done(store.commit(Transaction((), (Delete("w/b"),))))
-    for _ in range(100):  # a bound: the lease ends by itself, a busy machine is late with that
+    for _ in range(100):  # upper bound: the lease expires, later on a busy machine
         if len(seen) >= 5:
             break
         await wait(0.1)
-    await wait(0.5)  # nothing is yielded twice
+    await wait(0.5)  # a change that is yielded twice would arrive now
     task.cancel()
     assert [(change.key, change.entry is not None) for change in seen] == [
         ("w/a", True),
@@ -172,10 +180,10 @@
     start = (await done(store.commit(put("a", b"1")))).revision
     try:
         async for _ in store.watch("", start + 100):
-            raise AssertionError("yielded something")
+            raise AssertionError("the watch yielded a change")
     except WatchLostError:
         return
-    raise AssertionError("a store that went back was not noticed")
+    raise AssertionError("the watch ended without WatchLostError")
 
 
 async def one_of_many_concurrent_creations_succeeds(
@@ -188,12 +196,12 @@
 
 
 CASES: tuple[Case, ...] = (
-    revisions_grow_and_stand_in_entries,
+    revisions_grow_and_are_stored_in_entries,
     transaction_that_changes_nothing_has_no_revision,
-    several_transactions_are_carried_out_each_by_itself,
+    several_transactions_are_carried_out_independently,
     reads_are_by_prefix_and_in_order,
     transaction_needs_all_its_compares,
-    bound_keys_go_with_their_lease,
+    bound_keys_are_deleted_with_their_lease,
     key_put_without_its_lease_is_unbound,
     revoked_lease_deletes_its_keys_at_once,
     watch_yields_all_changes_in_order_once,
--- a/tests/sidecar/leases/test_lease_client.py
+++ b/tests/sidecar/leases/test_lease_client.py
@@ -1,4 +1,4 @@
-"""The lease client on simulated time: what it publishes goes with its session."""
+"""Lease client on simulated time: published values are deleted with the session."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_values_published_as_the_session_ends_are_bound_to_a_lease_or_not_written() -> None:
-    """Published and expired in the same turn: unbound, a name would be taken for ever."""
+    """A status written without a lease after the session expired would block the instance's name for ever."""
     world = World()
     host, process = Host(world), Process.start(world, "one")
     host.start()
@@ -33,7 +33,7 @@
     def publish_and_expire() -> None:
         lease_client.publish("look/n", b"seen")
         lease_client.publish_status(b'{"runs": "x"}')
-        lease_client.lease_state._renewal_sent_at = -1e9  # as after a stall far beyond the lease
+        lease_client.lease_state._renewal_sent_at = -1e9  # as after a stall that outlasts the lease
         lease_client._handle_timer()
         assert lease_client.lease_state.session is SessionState.DISCONNECTED
 
--- a/tests/sidecar/leases/test_lease_state.py
+++ b/tests/sidecar/leases/test_lease_state.py
@@ -1,4 +1,4 @@
-"""The lease state: its inequality, its transitions, and that no order of outcomes breaks them."""
+"""Lease state: its inequality and its transitions, also under random orders of outcomes."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 def only(effects: list[Effect], kind: type[T]) -> T:
-    found = [effect for effect in effects if isinstance(effect, kind)]
-    assert len(found) == 1, effects
-    return found[0]
+    matching = [effect for effect in effects if isinstance(effect, kind)]
+    assert len(matching) == 1, effects
+    return matching[0]
 
 
 def establish_session(state: LeaseState, at: float = 10.0, took_s: float = 0.5) -> float:
-    """Establish a session whose lease is requested at `at`; return the time of the last outcome."""
+    """Establish a session with a lease requested at `at`; return the time of the last outcome."""
     grant = only(state.handle_timer(at), GrantLease)
     register = only(
         state.handle_outcome(at + took_s, grant.call, Done("s", 5, lease=7, ttl_s=3.0)), RegisterInstance
@@ -65,13 +65,13 @@
     return now + 0.2, 9
 
 
-def test_session_is_believed_from_before_the_grant_was_sent() -> None:
+def test_validity_counts_from_before_the_grant_was_sent() -> None:
     state = new_state()
     establish_session(state, 10.0, 0.5)
     assert state.session_valid_until == pytest.approx(10.0 + 3.0 / 1.02 - 0.2)
 
 
-def test_session_expires_by_the_clock_alone_after_a_margin_without_new_acts() -> None:
+def test_session_expires_by_the_clock_after_a_margin_without_new_work() -> None:
     state = new_state()
     _, token = hold_role(state)
     session_valid_until = state.session_valid_until
@@ -80,7 +80,7 @@
         state.usable_token(session_valid_until - 0.19, "d") == 0
         and state.valid_token(session_valid_until - 0.19, "d") == token
     )
-    assert state.valid_token(session_valid_until, "d") == 0, "without any input"
+    assert state.valid_token(session_valid_until, "d") == 0, "expires without any input"
     effects = state.handle_timer(session_valid_until)
     assert only(effects, RoleLost) and only(effects, RevokeLease)
 
@@ -99,7 +99,7 @@
     )
 
 
-def test_acquisition_without_an_answer_counts_once_its_key_is_read() -> None:
+def test_role_of_an_unknown_acquisition_is_held_once_its_key_is_read() -> None:
     state = new_state()
     now = establish_session(state, 10.0, 0.1)
     state.handle_role_key(now, "d", None, 6)
@@ -130,7 +130,7 @@
 def test_store_reset_ends_the_session_for_good() -> None:
     state = new_state()
     now, _ = hold_role(state)
-    effects = state.handle_outcome(now, 0, Unknown("x"), store_reset="it went back")
+    effects = state.handle_outcome(now, 0, Unknown("x"), store_reset="lower revision")
     assert only(effects, RoleLost) and state.session is SessionState.STORE_RESET
     assert state.handle_timer(now + 100) == [] and state.session is SessionState.STORE_RESET
 
@@ -142,7 +142,7 @@
     assert only(effects, RevokeLease) == RevokeLease(7) and state.session is SessionState.DISCONNECTED
 
 
-def test_duplicate_name_keeps_the_later_instance_out() -> None:
+def test_later_process_of_a_duplicate_name_gets_no_session() -> None:
     state = new_state()
     grant = only(state.handle_timer(10.0), GrantLease)
     register = only(
@@ -164,11 +164,14 @@
         state.set_unhealthy(now + 0.02, "")
         state.handle_role_key(now + 0.02, "d", None, 20)
         waits.append(state.roles["d"].acquire_at - now)
-        state.roles["d"].state, state.roles["d"].token = RoleState.HELD, 9  # as if it had acquired it again
+        state.roles["d"].state, state.roles["d"].token = (
+            RoleState.HELD,
+            9,
+        )  # as if it had acquired the role again
     assert waits[0] >= 2 * TERMS.ttl_s and waits[2] > waits[1] > waits[0]
 
 
-def test_late_input_after_a_stall_keeps_it_from_contending() -> None:
+def test_late_input_after_a_stall_delays_contention() -> None:
     state = new_state()
     now = establish_session(state, 10.0, 0.1)
     state.next_timer()
@@ -190,17 +193,17 @@
 @pytest.mark.parametrize(
     "terms", [LeaseTerms(1, 0.4, 0.02), LeaseTerms(0, 0.1), LeaseTerms(3, 0.0), LeaseTerms(3, 0.2, 1.0)]
 )
-def test_terms_under_which_no_lease_could_be_renewed_are_rejected(terms: LeaseTerms) -> None:
+def test_terms_that_prevent_renewals_are_rejected(terms: LeaseTerms) -> None:
     with pytest.raises(LeaseTermsError):
         terms.check()
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_role_outlives_its_lease_whatever_the_outcomes(seed: int) -> None:
-    """Random outcomes in random order; the end of each lease in the store is computed beside it."""
+def test_no_role_outlives_its_lease_under_random_outcomes(seed: int) -> None:
+    """Outcomes arrive in random order; the end of each lease in the store is computed independently."""
     rng = random.Random(seed)
     state, now, revision = new_state(seed), 10.0, 10
-    promised = {}  # lease -> store time at which it ends, at the soonest
+    earliest_end = {}  # earliest end in the store, by lease
     in_flight: list[GrantLease | RenewLease | RegisterInstance | AcquireRole | ReleaseRole | ReadRoles] = []
     sent_at: dict[int, float] = {}
     for _ in range(400):
@@ -218,7 +221,7 @@
                     else Refused("s", revision, lease_gone=rng.random() < 0.5)
                 )
             if isinstance(outcome, Done) and isinstance(call, GrantLease | RenewLease):
-                promised[outcome.lease if isinstance(call, GrantLease) else call.lease] = (
+                earliest_end[outcome.lease if isinstance(call, GrantLease) else call.lease] = (
                     sent_at[number] + 3.0 / 1.02
                 )
             effects = state.handle_outcome(now, number, outcome)
@@ -232,12 +235,12 @@
                 in_flight.append(effect)
                 sent_at[effect.call] = now
         if state.valid_token(now, "d"):
-            assert now < promised[state.lease] - TERMS.margin_s + 1e-9
+            assert now < earliest_end[state.lease] - TERMS.margin_s + 1e-9
         if state.usable_token(now, "d"):
-            assert now < promised[state.lease] - 2 * TERMS.margin_s + 1e-9
+            assert now < earliest_end[state.lease] - 2 * TERMS.margin_s + 1e-9
 
 
-def test_slow_store_keeps_it_from_contending_and_keeps_its_roles() -> None:
+def test_slow_store_delays_contention_and_keeps_held_roles() -> None:
     state = new_state()
     _, token = hold_role(state)
     renewal = only(state.handle_timer(11.1), RenewLease)
--- a/tests/sidecar/leases/test_sqlite_store.py
+++ b/tests/sidecar/leases/test_sqlite_store.py
@@ -1,4 +1,4 @@
-"""What is particular to the SQLite store: reboots, replaced and damaged files, locks, crashes, full disks."""
+"""SQLite store: reboots, replaced and damaged files, locks, crashes, full disks."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from coveport.sidecar.leases.store import Done, Refused, Unknown
 
 
-def at_store(path: Path, work: Callable[[SqliteStore], Awaitable[object]], **options: object) -> Any:
+def run_with_store(path: Path, work: Callable[[SqliteStore], Awaitable[object]], **options: object) -> Any:
     async def run() -> object:
         store = SqliteStore(path, **options)  # type: ignore[arg-type]
         try:
@@ -45,25 +45,25 @@
     async def after(store: SqliteStore) -> list[str]:
         return [entry.key for entry in (await done(store.read(""))).entries]
 
-    at_store(path, before, boot=lambda: "first")
-    assert at_store(path, after, boot=lambda: "first") == ["duty", "state"]
-    assert at_store(path, after, boot=lambda: "second", now_s=lambda: 1.0) == ["state"]
+    run_with_store(path, before, boot=lambda: "first")
+    assert run_with_store(path, after, boot=lambda: "first") == ["duty", "state"]
+    assert run_with_store(path, after, boot=lambda: "second", now_s=lambda: 1.0) == ["state"]
 
 
 def test_replaced_file_shows_another_identity(tmp_path: Path) -> None:
-    path, other = tmp_path / "store", tmp_path / "other"
+    path, replacement_path = tmp_path / "store", tmp_path / "other"
 
     async def work(store: SqliteStore) -> tuple[Done, Done]:
         first = await done(store.commit(put("a", b"1")))
-        replacement = SqliteStore(other)
+        replacement = SqliteStore(replacement_path)
         await done(replacement.commit(put("b", b"1")))
         await replacement.close()
         for suffix in ("-wal", "-shm"):
             (tmp_path / f"store{suffix}").unlink(missing_ok=True)
-        os.replace(other, path)
+        os.replace(replacement_path, path)
         return first, await done(store.read(""))
 
-    first, second = at_store(path, work)
+    first, second = run_with_store(path, work)
     assert first.identity != second.identity and [entry.key for entry in second.entries] == ["b"]
 
 
@@ -81,17 +81,17 @@
         os.replace(tmp_path / "copy", path)
         return later, await done(store.read(""))
 
-    later, found = at_store(path, work)
-    assert found.identity == later.identity and found.revision < later.revision
+    later, restored = run_with_store(path, work)
+    assert restored.identity == later.identity and restored.revision < later.revision
 
 
 @pytest.mark.parametrize("contents", ["later", "noise", "other", "half"])
-def test_file_that_is_no_store_raises_one_line(tmp_path: Path, contents: str) -> None:
+def test_invalid_file_raises_a_one_line_error(tmp_path: Path, contents: str) -> None:
     path = tmp_path / "store"
     if contents == "noise":
         path.write_bytes(random.Random(1).randbytes(9000))
     elif contents == "half":
-        at_store(path, lambda store: store.read(""))
+        run_with_store(path, lambda store: store.read(""))
         with sqlite3.connect(path) as connection:
             connection.execute("DELETE FROM about WHERE name = 'identity'")
     else:
@@ -99,7 +99,7 @@
             connection.execute("CREATE TABLE mine (name TEXT)")
             connection.execute(f"PRAGMA user_version={99 if contents == 'later' else 0}")
     with pytest.raises(StoreError) as error:
-        at_store(path, lambda store: store.read(""))
+        run_with_store(path, lambda store: store.read(""))
     assert "\n" not in str(error.value) and str(path) in str(error.value)
 
 
@@ -115,7 +115,7 @@
         locker.close()
         return while_locked, await store.commit(put("a", b"3"))
 
-    while_locked, after = at_store(path, work, lock_timeout_s=0.2)
+    while_locked, after = run_with_store(path, work, lock_timeout_s=0.2)
     assert isinstance(while_locked, Unknown) and isinstance(after, Done)
 
 
@@ -128,19 +128,19 @@
 async def main():
     store = SqliteStore(Path(sys.argv[1]))
     while True:
-        found = await store.read("n/")
-        count = int(found.entries[0].value) if found.entries else 0
-        at = found.entries[0].modified if found.entries else 0
-        put = tuple(Put(f"n/{one}", b"%d" % (count + 1)) for one in "abc")
-        done = await store.commit(Transaction((Compare("n/a", Field.MODIFIED, at),), put))
-        if isinstance(done, Done):
+        current = await store.read("n/")
+        count = int(current.entries[0].value) if current.entries else 0
+        revision = current.entries[0].modified if current.entries else 0
+        puts = tuple(Put(f"n/{key}", b"%d" % (count + 1)) for key in "abc")
+        outcome = await store.commit(Transaction((Compare("n/a", Field.MODIFIED, revision),), puts))
+        if isinstance(outcome, Done):
             print(count + 1, flush=True)
 
 asyncio.run(main())
 """
 
 
-def test_process_killed_at_any_moment_loses_nothing_done_and_leaves_nothing_by_halves(tmp_path: Path) -> None:
+def test_killed_process_keeps_reported_transactions_and_leaves_no_partial_one(tmp_path: Path) -> None:
     path = tmp_path / "store"
     rng = random.Random(7)
     reported = 0
@@ -149,25 +149,25 @@
             [sys.executable, "-c", WRITER, str(path)], stdout=subprocess.PIPE, text=True
         ) as process:
             assert process.stdout is not None
-            first = process.stdout.readline()
+            first_line = process.stdout.readline()
             time.sleep(rng.uniform(0.0, 0.05))
             process.send_signal(signal.SIGKILL)
-            lines = (first + process.stdout.read()).split()
+            lines = (first_line + process.stdout.read()).split()
         reported = max(reported, int(lines[-1]))
 
         async def read_values(store: SqliteStore) -> set[bytes]:
             return {entry.value for entry in (await done(store.read("n/"))).entries}
 
-        values = at_store(path, read_values)
+        values = run_with_store(path, read_values)
         assert isinstance(values, set) and len(values) == 1, "all three keys of a transaction or none"
         stored = int(next(iter(values)))
         assert stored in (reported, reported + 1), (
-            "nothing reported is lost; one more may be there, unreported"
+            "no reported transaction is lost; one unreported transaction may be stored"
         )
         reported = stored
 
 
-def test_concurrent_processes_never_lose_a_count(tmp_path: Path) -> None:
+def test_concurrent_processes_lose_no_count(tmp_path: Path) -> None:
     path = tmp_path / "store"
     processes = [
         subprocess.Popen([sys.executable, "-c", WRITER, str(path)], stdout=subprocess.PIPE, text=True)
@@ -196,7 +196,7 @@
         refused = await store.commit(put("a", b"2", created=0))
         assert isinstance(refused, Refused) and refused.revision == first.revision
 
-    at_store(tmp_path / "store", work)
+    run_with_store(tmp_path / "store", work)
 
 
 def test_store_whose_thread_is_blocked_blocks_no_other_store(tmp_path: Path) -> None:
@@ -214,7 +214,7 @@
         await free.close()
         return took_s
 
-    assert asyncio.run(run()) < 1.4, "neither the loop nor the other store waited"
+    assert asyncio.run(run()) < 1.4, "neither the event loop nor the other store was blocked"
 
 
 def test_full_disk_gives_unknown_and_loses_nothing(tmp_path: Path) -> None:
@@ -230,4 +230,4 @@
         assert [entry.key for entry in (await done(store.read(""))).entries] == ["a"]
         await done(store.commit(put("b", b"2")))
 
-    at_store(tmp_path / "store", work)
+    run_with_store(tmp_path / "store", work)
--- a/tests/sidecar/leases/test_store_calls.py
+++ b/tests/sidecar/leases/test_store_calls.py
@@ -1,4 +1,4 @@
-"""Calls at a store: their time-out, their counts, and how a reset store shows."""
+"""Calls to a store: time-outs, counts, and the detection of a store reset."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Recorder:
-    """A `StoreCalls` with what it reported."""
+    """A `StoreCalls` with its reported events and resets."""
 
     def __init__(self, timeout_s: float = 1.0) -> None:
         self.events: list[str] = []
@@ -44,12 +44,12 @@
     assert recorder.events == ["store_call_unknown"] and recorder.resets == []
 
 
-def test_call_without_an_answer_in_time_is_unknown() -> None:
-    async def silent() -> Outcome:
+def test_call_that_times_out_is_unknown() -> None:
+    async def never_answered() -> Outcome:
         await asyncio.sleep(5)
         return Done("s", 1)
 
-    assert isinstance(Recorder(0.01).run(silent()), Unknown)
+    assert isinstance(Recorder(0.01).run(never_answered()), Unknown)
 
 
 @pytest.mark.parametrize("answer", [Done("s", 4), Refused("s", 4), Done("other", 9)])
@@ -59,7 +59,7 @@
     assert isinstance(recorder.make(answer), Unknown) and len(recorder.resets) == 1
 
 
-def test_revision_below_what_the_watch_showed_is_a_reset() -> None:
+def test_revision_below_that_of_the_watch_is_a_reset() -> None:
     recorder = Recorder()
     recorder.make(Done("s", 5))
     assert isinstance(recorder.make(Done("s", 6), known_revision=7), Unknown) and len(recorder.resets) == 1
--- a/tests/sidecar/leases/test_store_conformance.py
+++ b/tests/sidecar/leases/test_store_conformance.py
@@ -1,4 +1,4 @@
-"""The conformance suite against each store: SQLite, etcd's stand-in, and the simulated one."""
+"""Conformance suite for each store: SQLite, the etcd stand-in, and the simulated store."""
 
 from __future__ import annotations
 
@@ -37,15 +37,15 @@
     world = World()
     host, process = Host(world), Process.start(world, "one")
     host.start()
-    ended = []
+    finished = []
 
     async def run() -> None:
         await case(SimStore(process, host, Way(), random.Random(1)), asyncio.sleep)
-        ended.append(True)
+        finished.append(True)
 
     process.call_soon(lambda: process.create_task(run()))
     world.run(world.now + 30)
-    assert ended, process.problems
+    assert finished, process.problems
 
 
 @pytest.mark.parametrize("case", CASES, ids=case_name)
--- a/tests/sidecar/leases/test_store_linearizability.py
+++ b/tests/sidecar/leases/test_store_linearizability.py
@@ -1,4 +1,4 @@
-"""Whether what clients saw of a store could have come from one that does one thing after the other."""
+"""Linearizability of the stores, checked on histories of concurrent clients."""
 
 from __future__ import annotations
 
@@ -20,18 +20,20 @@
     count = seed * 1000
     while time.monotonic() < until:
         start = time.monotonic()
-        found = await store.read("register")
-        if isinstance(found, Done):
-            value = int(found.entries[0].value) if found.entries else None
+        current = await store.read("register")
+        if isinstance(current, Done):
+            value = int(current.entries[0].value) if current.entries else None
             calls.append(Call(start, time.monotonic(), "read", value))
             count += 1
             start = time.monotonic()
-            at = found.entries[0].modified if found.entries else 0
-            done = await store.commit(
-                Transaction((Compare("register", Field.MODIFIED, at),), (Put("register", b"%d" % count),))
+            revision = current.entries[0].modified if current.entries else 0
+            outcome = await store.commit(
+                Transaction(
+                    (Compare("register", Field.MODIFIED, revision),), (Put("register", b"%d" % count),)
+                )
             )
-            end = float("inf") if isinstance(done, Unknown) else time.monotonic()
-            calls.append(Call(start, end, "swap", count, value, isinstance(done, Done)))
+            end = float("inf") if isinstance(outcome, Unknown) else time.monotonic()
+            calls.append(Call(start, end, "swap", count, value, isinstance(outcome, Done)))
         await asyncio.sleep(rng.uniform(0.0, 0.03))
 
 
--- a/tests/sidecar/leases/test_store_view.py
+++ b/tests/sidecar/leases/test_store_view.py
@@ -1,4 +1,4 @@
-"""The view of the store's keys: what replaces it, what changes it, and what comes too late."""
+"""View of the store's keys: replacement, single changes, and outdated revisions."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/singletons/test_rollout.py
+++ b/tests/sidecar/singletons/test_rollout.py
@@ -1,4 +1,4 @@
-"""Roll-out: its steps, holders that take over midway, and what makes a plan roll back."""
+"""Roll-out: its steps, takeovers by another holder, and the causes of a roll-back."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 class Fleet:
-    """A store, instances that follow, and holders that take turns; each step as the runner does it."""
+    """A store, instances that follow a roll-out, and role holders; steps are committed as by the runner."""
 
     def __init__(self, instances: int, soak_s: float = 5.0) -> None:
         self.engine = Engine()
         self.now = 0.0
         self.names = [f"s{number}" for number in range(instances)]
         self.followers = {name: RolloutFollower(name) for name in self.names}
-        self.bad: dict[str, str] = {}  # settings id -> why no instance can take them
-        self.served: dict[str, float] = {}  # settings id -> share served by those that run it
+        self.reject_reasons: dict[str, str] = {}  # reason for which instances reject settings, by settings id
+        self.success_ratios: dict[str, float] = {}  # success ratio of instances, by id of their settings
         self.away: set[str] = set()
         self.role = Rollout(soak_s=soak_s)
         for name in self.names:
@@ -53,7 +53,8 @@
     def publish_status(self, name: str) -> None:
         follower = self.followers[name]
         self.put(
-            f"instance/{name}", follower.status(f"{name}#1", self.served.get(follower.running, 1.0), 100)
+            f"instance/{name}",
+            follower.status(f"{name}#1", self.success_ratios.get(follower.running, 1.0), 100),
         )
 
     def command(self, action: str, settings: str = "") -> None:
@@ -65,8 +66,8 @@
         follower = self.followers[name]
         settings = follower.next_settings(self.entries)
         if settings is not None:
-            if settings.id in self.bad:
-                follower.record_rejected(settings.id, self.bad[settings.id])
+            if settings.id in self.reject_reasons:
+                follower.record_rejected(settings.id, self.reject_reasons[settings.id])
             else:
                 follower.record_applied(settings.id)
         self.publish_status(name)
@@ -75,7 +76,7 @@
         self.away.add(name)
         del self.engine.entries[f"instance/{name}"]
 
-    def back(self, name: str) -> None:
+    def return_with_new_follower(self, name: str) -> None:
         self.away.discard(name)
         self.followers[name] = RolloutFollower(name)
         self.publish_status(name)
@@ -85,24 +86,24 @@
         return msgspec.json.decode(self.entries["state/rollout"].value, type=RolloutPlan)
 
     def step(self, role: Rollout | None = None, seen: Entry | None = None) -> str:
-        """One decision and its transaction; `seen`: the state that it is worked out from."""
+        """Make one decision and commit its step; `seen`: the state that the decision is based on."""
         state = seen if seen is not None else self.entries.get("state/rollout")
         step = (role or self.role).decide(self.now, state.value if state else None, self.entries)
         if step is None:
             return ""
-        done = self.engine.commit(
+        outcome = self.engine.commit(
             self.now,
             Transaction(
                 (Compare("state/rollout", Field.MODIFIED, state.modified if state else 0),),
                 (Put("state/rollout", step.state), *step.changes),
             ),
         )
-        return step.description if isinstance(done, Done) else "refused"
+        return step.description if isinstance(outcome, Done) else "refused"
 
-    def run(self, seconds: float, by: float = 0.5) -> list[str]:
+    def run(self, seconds: float, interval_s: float = 0.5) -> list[str]:
         descriptions = []
-        for _ in range(int(seconds / by)):
-            self.now += by
+        for _ in range(int(seconds / interval_s)):
+            self.now += interval_s
             descriptions.append(self.step())
             for name in self.names:
                 self.follow(name)
@@ -115,14 +116,14 @@
 
 
 @pytest.mark.parametrize("instances", [1, 3, 10, 25])
-def test_good_settings_reach_all_a_tenth_at_a_time(instances: int) -> None:
+def test_good_settings_are_rolled_out_a_tenth_at_a_time(instances: int) -> None:
     fleet = Fleet(instances)
     fleet.command("start", NEW)
     before = 0
     for _ in range(300):
         fleet.run(0.5)
         now = len(fleet.running(NEW))
-        assert now - before <= max(1, -(-instances // 10)), "never two tenths at once"
+        assert now - before <= max(1, -(-instances // 10)), "at most one step at a time"
         before = now
     assert fleet.plan.phase is RolloutPhase.DONE and len(fleet.running(NEW)) == instances
 
@@ -136,7 +137,7 @@
 
 def test_rejected_settings_roll_back_after_the_first_tenth() -> None:
     fleet = Fleet(20)
-    fleet.bad[settings_id(NEW)] = "classes must name at least one class"
+    fleet.reject_reasons[settings_id(NEW)] = "classes must name at least one class"
     fleet.command("start", NEW)
     descriptions = fleet.run(20)
     assert (
@@ -147,13 +148,13 @@
     assert fleet.running(NEW) == []
 
 
-def test_harmful_settings_roll_back_at_once_from_all_that_have_them() -> None:
+def test_harmful_settings_roll_back_at_once_on_all_updated_instances() -> None:
     fleet = Fleet(20)
     fleet.command("start", NEW)
     fleet.run(12)
-    had = len(fleet.running(NEW))
-    assert 2 <= had <= 6
-    fleet.served[settings_id(NEW)] = 0.8
+    updated = len(fleet.running(NEW))
+    assert 2 <= updated <= 6
+    fleet.success_ratios[settings_id(NEW)] = 0.8
     fleet.run(2)
     assert (
         fleet.plan.phase is RolloutPhase.ROLLED_BACK
@@ -209,7 +210,7 @@
     assert len(fleet.running(OLD)) == 5
 
 
-def test_instance_that_was_away_catches_up_by_itself() -> None:
+def test_returning_instance_applies_the_settings_by_itself() -> None:
     fleet = Fleet(10)
     fleet.command("start", NEW)
     fleet.run(1)
@@ -217,27 +218,27 @@
     fleet.leave("s4")
     fleet.run(100)
     assert fleet.plan.phase is RolloutPhase.DONE and len(fleet.running(NEW)) == 8
-    fleet.back("s3")
+    fleet.return_with_new_follower("s3")
     fleet.names.append("s99")
     fleet.followers["s99"] = RolloutFollower("s99")
     fleet.run(1)
-    assert {"s3", "s99"} <= set(fleet.running(NEW)), "a new one too"
+    assert {"s3", "s99"} <= set(fleet.running(NEW)), "a new instance applies them too"
 
 
-def test_present_instance_that_does_not_apply_rolls_the_plan_back() -> None:
+def test_registered_instance_that_does_not_apply_the_settings_causes_a_rollback() -> None:
     fleet = Fleet(10)
     fleet.command("start", NEW)
     fleet.step()
     fleet.step()
     (first,) = fleet.plan.updated_instances
-    fleet.away.add(first)  # its session lives, and nothing comes of it
+    fleet.away.add(first)  # its session continues, but it does not apply the settings
     fleet.run(40)
     assert fleet.plan.phase is RolloutPhase.ROLLED_BACK and first in fleet.plan.reason
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_no_step_is_done_twice_whoever_takes_over_midway(seed: int) -> None:
-    """Two holders with states of any age: what the store lets through is what one holder would have done."""
+def test_no_step_is_done_twice_by_concurrent_holders(seed: int) -> None:
+    """Two holders decide on outdated states; the store accepts only the steps that one holder would make."""
     rng = random.Random(seed)
     fleet = Fleet(10)
     holders = [Rollout(soak_s=1.0), Rollout(soak_s=1.0)]
@@ -252,27 +253,27 @@
         if seen[holder] is not None or "state/rollout" not in fleet.entries:
             descriptions.append(fleet.step(holders[holder], seen[holder]))
         if rng.random() < 0.1 and len(fleet.away) < 5:
-            gone = rng.choice([name for name in fleet.names if name not in fleet.away])
-            fleet.leave(gone)
+            leaving = rng.choice([name for name in fleet.names if name not in fleet.away])
+            fleet.leave(leaving)
         elif rng.random() < 0.1 and fleet.away:
-            fleet.back(rng.choice(sorted(fleet.away)))
+            fleet.return_with_new_follower(rng.choice(sorted(fleet.away)))
         fleet.follow(rng.choice(fleet.names))
-    taken = [description for description in descriptions if description.startswith("step ")]
-    assert taken == [f"step {number + 1}" for number in range(len(taken))]
+    steps = [description for description in descriptions if description.startswith("step ")]
+    assert steps == [f"step {number + 1}" for number in range(len(steps))]
 
 
 @pytest.mark.parametrize("phase", RolloutPhase)
-def test_plan_follows_the_transition_table_alone(phase: RolloutPhase) -> None:
+def test_plan_allows_only_transitions_of_the_table(phase: RolloutPhase) -> None:
     plan = RolloutPlan("n", "o", (), phase)
-    for other in RolloutPhase:
-        if other in PHASE_TRANSITIONS[phase]:
-            assert plan.with_phase(other).phase is other
+    for next_phase in RolloutPhase:
+        if next_phase in PHASE_TRANSITIONS[phase]:
+            assert plan.with_phase(next_phase).phase is next_phase
         else:
             with pytest.raises(AssertionError):
-                plan.with_phase(other)
+                plan.with_phase(next_phase)
 
 
-def test_many_roll_back_in_transactions_that_etcd_takes() -> None:
+def test_rollback_of_many_instances_stays_within_the_transaction_limit_of_etcd() -> None:
     role, names = Rollout(), tuple(f"s{number}" for number in range(250))
     plan, counts = RolloutPlan("n", "o", (names,), RolloutPhase.ROLLING_BACK, steps_done=1), []
     while plan.phase is RolloutPhase.ROLLING_BACK:
@@ -296,11 +297,13 @@
     entries["want/s0"] = Entry("want/s0", b"?", 6, 6)
     assert follower.next_settings(entries) is None
     entries["want/s0"] = Entry("want/s0", b'{"settings": ""}', 4, 7)
-    assert follower.next_settings(entries) == DesiredSettings("", None), "back to its own file"
+    assert follower.next_settings(entries) == DesiredSettings("", None), (
+        "the instance returns to its own file"
+    )
 
 
 @pytest.mark.parametrize("count", range(0, 41))
-def test_steps_name_every_instance_once(count: int) -> None:
+def test_steps_contain_every_instance_once(count: int) -> None:
     names = [f"s{number}" for number in range(count)]
     steps = plan_steps(names)
     assert sorted(name for step in steps for name in step) == sorted(names) and len(steps) <= 10
--- a/tests/sidecar/singletons/test_slow_start_coordinator.py
+++ b/tests/sidecar/singletons/test_slow_start_coordinator.py
@@ -1,4 +1,4 @@
-"""The slow-start coordinator: what all grants come to, whoever holds the role and whatever is late."""
+"""Slow-start coordinator: the total of all grants under takeovers, delays and clock drift."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Zone:
-    """Two coordinators that both believe they hold the role, instances whose clocks differ, and one node.
+    """Two concurrent coordinators of one zone, instances whose clocks differ, and one node.
 
     The node starts at 0 s.
     """
@@ -37,16 +37,18 @@
         self.coordinators = [SlowStartCoordinator(0, f"w{number}", SAFE, drift) for number in range(2)]
         self.names = [f"s{number}" for number in range(instances)]
         self.rates = {name: (1 + drift) ** self.rng.uniform(-0.5, 0.5) for name in self.names}
-        self.shift = {name: self.rng.uniform(0, 1e6) for name in self.names}
+        self.offsets_s = {name: self.rng.uniform(0, 1e6) for name in self.names}
         self.clients = {name: CapacityClient(f"{name}#1") for name in self.names}
-        self.read: dict[int, Entry | None] = {0: None, 1: None}
-        self.held: dict[str, tuple[float, int]] = {}  # by instance: until when by its clock, and how many
+        self.last_read_state: dict[int, Entry | None] = {0: None, 1: None}
+        self.usable: dict[
+            str, tuple[float, int]
+        ] = {}  # by instance: expiry by its clock, and operations left
         self.sent: list[float] = []
         for name in self.names:
             self.put(f"instance/{name}", b"")
 
     def clock(self, name: str) -> float:
-        return float(self.now * self.rates[name] + self.shift[name])
+        return float(self.now * self.rates[name] + self.offsets_s[name])
 
     def put(self, key: str, value: bytes) -> None:
         self.engine.commit(self.now, Transaction((), (Put(key, value),)))
@@ -58,30 +60,30 @@
 
     def decide(self, number: int, fresh_state: bool = True) -> bool:
         if fresh_state:
-            self.read[number] = self.engine.entries.get(STATE)
-        state = self.read[number]
+            self.last_read_state[number] = self.engine.entries.get(STATE)
+        state = self.last_read_state[number]
         step = self.coordinators[number].decide(self.now, state.value if state else None, self.engine.entries)
         if step is None:
             return False
-        done = self.engine.commit(
+        outcome = self.engine.commit(
             self.now,
             Transaction(
                 (Compare(STATE, Field.MODIFIED, state.modified if state else 0),),
                 (Put(STATE, step.state), *step.changes),
             ),
         )
-        return isinstance(done, Done)
+        return isinstance(outcome, Done)
 
     def accept(self, name: str) -> None:
         grant = self.clients[name].accept(self.clock(name), "0", self.engine.entries.get(f"grant/0/{name}"))
         if grant is not None:
-            self.held[name] = grant.expires_at, grant.operations["n"]
+            self.usable[name] = grant.expires_at, grant.operations["n"]
 
     def send(self, name: str) -> bool:
-        until, left = self.held.get(name, (0.0, 0))
-        if left <= 0 or self.clock(name) >= until:
+        expires_at, operations = self.usable.get(name, (0.0, 0))
+        if operations <= 0 or self.clock(name) >= expires_at:
             return False
-        self.held[name] = until, left - 1
+        self.usable[name] = expires_at, operations - 1
         self.sent.append(self.now)
         return True
 
@@ -90,10 +92,10 @@
             pass
 
     def check_load(self, service: float = 0.02) -> None:
-        """No window sees more of grants than their part of what the node bears at its beginning."""
+        """Check that granted operations in each window stay below a share of the safe load at its start."""
         for begin in self.sent:
-            came = sum(begin <= at <= begin + SAFE.overload_window_s for at in self.sent)
-            assert came <= GRANTED_SHARE * SAFE.operations(begin, service), (begin, came)
+            arrived = sum(begin <= at <= begin + SAFE.overload_window_s for at in self.sent)
+            assert arrived <= GRANTED_SHARE * SAFE.operations(begin, service), (begin, arrived)
 
 
 def test_safe_load_grows_with_age() -> None:
@@ -103,8 +105,8 @@
 
 
 @pytest.mark.parametrize("seed", range(80))
-def test_node_is_not_overloaded_whatever_is_late_lost_or_taken_over(seed: int) -> None:
-    """States of any age, grants read late, all of them used in one burst at the worst time."""
+def test_node_is_not_overloaded_under_delays_losses_and_takeovers(seed: int) -> None:
+    """Coordinators decide on outdated states; grants are read late and used in one burst."""
     zone = Zone(5, seed)
     rng = zone.rng
     for _ in range(600):
@@ -121,10 +123,10 @@
         else:
             zone.coordinators[rng.randrange(2)] = SlowStartCoordinator(0, f"w{rng.random()}", SAFE, 0.02)
     zone.check_load()
-    assert zone.sent or "state/warden@0" in zone.engine.entries, "something was granted"
+    assert zone.sent or "state/warden@0" in zone.engine.entries, "some operations were granted"
 
 
-def test_grants_of_a_predecessor_become_available_again() -> None:
+def test_capacity_granted_by_a_predecessor_becomes_available_again() -> None:
     zone = Zone(5)
     for turn in range(120):
         if turn % 40 == 0:
@@ -140,12 +142,12 @@
     assert max(later - before for before, later in itertools.pairwise(zone.sent)) < 5.0 + 4.1
 
 
-EVENTS = ("request", "decide0", "decide1", "accept", "burst", "late", "newcomer")
+EVENTS = ("request", "decide0", "decide1", "accept", "burst", "late", "new process")
 
 
 @pytest.mark.parametrize("first", EVENTS[:3])
 def test_node_is_not_overloaded_in_any_order_of_few_events(first: str) -> None:
-    """Every order of six of these, one instance, two coordinators."""
+    """Every sequence of six events, with one instance and two coordinators."""
     for rest in itertools.product(EVENTS, repeat=5):
         zone = Zone(1)
         for event in (first, *rest, "accept", "burst"):
@@ -165,7 +167,7 @@
 
 
 class ForgetfulCoordinator(SlowStartCoordinator):
-    """A successor that takes nothing for used."""
+    """A faulty successor that ignores its predecessor's grants."""
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
         if state:
@@ -176,7 +178,7 @@
 
 
 def test_check_detects_a_coordinator_that_forgets_grants() -> None:
-    broken = 0
+    failed_checks = 0
     for seed in range(20):
         zone = Zone(5, seed)
         for turn in range(40):
@@ -191,20 +193,22 @@
         try:
             zone.check_load()
         except AssertionError:
-            broken += 1
-    assert broken == 20
+            failed_checks += 1
+    assert failed_checks == 20
 
 
 def test_grant_is_accepted_once_by_its_requester_in_time() -> None:
     client = CapacityClient("s0#2")
     grant = Entry("g", msgspec.json.encode(CapacityGrant("s0#2", 10.0, 3, {"n": 4})), 1, 1)
     assert client.accept(10.5, "0", grant) == UsableGrant(10.0 + GRANT_LIFETIME_S, {"n": 4})
-    assert client.accept(10.6, "0", grant) is None, "taken"
+    assert client.accept(10.6, "0", grant) is None, "the grant was accepted before"
     late = CapacityGrant("s0#2", 10.0, 4, {"n": 4})
-    assert client.accept(12.0, "0", Entry("g", msgspec.json.encode(late), 1, 2)) is None, "too late"
-    other = CapacityGrant("s0#1", 20.0, 9, {"n": 4})
-    assert client.accept(20.1, "0", Entry("g", msgspec.json.encode(other), 1, 3)) is None, (
-        "of another process"
+    assert client.accept(12.0, "0", Entry("g", msgspec.json.encode(late), 1, 2)) is None, (
+        "the grant has expired"
+    )
+    foreign = CapacityGrant("s0#1", 20.0, 9, {"n": 4})
+    assert client.accept(20.1, "0", Entry("g", msgspec.json.encode(foreign), 1, 3)) is None, (
+        "a grant for another process"
     )
     assert client.accept(20.1, "0", Entry("g", b"?", 1, 4)) is None and client.accept(20.1, "0", None) is None
 
@@ -220,7 +224,7 @@
         assert abs(count - total * weights[name] / sum(weights.values())) < 1
 
 
-def test_single_share_does_not_always_fall_to_the_same_instance() -> None:
+def test_single_share_is_not_always_assigned_to_the_same_instance() -> None:
     weights = {f"s{number}": 1.0 for number in range(200)}
     assert len({next(iter(apportion(1, weights, f"n {step}"))) for step in range(50)}) > 30
 
