--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -182,7 +182,7 @@
         counters.gauge(
             "duties_held",
             lambda: sum(
-                bool(self.lease_client.lease_state.believed_token(boot_s(), name)) for name in self._roles
+                bool(self.lease_client.lease_state.valid_token(boot_s(), name)) for name in self._roles
             ),
         )
         counters.gauge("store_calls", lambda: sum(self.lease_client.call_counts.values()))
