--- a/coveport/sidecar/intent_log/journal.py
+++ b/coveport/sidecar/intent_log/journal.py
@@ -106,8 +106,8 @@
     ) -> None:
         """Queue a write.
 
-        `build` is called when the group is written, and returns the transaction or None where no write is needed
-        any more. Unless it returned None, `done` is called once, in a later turn of the loop. `size`:
+        `build` is called when the group is written, and returns the transaction, or None where no write is
+        needed any more. Unless it returned None, `done` is called once, in a later turn of the loop. `size`:
         approximate, in bytes.
         """
         self._queue.append(_QueuedWrite(build, done, size, self._now_s()))
--- a/coveport/sidecar/intent_log/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -168,7 +168,7 @@
 
     def _keep_response(self, pending: PendingOperation, client: Client | None) -> None:
         record = pending.record
-        pending.close(FinalStatus.SERVED, "outcome answered", self._unix_s(), record.sealed_response)
+        pending.close(FinalStatus.SERVED, "found answered", self._unix_s(), record.sealed_response)
         response = self.codec.decode_response(record.id, record.sealed_response)
         self._close(pending, client, FinalStatus.SERVED, "", response)
 
