--- a/coveport/serving/coordinator/control_service.py
+++ b/coveport/serving/coordinator/control_service.py
@@ -99,6 +99,6 @@
                 body[ERROR] = findings
             return json_response(result.status, body)
         case NotPrimary():
-            return json_response(503, {ERROR: "there is no primary at the moment"})
+            return json_response(503, {ERROR: "no primary for now"})
         case _:
-            return json_response(503, {ERROR: "the outcome of the change is unknown; send the change again"})
+            return json_response(503, {ERROR: "it is unclear whether the change was taken; send it again"})
--- a/coveport/serving/coordinator/heartbeat.py
+++ b/coveport/serving/coordinator/heartbeat.py
@@ -37,7 +37,7 @@
     zone = _string_field(fields, Heartbeat.ZONE, findings)
     state = _STATES.get(str(fields.get(Heartbeat.STATE)))
     if state is None:
-        findings.add(Heartbeat.STATE, "must be accepting or closing")
+        findings.add(Heartbeat.STATE, "neither accepting nor closing")
     if zone and zone not in regions:
         findings.add(Heartbeat.ZONE, f"unknown zone {zone!r}")
     if address:
@@ -72,7 +72,7 @@
 def _string_field(fields: dict[str, Any], name: str, findings: Findings) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        findings.add(name, "must be a non-empty string")
+        findings.add(name, "not a text")
         return ""
     return value
 
@@ -81,6 +81,6 @@
     value = fields.get(name, 0)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not 0 <= value < _NUMBER_LIMIT:
-        findings.add(name, "must be a number from 0 to below 1e15")
+        findings.add(name, "not a number")
         return 0.0
     return float(value)
--- a/coveport/serving/coordinator/node_api.py
+++ b/coveport/serving/coordinator/node_api.py
@@ -48,9 +48,9 @@
             return json_response(400, {ERROR: node.reason})
         if not await self._reports.accept(node):
             self._log.warning("heartbeat_not_replicated", node=incarnation, state=node.state.value)
-            return json_response(503, {ERROR: "too few coordinators acknowledged the report"})
+            return json_response(503, {ERROR: "no other coordinator confirmed it"})
         if node.state is NodeState.ACCEPTING and not self._has_quorum():
-            return json_response(503, {ERROR: "this coordinator has no quorum"})
+            return json_response(503, {ERROR: "out of touch with the core"})
         return json_response(200, {})
 
     @route("DELETE", Path.NODES)
@@ -58,6 +58,6 @@
         """Remove a node for good; return 503 where too few coordinators acknowledged that in time."""
         incarnation = request.path_suffix
         if not await self._reports.accept(deregistration(incarnation)):
-            return json_response(503, {ERROR: "too few coordinators acknowledged the deregistration"})
+            return json_response(503, {ERROR: "no other coordinator confirmed it"})
         self._log.info("node_deregistered", node=incarnation)
         return json_response(200, {})
--- a/coveport/serving/coordinator/operator_api.py
+++ b/coveport/serving/coordinator/operator_api.py
@@ -130,5 +130,5 @@
         return None
     value = value.strip().strip('"')
     if not (value.isascii() and value.isdigit()):
-        return json_response(400, {ERROR: "If-Match must be a number"})
+        return json_response(400, {ERROR: "If-Match is not a number"})
     return int(value)
--- a/coveport/sidecar/telemetry/log.py
+++ b/coveport/sidecar/telemetry/log.py
@@ -36,7 +36,7 @@
             state[2] += 1
             return
         state[1] += 1
-        left_out = f" ({int(state[2])} similar lines left out)" if state[2] else ""
+        left_out = f" ({int(state[2])} like it left out)" if state[2] else ""
         state[2] = 0
         self.write_kind(kind, f"{text}{left_out}")
 
