--- a/tests/sidecar/config/test_config.py
+++ b/tests/sidecar/config/test_config.py
@@ -1,4 +1,4 @@
-"""A configuration that can't be used gives one line, before anything starts."""
+"""An invalid configuration is reported in one line, before the process starts to serve."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def example_with(key: str, value: object) -> str:
-    """Return the example with one value replaced; positions in lists go by number."""
+    """Return the example with one value replaced; a list's element is given by its index."""
     document: Any = json.loads(json.dumps(EXAMPLE))
     *parents, last = key.split(".")
     container = document
@@ -48,7 +48,7 @@
     ids=lambda value: str(value)[:30],
 )
 def test_a_value_that_would_fail_later_is_rejected(key: str, value: object) -> None:
-    # Seen in fuzzing: a traceback at the start, at the first operation or at the first answer.
+    # Found by fuzzing: such values caused a traceback at the start, the first operation or the first answer.
     assert platform.read(json.dumps(EXAMPLE), {}).sockets == 1024
     with pytest.raises(PlatformFileError) as error:
         platform.read(example_with(key, value), {})
--- a/tests/sidecar/config/test_operator_file.py
+++ b/tests/sidecar/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: what it is read to, and that all of its faults are reported at once."""
+"""The operator's file: its values and defaults, and that all faults are reported at once."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/connection_ends/test_descriptors_taken.py
+++ b/tests/sidecar/connection_ends/test_descriptors_taken.py
@@ -1,4 +1,4 @@
-"""Idle clients may take all descriptors there are for them while discovery is away: the rest goes on."""
+"""Idle clients may use all descriptors for clients while discovery is unreachable; the rest still works."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 SOCKETS = 64
 
 
-def test_clients_that_say_nothing_while_discovery_hangs(tmp_path: Path) -> None:
-    # Discovery's connects that hang took one descriptor more each, of the few that are for all else.
+def test_idle_clients_while_discovery_hangs(tmp_path: Path) -> None:
+    # Guards against connects to discovery that hang and each use up one of the few remaining descriptors.
     discovery, known = Clogged(), Discovery()
     nodes = [Server(served), Server(served)]
     known.put("s-0", nodes[0].address)
@@ -28,18 +28,18 @@
             while len(crowd) < 3 * SOCKETS:
                 crowd.append(socket.create_connection(address, timeout=10))
 
-        def asked() -> int:
+        def request_status() -> int:
             with socket.create_connection(address, timeout=10) as conn:
                 conn.sendall(request("GET /balance"))
                 return receive(conn)[0]
 
         idle()
-        tried, end = set[str](), time.monotonic() + 30
-        while len(tried) < 6:  # a connect after the other hangs, and work is taken all the while
+        ports, end = set[str](), time.monotonic() + 30
+        while len(ports) < 6:  # one connect after another hangs, and requests are served meanwhile
             assert time.monotonic() < end
-            tried |= discovery.knocking()
+            ports |= discovery.knocking()
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= SOCKETS
-            assert asked() == 200
+            assert request_status() == 200
         for conn in crowd:
             conn.close()
         crowd.clear()
@@ -47,10 +47,10 @@
         known.hosts.clear()
         known.put("s-1", nodes[1].address)
         discovery.open()
-        link = discovery.called(10)  # discovery is reached though they are all back
+        link = discovery.called(10)  # discovery is reached although all idle clients are back
         assert link.recv(65536).startswith(b"GET /catalog")
         link.sendall(known.now())
-        wait_for(lambda: asked() == 200 and nodes[1].seen)  # ... and so is a node of which it tells
+        wait_for(lambda: request_status() == 200 and nodes[1].seen)  # the node on its list is reached too
         assert "Too many open files" not in log.read_text()
         for conn in crowd:
             conn.close()
--- a/tests/sidecar/connection_ends/test_planned_end.py
+++ b/tests/sidecar/connection_ends/test_planned_end.py
@@ -1,4 +1,4 @@
-"""A planned end and a new configuration, at the moment at which something is under way."""
+"""A graceful shutdown and a reload while requests or calls are in flight."""
 
 from __future__ import annotations
 
@@ -29,36 +29,36 @@
     world,
 )
 
-PATIENT = {"classes": [one | {"aim_ms": 20_000, "deadline_ms": 30_000} for one in CLASSES]}
-LONG = "30000m"
-STILL_COMING_S = 0.7
+LONG_TIMEOUTS = {"classes": [cls | {"aim_ms": 20_000, "deadline_ms": 30_000} for cls in CLASSES]}
+LONG_DEADLINE = "30000m"
+DRAIN_DELAY_S = 0.7
 
 
 @contextmanager
 def ending(tmp_path: Path, *dials: str) -> Iterator[World]:
-    """Told to end while it serves; gone with exit code 0 once all is over."""
-    with world(tmp_path, *dials, told=PATIENT) as one:
-        yield one
-        assert one.process.wait(20) == 0
-        assert '"owed": 0' in one.log.read_text().splitlines()[-1]
+    """Run a sidecar that is terminated in the body; check that it exits with 0 and owes no response."""
+    with world(tmp_path, *dials, told=LONG_TIMEOUTS) as sidecar:
+        yield sidecar
+        assert sidecar.process.wait(20) == 0
+        assert '"owed": 0' in sidecar.log.read_text().splitlines()[-1]
 
 
-def terminate(one: World) -> None:
-    one.process.send_signal(signal.SIGTERM)
-    wait_for(lambda: "draining" in one.log.read_text())
+def terminate(sidecar: World) -> None:
+    sidecar.process.send_signal(signal.SIGTERM)
+    wait_for(lambda: "draining" in sidecar.log.read_text())
 
 
-def test_before_there_is_a_handler_nothing_is_taken_and_it_ends_at_once(tmp_path: Path) -> None:
+def test_a_signal_before_the_handler_is_set_ends_the_process_at_once(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     os.mkfifo(path)
     with program(path) as (process, log):
-        with path.open("w"):  # waits until it is opened to be read: no handler stands
+        with path.open("w"):  # blocks until the reader opens the file, when no handler is set yet
             process.send_signal(signal.SIGTERM)
             assert process.wait(10) == -signal.SIGTERM
         assert log.read_text() == ""
 
 
-def test_while_it_has_no_list_yet(tmp_path: Path) -> None:
+def test_a_shutdown_before_the_first_list(tmp_path: Path) -> None:
     discovery, config = Clogged(), tmp_path / "config.json"
     config.write_text(configuration(Discovery(), discovery.address, known=False))
     with program(config) as (process, log):
@@ -71,104 +71,104 @@
     discovery.close()
 
 
-@pytest.mark.parametrize("first", [True, False])
-def test_a_request_that_comes_in_the_moment_of_the_last_accept(tmp_path: Path, first: bool) -> None:
-    # Accepted, and not among the clients yet: the program ended with the connection in its hands.
+@pytest.mark.parametrize("is_new", [True, False])
+def test_a_request_at_the_last_accept_is_served(tmp_path: Path, is_new: bool) -> None:
+    # Guards against a process that exits with a connection that is accepted, but not yet among the clients.
     node = Server(served)
-    with ending(tmp_path, node.address) as one, one.connect() as used:
-        if not first:
+    with ending(tmp_path, node.address) as sidecar, sidecar.connect() as used:
+        if not is_new:
             used.sendall(request("GET /balance"))
             assert receive(used)[0] == 200
         else:
             used.close()
-        terminate(one)
-        with halted(one):
-            conn = used if not first else one.connect()
-            conn.sendall(request("POST /redeem", X_Deadline=LONG))
-            time.sleep(STILL_COMING_S + 0.1)
+        terminate(sidecar)
+        with halted(sidecar):
+            conn = used if not is_new else sidecar.connect()
+            conn.sendall(request("POST /redeem", X_Deadline=LONG_DEADLINE))
+            time.sleep(DRAIN_DELAY_S + 0.1)
         assert receive(conn)[0] == 200
         assert conn.recv(1) == b""
 
 
-@pytest.mark.parametrize("rest", [True, False])
-def test_half_a_request(tmp_path: Path, rest: bool) -> None:
+@pytest.mark.parametrize("is_completed", [True, False])
+def test_a_partial_request_at_a_shutdown(tmp_path: Path, is_completed: bool) -> None:
     node = Server(served)
-    whole = request("POST /redeem", b"body", X_Deadline=LONG)
-    with ending(tmp_path, node.address) as one, one.connect() as conn:
+    whole = request("POST /redeem", b"body", X_Deadline=LONG_DEADLINE)
+    with ending(tmp_path, node.address) as sidecar, sidecar.connect() as conn:
         conn.sendall(whole[:-2])
-        wait_for(lambda: figures(one)["clients"] == 1)
-        terminate(one)
-        wait_for(lambda: not_taken(one))
-        if rest:
+        wait_for(lambda: figures(sidecar)["clients"] == 1)
+        terminate(sidecar)
+        wait_for(lambda: refuses_connections(sidecar))
+        if is_completed:
             conn.sendall(whole[-2:])
-        assert receive(conn)[0] == (200 if rest else 408)
-    assert len(node.seen) == rest
+        assert receive(conn)[0] == (200 if is_completed else 408)
+    assert len(node.seen) == is_completed
 
 
-def not_taken(one: World) -> bool:
-    """Whether it takes no new connections any more."""
+def refuses_connections(sidecar: World) -> bool:
+    """Return whether new connections are refused."""
     try:
-        one.connect().close()
+        sidecar.connect().close()
     except OSError:
         return True
     return False
 
 
-def test_a_second_word_changes_nothing(tmp_path: Path) -> None:
+def test_further_signals_during_a_shutdown_change_nothing(tmp_path: Path) -> None:
     node = Peer()
-    with ending(tmp_path, node.address) as one:
-        conn = ask(one, "POST /redeem", X_Deadline=LONG)
-        got = node.next()
-        terminate(one)
-        one.process.send_signal(signal.SIGTERM)
-        wait_for(lambda: not_taken(one))
-        one.process.send_signal(signal.SIGTERM)
-        one.process.send_signal(signal.SIGHUP)
-        got.answer()
+    with ending(tmp_path, node.address) as sidecar:
+        conn = ask(sidecar, "POST /redeem", X_Deadline=LONG_DEADLINE)
+        received = node.next()
+        terminate(sidecar)
+        sidecar.process.send_signal(signal.SIGTERM)
+        wait_for(lambda: refuses_connections(sidecar))
+        sidecar.process.send_signal(signal.SIGTERM)
+        sidecar.process.send_signal(signal.SIGHUP)
+        received.answer()
         assert receive(conn)[0] == 200
 
 
 def test_a_long_body_and_a_streamed_answer_under_way(tmp_path: Path) -> None:
     node, size = Peer(), 300_000
-    with ending(tmp_path, node.address) as one:
-        up, down = one.connect(), ask(one, "GET /balance", X_Deadline=LONG)
-        got = node.next()
+    with ending(tmp_path, node.address) as sidecar:
+        up, down = sidecar.connect(), ask(sidecar, "GET /balance", X_Deadline=LONG_DEADLINE)
+        received = node.next()
         body = bytes(size)
-        up.sendall(request("POST /redeem", body, X_Deadline=LONG)[:-1000])
-        got.conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + bytes(size // 2))
-        assert down.recv(1) == b"H"  # it has begun
-        terminate(one)
-        wait_for(lambda: not_taken(one))
-        got.conn.sendall(bytes(size - size // 2))
+        up.sendall(request("POST /redeem", body, X_Deadline=LONG_DEADLINE)[:-1000])
+        received.conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + bytes(size // 2))
+        assert down.recv(1) == b"H"  # the answer has begun
+        terminate(sidecar)
+        wait_for(lambda: refuses_connections(sidecar))
+        received.conn.sendall(bytes(size - size // 2))
         up.sendall(body[-1000:])
-        other = node.next()
-        assert len(other.seen.body) == size
-        other.answer(b"done")
+        upload = node.next()
+        assert len(upload.seen.body) == size
+        upload.answer(b"done")
         assert receive(up)[::2] == (200, b"done")
         assert receive(down, bytearray(b"H"))[::2] == (200, bytes(size))
 
 
-def test_a_new_discovery_that_hangs_leaves_the_old_one_heard(tmp_path: Path) -> None:
+def test_the_old_discovery_is_used_while_the_new_one_hangs(tmp_path: Path) -> None:
     nodes = [Server(served), Server(served)]
-    old, new, told = Peer(), Peer(), Discovery()
-    told.put("s-0", nodes[0].address)
+    old, new, endpoints = Peer(), Peer(), Discovery()
+    endpoints.put("s-0", nodes[0].address)
 
-    def tell(got: object = None) -> bytes:
-        return reply(200, json.dumps(told.text()).encode())
+    def list_reply(received: object = None) -> bytes:
+        return reply(200, json.dumps(endpoints.text()).encode())
 
     config = tmp_path / "config.json"
-    text = configuration(told, old.address, listen=f"127.0.0.1:{free_port()}")
+    text = configuration(endpoints, old.address, listen=f"127.0.0.1:{free_port()}")
     config.write_text(text)
     with program(config) as (process, log):
         while "wait_ms=0" in (watch := old.next()).seen.target:
-            watch.send(tell())
+            watch.send(list_reply())
         config.write_text(json.dumps(json.loads(text) | {"discovery": new.address}))
         process.send_signal(signal.SIGHUP)
-        asked = new.next()  # it is asked, and says nothing yet
-        told.put("s-0", nodes[0].address, "leaving")
-        told.put("s-1", nodes[1].address)
-        watch.send(tell())
-        old.next()  # heard: the next watch
+        call = new.next()  # the new discovery is called and does not answer yet
+        endpoints.put("s-0", nodes[0].address, "leaving")
+        endpoints.put("s-1", nodes[1].address)
+        watch.send(list_reply())
+        old.next()  # the next watch: the list before it has been read
         address = listening(log)
 
         def served_by() -> tuple[int, int]:
@@ -178,14 +178,14 @@
             return len(nodes[0].seen), len(nodes[1].seen)
 
         assert served_by() == (0, 1)
-        # Twice more in between: only the last one counts.
+        # Two more reloads: only the last one counts.
         for _ in range(2):
             process.send_signal(signal.SIGHUP)
-            asked = new.next()
-        told.put("s-1", nodes[1].address, "leaving")
-        told.put("s-0", nodes[0].address)
-        asked.send(tell())
-        assert "after" in new.next().seen.target  # taken, and watched
+            call = new.next()
+        endpoints.put("s-1", nodes[1].address, "leaving")
+        endpoints.put("s-0", nodes[0].address)
+        call.send(list_reply())
+        assert "after" in new.next().seen.target  # the list was accepted and is watched
         assert served_by() == (1, 1)
         process.send_signal(signal.SIGTERM)
         assert process.wait(20) == 0
--- a/tests/sidecar/connection_ends/test_ready.py
+++ b/tests/sidecar/connection_ends/test_ready.py
@@ -1,4 +1,4 @@
-"""Processes that start again together are ready in time, whatever discovery does meanwhile."""
+"""Processes that restart together are ready in time, even if discovery is unreachable."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from scripted import Clogged, Peer, listening
 from world import Discovery, Server, configuration, program, receive, reply, request, served
 
-TOGETHER, WITHIN_S, TENTHS = 20, 10.0, 9
-# A process on the platform has part of a core: a tenth of one gives a second of it within the time.
-CPU_MOST_S = 1.0
+PROCESSES, READY_WITHIN_S, READY_TENTHS = 20, 10.0, 9
+# A process on the platform has a part of a core: a tenth of a core gives 1 s of CPU within READY_WITHIN_S.
+MAX_START_CPU_S = 1.0
 
 
 def ready(address: tuple[str, int]) -> bool:
@@ -31,10 +31,12 @@
 
 
 @pytest.mark.parametrize("discovery", ["hangs", "silent", "refuses", "refused"])
-def test_nine_in_ten_of_those_that_are_killed_together(tmp_path: Path, discovery: str) -> None:
+def test_nine_in_ten_processes_that_restart_together_are_ready_in_time(
+    tmp_path: Path, discovery: str
+) -> None:
     node, known = Server(served), Discovery()
     known.put("s-0", node.address)
-    there = {
+    address_of_discovery = {
         "hangs": Clogged().address,
         "silent": Peer().address,
         "refused": "127.0.0.1:1",
@@ -43,18 +45,18 @@
     with contextlib.ExitStack() as stack:
         began, late = time.monotonic(), 0
         logs = []
-        for number in range(TOGETHER):
+        for number in range(PROCESSES):
             folder = tmp_path / str(number)
             folder.mkdir()
             config = folder / "config.json"
-            config.write_text(configuration(known, there))
+            config.write_text(configuration(known, address_of_discovery))
             logs.append(stack.enter_context(program(config))[1])
         for log in logs:
             address = listening(log)
             while not ready(address) and time.monotonic() < began + 60:
                 time.sleep(0.02)
-            late += time.monotonic() > began + WITHIN_S
-        assert late <= TOGETHER - TOGETHER * TENTHS // 10
+            late += time.monotonic() > began + READY_WITHIN_S
+        assert late <= PROCESSES - PROCESSES * READY_TENTHS // 10
 
 
 def test_a_start_costs_little_of_a_core(tmp_path: Path) -> None:
@@ -77,6 +79,6 @@
         process.communicate(timeout=20)
         used = resource.getrusage(resource.RUSAGE_CHILDREN)
         costs.append(used.ru_utime + used.ru_stime)
-    # The sums grow by a process each; the cheapest of them says what a start costs.
+    # The sums grow by one process each; the cheapest process gives the cost of a start.
     each = min(after - before for before, after in pairwise(costs))
-    assert each < CPU_MOST_S, costs
+    assert each < MAX_START_CPU_S, costs
--- a/tests/sidecar/discovery/test_endpoint_source.py
+++ b/tests/sidecar/discovery/test_endpoint_source.py
@@ -1,4 +1,4 @@
-"""Discovery's client by itself, where the world around a whole program can't be timed to the point."""
+"""The client of discovery alone, for cases that need more exact timing than a complete process allows."""
 
 from __future__ import annotations
 
@@ -22,42 +22,42 @@
 LIST = json.dumps({"seq": 1, "whole": True, "hosts": []}).encode()
 
 
-def test_a_connection_that_comes_up_late_asks_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connect_that_timed_out_never_comes_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_client, "CONNECT_TIMEOUT_S", 0.1)
     errors = list[object]()
 
     async def main(net: Net) -> tuple[int, int]:
-        told = asyncio.Event()
-        dial, slow = net.dial, iter((0.3, 0.0, 0.0, 0.0))
+        updated = asyncio.Event()
+        dial, delays = net.dial, iter((0.3, 0.0, 0.0, 0.0))
 
-        async def late(factory: ProtocolFactory, address: Address) -> None:
-            await asyncio.sleep(next(slow, 0.0))
+        async def delayed_dial(factory: ProtocolFactory, address: Address) -> None:
+            await asyncio.sleep(next(delays, 0.0))
             await dial(factory, address)
 
-        monkeypatch.setattr(net, "dial", late)
+        monkeypatch.setattr(net, "dial", delayed_dial)
         net.loop.set_exception_handler(lambda _, context: errors.append(context))
-        one = EndpointSource(
+        source = EndpointSource(
             net,
             parse_address(server.address),
             EndpointReader(("a",)),
-            lambda update: told.set(),
+            lambda update: updated.set(),
             Counters(),
             Log(net.now_s),
             on_demand=False,
         )
-        one.start()
-        await asyncio.wait_for(told.wait(), 5)
-        await asyncio.sleep(0.4)  # until the late one is up
-        found = server.connections, server.ended
-        one.close()
-        return found
+        source.start()
+        await asyncio.wait_for(updated.wait(), 5)
+        await asyncio.sleep(0.4)  # until the delayed connect would be up
+        counts = server.connections, server.ended
+        source.close()
+        return counts
 
     server = Server(lambda seen: reply(200, LIST))
-    assert run(main) == (1, 0) and errors == [], "what was given up never comes up at all"
+    assert run(main) == (1, 0) and errors == [], "a connect that timed out must not come up later"
 
 
 @pytest.mark.parametrize("field", ["host", "dial", "site", "block", "health", "share", "born_ms"])
-def test_a_line_with_a_garbled_field_is_garbled(field: str) -> None:
+def test_a_list_with_a_malformed_field_is_rejected(field: str) -> None:
     line = {
         "host": "s-1",
         "dial": "127.0.0.1:9",
@@ -76,7 +76,7 @@
 
 
 def test_the_tables_hold_no_more_than_the_list_does() -> None:
-    # Guards against tables that only grow: on a long day all destinations are replaced, many times over.
+    # Guards against tables that only grow: in a long run all destinations are replaced many times.
     def line(number: int, health: str = "active") -> dict[str, object]:
         return {
             "host": f"s-{number}",
@@ -92,17 +92,17 @@
         entries = reader.read({"seq": number, "whole": False, "hosts": hosts}).update.entries
         numbers.add(entries[0].host)
         cells.add(entries[0].cell)
-    assert len(numbers) == 300 and len(cells) == 100, "none is given twice"
+    assert len(numbers) == 300 and len(cells) == 100, "no number is assigned twice"
     assert len(reader._endpoint_numbers) == 9 and len(reader._cell_numbers) <= 4
     reader.read({"seq": 900, "whole": True, "hosts": [line(299)]})
     assert list(reader._endpoint_numbers) == ["s-299"] and len(reader._cell_numbers) == 1
 
 
-def listed(name: str = "s-1", **changes: object) -> dict[str, object]:
+def host_entry(name: str = "s-1", **changes: object) -> dict[str, object]:
     return {"host": name, "dial": "127.0.0.1:9", "site": "b", "block": 3, "health": "active"} | changes
 
 
-def told(seq: int, *hosts: dict[str, object], whole: bool = False) -> dict[str, object]:
+def endpoint_list(seq: int, *hosts: dict[str, object], whole: bool = False) -> dict[str, object]:
     return {"seq": seq, "whole": whole, "hosts": list(hosts)}
 
 
@@ -116,48 +116,50 @@
         {"host": "a\nb", "share": -1},
     ],
 )
-def test_figures_too_large_are_garbled_and_said_in_one_line(changes: dict[str, object]) -> None:
-    # Seen in fuzzing: an OverflowError went past all who expect a ValueError.
+def test_numbers_out_of_range_are_rejected_in_one_line(changes: dict[str, object]) -> None:
+    # Found by fuzzing: an OverflowError was raised, where all callers handle a ValueError.
     with pytest.raises(ValueError, match="not a valid number") as error:
-        EndpointReader(()).read(told(1, listed() | changes))
+        EndpointReader(()).read(endpoint_list(1, host_entry() | changes))
     assert "\n" not in str(error.value)
 
 
-def test_a_port_of_more_digits_than_python_converts_is_garbled() -> None:
+def test_a_port_of_more_digits_than_python_converts_is_rejected() -> None:
     with pytest.raises(DiscoveryResponseError, match="digits"):
-        EndpointReader(()).read(told(1, listed(dial="127.0.0.1:" + "9" * 5000)))
+        EndpointReader(()).read(endpoint_list(1, host_entry(dial="127.0.0.1:" + "9" * 5000)))
 
 
 @pytest.mark.parametrize("last", ["active", "left"])
-def test_of_a_destination_listed_twice_the_last_line_counts(last: str) -> None:
+def test_the_last_entry_of_a_destination_listed_twice_counts(last: str) -> None:
     reader = EndpointReader(("a", "b"))
-    first = reader.read(told(1, listed(), whole=True)).update.entries[0].host
-    other = {"active": "left", "left": "active"}[last]
-    update = reader.read(told(2, listed(health=other), listed(dial="127.0.0.1:10", health=last)))
+    first_number = reader.read(endpoint_list(1, host_entry(), whole=True)).update.entries[0].host
+    other_state = {"active": "left", "left": "active"}[last]
+    update = reader.read(
+        endpoint_list(2, host_entry(health=other_state), host_entry(dial="127.0.0.1:10", health=last))
+    )
     (entry,) = update.update.entries
-    assert (entry.host, entry.state is balancing.EndpointState.GONE) == (first, last == "left")
-    assert update.endpoints == [(first, None if last == "left" else (("127.0.0.1", 10), 0.0))]
-    # Where it is there its number stays: under another one, its drain would not be heard of.
-    again = reader.read(told(3, listed(health="leaving"))).update.entries[0].host
-    assert (again == first) is (last == "active")
+    assert (entry.host, entry.state is balancing.EndpointState.GONE) == (first_number, last == "left")
+    assert update.endpoints == [(first_number, None if last == "left" else (("127.0.0.1", 10), 0.0))]
+    # A destination that is still listed keeps its number; with a new one the balancer would miss its drain.
+    later_number = reader.read(endpoint_list(3, host_entry(health="leaving"))).update.entries[0].host
+    assert (later_number == first_number) is (last == "active")
 
 
-def test_zones_and_cells_that_nobody_is_in_are_forgotten() -> None:
-    # As above, for destinations that stay and move, and for zones.
+def test_unused_zones_and_cells_are_forgotten() -> None:
+    # Guards against tables that only grow: destinations move between zones and cells.
     reader, zones = EndpointReader(("a", "b")), set[int]()
     for number in range(50):
-        moved = listed(site=f"z-{number}", block=f"pod-{number}")
-        entries = reader.read(told(number, moved, listed("s-2"))).update.entries
+        moved = host_entry(site=f"z-{number}", block=f"pod-{number}")
+        entries = reader.read(endpoint_list(number, moved, host_entry("s-2"))).update.entries
         zones.add(entries[0].zone)
         assert entries[1].zone == 1
-    assert len(zones) == 50 and min(zones) == 2, "none is given twice, nor one that is configured"
+    assert len(zones) == 50 and min(zones) == 2, "no number is assigned twice, and none of a configured zone"
     assert len(reader._zone_numbers) <= 2 + 2 and len(reader._cell_numbers) <= 2
-    reader.read(told(99, whole=True))
+    reader.read(endpoint_list(99, whole=True))
     assert reader._zone_numbers == {"a": 0, "b": 1} and not reader._cell_numbers
 
 
 @pytest.mark.parametrize(
-    ("scope", "good"),
+    ("scope", "is_valid"),
     [
         ("eth0", True),
         ("eth0.100", True),
@@ -170,22 +172,22 @@
         ("\xe9", False),
     ],
 )
-def test_an_address_has_no_scope_that_no_interface_has(scope: str, good: bool) -> None:
-    # Seen in fuzzing: it went into the Host header as it was, or the dial ended in a UnicodeError.
+def test_an_address_with_an_impossible_scope_is_rejected(scope: str, is_valid: bool) -> None:
+    # Found by fuzzing: such a scope was sent in the Host header, or the connect raised a UnicodeError.
     text = f"[fe80::1%{scope}]:9000"
-    if good:
+    if is_valid:
         assert parse_address(text) == (f"fe80::1%{scope}", 9000)
     else:
         with pytest.raises(ValueError, match="scope"):
             parse_address(text)
 
 
-def watched(answers: list[bytes], calls: int, *, known: int | None = None) -> tuple[list[str], list[int]]:
-    """What a discovery that gives these answers, the last one for ever, is asked; the versions told."""
-    left, versions = list(answers), list[int]()
+def run_watch(replies: list[bytes], calls: int, *, known: int | None = None) -> tuple[list[str], list[int]]:
+    """Return the queries to a discovery that sends these replies (repeating the last), and the versions."""
+    remaining, versions = list(replies), list[int]()
 
     async def main(net: Net) -> None:
-        one = EndpointSource(
+        source = EndpointSource(
             net,
             parse_address(server.address),
             EndpointReader(("a",)),
@@ -195,34 +197,36 @@
             on_demand=False,
         )
         if known is not None:
-            one.resume_from(known)
-        one.start()
-        while len(server.seen) < calls:  # noqa: ASYNC110  # the server knows of no one who waits
+            source.resume_from(known)
+        source.start()
+        while len(server.seen) < calls:  # noqa: ASYNC110  # the server has no event to wait for
             await asyncio.sleep(0.02)
-        one.close()
+        source.close()
 
-    server = Server(lambda seen: left.pop(0) if len(left) > 1 else left[0])
+    server = Server(lambda seen: remaining.pop(0) if len(remaining) > 1 else remaining[0])
     run(main)
     return [seen.target.partition("?")[2].partition("&")[0] for seen in server.seen[:calls]], versions
 
 
-def test_a_known_list_is_followed_and_never_asked_for_whole_again() -> None:
-    # 40 that start at once would else ask for all of it together, 60 lines each.
-    asked, _ = watched([reply(200, json.dumps(told(9)).encode())], 3, known=9)
-    assert asked == ["after=9"] * 3
+def test_a_known_list_is_resumed_without_a_full_request() -> None:
+    # Guards against 40 sidecars that start together and all request the full list, 60 lines each.
+    queries, _ = run_watch([reply(200, json.dumps(endpoint_list(9)).encode())], 3, known=9)
+    assert queries == ["after=9"] * 3
 
 
-def test_a_discovery_short_of_time_is_asked_for_changes_alone() -> None:
-    # Asked for the whole list after each failure, all sidecars together kept it overbooked for good.
-    asked, versions = watched(
-        [reply(200, LIST), *[reply(503, b"")] * 3, reply(200, json.dumps(told(2)).encode())], 6
+def test_an_overloaded_discovery_is_asked_for_changes_only() -> None:
+    # Guards against full requests after each failure, with which all sidecars kept discovery overloaded.
+    queries, versions = run_watch(
+        [reply(200, LIST), *[reply(503, b"")] * 3, reply(200, json.dumps(endpoint_list(2)).encode())], 6
     )
-    assert asked[:5] == ["", *["after=1"] * 4] and asked[5] == "after=2" and versions[:2] == [1, 2]
+    assert queries[:5] == ["", *["after=1"] * 4] and queries[5] == "after=2" and versions[:2] == [1, 2]
 
 
-def test_a_list_older_than_what_is_known_changes_nothing() -> None:
-    older = [reply(200, json.dumps(told(3, whole=whole)).encode()) for whole in (False, True)]
-    news = reply(200, json.dumps(told(6, whole=True)).encode())
-    asked, versions = watched([older[0], older[1], news], 4, known=5)
-    assert asked == ["after=5", "", "", "after=6"] and versions[0] == 6
-    assert watched([older[1]], 5, known=5)[1][0] == 3, "it goes on: discovery has begun anew"
+def test_a_list_older_than_the_present_one_changes_nothing() -> None:
+    older = [reply(200, json.dumps(endpoint_list(3, whole=whole)).encode()) for whole in (False, True)]
+    newer = reply(200, json.dumps(endpoint_list(6, whole=True)).encode())
+    queries, versions = run_watch([older[0], older[1], newer], 4, known=5)
+    assert queries == ["after=5", "", "", "after=6"] and versions[0] == 6
+    assert run_watch([older[1]], 5, known=5)[1][0] == 3, (
+        "after several older lists discovery counts as restarted"
+    )
--- a/tests/sidecar/downstream/test_listening.py
+++ b/tests/sidecar/downstream/test_listening.py
@@ -1,4 +1,4 @@
-"""Accepting on real sockets: what waits at the close is taken in, and a want of descriptors is survived."""
+"""Accepting on real sockets: at the close of a listener, and when the process runs out of descriptors."""
 
 from __future__ import annotations
 
@@ -18,33 +18,37 @@
 SHARED: Any = {"accepts_per_turn": 4, "backlog": 64, "shared": True}
 
 
-class Came(asyncio.Protocol):
-    def __init__(self, came: list[asyncio.BaseTransport]) -> None:
-        self._came = came
+class AcceptedProtocol(asyncio.Protocol):
+    def __init__(self, accepted: list[asyncio.BaseTransport]) -> None:
+        self._accepted = accepted
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._came.append(transport)
+        self._accepted.append(transport)
 
 
-def test_what_waits_at_the_close_is_taken_in_and_another_goes_on() -> None:
+def test_pending_connections_are_accepted_at_the_close_while_a_second_listener_goes_on() -> None:
     async def main() -> None:
-        net, came, other = Net(asyncio.get_running_loop()), list[asyncio.BaseTransport](), list[object]()
-        first = await net.listen(lambda: Came(came), ("127.0.0.1", 0), **SHARED)
+        net, accepted, accepted_by_second = (
+            Net(asyncio.get_running_loop()),
+            list[asyncio.BaseTransport](),
+            list[object](),
+        )
+        first = await net.listen(lambda: AcceptedProtocol(accepted), ("127.0.0.1", 0), **SHARED)
         address = ("127.0.0.1", first.port)
         assert net.is_taken(address) and first.is_quiet
         with contextlib.ExitStack() as stack:
-            for _ in range(40):  # no turn of the loop in between: all wait below
+            for _ in range(40):  # the event loop doesn't run in between, so all wait to be accepted
                 stack.enter_context(socket.create_connection(address, timeout=1))
             assert not first.is_quiet
-            second = await net.listen(lambda: Came(other), address, **SHARED)
+            second = await net.listen(lambda: AcceptedProtocol(accepted_by_second), address, **SHARED)
             first.close()
             first.close()
-            assert not first.is_quiet and not came, "accepted, and not with their protocols yet"
+            assert not first.is_quiet and not accepted, "accepted, but not yet passed to their protocols"
             for _ in range(40):
                 stack.enter_context(socket.create_connection(address, timeout=1))
             await asyncio.sleep(0.2)
-            assert (len(came), len(other)) == (40, 40) and first.is_quiet
-            for transport in came:  # what is small is not held back to be lost with a close
+            assert (len(accepted), len(accepted_by_second)) == (40, 40) and first.is_quiet
+            for transport in accepted:  # with TCP_NODELAY a small write isn't delayed and lost at a close
                 assert transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             second.close()
         assert not net.is_taken(address)
@@ -52,28 +56,30 @@
     asyncio.run(main())
 
 
-def test_without_descriptors_it_accepts_again_soon() -> None:
+def test_accepting_resumes_soon_after_descriptors_ran_out() -> None:
     async def main() -> None:
-        loop, came, said = asyncio.get_running_loop(), list[asyncio.BaseTransport](), list[object]()
-        loop.set_exception_handler(lambda _, context: said.append(context["exception"]))
+        loop, accepted, errors = asyncio.get_running_loop(), list[asyncio.BaseTransport](), list[object]()
+        loop.set_exception_handler(lambda _, context: errors.append(context["exception"]))
         net = Net(loop)
-        listening = await net.listen(lambda: Came(came), ("127.0.0.1", 0), accepts_per_turn=4, backlog=64)
+        listening = await net.listen(
+            lambda: AcceptedProtocol(accepted), ("127.0.0.1", 0), accepts_per_turn=4, backlog=64
+        )
         before = resource.getrlimit(resource.RLIMIT_NOFILE)
         with socket.create_connection(("127.0.0.1", listening.port), timeout=1) as conn:
             resource.setrlimit(resource.RLIMIT_NOFILE, (conn.fileno() + 1, before[1]))
             try:
                 await asyncio.sleep(0.2)
-                assert not came and 2 <= len(said) <= 5
+                assert not accepted and 2 <= len(errors) <= 5
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, before)
             await asyncio.sleep(0.1)
-            assert len(came) == 1
+            assert len(accepted) == 1
             listening.close()
 
     asyncio.run(main())
 
 
-def clients(net: Net) -> Listener:
+def new_listener(net: Net) -> Listener:
     return Listener(
         net,
         Counters(),
@@ -81,17 +87,17 @@
         (),
         max_clients=9,
         is_ready=lambda: True,
-        submit=lambda number, client, asked: None,
+        submit=lambda number, client, operation: None,
         cancel=lambda number: None,
         on_upload_complete=lambda number, waited_ms: None,
         budget=Budget(9999),
     )
 
 
-def test_who_was_accepted_in_the_very_turn_of_the_end_is_among_the_clients() -> None:
-    # The program ended with such a connection in its hands: its request was never read.
+def test_a_connection_accepted_during_the_shutdown_is_among_the_clients() -> None:
+    # Guards against a process that exits with such a connection, whose request was never read.
     async def main() -> None:
-        listener = clients(Net(asyncio.get_running_loop()))
+        listener = new_listener(Net(asyncio.get_running_loop()))
         port = await listener.open(("127.0.0.1", 0))
         with socket.create_connection(("127.0.0.1", port), timeout=1):
             assert listener._server is not None
@@ -103,14 +109,14 @@
     asyncio.run(main())
 
 
-def test_a_last_answer_that_is_not_sent_yet_is_not_cut_off_to_make_room() -> None:
-    # Who had its last answer was the first to go where clients were too many, however much was unsent.
+def test_an_unsent_last_response_is_not_cut_off_by_shedding() -> None:
+    # Ending connections are shed first; guards against a close while part of the response is unsent.
     async def main() -> None:
-        loop, size = asyncio.get_running_loop(), 8_000_000  # more than the systems on both sides take
-        listener = clients(Net(loop))
+        loop, size = asyncio.get_running_loop(), 8_000_000  # more than the socket buffers of both sides hold
+        listener = new_listener(Net(loop))
         port = await listener.open(("127.0.0.1", 0))
         with socket.create_connection(("127.0.0.1", port), timeout=10) as conn:
-            while not len(listener.clients):  # noqa: ASYNC110  # accepting tells nobody
+            while not len(listener.clients):  # noqa: ASYNC110  # there is no event for an accept
                 await asyncio.sleep(0.001)
             (client,) = listener.clients
             assert isinstance(client, ClientConnection)
@@ -118,22 +124,22 @@
             client._write(200, [], bytes(size))
             listener.clients.shed(1)
             conn.setblocking(False)
-            got = 0
+            received_bytes = 0
             while data := await loop.sock_recv(conn, 1 << 20):
-                got += len(data)
-            assert got > size
+                received_bytes += len(data)
+            assert received_bytes > size
             listener.clients.shed(1)
         listener.close()
 
     asyncio.run(main())
 
 
-def test_what_comes_between_the_last_look_and_the_close_is_not_taken() -> None:
-    # The client finds its connection ended, unread, and sends the request again elsewhere: never both.
+def test_a_request_between_the_last_check_and_the_close_is_not_submitted() -> None:
+    # The client finds its connection closed and resends the request elsewhere, so it must not run here too.
     async def main() -> None:
-        loop, taken = asyncio.get_running_loop(), list[object]()
-        listener = clients(Net(loop))
-        listener.context.submit = lambda number, client, asked: taken.append(asked)
+        loop, submitted = asyncio.get_running_loop(), list[object]()
+        listener = new_listener(Net(loop))
+        listener.context.submit = lambda number, client, operation: submitted.append(operation)
         port = await listener.open(("127.0.0.1", 0))
         with socket.create_connection(("127.0.0.1", port), timeout=10) as conn:
             conn.sendall(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -141,11 +147,11 @@
             assert (await loop.sock_recv(conn, 4096)).startswith(b"HTTP/1.1 200")
             (client,) = listener.clients
             assert client.may_close_idle(loop.time())
-            conn.send(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")  # in the very turn
+            conn.send(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")  # before the event loop runs again
             client.close()
             with contextlib.suppress(ConnectionResetError):
                 assert await loop.sock_recv(conn, 4096) == b""
-        assert not taken and not len(listener.clients)
+        assert not submitted and not len(listener.clients)
         listener.close()
 
     asyncio.run(main())
--- a/tests/sidecar/upstream/test_connection_pool.py
+++ b/tests/sidecar/upstream/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connection a attempt is given, where real sockets can't be timed to the point."""
+"""Which connection an attempt gets, for cases that need more exact timing than real sockets allow."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
     def time(self) -> float:
         return self.now
 
-    def call_later(self, delay: float, *what: Any) -> _Loop:
-        self.later.append((delay, what))
+    def call_later(self, delay: float, *call: Any) -> _Loop:
+        self.later.append((delay, call))
         return self
 
 
@@ -45,7 +45,7 @@
         self.idle_since = 0.0
 
     def carry(self, attempt: Attempt) -> None:
-        _carried.append(self.name)
+        _carriers.append(self.name)
 
     def release(self, keep: bool) -> None:
         raise NotImplementedError
@@ -60,12 +60,12 @@
         raise NotImplementedError
 
 
-_carried = list[str]()
+_carriers = list[str]()
 
 
-def test_a_connection_that_has_just_had_its_answer_is_left_alone_for_a_moment() -> None:
-    # Many ledger nodes close right behind an answer; a request written meanwhile may have run. Others send a
-    # second answer some milliseconds later, which would be taken for the next operation's.
+def test_a_connection_is_not_reused_right_after_its_answer() -> None:
+    # Many ledger nodes close right after an answer; a request that was written then may have run. Other nodes
+    # send a second answer some milliseconds later, which would be taken for the next operation's.
     loop, endpoint = _Loop(), (("127.0.0.1", 9), 0.0)
     pool = connection_pool.ConnectionPool(
         Net(cast(asyncio.AbstractEventLoop, loop)),
@@ -81,18 +81,20 @@
         pool.add_connection(connection := _Connection(name, endpoint))
         pool.put_idle(connection)
         loop.now += 0.5
-    loop.now -= 0.4995  # the last one was put a moment ago
+    loop.now -= 0.4995  # the last connection became idle 0.5 ms ago
     for _ in range(3):
         pool.send(1, None, 1.0, lambda result: None)
-    assert _carried == ["young", "old"]
-    ((delay, (ripe, *of)),) = [one for one in loop.later if one[0] < connection_pool.REUSE_DELAY_S]
+    assert _carriers == ["young", "old"]
+    ((delay, (callback, *arguments)),) = [
+        timer for timer in loop.later if timer[0] < connection_pool.REUSE_DELAY_S
+    ]
     loop.now += delay
-    ripe(*of)  # sooner than another connection would be up
-    assert _carried == ["young", "old", "fresh"] and not pool.opening
+    callback(*arguments)  # the rest of the delay is shorter than a connect
+    assert _carriers == ["young", "old", "fresh"] and not pool.opening
 
 
-def test_our_own_lag_is_not_taken_for_a_late_connection() -> None:
-    # Seen under a part of a core: nodes were left out for connections that had long been up.
+def test_a_stall_of_the_process_is_not_taken_for_a_connect_timeout() -> None:
+    # With a part of a core, nodes counted as failed although their connections had long been up.
     server = Server(served)
 
     async def main(net: VirtualNet) -> Outcome:
@@ -113,8 +115,8 @@
             ended.set()
 
         pool.send(1, Operation("GET", "/balance", b"", "a1", None, 0, 5000.0), 5.0, done)
-        await asyncio.sleep(0)  # the connect is on its way ...
-        net.process.stall(0.3)  # ... and up, but we are not there to see it
+        await asyncio.sleep(0)  # the connect has started
+        net.process.stall(0.3)  # the connection comes up during the stall
         await asyncio.wait_for(ended.wait(), 10)
         pool.close()
         return results[0].outcome
