--- a/coveport/sidecar/upstream/attempt.py
+++ b/coveport/sidecar/upstream/attempt.py
@@ -26,7 +26,7 @@
     load: tuple[float, ...] = ()  # the load report of the response, in the order of the settings' fields
 
 
-Done = Callable[[AttemptResult], None]
+OnEnd = Callable[[AttemptResult], None]
 
 
 class Sink(Protocol):
@@ -36,7 +36,7 @@
         """Forward a chunk; pause the source while no more can be accepted."""
 
 
-Began = Callable[["Attempt", Answer], Sink | None]
+OnBegin = Callable[["Attempt", Answer], Sink | None]
 """Called with the attempt, which can be paused, when a streamed answer begins; None: it has no receiver."""
 
 
@@ -84,8 +84,8 @@
         pool: AttemptPool,
         operation: Operation | None,
         timeout_s: float,
-        done: Done,
-        began: Began | None = None,
+        done: OnEnd,
+        began: OnBegin | None = None,
         sent: Callable[[], None] | None = None,
         fence: Callable[[], bool] | None = None,
     ) -> None:
--- a/coveport/sidecar/upstream/connection_pool.py
+++ b/coveport/sidecar/upstream/connection_pool.py
@@ -14,7 +14,7 @@
 from coveport.sidecar.reducer.operation import Operation
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
-from coveport.sidecar.upstream.attempt import Attempt, AttemptResult, Began, Done
+from coveport.sidecar.upstream.attempt import Attempt, AttemptResult, OnBegin, OnEnd
 from coveport.sidecar.upstream.protocol import Connection, Dial
 
 IDLE_SHARE = 0.8  # share of the keep-alive time after which we close: the destination must never close first
@@ -105,8 +105,8 @@
         number: int,
         operation: Operation | None,
         timeout_s: float,
-        done: Done,
-        began: Began | None = None,
+        done: OnEnd,
+        began: OnBegin | None = None,
         sent: Callable[[], None] | None = None,
         fence: Callable[[], bool] | None = None,
     ) -> Attempt:
