--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -178,7 +178,7 @@
             self._busy = False
 
     def _check_stall(self) -> None:
-        """Detect a stall of this process: after so long a time since the last call, it had no CPU."""
+        """Detect a stall: a long time since the last call means that the process had no CPU."""
         now = self._clock.now_ms()
         elapsed_ms = now - self._last_active_ms
         self._last_active_ms = now
