--- a/tests/sidecar/intent_log/intent_log_builders.py
+++ b/tests/sidecar/intent_log/intent_log_builders.py
@@ -12,7 +12,7 @@
 
 
 def accepted_record(policy: ExecutionPolicy = KEYED, **fields: Any) -> Record:
-    """Return an open record, accepted by default, of instance s0."""
+    """Return an open record of instance s0; its recovery point is ACCEPTED by default."""
     return Record(
         id="a",
         idempotency_key="k",
--- a/tests/sidecar/intent_log/test_intent_log_settings.py
+++ b/tests/sidecar/intent_log/test_intent_log_settings.py
@@ -1,4 +1,4 @@
-"""Checks of `[work]` in an operator's file."""
+"""Validation of `[work]` in an operator's file."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         ("keep = 1", "[work] keep: there is no such key"),
     ],
 )
-def test_a_file_when_a_key_of_work_is_wrong_is_refused(work: str, reason: str) -> None:
+def test_a_file_when_a_key_of_work_is_invalid_is_rejected(work: str, reason: str) -> None:
     text = f'[instance]\nplatform = "p.json"\n[store]\nurl = "sqlite:x"\n[work]\n{work}\n'
     with pytest.raises(OperatorFileError, match=r"(?s)" + reason.replace("[", r"\[")):
         read(text, Path())
--- a/tests/sidecar/intent_log/test_observed_age.py
+++ b/tests/sidecar/intent_log/test_observed_age.py
@@ -1,4 +1,4 @@
-"""Bounds on ages, by one clock of any rate."""
+"""Bounds on ages, by a clock of any rate."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @pytest.mark.parametrize("seed", range(50))
 def test_at_most_when_responses_overtake_each_other_is_never_too_low(seed: int) -> None:
-    """The clock has any rate: the true age is never above the bound."""
+    """The true age is never above the bound, whatever the rate of the clock."""
     rng = random.Random(seed)
     ages = AgeUpperBound(64)
     now_s = 0.0
     revision = 1
     written_s = {1: 0.0}
     rate = rng.uniform(0.5, 2.0)
-    in_flight: list[tuple[float, float, int]] = []  # when its response comes, when it was sent, its revision
+    in_flight: list[tuple[float, float, int]] = []  # calls: time of the response, time sent, revision
     for _ in range(400):
         now_s += rng.expovariate(10)
         if rng.random() < 0.5:
@@ -42,11 +42,11 @@
         assert ages.at_most(now_s * rate, probe) >= (now_s - written_s[probe]) * rate - 1e-9
 
 
-def test_at_least_when_observed_is_never_too_high_and_in_the_end_high_enough() -> None:
+def test_at_least_is_never_too_high_and_reaches_the_span() -> None:
     for seed in range(30):
         rng = random.Random(seed)
         span_s = rng.choice((0.5, 20.0, 600.0))
-        known = AgeLowerBound(span_s)
+        ages = AgeLowerBound(span_s)
         now_s = 100.0
         revision = 5
         written_s = {5: 90.0}
@@ -56,18 +56,18 @@
                 revision += 1
                 written_s[revision] = now_s
             if rng.random() < 0.4:
-                observed = known._observations
+                observed = ages._observations
                 if observed:
                     reported = max(observed[-1][1], revision - rng.choice((0, 0, 3)))
                 else:
                     reported = rng.choice((revision, max(5, revision - 3)))
-                known.observe(now_s, reported)
+                ages.observe(now_s, reported)
             probe = rng.choice(list(written_s))
-            assert known.at_least(now_s, probe) <= now_s - written_s[probe] + 1e-9
+            assert ages.at_least(now_s, probe) <= now_s - written_s[probe] + 1e-9
         for _ in range(3):
-            known.observe(now_s, revision)
+            ages.observe(now_s, revision)
             now_s += span_s
-        assert known.at_least(now_s, revision) >= span_s
-        assert known.at_least(now_s, 5) >= span_s
-        assert len(known._observations) <= LOWER_BOUND_STEPS + 3
+        assert ages.at_least(now_s, revision) >= span_s
+        assert ages.at_least(now_s, 5) >= span_s
+        assert len(ages._observations) <= LOWER_BOUND_STEPS + 3
     assert AgeLowerBound(10.0).at_least(99.0, 1) == 0.0
--- a/tests/sidecar/intent_log/test_payloads.py
+++ b/tests/sidecar/intent_log/test_payloads.py
@@ -1,4 +1,4 @@
-"""Encrypted requests and responses, and the file of their keys."""
+"""Encrypted requests and responses, and the key file."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def codec_of(path: Path, text: str) -> PayloadCodec:
-    """Return a codec for the keys of a file with this text."""
+    """Return a codec with the keys of a file with this text."""
     path.write_text(text)
     path.chmod(0o600)
     return PayloadCodec(KeyRing(read_keys(path)), 100)
 
 
-def test_a_payload_when_the_key_has_changed_opens_for_its_own_record_alone(tmp_path: Path) -> None:
+def test_a_payload_when_the_key_has_changed_is_decrypted_for_its_own_record_only(tmp_path: Path) -> None:
     path = tmp_path / "keys"
     before = codec_of(path, FIRST_KEY)
     request = before.encode_request("a", REQUEST)
@@ -36,9 +36,9 @@
     assert after.decode_request("a", request) == REQUEST
     assert after.decode_response("a", response) == RESPONSE
     assert after.encode_request("a", REQUEST).startswith(b"k2 ")
-    assert after.decode_request("b", request) is None, "another record's"
-    assert after.decode_response("a", request) is None, "not a response"
-    assert codec_of(path, SECOND_KEY).decode_request("a", request) is None, "its key is gone"
+    assert after.decode_request("b", request) is None, "the payload belongs to another record"
+    assert after.decode_response("a", request) is None, "the payload is a request"
+    assert codec_of(path, SECOND_KEY).decode_request("a", request) is None, "its key is missing"
     for index in range(len(request)):
         changed = request[:index] + bytes([request[index] ^ 1]) + request[index + 1 :]
         assert after.decode_request("a", changed) is None
--- a/tests/sidecar/intent_log/test_pending_operation.py
+++ b/tests/sidecar/intent_log/test_pending_operation.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("stage", OperationStage)
 @pytest.mark.parametrize("next_stage", OperationStage)
-def test_a_stage_when_the_table_lacks_it_is_refused(
+def test_a_stage_transition_that_the_table_lacks_is_rejected(
     stage: OperationStage, next_stage: OperationStage
 ) -> None:
     pending = pending_operation(10.0, stage=stage)
@@ -40,18 +40,18 @@
     pending = pending_operation(1.0)
     pending.begin_attempt(0, attempt(), 0.1)
     assert pending.is_send_allowed(0.9)
-    assert not pending.is_send_allowed(1.0), "its client's deadline"
+    assert not pending.is_send_allowed(1.0), "the client's deadline has passed"
     pending.deadline_s = 100.0
-    assert pending.is_send_allowed(50.0), "the first attempt opens the window"
+    assert pending.is_send_allowed(50.0), "the window applies to repeats only"
     pending.end_attempt(0, Outcome.TIMEOUT)
     pending.begin_attempt(1, attempt(), 5.0)
     assert pending.is_send_allowed(6.07)
-    assert not pending.is_send_allowed(6.09), "repeats are dropped in the window alone"
+    assert not pending.is_send_allowed(6.09), "a cell drops repeats only within the window"
     pending.move_to(OperationStage.FOREIGN)
     assert not pending.is_send_allowed(5.0)
 
 
-def test_a_send_when_unrecorded_is_allowed_only_where_the_recorder_says_so() -> None:
+def test_a_send_when_unrecorded_is_allowed_only_with_may_send() -> None:
     pending = pending_operation(1.0, stage=OperationStage.UNRECORDED)
     assert pending.is_send_allowed(0.5)
     pending.may_send = False
--- a/tests/sidecar/intent_log/test_presence.py
+++ b/tests/sidecar/intent_log/test_presence.py
@@ -5,10 +5,10 @@
 from coveport.sidecar.intent_log.presence import OwnerStatus, Presence
 
 
-def test_an_owner_when_never_seen_gets_a_time_to_live_and_when_draining_its_own() -> None:
+def test_an_owner_counts_as_lost_after_its_time_to_live_or_its_drain_time() -> None:
     presence = Presence("us#1", 3.0)
     assert presence.status_of(0.0, "us#1") is OwnerStatus.SELF
-    assert presence.status_of(0.0, "a#1") is OwnerStatus.ALIVE, "nothing was seen yet"
+    assert presence.status_of(0.0, "a#1") is OwnerStatus.ALIVE, "no session was seen yet"
     presence.add("a", "a#1")
     assert presence.status_of(9.0, "a#1") is OwnerStatus.ALIVE
     assert presence.status_of(10.0, "b#1") is OwnerStatus.ALIVE
--- a/tests/sidecar/intent_log/test_record.py
+++ b/tests/sidecar/intent_log/test_record.py
@@ -1,4 +1,4 @@
-"""Recovery points of a record, what may be said of its end, and its generations."""
+"""Recovery points of a record, its permitted final statuses, and its generations."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("point", RecoveryPoint)
 @pytest.mark.parametrize("next_point", RecoveryPoint)
-def test_a_transition_when_the_table_lacks_it_is_refused(
+def test_a_transition_that_the_table_lacks_is_rejected(
     point: RecoveryPoint, next_point: RecoveryPoint
 ) -> None:
     record = accepted_record(recovery_point=point)
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("status", FinalStatus)
 @pytest.mark.parametrize("outcome", [None, *Outcome])
-def test_closing_when_an_attempt_may_have_run_never_says_that_none_did(
+def test_a_record_when_an_attempt_may_have_run_can_t_be_closed_as_not_executed(
     status: FinalStatus, outcome: Outcome | None
 ) -> None:
     record = accepted_record(recovery_point=RecoveryPoint.SENDING, attempts=(attempt(outcome),))
@@ -52,7 +52,7 @@
         assert record.closed(status).final_status is status
 
 
-def test_an_outcome_when_one_is_known_changes_nothing() -> None:
+def test_a_second_outcome_of_an_attempt_changes_nothing() -> None:
     record = accepted_record().with_attempt(attempt()).with_outcome(0, Outcome.OK)
     assert record.with_outcome(0, Outcome.RESET) == record
 
@@ -71,25 +71,27 @@
     assert record.generation == 2
     assert record.previous_owners == ("s0#1",)
     assert record.owner == "s1#1"
-    for refused in (
+    for not_reopenable in (
         closed_record(FinalStatus.FAILED, UNSAFE),
         closed_record(FinalStatus.SERVED),
         accepted_record(),
     ):
         with pytest.raises(RecordError):
-            refused.reopened("s1#1", 9)
+            not_reopenable.reopened("s1#1", 9)
 
 
 @pytest.mark.parametrize("policy", [UNSAFE, KEYED], ids=["unsafe", "keyed"])
-def test_a_resolution_when_staff_have_made_it_decides_on_repeats(policy: ExecutionPolicy) -> None:
+def test_an_operator_s_resolution_decides_on_repeats(policy: ExecutionPolicy) -> None:
     unknown = closed_record(FinalStatus.UNKNOWN, policy)
     assert unknown.may_have_run
     served = unknown.resolved(FinalStatus.SERVED, "ana", "ledger")
     never_ran = unknown.resolved(FinalStatus.NEVER_RAN, "ana", "ledger")
-    on_served = decide_replay(served, OwnerStatus.LOST, same_request=True, has_response=False)
-    on_never_ran = decide_replay(never_ran, OwnerStatus.LOST, same_request=True, has_response=False)
-    assert on_served.action is ReplayAction.FAIL
-    assert on_never_ran.action is ReplayAction.RESTART
+    decision_when_served = decide_replay(served, OwnerStatus.LOST, same_request=True, has_response=False)
+    decision_when_never_ran = decide_replay(
+        never_ran, OwnerStatus.LOST, same_request=True, has_response=False
+    )
+    assert decision_when_served.action is ReplayAction.FAIL
+    assert decision_when_never_ran.action is ReplayAction.RESTART
     assert never_ran.reopened("s1#1", 5).attempts == ()
     with pytest.raises(RecordError):
         served.reopened("s1#1", 5)
@@ -104,6 +106,6 @@
             record.resolved(status, resolved_by, reason)
 
 
-def test_a_resolution_when_read_is_what_staff_said() -> None:
+def test_a_resolution_contains_the_operator_s_arguments() -> None:
     record = closed_record(FinalStatus.UNKNOWN).resolved(FinalStatus.SERVED, "a", "b", 4.0)
     assert record.resolution == ManualResolution(FinalStatus.SERVED, "a", "b", 4.0)
--- a/tests/sidecar/intent_log/test_record_codec.py
+++ b/tests/sidecar/intent_log/test_record_codec.py
@@ -1,4 +1,4 @@
-"""Records as they are stored."""
+"""Encoding and decoding of stored records."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from coveport.sidecar.intent_log.record_codec import decode, encode
 
 
-def test_decode_when_a_later_version_wrote_it_or_a_bit_was_turned_raises() -> None:
+def test_decode_when_the_format_is_later_or_a_bit_is_flipped_raises() -> None:
     record = accepted_record().with_attempt(attempt(Outcome.RESET))
     assert decode(encode(record)) == record
     later = msgspec.json.decode(encode(record)[8:]) | {"format": 2, "state": "dreamt"}
--- a/tests/sidecar/intent_log/test_record_layout.py
+++ b/tests/sidecar/intent_log/test_record_layout.py
@@ -16,7 +16,7 @@
 LAYOUT = RecordLayout("w/", 600.0)
 
 
-def test_a_write_when_any_record_replaces_any_compares_and_leaves_one_index() -> None:
+def test_a_write_of_any_record_over_any_compares_the_revision_and_leaves_one_index_key() -> None:
     records = [
         *OPEN_RECORDS,
         *CLOSED_RECORDS,
@@ -36,9 +36,9 @@
         LAYOUT.write(accepted_record(), 1, msgspec.structs.replace(accepted_record(), id="b"))
 
 
-def test_an_index_key_when_read_gives_back_what_it_was_made_of() -> None:
+def test_an_index_key_contains_its_bucket_or_owner_and_the_record_id() -> None:
     for record in (closed_record(FinalStatus.UNKNOWN), closed_record(FinalStatus.FAILED, UNSAFE)):
-        assert LAYOUT.index_key(record).startswith("w/u/"), "staff are to see it"
+        assert LAYOUT.index_key(record).startswith("w/u/"), "operators must be able to list it"
     bucket, record_id = LAYOUT.bucket_and_id(LAYOUT.index_key(closed_record(FinalStatus.SERVED)))
     assert bucket * 10 >= 700
     assert record_id == "a"
--- a/tests/sidecar/intent_log/test_replay_decision.py
+++ b/tests/sidecar/intent_log/test_replay_decision.py
@@ -1,4 +1,4 @@
-"""Responses to repeated requests."""
+"""Decisions on repeated requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def expected_action(
     record: Record, owner: OwnerStatus, *, same_request: bool | None, has_response: bool
 ) -> ReplayAction:
-    """Return what the rules ask for, written apart from the code."""
+    """Return the action by the rules, implemented independently of the code under test."""
     if same_request is not True:
         return ReplayAction.KEY_REUSED if same_request is False else ReplayAction.FAIL
     if record.is_open:
@@ -48,7 +48,7 @@
             assert decision.action is not ReplayAction.RESTART
 
 
-def test_a_repeat_when_it_waited_in_vain_is_busy_only_where_nothing_ran() -> None:
+def test_a_repeat_whose_wait_timed_out_is_busy_only_where_nothing_may_have_run() -> None:
     assert may_be_rejected_as_busy(None)
     assert may_be_rejected_as_busy(accepted_record())
     assert not may_be_rejected_as_busy(accepted_record().with_attempt(attempt()))
--- a/tests/sidecar/intent_log/test_simulated_trials.py
+++ b/tests/sidecar/intent_log/test_simulated_trials.py
@@ -1,4 +1,4 @@
-"""Trials of the intent log on simulated time: the shipped program breaks no rule, each variant does."""
+"""Trials of the intent log on simulated time: the real code breaks no rule, each broken variant does."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from coveport.testbed.fault_injection.work.sim import WorkTrial, draw, play
 
 FAULTS = [
-    Fault(3, kind, "0", lasts, share)
-    for kind, lasts, share in (
+    Fault(3, kind, "0", lasts_s, fraction)
+    for kind, lasts_s, fraction in (
         ("kill", 5, 0),
         ("kill", 0.2, 0),
         ("stall", 0.3, 0),
@@ -36,42 +36,42 @@
 ]
 
 
-@pytest.mark.parametrize("fault", FAULTS, ids=lambda one: f"{one.kind}-{one.lasts_s:g}")
-def test_each_fault_by_itself_is_survived(fault: Fault) -> None:
-    played = play(WorkTrial(faults=(fault,), over_s=8.0, rate=30.0), 3)
-    assert played.findings == []
-    assert played.ran > 50 and played.served > 0.6 * played.wishes, played
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: f"{fault.kind}-{fault.lasts_s:g}")
+def test_a_single_fault_breaks_no_rule_and_most_requests_are_served(fault: Fault) -> None:
+    result = play(WorkTrial(faults=(fault,), over_s=8.0, rate=30.0), 3)
+    assert result.findings == []
+    assert result.ran > 50 and result.served > 0.6 * result.wishes, result
 
 
-def test_a_kill_leaves_few_unknown_and_all_closed_in_time() -> None:
-    played = play(WorkTrial(faults=(Fault(4, "kill", "0", 3), Fault(6, "kill", "1", 3)), rate=60.0), 5)
-    assert played.findings == []
-    counts = played.counts
+def test_kills_leave_few_unknown_operations_and_all_records_closed_in_time() -> None:
+    result = play(WorkTrial(faults=(Fault(4, "kill", "0", 3), Fault(6, "kill", "1", 3)), rate=60.0), 5)
+    assert result.findings == []
+    counts = result.counts
     assert counts.get("work_taken_over", 0) + counts.get("work_again_claim", 0) > 0
-    assert 0 < played.closed_s < 3.0 + 6.0
-    assert played.ends.get("unknown", 0) < 10
+    assert 0 < result.closed_s < 3.0 + 6.0
+    assert result.ends.get("unknown", 0) < 10
 
 
-def test_a_planned_end_leaves_nothing_to_be_taken_over() -> None:
-    played = play(WorkTrial(faults=(Fault(4, "leave", "0", 3),), rate=60.0), 5)
-    assert played.findings == []
-    assert "work_taken_over" not in played.counts and "unknown" not in played.ends
+def test_a_planned_shutdown_leaves_nothing_to_take_over() -> None:
+    result = play(WorkTrial(faults=(Fault(4, "leave", "0", 3),), rate=60.0), 5)
+    assert result.findings == []
+    assert "work_taken_over" not in result.counts and "unknown" not in result.ends
 
 
-@pytest.mark.parametrize("first", range(0, 24, 4))
-def test_drawn_trials_break_no_rule(first: int) -> None:
-    for seed in range(first, first + 4):
+@pytest.mark.parametrize("first_seed", range(0, 24, 4))
+def test_drawn_trials_break_no_rule(first_seed: int) -> None:
+    for seed in range(first_seed, first_seed + 4):
         assert play(draw(seed), seed).findings == [], seed
 
 
-def test_forty_instances() -> None:
-    played = play(draw(7, 40), 7)
-    assert played.findings == [] and played.ran > 300
+def test_forty_instances_break_no_rule() -> None:
+    result = play(draw(7, 40), 7)
+    assert result.findings == [] and result.ran > 300
 
 
-# Where each is found among the first 200, by `python -m benchmarks.work_in_hand variants`, to be called anew
-# when the program's draws have changed.
-FOUND_AT = {
+# For each variant, the first seed below 200 whose trial finds it. After a change to the random draws of the
+# program, get new seeds by `python -m benchmarks.work_in_hand variants`.
+FINDING_SEEDS = {
     "sends-at-once": 0,
     "unknown-written": 3,
     "unknown-unwritten": 5,
@@ -97,19 +97,19 @@
 
 
 @pytest.mark.parametrize("name", VARIANTS)
-def test_each_broken_one_is_found(name: str) -> None:
-    first = FOUND_AT[name]
-    for _, found in hunt(range(first, first + 1), 5, name, 1, True, "work"):
-        assert found is not None, f"{name} breaks nothing with seed {first} any more: draw anew"
-        assert {one.rule for one in found.findings} & set(VARIANTS[name].rules)
-    assert play(draw(first), first).findings == []
+def test_each_broken_variant_is_found(name: str) -> None:
+    seed = FINDING_SEEDS[name]
+    for _, result in hunt(range(seed, seed + 1), 5, name, 1, True, "work"):
+        assert result is not None, f"{name} breaks no rule with seed {seed} any more: search for a new seed"
+        assert {finding.rule for finding in result.findings} & set(VARIANTS[name].rules)
+    assert play(draw(seed), seed).findings == []
 
 
-def test_the_same_seed_leaves_the_same_behind() -> None:
+def test_the_same_seed_gives_the_same_result() -> None:
     assert play(draw(9), 9) == play(draw(9), 9)
 
 
-def test_closed_records_are_thrown_away_and_those_of_wrong_clocks_too() -> None:
-    played = play(WorkTrial(kept_s=8.0, over_s=3.0, calm_s=30.0), 1)  # five wall clocks, hours apart
-    assert played.findings == [] and played.served > 50
-    assert sum(played.ends.values()) < played.wishes / 4, "a clock an hour ahead keeps its own"
+def test_closed_records_are_deleted_also_with_wrong_wall_clocks() -> None:
+    result = play(WorkTrial(kept_s=8.0, over_s=3.0, calm_s=30.0), 1)  # five wall clocks, hours apart
+    assert result.findings == [] and result.served > 50
+    assert sum(result.ends.values()) < result.wishes / 4, "a clock an hour ahead delays deletion"
--- a/tests/sidecar/intent_log/test_takeover.py
+++ b/tests/sidecar/intent_log/test_takeover.py
@@ -1,4 +1,4 @@
-"""Every line of the table of takeovers."""
+"""Every case of the takeover rules."""
 
 from __future__ import annotations
 
@@ -41,19 +41,19 @@
 
 
 @pytest.mark.parametrize("effect", Effect)
-def test_decide_when_any_case_of_the_table_comes_follows_its_rules(effect: Effect) -> None:
-    for case_effect, group, made, left_ms, age_ms, max_attempts, key in CASES:
-        if case_effect is not effect or len(made) > max_attempts:
+def test_decide_follows_the_rules_in_every_case(effect: Effect) -> None:
+    for case_effect, group, attempt_names, left_ms, age_ms, max_attempts, key in CASES:
+        if case_effect is not effect or len(attempt_names) > max_attempts:
             continue
         record = msgspec.structs.replace(
             accepted_record(ExecutionPolicy(effect, group, 6000.0, max_attempts)),
-            attempts=tuple(ATTEMPTS[name] for name in made),
+            attempts=tuple(ATTEMPTS[name] for name in attempt_names),
             idempotency_key=key,
-            recovery_point=RecoveryPoint.SENDING if made else RecoveryPoint.ACCEPTED,
+            recovery_point=RecoveryPoint.SENDING if attempt_names else RecoveryPoint.ACCEPTED,
         )
         decision = decide(record, left_ms, age_ms, SEND_MS)
-        is_uncertain = any(name != "not sent" for name in made)
-        may_send = left_ms > SEND_MS and len(made) < max_attempts
+        is_uncertain = any(name != "not sent" for name in attempt_names)
+        may_send = left_ms > SEND_MS and len(attempt_names) < max_attempts
         if not is_uncertain:
             may_send_first = effect is not Effect.UNSAFE and may_send
             expected = TakeoverAction.SEND if may_send_first else TakeoverAction.CLOSE_NEVER_RAN
@@ -62,16 +62,16 @@
         elif effect is Effect.SAFE:
             expected = TakeoverAction.SEND
         else:
-            share_keys = "in flight elsewhere" not in made or group is DeduplicationScope.ALL
+            share_keys = "in flight elsewhere" not in attempt_names or group is DeduplicationScope.ALL
             may_retry = key and age_ms + SEND_MS < 6000.0 and share_keys
             expected = TakeoverAction.RETRY if may_retry else TakeoverAction.CLOSE_UNKNOWN
-        assert decision.action is expected, (effect, group, made, left_ms, age_ms, max_attempts, key)
+        assert decision.action is expected, (effect, group, attempt_names, left_ms, age_ms, max_attempts, key)
         assert decision.rule
         if decision.action is TakeoverAction.RETRY:
             assert decision.previous is not None
             assert decision.previous.may_have_run
             assert decision.within_ms <= 6000.0 - age_ms - SEND_MS
-        # The rules themselves, whatever the table says.
+        # Rules that hold independently of the expected action.
         if effect is Effect.UNSAFE:
             assert decision.action not in (TakeoverAction.SEND, TakeoverAction.RETRY)
         if decision.action is TakeoverAction.CLOSE_NEVER_RAN:
@@ -85,6 +85,6 @@
     assert decide(closed, 500.0, 0.0, SEND_MS).action is TakeoverAction.NOTHING
 
 
-def test_each_action_when_counted_has_a_counter_of_its_own() -> None:
+def test_each_action_has_its_own_counter() -> None:
     assert COUNTER_SUFFIXES.keys() == set(TakeoverAction)
     assert len(set(COUNTER_SUFFIXES.values())) == len(TakeoverAction)
--- a/tests/sidecar/intent_log/test_token_bucket.py
+++ b/tests/sidecar/intent_log/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The rate at which records are taken over."""
+"""Rate limit of takeovers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_token_bucket_when_asked_at_random_times_keeps_its_rate(seed: int) -> None:
+def test_a_token_bucket_when_called_at_random_times_keeps_its_rate(seed: int) -> None:
     rng = random.Random(seed)
     bucket = TokenBucket(50.0, 16)
     now_s = 100.0
