--- a/coveport/serving/__main__.py
+++ b/coveport/serving/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: `python -m coveport.serving ROLE` runs a role; other arguments go to the command line."""
+"""Entry point: `python -m coveport.serving ROLE` runs a role; other arguments run the command-line tool."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def main() -> int:
-    """Run what `sys.argv` says, and return the exit code.
+    """Run the role or command that `sys.argv` names, and return the exit code.
 
-    A role without options is run without the command line's library: each process keeps its memory.
+    A role without options runs without the command-line library, which would stay in memory.
     """
     if len(sys.argv) == 2 and sys.argv[1] in ROLES:
         return run_role(sys.argv[1], None)
--- a/coveport/serving/log.py
+++ b/coveport/serving/log.py
@@ -1,6 +1,6 @@
-"""The log: one line of key=value pairs an event, on standard error, rendered by structlog.
+"""The event log: one line of key=value pairs for each event, written to standard error with structlog.
 
-The lines of each event are limited to `MAX_LINES_PER_WINDOW` in `WINDOW_S`; see docs/operators/log-events.md.
+At most `MAX_LINES_PER_WINDOW` lines of one event are written in `WINDOW_S`; see docs/operators/log-events.md.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 def _import_structlog() -> ModuleType:
-    """Import it without rich, which it would load for tracebacks: 70 ms and 6 MB that no role uses."""
+    """Import structlog without rich, which it uses for tracebacks only: that saves 70 ms and 6 MB."""
     hide_rich = "rich" not in sys.modules
     if hide_rich:
-        sys.modules["rich"] = None  # type: ignore[assignment]  # an import of it fails, which structlog expects
+        sys.modules["rich"] = None  # type: ignore[assignment]  # makes `import rich` fail, as structlog allows
     try:
         import structlog
     finally:
@@ -27,19 +27,19 @@
 
 structlog: Any = _import_structlog()
 
-INFO_LEVEL: Final = 20  # as in `logging`, which isn't imported for one number
-MAX_LINES_PER_WINDOW: Final = 20  # of one event
+INFO_LEVEL: Final = 20  # the value of `logging.INFO`, without an import of `logging`
+MAX_LINES_PER_WINDOW: Final = 20  # lines of one event
 WINDOW_S: Final = 10.0
 
 
 class EventLogger(Protocol):
-    """Logs events, as in `log.info("event_name", key=value)`; a method a level."""
+    """Logs events, as in `log.info("event_name", key=value)`, with one method for each level."""
 
     def debug(self, event: str, **keys: object) -> object:
-        """Log what is of use only in the search for a fault."""
+        """Log an event that helps only to find the cause of a fault."""
 
     def info(self, event: str, **keys: object) -> object:
-        """Log what belongs to normal operation."""
+        """Log an event of normal operation."""
 
     def warning(self, event: str, **keys: object) -> object:
         """Log a fault from which the system recovers by itself."""
@@ -53,8 +53,8 @@
 ) -> EventLogger:
     """Return a logger that writes a line for each event.
 
-    `now_s`: the clock of the key `at`. `level`: as in `logging`; events below it are not written.
-    `write`: gets each line without its end; by default it goes to standard error.
+    `now_s`: clock for the key `at`. `level`: lowest level that is written, as in `logging`.
+    `write`: called with each line, without a line end; None: lines go to standard error.
     """
     renderer = structlog.processors.LogfmtRenderer(key_order=["at", "level", "event"], drop_missing=True)
 
@@ -72,15 +72,15 @@
 
 @dataclass(slots=True)
 class _Window:
-    """The lines of one event in the current window."""
+    """The number of lines of one event in the current window."""
 
     start_s: float
     written: int = 0
-    suppressed: int = 0  # since the last line that was written, in this window and earlier ones
+    suppressed: int = 0  # lines since the last written one, in this window and earlier ones
 
 
 class _RateLimiter:
-    """A structlog processor that drops events beyond the limit; the next line says how many were dropped."""
+    """A structlog processor that drops events beyond the limit; the next written line has their number."""
 
     def __init__(self, now_s: Callable[[], float]) -> None:
         self._now_s = now_s
@@ -103,7 +103,7 @@
 
 
 class _LineWriter:
-    """The innermost logger, which structlog gives the rendered lines."""
+    """The innermost logger: structlog calls it with rendered lines."""
 
     def __init__(self, write: Callable[[str], object]) -> None:
         self._write = write
@@ -120,4 +120,4 @@
         sys.stderr.write(line + "\n")
         sys.stderr.flush()
     except OSError:
-        pass  # where standard error can't be written to, the process serves on without a log
+        pass  # the process continues without a log if standard error can't be written to
--- a/coveport/serving/role_process.py
+++ b/coveport/serving/role_process.py
@@ -19,19 +19,19 @@
 from coveport.serving.settings.reader import RoleSetting, read_boot_settings
 from coveport.serving.settings.reload import ReloadingRole, SettingsReloader
 
-EXIT_CANNOT_START: Final = 1  # the disk can't be used
+EXIT_CANNOT_START: Final = 1  # for example, because the data directory is unusable
 EXIT_INVALID_SETTINGS: Final = 2
 
 
 class CannotStartError(Exception):
-    """Something that a role needs can't be used; its text is the one line on standard error."""
+    """A role can't start; the error text is printed as one line on standard error."""
 
 
 class Role(ReloadingRole, Protocol):
-    """A program that is run until a signal stops it."""
+    """A coordinator or proxy, which runs until a signal stops it."""
 
     async def start(self) -> None:
-        """Start to serve; raise OSError where an address can't be bound."""
+        """Start to serve; raises OSError if an address can't be bound."""
 
     async def stop(self) -> None:
         """Shut down gracefully; return once nothing is in flight."""
@@ -43,7 +43,7 @@
 def run_process(settings_path: str, required: tuple[RoleSetting, ...], make_role: RoleFactory) -> int:
     """Run a role until a signal stops it; return the exit code.
 
-    `required`: the settings that this role can't do without.
+    `required`: names of the settings that the role needs.
     """
     settings = read_boot_settings(settings_path, required_settings=required)
     if isinstance(settings, Refusal):
@@ -75,7 +75,7 @@
 
 
 def reload_settings(reloader: SettingsReloader, log: EventLogger) -> None:
-    """Read the settings file again, and log what changed or why it can't be used."""
+    """Reload the settings file, and log the changed settings or the faults found in the file."""
     outcome = reloader.reload()
     if isinstance(outcome, Refusal):
         log.error("settings_rejected", findings=[str(finding) for finding in outcome.findings])
@@ -84,7 +84,7 @@
 
 
 def log_tight_bounds(settings: BootSettings, log: EventLogger) -> None:
-    """Log one line for each bound that is tighter than our own times."""
+    """Log a warning for each bound that is tighter than a time that this system requires."""
     for tight in tight_bounds(settings.bounds):
         log.warning(
             "bound_too_tight", key=tight.key, bound=tight.bound, needed=tight.needed, reason=tight.reason
--- a/tests/serving/operator_history.py
+++ b/tests/serving/operator_history.py
@@ -1,4 +1,4 @@
-"""The operations of `linearizability` that an event log of a day holds."""
+"""Extracts the operations that `linearizability` checks from the event log of a simulated day."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 def operations(event_log: EventLog) -> list[Operation]:
-    """Return the changes and reads of the configuration, in the order of their ends."""
-    started = {one.number: one for one in event_log.of(OrderStarted)}
-    ended = {one.number: one for one in event_log.of(OrderEnded)}
-    found = []
+    """Return the changes and reads of the configuration, in the order in which they started."""
+    started = {event.number: event for event in event_log.of(OrderStarted)}
+    ended = {event.number: event for event in event_log.of(OrderEnded)}
+    history = []
     for number, start in started.items():
         end = ended.get(number)
         operation = _operation(start, end)
         if operation is not None:
-            found.append(operation)
-    return found
+            history.append(operation)
+    return history
 
 
 def _operation(start: OrderStarted, end: OrderEnded | None) -> Operation | None:
-    """Return an order as an operation; None for one that says nothing of the configuration."""
+    """Return an order as an operation; None if it is neither a valid change nor a read with an answer."""
     if start.order is Order.READ:
         return _read(start, end)
     if start.order not in (Order.PUT, Order.PATCH) or not start.valid:
@@ -35,7 +35,7 @@
     elif end.status == CONFLICT:
         result = Result.CONFLICT
     else:
-        raise AssertionError(f"a valid configuration was refused with {end.status}")
+        raise AssertionError(f"a valid configuration was rejected with status {end.status}")
     ended_s = end.at_s if end is not None else float("inf")
     return Operation(start.at_s, ended_s, result, start.edition, start.digest, start.based_on)
 
--- a/tests/serving/replication/core_explorer.py
+++ b/tests/serving/replication/core_explorer.py
@@ -1,12 +1,13 @@
 """Explores all interleavings of a few members up to a bound, with the real code, and checks every state.
 
-Time stands still: nothing is suspected; who campaigns when is one of the choices. A message that isn't
-delivered is a slow link, a cut or a frozen machine. States that were seen are not explored again. What is on
-its way to a machine that crashes arrives after its return, as if it was sent again.
-
-At each new state of the disks the closing fault follows: all machines lose power, at most one of them with
-its disk, and each that is left leads once: it must find what was acknowledged. One that finds a newer view of
-which it is no member need not lead, but then another must.
+The clock is frozen, so no member suspects another; a choice of the explorer starts each view change. An
+undelivered message stands for a slow link, a partition or a frozen machine. A state that was explored before
+isn't explored again. A message in flight to a machine that crashes arrives after the restart, as if it had
+been sent again.
+
+For each new state of the disks, the explorer checks a final fault: all machines lose power, and at most one
+of them loses its disk. Then each remaining machine campaigns once, and must recover the acknowledged state.
+A machine that finds a newer view of which it is no member need not become primary, but then another must.
 """
 
 from __future__ import annotations
@@ -64,7 +65,8 @@
 from coveport.serving.replication.view_change import MembershipProposal
 
 NOW_S = 100.0
-NOT_CARRIED = (Ping, Fenced, CatchUpCommands, CatchUpSnapshot)  # they matter to speed only, not to safety
+# They affect speed but not safety, and would multiply the number of interleavings.
+IGNORED_MESSAGES = (Ping, Fenced, CatchUpCommands, CatchUpSnapshot)
 
 
 _ATOMS = (
@@ -83,7 +85,7 @@
 
 
 class _Pickler(pickle.Pickler):
-    """Writes a number in place of each immutable value: quick, and equal values look equal."""
+    """Writes a number for each immutable value: this is fast, and equal states give equal bytes."""
 
     def persistent_id(self, value: object) -> int | None:
         if type(value) not in _ATOM_TYPES:
@@ -101,14 +103,14 @@
 
 
 def pack(value: object) -> bytes:
-    """A copy that nothing changes."""
+    """Return a replica, or another value, as bytes."""
     stream = io.BytesIO()
     _Pickler(stream, protocol=5).dump(value)
     return stream.getvalue()
 
 
 def unpack(data: bytes) -> Replica:
-    """A member to work with."""
+    """Return a new replica in the state that was packed."""
     member = _Unpickler(io.BytesIO(data)).load()
     assert isinstance(member, Replica)
     return member
@@ -119,13 +121,13 @@
 
 
 def fixed_jitter() -> float:
-    """In place of the jitter."""
+    """Return the same value for each request of a jitter."""
     return 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Disk:
-    """Synced records, and batches on their way."""
+    """A disk: its synced records, and the batches that are being written."""
 
     records: tuple[Record, ...]
     pending: tuple[Persist, ...] = ()
@@ -136,28 +138,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What may still happen on a path."""
+    """Events that may still happen on a path; each entry is one event."""
 
-    campaigns: tuple[tuple[str, str], ...] = ()  # (who, kind): kind "" or a wish's or avoided machine's name
-    crashes: tuple[str, ...] = ()  # power is lost and returns
-    wipes: tuple[str, ...] = ()  # ... without the disk
-    submits: tuple[tuple[str, bytes], ...] = ()
-    reads: tuple[str, ...] = ()
-    losses: tuple[str, ...] = ()  # kinds of messages, each of which a broken connection may lose once
+    campaigns: tuple[tuple[str, str], ...] = ()  # candidate and options, as in "avoid BC members ABD"
+    crashes: tuple[str, ...] = ()  # machines that lose power and restart
+    wipes: tuple[str, ...] = ()  # machines that lose power and their disk, and restart
+    submits: tuple[tuple[str, bytes], ...] = ()  # machine and command
+    reads: tuple[str, ...] = ()  # machines that get a read
+    losses: tuple[str, ...] = ()  # types of messages; a broken connection may lose one message for each entry
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Where exploring begins, and with what."""
+    """An initial state, and the events that the explorer may choose from."""
 
     name: str
     budget: Budget
     machines: tuple[str, ...] = ("A", "B", "C")
-    founders: int = 3  # so many of the machines are members at first
-    syncs_are_choices: bool = False  # otherwise disks sync at once
-    prefix: tuple[
-        str, ...
-    ] = ()  # steps taken before all interleavings are explored; those impossible are left out
+    initial_members: int = 3  # the first of the machines
+    syncs_are_choices: bool = False  # False: each write is synced at once
+    prefix: tuple[str, ...] = ()  # steps taken before the exploration; steps that are impossible are skipped
 
 
 Links = tuple[tuple[tuple[int, int], tuple[tuple[MemberId, Message], ...]], ...]
@@ -165,22 +165,23 @@
 
 @dataclass(frozen=True)
 class Point:
-    """One state of all members, disks and links."""
+    """A node of the exploration: one state of all members, disks and links."""
 
-    members: tuple[bytes, ...]  # pickled, in the order of the scenario's machines
+    members: tuple[bytes, ...]  # packed replicas, in the order of the scenario's machines
     disks: tuple[Disk, ...]
     links: Links
     budget: Budget
     acknowledged: State = ()
-    committed: State = ()  # the longest that any member took for committed
-    reads_owed: tuple[tuple[int, int], ...] = ()  # request, how much must be seen at least
-    submitted: tuple[tuple[int, str, State], ...] = ()  # request, command, what was acknowledged when it came
-    wiped: str = ""
-    request: int = 0
-    path: tuple[str, ...] = field(default=(), compare=False)
+    committed: State = ()  # the longest state that any member reported as committed
+    reads: tuple[tuple[int, int], ...] = ()  # request, and minimum length of the state that it must return
+    # Request, command, and the state that was acknowledged when the command was submitted.
+    submitted: tuple[tuple[int, str, State], ...] = ()
+    wiped: str = ""  # machine that lost its disk
+    request: int = 0  # number of the next request
+    path: tuple[str, ...] = field(default=(), compare=False)  # steps that led to this point
 
     def digest(self) -> bytes:
-        """The same for the same state."""
+        """Return a digest that is equal for equal states, on whatever path they were reached."""
         parts = (
             self.members,
             self.disks,
@@ -188,24 +189,24 @@
             self.budget,
             self.acknowledged,
             self.committed,
-            self.reads_owed,
+            self.reads,
             self.submitted,
         )
         return hashlib.blake2b(pack(parts), digest_size=16).digest()
 
 
 class Explorer:
-    """Runs one scenario."""
+    """Explores one scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
         self.ids = [MemberId(name, f"disk-{name}") for name in scenario.machines]
-        self.state_count = 0
-        self.final_faults = 0
-        self.max_depth = 0
-        self._closed: set[bytes] = set()
+        self.state_count = 0  # explored
+        self.final_faults = 0  # campaigns after a final fault
+        self.max_depth = 0  # steps of the longest path
+        self._checked_disks: set[bytes] = set()  # digests of the states for which final faults were checked
 
-    # -- setting up --
+    # -- initial state --
 
     def _member(self, index: int, disk: Disk) -> Replica:
         durable = recover(disk.records)
@@ -213,7 +214,7 @@
         return Replica(
             MemberId(name, durable.disk),
             Locality(name, name),
-            self.scenario.machines[: self.scenario.founders],
+            self.scenario.machines[: self.scenario.initial_members],
             1,
             durable,
             STATE_MACHINE,
@@ -223,14 +224,14 @@
         )
 
     def initial_point(self) -> Point:
-        """A core is founded; A leads, B is its backup, others are witnesses or blank."""
-        founders = self.scenario.founders
+        """Return a bootstrapped core: A is primary, B its backup, other machines are witnesses or blank."""
+        initial_members = self.scenario.initial_members
         epoch = Epoch(1, "disk-A")
-        view = View(epoch, self.ids[0], (self.ids[0], self.ids[1]), tuple(self.ids[:founders]))
+        view = View(epoch, self.ids[0], (self.ids[0], self.ids[1]), tuple(self.ids[:initial_members]))
         disks = []
         for index, identity in enumerate(self.ids):
             records: list[Record] = [IdentityRecord(identity.disk, True)]
-            if index < founders:
+            if index < initial_members:
                 records += [ViewRecord(view), ActiveEpochRecord(epoch)]
             if index < 2:
                 records.append(StateRecord(epoch, 0, b""))
@@ -240,8 +241,8 @@
         members[0]._context.outbox.take()
         packed = tuple(pack(member) for member in members)
         point = Point(packed, tuple(disks), (), self.scenario.budget)
-        for note in self.scenario.prefix:
-            point = next((step for step in self.next_points(point) if step.path[-1].strip() == note), point)
+        for label in self.scenario.prefix:
+            point = next((step for step in self.next_points(point) if step.path[-1].strip() == label), point)
         return point
 
     # -- one step --
@@ -250,9 +251,9 @@
         return self.scenario.machines.index(name)
 
     def _step(
-        self, point: Point, index: int, event: Event | ViewChangeRequest, note: str, **changes: object
+        self, point: Point, index: int, event: Event | ViewChangeRequest, label: str, **changes: object
     ) -> Point:
-        """Let one member take an event, and apply its effects."""
+        """Let one member handle an event, and apply its effects."""
         member: Replica = unpack(point.members[index])
         if isinstance(event, ViewChangeRequest):
             member._leader_role.highest_epoch_seen = self._highest_promised(point)
@@ -261,7 +262,7 @@
             effects = member._context.outbox.take()
         else:
             effects = member.handle(NOW_S, event)
-        point = replace(point, path=(*point.path, note), **changes)  # type: ignore[arg-type]
+        point = replace(point, path=(*point.path, label), **changes)  # type: ignore[arg-type]
         return self._apply(point, index, member, effects)
 
     def _highest_promised(self, point: Point) -> Epoch:
@@ -281,7 +282,7 @@
             match effect:
                 case Send():
                     if effect.to_address in self.scenario.machines and not isinstance(
-                        effect.message, NOT_CARRIED
+                        effect.message, IGNORED_MESSAGES
                     ):
                         key = (index, self._index(effect.to_address))
                         links[key] = (*links.get(key, ()), (member.identity, effect.message))
@@ -309,18 +310,18 @@
             links=tuple(sorted((key, queue) for key, queue in links.items() if queue)),
         )
         for token in tokens:
-            retry: Replica = unpack(point.members[index])
-            point = self._apply(point, index, retry, retry.handle(NOW_S, Persisted(token)))
+            current: Replica = unpack(point.members[index])
+            point = self._apply(point, index, current, current.handle(NOW_S, Persisted(token)))
         return point
 
-    # -- what must hold --
+    # -- invariants --
 
     def _check_committed(self, point: Point, state: State, member: Replica) -> Point:
         shorter, longer = sorted((point.committed, state), key=len)
         if longer[: len(shorter)] != shorter:
-            raise InvariantError(f"forked: {shorter} and {longer} after {point.path}")
+            raise InvariantError(f"committed states diverge: {shorter} and {longer} after {point.path}")
         if member.is_primary and state[: len(point.acknowledged)] != point.acknowledged:
-            raise InvariantError(f"leads without {point.acknowledged} after {point.path}")
+            raise InvariantError(f"primary without acknowledged {point.acknowledged} after {point.path}")
         return replace(point, committed=longer)
 
     def _check_answer(self, point: Point, effect: Answer) -> Point:
@@ -328,28 +329,35 @@
             case Done():
                 command = self._submitted(point, effect.request)[0]
                 if command not in point.committed:
-                    raise InvariantError(f"{command} is done though not committed after {point.path}")
+                    raise InvariantError(f"{command} was acknowledged but not committed after {point.path}")
                 return replace(point, acknowledged=point.committed)
             case Refused(result=result):
-                command, known = self._submitted(point, effect.request)
+                command, acknowledged = self._submitted(point, effect.request)
                 if result == ACCEPTED and command not in point.committed:
-                    raise InvariantError(f"{command} is taken though not committed after {point.path}")
+                    raise InvariantError(
+                        f"{command} was reported as applied but not committed after {point.path}"
+                    )
                 base = int(command.split("|")[0])
-                if result == CONFLICT and base == edition_of(known) == edition_of(point.committed):
-                    raise InvariantError(f"{command} is refused for nothing after {point.path}")
+                if result == CONFLICT and base == edition_of(acknowledged) == edition_of(point.committed):
+                    raise InvariantError(f"{command} was rejected without a conflict after {point.path}")
             case Newest(state=state):
-                least = dict(point.reads_owed).get(effect.request, 0)
-                if len(state) < least:
-                    raise InvariantError(f"a read saw {len(state)} of {least} after {point.path}")
+                min_length = dict(point.reads).get(effect.request, 0)
+                if len(state) < min_length:
+                    raise InvariantError(
+                        f"a read returned {len(state)} changes of {min_length} after {point.path}"
+                    )
         return point
 
     def _submitted(self, point: Point, request: int) -> tuple[str, State]:
-        return next((command, known) for number, command, known in point.submitted if number == request)
+        """Return the command of a request, and the state that was acknowledged when it was submitted."""
+        return next(
+            (command, acknowledged) for number, command, acknowledged in point.submitted if number == request
+        )
 
     # -- choices --
 
     def next_points(self, point: Point) -> Iterator[Point]:
-        """All that may happen next."""
+        """Return the points that one more step may lead to."""
         yield from self._deliveries(point)
         for index, disk in enumerate(point.disks):
             if disk.pending:
@@ -359,89 +367,89 @@
         yield from self._calls(point)
 
     def _deliveries(self, point: Point) -> Iterator[Point]:
-        """The first message of each link arrives, or is lost."""
+        """Deliver the first message of each link, or lose it."""
         for key, queue in point.links:
-            rest = tuple((link, queued) for link, queued in point.links if link != key)
+            links = tuple((link, queued) for link, queued in point.links if link != key)
             if queue[1:]:
-                rest = tuple(sorted((*rest, (key, queue[1:]))))
+                links = tuple(sorted((*links, (key, queue[1:]))))
             sender, message = queue[0]
             names = self.scenario.machines
-            note = f"{type(message).__name__} {names[key[0]]}>{names[key[1]]}"
-            yield self._step(point, key[1], Received(sender, message), note, links=rest)
+            label = f"{type(message).__name__} {names[key[0]]}>{names[key[1]]}"
+            yield self._step(point, key[1], Received(sender, message), label, links=links)
             if type(message).__name__ in point.budget.losses:
-                yield self._lose(point, rest, type(message).__name__, note)
+                yield self._lose(point, links, type(message).__name__, label)
 
     def _campaigns(self, point: Point) -> Iterator[Point]:
-        """A member starts a view change."""
+        """Start a view change at a member."""
         budget = point.budget
-        for position, (name, kind) in enumerate(budget.campaigns):
-            left = replace(budget, campaigns=_without(budget.campaigns, position))
+        for position, (name, options) in enumerate(budget.campaigns):
+            remaining = replace(budget, campaigns=_without(budget.campaigns, position))
             member: Replica = unpack(point.members[self._index(name)])
             if member._leader_role.attempt is None and member.view is not None:
                 yield self._step(
                     point,
                     self._index(name),
-                    self._change(member, kind),
-                    f"campaign {name} {kind}",
-                    budget=left,
+                    self._view_change_request(member, options),
+                    f"campaign {name} {options}",
+                    budget=remaining,
                 )
 
     def _restarts(self, point: Point) -> Iterator[Point]:
-        """A machine loses power, or its disk too, and is back at once."""
+        """Cut the power of a machine, with or without loss of its disk, and restart it at once."""
         budget = point.budget
         for position, name in enumerate(budget.crashes):
-            left = replace(budget, crashes=_without(budget.crashes, position))
-            yield self._restart(replace(point, budget=left), name, wiped=False)
+            remaining = replace(budget, crashes=_without(budget.crashes, position))
+            yield self._restart(replace(point, budget=remaining), name, wiped=False)
         for position, name in enumerate(budget.wipes):
-            left = replace(budget, wipes=_without(budget.wipes, position))
-            yield self._restart(replace(point, budget=left, wiped=name), name, wiped=True)
+            remaining = replace(budget, wipes=_without(budget.wipes, position))
+            yield self._restart(replace(point, budget=remaining, wiped=name), name, wiped=True)
 
     def _calls(self, point: Point) -> Iterator[Point]:
-        """A caller submits a command or reads."""
+        """Submit a command, or read."""
         budget = point.budget
         for position, (name, command) in enumerate(budget.submits):
-            left = replace(budget, submits=_without(budget.submits, position))
+            remaining = replace(budget, submits=_without(budget.submits, position))
             event = Submit(point.request, command)
             yield self._step(
                 point,
                 self._index(name),
                 event,
                 f"submit {name}",
-                budget=left,
+                budget=remaining,
                 request=point.request + 1,
                 submitted=(*point.submitted, (point.request, command.decode(), point.acknowledged)),
             )
         for position, name in enumerate(budget.reads):
-            left = replace(budget, reads=_without(budget.reads, position))
-            owed = (*point.reads_owed, (point.request, len(point.acknowledged)))
+            remaining = replace(budget, reads=_without(budget.reads, position))
+            reads = (*point.reads, (point.request, len(point.acknowledged)))
             yield self._step(
                 point,
                 self._index(name),
                 ReadNewest(point.request),
                 f"read {name}",
-                budget=left,
+                budget=remaining,
                 request=point.request + 1,
-                reads_owed=owed,
+                reads=reads,
             )
 
-    def _lose(self, point: Point, rest: Links, kind: str, note: str) -> Point:
-        """A connection breaks with a message on its way; those behind it come on the next connection."""
+    def _lose(self, point: Point, links: Links, message_type: str, label: str) -> Point:
+        """Break a connection with one message in flight; later messages arrive on the next connection."""
         losses = point.budget.losses
-        left = replace(point.budget, losses=_without(losses, losses.index(kind)))
-        return replace(point, links=rest, budget=left, path=(*point.path, f"lose {note}"))
+        remaining = replace(point.budget, losses=_without(losses, losses.index(message_type)))
+        return replace(point, links=links, budget=remaining, path=(*point.path, f"lose {label}"))
 
-    def _change(self, member: Replica, kind: str) -> ViewChangeRequest:
+    def _view_change_request(self, member: Replica, options: str) -> ViewChangeRequest:
         view = member.view
         assert view is not None
-        words = kind.split()
+        words = options.split()
         avoided: frozenset[MemberId] = frozenset()
         proposal = None
         for word, names in zip(words[::2], words[1::2], strict=True):
-            named = tuple(self.ids[self._index(name)] for name in names)
+            members = tuple(self.ids[self._index(name)] for name in names)
             if word == "avoid":
-                avoided = frozenset(named)
+                avoided = frozenset(members)
             else:
-                proposal = MembershipProposal(view.epoch, named)
+                proposal = MembershipProposal(view.epoch, members)
         return ViewChangeRequest("explored", is_urgent=True, proposal=proposal, avoided=avoided)
 
     def _sync(self, point: Point, index: int) -> Point:
@@ -451,8 +459,8 @@
         disks = tuple(
             synced if position == index else unchanged for position, unchanged in enumerate(point.disks)
         )
-        note = f"sync {self.scenario.machines[index]}"
-        return self._step(point, index, Persisted(batch.token), note, disks=disks)
+        label = f"sync {self.scenario.machines[index]}"
+        return self._step(point, index, Persisted(batch.token), label, disks=disks)
 
     def _restart(self, point: Point, name: str, wiped: bool) -> Point:
         index = self._index(name)
@@ -472,59 +480,68 @@
     def _blank_disk(self, name: str) -> Disk:
         return Disk((IdentityRecord(new_disk_id(name), False),))
 
-    # -- the closing fault --
+    # -- final faults --
 
-    def close(self, point: Point) -> None:
-        """Whatever may be lost now: each that is left must find what was acknowledged."""
-        losses = [""] if point.wiped else ["", *self.scenario.machines]
+    def check_final_faults(self, point: Point) -> None:
+        """Check that each remaining machine recovers the acknowledged state, whichever disk is lost."""
+        wiped_names = [""] if point.wiped else ["", *self.scenario.machines]
         signature = pack([[disk.records for disk in point.disks], point.acknowledged, point.wiped])
         digest = hashlib.blake2b(signature, digest_size=16).digest()
-        if digest in self._closed:
+        if digest in self._checked_disks:
             return
-        self._closed.add(digest)
-        for lost in losses:
-            left = [name for name in self.scenario.machines if name not in (lost, point.wiped)]
-            if not any([self._lead_once(point, name, lost) for name in left]):
+        self._checked_disks.add(digest)
+        for wiped_name in wiped_names:
+            candidates = [name for name in self.scenario.machines if name not in (wiped_name, point.wiped)]
+            if not any([self._campaign_once(point, name, wiped_name) for name in candidates]):
                 raise InvariantError(
-                    f"nobody leads: all lose power, {lost or 'none'} its disk, after {point.path}"
+                    f"no primary: all lose power, {wiped_name or 'none'} its disk, after {point.path}"
                 )
 
-    def _lead_once(self, point: Point, name: str, lost: str) -> bool:
-        """Whether it led. Raises InvariantError where it can't, or leads without what was acknowledged."""
+    def _campaign_once(self, point: Point, name: str, wiped_name: str) -> bool:
+        """Return whether a machine became primary; False if it is no member of the newest view.
+
+        Raises InvariantError if a member can't become primary, or recovers less than what was acknowledged.
+        """
         members = {}
         for index, machine_name in enumerate(self.scenario.machines):
             disk = (
-                self._blank_disk(machine_name) if machine_name == lost else Disk(point.disks[index].records)
+                self._blank_disk(machine_name)
+                if machine_name == wiped_name
+                else Disk(point.disks[index].records)
             )
             members[machine_name] = self._member(index, disk)
-        leader = members[name]
-        if leader.view is None or leader.identity not in leader.view.members:
+        candidate = members[name]
+        if candidate.view is None or candidate.identity not in candidate.view.members:
             return False
         self.final_faults += 1
-        leader._leader_role.highest_epoch_seen = max(
+        candidate._leader_role.highest_epoch_seen = max(
             member._leader_role.highest_epoch_seen for member in members.values()
         )
-        wiped = {self.ids[self._index(gone)] for gone in (lost, point.wiped) if gone}
-        leader._leader_role.start_view_change(
-            NOW_S, ViewChangeRequest("closing", is_urgent=True, avoided=frozenset(wiped))
+        wiped = {
+            self.ids[self._index(machine_name)] for machine_name in (wiped_name, point.wiped) if machine_name
+        }
+        candidate._leader_role.start_view_change(
+            NOW_S, ViewChangeRequest("final fault", is_urgent=True, avoided=frozenset(wiped))
         )
-        leader._run_to_fixpoint(NOW_S)
-        found = self._deliver_all(members, name, leader._context.outbox.take())
-        story = f"all lose power, {lost or 'none'} its disk, {name} leads, after {point.path}"
-        newer = leader._leader_role._excluded_by
-        if found is None and newer is not None and leader.identity not in newer.members:
+        candidate._run_to_fixpoint(NOW_S)
+        recovered = self._deliver_all(members, name, candidate._context.outbox.take())
+        context = f"all lose power, {wiped_name or 'none'} its disk, {name} campaigns, after {point.path}"
+        newer_view = candidate._leader_role._excluded_by
+        if recovered is None and newer_view is not None and candidate.identity not in newer_view.members:
             return False
-        if found is None:
-            raise InvariantError(f"can't lead: {story}")
-        if found[: len(point.acknowledged)] != point.acknowledged:
-            raise InvariantError(f"lost {point.acknowledged}, found {found}: {story}")
+        if recovered is None:
+            raise InvariantError(f"can't become primary: {context}")
+        if recovered[: len(point.acknowledged)] != point.acknowledged:
+            raise InvariantError(f"lost {point.acknowledged}, recovered {recovered}: {context}")
         return True
 
-    def _deliver_all(self, members: dict[str, Replica], leader: str, effects: list[Effect]) -> State | None:
-        """Let every message arrive; the first state that the leader takes for committed."""
-        waiting = deque((leader, effect) for effect in effects)
-        while waiting:
-            name, effect = waiting.popleft()
+    def _deliver_all(
+        self, members: dict[str, Replica], candidate: str, effects: list[Effect]
+    ) -> State | None:
+        """Deliver all messages; return the first state that the candidate reports as committed."""
+        pending = deque((candidate, effect) for effect in effects)
+        while pending:
+            name, effect = pending.popleft()
             event: Event
             match effect:
                 case CommittedState() if members[name].is_primary:
@@ -536,55 +553,55 @@
                     event = Persisted(effect.token)
                 case _:
                     continue
-            waiting.extend((name, following) for following in members[name].handle(NOW_S, event))
+            pending.extend((name, next_effect) for next_effect in members[name].handle(NOW_S, event))
         return None
 
-    # -- all of it --
+    # -- exploration --
 
-    def run(self, depth: int, most_states: int) -> None:
-        """Explore by levels; raises InvariantError with the path that led to it."""
+    def run(self, depth: int, max_states: int) -> None:
+        """Explore breadth-first; raises InvariantError with the path that violates an invariant."""
         with frozen_clock():
             seen: set[bytes] = set()
             level = [self.initial_point()]
             for self.max_depth in range(depth + 1):
-                following: list[Point] = []
+                next_level: list[Point] = []
                 for point in level:
                     self.state_count += 1
-                    self.close(point)
-                    if self.max_depth == depth or self.state_count + len(following) >= most_states:
+                    self.check_final_faults(point)
+                    if self.max_depth == depth or self.state_count + len(next_level) >= max_states:
                         continue
                     for step in self.next_points(point):
                         digest = step.digest()
                         if digest not in seen:
                             seen.add(digest)
-                            following.append(step)
-                level = following
+                            next_level.append(step)
+                level = next_level
                 if not level:
                     return
 
-    def walk(self, chance: Random) -> Point:
-        """One path, each step drawn, to its end, which is returned. Raises InvariantError."""
+    def walk(self, random: Random) -> Point:
+        """Follow one path of random steps to its end, and return that; raises InvariantError."""
         with frozen_clock():
             point = self.initial_point()
             while True:
                 self.state_count += 1
-                self.close(point)
+                self.check_final_faults(point)
                 steps = list(self.next_points(point))
                 if not steps:
                     break
-                point = chance.choice(steps)
+                point = random.choice(steps)
             self.max_depth = max(self.max_depth, len(point.path))
             return point
 
 
 def always_usable(context: ReplicaContext, member: MemberId, now_s: float) -> bool:
-    """In place of what depends on time."""
+    """Return True, in place of a check that depends on time."""
     return True
 
 
 @contextmanager
 def frozen_clock() -> Iterator[None]:
-    """Nobody waits for time to pass or judges others by it."""
+    """Disable the waits and the checks of peers that depend on time."""
     with (
         mock.patch.object(view_change, "EXTRA_PROMISES_WAIT_S", 0.0),
         mock.patch.object(ReplicaContext, "is_usable", always_usable),
@@ -593,7 +610,7 @@
 
 
 def new_disk_id(name: str) -> str:
-    """What a wiped machine draws."""
+    """Return the disk id that a wiped machine draws."""
     return f"disk-{name}-new"
 
 
@@ -615,7 +632,7 @@
     "Accept A>C",
     "Accepted C>A",
 )
-A_TAKES_D_IN = (
+A_ADDS_D = (
     "campaign A members ABD avoid B",
     "Prepare A>C",
     "Promise C>A",
@@ -633,7 +650,14 @@
     "Accept B>C",
     "Accepted C>B",
 )
-B_TAKES_Z = (*B_LEADS_WITH_C, "submit B", "ViewActivated B>C", "Committed B>C", "Append B>C", "Appended C>B")
+B_COMMITS_Z = (
+    *B_LEADS_WITH_C,
+    "submit B",
+    "ViewActivated B>C",
+    "Committed B>C",
+    "Append B>C",
+    "Appended C>B",
+)
 
 SCENARIOS_FROM_START = (
     Scenario(
@@ -687,12 +711,12 @@
     Scenario(
         "a superseded primary reads, writes and campaigns",
         Budget(campaigns=(("B", "avoid A"), ("A", "")), submits=(("B", Z), ("A", W)), reads=("A",)),
-        prefix=B_TAKES_Z,
+        prefix=B_COMMITS_Z,
     ),
     Scenario(
         "a superseded primary with a command in flight campaigns",
         Budget(campaigns=(("B", "avoid A"), ("A", "")), submits=(("A", X), ("B", Z))),
-        prefix=("submit A", *B_TAKES_Z),
+        prefix=("submit A", *B_COMMITS_Z),
     ),
     Scenario(
         "an append arrives after the backup promised to another candidate",
@@ -715,7 +739,7 @@
         "a member is added while the excluded backup campaigns with the former members",
         Budget(campaigns=(("A", "members ABD avoid B"), ("B", "avoid A")), submits=(("A", X), ("B", Z))),
         machines=("A", "B", "C", "D"),
-        prefix=A_TAKES_D_IN,
+        prefix=A_ADDS_D,
     ),
     Scenario(
         "a former primary learns that a later view is active, but not its members",
@@ -726,7 +750,7 @@
         ),
         machines=("A", "B", "C", "D"),
         prefix=(
-            *A_TAKES_D_IN,
+            *A_ADDS_D,
             "campaign B avoid A",
             "Prepare B>A",
             *B_LEADS_WITH_C[1:],
@@ -736,7 +760,7 @@
         "two candidates of five, with one witness in common",
         Budget(campaigns=(("A", "avoid B"), ("B", "avoid AC")), submits=(("A", X), ("B", Z))),
         machines=("A", "B", "C", "D", "E"),
-        founders=5,
+        initial_members=5,
         prefix=(
             "campaign A avoid B",
             "Prepare A>C",
@@ -761,5 +785,5 @@
 
 
 def committed_in(disk: Disk) -> State:
-    """For looking at a fault by hand: what a disk's state says."""
+    """Return the state of a disk; for the analysis of a fault by hand."""
     return decode_state(recover(disk.records).snapshot)
--- a/tests/serving/replication/core_history.py
+++ b/tests/serving/replication/core_history.py
@@ -1,6 +1,6 @@
-"""Judges what operators saw and what coordinators took for committed. Knows nothing of the judged code.
+"""Checks a history of calls and committed states against the final state, without the code under test.
 
-The one order in which changes were taken is read at the end. Everything that was ever seen must fit it.
+The final state lists all changes in the order in which they were applied. All earlier results must fit it.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 
 class Verdict(Enum):
-    """How a call ended."""
+    """The result of a call."""
 
-    OPEN = "open"  # never a clear answer
+    OPEN = "open"  # no clear answer: the change may or may not have been applied
     ACCEPTED = "taken"
     CONFLICT = "another version is in place"
     READ = "read"
@@ -21,84 +21,90 @@
 
 @dataclass(slots=True)
 class Call:
-    """One call of one operator, with all its repeats."""
+    """One call of one operator, with all its retries."""
 
     operator: str
-    change: str  # empty: a read
+    change: str  # empty for a read
     began_s: float
     ended_s: float = float("inf")
     verdict: Verdict = Verdict.OPEN
-    seen: tuple[str, ...] = ()  # what a read returned
+    seen: tuple[str, ...] = ()  # state that a read returned
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedState:
-    """A coordinator took this for committed."""
+    """A state that a coordinator reported as committed."""
 
-    where: str  # machine and incarnation
+    incarnation: str  # machine and number of its incarnation
     at_s: float
     state: tuple[str, ...]
 
 
-ORDER = "order|"  # begins what bears no version
+UNVERSIONED_PREFIX = "order|"  # start of a command without a version
 
 
-def is_order(text: str) -> bool:
-    """Whether it bears no version; copies of it may all have taken effect."""
-    return text.startswith(ORDER)
+def is_unversioned(command: str) -> bool:
+    """Return whether a command has no version; such a command may have been applied more than once."""
+    return command.startswith(UNVERSIONED_PREFIX)
 
 
 def base_of(change: str) -> int:
-    """The edition that a change builds on."""
+    """Return the edition that a change is based on."""
     return int(change.split("|")[0])
 
 
 def edition_of(change: str) -> int:
-    """The edition that a change brings."""
+    """Return the edition that a change creates."""
     return int(change.split("|")[1])
 
 
-def check_history(calls: Sequence[Call], seen: Iterable[ObservedState], final: tuple[str, ...]) -> list[str]:
-    """All that doesn't fit, in words; empty: nothing."""
-    chain = tuple(change for change in final if not is_order(change))
-    violations = _chain_violations(chain)
+def check_history(
+    calls: Sequence[Call], observed_states: Iterable[ObservedState], final: tuple[str, ...]
+) -> list[str]:
+    """Return a text for each violation; an empty list for a consistent history."""
+    versioned = tuple(change for change in final if not is_unversioned(change))
+    violations = _base_violations(versioned)
     positions = {change: position for position, change in enumerate(final, start=1)}
     by_change = {call.change: call for call in calls if call.change}
     for call in calls:
         if call.verdict is Verdict.ACCEPTED and call.change not in positions:
             violations.append(f"lost: {call.change} of {call.operator}, acknowledged at {call.ended_s:.3f}")
         if call.verdict is Verdict.CONFLICT and call.change in positions:
-            violations.append(f"in force though refused: {call.change} of {call.operator}")
+            violations.append(f"applied though rejected: {call.change} of {call.operator}")
     violations += [f"never sent: {change}" for change in final if change not in by_change]
     if violations:
         return violations
     violations += _order_violations(calls, positions)
     violations += _read_violations(calls, positions, by_change, final)
-    violations += _refusal_violations(calls, chain, by_change)
-    violations += _observed_state_violations(seen, final, by_change)
+    violations += _rejection_violations(calls, versioned, by_change)
+    violations += _observed_state_violations(observed_states, final, by_change)
     return violations
 
 
-def _chain_violations(final: tuple[str, ...]) -> list[str]:
+def _base_violations(versioned: tuple[str, ...]) -> list[str]:
+    """Return the changes that were applied on another edition than their base."""
     violations = []
     edition = 0
-    for change in final:
+    for change in versioned:
         if base_of(change) != edition:
-            violations.append(f"{change} was taken on top of {edition}")
+            violations.append(f"{change} was applied on edition {edition}")
         edition = edition_of(change)
     return violations
 
 
 def _order_violations(calls: Sequence[Call], positions: dict[str, int]) -> list[str]:
-    """A change acknowledged before another call began comes before that one's change, with all its copies."""
-    taken = sorted(
+    """Return the changes that were applied before a change that was acknowledged before they were sent.
+
+    A command that was applied more than once counts at its last position.
+    """
+    applied = sorted(
         (call for call in calls if call.change in positions), key=lambda call: positions[call.change]
     )
     violations = []
-    for position, call in enumerate(taken):
+    for position, call in enumerate(applied):
         violations += [
-            f"{call.change} began after {later.change} ended, yet came before it"
-            for later in taken[position + 1 :]
+            f"{call.change} began after {later.change} ended, but was applied before it"
+            for later in applied[position + 1 :]
             if later.ended_s < call.began_s
         ]
     return violations
@@ -115,47 +121,50 @@
     for read in reads:
         name = f"read of {read.operator} at {read.began_s:.3f} to {read.ended_s:.3f}"
         if read.seen != final[: len(read.seen)]:
-            violations.append(f"{name} saw what isn't part of the history")
+            violations.append(f"{name} returned a state that isn't part of the history")
             continue
-        least = max((where for ended_s, where in acknowledged if ended_s < read.began_s), default=0)
-        least = max([least, *(len(peer.seen) for peer in reads if peer.ended_s < read.began_s)])
-        if len(read.seen) < least:
+        min_length = max(
+            (position for ended_s, position in acknowledged if ended_s < read.began_s), default=0
+        )
+        min_length = max([min_length, *(len(peer.seen) for peer in reads if peer.ended_s < read.began_s)])
+        if len(read.seen) < min_length:
             violations.append(
-                f"{name} saw {len(read.seen)} changes, {least} were acknowledged or read before"
+                f"{name} returned {len(read.seen)} changes, {min_length} were acknowledged or read before"
             )
         if any(by_change[change].began_s > read.ended_s for change in read.seen):
-            violations.append(f"{name} saw a change that was sent later")
+            violations.append(f"{name} returned a change that was sent later")
     return violations
 
 
-def _refusal_violations(
-    calls: Sequence[Call], final: tuple[str, ...], by_change: dict[str, Call]
+def _rejection_violations(
+    calls: Sequence[Call], versioned: tuple[str, ...], by_change: dict[str, Call]
 ) -> list[str]:
-    """A refusal needs a moment between call and answer at which another edition was in force."""
-    successor = {base_of(change): change for change in final}
+    """Return the changes that were rejected though no other edition was current at any time of the call."""
+    successor = {base_of(change): change for change in versioned}
     violations = []
     for call in calls:
         if call.verdict is not Verdict.CONFLICT:
             continue
         base = base_of(call.change)
         next_change = successor.get(base)
-        is_base_last = base == (edition_of(final[-1]) if final else 0)
+        is_base_last = base == (edition_of(versioned[-1]) if versioned else 0)
         if is_base_last or (next_change and by_change[next_change].began_s > call.ended_s):
-            violations.append(f"refused for nothing: {call.change} of {call.operator}")
+            violations.append(f"rejected without a conflict: {call.change} of {call.operator}")
     return violations
 
 
 def _observed_state_violations(
-    seen: Iterable[ObservedState], final: tuple[str, ...], by_change: dict[str, Call]
+    observed_states: Iterable[ObservedState], final: tuple[str, ...], by_change: dict[str, Call]
 ) -> list[str]:
     violations = []
-    last: dict[str, int] = {}
-    for item in seen:
-        if item.state != final[: len(item.state)]:
+    last_lengths: dict[str, int] = {}
+    for observed in observed_states:
+        if observed.state != final[: len(observed.state)]:
             violations.append(
-                f"{item.where} at {item.at_s:.3f} took for committed what isn't: {item.state[-1:]}"
+                f"{observed.incarnation} at {observed.at_s:.3f} reported an uncommitted change as committed: "
+                f"{observed.state[-1:]}"
             )
-        if len(item.state) < last.get(item.where, 0):
-            violations.append(f"{item.where} went back at {item.at_s:.3f}")
-        last[item.where] = len(item.state)
+        if len(observed.state) < last_lengths.get(observed.incarnation, 0):
+            violations.append(f"{observed.incarnation} returned to an older state at {observed.at_s:.3f}")
+        last_lengths[observed.incarnation] = len(observed.state)
     return violations
--- a/tests/serving/replication/core_risk.py
+++ b/tests/serving/replication/core_risk.py
@@ -1,4 +1,4 @@
-"""Measures how long the core bears less than before: after a loss, and for a member left behind.
+"""Measures how long fault tolerance is reduced after a loss, and how long a member takes to catch up.
 
 `PYTHONPATH=. python tests/serving/replication/core_risk.py --count 10000 --jobs 8` prints the tables of
 docs/design/control-safety.md.
@@ -16,42 +16,42 @@
 from coveport.serving.replication.events import Done, Outcome, Submit
 from coveport.serving.replication.identity import Locality
 
-BYTES_PER_S = 120e6  # of a link of 1,000 Mbit/s, and of a disk
-MOST_S = 20.0  # beyond which nothing is waited for
+BYTES_PER_S = 120e6  # payload of a link of 1,000 Mbit/s; a disk writes as fast
+MAX_WAIT_S = 20.0  # for full fault tolerance, or for a member to catch up
 
 
 @dataclass(frozen=True, slots=True)
 class Core:
-    """Whose losses are looked at."""
+    """A deployment whose losses are simulated."""
 
     machines: int
-    losses: int
-    region_s: float
+    losses: int  # machine losses that it tolerates
+    region_s: float  # one-way delay between regions
 
 
 CORES = (Core(3, 1, 0.012), Core(3, 1, 0.035), Core(5, 2, 0.035), Core(6, 2, 0.012), Core(6, 2, 0.035))
-SIZES = (1_000, 1_000_000, 8_000_000)  # bytes of the state
+STATE_SIZES = (1_000, 1_000_000, 8_000_000)  # bytes
 KINDS = ("kill", "wipe", "replace")
 
 
-def founded(core: Core, seed: int, size: int) -> World:
-    """A core whose state has that size."""
+def bootstrapped(core: Core, seed: int, size: int) -> World:
+    """Return a running core whose state has `size` bytes, and which tolerates all losses."""
     localities = [
-        Locality(f"{region}{at // 3}", region) for at, region in enumerate("abcabc"[: core.machines])
+        Locality(f"{region}{index // 3}", region) for index, region in enumerate("abcabc"[: core.machines])
     ]
     world = World(seed, localities, core.losses, core.region_s, bytes_per_s=BYTES_PER_S)
     world.start_all()
     world.run_for(6.0, until=lambda: bool(world.primaries()))
     world.run_for(6.0, until=lambda: tolerates_all(world))
     world.run_for(1.0)
-    assert _submit(world, change(0, 1, "v" * size)), "the large change is taken"
+    assert _submit(world, change(0, 1, "v" * size)), "the large change is committed"
     world.run_for(6.0, until=lambda: tolerates_all(world))
     assert tolerates_all(world)
     return world
 
 
 def _submit(world: World, command: bytes) -> bool:
-    """Have the primary take a command; whether it did."""
+    """Submit a command to the primary; return whether it was committed."""
     outcomes: list[Outcome] = []
 
     def submit(request: int) -> Submit:
@@ -65,7 +65,7 @@
 
 
 def tolerates_all(world: World) -> bool:
-    """Whether as many copies and spare votes are there as the core asks for."""
+    """Return whether the view has the replicas and spare votes for all losses that the core tolerates."""
     machine = world.primary()
     if machine is None or machine.incarnation is None:
         return False
@@ -77,28 +77,30 @@
         for peer in world.machines.values()
         if peer.incarnation is not None and not peer.is_frozen
     }
-    spare = len(running & set(view.members)) - (len(view.members) // 2 + 1)
-    return len(running & set(view.replicas)) > world.tolerated_losses and spare >= world.tolerated_losses
+    spare_votes = len(running & set(view.members)) - (len(view.members) // 2 + 1)
+    return (
+        len(running & set(view.replicas)) > world.tolerated_losses and spare_votes >= world.tolerated_losses
+    )
 
 
 def time_at_risk(core: Core, seed: int, size: int, kind: str) -> float:
-    """Seconds from the moment at which the machine is back, or its successor started, until all is borne."""
-    world = founded(core, seed, size)
+    """Return the seconds from the start of the lost machine or its replacement to full fault tolerance."""
+    world = bootstrapped(core, seed, size)
     world.run_for(world.random.random())
     victim = _victim(world)
     if kind == "replace":
         victim.remove()
-        back = world.add_machine(victim.locality)
+        restarted = world.add_machine(victim.locality)
     else:
-        back = victim
+        restarted = victim
         if kind == "wipe":
             victim.wipe()
         else:
             victim.kill(power=True)
     world.run_for(1.0)
-    back.start()
+    restarted.start()
     began_s = world.now_s
-    world.run_for(MOST_S, until=lambda: tolerates_all(world))
+    world.run_for(MAX_WAIT_S, until=lambda: tolerates_all(world))
     return world.now_s - began_s
 
 
@@ -111,31 +113,33 @@
 
 
 def catch_up(core: Core, seed: int, size: int, changes: int) -> tuple[float, int]:
-    """Seconds from the end of a cut until the member has the newest state, and the bytes sent to it."""
-    world = founded(core, seed, size)
+    """Return the seconds that an isolated member needs to catch up, and the bytes sent to it."""
+    world = bootstrapped(core, seed, size)
     machine = world.primary()
     assert machine is not None and machine.incarnation is not None
-    behind = next(peer for peer in world.machines.values() if peer is not machine)
-    world.blocked_links |= {(behind.address, peer) for peer in world.machines}
-    world.blocked_links |= {(peer, behind.address) for peer in world.machines}
+    isolated = next(peer for peer in world.machines.values() if peer is not machine)
+    world.blocked_links |= {(isolated.address, peer) for peer in world.machines}
+    world.blocked_links |= {(peer, isolated.address) for peer in world.machines}
     world.run_for(3.0, until=lambda: bool(world.primaries()))
     world.run_for(2.0)
-    _change_often(world, changes)
-    newest = _sequence(world)
-    sent = SentBytesCounter(world, behind.address)
+    _submit_changes(world, changes)
+    newest_sequence = _sequence(world)
+    sent = SentBytesCounter(world, isolated.address)
     world.blocked_links.clear()
     began_s = world.now_s
 
-    def has_all() -> bool:
-        incarnation = behind.incarnation
-        return incarnation is not None and incarnation.replica._context.committed_log.sequence >= newest
+    def has_caught_up() -> bool:
+        incarnation = isolated.incarnation
+        return (
+            incarnation is not None and incarnation.replica._context.committed_log.sequence >= newest_sequence
+        )
 
-    world.run_for(MOST_S, until=has_all)
-    assert has_all(), "it catches up"
+    world.run_for(MAX_WAIT_S, until=has_caught_up)
+    assert has_caught_up(), "the member catches up"
     return world.now_s - began_s, sent.bytes
 
 
-def _change_often(world: World, changes: int) -> None:
+def _submit_changes(world: World, changes: int) -> None:
     for edition in range(1, changes + 1):
         assert _submit(world, change(edition, edition + 1, "small"))
     machine = world.primary()
@@ -150,17 +154,17 @@
 
 
 class SentBytesCounter:
-    """Counts the bytes of states and commands sent to one address."""
+    """Counts the bytes of states and commands that are sent to one address."""
 
     def __init__(self, world: World, address: str) -> None:
-        from core_world import bytes_in
+        from core_world import payload_bytes
 
         self.bytes = 0
         original = world.send
 
         def send(sender: Machine, incarnation: object, to_address: str, message: object) -> None:
             if to_address == address:
-                self.bytes += bytes_in(message)
+                self.bytes += payload_bytes(message)
             original(sender, incarnation, to_address, message)  # type: ignore[arg-type]
 
         world.send = send  # type: ignore[method-assign]
@@ -172,30 +176,30 @@
 
 
 def main() -> None:
-    """Run as told on the command line."""
+    """Print the tables for the arguments of the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--count", type=int, default=450)
     parser.add_argument("--jobs", type=int, default=4)
     arguments = parser.parse_args()
-    kinds = [(core, size, kind) for core in CORES for size in SIZES for kind in KINDS]
-    cases = [(*kinds[at % len(kinds)], at) for at in range(arguments.count)]
-    found: dict[tuple[Core, int, str], list[float]] = {}
+    kinds = [(core, size, kind) for core in CORES for size in STATE_SIZES for kind in KINDS]
+    cases = [(*kinds[seed % len(kinds)], seed) for seed in range(arguments.count)]
+    times_s: dict[tuple[Core, int, str], list[float]] = {}
     with concurrent.futures.ProcessPoolExecutor(arguments.jobs) as pool:
         jobs = [(core, seed, size, kind) for core, size, kind, seed in cases]
         for core, size, kind, took_s in pool.map(_risk, jobs, chunksize=8):
-            found.setdefault((core, size, kind), []).append(took_s)
+            times_s.setdefault((core, size, kind), []).append(took_s)
     print("| machines, losses, way | state | kill | wipe | replace |\n| --- | --- | --- | --- | --- |")
     for core in CORES:
-        for size in SIZES:
-            cells = [found.get((core, size, kind), [0.0]) for kind in KINDS]
-            told = " | ".join(f"{statistics.median(cell):.2f}, {max(cell):.2f}" for cell in cells)
+        for size in STATE_SIZES:
+            cells = [times_s.get((core, size, kind), [0.0]) for kind in KINDS]
+            columns = " | ".join(f"{statistics.median(cell):.2f}, {max(cell):.2f}" for cell in cells)
             name = f"{core.machines}, {core.losses}, {core.region_s * 1000:.0f} ms"
-            print(f"| {name} | {size // 1000} KB | {told} |")
+            print(f"| {name} | {size // 1000} KB | {columns} |")
     print("\n| missed changes | 1 KB: s, KB sent | 1 MB: s, KB sent | 8 MB: s, KB sent |")
     print("| --- | --- | --- | --- |")
     for changes in (0, 100, 1_000, 10_000):
-        cells_ = [catch_up(CORES[0], 3, size, changes) for size in SIZES]
-        print(f"| {changes} | " + " | ".join(f"{took:.2f}, {sent // 1000}" for took, sent in cells_) + " |")
+        results = [catch_up(CORES[0], 3, size, changes) for size in STATE_SIZES]
+        print(f"| {changes} | " + " | ".join(f"{took:.2f}, {sent // 1000}" for took, sent in results) + " |")
 
 
 if __name__ == "__main__":
--- a/tests/serving/replication/core_variants.py
+++ b/tests/serving/replication/core_variants.py
@@ -1,4 +1,4 @@
-"""Broken variants of the core, each with one fault that the checkers must find."""
+"""Broken variants of the core, each with one fault that the explorer must find."""
 
 from __future__ import annotations
 
@@ -34,9 +34,11 @@
 Patches = list[Any]
 
 
-def _answers_before_sync(*kinds: type) -> Patches:
+def _messages_sent_before_sync(*types: type) -> Patches:
+    """Messages of these types are sent before the records that they depend on are synced."""
+
     def send_when_synced(self: Journal, to_address: str, message: Message) -> None:
-        if isinstance(message, kinds):
+        if isinstance(message, types):
             self._outbox.send(to_address, message)
         else:
             original(self, to_address, message)
@@ -45,12 +47,12 @@
     return [mock.patch.object(Journal, "send_when_synced", send_when_synced)]
 
 
-def _forgets(*kinds: type) -> Patches:
-    """Records of these kinds never reach the disk."""
+def _records_not_written(*types: type) -> Patches:
+    """Records of these types are never written to the disk."""
 
     def write(self: Journal, record: Record) -> None:
         original(self, record)
-        if isinstance(record, kinds):
+        if isinstance(record, types):
             self._records.pop()
 
     original = Journal.write
@@ -58,22 +60,22 @@
 
 
 def promise_not_synced() -> Patches:
-    """A promise is given but not kept on disk."""
-    return _forgets(PromisedEpochRecord)
+    """A promise is sent, but not written to the disk."""
+    return _records_not_written(PromisedEpochRecord)
 
 
 def view_not_synced() -> Patches:
-    """A view is accepted but not kept on disk."""
-    return _forgets(ViewRecord)
+    """A view is accepted, but not written to the disk."""
+    return _records_not_written(ViewRecord)
 
 
 def append_answered_before_sync() -> Patches:
-    """A backup answers before its disk has the command."""
-    return _answers_before_sync(Appended)
+    """A backup acknowledges a command before it is synced."""
+    return _messages_sent_before_sync(Appended)
 
 
 def primary_acknowledges_alone() -> Patches:
-    """The primary doesn't wait for its backups."""
+    """The primary acknowledges a command before all replicas have it."""
 
     def on_appended(self: Primary, now_s: float, sender: MemberId, message: Appended) -> None:
         in_flight = self._in_flight
@@ -86,7 +88,7 @@
 
 
 def wiped_member_keeps_identity() -> Patches:
-    """A wiped machine comes back as the member that it was."""
+    """A machine without its disk returns with the identity of the former member."""
 
     def start(self: Machine, first_boot: bool = False) -> None:
         number = int(self.address.split(":")[0].split(".")[-1])
@@ -101,7 +103,7 @@
 
 
 def read_without_confirmation() -> Patches:
-    """The primary answers reads from its own belief."""
+    """The primary answers reads without a check that it still leads."""
 
     def read(self: Primary, request: int) -> None:
         outcome = self._quorum_checks.confirmed_outcome(UnconfirmedAnswer(request))
@@ -111,7 +113,7 @@
 
 
 def refusal_without_confirmation() -> Patches:
-    """The primary refuses commands from its own belief."""
+    """The primary rejects commands without a check that it still leads."""
 
     def advance(self: Primary, now_s: float) -> None:
         original(self, now_s)
@@ -126,21 +128,23 @@
 
 
 def backup_ignores_fencing() -> Patches:
-    """A backup takes commands below what it promised, and whatever epoch its state is of."""
+    """A backup accepts commands of epochs below its promise, and with a state of another epoch."""
 
     def append(self: Acceptor, sender: MemberId, message: Append) -> None:
         if message.sequence == self.durable.sequence + 1:
-            own = Append(self.durable.state_epoch, message.sequence, message.command, message.committed)
+            own_epoch_append = Append(
+                self.durable.state_epoch, message.sequence, message.command, message.committed
+            )
             applied = self.apply_tentatively(message.command)
             if hasattr(applied, "state"):
-                self._append(own)
+                self._append(own_epoch_append)
         self._reply_when_synced(sender, Appended(message.epoch, message.sequence))
 
     return [mock.patch.object(Acceptor, "append", append)]
 
 
 def fenced_epoch_confirmed() -> Patches:
-    """A witness confirms an epoch below what it promised."""
+    """A witness confirms an epoch below its promise."""
 
     def confirm(self: Acceptor, sender: MemberId, message: Confirm) -> None:
         self._outbox.send(sender.address, Confirmed(message.epoch, message.number))
@@ -149,7 +153,7 @@
 
 
 def any_state_accepted() -> Patches:
-    """A candidate goes on from the first state that it finds, of whatever view."""
+    """A candidate continues from the first state that a promise reports, whatever its epoch."""
 
     def sources(self: ViewChangeAttempt) -> list[MemberId]:
         return [member for member, promise in self._promises.items() if promise.state_epoch != NO_EPOCH][:1]
@@ -158,7 +162,7 @@
 
 
 def state_chosen_by_sequence_only() -> Patches:
-    """A candidate goes on from the longest state, of whatever view."""
+    """A candidate continues from the longest state, whatever its epoch."""
 
     def sources(self: ViewChangeAttempt) -> list[MemberId]:
         return [member for member, promise in self._promises.items() if promise.state_epoch != NO_EPOCH]
@@ -167,7 +171,7 @@
 
 
 def own_state_preferred() -> Patches:
-    """A candidate goes on from what it holds itself, if it holds any."""
+    """A candidate continues from its own state, if it has one."""
 
     def sources(self: ViewChangeAttempt) -> list[MemberId]:
         own = self._promises.get(self._context.own_id)
@@ -179,17 +183,19 @@
 
 
 def install_answered_before_sync() -> Patches:
-    """A replica answers before its disk has the state."""
-    return _answers_before_sync(Installed)
+    """A replica acknowledges a state before it is synced."""
+    return _messages_sent_before_sync(Installed)
 
 
 def newer_views_ignored() -> Patches:
-    """A candidate doesn't widen to a newer view that a promise shows."""
+    """A candidate ignores a newer view that a promise reports."""
 
     def on_promise(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Promise) -> None:
-        own = self._newest
-        shown = Promise(message.epoch, own, message.active_epoch, message.state_epoch, message.state_sequence)
-        original(self, now_s, sender, shown)
+        view = self._newest
+        promise = Promise(
+            message.epoch, view, message.active_epoch, message.state_epoch, message.state_sequence
+        )
+        original(self, now_s, sender, promise)
 
     original = ViewChangeAttempt.on_promise
     return [mock.patch.object(ViewChangeAttempt, "on_promise", on_promise)]
@@ -208,7 +214,7 @@
 
 
 def old_members_ignored() -> Patches:
-    """A change of members is decided by the new ones alone, and the old ones aren't asked."""
+    """A change of members needs a majority of the new members only, not of the former ones."""
 
     def quorum_groups(self: View, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
         return (self.members,)
@@ -217,7 +223,7 @@
 
 
 def replicas_not_awaited() -> Patches:
-    """A view is proposed before all its replicas hold the state."""
+    """A view is proposed before all its replicas have the state."""
 
     def on_installed(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Installed) -> None:
         self._installed.update(self._replicas)
@@ -228,7 +234,7 @@
 
 
 def view_not_awaited() -> Patches:
-    """A candidate takes its view for active before a majority has it."""
+    """A candidate activates its view before a majority has accepted it."""
 
     def on_accepted(self: ViewChangeAttempt, now_s: float, sender: MemberId, message: Accepted) -> None:
         if self.view is not None:
@@ -240,7 +246,7 @@
 
 
 def backup_commits_on_append() -> Patches:
-    """A backup takes for committed whatever it holds."""
+    """A backup commits a command as soon as it has appended it."""
 
     def on_append(self: Replica, sender: MemberId, message: Append) -> None:
         original(self, sender, message)
@@ -251,7 +257,7 @@
 
 
 def acceptor_ignores_fencing() -> Patches:
-    """A member stores views and states of epochs below what it promised."""
+    """A member stores views and states of epochs below its promise."""
 
     def is_fenced(self: Acceptor, sender: MemberId, epoch: Epoch) -> bool:
         return False
@@ -260,7 +266,7 @@
 
 
 def in_flight_command_assumed_committed() -> Patches:
-    """A primary that leads again takes its command for done whatever state it goes on from."""
+    """A primary that leads again acknowledges its command in flight, whatever state it continues from."""
 
     def begin(self: Primary, now_s: float, predecessor: Primary | None, continues_own_state: bool) -> None:
         original(self, now_s, predecessor, True)
@@ -270,7 +276,7 @@
 
 
 def later_view_activates_earlier_ones() -> Patches:
-    """That some later view is active counts for the view accepted here: as it was on main."""
+    """A member treats its accepted view as active once any later view is: a former fault of the core."""
 
     def quorum_groups(self: View, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
         if not self.previous_members or active_epoch >= self.epoch:
@@ -318,7 +324,7 @@
 
 @contextmanager
 def applied_variant(name: str) -> Iterator[None]:
-    """The code with one fault."""
+    """Run the body with the patches of one variant."""
     patches = VARIANTS[name]()
     for patch in patches:
         patch.start()
--- a/tests/serving/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -1,7 +1,7 @@
-"""Core members on simulated machines, links and disks, in virtual time and from one seed. Nothing sleeps.
+"""Core members on simulated machines, links and disks, in virtual time and with one random seed.
 
-The disks here keep whole records, of which a suffix that wasn't synced may be missing after a crash; how the
-ring brings that about on torn bytes is tested in tests/serving/storage.
+A simulated disk stores whole records, and may lose unsynced records from the end at a loss of power. That the
+real storage behaves like this, also after a torn write, is tested in tests/serving/storage.
 """
 
 from __future__ import annotations
@@ -37,36 +37,36 @@
 
 TICK_S = 0.05
 SYNC_S = 0.002
-CLIENT_S = 0.003  # one way between a client and a machine
-ACCEPTED = "taken"  # that very change is in force already
+CLIENT_DELAY_S = 0.003  # one way between a client and a machine
+ACCEPTED = "taken"  # result of a change that has been applied already
 CONFLICT = "another version is in place"
-ORDER = "order|"  # begins what bears no version
-ORDER_DELAY_S = 0.15  # as a coordinator holds such an order, while it looks whether its caller stays
-STALL_S = 0.6  # after which a coordinator drops what waited in its callers' connections
+UNVERSIONED_PREFIX = "order|"  # start of a command without a version
+UNVERSIONED_DELAY_S = 0.15  # a coordinator delays such a command, and drops it if the caller disconnects
+STALL_S = 0.6  # after a longer stall a coordinator drops the calls that are queued in its connections
 
-State = tuple[str, ...]  # all changes taken, the oldest first
+State = tuple[str, ...]  # all applied changes, the oldest first
 
 
 def change(base: int, edition: int, value: str) -> bytes:
-    """A command: bring `edition` with `value` into force if `base` is in force."""
+    """Return a command that sets `edition` and `value` if the current edition is `base`."""
     return f"{base}|{edition}|{value}".encode()
 
 
-def order(operator: str, number: int) -> bytes:
-    """A command without a version, as an evacuation is: it takes effect whenever it is run."""
-    return f"{ORDER}{operator}|{number}".encode()
+def unversioned_command(operator: str, number: int) -> bytes:
+    """Return a command without a version, such as an evacuation: it is applied in any state."""
+    return f"{UNVERSIONED_PREFIX}{operator}|{number}".encode()
 
 
 def edition_of(state: State) -> int:
-    """The edition in force."""
-    last = next((text for text in reversed(state) if not text.startswith(ORDER)), None)
+    """Return the current edition."""
+    last = next((text for text in reversed(state) if not text.startswith(UNVERSIONED_PREFIX)), None)
     return int(last.split("|")[1]) if last else 0
 
 
 def apply_change(state: State, command: bytes) -> Applied | Refused:
-    """What the members run."""
+    """Apply a command to a state, or reject it; the function that the members replicate."""
     text = command.decode()
-    if text.startswith(ORDER):
+    if text.startswith(UNVERSIONED_PREFIX):
         return Applied((*state, text), "done")
     if text in state:
         return Refused(ACCEPTED)
@@ -76,38 +76,38 @@
 
 
 def encode_state(state: State) -> bytes:
-    """For the disk and the links."""
+    """Return a state as bytes, for the disk and the links."""
     return "\n".join(state).encode()
 
 
 def decode_state(data: bytes) -> State:
-    """The state that was encoded."""
+    """Return the state that was encoded."""
     try:
         return tuple(data.decode().split("\n")) if data else ()
-    except UnicodeDecodeError as problem:
-        raise UnreadableStateError(str(problem)) from problem
+    except UnicodeDecodeError as error:
+        raise UnreadableStateError(str(error)) from error
 
 
 STATE_MACHINE = StateMachine(apply_change, encode_state, decode_state)
 
 
-def bytes_in(thing: object) -> int:
-    """Of the states and commands in a message or record."""
-    commands: tuple[bytes, ...] = getattr(thing, "commands", ())
-    return len(getattr(thing, "state", b"")) + len(getattr(thing, "command", b"")) + sum(map(len, commands))
+def payload_bytes(item: object) -> int:
+    """Return the size of the states and commands in a message or record."""
+    commands: tuple[bytes, ...] = getattr(item, "commands", ())
+    return len(getattr(item, "state", b"")) + len(getattr(item, "command", b"")) + sum(map(len, commands))
 
 
 @dataclass(slots=True)
 class SimDisk:
-    """One machine's disk."""
+    """The disk of a machine."""
 
     records: list[Record] = field(default_factory=list)
-    synced: int = 0  # so many of the records survive a loss of power
-    sync_s: float = SYNC_S
+    synced: int = 0  # number of records that survive a loss of power
+    sync_s: float = SYNC_S  # duration of a sync
     hangs_until_s: float = 0.0
     rejects_writes: bool = False
     busy_until_s: float = 0.0
-    since_s: float = 0.0  # when it was new
+    created_at_s: float = 0.0  # when the disk was installed, empty
 
 
 @dataclass(slots=True)
@@ -116,11 +116,11 @@
 
     replica: Replica
     number: int
-    committed: list[tuple[float, State]] = field(default_factory=list)
+    committed: list[tuple[float, State]] = field(default_factory=list)  # committed states and their times
 
 
 class Machine:
-    """A place where a process of the core runs."""
+    """A machine that runs a process of the core."""
 
     def __init__(self, world: World, address: str, locality: Locality) -> None:
         self.world = world
@@ -134,10 +134,10 @@
         self.is_removed = False
         self.frozen_at_s = 0.0
         self._deferred: list[Callable[[], None]] = []
-        self.client_generation = 0  # rises when callers' connections are reset
+        self.client_generation = 0  # increases when the connections of callers are reset
 
     def start(self, first_boot: bool = False) -> None:
-        """Start the process on what the disk holds."""
+        """Start the process with the records of the disk."""
         if self.incarnation is not None or self.is_removed:
             return
         world = self.world
@@ -169,32 +169,32 @@
         self._tick(incarnation)
 
     def kill(self, power: bool = False) -> None:
-        """End the process; with `power` what wasn't synced may be lost."""
+        """End the process; with `power`, unsynced records may be lost."""
         self.incarnation = None
         self.is_frozen = False
         self._deferred = []
         self.is_powered = not power
-        kept = self.world.random.randint(self.disk.synced, len(self.disk.records))
+        kept_count = self.world.random.randint(self.disk.synced, len(self.disk.records))
         if power:
-            del self.disk.records[kept:]
+            del self.disk.records[kept_count:]
 
     def wipe(self) -> None:
         """Lose the disk, and the process with it."""
         self.kill(power=True)
-        self.disk = SimDisk(since_s=self.world.now_s)
+        self.disk = SimDisk(created_at_s=self.world.now_s)
 
     def remove(self) -> None:
-        """Lose the machine for good."""
+        """Remove the machine permanently."""
         self.wipe()
         self.is_removed = True
 
     def freeze(self) -> None:
-        """Stand still; what arrives waits."""
+        """Freeze the process; its events are deferred until a thaw."""
         self.is_frozen = self.incarnation is not None
         self.frozen_at_s = self.world.now_s
 
     def thaw(self) -> None:
-        """Go on with what waited."""
+        """Resume the process, and handle the deferred events."""
         if not self.is_frozen:
             return
         self.is_frozen = False
@@ -206,7 +206,7 @@
             run()
 
     def run(self, incarnation: Incarnation, action: Callable[[], None]) -> None:
-        """Run something in this incarnation of the process, now or after it thaws."""
+        """Run an action if this incarnation of the process is still alive, now or after a thaw."""
         if self.incarnation is not incarnation:
             return
         if self.is_frozen:
@@ -221,25 +221,25 @@
             self.world.after(wait_s, lambda: self.run(incarnation, lambda: self._tick(incarnation)))
 
     def deliver(self, incarnation: Incarnation, event: Event) -> None:
-        """Hand an event to the process and do what it wants done."""
+        """Let the process handle an event, and apply the effects."""
         for effect in incarnation.replica.handle(self.world.now_s, event):
-            self._do(incarnation, effect)
+            self._apply(incarnation, effect)
 
-    def _do(self, incarnation: Incarnation, effect: Effect) -> None:
+    def _apply(self, incarnation: Incarnation, effect: Effect) -> None:
         match effect:
             case Send():
                 self.world.send(self, incarnation, effect.to_address, effect.message)
             case Persist():
                 self._persist(incarnation, effect)
             case Answer():
-                self.world.answered(self, effect.request, effect.outcome)
+                self.world.deliver_answer(self, effect.request, effect.outcome)
             case CommittedState():
                 incarnation.committed.append((self.world.now_s, effect.state))
 
     def _persist(self, incarnation: Incarnation, effect: Persist) -> None:
         disk = self.disk
         if disk.rejects_writes:
-            # kept by the storage and written with the next
+            # the storage keeps these records and writes them with the next batch
             disk.records.extend(effect.records)
             failed = PersistFailed(effect.token)
             self.world.after(SYNC_S, lambda: self.run(incarnation, lambda: self.deliver(incarnation, failed)))
@@ -247,9 +247,9 @@
         disk.records.extend(effect.records)
         count = len(disk.records)
         begin_s = max(self.world.now_s, disk.busy_until_s, disk.hangs_until_s)
-        written = 2 * sum(bytes_in(record) for record in effect.records)
+        written_bytes = 2 * sum(payload_bytes(record) for record in effect.records)
         disk.busy_until_s = begin_s + disk.sync_s * self.world.random.uniform(0.8, 1.5)
-        disk.busy_until_s += written / self.world.bytes_per_s
+        disk.busy_until_s += written_bytes / self.world.bytes_per_s
 
         def synced() -> None:
             if self.incarnation is not incarnation or self.disk is not disk:
@@ -261,7 +261,7 @@
 
 
 class World:
-    """Time, links and machines."""
+    """The simulated clock, links and machines."""
 
     def __init__(
         self,
@@ -273,7 +273,7 @@
         make_replica: Callable[..., Replica] = Replica,
         timings: Timings = Timings(),  # noqa: B008 - frozen
         loss: float = 0.0,
-        bytes_per_s: float = float("inf"),  # of links, and of disks, where everything is written twice
+        bytes_per_s: float = float("inf"),  # of a link, and of a disk, which writes everything twice
     ) -> None:
         self.bytes_per_s = bytes_per_s
         self.random = random.Random(seed)
@@ -284,22 +284,22 @@
         self.timings = timings
         self.loss = loss
         self.machines: dict[str, Machine] = {}
-        self.blocked_links: set[tuple[str, str]] = set()  # from, to
+        self.blocked_links: set[tuple[str, str]] = set()  # sender, receiver
         self.messages = 0
-        self.on_answer: dict[int, Callable[[Outcome], None]] = {}
-        self.cancelled: set[int] = set()  # calls whose caller has left
-        self.situations: Counter[str] = Counter()  # how often what was brought about
-        self._arrivals: dict[tuple[str, str], float] = {}
-        self._connections: Counter[tuple[str, str]] = Counter()  # how often the one of each link broke
+        self._outcome_callbacks: dict[int, Callable[[Outcome], None]] = {}
+        self.cancelled: set[int] = set()  # calls whose caller has disconnected
+        self.situations: Counter[str] = Counter()  # how often each situation of interest occurred
+        self._last_arrivals: dict[tuple[str, str], float] = {}  # by link; later messages arrive later
+        self._connections: Counter[tuple[str, str]] = Counter()  # number of resets by link
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = 0
-        self._request = 0
+        self._event_number = 0  # orders actions of the same time
+        self._last_request = 0
         for locality in localities:
             self.add_machine(locality)
         self.seeds = tuple(list(self.machines)[:seed_count])
 
     def add_machine(self, locality: Locality) -> Machine:
-        """A machine at a new address."""
+        """Add a machine at a new address; it isn't started."""
         address = f"10.0.0.{len(self.machines) + 1}:7300"
         machine = Machine(self, address, locality)
         self.machines[address] = machine
@@ -308,16 +308,16 @@
     # -- time --
 
     def at(self, time_s: float, action: Callable[[], None]) -> None:
-        """Run something at a time."""
-        self._order += 1
-        heapq.heappush(self._queue, (time_s, self._order, action))
+        """Schedule an action at a time."""
+        self._event_number += 1
+        heapq.heappush(self._queue, (time_s, self._event_number, action))
 
     def after(self, wait_s: float, action: Callable[[], None]) -> None:
-        """Run something later."""
+        """Schedule an action after a delay."""
         self.at(self.now_s + wait_s, action)
 
     def run_until(self, end_s: float, until: Callable[[], bool] | None = None) -> None:
-        """Let time pass, at most up to `end_s`, and until something holds."""
+        """Run the scheduled actions up to `end_s`, or until the condition holds."""
         while self._queue and self._queue[0][0] <= end_s:
             if until is not None and until():
                 return
@@ -327,13 +327,13 @@
         self.now_s = max(self.now_s, end_s)
 
     def run_for(self, seconds: float, until: Callable[[], bool] | None = None) -> None:
-        """Let time pass."""
+        """Run the scheduled actions of that many seconds, or until the condition holds."""
         self.run_until(self.now_s + seconds, until)
 
     # -- links --
 
     def delay_s(self, sender: Machine, receiver: Machine) -> float:
-        """One way between two machines."""
+        """Return a random one-way delay between two machines."""
         if sender.locality.region != receiver.locality.region:
             base_s = self.region_s
         else:
@@ -341,7 +341,7 @@
         return base_s * self.random.uniform(1.0, 1.15) + 0.0003
 
     def send(self, sender: Machine, incarnation: Incarnation, to_address: str, message: Message) -> None:
-        """Carry a message, in order on each link, unless the link is cut or loses it."""
+        """Deliver a message, in order on each link, unless the link is blocked or loses the message."""
         receiver = self.machines.get(to_address)
         if receiver is None:
             return
@@ -349,29 +349,29 @@
         link = (sender.address, to_address)
         if link in self.blocked_links or self.random.random() < self.loss:
             return
-        way_s = self.delay_s(sender, receiver) + bytes_in(message) / self.bytes_per_s
-        arrival_s = max(self.now_s + way_s, self._arrivals.get(link, 0.0))
-        self._arrivals[link] = arrival_s
+        delay_s = self.delay_s(sender, receiver) + payload_bytes(message) / self.bytes_per_s
+        arrival_s = max(self.now_s + delay_s, self._last_arrivals.get(link, 0.0))
+        self._last_arrivals[link] = arrival_s
         event = Received(incarnation.replica.identity, message)
-        meant_for = receiver.incarnation
+        receiver_at_send = receiver.incarnation
         connection = self._connections[link]
 
         def arrive() -> None:
             if connection != self._connections[link]:
                 self.situations["5: a message was lost with its connection, later ones arrived"] += 1
                 return
-            receiving = receiver.incarnation
-            if receiving is not None and receiving is not meant_for:
+            receiver_now = receiver.incarnation
+            if receiver_now is not None and receiver_now is not receiver_at_send:
                 self.situations["5: a message reached a later incarnation than it was sent to"] += 1
             if sender.incarnation is not incarnation:
                 self.situations["5: a message of an earlier incarnation of its sender arrived"] += 1
-            if receiving is not None and link not in self.blocked_links:
-                receiver.run(receiving, lambda: receiver.deliver(receiving, event))
+            if receiver_now is not None and link not in self.blocked_links:
+                receiver.run(receiver_now, lambda: receiver.deliver(receiver_now, event))
 
         self.at(arrival_s, arrive)
 
     def break_connections(self, machine: Machine) -> None:
-        """Reset all connections from and to a machine: what is on its way is lost, what follows is not."""
+        """Reset all connections from and to a machine: messages in flight are lost, later ones are not."""
         for peer in self.machines:
             self._connections[machine.address, peer] += 1
             self._connections[peer, machine.address] += 1
@@ -383,19 +383,19 @@
         machine: Machine,
         make_event: Callable[[int], Event],
         on_outcome: Callable[[Outcome], None],
-        is_delayed: bool = False,  # it bears no version
+        is_delayed: bool = False,  # the command has no version
     ) -> int:
-        """Bring a client's call to a machine; nothing is answered when it is lost on the way. Its number."""
-        self._request += 1
-        request = self._request
+        """Send a client's call to a machine, and return its number; a lost call gets no answer."""
+        self._last_request += 1
+        request = self._last_request
         incarnation = machine.incarnation
-        calls = machine.client_generation
-        self.on_answer[request] = on_outcome
+        client_generation = machine.client_generation
+        self._outcome_callbacks[request] = on_outcome
 
-        def take() -> None:
+        def submit() -> None:
             if incarnation is None:
                 return
-            if machine.client_generation != calls:
+            if machine.client_generation != client_generation:
                 self.situations["2: what waited in the sockets of a frozen machine was dropped"] += 1
                 return
             if request not in self.cancelled:
@@ -408,33 +408,34 @@
                 return
             if is_delayed:
                 machine.run(
-                    incarnation, lambda: self.after(ORDER_DELAY_S, lambda: machine.run(incarnation, take))
+                    incarnation,
+                    lambda: self.after(UNVERSIONED_DELAY_S, lambda: machine.run(incarnation, submit)),
                 )
             else:
-                machine.run(incarnation, take)
+                machine.run(incarnation, submit)
 
-        self.after(CLIENT_S * self.random.uniform(1.0, 2.0), arrive)
+        self.after(CLIENT_DELAY_S * self.random.uniform(1.0, 2.0), arrive)
         return request
 
     def cancel(self, machine: Machine, request: int) -> None:
-        """The caller leaves: the machine sees that a little later, when it runs."""
+        """Disconnect the caller of a request; the machine notices it after a delay, and not while frozen."""
         incarnation = machine.incarnation
 
-        def see() -> None:
+        def notice() -> None:
             self.cancelled.add(request)
             if incarnation is not None and machine.incarnation is incarnation:
                 machine.deliver(incarnation, CancelCall(request))
 
         if incarnation is not None:
-            self.after(CLIENT_S, lambda: machine.run(incarnation, see))
+            self.after(CLIENT_DELAY_S, lambda: machine.run(incarnation, notice))
 
-    def answered(self, machine: Machine, request: int, outcome: Outcome) -> None:
-        """A machine answered a call."""
-        on_outcome = self.on_answer.pop(request, None)
+    def deliver_answer(self, machine: Machine, request: int, outcome: Outcome) -> None:
+        """Deliver the answer of a machine to the caller."""
+        on_outcome = self._outcome_callbacks.pop(request, None)
         if on_outcome is not None:
-            self.after(CLIENT_S * self.random.uniform(1.0, 2.0), lambda: on_outcome(outcome))
+            self.after(CLIENT_DELAY_S * self.random.uniform(1.0, 2.0), lambda: on_outcome(outcome))
 
-    # -- looking --
+    # -- machines --
 
     def start_all(self, first_boot: bool = True) -> None:
         """Start all machines within 0.3 s of each other."""
@@ -442,7 +443,7 @@
             self.after(self.random.uniform(0.0, 0.3), functools.partial(machine.start, first_boot))
 
     def primaries(self) -> list[Machine]:
-        """Those that take themselves for the active primary."""
+        """Return the machines that act as the active primary."""
         return [
             machine
             for machine in self.machines.values()
@@ -450,6 +451,6 @@
         ]
 
     def primary(self) -> Machine | None:
-        """The active primary of the highest epoch."""
-        found = self.primaries()
-        return max(found, key=lambda machine: machine.incarnation.replica.view.epoch) if found else None  # type: ignore[union-attr]
+        """Return the active primary of the highest epoch."""
+        active = self.primaries()
+        return max(active, key=lambda machine: machine.incarnation.replica.view.epoch) if active else None  # type: ignore[union-attr]
--- a/tests/serving/replication/test_bootstrap.py
+++ b/tests/serving/replication/test_bootstrap.py
@@ -123,7 +123,9 @@
 def test_a_variant_whose_proposer_never_gives_up_is_caught() -> None:
     """The proposer resends to the lost disk forever, and no other seed has a view for an election."""
     with mock.patch.object(bootstrap.Bootstrap, "has_lost_member", return_value=False):
-        assert run_schedule(SEED_WITH_DISK_LOSS_DURING_INSTALL).violations == ["never founded"]
+        assert run_schedule(SEED_WITH_DISK_LOSS_DURING_INSTALL).violations == [
+            "no primary within 6 s of the start"
+        ]
 
 
 def ready_seeds_if_all_usable(
--- a/tests/serving/replication/test_cancelled_calls.py
+++ b/tests/serving/replication/test_cancelled_calls.py
@@ -59,7 +59,7 @@
     outcomes: list[Outcome] = []
     world.call(machine, ReadNewest, outcomes.append)
     world.run_for(0.01)
-    assert world._request
-    machine.deliver(machine.incarnation, CancelCall(world._request))
+    assert world._last_request
+    machine.deliver(machine.incarnation, CancelCall(world._last_request))
     world.run_for(5.0)
     assert outcomes == []
--- a/tests/serving/test_architecture_page.py
+++ b/tests/serving/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""docs/architecture.md names every package of the serving system, the order of imports, and real files."""
+"""docs/architecture.md lists every package of the serving system, the import order, and existing files."""
 
 from __future__ import annotations
 
@@ -9,26 +9,28 @@
 ROOT = Path(__file__).parents[2]
 SYSTEM = ROOT / "coveport" / "serving"
 PAGE = (ROOT / "docs" / "architecture.md").read_text()
-PART = PAGE.partition("\n## The serving system\n")[2].partition("\n## The sidecar\n")[0]
+SECTION = PAGE.partition("\n## The serving system\n")[2].partition("\n## The sidecar\n")[0]
 
 
-def test_every_package_has_its_row() -> None:
-    packages = {made.parent.name for made in SYSTEM.glob("*/__init__.py")}
+def test_every_package_has_a_row() -> None:
+    packages = {init_file.parent.name for init_file in SYSTEM.glob("*/__init__.py")}
     assert len(packages) > 10
-    assert set(re.findall(r"^\| `(\w+)` \|", PART, re.MULTILINE)) == packages
+    assert set(re.findall(r"^\| `(\w+)` \|", SECTION, re.MULTILINE)) == packages
 
 
 def test_the_order_of_imports_is_that_of_the_contract() -> None:
     contracts = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["importlinter"]["contracts"]
-    (layers,) = (one["layers"] for one in contracts if one.get("containers") == ["coveport.serving"])
+    (layers,) = (
+        contract["layers"] for contract in contracts if contract.get("containers") == ["coveport.serving"]
+    )
     ordered = [name for layer in layers for name in re.findall(r"\w+", layer) if name != "__main__"]
-    told = re.search(r"Imports run down only: (.*?)\. Time", PART, re.DOTALL)
-    assert told is not None
-    assert re.findall(r"`(\w+)(?:\.py)?`", told[1]) == ordered
+    order = re.search(r"Imports run down only: (.*?)\. Time", SECTION, re.DOTALL)
+    assert order is not None
+    assert re.findall(r"`(\w+)(?:\.py)?`", order[1]) == ordered
 
 
-def test_every_file_that_is_named_is_there() -> None:
-    named = set(re.findall(r"`(\w+/\w+\.py)`", PART))
+def test_every_named_file_exists() -> None:
+    named = set(re.findall(r"`(\w+/\w+\.py)`", SECTION))
     assert len(named) > 25
-    there = {name for name in named if (SYSTEM / name).exists() or (SYSTEM.parent / name).exists()}
-    assert named - there == set()
+    existing = {name for name in named if (SYSTEM / name).exists() or (SYSTEM.parent / name).exists()}
+    assert named - existing == set()
--- a/tests/serving/test_linearizability.py
+++ b/tests/serving/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checker accepts histories that may be and refuses those broken by hand; it judges whole days."""
+"""The checker accepts linearizable histories and rejects others; simulated days are linearizable."""
 
 from __future__ import annotations
 
@@ -22,49 +22,54 @@
     return Operation(began_s, ended_s, Result.DONE, version, f"c{version}" if version else "")
 
 
-GOOD = {
-    "nothing": (),
-    "one after the other": (change(0, 1, 0, 1), read(2, 3, 1), change(4, 5, 1, 2), read(6, 7, 2)),
-    "of two at once one wins": (
+LINEARIZABLE = {
+    "no operation": (),
+    "operations one after the other": (change(0, 1, 0, 1), read(2, 3, 1), change(4, 5, 1, 2), read(6, 7, 2)),
+    "one of two concurrent changes is applied": (
         change(0, 1, 0, 1),
         change(2, 4, 1, 2),
         change(2, 4, 1, 3, Result.CONFLICT),
         read(5, 6, 2),
     ),
-    "an unclear one took effect": (change(0, 1, 0, 1, Result.UNKNOWN), read(5, 6, 1)),
-    "an unclear one took no effect": (change(0, 1, 0, 1, Result.UNKNOWN), read(5, 6, 0)),
-    "an unclear one took effect late": (
+    "an unclear change was applied": (change(0, 1, 0, 1, Result.UNKNOWN), read(5, 6, 1)),
+    "an unclear change was not applied": (change(0, 1, 0, 1, Result.UNKNOWN), read(5, 6, 0)),
+    "an unclear change was applied late": (
         change(0, 1, 0, 1, Result.UNKNOWN),
         read(5, 6, 0),
         read(7, 8, 1),
     ),
-    "reads beside a change see either": (change(0, 9, 0, 1), read(1, 2, 0), read(3, 4, 1), read(5, 6, 1)),
+    "reads during a change return either version": (
+        change(0, 9, 0, 1),
+        read(1, 2, 0),
+        read(3, 4, 1),
+        read(5, 6, 1),
+    ),
 }
-BROKEN = {
+NOT_LINEARIZABLE = {
     "an acknowledged change is lost": (change(0, 1, 0, 1), read(2, 3, 0)),
     "an older version is read after a newer one": (change(0, 9, 0, 1), read(1, 2, 1), read(3, 4, 0)),
-    "two changes on one version are both done": (
+    "two changes of one version are both applied": (
         change(0, 1, 0, 1),
         change(2, 4, 1, 2),
         change(2, 4, 1, 3),
     ),
-    "a refused change is in force": (
+    "a rejected change was applied": (
         change(0, 1, 0, 1),
         change(2, 4, 1, 2, Result.CONFLICT),
         read(5, 6, 2),
     ),
-    "a change was refused though it built on the newest": (
+    "a change of the newest version was rejected": (
         change(0, 1, 0, 1),
         change(2, 3, 1, 2, Result.CONFLICT),
     ),
     "a change is read before it was sent": (read(0, 1, 1), change(2, 3, 0, 1)),
-    "what was never sent is read": (change(0, 1, 0, 1), read(2, 3, 7)),
-    "a version with another content": (
+    "a version is read that was never sent": (change(0, 1, 0, 1), read(2, 3, 7)),
+    "a version is read with other content": (
         change(0, 1, 0, 1),
         Operation(2, 3, Result.DONE, 1, "another"),
     ),
-    "a version goes back": (change(0, 1, 0, 5), change(2, 3, 5, 4)),
-    "an unclear one took effect twice": (
+    "a change lowers the version": (change(0, 1, 0, 5), change(2, 3, 5, 4)),
+    "an unclear change was applied twice": (
         change(0, 1, 0, 1, Result.UNKNOWN),
         read(2, 3, 1),
         change(4, 5, 1, 2),
@@ -73,33 +78,33 @@
 }
 
 
-@pytest.mark.parametrize("name", GOOD)
-def test_a_history_that_may_be_is_accepted(name: str) -> None:
-    assert is_linearizable(GOOD[name])
+@pytest.mark.parametrize("name", LINEARIZABLE)
+def test_a_linearizable_history_is_accepted(name: str) -> None:
+    assert is_linearizable(LINEARIZABLE[name])
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_a_history_that_was_broken_by_hand_is_refused(name: str) -> None:
-    assert not is_linearizable(BROKEN[name])
+@pytest.mark.parametrize("name", NOT_LINEARIZABLE)
+def test_a_history_that_is_not_linearizable_is_rejected(name: str) -> None:
+    assert not is_linearizable(NOT_LINEARIZABLE[name])
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
-@pytest.mark.parametrize("trouble", ["kill", "power", "wipe", "freeze", "cut", "all"])
-def test_a_day_of_racing_operators_and_readers_is_linearizable(trouble: str, seed: int) -> None:
+@pytest.mark.parametrize("fault", ["kill", "power", "wipe", "freeze", "cut", "all"])
+def test_a_day_of_racing_operators_and_readers_is_linearizable(fault: str, seed: int) -> None:
     day = SimulatedDeployment(Deployment(), seed)
     faults = FaultInjector(day)
-    lost = day.coordinators[seed % len(day.coordinators)]
-    match trouble:
+    victim = day.coordinators[seed % len(day.coordinators)]
+    match fault:
         case "kill":
-            faults.kill(2.1, lost, for_s=2.0)
+            faults.kill(2.1, victim, for_s=2.0)
         case "power":
-            faults.lose_power(2.1, lost, 2.0)
+            faults.lose_power(2.1, victim, 2.0)
         case "wipe":
-            faults.lose_power(2.1, lost, 2.0, wipe=True)
+            faults.lose_power(2.1, victim, 2.0, wipe=True)
         case "freeze":
-            faults.freeze(2.1, lost, 4.0)
+            faults.freeze(2.1, victim, 4.0)
         case "cut":
-            faults.isolate(2.1, [lost], 4.0, from_machines=day.coordinators)
+            faults.isolate(2.1, [victim], 4.0, from_machines=day.coordinators)
         case "all":
             for machine in day.coordinators:
                 faults.kill(2.1, machine, for_s=0.7)
@@ -110,6 +115,6 @@
         day.at(1.0 + 0.25 * number, lambda: day.run_operator(reader, lambda: reader.read(1.5)))
     result = day.play(12.0)
     history = operations(result.event_log)
-    assert sum(one.is_change and one.result is Result.DONE for one in history) >= 4
-    assert sum(not one.is_change for one in history) >= 10
+    assert sum(operation.is_change and operation.result is Result.DONE for operation in history) >= 4
+    assert sum(not operation.is_change for operation in history) >= 10
     assert is_linearizable(history)
--- a/tests/serving/test_log.py
+++ b/tests/serving/test_log.py
@@ -1,4 +1,4 @@
-"""The lines of the log: their keys, the levels, and the rate limit of each event."""
+"""The lines of the event log: keys, levels, and the rate limit of each event."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LogFixture:
-    """A logger with a clock that a test sets, and the lines that it wrote."""
+    """A logger with a clock that the test sets, and the lines that it has written."""
 
     def __init__(self) -> None:
         self.time_s = 100.0
--- a/tests/serving/test_log_events.py
+++ b/tests/serving/test_log_events.py
@@ -14,13 +14,13 @@
 SYSTEM = ROOT / "coveport" / "serving"
 PAGE = (ROOT / "docs" / "operators" / "log-events.md").read_text()
 LEVELS = {"debug", "info", "warning", "error", "critical"}
-# Calls that spread a map into keys, and which keys those are.
-CORE, METRICS = "**view", "**self.data_path.metrics()"
+# Calls that pass a map as keyword arguments; the page lists the keys of both maps in tables.
+VIEW_KEYS, METRICS_KEYS = "**view", "**self.data_path.metrics()"
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Event:
-    """As it is logged."""
+    """A log event with its level and keys."""
 
     name: str
     level: str
@@ -28,14 +28,14 @@
 
 
 def calls(source: Path) -> Iterator[ast.Call]:
-    """Every call in a file."""
+    """Return every call in a file."""
     for node in ast.walk(ast.parse(source.read_text())):
         if isinstance(node, ast.Call):
             yield node
 
 
-def logged_in(source: Path) -> Iterator[Event]:
-    """What a file logs; a name that is no plain text fails."""
+def events_in(source: Path) -> Iterator[Event]:
+    """Return the events that a file logs; the test fails if a name is not a literal."""
     for call in calls(source):
         function = call.func
         if not isinstance(function, ast.Attribute) or function.attr not in LEVELS:
@@ -45,94 +45,102 @@
         assert len(call.args) == 1, ast.unparse(call)
         name = call.args[0]
         assert isinstance(name, ast.Constant) and isinstance(name.value, str), ast.unparse(call)
-        keys = (one.arg or f"**{ast.unparse(one.value)}" for one in call.keywords)
+        keys = (keyword.arg or f"**{ast.unparse(keyword.value)}" for keyword in call.keywords)
         yield Event(name.value, function.attr, tuple(keys))
 
 
-def logged() -> set[Event]:
-    """What all of the system logs."""
-    return {event for source in sorted(SYSTEM.rglob("*.py")) for event in logged_in(source)}
+def logged_events() -> set[Event]:
+    """Return all events that the serving system logs."""
+    return {event for source in sorted(SYSTEM.rglob("*.py")) for event in events_in(source)}
 
 
-def told() -> set[Event]:
-    """What the page says."""
+def documented_events() -> set[Event]:
+    """Return the events that the page lists."""
     rows = re.findall(r"^\| `(\w+)` \| (\w+) \| [\w, ]+ \|([^|]*)\| [^|]+ \|$", PAGE, re.MULTILINE)
     return {Event(name, level, tuple(re.findall(r"`([^`]+)`", keys))) for name, level, keys in rows}
 
 
-def texts(node: ast.AST) -> set[str]:
-    """Plain texts within an expression."""
+def string_literals(expression: ast.AST) -> set[str]:
+    """Return the string literals in an expression."""
     return {
-        one.value for one in ast.walk(node) if isinstance(one, ast.Constant) and isinstance(one.value, str)
+        node.value
+        for node in ast.walk(expression)
+        if isinstance(node, ast.Constant) and isinstance(node.value, str)
     }
 
 
 def keys_returned_by(source: Path, function: str) -> set[str]:
-    """The plain keys of the map that a function returns."""
+    """Return the literal keys of the maps in a function."""
     for node in ast.walk(ast.parse(source.read_text())):
         if isinstance(node, ast.FunctionDef) and node.name == function:
-            maps = [one for one in ast.walk(node) if isinstance(one, ast.Dict)]
-            return {text for one in maps for key in one.keys if key is not None for text in texts(key)}
+            maps = [child for child in ast.walk(node) if isinstance(child, ast.Dict)]
+            return {
+                text
+                for mapping in maps
+                for key in mapping.keys
+                if key is not None
+                for text in string_literals(key)
+            }
     raise AssertionError(f"no {function} in {source}")
 
 
-def counted() -> set[str]:
-    """Names of all that a proxy counts."""
-    found: set[str] = set()
+def counter_names() -> set[str]:
+    """Return the names of all counters of a proxy."""
+    names: set[str] = set()
     for source in (SYSTEM / "proxy").glob("*.py"):
         for call in calls(source):
             if re.search(r"(^|[._])counters\.add$", ast.unparse(call.func)):
-                found |= texts(call.args[0])
-    return found
+                names |= string_literals(call.args[0])
+    return names
 
 
-def table(heading: str) -> set[str]:
-    """The first column of the table under a heading."""
-    after = PAGE.partition(f"\n## {heading}\n")[2].partition("\n## ")[0]
-    return set(re.findall(r"^\| `([^`]+)` \|", after, re.MULTILINE))
+def first_column(heading: str) -> set[str]:
+    """Return the first column of the table under a heading."""
+    section = PAGE.partition(f"\n## {heading}\n")[2].partition("\n## ")[0]
+    return set(re.findall(r"^\| `([^`]+)` \|", section, re.MULTILINE))
 
 
-def test_the_page_has_what_is_logged() -> None:
-    assert len(logged()) > 10
-    assert sorted(told()) == sorted(logged())
+def test_the_page_has_every_logged_event() -> None:
+    assert len(logged_events()) > 10
+    assert sorted(documented_events()) == sorted(logged_events())
 
 
 def test_the_page_has_the_keys_of_a_view_change() -> None:
     keys = keys_returned_by(SYSTEM / "replication" / "replica.py", "describe")
     assert len(keys) > 5
-    assert table("The keys of `view_changed`") == keys
+    assert first_column("The keys of `view_changed`") == keys
 
 
-def test_the_page_has_what_a_proxy_counts() -> None:
-    assert len(counted()) > 10
-    keys = counted() | keys_returned_by(SYSTEM / "proxy" / "data_path.py", "metrics")
-    assert table("The keys of `proxy_metrics`") == keys
+def test_the_page_has_every_key_of_the_proxy_metrics() -> None:
+    assert len(counter_names()) > 10
+    keys = counter_names() | keys_returned_by(SYSTEM / "proxy" / "data_path.py", "metrics")
+    assert first_column("The keys of `proxy_metrics`") == keys
 
 
-def renamed(kind: str) -> dict[str, str]:
-    """New names of events or keys by their old ones, as the page has them."""
+def documented_renames(kind: str) -> dict[str, str]:
+    """Return the new names of events or keys by their old ones, as the page lists them."""
     rows = re.findall(r"^\| `(\w+)` \| `(\w+)` \| (\w+) \|", PAGE, re.MULTILINE)
     return {old: new for old, new, row_kind in rows if row_kind == kind}
 
 
-def test_the_page_has_the_old_names_of_events_that_are_logged() -> None:
-    names = {event.name for event in logged()}
-    events = renamed("event")
-    assert len(events) > 10
-    assert set(events.values()) <= names
-    assert not events.keys() & names
+def test_renamed_events_are_logged_under_their_new_names_only() -> None:
+    names = {event.name for event in logged_events()}
+    new_names = documented_renames("event")
+    assert len(new_names) > 10
+    assert set(new_names.values()) <= names
+    assert not new_names.keys() & names
 
 
 def test_no_event_has_a_key_under_its_old_name() -> None:
-    keys = {key for event in logged() for key in event.keys}
-    old_keys = renamed("key").keys()
+    keys = {key for event in logged_events() for key in event.keys}
+    old_keys = documented_renames("key").keys()
     assert len(old_keys) > 1
     assert not old_keys & keys
 
 
-def test_maps_are_spread_into_keys_only_where_the_page_tells_them() -> None:
-    spread = {key for event in logged() for key in event.keys if key.startswith("**")}
-    assert spread == {CORE, METRICS}
+def test_maps_are_passed_as_keys_only_where_the_page_has_their_tables() -> None:
+    map_arguments = {key for event in logged_events() for key in event.keys if key.startswith("**")}
+    assert map_arguments == {VIEW_KEYS, METRICS_KEYS}
 
 
 @pytest.mark.parametrize(
@@ -145,4 +153,4 @@
 def test_the_search_finds_events(line: str, event: Event, tmp_path: Path) -> None:
     source = tmp_path / "some.py"
     source.write_text(f"def some():\n    {line}\n")
-    assert list(logged_in(source)) == [event]
+    assert list(events_in(source)) == [event]
--- a/tests/serving/test_own_days.py
+++ b/tests/serving/test_own_days.py
@@ -1,4 +1,4 @@
-"""The days of our own in scenarios/system: readable, and together they bring every kind of trouble about."""
+"""The days in scenarios/system can be read, and together contain every kind of fault."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 FOLDER = Path(__file__).resolve().parents[2] / "scenarios" / "system"
 FILES = sorted(FOLDER.glob("*.toml"))
 DEPLOYMENTS = ("pnc", "whda")
-GROWN = ("pnc-grown", "whda-grown")
-ZONES = {False: 3, True: 6}  # of clients, by whether a deployment is a grown one
-TRAFFIC_S = 34.0  # how long the deployments' days are
+GROWN_DEPLOYMENTS = ("pnc-grown", "whda-grown")
+CLIENT_ZONES = {False: 3, True: 6}  # number of zones with clients, by whether the deployment is a grown one
+TRAFFIC_S = 34.0  # duration of a day
 
 KINDS = frozenset(
     [
@@ -46,8 +46,8 @@
         "hup",
     ]
 )
-# What the operators' letter on the control side names, each with the word that tells its variant.
-OF_THE_FIVE_POINTS = frozenset(
+# Kind and variant of each fault that the operators require for the coordinators; an empty variant is any.
+REQUIRED_CONTROL_FAULTS = frozenset(
     [
         ("core_cut", "leader"),
         ("core_cut", "split"),
@@ -87,7 +87,7 @@
         "spot",
     ]
 )
-CLOSINGS = {
+FINAL_FAULTS = {
     ("power_off_all", ""),
     ("kill_all", ""),
     ("wipe_after_ack", "aimed"),
@@ -96,69 +96,73 @@
 }
 
 
-def day_of(file: Path) -> dict[str, Any]:
+def load_day(file: Path) -> dict[str, Any]:
+    """Return the only day of a file."""
     days = tomllib.loads(file.read_text())["day"]
     assert len(days) == 1
     return dict(days[0])
 
 
 def entries(file: Path) -> list[dict[str, Any]]:
-    day = day_of(file)
+    """Return the planned steps and the faults of a file's day."""
+    day = load_day(file)
     return [*day["plan"], *day["faults"]]
 
 
-@pytest.mark.parametrize("file", FILES, ids=lambda one: one.stem)
-def test_a_day_can_be_read_and_lies_within_its_traffic(file: Path) -> None:
-    day = day_of(file)
+@pytest.mark.parametrize("file", FILES, ids=lambda file: file.stem)
+def test_a_day_can_be_read_and_its_steps_lie_within_the_traffic(file: Path) -> None:
+    day = load_day(file)
     assert day["goal"]["floor"] > 0
-    assert {one["kind"] for one in entries(file)} <= KINDS
-    assert all(0 <= one["at"] <= TRAFFIC_S for one in entries(file))
-    assert len(day["traffic"]) == ZONES["-grown-" in file.stem]
+    assert {entry["kind"] for entry in entries(file)} <= KINDS
+    assert all(0 <= entry["at"] <= TRAFFIC_S for entry in entries(file))
+    assert len(day["traffic"]) == CLIENT_ZONES["-grown-" in file.stem]
 
 
 @pytest.mark.parametrize("deployment", DEPLOYMENTS)
-def test_each_deployment_sees_every_kind_variant_and_closing(deployment: str) -> None:
-    files = [one for one in FILES if one.stem.startswith(deployment) and "-grown-" not in one.stem]
-    seen = [entry for one in files for entry in entries(one)]
-    assert {one["kind"] for one in seen} >= KINDS
-    assert {word for one in seen for word in one.get("how", "").split()} >= VARIANTS
-    closings = [day_of(one)["closing"] for one in files]
-    assert {(one["kind"], one.get("how", "")) for one in closings} >= CLOSINGS
+def test_each_deployment_has_every_kind_variant_and_final_fault(deployment: str) -> None:
+    files = [file for file in FILES if file.stem.startswith(deployment) and "-grown-" not in file.stem]
+    steps = [entry for file in files for entry in entries(file)]
+    assert {step["kind"] for step in steps} >= KINDS
+    assert {word for step in steps for word in step.get("how", "").split()} >= VARIANTS
+    final_faults = [load_day(file)["closing"] for file in files]
+    assert {(fault["kind"], fault.get("how", "")) for fault in final_faults} >= FINAL_FAULTS
 
 
 @pytest.mark.parametrize("deployment", DEPLOYMENTS)
-def test_each_small_deployment_sees_what_the_letter_on_the_control_side_names(deployment: str) -> None:
-    files = [one for one in FILES if one.stem.startswith(deployment) and "-grown-" not in one.stem]
-    seen = [entry for one in files for entry in entries(one)]
-    for kind, word in OF_THE_FIVE_POINTS:
-        assert any(one["kind"] == kind and word in one.get("how", "") for one in seen), (kind, word)
-    assert max(one["count"] for one in seen if one["kind"] == "config_race") >= 100
-    cuts = [one["for_s"] for one in seen if one["kind"] == "core_cut" and "leader" in one.get("how", "")]
-    assert max(cuts) >= 20.0
-
-
-@pytest.mark.parametrize("deployment", GROWN)
-def test_each_grown_deployment_has_days_of_the_five_points(deployment: str) -> None:
-    files = [one for one in FILES if one.stem.startswith(deployment)]
+def test_each_small_deployment_has_the_required_control_faults(deployment: str) -> None:
+    files = [file for file in FILES if file.stem.startswith(deployment) and "-grown-" not in file.stem]
+    steps = [entry for file in files for entry in entries(file)]
+    for kind, word in REQUIRED_CONTROL_FAULTS:
+        assert any(step["kind"] == kind and word in step.get("how", "") for step in steps), (kind, word)
+    assert max(step["count"] for step in steps if step["kind"] == "config_race") >= 100
+    partition_times_s = [
+        step["for_s"] for step in steps if step["kind"] == "core_cut" and "leader" in step.get("how", "")
+    ]
+    assert max(partition_times_s) >= 20.0
+
+
+@pytest.mark.parametrize("deployment", GROWN_DEPLOYMENTS)
+def test_each_grown_deployment_has_partitions_and_replacements_of_coordinators(deployment: str) -> None:
+    files = [file for file in FILES if file.stem.startswith(deployment)]
     assert len(files) >= 4
-    seen = {
+    faults = {
         (entry["kind"], word)
-        for one in files
-        for entry in entries(one)
+        for file in files
+        for entry in entries(file)
         for word in entry.get("how", "").split()
     }
-    wanted = {
+    required = {
         ("core_cut", "split"),
         ("core_cut", "behind"),
         ("core_cut", "leader"),
         ("replace_core", "oldest"),
     }
-    assert seen >= wanted
+    assert faults >= required
 
 
 @pytest.mark.parametrize("deployment", DEPLOYMENTS)
-def test_some_days_begin_and_end_with_trouble(deployment: str) -> None:
-    files = [one for one in FILES if one.stem.startswith(deployment)]
-    times = [entry["at"] for one in files for entry in entries(one)]
+def test_some_days_begin_and_end_with_a_step(deployment: str) -> None:
+    files = [file for file in FILES if file.stem.startswith(deployment)]
+    times = [entry["at"] for file in files for entry in entries(file)]
     assert min(times) < 1.0
     assert max(times) > TRAFFIC_S - 1.0
--- a/tests/serving/test_packaging.py
+++ b/tests/serving/test_packaging.py
@@ -1,4 +1,4 @@
-"""What pyproject.toml says of the serving system is what there is."""
+"""pyproject.toml agrees with the packages, imports and requirements of the serving system."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 ROOT = Path(__file__).parents[2]
 PROJECT = tomllib.loads((ROOT / "pyproject.toml").read_text())
 SOURCES = sorted((ROOT / "coveport" / "serving").rglob("*.py"))
-# Where a process gets its randomness from the operating system; everything else is handed a `Random`.
-TOOLS = {"cli", "scale", "simulation"}  # packages that no serving process imports more than a part of
-OWN_RANDOMNESS = {
+TOOLS = {"cli", "scale", "simulation"}  # packages that a serving process imports only in part
+# These files seed a generator from the operating system; all other code is passed a `Random`.
+SYSTEM_SEEDED = {
     "coordinator/process.py",
     "proxy/process.py",
     "scale/hollow_nodes.py",
@@ -24,17 +24,18 @@
 
 
 def test_every_package_is_installed() -> None:
-    there = {
-        ".".join(made.parent.relative_to(ROOT).parts) for made in (ROOT / "coveport").rglob("__init__.py")
+    packages = {
+        ".".join(init_file.parent.relative_to(ROOT).parts)
+        for init_file in (ROOT / "coveport").rglob("__init__.py")
     }
-    assert len(there) > 30
-    assert there - set(PROJECT["tool"]["setuptools"]["packages"]) == set()
+    assert len(packages) > 30
+    assert packages - set(PROJECT["tool"]["setuptools"]["packages"]) == set()
 
 
-def test_the_extra_names_what_the_deployment_installs() -> None:
+def test_the_extra_names_the_requirements_of_the_deployment() -> None:
     lines = (ROOT / "deploy" / "system-requirements.txt").read_text().splitlines()
-    named = [line for line in lines if line and not line.startswith("#")]
-    assert named == sorted(PROJECT["project"]["optional-dependencies"]["system"])
+    requirements = [line for line in lines if line and not line.startswith("#")]
+    assert requirements == sorted(PROJECT["project"]["optional-dependencies"]["system"])
 
 
 def imported_roots(source: Path) -> set[str]:
@@ -49,40 +50,40 @@
 
 
 def test_nothing_is_imported_that_the_deployment_does_not_install() -> None:
-    """A package that only the developers' environment has ended each process at its start."""
+    """Guards against an import of a development dependency, which ends each deployed process at its start."""
     installed = {
         re.split(r"[^a-z]", line)[0] for line in PROJECT["project"]["optional-dependencies"]["system"]
     }
-    known = installed | set(sys.stdlib_module_names) | {"coveport"}
+    available = installed | set(sys.stdlib_module_names) | {"coveport"}
     shared = [*(ROOT / "coveport" / "http1").rglob("*.py"), *(ROOT / "coveport" / "net").rglob("*.py")]
-    served = [source for source in SOURCES if not TOOLS & set(source.relative_to(ROOT).parts)]
-    assert len(served) > 100
-    used = {source: imported_roots(source) - known for source in (*served, *shared)}
-    assert {str(source): roots for source, roots in used.items() if roots} == {}
+    serving = [source for source in SOURCES if not TOOLS & set(source.relative_to(ROOT).parts)]
+    assert len(serving) > 100
+    missing = {source: imported_roots(source) - available for source in (*serving, *shared)}
+    assert {str(source): roots for source, roots in missing.items() if roots} == {}
 
 
 def uses_of_random(source: Path) -> list[str]:
-    """What is taken from the module `random` other than the class, and unseeded generators."""
+    """Return the names that a file uses from the module `random`, and `Random()` for unseeded generators."""
     tree = ast.parse(source.read_text())
     modules = {name.name for node in ast.walk(tree) if isinstance(node, ast.Import) for name in node.names}
-    found = []
+    uses = []
     for node in ast.walk(tree):
         if isinstance(node, ast.ImportFrom) and node.module == "random":
-            found += [one.name for one in node.names if one.name != "Random"]
+            uses += [imported.name for imported in node.names if imported.name != "Random"]
         if "random" in modules and isinstance(node, ast.Attribute) and ast.unparse(node.value) == "random":
-            found += [node.attr] if node.attr[0].islower() else []
+            uses += [node.attr] if node.attr[0].islower() else []
         if isinstance(node, ast.Call) and not node.args and ast.unparse(node.func).endswith("Random"):
-            found.append("Random()")
-    return found
+            uses.append("Random()")
+    return uses
 
 
 @pytest.mark.parametrize("source", SOURCES, ids=lambda path: str(path.relative_to(ROOT / "coveport/serving")))
-def test_randomness_comes_from_a_generator_that_is_handed_in(source: Path) -> None:
+def test_randomness_comes_from_a_generator_that_is_passed_in(source: Path) -> None:
     name = str(source.relative_to(ROOT / "coveport" / "serving"))
-    assert uses_of_random(source) == (["Random()"] if name in OWN_RANDOMNESS else [])
+    assert uses_of_random(source) == (["Random()"] if name in SYSTEM_SEEDED else [])
 
 
-def test_the_look_for_randomness_sees_it(tmp_path: Path) -> None:
-    told = tmp_path / "told.py"
-    told.write_text("import random\nfrom random import choice\nrandom.random()\nrandom.Random()\n")
-    assert sorted(uses_of_random(told)) == ["Random()", "choice", "random"]
+def test_the_search_finds_uses_of_random(tmp_path: Path) -> None:
+    source = tmp_path / "source.py"
+    source.write_text("import random\nfrom random import choice\nrandom.random()\nrandom.Random()\n")
+    assert sorted(uses_of_random(source)) == ["Random()", "choice", "random"]
