--- a/tests/serving/replication/core_history.py
+++ b/tests/serving/replication/core_history.py
@@ -28,7 +28,7 @@
     began_s: float
     ended_s: float = float("inf")
     verdict: Verdict = Verdict.OPEN
-    seen: tuple[str, ...] = ()  # what a read returned
+    seen: tuple[str, ...] = ()  # state that a read returned
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/serving/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -189,12 +189,12 @@
         self.is_removed = True
 
     def freeze(self) -> None:
-        """Freeze the process; what arrives is deferred."""
+        """Freeze the process; its events are deferred until a thaw."""
         self.is_frozen = self.incarnation is not None
         self.frozen_at_s = self.world.now_s
 
     def thaw(self) -> None:
-        """Resume the process, and run what was deferred."""
+        """Resume the process, and handle the deferred events."""
         if not self.is_frozen:
             return
         self.is_frozen = False
