--- a/coveport/sidecar/leases/role.py
+++ b/coveport/sidecar/leases/role.py
@@ -8,9 +8,7 @@
 from coveport.sidecar.leases.states import ROLE_TRANSITIONS, RoleState
 
 REST_TTLS = 2.0  # in times to live: time without contention after stepping down
-MAX_REST_DOUBLINGS = (
-    5  # limit of the doublings of the rest, one each time the instance steps down as unhealthy
-)
+MAX_REST_DOUBLINGS = 5  # the rest doubles each time the instance steps down as unhealthy
 REST_RESET_TTLS = 10.0  # in times to live: a role held for longer resets the doubling
 
 
--- a/coveport/sidecar/leases/session_values.py
+++ b/coveport/sidecar/leases/session_values.py
@@ -86,9 +86,8 @@
         status = self.status
         lease = self._lease_state.lease
         if not lease:
-            self._writing_status = (
-                False  # the session ended before this task ran; the next session writes the status
-            )
+            # The session ended before this task ran; the next session writes the status.
+            self._writing_status = False
             return
         # The put is refused if the lease has ended, so the status never outlives the session.
         outcome = await self._write("fares", Put(self._status_key, status, lease))
--- a/coveport/sidecar/leases/sqlite_file.py
+++ b/coveport/sidecar/leases/sqlite_file.py
@@ -20,10 +20,7 @@
 from coveport.sidecar.leases.errors import StoreError
 from coveport.sidecar.leases.sqlite_tables import FORMAT, LeaseTables
 
-LOCK_POLL_S = (
-    0.0005,
-    0.004,
-)  # random interval between attempts to lock, so that processes don't stay synchronised
+LOCK_POLL_S = (0.0005, 0.004)  # range of the random interval between attempts to lock
 PRIMARY_CODE_MASK = 0xFF  # mask of the primary code in SQLite's extended result codes
 DAMAGED_CODES = frozenset({sqlite3.SQLITE_NOTADB, sqlite3.SQLITE_CORRUPT})
 
--- a/coveport/sidecar/singletons/rollout_plan.py
+++ b/coveport/sidecar/singletons/rollout_plan.py
@@ -62,9 +62,7 @@
     steps: tuple[tuple[str, ...], ...]  # names of the instances of each step
     phase: RolloutPhase = RolloutPhase.RUNNING
     steps_done: int = msgspec.field(default=0, name="done")
-    rolled_back: int = msgspec.field(
-        default=0, name="back"
-    )  # number of instances with the old settings again
+    rolled_back: int = msgspec.field(default=0, name="back")  # instances rolled back so far
     reason: str = msgspec.field(default="", name="why")
     requested_by: str = msgspec.field(default="", name="by")
     last_reply: str = msgspec.field(default="", name="said")  # reply to the last command of an operator
@@ -88,9 +86,7 @@
     running: str = msgspec.field(default="", name="runs")  # settings id; empty: settings of its own file
     rejected: str = msgspec.field(default="", name="refused")  # settings id
     reject_reason: str = msgspec.field(default="", name="why")
-    success_ratio: float = msgspec.field(
-        default=1.0, name="served"
-    )  # success ratio of recently finished operations
+    success_ratio: float = msgspec.field(default=1.0, name="served")  # of recent operations
     operations: int = msgspec.field(default=0, name="ended")  # number of these operations
 
 
--- a/coveport/sidecar/singletons/slow_start_coordinator.py
+++ b/coveport/sidecar/singletons/slow_start_coordinator.py
@@ -89,9 +89,8 @@
         self._incarnation = incarnation
         self._safe_load = safe_load
         self.in_use_s = GRANT_LIFETIME_S * (1 + drift)  # G': time during which a grant counts as in use
-        self._adopted: tuple[bytes | None, float] | None = (
-            None  # a predecessor's state, and when it was first read
-        )
+        # A predecessor's state, and when it was first read.
+        self._adopted: tuple[bytes | None, float] | None = None
         self._has_written = False  # whether this process has written a state
         # By instance: the time of its request by its own clock, and when it was first read by this clock.
         self._requests_seen: dict[str, tuple[float, float]] = {}
--- a/coveport/sidecar/singletons/slow_start_messages.py
+++ b/coveport/sidecar/singletons/slow_start_messages.py
@@ -42,9 +42,7 @@
     incarnation: str = msgspec.field(name="to")  # a later process of the same name can't use the grant
     requested_at: float = msgspec.field(name="stamp")  # s, by the requester's own clock
     rate_per_s: float = msgspec.field(name="rate")  # recent rate of first attempts
-    service_s: float = msgspec.field(
-        name="service"
-    )  # mean time of an operation in s, by the requester's estimate
+    service_s: float = msgspec.field(name="service")  # estimated mean time of an operation
     nodes: dict[str, tuple[int, float]]  # warming nodes: zone, and age in s
 
 
--- a/tests/sidecar/leases/test_lease_state.py
+++ b/tests/sidecar/leases/test_lease_state.py
@@ -164,10 +164,8 @@
         state.set_unhealthy(now + 0.02, "")
         state.handle_role_key(now + 0.02, "d", None, 20)
         waits.append(state.roles["d"].acquire_at - now)
-        state.roles["d"].state, state.roles["d"].token = (
-            RoleState.HELD,
-            9,
-        )  # as if it had acquired the role again
+        # As if it had acquired the role again.
+        state.roles["d"].state, state.roles["d"].token = RoleState.HELD, 9
     assert waits[0] >= 2 * TERMS.ttl_s and waits[2] > waits[1] > waits[0]
 
 
