--- a/coveport/http1/__init__.py
+++ b/coveport/http1/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 (RFC 9112) as pure bytes: incremental parsers and writers for both directions. No I/O.
+"""HTTP/1.1 (RFC 9112) without I/O: incremental parsers and writers for both directions.
 
-A parser is fed with `feed` as bytes come. `next_request` and `next_response` return a message once it is
-complete, or its head alone where its body is streamed; then `next_data` returns the body as it comes. A
+`feed` adds received bytes to a parser. `next_request` and `next_response` return a message once it is
+complete, or only its head if its body is streamed; then `next_data` returns the body piece by piece. A
 message that breaks the protocol raises `RemoteProtocolError`, and the parser reads nothing after it. Writers
 return bytes.
 """
--- a/coveport/http1/errors.py
+++ b/coveport/http1/errors.py
@@ -4,10 +4,10 @@
 
 
 class RemoteProtocolError(Exception):
-    """The peer sent what is no acceptable message; the connection can't be read any further.
+    """The peer sent an invalid or unacceptable message; nothing more can be read from the connection.
 
-    `status` is the answer to a client that sent it, `headers` are the answer's headers, and the text is its
-    body: it goes to the client, so it names the fault and quotes nothing.
+    If the peer is a client, the response to it has the status `status`, the headers `headers`, and the error
+    text as its body. The text therefore names the fault and quotes nothing from the message.
     """
 
     def __init__(self, status: int, text: str, **headers: str) -> None:
--- a/coveport/http1/message_parser.py
+++ b/coveport/http1/message_parser.py
@@ -1,10 +1,10 @@
-"""What both directions share: finding a head, framing its body (RFC 9112, 6), reading the body.
+"""The common part of both parsers: finds a head, frames its body (RFC 9112, 6) and reads the body.
 
-A parser is between two messages, inside a head, inside a body that it collects, inside a body that it
-streams, or failed. Nothing leads out of failed: where the next message would begin is unknown after an error.
+A parser is between two messages, inside a head, inside a buffered body, inside a streamed body, or failed.
+The failed state is final: after an error the start of the next message is unknown.
 
-`next_message`, `next_data` and `_read_chunks` run for each piece that comes and stay in one function each, as
-a call more for each piece costs processor time.
+`next_message`, `next_data` and `_read_chunks` run for each received piece. Each stays a single function, as
+an additional call for each piece costs processor time.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
-MAX_HEADERS = 100  # fields of a head or a trailer section, and empty lines before a message
-_START_BYTES = 20  # of a message, as many as tell whether it can become one
-_MAX_CHUNK_LINE_BYTES = 130  # a chunk's size with its extensions and line end
-_LINE_END_BYTES = 2  # after a chunk's data
+MAX_HEADERS = 100  # limit for fields of a head or a trailer section, and for empty lines before a message
+_START_BYTES = 20  # the first bytes of a message that `start_pattern` is matched against
+_MAX_CHUNK_LINE_BYTES = 130  # chunk size with extensions and line end
+_LINE_END_BYTES = 2  # the line end after a chunk's data
 
-_CHUNK_LINE = re.compile(  # RFC 9112, 7.1.1; white space at the end is sent by some, and harmless
+_CHUNK_LINE = re.compile(  # RFC 9112, 7.1.1; some peers send trailing white space, which is harmless
     rb"([0-9A-Fa-f]{1,8})(?:[ \t]*;[ \t]*%(token)s(?:[ \t]*=[ \t]*(?:%(token)s|%(quoted)s))?)*[ \t]*"
     % {
         b"token": TOKEN.pattern,
@@ -35,28 +35,29 @@
 
 @dataclass(slots=True)
 class MessageParser:
-    """Turns bytes into messages; buffers one head and one complete body at most, and what `feed` adds.
+    """Parses bytes into messages; buffers at most one head, one complete body and the bytes that `feed` adds.
 
-    `max_body_bytes`: the largest body. `stream_above_bytes`: a body that is longer is streamed, and its
-    message is returned as soon as that is known; None: no body is streamed.
+    `max_body_bytes`: the largest body that is accepted. `stream_above_bytes`: a longer body is streamed, and
+    its message is returned as soon as the body is known to be longer; None: no body is streamed.
     """
 
     max_body_bytes: int = MAX_BODY_BYTES
     stream_above_bytes: int | None = None
-    max_buffered_unsized_bytes: ClassVar[int] = MAX_BODY_BYTES  # of a body without a length: more is streamed
-    start_pattern: ClassVar[re.Pattern[bytes]]  # matches the first bytes of a message, however few there are
+    max_buffered_unsized_bytes: ClassVar[int] = (
+        MAX_BODY_BYTES  # a longer body of undeclared length is streamed
+    )
+    start_pattern: ClassVar[re.Pattern[bytes]]  # matches the start of a message, also a partial one
     max_head_bytes: int = field(default_factory=lambda: MAX_HEAD_BYTES, kw_only=True)
     buffer: bytearray = field(default_factory=bytearray)
-    _message: Message | None = None  # its head is read, its body is not
-    _remaining_bytes: int | None = 0  # of the body; None: until the connection ends
-    _chunked_body: bytearray | None = (
-        None  # the body so far if it comes in chunks; of a streamed one what is new
-    )
-    _chunk_remaining_bytes: int = 0  # of the present chunk's data and its line end
-    body_bytes_read: int = 0  # of the present body
-    is_streaming: bool = False  # the present body is streamed
-    _is_body_complete: bool = False  # the streamed body has been read to its end, if not returned
-    _empty_lines: int = 0  # before the next message
+    _message: Message | None = None  # a message whose head has been read and whose body has not
+    _remaining_bytes: int | None = 0  # unread bytes of the body; None: the body ends with the connection
+    # The data of a chunked body read so far, or since the last `next_data` if streamed; None: not chunked.
+    _chunked_body: bytearray | None = None
+    _chunk_remaining_bytes: int = 0  # unread bytes of the present chunk's data and line end
+    body_bytes_read: int = 0  # bytes read of the present body
+    is_streaming: bool = False  # whether the present body is streamed
+    _is_body_complete: bool = False  # whether a chunked streamed body is read to its end but not yet returned
+    _empty_lines: int = 0  # number of empty lines before the next message
     _has_failed: bool = False
 
     def feed(self, data: bytes | memoryview) -> None:
@@ -70,20 +71,20 @@
 
     @property
     def received_body_bytes(self) -> int:
-        """Bytes of the present body that have come, read or buffered."""
+        """Bytes of the present body that have been received, read or still buffered."""
         if self._message is None:
             return 0
         return self.body_bytes_read + (len(self.buffer) if self._chunked_body is None else 0)
 
     def next_message(self) -> Message | None:
-        """Return the next message, or None until more has come.
+        """Return the next message, or None if more bytes are needed.
 
-        Raises RemoteProtocolError once; after that there is no message any more.
+        Raises RemoteProtocolError once; every later call returns None.
         """
         if self._has_failed:
             return None
         if self.is_streaming:
-            return None  # `next_data` comes first
+            return None  # `next_data` must return the rest of the streamed body first
         try:
             message = self._message or self._read_head()
             body = self._read_body() if message is not None else None
@@ -94,7 +95,7 @@
         if message is None:
             return None
         if self.stream_above_bytes is not None and self._is_longer(body, self.stream_above_bytes):
-            # From here on `next_data` reads; where all has come already it only returns that.
+            # From here on `next_data` reads the body; a body already read to its end is only returned by it.
             self.is_streaming = True
             message.is_streamed = True
             message.content_length = self._remaining_bytes
@@ -109,7 +110,7 @@
         return message
 
     def next_data(self) -> tuple[bytes, bool]:
-        """Return what has come of a streamed body since the last call, and whether the body ends there.
+        """Return the data of a streamed body received since the last call, and whether the body ends there.
 
         Raises RemoteProtocolError as `next_message` does.
         """
@@ -154,15 +155,15 @@
         if body is not None:
             size = len(body)
         elif self._chunked_body is not None:
-            # A chunk's line declares its data.
+            # The chunk line declares the length of the chunk's data, which counts before it arrives.
             size = len(self._chunked_body) + max(0, self._chunk_remaining_bytes - _LINE_END_BYTES)
         else:
             size = len(self.buffer)
         return size > min(limit, self.max_buffered_unsized_bytes)
 
     def _read_head(self) -> Message | None:
-        # Guards against an empty line sent after an earlier body, as the standard asks (RFC 9112, 2.2), and
-        # against a peer that sends nothing else: its connection would never be idle.
+        # Skips empty lines sent after an earlier body, as the standard recommends (RFC 9112, 2.2). The limit
+        # guards against a peer that sends only empty lines: its connection would never be idle.
         while self.buffer.startswith(b"\r\n"):
             del self.buffer[:2]
             self._empty_lines += 1
@@ -183,8 +184,8 @@
         return self._read_start_line(lines[0], read_fields(lines[1:], "header"))
 
     def _check_start(self) -> None:
-        # Guards against endless noise: the first bytes tell what can't become a message. Where it is too
-        # large as well, it is still malformed, however it was cut.
+        # Guards against an endless stream that is not HTTP: its first bytes already can't begin a message.
+        # Input that is also too large is reported as malformed, however the bytes were split.
         if not self.start_pattern.match(bytes(self.buffer[:_START_BYTES])):
             raise RemoteProtocolError(400, "malformed start")
 
@@ -193,9 +194,9 @@
         raise NotImplementedError
 
     def _frame_body(self, headers: dict[str, list[str]], default: int | None) -> None:
-        """Find where the body ends (RFC 9112, 6.3).
+        """Determine where the body ends (RFC 9112, 6.3).
 
-        `default`: its bytes where no header says; None: it ends with the connection.
+        `default`: the body's length in bytes if no header declares it; None: it ends with the connection.
         """
         lengths = headers.get("content-length")
         codings = headers.get("transfer-encoding")
@@ -204,7 +205,7 @@
         self._chunk_remaining_bytes = 0
         self.body_bytes_read = 0
         if codings is not None:
-            # Guards against request smuggling: not all peers read a message alike that is framed in two ways.
+            # Guards against request smuggling: peers differ in reading a message that is framed in two ways.
             if lengths is not None:
                 raise RemoteProtocolError(400, "both Content-Length and Transfer-Encoding")
             if [coding.lower() for coding in codings] != ["chunked"]:
@@ -219,7 +220,7 @@
                 raise RemoteProtocolError(413, "body too large")
 
     def _read_body(self) -> bytes | None:
-        """Return the body once it is complete."""
+        """Return the body if it is complete, else None."""
         if self._chunked_body is not None:
             return bytes(self._chunked_body) if self._read_chunks(self._chunked_body) else None
         size = self._remaining_bytes
@@ -274,14 +275,14 @@
             raise RemoteProtocolError(400, "malformed chunk")
 
     def _read_trailers(self, begin: int) -> bool:
-        """Drop the trailer section that the line end at `begin` opens; return whether it is complete."""
+        """Discard the trailer section after the line end at `begin`; return whether it is complete."""
         end = self.buffer.find(b"\r\n\r\n", begin, begin + MAX_HEAD_BYTES)
         if end < 0:
             if len(self.buffer) > begin + MAX_HEAD_BYTES:
                 raise RemoteProtocolError(431, "trailers too large")
             return False
         if end > begin:
-            # Guards against request smuggling: what other peers refuse must not pass, though it is dropped.
+            # Guards against request smuggling: rejects trailers that other peers reject, though unused.
             trailers = bytes(self.buffer[begin + 2 : end]).split(b"\r\n")
             if len(trailers) > MAX_HEADERS:
                 raise RemoteProtocolError(431, "too many trailers")
--- a/coveport/http1/messages.py
+++ b/coveport/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as read."""
+"""Parsed requests and responses."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @dataclass(slots=True)
 class Message:
-    """What requests and responses share.
+    """The common part of requests and responses.
 
-    `body` is complete unless `is_streamed`: then the parser's `next_data` returns it as it comes.
+    `body` is complete unless `is_streamed`: then the parser's `next_data` returns it piece by piece.
     `content_length` is the length in bytes of a streamed body, if the head declares one.
     """
 
@@ -22,7 +22,7 @@
     content_length: int | None = field(default=None, kw_only=True)
 
     def get(self, name: str) -> str | None:
-        """Return the value of a header that may stand once; RemoteProtocolError where it is repeated."""
+        """Return the value of a header that may occur once, if any; raise RemoteProtocolError if repeated."""
         values = self.headers.get(name)
         if values is None:
             return None
--- a/coveport/http1/request_parser.py
+++ b/coveport/http1/request_parser.py
@@ -1,4 +1,4 @@
-"""Reads requests, as a server does."""
+"""The parser of requests, for a server."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class RequestParser(MessageParser):
-    """Reads what clients send."""
+    """Parses requests from a client."""
 
     _keep_alive = False
     _is_http10 = False
     start_pattern = re.compile(rb"\r?\Z|[!#$%&'*+\-.^_`|~0-9A-Za-z]+(?:\Z| (?:\Z|[\x21-\x7e]))")
 
     def next_request(self) -> Request | None:
-        """Return the next request, or None until more has come; raise as `next_message` does."""
+        """Return the next request, or None if more bytes are needed; raise as `next_message` does."""
         message = self.next_message()
         assert message is None or isinstance(message, Request)
         return message
 
     @property
     def is_http10(self) -> bool:
-        """Whether the present request is of HTTP/1.0, which has no chunks and no '100 Continue'."""
+        """Whether the present request uses HTTP/1.0, which has no chunks and no '100 Continue'."""
         return self._is_http10
 
     @property
@@ -57,7 +57,7 @@
                 raise RemoteProtocolError(400, "malformed request line")
             raise RemoteProtocolError(505, "version not supported")
         if not target.startswith(b"/"):
-            # The absolute form, which proxies are sent (RFC 9112, 3.2.2): its host is ignored, as Host is.
+            # The absolute form, as sent to proxies (RFC 9112, 3.2.2): its host is ignored, as is Host.
             absolute = _ABSOLUTE_TARGET.fullmatch(target)
             if not absolute:
                 raise RemoteProtocolError(400, "target is not a path")
--- a/coveport/http1/response_parser.py
+++ b/coveport/http1/response_parser.py
@@ -1,4 +1,4 @@
-"""Reads responses, as a client does."""
+"""The parser of responses, for a client."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class ResponseParser(MessageParser):
-    """Reads what servers answer.
+    """Parses responses from a server.
 
-    A response without a declared length may be a long one that comes slowly: it is streamed above
-    MAX_BUFFERED_UNSIZED_BYTES, so that its reader doesn't wait for as many bytes as a complete one may have.
+    A response without a declared length may be long and arrive slowly: it is streamed above
+    MAX_BUFFERED_UNSIZED_BYTES, so that its reader doesn't wait until the limit for buffered bodies.
     """
 
     max_buffered_unsized_bytes = MAX_BUFFERED_UNSIZED_BYTES
     start_pattern = re.compile(rb"\r?\Z|(?:HTTP/1?|HTTP?|HT?)\Z|HTTP/1\.(?:\Z|[01](?:\Z| (?:\Z|[1-5])))")
 
     def next_response(self) -> Response | None:
-        """Return the next final response, or None until more has come; skip interim ones (1xx)."""
+        """Return the next final response, or None if more bytes are needed; skip interim responses (1xx)."""
         while (message := self.next_message()) is not None:
             assert isinstance(message, Response)
             if message.status >= 200:
@@ -55,11 +55,11 @@
         version = match[1]
         status = int(match[2])
         if status < 200 or status in (204, 304):
-            # Guards against headers that declare a body: there is none (RFC 9112, 6.3), and what follows
-            # would be taken for it.
+            # Ignores headers that declare a body: these responses have none (RFC 9112, 6.3), and the next
+            # message would be read as the body.
             self._chunked_body = None
             self._remaining_bytes = 0
         else:
             self._frame_body(headers, None)
-        ends_itself = self._remaining_bytes is not None or self._chunked_body is not None
-        return Response(headers, is_persistent(version, headers) and ends_itself, b"", status)
+        has_known_end = self._remaining_bytes is not None or self._chunked_body is not None
+        return Response(headers, is_persistent(version, headers) and has_known_end, b"", status)
--- a/coveport/http1/writers.py
+++ b/coveport/http1/writers.py
@@ -1,4 +1,4 @@
-"""Writes requests, responses and chunks."""
+"""Writers of requests, responses and chunks."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 
 
 def write_chunk(data: bytes) -> bytes:
-    """Return data as a chunk; nothing for no data, as an empty chunk would end the body."""
+    """Return data as a chunk; return no bytes for empty data, as an empty chunk would end the body."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
 
 def write_head(start_line: str, headers: Iterable[tuple[str, str]]) -> bytes:
-    """Return a head; the fields that frame the body are among the headers."""
+    """Return a message head; the caller includes the headers that frame the body."""
     lines = [start_line, *(f"{name}: {value}" for name, value in headers)]
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n"
 
 
 def write_request(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
-    """Return a request, with its Content-Length."""
+    """Return a request, with a Content-Length unless it is a GET without a body."""
     return _write_message(
         f"{method} {target} HTTP/1.1", headers, body, has_length=bool(body) or method != "GET"
     )
 
 
 def write_response(status: int, headers: Iterable[tuple[str, str]] = (), body: bytes = b"") -> bytes:
-    """Return a response, with its Content-Length."""
+    """Return a response, with a Content-Length unless it is interim (1xx)."""
     start_line = f"HTTP/1.1 {status} {_REASONS.get(status, 'Unknown')}"
     return _write_message(start_line, headers, body, has_length=status >= 200)
 
--- a/coveport/net/clock.py
+++ b/coveport/net/clock.py
@@ -1,4 +1,4 @@
-"""The program's clock: monotonic, set once to Unix time so that it agrees with endpoints' `born_ms`."""
+"""The program's clock: monotonic, set once to Unix time to be comparable with endpoints' `born_ms`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Unix milliseconds at the start, monotonic from there on."""
+    """A clock that starts at Unix time in milliseconds and is monotonic from then on."""
 
     def __init__(self, net: Net) -> None:
         self._now_s = net.now_s
--- a/coveport/net/errors.py
+++ b/coveport/net/errors.py
@@ -4,4 +4,4 @@
 
 
 class AddressError(ValueError):
-    """A text is no IP address and port; the message names the text and what is wrong with it."""
+    """A text is not an IP address and port; the message quotes the text and names the fault."""
--- a/coveport/net/listening.py
+++ b/coveport/net/listening.py
@@ -11,11 +11,11 @@
 
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
 
-ACCEPT_RETRY_S = 0.05  # without accepting once descriptors have run out: time to close some
+ACCEPT_RETRY_S = 0.05  # pause after file descriptors run out, in which some may be closed
 
 
 class Listening(Protocol):
-    """An address that is listened on."""
+    """A listener on an address."""
 
     @property
     def port(self) -> int:
@@ -23,18 +23,18 @@
 
     @property
     def is_quiet(self) -> bool:
-        """Whether no connection waits to be accepted, or was and is not with its protocol yet."""
+        """Whether no connection waits to be accepted or, once accepted, for its protocol."""
 
     def close(self) -> None:
-        """Accept no further connections but those that wait already; those there are stay."""
+        """Accept the connections that wait already, then no more; open connections stay open."""
 
 
 class SocketListening:
-    """Accepts on a socket that listens.
+    """Accepts connections on a listening socket.
 
-    asyncio's server is not used: it would listen with a backlog as short as `accepts_per_turn` for its first
-    turn of the loop, and a connect that finds the backlog full is sent again only after a second. It also
-    pauses for a second after EMFILE.
+    asyncio's server is not used: in its first turn of the loop its backlog would be only `accepts_per_turn`,
+    and a client whose connect meets a full backlog retries only after a second. It also pauses for a second
+    after EMFILE.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._socket = listener
         self._factory = factory
         self._accepts_per_turn = accepts_per_turn
-        self._connecting: set[asyncio.Task[object]] = set()  # accepted, not with their protocols yet
+        self._connecting: set[asyncio.Task[object]] = set()  # accepted, without a protocol yet
         self._port: int = listener.getsockname()[1]
         loop.add_reader(listener, self._accept)
 
@@ -59,35 +59,39 @@
 
     @property
     def is_quiet(self) -> bool:
-        """Whether no connection waits to be accepted, or was and is not with its protocol yet."""
+        """Whether no connection waits to be accepted or, once accepted, for its protocol."""
         return not self._connecting and (self._socket.fileno() < 0 or is_quiet_socket(self._socket.fileno()))
 
     def close(self) -> None:
-        """Accept what waits, then nothing more."""
+        """Accept the connections that wait already, then no more."""
         if self._socket.fileno() < 0:
             return
-        # Guards against losing what the system has accepted: none comes between the last accept and this.
+        # Guards against losing connections that the kernel has completed: none arrives between the last
+        # accept and the close.
         while self._accept():
             pass
         self._loop.remove_reader(self._socket)
         self._socket.close()
 
     def _accept(self) -> bool:
-        """Accept what waits, as much as may be in a turn; return whether more may wait."""
+        """Accept up to `accepts_per_turn` waiting connections; return whether more may wait."""
         for _ in range(self._accepts_per_turn):
             try:
                 connection, _ = self._socket.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return False
             except OSError as error:
-                # Guards against a busy loop where descriptors run out.
+                # Guards against a busy loop while file descriptors are exhausted.
                 self._loop.remove_reader(self._socket)
                 self._loop.call_later(ACCEPT_RETRY_S, self._resume)
-                self._loop.call_exception_handler({"message": "accept", "exception": error})
+                self._loop.call_exception_handler(
+                    {"message": "accepting a connection failed", "exception": error}
+                )
                 return False
             connection.setblocking(False)
-            # Guards against a response's last bytes that wait for an acknowledgement and go with a close over
-            # unread ones. asyncio does so only where the socket names TCP, which accept leaves open.
+            # Guards against losing a response's last bytes: delayed until an acknowledgement, they would be
+            # discarded by a close with unread input. asyncio sets this option only on sockets whose protocol
+            # number is TCP, which accept() does not set.
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             task = self._loop.create_task(self._connect(connection))
             self._connecting.add(task)
@@ -99,7 +103,9 @@
             await self._loop.connect_accepted_socket(self._factory, connection)
         except Exception as error:  # noqa: BLE001  # a fault in one connection must not end the others
             connection.close()
-            self._loop.call_exception_handler({"message": "a new connection", "exception": error})
+            self._loop.call_exception_handler(
+                {"message": "setting up an accepted connection failed", "exception": error}
+            )
 
     def _resume(self) -> None:
         if self._socket.fileno() >= 0:
--- a/coveport/net/sockets.py
+++ b/coveport/net/sockets.py
@@ -1,4 +1,4 @@
-"""What can be seen of a socket past its transport, and read from it."""
+"""Checks and reads on a transport's socket that bypass the transport."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 
 def is_quiet_socket(descriptor: int) -> bool:
-    """Return whether nothing waits there: no bytes, no end, no connection to accept."""
+    """Return whether the socket has nothing to read: no bytes, no end of input, no connection to accept."""
     poller = select.poll()
     poller.register(descriptor, select.POLLIN)
     return not poller.poll(0)
 
 
 def has_peer_closed(transport: asyncio.Transport) -> bool:
-    """Return whether the peer has ended or reset it, even where bytes before that are unread."""
+    """Return whether the peer has closed or reset the connection, even if earlier bytes are unread."""
     if transport.is_closing():
         return True
     poller = select.poll()
-    # A reset is reported without being registered for.
+    # poll() reports a reset (POLLHUP, POLLERR) without registration.
     poller.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poller.poll(0))
 
 
 def is_quiet(transport: asyncio.Transport) -> bool:
-    """Return whether nothing has come that is unread."""
+    """Return whether the connection has no unread input."""
     return not transport.is_closing() and is_quiet_socket(transport.get_extra_info("socket").fileno())
 
 
 def read_now(transport: asyncio.Transport) -> None:
-    """Give the protocol, a buffered one, what waits there; an end is left to the loop."""
+    """Pass waiting input to the transport's BufferedProtocol; leave an end of input to the loop."""
     loop_socket = transport.get_extra_info("socket")
     protocol = transport.get_protocol()
     assert isinstance(protocol, asyncio.BufferedProtocol)
@@ -41,6 +41,6 @@
         while not transport.is_closing() and (size := connection.recv_into(protocol.get_buffer(-1))):
             protocol.buffer_updated(size)
     except OSError:
-        pass  # nothing waits, or the connection has broken: the loop finds that, too
+        pass  # no input waits, or the connection is broken, which the loop also detects
     finally:
         connection.detach()
--- a/coveport/net/transport.py
+++ b/coveport/net/transport.py
@@ -1,7 +1,7 @@
-"""The way to the outside: time, listening, connecting, and what can be seen or done at a socket.
+"""The process's access to time and network: clocks, listening, connecting, and operations on sockets.
 
-All of the program's I/O goes through one `Net`. The one here is asyncio's; the testbed has another with the
-same methods on a simulated loop, where connections are kept in memory.
+All of the program's I/O goes through one `Net`. This implementation uses asyncio; the testbed has one with
+the same methods on a simulated loop with connections in memory.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class Net:
-    """Time and sockets as one process sees them, by asyncio and the system."""
+    """Time and sockets of one process, from asyncio and the operating system."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, inherited: socket.socket | None = None) -> None:
-        """`inherited`: a socket that listens already; the first `listen` at its port takes it."""
+        """`inherited`: a socket that already listens; the first `listen` on its port uses it."""
         self.loop = loop
         self._inherited = inherited
 
@@ -45,10 +45,11 @@
         backlog: int,
         shared: bool = False,
     ) -> Listening:
-        """Listen on TCP; OSError where that can't be.
+        """Listen on TCP; raise OSError if that fails.
 
-        `accepts_per_turn`: connections accepted in one turn of the loop. `backlog`: those that may wait for
-        it. `shared`: beside others that share it (SO_REUSEPORT); the system distributes new connections.
+        `accepts_per_turn`: connections accepted in one turn of the loop. `backlog`: connections that may wait
+        to be accepted. `shared`: share the address with other processes (SO_REUSEPORT); the kernel
+        distributes new connections among them.
         """
         if self._inherited is not None and address[1] == self._inherited.getsockname()[1]:
             listener = self._inherited
@@ -61,11 +62,11 @@
         return SocketListening(self.loop, listener, factory, accepts_per_turn)
 
     def is_taken(self, address: Address) -> bool:
-        """Return whether a process listens there already, shared or not."""
+        """Return whether a process already listens on the address, shared or not."""
         if self._inherited is not None:
-            return False  # kept for this process
+            return False  # the inherited socket holds the address for this process
         with socket.socket(_family(address), socket.SOCK_STREAM) as trial:
-            trial.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # closed connections don't count
+            trial.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # ignores closed connections
             try:
                 trial.bind(address)
             except OSError as error:
@@ -73,28 +74,28 @@
         return False
 
     async def dial(self, factory: ProtocolFactory, address: Address) -> None:
-        """Connect by TCP; OSError where it is refused or can't be. Cancelled, it leaves nothing behind."""
+        """Connect by TCP; raise OSError if that fails. If cancelled, no connection is left open."""
         await self.loop.create_connection(factory, *address)
 
     def is_quiet(self, transport: asyncio.Transport) -> bool:
-        """Return whether nothing has come that is unread: no bytes, no end."""
+        """Return whether the connection has no unread input: no bytes, no end of input."""
         return is_quiet(transport)
 
     def read_now(self, transport: asyncio.Transport) -> None:
-        """Give the protocol what has come in this turn of the loop; an end is left to the loop."""
+        """Pass input received in this turn of the loop to the protocol; leave an end of input to the loop."""
         read_now(transport)
 
     def has_peer_closed(self, transport: asyncio.Transport) -> bool:
-        """Return whether the peer has ended or reset it, even where bytes before that are unread."""
+        """Return whether the peer has closed or reset the connection, even if earlier bytes are unread."""
         return has_peer_closed(transport)
 
     def shut_down(self, transport: asyncio.Transport) -> None:
-        """End both directions now, before the transport is closed in a later turn."""
+        """Shut down both directions now, before the transport is closed in a later turn."""
         with contextlib.suppress(OSError):
             transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
     def set_unacknowledged_timeout(self, transport: asyncio.Transport, milliseconds: int) -> None:
-        """Let a peer that acknowledges nothing for about so long count as gone; 0: the system's default."""
+        """Break a connection whose peer acknowledges nothing for about that long; 0: the system's default."""
         connection = transport.get_extra_info("socket")
         seconds = max(1, milliseconds // 2000)
         with contextlib.suppress(OSError):
@@ -106,7 +107,7 @@
                 connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 1)
 
     def reset(self, transport: asyncio.Transport) -> None:
-        """Close with a reset: what is on its way in either direction is lost."""
+        """Close with a reset: data in flight in either direction is lost."""
         with contextlib.suppress(OSError):
             transport.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -1,4 +1,4 @@
-"""The parsers: what they read does not depend on how the bytes were cut, and no bytes break them."""
+"""Parsers: messages do not depend on how the bytes were split, and arbitrary bytes are at most rejected."""
 
 from __future__ import annotations
 
@@ -15,15 +15,17 @@
 
 
 def pieces(data: bytes, cuts: list[int]) -> list[bytes]:
-    found, at = [], 0
+    parts, offset = [], 0
     for cut in cuts:
-        found.append(data[at : at + cut])
-        at += cut
-    return [*found, data[at:]]
+        parts.append(data[offset : offset + cut])
+        offset += cut
+    return [*parts, data[offset:]]
 
 
 @given(st.lists(st.tuples(st.binary(max_size=80), st.booleans()), max_size=5), CUTS)
-def test_requests_read_the_same_however_cut(bodies: list[tuple[bytes, bool]], cuts: list[int]) -> None:
+def test_requests_do_not_depend_on_how_bytes_were_split(
+    bodies: list[tuple[bytes, bool]], cuts: list[int]
+) -> None:
     data = b""
     for body, chunked in bodies:
         if chunked:
@@ -35,13 +37,13 @@
             )
         else:
             data += http1.write_request("POST", "/a", [("Host", "x")], body) + b"\r\n" * (len(body) % 2)
-    parser, found = http1.RequestParser(), list[bytes]()
+    parser, parsed_bodies = http1.RequestParser(), list[bytes]()
     for piece in pieces(data, cuts):
         parser.feed(piece)
         while (request := parser.next_request()) is not None:
             assert (request.method, request.target, request.keep_alive) == ("POST", "/a", True)
-            found.append(request.body)
-    assert found == [body for body, _ in bodies]
+            parsed_bodies.append(request.body)
+    assert parsed_bodies == [body for body, _ in bodies]
 
 
 @given(
@@ -54,20 +56,20 @@
     ),
     CUTS,
 )
-def test_responses_read_the_same_however_they_are_framed(rest: bytes, cuts: list[int]) -> None:
+def test_responses_do_not_depend_on_their_framing(rest: bytes, cuts: list[int]) -> None:
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Load: a=1\r\n" + rest
-    parser, found = http1.ResponseParser(), None
+    parser, response = http1.ResponseParser(), None
     for piece in pieces(data, cuts):
         parser.feed(piece)
-        found = found or parser.next_response()
-    found = found or parser.receive_eof()
-    assert found is not None and (found.status, found.body) == (200, b"body")
-    assert found.headers["x-load"] == ["a=1"]
-    assert found.keep_alive is (b"close" not in rest) and not parser.is_mid_message
+        response = response or parser.next_response()
+    response = response or parser.receive_eof()
+    assert response is not None and (response.status, response.body) == (200, b"body")
+    assert response.headers["x-load"] == ["a=1"]
+    assert response.keep_alive is (b"close" not in rest) and not parser.is_mid_message
 
 
 @given(st.binary(max_size=300), st.sampled_from([b"", b"GET / HTTP/1.1\r\n", b"HTTP/1.1 200 OK\r\n"]))
-def test_no_bytes_do_more_than_be_refused(data: bytes, start: bytes) -> None:
+def test_arbitrary_bytes_are_at_most_rejected(data: bytes, start: bytes) -> None:
     for parser in (http1.RequestParser(), http1.ResponseParser()):
         status = None
         parser.feed(start + data + b"\r\n\r\n")
@@ -87,14 +89,14 @@
         b"Transfer-Encoding: chunked\r\n\r\n4\r\nbo",
     ],
 )
-def test_half_an_answer_is_none(end: bytes) -> None:
+def test_incomplete_response_is_not_returned(end: bytes) -> None:
     parser = http1.ResponseParser()
     parser.feed(b"HTTP/1.1 200 OK\r\n" + end)
     assert parser.next_response() is None and parser.receive_eof() is None
 
 
 @given(st.integers(0, 40))
-def test_a_message_that_has_only_begun_is_waited_for(cut: int) -> None:
+def test_partial_message_is_not_rejected(cut: int) -> None:
     for parser, data in (
         (http1.RequestParser(), b"GET /balance/7 HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1"),
         (http1.RequestParser(), b"\r\nGET /" + b"a" * 40),
@@ -104,12 +106,12 @@
         assert parser.next_message() is None
 
 
-@pytest.mark.parametrize("noise", [b"\x00", b"HTTP/2", b"\x16\x03\x01\x02", b"HTTP/1.1 9", b"\xff" * 15])
-def test_noise_is_told_by_its_first_bytes(noise: bytes) -> None:
-    # Waited for, noise without an end would hold its route step until the time is over.
+@pytest.mark.parametrize("data", [b"\x00", b"HTTP/2", b"\x16\x03\x01\x02", b"HTTP/1.1 9", b"\xff" * 15])
+def test_non_http_input_is_rejected_by_its_first_bytes(data: bytes) -> None:
+    # If the parser waited for more, endless non-HTTP input would block its route step until the time-out.
     for parser in (http1.RequestParser(), http1.ResponseParser()):
-        parser.feed(noise)
-        if not (isinstance(parser, http1.RequestParser) and noise.startswith(b"HTTP")):
+        parser.feed(data)
+        if not (isinstance(parser, http1.RequestParser) and data.startswith(b"HTTP")):
             with pytest.raises(http1.RemoteProtocolError):
                 parser.next_message()
 
@@ -146,19 +148,19 @@
     ],
 )
 def test_trailers_are_checked_as_headers_are(trailers: bytes) -> None:
-    # Seen beside h11, which refuses them: whoever stands in front of us may see a second message there.
+    # h11 rejects these trailers: a peer in front of this parser may read them as a second message.
     with pytest.raises(http1.RemoteProtocolError, match="trailer"):
         read(CHUNKED + b"0\r\n" + trailers + b"\r\n")
 
 
-def test_trailers_are_thrown_away() -> None:
+def test_trailers_are_discarded() -> None:
     message = read(CHUNKED + b"1\r\nx\r\n0\r\nHost: b\r\nContent-Length: 9\r\nX-Request-Id:\r\n\r\n")
     assert message is not None and message.body == b"x"
     assert message.headers == {"host": ["a"], "transfer-encoding": ["chunked"]}
 
 
 @pytest.mark.parametrize(
-    ("line", "good"),
+    ("line", "is_valid"),
     [
         (b"1", True),
         (b"0001", True),
@@ -180,9 +182,9 @@
         (b"000000001", False),
     ],
 )
-def test_chunk_lines_are_read_as_the_standard_has_them(line: bytes, good: bool) -> None:
+def test_chunk_lines_are_parsed_as_the_standard_defines(line: bytes, is_valid: bool) -> None:
     data = CHUNKED + line + b"\r\nx\r\n0\r\n\r\n"
-    if good:
+    if is_valid:
         message = read(data)
         assert message is not None and message.body == b"x"
     else:
@@ -204,18 +206,18 @@
         (HEAD + b"\r\nX: y" * 98 + b"\r\n\r\n", 431),
     ],
 )
-def test_limits_do_not_depend_on_how_the_bytes_were_cut(data: bytes, status: int) -> None:
+def test_limits_do_not_depend_on_how_bytes_were_split(data: bytes, status: int) -> None:
     for pieces in ([data], [data[:-4], data[-4:]], [data[:25], data[25:]]):
-        parser, got = http1.RequestParser(), 0
+        parser, error_status = http1.RequestParser(), 0
         try:
-            whole = [read(piece, parser) for piece in pieces][-1]
-        except http1.RemoteProtocolError as problem:
-            got = problem.status
-        assert got == status and (got or whole is not None)
+            message = [read(piece, parser) for piece in pieces][-1]
+        except http1.RemoteProtocolError as error:
+            error_status = error.status
+        assert error_status == status and (error_status or message is not None)
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         b"GET / HTTP/1.1\r\n\r\n",
         b"GET / HTTP/3.0\r\n\r\n",
@@ -226,17 +228,17 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: x\r\n\r\n",
     ],
 )
-def test_nothing_is_read_behind_an_error(bad: bytes) -> None:
+def test_nothing_is_read_after_an_error(malformed: bytes) -> None:
     data, parser = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", http1.RequestParser()  # type: bytes, Parser
-    if bad.startswith(b"HTTP"):
+    if malformed.startswith(b"HTTP"):
         data, parser = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", http1.ResponseParser()
     assert read(data, parser) is not None
     with pytest.raises(http1.RemoteProtocolError):
-        read(bad + data, parser)
+        read(malformed + data, parser)
     assert read(data, parser) is None and parser.next_message() is None
 
 
-def test_an_answer_that_is_too_large_does_not_become_whole_at_the_end() -> None:
+def test_too_large_response_is_not_completed_by_the_end_of_the_connection() -> None:
     parser = http1.ResponseParser(9)
     with pytest.raises(http1.RemoteProtocolError):
         read(b"HTTP/1.1 200 OK\r\n\r\n0123456789", parser)
@@ -254,20 +256,20 @@
         b"Transfer-Encoding: x",
     ],
 )
-def test_answers_without_a_body_end_at_the_empty_line(status: bytes, framing: bytes) -> None:
+def test_responses_without_a_body_end_at_the_empty_line(status: bytes, framing: bytes) -> None:
     parser = http1.ResponseParser()
     parser.feed(
         b"HTTP/1.1 " + status + b" x\r\n" + framing + b"\r\n\r\n"
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
     )
-    found = []
+    responses = []
     while (response := parser.next_response()) is not None:
-        found.append((response.status, response.body))
-    assert found == [(int(status), b"")] * (status >= b"200") + [(200, b"ok")]
+        responses.append((response.status, response.body))
+    assert responses == [(int(status), b"")] * (status >= b"200") + [(200, b"ok")]
 
 
 @pytest.mark.parametrize(
-    ("version", "lines", "keeps"),
+    ("version", "lines", "keep_alive"),
     [
         (b"1.1", b"", True),
         (b"1.1", b"Connection: close\r\n", False),
@@ -280,7 +282,7 @@
         (b"1.0", b"Connection: keep-alive\r\nTransfer-Encoding: chunked\r\n", False),
     ],
 )
-def test_whether_a_connection_is_kept(version: bytes, lines: bytes, keeps: bool) -> None:
+def test_keep_alive_follows_version_and_headers(version: bytes, lines: bytes, keep_alive: bool) -> None:
     request = read(b"POST / HTTP/" + version + b"\r\nHost: a\r\n" + lines + b"\r\n0\r\n\r\n")
     response = read(
         b"HTTP/"
@@ -291,11 +293,11 @@
         http1.ResponseParser(),
     )
     assert request is not None and response is not None
-    assert request.keep_alive is response.keep_alive is keeps
+    assert request.keep_alive is response.keep_alive is keep_alive
 
 
 @pytest.mark.parametrize(
-    ("start", "good"),
+    ("start", "is_valid"),
     [
         (b"GET / HTTP/1.1\r\n", False),
         (b"GET / HTTP/1.1\r\nHost: a\r\n", True),
@@ -304,8 +306,8 @@
         (b"GET / HTTP/1.0\r\nHost: a\r\nHost: b\r\n", False),
     ],
 )
-def test_no_request_names_two_hosts(start: bytes, good: bool) -> None:
-    if good:
+def test_http_1_1_requires_exactly_one_host_header(start: bytes, is_valid: bool) -> None:
+    if is_valid:
         assert read(start + b"\r\n") is not None
     else:
         with pytest.raises(http1.RemoteProtocolError, match="Host"):
@@ -313,7 +315,7 @@
 
 
 @pytest.mark.parametrize(("version", "expects"), [(b"1.1", True), (b"1.0", False)])
-def test_http_1_0_expects_no_word_before_its_body(version: bytes, expects: bool) -> None:
+def test_http_1_0_request_expects_no_100_continue(version: bytes, expects: bool) -> None:
     parser = http1.RequestParser()
     head = b" HTTP/" + version + b"\r\nHost: a\r\nConnection: keep-alive\r\nExpect: 100-continue\r\n"
     for number in b"12":
@@ -334,14 +336,14 @@
         (["inflight=1e999,queue=2"], ()),
     ],
 )
-def test_a_load_report_is_whole_and_finite_or_none(values: list[str], load: tuple[float, ...]) -> None:
+def test_load_report_is_complete_and_finite_or_empty(values: list[str], load: tuple[float, ...]) -> None:
     response = http1.Response({"x-load": values}, True, b"", 200)
     assert load_report(response, ("inflight", "queue")) == load
 
 
 @pytest.mark.parametrize("step", [2, 3, 400])
-def test_empty_lines_without_end_are_no_message(step: int) -> None:
-    # A client that sends nothing else is never at rest, and would keep its connection for good.
+def test_endless_empty_lines_are_rejected(step: int) -> None:
+    # The connection of a client that sends only empty lines would never be idle and never be closed.
     request, parser = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", http1.RequestParser()
     for _ in range(3):
         assert read(b"\r\n" * 100 + request, parser) is not None
