--- a/coveport/serving/cli/app.py
+++ b/coveport/serving/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line: a subcommand for each role and each verb of the operators."""
+"""The command line: a subcommand for each role and each operator verb."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     return run_role("proxy", settings)
 
 
-# Each is imported when it is called: the start of a role must not load them.
+# A verb's module is imported when the verb is called, so that a role starts without loading it.
 app.command("coveport.serving.cli.check:app", name="check", help="Check a file before it is used.")
 app.command("coveport.serving.cli.configuration:app", name="config", help="Read or change the configuration.")
 app.command("coveport.serving.cli.evacuate:evacuate", name="evacuate", help="Keep requests away from a zone.")
--- a/coveport/serving/cli/configuration.py
+++ b/coveport/serving/cli/configuration.py
@@ -90,7 +90,7 @@
     change = read_object(text.encode())
     if isinstance(change, Refusal):
         return _report_findings(file, text, change)
-    patched = apply_patch({}, change)  # finds the faults that a patch has whatever it is applied to
+    patched = apply_patch({}, change)  # finds faults of the patch itself, independent of the configuration
     if isinstance(patched, Refusal):
         return _report_findings(file, text, patched)
     return _send_change("PATCH", text, core, if_match, within)
@@ -138,7 +138,7 @@
 
 
 def _read_current(core: Core, within_s: float) -> dict[str, Any] | ExitCode:
-    """Return the configuration in force; empty where there is none yet."""
+    """Return the configuration in force, or an empty one if there is none yet."""
     response = request_core(core, HttpRequest("GET", WirePath.CONFIG), within_s)
     if not isinstance(response, CoreResponse):
         return response
@@ -151,7 +151,7 @@
 
 
 def _send_change(method: str, text: str, core: Core, if_match: int | None, within_s: float) -> int:
-    """Send a change that builds on an edition; None: on the current one, which is read first."""
+    """Send a change based on edition `if_match`; None: read the current edition first and use it."""
     if if_match is None:
         current = _read_current(core, within_s)
         if not isinstance(current, dict):
--- a/coveport/serving/cli/configuration_diff.py
+++ b/coveport/serving/cli/configuration_diff.py
@@ -11,14 +11,14 @@
 from coveport.serving.wire.names import Config
 
 _ABSENT: Final = object()
-_HIDDEN: Final = "***"  # stands for an API key
+_HIDDEN: Final = "***"  # replaces an API key in outputs
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One value that differs; `before` or `after` is `_ABSENT` where the configuration doesn't have it."""
+    """One value that differs; `before` or `after` is `_ABSENT` if that configuration lacks the value."""
 
-    path: str  # such as `Routes.shop.DeadlineMs`; named items of lists go by their name
+    path: str  # such as `Routes.shop.DeadlineMs`; named list items are identified by name
     before: Any
     after: Any
 
@@ -30,14 +30,14 @@
         return f"~ {self.path}: {_compact_json(self.before)} -> {_compact_json(self.after)}"
 
     def as_json(self) -> dict[str, Any]:
-        """Return the form for scripts, without the side that is absent."""
+        """Return the JSON form, without an absent side."""
         sides = {"before": self.before, "after": self.after}
-        shown = {name: _without_keys(value) for name, value in sides.items() if value is not _ABSENT}
-        return {"place": self.path} | shown
+        present_sides = {name: _hide_keys(value) for name, value in sides.items() if value is not _ABSENT}
+        return {"place": self.path} | present_sides
 
 
 def find_differences(before: dict[str, Any], after: dict[str, Any]) -> list[Difference]:
-    """Return all differences, in the order of `before`, then of what only `after` has."""
+    """Return all differences in the order of `before`, then those of values that only `after` has."""
     return list(_compare("", before, after))
 
 
@@ -46,7 +46,7 @@
     after_items = _items_by_key(after)
     if before_items is None or after_items is None:
         if before != after:
-            yield Difference(path, _shown(path, before), _shown(path, after))
+            yield Difference(path, _hide_keys_at(path, before), _hide_keys_at(path, after))
         return
     for key in before_items | after_items:
         inner_path = f"{path}.{key}" if path else key
@@ -65,22 +65,22 @@
     return dict(zip(texts, value, strict=True)) if are_all_named else None
 
 
-def _without_keys(value: Any) -> Any:
-    """Return a part of a configuration with its API keys hidden, to be shown to people."""
+def _hide_keys(value: Any) -> Any:
+    """Return a part of a configuration with its API keys hidden, for output."""
     if isinstance(value, list):
-        return [_without_keys(item) for item in value]
+        return [_hide_keys(item) for item in value]
     if not isinstance(value, dict):
         return value
     return {
-        name: [_HIDDEN] * len(inner) if _is_key_list(name, inner) else _without_keys(inner)
+        name: [_HIDDEN] * len(inner) if _is_key_list(name, inner) else _hide_keys(inner)
         for name, inner in value.items()
     }
 
 
-def _shown(path: str, value: Any) -> Any:
-    """Return a value at a path with its API keys hidden, where the path ends at a list of them."""
+def _hide_keys_at(path: str, value: Any) -> Any:
+    """Return the value at a path, with API keys hidden if the path ends at a list of API keys."""
     name = path.rpartition(".")[2]
-    return _without_keys({name: value})[name] if _is_key_list(name, value) else value
+    return _hide_keys({name: value})[name] if _is_key_list(name, value) else value
 
 
 def _is_key_list(name: str, value: Any) -> bool:
@@ -88,4 +88,4 @@
 
 
 def _compact_json(value: Any) -> str:
-    return json.dumps(_without_keys(value), ensure_ascii=False, separators=(",", ":"))
+    return json.dumps(_hide_keys(value), ensure_ascii=False, separators=(",", ":"))
--- a/coveport/serving/cli/core_client.py
+++ b/coveport/serving/cli/core_client.py
@@ -1,7 +1,7 @@
-"""Client of the core's control calls: follows redirects, retries elsewhere until a response is final.
+"""Client of the core's control calls: follows redirects, tries other coordinators until a response is final.
 
-The rules for clients stand in docs/operators/command-line.md, "Naming the core". A request that is sent again
-is the same to the byte, so that the core recognizes a repeated change.
+docs/operators/command-line.md, "Naming the core", has the rules for clients. A repeated request is identical
+byte for byte, so that the core recognizes a repeated change.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from coveport.net.transport import Net
 from coveport.serving.web.http_client import HttpRequest, RequestFailure, send_request
 
-MAX_REDIRECTS: Final = 2  # of one attempt
-RESPONSE_TIMEOUT_S: Final = 1.0  # of one request, before another coordinator is asked ...
-RESPONSE_TIMEOUT_S_PER_MIB: Final = 1.0  # ... and more for each MiB of its body
-MIN_TIMEOUT_S: Final = 0.001  # of an attempt that begins right at the end of the time
-INITIAL_BACKOFF_S: Final = 0.1  # doubled after each attempt ...
-MAX_BACKOFF_S: Final = 2.0  # ... up to this
-MAX_OTHER_REJECTIONS: Final = 3  # attempts that may end with a 4xx that isn't final by itself
-MAX_REASON_BYTES: Final = 200  # of a response's body, in the reason of a failure
+MAX_REDIRECTS: Final = 2  # followed in one attempt
+RESPONSE_TIMEOUT_S: Final = 1.0  # for one request, before the next coordinator is tried
+RESPONSE_TIMEOUT_S_PER_MIB: Final = 1.0  # added to RESPONSE_TIMEOUT_S for each MiB of the body
+MIN_TIMEOUT_S: Final = 0.001  # for an attempt that starts at the deadline
+INITIAL_BACKOFF_S: Final = 0.1  # doubled after each attempt, up to MAX_BACKOFF_S
+MAX_BACKOFF_S: Final = 2.0
+MAX_OTHER_REJECTIONS: Final = 3  # a 4xx that is neither final nor retryable ends the request at this count
+MAX_REASON_BYTES: Final = 200  # part of a response's body that the reason of a failure quotes
 BYTES_PER_MIB: Final = 2**20
 
-# 404 is final: there is no configuration yet, or no such zone.
+# 404 is final: there is no configuration yet, or the zone does not exist.
 FINAL_REJECTIONS: Final = frozenset({400, 404, 409, 412, 413, 422})
 _RETRYABLE_REJECTIONS: Final = frozenset({408, 429})
 _REDIRECT: Final = 307
@@ -48,20 +48,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreUnavailable:
-    """No coordinator gave a final response in time: a change may have been made or not."""
+    """No coordinator gave a final response in time; a change may or may not have been made."""
 
-    reasons: dict[str, str]  # by the coordinator's address: why the last attempt there failed
+    reasons: dict[str, str]  # why the last attempt failed, by the coordinator's address
 
 
 class CoreClient:
-    """Sends requests to the coordinators at some addresses, in turn."""
+    """A client that tries the given coordinators' addresses in turn."""
 
     def __init__(self, net: Net, addresses: Sequence[Address]) -> None:
         self._net = net
         self._addresses = tuple(addresses)
 
     async def send(self, request: HttpRequest, within_s: float) -> CoreResponse | CoreUnavailable:
-        """Send a request until a response is final or the time is over."""
+        """Send a request repeatedly until a response is final or `within_s` has passed."""
         deadline_s = self._net.now_s() + within_s
         reasons: dict[str, str] = {}
         other_rejections = 0
@@ -84,11 +84,11 @@
     async def _attempt(
         self, address: Address, request: HttpRequest, deadline_s: float
     ) -> Response | RequestFailure:
-        """Send the request to one coordinator and to where it redirects."""
+        """Send the request to one coordinator and follow its redirects."""
         timeout_s = RESPONSE_TIMEOUT_S + RESPONSE_TIMEOUT_S_PER_MIB * len(request.body) / BYTES_PER_MIB
         for _ in range(MAX_REDIRECTS + 1):
-            left_s = max(MIN_TIMEOUT_S, deadline_s - self._net.now_s())
-            outcome = await send_request(self._net, address, request, min(timeout_s, left_s))
+            remaining_s = max(MIN_TIMEOUT_S, deadline_s - self._net.now_s())
+            outcome = await send_request(self._net, address, request, min(timeout_s, remaining_s))
             if isinstance(outcome, RequestFailure) or outcome.status != _REDIRECT:
                 return outcome
             target = _redirect_target(outcome)
@@ -99,7 +99,7 @@
 
 
 def _redirect_target(redirect: Response) -> Address | None:
-    """Return the address that a redirect names, whose path stays the same; None where it names none."""
+    """Return the address in a redirect's Location, or None if there is no valid one; its path is not used."""
     try:
         return parse_address(urlsplit(redirect.headers.get("location", [""])[0]).netloc)
     except ValueError:
--- a/coveport/serving/cli/core_options.py
+++ b/coveport/serving/cli/core_options.py
@@ -1,4 +1,4 @@
-"""The options of all verbs that call a core, and the coordinators' addresses that they name."""
+"""Options shared by all verbs that call a core, and parsing of the coordinators' addresses."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 def core_addresses(arguments: Sequence[str] | None) -> tuple[Address, ...]:
     """Return the coordinators' addresses from the arguments, else from the environment.
 
-    Raises CoreAddressError where there is none, or where one is no address.
+    Raises CoreAddressError if there is no address or if a text is not an address.
     """
     texts = list(arguments or ()) or _addresses_from_environment()
     if not texts:
--- a/coveport/serving/cli/core_requests.py
+++ b/coveport/serving/cli/core_requests.py
@@ -21,9 +21,9 @@
 def request_core(
     core: Sequence[str] | None, request: HttpRequest, within_s: float
 ) -> CoreResponse | ExitCode:
-    """Return the core's final response; otherwise print why there is none and return the exit code.
+    """Return the core's final response; if there is none, print the reason and return the exit code.
 
-    `core`: addresses as given on the command line; None: those of the environment.
+    `core`: addresses as given on the command line; None: from the environment.
     """
     try:
         addresses = core_addresses(core)
@@ -46,13 +46,13 @@
 def _report_unavailable(request: HttpRequest, outcome: CoreUnavailable) -> ExitCode:
     for address, reason in outcome.reasons.items():
         print_error(f"{address}: {reason}")
-    doubt = "" if request.method == "GET" else "; the change may have been taken or not"
-    print_error(f"no clear answer{doubt}")
+    change_note = "" if request.method == "GET" else "; the change may have been taken or not"
+    print_error(f"no clear answer{change_note}")
     return ExitCode.UNCLEAR
 
 
 def report_rejection(response: CoreResponse) -> ExitCode:
-    """Print why the core rejected a request, a reason a line."""
+    """Print the core's reasons for rejecting a request, one on each line."""
     for reason in rejection_reasons(response):
         print_error(f"refused ({response.status}): {reason}")
     return ExitCode.REFUSED
@@ -68,7 +68,7 @@
 
 
 def decode_body(response: CoreResponse) -> Any:
-    """Return the JSON value of a response's body, or its text where it isn't JSON."""
+    """Return the JSON value of a response's body, or its text if it isn't JSON."""
     try:
         return json.loads(response.body)
     except ValueError:
--- a/coveport/serving/cli/day_losses.py
+++ b/coveport/serving/cli/day_losses.py
@@ -1,4 +1,4 @@
-"""Attributes the value and the requests that a played day lost to components, prices and events. Pure."""
+"""Attributes the lost value and requests of a played day to components, prices and events. Pure."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 from coveport.serving.cli.day_report import DayEvent, DayReport, OutcomeCounts
 
-AFTERMATH_S: Final = 4.0  # losses so shortly after an event are attributed to it ...
-STREAM_S: Final = 4.0  # ... and those of windows so shortly before it, whose streams still run when it begins
-NO_EVENT: Final = "no trouble"  # in outputs
+AFTERMATH_S: Final = 4.0  # losses up to this long after an event are attributed to the event
+MAX_STREAM_S: Final = 4.0  # likewise before an event: streams that began in the window may still run
+NO_EVENT: Final = "no trouble"  # shown for losses without an event
 
 
 @dataclass(frozen=True, slots=True)
 class ValueLoss:
-    """Value that is missing at the end, as a fraction of the whole day's."""
+    """Value lost to one component or price, as a fraction of the day's whole value."""
 
     name: str
     value: float
-    amount: float | None = None  # of a price: how much of the resource was used
+    amount: float | None = None  # used amount of a priced resource; None for a component
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,10 +33,10 @@
 
 
 def value_losses(report: DayReport) -> list[ValueLoss]:
-    """Return what the components of the day's value lack and what the prices took; the largest first."""
-    of_components = [ValueLoss(component.name, component.lost_value) for component in report.components]
-    of_prices = [ValueLoss(price.name, price.value, price.amount) for price in report.prices]
-    return sorted(of_components + of_prices, key=lambda loss: -loss.value)
+    """Return the value lost by components and the value deducted as prices; the largest first."""
+    component_losses = [ValueLoss(component.name, component.lost_value) for component in report.components]
+    price_losses = [ValueLoss(price.name, price.value, price.amount) for price in report.prices]
+    return sorted(component_losses + price_losses, key=lambda loss: -loss.value)
 
 
 def window_losses(report: DayReport) -> list[WindowLoss]:
@@ -51,12 +51,12 @@
 
 
 def _touches(event: DayEvent, from_s: float, to_s: float) -> bool:
-    """Return whether what is lost between these times may be the event's doing."""
-    return event.at_s < to_s + STREAM_S and from_s < event.to_s + AFTERMATH_S
+    """Return whether the event may have caused losses between these times."""
+    return event.at_s < to_s + MAX_STREAM_S and from_s < event.to_s + AFTERMATH_S
 
 
 def requests_lost_by_event(windows: Sequence[WindowLoss]) -> list[tuple[str, float]]:
-    """Return the requests lost beside each kind of event, the largest first.
+    """Return the lost requests by kind of event, the largest first.
 
     Kinds that touch the same window share its losses evenly.
     """
--- a/coveport/serving/cli/day_report.py
+++ b/coveport/serving/cli/day_report.py
@@ -1,6 +1,6 @@
-"""Reads the report (JSON) of a played day, as far as `explain` needs it. Pure.
+"""Parses the parts of a played day's report (JSON) that `explain` needs. Pure.
 
-The report calls the value that a request earns its worth; this module keeps the report's names to itself.
+Some fields have other names in the report, such as `worth` for the earned value; only this module uses those.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 import dacite
 
-# Names in the report of what is called otherwise here.
+# Field names in the report, and the names of these fields in this module.
 _DAY_NAMES: Final = {"G": "net_value", "parts": "components"}
 _OUTCOME_NAMES: Final = {"n": "requests", "in_aim": "within_target", "worth": "earned_fraction"}
 _OUTCOME_LISTS: Final = ("classes", "zones", "windows")
 
 
 class UnreadableReport(Enum):
-    """Why a text is no report; the value ends a sentence that begins with the file's name."""
+    """Why a text is not a report; the value completes a message that begins with the file's name."""
 
     NOT_JSON = "is not JSON"
     NOT_A_REPORT = "is not the report of a day"
@@ -36,11 +36,11 @@
     late: int
     refused: int
     failed: int
-    earned_fraction: float  # of the value of all these requests; between 0 and 1
+    earned_fraction: float  # earned fraction of the value of all these requests, 0 to 1
 
     @property
     def lost_requests(self) -> float:
-        """Requests that earned nothing, and the fractions that late ones did not earn."""
+        """Number of requests that earned no value; a late request counts by the fraction not earned."""
         return self.requests * (1.0 - self.earned_fraction)
 
 
@@ -55,44 +55,44 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueComponent:
-    """One component of the day's value: what its requests earned counts by its weight."""
+    """A component of the day's value: the fraction that its requests earned, times its weight."""
 
     name: str
-    weight: float  # of all components, which sum up to 1
+    weight: float  # the weights of all components sum up to 1
     earned_fraction: float
 
     @property
     def lost_value(self) -> float:
-        """The value that the component lacks, as a fraction of the whole day's."""
+        """The value that the component lost, as a fraction of the day's whole value."""
         return self.weight * (1.0 - self.earned_fraction)
 
 
 @dataclass(frozen=True, slots=True)
 class Price:
-    """A resource that the day used, and the value taken off for it."""
+    """A resource that the day used, and the value deducted for its use."""
 
     name: str
-    amount: float  # in the unit that the name says
+    amount: float  # in the unit that the name contains
     value: float
 
 
 @dataclass(frozen=True, slots=True)
 class DayReport:
-    """The parts of a report that say where value was lost."""
+    """The parts of a report that show where value was lost."""
 
-    net_value: float  # of the components, less the prices
+    net_value: float  # value of the components minus the prices
     components: list[ValueComponent]
     prices: list[Price]
     classes: list[OutcomeCounts]
     zones: list[OutcomeCounts]
     windows: list[OutcomeCounts]  # named by the second at which they begin
     events: list[DayEvent] = field(default_factory=list)
-    breaks: dict[str, int] = field(default_factory=dict)  # rules, and how often each was broken
-    fault: str | None = None  # what failed beside the rules; None: nothing
+    breaks: dict[str, int] = field(default_factory=dict)  # number of violations by rule
+    fault: str | None = None  # a failure other than a broken rule, if any
 
 
 def read_report(text: str) -> DayReport | UnreadableReport:
-    """Read a report; fields that are not known are ignored."""
+    """Parse a report; ignore unknown fields."""
     try:
         document = json.loads(text)
     except ValueError:
@@ -101,12 +101,12 @@
         return UnreadableReport.NOT_A_REPORT
     config = dacite.Config(type_hooks={float: float, ValueComponent: _read_component, Price: _read_price})
     try:
-        return dacite.from_dict(DayReport, _with_own_names(document), config)
+        return dacite.from_dict(DayReport, _with_module_names(document), config)
     except (dacite.DaciteError, TypeError, ValueError):
         return UnreadableReport.NOT_A_REPORT
 
 
-def _with_own_names(document: dict[str, Any]) -> dict[str, Any]:
+def _with_module_names(document: dict[str, Any]) -> dict[str, Any]:
     renamed = _rename(document, _DAY_NAMES)
     for name in _OUTCOME_LISTS:
         counts = renamed.get(name)
--- a/coveport/serving/cli/errors.py
+++ b/coveport/serving/cli/errors.py
@@ -4,8 +4,8 @@
 
 
 class CommandLineError(Exception):
-    """Base of all errors of this package; the text is one line for a person."""
+    """Base of all errors of this package; the text is a one-line message for the operator."""
 
 
 class CoreAddressError(CommandLineError):
-    """No address of a coordinator was given, or a text that is no address."""
+    """No coordinator address was given, or a given text is not an address."""
--- a/coveport/serving/cli/explain.py
+++ b/coveport/serving/cli/explain.py
@@ -28,8 +28,8 @@
     Path | None, Parameter(name="--log", help="What the processes of that day logged; warnings are counted.")
 ]
 
-MIN_SHOWN_VALUE: Final = 0.0005  # of the whole day's; smaller losses are left out
-MIN_SHOWN_REQUESTS: Final = 0.5  # lost requests; windows and events with less are left out
+MIN_SHOWN_VALUE: Final = 0.0005  # fraction of the day's whole value; smaller losses are omitted
+MIN_SHOWN_REQUESTS: Final = 0.5  # lost requests; windows and events with fewer are omitted
 _COUNT_COLUMNS: Final = ("asked", "in time", "late", "refused", "failed", "worth")
 _WARNING_LINE: Final = re.compile(r"\blevel=(?:warning|error)\b.*?\bevent=(\w+)")
 
--- a/coveport/serving/cli/input_files.py
+++ b/coveport/serving/cli/input_files.py
@@ -14,7 +14,7 @@
 
 
 def read_text(file: Path) -> str | None:
-    """Return a file's text (UTF-8); None, with the reason on standard error, where it can't be read."""
+    """Return a file's text (UTF-8); print the reason on standard error and return None if unreadable."""
     try:
         return file.read_bytes().decode()
     except (OSError, UnicodeDecodeError) as error:
--- a/coveport/serving/cli/line_numbers.py
+++ b/coveport/serving/cli/line_numbers.py
@@ -1,6 +1,6 @@
 """Finds the line of a location such as `Routes[3].DeadlineMs` in a JSON or TOML text. Pure.
 
-The texts may be faulty: a location has a line as far as the text can be followed.
+The text may be malformed; locations are then found as far as the text can be parsed.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 def line_of(location: str, message: str, lines: dict[str, int]) -> int:
     """Return the line of a finding; the first is 1.
 
-    `lines`: line by location. Where the text doesn't have the location, the innermost value around it counts.
-    A finding without a location is that of a parser, whose message names the line.
+    `lines`: line by location. If the location is missing, its innermost enclosing value is used. A finding
+    without a location comes from a parser, whose message contains the line.
     """
     parser_line = _ERROR_LINE.search(message) if not location else None
     if parser_line is not None:
@@ -33,7 +33,7 @@
 
 
 def json_lines(text: str) -> dict[str, int]:
-    """Return the line of each value of a JSON text by location, as far as the text is JSON."""
+    """Return the line of each value of a JSON text by location, as far as the text is valid JSON."""
     lines: dict[str, int] = {}
     open_containers: list[_Container] = []
     line = 1
@@ -46,7 +46,7 @@
 
 
 def _read_token(token: str, line: int, open_containers: list[_Container], lines: dict[str, int]) -> None:
-    """Follow one token: it ends or continues a container, names a value or begins one."""
+    """Process one token: the end or the next item of a container, a key, or the start of a value."""
     container = open_containers[-1] if open_containers else None
     if token in "}]":
         if container is not None:
@@ -67,7 +67,7 @@
 
 
 class _Container:
-    """An object or array that is being read; `location` is that of its present or next value."""
+    """An open object or array; `location` is the location of its present or next value."""
 
     def __init__(self, own_location: str, is_array: bool) -> None:
         self._own_location = own_location
@@ -77,7 +77,7 @@
         self.expects_key = not is_array
 
     def read_key(self, token: str) -> None:
-        """Take the name of the value that follows."""
+        """Set the location of the next value from its key."""
         try:
             key = str(json.loads(token))
         except ValueError:
@@ -86,7 +86,7 @@
         self.expects_key = False
 
     def next(self) -> None:
-        """Go on to the next value, after a comma."""
+        """Advance to the next value, after a comma."""
         self._index += 1
         self.expects_key = not self._is_array
         if self._is_array:
--- a/coveport/serving/cli/output.py
+++ b/coveport/serving/cli/output.py
@@ -22,7 +22,7 @@
 
 
 def print_findings(file: str, findings: Iterable[Finding], lines: dict[str, int]) -> None:
-    """Print a finding a line on standard error, as compilers do: `FILE:LINE: LOCATION: MESSAGE`.
+    """Print findings on standard error, one per line, as compilers do: `FILE:LINE: LOCATION: MESSAGE`.
 
     `lines`: line by location, as `line_numbers` finds them.
     """
@@ -31,14 +31,14 @@
 
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print a table: drawn by `rich` on a terminal, plain columns elsewhere or where it isn't installed."""
+    """Print a table: drawn by `rich` on a terminal, plain columns elsewhere or without `rich`."""
     cells = [[str(cell) for cell in row] for row in rows]
     if not (sys.stdout.isatty() and _draw(columns, cells)):
         _print_columns(columns, cells)
 
 
 def _draw(columns: Sequence[str], cells: list[list[str]]) -> bool:
-    """Draw the table and return True; return False where `rich` isn't installed."""
+    """Draw the table and return True; return False if `rich` isn't installed."""
     try:
         from rich.console import Console
         from rich.table import Table
--- a/coveport/serving/cli/roles.py
+++ b/coveport/serving/cli/roles.py
@@ -1,4 +1,4 @@
-"""Starts a role. Imports nothing that the role doesn't need: the time of its start counts."""
+"""Starts a role. Imports only what the role needs, to keep its start short."""
 
 from __future__ import annotations
 
--- a/coveport/serving/cli/show.py
+++ b/coveport/serving/cli/show.py
@@ -1,4 +1,4 @@
-"""`status`, `members` and `nodes`: what one coordinator knows, as tables or JSON."""
+"""`status`, `members` and `nodes`: the state as one coordinator reports it, as tables or JSON."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
 
 
 def _format(value: Any) -> str:
-    """Return a value as a cell of a table; `-` where there is none."""
+    """Return a value as a table cell; `-` if it is empty."""
     if isinstance(value, dict):
         return " ".join(f"{name}={_format(field)}" for name, field in value.items()) or "-"
     if isinstance(value, list):
--- a/coveport/serving/cli/status_document.py
+++ b/coveport/serving/cli/status_document.py
@@ -1,6 +1,6 @@
 """The status of a coordinator, as its control address returns it. Pure.
 
-What a coordinator of another version leaves out, or gives in another form, is read as empty.
+Fields that a coordinator of another version omits or formats differently are read as empty.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusDocument:
-    """A status; `fields` is the JSON object as it was sent."""
+    """A status; `fields` is the JSON object as received."""
 
     fields: dict[str, Any]
 
     def scalars(self) -> dict[str, Any]:
-        """Return the fields beside the core, the duties, the proxies and the nodes."""
-        apart = (_NODES, _PROXIES, _CORE, _DUTIES)
-        return {name: value for name, value in self.fields.items() if name not in apart}
+        """Return the fields other than the core, the duties, the proxies and the nodes."""
+        excluded = (_NODES, _PROXIES, _CORE, _DUTIES)
+        return {name: value for name, value in self.fields.items() if name not in excluded}
 
     def core(self) -> dict[str, Any]:
         """Return the state of the replication core."""
@@ -43,7 +43,7 @@
         return core if isinstance(core, dict) else {}
 
     def duties(self) -> dict[str, Any]:
-        """Return what the coordinator knows of the duties; empty where there are none."""
+        """Return the coordinator's state of the duties; empty if there is none."""
         duties = self.fields.get(_DUTIES)
         return duties if isinstance(duties, dict) else {}
 
@@ -52,11 +52,11 @@
         return self._entries(_PROXIES)
 
     def nodes(self) -> list[dict[str, Any]]:
-        """Return the nodes that are known."""
+        """Return the known nodes."""
         return self._entries(_NODES)
 
     def coordinators(self) -> list[CoordinatorEntry]:
-        """Return the members of the core and the other coordinators that are alive, each once."""
+        """Return the members of the core and the other live coordinators, without duplicates."""
         addresses = [*self.core().get("members", []), *self.fields.get("coordinators", [])]
         distinct = dict.fromkeys(map(str, addresses))
         return [CoordinatorEntry(address, self._role(address)) for address in distinct]
--- a/tests/serving/cli/loopback_core.py
+++ b/tests/serving/cli/loopback_core.py
@@ -53,9 +53,9 @@
 
 
 class LoopbackCore:
-    """One coordinator.
+    """A coordinator.
 
-    `responses_lost` counts down the changes that are applied and then answered with 503.
+    `responses_lost`: number of further changes that are applied but answered with 503.
     """
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
         return json_response(404, {"Error": "none yet"}) if text is None else ApiResponse(200, text)
 
     async def wait_for_disconnect(self) -> None:
-        """Its callers stay."""
+        """Return at once: the clients of this core do not disconnect."""
 
     async def find_other_primary(self) -> str | None:
         return None
--- a/tests/serving/cli/test_configuration_diff.py
+++ b/tests/serving/cli/test_configuration_diff.py
@@ -1,4 +1,4 @@
-"""Differences of two configurations, as they are shown to people."""
+"""Differences of two configurations, as printed."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     return {"Name": name, "ApiKeys": list(keys), "Precedence": 1}
 
 
-def shown(differences: list[Difference]) -> str:
+def printed(differences: list[Difference]) -> str:
     lines = [str(difference) for difference in differences]
     return "\n".join((*lines, json.dumps([difference.as_json() for difference in differences])))
 
 
-def test_no_difference_shows_a_key() -> None:
+def test_differences_hide_api_keys() -> None:
     first, second, third = SECRETS
     before = with_tenants(tenant("a", first), tenant("gone", third))
     after = with_tenants(tenant("a", first, second), tenant("new", third))
@@ -34,15 +34,15 @@
         "Senders.gone",
         "Senders.new",
     ]
-    assert not [secret for secret in SECRETS if secret in shown(differences)]
+    assert not [secret for secret in SECRETS if secret in printed(differences)]
 
 
-def test_a_first_list_of_tenants_shows_no_key() -> None:
+def test_added_list_of_tenants_hides_api_keys() -> None:
     differences = find_differences(make_configuration(7), with_tenants(tenant("a", *SECRETS)))
     assert [difference.path for difference in differences] == ["Senders"]
-    assert not [secret for secret in SECRETS if secret in shown(differences)]
+    assert not [secret for secret in SECRETS if secret in printed(differences)]
 
 
-def test_a_key_that_changed_is_a_difference() -> None:
+def test_changed_api_key_is_a_difference() -> None:
     differences = find_differences(with_tenants(tenant("a", "x1")), with_tenants(tenant("a", "x2")))
     assert [str(difference) for difference in differences] == ['~ Senders.a.ApiKeys: ["***"] -> ["***"]']
--- a/tests/serving/cli/test_core_client.py
+++ b/tests/serving/cli/test_core_client.py
@@ -21,11 +21,11 @@
 T = TypeVar("T")
 PORT = 80
 REQUEST = HttpRequest("PUT", "/coveport/config", (("If-Match", "0"),), b"{}")
-Reply = tuple[int, str]  # status, and the Location; status 0: closes the connection; below 0: no response
+Reply = tuple[int, str]  # status and Location; status 0: close the connection; below 0: no response
 
 
 class Coordinator(asyncio.Protocol):
-    """Sends scripted replies, the last one again and again."""
+    """A coordinator that sends scripted replies and repeats the last one."""
 
     def __init__(self, replies: list[Reply], seen: list[Request]) -> None:
         self._replies = replies
@@ -51,7 +51,7 @@
 
 
 class ScriptedCore:
-    """Some coordinators with scripted replies, and a client."""
+    """Coordinators with scripted replies, and a client."""
 
     def __init__(self, *scripts: list[Reply]) -> None:
         self.time = World()
@@ -76,7 +76,7 @@
         return task.result()
 
     def send(self, within_s: float = 30.0) -> CoreResponse | CoreUnavailable:
-        """Return what the client ends with."""
+        """Send the request with a client and return the outcome."""
         return self._run(CoreClient(self._net, self._addresses).send(REQUEST, within_s))
 
 
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("reply", [(307, ""), (307, "http://nowhere/x"), (307, "http://10.0.0.77:80/x")])
-def test_a_redirect_to_nowhere_is_a_failure(reply: Reply) -> None:
+def test_a_redirect_to_an_unusable_address_is_a_failure(reply: Reply) -> None:
     assert ScriptedCore([reply], [(200, "")]).send() == CoreResponse(200, b"body")
 
 
--- a/tests/serving/cli/test_day_explained.py
+++ b/tests/serving/cli/test_day_explained.py
@@ -53,7 +53,7 @@
     return report
 
 
-def test_value_losses_are_those_of_components_and_prices_the_largest_first() -> None:
+def test_value_losses_of_components_and_prices_are_sorted_by_size() -> None:
     losses = [(loss.name, round(loss.value, 4), loss.amount) for loss in value_losses(read())]
     assert losses == [
         ("worst windows", 0.15, None),
@@ -69,7 +69,7 @@
     assert kinds == {0.0: (), 2.0: (), 20.0: ("node_kill", "burst"), 22.0: ("node_kill", "burst")}
 
 
-def test_losses_beside_several_events_are_shared_and_the_rest_has_none() -> None:
+def test_losses_are_split_among_concurrent_events() -> None:
     assert requests_lost_by_event(window_losses(read())) == [
         ("node_kill", 5.0),
         ("burst", 5.0),
--- a/tests/serving/cli/test_lazy_verbs.py
+++ b/tests/serving/cli/test_lazy_verbs.py
@@ -1,4 +1,4 @@
-"""The start of a role doesn't load the operators' verbs."""
+"""Roles and verbs import only the modules that they need."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from coveport.serving.cli.app import app
 try:
     app(["coordinator", "--settings", "/nothing/there"])
-except SystemExit as ended:
-    assert ended.code == 2, ended.code
+except SystemExit as error:
+    assert error.code == 2, error.code
 print(*[name for name in sys.modules if name.startswith("coveport.serving.cli.")])
 """
 
@@ -22,7 +22,7 @@
     assert sorted(completed.stdout.split()) == ["coveport.serving.cli.app", "coveport.serving.cli.roles"]
 
 
-def test_a_role_by_its_name_alone_imports_no_command_line() -> None:
+def test_a_role_started_by_name_imports_no_command_line() -> None:
     program = "import sys; sys.argv = ['coveport', 'proxy']; from coveport.serving.__main__ import main; "
     program += "print(main(), *[name for name in sys.modules if name.startswith(('coveport.s', 'cyclopts'))])"
     environment = {name: value for name, value in os.environ.items() if name != "COVEPORT_NODE_FILE"}
--- a/tests/serving/cli/test_line_numbers.py
+++ b/tests/serving/cli/test_line_numbers.py
@@ -33,7 +33,7 @@
 
 
 def own_line(value: Any, number: int = 1) -> list[tuple[int, str]]:
-    """Return the line and location of all that `json.dumps(value, indent=1)` writes on its own line."""
+    """Return the line and location of each value that `json.dumps(value, indent=1)` writes on a line."""
     return list(zip(range(number, number + 1000), _lines(value, ""), strict=False))
 
 
@@ -69,7 +69,7 @@
     assert line_of("", "must be an object", {"": 1}) == 1
 
 
-def test_a_text_that_is_no_json_has_lines_as_far_as_it_can_be_followed() -> None:
+def test_malformed_json_has_lines_as_far_as_it_is_parsed() -> None:
     assert json_lines('{"a": [1,\n2') == {"": 1, "a": 1, "a[0]": 1, "a[1]": 2}
     assert json_lines("]]}},,:") == {}
 
--- a/tests/serving/cli/test_operator_docs.py
+++ b/tests/serving/cli/test_operator_docs.py
@@ -1,4 +1,4 @@
-"""The operators' pages have every field, verb and exit code, and no field that doesn't exist."""
+"""The operators' pages list every field, verb and exit code, and no field that doesn't exist."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     assert [name for name in names.values() if f"`{name}`" not in CONFIGURATION] == []
 
 
-def test_every_verb_has_its_line() -> None:
+def test_every_verb_is_documented() -> None:
     documented = " ".join(first_cells(COMMAND_LINE, "Verb"))
     verbs = [name for name in app if not name.startswith("-")]
     assert len(verbs) >= 8
@@ -55,7 +55,7 @@
     assert [verb for verb in subverbs if f"`{verb}" not in documented] == []
 
 
-def test_every_exit_code_has_its_line() -> None:
+def test_every_exit_code_is_documented() -> None:
     assert first_cells(COMMAND_LINE, "Exit code") == [str(int(code)) for code in ExitCode]
 
 
@@ -72,7 +72,7 @@
     assert [name for name in (*names.values(), SETTINGS_VARIABLE) if f"`{name}`" not in START] == []
 
 
-def test_links_between_pages_lead_somewhere() -> None:
+def test_links_between_pages_resolve() -> None:
     pages = [*DOCS.glob("*.md"), *DOCS.parent.glob("*.md"), DOCS.parents[1] / "README.md"]
     links = [
         (page, link.partition("#")[0])
--- a/tests/serving/cli/test_operator_verbs.py
+++ b/tests/serving/cli/test_operator_verbs.py
@@ -1,4 +1,4 @@
-"""Each verb as a person or a script uses it, wrong input included."""
+"""Each verb as used by operators and scripts, including wrong input."""
 
 from __future__ import annotations
 
@@ -70,8 +70,8 @@
 
 
 def test_a_faulty_configuration_is_not_sent_and_its_findings_have_lines(verbs: Verbs) -> None:
-    bad = make_configuration(7, route("a", DeadlineMs=0), route("b", Service="none"))
-    file = verbs.file(bad)
+    faulty = make_configuration(7, route("a", DeadlineMs=0), route("b", Service="none"))
+    file = verbs.file(faulty)
     lines = Path(file).read_text().splitlines()
     timeout_line = lines.index('   "DeadlineMs": 0,') + 1
     service_line = lines.index('   "Service": "none",') + 1
@@ -110,7 +110,7 @@
     assert verbs.core.state.edition == 7
 
 
-def test_a_lost_response_leads_to_the_same_change_again_which_succeeds(verbs: Verbs) -> None:
+def test_a_change_is_sent_again_after_a_lost_response(verbs: Verbs) -> None:
     verbs.core.responses_lost = 2
     assert verbs.run("config", "put", verbs.file(make_configuration(7))) == 0
     assert (verbs.core.changes_sent, verbs.core.state.edition) == (3, 7)
