--- a/coveport/serving/simulation/client.py
+++ b/coveport/serving/simulation/client.py
@@ -1,4 +1,4 @@
-"""Emulated client: looks proxies up, sends attempts with deadlines, retries as the protocol allows."""
+"""Emulated client: looks up proxies, sends attempts with deadlines, and retries as the protocol allows."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from coveport.serving.simulation.texts import digest
 from coveport.serving.wire.names import Header, Lookup, Path
 
-CONNECT_S: Final = 1.0
-LOOKUP_S: Final = 1.0
-LOOKUPS_MOST: Final = 3
-FAILED_FOR_S: Final = 2.0  # how long an address that failed is not picked
-MAY_HAVE_RUN_NEVER: Final = frozenset({408, 421, 429, 503})  # promises that the request has not run
-FINAL: Final = frozenset({400, 401, 404, 413, 431})
-LEAST_LEFT_S: Final = 0.05  # with less left of the deadline, no further attempt is made
+CONNECT_TIMEOUT_S: Final = 1.0
+LOOKUP_TIMEOUT_S: Final = 1.0
+MAX_LOOKUPS: Final = 3
+FAILED_ADDRESS_S: Final = 2.0  # period in which a proxy address that failed is avoided
+NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})  # guarantee that the request has not run
+FINAL_STATUSES: Final = frozenset({400, 401, 404, 413, 431})  # not retried
+MIN_TIME_LEFT_S: Final = 0.05  # another attempt needs at least this time until the deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,8 +39,8 @@
     deadline_s: float
     objective_s: float
     inter_token_objective_s: float
-    prompt: tuple[tuple[int, int], ...]  # shared segments: how many to draw from, tokens of each
-    own_tokens: int
+    prompt: tuple[tuple[int, int], ...]  # for each shared segment: number of variants, tokens per variant
+    own_tokens: int  # length of the segment that is unique to the request
     answer_tokens: int
     body_bytes: int = 2000
     retries: int = 1
@@ -53,12 +53,12 @@
     zone: str
     region: str
     keeps_connections: bool = True
-    holds_answers: float = 1.0  # factor on the TTL of a lookup answer
-    ttl_most_s: float = 5.0
+    lookup_ttl_factor: float = 1.0  # multiplies the TTL of a lookup answer
+    max_ttl_s: float = 5.0
     honours_retry_after: bool = True
-    api_key: str = ""  # none: its requests carry no key
-    reuses_open_connections: bool = False  # also to proxies that lookups no longer name
-    claimed_tenant: str = ""  # the name of a tenant that its requests carry, as no client should
+    api_key: str = ""  # empty: requests carry no key
+    reuses_open_connections: bool = False  # even to proxies that lookups no longer return
+    claimed_tenant: str = ""  # tenant name that requests carry although clients must not set it
 
 
 @dataclass(slots=True)
@@ -67,12 +67,12 @@
 
     request: str
     request_started_s: float
-    events: int = 0
-    waits_s: float = 0.0  # before the next attempt may start
+    events: int = 0  # number of the last event received
+    retry_delay_s: float = 0.0  # delay before the next attempt
 
 
 class Client:
-    """A client that sends requests through the proxies it has looked up."""
+    """A client that sends requests through the proxies that its lookups returned."""
 
     def __init__(
         self, net: Net, figures: ClientFigures, lookups: Callable[[], list[Address]], event_log: EventLog,
@@ -97,17 +97,17 @@
         target = f"{kind.path_prefix}{self._rng.getrandbits(16):x}"
         progress = _Progress(f"{self._rng.getrandbits(64):016x}", self._net.now_s())
         for attempt in range(kind.retries + 1):
-            again = await self._attempt(kind, target, prompt, body, progress, fresh=attempt > 0)
-            if again is None:
+            may_retry = await self._attempt(kind, target, prompt, body, progress, new_connection=attempt > 0)
+            if may_retry is None:
                 return True
             left_s = progress.request_started_s + kind.deadline_s - self._net.now_s()
-            if not again or left_s - progress.waits_s < LEAST_LEFT_S:
+            if not may_retry or left_s - progress.retry_delay_s < MIN_TIME_LEFT_S:
                 return False
-            await asyncio.sleep(progress.waits_s)
+            await asyncio.sleep(progress.retry_delay_s)
         return False
 
     async def send_direct(self, kind: RequestKind, proxy: Address, api_key: str = "") -> None:
-        """Send one request with a key to a given proxy, to observe the configuration in force there."""
+        """Send one request with a key to a given proxy, to check the configuration in force there."""
         target = f"{kind.path_prefix}{self._rng.getrandbits(16):x}"
         progress = _Progress(f"{self._rng.getrandbits(64):016x}", self._net.now_s())
         await self._attempt(
@@ -116,32 +116,32 @@
             self._draw_prompt(kind),
             b"probe",
             progress,
-            fresh=True,
+            new_connection=True,
             proxy=proxy,
             api_key=api_key,
         )
 
     async def _attempt(
         self, kind: RequestKind, target: str, prompt: list[tuple[str, int]], body: bytes, progress: _Progress,
-        *, fresh: bool, proxy: Address | None = None, api_key: str | None = None,
+        *, new_connection: bool, proxy: Address | None = None, api_key: str | None = None,
     ) -> bool | None:  # fmt: skip
-        """Make one attempt; return None if it was served, else whether another may follow."""
+        """Make one attempt; return None if it was served, otherwise whether another attempt may follow."""
         is_direct = proxy is not None
         key = self.figures.api_key if api_key is None else api_key
-        progress.waits_s = 0.0
+        progress.retry_delay_s = 0.0
         deadline_s = progress.request_started_s + kind.deadline_s
-        found = await self._connect(fresh, proxy)
-        if found is None:
-            progress.waits_s = 0.1
+        connected = await self._connect(new_connection, proxy)
+        if connected is None:
+            progress.retry_delay_s = 0.1
             return True  # nothing was sent
-        address, connection = found
+        address, connection = connected
         now = self._net.now_s()
         attempt_id = f"{self._rng.getrandbits(64):016x}"
         request = self._write(kind, target, prompt, body, attempt_id, deadline_s - now, progress.events, key)
         self._event_log.write(
             AttemptStarted(
-                now, progress.request, attempt_id, "POST", target, kind.host, digest(body), _text(address),
-                self.figures.region, deadline_s, progress.request_started_s,
+                now, progress.request, attempt_id, "POST", target, kind.host, digest(body),
+                _address_text(address), self.figures.region, deadline_s, progress.request_started_s,
                 -(-kind.answer_tokens // self._tokens_per_event), progress.events, is_direct, kind.name, key,
             )
         )  # fmt: skip
@@ -152,7 +152,7 @@
         self._event_log.write(ended.entry)
         if ended.entry.events:
             progress.events = ended.entry.events[-1].number
-        self._after(address, connection, ended.entry)
+        self._release(address, connection, ended.entry)
         return self._may_follow(kind, ended.entry, ended.retry_after_s, deadline_s, progress)
 
     def _may_follow(
@@ -165,12 +165,14 @@
     ) -> bool | None:
         if entry.ending is Ending.COMPLETE and 200 <= entry.status < 300:
             return None
-        if entry.ending is Ending.ABANDONED or (entry.ending is Ending.COMPLETE and entry.status in FINAL):
+        if entry.ending is Ending.ABANDONED or (
+            entry.ending is Ending.COMPLETE and entry.status in FINAL_STATUSES
+        ):
             return False
-        if entry.ending is Ending.COMPLETE and entry.status in MAY_HAVE_RUN_NEVER:
+        if entry.ending is Ending.COMPLETE and entry.status in NOT_RUN_STATUSES:
             if self.figures.honours_retry_after:
                 left_s = deadline_s - self._net.now_s()
-                progress.waits_s = max(0.0, min(retry_after_s, left_s / 3))
+                progress.retry_delay_s = max(0.0, min(retry_after_s, left_s / 3))
             return True
         return kind.idempotent
 
@@ -205,10 +207,12 @@
 
     # Connections.
 
-    async def _connect(self, fresh: bool, proxy: Address | None) -> tuple[Address, CallerConnection] | None:
+    async def _connect(
+        self, new_connection: bool, proxy: Address | None
+    ) -> tuple[Address, CallerConnection] | None:
         if proxy is None:
             await self._look_up()
-            while self._idle_connections and not fresh:
+            while self._idle_connections and not new_connection:
                 known_address, connection = self._idle_connections.pop()
                 if connection.is_open and self._may_reuse(known_address):
                     return known_address, connection
@@ -217,7 +221,7 @@
         if address is None:
             return None
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 return address, await dial(self._net, address)
         except (TimeoutError, ConnectionBrokenError):
             self._failed[address] = self._net.now_s()
@@ -226,7 +230,7 @@
     def _may_reuse(self, address: Address) -> bool:
         return self.figures.reuses_open_connections or address in self._known
 
-    def _after(self, address: Address, connection: CallerConnection, entry: AttemptEnded) -> None:
+    def _release(self, address: Address, connection: CallerConnection, entry: AttemptEnded) -> None:
         if entry.ending is not Ending.COMPLETE:
             self._failed[address] = self._net.now_s()
         if entry.ending is Ending.COMPLETE and connection.is_open and self.figures.keeps_connections:
@@ -236,12 +240,12 @@
 
     def _pick(self) -> Address | None:
         now = self._net.now_s()
-        fit = [
+        not_failed = [
             address
             for address in self._known
-            if self._failed.get(address, -FAILED_FOR_S) + FAILED_FOR_S <= now
+            if self._failed.get(address, -FAILED_ADDRESS_S) + FAILED_ADDRESS_S <= now
         ]
-        candidates = fit or self._known
+        candidates = not_failed or self._known
         return self._rng.choice(candidates) if candidates else None
 
     async def _look_up(self) -> None:
@@ -250,9 +254,9 @@
         query = urlencode(
             {Lookup.NAME: "any", Lookup.REGION: self.figures.region, Lookup.ZONE: self.figures.zone}
         )
-        for address in self._lookups()[:LOOKUPS_MOST]:
-            request = write_request("GET", f"{Path.LOOKUP}?{query}", [("Host", _text(address))])
-            answer = await call(self._net, address, request, LOOKUP_S)
+        for address in self._lookups()[:MAX_LOOKUPS]:
+            request = write_request("GET", f"{Path.LOOKUP}?{query}", [("Host", _address_text(address))])
+            answer = await call(self._net, address, request, LOOKUP_TIMEOUT_S)
             if answer is not None and answer.status == 200 and self._take_answer(answer.body):
                 return
 
@@ -260,15 +264,15 @@
         try:
             answer = json.loads(body)
             addresses = [parse_address(address) for address in answer[Lookup.ADDRESSES]]
-            ttl_s = min(float(answer[Lookup.TTL_S]), self.figures.ttl_most_s)
+            ttl_s = min(float(answer[Lookup.TTL_S]), self.figures.max_ttl_s)
         except (ValueError, TypeError, KeyError):
             return False
         if not addresses:
             return False
         self._known = addresses
-        self._known_until_s = self._net.now_s() + ttl_s * self.figures.holds_answers
+        self._known_until_s = self._net.now_s() + ttl_s * self.figures.lookup_ttl_factor
         return True
 
 
-def _text(address: Address) -> str:
+def _address_text(address: Address) -> str:
     return "{}:{}".format(*address)
--- a/coveport/serving/simulation/deployment.py
+++ b/coveport/serving/simulation/deployment.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """The ports, the same on all machines."""
+    """The ports, which are the same on all machines."""
 
     clients: int = 8263
     readiness: int = 8268
@@ -51,17 +51,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Counts of machines by zone, and the traffic; rates are of all clients together, per second."""
+    """The machines and the traffic of a deployment."""
 
     zones: tuple[Zone, ...] = (
         Zone("barakaldo", "bizkaia"),
         Zone("gijon", "asturias"),
         Zone("camargo", "cantabria"),
     )
-    proxies: tuple[int, ...] = (1, 1, 1)  # by zone
+    proxies: tuple[int, ...] = (1, 1, 1)  # number of machines by zone, as for nodes and clients
     nodes: tuple[int, ...] = (2, 2, 1)
     clients: tuple[int, ...] = (3, 3, 3)
-    rates: tuple[tuple[RequestKind, float], ...] = ((REVIEW, 3.0), (OFFER, 6.0))
+    rates: tuple[tuple[RequestKind, float], ...] = (
+        (REVIEW, 3.0),
+        (OFFER, 6.0),
+    )  # requests per second of all clients
     service: str = "norte-lm"
     homes: tuple[tuple[str, tuple[str, ...]], ...] = (("offer", ("bizkaia", "asturias")),)
     tenants: tuple[Tenant, ...] | None = None  # None: requests need no key
@@ -75,11 +78,11 @@
     ports: Ports = field(default_factory=Ports)
     platform: PlatformSettings | None = None
     scaling: Scaling | None = None
-    clients_reuse_open_connections: bool = False  # also to proxies that lookups no longer name
-    lead_s: float = 8.0  # from the machines' start to the traffic's
+    clients_reuse_open_connections: bool = False  # even to proxies that lookups no longer return
+    lead_s: float = 8.0  # from the start of the machines to the start of the traffic
 
     def configuration(self, edition: int, extra: tuple[Route, ...] = ()) -> Configuration:
-        """Return the configuration that all traffic needs, with further routes."""
+        """Return the configuration that the traffic needs, with `extra` routes."""
         routes = tuple(self.route(kind) for kind, _ in self.rates)
         engine = Engine(self.engine.slots, self.engine.kv_cache_tokens, self.engine.tokens_per_event)
         service = Service(
@@ -88,13 +91,13 @@
         return Configuration(edition, (*routes, *extra), (service,), tenants=self.tenants)
 
     def claimed_tenant(self, client: int) -> str:
-        """Return the tenant that a client claims to be: every third one names another than its own."""
+        """Return the tenant name that a client sends: every third client sends that of another tenant."""
         if not self.tenants or client % 3:
             return ""
         return self.tenants[(client + 1) % len(self.tenants)].name
 
     def api_key(self, client: int) -> str:
-        """Return the key of a client by its number: the first one of its tenant; none without tenants."""
+        """Return the API key of a client: the first key of its tenant, or "" without tenants."""
         if not self.tenants:
             return ""
         return next(iter(self.tenants[client % len(self.tenants)].api_keys), "")
@@ -119,7 +122,7 @@
         )
 
     def added_route(self, name: str, path_prefix: str) -> Route:
-        """Return a route that an operator adds during a day, to `service`; public where there are tenants."""
+        """Return a route to `service` that an operator adds during a day; public if there are tenants."""
         return Route(
             name=f"r-{name}",
             host=HOST,
@@ -170,7 +173,7 @@
 
 
 def node_figures(deployment: Deployment, zone: Zone, ip: str, service: str) -> NodeFigures:
-    """Return what a node of a service at an address is started with."""
+    """Return the figures that a node of a service at an address is started with."""
     bounds = deployment.bounds
     return NodeFigures(
         service=service,
--- a/coveport/serving/simulation/disk.py
+++ b/coveport/serving/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory for simulated coordinators: what was not synced may be torn after a loss of power."""
+"""An in-memory disk for simulated coordinators: a loss of power can tear or drop unsynced writes."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         """Do nothing: there is no resource to release."""
 
     def lose_power(self, rng: Random) -> None:
-        """Keep what was synced, and each later write wholly, in part or not at all."""
+        """Keep the synced content, and each later write completely, in part or not at all."""
         data = self._synced
         for offset, written in self._unsynced:
             persisted = rng.choice((0, len(written), rng.randrange(len(written) + 1)))
@@ -71,13 +71,15 @@
 
 @dataclass(slots=True)
 class SimulatedDisk:
-    """A directory of simulated files. `sync_s`: duration of a write with its sync, in seconds."""
+    """A directory of simulated files."""
 
-    sync_s: float = 0.002
+    sync_s: float = 0.002  # duration of a write with its sync, in seconds
     refuses: bool = False  # every write fails
-    hangs: bool = False  # no write ends
+    hangs: bool = False  # no write completes
     files: dict[str, SimulatedFile] = field(default_factory=dict)
-    unsynced_names: set[str] = field(default_factory=set)  # of files created since names were last synced
+    unsynced_names: set[str] = field(
+        default_factory=set
+    )  # names of files created since the last sync of the directory
 
     def file_names(self) -> list[str]:
         """Return the names of all files."""
@@ -96,12 +98,12 @@
         self.unsynced_names.clear()
 
     def check(self) -> None:
-        """Raise OSError while the disk refuses writes."""
+        """Raise OSError while the disk rejects writes."""
         if self.refuses:
-            raise OSError("the disk refuses")
+            raise OSError("simulated disk rejects writes")
 
     def lose_power(self, rng: Random) -> None:
-        """Drop a random part of what was not synced: writes, and whole files with their names."""
+        """Drop a random part of the unsynced writes and of the files whose names were not synced."""
         for name in sorted(self.unsynced_names):
             if rng.random() < 0.5:
                 del self.files[name]
@@ -126,7 +128,7 @@
         self._is_writing = False
 
     def submit(self, records: Sequence[Record], on_written: WriteCallback) -> None:
-        """Write and sync; then call `on_written`, with the error if the disk refused."""
+        """Write and sync records; then call `on_written` with None, or with the error of the disk."""
         self._queue.append((records, on_written))
         if not self._is_writing:
             self._begin()
@@ -146,8 +148,8 @@
         error = None
         try:
             self._store.append(records)
-        except OSError as refused:
-            error = refused
+        except OSError as disk_error:
+            error = disk_error
         if self._queue:
             self._begin()
         else:
--- a/coveport/serving/simulation/engine.py
+++ b/coveport/serving/simulation/engine.py
@@ -1,8 +1,8 @@
-"""A model server's engine: batches, queue, KV cache with shared prefix segments, preemption. Pure.
+"""A model server's engine: batches, queue, KV cache with shared prefix segments, preemption. No I/O.
 
-Times are the caller's, in milliseconds. The caller asks how long the next step takes (`step_ms`), waits for
-that, and applies it (`step`), which returns its effects. A step decodes the tokens of one event for each
-running request whose prompt is prefilled, and prefills one chunk of one prompt.
+Times are in milliseconds on the caller's clock. The caller gets the duration of the next step (`step_ms`),
+waits that long, and applies the step (`step`), which returns its effects. A step decodes the tokens of one
+event for each running request whose prompt is prefilled, and prefills one chunk of one prompt.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 class EngineFigures:
     """The capacity and the speed of an engine."""
 
-    slots: int = 64
-    queue: int = 192
+    slots: int = 64  # requests that can run at the same time
+    queue: int = 192  # requests that can wait for a slot
     kv_cache_tokens: int = 235_335
     tokens_per_event: int = 5
-    token_ms: float = 5.55
-    token_ms_per_running: float = 0.029
+    token_ms: float = 5.55  # duration of one decoded token, without the part for running requests
+    token_ms_per_running: float = 0.029  # added to `token_ms` for each request that decodes
     prefill_tokens_per_ms: float = 42.6
     prefill_chunk_tokens: int = 2048
 
 
 @dataclass(frozen=True, slots=True)
 class PrefixSegment:
-    """A named segment of a prompt; requests that share it can reuse its KV cache."""
+    """A named segment of a prompt; requests that share the segment can reuse its KV cache entries."""
 
     name: str
     tokens: int
@@ -38,18 +38,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One request as the engine schedules it; times in milliseconds."""
+    """One request to schedule; times in milliseconds."""
 
     key: str
     segments: tuple[PrefixSegment, ...]
     answer_tokens: int
     deadline_ms: float
     priority: int = DEFAULT_PRIORITY
-    resumes_after: int = 0  # events that an earlier run has written
+    resumes_after: int = 0  # number of events that an earlier run has written
 
 
 class Rejection(Enum):
-    """Why a request is rejected."""
+    """The reason why a request is rejected."""
 
     FULL = "the queue is full"
     TOO_LARGE = "larger than the memory"
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Began:
-    """A request has its first token: it runs."""
+    """A request begins to produce its answer."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Produced:
-    """An event of a request, by its number; `last`: there are no more."""
+    """A request has produced the event `number`; `last`: the answer is complete."""
 
     key: str
     number: int
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """The deadline has passed; `began`: it was running."""
+    """The deadline of a request has passed; `began`: it had begun to produce its answer."""
 
     key: str
     began: bool
@@ -87,9 +87,9 @@
 @dataclass(slots=True)
 class _Task:
     work: Work
-    order: int
+    order: int  # sequence number of the submission
     prefill_left: int = 0  # tokens of the prompt still to be prefilled
-    events: int = 0  # written, those of earlier runs included
+    events: int = 0  # number of events written, including those of earlier runs
     began: bool = False
 
     @property
@@ -97,7 +97,7 @@
         return sum(segment.tokens for segment in self.work.segments)
 
     def chains(self) -> list[tuple[_Chain, int]]:
-        """Return each segment, keyed by the names of all segments up to it, with its tokens."""
+        """Return the length in tokens of each segment, with a key of the names up to and including it."""
         names = tuple(segment.name for segment in self.work.segments)
         return [(names[: at + 1], segment.tokens) for at, segment in enumerate(self.work.segments)]
 
@@ -111,8 +111,8 @@
     _running: dict[str, _Task] = field(default_factory=dict)
     _cache: OrderedDict[_Chain, int] = field(default_factory=OrderedDict)  # oldest use first
     _count: int = 0
-    prefilled_tokens: int = 0  # since the start
-    repeated_prefill_tokens: int = 0  # of these, prefilled before and evicted since
+    prefilled_tokens: int = 0  # total since the start
+    repeated_prefill_tokens: int = 0  # part of `prefilled_tokens` that had been cached and evicted
     preemptions: int = 0
     _ever_prefilled: set[_Chain] = field(default_factory=set)
 
@@ -133,7 +133,7 @@
 
     @property
     def kv_tokens_used(self) -> int:
-        """Return how many tokens of the KV cache running requests occupy."""
+        """Return how many tokens of the KV cache are occupied by running requests."""
         reserved: dict[_Chain, int] = {}
         written = 0
         for task in self._running.values():
@@ -142,12 +142,12 @@
         return sum(reserved.values()) + written
 
     def events_of(self, answer_tokens: int) -> int:
-        """Return how many events an answer of so many tokens has."""
+        """Return the number of events in an answer of `answer_tokens` tokens."""
         return max(1, -(-answer_tokens // self.figures.tokens_per_event))
 
     def submit(self, work: Work, now_ms: float) -> Rejection | None:
-        """Queue a request; return None, or why it is rejected."""
-        task = _Task(work, self._next(), events=work.resumes_after)
+        """Queue a request; return None, or the reason for its rejection."""
+        task = _Task(work, self._next_order(), events=work.resumes_after)
         if work.deadline_ms <= now_ms:
             return Rejection.TOO_LATE
         if task.prompt_tokens + work.answer_tokens > self.figures.kv_cache_tokens:
@@ -168,7 +168,7 @@
         self._admit()
         figures = self.figures
         decoding = sum(not task.prefill_left for task in self._running.values())
-        prefilling = self._prefilling()
+        prefilling = self._prefilling_task()
         chunk = min(prefilling.prefill_left, figures.prefill_chunk_tokens) if prefilling else 0
         tokens = figures.tokens_per_event if decoding else 0
         return tokens * (figures.token_ms + figures.token_ms_per_running * decoding) + (
@@ -176,10 +176,10 @@
         )
 
     def step(self, now_ms: float) -> list[Effect]:
-        """Apply the step that ends now; return its effects."""
+        """Apply the step that ends at `now_ms`; return its effects."""
         effects = self._expire(now_ms)
         decoding = [task for task in self._running.values() if not task.prefill_left]
-        prefilling = self._prefilling()
+        prefilling = self._prefilling_task()
         if prefilling is not None:
             self._prefill(prefilling)
         for task in decoding:
@@ -188,42 +188,45 @@
         self._evict()
         return effects
 
-    def forget(self) -> None:
+    def clear_prefix_cache(self) -> None:
         """Clear the prefix cache."""
         self._cache.clear()
 
-    def _next(self) -> int:
+    def _next_order(self) -> int:
         self._count += 1
         return self._count
 
     def _order_queue(self) -> None:
         self._queue.sort(key=lambda task: (task.work.priority, task.order))
 
-    def _prefilling(self) -> _Task | None:
+    def _prefilling_task(self) -> _Task | None:
         return next((task for task in self._running.values() if task.prefill_left), None)
 
     def _admit(self) -> None:
         while self._queue and len(self._running) < self.figures.slots:
             task = self._queue[0]
-            if self._running and self._needs(task) > self.figures.kv_cache_tokens - self.kv_tokens_used:
+            if (
+                self._running
+                and self._needed_tokens(task) > self.figures.kv_cache_tokens - self.kv_tokens_used
+            ):
                 return
             del self._queue[0]
             self._running[task.work.key] = task
-            task.prefill_left = max(1, task.prompt_tokens - self._cached(task))
+            task.prefill_left = max(1, task.prompt_tokens - self._cached_tokens(task))
             self._evict()
 
-    def _needs(self, task: _Task) -> int:
+    def _needed_tokens(self, task: _Task) -> int:
         return task.prompt_tokens + (task.events + 1) * self.figures.tokens_per_event
 
-    def _cached(self, task: _Task) -> int:
+    def _cached_tokens(self, task: _Task) -> int:
         """Return how many leading tokens of the prompt are cached, and mark them as recently used."""
-        found = 0
+        cached_tokens = 0
         for chain, tokens in task.chains():
             if chain not in self._cache:
                 break
             self._cache.move_to_end(chain)
-            found += tokens
-        return found
+            cached_tokens += tokens
+        return cached_tokens
 
     def _prefill(self, task: _Task) -> None:
         chunk = min(task.prefill_left, self.figures.prefill_chunk_tokens)
@@ -251,11 +254,14 @@
         return effects
 
     def _evict(self) -> None:
-        """Preempt while over capacity, then evict the least recently used segments that nothing needs."""
+        """Preempt requests while over capacity, then evict the least recently used segments not in use.
+
+        Preempts the newest of the requests with the largest `priority` value.
+        """
         while len(self._running) > 1 and self.kv_tokens_used > self.figures.kv_cache_tokens:
-            newest = max(self._running.values(), key=lambda task: (task.work.priority, task.order))
-            del self._running[newest.work.key]
-            self._queue.append(newest)
+            preempted = max(self._running.values(), key=lambda task: (task.work.priority, task.order))
+            del self._running[preempted.work.key]
+            self._queue.append(preempted)
             self._order_queue()
             self.preemptions += 1
         reserved = {chain for task in self._running.values() for chain, _ in task.chains()}
@@ -269,7 +275,7 @@
 
     def _expire(self, now_ms: float) -> list[Effect]:
         tasks = [*self._queue, *self._running.values()]
-        late = [task for task in tasks if task.work.deadline_ms <= now_ms]
-        for task in late:
+        expired = [task for task in tasks if task.work.deadline_ms <= now_ms]
+        for task in expired:
             self.drop(task.work.key)
-        return [Expired(task.work.key, task.began) for task in late]
+        return [Expired(task.work.key, task.began) for task in expired]
--- a/coveport/serving/simulation/events.py
+++ b/coveport/serving/simulation/events.py
@@ -1,6 +1,7 @@
-"""Typed events that the emulated clients, nodes and operators observed, in order of time. Pure.
+"""Typed events that the emulated clients, nodes and operators observed, in order of time. No I/O.
 
-The judge and the statistics read nothing else. Times are seconds on one clock for the whole day.
+The event log is the only input of the judge and the statistics. All times are seconds on one clock, which
+runs for the whole day.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 
     COMPLETE = "complete"  # a complete answer, whatever its status
     BROKEN = "broken"  # the connection ended before the answer was complete
-    UNREACHED = "unreached"  # no connection came up: nothing was sent
+    UNREACHED = "unreached"  # no connection could be opened: nothing was sent
     ABANDONED = "abandoned"  # the client gave up
-    GARBLED = "garbled"  # the bytes received are no answer, or more than one
+    GARBLED = "garbled"  # the received bytes are not a valid answer, or are several answers
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStarted:
-    """A client has sent one attempt of a request; `is_direct`: to a given proxy, as a check."""
+    """A client has sent one attempt of a request.
+
+    `is_direct`: a check of the configuration sent to a given proxy, without a lookup.
+    """
 
     at_s: float
     request: str  # the same for all attempts of one request
@@ -40,15 +44,15 @@
     target: str
     host: str
     body_digest: str
-    proxy: str  # address that it was sent to
+    proxy: str  # address of the proxy that the attempt was sent to
     client_region: str
-    deadline_s: float  # when the client stops waiting
-    request_started_s: float  # of the request's first attempt
-    events_wanted: int  # of the whole stream
-    resumes_after: int = 0  # last event that an earlier attempt received
+    deadline_s: float  # time at which the client gives up
+    request_started_s: float  # start of the request's first attempt
+    events_wanted: int  # number of events in the complete stream
+    resumes_after: int = 0  # number of the last event that an earlier attempt received
     is_direct: bool = False
-    kind: str = ""  # of request, for the figures
-    api_key: str = ""  # none: it carries no key
+    kind: str = ""  # name of the kind of request, by which the statistics group
+    api_key: str = ""  # empty: the request carries no key
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,13 +62,13 @@
     at_s: float
     attempt_id: str
     ending: Ending
-    status: int = 0  # 0: no answer began
+    status: int = 0  # HTTP status; 0: no head of an answer was received
     stamp: str = ""
-    answered_id: str = ""  # the attempt id that the answer carries
+    answered_id: str = ""  # attempt id in the answer
     events: tuple[StreamEvent, ...] = ()
     first_event_s: float = 0.0
     longest_inter_token_s: float = 0.0
-    body_digest: str = ""  # of an answer that is no stream
+    body_digest: str = ""  # digest of an answer that is not a stream
     is_stream: bool = False
     surplus: bool = False  # bytes followed the complete answer
 
@@ -83,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeEnded:
-    """A node has ended, by plan or by a crash."""
+    """A node has ended, by a planned shutdown or a crash."""
 
     at_s: float
     incarnation: str
@@ -92,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmUpBegan:
-    """A node warms up until `until_s` and can serve `rate` requests a second meanwhile."""
+    """A node warms up until `until_s`; meanwhile it can serve `rate` requests per second."""
 
     at_s: float
     incarnation: str
@@ -112,13 +116,13 @@
     host: str
     body_digest: str
     resumes_after: int = 0
-    tenant: str = ""  # that the request names
-    api_key: str = ""  # that the request still carries
+    tenant: str = ""  # tenant in the request's header
+    api_key: str = ""  # API key that the request still carries
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRejected:
-    """A node has rejected a request and states that it has not run."""
+    """A node has rejected a request, which guarantees that the request has not run."""
 
     at_s: float
     incarnation: str
@@ -128,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRan:
-    """A node has begun work on a request."""
+    """A node has begun to process a request."""
 
     at_s: float
     incarnation: str
@@ -140,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFinished:
-    """A node is done with a request that ran; `complete`: all events were written."""
+    """A node has ended the processing of a request; `complete`: all events were written."""
 
     at_s: float
     incarnation: str
@@ -148,7 +152,7 @@
     run: str
     status: int
     complete: bool
-    node_broke: bool  # the node itself broke it off
+    node_broke: bool  # the node itself aborted the answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,7 +180,7 @@
 
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"
-    UNCLEAR = "unclear"  # no clear answer: it may be in force or may not
+    UNCLEAR = "unclear"  # no conclusive answer: the order may or may not be in force
 
 
 @dataclass(frozen=True, slots=True)
@@ -206,7 +210,8 @@
 class OrderStarted:
     """An operator has begun an order.
 
-    For configurations: the edition, what it builds on, its routes, and its tenants if it has some.
+    An order that changes the configuration has the new edition, the edition it is based on, the routes, and
+    the tenants if there are any.
     """
 
     at_s: float
@@ -216,14 +221,14 @@
     based_on: int = 0
     valid: bool = True
     routes: tuple[JudgedRoute, ...] = ()
-    digest: str = ""  # of the configuration that results
+    digest: str = ""  # digest of the resulting configuration
     zone: str = ""
     tenants: tuple[JudgedTenant, ...] | None = None  # None: requests need no key
 
 
 @dataclass(frozen=True, slots=True)
 class OrderEnded:
-    """An order has ended. For a read: the edition and the digest that were read (0: none)."""
+    """An order has ended; a read has the edition (0: none) and the digest that were read."""
 
     at_s: float
     number: int
@@ -237,9 +242,9 @@
 class FaultBegan:
     """A fault was injected into machines, or into the links between them.
 
-    `machines`: names of those that are not in touch meanwhile; `core`: it makes the core unstable;
-    `core_machines`: those of the core that do not run, connected and at full speed; `planned`: a stop
-    by SIGTERM and the like.
+    `machines`: names of the machines that are out of touch during the fault; `core`: the fault makes the core
+    unstable; `core_machines`: machines of the core that are stopped, disconnected or slowed by the fault;
+    `planned`: an orderly stop, such as by SIGTERM.
     """
 
     at_s: float
--- a/coveport/serving/simulation/exchange.py
+++ b/coveport/serving/simulation/exchange.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections of the emulated programs, one class for each end, over `Net`."""
+"""HTTP/1.1 connections of the emulated programs, one class for each side, over `Net`."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from coveport.net.address import Address
 from coveport.net.transport import Net
 
-MOST_BODY: Final = 8 * 1024 * 1024  # bytes
-ACCEPT_MOST: Final = 64
-WAITING_MOST: Final = 512
+MAX_BODY_BYTES: Final = 8 * 1024 * 1024
+MAX_ACCEPTS_PER_TURN: Final = 64
+BACKLOG: Final = 512
 
 
 class ConnectionBrokenError(Exception):
-    """The connection was lost or could not be opened; `connected`: whether it was ever open."""
+    """The connection was lost or could not be opened; `connected`: whether it had been open."""
 
     def __init__(self, text: str, *, connected: bool = True) -> None:
         super().__init__(text)
@@ -36,40 +36,40 @@
 
 
 class NotAnAnswerError(Exception):
-    """The bytes received are not an HTTP response."""
+    """The received bytes are not an HTTP response."""
 
 
 class CallerConnection(asyncio.Protocol):
-    """The calling end of a connection: one request at a time."""
+    """The client side of a connection, which carries one request at a time."""
 
     def __init__(self) -> None:
-        self._parser = ResponseParser(max_body_bytes=MOST_BODY, stream_above_bytes=0)
+        self._parser = ResponseParser(max_body_bytes=MAX_BODY_BYTES, stream_above_bytes=0)
         self._transport: asyncio.Transport | None = None
-        self._came = asyncio.Event()
-        self._over = False
+        self._received = asyncio.Event()
+        self._is_closed = False
         self._answer: Response | None = None
-        self.usable = True  # for another request
+        self.usable = True  # whether another request may be sent
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
         """Buffer received bytes and wake the reader."""
         self._parser.feed(data)
-        self._came.set()
+        self._received.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Mark the connection as closed and wake the reader."""
-        self._over = True
+        self._is_closed = True
         self.usable = False
-        self._came.set()
+        self._received.set()
 
     @property
     def is_open(self) -> bool:
         """Return whether another request can be sent."""
-        return self.usable and not self._over
+        return self.usable and not self._is_closed
 
     @property
     def surplus(self) -> bool:
@@ -78,12 +78,12 @@
 
     def send(self, data: bytes) -> None:
         """Send a request; raise ConnectionBrokenError when the connection is closed."""
-        if self._transport is None or self._over:
+        if self._transport is None or self._is_closed:
             raise ConnectionBrokenError("closed before the request was sent")
         self._transport.write(data)
 
     async def head(self) -> Response:
-        """Wait for the head of the answer; `data` then reads its body.
+        """Wait for the head of the answer and return it; `data` then reads the body.
 
         Raises ConnectionBrokenError or NotAnAnswerError.
         """
@@ -92,18 +92,18 @@
                 answer = self._parser.next_response()
             except RemoteProtocolError as problem:
                 raise NotAnAnswerError(str(problem)) from None
-            if answer is None and self._over:
+            if answer is None and self._is_closed:
                 answer = self._parser.receive_eof()
                 if answer is None:
-                    raise ConnectionBrokenError("closed before an answer")
+                    raise ConnectionBrokenError("closed before an answer was received")
             if answer is not None:
                 self._answer = answer
                 self.usable = self.usable and answer.keep_alive
                 return answer
-            await self._more()
+            await self._wait_for_data()
 
     async def data(self) -> tuple[bytes, bool]:
-        """Wait for more of the body; return it, and whether it ends there.
+        """Wait for more of the body; return the bytes, and whether the body ends with them.
 
         Raises ConnectionBrokenError or NotAnAnswerError.
         """
@@ -112,23 +112,23 @@
             return self._answer.body, True
         while True:
             try:
-                data, over = self._parser.next_data()
+                data, is_last = self._parser.next_data()
             except RemoteProtocolError as problem:
                 raise NotAnAnswerError(str(problem)) from None
-            if data or over:
-                return data, over
-            if self._over:
+            if data or is_last:
+                return data, is_last
+            if self._is_closed:
                 if self._answer.content_length is None and self._parser.receive_eof() is not None:
                     return b"", True
-                raise ConnectionBrokenError("closed within the answer")
-            await self._more()
+                raise ConnectionBrokenError("closed before the answer was complete")
+            await self._wait_for_data()
 
     async def body(self) -> bytes:
         """Read the complete body."""
         segments = []
-        over = False
-        while not over:
-            data, over = await self.data()
+        is_last = False
+        while not is_last:
+            data, is_last = await self.data()
             segments.append(data)
         return b"".join(segments)
 
@@ -138,9 +138,9 @@
         if self._transport is not None:
             self._transport.close()
 
-    async def _more(self) -> None:
-        self._came.clear()
-        await self._came.wait()
+    async def _wait_for_data(self) -> None:
+        self._received.clear()
+        await self._received.wait()
 
 
 async def dial(net: Net, address: Address) -> CallerConnection:
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteAnswer:
-    """An answer that was read to its end."""
+    """An answer that was received completely."""
 
     status: int
     headers: dict[str, list[str]] = field(default_factory=dict)
@@ -182,25 +182,25 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """The serving end of a connection: requests are handled one after the other."""
+    """The server side of a connection, which handles requests one after the other."""
 
     def __init__(self, handler: Handler, ended: Callable[[ServerConnection], None]) -> None:
         self._handler = handler
         self._ended = ended
-        self._parser = RequestParser(max_body_bytes=MOST_BODY)
+        self._parser = RequestParser(max_body_bytes=MAX_BODY_BYTES)
         self.transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
-        self.closes = False  # after the present answer
+        self.closes = False  # whether the connection closes after the current answer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
         """Buffer received bytes and handle the next complete request."""
         self._parser.feed(data)
-        self._take()
+        self._handle_next()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the request in progress."""
@@ -223,7 +223,7 @@
         self.write(write_head("HTTP/1.1 200 OK", [*headers, CHUNKED, *self._closing()]))
 
     def chunk(self, data: bytes, last: bool = False) -> None:
-        """Send one chunk of an answer; `last`: and the end."""
+        """Send one chunk of an answer; `last`: also send the last-chunk marker."""
         self.write(write_chunk(data) + (LAST_CHUNK if last else b""))
 
     def write(self, data: bytes) -> None:
@@ -239,7 +239,7 @@
     def _closing(self) -> list[tuple[str, str]]:
         return [("Connection", "close")] if self.closes else []
 
-    def _take(self) -> None:
+    def _handle_next(self) -> None:
         if self._task is not None or self.transport is None:
             return
         try:
@@ -264,4 +264,4 @@
         if self.closes:
             self.transport.close()
         else:
-            self._take()
+            self._handle_next()
--- a/coveport/serving/simulation/faults.py
+++ b/coveport/serving/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Injects faults into a simulated day, logs each, and reverts it."""
+"""Injects faults into a simulated day, logs each fault, and ends it after its duration."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from coveport.serving.simulation.topology import Partition
 from coveport.serving.simulation.world import SimulatedDeployment
 
-QUOTA_PERIOD_S: Final = 0.1  # of a processor's quota, as the platform accounts for it
+QUOTA_PERIOD_S: Final = 0.1  # period over which the platform enforces a processor quota
 
 
 class FaultInjector(PlannedSteps):
-    """Schedules faults of a deployment; times are in seconds after the traffic's start."""
+    """Schedules faults of a deployment; times are seconds after the start of the traffic."""
 
     def __init__(self, day: SimulatedDeployment) -> None:
         super().__init__(day)
@@ -58,20 +58,20 @@
         self._do(at_s, for_s, "freeze", [machine], partial(machine.freeze, for_s), _nothing)
 
     def throttle(self, at_s: float, machines: Iterable[Machine], for_s: float, ran_s: float = 0.01) -> None:
-        """Give machines a processor quota that is spent after `ran_s` of each tenth of a second.
+        """Give machines a processor quota that is exhausted after `ran_s` of each tenth of a second.
 
-        It is no fault in the event log: every rule holds meanwhile.
+        The event log does not record this as a fault, so all rules apply meanwhile.
         """
         throttled = list(machines)
         periods = round(for_s / QUOTA_PERIOD_S)
 
-        def spend_quota() -> None:
+        def exhaust_quota() -> None:
             for machine in throttled:
                 if machine.is_up:
                     machine.freeze(QUOTA_PERIOD_S - ran_s)
 
         for period in range(periods):
-            self._day.at(at_s + period * QUOTA_PERIOD_S, spend_quota)
+            self._day.at(at_s + period * QUOTA_PERIOD_S, exhaust_quota)
 
     def end_with_lost_disks(self, at_s: float, machines: Iterable[Machine], for_s: float = 1.0) -> None:
         """Wipe the disks of some machines while all coordinators and proxies lose power."""
@@ -81,13 +81,15 @@
 
     def roll(self, at_s: float, machines: Iterable[Machine], gap_s: float = 1.0) -> None:
         """Restart machines by SIGTERM one after the other, `gap_s` apart."""
-        rest = list(machines)
+        remaining = list(machines)
 
-        def next_one() -> None:
-            if rest:
-                self._stop(rest.pop(0), lambda: self._day.world.at(self._day.world.now + gap_s, next_one))
+        def stop_next() -> None:
+            if remaining:
+                self._stop(
+                    remaining.pop(0), lambda: self._day.world.at(self._day.world.now + gap_s, stop_next)
+                )
 
-        self._day.at(at_s, next_one)
+        self._day.at(at_s, stop_next)
 
     def _stop(self, machine: Machine, then: Callable[[], object]) -> None:
         if not machine.is_up:
@@ -96,22 +98,24 @@
         number = self._begin("term", [machine], planned=True)
         grace_s = self._day.deployment.bounds.grace_s
         world = self._day.world
-        is_back = False
+        is_started = False
 
         def ended() -> None:
-            world.at(world.now + RESTART_S, back)
+            world.at(world.now + RESTART_S, start_again)
 
-        def back() -> None:
-            nonlocal is_back
-            if is_back:
+        def start_again() -> None:
+            nonlocal is_started
+            if is_started:
                 return
-            is_back = True
+            is_started = True
             machine.start()
             self._end(number)
             then()
 
         machine.terminate(grace_s, ended)
-        world.at(world.now + grace_s + 2 * RESTART_S, back)  # where another fault has killed it meanwhile
+        world.at(
+            world.now + grace_s + 2 * RESTART_S, start_again
+        )  # in case another fault killed it meanwhile
 
     def replace_coordinator(self, at_s: float, machine: Machine, after_s: float = 2.0) -> None:
         """Replace a machine for good by one with an empty disk at a new address."""
@@ -130,18 +134,18 @@
         self._day.at(at_s, lose)
         self._day.at(at_s + after_s, replace)
 
-    def refusing_disk(self, at_s: float, machine: Machine, for_s: float) -> None:
-        """Let a disk refuse writes for `for_s`."""
+    def reject_disk_writes(self, at_s: float, machine: Machine, for_s: float) -> None:
+        """Make a disk reject writes for `for_s`."""
         disk = machine.disk
         assert disk is not None
 
-        def refuse(refuses: bool) -> None:
+        def set_refuses(refuses: bool) -> None:
             disk.refuses = refuses
 
-        self._do(at_s, for_s, "disk", [machine], partial(refuse, True), partial(refuse, False))
+        self._do(at_s, for_s, "disk", [machine], partial(set_refuses, True), partial(set_refuses, False))
 
     def slow_disk(self, at_s: float, machine: Machine, for_s: float, sync_s: float) -> None:
-        """Let each write of a disk take `sync_s`, for `for_s`."""
+        """Make each write of a disk take `sync_s`, for `for_s`."""
         disk = machine.disk
         assert disk is not None
         before = disk.sync_s
@@ -162,18 +166,21 @@
         how: str = "both",
         from_machines: Iterable[Machine] | None = None,
     ) -> None:
-        """Partition machines from others (default: all). `how`: both, in (they receive nothing) or out."""
+        """Partition machines from `from_machines` (default: all other machines).
+
+        `how`: both directions, in (the machines receive nothing) or out (they send nothing).
+        """
         inside = {machine.spot.ip for machine in machines}
         outside = {machine.spot.ip for machine in from_machines or self._all_inner()} - inside
         into = {(outer, inner) for inner in inside for outer in outside}
         out_of = {(inner, outer) for inner in inside for outer in outside}
         pairs = into if how == "in" else out_of if how == "out" else into | out_of
-        touched = [machine for machine in self._all_inner() if machine.spot.ip in inside]
+        isolated = [machine for machine in self._all_inner() if machine.spot.ip in inside]
         numbers: list[int] = []
 
-        def partition(found: Partition) -> None:
-            numbers.append(self._begin("cut", touched, core=True))
-            self._day.network.partition(numbers[0], found)
+        def partition(blocked_pairs: Partition) -> None:
+            numbers.append(self._begin("cut", isolated, core=True))
+            self._day.network.partition(numbers[0], blocked_pairs)
 
         def heal() -> None:
             self._day.network.heal(numbers[0])
@@ -196,7 +203,10 @@
     def cut_platform(
         self, at_s: float, machines: Iterable[Machine], for_s: float, *, how: str = "both"
     ) -> None:
-        """Partition machines from the platform. `how`: both, in (they get no answer) or out."""
+        """Partition machines from the platform.
+
+        `how`: both directions, in (answers are lost) or out (calls are lost).
+        """
         platform_ip = self._platform_settings().address[0]
         inside = {machine.spot.ip for machine in machines}
         into = {(platform_ip, inner) for inner in inside}
@@ -216,16 +226,16 @@
         self._day.at(at_s + for_s, heal)
 
     def trouble_platform(self, at_s: float, for_s: float, **attributes: float) -> None:
-        """Set attributes of the platform for `for_s`, and then what they are without any trouble."""
+        """Set attributes of the platform for `for_s`; then restore the values of a healthy platform."""
         platform = self._day.platform
         assert platform is not None
-        calm = {"delay_s": 0.0, "is_silent": False, "is_down": False, "calls_per_s": inf}
+        healthy = {"delay_s": 0.0, "is_silent": False, "is_down": False, "calls_per_s": inf}
 
         def set_all(values: dict[str, float]) -> None:
             for name, value in values.items():
                 setattr(platform, name, value)
 
-        ended = {name: calm[name] for name in attributes}
+        ended = {name: healthy[name] for name in attributes}
         self._do(at_s, for_s, "platform", [], partial(set_all, attributes), partial(set_all, ended))
 
     def _platform_settings(self) -> PlatformSettings:
@@ -236,11 +246,11 @@
     # Signals.
 
     def hang_up(self, at_s: float, machines: Iterable[Machine], grace_s: float) -> None:
-        """Let processes take settings with another grace period, as SIGHUP does."""
-        hung_up = list(machines)
+        """Make processes reload their settings with another grace period, as on SIGHUP."""
+        reloaded = list(machines)
 
         def apply() -> None:
-            for machine in hung_up:
+            for machine in reloaded:
                 if machine.is_up:
                     machine.run(partial(self._apply_grace, machine, grace_s))
 
@@ -293,7 +303,7 @@
         back_s: float | None = None,
         short_notice_s: float | None = None,
     ) -> None:
-        """Shut a node down gracefully; `back_s`: start a new incarnation so much later."""
+        """Shut a node down gracefully; `back_s`: delay until a new incarnation starts."""
         drain_s = self._day.deployment.bounds.drain_ms / 1000
 
         def leave() -> None:
@@ -309,26 +319,26 @@
         if back_s is not None:
             self._day.at(at_s + back_s, come_back)
 
-    def spoil_node(
+    def inject_node_fault(
         self, at_s: float, node: SimulatedNode, for_s: float, fault: str, probability: float
     ) -> None:
         """Set one field of a node's `NodeFaults` to a probability, for `for_s`."""
 
-        def spoil(to: float) -> None:
+        def set_probability(value: float) -> None:
             if node.server is not None:
-                setattr(node.server.faults, fault, to)
+                setattr(node.server.faults, fault, value)
 
-        self._day.at(at_s, partial(spoil, probability))
-        self._day.at(at_s + for_s, partial(spoil, 0.0))
+        self._day.at(at_s, partial(set_probability, probability))
+        self._day.at(at_s + for_s, partial(set_probability, 0.0))
 
     def begin_warm_up(self, at_s: float, node: SimulatedNode, for_s: float) -> None:
-        """Let a node warm up again, without announcing it."""
+        """Make a node warm up again without reporting it."""
 
-        def turn() -> None:
+        def begin() -> None:
             assert node.server is not None
             node.server.begin_warm_up(for_s)
 
-        self._day.at(at_s, turn)
+        self._day.at(at_s, begin)
 
     # The event log.
 
@@ -353,9 +363,9 @@
         self._numbers += 1
         core = core or any(machine in self._day.coordinators for machine in machines)
         names = tuple(machine.spot.name for machine in machines)
-        of_core = tuple(machine.spot.name for machine in machines if machine in self._day.coordinators)
+        core_names = tuple(machine.spot.name for machine in machines if machine in self._day.coordinators)
         now = self._day.world.now
-        self._day.event_log.write(FaultBegan(now, self._numbers, kind, names, core, planned, of_core))
+        self._day.event_log.write(FaultBegan(now, self._numbers, kind, names, core, planned, core_names))
         return self._numbers
 
     def _end(self, number: int) -> None:
@@ -363,4 +373,4 @@
 
 
 def _nothing() -> None:
-    """Do nothing: the fault ends by itself."""
+    """Do nothing, as the fault needs no call to end it."""
--- a/coveport/serving/simulation/history.py
+++ b/coveport/serving/simulation/history.py
@@ -1,4 +1,4 @@
-"""Indexes a day's event log for the judge: attempts, arrivals, runs, versions, faults. Pure."""
+"""Indexes a day's event log for the judge: attempts, arrivals, runs, versions, faults. No I/O."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     Verdict,
 )
 
-WRONG_NODE = 421
+MISDIRECTED_REQUEST = 421
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,18 +58,18 @@
 
     @property
     def may_be_in_force(self) -> bool:
-        """Return whether it was accepted, or may have been."""
+        """Return whether the version was accepted, or may have been."""
         return self.started.valid and self.verdict is not Verdict.REFUSED
 
     def route(self, host: str, target: str) -> JudgedRoute | None:
         """Return the route of a request in this version, by the longest matching prefix."""
         path = target.partition("?")[0]
-        fits = [
+        matching_routes = [
             route
             for route in self.started.routes
             if route.host == host and path.startswith(route.path_prefix)
         ]
-        return max(fits, key=lambda route: len(route.path_prefix), default=None)
+        return max(matching_routes, key=lambda route: len(route.path_prefix), default=None)
 
     def tenant(self, api_key: str) -> JudgedTenant | None:
         """Return the tenant that holds a key in this version."""
@@ -77,14 +77,14 @@
         return next(holders, None)
 
     def admits(self, attempt: AttemptStarted) -> bool:
-        """Return whether a request may run in this version as far as its key goes."""
+        """Return whether this version authorizes a request by its API key, or needs no key for it."""
         if self.started.tenants is None or self.tenant(attempt.api_key) is not None:
             return True
         route = self.route(attempt.host, attempt.target)
         return route is not None and route.public and not attempt.api_key
 
     def allows(self, attempt: AttemptStarted) -> bool:
-        """Return whether a request has a route in this version, and no need of a key or the right one."""
+        """Return whether a request has a route in this version and is authorized for it."""
         return self.route(attempt.host, attempt.target) is not None and self.admits(attempt)
 
 
@@ -103,8 +103,8 @@
     event_log: EventLog
     bounds: Bounds
     core_size: int
-    attempts: dict[str, AttemptStarted] = field(default_factory=dict)
-    ended: dict[str, AttemptEnded] = field(default_factory=dict)
+    attempts: dict[str, AttemptStarted] = field(default_factory=dict)  # by attempt id
+    ended: dict[str, AttemptEnded] = field(default_factory=dict)  # by attempt
     nodes: dict[str, NodeStarted] = field(default_factory=dict)  # by incarnation
     arrivals: list[RequestArrived] = field(default_factory=list)
     ran: dict[str, list[RequestRan]] = field(default_factory=lambda: defaultdict(list))  # by attempt
@@ -117,10 +117,10 @@
     )  # by attempt and incarnation
     versions: list[Version] = field(default_factory=list)
     spans: list[Span] = field(default_factory=list)
-    machines: dict[str, str] = field(default_factory=dict)  # of proxies, by address
+    machines: dict[str, str] = field(default_factory=dict)  # machine names of proxies, by address
     starts_by_proxy: dict[str, list[float]] = field(
         default_factory=lambda: defaultdict(list)
-    )  # starts by proxy address
+    )  # start times in seconds, by address of the proxy
 
     @classmethod
     def of(cls, event_log: EventLog, bounds: Bounds, core_size: int) -> History:
@@ -144,8 +144,8 @@
             self.ran[ran.attempt_id].append(ran)
         for finished in self.event_log.of(RequestFinished):
             self.finished[finished.attempt_id].append(finished)
-        for away in self.event_log.of(RequestRejected):
-            self.rejections[away.attempt_id, away.incarnation].append(away)
+        for rejected in self.event_log.of(RequestRejected):
+            self.rejections[rejected.attempt_id, rejected.incarnation].append(rejected)
 
     def _index_control(self) -> None:
         ends = {entry.number: entry for entry in self.event_log.of(OrderEnded)}
@@ -154,13 +154,15 @@
                 end = ends.get(started.number)
                 verdict = Verdict.UNCLEAR if end is None else end.verdict
                 self.versions.append(Version(started, verdict, inf if end is None else end.at_s))
-        over = {entry.number: entry.at_s for entry in self.event_log.of(FaultEnded)}
-        self.spans = [Span(entry, over.get(entry.number, inf)) for entry in self.event_log.of(FaultBegan)]
+        fault_ends = {entry.number: entry.at_s for entry in self.event_log.of(FaultEnded)}
+        self.spans = [
+            Span(entry, fault_ends.get(entry.number, inf)) for entry in self.event_log.of(FaultBegan)
+        ]
         for proxy in self.event_log.of(ProxyStarted):
             self.machines[proxy.address] = proxy.machine
             self.starts_by_proxy[proxy.address].append(proxy.at_s)
 
-    # Queries of the rules.
+    # Queries that the rules make.
 
     def newest_acknowledged(self, at_s: float) -> int:
         """Return the newest edition that was acknowledged by a time; 0: none."""
@@ -174,19 +176,20 @@
     def passed_on(self) -> Iterable[RequestArrived]:
         """Return arrivals without those that a node rejected as misdirected (421)."""
         for arrival in self.arrivals:
-            away = self.rejections.get((arrival.attempt_id, arrival.incarnation), [])
+            rejections = self.rejections.get((arrival.attempt_id, arrival.incarnation), [])
             if not any(
-                rejection.status == WRONG_NODE and rejection.at_s == arrival.at_s for rejection in away
+                rejection.status == MISDIRECTED_REQUEST and rejection.at_s == arrival.at_s
+                for rejection in rejections
             ):
                 yield arrival
 
     def route_in_any(self, host: str, target: str) -> JudgedRoute | None:
         """Return the route of a request in the newest version that has one."""
-        found = (version.route(host, target) for version in reversed(self.versions))
-        return next((route for route in found if route is not None), None)
+        routes = (version.route(host, target) for version in reversed(self.versions))
+        return next((route for route in routes if route is not None), None)
 
     def is_idempotent(self, started: AttemptStarted) -> bool:
-        """Return whether a request may run more than once, by every version that routes it."""
+        """Return whether a request is idempotent in every version that has a route for it."""
         routes = [version.route(started.host, started.target) for version in self.versions]
         return all(route.idempotent for route in routes if route is not None)
 
@@ -205,9 +208,9 @@
         return started is not None and self.in_touch(self.machines.get(started.proxy, started.proxy), at_s)
 
     def allowance_s(self, attempt_id: str, at_s: float) -> float | None:
-        """Return by how much the bounds on updates widen for an attempt's proxy, in seconds; None: no bound.
+        """Return the seconds by which the time limits on updates widen for an attempt's proxy; None: no limit.
 
-        An unstable core widens them as long as over half of it has been running, connected and not slowed.
+        An unstable core widens the limits while over half of its machines run, connected and not slowed.
         """
         if self.proxy_in_touch(attempt_id, at_s):
             return 0.0
@@ -219,8 +222,12 @@
         machine = self.machines.get(started.proxy, started.proxy)
         if any(machine in span.began.machines for span in spans):
             return None
-        lost = {name for span in spans for name in span.began.core_machines}
-        return self.bounds.stretch_ms / 1000 if 2 * (self.core_size - len(lost)) > self.core_size else None
+        lost_machines = {name for span in spans for name in span.began.core_machines}
+        return (
+            self.bounds.stretch_ms / 1000
+            if 2 * (self.core_size - len(lost_machines)) > self.core_size
+            else None
+        )
 
     def was_calm(self, from_s: float, until_s: float) -> bool:
         """Return whether there was no unplanned fault anywhere in a period, nor shortly before."""
--- a/coveport/serving/simulation/machines.py
+++ b/coveport/serving/simulation/machines.py
@@ -12,7 +12,7 @@
 from coveport.serving.simulation.topology import PlacedNet, PlacedNetwork, SimulatedProcess, run_in
 from coveport.testbed.simulated_network.place import Place
 
-RESTART_S: Final = 0.5  # from a process' end to its next start
+RESTART_S: Final = 0.5  # from the end of a process to the next start
 
 
 class Program(Protocol):
@@ -26,11 +26,11 @@
 
 
 MakeProgram = Callable[["Machine", bool, Any, Random], Program]
-"""Creates a program from its machine, whether it is the first boot, a log, and a random source."""
+"""Creates a program; takes its machine, whether this is the first boot, a logger, and a random generator."""
 
 
 class Machine:
-    """A machine with an address, perhaps a disk, and a program."""
+    """A machine with an address, a program, and an optional disk."""
 
     def __init__(
         self, network: PlacedNetwork, spot: MachineSpot, place: Place, make: MakeProgram, seed: str,
@@ -43,8 +43,8 @@
         self.problems: list[dict[str, Any]] = []
         self.incarnations = 0
         self.started_s: list[float] = []  # when each incarnation started
-        self.own_ends = 0  # incarnations that ended by themselves
-        self.is_gone = False  # removed for good
+        self.own_ends = 0  # number of incarnations that ended by themselves
+        self.is_gone = False  # permanently removed
         self._network = network
         self._make = make
         self._seed = seed
@@ -64,7 +64,7 @@
         return self._process is not None and self._process.alive
 
     def start(self, first_boot: bool = False) -> None:
-        """Start an incarnation, unless one runs, or the machine is removed or without power."""
+        """Start an incarnation, unless one is running or the machine is removed or has no power."""
         if self.is_up or self.is_gone or self.place.silent:
             return
         self.incarnations += 1
@@ -81,14 +81,16 @@
             try:
                 self.program = self._make(self, first_boot, log, rng)
                 await self.program.start()
-            except OSError as refused:  # as of a disk that refuses writes: the platform restarts it
-                self.log_lines.append(f"ended: {refused}")
+            except (
+                OSError
+            ) as error:  # such as from a disk that rejects writes; the platform restarts the process
+                self.log_lines.append(f"ended: {error}")
                 world = self._network.world
-                world.at(world.now, self._ended_by_itself, process)
+                world.at(world.now, self._end_and_restart, process)
 
         run_in(process, begin)
 
-    def _ended_by_itself(self, process: SimulatedProcess) -> None:
+    def _end_and_restart(self, process: SimulatedProcess) -> None:
         if process.alive:
             process.kill()
             self.own_ends += 1
@@ -100,12 +102,12 @@
             self._process.kill()
 
     def freeze(self, for_s: float) -> None:
-        """Suspend the process for so long."""
+        """Suspend the process for `for_s`."""
         if self._process is not None:
             self._process.stall(for_s)
 
     def terminate(self, grace_s: float, ended: Callable[[], None]) -> None:
-        """Stop the program; kill the process when it has stopped, or when the grace period is over."""
+        """Stop the program; kill the process when the program has stopped or the grace period is over."""
         process, program = self._process, self.program
         assert process is not None and program is not None
         world = self._network.world
--- a/coveport/serving/simulation/model_server.py
+++ b/coveport/serving/simulation/model_server.py
@@ -25,7 +25,7 @@
     RequestRejected,
     WarmUpBegan,
 )
-from coveport.serving.simulation.exchange import ACCEPT_MOST, WAITING_MOST, ServerConnection
+from coveport.serving.simulation.exchange import BACKLOG, MAX_ACCEPTS_PER_TURN, ServerConnection
 from coveport.serving.simulation.node_answers import AnswerFaults, NodeAnswer, NodeFaults
 from coveport.serving.simulation.texts import digest
 from coveport.serving.wire.names import Header, Path, Report
@@ -86,7 +86,7 @@
         """Start serving; `warm_up_s`: and warm up for so long."""
         figures = self.figures
         self._listening = await self._net.listen(
-            self._accept, figures.address, accepts_per_turn=ACCEPT_MOST, backlog=WAITING_MOST
+            self._accept, figures.address, accepts_per_turn=MAX_ACCEPTS_PER_TURN, backlog=BACKLOG
         )
         address = "{}:{}".format(*figures.address)
         now = self._net.now_s()
--- a/coveport/serving/simulation/operator.py
+++ b/coveport/serving/simulation/operator.py
@@ -27,19 +27,19 @@
 from coveport.serving.wire.names import Config, Header, Path
 
 ANSWER_TIMEOUT_S: Final = 1.0
-ANSWER_TIMEOUT_PER_BYTE_S: Final = 1e-6  # more for large bodies
+ANSWER_TIMEOUT_PER_BYTE_S: Final = 1e-6  # added to the time-out for each byte of the body
 INITIAL_BACKOFF_S: Final = 0.1
 MAX_BACKOFF_S: Final = 1.0
-GIVES_UP_S: Final = 5.0  # orders that are no configurations are sent again for so long
-CONFIGURATION_GIVES_UP_S: Final = 20.0
-ENDS_AT_ONCE: Final = frozenset({400, 409, 412, 413, 422})
-RETRIED: Final = frozenset({408, 429})
-OTHER_REFUSALS_MOST: Final = 3
+RETRY_FOR_S: Final = 5.0  # for all orders but changes of the configuration
+CONFIGURATION_RETRY_FOR_S: Final = 20.0
+FINAL_REFUSALS: Final = frozenset({400, 409, 412, 413, 422})
+RETRIED_STATUSES: Final = frozenset({408, 429})
+MAX_OTHER_REFUSALS: Final = 3
 
 
 @dataclass(frozen=True, slots=True)
 class OrderAnswer:
-    """How an order ended."""
+    """The outcome of an order, with the last answer's status and body."""
 
     verdict: Verdict
     status: int = 0
@@ -50,12 +50,12 @@
 class _OrderAnswers:
     """The answers to the attempts of one order so far."""
 
-    status: int = 0  # of the last answer
+    status: int = 0  # status of the last answer
     may_be_accepted: bool = False  # an attempt had no clear outcome
-    other_refusals: int = 0
+    other_refusals: int = 0  # client errors that neither end the order nor are retried without limit
 
     def add(self, answer: CompleteAnswer | None) -> OrderAnswer | None:
-        """Record an answer, None if there was none; return how the order ended once that is clear."""
+        """Record an answer (None: no answer came); return the outcome of the order once it is clear."""
         if answer is None:
             self.may_be_accepted = True
             return None
@@ -70,12 +70,12 @@
     def _verdict(self, status: int) -> Verdict | None:
         if 200 <= status < 300:
             return Verdict.ACKNOWLEDGED
-        if status in ENDS_AT_ONCE:
-            # The refusal of a repeated request does not tell whether an earlier attempt was accepted.
+        if status in FINAL_REFUSALS:
+            # After an attempt without a clear outcome, only 412 shows that none was accepted.
             return Verdict.UNCLEAR if self.may_be_accepted and status != 412 else Verdict.REFUSED
-        if 400 <= status < 500 and status not in RETRIED:
+        if 400 <= status < 500 and status not in RETRIED_STATUSES:
             self.other_refusals += 1
-            if self.other_refusals >= OTHER_REFUSALS_MOST:
+            if self.other_refusals >= MAX_OTHER_REFUSALS:
                 return Verdict.REFUSED
         return None
 
@@ -108,28 +108,28 @@
         self._event_log = event_log
         self._rng = rng
         self._numbers = numbers
-        self.configuration = Configuration(0)  # the newest that was acknowledged to this operator
+        self.configuration = Configuration(0)  # newest one whose acknowledgement this operator received
 
     async def put(
-        self, configuration: Configuration, based_on: int, gives_up_s: float = CONFIGURATION_GIVES_UP_S
+        self, configuration: Configuration, based_on: int, retry_for_s: float = CONFIGURATION_RETRY_FOR_S
     ) -> OrderAnswer:
         """Replace the configuration."""
         body = json.dumps(configuration_document(configuration)).encode()
-        answer = await self._configure(Order.PUT, "PUT", body, configuration, based_on, True, gives_up_s)
-        return self._keep(answer, configuration)
+        answer = await self._configure(Order.PUT, "PUT", body, configuration, based_on, True, retry_for_s)
+        return self._record_acknowledged(answer, configuration)
 
     async def patch(
-        self, change: Change, on: Configuration, gives_up_s: float = CONFIGURATION_GIVES_UP_S
+        self, change: Change, on: Configuration, retry_for_s: float = CONFIGURATION_RETRY_FOR_S
     ) -> OrderAnswer:
-        """Change the configuration that is given as its base."""
+        """Send a change of the configuration `on`."""
         body = json.dumps(change_document(change)).encode()
-        made = changed(on, change)
-        answer = await self._configure(Order.PATCH, "PATCH", body, made, on.edition, True, gives_up_s)
-        return self._keep(answer, made)
+        resulting = changed(on, change)
+        answer = await self._configure(Order.PATCH, "PATCH", body, resulting, on.edition, True, retry_for_s)
+        return self._record_acknowledged(answer, resulting)
 
     async def put_invalid(self, configuration: Configuration, body: bytes, based_on: int) -> OrderAnswer:
-        """Send an invalid body; `configuration`: the result if it were accepted."""
-        return await self._configure(Order.PUT, "PUT", body, configuration, based_on, False, GIVES_UP_S)
+        """Send an invalid body; `configuration`: the configuration if the body were accepted."""
+        return await self._configure(Order.PUT, "PUT", body, configuration, based_on, False, RETRY_FOR_S)
 
     async def evacuate(self, zone: str) -> OrderAnswer:
         """Evacuate a zone."""
@@ -143,44 +143,44 @@
         """Read the configuration, retrying for `for_s` seconds."""
         number = self._begin(OrderStarted(self._net.now_s(), self._numbers.next(), Order.READ))
         answer = await self._send("GET", Path.CONFIG, b"", [], for_s)
-        edition, found = read_edition(answer.body) if answer.verdict is Verdict.ACKNOWLEDGED else (0, "")
-        self._end(number, answer, edition, found)
+        edition, digest = read_edition(answer.body) if answer.verdict is Verdict.ACKNOWLEDGED else (0, "")
+        self._end(number, answer, edition, digest)
         return answer
 
     # Orders.
 
-    def _keep(self, answer: OrderAnswer, configuration: Configuration) -> OrderAnswer:
+    def _record_acknowledged(self, answer: OrderAnswer, configuration: Configuration) -> OrderAnswer:
         if answer.verdict is Verdict.ACKNOWLEDGED:
             self.configuration = configuration
         return answer
 
     async def _configure(
-        self, order: Order, method: str, body: bytes, made: Configuration, based_on: int, valid: bool,
-        gives_up_s: float,
+        self, order: Order, method: str, body: bytes, resulting: Configuration, based_on: int, valid: bool,
+        retry_for_s: float,
     ) -> OrderAnswer:  # fmt: skip
-        number = self._begin_change(order, made, based_on, valid)
-        answer = await self._send(method, Path.CONFIG, body, [(Header.IF_MATCH, str(based_on))], gives_up_s)
-        self._end(number, answer, made.edition)
+        number = self._begin_change(order, resulting, based_on, valid)
+        answer = await self._send(method, Path.CONFIG, body, [(Header.IF_MATCH, str(based_on))], retry_for_s)
+        self._end(number, answer, resulting.edition)
         return answer
 
     async def _zone_order(self, order: Order, method: str, zone: str) -> OrderAnswer:
         number = self._begin(OrderStarted(self._net.now_s(), self._numbers.next(), order, zone=zone))
-        answer = await self._send(method, Path.EVACUATION + zone, b"", [], GIVES_UP_S)
+        answer = await self._send(method, Path.EVACUATION + zone, b"", [], RETRY_FOR_S)
         self._end(number, answer)
         return answer
 
-    def _begin_change(self, order: Order, made: Configuration, based_on: int, valid: bool) -> int:
+    def _begin_change(self, order: Order, resulting: Configuration, based_on: int, valid: bool) -> int:
         return self._begin(
             OrderStarted(
                 self._net.now_s(),
                 self._numbers.next(),
                 order,
-                made.edition,
+                resulting.edition,
                 based_on,
                 valid,
-                judged_routes(made.routes),
-                document_digest(configuration_document(made)),
-                tenants=judged_tenants(made.tenants),
+                judged_routes(resulting.routes),
+                document_digest(configuration_document(resulting)),
+                tenants=judged_tenants(resulting.tenants),
             )
         )
 
@@ -188,22 +188,22 @@
         self._event_log.write(started)
         return started.number
 
-    def _end(self, number: int, answer: OrderAnswer, edition: int = 0, found: str = "") -> None:
+    def _end(self, number: int, answer: OrderAnswer, edition: int = 0, digest: str = "") -> None:
         now = self._net.now_s()
-        self._event_log.write(OrderEnded(now, number, answer.verdict, answer.status, edition, found))
+        self._event_log.write(OrderEnded(now, number, answer.verdict, answer.status, edition, digest))
 
     async def _send(
-        self, method: str, path: str, body: bytes, headers: list[tuple[str, str]], gives_up_s: float
+        self, method: str, path: str, body: bytes, headers: list[tuple[str, str]], retry_for_s: float
     ) -> OrderAnswer:
-        """Send a request, unchanged, until the outcome is clear or time is up."""
-        until_s = self._net.now_s() + gives_up_s
+        """Send the same request until the outcome is clear or `retry_for_s` has passed."""
+        until_s = self._net.now_s() + retry_for_s
         backoff_s = INITIAL_BACKOFF_S
         answers = _OrderAnswers()
         while True:
-            known = self._coordinators()
+            addresses = self._coordinators()
             answer = None
-            if known:
-                answer = await self._call(self._rng.choice(known), method, path, body, headers)
+            if addresses:
+                answer = await self._call(self._rng.choice(addresses), method, path, body, headers)
             outcome = answers.add(answer)
             if outcome is not None:
                 return outcome
@@ -216,15 +216,15 @@
         self, address: Address, method: str, path: str, body: bytes, headers: list[tuple[str, str]]
     ) -> CompleteAnswer | None:
         host = "{}:{}".format(*address)
-        typed = [("Content-Type", "application/json")] if body else []
-        request = write_request(method, path, [("Host", host), *typed, *headers], body)
+        content_type = [("Content-Type", "application/json")] if body else []
+        request = write_request(method, path, [("Host", host), *content_type, *headers], body)
         timeout_s = ANSWER_TIMEOUT_S + ANSWER_TIMEOUT_PER_BYTE_S * len(body)
-        found = await call_following(self._net, address, request, timeout_s)
-        return None if found is None else found[1]
+        answered = await call_following(self._net, address, request, timeout_s)
+        return None if answered is None else answered[1]
 
 
 def read_edition(body: bytes) -> tuple[int, str]:
-    """Return the edition and the digest of a configuration; (0, "") if the body is none."""
+    """Return the edition and the digest of a configuration; (0, "") if the body is not valid."""
     try:
         document = json.loads(body)
         return int(document[Config.EDITION]), document_digest(document)
@@ -233,7 +233,7 @@
 
 
 class EditionNumbers:
-    """Rising edition numbers, in uneven steps."""
+    """Increasing edition numbers, in random steps."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
--- a/coveport/serving/simulation/platform.py
+++ b/coveport/serving/simulation/platform.py
@@ -12,7 +12,7 @@
 from coveport.http1 import Request
 from coveport.net.address import Address
 from coveport.net.transport import Net
-from coveport.serving.simulation.exchange import ACCEPT_MOST, WAITING_MOST, ServerConnection
+from coveport.serving.simulation.exchange import BACKLOG, MAX_ACCEPTS_PER_TURN, ServerConnection
 from coveport.serving.wire.names import CanonicalHeader
 
 USAGE_PATH: Final = "/usage"
@@ -61,8 +61,8 @@
         await self._net.listen(
             lambda: ServerConnection(self._handle, lambda _: None),
             self._address,
-            accepts_per_turn=ACCEPT_MOST,
-            backlog=WAITING_MOST,
+            accepts_per_turn=MAX_ACCEPTS_PER_TURN,
+            backlog=BACKLOG,
         )
 
     async def stop(self) -> None:
--- a/coveport/serving/simulation/schedules.py
+++ b/coveport/serving/simulation/schedules.py
@@ -1,4 +1,4 @@
-"""Days drawn from a seed: a few faults of all kinds at random times, and perhaps a final one."""
+"""Days drawn from a seed: a few faults of random kinds at random times, and sometimes a final fault."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from coveport.serving.simulation.world import DayResult, SimulatedDeployment
 
 LENGTH_S: Final = 16.0
-QUIET_S: Final = 8.0  # after the traffic, and after a final fault: what is read back must be there by then
+QUIET_S: Final = 8.0  # after the traffic and a final fault; then the configuration must be readable again
 MAX_FAULTS: Final = 4
-LAST_FAULT_S: Final = 9.0  # no fault begins later, so that the end of each is seen
+LAST_FAULT_S: Final = 9.0  # latest start of a fault, so that each fault ends within the day
 
 Draw = Callable[[SimulatedDeployment, FaultInjector, float, Random], object]
 
@@ -101,18 +101,18 @@
     faults.replace_coordinator(at_s, rng.choice(day.coordinators), rng.uniform(0.5, 4.0))
 
 
-def _refusing_disk(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
-    faults.refusing_disk(at_s, rng.choice(day.coordinators), rng.uniform(1.0, 5.0))
+def _reject_disk_writes(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+    faults.reject_disk_writes(at_s, rng.choice(day.coordinators), rng.uniform(1.0, 5.0))
 
 
-def _spoil_node(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+def _inject_node_faults(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
     fault = rng.choice(
         ("break_off_probability", "garble_probability", "surplus_probability", "refuse_probability")
     )
     probability = rng.uniform(0.05, 0.6)
     for node in day.nodes:
         if rng.random() < 0.6:
-            faults.spoil_node(at_s, node, 5.0, fault, probability)
+            faults.inject_node_fault(at_s, node, 5.0, fault, probability)
 
 
 def _burst(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
@@ -131,7 +131,7 @@
     "coordinator loses its disk": _wipe,
     "freeze": _freeze,
     "slow disk": _slow_disk,
-    "refusing disk": _refusing_disk,
+    "refusing disk": _reject_disk_writes,
     "replace coordinator": _replace,
     "kill proxy": _kill_proxy,
     "roll proxies": _roll_proxies,
@@ -141,7 +141,7 @@
     "node crashes": _crash_node,
     "node goes dark": _hang_node,
     "node closes": _close_node,
-    "nodes misbehave": _spoil_node,
+    "nodes misbehave": _inject_node_faults,
     "node turns cold": _begin_warm_up,
     "burst": _burst,
     "evacuate": _evacuate,
@@ -149,7 +149,7 @@
     "race": _race,
     "invalid configurations": _send_invalid,
 }
-_ON_THE_CORE: Final = frozenset(
+_CORE_FAULTS: Final = frozenset(
     {
         "coordinator loses power",
         "coordinator loses its disk",
@@ -160,23 +160,25 @@
         "replace coordinator",
     }
 )
-"""No two of these in a day: together they exceed what the deployment tolerates."""
+"""Faults of which a day has at most one: two of them exceed what the deployment tolerates."""
 
 
-def _power_off_all(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+def _lose_all_power(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
     for machine in (*day.coordinators, *day.proxies):
         faults.lose_power(at_s, machine, 1.0)
 
 
-def _wipe_one(day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random) -> None:
+def _lose_power_and_wipe_one(
+    day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random
+) -> None:
     wiped = rng.choice(day.coordinators)
     for machine in day.coordinators:
         faults.lose_power(at_s, machine, 1.0, wipe=machine is wiped)
 
 
-CLOSINGS: Final[dict[str, Draw]] = {
-    "all lose power": _power_off_all,
-    "all coordinators lose power, one its disk": _wipe_one,
+FINAL_FAULTS: Final[dict[str, Draw]] = {
+    "all lose power": _lose_all_power,
+    "all coordinators lose power, one its disk": _lose_power_and_wipe_one,
     "all coordinators are killed": _kill_coordinators,
 }
 
@@ -193,40 +195,42 @@
 
 
 def draw_faults(seed: int) -> tuple[DrawnFault, ...]:
-    """Return the faults of a day; the last one may directly follow a change."""
+    """Return the faults of a day; a final fault directly follows a configuration change."""
     rng = Random(f"schedule {seed}")
     names: list[str] = []
     for _ in range(rng.randint(1, MAX_FAULTS)):
         name = rng.choice(list(DRAWS))
-        if name not in _ON_THE_CORE or not _ON_THE_CORE & set(names):
+        if name not in _CORE_FAULTS or not _CORE_FAULTS & set(names):
             names.append(name)
-    found = [DrawnFault(name, rng.uniform(0.5, LAST_FAULT_S)) for name in names]
+    faults_of_day = [DrawnFault(name, rng.uniform(0.5, LAST_FAULT_S)) for name in names]
     if rng.random() < 0.3:
-        found.append(DrawnFault("add route", LENGTH_S - 1.0))
-        found.append(DrawnFault(rng.choice(list(CLOSINGS)), LENGTH_S - 1.0 + rng.uniform(0.02, 0.3)))
-    return tuple(sorted(found, key=lambda drawn: drawn.at_s))
+        faults_of_day.append(DrawnFault("add route", LENGTH_S - 1.0))
+        faults_of_day.append(
+            DrawnFault(rng.choice(list(FINAL_FAULTS)), LENGTH_S - 1.0 + rng.uniform(0.02, 0.3))
+        )
+    return tuple(sorted(faults_of_day, key=lambda drawn: drawn.at_s))
 
 
 def _change_keys(
     day: SimulatedDeployment, faults: FaultInjector, at_s: float, rng: Random, pair: tuple[Tenant, Tenant]
 ) -> None:
     """Take a key from the first of two tenants, move it to the second, or add one."""
-    giver, taker = pair
-    key, *kept = giver.api_keys
-    without = replace(giver, api_keys=tuple(kept))
-    added = f"{giver.name}-added"
+    old_holder, new_holder = pair
+    key, *kept_keys = old_holder.api_keys
+    reduced_holder = replace(old_holder, api_keys=tuple(kept_keys))
+    added_key = f"{old_holder.name}-added"
     changed, checked = rng.choice(
         [
-            ((without,), (key, *kept)),
-            ((without, replace(taker, api_keys=(*taker.api_keys, key))), (key,)),
-            ((replace(giver, api_keys=(*giver.api_keys, added)),), (key, added)),
+            ((reduced_holder,), (key, *kept_keys)),
+            ((reduced_holder, replace(new_holder, api_keys=(*new_holder.api_keys, key))), (key,)),
+            ((replace(old_holder, api_keys=(*old_holder.api_keys, added_key)),), (key, added_key)),
         ]
     )
     faults.change_tenants(at_s, *changed, checked_keys=checked)
 
 
 def schedule_key_changes(day: SimulatedDeployment, faults: FaultInjector) -> None:
-    """Change the keys of each pair of tenants once; a deployment without tenants has none."""
+    """Change the keys of each pair of tenants once; does nothing in a deployment without tenants."""
     rng = Random(f"keys {day.seed}")
     tenants = day.deployment.tenants or ()
     for pair in zip(tenants[::2], tenants[1::2], strict=False):
@@ -234,11 +238,11 @@
 
 
 def play_drawn(seed: int, deployment: Deployment | None = None) -> tuple[DayResult, SimulatedDeployment]:
-    """Play the day of a seed; return its result and the deployment."""
+    """Simulate the day of a seed; return its result and the deployment."""
     day = SimulatedDeployment(deployment or Deployment(), seed)
     faults = FaultInjector(day)
     for at, drawn in enumerate(draw_faults(seed)):
-        draw = DRAWS.get(drawn.name) or CLOSINGS[drawn.name]
+        draw = DRAWS.get(drawn.name) or FINAL_FAULTS[drawn.name]
         draw(day, faults, drawn.at_s, Random(f"trouble {seed} {at}"))
     schedule_key_changes(day, faults)
     day.quiet_s = QUIET_S
--- a/coveport/serving/simulation/topology.py
+++ b/coveport/serving/simulation/topology.py
@@ -1,4 +1,4 @@
-"""The network of a simulated deployment: delays between zones, and partitions between machines."""
+"""Network of a simulated deployment: delays between zones, and partitions between machines."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     from coveport.testbed.network_model import Ways
     from coveport.testbed.simulated_network.network import PendingConnect
 
-JITTER: Final = 0.1  # of every delay
+JITTER: Final = 0.1  # maximum, as a fraction of each delay
 
 
-OUTSIDE: Final = -1  # the zone of clients and operators; equally far from every machine
+OUTSIDE: Final = -1  # zone number of clients and operators, which are equally far from every machine
 
 
 @dataclass(slots=True)
 class ZoneDelayModel:
-    """The network model of `Network`: delays between zones, which are given by number."""
+    """The model that `Network` takes delays from: delays between zones, which have numbers."""
 
     zones: tuple[Zone, ...]
     delays: Delays
@@ -49,7 +49,7 @@
         return self.base_ms(sender, receiver) * (1 + JITTER * self.rng.random())
 
     def held(self, sender: int, receiver: int) -> bool:
-        """Return False: partitions are between machines, see `PlacedNetwork`."""
+        """Return False, as partitions are between machines and not between zones; see `PlacedNetwork`."""
         return False
 
     def on_open(self, listener: Callable[[], None]) -> None:
@@ -75,14 +75,14 @@
         self._partitions: dict[int, Partition] = {}
 
     def held(self, sender: Place, receiver: Place) -> bool:
-        """Return whether traffic from one machine to the receiver is blocked."""
+        """Return whether traffic from the sender to the receiver is blocked."""
         if sender.silent or receiver.silent:
             return True
         pair = sender.address, receiver.address
         return any(pair in partition for partition in self._partitions.values())
 
     def release(self) -> None:
-        """Resume what a partition delayed; unlike in `Network`, a connect waits for both directions."""
+        """Deliver traffic that a partition delayed; unlike in `Network`, connects need both directions."""
         waiting = [connect for connect in self.pending_connects if self.held(connect.there, connect.here)]
         for connect in waiting:
             del self.pending_connects[connect]
@@ -90,7 +90,7 @@
         self.pending_connects.update(dict.fromkeys(waiting))
 
     def partition(self, number: int, pairs: Partition) -> None:
-        """Block traffic between pairs of addresses until `heal`."""
+        """Block traffic between pairs of addresses until `heal` is called with the same number."""
         self._partitions[number] = pairs
 
     def heal(self, number: int) -> None:
@@ -110,7 +110,7 @@
 
 
 class SimulatedProcess(Process):
-    """A process that references the tasks which `run_in` starts in it."""
+    """A process that keeps references to the tasks that `run_in` starts in it."""
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
@@ -128,9 +128,9 @@
     """Run a call in a process at the current time; a coroutine that it returns becomes a task."""
 
     def begin() -> None:
-        found = work()
-        if asyncio.iscoroutine(found):
-            task = process.create_task(found)
+        result = work()
+        if asyncio.iscoroutine(result):
+            task = process.create_task(result)
             process.tasks.add(task)
             task.add_done_callback(ended)
 
--- a/coveport/serving/simulation/traffic.py
+++ b/coveport/serving/simulation/traffic.py
@@ -1,4 +1,4 @@
-"""Open-loop load of one client, in simulated time and on real sockets alike."""
+"""Open-loop load of one client, in simulated time or on real sockets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 async def drive(
     net: Net, client: Client, kind: RequestKind, rate: float, until_s: float, rng: Random
 ) -> None:
-    """Send requests as a Poisson process of `rate` a second; return when all have ended."""
+    """Send requests as a Poisson process with `rate` per second; return when all of them have ended."""
     requests: set[asyncio.Task[bool]] = set()
     while True:
         interval_s = rng.expovariate(rate)
--- a/coveport/serving/simulation/world.py
+++ b/coveport/serving/simulation/world.py
@@ -1,4 +1,4 @@
-"""A deployment in one process and simulated time: real programs, emulated nodes and clients."""
+"""A deployment in one process and simulated time: the real programs with emulated nodes and clients."""
 
 from __future__ import annotations
 
@@ -51,10 +51,10 @@
 from coveport.serving.simulation.zones import Zone
 from coveport.testbed.simulated_network.world import World
 
-FIRST_ORDER_S: Final = 1.0  # after the machines' start
-READ_BACK_S: Final = 4.0
-SETTLE_S: Final = 16.0  # after the traffic: the longest request has ended
-START_SPREAD_S: Final = 0.3
+FIRST_ORDER_S: Final = 1.0  # from the start of the machines to the first configuration
+READ_BACK_S: Final = 4.0  # retry period of the final read of the configuration
+SETTLE_S: Final = 16.0  # maximum wait after the traffic; longer than the longest request
+START_SPREAD_S: Final = 0.3  # coordinators and proxies start at random times in this period
 ENDPOINT_POLL_S: Final = 0.1
 END_POLL_S: Final = 0.25  # period of the check whether all requests have ended
 
@@ -66,24 +66,24 @@
     event_log: EventLog
     breaches: tuple[Breach, ...]
     kinds: dict[str, KindFigures]
-    problems: tuple[str, ...]  # errors that the programs did not handle
-    trace: str  # a hash of all that was exchanged
+    problems: tuple[str, ...]  # exceptions that the programs did not handle
+    trace: str  # hash of all network traffic
 
     @property
     def served_fraction(self) -> float:
-        """Return a fraction of all requests."""
+        """Return the fraction of all requests that were served completely."""
         requests = sum(kind.requests for kind in self.kinds.values())
         return sum(kind.served for kind in self.kinds.values()) / requests if requests else 0.0
 
     @property
     def in_time_fraction(self) -> float:
-        """Return a fraction of all requests."""
+        """Return the fraction of all requests that met their latency targets."""
         requests = sum(kind.requests for kind in self.kinds.values())
         return sum(kind.in_time for kind in self.kinds.values()) / requests if requests else 0.0
 
 
 class SimulatedDeployment:
-    """All machines of one deployment."""
+    """All machines of one simulated deployment."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.deployment = deployment
@@ -94,7 +94,7 @@
         self.event_log = EventLog()
         self.rng = Random(f"day {seed}")
         self.began_s = self.world.now
-        self._zones_by_ip: dict[str, Zone] = {}  # of all coordinators, replaced ones too
+        self._zones_by_ip: dict[str, Zone] = {}  # of all coordinators, including replaced ones
         self.coordinators = [self._make_coordinator(at) for at in range(len(deployment.zones))]
         self.proxies = self._make_all(deployment.proxies, "proxy", 100, self._run_proxy)
         self.nodes = [
@@ -108,15 +108,17 @@
         self.operators = [self.make_operator(at) for at in range(2)]
         self.platform = self._make_platform()
         self.traffic_until_s = self.began_s  # set by `play`
-        self.quiet_s = 1.0  # simulated in any case after the traffic
-        self._listed: list[tuple[float, list[str]]] = []  # coordinators' IPs that ran, by time
+        self.quiet_s = 1.0  # simulated after the traffic even if all requests have ended
+        self._endpoint_history: list[
+            tuple[float, list[str]]
+        ] = []  # time, and IPs of the coordinators that ran from then on
 
-    # Making.
+    # Machines and programs.
 
     def _make_coordinator(self, at: int) -> Machine:
         zone = self.deployment.zones[at]
-        made = len(self._zones_by_ip) + 1
-        spot = MachineSpot(f"coordinator-{zone.name}-{made}", f"10.{at + 1}.0.{12 + made}", zone)
+        number = len(self._zones_by_ip) + 1
+        spot = MachineSpot(f"coordinator-{zone.name}-{number}", f"10.{at + 1}.0.{12 + number}", zone)
         self._zones_by_ip[spot.ip] = zone
         place = self.network.place(spot.ip, at)
         return Machine(self.network, spot, place, self._run_coordinator, f"{self.seed}", SimulatedDisk())
@@ -124,15 +126,15 @@
     def _make_all(
         self, counts: tuple[int, ...], kind: str, first: int, run: Any, *, outside: bool = False
     ) -> list[Machine]:
-        made = []
+        machines = []
         for zone_number, count in enumerate(counts):
             zone = self.deployment.zones[zone_number]
             for at in range(count):
                 ip = f"10.{zone_number + 1}.{1 if outside else 0}.{first + at}"
                 spot = MachineSpot(f"{kind}-{zone.name}-{at + 1}", ip, zone)
                 place = self.network.place(ip, OUTSIDE if outside else zone_number)
-                made.append(Machine(self.network, spot, place, run, f"{self.seed}"))
-        return made
+                machines.append(Machine(self.network, spot, place, run, f"{self.seed}"))
+        return machines
 
     @property
     def seeds(self) -> tuple[Address, ...]:
@@ -170,7 +172,7 @@
         number = self.clients.index(machine)
         client_figures = ClientFigures(
             zone.name, zone.region, keeps_connections=number % 3 != 0,
-            holds_answers=3.0 if number % 4 == 0 else 1.0, ttl_most_s=self.deployment.bounds.ttl_max_s,
+            lookup_ttl_factor=3.0 if number % 4 == 0 else 1.0, max_ttl_s=self.deployment.bounds.ttl_max_s,
             honours_retry_after=number % 5 != 0, api_key=self.deployment.api_key(number),
             claimed_tenant=self.deployment.claimed_tenant(number),
             reuses_open_connections=self.deployment.clients_reuse_open_connections,
@@ -184,12 +186,12 @@
 
     def replace_coordinator(self, old: Machine) -> Machine:
         """Replace a lost coordinator by one with an empty disk at a new address."""
-        new = self._make_coordinator(self.deployment.zones.index(old.spot.zone))
-        self.coordinators[self.coordinators.index(old)] = new
-        return new
+        replacement = self._make_coordinator(self.deployment.zones.index(old.spot.zone))
+        self.coordinators[self.coordinators.index(old)] = replacement
+        return replacement
 
     def make_operator(self, number: int) -> Operator:
-        """Create an operator on a machine of its own."""
+        """Create an operator on a separate machine."""
         zone = self.deployment.zones[0]
         spot = MachineSpot(f"operator-{number + 1}", f"10.200.0.{number + 1}", zone)
         place = self.network.place(spot.ip, OUTSIDE)
@@ -201,7 +203,7 @@
         return operator
 
     def _make_platform(self) -> SimulatedPlatform | None:
-        """Start the platform, on a machine of its own, where the deployment has one."""
+        """Start the platform on a separate machine, if the deployment has one."""
         if self.deployment.platform is None:
             return None
         address = self.deployment.platform.address
@@ -218,25 +220,25 @@
         """Run a call or coroutine on an operator's machine."""
         self._operator_machines[operator].run(work)
 
-    # The outside endpoint list of coordinators, which lags.
+    # The external endpoint list of coordinators, which lags behind their state.
 
     def _poll_endpoints(self) -> None:
         up = [coordinator.spot.ip for coordinator in self.coordinators if coordinator.is_up]
-        if not self._listed or self._listed[-1][1] != up:
-            self._listed.append((self.world.now, up))
+        if not self._endpoint_history or self._endpoint_history[-1][1] != up:
+            self._endpoint_history.append((self.world.now, up))
         self.world.at(self.world.now + ENDPOINT_POLL_S, self._poll_endpoints)
 
     def _listed_ips(self) -> list[str]:
-        lagging = self.world.now - self.deployment.bounds.seed_lag_s
-        old = [ips for when, ips in self._listed if when <= lagging]
-        return old[-1] if old else [coordinator.spot.ip for coordinator in self.coordinators]
+        lagged_s = self.world.now - self.deployment.bounds.seed_lag_s
+        lists = [ips for listed_s, ips in self._endpoint_history if listed_s <= lagged_s]
+        return lists[-1] if lists else [coordinator.spot.ip for coordinator in self.coordinators]
 
     def listed_control(self) -> list[Address]:
-        """Return the listed coordinators that operators and nodes call."""
+        """Return the control addresses of the listed coordinators, for operators and nodes."""
         return [(ip, self.deployment.ports.control) for ip in self._listed_ips()]
 
     def listed_lookups(self, zone: Zone) -> list[Address]:
-        """Return the listed coordinators that clients of a zone look up at, nearest first."""
+        """Return the lookup addresses of the listed coordinators, nearest to a zone first."""
         ips = sorted(self._listed_ips(), key=lambda ip: self._zones_by_ip[ip].farness(zone))
         return [(ip, self.deployment.ports.lookups) for ip in ips]
 
@@ -248,11 +250,11 @@
         return self.began_s + self.deployment.lead_s
 
     def at(self, seconds: float, call: Callable[[], object]) -> None:
-        """Schedule a call so many seconds after traffic starts."""
+        """Schedule a call `seconds` after the traffic starts."""
         self.world.at(self.traffic_from_s + seconds, call)
 
     def play(self, length_s: float) -> DayResult:
-        """Start all, run the traffic for `length_s`, read the configuration back, and judge."""
+        """Start all machines, run the traffic for `length_s`, read the configuration, and judge the day."""
         self.traffic_until_s = self.traffic_from_s + length_s
         for machine in (*self.coordinators, *self.proxies):
             self.world.at(self.began_s + self.rng.random() * START_SPREAD_S, machine.start, True)
@@ -261,32 +263,34 @@
         for machine in self.clients:
             self.world.at(self.traffic_from_s, machine.start, True)
         self.world.at(self.began_s + START_SPREAD_S, self._poll_endpoints)
-        first = self.operators[0]
-        self.world.at(self.began_s + FIRST_ORDER_S, self.run_operator, first, self._put_first)
+        operator = self.operators[0]
+        self.world.at(
+            self.began_s + FIRST_ORDER_S, self.run_operator, operator, self._put_first_configuration
+        )
         self.world.run(self.traffic_until_s + self.quiet_s)
-        self._run_while(self._is_asking, SETTLE_S)
-        self.run_operator(first, lambda: first.read(READ_BACK_S))
-        self._run_while(self._is_ordering, 2 * READ_BACK_S)
+        self._run_while(self._has_open_requests, SETTLE_S)
+        self.run_operator(operator, lambda: operator.read(READ_BACK_S))
+        self._run_while(self._has_open_orders, 2 * READ_BACK_S)
         return self._result()
 
-    def _run_while(self, wanted: Callable[[], bool], most_s: float) -> None:
-        until_s = self.world.now + most_s
+    def _run_while(self, condition: Callable[[], bool], timeout_s: float) -> None:
+        until_s = self.world.now + timeout_s
         while self.world.now < until_s:
             self.world.run(min(until_s, self.world.now + END_POLL_S))
-            if not wanted():
+            if not condition():
                 return
 
-    def _is_asking(self) -> bool:
+    def _has_open_requests(self) -> bool:
         return len(self.event_log.of(AttemptEnded)) < len(self.event_log.of(AttemptStarted))
 
-    def _is_ordering(self) -> bool:
+    def _has_open_orders(self) -> bool:
         return len(self.event_log.of(OrderEnded)) < len(self.event_log.of(OrderStarted))
 
-    async def _put_first(self) -> None:
+    async def _put_first_configuration(self) -> None:
         operator = self.operators[0]
         configuration = self.deployment.configuration(self.editions.next())
         while self.world.now < self.traffic_from_s:
-            answer = await operator.put(configuration, 0, gives_up_s=2.0)
+            answer = await operator.put(configuration, 0, retry_for_s=2.0)
             if answer.verdict is Verdict.ACKNOWLEDGED:
                 return
 
--- a/coveport/serving/simulation/zones.py
+++ b/coveport/serving/simulation/zones.py
@@ -1,4 +1,4 @@
-"""Zones, and how far they are from each other. Pure."""
+"""Zones, and how far they are from each other. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     region: str
 
     def farness(self, other: Zone) -> int:
-        """Return 0 for the same zone, 1 for another one of the region, 2 for another region."""
+        """Return 0 for the same zone, 1 for another zone of the same region, 2 for another region."""
         return 0 if self == other else 1 if self.region == other.region else 2
 
 
@@ -24,4 +24,4 @@
     in_zone_ms: float = 0.1
     between_zones_ms: float = 1.4
     between_regions_ms: float = 12.0
-    to_clients_ms: float = 3.0
+    to_clients_ms: float = 3.0  # between any zone and the clients
--- a/tests/serving/real_rounds.py
+++ b/tests/serving/real_rounds.py
@@ -93,7 +93,7 @@
 
     async def _put_first(self) -> None:
         first = self._deployment.configuration(self._editions.next())
-        answer = await self._operators[0].put(first, 0, gives_up_s=BOOTSTRAP_TIMEOUT_S)
+        answer = await self._operators[0].put(first, 0, retry_for_s=BOOTSTRAP_TIMEOUT_S)
         if answer.verdict is not Verdict.ACKNOWLEDGED:
             raise RuntimeError(
                 f"round {self.report.seed}: the first configuration was not accepted: {answer}"
@@ -119,7 +119,7 @@
             )
             edition = self._editions.next()
             change = Change(edition, routes=(self._deployment.added_route(str(edition), f"/{edition}/"),))
-            await operator.patch(change, base, gives_up_s=4.0)
+            await operator.patch(change, base, retry_for_s=4.0)
             await asyncio.sleep(self._random.uniform(0.0, 0.3))
 
     async def _read(self, until_s: float) -> None:
--- a/tests/serving/simulation/test_drawn_days.py
+++ b/tests/serving/simulation/test_drawn_days.py
@@ -6,7 +6,7 @@
 
 from coveport.serving.model.configuration import Tenant
 from coveport.serving.simulation.deployment import Deployment
-from coveport.serving.simulation.schedules import CLOSINGS, DRAWS, LENGTH_S, draw_faults, play_drawn
+from coveport.serving.simulation.schedules import DRAWS, FINAL_FAULTS, LENGTH_S, draw_faults, play_drawn
 
 
 @pytest.mark.parametrize("seed", [3, 17, 101, 105, 119])  # final faults, dark nodes, kills, rolls, power
@@ -33,7 +33,7 @@
 
 def test_every_kind_is_drawn_and_none_outside_the_day() -> None:
     drawn = [one for seed in range(400) for one in draw_faults(seed)]
-    assert {one.name for one in drawn} == {*DRAWS, *CLOSINGS}
+    assert {one.name for one in drawn} == {*DRAWS, *FINAL_FAULTS}
     assert all(0 < one.at_s < LENGTH_S for one in drawn)
     assert {len(draw_faults(seed)) for seed in range(400)} >= {1, 2, 3, 4}
 
--- a/tests/serving/simulation/test_simulated_days.py
+++ b/tests/serving/simulation/test_simulated_days.py
@@ -172,7 +172,7 @@
 
 def test_a_disk_that_refuses_writes_costs_no_change() -> None:
     def trouble(day: SimulatedDeployment, faults: FaultInjector) -> None:
-        faults.refusing_disk(AT_S, day.coordinators[0], 4.0)
+        faults.reject_disk_writes(AT_S, day.coordinators[0], 4.0)
         faults.add_route(AT_S + 0.5, "added")
 
     result = play(trouble)
@@ -186,7 +186,7 @@
 def test_what_nodes_do_wrong_reaches_no_other_answer(fault: str) -> None:
     def trouble(day: SimulatedDeployment, faults: FaultInjector) -> None:
         for node in day.nodes:
-            faults.spoil_node(AT_S, node, 5.0, fault, 0.4)
+            faults.inject_node_fault(AT_S, node, 5.0, fault, 0.4)
 
     result = play(trouble)
     assert result.served_fraction > 0.6
