--- a/coveport/serving/simulation/history.py
+++ b/coveport/serving/simulation/history.py
@@ -208,9 +208,9 @@
         return started is not None and self.in_touch(self.machines.get(started.proxy, started.proxy), at_s)
 
     def allowance_s(self, attempt_id: str, at_s: float) -> float | None:
-        """Return the seconds by which the time limits on updates widen for an attempt's proxy; None: no limit.
+        """Return by how many seconds the limits on updates widen for an attempt's proxy; None: no limit.
 
-        An unstable core widens the limits while over half of its machines run, connected and not slowed.
+        An unstable core widens the limits while over half its machines run, connected and not slowed.
         """
         if self.proxy_in_touch(attempt_id, at_s):
             return 0.0
--- a/tests/serving/simulation/stub_core.py
+++ b/tests/serving/simulation/stub_core.py
@@ -1,4 +1,4 @@
-"""A stub of all that lies between clients and nodes: lookups name the nodes, calls are answered."""
+"""A stub in place of coordinators and proxies: answers calls, and lookups with the nodes' addresses."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 
 
 def routes() -> tuple[Route, ...]:
-    """The routes of both kinds."""
-    to = (WeightedService(SERVICE, 1.0),)
+    """Return the routes of both kinds of requests."""
+    services = (WeightedService(SERVICE, 1.0),)
     return (
         Route(
             "review",
@@ -54,20 +54,29 @@
             5000.0,
             800.0,
             0,
-            to,
+            services,
             2,
             True,
             True,
             400.0,
         ),
         Route(
-            "offer", KIND.host, UNSAFE_KIND.path_prefix, RouteKind.STREAMING, 15000.0, 1000.0, 1, to, 1, True
+            "offer",
+            KIND.host,
+            UNSAFE_KIND.path_prefix,
+            RouteKind.STREAMING,
+            15000.0,
+            1000.0,
+            1,
+            services,
+            1,
+            True,
         ),
     )
 
 
 def configuration(edition: int = 1) -> Configuration:
-    """A configuration with both routes."""
+    """Return a configuration with both routes."""
     service = Service(
         SERVICE, max_connections=370, warm_up_s=3.0, warm_up_rate=9.8, engine=Engine(64, 235_335, 5)
     )
@@ -75,21 +84,23 @@
 
 
 class StubCore:
-    """Answers whatever is called, as `answers` says by method; notes what came."""
+    """Records each call and answers it as `answers` gives for its method."""
 
     def __init__(self, net: PlacedNet, address: Address) -> None:
         self.addresses: list[str] = []
-        self.answers: dict[str, list[tuple[int, dict[str, str], bytes]]] = {}  # the last one again and again
+        self.answers: dict[
+            str, list[tuple[int, dict[str, str], bytes]]
+        ] = {}  # by method; the last answer repeats
         self.silent = False
         self.calls: list[Request] = []
-        self.at: list[float] = []
+        self.at: list[float] = []  # time of each call, in seconds
         self._net = net
         self._address = address
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self._net.listen(
-            lambda: ServerConnection(self._handle, lambda one: None),
+            lambda: ServerConnection(self._handle, lambda connection: None),
             self._address,
             accepts_per_turn=64,
             backlog=64,
@@ -116,33 +127,33 @@
     def __init__(self, seed: int = 1) -> None:
         self.world = World()
         self.seed = seed
-        ways = ZoneDelayModel(ZONES, Delays(), Random(f"ways {seed}"))
-        self.network = PlacedNetwork(self.world, ways)
+        delay_model = ZoneDelayModel(ZONES, Delays(), Random(f"ways {seed}"))
+        self.network = PlacedNetwork(self.world, delay_model)
         self.event_log = EventLog()
         self.processes: list[SimulatedProcess] = []
         self.core = StubCore(self.net("10.9.0.1", 0), ("10.9.0.1", 7000))
         self.run_in(self.core, self.core.start)
 
     def net(self, address: str, zone: int) -> PlacedNet:
-        """A machine with one process."""
+        """Return the net of a new process on the machine with an address."""
         process = SimulatedProcess.begin(self.world, address)
         self.processes.append(process)
         place = self.network.places.get(address) or self.network.place(address, zone)
         return PlacedNet(process, self.network, place)
 
     def run_in(self, owner: object, work: Callable[[], object]) -> None:
-        """Have a process run something."""
+        """Run a call or coroutine in the process of its owner."""
         net = owner.__dict__["_net"]
         run_in(net.process, work)
 
     def node(
         self, number: int, zone: int = 0, heartbeats: bool = False, warm_up_s: float = 0.0, **figures: object
     ) -> ModelServer:
-        """A node that runs."""
+        """Start a node and return it."""
         address = (f"10.0.{zone}.{number}", 8080)
-        told = NodeFigures(SERVICE, address, ZONES[zone].name, ZONES[zone].region, **figures)  # type: ignore[arg-type]
+        node_figures = NodeFigures(SERVICE, address, ZONES[zone].name, ZONES[zone].region, **figures)  # type: ignore[arg-type]
         net = self.net(address[0], zone)
-        node = ModelServer(net, told, self.event_log, Random(f"node {number} {zone} {self.seed}"))
+        node = ModelServer(net, node_figures, self.event_log, Random(f"node {number} {zone} {self.seed}"))
         self.run_in(node, lambda: node.start(warm_up_s))
         self.core.addresses.append("{}:{}".format(*address))
         if heartbeats:
@@ -150,23 +161,27 @@
         return node
 
     def registration(self, node: ModelServer) -> Registration:
-        """A node's heartbeats."""
+        """Start the heartbeats of a node."""
         net = node.__dict__["_net"]
         rng = Random(f"reports {node.incarnation}")
-        found = Registration(net, node, lambda: [("10.9.0.1", 7000)], 1000.0, self.event_log, rng)
-        self.run_in(node, found.start)
-        return found
+        registration = Registration(net, node, lambda: [("10.9.0.1", 7000)], 1000.0, self.event_log, rng)
+        self.run_in(node, registration.start)
+        return registration
 
     def client(self, number: int = 0, **figures: object) -> Client:
-        """A client."""
+        """Create a client."""
         net = self.net(f"10.8.0.{number + 1}", OUTSIDE)
-        told = ClientFigures(ZONES[0].name, ZONES[0].region, **figures)  # type: ignore[arg-type]
+        client_figures = ClientFigures(ZONES[0].name, ZONES[0].region, **figures)  # type: ignore[arg-type]
         return Client(
-            net, told, lambda: [("10.9.0.1", 7000)], self.event_log, Random(f"client {number} {self.seed}")
+            net,
+            client_figures,
+            lambda: [("10.9.0.1", 7000)],
+            self.event_log,
+            Random(f"client {number} {self.seed}"),
         )
 
     def send_requests(self, client: Client, kind: RequestKind = KIND, times: int = 1) -> list[bool]:
-        """Requests one after the other; fills the list that it returns as the world runs."""
+        """Send requests one after the other; the returned list gets whether each request was served."""
         served: list[bool] = []
 
         async def work() -> None:
@@ -178,8 +193,8 @@
         return served
 
     def run(self, seconds: float) -> None:
-        """Let time pass; no process may have had a fault."""
+        """Advance simulated time; raise AssertionError if a process had an unhandled exception."""
         self.world.run(self.world.now + seconds)
-        problems = [problem for one in self.processes for problem in one.problems]
+        problems = [problem for process in self.processes for problem in process.problems]
         if problems:
             raise AssertionError(problems)
--- a/tests/serving/simulation/test_key_changes.py
+++ b/tests/serving/simulation/test_key_changes.py
@@ -1,4 +1,4 @@
-"""Days on which the keys of tenants come, go and move, while their clients send."""
+"""Days on which API keys of tenants are added, removed and moved while clients send requests."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     assert result.served_fraction == 1.0
 
 
-def test_a_key_that_was_taken_away_is_refused_in_time() -> None:
+def test_a_removed_key_is_rejected_in_time() -> None:
     day = KeyDay()
     day.faults.change_tenants(CHANGED_AT_S, Tenant("north", ("n2",)), checked_keys=("n1", "n2"))
     result = day.play()
@@ -64,7 +64,7 @@
     assert (last_statuses(result, "n1"), last_statuses(result, "n2")) == ([401] * 3, [200] * 3)
 
 
-def test_a_tenant_that_lost_its_last_key_is_refused_in_time() -> None:
+def test_a_tenant_without_its_last_key_is_rejected_in_time() -> None:
     day = KeyDay()
     day.faults.change_tenants(CHANGED_AT_S, Tenant("west"), checked_keys=("w1",))
     result = day.play()
@@ -72,7 +72,7 @@
     assert last_statuses(result, "w1") == [401] * 3
 
 
-def test_a_key_that_moved_runs_for_its_new_tenant_in_time() -> None:
+def test_requests_with_a_moved_key_run_for_its_new_tenant_in_time() -> None:
     day = KeyDay()
     moved = (Tenant("north", ("n2",)), Tenant("south", ("s1", "s2", "n1")))
     day.faults.change_tenants(CHANGED_AT_S, *moved, checked_keys=("n1",))
@@ -81,7 +81,7 @@
     assert last_statuses(result, "n1") == [200] * 3
 
 
-def test_a_key_that_was_added_is_served_in_time() -> None:
+def test_an_added_key_is_served_in_time() -> None:
     day = KeyDay()
     day.faults.change_tenants(CHANGED_AT_S, Tenant("east", ("e1",)), checked_keys=("e1",))
     result = day.play()
@@ -89,7 +89,7 @@
     assert last_statuses(result, "e1") == [200] * 3
 
 
-def test_a_request_whose_key_was_never_held_or_is_missing_runs_nowhere() -> None:
+def test_a_request_with_an_unknown_key_or_without_a_key_runs_on_no_node() -> None:
     day = KeyDay()
     for key in ("never-held", ""):
         day.day.at(CHANGED_AT_S, partial(day.faults.check_proxies, "/review/", key))
@@ -106,12 +106,12 @@
     assert last_statuses(result, "") == [200] * 3
 
 
-def test_a_configuration_with_a_shared_key_is_not_taken_and_the_next_change_is() -> None:
+def test_a_configuration_with_a_shared_key_is_rejected_and_the_next_change_is_accepted() -> None:
     day = KeyDay()
     day.faults.send_shared_key(CHANGED_AT_S)
     day.faults.change_tenants(CHANGED_AT_S + 1.0, Tenant("west"))
     result = day.play()
     assert breaches(result, "CONFIG") == []
-    patches = [one.number for one in result.event_log.of(OrderStarted) if one.order is Order.PATCH]
-    verdicts = [one.verdict for one in result.event_log.of(OrderEnded) if one.number in patches]
+    patches = [order.number for order in result.event_log.of(OrderStarted) if order.order is Order.PATCH]
+    verdicts = [ended.verdict for ended in result.event_log.of(OrderEnded) if ended.number in patches]
     assert verdicts == [Verdict.ACKNOWLEDGED]
