--- a/coveport/serving/simulation/events.py
+++ b/coveport/serving/simulation/events.py
@@ -14,7 +14,7 @@
 class Ending(Enum):
     """How an attempt of a client ended."""
 
-    COMPLETE = "complete"  # a complete answer, whatever its status
+    COMPLETE = "complete"  # a complete answer, with any status
     BROKEN = "broken"  # the connection ended before the answer was complete
     UNREACHED = "unreached"  # no connection could be opened: nothing was sent
     ABANDONED = "abandoned"  # the client gave up
--- a/coveport/serving/simulation/world.py
+++ b/coveport/serving/simulation/world.py
@@ -109,9 +109,7 @@
         self.platform = self._make_platform()
         self.traffic_until_s = self.began_s  # set by `play`
         self.quiet_s = 1.0  # simulated after the traffic even if all requests have ended
-        self._endpoint_history: list[
-            tuple[float, list[str]]
-        ] = []  # time, and IPs of the coordinators that ran from then on
+        self._endpoint_lists: list[tuple[float, list[str]]] = []  # (time, IPs of running coordinators)
 
     # Machines and programs.
 
@@ -224,13 +222,13 @@
 
     def _poll_endpoints(self) -> None:
         up = [coordinator.spot.ip for coordinator in self.coordinators if coordinator.is_up]
-        if not self._endpoint_history or self._endpoint_history[-1][1] != up:
-            self._endpoint_history.append((self.world.now, up))
+        if not self._endpoint_lists or self._endpoint_lists[-1][1] != up:
+            self._endpoint_lists.append((self.world.now, up))
         self.world.at(self.world.now + ENDPOINT_POLL_S, self._poll_endpoints)
 
     def _listed_ips(self) -> list[str]:
         lagged_s = self.world.now - self.deployment.bounds.seed_lag_s
-        lists = [ips for listed_s, ips in self._endpoint_history if listed_s <= lagged_s]
+        lists = [ips for listed_s, ips in self._endpoint_lists if listed_s <= lagged_s]
         return lists[-1] if lists else [coordinator.spot.ip for coordinator in self.coordinators]
 
     def listed_control(self) -> list[Address]:
@@ -264,9 +262,7 @@
             self.world.at(self.traffic_from_s, machine.start, True)
         self.world.at(self.began_s + START_SPREAD_S, self._poll_endpoints)
         operator = self.operators[0]
-        self.world.at(
-            self.began_s + FIRST_ORDER_S, self.run_operator, operator, self._put_first_configuration
-        )
+        self.world.at(self.began_s + FIRST_ORDER_S, self.run_operator, operator, self._send_first_order)
         self.world.run(self.traffic_until_s + self.quiet_s)
         self._run_while(self._has_open_requests, SETTLE_S)
         self.run_operator(operator, lambda: operator.read(READ_BACK_S))
@@ -286,7 +282,7 @@
     def _has_open_orders(self) -> bool:
         return len(self.event_log.of(OrderEnded)) < len(self.event_log.of(OrderStarted))
 
-    async def _put_first_configuration(self) -> None:
+    async def _send_first_order(self) -> None:
         operator = self.operators[0]
         configuration = self.deployment.configuration(self.editions.next())
         while self.world.now < self.traffic_from_s:
--- a/tests/serving/simulation/test_control_days.py
+++ b/tests/serving/simulation/test_control_days.py
@@ -37,7 +37,7 @@
 
 AT_S = 3.0
 LONG_PARTITION_S = 21.0
-SEEDS_BY_COORDINATOR = (1, 1, 2)  # by isolated coordinator; the node reports its leave to another one
+SEEDS_BY_COORDINATOR = (1, 1, 2)  # by isolated coordinator; the node reports its leave to another coordinator
 
 
 class ControlDay:
