--- a/coveport/serving/simulation/control_rules.py
+++ b/coveport/serving/simulation/control_rules.py
@@ -1,4 +1,4 @@
-"""The rules on configurations, draining, evacuations and budgets. Pure."""
+"""The rules on configurations, draining, evacuations, warm-ups and retry budgets. Pure."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from coveport.serving.simulation.history import Breach, History, Version
 
 DENIALS = frozenset({401, 403, 404})
-SLOWED_TIMES = 8  # factor on the bound on reverting, for a machine with a fault
+FAULT_SLACK_FACTOR = 8  # applies to the slack on reverting while the proxy has a fault
 
 
 def drain(history: History) -> Iterator[Breach]:
@@ -50,12 +50,12 @@
             for later in orders
             if later.order is Order.TAKE_BACK and later.zone == order.zone and later.at_s >= order.at_s
         )
-        yield from _arrivals_in(
+        yield from _arrivals_in_zone(
             history, order.zone, end.at_s + history.bounds.evacuate_ms / 1000, min(taken_back, default=inf)
         )
 
 
-def _arrivals_in(history: History, zone: str, from_s: float, until_s: float) -> Iterator[Breach]:
+def _arrivals_in_zone(history: History, zone: str, from_s: float, until_s: float) -> Iterator[Breach]:
     for arrival in history.passed_on():
         if not from_s < arrival.at_s < until_s or history.nodes[arrival.incarnation].zone != zone:
             continue
@@ -65,7 +65,7 @@
 
 
 def failback(history: History) -> Iterator[Breach]:
-    """Report each warm-up in which a node got more requests in one second than its limit."""
+    """Report each warm-up in which a node received more requests within one second than its limit."""
     by_node: dict[str, list[RequestArrived]] = defaultdict(list)
     for arrival in history.passed_on():
         by_node[arrival.incarnation].append(arrival)
@@ -85,19 +85,19 @@
 
 
 def budget(history: History) -> Iterator[Breach]:
-    """Report each service whose repeated arrivals exceeded the shared retry budget in a window."""
+    """Report each service whose retried requests exceeded the shared retry budget in a window."""
     requested: dict[str, list[float]] = defaultdict(list)
     for started in history.attempts.values():
         route = history.route_in_any(started.host, started.target)
         for service in route.services if route is not None else ():
             requested[service].append(started.at_s)
-    again: dict[str, list[float]] = defaultdict(list)
+    repeated: dict[str, list[float]] = defaultdict(list)
     seen: set[str] = set()
     for arrival in sorted(history.passed_on(), key=lambda arrival: arrival.at_s):
         if arrival.attempt_id in seen:
-            again[history.nodes[arrival.incarnation].service].append(arrival.at_s)
+            repeated[history.nodes[arrival.incarnation].service].append(arrival.at_s)
         seen.add(arrival.attempt_id)
-    for service, times in again.items():
+    for service, times in repeated.items():
         yield from _over_budget(history, service, sorted(requested[service]), times)
 
 
@@ -122,22 +122,22 @@
 
 
 def configuration(history: History) -> Iterator[Breach]:
-    """Report configurations that were in force, acknowledged or read back against the rules."""
-    yield from _answers(history)
-    yield from _in_force(history)
-    yield from _going_back(history)
+    """Report configurations that were wrongly applied, acknowledged, reverted or read back."""
+    yield from _acknowledged(history)
+    yield from _applied(history)
+    yield from _reverted(history)
     yield from _read_back(history)
 
 
-def _answers(history: History) -> Iterator[Breach]:
-    taken: dict[int, Version] = {}
+def _acknowledged(history: History) -> Iterator[Breach]:
+    accepted: dict[int, Version] = {}
     for version in history.versions:
         if version.verdict is not Verdict.ACKNOWLEDGED:
             continue
         if not version.started.valid:
             yield Breach("CONFIG", version.ended_s, f"invalid edition {version.edition} was acknowledged")
             continue
-        first = taken.setdefault(version.started.based_on, version)
+        first = accepted.setdefault(version.started.based_on, version)
         if first.started.digest != version.started.digest:
             editions = f"editions {first.edition} and {version.edition}"
             text = f"{editions}, both on {version.started.based_on}, were taken"
@@ -149,9 +149,9 @@
     """The observed effect of an attempt, which shows the version that was in force."""
 
     started: AttemptStarted
-    services: frozenset[str]  # that ran it
-    denied_with: int  # the status that denied it: no route, or no tenant with its key; 0: none did
-    seen_s: float  # when the effect was seen
+    services: frozenset[str]  # services that ran the attempt
+    denied_with: int  # status of a denial for lack of a route or of a tenant with the key; 0: no denial
+    seen_s: float  # when the effect was observed
 
     def fits(self, version: Version) -> bool:
         """Return whether a version allows the effect."""
@@ -172,22 +172,22 @@
             yield _Handling(started, services, denied_with, seen_s)
 
 
-def _in_force(history: History) -> Iterator[Breach]:
+def _applied(history: History) -> Iterator[Breach]:
     for handling in _handlings(history):
         started = handling.started
         allowance_s = history.allowance_s(started.attempt_id, started.at_s)
-        fault = _force_fault(history, handling, allowance_s)
+        fault = _applied_version_fault(history, handling, allowance_s)
         if fault is not None:
             yield Breach("CONFIG", handling.seen_s, f"try {started.attempt_id} {fault}")
 
 
-def _force_fault(history: History, handling: _Handling, allowance_s: float | None) -> str | None:
+def _applied_version_fault(history: History, handling: _Handling, allowance_s: float | None) -> str | None:
     possible = [
         version
         for version in history.versions
         if version.may_be_in_force and version.started.at_s <= handling.seen_s
     ]
-    newest = 0  # that must be in force
+    newest = 0  # the oldest edition that the proxy may still apply
     if allowance_s is not None:
         bound_s = history.bounds.config_apply_ms / 1000 + allowance_s
         newest = history.newest_acknowledged(handling.started.at_s - bound_s)
@@ -203,10 +203,10 @@
     return None
 
 
-def _going_back(history: History) -> Iterator[Breach]:
+def _reverted(history: History) -> Iterator[Breach]:
     """Report each proxy that reverted to an older version within one incarnation."""
     possible = [version for version in history.versions if version.may_be_in_force]
-    seen: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)  # effects: when, least edition
+    seen: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)  # effects: time, least fitting edition
     handlings = sorted(_handlings(history), key=lambda handling: handling.seen_s)
     fitting = [
         (handling, [version.edition for version in possible if handling.fits(version)])
@@ -221,7 +221,7 @@
         started = handling.started
         slack_s = history.bounds.revert_slack_ms / 1000
         if not history.proxy_in_touch(started.attempt_id, started.at_s):
-            slack_s *= SLOWED_TIMES
+            slack_s *= FAULT_SLACK_FACTOR
         before = [
             edition
             for when, edition in seen[_incarnation(history, handling)]
@@ -238,7 +238,7 @@
 
 
 def _read_back(history: History) -> Iterator[Breach]:
-    """Report a last read that is older than the newest acknowledged version, or was never sent."""
+    """Report a last read that failed, is older than the newest acknowledged version, or differs from it."""
     ends = {entry.number: entry for entry in history.event_log.of(OrderEnded)}
     reads = [
         (order, ends.get(order.number))
--- a/coveport/serving/simulation/documents.py
+++ b/coveport/serving/simulation/documents.py
@@ -21,7 +21,7 @@
 from coveport.serving.wire.names import Config
 
 Document = dict[str, Any]
-_KIND_OF_SIMPLE: Final = (str, int, float, bool)
+_SCALAR_TYPES: Final = (str, int, float, bool)
 
 
 def route_document(route: Route) -> Document:
@@ -30,7 +30,7 @@
     document: Document = {
         names[attribute.name]: getattr(route, attribute.name)
         for attribute in fields(route)
-        if isinstance(getattr(route, attribute.name), _KIND_OF_SIMPLE)
+        if isinstance(getattr(route, attribute.name), _SCALAR_TYPES)
     }
     document[names["kind"]] = route.kind.value
     document[names["home_regions"]] = sorted(route.home_regions)
@@ -52,7 +52,7 @@
     document: Document = {
         names[attribute.name]: getattr(service, attribute.name)
         for attribute in fields(service)
-        if isinstance(getattr(service, attribute.name), _KIND_OF_SIMPLE)
+        if isinstance(getattr(service, attribute.name), _SCALAR_TYPES)
     }
     if service.engine is not None:
         document[names["engine"]] = {
--- a/coveport/serving/simulation/duty_rules.py
+++ b/coveport/serving/simulation/duty_rules.py
@@ -1,4 +1,4 @@
-"""The rules on the duties of one coordinator at a time: calls that the platform saw, runs of nodes. Pure."""
+"""The rules on singleton roles: calls that the platform received, compared with the runs of nodes. Pure."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from coveport.serving.simulation.history import Breach, History
 from coveport.serving.simulation.platform import ACCEPTED, FENCED, USAGE_PATH, PlatformCallSeen
 
-EDGE_S = 0.05  # a request that begins so close to the edge of a window may be counted beyond it
-REPORT_SLACK_S = 5.0  # after a report's delay, for what a trouble before has left behind
+WINDOW_EDGE_S = 0.05  # a request that starts this close to the edge of a window may count in the adjacent window
+REPORT_SLACK_S = 5.0  # after the delay of a report, for the backlog of an earlier fault
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformHistory:
-    """The calls that the platform has seen, in order, and when each machine's processes started."""
+    """The calls that the platform received, in order, and when each machine's processes started."""
 
     calls: Sequence[PlatformCallSeen]
     bounds: Bounds
-    starts_s: Mapping[str, Sequence[float]] = field(default_factory=dict)  # by address of a machine
+    starts_s: Mapping[str, Sequence[float]] = field(default_factory=dict)  # by the machine's address
 
     @property
     def accepted(self) -> list[PlatformCallSeen]:
-        """Return the calls that were taken."""
+        """Return the accepted calls."""
         return [call for call in self.calls if call.status == ACCEPTED]
 
     @property
     def reports(self) -> list[PlatformCallSeen]:
-        """Return the reports of usage that were taken."""
+        """Return the accepted usage reports."""
         return [call for call in self.accepted if call.path == USAGE_PATH]
 
     def holder(self, call: PlatformCallSeen) -> tuple[str, int]:
-        """Return the machine of a call and which of its starts made it."""
+        """Return the machine that sent a call, and the number of the process start that sent it."""
         return call.machine, bisect_right(self.starts_s.get(call.machine, ()), call.at_s)
 
 
@@ -49,7 +49,7 @@
 
 
 def differing_reports(history: PlatformHistory) -> Iterator[Breach]:
-    """Report each usage window for which two reports that differ were taken."""
+    """Report each usage window for which two different reports were accepted."""
     first: dict[int, object] = {}
     for call in history.reports:
         window, counts = call.body["WindowNo"], call.body["Counts"]
@@ -58,7 +58,7 @@
 
 
 def shared_fence(history: PlatformHistory) -> Iterator[Breach]:
-    """Report each call whose fence another holder has sent for the same subject."""
+    """Report each call whose fencing token another lease holder has sent for the same subject."""
     first: dict[tuple[tuple[str, ...], int], tuple[str, int]] = {}
     for call in history.calls:
         holder = history.holder(call)
@@ -68,7 +68,7 @@
 
 
 def returning_holder(history: PlatformHistory) -> Iterator[Breach]:
-    """Report each machine that acts, then another, then the first again, within a lease."""
+    """Report each machine that acts again within a lease's duration although another acted in between."""
     lease_s = history.bounds.lease_ms / 1000
     newest_s: dict[str, float] = {}
     last = ""
@@ -80,7 +80,7 @@
 
 
 def refused_fence(history: PlatformHistory) -> Iterator[Breach]:
-    """Report each call with a fence that its machine knows to be refused, later than a lease afterwards."""
+    """Report each call that reuses a rejected fencing token more than a lease's duration after the rejection."""
     lease_s = history.bounds.lease_ms / 1000
     refused_s: dict[tuple[str, tuple[str, ...], int], float] = {}
     for call in history.calls:
@@ -93,15 +93,15 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageHistory:
-    """The reports of usage beside what the nodes began to run."""
+    """The usage reports, and the requests that the nodes began to run."""
 
     platform: PlatformHistory
     day: History
-    unix_offset_s: float  # true time at the zero of the day's clock
-    until_s: float  # end of the day; the platform answers before it
+    unix_offset_s: float  # Unix time at which the day's clock reads zero
+    until_s: float  # end of the day; reports due later are not judged
 
     def window(self, at_s: float) -> int:
-        """Return the number of the window at a moment."""
+        """Return the number of the window that contains a time."""
         return usage_window_at(at_s + self.unix_offset_s, self.day.bounds.usage_window_s)
 
     def end_s(self, window: int) -> float:
@@ -128,7 +128,7 @@
         return sorted({self.window(at_s) for at_s, _ in self.first_runs()})
 
     def first_accepted_s(self) -> dict[int, float]:
-        """Return when the first report of each window was taken."""
+        """Return when the first report of each window was accepted."""
         found: dict[int, float] = {}
         for call in self.platform.reports:
             found.setdefault(call.body["WindowNo"], call.at_s)
@@ -142,13 +142,13 @@
 
 
 def judge_usage(history: UsageHistory) -> list[Breach]:
-    """Return all breaches of the rules on reports, in order of time."""
+    """Return all breaches of the rules on usage reports, in order of time."""
     found = [breach for rule in (missing_reports, late_reports, wrong_counts) for breach in rule(history)]
     return sorted(found, key=lambda breach: breach.at_s)
 
 
 def missing_reports(history: UsageHistory) -> Iterator[Breach]:
-    """Report each window with runs whose report has not been taken by the end of the day."""
+    """Report each window with runs that has no accepted report although one was due before the day's end."""
     accepted_s = history.first_accepted_s()
     for window in history.windows_with_runs():
         due_s = history.end_s(window) + history.day.bounds.usage_delay_s + REPORT_SLACK_S
@@ -157,7 +157,7 @@
 
 
 def late_reports(history: UsageHistory) -> Iterator[Breach]:
-    """Report each calm window with runs whose report was taken too late."""
+    """Report each window with runs but without faults whose report was accepted too late."""
     accepted_s = history.first_accepted_s()
     for window in history.windows_with_runs():
         due_s = history.end_s(window) + history.day.bounds.usage_delay_s
@@ -166,17 +166,17 @@
 
 
 def wrong_counts(history: UsageHistory) -> Iterator[Breach]:
-    """Report each calm window and tenant whose count is off by more than the tolerated part."""
+    """Report each tenant's count, in windows without faults, that is off by more than the tolerated fraction."""
     error = history.day.bounds.usage_error
-    surely = _runs_by_window(history, EDGE_S)
-    perhaps = _runs_by_window(history, -EDGE_S)
+    certain_runs = _runs_by_window(history, WINDOW_EDGE_S)
+    possible_runs = _runs_by_window(history, -WINDOW_EDGE_S)
     for call in history.platform.reports:
         window, counts = call.body["WindowNo"], call.body["Counts"]
         if not history.was_calm(window):
             continue
-        for tenant in sorted({name for at, name in perhaps if at == window} | set(counts)):
-            least = surely[window, tenant] * (1 - error)
-            most = perhaps[window, tenant] * (1 + error)
+        for tenant in sorted({name for at, name in possible_runs if at == window} | set(counts)):
+            least = certain_runs[window, tenant] * (1 - error)
+            most = possible_runs[window, tenant] * (1 + error)
             count = counts.get(tenant, 0)
             if not least <= count <= most:
                 text = f"window {window}, {tenant}: {count} reported, {least:.1f} to {most:.1f} ran"
@@ -184,7 +184,7 @@
 
 
 def _runs_by_window(history: UsageHistory, inset_s: float) -> Counter[tuple[int, str]]:
-    """Count the runs by window and tenant; windows are shorter by `inset_s` at both ends."""
+    """Count the runs by window and tenant; windows are shortened by `inset_s` at both ends."""
     found: Counter[tuple[int, str]] = Counter()
     for at_s, tenant in history.first_runs():
         for window in {history.window(at_s - inset_s), history.window(at_s), history.window(at_s + inset_s)}:
--- a/coveport/serving/simulation/figures.py
+++ b/coveport/serving/simulation/figures.py
@@ -25,22 +25,22 @@
     served: int
     in_time: int
     attempts: int
-    statuses: tuple[tuple[str, int], ...]  # endings of attempts that failed, with counts
-    first_event_ms: tuple[float, float, float]  # 50th, 95th and 99th percentile of the served
+    statuses: tuple[tuple[str, int], ...]  # endings of failed attempts, with counts
+    first_event_ms: tuple[float, float, float]  # 50th, 95th and 99th percentile of served requests
 
     @property
     def served_fraction(self) -> float:
-        """Return a fraction of all requests."""
+        """Return the fraction of requests that were served."""
         return self.served / self.requests if self.requests else 1.0
 
     @property
     def in_time_fraction(self) -> float:
-        """Return a fraction of all requests."""
+        """Return the fraction of requests that met the latency targets."""
         return self.in_time / self.requests if self.requests else 1.0
 
 
 def figures(event_log: EventLog, objectives: Mapping[str, Objective]) -> dict[str, KindFigures]:
-    """Return the statistics by kind of request, without direct checks of proxies."""
+    """Return the statistics by kind of request; requests that check one proxy directly don't count."""
     ended = {entry.attempt_id: entry for entry in event_log.of(AttemptEnded)}
     attempts_by_request: dict[str, list[AttemptStarted]] = defaultdict(list)
     for started in event_log.of(AttemptStarted):
@@ -49,10 +49,10 @@
     by_kind: dict[str, list[list[AttemptStarted]]] = defaultdict(list)
     for attempts in attempts_by_request.values():
         by_kind[attempts[0].kind].append(attempts)
-    return {kind: _of_kind(requests, ended, objectives[kind]) for kind, requests in sorted(by_kind.items())}
+    return {kind: _kind_figures(requests, ended, objectives[kind]) for kind, requests in sorted(by_kind.items())}
 
 
-def _of_kind(
+def _kind_figures(
     requests: list[list[AttemptStarted]], ended: Mapping[str, AttemptEnded], objective: Objective
 ) -> KindFigures:
     served = in_time = 0
@@ -83,7 +83,7 @@
 
 
 def _answered_s(entry: AttemptEnded) -> float:
-    """Return when the first event or a complete answer came; 0.0: never."""
+    """Return the time of the first event or of the complete answer; 0.0 if there was neither."""
     if entry.first_event_s:
         return entry.first_event_s
     return entry.at_s if _is_success(entry) else 0.0
--- a/coveport/serving/simulation/judge.py
+++ b/coveport/serving/simulation/judge.py
@@ -1,8 +1,8 @@
 """Judges a day by its event log alone, by the operators' rules. Pure.
 
-Narrower than the operators' rules in a few places, each in the programs' favour: a machine counts as not in
-touch for all that a fault names, however little it does; bodies that pass through machines of other regions
-are not seen.
+The judge is more lenient than the operators' rules in two places: a machine counts as unreachable while any
+fault names it, however small the fault's effect; and the judge does not see bodies that pass through machines
+of other regions.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 def judge(event_log: EventLog, bounds: Bounds, core_size: int = 3) -> list[Breach]:
-    """Return all breaches of a day in order of time. `core_size`: number of coordinators."""
+    """Return all breaches of a day in order of time. `core_size`: the number of coordinators."""
     history = History.of(event_log, bounds, core_size)
     found = [breach for rule in RULES for breach in rule(history)]
     return sorted(found, key=lambda breach: breach.at_s)
--- a/coveport/serving/simulation/planned_steps.py
+++ b/coveport/serving/simulation/planned_steps.py
@@ -1,4 +1,4 @@
-"""Schedules the acts of operators and clients in a simulated day: changes, evacuations, bursts."""
+"""Schedules what operators and clients do in a simulated day: changes, evacuations, bursts."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class PlannedSteps:
-    """Steps of a day. Times are in seconds after the traffic's start."""
+    """Schedules steps of a day. Times are in seconds after the traffic's start."""
 
     def __init__(self, day: SimulatedDeployment) -> None:
         self._day = day
         self._rng = Random(f"troubles {day.seed}")
 
     def evacuate(self, at_s: float, zone: str, for_s: float) -> None:
-        """Evacuate a zone, and take that back after `for_s`."""
+        """Evacuate a zone, and revoke the evacuation after `for_s`."""
         operator = self._day.operators[0]
         self._day.at(at_s, lambda: self._day.run_operator(operator, lambda: operator.evacuate(zone)))
         self._day.at(at_s + for_s, lambda: self._day.run_operator(operator, lambda: operator.take_back(zone)))
 
     def add_route(self, at_s: float, name: str) -> None:
-        """Add a route; request it at each proxy soon afterwards and again after the bound."""
+        """Add a route; send a request on it to each proxy after 0.5 s and again after the bound on applying it."""
         operator = self._day.operators[0]
         route = self._route(name)
 
@@ -45,9 +45,9 @@
         self._day.at(at_s, lambda: self._day.run_operator(operator, patch))
 
     def race(self, at_s: float) -> None:
-        """Let two operators change the same version of the configuration at once."""
-        for at, operator in enumerate(self._day.operators):
-            route = self._route(f"race-{at}-{self._rng.randrange(1000)}")
+        """Send changes of the same version of the configuration from all operators at almost the same time."""
+        for index, operator in enumerate(self._day.operators):
+            route = self._route(f"race-{index}-{self._rng.randrange(1000)}")
 
             def begin(operator: Operator = operator, route: Route = route) -> None:
                 base = self._newest_configuration()
@@ -63,25 +63,25 @@
 
                 self._day.run_operator(operator, patch)
 
-            self._day.at(at_s + 0.01 * at, begin)
+            self._day.at(at_s + 0.01 * index, begin)
 
     def send_invalid(self, at_s: float) -> None:
-        """Send a configuration with two routes for one prefix, and one that is truncated."""
+        """Send a configuration with two routes for the same prefix, and a truncated configuration."""
         operator = self._day.operators[0]
 
         async def send() -> None:
             base = operator.configuration
-            twin = self._day.deployment.configuration(self._day.editions.next())
-            routes = (*twin.routes, self._route("twin", twin.routes[0].path_prefix))
-            double = Configuration(twin.edition, routes, twin.services)
-            body = json.dumps(configuration_document(double)).encode()
-            await operator.put_invalid(double, body, base.edition)
-            await operator.put_invalid(twin, body[: len(body) // 2], base.edition)
+            valid = self._day.deployment.configuration(self._day.editions.next())
+            routes = (*valid.routes, self._route("twin", valid.routes[0].path_prefix))
+            ambiguous = Configuration(valid.edition, routes, valid.services)
+            body = json.dumps(configuration_document(ambiguous)).encode()
+            await operator.put_invalid(ambiguous, body, base.edition)
+            await operator.put_invalid(valid, body[: len(body) // 2], base.edition)
 
         self._day.at(at_s, lambda: self._day.run_operator(operator, send))
 
     def change_tenants(self, at_s: float, *tenants: Tenant, checked_keys: tuple[str, ...] = ()) -> None:
-        """Add or replace tenants; send requests with some keys to each proxy, soon and after the bound."""
+        """Add or replace tenants; send requests with `checked_keys` to each proxy, early and after the bound."""
         operator = self._day.operators[0]
         path_prefix = self._day.deployment.rates[0][0].path_prefix
 
@@ -96,15 +96,15 @@
         self._day.at(at_s, lambda: self._day.run_operator(operator, patch))
 
     def send_shared_key(self, at_s: float) -> None:
-        """Send a configuration in which another tenant holds the first key of the first one too."""
+        """Send an invalid configuration in which two tenants have the same API key."""
         operator = self._day.operators[0]
 
         async def send() -> None:
             base = operator.configuration
             first = (base.tenants or ())[0]
             twin = Tenant("twin", first.api_keys[:1])
-            bad = replace(base, edition=self._day.editions.next(), tenants=(*(base.tenants or ()), twin))
-            await operator.put_invalid(bad, json.dumps(configuration_document(bad)).encode(), base.edition)
+            invalid = replace(base, edition=self._day.editions.next(), tenants=(*(base.tenants or ()), twin))
+            await operator.put_invalid(invalid, json.dumps(configuration_document(invalid)).encode(), base.edition)
 
         self._day.at(at_s, lambda: self._day.run_operator(operator, send))
 
@@ -117,18 +117,18 @@
         return self._day.deployment.added_route(name, path_prefix or f"/{name}/")
 
     def check_proxies(self, path_prefix: str, api_key: str = "") -> None:
-        """Send one request on a route to each proxy that is up, with a key or with none."""
+        """Send one request on a route to each running proxy, with an API key unless it is empty."""
         kind = RequestKind("probe", HOST, path_prefix, True, 5.0, 1.0, 0.4, ((1, 50),), 50, 5, 20, 0)
         ports = self._day.deployment.ports
-        for at, proxy in enumerate(self._day.proxies):
-            machine = self._day.clients[at % len(self._day.clients)]
+        for index, proxy in enumerate(self._day.proxies):
+            machine = self._day.clients[index % len(self._day.clients)]
             program = machine.program
             if proxy.is_up and isinstance(program, ClientProgram):
                 address = (proxy.spot.ip, ports.clients)
                 machine.run(partial(program.client.send_direct, kind, address, api_key))
 
     def burst(self, at_s: float, kind: RequestKind, rate: float, for_s: float) -> None:
-        """Add so many requests of a kind a second, for `for_s`."""
+        """Add `rate` requests of a kind per second, for `for_s`."""
         day = self._day
 
         def begin() -> None:
@@ -136,7 +136,7 @@
             for machine in day.clients:
                 if isinstance(machine.program, ClientProgram):
                     rng = Random(f"burst {machine.spot.name} {day.seed} {at_s}")
-                    client, one_rate = machine.program.client, rate / len(day.clients)
-                    machine.run(partial(drive, machine.net, client, kind, one_rate, until_s, rng))
+                    client, client_rate = machine.program.client, rate / len(day.clients)
+                    machine.run(partial(drive, machine.net, client, kind, client_rate, until_s, rng))
 
         day.at(at_s, begin)
--- a/coveport/serving/simulation/reading.py
+++ b/coveport/serving/simulation/reading.py
@@ -1,4 +1,4 @@
-"""Reads one answer for a client: a complete body, or a stream event by event."""
+"""Reads the answer to an attempt for a client: a complete body, or a stream event by event."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadLimits:
-    """The deadline and the stall time-out of a read, in seconds, and the last event already received."""
+    """The deadline and the stall time-out of a read, in seconds, and the number of the last event received."""
 
     deadline_s: float
     stall_timeout_s: float
@@ -45,7 +45,7 @@
     last_event_s: float = 0.0
     longest_inter_token_s: float = 0.0
     body: bytearray = field(default_factory=bytearray)
-    bad_events: bool = False
+    malformed_events: bool = False
 
     @property
     def is_stream(self) -> bool:
@@ -67,7 +67,7 @@
     def _take_event(self, block: bytes) -> None:
         event = parse_event(block)
         if event is None:
-            self.bad_events = True
+            self.malformed_events = True
             return
         now = self.net.now_s()
         if self.events:
@@ -90,7 +90,7 @@
 
 
 def parse_event(block: bytes) -> StreamEvent | None:
-    """Parse an event with `id: N`, `data: RUN N ...` and perhaps other lines; None if malformed."""
+    """Parse an event with the lines `id: N` and `data: RUN N ...`, and possibly more; None if malformed."""
     fields = dict(entry.split(": ", 1) for entry in block.decode("latin-1").split("\n") if ": " in entry)
     text = fields.get("data", "")
     number = fields.get("id", "")
@@ -105,7 +105,7 @@
     """Send a request and read its answer."""
     reading = _Reading(net, attempt_id)
     ending = await _read(net, connection, request, reading, limits)
-    if ending is Ending.COMPLETE and (reading.bad_events or (reading.is_stream and reading.body)):
+    if ending is Ending.COMPLETE and (reading.malformed_events or (reading.is_stream and reading.body)):
         ending = Ending.GARBLED
     surplus = ending is Ending.COMPLETE and connection.surplus
     retry_after_s = 0.0
--- a/coveport/serving/simulation/texts.py
+++ b/coveport/serving/simulation/texts.py
@@ -1,4 +1,4 @@
-"""Format of bodies and events, by which a reader verifies that a node wrote them. Pure."""
+"""Format of the bodies and events that nodes write; a reader verifies their origin by it. Pure."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def event_text(run: str, number: int) -> str:
-    """Return the text of a run's event of that number."""
+    """Return the text of a run's event with a given number."""
     return f"{run} {number} ".ljust(EVENT_BYTES, ".")
 
 
@@ -24,5 +24,5 @@
 
 
 def complete_body(run: str, request_digest: str) -> bytes:
-    """Return a run's answer to a request that is not streamed."""
+    """Return the body of a run's answer that is not streamed."""
     return f"{run} {request_digest}".encode()
