--- a/coveport/serving/scale/processes.py
+++ b/coveport/serving/scale/processes.py
@@ -12,7 +12,7 @@
 
 from coveport.serving.scale.meters import Usage, read_usage
 from coveport.serving.scale.worker_messages import MAX_MESSAGE_BYTES, Message
-from coveport.serving.simulation.local_processes import LocalProcess, own_variables
+from coveport.serving.simulation.local_processes import LocalProcess, child_environment
 
 COUNT_WITHIN_S = 5.0
 END_WITHIN_S = 3.0
@@ -53,7 +53,7 @@
         """Start the process; its proxies or nodes wait for the command `start`."""
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", self._module, json.dumps(self.settings), env=own_variables(),
+                sys.executable, "-m", self._module, json.dumps(self.settings), env=child_environment(),
                 stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log,
                 limit=MAX_MESSAGE_BYTES,
             )  # fmt: skip
--- a/coveport/serving/simulation/control_rules.py
+++ b/coveport/serving/simulation/control_rules.py
@@ -206,7 +206,9 @@
 def _reverted(history: History) -> Iterator[Breach]:
     """Report each proxy that reverted to an older version within one incarnation."""
     possible = [version for version in history.versions if version.may_be_in_force]
-    seen: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)  # effects: time, least fitting edition
+    seen: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(
+        list
+    )  # effects: time, least fitting edition
     handlings = sorted(_handlings(history), key=lambda handling: handling.seen_s)
     fitting = [
         (handling, [version.edition for version in possible if handling.fits(version)])
--- a/coveport/serving/simulation/deployment.py
+++ b/coveport/serving/simulation/deployment.py
@@ -179,7 +179,7 @@
         region=zone.region,
         engine=deployment.engine,
         warm_up_rate=deployment.warm_up_rate,
-        falls_over_above=deployment.warm_up_rate * bounds.warm_up_overshoot + bounds.warm_up_slack,
+        warm_up_crash_rate=deployment.warm_up_rate * bounds.warm_up_overshoot + bounds.warm_up_slack,
     )
 
 
--- a/coveport/serving/simulation/duty_rules.py
+++ b/coveport/serving/simulation/duty_rules.py
@@ -14,7 +14,9 @@
 from coveport.serving.simulation.history import Breach, History
 from coveport.serving.simulation.platform import ACCEPTED, FENCED, USAGE_PATH, PlatformCallSeen
 
-WINDOW_EDGE_S = 0.05  # a request that starts this close to the edge of a window may count in the adjacent window
+WINDOW_EDGE_S = (
+    0.05  # a request that starts this close to the edge of a window may count in the adjacent window
+)
 REPORT_SLACK_S = 5.0  # after the delay of a report, for the backlog of an earlier fault
 
 
--- a/coveport/serving/simulation/figures.py
+++ b/coveport/serving/simulation/figures.py
@@ -49,7 +49,9 @@
     by_kind: dict[str, list[list[AttemptStarted]]] = defaultdict(list)
     for attempts in attempts_by_request.values():
         by_kind[attempts[0].kind].append(attempts)
-    return {kind: _kind_figures(requests, ended, objectives[kind]) for kind, requests in sorted(by_kind.items())}
+    return {
+        kind: _kind_figures(requests, ended, objectives[kind]) for kind, requests in sorted(by_kind.items())
+    }
 
 
 def _kind_figures(
--- a/coveport/serving/simulation/local_processes.py
+++ b/coveport/serving/simulation/local_processes.py
@@ -21,7 +21,7 @@
 OWN_SOURCE: Final = Path(coveport.__file__).parent.parent
 
 
-def own_variables(source: Path = OWN_SOURCE) -> dict[str, str]:
+def child_environment(source: Path = OWN_SOURCE) -> dict[str, str]:
     """Return the environment of a child process, in which the package below `source` can be imported."""
     root = str(source)
     found = os.environ.get("PYTHONPATH")
@@ -58,7 +58,7 @@
         """Start the process."""
         self._file.write_text(settings_text(self._settings(self._incarnations == 0)), encoding="utf-8")
         self._incarnations += 1
-        variables = {**own_variables(self.source), SETTINGS_VARIABLE: str(self._file)}
+        variables = {**child_environment(self.source), SETTINGS_VARIABLE: str(self._file)}
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "coveport.serving", self._role, env=variables, stdout=log, stderr=log,
--- a/coveport/serving/simulation/model_server.py
+++ b/coveport/serving/simulation/model_server.py
@@ -45,7 +45,7 @@
     health_path: str = "/health"
     connections_most: int = 370
     warm_up_rate: float = 0.0  # requests a second that it can serve while warming up
-    falls_over_above: float = float("inf")  # requests within one second while warming up
+    warm_up_crash_rate: float = float("inf")  # requests within one second while warming up
 
 
 def parse_segments(text: str) -> tuple[PrefixSegment, ...]:
@@ -212,7 +212,7 @@
         self._warm_up_arrivals.append(now)
         while self._warm_up_arrivals[0] <= now - 1.0:
             self._warm_up_arrivals.popleft()
-        return len(self._warm_up_arrivals) > self.figures.falls_over_above
+        return len(self._warm_up_arrivals) > self.figures.warm_up_crash_rate
 
     def _reject(self, connection: ServerConnection, attempt_id: str, status: int) -> None:
         self._event_log.write(RequestRejected(self._net.now_s(), self.incarnation, attempt_id, status))
--- a/coveport/serving/simulation/planned_steps.py
+++ b/coveport/serving/simulation/planned_steps.py
@@ -104,7 +104,9 @@
             first = (base.tenants or ())[0]
             twin = Tenant("twin", first.api_keys[:1])
             invalid = replace(base, edition=self._day.editions.next(), tenants=(*(base.tenants or ()), twin))
-            await operator.put_invalid(invalid, json.dumps(configuration_document(invalid)).encode(), base.edition)
+            await operator.put_invalid(
+                invalid, json.dumps(configuration_document(invalid)).encode(), base.edition
+            )
 
         self._day.at(at_s, lambda: self._day.run_operator(operator, send))
 
--- a/tests/serving/simulation/test_local_processes.py
+++ b/tests/serving/simulation/test_local_processes.py
@@ -8,16 +8,16 @@
 import pytest
 
 import coveport
-from coveport.serving.simulation.local_processes import own_variables
+from coveport.serving.simulation.local_processes import child_environment
 
 ROOT = str(Path(coveport.__file__).parent.parent)
 
 
 def test_libraries_on_the_path_are_found_by_the_processes_too(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("PYTHONPATH", "target/deps")
-    assert own_variables()["PYTHONPATH"].split(os.pathsep) == [ROOT, "target/deps"]
+    assert child_environment()["PYTHONPATH"].split(os.pathsep) == [ROOT, "target/deps"]
 
 
 def test_without_a_path_only_the_program_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("PYTHONPATH", raising=False)
-    assert own_variables()["PYTHONPATH"] == ROOT
+    assert child_environment()["PYTHONPATH"] == ROOT
--- a/tests/serving/simulation/test_stand_ins.py
+++ b/tests/serving/simulation/test_stand_ins.py
@@ -166,7 +166,7 @@
 
 def test_a_cold_node_falls_over_above_what_it_bears() -> None:
     deployment = StubDeployment()
-    node = deployment.node(1, warm_up_s=10.0, warm_up_rate=5.0, falls_over_above=12.0)
+    node = deployment.node(1, warm_up_s=10.0, warm_up_rate=5.0, warm_up_crash_rate=12.0)
     for number in range(14):
         deployment.send_requests(deployment.client(number), replace(KIND, retries=0))
     deployment.run(3.0)
