--- a/coveport/serving/simulation/control_rules.py
+++ b/coveport/serving/simulation/control_rules.py
@@ -187,7 +187,7 @@
         for version in history.versions
         if version.may_be_in_force and version.started.at_s <= handling.seen_s
     ]
-    newest = 0  # the oldest edition that the proxy may still apply
+    newest = 0  # newest edition that must be in force; an effect of an older one is a breach
     if allowance_s is not None:
         bound_s = history.bounds.config_apply_ms / 1000 + allowance_s
         newest = history.newest_acknowledged(handling.started.at_s - bound_s)
@@ -240,7 +240,7 @@
 
 
 def _read_back(history: History) -> Iterator[Breach]:
-    """Report a last read that failed, is older than the newest acknowledged version, or differs from it."""
+    """Report a last read that failed, or returned an outdated version or a document that was never sent."""
     ends = {entry.number: entry for entry in history.event_log.of(OrderEnded)}
     reads = [
         (order, ends.get(order.number))
--- a/coveport/serving/simulation/duty_rules.py
+++ b/coveport/serving/simulation/duty_rules.py
@@ -82,7 +82,7 @@
 
 
 def refused_fence(history: PlatformHistory) -> Iterator[Breach]:
-    """Report each call that reuses a rejected fencing token more than a lease's duration after the rejection."""
+    """Report each call with a fencing token that was rejected more than a lease's duration earlier."""
     lease_s = history.bounds.lease_ms / 1000
     refused_s: dict[tuple[str, tuple[str, ...], int], float] = {}
     for call in history.calls:
@@ -168,7 +168,7 @@
 
 
 def wrong_counts(history: UsageHistory) -> Iterator[Breach]:
-    """Report each tenant's count, in windows without faults, that is off by more than the tolerated fraction."""
+    """Report each count, in windows without faults, that is off by more than the tolerated fraction."""
     error = history.day.bounds.usage_error
     certain_runs = _runs_by_window(history, WINDOW_EDGE_S)
     possible_runs = _runs_by_window(history, -WINDOW_EDGE_S)
--- a/coveport/serving/simulation/local_day.py
+++ b/coveport/serving/simulation/local_day.py
@@ -1,4 +1,4 @@
-"""A short day on loopback: real coordinators and proxies, emulated nodes and clients in this process."""
+"""A short day on loopback: real coordinator and proxy processes, emulated nodes and clients in this one."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 DEFAULT_SECONDS: Final = 20.0
 READY_WITHIN_S: Final = 30.0
-SETTLE_S: Final = 4.0  # after the traffic, for streams that still run
-PROGRESS_S: Final = 2.0
-RESTART_S: Final = 0.5
-FIRST_PUT_RETRY_S: Final = 0.2  # until the coordinators have founded their core
+SETTLE_S: Final = 4.0  # after the traffic, for streams still running
+PROGRESS_S: Final = 2.0  # interval of the progress lines
+RESTART_S: Final = 0.5  # between the end of a process and its next start
+FIRST_PUT_RETRY_S: Final = 0.2  # until the coordinators have formed a quorum
 READY_POLL_S: Final = 0.1
 BROKEN: Final = 1  # exit code
 
@@ -46,23 +46,23 @@
 class LocalDayResult:
     """The result of a day."""
 
-    ready: bool  # all proxies were, in time
+    ready: bool  # whether all proxies became ready in time
     breaches: tuple[Breach, ...]
     kinds: dict[str, KindFigures]
     event_log: EventLog
 
     @property
     def exit_code(self) -> int:
-        """0: no rule was broken, and requests were served."""
+        """Return 0 if the proxies were ready, requests were served and no rule was broken."""
         served = any(kind.served for kind in self.kinds.values())
         return 0 if self.ready and served and not self.breaches else BROKEN
 
 
 class LocalDay:
-    """The deployment and the steps of one day; a subclass has other steps."""
+    """The deployment and the steps of one day; subclasses override the steps."""
 
     def __init__(self, net: Net, folder: Path, seconds: float, seed: int, say: Say) -> None:
-        """`seconds`: of traffic. `say` gets each line of the progress."""
+        """Create the deployment; `seconds`: length of the traffic. `say` receives each line of progress."""
         self._net = net
         self._seconds = seconds
         self._say = say
@@ -70,7 +70,7 @@
         self._seed = seed
         self.event_log = EventLog()
         self._began_s = net.now_s()
-        self._fault_count = 0
+        self._last_fault_number = 0
         self._editions = EditionNumbers(Random(f"editions {seed}"))
         self._machines = LocalDeployment(net, folder, self._deployment, self.event_log, seed)
         self._operator = Operator(
@@ -81,7 +81,7 @@
     # The day.
 
     async def play(self) -> LocalDayResult:
-        """Start all, play, judge."""
+        """Start the deployment, run the traffic and the steps, and judge the event log."""
         try:
             await self._start_all()
             ready = await self._wait_until_ready()
@@ -98,11 +98,11 @@
             )
 
     async def _start_all(self) -> None:
-        self._tell("starting three coordinators, three proxies and five nodes")
+        self._report("starting three coordinators, three proxies and five nodes")
         for coordinator in self._machines.coordinators:
             await coordinator.start()
-        for at in range(len(self._machines.proxies)):
-            await self._machines.start_proxy(at)
+        for index in range(len(self._machines.proxies)):
+            await self._machines.start_proxy(index)
         for zone_number, count in enumerate(self._deployment.nodes):
             for number in range(count):
                 await self._machines.start_node(zone_number, number)
@@ -115,32 +115,32 @@
             if answer.verdict is Verdict.ACKNOWLEDGED:
                 break
             await asyncio.sleep(FIRST_PUT_RETRY_S)
-        self._tell(f"configuration {first.edition} is taken")
+        self._report(f"configuration {first.edition} is taken")
 
     async def _wait_until_ready(self) -> bool:
         until_s = self._net.now_s() + READY_WITHIN_S
         waiting = set(range(len(self._machines.proxies)))
         while waiting and self._net.now_s() < until_s:
-            waiting = {at for at in waiting if not await self._machines.is_ready(at)}
+            waiting = {index for index in waiting if not await self._machines.is_ready(index)}
             await asyncio.sleep(READY_POLL_S)
         if not waiting:
-            self._tell("all proxies are ready")
+            self._report("all proxies are ready")
             return True
-        for at in sorted(waiting):
-            self._tell(f"{self._machines.proxies[at].name} is not ready; the end of its log:")
-            for line in self._machines.proxies[at].last_lines():
+        for index in sorted(waiting):
+            self._report(f"{self._machines.proxies[index].name} is not ready; the end of its log:")
+            for line in self._machines.proxies[index].last_lines():
                 self._say(f"    {line}")
         return False
 
     async def _play_traffic(self) -> None:
         began_s = self._net.now_s()
         until_s = began_s + self._seconds
-        asking = self._spawn(self._ask_until(until_s))
-        self._spawn(self._tell_progress(until_s))
-        for client_rate, step in self._plan():
-            await asyncio.sleep(max(0.0, began_s + client_rate * self._seconds - self._net.now_s()))
+        traffic = self._spawn(self._send_requests(until_s))
+        self._spawn(self._report_progress(until_s))
+        for fraction, step in self._plan():
+            await asyncio.sleep(max(0.0, began_s + fraction * self._seconds - self._net.now_s()))
             self._spawn(step())
-        await asyncio.wait([asking], timeout=self._seconds + SETTLE_S)
+        await asyncio.wait([traffic], timeout=self._seconds + SETTLE_S)
         await self._operator.read(4.0)
 
     def _plan(self) -> list[tuple[float, Callable[[], Awaitable[None]]]]:
@@ -155,17 +155,17 @@
             (0.80, self._stop_proxy),
         ]
 
-    async def _ask_until(self, until_s: float) -> None:
+    async def _send_requests(self, until_s: float) -> None:
         deployment = self._deployment
-        asking = []
+        workloads = []
         for zone, count in zip(deployment.zones, deployment.clients, strict=True):
             for number in range(count):
                 client = self._machines.client(zone, number)
                 for kind, rate in deployment.rates:
                     client_rate = rate / sum(deployment.clients)
                     rng = Random(f"{zone.name} {number} {kind.name} {self._seed}")
-                    asking.append(drive(self._net, client, kind, client_rate, until_s, rng))
-        await asyncio.gather(*asking)
+                    workloads.append(drive(self._net, client, kind, client_rate, until_s, rng))
+        await asyncio.gather(*workloads)
 
     # Steps.
 
@@ -183,31 +183,31 @@
         await asyncio.sleep(0.25 * self._seconds)
         await self._order(f"taking back {zone}", self._operator.take_back(zone))
 
-    async def _order(self, subject: str, asking: Awaitable[OrderAnswer]) -> None:
+    async def _order(self, subject: str, call: Awaitable[OrderAnswer]) -> None:
         began_s = self._net.now_s()
-        answer = await asking
+        answer = await call
         took_ms = (self._net.now_s() - began_s) * 1000
-        self._tell(f"{subject}: {answer.verdict.value} after {took_ms:.0f} ms")
+        self._report(f"{subject}: {answer.verdict.value} after {took_ms:.0f} ms")
 
     async def _crash_node(self) -> None:
         server, _ = self._machines.nodes[0]
-        self._tell(f"node {server.incarnation} crashes")
+        self._report(f"node {server.incarnation} crashes")
         server.end(planned=False)
         await asyncio.sleep(0.15 * self._seconds)
-        back = await self._machines.start_node(0, 0, incarnation=1)
-        self._tell(f"... and is back, cold, as {back.incarnation}")
+        restarted = await self._machines.start_node(0, 0, incarnation=1)
+        self._report(f"... and is back, cold, as {restarted.incarnation}")
 
     async def _close_node(self) -> None:
         server, registration = self._machines.nodes[1]
-        self._tell(f"node {server.incarnation} says that it closes")
+        self._report(f"node {server.incarnation} says that it closes")
         await registration.leave(self._deployment.bounds.drain_ms / 1000)
-        self._tell(f"... and has left: {server.incarnation}")
+        self._report(f"... and has left: {server.incarnation}")
 
     async def _kill_coordinator(self) -> None:
         coordinator = self._machines.coordinators[0]
         number = self._begin("kill", coordinator, core=True)
         await coordinator.kill()
-        self._tell(f"{coordinator.name} is killed")
+        self._report(f"{coordinator.name} is killed")
         await asyncio.sleep(RESTART_S)
         await coordinator.start()
         self._end(number)
@@ -215,28 +215,28 @@
     async def _stop_proxy(self) -> None:
         proxy = self._machines.proxies[-1]
         number = self._begin("term", proxy, planned=True)
-        self._tell(f"{proxy.name} is told to stop")
+        self._report(f"{proxy.name} is told to stop")
         in_time = await proxy.terminate()
-        self._tell(f"... and has ended with {proxy.exit_code}" + ("" if in_time else ", too late"))
+        self._report(f"... and has ended with {proxy.exit_code}" + ("" if in_time else ", too late"))
         await asyncio.sleep(RESTART_S)
         await self._machines.start_proxy(len(self._machines.proxies) - 1)
         self._end(number)
 
     def _begin(self, kind: str, process: LocalProcess, *, core: bool = False, planned: bool = False) -> int:
-        self._fault_count += 1
+        self._last_fault_number += 1
         now = self._net.now_s()
-        of_core = (process.name,) if core else ()
+        core_machines = (process.name,) if core else ()
         self.event_log.write(
-            FaultBegan(now, self._fault_count, kind, (process.name,), core, planned, of_core)
+            FaultBegan(now, self._last_fault_number, kind, (process.name,), core, planned, core_machines)
         )
-        return self._fault_count
+        return self._last_fault_number
 
     def _end(self, number: int) -> None:
         self.event_log.write(FaultEnded(self._net.now_s(), number))
 
-    # Words.
+    # Progress and result.
 
-    async def _tell_progress(self, until_s: float) -> None:
+    async def _report_progress(self, until_s: float) -> None:
         while self._net.now_s() < until_s:
             await asyncio.sleep(PROGRESS_S)
             requests = len({line.request for line in self.event_log.of(AttemptStarted)})
@@ -244,9 +244,9 @@
                 line.ending is Ending.COMPLETE and line.status == 200
                 for line in self.event_log.of(AttemptEnded)
             )
-            self._tell(f"{requests} requests asked, {served} served")
+            self._report(f"{requests} requests asked, {served} served")
 
-    def _tell(self, text: str) -> None:
+    def _report(self, text: str) -> None:
         self._say(f"{self._net.now_s() - self._began_s:6.1f} s  {text}")
 
     def _spawn(self, work: Awaitable[None]) -> asyncio.Task[None]:
@@ -258,7 +258,7 @@
     def _result(self, ready: bool) -> LocalDayResult:
         for task in self._tasks:
             if task.done() and not task.cancelled() and task.exception() is not None:
-                self._tell(f"a step failed: {task.exception()!r}")
+                self._report(f"a step failed: {task.exception()!r}")
         breaches = tuple(judge(self.event_log, self._deployment.bounds))
         return LocalDayResult(ready, breaches, figures(self.event_log, OBJECTIVES), self.event_log)
 
@@ -271,10 +271,11 @@
         "",
         f"{'kind':<10}{'asked':>7}{'served':>8}{'in time':>9}{'first event, ms: median, 95%':>32}",
     ]
-    for kind, found in result.kinds.items():
-        median, late, _ = found.first_event_ms
+    for kind, kind_figures in result.kinds.items():
+        median, late, _ = kind_figures.first_event_ms
         lines.append(
-            f"{kind:<10}{found.requests:>7}{found.served:>8}{found.in_time:>9}{median:>24.0f}{late:>8.0f}"
+            f"{kind:<10}{kind_figures.requests:>7}{kind_figures.served:>8}"
+            f"{kind_figures.in_time:>9}{median:>24.0f}{late:>8.0f}"
         )
     lines += [f"rule broken: {breach}" for breach in result.breaches[:20]]
     if not result.breaches:
--- a/coveport/serving/simulation/local_processes.py
+++ b/coveport/serving/simulation/local_processes.py
@@ -1,4 +1,4 @@
-"""The real programs as processes of this machine, on loopback addresses; settings and logs in a folder."""
+"""Runs the real programs as local processes on loopback addresses, with settings and logs in a folder."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from coveport.serving.simulation.settings_file import settings_text
 from coveport.serving.wire.names import SETTINGS_VARIABLE
 
-ENDS_WITHIN_S: Final = 3.0  # beyond the grace period
+EXIT_SLACK_S: Final = 3.0  # additional wait after the grace period
 
 
 OWN_SOURCE: Final = Path(coveport.__file__).parent.parent
 
 
 def child_environment(source: Path = OWN_SOURCE) -> dict[str, str]:
-    """Return the environment of a child process, in which the package below `source` can be imported."""
+    """Return the environment of a child process, with `source` at the front of PYTHONPATH."""
     root = str(source)
-    found = os.environ.get("PYTHONPATH")
-    return {**os.environ, "PYTHONPATH": os.pathsep.join([root, found] if found else [root])}
+    inherited = os.environ.get("PYTHONPATH")
+    return {**os.environ, "PYTHONPATH": os.pathsep.join([root, inherited] if inherited else [root])}
 
 
 class LocalProcess:
     """A process of one role that can be restarted."""
 
     def __init__(self, role: str, folder: Path, settings: Callable[[bool], BootSettings]) -> None:
-        """Create a stopped process; `settings` returns its settings by whether it is the first boot."""
+        """Create a stopped process; `settings(first_boot)` returns its settings."""
         self._role = role
         self._settings = settings
         first_settings = settings(True)
@@ -42,7 +42,7 @@
         self._log = folder / f"{first_settings.name}.log"
         self._process: asyncio.subprocess.Process | None = None
         self._incarnations = 0
-        self.source = OWN_SOURCE  # of the next incarnation: the folder that contains the package
+        self.source = OWN_SOURCE  # folder that contains the package for the next incarnation
 
     @property
     def is_up(self) -> bool:
@@ -51,7 +51,7 @@
 
     @property
     def exit_code(self) -> int | None:
-        """Return the exit code of the last incarnation; None: it runs, or never did."""
+        """Return the exit code of the last incarnation; None if it still runs or none was started."""
         return None if self._process is None else self._process.returncode
 
     async def start(self) -> None:
@@ -72,11 +72,11 @@
             await self._process.wait()
 
     def suspend(self) -> None:
-        """Freeze the process."""
+        """Suspend the process with SIGSTOP."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on."""
+        """Resume the process with SIGCONT."""
         self._signal(signal.SIGCONT)
 
     def _signal(self, number: signal.Signals) -> None:
@@ -89,7 +89,7 @@
             return True
         self._process.send_signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(self._grace_s + ENDS_WITHIN_S):
+            async with asyncio.timeout(self._grace_s + EXIT_SLACK_S):
                 await self._process.wait()
         except TimeoutError:
             await self.kill()
@@ -97,7 +97,7 @@
         return True
 
     def log_text(self) -> str:
-        """Return the log of all incarnations; empty where there is none."""
+        """Return the log of all incarnations; empty if there is no log."""
         try:
             return self._log.read_text(encoding="utf-8", errors="replace")
         except OSError:
--- a/coveport/serving/simulation/model_server.py
+++ b/coveport/serving/simulation/model_server.py
@@ -30,7 +30,7 @@
 from coveport.serving.simulation.texts import digest
 from coveport.serving.wire.names import Header, Path, Report
 
-DEFAULT_WAIT_MS: Final = 60_000.0  # of a request that names no time
+DEFAULT_TIMEOUT_MS: Final = 60_000.0  # for a request that doesn't state its remaining time
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,9 +43,9 @@
     region: str
     engine: EngineFigures = field(default_factory=EngineFigures)
     health_path: str = "/health"
-    connections_most: int = 370
-    warm_up_rate: float = 0.0  # requests a second that it can serve while warming up
-    warm_up_crash_rate: float = float("inf")  # requests within one second while warming up
+    max_connections: int = 370
+    warm_up_rate: float = 0.0  # requests per second that the node can serve while warming up
+    warm_up_crash_rate: float = float("inf")  # requests per second above which a warm-up crashes
 
 
 def parse_segments(text: str) -> tuple[PrefixSegment, ...]:
@@ -55,7 +55,7 @@
 
 
 def _all_values(request: Request, name: str) -> str:
-    """Return the values of a header that may stand more than once, joined."""
+    """Return all values of a header, joined by commas."""
     return ",".join(request.headers.get(name, ()))
 
 
@@ -67,7 +67,7 @@
         self.faults = NodeFaults()
         self.incarnation = f"i-{rng.getrandbits(32):08x}"
         self.state = NodeState.ACCEPTING
-        self.on_end: Callable[[], None] | None = None  # called once, when it has ended
+        self.on_end: Callable[[], None] | None = None  # called once, when the incarnation has ended
         self.engine = Engine(figures.engine)
         self._net = net
         self._event_log = event_log
@@ -75,15 +75,15 @@
         self._listening: Listening | None = None
         self._connections: dict[ServerConnection, None] = {}
         self._answers: dict[str, NodeAnswer] = {}
-        self._count = 0
-        self._work = asyncio.Event()
-        self._steps: asyncio.Task[None] | None = None
+        self._run_count = 0
+        self._work_available = asyncio.Event()
+        self._step_task: asyncio.Task[None] | None = None
         self._warm_up_until_s = 0.0
         self._warm_up_arrivals: deque[float] = deque()
-        self._stays_ended = False
+        self._has_ended = False
 
     async def start(self, warm_up_s: float = 0.0) -> None:
-        """Start serving; `warm_up_s`: and warm up for so long."""
+        """Start serving, and warm up for `warm_up_s` unless that is zero."""
         figures = self.figures
         self._listening = await self._net.listen(
             self._accept, figures.address, accepts_per_turn=ACCEPT_MOST, backlog=WAITING_MOST
@@ -95,10 +95,10 @@
         )
         if warm_up_s:
             self.begin_warm_up(warm_up_s)
-        self._steps = asyncio.get_running_loop().create_task(self._step_on())
+        self._step_task = asyncio.get_running_loop().create_task(self._run_steps())
 
     def begin_warm_up(self, for_s: float) -> None:
-        """Warm up from now on for so long."""
+        """Warm up for `for_s` from now on."""
         now = self._net.now_s()
         self._warm_up_until_s = now + for_s
         self._event_log.write(
@@ -107,25 +107,25 @@
 
     @property
     def warm_up_left_ms(self) -> float:
-        """Return how much longer the node warms up."""
+        """Return the remaining warm-up time."""
         return max(0.0, self._warm_up_until_s - self._net.now_s()) * 1000
 
     @property
     def ended(self) -> bool:
         """Return whether this incarnation has ended."""
-        return self._stays_ended
+        return self._has_ended
 
-    def say_closing(self) -> None:
+    def drain(self) -> None:
         """Drain: answers close their connections, and health reports the shutdown."""
         self.state = NodeState.DRAINING
         for connection in self._connections:
             connection.closes = True
 
     def end(self, *, planned: bool) -> None:
-        """End this incarnation, by plan or by a crash, and reset its connections."""
-        if self._stays_ended:
+        """End this incarnation and reset its connections; `planned` is False for a crash."""
+        if self._has_ended:
             return
-        self._stays_ended = True
+        self._has_ended = True
         self.state = NodeState.DEREGISTERED
         self._event_log.write(NodeEnded(self._net.now_s(), self.incarnation, planned))
         if self._listening is not None:
@@ -133,22 +133,22 @@
         for connection in list(self._connections):
             if connection.transport is not None:
                 self._net.reset(connection.transport)
-        if self._steps is not None:
-            self._steps.cancel()
+        if self._step_task is not None:
+            self._step_task.cancel()
         if self.on_end is not None:
             self.on_end()
 
     # Connections.
 
     def _accept(self) -> ServerConnection:
-        connection = ServerConnection(self._handle, self._gone)
+        connection = ServerConnection(self._handle, self._forget_connection)
         connection.closes = self.state is NodeState.DRAINING
         self._connections[connection] = None
-        if len(self._connections) > self.figures.connections_most:
+        if len(self._connections) > self.figures.max_connections:
             asyncio.get_running_loop().call_soon(connection.break_off)
         return connection
 
-    def _gone(self, connection: ServerConnection) -> None:
+    def _forget_connection(self, connection: ServerConnection) -> None:
         self._connections.pop(connection, None)
 
     async def _handle(self, connection: ServerConnection, request: Request) -> None:
@@ -172,8 +172,8 @@
         }
 
     def _answer_health(self, connection: ServerConnection) -> None:
-        full = self.engine.queued >= self.figures.engine.queue
-        healthy = self.state is NodeState.ACCEPTING and not full
+        is_full = self.engine.queued >= self.figures.engine.queue
+        healthy = self.state is NodeState.ACCEPTING and not is_full
         headers = [(Header.INCARNATION, self.incarnation), (Header.WARM_UP_MS, f"{self.warm_up_left_ms:.0f}")]
         connection.answer(200 if healthy else 503, headers)
 
@@ -190,12 +190,12 @@
             _all_values(request, Header.TENANT), _all_values(request, Header.API_KEY),
         )  # fmt: skip
         self._event_log.write(arrival)
-        named = request.get(Header.EXPECT_INCARNATION)
-        if named not in (None, self.incarnation):
+        expected = request.get(Header.EXPECT_INCARNATION)
+        if expected not in (None, self.incarnation):
             self._reject(connection, attempt_id, 421)
         elif not attempt_id:
             self._reject(connection, attempt_id, 400)
-        elif self._overrun(now):
+        elif self._is_overloaded(now):
             self.end(planned=False)
         elif self._rng.random() < self.faults.refuse_probability:
             self._reject(connection, attempt_id, 503)
@@ -205,8 +205,8 @@
         else:
             await self._run(connection, request, attempt_id, resumes_after)
 
-    def _overrun(self, now: float) -> bool:
-        """Return whether this arrival exceeds what the node can serve while warming up."""
+    def _is_overloaded(self, now: float) -> bool:
+        """Record an arrival; return whether a node that warms up now exceeds `warm_up_crash_rate`."""
         if now >= self._warm_up_until_s:
             return False
         self._warm_up_arrivals.append(now)
@@ -228,14 +228,14 @@
     async def _run(
         self, connection: ServerConnection, request: Request, attempt_id: str, resumes_after: int
     ) -> None:
-        self._count += 1
-        run = f"{self.incarnation}.{self._count}"
+        self._run_count += 1
+        run = f"{self.incarnation}.{self._run_count}"
         if self.engine.submit(self._work_of(request, run, resumes_after), self._now_ms()) is not None:
             self._reject(connection, attempt_id, 503)
             return
         answer = NodeAnswer(run, attempt_id, request, AnswerFaults.draw(self.faults, self._rng))
         self._answers[run] = answer
-        self._work.set()
+        self._work_available.set()
         try:
             if not await answer.write(connection, lambda: self._record_run(answer, resumes_after)):
                 self._reject(connection, attempt_id, 503)
@@ -251,13 +251,13 @@
 
     def _record_end(self, answer: NodeAnswer) -> None:
         now, ids = self._net.now_s(), (self.incarnation, answer.attempt_id, answer.run)
-        broke = answer.broke or self._stays_ended
+        broke = answer.broke or self._has_ended
         self._event_log.write(
             RequestFinished(now, *ids, status=200, complete=answer.complete, node_broke=broke)
         )
 
     def _work_of(self, request: Request, key: str, resumes_after: int) -> Work:
-        left_ms = float(request.get(Header.TIME_LEFT) or DEFAULT_WAIT_MS)
+        left_ms = float(request.get(Header.TIME_LEFT) or DEFAULT_TIMEOUT_MS)
         tokens = (request.get(Header.TOKENS) or "1,1").split(",")
         segments = parse_segments(request.get(Header.PROMPT_PREFIX) or f"{key}:{tokens[0]}")
         priority = int(request.get(Header.PRIORITY) or DEFAULT_PRIORITY)
@@ -268,11 +268,11 @@
     def _now_ms(self) -> float:
         return self._net.now_s() * 1000
 
-    async def _step_on(self) -> None:
+    async def _run_steps(self) -> None:
         while True:
             if self.engine.idle or self.faults.unresponsive:
-                self._work.clear()
-                await self._work.wait()
+                self._work_available.clear()
+                await self._work_available.wait()
             await asyncio.sleep(self.engine.step_ms() / 1000)
             if self.faults.unresponsive:
                 continue
@@ -282,9 +282,9 @@
                     answer.inbox.put_nowait(effect)
 
     def set_unresponsive(self, unresponsive: bool) -> None:
-        """Stop reacting without ending, or continue."""
+        """Set whether the node stops responding while its connections stay open."""
         self.faults.unresponsive = unresponsive
-        self._work.set()
+        self._work_available.set()
 
 
 _JSON: Final = [("Content-Type", "application/json")]
--- a/coveport/serving/simulation/node_answers.py
+++ b/coveport/serving/simulation/node_answers.py
@@ -1,4 +1,4 @@
-"""One answer of a node, written as its engine brings the events, with the faults drawn for it."""
+"""Writes one answer of a node as its engine produces the events, with the faults drawn for it."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 from coveport.serving.simulation.texts import complete_body, digest, event_block
 from coveport.serving.wire.names import Header
 
-BREAKS_WITHIN: Final = 4  # events, before which a stream that is broken off ends
+BREAK_OFF_EVENTS: Final = 4  # a stream that breaks off does so before this many events
 NEVER: Final = 1 << 30
 
 
 @dataclass(slots=True)
 class NodeFaults:
-    """The faults of a node, as probabilities for each request. May change at any moment."""
+    """The faults of a node, as probabilities per request. They may change while requests run."""
 
     break_off_probability: float = 0.0  # breaks off in the middle of a stream
-    garble_probability: float = 0.0  # sends bytes that are no answer
-    surplus_probability: float = 0.0  # sends one more answer behind a whole one
-    refuse_probability: float = 0.0  # says that it is full though it is not
-    unresponsive: bool = False  # neither reads nor answers nor reports
+    garble_probability: float = 0.0  # sends bytes that are not HTTP
+    surplus_probability: float = 0.0  # sends a second answer after a complete one
+    refuse_probability: float = 0.0  # rejects with 503 although the queue is not full
+    unresponsive: bool = False  # doesn't read, answer or send heartbeats
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFaults:
     """The faults drawn for one answer."""
 
-    events_most: int = NEVER  # broken off after so many
+    max_events: int = NEVER  # the answer breaks off after this many events
     surplus: bool = False
 
     @classmethod
     def draw(cls, faults: NodeFaults, rng: Random) -> AnswerFaults:
-        """Draw by the node's probabilities."""
+        """Draw the faults of an answer from the node's probabilities."""
         breaks = rng.random() < faults.break_off_probability
         surplus = rng.random() < faults.surplus_probability
-        return cls(rng.randrange(BREAKS_WITHIN) if breaks else NEVER, surplus)
+        return cls(rng.randrange(BREAK_OFF_EVENTS) if breaks else NEVER, surplus)
 
 
 @dataclass(slots=True)
 class NodeAnswer:
-    """The answer to one request that was taken into the queue."""
+    """The answer to one request that was accepted into the queue."""
 
     run: str
     attempt_id: str
@@ -55,11 +55,11 @@
     inbox: asyncio.Queue[Effect] = field(default_factory=asyncio.Queue)
     began: bool = False
     complete: bool = False
-    broke: bool = False  # the node broke it off
+    broke: bool = False  # the node broke off the answer
 
     @property
     def stamp(self) -> str:
-        """Return the proof that this node wrote the answer."""
+        """Return the stamp by which the judge verifies that this node wrote the answer."""
         return f"{self.run}.{digest(self.attempt_id.encode())}"
 
     @property
@@ -72,7 +72,7 @@
 
     async def write(self, connection: ServerConnection, on_began: Callable[[], None]) -> bool:
         """Write the answer; return False if the deadline passed before it began and nothing was written."""
-        events_left = self.faults.events_most
+        events_left = self.faults.max_events
         while not (self.complete or self.broke):
             effect = await self.inbox.get()
             if isinstance(effect, Began):
@@ -85,7 +85,7 @@
             elif events_left <= 0:
                 self._break_off(connection)
             else:
-                self._event(connection, effect)
+                self._write_event(connection, effect)
                 events_left -= 1
         return True
 
@@ -94,7 +94,7 @@
         if self._is_stream:
             connection.begin_stream([("Content-Type", "text/event-stream"), *self._headers])
 
-    def _event(self, connection: ServerConnection, effect: Produced) -> None:
+    def _write_event(self, connection: ServerConnection, effect: Produced) -> None:
         if self._is_stream:
             connection.chunk(event_block(self.run, effect.number), effect.last)
         elif effect.last:
--- a/coveport/serving/simulation/planned_steps.py
+++ b/coveport/serving/simulation/planned_steps.py
@@ -32,7 +32,7 @@
         self._day.at(at_s + for_s, lambda: self._day.run_operator(operator, lambda: operator.take_back(zone)))
 
     def add_route(self, at_s: float, name: str) -> None:
-        """Add a route; send a request on it to each proxy after 0.5 s and again after the bound on applying it."""
+        """Add a route; send a request on it to each proxy after 0.5 s and again after the bound."""
         operator = self._day.operators[0]
         route = self._route(name)
 
@@ -45,7 +45,7 @@
         self._day.at(at_s, lambda: self._day.run_operator(operator, patch))
 
     def race(self, at_s: float) -> None:
-        """Send changes of the same version of the configuration from all operators at almost the same time."""
+        """Send a change of the same version of the configuration from each operator almost at once."""
         for index, operator in enumerate(self._day.operators):
             route = self._route(f"race-{index}-{self._rng.randrange(1000)}")
 
@@ -81,7 +81,7 @@
         self._day.at(at_s, lambda: self._day.run_operator(operator, send))
 
     def change_tenants(self, at_s: float, *tenants: Tenant, checked_keys: tuple[str, ...] = ()) -> None:
-        """Add or replace tenants; send requests with `checked_keys` to each proxy, early and after the bound."""
+        """Add or replace tenants; send requests with `checked_keys` to each proxy, soon and after the bound."""
         operator = self._day.operators[0]
         path_prefix = self._day.deployment.rates[0][0].path_prefix
 
--- a/coveport/serving/simulation/platform.py
+++ b/coveport/serving/simulation/platform.py
@@ -1,4 +1,4 @@
-"""The platform's API in simulated time: takes calls of the duties, refuses lower fences, records all."""
+"""The platform's API in simulated time: records calls and rejects outdated fencing tokens."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
 
     @property
     def subject(self) -> tuple[str, ...]:
-        """What the fences of this call are compared by."""
+        """Return the subject within which fencing tokens are compared."""
         if self.path == USAGE_PATH:
             return (self.path,)
         return (self.path, str(self.body.get("Service")), str(self.body.get("Zone")))
 
 
 class SimulatedPlatform:
-    """One platform; its troubles may be set at any moment."""
+    """One platform; its fault settings may change at any time."""
 
     def __init__(self, net: Net, address: Address) -> None:
         self._net = net
         self._address = address
         self._highest_fences: dict[tuple[str, ...], int] = {}
         self.calls: list[PlatformCallSeen] = []
-        self.delay_s = 0.0  # of each answer
-        self.is_silent = False  # takes no call, and answers nothing
+        self.delay_s = 0.0  # before each answer
+        self.is_silent = False  # accepts connections but never answers
         self.is_down = False  # resets each connection
-        self.calls_per_s = inf  # further ones are throttled
-        self._taken_s: deque[float] = deque()  # of the last second
+        self.calls_per_s = inf  # calls above this rate are throttled
+        self._admitted_s: deque[float] = deque()  # times of the calls admitted in the last second
 
     async def start(self) -> None:
         """Listen for calls."""
@@ -66,7 +66,7 @@
         )
 
     async def stop(self) -> None:
-        """End at once."""
+        """Do nothing: there is no resource to release."""
 
     async def _handle(self, connection: ServerConnection, request: Request) -> None:
         if self.is_silent:
@@ -76,12 +76,12 @@
             return
         assert connection.transport is not None
         machine, _ = connection.transport.get_extra_info("peername")
-        status = self._take(machine, request)
+        status = self._record_call(machine, request)
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
         connection.answer(status, [])
 
-    def _take(self, machine: str, request: Request) -> int:
+    def _record_call(self, machine: str, request: Request) -> int:
         holder = request.get(CanonicalHeader.HOLDER.lower()) or ""
         fence = int(request.get(CanonicalHeader.FENCE.lower()) or 0)
         body = json.loads(request.body)
@@ -91,11 +91,11 @@
         return status
 
     def _is_throttled(self, now_s: float) -> bool:
-        while self._taken_s and self._taken_s[0] <= now_s - 1.0:
-            self._taken_s.popleft()
-        if len(self._taken_s) >= self.calls_per_s:
+        while self._admitted_s and self._admitted_s[0] <= now_s - 1.0:
+            self._admitted_s.popleft()
+        if len(self._admitted_s) >= self.calls_per_s:
             return True
-        self._taken_s.append(now_s)
+        self._admitted_s.append(now_s)
         return False
 
     def _check_fence(self, call: PlatformCallSeen) -> int:
--- a/coveport/serving/simulation/reading.py
+++ b/coveport/serving/simulation/reading.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadLimits:
-    """The deadline and the stall time-out of a read, in seconds, and the number of the last event received."""
+    """The deadline and stall time-out of a read, in seconds, and the number of the last event received."""
 
     deadline_s: float
     stall_timeout_s: float
--- a/coveport/serving/simulation/request_rules.py
+++ b/coveport/serving/simulation/request_rules.py
@@ -8,13 +8,13 @@
 from coveport.serving.simulation.history import Breach, History
 from coveport.serving.simulation.texts import complete_body, digest, event_text
 
-PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
-DENIED_SLACK = 5
-DENIED_FRACTION = 1 / 500
+PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})  # statuses that state that the request did not run
+DENIED_SLACK = 5  # requests
+DENIED_FRACTION = 1 / 500  # of all attempts
 
 
 def mixed(history: History) -> Iterator[Breach]:
-    """Report each client that got anything but the answer that a node gave to its request."""
+    """Report each answer that differs from the one that a node gave to the client's request."""
     for attempt_id, ended in history.ended.items():
         fault = _mixed_fault(history, history.attempts[attempt_id], ended)
         if fault is not None:
@@ -34,7 +34,7 @@
 
 
 def _success_fault(history: History, started: AttemptStarted, ended: AttemptEnded) -> str | None:
-    """Return what in a success was not written by a run of the attempt."""
+    """Return the part of a successful answer that no run of the attempt wrote; None if there is none."""
     runs = {ran.run: ran for ran in history.ran.get(started.attempt_id, [])}
     if ended.stamp not in {ran.stamp for ran in runs.values()}:
         return f"a success whose stamp {ended.stamp!r} no node gave it"
@@ -60,24 +60,24 @@
 
 def _order_fault(history: History, started: AttemptStarted, ended: AttemptEnded) -> str | None:
     runs = {ran.run: ran for ran in history.ran.get(started.attempt_id, [])}
-    wanted, run = started.resumes_after + 1, ""
+    expected_number, run = started.resumes_after + 1, ""
     for event in ended.events:
-        if event.number != wanted:
-            return f"event {event.number} in place of {wanted}"
+        if event.number != expected_number:
+            return f"event {event.number} in place of {expected_number}"
         if event.run != run and event.run in runs:
             if run and not history.is_idempotent(started):
-                return f"event {wanted} is of a second run"
-            if runs[event.run].first_event != wanted:
-                return f"a run that begins at {runs[event.run].first_event} is joined at {wanted}"
+                return f"event {expected_number} is of a second run"
+            if runs[event.run].first_event != expected_number:
+                return f"a run that begins at {runs[event.run].first_event} is joined at {expected_number}"
         run = event.run
-        wanted += 1
-    if ended.ending is Ending.COMPLETE and wanted - 1 != started.events_wanted:
-        return f"it ends as complete after event {wanted - 1} of {started.events_wanted}"
+        expected_number += 1
+    if ended.ending is Ending.COMPLETE and expected_number - 1 != started.events_wanted:
+        return f"it ends as complete after event {expected_number - 1} of {started.events_wanted}"
     return None
 
 
 def unasked(history: History) -> Iterator[Breach]:
-    """Report each request that a node ran though no client sent it, or not in that form."""
+    """Report each request that a node ran although no client sent it, or that was changed in transit."""
     for arrival in history.arrivals:
         if not any(ran.incarnation == arrival.incarnation for ran in history.ran.get(arrival.attempt_id, [])):
             continue
@@ -91,7 +91,7 @@
 
 
 def twice(history: History) -> Iterator[Breach]:
-    """Report each request that ran more than once and is not idempotent."""
+    """Report each request that ran more than once although it is not idempotent."""
     for attempt_id, runs in history.ran.items():
         started = history.attempts.get(attempt_id)
         if len(runs) > 1 and started is not None and not history.is_idempotent(started):
@@ -99,7 +99,7 @@
 
 
 def refused(history: History) -> Iterator[Breach]:
-    """Report each request that is not idempotent and ran though its client was told that it had not."""
+    """Report each non-idempotent request that ran although its status states that it did not run."""
     for attempt_id, ended in history.ended.items():
         promised = ended.status in PROMISES_NOT_RUN and ended.ending is Ending.COMPLETE
         if (
@@ -111,11 +111,11 @@
 
 
 def denied(history: History) -> Iterator[Breach]:
-    """Report too many valid requests that machines in touch ended with an own 3xx or 4xx."""
+    """Report too many valid requests to which reachable proxies themselves answered 3xx or 4xx."""
     denials = []
     for attempt_id, ended in history.ended.items():
         started = history.attempts[attempt_id]
-        own = (
+        denied_by_proxy = (
             300 <= ended.status < 500
             and ended.status not in PROMISES_NOT_RUN
             and not history.ran.get(attempt_id)
@@ -123,7 +123,12 @@
         allowed = history.versions and all(
             version.allows(started) for version in history.versions if version.may_be_in_force
         )
-        if own and allowed and not started.is_direct and history.proxy_in_touch(attempt_id, started.at_s):
+        if (
+            denied_by_proxy
+            and allowed
+            and not started.is_direct
+            and history.proxy_in_touch(attempt_id, started.at_s)
+        ):
             denials.append(ended)
     most = DENIED_SLACK + DENIED_FRACTION * len(history.attempts)
     if len(denials) > most:
@@ -153,19 +158,19 @@
             for version in history.versions
             if version.may_be_in_force and version.started.at_s <= arrival.at_s
         ]
-        found = [route for route in routes if route is not None]
-        if found and not any(not route.homes or region in route.homes for route in found):
+        known_routes = [route for route in routes if route is not None]
+        if known_routes and not any(not route.homes or region in route.homes for route in known_routes):
             yield Breach("HOME", arrival.at_s, f"try {arrival.attempt_id} in region {region}")
 
 
 def lost(history: History) -> Iterator[Breach]:
-    """Report each request that was read, and lost around a planned stop of its machine."""
+    """Report each request that was read and then lost because of a planned stop of its proxy."""
     for stop in history.event_log.of(FaultBegan):
         if stop.planned and stop.kind == "term":
-            yield from _lost_in(history, stop)
+            yield from _lost_at_stop(history, stop)
 
 
-def _lost_in(history: History, stop: FaultBegan) -> Iterator[Breach]:
+def _lost_at_stop(history: History, stop: FaultBegan) -> Iterator[Breach]:
     bounds = history.bounds
     until_s = stop.at_s + bounds.grace_s + 1.0
     for attempt_id, ended in history.ended.items():
@@ -182,13 +187,13 @@
 
 
 def _was_excused(history: History, started: AttemptStarted, ended: AttemptEnded, stop: FaultBegan) -> bool:
-    """Return whether the node aborted, the deadline passed, or the run went on late in the grace period."""
+    """Return whether the node aborted, the deadline passed, or the run lasted late into the grace period."""
     route = history.route_in_any(started.host, started.target)
     deadline_s = min(
         started.deadline_s, started.at_s + (route.timeout_s if route and route.timeout_s else 1e9)
     )
     finished = history.finished.get(started.attempt_id, [])
-    still_at_work = ended.at_s > stop.at_s + history.bounds.grace_s / 2 and bool(
+    still_running = ended.at_s > stop.at_s + history.bounds.grace_s / 2 and bool(
         history.ran.get(started.attempt_id)
     )
-    return any(run.node_broke for run in finished) or ended.at_s >= deadline_s or still_at_work
+    return any(run.node_broke for run in finished) or ended.at_s >= deadline_s or still_running
--- a/coveport/serving/simulation/rolling_upgrade.py
+++ b/coveport/serving/simulation/rolling_upgrade.py
@@ -1,7 +1,7 @@
-"""A day on loopback during which each process is restarted with the program of another version, under load.
+"""A day on loopback on which processes are restarted, under load, with another version of the program.
 
-The other version is a source tree of this package. Each step restarts one process by SIGTERM; the rules of
-the day hold throughout, and the configuration is changed between the steps.
+The other version is a source tree of this package. Each step restarts one process by SIGTERM and
+then changes the configuration; the judge's rules apply throughout.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 
 PAUSE_S: Final = 0.5  # between the end of a process and its next start
 REJOIN_S: Final = 4.0  # until a restarted coordinator counts as back (`Bounds.catch_up_s`)
-STEP_S: Final = 7.0  # that a step takes at most, with the change of the configuration behind it
+STEP_S: Final = 7.0  # duration of a step, including the change of the configuration after it
 FIRST_STEP_S: Final = 1.0  # after the traffic's start
 
 
 class Kind(Enum):
-    """What is restarted."""
+    """The kind of process to restart."""
 
     COORDINATOR = "coordinator"
     PROXY = "proxy"
 
 
 class Version(Enum):
-    """With which program."""
+    """The program version to start."""
 
     OLD = "the other version"
     NEW = "this version"
@@ -39,20 +39,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """One step: the process of a kind, by its number, and its program from then on."""
+    """One step: restart the process with a number among its kind, with a version of the program."""
 
     kind: Kind
     number: int
     version: Version
 
 
-def there(kinds: Sequence[Kind], version: Version = Version.NEW) -> tuple[Restart, ...]:
-    """Return the steps that move all three processes of each kind to a version, kind by kind."""
+def restarts_of(kinds: Sequence[Kind], version: Version = Version.NEW) -> tuple[Restart, ...]:
+    """Return the steps that restart all three processes of each kind with a version, kind by kind."""
     return tuple(Restart(kind, number, version) for kind in kinds for number in range(3))
 
 
-COORDINATORS_FIRST: Final = there([Kind.COORDINATOR, Kind.PROXY])
-PROXIES_FIRST: Final = there([Kind.PROXY, Kind.COORDINATOR])
+COORDINATORS_FIRST: Final = restarts_of([Kind.COORDINATOR, Kind.PROXY])
+PROXIES_FIRST: Final = restarts_of([Kind.PROXY, Kind.COORDINATOR])
 HALFWAY_AND_BACK: Final = (
     Restart(Kind.COORDINATOR, 0, Version.NEW),
     Restart(Kind.PROXY, 1, Version.NEW),
@@ -64,12 +64,12 @@
 
 
 class RollingUpgradeDay(LocalDay):
-    """All processes begin with the other version's program."""
+    """A day on which all processes start with the other version and are restarted step by step."""
 
     def __init__(
         self, net: Net, folder: Path, other_source: Path, steps: Sequence[Restart], seed: int, say: Say
     ) -> None:
-        """`other_source`: the folder that contains the other version's package `coveport`."""
+        """Create the day; `other_source`: the folder that contains the other version's package `coveport`."""
         super().__init__(net, folder, FIRST_STEP_S + STEP_S * len(steps), seed, say)
         self._sources = {Version.OLD: other_source, Version.NEW: OWN_SOURCE}
         self._steps = steps
@@ -92,7 +92,7 @@
         process = processes[step.number]
         number = self._begin("term", process, core=is_coordinator, planned=True)
         in_time = await process.terminate()
-        self._tell(f"{process.name} has ended{'' if in_time else ', too late'}: now {step.version.value}")
+        self._report(f"{process.name} has ended{'' if in_time else ', too late'}: now {step.version.value}")
         process.source = self._sources[step.version]
         await asyncio.sleep(PAUSE_S)
         if is_coordinator:
@@ -103,7 +103,7 @@
         self._end(number)
 
     def processes(self) -> tuple[LocalProcess, ...]:
-        """Return all processes, for their logs."""
+        """Return all processes, so that a caller can read their logs."""
         return (*self._machines.coordinators, *self._machines.proxies)
 
 
--- a/coveport/serving/simulation/settings_file.py
+++ b/coveport/serving/simulation/settings_file.py
@@ -1,4 +1,4 @@
-"""Boot settings as a TOML file, for real processes of a small deployment."""
+"""Writes boot settings as TOML, for the real processes of a small deployment."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from coveport.serving.wire import settings as wire
 from coveport.serving.wire.settings import Boot
 
-Plain = str | int | float | bool | list[str] | list[int]
+TomlValue = str | int | float | bool | list[str] | list[int]
 
 
 def settings_text(settings: BootSettings) -> str:
-    """Return the settings as TOML that reads back to equal settings."""
-    top: dict[str, Plain] = {
+    """Return the settings as TOML; parsing it gives equal settings."""
+    top: dict[str, TomlValue] = {
         Boot.NAME: settings.name,
         Boot.SERVES: list(settings.serves),
         Boot.IP: settings.ip,
@@ -44,10 +44,10 @@
 
 
 def _platform(platform: PlatformSettings | None) -> list[str]:
-    """Return the lines of the platform's API, if there is one."""
+    """Return the lines of the platform's section; empty without a platform."""
     if platform is None:
         return []
-    fields: dict[str, Plain] = {
+    fields: dict[str, TomlValue] = {
         wire.PLATFORM["address"]: _text(platform.address),
         wire.PLATFORM["duties"]: [name for kind, name in wire.DUTIES.items() if kind in platform.duties],
         wire.PLATFORM["calls_per_s"]: platform.calls_per_s,
@@ -55,19 +55,19 @@
     return _table(Boot.PLATFORM, fields)
 
 
-def _fields(section: object, names: dict[str, str]) -> dict[str, Plain]:
+def _fields(section: object, names: dict[str, str]) -> dict[str, TomlValue]:
     return {name: getattr(section, field) for field, name in names.items()}
 
 
-def _table(name: str, fields: dict[str, Plain] | dict[str, str]) -> list[str]:
+def _table(name: str, fields: dict[str, TomlValue] | dict[str, str]) -> list[str]:
     return [f"[{name}]", *_lines(dict(fields))]
 
 
-def _lines(fields: dict[str, Plain]) -> list[str]:
+def _lines(fields: dict[str, TomlValue]) -> list[str]:
     return [f"{name} = {_value(value)}" for name, value in fields.items()]
 
 
-def _value(value: Plain) -> str:
+def _value(value: TomlValue) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, list):
--- a/coveport/serving/simulation/simulate.py
+++ b/coveport/serving/simulation/simulate.py
@@ -1,4 +1,4 @@
-"""Plays drawn days in simulated time and prints one line a day, with the rules that were broken."""
+"""Plays randomly drawn days in simulated time and prints one line per day, with the broken rules."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from coveport.serving.simulation.world import DayResult
 
 BROKEN: Final = 1  # exit code
-BREACHES_SHOWN: Final = 5
+MAX_SHOWN: Final = 5
 
 
 def run(days: int = 10, seed: int = 1) -> int:
@@ -29,7 +29,7 @@
         broken += not is_good(result)
         print("\n".join(describe(number, result)), flush=True)
         del result
-        gc.collect()  # a day is full of cycles
+        gc.collect()  # a day holds many reference cycles
     print(f"{days} days, {broken} with a broken rule or a fault")
     return BROKEN if broken else 0
 
@@ -40,9 +40,9 @@
 
 
 def describe(seed: int, result: DayResult) -> list[str]:
-    """Return a day as one line, and further ones for what went wrong."""
+    """Return a day as one line, followed by lines for breaches and program errors."""
     faults = ", ".join(map(str, draw_faults(seed)))
     verdict = "good" if is_good(result) else "BROKEN"
-    shares = f"served {result.served_fraction:.3f}, in time {result.in_time_fraction:.3f}"
-    wrong = [*map(str, result.breaches[:BREACHES_SHOWN]), *result.problems[:BREACHES_SHOWN]]
-    return [f"day {seed}: {verdict}, {shares}: {faults}", *(f"    {text}" for text in wrong)]
+    fractions = f"served {result.served_fraction:.3f}, in time {result.in_time_fraction:.3f}"
+    failures = [*map(str, result.breaches[:MAX_SHOWN]), *result.problems[:MAX_SHOWN]]
+    return [f"day {seed}: {verdict}, {fractions}: {faults}", *(f"    {text}" for text in failures)]
--- a/coveport/serving/simulation/soak.py
+++ b/coveport/serving/simulation/soak.py
@@ -1,4 +1,4 @@
-"""Days of many overlapping faults, drawn by a seed, on a deployment with tenants and duties."""
+"""Days with many overlapping faults, drawn by a seed, on a deployment with tenants and singleton roles."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from coveport.serving.simulation.zones import Zone
 
 LENGTH_S: Final = 32.0
-QUIET_S: Final = 22.0  # after the traffic: the last window is due, and the read-back is answered
+QUIET_S: Final = 22.0  # after the traffic, until the last usage report is due and the final read is answered
 FIRST_FAULT_S: Final = 1.0
 LAST_FAULT_S: Final = 25.0
 FAULTS: Final = 10
-MAX_FAULT_S: Final = 7.0  # longer than two leases
-CLOSING_PROBABILITY: Final = 0.4
+MAX_FAULT_S: Final = 7.0  # longer than two lease durations
+CLOSING_PROBABILITY: Final = 0.4  # that the day ends with a change and a lost disk
 TENANTS: Final = tuple(Tenant(name, (f"{name}-1", f"{name}-2")) for name in ("a", "b", "c", "d", "e", "f"))
 LARGE: Final = Deployment(
     zones=tuple(
@@ -49,43 +49,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Draw:
-    """What the faults of a day are drawn with."""
+    """Draws the parameters of a day's faults, and injects them."""
 
     day: SimulatedDeployment
     faults: FaultInjector
     rng: Random
 
     def length_s(self) -> float:
-        """Return how long a fault lasts."""
+        """Draw the duration of a fault."""
         return self.rng.uniform(0.5, MAX_FAULT_S)
 
     def coordinator(self) -> Machine:
-        """Return any coordinator."""
+        """Draw a coordinator."""
         return self.rng.choice(self.day.coordinators)
 
-    def some(self, machines: Sequence[Machine]) -> list[Machine]:
-        """Return half of some machines."""
+    def half_of(self, machines: Sequence[Machine]) -> list[Machine]:
+        """Draw half of the machines."""
         return self.rng.sample(machines, (len(machines) + 1) // 2)
 
     def how(self) -> str:
-        """Return the direction of a cut."""
+        """Draw the direction of a network partition."""
         return self.rng.choice(("both", "in", "out"))
 
 
 def _holder(day: SimulatedDeployment) -> Machine | None:
-    """Return the coordinator that called the platform last."""
+    """Return the coordinator that called the platform last; None if none of them did."""
     assert day.platform is not None
     address = day.platform.calls[-1].machine if day.platform.calls else ""
     return next((machine for machine in day.coordinators if machine.spot.ip == address), None)
 
 
-def _on_holder(draw: Draw, at_s: float, act: Callable[[Machine, float], object]) -> None:
-    """Let a fault begin at the machine that holds the duties by then."""
+def _schedule_on_holder(draw: Draw, at_s: float, inject: Callable[[Machine, float], object]) -> None:
+    """Schedule a fault on the machine that holds the singleton roles at `at_s`."""
 
     def begin() -> None:
         machine = _holder(draw.day)
         if machine is not None:
-            act(machine, at_s + 0.01)
+            inject(machine, at_s + 0.01)
 
     draw.day.at(at_s, begin)
 
@@ -96,17 +96,17 @@
 
 def _kill_holder(draw: Draw, at_s: float) -> None:
     length_s = draw.length_s()
-    _on_holder(draw, at_s, lambda machine, now_s: draw.faults.kill(now_s, machine, length_s))
+    _schedule_on_holder(draw, at_s, lambda machine, now_s: draw.faults.kill(now_s, machine, length_s))
 
 
 def _freeze_holder(draw: Draw, at_s: float) -> None:
     length_s = draw.rng.uniform(BOUNDS.lease_ms / 1000, MAX_FAULT_S)
-    _on_holder(draw, at_s, lambda machine, now_s: draw.faults.freeze(now_s, machine, length_s))
+    _schedule_on_holder(draw, at_s, lambda machine, now_s: draw.faults.freeze(now_s, machine, length_s))
 
 
 def _cut_holder(draw: Draw, at_s: float) -> None:
     length_s, how = draw.length_s(), draw.how()
-    _on_holder(
+    _schedule_on_holder(
         draw,
         at_s,
         lambda machine, now_s: draw.faults.isolate(
@@ -116,7 +116,7 @@
 
 
 def _kill_proxies(draw: Draw, at_s: float) -> None:
-    for machine in draw.some(draw.day.proxies)[:4]:
+    for machine in draw.half_of(draw.day.proxies)[:4]:
         draw.faults.kill(at_s + draw.rng.random(), machine, draw.length_s())
 
 
@@ -126,12 +126,12 @@
 
 
 def _roll(draw: Draw, at_s: float) -> None:
-    machines = draw.rng.choice((draw.day.coordinators, draw.some(draw.day.proxies)))
+    machines = draw.rng.choice((draw.day.coordinators, draw.half_of(draw.day.proxies)))
     draw.faults.roll(at_s, machines, draw.rng.uniform(0.1, 1.0))
 
 
 def _hang_up(draw: Draw, at_s: float) -> None:
-    machines = draw.some([*draw.day.coordinators, *draw.day.proxies])
+    machines = draw.half_of([*draw.day.coordinators, *draw.day.proxies])
     draw.faults.hang_up(at_s, machines, draw.rng.uniform(6.0, 9.0))
 
 
@@ -142,7 +142,7 @@
 
 def _freeze_many(draw: Draw, at_s: float) -> None:
     length_s = draw.length_s()
-    for machine in draw.some(draw.day.coordinators):
+    for machine in draw.half_of(draw.day.coordinators):
         draw.faults.freeze(at_s, machine, length_s)
 
 
@@ -152,7 +152,7 @@
 
 
 def _cut_half(draw: Draw, at_s: float) -> None:
-    inside = [*draw.some(draw.day.coordinators), *draw.some(draw.day.proxies)]
+    inside = [*draw.half_of(draw.day.coordinators), *draw.half_of(draw.day.proxies)]
     draw.faults.isolate(at_s, inside, draw.length_s(), how=draw.how())
 
 
@@ -186,7 +186,7 @@
 
 
 def _throttle(draw: Draw, at_s: float) -> None:
-    machines = draw.rng.choice((draw.some(draw.day.coordinators), draw.some(draw.day.proxies)))
+    machines = draw.rng.choice((draw.half_of(draw.day.coordinators), draw.half_of(draw.day.proxies)))
     draw.faults.throttle(at_s, machines, draw.length_s(), draw.rng.uniform(0.01, 0.06))
 
 
@@ -207,7 +207,7 @@
 
 
 def _cut_platform(draw: Draw, at_s: float) -> None:
-    draw.faults.cut_platform(at_s, draw.some(draw.day.coordinators), draw.length_s(), how=draw.how())
+    draw.faults.cut_platform(at_s, draw.half_of(draw.day.coordinators), draw.length_s(), how=draw.how())
 
 
 def _crash_node(draw: Draw, at_s: float) -> None:
@@ -262,18 +262,18 @@
     "shared key": _send_shared_key,
 }
 _AT_MOST_ONCE: Final = frozenset({"lose a disk and all power"})
-"""A second lost disk may come before the first is replaced, which exceeds what the deployment tolerates."""
+"""A second disk may be lost before the first is replaced, which exceeds the tolerated faults."""
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """The result of a day, with the faults that were drawn and the breaches of all rules."""
+    """The result of a day, with the drawn faults and the breaches of all rules."""
 
     day: DayResult
     drawn: tuple[tuple[float, str], ...]
     breaches: tuple[Breach, ...]
-    fences: int
-    windows: int
+    fences: int  # number of fencing tokens in accepted calls
+    windows: int  # number of accepted usage reports
 
     @property
     def is_good(self) -> bool:
@@ -282,22 +282,22 @@
 
 
 def draw_series(seed: int) -> tuple[tuple[float, str], ...]:
-    """Return when which faults begin: series of them, and perhaps a final loss of a disk and all power."""
+    """Draw a day's faults, with their start times; the day may end with the loss of a disk and all power."""
     rng = Random(f"soak {seed}")
-    found: list[tuple[float, str]] = []
+    series: list[tuple[float, str]] = []
     at_s = FIRST_FAULT_S
     for _ in range(FAULTS):
         name = rng.choice([kind for kind in KINDS if kind not in _AT_MOST_ONCE])
-        found.append((at_s, name))
+        series.append((at_s, name))
         at_s = min(LAST_FAULT_S, at_s + rng.choice((0.05, 1.0, 2.5, 5.0)) * rng.random() * 2)
     if rng.random() < CLOSING_PROBABILITY:
-        found.append((LENGTH_S - 1.0, "add route"))
-        found.append((LENGTH_S - 1.0 + rng.uniform(0.02, 0.3), "lose a disk and all power"))
-    return tuple(found)
+        series.append((LENGTH_S - 1.0, "add route"))
+        series.append((LENGTH_S - 1.0 + rng.uniform(0.02, 0.3), "lose a disk and all power"))
+    return tuple(series)
 
 
 def play_soak(seed: int, deployment: Deployment = LARGE, *, calm: bool = False) -> SoakResult:
-    """Play the day of a seed; `calm`: without any fault or change."""
+    """Play the day of a seed; `calm`: without faults and changes."""
     day = SimulatedDeployment(deployment, seed)
     drawn = () if calm else draw_series(seed)
     faults = FaultInjector(day)
--- a/coveport/serving/simulation/stand_in_programs.py
+++ b/coveport/serving/simulation/stand_in_programs.py
@@ -1,4 +1,4 @@
-"""Programs of the simulated machines that are emulated: nodes and clients."""
+"""Programs of simulated machines whose software is emulated: nodes and clients."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class NodeProgram:
-    """One incarnation of a node as a program."""
+    """The program of a node's machine: one incarnation of the node."""
 
     def __init__(self, server: ModelServer, registration: Registration, warm_up_s: float) -> None:
         self._server = server
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientWorkload:
-    """The requests of one client: rate of each kind a second, until `until_s`."""
+    """The requests of one client: each kind with its rate per second, until `until_s`."""
 
     rates: tuple[tuple[RequestKind, float], ...]
     until_s: float
@@ -54,7 +54,7 @@
 
 
 class ClientProgram:
-    """A client that sends its workload, as a program."""
+    """The program of a client's machine, which sends the client's workload."""
 
     def __init__(self, client: Client, machine: Machine, workload: ClientWorkload) -> None:
         self.client = client
@@ -72,8 +72,8 @@
         """Do nothing: there is no resource to release."""
 
 
-class Nothing:
-    """A program without work of its own."""
+class IdleProgram:
+    """A program that does nothing by itself."""
 
     async def start(self) -> None:
         """Do nothing."""
@@ -82,9 +82,9 @@
         """Do nothing."""
 
 
-def run_nothing(machine: Machine, first_boot: bool, log: Any, rng: Random) -> Nothing:
-    """Return a program for machines that others give work to."""
-    return Nothing()
+def run_idle_program(machine: Machine, first_boot: bool, log: Any, rng: Random) -> IdleProgram:
+    """Return a program for a machine on which the simulation starts tasks directly."""
+    return IdleProgram()
 
 
 def open_simulated(machine: Machine, first_boot: bool, rng: Random) -> OpenedStorage:
--- a/coveport/serving/simulation/tenant_rules.py
+++ b/coveport/serving/simulation/tenant_rules.py
@@ -1,4 +1,4 @@
-"""The rules on the keys of tenants: which requests run, and under whose name. Pure."""
+"""The rules on tenants' API keys: which requests may run, and for which tenant. Pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def unknown_key(history: History) -> Iterator[Breach]:
-    """Report each request that ran although no configuration ever sent admits its key."""
+    """Report each request that ran although no configuration that was ever sent admits its key."""
     for attempt_id, runs in history.ran.items():
         started = history.attempts.get(attempt_id)
         if started is None or not history.versions:
@@ -19,7 +19,7 @@
 
 
 def tenant_name(history: History) -> Iterator[Breach]:
-    """Report each request that ran with its key, or under another name than its tenant's."""
+    """Report each request that reached a node with its API key, or that ran for the wrong tenant."""
     for arrival in history.arrivals:
         if not any(ran.incarnation == arrival.incarnation for ran in history.ran.get(arrival.attempt_id, [])):
             continue
@@ -34,7 +34,7 @@
 
 
 def _name_breach(history: History, started: AttemptStarted, arrival: RequestArrived) -> Breach | None:
-    """Return the breach of a request whose key some version admits; `unknown_key` reports others."""
+    """Return the breach of a request whose key some version admits; `unknown_key` reports unknown keys."""
     possible = [
         version
         for version in history.versions
@@ -52,13 +52,13 @@
 
 
 def _names(versions: list[Version], started: AttemptStarted) -> set[str]:
-    """Return the names that a request may run under: none without tenants or a key."""
+    """Return the tenant names that a request may run for; "" stands for no tenant."""
     holders = (version.tenant(started.api_key) for version in versions)
     return {holder.name if holder is not None else "" for holder in holders}
 
 
 def _newest_required(history: History, started: AttemptStarted) -> int:
-    """Return the newest edition that must have been in force for an attempt; 0: none."""
+    """Return the newest edition that must have been in force for an attempt; 0 if there is none."""
     allowance_s = history.allowance_s(started.attempt_id, started.at_s)
     if allowance_s is None:
         return 0
--- a/coveport/serving/simulation/world.py
+++ b/coveport/serving/simulation/world.py
@@ -45,7 +45,7 @@
     NodeProgram,
     SimulatedNode,
     open_simulated,
-    run_nothing,
+    run_idle_program,
 )
 from coveport.serving.simulation.topology import OUTSIDE, PlacedNetwork, ZoneDelayModel
 from coveport.serving.simulation.zones import Zone
@@ -193,7 +193,7 @@
         zone = self.deployment.zones[0]
         spot = MachineSpot(f"operator-{number + 1}", f"10.200.0.{number + 1}", zone)
         place = self.network.place(spot.ip, OUTSIDE)
-        machine = Machine(self.network, spot, place, run_nothing, f"{self.seed}")
+        machine = Machine(self.network, spot, place, run_idle_program, f"{self.seed}")
         machine.start()
         rng = Random(f"operator {number} {self.seed}")
         operator = Operator(machine.net, self.listed_control, self.event_log, rng, self._numbers)
@@ -207,7 +207,7 @@
         address = self.deployment.platform.address
         spot = MachineSpot("platform", address[0], self.deployment.zones[0])
         machine = Machine(
-            self.network, spot, self.network.place(spot.ip, OUTSIDE), run_nothing, f"{self.seed}"
+            self.network, spot, self.network.place(spot.ip, OUTSIDE), run_idle_program, f"{self.seed}"
         )
         machine.start()
         platform = SimulatedPlatform(machine.net, address)
