--- a/coveport/serving/simulation/local_deployment.py
+++ b/coveport/serving/simulation/local_deployment.py
@@ -42,8 +42,8 @@
         self._event_log = event_log
         self._seed = seed
         # A random block of loopback addresses keeps deployments on one machine apart.
-        rng = Random(f"{getpid()} {id(self)}")
-        self._block = f"127.{rng.randint(1, 254)}.{rng.randint(1, 254)}"
+        block_rng = Random(f"{getpid()} {id(self)}")
+        self._block = f"127.{block_rng.randint(1, 254)}.{block_rng.randint(1, 254)}"
         zones = range(len(deployment.zones))
         self.coordinators = [self._make_coordinator(index) for index in zones]
         self.proxies = [self._make_proxy(index) for index in zones]
--- a/coveport/serving/simulation/planned_steps.py
+++ b/coveport/serving/simulation/planned_steps.py
@@ -81,7 +81,7 @@
         self._day.at(at_s, lambda: self._day.run_operator(operator, send))
 
     def change_tenants(self, at_s: float, *tenants: Tenant, checked_keys: tuple[str, ...] = ()) -> None:
-        """Add or replace tenants; send requests with `checked_keys` to each proxy, soon and after the bound."""
+        """Add or replace tenants; send requests with `checked_keys` to each proxy, early and late."""
         operator = self._day.operators[0]
         path_prefix = self._day.deployment.rates[0][0].path_prefix
 
--- a/coveport/serving/simulation/registration.py
+++ b/coveport/serving/simulation/registration.py
@@ -117,14 +117,11 @@
 
     async def _notify(self, method: str, state: str, gone_at: float | None) -> bool:
         """Send a heartbeat or deregistration to each coordinator in turn until one acknowledges it."""
-        coordinators = self._coordinators()
-        self._rng.shuffle(coordinators)
+        candidates = self._coordinators()
+        self._rng.shuffle(candidates)
         if self._forward_to is not None:
-            coordinators = [
-                self._forward_to,
-                *(address for address in coordinators if address != self._forward_to),
-            ]
-        for address in coordinators:
+            candidates = [self._forward_to, *(listed for listed in candidates if listed != self._forward_to)]
+        for address in candidates:
             if self._node.ended or self._node.faults.unresponsive:
                 return False
             self._sequence += 1
--- a/tests/serving/simulation/test_broken_programs.py
+++ b/tests/serving/simulation/test_broken_programs.py
@@ -1,4 +1,4 @@
-"""Days of programs broken on purpose: what the judge must see, so that a day that passes says something."""
+"""Days with deliberately broken programs, each of which the judge must detect."""
 
 from __future__ import annotations
 
@@ -22,30 +22,30 @@
 AT_S = 3.0
 
 
-class FalseView(ControlView):
-    """A view that changes what its proxy is told, by what its subclasses say."""
+class AlteredView(ControlView):
+    """A control view that alters the data given to its proxy; subclasses define how."""
 
     def __setattr__(self, name: str, value: Any) -> None:
         if name == "nodes":
-            value = self.false_nodes(value)
+            value = self.altered_nodes(value)
         elif name == "evacuated_zones":
-            value = self.false_zones(value)
+            value = self.altered_zones(value)
         elif name == "configuration" and value is not None:
-            value = self.false_configuration(value)
+            value = self.altered_configuration(value)
         super().__setattr__(name, value)
 
-    def false_nodes(self, nodes: immutables.Map[str, KnownNode]) -> immutables.Map[str, KnownNode]:
+    def altered_nodes(self, nodes: immutables.Map[str, KnownNode]) -> immutables.Map[str, KnownNode]:
         return nodes
 
-    def false_zones(self, zones: frozenset[str]) -> frozenset[str]:
+    def altered_zones(self, zones: frozenset[str]) -> frozenset[str]:
         return zones
 
-    def false_configuration(self, configuration: Configuration) -> Configuration:
+    def altered_configuration(self, configuration: Configuration) -> Configuration:
         return configuration
 
 
-class KeepsClosingNodes(FalseView):
-    def false_nodes(self, nodes: immutables.Map[str, KnownNode]) -> immutables.Map[str, KnownNode]:
+class IgnoresDraining(AlteredView):
+    def altered_nodes(self, nodes: immutables.Map[str, KnownNode]) -> immutables.Map[str, KnownNode]:
         accepting = {
             name: replace(known, node=replace(known.node, state=NodeState.ACCEPTING))
             for name, known in nodes.items()
@@ -53,30 +53,30 @@
         return immutables.Map(accepting)
 
 
-class KeepsZones(FalseView):
-    def false_zones(self, zones: frozenset[str]) -> frozenset[str]:
+class IgnoresEvacuations(AlteredView):
+    def altered_zones(self, zones: frozenset[str]) -> frozenset[str]:
         return frozenset()
 
 
-class ForgetsHomes(FalseView):
-    def false_configuration(self, configuration: Configuration) -> Configuration:
+class IgnoresHomeRegions(AlteredView):
+    def altered_configuration(self, configuration: Configuration) -> Configuration:
         routes = tuple(replace(route, home_regions=frozenset()) for route in configuration.routes)
         return replace(configuration, routes=routes)
 
 
-class RepeatsEverything(FalseView):
-    def false_configuration(self, configuration: Configuration) -> Configuration:
+class RetriesEverything(AlteredView):
+    def altered_configuration(self, configuration: Configuration) -> Configuration:
         routes = tuple(replace(route, resumable=True, max_attempts=3) for route in configuration.routes)
         return replace(configuration, routes=routes)
 
 
-class KeepsTheFirst(FalseView):
-    def false_configuration(self, configuration: Configuration) -> Configuration:
+class KeepsFirstConfiguration(AlteredView):
+    def altered_configuration(self, configuration: Configuration) -> Configuration:
         return self.configuration or configuration
 
 
-class SeesNobodyCold(FalseView):
-    def false_nodes(self, nodes: immutables.Map[str, KnownNode]) -> immutables.Map[str, KnownNode]:
+class IgnoresWarmUp(AlteredView):
+    def altered_nodes(self, nodes: immutables.Map[str, KnownNode]) -> immutables.Map[str, KnownNode]:
         return immutables.Map({name: replace(known, warming_until_s=0.0) for name, known in nodes.items()})
 
 
@@ -91,7 +91,7 @@
 
 
 def rules(result: DayResult) -> set[str]:
-    return {one.rule for one in result.breaches}
+    return {breach.rule for breach in result.breaches}
 
 
 @pytest.fixture
@@ -99,67 +99,69 @@
     return SimulatedDeployment(Deployment(), 1)
 
 
-def test_a_view_that_tells_all_breaks_nothing(day: SimulatedDeployment, monkeypatch: Patch) -> None:
-    break_with(FalseView, monkeypatch)
+def test_an_unaltered_view_breaks_no_rule(day: SimulatedDeployment, monkeypatch: Patch) -> None:
+    break_with(AlteredView, monkeypatch)
     FaultInjector(day).evacuate(AT_S, "gijon", 7.0)
     result = play(day)
     assert rules(result) == set()
     assert result.served_fraction > 0.97
 
 
-def test_closing_nodes_that_still_get_requests(day: SimulatedDeployment, monkeypatch: Patch) -> None:
-    break_with(KeepsClosingNodes, monkeypatch)
+def test_requests_to_draining_nodes_are_detected(day: SimulatedDeployment, monkeypatch: Patch) -> None:
+    break_with(IgnoresDraining, monkeypatch)
     node = day.nodes[0]
     FaultInjector(day).close_node(AT_S, node)
-    # It stays a while longer than it must, as the protocol lets it: else few requests meet it.
+    # The node stays longer than necessary, as the protocol allows; otherwise few requests would reach it.
     monkeypatch.setattr("coveport.serving.simulation.registration.LINGER_S", 3.0)
     assert rules(play(day)) == {"DRAIN"}
 
 
-def test_evacuated_zones_that_still_get_requests(day: SimulatedDeployment, monkeypatch: Patch) -> None:
-    break_with(KeepsZones, monkeypatch)
+def test_requests_to_evacuated_zones_are_detected(day: SimulatedDeployment, monkeypatch: Patch) -> None:
+    break_with(IgnoresEvacuations, monkeypatch)
     FaultInjector(day).evacuate(AT_S, "gijon", 8.0)
     assert rules(play(day)) == {"EVAC"}
 
 
-def test_homes_that_are_forgotten(day: SimulatedDeployment, monkeypatch: Patch) -> None:
-    break_with(ForgetsHomes, monkeypatch)
+def test_ignored_home_regions_are_detected(day: SimulatedDeployment, monkeypatch: Patch) -> None:
+    break_with(IgnoresHomeRegions, monkeypatch)
     assert rules(play(day)) == {"HOME"}
 
 
-def test_requests_that_are_repeated_though_they_must_not(
+def test_retries_of_non_idempotent_requests_are_detected(
     day: SimulatedDeployment, monkeypatch: Patch
 ) -> None:
-    break_with(RepeatsEverything, monkeypatch)
+    break_with(RetriesEverything, monkeypatch)
     for node in day.nodes:
         day.at(AT_S, lambda node=node: setattr(node.server.faults, "break_off_probability", 0.5))  # type: ignore[misc]
     assert "TWICE" in rules(play(day))
 
 
-def test_a_configuration_that_never_comes_into_force(day: SimulatedDeployment, monkeypatch: Patch) -> None:
-    break_with(KeepsTheFirst, monkeypatch)
+def test_a_configuration_that_is_never_applied_is_detected(
+    day: SimulatedDeployment, monkeypatch: Patch
+) -> None:
+    break_with(KeepsFirstConfiguration, monkeypatch)
     FaultInjector(day).add_route(AT_S, "added")
     assert rules(play(day)) == {"CONFIG"}
 
 
-def test_a_cold_node_that_gets_too_much(monkeypatch: Patch) -> None:
-    # One zone with all clients and two nodes; one of them turns cold and bears little.
+def test_too_many_requests_to_a_node_that_warms_up_are_detected(monkeypatch: Patch) -> None:
+    # All clients are in one zone; its node restarts and can serve little while it warms up.
     zones = Deployment().zones
-    told = Deployment(nodes=(1, 1, 1), clients=(9, 0, 0), warm_up_rate=0.5)
+    deployment = Deployment(nodes=(1, 1, 1), clients=(9, 0, 0), warm_up_rate=0.5)
     assert [zone.name for zone in zones] == ["barakaldo", "gijon", "camargo"]
 
-    def turned_cold(seed: int) -> set[str]:
-        day = SimulatedDeployment(told, seed)
-        # Told by its heartbeats: a node that turns cold without notice may get what it got before.
+    def rules_after_restart(seed: int) -> set[str]:
+        day = SimulatedDeployment(deployment, seed)
+        # The restart shows in heartbeats; a node that warms up without notice may get as much as before.
         FaultInjector(day).crash_node(AT_S, day.nodes[0], for_s=1.0)
         return rules(play(day))
 
-    assert turned_cold(1) == set()
-    break_with(SeesNobodyCold, monkeypatch)
-    assert "FAILBACK" in turned_cold(1)
+    assert rules_after_restart(1) == set()
+    break_with(IgnoresWarmUp, monkeypatch)
+    assert "FAILBACK" in rules_after_restart(1)
 
 
-def test_a_disk_that_says_synced_and_is_not(day: SimulatedDeployment, monkeypatch: Patch) -> None:
+def test_a_disk_that_does_not_sync_is_detected(day: SimulatedDeployment, monkeypatch: Patch) -> None:
     def lose_power_everywhere(day: SimulatedDeployment) -> DayResult:
         faults = FaultInjector(day)
         faults.add_route(AT_S, "added")
@@ -173,7 +175,7 @@
     assert found == {"CONFIG"}
 
 
-def test_nodes_that_break_off_show_in_the_figures(day: SimulatedDeployment) -> None:
+def test_streams_that_nodes_break_off_lower_the_served_fraction(day: SimulatedDeployment) -> None:
     for node in day.nodes:
         day.at(AT_S, lambda node=node: setattr(node.server.faults, "break_off_probability", 0.5))  # type: ignore[misc]
     result = play(day)
--- a/tests/serving/simulation/test_duty_days.py
+++ b/tests/serving/simulation/test_duty_days.py
@@ -1,4 +1,4 @@
-"""Duties on days with faults: real coordinators, and a platform that refuses lower fences and records all."""
+"""Singleton roles on days with faults: real coordinators and a platform that checks fencing tokens."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 PLATFORM = PlatformSettings(("10.250.0.1", 8346), frozenset(SingletonTaskKind), 50.0)
 WINDOW_S = 0.5
 RETRY_S = 0.3
-QUIET_S = 14.0  # after drawn faults
+QUIET_S = 14.0  # after the drawn faults
 LEASE_S = BOUNDS.lease_ms / 1000
 
 
 class WindowDuty:
-    """Fixes a report of each short window, with counts of its own, and sends the oldest."""
+    """Fixes a report of each short window, with counts unique to this instance, and sends the oldest."""
 
     def __init__(self) -> None:
         self.accepted: set[int] = set()
@@ -68,7 +68,7 @@
 
 
 class DutyDay:
-    """A day without clients, whose faults are written here."""
+    """A day without clients, whose faults the tests schedule."""
 
     def __init__(self, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(duty_factory, "make_duties", lambda *_: (WindowDuty(),))
@@ -98,12 +98,16 @@
 
     def primary(self) -> Machine:
         return next(
-            one for one in self.day.coordinators if one.is_up and self.program(one)._replica.is_primary
+            machine
+            for machine in self.day.coordinators
+            if machine.is_up and self.program(machine)._replica.is_primary
         )
 
     def leads(self) -> bool:
-        """Whether any coordinator leads."""
-        return any(one.is_up and self.program(one)._replica.is_primary for one in self.day.coordinators)
+        """Return whether any coordinator is the primary."""
+        return any(
+            machine.is_up and self.program(machine)._replica.is_primary for machine in self.day.coordinators
+        )
 
     def accepted(self, from_s: float = -1e9, until_s: float = 1e9) -> list[int]:
         """Return the windows that the platform accepted within a time after the start, in order."""
@@ -114,9 +118,9 @@
         ]
 
     def machines(self) -> list[str]:
-        """Return the machines that acted, in the order in which they took over."""
+        """Return the machines whose calls were accepted, in the order in which they took over."""
         callers = [call.machine for call in self.platform.calls if call.status == 200]
-        return [one for at, one in enumerate(callers) if at == 0 or callers[at - 1] != one]
+        return [caller for at, caller in enumerate(callers) if at == 0 or callers[at - 1] != caller]
 
     def logged(self, event: str) -> int:
         lines = [line for machine in self.day.coordinators for line in machine.log_lines]
@@ -124,7 +128,7 @@
 
 
 def assert_all_windows_are_sent(day: DutyDay, slack: int) -> None:
-    """Every window that was fixed has reached the platform, but for the newest."""
+    """Assert that all fixed windows except the newest ones have reached the platform."""
     primary = day.program(day.primary())
     state: SingletonState = primary._replica._context.committed_log.state.singleton_state
     fixed = state.last_fixed_window
@@ -133,7 +137,7 @@
     assert all(report.window in sent or report.window > fixed - slack for report in state.unsent_reports)
 
 
-def test_on_a_quiet_day_one_coordinator_acts_from_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_faults_one_coordinator_acts_from_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     day = DutyDay(1, monkeypatch)
     day.play(10.0)
     assert len(day.machines()) == 1
@@ -141,7 +145,7 @@
     windows = day.accepted()
     assert windows == sorted(windows) and len(windows) == len(set(windows))
     first_s = day.platform.calls[0].at_s - day.day.began_s
-    assert first_s < LEASE_S, "the first fence needs no wait"
+    assert first_s < LEASE_S, "the first fencing token needs no wait"
     assert_all_windows_are_sent(day, 2)
 
 
@@ -160,17 +164,17 @@
 
 
 def cut_off(day: DutyDay) -> None:
-    """Cut the holder off from the core; it still reaches the platform."""
+    """Partition the lease holder from its peers; it can still reach the platform."""
     holder = day.primary().spot.ip
-    others = [one.spot.ip for one in day.day.coordinators if one.spot.ip != holder]
-    pairs = {(holder, one) for one in others} | {(one, holder) for one in others}
+    peers = [machine.spot.ip for machine in day.day.coordinators if machine.spot.ip != holder]
+    pairs = {(holder, peer) for peer in peers} | {(peer, holder) for peer in peers}
     day.day.network.partition(7, frozenset(pairs))
     day.at(12.0, lambda: day.day.network.heal(7))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("fault", [kill, lose_power, freeze, cut_off])
-def test_another_takes_over_after_a_lease_and_sends_what_was_fixed(
+def test_another_coordinator_takes_over_after_a_lease_and_sends_the_fixed_reports(
     fault: Callable[[DutyDay], None], seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     day = DutyDay(seed, monkeypatch)
@@ -192,7 +196,7 @@
     assert day.logged("duties_lost") == 1
 
 
-def test_a_restarted_holder_acts_under_another_fence(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_restarted_holder_acts_with_another_fencing_token(monkeypatch: pytest.MonkeyPatch) -> None:
     day = DutyDay(4, monkeypatch)
     for machine in day.day.coordinators:
         day.faults.kill(5.0, machine, 0.5)
@@ -202,7 +206,7 @@
     assert 5.0 + LEASE_S < min(later) < 5.0 + 3 * LEASE_S
 
 
-def test_a_platform_that_is_silent_gets_every_window_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unresponsive_platform_gets_every_window_afterwards(monkeypatch: pytest.MonkeyPatch) -> None:
     day = DutyDay(5, monkeypatch)
 
     def set_silent(silent: bool) -> None:
@@ -218,7 +222,7 @@
     assert day.logged("platform_call_failed") >= 1
 
 
-def test_a_fence_that_the_platform_refused_is_laid_down_for_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_rejected_fencing_token_is_replaced_by_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     day = DutyDay(6, monkeypatch)
     day.platform._highest_fences[("/usage",)] = 3
     day.play(20.0)
@@ -227,7 +231,7 @@
     assert day.accepted()
 
 
-def test_holders_change_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_repeated_changes_of_the_lease_holder_break_no_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     day = DutyDay(7, monkeypatch)
     for round_number in range(5):
         day.at(3.0 + 5.0 * round_number, lambda: day.primary().freeze(2.0))
@@ -261,10 +265,10 @@
 def test_drawn_faults_break_no_rule(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     day = DutyDay(seed, monkeypatch)
     rng = Random(f"duties {seed}")
-    for round_number in range(ROUNDS):  # which overlap
+    for round_number in range(ROUNDS):  # the faults overlap
         inject_drawn_fault(day, rng, 1.0 + ROUND_S * round_number + rng.random())
     day.play(1.0 + ROUND_S * ROUNDS + QUIET_S)
-    assert day.accepted(ROUND_S * ROUNDS + QUIET_S / 2), "the duties are done again after the faults"
+    assert day.accepted(ROUND_S * ROUNDS + QUIET_S / 2), "calls are accepted again after the faults"
     assert_all_windows_are_sent(day, 2)
 
 
@@ -272,17 +276,17 @@
     return state.owner is not None
 
 
-def test_a_holder_that_takes_anothers_fence_is_seen_by_the_platform(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_shared_fencing_token_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SingletonLease, "_is_owner", any_fence)
     with pytest.raises(AssertionError, match="sent by two machines"):
-        test_another_takes_over_after_a_lease_and_sends_what_was_fixed(kill, 1, monkeypatch)
+        test_another_coordinator_takes_over_after_a_lease_and_sends_the_fixed_reports(kill, 1, monkeypatch)
 
 
 def never_refused(lease: SingletonLease, fencing_token: int, now_s: float) -> SingletonLease:
     return lease
 
 
-def test_a_holder_that_keeps_a_refused_fence_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_reused_rejected_fencing_token_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SingletonLease, "reject_token", never_refused)
     with pytest.raises(AssertionError):
-        test_a_fence_that_the_platform_refused_is_laid_down_for_the_next(monkeypatch)
+        test_a_rejected_fencing_token_is_replaced_by_the_next(monkeypatch)
--- a/tests/serving/simulation/test_duty_rules.py
+++ b/tests/serving/simulation/test_duty_rules.py
@@ -1,4 +1,4 @@
-"""Histories of the platform and of usage that each break one rule."""
+"""Each rule on singleton roles and usage reports passes good histories and detects its breach."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
         self.event_log.write(FaultBegan(from_s, 1, "kill", ("p",)))
         self.event_log.write(FaultEnded(until_s, 1))
 
-    def on_calls(self) -> list[str]:
+    def call_breaches(self) -> list[str]:
         """Return the breaches that the calls show, without their times."""
         return [f"{breach.rule}: {breach.text}" for breach in judge_calls(self._platform())]
 
-    def on_usage(self, until_s: float = 60.0) -> list[str]:
+    def usage_breaches(self, until_s: float = 60.0) -> list[str]:
         """Return the breaches of the rules on reports, without their times."""
         history = UsageHistory(self._platform(), History.of(self.event_log, BOUNDS, 3), 0.0, until_s)
         return [f"{breach.rule}: {breach.text}" for breach in judge_usage(history)]
@@ -71,21 +71,21 @@
     day.report(6.0, 0)
     day.report(6.5, 0)
     day.report(11.0, 0, "b", 2)
-    assert day.on_calls() == []
+    assert day.call_breaches() == []
 
 
 def test_two_reports_of_a_window_that_differ() -> None:
     day = Day()
     day.report(6.0, 0)
     day.report(7.0, 0, counts={"north": 3})
-    assert day.on_calls() == ["ONE: window 0 has two reports that differ"]
+    assert day.call_breaches() == ["ONE: window 0 has two reports that differ"]
 
 
 def test_a_report_that_was_refused_may_differ() -> None:
     day = Day()
     day.report(6.0, 0, "a", 1, status=409)
     day.report(7.0, 0, "b", 2, counts={"north": 3})
-    assert day.on_calls() == []
+    assert day.call_breaches() == []
 
 
 def test_a_fence_that_two_machines_send() -> None:
@@ -93,23 +93,23 @@
     day.report(6.0, 0, "a", 4)
     day.report(6.1, 1, "b", 4, status=409)
     text = "ONE: fence 4 is sent by two machines, or by two starts of one: b"
-    assert day.on_calls() == [text]
+    assert day.call_breaches() == [text]
 
 
 def test_a_fence_that_two_starts_of_a_machine_send() -> None:
     day = Day(starts_s={"a": [0.0, 10.0]})
     day.report(6.0, 0, "a", 4)
     day.report(11.0, 1, "a", 5)
-    assert day.on_calls() == []
+    assert day.call_breaches() == []
     day.report(12.0, 2, "a", 4, status=409)
-    assert day.on_calls() == ["ONE: fence 4 is sent by two machines, or by two starts of one: a"]
+    assert day.call_breaches() == ["ONE: fence 4 is sent by two machines, or by two starts of one: a"]
 
 
-def test_one_fence_of_two_machines_on_subjects_of_their_own_breaks_nothing() -> None:
+def test_one_fence_sent_by_two_machines_for_different_subjects_breaks_nothing() -> None:
     day = Day()
     day.order(6.0, "hall-1", "a", 4)
     day.order(10.0, "hall-2", "b", 4)
-    assert day.on_calls() == []
+    assert day.call_breaches() == []
 
 
 def test_a_holder_that_returns_within_a_lease() -> None:
@@ -117,7 +117,7 @@
     day.report(6.0, 0, "a", 1)
     day.report(6.5, 1, "b", 2)
     day.report(6.0 + LEASE_S - 0.1, 2, "a", 3)
-    assert day.on_calls() == ["ONE: a acts again within a lease"]
+    assert day.call_breaches() == ["ONE: a acts again within a lease"]
 
 
 def test_a_holder_that_returns_after_a_lease_breaks_nothing() -> None:
@@ -125,60 +125,60 @@
     day.report(6.0, 0, "a", 1)
     day.report(6.5, 1, "b", 2)
     day.report(6.0 + LEASE_S + 0.1, 2, "a", 3)
-    assert day.on_calls() == []
+    assert day.call_breaches() == []
 
 
-def test_a_call_that_was_refused_is_no_act_of_its_holder() -> None:
+def test_a_rejected_call_does_not_count_for_its_holder() -> None:
     day = Day()
     day.report(6.0, 0, "a", 1)
     day.report(6.5, 1, "b", 2)
     day.report(7.0, 2, "a", 1, status=409)
-    assert day.on_calls() == []
+    assert day.call_breaches() == []
 
 
 def test_a_refused_fence_that_is_sent_again_after_a_lease() -> None:
     day = Day()
     day.report(6.0, 0, "a", 1, status=409)
     day.report(6.0 + LEASE_S - 0.1, 0, "a", 1, status=409)
-    assert day.on_calls() == []
+    assert day.call_breaches() == []
     day.report(6.0 + LEASE_S + 0.1, 0, "a", 1, status=409)
-    assert day.on_calls() == ["Duty: a calls again with refused fence 1"]
+    assert day.call_breaches() == ["Duty: a calls again with refused fence 1"]
 
 
 def test_a_right_report_in_time_breaks_nothing() -> None:
     day = day_with_two_runs()
     day.report(6.0, 0)
-    assert day.on_usage() == []
+    assert day.usage_breaches() == []
 
 
-def test_a_window_that_nobody_reports() -> None:
+def test_a_window_without_a_report() -> None:
     day = day_with_two_runs()
     day.report(6.0, 0, status=429)
-    assert day.on_usage() == ["Duty: window 0 is not reported"]
-    assert day.on_usage(until_s=WINDOW_S + DELAY_S) == [], "it may come yet"
+    assert day.usage_breaches() == ["Duty: window 0 is not reported"]
+    assert day.usage_breaches(until_s=WINDOW_S + DELAY_S) == [], "the report may still arrive"
 
 
 def test_a_report_that_comes_late_on_a_calm_day() -> None:
     day = day_with_two_runs()
     day.report(WINDOW_S + DELAY_S + 0.1, 0)
-    assert day.on_usage() == ["Duty: window 0 is reported too late"]
+    assert day.usage_breaches() == ["Duty: window 0 is reported too late"]
     day.fault(3.0, 9.0)
-    assert day.on_usage() == []
+    assert day.usage_breaches() == []
 
 
 def test_a_count_that_is_off_on_a_calm_day() -> None:
     day = day_with_two_runs()
     day.report(6.0, 0, counts={"north": 1})
-    assert day.on_usage() == ["Duty: window 0, north: 1 reported, 1.9 to 2.1 ran"]
+    assert day.usage_breaches() == ["Duty: window 0, north: 1 reported, 1.9 to 2.1 ran"]
     day.fault(3.0, 9.0)
-    assert day.on_usage() == []
+    assert day.usage_breaches() == []
 
 
-def test_a_tenant_that_ran_nothing_or_is_left_out() -> None:
+def test_a_tenant_without_runs_and_an_omitted_tenant() -> None:
     day = day_with_two_runs()
     day.run(3.0, "t3", "south")
     day.report(6.0, 0, counts={"north": 2, "west": 1})
-    assert day.on_usage() == [
+    assert day.usage_breaches() == [
         "Duty: window 0, south: 0 reported, 0.9 to 1.1 ran",
         "Duty: window 0, west: 1 reported, 0.0 to 0.0 ran",
     ]
@@ -189,12 +189,12 @@
         day = day_with_two_runs()
         day.run(WINDOW_S - 0.01, "t3")
         day.report(6.0, 0, counts=counts)
-        assert day.on_usage() == []
+        assert day.usage_breaches() == []
 
 
-def test_a_second_run_of_an_attempt_and_one_without_a_tenant_count_for_nothing() -> None:
+def test_a_second_run_of_an_attempt_and_a_run_without_a_tenant_are_not_counted() -> None:
     day = day_with_two_runs()
     day.run(3.0, "t2")
     day.run(3.0, "t4", "")
     day.report(6.0, 0)
-    assert day.on_usage() == []
+    assert day.usage_breaches() == []
--- a/tests/serving/simulation/test_judge_rules.py
+++ b/tests/serving/simulation/test_judge_rules.py
@@ -1,4 +1,4 @@
-"""Each rule passes a good day and catches the day that breaks it alone."""
+"""Each rule passes a good day and detects a day that breaks only this rule."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 PROXY = "10.1.0.10:8263"
 
 
-def place(path: str, *services: str, idempotent: bool = False, homes: tuple[str, ...] = ()) -> JudgedRoute:
+def route(path: str, *services: str, idempotent: bool = False, homes: tuple[str, ...] = ()) -> JudgedRoute:
     return JudgedRoute("a.example", path, frozenset(services), idempotent, True, frozenset(homes), 5.0)
 
 
 class Day:
-    """A good day, line by line; tests spoil it."""
+    """The event log of a good day, to which tests add breaches."""
 
     def __init__(self) -> None:
         self.lines: list[LoggedEvent] = [
@@ -55,8 +55,8 @@
         self.numbers = 0
         self.order(
             1.0, Order.PUT, 1,
-            (place("/once/", "scribe"), place("/often/", "scribe", idempotent=True),
-             place("/north/", "scribe", homes=("north",))),
+            (route("/once/", "scribe"), route("/often/", "scribe", idempotent=True),
+             route("/north/", "scribe", homes=("north",))),
         )  # fmt: skip
 
     def order(
@@ -116,7 +116,7 @@
         self.ended(at + 0.5, attempt_id, run)
 
     def answered(self, at: float, attempt_id: str, status: int, path: str = "/once/", **more: object) -> None:
-        """By the proxy alone."""
+        """Add an attempt that the proxy answers without a node."""
         self.sent(at, attempt_id, path, **more)
         self.lines.append(
             AttemptEnded(at + 0.1, attempt_id, Ending.COMPLETE, status, "", "", (), 0.0, 0.0, "", False)
@@ -124,7 +124,7 @@
 
     def rules(self) -> list[str]:
         self.lines.sort(key=lambda line: line.at_s)
-        return [one.rule for one in judge(EventLog(self.lines), BOUNDS)]
+        return [breach.rule for breach in judge(EventLog(self.lines), BOUNDS)]
 
 
 @pytest.fixture
@@ -162,30 +162,30 @@
 
 
 @pytest.mark.parametrize(
-    "spoiled", [{"ending": Ending.GARBLED}, {"surplus": True}, {"is_stream": False, "body_digest": "other"}]
+    "changes", [{"ending": Ending.GARBLED}, {"surplus": True}, {"is_stream": False, "body_digest": "other"}]
 )
-def test_mixed_garbled_surplus_and_changed_bodies(day: Day, spoiled: dict[str, object]) -> None:
+def test_mixed_garbled_surplus_and_changed_bodies(day: Day, changes: dict[str, object]) -> None:
     day.sent(20.0, "t")
     day.arrived(20.0, "t")
     run = day.ran(20.1, "t")
-    if "body_digest" in spoiled:
+    if "body_digest" in changes:
         day.ended(21.0, "t", run, events=(), is_stream=False, body_digest=digest(complete_body(run, "body")))
         assert day.rules() == []
         day.lines.pop(
             next(
                 at
-                for at, one in enumerate(day.lines)
-                if isinstance(one, AttemptEnded) and one.attempt_id == "t"
+                for at, line in enumerate(day.lines)
+                if isinstance(line, AttemptEnded) and line.attempt_id == "t"
             )
         )
-        day.ended(21.0, "t", run, events=(), **spoiled)
+        day.ended(21.0, "t", run, events=(), **changes)
     else:
-        day.ended(21.0, "t", run, **spoiled)
+        day.ended(21.0, "t", run, **changes)
     assert day.rules() == ["MIXED"]
 
 
 @pytest.mark.parametrize("numbers", [(1, 3), (1, 2, 2, 3), (2, 3), (1, 2)])
-def test_order_a_gap_a_repetition_a_late_begin_an_early_end(day: Day, numbers: tuple[int, ...]) -> None:
+def test_order_a_gap_a_repetition_a_late_start_an_early_end(day: Day, numbers: tuple[int, ...]) -> None:
     day.sent(20.0, "t", "/often/")
     day.arrived(20.0, "t", "/often/")
     run = day.ran(20.1, "t")
@@ -197,18 +197,18 @@
     def join(path: str, first: int, attempt_id: str) -> None:
         day.sent(20.0, attempt_id, path)
         day.arrived(20.0, attempt_id, path)
-        one, other = day.ran(20.1, attempt_id), day.ran(20.3, attempt_id, "i-2", first=first)
-        runs = (one, one, other)
+        first_run, second_run = day.ran(20.1, attempt_id), day.ran(20.3, attempt_id, "i-2", first=first)
+        runs = (first_run, first_run, second_run)
         events = tuple(
             StreamEvent(at, run, event_text(run, at)) for at, run in zip((1, 2, 3), runs, strict=True)
         )
-        day.ended(21.0, attempt_id, one, events=events)
+        day.ended(21.0, attempt_id, first_run, events=events)
 
-    join("/often/", 3, "well")
+    join("/often/", 3, "correct")
     assert day.rules() == []
-    join("/often/", 2, "ill")
+    join("/often/", 2, "overlapping")
     assert day.rules() == ["ORDER"]
-    join("/once/", 3, "never")
+    join("/once/", 3, "not idempotent")
     assert sorted(day.rules()) == ["ORDER", "ORDER", "TWICE"]
 
 
@@ -220,9 +220,9 @@
     assert day.rules() == []
 
 
-def test_unasked_an_id_that_nobody_sent_and_a_changed_request(day: Day) -> None:
+def test_unasked_an_unknown_attempt_id_and_a_changed_request(day: Day) -> None:
     day.arrived(20.0, "ghost")
-    assert day.rules() == []  # it has not run
+    assert day.rules() == []  # the request has not run
     day.ran(20.1, "ghost")
     assert day.rules() == ["UNASKED"]
     day.sent(30.0, "t", body_digest="another body")
@@ -232,7 +232,7 @@
     assert day.rules() == ["UNASKED", "UNASKED"]
 
 
-def test_twice_only_what_is_idempotent_may_run_again(day: Day) -> None:
+def test_twice_only_idempotent_requests_may_run_again(day: Day) -> None:
     for path in ("/often/", "/once/"):
         attempt_id = f"t{path}"
         day.sent(20.0, attempt_id, path)
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
-def test_refused_a_promise_about_what_has_run(day: Day, status: int) -> None:
+def test_refused_a_status_that_denies_the_run(day: Day, status: int) -> None:
     day.answered(20.0, "t", status)
     assert day.rules() == []
     day.arrived(20.0, "t")
@@ -255,7 +255,7 @@
 
 def test_route_a_service_that_no_configuration_named(day: Day) -> None:
     day.served(20.0, "t", node="i-3")
-    # No version in force allows it either, but none that was refused would.
+    # CONFIG is not reported as well: no rejected configuration has this route either.
     assert day.rules() == ["ROUTE"]
 
 
@@ -303,7 +303,7 @@
     assert day.rules() == ["DRAIN"]
 
 
-def test_drain_what_gets_421_and_machines_in_trouble_don_t_count(day: Day) -> None:
+def test_drain_requests_rejected_with_421_and_proxies_with_faults_do_not_count(day: Day) -> None:
     day.lines.append(HeartbeatAnswered(30.0, "i-1", "gone", "c"))
     day.sent(35.0, "t")
     day.arrived(35.01, "t")
@@ -317,7 +317,7 @@
     assert day.rules() == ["DRAIN"]
 
 
-def test_evacuation_between_the_bound_and_the_taking_back(day: Day) -> None:
+def test_evacuation_between_the_bound_and_the_revocation(day: Day) -> None:
     day.order(30.0, Order.EVACUATE, zone="hall-a")
     day.order(50.0, Order.TAKE_BACK, zone="hall-a")
     day.served(35.0, "soon")
@@ -328,13 +328,13 @@
     assert day.rules() == ["EVAC"]
 
 
-def test_evacuation_that_was_not_acknowledged_binds_nobody(day: Day) -> None:
+def test_evacuation_without_acknowledgement_has_no_bound(day: Day) -> None:
     day.order(30.0, Order.EVACUATE, zone="hall-a", verdict=Verdict.UNCLEAR)
     day.served(40.0, "t")
     assert day.rules() == []
 
 
-def test_failback_more_than_a_cold_node_bears_in_one_second(day: Day) -> None:
+def test_failback_more_requests_in_one_second_than_the_warm_up_limit(day: Day) -> None:
     day.lines.append(WarmUpBegan(30.0, "i-1", 40.0, 2.0))
     for at in range(8):
         day.served(31.0 + at / 10, f"t{at}")
@@ -346,7 +346,7 @@
 
 
 def test_budget_second_arrivals_in_a_window(day: Day) -> None:
-    def again(at: float, attempt_id: str) -> None:
+    def add_retried_request(at: float, attempt_id: str) -> None:
         day.sent(at, attempt_id, "/often/")
         for node in ("i-1", "i-2"):
             day.arrived(at, attempt_id, "/often/", node)
@@ -354,18 +354,18 @@
         run = day.ran(at + 0.1, attempt_id, "i-2")
         day.ended(at + 0.5, attempt_id, run)
 
-    # 2 + 0.2 of those asked in ten seconds: two ask alone, so 2.4; three would be 2.6.
-    again(60.0, "a")
-    again(61.0, "b")
-    again(72.0, "c")
+    # The budget is 2 + 0.2 per request within ten seconds: two requests allow 2.4 retries, three 2.6.
+    add_retried_request(60.0, "a")
+    add_retried_request(61.0, "b")
+    add_retried_request(72.0, "c")
     assert day.rules() == []
-    again(69.0, "d")
+    add_retried_request(69.0, "d")
     assert day.rules() == ["BUDGET"]
 
 
 def test_config_an_old_version_after_the_bound(day: Day) -> None:
-    moved = (place("/once/", "reader"), place("/often/", "scribe", idempotent=True))
-    day.order(30.0, Order.PUT, 2, moved, based_on=1)
+    moved_routes = (route("/once/", "reader"), route("/often/", "scribe", idempotent=True))
+    day.order(30.0, Order.PUT, 2, moved_routes, based_on=1)
     day.served(32.5, "soon")
     assert day.rules() == []
     day.served(32.7, "late")
@@ -373,7 +373,7 @@
 
 
 def test_config_a_404_though_the_route_is_there(day: Day) -> None:
-    day.order(30.0, Order.PUT, 2, (place("/new/", "scribe"), place("/once/", "scribe")), based_on=1)
+    day.order(30.0, Order.PUT, 2, (route("/new/", "scribe"), route("/once/", "scribe")), based_on=1)
     day.answered(32.0, "soon", 404, "/new/", is_direct=True)
     day.answered(40.0, "never was", 404, "/nothing/", is_direct=True)
     assert day.rules() == []
@@ -382,25 +382,25 @@
 
 
 def test_config_a_dropped_route_that_still_runs(day: Day) -> None:
-    day.order(30.0, Order.PUT, 2, (place("/often/", "scribe", idempotent=True),), based_on=1)
+    day.order(30.0, Order.PUT, 2, (route("/often/", "scribe", idempotent=True),), based_on=1)
     day.served(33.0, "late")
     assert day.rules() == ["CONFIG"]
 
 
-def test_config_a_machine_that_goes_back(day: Day) -> None:
-    moved = (place("/once/", "reader"), place("/often/", "scribe", idempotent=True))
-    day.order(30.0, Order.PUT, 2, moved, based_on=1)
+def test_config_a_proxy_that_reverts_to_an_older_version(day: Day) -> None:
+    moved_routes = (route("/once/", "reader"), route("/often/", "scribe", idempotent=True))
+    day.order(30.0, Order.PUT, 2, moved_routes, based_on=1)
     day.served(30.5, "new", node="i-3")
     day.served(30.6, "within the slack")
     assert day.rules() == []
     day.served(31.0, "old")
     assert day.rules() == ["CONFIG"]
     day.lines.append(ProxyStarted(30.9, "proxy-1", PROXY))
-    assert day.rules() == []  # in another life
+    assert day.rules() == []  # in another incarnation
 
 
-def test_config_a_refused_one_in_force(day: Day) -> None:
-    lost = (place("/once/", "reader"),)
+def test_config_a_refused_configuration_in_force(day: Day) -> None:
+    lost = (route("/once/", "reader"),)
     day.order(30.0, Order.PUT, 2, lost, based_on=1, verdict=Verdict.REFUSED)
     day.served(40.0, "t")
     assert day.rules() == []
@@ -408,31 +408,31 @@
     assert day.rules() == ["CONFIG"]
 
 
-def test_config_one_that_got_no_clear_answer_may_be_in_force_or_not(day: Day) -> None:
-    day.order(30.0, Order.PUT, 2, (place("/once/", "reader"),), based_on=1, verdict=Verdict.UNCLEAR)
+def test_config_an_unclear_change_may_or_may_not_be_in_force(day: Day) -> None:
+    day.order(30.0, Order.PUT, 2, (route("/once/", "reader"),), based_on=1, verdict=Verdict.UNCLEAR)
     day.served(40.0, "t")
     assert day.rules() == []
     day.served(40.6, "u", node="i-3")
     assert day.rules() == []
 
 
-def test_config_an_invalid_one_and_two_on_the_same_are_not_taken(day: Day) -> None:
+def test_config_an_invalid_change_and_two_changes_of_one_version_must_not_be_acknowledged(day: Day) -> None:
     day.order(
-        30.0, Order.PUT, 2, (place("/once/", "scribe"),), based_on=1, valid=False, verdict=Verdict.REFUSED
+        30.0, Order.PUT, 2, (route("/once/", "scribe"),), based_on=1, valid=False, verdict=Verdict.REFUSED
     )
-    day.order(31.0, Order.PUT, 3, (place("/once/", "scribe"),), based_on=1)
+    day.order(31.0, Order.PUT, 3, (route("/once/", "scribe"),), based_on=1)
     assert day.rules() == []
-    day.order(32.0, Order.PUT, 4, (place("/once/", "scribe"),), based_on=1)
+    day.order(32.0, Order.PUT, 4, (route("/once/", "scribe"),), based_on=1)
     assert day.rules() == ["CONFIG"]
-    day.order(33.0, Order.PUT, 5, (place("/once/", "scribe"),), based_on=4, valid=False)
+    day.order(33.0, Order.PUT, 5, (route("/once/", "scribe"),), based_on=4, valid=False)
     assert day.rules() == ["CONFIG", "CONFIG"]
 
 
 @pytest.mark.parametrize(
     ("edition", "digest_of", "breaches"), [(2, 2, 0), (1, 1, 1), (2, 1, 1), (0, 0, 1), (3, 3, 0)]
 )
-def test_config_what_is_read_back(day: Day, edition: int, digest_of: int, breaches: int) -> None:
-    routes = (place("/once/", "scribe"),)
+def test_config_the_last_read(day: Day, edition: int, digest_of: int, breaches: int) -> None:
+    routes = (route("/once/", "scribe"),)
     day.order(30.0, Order.PUT, 2, routes, based_on=1)
     day.order(31.0, Order.PUT, 3, routes, based_on=2, verdict=Verdict.UNCLEAR)
     verdict = Verdict.ACKNOWLEDGED if edition else Verdict.UNCLEAR
@@ -442,15 +442,15 @@
     assert day.rules() == ["CONFIG"] * breaches
 
 
-def core_trouble(day: Day, *machines: str) -> None:
-    """From 29 s on, to the end of the day."""
+def add_coordinator_fault(day: Day, *machines: str) -> None:
+    """Add a fault of coordinators from 29 s until the end of the day."""
     day.lines.append(FaultBegan(29.0, 1, "kill", machines, True, False, machines))
 
 
 def test_an_unstable_core_widens_the_bound_on_configurations(day: Day) -> None:
-    moved = (place("/once/", "reader"), place("/often/", "scribe", idempotent=True))
-    day.order(30.0, Order.PUT, 2, moved, based_on=1)
-    core_trouble(day, "coordinator-1")
+    moved_routes = (route("/once/", "reader"), route("/often/", "scribe", idempotent=True))
+    day.order(30.0, Order.PUT, 2, moved_routes, based_on=1)
+    add_coordinator_fault(day, "coordinator-1")
     day.served(38.0, "within the wider bound")
     assert day.rules() == []
     day.served(39.0, "late")
@@ -459,19 +459,19 @@
 
 def test_an_unstable_core_widens_the_bound_on_evacuations(day: Day) -> None:
     day.order(30.0, Order.EVACUATE, zone="hall-a")
-    core_trouble(day, "coordinator-1")
+    add_coordinator_fault(day, "coordinator-1")
     day.served(41.0, "within the wider bound")
     assert day.rules() == []
     day.served(41.2, "late")
     assert day.rules() == ["EVAC"]
 
 
-def test_nothing_is_bound_while_half_of_the_core_is_gone_or_the_proxy_itself_is_in_trouble(day: Day) -> None:
+def test_no_bound_applies_without_a_quorum_or_while_the_proxy_has_a_fault(day: Day) -> None:
     day.order(30.0, Order.EVACUATE, zone="hall-a")
     day.served(60.0, "t")
-    core_trouble(day, "coordinator-1", "coordinator-2")
+    add_coordinator_fault(day, "coordinator-1", "coordinator-2")
     assert day.rules() == []
-    day.lines = [one for one in day.lines if not isinstance(one, FaultBegan)]
+    day.lines = [line for line in day.lines if not isinstance(line, FaultBegan)]
     assert day.rules() == ["EVAC"]
     day.lines.append(FaultBegan(58.0, 2, "freeze", ("proxy-1",)))
     assert day.rules() == []
--- a/tests/serving/simulation/test_on_loopback.py
+++ b/tests/serving/simulation/test_on_loopback.py
@@ -1,4 +1,4 @@
-"""The stand-ins on real sockets of this machine, and what the day for newcomers says of its results."""
+"""Emulated clients and nodes on real sockets, and the exit code and summary of the day on loopback."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def play_on_loopback(event_log: EventLog) -> list[bool]:
-    """A node that reports, and a client that finds it by a lookup."""
+    """Run a node with heartbeats and a client that looks it up; return whether its requests were served."""
     net = Net(asyncio.get_running_loop())
     figures = NodeFigures(SERVICE, (HOST, free_port()), "hall-a", "north")
     node = ModelServer(net, figures, event_log, Random(1))
@@ -35,12 +35,12 @@
         connection.answer(200, [], json.dumps({"Addresses": addresses, "TtlS": 2}).encode())
 
     core = await net.listen(
-        lambda: ServerConnection(answer, lambda one: None), (HOST, 0), accepts_per_turn=8, backlog=8
+        lambda: ServerConnection(answer, lambda connection: None), (HOST, 0), accepts_per_turn=8, backlog=8
     )
-    at = [(HOST, core.port)]
+    coordinators = [(HOST, core.port)]
     await node.start()
-    registration = Registration(net, node, lambda: list(at), 1000.0, event_log, Random(2))
-    client = Client(net, ClientFigures("hall-a", "north"), lambda: list(at), event_log, Random(3))
+    registration = Registration(net, node, lambda: list(coordinators), 1000.0, event_log, Random(2))
+    client = Client(net, ClientFigures("hall-a", "north"), lambda: list(coordinators), event_log, Random(3))
     served = [await client.send_request(KIND), await client.send_request(KIND)]
     await registration.leave(0.0)
     core.close()
@@ -50,12 +50,12 @@
 def free_port() -> int:
     import socket
 
-    with socket.create_server((HOST, 0)) as one:
-        port: int = one.getsockname()[1]
+    with socket.create_server((HOST, 0)) as server:
+        port: int = server.getsockname()[1]
     return port
 
 
-def test_the_stand_ins_speak_on_real_sockets() -> None:
+def test_emulated_clients_and_nodes_work_on_real_sockets() -> None:
     event_log = EventLog()
     assert asyncio.run(play_on_loopback(event_log)) == [True, True]
     assert len(event_log.of(RequestRan)) == 2
@@ -70,7 +70,7 @@
 SERVED = KindFigures(10, 9, 8, 11, (), (100.0, 200.0, 300.0))
 
 
-def test_a_day_is_good_only_if_it_was_played_served_and_broke_nothing() -> None:
+def test_the_exit_code_is_0_only_if_the_day_was_ready_served_requests_and_broke_no_rule() -> None:
     breach = Breach("TWICE", 1.0, "a try ran twice")
     assert LocalDayResult(True, (), {"review": SERVED}, EventLog()).exit_code == 0
     assert LocalDayResult(True, (breach,), {"review": SERVED}, EventLog()).exit_code == BROKEN
@@ -78,7 +78,7 @@
     assert LocalDayResult(False, (), {"review": SERVED}, EventLog()).exit_code == BROKEN
 
 
-def test_the_summary_names_figures_and_broken_rules() -> None:
+def test_the_summary_contains_figures_and_broken_rules() -> None:
     breach = Breach("TWICE", 1.0, "a try ran twice")
     good = "\n".join(summary(LocalDayResult(True, (), {"review": SERVED}, EventLog())))
     assert "no rule was broken" in good
--- a/tests/serving/simulation/test_reading_back.py
+++ b/tests/serving/simulation/test_reading_back.py
@@ -1,4 +1,4 @@
-"""After a day that ends with losses the newest configuration is read back, again and again, everywhere."""
+"""After losses, every coordinator serves the newest configuration, for longer than `InTouchMs`."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 CHANGE_S = 3.0
 END_S = 5.0
 DOWN_S = 1.0
-ASKED_EACH_S = 0.2
-CALL_S = 1.0
+READ_INTERVAL_S = 0.2
+CALL_TIMEOUT_S = 1.0
 
 
 def all_processes_killed(day: SimulatedDeployment, faults: FaultInjector) -> None:
@@ -40,7 +40,7 @@
 
 @dataclass
 class Reader:
-    """Asks every coordinator, follows where it sends, and keeps the editions by who was asked."""
+    """Reads from every coordinator, following redirects, and records the editions by coordinator."""
 
     day: SimulatedDeployment
     until_s: float
@@ -53,21 +53,21 @@
     async def _read_at(self, machine: Machine) -> None:
         address = (machine.spot.ip, self.day.deployment.ports.control)
         request = write_request("GET", Path.CONFIG, [("Host", "core")])
-        found = self.editions.setdefault(machine.spot.ip, [])
+        editions = self.editions.setdefault(machine.spot.ip, [])
         while self.day.world.now < self.until_s:
-            called = await call_following(self.day.operators[1]._net, address, request, CALL_S)
-            if called is not None:
-                self.statuses.add(called[1].status)
-            if called is not None and called[1].status == 200:
-                found.append(read_edition(called[1].body)[0])
-            await asyncio.sleep(ASKED_EACH_S)
+            response = await call_following(self.day.operators[1]._net, address, request, CALL_TIMEOUT_S)
+            if response is not None:
+                self.statuses.add(response[1].status)
+            if response is not None and response[1].status == 200:
+                editions.append(read_edition(response[1].body)[0])
+            await asyncio.sleep(READ_INTERVAL_S)
 
 
 @pytest.mark.parametrize(
     "end", [all_processes_killed, all_power_lost, a_disk_lost_while_all_others_lose_power]
 )
 @pytest.mark.parametrize("seed", [1, 2])
-def test_every_coordinator_answers_the_newest_again_and_again(
+def test_every_coordinator_keeps_serving_the_newest_configuration(
     end: Callable[[SimulatedDeployment, FaultInjector], None], seed: int
 ) -> None:
     day = SimulatedDeployment(Deployment(), seed)
@@ -75,15 +75,19 @@
     faults.add_route(CHANGE_S, "added")
     end(day, faults)
     in_touch_s = day.deployment.bounds.in_touch_ms / 1000
-    asked_for_s = 2.0 * in_touch_s
+    read_for_s = 2.0 * in_touch_s
     began_s = day.traffic_from_s + END_S + DOWN_S
-    reader = Reader(day, began_s + asked_for_s)
+    reader = Reader(day, began_s + read_for_s)
     day.at(END_S + DOWN_S, lambda: day.run_operator(day.operators[1], reader.read))
-    result = day.play(END_S + DOWN_S + asked_for_s + 2.0)
-    assert [str(one) for one in result.breaches] == [] and list(result.problems) == []
+    result = day.play(END_S + DOWN_S + read_for_s + 2.0)
+    assert [str(breach) for breach in result.breaches] == [] and list(result.problems) == []
     newest = day.operators[0].configuration.edition
     assert newest > 0
-    assert reader.statuses <= {200, 503}, "an older one is never told: who can't be sure says 503"
+    assert reader.statuses <= {200, 503}, (
+        "a coordinator that can't confirm the newest edition must answer 503"
+    )
     for editions in reader.editions.values():
         assert set(editions) == {newest}
-        assert len(editions) > in_touch_s / (ASKED_EACH_S + CALL_S), "answered for longer than `InTouchMs`"
+        assert len(editions) > in_touch_s / (READ_INTERVAL_S + CALL_TIMEOUT_S), (
+            "answered for longer than `InTouchMs`"
+        )
--- a/tests/serving/simulation/test_rolling_upgrade.py
+++ b/tests/serving/simulation/test_rolling_upgrade.py
@@ -1,8 +1,8 @@
-"""Coordinators and proxies of the version before and of this one serve side by side, as real processes.
+"""Coordinators and proxies of the previous and the current version work together as real processes.
 
-The version before is the last commit without `wire/versions.py`, taken from this repository's own history.
-Rules with a bound in time are held by `benchmarks/rolling_upgrade.py`, on a quiet machine: here they would
-hang on how busy this one is.
+The previous version is the last commit without `wire/versions.py`, taken from this repository's history.
+`benchmarks/rolling_upgrade.py` checks the rules with a time bound on an idle machine; here their result would
+depend on the machine's load.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from coveport.serving.simulation.rolling_upgrade import Kind, Restart, Version
 
 ADDED_FILE = "coveport/serving/wire/versions.py"
-RULES_WITHOUT_A_TIME = {"TWICE", "MIXED", "UNASKED", "ORDER", "REFUSED", "ROUTE", "HOME"}
+RULES_WITHOUT_TIME_BOUND = {"TWICE", "MIXED", "UNASKED", "ORDER", "REFUSED", "ROUTE", "HOME"}
 STEPS = (
     Restart(Kind.COORDINATOR, 0, Version.NEW),
     Restart(Kind.PROXY, 0, Version.NEW),
@@ -38,12 +38,12 @@
 
 @pytest.fixture(scope="module")
 def other_source(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """Return a folder with the package as it was before versions were announced."""
+    """Return a folder with the package as it was before processes announced their version."""
     try:
         added = git("log", "--diff-filter=A", "--format=%H", "--", ADDED_FILE).decode().split()
         archive = git("archive", f"{added[-1]}^", "coveport")
     except (OSError, IndexError, subprocess.CalledProcessError):
-        pytest.skip("the history that holds the version before is not here")
+        pytest.skip("the repository's history with the previous version is not available")
     folder = tmp_path_factory.mktemp("before")
     with tarfile.open(fileobj=io.BytesIO(archive)) as source:
         source.extractall(folder, filter="data")
@@ -56,7 +56,7 @@
     result, processes = asyncio.run(
         rolling_upgrade.play(tmp_path, other_source, STEPS, seed=1, say=lines.append)
     )
-    assert [str(one) for one in result.breaches if one.rule in RULES_WITHOUT_A_TIME] == [], lines
+    assert [str(breach) for breach in result.breaches if breach.rule in RULES_WITHOUT_TIME_BOUND] == [], lines
     assert result.ready, lines
     assert sum(kind.served for kind in result.kinds.values()) > 20, lines
     assert is_linearizable(operations(result.event_log))
--- a/tests/serving/simulation/test_settings_file.py
+++ b/tests/serving/simulation/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Settings files that the simulation writes are what the program reads."""
+"""Settings files that the simulation writes parse to the same settings."""
 
 from __future__ import annotations
 
@@ -24,5 +24,5 @@
 def test_a_proxys_settings_are_read_back() -> None:
     spot = MachineSpot("proxy-1", "127.0.0.21", DEPLOYMENT.zones[1])
     settings = proxy_settings(DEPLOYMENT, spot, SEEDS, False)
-    found = parse_boot_settings(settings_text(settings))
-    assert found == settings
+    parsed = parse_boot_settings(settings_text(settings))
+    assert parsed == settings
--- a/tests/serving/simulation/test_simulate.py
+++ b/tests/serving/simulation/test_simulate.py
@@ -1,4 +1,4 @@
-"""What the verb that plays drawn days prints, and its exit code."""
+"""The output and exit code of the command that plays drawn days."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(("days", "code"), [([GOOD, GOOD], 0), ([GOOD, BROKEN], 1), ([FAULTY], 1)])
-def test_a_broken_rule_or_a_fault_is_told_and_fails(
+def test_a_broken_rule_or_a_program_error_is_printed_and_fails(
     days: list[DayResult], code: int, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     played: list[int] = []
--- a/tests/serving/simulation/test_soak.py
+++ b/tests/serving/simulation/test_soak.py
@@ -1,4 +1,4 @@
-"""Days of many overlapping faults: no rule is broken; and what the faults and the judge do."""
+"""Days with many overlapping faults break no rule; tests of single faults and of the judge's detection."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     assert_good(play_soak(3, LARGE))
 
 
-def test_on_a_calm_day_one_fence_reports_each_window_once_and_all_is_served() -> None:
+def test_without_faults_one_fence_reports_each_window_once_and_all_requests_are_served() -> None:
     result = play_soak(1, SMALL, calm=True)
     assert_good(result)
     assert (result.fences, result.day.served_fraction) == (1, 1.0)
@@ -63,13 +63,13 @@
     counter._changed.setdefault(window, set()).add(tenant)
 
 
-def test_proxies_that_count_twice_are_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_proxies_that_count_requests_twice_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(UsageCounter, "add", add_twice)
     result = play_soak(1, SMALL, calm=True)
     assert {breach.rule for breach in result.breaches} == {"Duty"}
 
 
-def test_a_platform_that_stays_down_is_seen_as_missing_reports(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_platform_that_stays_down_causes_missing_reports(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(soak, "draw_series", lambda _: ((1.0, "platform down"),))
     monkeypatch.setattr(soak, "MAX_FAULT_S", 1000.0)
     result = play_soak(1, SMALL)
@@ -85,7 +85,7 @@
     return day, FaultInjector(day)
 
 
-def test_a_killed_machine_that_has_lost_power_starts_when_it_is_back() -> None:
+def test_a_killed_machine_without_power_starts_when_the_power_is_back() -> None:
     day, faults = quiet_day()
     machine = day.coordinators[0]
     faults.lose_power(1.0, machine, 5.0)
@@ -96,7 +96,7 @@
     assert machine.is_up
 
 
-def test_a_roll_goes_on_when_a_machine_is_killed_while_it_stops() -> None:
+def test_a_rolling_restart_continues_when_a_machine_is_killed_while_it_stops() -> None:
     day, faults = quiet_day()
     faults.roll(1.0, day.coordinators, 0.5)
     faults.kill(1.0, day.coordinators[0], 1.0)
@@ -104,7 +104,7 @@
     assert [machine.incarnations for machine in day.coordinators] == [2, 2, 2]
 
 
-def test_settings_that_a_signal_brings_are_applied() -> None:
+def test_settings_reloaded_by_a_signal_are_applied() -> None:
     day, faults = quiet_day()
     faults.hang_up(1.0, day.coordinators, 7.5)
     day.world.run(day.traffic_from_s + 2.0)
--- a/tests/serving/simulation/test_stand_ins.py
+++ b/tests/serving/simulation/test_stand_ins.py
@@ -1,4 +1,4 @@
-"""Clients against model servers directly: the stand-ins keep to the protocol by themselves."""
+"""Emulated clients call emulated model servers directly; both follow the protocol."""
 
 from __future__ import annotations
 
@@ -27,45 +27,47 @@
 BOUNDS = Bounds(retry_slack=5.0)
 
 
-def allow(deployment: StubDeployment) -> None:
-    """Let the judge know the routes."""
-    made = configuration()
-    found = document_digest(configuration_document(made))
+def log_configuration(deployment: StubDeployment) -> None:
+    """Write the configuration to the event log, from which the judge reads the routes."""
+    initial = configuration()
+    sent_digest = document_digest(configuration_document(initial))
     deployment.event_log.write(
-        OrderStarted(deployment.world.now, 1, Order.PUT, 1, 0, True, judged_routes(made.routes), found)
+        OrderStarted(
+            deployment.world.now, 1, Order.PUT, 1, 0, True, judged_routes(initial.routes), sent_digest
+        )
     )
 
 
-def test_a_calm_hour_of_clients_and_nodes_breaks_nothing() -> None:
+def test_clients_and_nodes_without_faults_break_no_rule() -> None:
     deployment = StubDeployment()
-    allow(deployment)
+    log_configuration(deployment)
     for number in range(3):
         deployment.node(number + 1)
-    asked = [
+    served = [
         deployment.send_requests(deployment.client(number), kind, 20)
         for number, kind in enumerate((KIND, UNSAFE_KIND) * 3)
     ]
     deployment.run(60.0)
-    assert [sum(one) for one in asked] == [20] * 6
+    assert [sum(results) for results in served] == [20] * 6
     assert judge(deployment.event_log, BOUNDS) == []
-    of = figures(deployment.event_log, {"review": Objective(0.8, 0.4), "offer": Objective(1.0, 0.4)})
-    assert of["review"].requests == of["review"].in_time == 60
-    assert 0 < of["review"].first_event_ms[0] < 200
+    by_kind = figures(deployment.event_log, {"review": Objective(0.8, 0.4), "offer": Objective(1.0, 0.4)})
+    assert by_kind["review"].requests == by_kind["review"].in_time == 60
+    assert 0 < by_kind["review"].first_event_ms[0] < 200
 
 
 def test_an_answer_is_a_stream_of_all_events() -> None:
     deployment = StubDeployment()
     deployment.node(1)
-    assert_served = deployment.send_requests(deployment.client())
+    served = deployment.send_requests(deployment.client())
     deployment.run(5.0)
     line = deployment.event_log.of(AttemptEnded)[0]
-    assert assert_served == [True]
+    assert served == [True]
     assert [event.number for event in line.events] == list(range(1, 11))
     assert line.stamp and line.answered_id == line.attempt_id
     assert line.first_event_s < line.at_s
 
 
-def test_kept_connections_are_used_again_and_others_are_not() -> None:
+def test_only_kept_connections_are_reused() -> None:
     for keeps, most in ((True, 1), (False, 5)):
         deployment = StubDeployment()
         deployment.node(1)
@@ -73,13 +75,13 @@
         deployment.send_requests(deployment.client(keeps_connections=keeps), times=5)
         deployment.run(1.5)
         assert len(deployment.event_log.of(AttemptStarted)) == 5
-        # One lookup beside: its answer holds for two seconds.
+        # One further connection is for the lookup, whose answer is valid for two seconds.
         assert deployment.network.connections - before - 1 == most
 
 
-def test_a_broken_stream_is_resumed_where_it_may_be() -> None:
+def test_a_broken_stream_of_an_idempotent_request_is_resumed() -> None:
     deployment = StubDeployment(seed=3)
-    allow(deployment)
+    log_configuration(deployment)
     nodes = [deployment.node(1), deployment.node(2)]
     nodes[0].faults.break_off_probability = 1.0
     client = deployment.client(keeps_connections=False)
@@ -94,7 +96,7 @@
     assert [one for one in judge(deployment.event_log, BOUNDS) if one.rule not in ("BUDGET",)] == []
 
 
-def test_what_may_run_once_is_not_tried_again_after_a_break() -> None:
+def test_a_non_idempotent_request_is_not_retried_after_a_break() -> None:
     deployment = StubDeployment()
     deployment.node(1).faults.break_off_probability = 1.0
     served = deployment.send_requests(deployment.client(), UNSAFE_KIND)
@@ -103,7 +105,7 @@
     assert len(deployment.event_log.of(AttemptStarted)) == 1
 
 
-def test_a_refusal_promises_and_is_tried_again_after_the_wait() -> None:
+def test_a_rejected_request_is_retried_after_the_backoff() -> None:
     deployment = StubDeployment()
     deployment.node(1).faults.refuse_probability = 1.0
     served = deployment.send_requests(deployment.client(), UNSAFE_KIND)
@@ -116,14 +118,14 @@
     assert not deployment.event_log.of(RequestRan)
 
 
-def test_a_full_node_refuses_and_says_that_it_has_not_run() -> None:
+def test_a_full_node_rejects_requests_without_running_them() -> None:
     deployment = StubDeployment()
     deployment.node(1, engine=EngineFigures(slots=1, queue=1))
     for number in range(4):
         deployment.send_requests(deployment.client(number), replace(KIND, answer_tokens=500, retries=0))
     deployment.run(10.0)
-    away = deployment.event_log.of(RequestRejected)
-    assert [one.status for one in away] == [503, 503]
+    rejected = deployment.event_log.of(RequestRejected)
+    assert [one.status for one in rejected] == [503, 503]
     assert len(deployment.event_log.of(RequestRan)) == 2
 
 
@@ -151,7 +153,7 @@
     assert found[0] is not None and "coveport-not-run" in found[0].headers
 
 
-def test_a_dark_node_says_nothing_and_clients_go_elsewhere_in_time() -> None:
+def test_clients_abandon_an_unresponsive_node_and_try_another() -> None:
     deployment = StubDeployment()
     deployment.node(1).set_unresponsive(True)
     deployment.node(2)
@@ -164,7 +166,7 @@
     assert all(one.at_s - sent[one.attempt_id].at_s == pytest.approx(3.2) for one in abandoned)
 
 
-def test_a_cold_node_falls_over_above_what_it_bears() -> None:
+def test_a_node_that_warms_up_crashes_above_its_limit() -> None:
     deployment = StubDeployment()
     node = deployment.node(1, warm_up_s=10.0, warm_up_rate=5.0, warm_up_crash_rate=12.0)
     for number in range(14):
--- a/tests/serving/simulation/test_tenant_rules.py
+++ b/tests/serving/simulation/test_tenant_rules.py
@@ -1,4 +1,4 @@
-"""The judge's rules on keys: each passes a good day and catches what breaks it alone."""
+"""The judge's rules on API keys: each passes a good day and detects a day that breaks only this rule."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 HOST = "a.example"
 PROXY = "10.1.0.10:8263"
 ROUTES = (JudgedRoute(HOST, "/safe/", frozenset({"scribe"}), True, True, frozenset()),)
-FIRST = (JudgedTenant("north", frozenset({"n1", "n2"})), JudgedTenant("south", frozenset({"s1"})))
-REVOKED = (JudgedTenant("north", frozenset({"n2"})), FIRST[1])
+INITIAL = (JudgedTenant("north", frozenset({"n1", "n2"})), JudgedTenant("south", frozenset({"s1"})))
+REVOKED = (JudgedTenant("north", frozenset({"n2"})), INITIAL[1])
 MOVED = (REVOKED[0], JudgedTenant("south", frozenset({"s1", "n1"})))
 
 
@@ -41,7 +41,7 @@
             ProxyStarted(0.0, "proxy-1", PROXY),
             NodeStarted(0.0, "i-1", "scribe", "10.0.0.1:80", "hall-a", "north"),
         ]
-        self.order(1.0, 1, FIRST)
+        self.order(1.0, 1, INITIAL)
         self.runs(10.0, "n1", "north")
 
     def order(
@@ -110,7 +110,7 @@
     assert day.breaches() == ["CONFIG"]
 
 
-def test_a_revoked_key_is_refused_from_the_order_on(day: Day) -> None:
+def test_a_revoked_key_may_be_denied_as_soon_as_the_change_is_sent(day: Day) -> None:
     day.order(20.0, 2, REVOKED)
     day.denied(20.1, "n1")
     day.denied(24.0, "n1")
@@ -119,16 +119,16 @@
 
 
 @pytest.mark.parametrize("status", [401, 403, 404])
-def test_a_key_that_is_there_is_refused_until_the_bound_and_no_longer(day: Day, status: int) -> None:
+def test_an_added_key_may_be_denied_until_the_bound_and_no_longer(day: Day, status: int) -> None:
     day.order(20.0, 2, REVOKED)
-    day.order(30.0, 3, FIRST)
+    day.order(30.0, 3, INITIAL)
     day.denied(32.9, "n1", status)
     assert day.breaches() == []
     day.denied(33.1, "n1", status)
     assert day.breaches() == ["CONFIG"]
 
 
-def test_a_proxy_that_takes_a_revoked_key_again_went_back(day: Day) -> None:
+def test_a_proxy_that_accepts_a_revoked_key_again_has_reverted(day: Day) -> None:
     day.order(20.0, 2, REVOKED)
     day.denied(20.1, "n1")
     day.runs(20.3, "n1", "north")
@@ -165,11 +165,11 @@
     assert day.breaches() == ["ROUTE"]
 
 
-def test_a_public_route_needs_no_key_but_takes_no_unknown_one() -> None:
+def test_a_public_route_needs_no_key_but_rejects_unknown_keys() -> None:
     day = Day()
     day.events = day.events[:2]
     public = JudgedRoute(HOST, "/safe/", frozenset({"scribe"}), True, True, frozenset(), public=True)
-    day.order(1.0, 1, FIRST, routes=(public,))
+    day.order(1.0, 1, INITIAL, routes=(public,))
     day.runs(10.0, "", "")
     day.runs(10.0, "n1", "north")
     day.denied(10.0, "never-held")
@@ -181,13 +181,13 @@
 
 
 def test_a_key_of_a_refused_configuration_is_not_in_force(day: Day) -> None:
-    day.order(20.0, 2, (*FIRST, JudgedTenant("east", frozenset({"e1"}))), Verdict.REFUSED)
+    day.order(20.0, 2, (*INITIAL, JudgedTenant("east", frozenset({"e1"}))), Verdict.REFUSED)
     day.runs(24.0, "e1", "east")
     assert day.breaches() == ["CONFIG"]
 
 
 def test_an_invalid_configuration_must_not_be_acknowledged(day: Day) -> None:
-    day.order(20.0, 2, (*FIRST, JudgedTenant("twin", frozenset({"n1"}))), valid=False)
+    day.order(20.0, 2, (*INITIAL, JudgedTenant("twin", frozenset({"n1"}))), valid=False)
     assert day.breaches() == ["CONFIG"]
 
 
