--- a/tests/serving/simulation/test_reading_back.py
+++ b/tests/serving/simulation/test_reading_back.py
@@ -67,7 +67,7 @@
     "end", [all_processes_killed, all_power_lost, a_disk_lost_while_all_others_lose_power]
 )
 @pytest.mark.parametrize("seed", [1, 2])
-def test_every_coordinator_keeps_serving_the_newest_configuration(
+def test_every_coordinator_answers_the_newest_again_and_again(
     end: Callable[[SimulatedDeployment, FaultInjector], None], seed: int
 ) -> None:
     day = SimulatedDeployment(Deployment(), seed)
