--- a/coveport/sidecar/supervisor/atomic_file.py
+++ b/coveport/sidecar/supervisor/atomic_file.py
@@ -1,4 +1,4 @@
-"""Replaces a file atomically: a crash leaves the old content or the new one, never a part."""
+"""Replaces a file atomically: a crash leaves either the old or the new content, never a part."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class FileSystem:
-    """The system calls of an atomic write, one method each, so that a test can fail any of them."""
+    """The system calls of an atomic write, one method each, so that a test can make any of them fail."""
 
     def open(self, path: Path) -> int:
-        """Create a file for writing, or empty the one that a crash left behind."""
+        """Create a file for writing, or truncate the file that a crash left behind."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
 
     def write(self, file: int, data: bytes) -> int:
-        """Write a part of the data; return its length."""
+        """Write some or all of the data; return the number of bytes written."""
         return os.write(file, data)
 
     def sync(self, file: int) -> None:
@@ -40,10 +40,10 @@
 
 
 def write_atomically(path: Path, data: bytes, file_system: FileSystem | None = None) -> None:
-    """Replace a file's content: written beside it, flushed, and renamed over it.
+    """Replace a file's content: write a temporary file beside it, flush it, and rename it over the file.
 
     Raises:
-        OSError: it could not be written; the file is as before.
+        OSError: the write failed; the file is unchanged.
 
     """
     file_system = file_system or FileSystem()
@@ -58,7 +58,7 @@
         with contextlib.suppress(OSError):
             file_system.close(file)
         with contextlib.suppress(OSError):
-            temporary.unlink()  # a partial file would keep a full disk full
+            temporary.unlink()  # a partial file would take up space on a full disk
         raise
     file_system.close(file)
     file_system.move(temporary, path)
--- a/coveport/sidecar/supervisor/commands.py
+++ b/coveport/sidecar/supervisor/commands.py
@@ -1,4 +1,4 @@
-"""What a supervisor commands a host to do to the processes of its instances."""
+"""The commands that a supervisor carries out on the processes of a host's instances."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Send SIGTERM to an incarnation: it answers its pending requests and exits."""
+    """Send SIGTERM to an incarnation, which then answers its pending requests and exits."""
 
     name: str
     incarnation: str
--- a/coveport/sidecar/supervisor/control.py
+++ b/coveport/sidecar/supervisor/control.py
@@ -16,7 +16,7 @@
 
 MAX_REQUEST_BYTES = 65536
 MAX_ANSWER_BYTES = 1 << 24
-REQUEST_TIMEOUT_S = 5.0  # for a connected client to send its line
+REQUEST_TIMEOUT_S = 5.0  # from the connection to the client's request line
 ROOT_UID = 0
 _PEER_CREDENTIALS = struct.Struct("3i")  # PID, UID, GID
 
@@ -25,12 +25,12 @@
 
 
 def control_path(operator_file: OperatorFile) -> Path:
-    """Return where the supervisor of this file's fleet listens."""
+    """Return the path of the control socket of this file's fleet."""
     return operator_file.fleet_folder / "control.sock"
 
 
 class ControlServer:
-    """Passes requests to a handler; answers only processes of its own user and of root."""
+    """Server that passes requests to a handler; it answers only processes of its own user and of root."""
 
     def __init__(self, path: Path, handle: Handler) -> None:
         self.path = path
@@ -39,7 +39,7 @@
         self._inode = 0
 
     async def open(self) -> None:
-        """Listen; take the path from the supervisor that held the role before."""
+        """Listen; replace the socket of the supervisor that held the role before."""
         self.path.unlink(missing_ok=True)
         previous_umask = os.umask(0o177)
         try:
@@ -75,7 +75,7 @@
         return await self._handle(request)
 
     def close(self) -> None:
-        """Stop listening; remove the socket's path unless a successor has taken it."""
+        """Stop listening; remove the socket's path unless a successor listens there."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -90,8 +90,8 @@
     """Send a request to a supervisor and return its answer.
 
     Raises:
-        OSError: nobody listens, or the answer does not come in time.
-        ControlError: the connection was closed without an answer, or the answer is no object.
+        OSError: no supervisor listens, or the answer does not arrive in time.
+        ControlError: the connection was closed without an answer, or the answer is not a JSON object.
 
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
@@ -103,7 +103,7 @@
     try:
         answer = json.loads(data)
     except ValueError as error:
-        raise ControlError("the supervisor went away in the middle") from error
+        raise ControlError("the supervisor closed the connection before its answer was complete") from error
     if not isinstance(answer, dict):
-        raise ControlError("the supervisor's answer is none")
+        raise ControlError("the supervisor's answer is not a JSON object")
     return answer
--- a/coveport/sidecar/supervisor/daemon.py
+++ b/coveport/sidecar/supervisor/daemon.py
@@ -31,19 +31,19 @@
 EXIT_UNUSABLE_FILES = 2
 
 ROTATION_CHECK_INTERVAL_S = 5.0
-ACQUIRE_MARGIN_S = 1.0  # beyond two times to live, for the role's present holder to show
+ACQUIRE_MARGIN_S = 1.0  # added to two times to live: how long to wait for the role
 ACQUIRE_POLL_S = 0.02
-HEARTBEATS_PER_TIMEOUT = 2  # to the service manager
-MAINTENANCE_INTERVAL_S = 1.0  # without a service manager that expects heartbeats
-STOP_MARGIN_S = 10.0  # beyond `stop_s`, for all instances to exit
+HEARTBEATS_PER_TIMEOUT = 2  # heartbeats to the service manager within its watchdog time-out
+MAINTENANCE_INTERVAL_S = 1.0  # used if no service manager expects heartbeats
+STOP_MARGIN_S = 10.0  # added to `stop_s` for the exit of all instances
 
 ERROR_EVENTS = log_events.ERROR_EVENTS | {lease_events.STORE_RESET}
 
 
 def check_files(operator_file: OperatorFile, config: Path) -> str:
-    """Return what is wrong with the operator's and the platform's files as they are now; empty if nothing is.
+    """Return the error in the present operator's file or platform file; empty if both are usable.
 
-    `operator_file` is the one in use: the fleet must keep its name. `config` is its path.
+    `operator_file` is the content in use: the fleet must keep its name. `config` is the file's path.
     """
     try:
         current = load(config)
@@ -62,7 +62,7 @@
 
 
 class SupervisorDaemon:
-    """One supervisor's process. `standby`: wait while another supervisor holds the role."""
+    """The process of one supervisor. `standby`: whether it waits while another supervisor holds the role."""
 
     def __init__(self, operator_file: OperatorFile, config: Path, standby: bool) -> None:
         self._operator_file = operator_file
@@ -140,26 +140,27 @@
         write(event, at=round(boot_s(), 4), **fields)
 
     async def _wait_for_role(self, supervisor: Supervisor) -> bool:
-        """Wait until the role is acquired; return False if another supervisor holds it for good.
+        """Wait until the role is acquired; return False if a running supervisor holds it.
 
-        One that was just killed is gone within its time to live; one that is there after that is at work.
+        The session of a killed supervisor expires within its time to live; a session that remains after that
+        belongs to a running supervisor.
         """
         deadline = boot_s() + ACQUIRE_MARGIN_S + 2 * self._operator_file.leases.ttl
         is_reported = False
         while not supervisor.holds_role and not self._stop.is_set():
             lease_client = supervisor.lease_client
             is_late = boot_s() > deadline
-            others = [name for name in lease_client.instances if name != lease_client.name]
+            other_supervisors = [name for name in lease_client.instances if name != lease_client.name]
             is_role_owned = any(key.startswith(ROLE_PREFIX) for key in lease_client.entries)
-            if is_late and others and is_role_owned:
+            if is_late and other_supervisors and is_role_owned:
                 _print_error(
-                    f"{', '.join(sorted(others))} supervises {self._operator_file.fleet.name} already; "
-                    "--standby waits to take over"
+                    f"{', '.join(sorted(other_supervisors))} already supervises "
+                    f"{self._operator_file.fleet.name}; use --standby to wait and take over"
                 )
                 return False
             if is_late and not is_reported:
                 is_reported = True
-                _print_error("the store does not answer, or gives the duty to nobody yet; waiting")
+                _print_error("the store does not answer, or no supervisor has acquired the role yet; waiting")
             await asyncio.sleep(ACQUIRE_POLL_S)
         return True
 
@@ -194,7 +195,7 @@
             await asyncio.sleep(self._heartbeat_interval_s or MAINTENANCE_INTERVAL_S)
 
     async def _shut_down(self, supervisor: Supervisor) -> None:
-        """Stop the instances as well, unless they are to keep running or a standby takes over."""
+        """Stop, with the instances unless they are to keep running or a standby supervisor takes over."""
         stops_instances = supervisor.may_act and not self._keep_instances and supervisor.is_only_supervisor
         timeout_s = self._operator_file.fleet.stop_s + STOP_MARGIN_S
         if stops_instances and not await supervisor.stop_all(timeout_s):
@@ -203,7 +204,7 @@
         self._close_sockets()
 
     def _stop_without_instances(self) -> None:
-        """Stop, and leave the instances running: the supervisor is upgraded."""
+        """Stop, and leave the instances running, as for an upgrade of the supervisor."""
         self._keep_instances = True
         self._stop.set()
 
--- a/coveport/sidecar/supervisor/desired_state.py
+++ b/coveport/sidecar/supervisor/desired_state.py
@@ -1,8 +1,8 @@
-"""The desired state of a host's instances, as it stands in the store. Pure.
+"""The desired state of a host's instances, as stored. Pure.
 
-    state/fleet@NAME    the number of instances, the drained ones, and a rolling restart with its steps
+    state/fleet@NAME    the number of instances, the drained instances, and a rolling restart with its steps
 
-The names of the stored fields are fixed: a field whose attribute is named otherwise gives its stored name.
+The names of the stored fields are fixed: a field whose attribute has another name declares its stored name.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
     """The phase of a rolling restart."""
 
     RUNNING = "running"
-    HALTED = "halted"  # by a fault; instances that were not reached keep running as they are
-    ENDED = "ended"  # given up by the operators
+    HALTED = "halted"  # stopped by a fault; the remaining instances keep running unchanged
+    ENDED = "ended"  # cancelled by an operator
     DONE = "done"
 
 
@@ -35,13 +35,13 @@
 class RollingRestart(msgspec.Struct, frozen=True):
     """A rolling restart and its steps so far.
 
-    A step stands in the store before the incarnations that it names are drained, so that a successor of the
-    supervisor carries it on.
+    A step is stored before the incarnations that it names are drained, so that a successor of the supervisor
+    can continue it.
     """
 
-    order: tuple[str, ...]  # names of instances
+    order: tuple[str, ...]  # names of the instances, in the order of their restart
     at_once: int = 1
-    # Of each instance whose step was taken: the incarnation to be replaced.
+    # The incarnation to be replaced of each instance whose step was taken, by name.
     replaced: dict[str, str] = msgspec.field(default_factory=dict, name="lives")
     phase: RestartPhase = RestartPhase.RUNNING
     reason: str = msgspec.field(default="", name="why")
@@ -54,7 +54,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it runs, or may be resumed."""
+        """Whether the restart is running, or can be resumed."""
         return self.phase in (RestartPhase.RUNNING, RestartPhase.HALTED)
 
     @property
@@ -64,13 +64,13 @@
 
 
 class DesiredState(msgspec.Struct, frozen=True):
-    """Which instances should run, and the rolling restart if there was one."""
+    """The instances that should run, and the latest rolling restart, if any."""
 
-    count: int  # instances 1 to `count`
-    count_in_file: int = msgspec.field(name="told")  # as last read from the operator's file
+    count: int  # number of instances: 1 to `count` should run
+    count_in_file: int = msgspec.field(name="told")  # the count last read from the operator's file
     drained: tuple[str, ...] = ()
     restart: RollingRestart | None = None
-    last_request_id: str = msgspec.field(default="", name="last")  # the last request that was carried out
+    last_request_id: str = msgspec.field(default="", name="last")  # id of the last request carried out
 
     def names(self, fleet: Fleet) -> frozenset[str]:
         """Return the names of the instances that should run."""
@@ -83,9 +83,9 @@
 
     desired: DesiredState
     description: str
-    is_refused: bool = False  # the state is as before
+    is_refused: bool = False  # whether a request was refused; the state is then unchanged
 
 
 def refusal(desired: DesiredState, reason: str) -> Change:
-    """Return the answer to a request that is not carried out."""
+    """Return the change for a refused request: the same state, with the reason as its description."""
     return Change(desired, f"refused: {reason}", is_refused=True)
--- a/coveport/sidecar/supervisor/desired_state_role.py
+++ b/coveport/sidecar/supervisor/desired_state_role.py
@@ -1,4 +1,4 @@
-"""The singleton role that changes the desired state: requests, the operator's file, rolling restarts. Pure.
+"""The singleton role that changes the desired state on requests, file changes and rolling restarts. Pure.
 
 Every change is a step of the role (`sidecar.singletons.singleton`): one transaction that compares the fencing
 token and the revision of the state.
@@ -20,15 +20,15 @@
 from coveport.sidecar.supervisor.instance_health import InstanceHealth
 from coveport.sidecar.supervisor.rolling_restart import next_restart_step
 
-ROLE_NAME_PREFIX = "fleet@"  # before the fleet's name
+ROLE_NAME_PREFIX = "fleet@"  # followed by the fleet's name
 
 
 @dataclass(frozen=True, slots=True)
 class RequestResult:
-    """What became of a request: it stands in the store, or was refused."""
+    """The result of a request: its change was stored, or it was refused."""
 
     is_done: bool
-    message: str  # for the operators
+    message: str  # shown to the operator
 
 
 OnDone = Callable[[RequestResult], None]
@@ -37,8 +37,8 @@
 class DesiredStateRole:
     """Decides the changes of the desired state while this supervisor holds the role.
 
-    `health` returns the health of the instances by name. `on_desired_state` receives each state as it stands
-    in the store.
+    `health` returns the health of the instances by name. `on_desired_state` is called with
+    each state that was read from the store or committed to it.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self._requests: deque[tuple[FleetRequest, OnDone]] = deque()
 
     def submit(self, request: FleetRequest, on_done: OnDone) -> None:
-        """Queue a request; `on_done` is called once it stands in the store, or is refused."""
+        """Queue a request; `on_done` is called once its change is stored, or it is refused."""
         self._requests.append((request, on_done))
 
     def on_role_lost(self) -> None:
@@ -70,7 +70,7 @@
         """Return the next change of the desired state; None if nothing is due."""
         if state is None:
             count = self.fleet.instances
-            return _step(Change(DesiredState(count, count), "first plan"))
+            return _step(Change(DesiredState(count, count), "initial desired state"))
         desired = msgspec.json.decode(state, type=DesiredState)
         self._on_desired_state(desired)
         change = (
@@ -81,15 +81,15 @@
         return None if change is None else _step(change)
 
     def _follow_file(self, desired: DesiredState) -> Change | None:
-        """Take over a count that was changed in the file; it holds until the next request to scale."""
+        """Apply a count that was changed in the file; it applies until the next request to scale."""
         count = self.fleet.instances
         if desired.count_in_file == count:
             return None
         changed = msgspec.structs.replace(desired, count_in_file=count, count=count)
-        return Change(changed, f"the file says {count}")
+        return Change(changed, f"count changed in the file to {count}")
 
     def _next_request(self, desired: DesiredState) -> Change | None:
-        """Return the change of the first request that makes one; complete those before it."""
+        """Return the change of the first queued request that changes the state; complete those before it."""
         while self._requests:
             request, _ = self._requests[0]
             if desired.last_request_id == request.id:
--- a/coveport/sidecar/supervisor/endpoint_table.py
+++ b/coveport/sidecar/supervisor/endpoint_table.py
@@ -1,14 +1,14 @@
-"""The endpoint list as discovery has reported it so far, in discovery's own form. Pure."""
+"""The endpoint list merged from discovery's reports, in discovery's format. Pure."""
 
 from __future__ import annotations
 
 from typing import Any
 
-LEFT = "left"  # the health of a host that was removed
+LEFT = "left"  # health value of a removed host
 
 
 class EndpointTable:
-    """Merges complete lists and updates. `is_changed`: since the owner last reset it."""
+    """Endpoints by host. `is_changed`: whether a list or update was applied since the last reset."""
 
     def __init__(self) -> None:
         self.version = 0
--- a/coveport/sidecar/supervisor/errors.py
+++ b/coveport/sidecar/supervisor/errors.py
@@ -19,7 +19,7 @@
 
 
 class SnapshotError(SupervisorError, ValueError):
-    """A snapshot is missing or unusable; the message says why, in one line."""
+    """A snapshot is missing or unusable; the message gives the reason in one line."""
 
 
 class ControlError(SupervisorError, OSError):
--- a/coveport/sidecar/supervisor/fleet_request.py
+++ b/coveport/sidecar/supervisor/fleet_request.py
@@ -1,4 +1,4 @@
-"""Requests of the operators, and what each changes in the desired state. Pure."""
+"""Operators' requests and the change of the desired state that each makes. Pure."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Action(StrEnum):
-    """What a request asks for, as the control socket spells it."""
+    """The action of a request, by its value on the control socket."""
 
     SCALE = "scale"
     DRAIN = "drain"
@@ -29,7 +29,7 @@
 
 
 class FleetRequest(msgspec.Struct, frozen=True):
-    """A request of the operators. `id` makes it idempotent: it is carried out once."""
+    """A request from an operator. Its `id` makes it idempotent: it is carried out once."""
 
     id: str
     action: str  # an Action; any other is refused
@@ -80,7 +80,7 @@
 
 
 def _move_restart(desired: DesiredState, action: str) -> Change:
-    """Resume or end the restart that is open."""
+    """Resume or end the open restart."""
     restart = desired.restart
     is_known = action in (Action.RESUME_RESTART, Action.END_RESTART)
     if not is_known or restart is None or not restart.is_open:
@@ -88,7 +88,7 @@
     phase = RestartPhase.RUNNING if action == Action.RESUME_RESTART else RestartPhase.ENDED
     if phase not in RESTART_TRANSITIONS[restart.phase]:
         return refusal(desired, f"the restart is {restart.phase.value}")
-    # The steps of instances that failed stay taken: these are started as any other that is down.
+    # Steps of failed instances stay taken: those instances are started like any other without a process.
     return Change(
         msgspec.structs.replace(desired, restart=restart.with_phase(phase)), f"restart: {phase.value}"
     )
--- a/coveport/sidecar/supervisor/instance.py
+++ b/coveport/sidecar/supervisor/instance.py
@@ -1,8 +1,8 @@
-"""One instance as its supervisor sees it: a state machine from events to commands. Pure.
+"""The supervisor's state machine for one instance, from events to commands. Pure.
 
-An *incarnation* is one process of an instance, under an identity that no other process ever has. An event of
-an incarnation other than the present one is ignored, so events that arrive late do no harm. Times are the
-caller's monotonic clock, s.
+An *incarnation* is one process of an instance, under an identity that is never reused. An event of an
+incarnation other than the present one is ignored, so late events do no harm. Times are those of the caller's
+monotonic clock, s.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from coveport.sidecar.supervisor.commands import Command, Drain, Kill, Start
 from coveport.sidecar.supervisor.instance_state import ACTIVE_STATES, TRANSITIONS, ExitReason, InstanceState
 
-KILL_REPEAT_S = 5.0  # after a SIGKILL whose exit was not reported
-BACKOFF_JITTER = (0.5, 1.0)  # factors; spread the restarts of instances that crashed together
+KILL_REPEAT_S = 5.0  # until SIGKILL is repeated, if no exit was reported
+BACKOFF_JITTER = (0.5, 1.0)  # range of factors; spreads the restarts of instances that crashed together
 REST_JITTER = (0.8, 1.2)
 
 
@@ -23,13 +23,13 @@
     """The state of one instance, and the reason for it.
 
     Attributes:
-        incarnation: identity of its process; empty if no process is known.
-        desired: whether it should run.
-        wait_until: in WAITING and BROKEN, when it may be started again.
-        last_heartbeat_at: when its event loop last reported.
-        reason: why it is in its state, for the operators.
-        exits: incarnations that exited while this supervisor watched.
-        replacing: the incarnation that is being killed because it hung; empty otherwise.
+        incarnation: identity of the instance's process; empty if no process is known.
+        desired: whether the instance should run.
+        wait_until: in WAITING and BROKEN, the earliest time of the next start.
+        last_heartbeat_at: time of the last heartbeat from the instance's event loop.
+        reason: why the instance is in its state, shown to operators.
+        exits: number of incarnations whose exit this supervisor recorded.
+        replacing: the hung incarnation that is being killed; empty if there is none.
 
     """
 
@@ -46,14 +46,14 @@
         self.reason = ""
         self.exits = 0
         self.replacing = ""
-        self._failure_times: list[float] = []  # within `loop_s`
-        self._exit_is_failure = False  # of the process that is being stopped or killed
-        self._single_attempt = False  # after a rest in BROKEN: the next failure breaks it again
-        self._dropped_drain = ""  # the incarnation whose Drain was dropped: it is commanded again
+        self._failure_times: list[float] = []  # times of the failures in the last `loop_s`
+        self._exit_is_failure = False  # whether the exit of a process being stopped or killed is a failure
+        self._single_attempt = False  # set after a rest in BROKEN: the next failure leads back to BROKEN
+        self._dropped_drain = ""  # the incarnation whose Drain was dropped and must be repeated
 
     @property
     def is_failing(self) -> bool:
-        """Whether its last incarnations exited by themselves."""
+        """Whether recent incarnations failed."""
         return bool(self._failure_times)
 
     def update_settings(self, settings: Fleet) -> None:
@@ -63,7 +63,7 @@
     # Desired state.
 
     def set_desired(self, now: float, desired: bool) -> list[Command]:
-        """Set whether it should run; return the commands for that."""
+        """Set whether the instance should run; return the commands for that."""
         self.desired = desired
         if desired:
             if self.state is InstanceState.DOWN:
@@ -79,14 +79,14 @@
         return []
 
     def replace(self, now: float, incarnation: str) -> list[Command]:
-        """Drain this incarnation so that another one is started; nothing if it has exited already."""
+        """Drain this incarnation so that a new one is started; do nothing if it has already exited."""
         is_present = bool(incarnation) and incarnation == self.incarnation
         if is_present and self.state in (InstanceState.STARTING, InstanceState.SERVING):
             return self._drain(now, "restart")
         return []
 
     def retry_now(self, now: float) -> None:
-        """End its backoff or rest: what kept it from running may be repaired."""
+        """End the backoff or rest: the cause of the failures may be repaired."""
         if self.state is InstanceState.BROKEN:
             self._end_rest(now)
         if self.state is InstanceState.WAITING:
@@ -95,23 +95,23 @@
     def _drain(self, now: float, reason: str) -> list[Command]:
         self._transition(now, InstanceState.STOPPING, reason)
         self._exit_is_failure = False
-        # While the process is being started there is none to signal: it is drained by on_started().
+        # Before the process is started there is nothing to signal; on_started() drains it.
         return [Drain(self.name, self.incarnation)] if self.incarnation else []
 
     # Start.
 
     def can_start(self, now: float) -> bool:
-        """Return whether it waits for nothing but a start token."""
+        """Return whether the instance needs only a start token to be started."""
         return self.state is InstanceState.WAITING and now >= self.wait_until
 
     def start(self, now: float) -> list[Command]:
-        """Start it."""
+        """Start the instance."""
         self._transition(now, InstanceState.STARTING)
         self.last_heartbeat_at = now
         return [Start(self.name)]
 
     def on_started(self, now: float, incarnation: str) -> list[Command]:
-        """Take note of the process that its Start created; return what is due for it by now."""
+        """Record the process that its Start created; return the commands now due for it."""
         if self.incarnation or self.state not in ACTIVE_STATES:
             return []
         self.incarnation = incarnation
@@ -120,19 +120,19 @@
         return [Kill(self.name, incarnation)] if self.state is InstanceState.KILLING else []
 
     def on_start_failed(self, now: float, reason: str) -> None:
-        """Take note that no process could be started."""
+        """Record that no process could be started."""
         if self.state in ACTIVE_STATES and not self.incarnation:
             self._after_exit(now, True, reason)
 
     def on_unusable_files(self, now: float, reason: str) -> None:
-        """Take note that no process was started because its files are unusable."""
+        """Record that no process was started because its files are unusable."""
         if self.state is InstanceState.STARTING and not self.incarnation:
             self._set_broken(now, reason)
         else:
             self.on_start_failed(now, reason)
 
     def adopt(self, now: float, incarnation: str) -> list[Command]:
-        """Take over a process that this supervisor did not start, or took for exited."""
+        """Adopt a process that this supervisor did not start, or had recorded as exited."""
         if self.incarnation or self.state in ACTIVE_STATES:
             return []
         not_desired = self.state is InstanceState.DOWN and not self.desired
@@ -144,26 +144,26 @@
     # Reports of its process.
 
     def on_ready(self, now: float, incarnation: str) -> None:
-        """Take note that it reports to serve."""
+        """Record the report that the instance serves."""
         if incarnation == self.incarnation and incarnation:
             self.last_heartbeat_at = now
             if self.state is InstanceState.STARTING:
                 self._transition(now, InstanceState.SERVING)
 
     def on_heartbeat(self, now: float, incarnation: str) -> None:
-        """Take note that its event loop runs."""
+        """Record a heartbeat of the instance's event loop."""
         if incarnation == self.incarnation:
             self.last_heartbeat_at = now
 
     def on_stopping(self, now: float, incarnation: str) -> None:
-        """Take note that it reports to shut down, whoever asked it to."""
+        """Record the report that the instance is shutting down, by whatever cause."""
         is_present = bool(incarnation) and incarnation == self.incarnation
         if is_present and self.state in (InstanceState.STARTING, InstanceState.SERVING):
             self._transition(now, InstanceState.STOPPING, "it was told to end")
             self._exit_is_failure = False
 
     def on_exit(self, now: float, incarnation: str, exit_reason: ExitReason) -> None:
-        """Take note that an incarnation exited."""
+        """Record that an incarnation exited."""
         if incarnation != self.incarnation or not incarnation:
             return
         self.incarnation = ""
@@ -171,7 +171,7 @@
         if self.state in (InstanceState.STOPPING, InstanceState.KILLING):
             self._after_exit(now, self._exit_is_failure, self.reason)
         elif exit_reason is ExitReason.NAME_LOCKED:
-            # The holder of the name is found by its lock at the next scan.
+            # The next scan of the locks finds the process that holds the name.
             self._wait(now, self._settings.backoff_s, "its name is held")
         elif exit_reason is ExitReason.CLEAN and self.state is InstanceState.SERVING:
             self._wait(now, self._settings.backoff_s, "it ended by itself")
@@ -183,11 +183,11 @@
     # Time-outs.
 
     def heartbeat_age_s(self, now: float) -> float:
-        """Return for how long it has been silent; 0 in a state without heartbeats."""
+        """Return the time since the last heartbeat, s; 0 in a state without heartbeats."""
         return now - self.last_heartbeat_at if self.state is InstanceState.SERVING else 0.0
 
     def kill_hung(self, now: float) -> list[Command]:
-        """Kill it because its heartbeats have stopped."""
+        """Kill the instance because its heartbeats have stopped."""
         if self.state is not InstanceState.SERVING:
             return []
         self._transition(now, InstanceState.KILLING, "no sign of its loop")
@@ -196,16 +196,16 @@
         return [Kill(self.name, self.incarnation)]
 
     def on_command_dropped(self, command: Command) -> None:
-        """Take note that a command was not carried out.
+        """Record that a command was not carried out.
 
-        Only a Drain is remembered: a dropped Start shows by its missing process, and a Kill is repeated
+        Only a Drain is recorded: a dropped Start is detected by the missing process, and a Kill is repeated
         anyway.
         """
         if isinstance(command, Drain):
             self._dropped_drain = command.incarnation
 
     def tick(self, now: float) -> list[Command]:
-        """Return what is due by time. Each command given before was carried out or dropped by now."""
+        """Return the commands due now. All earlier commands must have been carried out or dropped."""
         if self.state in ACTIVE_STATES and not self.incarnation:
             self._after_exit(now, False, "its start was not carried out")
             return []
@@ -234,7 +234,7 @@
         return [Kill(self.name, self.incarnation)]
 
     def reset_timeouts(self, now: float) -> None:
-        """Count its time-outs from now: nothing that it reported before could be received."""
+        """Restart the time-outs now: earlier reports may not have been received."""
         self.last_heartbeat_at = max(self.last_heartbeat_at, now)
         if self.state in (InstanceState.STARTING, InstanceState.STOPPING):
             self.since = max(self.since, now)
@@ -249,7 +249,7 @@
         self.reason = reason
 
     def _after_exit(self, now: float, is_failure: bool, reason: str) -> None:
-        """Go on without a process: down, waiting for a start, or broken."""
+        """Change to DOWN, WAITING or BROKEN after the process exited or could not be started."""
         self.replacing = ""
         if not self.desired:
             self._transition(now, InstanceState.DOWN)
--- a/coveport/sidecar/supervisor/instance_agent.py
+++ b/coveport/sidecar/supervisor/instance_agent.py
@@ -1,4 +1,4 @@
-"""An instance's side of a fleet: its name's lock, its reports to the supervisor, its snapshot, its peers."""
+"""An instance's part in its fleet: name lock, reports to the supervisor, snapshot and peer count."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from coveport.sidecar.supervisor.snapshot_manager import Destinations, SnapshotManager
 from coveport.sidecar.supervisor.success_window import SuccessWindow
 
-HEARTBEATS_PER_TIMEOUT = 4  # so that a lost one does not count as hung
-REPORT_INTERVAL_S = 1.0  # of the success rate and the peer count
+HEARTBEATS_PER_TIMEOUT = 4  # a lost heartbeat must not make the instance count as hung
+REPORT_INTERVAL_S = 1.0  # interval of reporting the success rate and of updating the peer count
 SNAPSHOT_INTERVAL_S = 5.0
 SEED_BYTES = 8
 
 
 class InstanceAgent:
-    """One instance of a fleet.
+    """Agent of one instance of a fleet, in the instance's process.
 
     Raises:
         NameLockedError: another process runs under this name.
@@ -57,15 +57,17 @@
     # Before the sidecar starts.
 
     def instance_config(self, config: Config) -> Config:
-        """Return the platform's configuration as it holds for this instance, with its snapshot's list."""
-        own = self._fleet.each.get(self.name)
-        # The file's seed is one for all instances: without the name they would draw the same.
+        """Return the platform's configuration with the settings and the snapshot of this instance."""
+        overrides = self._fleet.each.get(self.name)
+        # All instances read the same seed: without the name their random numbers would be equal.
         seed = hashlib.blake2b(f"{config.seed} {self.name}".encode(), digest_size=SEED_BYTES).digest()
         config = replace(
             config,
             seed=int.from_bytes(seed),
-            sockets=(own.sockets if own else 0) or self._fleet.sockets or config.sockets,
-            memory_mb=(own.memory_mb if own else 0.0) or self._fleet.memory_mb or config.memory_mb,
+            sockets=(overrides.sockets if overrides else 0) or self._fleet.sockets or config.sockets,
+            memory_mb=(overrides.memory_mb if overrides else 0.0)
+            or self._fleet.memory_mb
+            or config.memory_mb,
         )
         return self.snapshots.restore(config)
 
@@ -80,10 +82,10 @@
                 return listener
         return None
 
-    # Beside the sidecar.
+    # While the sidecar runs.
 
     def attach(self, sidecar: SidecarView, lifecycle: Lifecycle, destinations: Destinations) -> None:
-        """Begin to report for a sidecar, and to keep its snapshot."""
+        """Begin to report on a sidecar and to write its snapshots."""
         self._sidecar = sidecar
         self._destinations = destinations
         sidecar.set_endpoints_listener(self.snapshots.on_endpoints)
@@ -97,12 +99,12 @@
         self._notifier.close()
 
     def on_session_count(self, sessions: int) -> None:
-        """Take note of how many instances have a session with the store."""
+        """Update the peer count from the number of instances that have a session with the store."""
         if self._peers is not None and self._sidecar is not None:
             self._sidecar.set_peer_count(self._peers.observe(boot_s(), sessions))
 
     def with_peer_count(self, config: Config) -> Config:
-        """Return a configuration that was read again, with the present number of peers."""
+        """Return a reloaded configuration with the present peer count."""
         if self._peers is None:
             return config
         return replace(config, settings=replace(config.settings, peers_total=self._peers.count(boot_s())))
@@ -121,7 +123,7 @@
         self._notifier.send(READY=1, STATUS="serving")
         if self._sidecar is not None:
             self.snapshots.report_ejections(self._sidecar, self._destinations)
-        self._tasks = [asyncio.ensure_future(work()) for work in (self._send_heartbeats, self._keep_snapshot)]
+        self._tasks = [asyncio.ensure_future(task()) for task in (self._send_heartbeats, self._keep_snapshot)]
 
     async def _send_heartbeats(self) -> None:
         reported_at = 0.0
--- a/coveport/sidecar/supervisor/instance_health.py
+++ b/coveport/sidecar/supervisor/instance_health.py
@@ -1,4 +1,4 @@
-"""The health of one instance, as its supervisor knows it. Pure."""
+"""The health of one instance, as reported to its supervisor. Pure."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SuccessRate:
-    """What an instance reports of the operations that ended lately."""
+    """The success rate of recently ended operations, as reported by an instance."""
 
-    fraction: float = 1.0  # that succeeded
+    fraction: float = 1.0  # fraction of the operations that succeeded
     operations: int = 0
 
     @classmethod
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceHealth:
-    """What a rolling restart needs to know of an instance."""
+    """The health of an instance, as input to a rolling restart."""
 
     incarnation: str = ""
-    serving_s: float = -1.0  # for how long it has served; negative if it does not serve
-    fault: str = ""  # what keeps it from serving; empty if nothing does
+    serving_s: float = -1.0  # how long the instance has served, s; negative if it does not serve
+    fault: str = ""  # reason why the instance can't serve; empty if there is none
     success: SuccessRate = SuccessRate()
--- a/coveport/sidecar/supervisor/instance_set.py
+++ b/coveport/sidecar/supervisor/instance_set.py
@@ -1,7 +1,7 @@
-"""All instances of a host: which is started when, and which is replaced because it hung. Pure.
+"""All instances of a host; decides which to start and which hung ones to replace. Pure.
 
-What is bounded holds over all supervisors together: a new holder of the role begins with an empty token
-bucket, and counts the instances that it finds starting as its own (docs/design/fleet.md, Safety 4 and 5).
+The bounds hold across successive supervisors: a new holder of the role begins with an empty token bucket,
+and counts instances that it finds starting as started by itself (docs/design/fleet.md, Safety 4 and 5).
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from coveport.sidecar.supervisor.instance_health import InstanceHealth, SuccessRate
 from coveport.sidecar.supervisor.instance_state import ACTIVE_STATES, ExitReason, InstanceState
 
-LATE_FRACTION = 0.5  # of `hung_s`, after which a heartbeat is late: heartbeats come four times in `hung_s`
-MANY_LATE_FRACTION = 0.5  # of the serving instances; more that are late point to the supervisor or the host
-MANY_LATE_PATIENCE = 3.0  # times `hung_s` that an instance may be silent then
-MAX_REPLACED_FRACTION = 0.1  # of the instances that may be on their way out at a time; at least one
+LATE_FRACTION = 0.5  # of `hung_s`, after which a heartbeat is late; instances send four per `hung_s`
+MANY_LATE_FRACTION = 0.5  # of the serving instances; above it the supervisor or the host is suspected
+MANY_LATE_TIMEOUT_FACTOR = 3.0  # multiplies `hung_s` while many instances are late
+MAX_REPLACED_FRACTION = 0.1  # of the instances: the most that may be unavailable at a time, at least one
 
 
 class InstanceSet:
-    """The instances by name. Commands nothing before it knows the desired state under the present token."""
+    """The instances by name. Gives no commands before the desired state is read under the present token."""
 
     def __init__(self, fleet: Fleet, rng: random.Random) -> None:
         self.fleet = fleet
@@ -32,12 +32,12 @@
         self.desired: DesiredState | None = None
         self._start_tokens = 0.0
         self._refilled_at = 0.0
-        self._success: dict[str, SuccessRate] = {}  # by name, as last reported
+        self._success: dict[str, SuccessRate] = {}  # last reported success rates, by name
 
     # The supervisor's role.
 
     def acquire(self, now: float, running: Mapping[str, str]) -> None:
-        """Begin to supervise. `running`: incarnations by name that hold their locks."""
+        """Begin to supervise. `running`: incarnations that hold their names' locks, by name."""
         self.by_name = {}
         self.desired = None
         self._success = {}
@@ -45,11 +45,11 @@
         self._refilled_at = now
         for name, incarnation in running.items():
             instance = self._get_or_add(name)
-            instance.desired = True  # until the desired state says otherwise
+            instance.desired = True  # until the desired state is applied
             instance.adopt(now, incarnation)
 
     def release(self) -> None:
-        """Stop supervising: forget all instances, and with them all that was commanded."""
+        """Stop supervising: discard all instances and their pending commands."""
         self.by_name = {}
         self.desired = None
 
@@ -68,10 +68,10 @@
     # Desired state.
 
     def apply(self, now: float, desired: DesiredState) -> list[Command]:
-        """Take over the desired state as it stands in the store; return the commands for it."""
+        """Apply the desired state that is stored; return the commands for it."""
         if self._is_resumed_by(desired):
             for instance in self.by_name.values():
-                instance.retry_now(now)  # the operators say that the fault is repaired
+                instance.retry_now(now)  # by resuming, the operators declare the fault repaired
         self.desired = desired
         names = desired.names(self.fleet)
         commands: list[Command] = []
@@ -102,38 +102,38 @@
     # Events, by name; those of an incarnation other than the present one are ignored.
 
     def on_running(self, now: float, name: str, incarnation: str) -> list[Command]:
-        """Take note of a process that holds the lock of this name."""
+        """Record a process that holds the lock of this name."""
         return self._get_or_add(name).adopt(now, incarnation)
 
     def on_started(self, now: float, name: str, incarnation: str) -> list[Command]:
-        """Take note of the process that a Start created."""
+        """Record the process that a Start created."""
         return self.by_name[name].on_started(now, incarnation) if name in self.by_name else []
 
     def on_start_failed(self, now: float, name: str, reason: str) -> None:
-        """Take note that no process could be started."""
+        """Record that no process could be started."""
         if name in self.by_name:
             self.by_name[name].on_start_failed(now, reason)
 
     def on_unusable_files(self, now: float, name: str, reason: str) -> None:
-        """Take note that no process was started because its files are unusable."""
+        """Record that no process was started because its files are unusable."""
         if name in self.by_name:
             self.by_name[name].on_unusable_files(now, reason)
 
     def on_commands_dropped(self, commands: list[Command]) -> None:
-        """Take note that these commands were not carried out."""
+        """Record that these commands were not carried out."""
         for command in commands:
             if command.name in self.by_name:
                 self.by_name[command.name].on_command_dropped(command)
 
     def on_ready(self, now: float, name: str, incarnation: str) -> None:
-        """Take note that an instance reports to serve."""
+        """Record the report that an instance serves."""
         if name in self.by_name:
             self.by_name[name].on_ready(now, incarnation)
 
     def on_heartbeat(
         self, now: float, name: str, incarnation: str, success: SuccessRate | None = None
     ) -> None:
-        """Take note of a heartbeat, and of the success rate that it carries."""
+        """Record a heartbeat and the success rate in it, if any."""
         if name not in self.by_name:
             return
         instance = self.by_name[name]
@@ -142,26 +142,26 @@
             self._success[name] = success
 
     def on_stopping(self, now: float, name: str, incarnation: str) -> None:
-        """Take note that an instance reports to shut down."""
+        """Record the report that an instance is shutting down."""
         if name in self.by_name:
             self.by_name[name].on_stopping(now, incarnation)
 
     def on_exit(self, now: float, name: str, incarnation: str, exit_reason: ExitReason) -> None:
-        """Take note that an incarnation exited."""
+        """Record that an incarnation exited."""
         if name in self.by_name and incarnation == self.by_name[name].incarnation:
             self._success.pop(name, None)
             self.by_name[name].on_exit(now, incarnation, exit_reason)
 
     def on_stalled(self, now: float) -> None:
-        """Take note that the supervisor itself ran late: reports may be unread, and no tokens accrued."""
+        """Reset time-outs and token refill after a stall of the supervisor: reports may be unread."""
         for instance in self.by_name.values():
             instance.reset_timeouts(now)
         self._refilled_at = now
 
-    # What is due.
+    # Timed commands.
 
     def tick(self, now: float) -> list[Command]:
-        """Return what is due by time."""
+        """Return the commands due at this time."""
         if self.desired is None:
             return []
         commands: list[Command] = []
@@ -187,7 +187,7 @@
         return commands
 
     def _replace_hung(self, now: float) -> list[Command]:
-        """Kill hung instances, the longest silent first, a few at a time."""
+        """Kill hung instances, those with the oldest heartbeat first, a limited number at a time."""
         hung_s = self.fleet.hung_s
         serving = [instance for instance in self.by_name.values() if instance.state is InstanceState.SERVING]
         hung = [instance for instance in serving if instance.heartbeat_age_s(now) > hung_s]
@@ -195,10 +195,13 @@
             return []
         late = sum(instance.heartbeat_age_s(now) > LATE_FRACTION * hung_s for instance in serving)
         if late > max(1.0, MANY_LATE_FRACTION * len(serving)):
-            # Guards against killing healthy instances: that many at once point to a host without CPU, or to
-            # our own socket. Late ones count too, as the last heartbeats of a stalled host do not coincide.
+            # Guards against killing healthy instances: many late heartbeats at once indicate a host short of
+            # CPU, or the supervisor's socket. Late instances count as well as hung ones, because the last
+            # heartbeats before a host stalls do not coincide.
             hung = [
-                instance for instance in hung if instance.heartbeat_age_s(now) > MANY_LATE_PATIENCE * hung_s
+                instance
+                for instance in hung
+                if instance.heartbeat_age_s(now) > MANY_LATE_TIMEOUT_FACTOR * hung_s
             ]
         hung.sort(key=lambda instance: instance.last_heartbeat_at)
         allowed = max(1, int(MAX_REPLACED_FRACTION * len(self.by_name))) - self._unavailable_count()
--- a/coveport/sidecar/supervisor/instance_state.py
+++ b/coveport/sidecar/supervisor/instance_state.py
@@ -1,13 +1,13 @@
-"""States of one instance as its supervisor sees them, and the transitions between them. Pure.
+"""The states that a supervisor assigns to an instance, and the transitions between them. Pure.
 
-The usual ways; all that may follow stand in `TRANSITIONS`:
+The usual transitions (`TRANSITIONS` lists all allowed ones):
 
     DOWN -> WAITING -> STARTING -> SERVING -> STOPPING -> DOWN | WAITING
     STARTING, SERVING -> WAITING (it exited by itself) | BROKEN (too often, or its files are unusable)
     STARTING, SERVING, STOPPING -> KILLING (time-out, or hung) -> DOWN | WAITING | BROKEN
     BROKEN -> WAITING (one attempt after a long rest)
 
-The values are shown by `coveport fleet status` and written to the log stream; they stay as they are.
+The values are shown by `coveport fleet status` and written to the log stream; they must not change.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 class ExitReason(Enum):
-    """Why a process exited, as far as its exit code tells."""
+    """Why a process exited, derived from its exit code."""
 
     CLEAN = "clean"  # by itself or by SIGTERM, with all requests answered
     UNUSABLE_FILES = "unusable"
--- a/coveport/sidecar/supervisor/locks.py
+++ b/coveport/sidecar/supervisor/locks.py
@@ -1,8 +1,8 @@
-"""Locks of instance names: a process holds the lock of its name for as long as it lives.
+"""Locks of instance names: a process holds the lock of its name until it exits.
 
-The kernel releases the lock with the process, whatever ends it, so a lock tells who runs where a list of
-started processes could be wrong. The lock file names the *incarnation* that holds it: `PID.TICKS.BOOT`, as a
-PID may be reused, but not with the same start tick of the same boot.
+The kernel releases the lock when the process exits, by whatever cause, so locks show reliably which instances
+run, while a list of started processes could be wrong. The lock file names the *incarnation* that holds it:
+`PID.TICKS.BOOT`, as a PID may be reused, but not with the same start tick of the same boot.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from coveport.sidecar.leases.clock import boot_id
 from coveport.sidecar.supervisor.errors import NameLockedError
 
-ACQUIRE_S = 1.0  # whoever looks up an owner takes the lock for a moment
+ACQUIRE_S = 1.0  # a process that looks up the owner holds the lock briefly
 POLL_S = 0.005
-READ_ATTEMPTS = 20  # of a lock file whose owner has not written yet
+READ_ATTEMPTS = 20  # reads of a lock file whose owner has not yet written its incarnation
 MAX_FILE_BYTES = 4096
 BOOT_ID_LENGTH = 8
-STATE_FIELD = 0  # of /proc/PID/stat, counted after the command's name; proc(5)
+STATE_FIELD = 0  # index in /proc/PID/stat, counted after the command's name; proc(5)
 START_TICKS_FIELD = 19
 
 
 def incarnation_of(pid: int) -> str:
-    """Return the incarnation that a PID is now; empty if there is no such process."""
+    """Return the incarnation that has this PID now; empty if there is no such process."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8", errors="replace")
     except OSError:
@@ -38,13 +38,13 @@
 
 
 def pid_of(incarnation: str) -> int:
-    """Return the PID of an incarnation; 0 if the text is none."""
+    """Return the PID of an incarnation; 0 if the text is malformed."""
     head = incarnation.partition(".")[0]
     return int(head) if head.isascii() and head.isdigit() else 0
 
 
 def lock_path(folder: Path, name: str) -> Path:
-    """Return where the lock file of an instance stands."""
+    """Return the path of an instance's lock file."""
     return folder / "run" / f"{name}.lock"
 
 
@@ -52,7 +52,7 @@
     """The lock of a name, held until this process ends or closes it.
 
     Raises:
-        NameLockedError: another incarnation holds it.
+        NameLockedError: another incarnation holds the lock.
 
     """
 
@@ -75,7 +75,7 @@
         os.ftruncate(self._file, len(data))
 
     def record_exit_code(self, code: int) -> None:
-        """Write the code that this process exits with, for a supervisor that is not its parent."""
+        """Write this process's exit code, for a supervisor that is not its parent."""
         self._write({"life": incarnation_of(os.getpid()), "code": code})
 
     def close(self) -> None:
@@ -84,7 +84,7 @@
 
 
 def lock_owner(folder: Path, name: str) -> str:
-    """Return the incarnation that holds the lock of a name; empty if nobody does."""
+    """Return the incarnation that holds the lock of a name; empty if the lock is free."""
     try:
         file = os.open(lock_path(folder, name), os.O_RDONLY | os.O_CLOEXEC)
     except OSError:
@@ -96,7 +96,7 @@
             incarnation = str(_parse(os.pread(file, MAX_FILE_BYTES, 0)).get("life", ""))
             if incarnation and incarnation_of(pid_of(incarnation)) == incarnation:
                 return incarnation
-            time.sleep(POLL_S)  # the owner has not written yet, or is just exiting
+            time.sleep(POLL_S)  # the owner has not written yet, or is exiting
         return ""
     finally:
         os.close(file)
--- a/coveport/sidecar/supervisor/log_events.py
+++ b/coveport/sidecar/supervisor/log_events.py
@@ -1,4 +1,4 @@
-"""Names of a supervisor's log events; `docs/fleet.md` says what each means to an operator."""
+"""Names of a supervisor's log events; `docs/fleet.md` explains each to operators."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class EventLog(Protocol):
-    """Writes an event and its fields."""
+    """A function that writes an event and its fields."""
 
     def __call__(self, event: str, **fields: object) -> None:
         """Write a line."""
--- a/coveport/sidecar/supervisor/log_stream.py
+++ b/coveport/sidecar/supervisor/log_stream.py
@@ -1,7 +1,7 @@
 """The log stream that all instances of a host and their supervisor append to: JSON lines.
 
 Each line is one write, so lines of several processes do not mix. The supervisor renames the file when it is
-large; writers notice by its inode (`WatchedFileHandler`) and go on in the new one.
+large; writers detect the new inode (`WatchedFileHandler`) and continue in the new file.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 from coveport.sidecar.telemetry.log import Log
 
-MAX_STREAM_BYTES = 64 * 1024 * 1024  # after which it is rotated; one rotated file is kept
+MAX_STREAM_BYTES = 64 * 1024 * 1024  # size at which the stream is rotated; one rotated file is kept
 COUNTERS_PREFIX = "counters "
 ERROR_KINDS = ("fault", "unexpected")
 
 
 def stream_path(folder: Path) -> Path:
-    """Return where the log stream of a fleet stands."""
+    """Return the path of a fleet's log stream."""
     return folder / "log" / "fleet.jsonl"
 
 
 def stream_logger(folder: Path, level: str = "info", **fields: object) -> Any:
-    """Return a structlog logger into the stream; `fields` say who writes, and stand in each line."""
+    """Return a structlog logger that appends to the stream; `fields` identify the writer in each line."""
 
     def add_time(_logger: object, _method: str, event: Any) -> Any:
         event["unix"] = round(time.time(), 3)
@@ -48,13 +48,13 @@
 
 
 class _StreamWriter:
-    """Appends rendered lines to the stream; structlog calls the method of the level."""
+    """Appends rendered lines to the stream; structlog calls the method named after the level."""
 
     def __init__(self, path: Path) -> None:
         path.parent.mkdir(parents=True, exist_ok=True)
         self._handler = WatchedFileHandler(path, encoding="utf-8", delay=True)
         self._handler.setFormatter(logging.Formatter("%(message)s"))
-        # Guards against a full disk or a removed folder: a log line is not worth a crash.
+        # Guards against a full disk or a removed folder: a failed log write must not crash the process.
         self._handler.handleError = lambda record: None  # type: ignore[method-assign]
 
     def msg(self, message: str) -> None:
@@ -65,7 +65,7 @@
 
 
 class StreamLog(Log):
-    """Writes an instance's log lines as events of the stream; the limit of lines a kind stays."""
+    """Writes an instance's log lines as events of the stream; the limit of lines per kind still applies."""
 
     def __init__(self, now_s: Callable[[], float], logger: Any) -> None:
         super().__init__(now_s)
@@ -85,7 +85,7 @@
 
 
 def rotate(folder: Path, max_bytes: int = MAX_STREAM_BYTES) -> bool:
-    """Rename the stream if it is larger than `max_bytes`; return whether it was."""
+    """Rename the stream if it is larger than `max_bytes`; return whether it was renamed."""
     path = stream_path(folder)
     with contextlib.suppress(OSError):
         if path.stat().st_size > max_bytes:
@@ -95,7 +95,7 @@
 
 
 def read_stream(path: Path, names: frozenset[str], max_lines: int) -> list[dict[str, Any]]:
-    """Return the last lines that concern these instances; of all instances if none is named."""
+    """Return the last lines about these instances, or about all instances if `names` is empty."""
     entries: list[dict[str, Any]] = []
     try:
         data = path.read_bytes()
--- a/coveport/sidecar/supervisor/notify.py
+++ b/coveport/sidecar/supervisor/notify.py
@@ -2,7 +2,7 @@
 
 A notification is a datagram of NAME=value lines to a Unix socket. An instance sends them to its supervisor,
 and the supervisor to the service manager that started it, if any. The kernel attaches the sender's PID
-(SCM_CREDENTIALS), so no process can report for another.
+(SCM_CREDENTIALS), so no process can report on behalf of another.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from pathlib import Path
 
 MAX_DATAGRAM_BYTES = 4096
-MAX_DATAGRAMS_PER_WAKEUP = 256  # then the event loop runs its other callbacks
+MAX_DATAGRAMS_PER_WAKEUP = 256  # limit after which the event loop runs its other callbacks
 RECEIVE_BUFFER_BYTES = 1 << 20
 _CREDENTIALS = struct.Struct("iII")  # PID, UID, GID
-_FILE_DESCRIPTORS_BYTES = 64  # of ancillary data; received only to close them
+_FILE_DESCRIPTORS_BYTES = 64  # buffer for received descriptors, which are only closed
 _FILE_DESCRIPTOR_BYTES = 4
 
 Variables = Mapping[str, str]
 
 
 class Notifier:
-    """Sends notifications to the socket that NOTIFY_SOCKET names; does nothing if the address is empty."""
+    """Sends notifications to the socket that NOTIFY_SOCKET names; does nothing if the variable is empty."""
 
     def __init__(self, address: str) -> None:
         self._socket: socket.socket | None = None
@@ -42,7 +42,7 @@
         return cls(environ.get("NOTIFY_SOCKET", ""))
 
     def send(self, **variables: object) -> bool:
-        """Send variables without waiting; return whether the socket took them."""
+        """Send variables without waiting; return whether the socket accepted them."""
         if self._socket is None:
             return False
         data = "\n".join(f"{name}={value}" for name, value in variables.items()).encode()
@@ -85,7 +85,7 @@
     def __init__(self, path: Path, on_notification: Callable[[int, dict[str, str]], None]) -> None:
         self.path = path
         self._on_notification = on_notification
-        path.unlink(missing_ok=True)  # of a supervisor that lost the role, or died
+        path.unlink(missing_ok=True)  # left by a supervisor that lost the role, or crashed
         self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
         self._socket.setblocking(False)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_PASSCRED, 1)
@@ -109,7 +109,7 @@
                 self._on_notification(pid, parse(data))
 
     def close(self) -> None:
-        """Stop receiving; remove the socket's path unless a successor has taken it."""
+        """Stop receiving; remove the socket's path unless a successor listens there."""
         asyncio.get_running_loop().remove_reader(self._socket)
         self._socket.close()
         try:
@@ -120,7 +120,7 @@
 
 
 def _take_ancillary(ancillary: list[tuple[int, int, bytes]]) -> int:
-    """Return the sender's PID, 0 if unknown, and close the file descriptors that came along."""
+    """Return the sender's PID, 0 if unknown, and close the file descriptors that were attached."""
     pid = 0
     for level, kind, data in ancillary:
         if level != socket.SOL_SOCKET:
@@ -128,7 +128,7 @@
         if kind == socket.SCM_CREDENTIALS:
             pid = _CREDENTIALS.unpack(data[: _CREDENTIALS.size])[0]
         elif kind == socket.SCM_RIGHTS:
-            # Guards against descriptors that a sender attaches: they would stay open for ever.
+            # Guards against descriptors that a sender attaches: they would stay open.
             descriptors = array.array("i", data[: len(data) - len(data) % _FILE_DESCRIPTOR_BYTES])
             for descriptor in descriptors:
                 os.close(descriptor)
--- a/coveport/sidecar/supervisor/peer_count.py
+++ b/coveport/sidecar/supervisor/peer_count.py
@@ -1,8 +1,8 @@
-"""How many instances share the nodes, from the sessions in the store. Pure.
+"""The number of instances that share the nodes, counted by their sessions in the store. Pure.
 
-An increase counts at once, a decrease only after `retention_s` (the sessions' time to live): a peer that
-still uses an older count uses one that is not too small, so the quotas of all together stay within the whole.
-The counts of two instances differ for no longer than an update takes from the store.
+An increase counts at once, a decrease only after `retention_s` (the sessions' time to live): a count
+that a peer has not updated yet is not too small, so the sum of all instances' quotas stays within the total.
+The counts of two instances differ only until an update from the store reaches both.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 
 class PeerCount:
-    """The count that one instance uses: the maximum of those observed in the last `retention_s`.
+    """The peer count of one instance: the maximum of the counts observed in the last `retention_s`.
 
-    `minimum` applies also while no session count is known: it is the platform file's count.
+    `minimum` applies also while no session count is known: it is the count in the platform file.
     """
 
     def __init__(self, retention_s: float, minimum: int = 1) -> None:
@@ -28,9 +28,9 @@
         self._observations: deque[_Observation] = deque()  # counts strictly decrease
 
     def observe(self, now: float, count: int) -> int:
-        """Take note of the present number of sessions; return the count to use."""
-        # Older observations that are not larger can't be the maximum any more. The new one has held since the
-        # first of them: since then the larger ones before it have not.
+        """Record the present number of sessions; return the count to use."""
+        # Earlier observations that are not larger can no longer be the maximum. The new observation takes the
+        # time of the earliest of them, because the larger counts before it ended then.
         since = now
         while self._observations and self._observations[-1].sessions <= count:
             since = self._observations.pop().since
--- a/coveport/sidecar/supervisor/process_control.py
+++ b/coveport/sidecar/supervisor/process_control.py
@@ -20,9 +20,10 @@
 from coveport.sidecar.supervisor import locks
 from coveport.sidecar.supervisor.instance_state import ExitReason
 
-LISTEN_FD_VARIABLE = "COVEPORT_LISTEN_FD"  # the descriptor of the socket that an instance accepts from
-LISTEN_BACKLOG = 512  # connections that wait while no process accepts
-EXIT_REASONS = {0: ExitReason.CLEAN, 2: ExitReason.UNUSABLE_FILES, 3: ExitReason.NAME_LOCKED}  # else a crash
+LISTEN_FD_VARIABLE = "COVEPORT_LISTEN_FD"  # the descriptor of an instance's listening socket
+LISTEN_BACKLOG = 512  # pending connections while no process accepts
+# Exit codes; any other code is a crash.
+EXIT_REASONS = {0: ExitReason.CLEAN, 2: ExitReason.UNUSABLE_FILES, 3: ExitReason.NAME_LOCKED}
 
 OnExit = Callable[[str, str, ExitReason], None]  # name, incarnation, reason
 
@@ -36,7 +37,7 @@
 
 
 class ProcessControl(Protocol):
-    """What a supervisor can do to the processes of its host. The testbed simulates it."""
+    """The operations of a supervisor on the processes of its host. The testbed simulates them."""
 
     on_exit: OnExit
 
@@ -47,19 +48,19 @@
         """Start a process and return its incarnation; OSError if that fails."""
 
     def drain(self, incarnation: str) -> None:
-        """Ask an incarnation to exit; nothing if it has."""
+        """Send an incarnation SIGTERM; do nothing if it has exited."""
 
     def kill(self, incarnation: str) -> None:
-        """Kill an incarnation; nothing if it has exited."""
+        """Kill an incarnation; do nothing if it has exited."""
 
     def close_listener(self, name: str) -> None:
-        """Close the socket that is held for an instance: its address refuses connections."""
+        """Close the listening socket of an instance; its address then refuses connections."""
 
     def identify(self, pid: int) -> InstanceProcess | None:
-        """Return the watched process with this PID, which is alive; None if there is none."""
+        """Return the watched, running process with this PID; None if there is none."""
 
     def stop_watching(self) -> None:
-        """Watch no process and hold no socket any more; the processes keep running."""
+        """Stop watching all processes and close their listening sockets; the processes keep running."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +78,7 @@
         self._config = config
         self._folder = operator_file.fleet_folder
         self._watched: dict[str, _WatchedProcess] = {}  # by incarnation
-        self._incarnations: dict[int, str] = {}  # of the watched, by PID
+        self._incarnations: dict[int, str] = {}  # of the watched processes, by PID
         self._listeners: dict[str, socket.socket] = {}  # by name
         self.notify_path = self._folder / "notify.sock"
         self.on_exit: OnExit = lambda name, incarnation, reason: None
@@ -85,13 +86,13 @@
         (self._folder / "log").mkdir(parents=True, exist_ok=True)
 
     def update_settings(self, operator_file: OperatorFile) -> None:
-        """Use a file that was read again."""
+        """Use a reloaded operator's file."""
         self._operator_file = operator_file
 
     # Running processes.
 
     def find_running(self) -> dict[str, str]:
-        """Return the incarnations that hold a lock, by name, whoever started them."""
+        """Return the incarnations that hold a lock, by name, also if another supervisor started them."""
         fleet = self._operator_file.fleet
         return {
             name: incarnation
@@ -101,7 +102,7 @@
         }
 
     def identify(self, pid: int) -> InstanceProcess | None:
-        """Return the watched process with this PID, which is alive; None if there is none."""
+        """Return the watched, running process with this PID; None if there is none."""
         watched = self._watched.get(self._incarnations.get(pid, ""))
         return None if watched is None else watched.process
 
@@ -112,7 +113,7 @@
             pidfd = os.pidfd_open(pid)
         except OSError:
             return False
-        # Checked after opening: from then on the descriptor can't come to mean another process.
+        # Checked after opening: from then on the descriptor can't refer to another process.
         if locks.incarnation_of(pid) != process.incarnation:
             os.close(pidfd)
             return False
@@ -141,7 +142,7 @@
         return watched
 
     def stop_watching(self) -> None:
-        """Watch no process and hold no socket any more; the processes keep running."""
+        """Stop watching all processes and close their listening sockets; the processes keep running."""
         for incarnation in list(self._watched):
             self._unwatch(incarnation)
         for name in list(self._listeners):
@@ -156,7 +157,7 @@
         incarnation = locks.incarnation_of(child.pid)
         self._limit_descriptors(name, child.pid)
         if not incarnation or not self._watch(InstanceProcess(name, incarnation), child):
-            # It has exited already: reported from the event loop, as any other exit.
+            # The process has already exited: the event loop reports that, as for any other exit.
             incarnation = incarnation or f"{child.pid}.gone"
             asyncio.get_running_loop().call_soon(self._report_exit, name, incarnation, child)
         return incarnation
@@ -168,7 +169,7 @@
             LISTEN_FD_VARIABLE: str(listener.fileno()),
             "WATCHDOG_USEC": str(int(self._operator_file.fleet.hung_s * 1e6)),
         }
-        environ.pop("WATCHDOG_PID", None)  # the service manager's, for the supervisor alone
+        environ.pop("WATCHDOG_PID", None)  # set by the service manager for the supervisor only
         with open(self._folder / "log" / f"{name}.out", "ab") as out:
             return subprocess.Popen(
                 [sys.executable, "-m", "coveport", "run", "--config", str(self._config), "--as", name],
@@ -177,13 +178,13 @@
                 stderr=out,
                 env=environ,
                 pass_fds=(listener.fileno(),),
-                start_new_session=True,  # a Ctrl-C at the supervisor's terminal is not for the instances
+                start_new_session=True,  # Ctrl-C at the supervisor's terminal must not signal the instances
             )
 
     def _limit_descriptors(self, name: str, pid: int) -> None:
         fleet = self._operator_file.fleet
-        own = fleet.each.get(name)
-        limit = (own.sockets if own is not None else 0) or fleet.sockets
+        overrides = fleet.each.get(name)
+        limit = (overrides.sockets if overrides is not None else 0) or fleet.sockets
         if limit:
             with contextlib.suppress(OSError, ValueError):
                 resource.prlimit(pid, resource.RLIMIT_NOFILE, (limit, limit))
@@ -196,7 +197,7 @@
         self._signal(incarnation, signal.SIGTERM)
 
     def kill(self, incarnation: str) -> None:
-        """Send SIGKILL; it ends a stopped process too."""
+        """Send SIGKILL, which also ends a process stopped by SIGSTOP."""
         self._signal(incarnation, signal.SIGKILL)
 
     def _signal(self, incarnation: str, number: int) -> None:
@@ -212,7 +213,7 @@
         host, port = address
         listener = self._listeners.get(name)
         if listener is not None and listener.getsockname()[:2] != address and port:
-            self.close_listener(name)  # the file has another address for it by now
+            self.close_listener(name)  # the address was changed in the file
             listener = None
         if listener is None:
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -222,7 +223,7 @@
         return listener
 
     def close_listener(self, name: str) -> None:
-        """Close the socket that is held for an instance: its address refuses connections."""
+        """Close the listening socket of an instance; its address then refuses connections."""
         listener = self._listeners.pop(name, None)
         if listener is not None:
             listener.close()
--- a/coveport/sidecar/supervisor/rolling_restart.py
+++ b/coveport/sidecar/supervisor/rolling_restart.py
@@ -9,8 +9,8 @@
 from coveport.sidecar.supervisor.desired_state import Change, DesiredState, RestartPhase, RollingRestart
 from coveport.sidecar.supervisor.instance_health import InstanceHealth, SuccessRate
 
-MAX_SUCCESS_LOSS = 0.05  # of the success rate, against the instances not restarted; beyond it a restart halts
-MIN_OPERATIONS = 20  # below which a success rate says nothing
+MAX_SUCCESS_LOSS = 0.05  # below the success rate of the instances not restarted; a larger loss halts
+MIN_OPERATIONS = 20  # with fewer operations success rates are not compared
 
 
 def next_restart_step(
@@ -18,14 +18,14 @@
 ) -> Change | None:
     """Return the next step of the rolling restart; None if there is none, or it is not due yet.
 
-    `min_serving_s`: for how long a new incarnation must serve before the next instance is restarted.
+    `min_serving_s`: how long a new incarnation must serve before the next instance is restarted.
     """
     restart = desired.restart
     if restart is None or restart.phase is not RestartPhase.RUNNING:
         return None
-    gone = [name for name in restart.order if name not in health or name in desired.drained]
-    taken = [name for name in restart.replaced if name not in gone]
-    remaining = [name for name in restart.remaining if name not in gone]
+    excluded = [name for name in restart.order if name not in health or name in desired.drained]
+    taken = [name for name in restart.replaced if name not in excluded]
+    remaining = [name for name in restart.remaining if name not in excluded]
     new = [name for name in taken if health[name].incarnation != restart.replaced[name]]
     return (
         _halt_on_fault(desired, restart, new, health)
@@ -48,7 +48,7 @@
     desired: DesiredState, restart: RollingRestart, new: list[str], health: Mapping[str, InstanceHealth]
 ) -> Change | None:
     after = _total_success(health[name] for name in new)
-    before = _total_success(one for name, one in health.items() if name not in restart.replaced)
+    before = _total_success(instance for name, instance in health.items() if name not in restart.replaced)
     if min(after.operations, before.operations) < MIN_OPERATIONS:
         return None
     if after.fraction >= before.fraction - MAX_SUCCESS_LOSS:
@@ -66,7 +66,7 @@
     health: Mapping[str, InstanceHealth],
     min_serving_s: float,
 ) -> Change | None:
-    """Take the next instances, as far as `at_once` allows, or finish."""
+    """Restart the next instances, as many as `at_once` allows, or finish the restart."""
     in_progress = len(taken) - sum(health[name].serving_s >= min_serving_s for name in new)
     if not remaining:
         return (
@@ -74,7 +74,7 @@
         )
     if in_progress >= restart.at_once:
         return None
-    # An instance that does not serve now is not waited for: it is started anew in any case.
+    # Instances that do not serve now are included: they are started again in any case.
     names = remaining[: restart.at_once - in_progress]
     replaced = {**restart.replaced, **{name: health[name].incarnation for name in names}}
     return _change(
--- a/coveport/sidecar/supervisor/sidecar_view.py
+++ b/coveport/sidecar/supervisor/sidecar_view.py
@@ -1,4 +1,4 @@
-"""What of a sidecar its instance's agent reads and tells it."""
+"""The interface of a sidecar that its instance's agent uses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SidecarView(Protocol):
-    """The part of the sidecar's effects that the agent uses."""
+    """The part of the sidecar that the agent reads and controls."""
 
     counters: Counters
 
@@ -20,16 +20,16 @@
         """The present settings."""
 
     def set_endpoints_listener(self, listener: Callable[[Any, bool], None], /) -> None:
-        """Pass on each endpoint list or update, and whether it is a complete list."""
+        """Set the listener that receives each endpoint list or update, and whether it is a complete list."""
 
     def feed(self, item: core.Input) -> None:
-        """Give the reducer an input."""
+        """Pass an input to the reducer."""
 
     def in_slow_start(self) -> dict[int, tuple[int, float]]:
-        """Return the destinations in slow start: zone, and age in ms."""
+        """Return the zone, and the age in ms, of each destination in slow start, by number."""
 
     def ejected(self) -> dict[int, float]:
-        """Return the ejected destinations: for how long, ms."""
+        """Return for how long each ejected destination has been ejected, ms, by number."""
 
     def set_peer_count(self, peer_count: int) -> None:
-        """Set how many instances share the destinations."""
+        """Set the number of instances that share the destinations."""
--- a/coveport/sidecar/supervisor/snapshot_manager.py
+++ b/coveport/sidecar/supervisor/snapshot_manager.py
@@ -1,4 +1,4 @@
-"""Keeps an instance's snapshot: read once at the start, written while it runs."""
+"""Reads an instance's snapshot once at the start, and writes it while the instance runs."""
 
 from __future__ import annotations
 
@@ -20,18 +20,19 @@
 from coveport.sidecar.supervisor.sidecar_view import SidecarView
 from coveport.sidecar.supervisor.snapshot import Snapshot, Timestamp
 
-MAX_EJECTIONS_AGE_S = 10.0  # of a snapshot whose ejections are taken over
-UNKNOWN_VERSION = -1  # older than any list's
+MAX_EJECTIONS_AGE_S = 10.0  # maximum age of a snapshot whose ejections are restored
+UNKNOWN_VERSION = -1  # lower than the version of any list
 
-Destinations = Callable[[], Mapping[int, EndpointAddress]]  # address and start time of each, by number
+# Returns the address and the start time of each destination, by number.
+Destinations = Callable[[], Mapping[int, EndpointAddress]]
 
 
 class SnapshotManager:
     """The snapshot of one instance.
 
     Attributes:
-        restored: the snapshot that this process began from; None if there was none to use.
-        error: why there was none; empty otherwise.
+        restored: the snapshot that this process began from; None if there was no usable one.
+        error: why there was no usable snapshot; empty otherwise.
 
     """
 
@@ -51,7 +52,7 @@
         return self._max_age_s > 0
 
     def restore(self, config: Config) -> Config:
-        """Read the snapshot; return the configuration with its endpoint list if that is the newer one."""
+        """Read the snapshot; return the configuration, with the snapshot's endpoint list if that is newer."""
         if not self.is_enabled:
             return config
         try:
@@ -67,11 +68,11 @@
         return replace(config, known_endpoints=snapshot.known_endpoints(self.restored))
 
     def on_endpoints(self, update: Any, is_complete: bool) -> None:
-        """Take note of a list or update from discovery."""
+        """Record a list or update from discovery."""
         self._endpoints.apply(update, is_complete)
 
     def report_ejections(self, sidecar: SidecarView, destinations: Destinations) -> None:
-        """Tell the sidecar which hosts were ejected just before the restart, as failed health checks."""
+        """Report hosts ejected just before the restart to the sidecar, as failed health checks."""
         restored = self.restored
         if restored is None or self._restored_age_s > MAX_EJECTIONS_AGE_S:
             return
--- a/coveport/sidecar/supervisor/status.py
+++ b/coveport/sidecar/supervisor/status.py
@@ -1,4 +1,4 @@
-"""What `coveport fleet status` shows, as the JSON object that the control socket sends. Pure."""
+"""The status that `coveport fleet status` shows: the JSON object that the control socket sends. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def fleet_status(
     fleet: Fleet, instances: InstanceSet, *, now: float, supervisor: str, holds_role: bool, token: int
 ) -> dict[str, Any]:
-    """Return the status of a fleet as one supervisor sees it."""
+    """Return the status of a fleet in the view of one supervisor."""
     desired = instances.desired
     health = instances.health(now)
     in_order = sorted(instances.by_name.items(), key=lambda item: fleet.number(item[0]))
--- a/coveport/sidecar/supervisor/success_window.py
+++ b/coveport/sidecar/supervisor/success_window.py
@@ -1,4 +1,4 @@
-"""The success rate of the operations that ended lately, from the sidecar's counters."""
+"""The success rate of recently ended operations, from the sidecar's counters."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from coveport.sidecar.telemetry.counters import RESULTS, Counters, result_counter
 
-SAMPLES = 6  # the rate is that of the operations between the oldest and the newest sample
+SAMPLES = 6  # number kept; the rate covers operations between the oldest and the newest sample
 SUCCEEDED = RESULTS[0]
 
 
@@ -24,7 +24,7 @@
         self._samples: deque[_Sample] = deque(maxlen=SAMPLES)
 
     def sample(self, counters: Counters, classes: Iterable[str]) -> str:
-        """Take a sample; return the window as `X_SERVED` has it: `FRACTION/OPERATIONS`."""
+        """Take a sample; return the success rate in the form of `X_SERVED`: `FRACTION/OPERATIONS`."""
         names = list(classes)
         self._samples.append(
             _Sample(
--- a/coveport/sidecar/supervisor/supervisor.py
+++ b/coveport/sidecar/supervisor/supervisor.py
@@ -1,7 +1,7 @@
-"""Supervises the instances of a host: carries out what the instance set commands, under the role's lease.
+"""Supervises the instances of a host: carries out the instance set's commands under the role's lease.
 
-While another supervisor holds the role this one stands by. When it acquires the role, running instances are
-found by their locks and keep running.
+A supervisor stands by while another one holds the role. When it acquires the role, it finds the running
+instances by their locks; they keep running.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 from coveport.sidecar.supervisor.status import fleet_status
 
 TICK_S = 0.05
-STALL_S = 0.5  # a tick that is later than this: notifications may have been lost meanwhile
-SCAN_INTERVAL_S = 1.0  # between two looks at the locks, for processes that nobody reported
-REQUEST_TIMEOUT_S = 10.0  # for a request to stand in the store
+STALL_S = 0.5  # delay of a tick after which notifications may have been lost
+SCAN_INTERVAL_S = 1.0  # interval of scanning the locks for unreported processes
+REQUEST_TIMEOUT_S = 10.0  # until the change of a request is stored
 
 
 class Supervisor:
     """One supervisor of a host.
 
-    `check_files` returns what is wrong with the operator's files, empty if nothing is; it is called before
-    they are used. `on_role_changed` is called with whether the role is held.
+    `check_files` returns the error in the operator's files, empty if there is none; it is called before the
+    files are used. `on_role_changed` is called with whether the role is held.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
     # Start and stop.
 
     def start(self) -> None:
-        """Begin; needs a running event loop."""
+        """Start the supervisor; needs a running event loop."""
         self._ticked_at = self._now_s()
         self.lease_client.start()
         self._tasks.append(asyncio.ensure_future(self._run()))
@@ -96,7 +96,7 @@
         self.processes.stop_watching()
 
     async def stop_all(self, timeout_s: float) -> bool:
-        """Drain all instances; return whether all have exited in time."""
+        """Drain all instances; return whether all exited in time."""
         self._is_stopping = True
         deadline = self._now_s() + timeout_s
         commands: list[Command] = []
@@ -114,7 +114,7 @@
         return self.instances.has_no_process
 
     def update_settings(self, operator_file: OperatorFile) -> None:
-        """Use a file that was read again."""
+        """Use a reloaded operator's file."""
         self.operator_file = operator_file
         self.role.fleet = operator_file.fleet
         self.instances.update_settings(self._now_s(), operator_file.fleet)
@@ -123,7 +123,7 @@
 
     @property
     def is_only_supervisor(self) -> bool:
-        """Whether no other supervisor stands by."""
+        """Whether no other supervisor is registered."""
         return all(name == self.lease_client.name for name in self.lease_client.instances)
 
     @property
@@ -185,13 +185,13 @@
             await asyncio.sleep(TICK_S)
 
     def _scan(self, now: float) -> None:
-        """Adopt processes that hold a lock and are not known."""
+        """Adopt unknown processes that hold a lock."""
         self._scanned_at = now
         for name, incarnation in self.processes.find_running().items():
             self._carry_out(self.instances.on_running(now, name, incarnation))
 
     def _handle_state_changes(self) -> None:
-        """Log each changed state; close the listeners of instances that are not to serve."""
+        """Log each changed state; close the listeners of instances that should not serve."""
         for name, instance in self.instances.by_name.items():
             state = instance.state
             if self._logged_states.get(name) is state:
@@ -215,9 +215,9 @@
 
     def _carry_out(self, commands: list[Command]) -> None:
         for position, command in enumerate(commands):
-            # Checked before each: a command that took long may have cost the lease.
+            # Checked before each command: the lease may have lapsed during a slow command.
             if not self.may_act:
-                # Never kept for later: what is due once the lease is renewed is commanded then.
+                # Not kept for later: once the lease is renewed, the commands due then are given.
                 self.instances.on_commands_dropped(commands[position:])
                 return
             if isinstance(command, Start):
@@ -234,7 +234,7 @@
         now = self._now_s()
         fault = self._check_files()
         if fault:
-            # Guards against a file that ends every process at its start: none is started to find that out.
+            # Guards against files with which each process would exit at its start: no process is started.
             self.instances.on_unusable_files(now, name, fault)
             return
         try:
@@ -250,7 +250,7 @@
         self.instances.on_exit(self._now_s(), name, incarnation, reason)
 
     def on_notification(self, pid: int, variables: Mapping[str, str]) -> None:
-        """Take note of an instance's notification."""
+        """Handle a notification from an instance."""
         process = self.processes.identify(pid)
         if process is None:
             return
@@ -286,7 +286,7 @@
         return {"ok": result.is_done, "said": result.message}
 
     def status(self) -> dict[str, Any]:
-        """Return what `coveport fleet status` shows."""
+        """Return the status that `coveport fleet status` shows."""
         return fleet_status(
             self.operator_file.fleet,
             self.instances,
