--- a/coveport/sidecar/supervisor/desired_state_role.py
+++ b/coveport/sidecar/supervisor/desired_state_role.py
@@ -86,7 +86,7 @@
         if desired.count_in_file == count:
             return None
         changed = msgspec.structs.replace(desired, count_in_file=count, count=count)
-        return Change(changed, f"count changed in the file to {count}")
+        return Change(changed, f"the file says {count}")
 
     def _next_request(self, desired: DesiredState) -> Change | None:
         """Return the change of the first queued request that changes the state; complete those before it."""
--- a/coveport/sidecar/supervisor/instance_agent.py
+++ b/coveport/sidecar/supervisor/instance_agent.py
@@ -123,7 +123,9 @@
         self._notifier.send(READY=1, STATUS="serving")
         if self._sidecar is not None:
             self.snapshots.report_ejections(self._sidecar, self._destinations)
-        self._tasks = [asyncio.ensure_future(task()) for task in (self._send_heartbeats, self._keep_snapshot)]
+        self._tasks = [
+            asyncio.ensure_future(reporter()) for reporter in (self._send_heartbeats, self._keep_snapshot)
+        ]
 
     async def _send_heartbeats(self) -> None:
         reported_at = 0.0
--- a/coveport/sidecar/supervisor/rolling_restart.py
+++ b/coveport/sidecar/supervisor/rolling_restart.py
@@ -48,7 +48,9 @@
     desired: DesiredState, restart: RollingRestart, new: list[str], health: Mapping[str, InstanceHealth]
 ) -> Change | None:
     after = _total_success(health[name] for name in new)
-    before = _total_success(instance for name, instance in health.items() if name not in restart.replaced)
+    before = _total_success(
+        instance_health for name, instance_health in health.items() if name not in restart.replaced
+    )
     if min(after.operations, before.operations) < MIN_OPERATIONS:
         return None
     if after.fraction >= before.fraction - MAX_SUCCESS_LOSS:
--- a/tests/sidecar/supervisor/test_desired_state_role.py
+++ b/tests/sidecar/supervisor/test_desired_state_role.py
@@ -1,4 +1,4 @@
-"""The role that changes the desired state: requests and the operator's file."""
+"""The role that changes the desired state, on requests and on changes of the operator's file."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 FLEET = Fleet(name="h", instances=4, at_once=2, a_second=2.0, hung_s=2.0, hold_s=1.0)
 
 
-def test_request_when_its_answer_was_lost_is_carried_out_once() -> None:
-    seen: list[DesiredState] = []
+def test_request_is_carried_out_once_when_the_store_s_answer_was_lost() -> None:
+    reported: list[DesiredState] = []
     results: list[RequestResult] = []
-    role = DesiredStateRole(FLEET, dict, seen.append, 10)
-    first = role.decide(0.0, None, {})
-    assert first is not None
+    role = DesiredStateRole(FLEET, dict, reported.append, 10)
+    initial = role.decide(0.0, None, {})
+    assert initial is not None
     role.submit(FleetRequest("7", "scale", count=6), results.append)
-    step = role.decide(0.1, first.state, {})
+    step = role.decide(0.1, initial.state, {})
     assert step is not None and results == []
-    again = role.decide(0.2, step.state, {})  # the step was committed, and its answer was lost
-    assert again is None and results == [RequestResult(True, "done")]
+    repeated = role.decide(0.2, step.state, {})  # the step was committed, but the store's answer was lost
+    assert repeated is None and results == [RequestResult(True, "done")]
     role.submit(FleetRequest("8", "scale", count=2), results.append)
     step = role.decide(0.3, step.state, {})
     assert step is not None
     role.on_step_committed(step)
-    assert len(results) == 2 and results[-1].is_done and seen[-1].count == 2
+    assert len(results) == 2 and results[-1].is_done and reported[-1].count == 2
     role.submit(FleetRequest("9", "scale", count=3), results.append)
     role.on_role_lost()
     assert not results[-1].is_done and results[-1].message.startswith("refused")
--- a/tests/sidecar/supervisor/test_fleet_processes.py
+++ b/tests/sidecar/supervisor/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""A supervised fleet of real processes: killed, stopped, restarted under load, and taken over."""
+"""A supervised fleet of real processes that are killed, stopped, restarted under load, and taken over."""
 
 from __future__ import annotations
 
@@ -21,18 +21,20 @@
 TIMEOUT_S = 60.0
 
 
-def run(folder: Path, count: int, work: Callable[[FleetTrialReal], Awaitable[None]], **options: Any) -> None:
-    async def play() -> None:
+def run(
+    folder: Path, count: int, scenario: Callable[[FleetTrialReal], Awaitable[None]], **options: Any
+) -> None:
+    async def run_scenario() -> None:
         async with FleetTrialReal(folder, count, **options) as fleet:
             fleet.supervise()
             await fleet.all_serve()
-            await work(fleet)
+            await scenario(fleet)
 
-    asyncio.run(asyncio.wait_for(play(), 180.0))
+    asyncio.run(asyncio.wait_for(run_scenario(), 180.0))
 
 
 async def wait_until_standing_by(fleet: FleetTrialReal, process: subprocess.Popen[bytes]) -> None:
-    """Wait until a supervisor is registered in the store: on a busy machine its start takes long."""
+    """Wait until a supervisor is registered in the store, which takes long on a busy machine."""
     store = SqliteStore(fleet.folder / "store.db", watched=False)
     try:
         deadline = time.monotonic() + TIMEOUT_S
@@ -44,36 +46,40 @@
             await asyncio.sleep(0.1)
     finally:
         await store.close()
-    raise AssertionError(f"supervisor {process.pid} never stood by")
+    raise AssertionError(f"supervisor {process.pid} did not register in the store")
 
 
 def test_rolling_restart_under_load_loses_no_request(tmp_path: Path) -> None:
-    async def work(fleet: FleetTrialReal) -> None:
+    async def scenario(fleet: FleetTrialReal) -> None:
         before = fleet.incarnations()
-        loading = asyncio.ensure_future(fleet.load(30.0, 10.0))
+        load_task = asyncio.ensure_future(fleet.load(30.0, 10.0))
         assert (await fleet.ask("restart"))["ok"]
         await fleet.until(
             lambda status: status["restart"] and status["restart"]["phase"] == "done", "the restart"
         )
-        await loading
+        await load_task
         after = fleet.incarnations()
         assert set(after) == set(before) and not set(after.values()) & set(before.values())
-        assert set(fleet.statuses) <= {200, 503} and 0 not in fleet.statuses, "each was answered"
+        assert set(fleet.statuses) <= {200, 503} and 0 not in fleet.statuses, "each request is answered"
         assert fleet.statuses.count(200) >= 0.95 * len(fleet.statuses)
 
-    run(tmp_path, 3, work)
+    run(tmp_path, 3, scenario)
 
 
-def test_supervisor_when_killed_or_stopped_costs_no_instance(tmp_path: Path) -> None:
-    async def work(fleet: FleetTrialReal) -> None:
+def test_no_instance_is_restarted_when_supervisors_are_killed_or_stopped(tmp_path: Path) -> None:
+    async def scenario(fleet: FleetTrialReal) -> None:
         before = fleet.incarnations()
         first = fleet.supervisors[0]
         second = fleet.supervise("--standby")
         await wait_until_standing_by(fleet, second)
         await asyncio.sleep(1.0)
         refused = fleet.supervise()
-        assert await asyncio.to_thread(refused.wait, TIMEOUT_S) == 1, "a further one, by mistake"
-        first.send_signal(signal.SIGSTOP)  # stands still, and comes back beside its successor
+        assert await asyncio.to_thread(refused.wait, TIMEOUT_S) == 1, (
+            "without --standby a second supervisor exits"
+        )
+        first.send_signal(
+            signal.SIGSTOP
+        )  # it stops for a while, and continues when its successor holds the role
         status = await fleet.until(
             lambda status: f"-{second.pid}-" in status["supervisor"] and status["holds"], "the second"
         )
@@ -81,28 +87,28 @@
         await fleet.all_serve()
         assert fleet.incarnations() == before and status["holds"]
         await asyncio.sleep(1.0)
-        second.kill()  # the first one stands by now
+        second.kill()  # the first supervisor stands by now
         await fleet.until(
             lambda status: f"-{first.pid}-" in status["supervisor"] and status["holds"], "the first again"
         )
         await fleet.all_serve()
-        assert fleet.incarnations() == before, "no instance was restarted by any of it"
+        assert fleet.incarnations() == before, "no takeover restarted an instance"
         third = fleet.supervise("--standby")
         await wait_until_standing_by(fleet, third)
         await asyncio.sleep(2.0)
         first.terminate()
         assert await asyncio.to_thread(first.wait, TIMEOUT_S) == 0
         await fleet.all_serve()
-        assert fleet.incarnations() == before, "after SIGTERM the one that stands by takes over"
+        assert fleet.incarnations() == before, "after SIGTERM the standby supervisor takes over"
         third.terminate()
         assert await asyncio.to_thread(third.wait, TIMEOUT_S) == 0
-        assert fleet.incarnations() == {}, "the last one ends them all"
+        assert fleet.incarnations() == {}, "the last supervisor stops all instances"
 
-    run(tmp_path, 3, work)
+    run(tmp_path, 3, scenario)
 
 
 def test_instances_when_killed_stopped_or_terminated_are_replaced(tmp_path: Path) -> None:
-    async def work(fleet: FleetTrialReal) -> None:
+    async def scenario(fleet: FleetTrialReal) -> None:
         before = fleet.incarnations()
         os.kill(locks.pid_of(before["h-1"]), signal.SIGKILL)
         os.kill(locks.pid_of(before["h-2"]), signal.SIGSTOP)
@@ -115,22 +121,22 @@
             "three new incarnations",
         )
         await fleet.all_serve()
-        assert fleet.incarnations()["h-4"] == before["h-4"], "the healthy one was left alone"
+        assert fleet.incarnations()["h-4"] == before["h-4"], "the healthy instance was not restarted"
         for port in range(fleet.port, fleet.port + 4):
             assert await fleet.environment.ask(0, port, port) == 200
 
-    run(tmp_path, 4, work, settings={"hung_s": 1.5})
+    run(tmp_path, 4, scenario, settings={"hung_s": 1.5})
 
 
-def test_files_when_unusable_end_no_instance(tmp_path: Path) -> None:
-    async def work(fleet: FleetTrialReal) -> None:
+def test_unusable_files_stop_no_running_instance(tmp_path: Path) -> None:
+    async def scenario(fleet: FleetTrialReal) -> None:
         before = fleet.incarnations()
         fleet.configure("{ not json")
         refused = await fleet.ask("restart")
         assert not refused["ok"] and "platform.json" in refused["said"]
         os.kill(locks.pid_of(before["h-1"]), signal.SIGKILL)
         status = await fleet.until(
-            lambda status: status["instances"][0]["state"] == "broken", "it to be left alone"
+            lambda status: status["instances"][0]["state"] == "broken", "the first instance to be broken"
         )
         assert "platform.json" in status["instances"][0]["why"]
         assert fleet.incarnations() == {"h-2": before["h-2"]}
@@ -138,11 +144,11 @@
         fleet.supervisors[0].send_signal(signal.SIGHUP)
         await fleet.all_serve()
 
-    run(tmp_path, 2, work)
+    run(tmp_path, 2, scenario)
 
 
-def test_operators_scale_drain_and_see_the_fleet(tmp_path: Path) -> None:
-    async def work(fleet: FleetTrialReal) -> None:
+def test_operator_commands_scale_drain_and_show_the_fleet(tmp_path: Path) -> None:
+    async def scenario(fleet: FleetTrialReal) -> None:
         async def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
             return await asyncio.to_thread(
                 subprocess.run,
@@ -156,9 +162,11 @@
         assert (await run_command("scale", "4")).returncode == 0
         await fleet.all_serve(4)
         assert (await run_command("drain", "h-2")).returncode == 0
-        await fleet.until(lambda status: len(fleet.incarnations()) == 3, "one to be down")
+        await fleet.until(lambda status: len(fleet.incarnations()) == 3, "one instance to be down")
         assert "h-2" not in fleet.incarnations()
-        assert await fleet.environment.ask(0, fleet.port + 1, 1) == 0, "nobody listens for one that is down"
+        assert await fleet.environment.ask(0, fleet.port + 1, 1) == 0, (
+            "the address of a drained instance refuses connections"
+        )
         assert (await run_command("drain", "h-2", "--back")).returncode == 0
         await fleet.all_serve(4)
         status = await run_command("status")
@@ -169,15 +177,15 @@
         assert (await run_command("drain", "h-9")).returncode == 1
         assert (await run_command("status", "--json")).stdout.startswith("{")
 
-    run(tmp_path, 2, work)
+    run(tmp_path, 2, scenario)
 
 
 def test_forty_that_are_killed_within_a_second_under_load(tmp_path: Path) -> None:
-    """Two nodes in slow start and one that drains meanwhile; the nodes' own logs bound the attempts."""
+    """Meanwhile two nodes are in slow start and one drains; the nodes' logs bound the number of attempts."""
 
-    async def work(fleet: FleetTrialReal) -> None:
+    async def scenario(fleet: FleetTrialReal) -> None:
         before = fleet.incarnations()
-        loading = asyncio.ensure_future(fleet.load(60.0, 8.0))
+        load_task = asyncio.ensure_future(fleet.load(60.0, 8.0))
         await asyncio.sleep(1.0)
         started_ms = {node.number: time.time() * 1000 for node in fleet.environment.nodes[:2]}
         fleet.environment.list_all(started_ms)
@@ -187,15 +195,17 @@
         for incarnation in before.values():
             os.kill(locks.pid_of(incarnation), signal.SIGKILL)
         await fleet.all_serve()
-        await loading
+        await load_task
         assert (
             not set(fleet.incarnations().values()) & set(before.values()) and len(fleet.incarnations()) == 40
         )
-        # Sent once all serve again, however long that took, and with time enough for a busy machine.
-        late = await fleet.load(60.0, 1.0, TIMEOUT_S)
-        assert len(late) == 60
-        assert late.count(200) + late.count(503) == len(late), "each request is answered"
+        # Sent after all instances serve again, with a time-out that is long enough for a busy machine.
+        later_statuses = await fleet.load(60.0, 1.0, TIMEOUT_S)
+        assert len(later_statuses) == 60
+        assert later_statuses.count(200) + later_statuses.count(503) == len(later_statuses), (
+            "each request is answered"
+        )
         ids = [operation.id for node in fleet.environment.nodes for operation in node.ran]
         assert len(ids) <= 3 * len(fleet.statuses)
 
-    run(tmp_path, 40, work, settings={"young_s": 60.0})
+    run(tmp_path, 40, scenario, settings={"young_s": 60.0})
--- a/tests/sidecar/supervisor/test_fleet_settings.py
+++ b/tests/sidecar/supervisor/test_fleet_settings.py
@@ -39,6 +39,6 @@
         read(VALID + line + "\n", Path("."))
 
 
-def test_fleet_settings_beside_an_instance_name_are_refused() -> None:
+def test_fleet_settings_with_an_instance_name_are_refused() -> None:
     with pytest.raises(OperatorFileError, match="names of their own"):
         read(VALID.replace('"p.json"', '"p.json"\nname = "x"'), Path("."))
--- a/tests/sidecar/supervisor/test_instance_set.py
+++ b/tests/sidecar/supervisor/test_instance_set.py
@@ -1,4 +1,4 @@
-"""All instances of a host together: bounded starts, and the replacement of hung ones."""
+"""The instances of a host together: bounded starts, and the replacement of hung instances."""
 
 from __future__ import annotations
 
@@ -35,11 +35,13 @@
             instances.on_heartbeat(now, instance.name, instance.incarnation)
         if all(instance.state is InstanceState.SERVING for instance in instances.by_name.values()):
             return now
-    raise AssertionError("not all serve")
+    raise AssertionError("not all instances serve")
 
 
-def kills(instances: InstanceSet, now: float, duration_s: float, silent: set[str]) -> list[tuple[float, str]]:
-    """Return when which instances are killed while the silent ones send no heartbeats."""
+def run_with_silent(
+    instances: InstanceSet, now: float, duration_s: float, silent: set[str]
+) -> list[tuple[float, str]]:
+    """Return the time and name of each kill while the silent instances send no heartbeats."""
     killed = []
     for step in range(int(duration_s / 0.1)):
         at = now + step * 0.1
@@ -50,7 +52,7 @@
     return killed
 
 
-def test_starts_on_drawn_days_are_bounded_in_any_window() -> None:
+def test_starts_are_bounded_in_any_window_with_random_events() -> None:
     for seed in range(20):
         rng = random.Random(seed)
         instances = new_instance_set(30, seed)
@@ -81,33 +83,35 @@
             assert in_window <= FLEET.a_second * 5.0 + FLEET.at_once + 1
 
 
-def test_hung_instance_is_replaced_and_a_stalled_host_s_are_not() -> None:
+def test_hung_instance_is_replaced_but_not_those_of_a_stalled_host() -> None:
     instances = new_instance_set(4)
     now = run_until_serving(instances, 0.0)
-    assert [name for _, name in kills(instances, now, 3.0, {"h-2"})] == ["h-2"]
+    assert [name for _, name in run_with_silent(instances, now, 3.0, {"h-2"})] == ["h-2"]
     instances = new_instance_set(4)
     now = run_until_serving(instances, 0.0)
-    # Their last heartbeats do not coincide: the first to be late is not alone.
+    # The last heartbeats before the stall do not coincide, so the instances become late one by one.
     for number, instance in enumerate(instances.by_name.values()):
         instance.last_heartbeat_at = now - 0.2 * number
-    assert kills(instances, now, 3.0, set(instances.by_name)) == []
-    assert len(kills(instances, now + 3.0, 6.0, set(instances.by_name))) == 1, "much later, one at a time"
+    assert run_with_silent(instances, now, 3.0, set(instances.by_name)) == []
+    assert len(run_with_silent(instances, now + 3.0, 6.0, set(instances.by_name))) == 1, (
+        "after the longer time-out, one at a time"
+    )
 
 
-def test_hung_instances_when_many_are_replaced_a_tenth_at_a_time() -> None:
+def test_many_hung_instances_are_replaced_a_tenth_at_a_time() -> None:
     instances = new_instance_set(40)
     now = run_until_serving(instances, 0.0)
     hung = {f"h-{number}" for number in range(1, 16)}
-    killed = kills(instances, now, 4.0, hung)
+    killed = run_with_silent(instances, now, 4.0, hung)
     assert len(killed) == 4 and {name for _, name in killed} <= hung
 
 
-def test_successor_begins_without_start_tokens_and_adopts_what_runs() -> None:
+def test_successor_begins_without_start_tokens_and_adopts_running_instances() -> None:
     instances = InstanceSet(FLEET, random.Random(1))
     instances.acquire(100.0, {"h-1": "a", "h-9": "b"})
     assert instances.tick(100.0) == []
     commands = instances.apply(100.0, DesiredState(4, 4))
-    assert commands == [Drain("h-9", "b")], "the one that is not desired is drained"
+    assert commands == [Drain("h-9", "b")], "the instance that is not desired is drained"
     assert instances.tick(100.01) == []
     instances.on_ready(100.1, "h-1", "a")
     assert instances.by_name["h-1"].state is InstanceState.SERVING
--- a/tests/sidecar/supervisor/test_instance_state.py
+++ b/tests/sidecar/supervisor/test_instance_state.py
@@ -1,4 +1,4 @@
-"""One instance's state machine, by all orders of its events."""
+"""The state machine of one instance, explored over all orders of its events."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 def events(instance: Instance, fresh: str) -> Iterator[tuple[str, float, Event]]:
-    """What can happen now: a name, how much time passes before it, and the event."""
-    yield "want", 0.0, lambda instance, now: instance.set_desired(now, True)
-    yield "unwant", 0.0, lambda instance, now: instance.set_desired(now, False)
+    """Yield the possible events: name, time that passes before the event, and the event."""
+    yield "desire", 0.0, lambda instance, now: instance.set_desired(now, True)
+    yield "undesire", 0.0, lambda instance, now: instance.set_desired(now, False)
     yield "retry", 0.0, lambda instance, now: instance.retry_now(now)
     for wait in (0.05, 3.0, 30.0):
         yield f"tick {wait}", wait, lambda instance, now: instance.tick(now)
@@ -39,14 +39,14 @@
         yield f"stopping {incarnation}", 0.1, partial(_stopping, incarnation)
         yield f"replace {incarnation}", 0.1, partial(_replace, incarnation)
         for exit_reason in ExitReason:
-            yield f"{exit_reason.value} {incarnation}", 0.1, partial(_ended, incarnation, exit_reason)
+            yield f"{exit_reason.value} {incarnation}", 0.1, partial(_exit, incarnation, exit_reason)
     if instance.can_start(instance.since + 100.0) and instance.state is InstanceState.WAITING:
         yield "start", 0.0, lambda instance, now: instance.start(max(now, instance.wait_until))
     if not instance.incarnation:
-        yield "found", 0.1, lambda instance, now: instance.adopt(now, fresh)
+        yield "adopt", 0.1, lambda instance, now: instance.adopt(now, fresh)
         if instance.state in ACTIVE_STATES:
             yield "started", 0.1, lambda instance, now: instance.on_started(now, fresh)
-            yield "could not", 0.1, lambda instance, now: instance.on_start_failed(now, "no room")
+            yield "start failed", 0.1, lambda instance, now: instance.on_start_failed(now, "no room")
             yield "unusable", 0.1, lambda instance, now: instance.on_unusable_files(now, "bad")
     elif instance.state is InstanceState.STOPPING:
         yield (
@@ -69,11 +69,11 @@
     return instance.replace(now, incarnation)
 
 
-def _ended(incarnation: str, exit_reason: ExitReason, instance: Instance, now: float) -> None:
+def _exit(incarnation: str, exit_reason: ExitReason, instance: Instance, now: float) -> None:
     instance.on_exit(now, incarnation, exit_reason)
 
 
-def key(instance: Instance) -> tuple[object, ...]:
+def state_key(instance: Instance) -> tuple[object, ...]:
     return (
         instance.state,
         bool(instance.incarnation),
@@ -87,11 +87,11 @@
 
 
 def test_commands_when_events_come_in_any_order_fit_the_present_incarnation() -> None:
-    """No state gives a command for an incarnation that is not the present one, or a start beside one."""
+    """No state gives a command for an incarnation other than the present one, or a start beside a process."""
     seen: dict[tuple[object, ...], Instance] = {}
     first = Instance("h-1", SETTINGS, random.Random(1))
     queue: list[tuple[Instance, float, int]] = [(first, 0.0, 0)]
-    seen[key(first)] = first
+    seen[state_key(first)] = first
     reached, steps = {first.state}, 0
     while queue:
         instance, at, depth = queue.pop(0)
@@ -111,8 +111,8 @@
                 assert name.split(" ")[0] in EXITS and not after.incarnation, name
             assert (after.state in ACTIVE_STATES) or not after.incarnation, name
             reached.add(after.state)
-            if key(after) not in seen and depth < 14:
-                seen[key(after)] = after
+            if state_key(after) not in seen and depth < 14:
+                seen[state_key(after)] = after
                 queue.append((after, now, depth + 1))
     assert reached == set(InstanceState) and len(seen) > 40 and steps > 1000
     for instance in seen.values():
@@ -120,7 +120,7 @@
 
 
 def assert_converges(start: Instance) -> None:
-    """From any state it serves in the end if it is desired, and is down if it is not."""
+    """Assert that an instance in this state finally serves if it is desired, and is down if it is not."""
     for desired in (True, False):
         expected = InstanceState.SERVING if desired else InstanceState.DOWN
         instance, now = copy.deepcopy(start), 1000.0
@@ -131,7 +131,7 @@
             if instance.incarnation and Kill(instance.name, instance.incarnation) in commands:
                 instance.on_exit(now, instance.incarnation, ExitReason.CRASH)
             if not instance.incarnation and instance.state in ACTIVE_STATES - {InstanceState.SERVING}:
-                instance.on_start_failed(now, "never came")
+                instance.on_start_failed(now, "no process")
             commands = []
             if instance.can_start(now):
                 commands = instance.start(now) + instance.on_started(now, f"new{now}")
@@ -139,14 +139,14 @@
                 instance.on_ready(now, instance.incarnation)
             if instance.state is expected:
                 break
-        assert instance.state is expected, (key(start), desired, instance.state, instance.reason)
+        assert instance.state is expected, (state_key(start), desired, instance.state, instance.reason)
 
 
 def test_transitions_lead_out_of_every_state() -> None:
     assert set(TRANSITIONS) == set(InstanceState) and all(TRANSITIONS[state] for state in InstanceState)
 
 
-def serving(now: float = 0.0) -> Instance:
+def serving_instance(now: float = 0.0) -> Instance:
     instance = Instance("h-1", SETTINGS, random.Random(1))
     instance.set_desired(now, True)
     instance.start(now)
@@ -155,8 +155,8 @@
     return instance
 
 
-def test_crash_loop_when_it_repeats_backs_off_longer_and_breaks() -> None:
-    instance, now, waits = serving(), 0.0, []
+def test_crash_loop_backs_off_longer_each_time_and_ends_in_broken() -> None:
+    instance, now, waits = serving_instance(), 0.0, []
     for incarnation in ("a", "b", "c"):
         instance.on_exit(now, incarnation, ExitReason.CRASH)
         if instance.state is InstanceState.BROKEN:
@@ -171,7 +171,7 @@
     instance.start(now + 30.0)
     instance.on_started(now + 30.0, "z")
     instance.on_exit(now + 31.0, "z", ExitReason.CRASH)
-    assert instance.state is InstanceState.BROKEN, "one try after its rest, not three"
+    assert instance.state is InstanceState.BROKEN, "one attempt after its rest, not three"
 
 
 @pytest.mark.parametrize(
@@ -184,14 +184,14 @@
     ],
 )
 def test_exit_reason_decides_the_next_state(exit_reason: ExitReason, state: InstanceState) -> None:
-    instance = serving()
+    instance = serving_instance()
     instance.on_exit(1.0, "a", exit_reason)
     assert instance.state is state and instance.wait_until < inf
     assert instance.is_failing is (exit_reason is ExitReason.CRASH)
 
 
-def test_drain_when_it_takes_too_long_is_killed_and_is_no_failure() -> None:
-    instance = serving()
+def test_instance_is_killed_when_its_drain_takes_too_long_without_counting_a_failure() -> None:
+    instance = serving_instance()
     assert instance.replace(1.0, "older") == []
     assert instance.replace(1.0, "a") == [Drain("h-1", "a")]
     assert instance.tick(2.0) == [] and instance.tick(3.5) == [Kill("h-1", "a")]
@@ -200,7 +200,7 @@
 
 
 def test_start_when_its_command_was_dropped_is_repeated() -> None:
-    """The supervisor drops commands while its lease has lapsed for a moment: no process is created."""
+    """A supervisor drops commands while its lease has lapsed: no process is created for a dropped start."""
     instance = Instance("h-1", SETTINGS, random.Random(1))
     instance.set_desired(0.0, True)
     assert instance.start(1.0) == [Start("h-1")]
--- a/tests/sidecar/supervisor/test_log_stream.py
+++ b/tests/sidecar/supervisor/test_log_stream.py
@@ -1,4 +1,4 @@
-"""The log stream that several processes write to."""
+"""The log stream to which several processes write."""
 
 from __future__ import annotations
 
@@ -26,5 +26,5 @@
         log.note("bad client", "x")
     log.write("counters {}")
     rows = read_stream(path, frozenset(), 99)
-    assert sum(row["event"] == "bad_client" for row in rows) == 5, "of a kind as many as ever"
+    assert sum(row["event"] == "bad_client" for row in rows) == 5, "the limit of lines per kind still applies"
     assert rows[-1]["event"] == "counters"
--- a/tests/sidecar/supervisor/test_name_locks.py
+++ b/tests/sidecar/supervisor/test_name_locks.py
@@ -42,7 +42,7 @@
         time.sleep(0.01)
 
 
-def test_name_lock_is_held_until_its_process_ends_however_it_does(tmp_path: Path) -> None:
+def test_name_lock_is_held_until_its_process_exits_by_any_cause(tmp_path: Path) -> None:
     assert locks.lock_owner(tmp_path, "h-1") == "" and locks.lock_owners(tmp_path) == {}
     holder = start_lock_holder(tmp_path)
     try:
@@ -55,13 +55,15 @@
         assert locks.lock_owner(tmp_path, "h-1") == incarnation, "a stopped process keeps its lock"
         holder.kill()
         until(lambda: locks.incarnation_of(holder.pid) == "")
-        assert locks.lock_owner(tmp_path, "h-1") == "", "an exited process has none, reaped or not"
-        mine = NameLock(tmp_path, "h-1")
+        assert locks.lock_owner(tmp_path, "h-1") == "", "an exited process holds no lock, reaped or not"
+        own_lock = NameLock(tmp_path, "h-1")
         assert locks.pid_of(locks.lock_owner(tmp_path, "h-1")) == os.getpid()
-        mine.record_exit_code(7)
+        own_lock.record_exit_code(7)
         assert locks.exit_code_of(tmp_path, "h-1", locks.incarnation_of(os.getpid())) == 7
-        assert locks.exit_code_of(tmp_path, "h-1", incarnation) is None, "recorded by another"
-        mine.close()
+        assert locks.exit_code_of(tmp_path, "h-1", incarnation) is None, (
+            "the code was recorded by another incarnation"
+        )
+        own_lock.close()
     finally:
         holder.kill()
         holder.wait()
--- a/tests/sidecar/supervisor/test_notifications.py
+++ b/tests/sidecar/supervisor/test_notifications.py
@@ -1,4 +1,4 @@
-"""Notifications between processes, by real datagrams."""
+"""Notifications between processes, with real datagrams."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_notification_is_received_with_its_sender_s_pid(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         received: list[tuple[int, dict[str, str]]] = []
         all_received = asyncio.Event()
 
@@ -41,16 +41,16 @@
         assert received[0] == (sender.pid, {"READY": "1", "STATUS": "all well", "X_SERVED": "1.0/5"})
         assert received[-1] == (os.getpid(), {"WATCHDOG": "1"})
         assert len(os.listdir("/proc/self/fd")) == before
-        # A successor takes the path; closing the one before does not take it away from it.
+        # A successor binds the same path; closing the first receiver must not remove the path.
         successor = NotificationReceiver(tmp_path / "n.sock", on_notification)
         receiver.close()
         assert notifier.send(STOPPING=1)
         successor.close()
-        assert not notifier.send(STOPPING=1), "without a receiver it returns at once"
+        assert not notifier.send(STOPPING=1), "without a receiver send() returns at once"
         notifier.close()
         attacher.close()
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 def test_notification_when_malformed_is_ignored() -> None:
--- a/tests/sidecar/supervisor/test_rolling_restart.py
+++ b/tests/sidecar/supervisor/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""Requests to restart, and the steps of a rolling restart."""
+"""Restart requests and the steps of a rolling restart."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         assert desired.restart is not None
         if desired.restart.phase is RestartPhase.DONE:
             break
-        (name,) = [taken for taken in desired.restart.replaced if taken not in order]
+        (name,) = [restarted for restarted in desired.restart.replaced if restarted not in order]
         order.append(name)
         assert desired.restart.replaced[name] == health[name].incarnation
         for not_serving_yet in (
@@ -41,7 +41,9 @@
             InstanceHealth("new", -1.0),
         ):
             health[name] = not_serving_yet
-            assert next_restart_step(desired, health, 1.0) is None, "the next one waits until this one serves"
+            assert next_restart_step(desired, health, 1.0) is None, (
+                "the next restart waits until this instance serves"
+            )
         health[name] = healthy(f"new{name}")
     assert order == ["h-1", "h-2", "h-3"]
     assert desired.restart is not None and desired.restart.phase is RestartPhase.DONE
--- a/tests/sidecar/supervisor/test_snapshot.py
+++ b/tests/sidecar/supervisor/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots: a crash at every system call of a write, damage at every byte, clocks that step."""
+"""Snapshots with a crash at every system call of a write, damage at every byte, and clock steps."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 
 
 class Crash(BaseException):
-    """The process is killed here."""
+    """Simulates a kill of the process."""
 
 
 class FaultyFileSystem(FileSystem):
-    """Fails at the n-th call: a kill before or after it, a full disk, or writes that take a few bytes."""
+    """Fails at the n-th call by a kill before or after it or a full disk, or makes partial writes."""
 
     def __init__(self, at: int, how: str) -> None:
         self.calls = 0
@@ -53,15 +53,15 @@
 
     def _call(self, name: str, *arguments: Any) -> Any:
         self.calls += 1
-        here = self.calls == self._at
-        if here and self._how == "before":
+        is_faulty_call = self.calls == self._at
+        if is_faulty_call and self._how == "before":
             raise Crash
-        if here and self._how == "full":
+        if is_faulty_call and self._how == "full":
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         if name == "write" and self._how == "pieces":
             arguments = (arguments[0], arguments[1][:7])
         result = getattr(FileSystem, name)(self, *arguments)
-        if here and self._how == "after":
+        if is_faulty_call and self._how == "after":
             raise Crash
         return result
 
@@ -103,7 +103,7 @@
         assert path.read_bytes() in (old, new), at
         assert decode(snapshot.read(path)).endpoints_version in (3, 4)
         assert has_failed or path.read_bytes() == new
-        write_atomically(path, new)  # a temporary file that a crash left behind does no harm
+        write_atomically(path, new)  # a temporary file left by a crash must not prevent the write
         assert path.read_bytes() == new and (how == "pieces" or counting.calls >= 6)
 
 
@@ -129,12 +129,12 @@
         (
             Timestamp(1_699_999_999.0, 3.0, "boot-b"),
             None,
-        ),  # a reboot, and a clock that is behind: from the future
+        ),  # a reboot with the wall clock behind: a snapshot from the future
         (Timestamp(1_700_000_020.0, 499.0, "boot-a"), None),
         (Timestamp(1_700_000_061.0, 561.0, "boot-a"), None),
     ],
 )
-def test_age_after_a_reboot_or_a_clock_step_is_right_or_refused(now: Timestamp, age: float | None) -> None:
+def test_age_after_a_reboot_or_a_clock_step_is_correct_or_refused(now: Timestamp, age: float | None) -> None:
     if age is None:
         with pytest.raises(SnapshotError):
             load_usable(encode(new_snapshot()), "host", "host-1", now, 60.0)
@@ -169,10 +169,10 @@
     assert sorted(endpoints.hosts) == ["n1"]
 
 
-def test_endpoint_list_of_a_node_that_came_back_has_its_later_start() -> None:
+def test_node_in_slow_start_has_its_later_start_time_in_the_endpoint_list() -> None:
     known = known_endpoints(new_snapshot(warming_up={"n1": 1234.0, "gone": 1.0}))
     assert known["hosts"][0]["born_ms"] == 1234.0 and known["seq"] == 3 and known["whole"] is True
     assert known_endpoints(new_snapshot(warming_up={"n1": 1.0}))["hosts"][0]["born_ms"] == 5, (
-        "a later start counts"
+        "the later of the two start times is used"
     )
     assert json.loads(json.dumps(known)) == known
--- a/tests/sidecar/supervisor/test_supervisor.py
+++ b/tests/sidecar/supervisor/test_supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor whose lease lapses between two commands: a dropped one is given again, or not due any more."""
+"""A supervisor whose lease lapses between two commands: a dropped command is repeated if it is still due."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 ROLE = "fleet@h"
 TOKEN = 7
 TIMEOUT_S = 30.0
-FLEET = Fleet(name="h", instances=2, at_once=2, a_second=1e9)  # both in one turn
+FLEET = Fleet(name="h", instances=2, at_once=2, a_second=1e9)  # both are started in one tick
 
 
 class LapsingClient:
-    """Holds the role, except while its lease has lapsed."""
+    """Lease client that holds the role, except while its lease has lapsed."""
 
     def __init__(self) -> None:
         self.name, self.instances, self.entries = "v", dict[str, bytes](), dict[str, Entry]()
@@ -63,7 +63,7 @@
 
 
 class LapsingProcessControl:
-    """Each call takes so long that the lease lapses."""
+    """Process control whose lease lapses during each call."""
 
     def __init__(self, lease_client: LapsingClient) -> None:
         self.on_exit: OnExit = lambda name, incarnation, reason: None
@@ -76,7 +76,7 @@
         self.lease_client.lapsed = True
 
     def find_running(self) -> dict[str, str]:
-        """Find nothing."""
+        """Return no processes."""
         return {}
 
     def start(self, name: str) -> str:
@@ -93,21 +93,21 @@
         self._record(f"kill {incarnation}")
 
     def close_listener(self, name: str) -> None:
-        """Do nothing: there is none."""
+        """Do nothing: there is no listener."""
 
     def identify(self, pid: int) -> None:
-        """Know no process."""
+        """Return None: no process is watched."""
 
     def stop_watching(self) -> None:
-        """Do nothing: none is watched."""
+        """Do nothing: no process is watched."""
 
 
 def run(
-    work: Callable[[Supervisor, LapsingClient, LapsingProcessControl], Coroutine[Any, Any, None]],
+    scenario: Callable[[Supervisor, LapsingClient, LapsingProcessControl], Coroutine[Any, Any, None]],
 ) -> None:
-    """Play it with a supervisor that has commanded both starts and carried out the first one."""
+    """Run a scenario with a supervisor that commanded two starts and carried out only the first."""
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         lease_client = LapsingClient()
         processes = LapsingProcessControl(lease_client)
         operator_file = OperatorFile(
@@ -132,13 +132,13 @@
         supervisor.start()
         await until(lambda: bool(processes.calls))
         await asyncio.sleep(3 * TICK_S)
-        assert processes.calls == ["start h-1"], "the second is dropped, and not tried without a lease"
+        assert processes.calls == ["start h-1"], "the second start is dropped while the lease has lapsed"
         assert supervisor.instances.by_name["h-2"].state is InstanceState.STARTING
-        await work(supervisor, lease_client, processes)
+        await scenario(supervisor, lease_client, processes)
         supervisor._runner.stop()
         await supervisor.leave()
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 async def until(is_reached: Callable[[], bool]) -> None:
@@ -149,23 +149,23 @@
 
 
 def test_dropped_start_when_the_lease_is_renewed_is_commanded_again() -> None:
-    async def work(
+    async def scenario(
         supervisor: Supervisor, lease_client: LapsingClient, processes: LapsingProcessControl
     ) -> None:
         lease_client.lapsed = False
         await until(lambda: len(processes.calls) > 1)
         lease_client.lapsed = False
         await asyncio.sleep(3 * TICK_S)
-        assert processes.calls == ["start h-1", "start h-2"], "each once"
+        assert processes.calls == ["start h-1", "start h-2"], "each command is carried out once"
         assert not any(instance.is_failing for instance in supervisor.instances.by_name.values()), (
-            "it is no failure of theirs"
+            "a dropped start is not a failure of the instance"
         )
 
-    run(work)
+    run(scenario)
 
 
 def test_dropped_start_when_another_supervisor_takes_over_is_forgotten() -> None:
-    async def work(
+    async def scenario(
         supervisor: Supervisor, lease_client: LapsingClient, processes: LapsingProcessControl
     ) -> None:
         lease_client.on_lost(ROLE, TOKEN, "lapsed")
@@ -173,11 +173,11 @@
         await asyncio.sleep(3 * TICK_S)
         assert processes.calls == ["start h-1"] and not supervisor.instances.by_name
 
-    run(work)
+    run(scenario)
 
 
 def test_dropped_start_when_it_is_not_desired_any_more_is_forgotten() -> None:
-    async def work(
+    async def scenario(
         supervisor: Supervisor, lease_client: LapsingClient, processes: LapsingProcessControl
     ) -> None:
         supervisor.instances.apply(time.monotonic(), DesiredState(1, 1))
@@ -189,11 +189,11 @@
             and supervisor.instances.by_name["h-2"].state is InstanceState.DOWN
         )
 
-    run(work)
+    run(scenario)
 
 
 def test_dropped_drain_when_the_lease_is_renewed_is_commanded_again_and_no_kill() -> None:
-    async def work(
+    async def scenario(
         supervisor: Supervisor, lease_client: LapsingClient, processes: LapsingProcessControl
     ) -> None:
         lease_client.lapsed = False
@@ -202,11 +202,13 @@
         lease_client.lapsed = False
         supervisor._on_desired_state(DesiredState(0, 0))
         await asyncio.sleep(3 * TICK_S)
-        assert processes.calls[2:] == ["drain incarnation of h-1"], "the second is dropped"
+        assert processes.calls[2:] == ["drain incarnation of h-1"], "the second drain is dropped"
         lease_client.lapsed = False
         await until(lambda: len(processes.calls) > 3)
         lease_client.lapsed = False
         await asyncio.sleep(3 * TICK_S)
-        assert processes.calls[2:] == ["drain incarnation of h-1", "drain incarnation of h-2"], "each once"
+        assert processes.calls[2:] == ["drain incarnation of h-1", "drain incarnation of h-2"], (
+            "each command is carried out once"
+        )
 
-    run(work)
+    run(scenario)
--- a/tests/sidecar/supervisor/test_supervisor_log_events.py
+++ b/tests/sidecar/supervisor/test_supervisor_log_events.py
@@ -1,4 +1,4 @@
-"""The supervisor's log events and the page that explains them name the same events."""
+"""The supervisor's log events are exactly those that docs/fleet.md explains."""
 
 from __future__ import annotations
 
