--- a/coveport/serving/configuration/commands.py
+++ b/coveport/serving/configuration/commands.py
@@ -18,7 +18,7 @@
 class PutConfiguration:
     """Replace the whole configuration."""
 
-    if_match: int | None  # edition that the change is based on; None: not given by the caller
+    if_match: int | None  # edition that the change is based on; None: the caller gave no edition
     body: bytes  # JSON
 
 
@@ -47,7 +47,7 @@
 Command = PutConfiguration | PatchConfiguration | StartEvacuation | EndEvacuation | SingletonCommand
 
 _CONFIGURATION_COMMANDS: Final = (PutConfiguration, PatchConfiguration, StartEvacuation, EndEvacuation)
-_SINGLETON_COMMANDS: Final = (AcquireDuties, FixUsageReports, RecordFleetOrders)  # since protocol version 5
+_SINGLETON_COMMANDS: Final = (AcquireDuties, FixUsageReports, RecordFleetOrders)  # new in protocol version 5
 
 # The order gives each command its number on the wire and on disk.
 _CODEC: Final[MessageCodec[Command]] = MessageCodec((*_CONFIGURATION_COMMANDS, *_SINGLETON_COMMANDS))
@@ -64,5 +64,5 @@
 
 
 def decode_command(data: bytes) -> Command:
-    """Return the command encoded in the bytes. Raises MalformedMessageError where there is none."""
+    """Return the command encoded in the bytes. Raises MalformedMessageError if the bytes hold no command."""
     return _CODEC.decode(data)
--- a/coveport/serving/configuration/document.py
+++ b/coveport/serving/configuration/document.py
@@ -31,7 +31,7 @@
         return tuple(name for name in self.field_texts if name not in _READ_FIELDS)
 
     def text(self) -> bytes:
-        """Return the canonical text, the same as that of `write_object` for the whole configuration."""
+        """Return the canonical text, the same text as `write_object` returns for the whole configuration."""
         write = ObjectWriter().write
         fields = (
             write(name) + b":" + (self._routes_text() if name == Config.ROUTES else text)
--- a/coveport/serving/configuration/document_cache.py
+++ b/coveport/serving/configuration/document_cache.py
@@ -1,4 +1,4 @@
-"""A small cache of documents by their text."""
+"""A small cache of documents, found by their text."""
 
 from __future__ import annotations
 
--- a/coveport/serving/configuration/duty_state_codec.py
+++ b/coveport/serving/configuration/duty_state_codec.py
@@ -1,4 +1,4 @@
-"""Encodes the state of the singleton tasks as JSON lists, without names as it has many small counts."""
+"""Encodes the state of the singleton tasks as JSON lists; without names, since the many counts are small."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def decode_singleton_state(data: bytes) -> SingletonState:
-    """Return the state encoded in the bytes. Raises MalformedMessageError where there is none."""
+    """Return the state encoded in the bytes. Raises MalformedMessageError if the bytes hold no state."""
     if not data:
         return INITIAL_SINGLETON_STATE
     try:
--- a/coveport/serving/configuration/json_text.py
+++ b/coveport/serving/configuration/json_text.py
@@ -19,7 +19,7 @@
 
 
 def read_object(raw: bytes) -> JsonObject | Refusal:
-    """Return the JSON object in a text, or a refusal where the text is truncated or something else."""
+    """Return the JSON object in a text, or a refusal where the text is truncated or is no JSON object."""
     try:
         data = json.loads(raw.decode(), parse_constant=_refuse_constant, parse_float=_finite_float)
         if b"\\u" in raw:
--- a/coveport/serving/configuration/patch.py
+++ b/coveport/serving/configuration/patch.py
@@ -1,4 +1,4 @@
-"""Applies patches to a configuration: upserts and removals of named items. The order is kept."""
+"""Applies patches to a configuration: upserts and removals of named items. Items keep their order."""
 
 from __future__ import annotations
 
--- a/coveport/serving/configuration/route_changes.py
+++ b/coveport/serving/configuration/route_changes.py
@@ -1,4 +1,4 @@
-"""Applies a change of some routes to a document without reading the others.
+"""Applies a change of some routes to a document without reading the other routes.
 
 Reading a whole configuration takes 50 us per route and blocks the process. With 30,000 routes this is longer
 than a primary may be unresponsive. The result here is byte for byte the same as that of reading and writing
@@ -34,7 +34,7 @@
 
 
 def apply_route_changes(document: Document, change: Mapping[str, Any]) -> Document | None:
-    """Apply a valid change of routes alone; return None where it changes more or may be invalid."""
+    """Apply a valid change of only routes; return None if the change affects more or may be invalid."""
     route_change = _read_change(change)
     if route_change is None:
         return None
--- a/coveport/serving/configuration/route_reader.py
+++ b/coveport/serving/configuration/route_reader.py
@@ -23,7 +23,7 @@
         self._findings = findings
         self._services = services
         self._names: set[str] = set()
-        self._first_locations: dict[tuple[str, str], str] = {}  # by host and path prefix
+        self._first_locations: dict[tuple[str, str], str] = {}  # locations of routes by host and path prefix
 
     def read(self, items: list[Any]) -> tuple[Route, ...]:
         """Return the routes in a JSON list; not usable where there are findings."""
@@ -72,7 +72,7 @@
                 self._findings.add(location, f"has the same host and path prefix as {first}")
 
     def _read_services(self, checked: Checked[RawRoute], location: str) -> tuple[WeightedService, ...]:
-        """Return the weighted services of a route, or its single service with weight 1."""
+        """Return the weighted services of a route; a single service has weight 1."""
         raw = checked.value
         if raw.service is not None and "service" not in checked.invalid_fields:
             self._check_service_exists(raw.service, f"{location}.{ROUTE['service']}")
--- a/coveport/serving/configuration/state.py
+++ b/coveport/serving/configuration/state.py
@@ -8,8 +8,9 @@
 from coveport.serving.duties.state import SingletonState
 from coveport.serving.model.findings import Finding
 
-# Number of newest changes that are recognised when a client sends them again. For older ones the client gets
-# no definite answer (`state_machine`); this takes that many further changes while its request is in flight.
+# Number of newest changes that are recognised when a client sends them again. For older changes the client
+# gets no definite answer (`state_machine`); this needs as many further changes while the client's request is
+# in flight.
 MAX_APPLIED_CHANGES: Final = 512
 
 
@@ -17,8 +18,8 @@
 class AppliedChange:
     """A change of the configuration that has been applied."""
 
-    edition: int  # of the resulting configuration
-    digest: bytes  # of the method, the edition that it is based on, and the body
+    edition: int  # edition of the resulting configuration
+    digest: bytes  # digest of the method, the edition that the change is based on, and the body
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +27,7 @@
     """The changes acknowledged to operators as durable, and the state of the singleton tasks."""
 
     configuration_text: bytes | None = None  # JSON of the newest configuration, exactly as it is served
-    edition: int = 0  # of this configuration; 0: there is none
+    edition: int = 0  # edition of this configuration; 0: no configuration
     evacuated_zones: frozenset[str] = frozenset()
     applied_changes: tuple[AppliedChange, ...] = ()  # the newest `MAX_APPLIED_CHANGES`, oldest first
     singleton_state: SingletonState = SingletonState()  # noqa: RUF009 - frozen
@@ -37,7 +38,7 @@
     """The answer to the caller of a command."""
 
     status: int  # an HTTP status
-    edition: int  # in force after the command
+    edition: int  # edition in force after the command
     findings: tuple[Finding, ...] = ()
 
 
--- a/coveport/serving/configuration/state_codec.py
+++ b/coveport/serving/configuration/state_codec.py
@@ -14,13 +14,13 @@
 from coveport.serving.wire.versions import added_in
 
 _APPLIED_CHANGE: Final = struct.Struct(f">Q{DIGEST_BYTES}s")  # edition, digest
-# First byte of a state with a digest. A state without one begins with the codec's number of its class, 0.
+# First byte of a state with a digest. A state without a digest begins with the number of its class, 0.
 _DIGEST_MARKER: Final = b"\xd1"
 
 
 @dataclass(frozen=True, slots=True)
 class _StoredState:
-    """The state as stored. Applied changes are one byte string, as they are many and small."""
+    """The state as stored. The applied changes, which are many and small, are stored as one byte string."""
 
     configuration_text: bytes | None
     edition: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _StoredStateWithSingletons:
-    """The stored state with the singleton tasks' state at its end, which is ignored before version 5."""
+    """The stored state with the singleton tasks' state at the end, which programs before version 5 ignore."""
 
     configuration_text: bytes | None
     edition: int
@@ -39,8 +39,8 @@
     singleton_state: bytes = added_in(5, b"")
 
 
-# Both classes have the same number. A state without singleton tasks is written as before version 5, and can
-# be read by both codecs.
+# Both classes have the same number in their codec. A state without singleton tasks is written as before
+# version 5, and can be read by both codecs.
 _CODEC: Final[MessageCodec[_StoredState]] = MessageCodec((_StoredState,))
 _CODEC_WITH_SINGLETONS: Final[MessageCodec[_StoredStateWithSingletons]] = MessageCodec(
     (_StoredStateWithSingletons,)
@@ -88,7 +88,7 @@
 
 
 def _verified(data: bytes) -> bytes:
-    """Return the encoded state after the digest. Raises MalformedMessageError where they do not match."""
+    """Return the encoded state after the digest. Raises MalformedMessageError if the digest doesn't match."""
     start = len(_DIGEST_MARKER) + DIGEST_BYTES
     expected = data[len(_DIGEST_MARKER) : start]
     stored = data[start:]
--- a/coveport/serving/configuration/state_machine.py
+++ b/coveport/serving/configuration/state_machine.py
@@ -141,7 +141,7 @@
 
 
 def _patch_routes(state: ControlState, change: JsonObject) -> Document | None:
-    """Apply a change of routes alone; return None where it changes more or may be invalid."""
+    """Apply a change of only routes; return None if the change affects more or may be invalid."""
     if state.configuration_text is None:
         return None
     document = read_document(state.configuration_text)
@@ -151,6 +151,6 @@
 def _patch_fully(state: ControlState, change: JsonObject) -> Document | Refusal:
     """Apply any change, and validate the whole resulting configuration."""
     current = read_object(state.configuration_text or b"{}")
-    assert not isinstance(current, Refusal)  # the text of a document
+    assert not isinstance(current, Refusal)  # the text of a document is valid
     patched = apply_patch(current, change)
     return patched if isinstance(patched, Refusal) else validate_document(patched)
--- a/coveport/serving/configuration/tenant_reader.py
+++ b/coveport/serving/configuration/tenant_reader.py
@@ -11,7 +11,7 @@
 from coveport.serving.model.findings import Findings
 from coveport.serving.wire.configuration import CONFIGURATION, TENANT
 
-_CONTROL: Final = re.compile(r"[\x00-\x1f\x7f]")  # names are sent to nodes as a header value
+_CONTROL: Final = re.compile(r"[\x00-\x1f\x7f]")  # tenant names are sent to nodes as a header value
 
 
 class TenantReader:
--- a/coveport/serving/configuration/type_checker.py
+++ b/coveport/serving/configuration/type_checker.py
@@ -15,7 +15,7 @@
 Raw = TypeVar("Raw")
 """One of the classes of `raw_types`."""
 
-LARGEST_NUMBER: Final = 2**53  # above that, whole numbers are no longer exact as 64 bit floats (RFC 8259, 6)
+LARGEST_NUMBER: Final = 2**53  # above this, whole numbers aren't exact as 64 bit floats (RFC 8259, 6)
 _ABSENT: Final = object()
 _TYPE_PHRASES: Final = {
     "str": "a string",
@@ -74,7 +74,7 @@
         return Checked(checked.value, invalid_fields) if invalid_fields else checked
 
     def _check_types(self, kind: type[Raw], data: JsonObject, location: str) -> Checked[Raw]:
-        """Check with `dacite`; as it stops at the first fault, replace the invalid field and check again."""
+        """Check with `dacite`, which stops at the first fault: replace the invalid field and check again."""
         names = FIELD_NAMES[kind]
         repaired = dict(data)
         invalid_fields: set[str] = set()
@@ -92,7 +92,7 @@
                 repaired[names[field]] = _PLACEHOLDERS[type_name]
 
     def _check_numbers(self, checked: Checked[Raw], location: str) -> list[str]:
-        """Return the fields whose number is out of range, and add a finding for each."""
+        """Return the fields whose number is out of range, and add a finding for each of these fields."""
         kind = type(checked.value)
         invalid_fields = []
         for field in _NUMBER_FIELDS[kind]:
@@ -129,7 +129,7 @@
 
 
 def _reject_bool(kind: type) -> Callable[[Any], Any]:
-    """Return a check that `dacite` lacks: in JSON, true and false are not numbers."""
+    """Return a check that `dacite` lacks: it rejects true and false, which are not numbers in JSON."""
 
     def check(value: Any) -> Any:
         if isinstance(value, bool):
@@ -140,7 +140,7 @@
 
 
 def _require(kind: type) -> Callable[[Any], Any]:
-    """Return a check to run before `dacite` builds a collection, as that raises various errors."""
+    """Return a check to run before `dacite` builds a collection, since building may raise various errors."""
 
     def check(value: Any) -> Any:
         if not isinstance(value, kind):
--- a/coveport/serving/coordinator/committed_services.py
+++ b/coveport/serving/coordinator/committed_services.py
@@ -11,7 +11,7 @@
 class CommittedServices:
     """The newest committed services and evacuated zones.
 
-    The configuration is parsed on demand: a coordinator that holds no duty doesn't need it.
+    The configuration is parsed on demand: a coordinator without duties needs no parsed configuration.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         self._parsed_edition = self._state.edition
 
     def record_committed(self, state: ControlState) -> None:
-        """Replace the state by a newer committed one."""
+        """Replace the committed state by a newer committed state."""
         self._state = state
 
     def evacuated_zones(self) -> frozenset[str]:
@@ -28,12 +28,12 @@
         return self._state.evacuated_zones
 
     def services(self) -> tuple[Service, ...]:
-        """Return the services of the newest configuration; empty before the first one."""
+        """Return the services of the newest configuration; empty before the first configuration."""
         text = self._state.configuration_text
         if self._state.edition != self._parsed_edition and text is not None:
             self._parsed_edition = self._state.edition
             configuration = read_configuration(text)
             # A configuration is validated before its commit, so only another version of this program could
-            # have committed one that can't be read here.
+            # have committed a configuration that can't be read here.
             self._services = () if isinstance(configuration, Refusal) else configuration.services
         return self._services
--- a/coveport/serving/coordinator/control_service.py
+++ b/coveport/serving/coordinator/control_service.py
@@ -16,7 +16,7 @@
 
 PRIMARY_TIMEOUT_S: Final = 0.88  # callers time out after 1 s, of which the network takes up to 0.1 s
 PRIMARY_POLL_S: Final = 0.02
-OUTCOME_TIMEOUT_S: Final = 4.0  # by then the callers of a command have given up
+OUTCOME_TIMEOUT_S: Final = 4.0  # after this time the callers of a command have given up
 DISCONNECT_WAIT_S: Final = 0.15  # longer than the round trip within which a caller's disconnect arrives
 
 
@@ -58,7 +58,7 @@
         return replica.is_primary and replica.has_quorum(self._net.now_s())
 
     async def wait_for_disconnect(self) -> None:
-        """Wait long enough to notice that the caller has disconnected: its request is cancelled meanwhile."""
+        """Wait long enough to notice a caller that has disconnected; its request is cancelled meanwhile."""
         await asyncio.sleep(DISCONNECT_WAIT_S)
 
     async def submit(self, command: bytes) -> ApiResponse:
--- a/coveport/serving/coordinator/coordinator.py
+++ b/coveport/serving/coordinator/coordinator.py
@@ -66,8 +66,8 @@
 MAINTENANCE_INTERVAL_S: Final = 0.1
 NODE_TIMEOUT_HEARTBEATS: Final = 4.5  # intervals without a heartbeat after which a node is removed
 FULL_TABLE_HEARTBEATS: Final = 2.5  # intervals within which every live node reports here or to a peer
-HANDOVER_MIN_S: Final = 0.4  # a stop leaves at least this time for another primary to take over
-HANDOVER_MAX_FRACTION: Final = 0.5  # the wait for it ends after this part of the platform's grace period
+HANDOVER_MIN_S: Final = 0.4  # a stop waits at least this long for another primary to take over
+HANDOVER_MAX_FRACTION: Final = 0.5  # the wait for a handover ends after this part of the grace period
 HANDOVER_POLL_S: Final = 0.05
 # After a stall the tables are requested from peers that sent something within this time before the stall.
 PEER_REFRESH_WINDOW_S: Final = 5.0
@@ -103,7 +103,7 @@
         self.table = NodeTable(NODE_TIMEOUT_HEARTBEATS * settings.heartbeat_ms / 1000)
         self.leases = LeaseTable()
         self.history = StateHistory()
-        self._committed_edition = 0  # newest edition that was logged
+        self._committed_edition = 0  # newest committed edition that was logged
         self.traffic = Traffic()
         self._versions = PeerVersions()
         self._rejections = RejectionThrottle(net.now_s)
--- a/coveport/serving/coordinator/coordinator_liveness.py
+++ b/coveport/serving/coordinator/coordinator_liveness.py
@@ -16,7 +16,7 @@
 SAME_ZONE: Final = 0
 SAME_REGION: Final = 1
 OTHER_REGION: Final = 2
-RESTART_ALLOWANCE_S: Final = 1.0  # a coordinator that was live this recently may be restarting
+RESTART_ALLOWANCE_S: Final = 1.0  # a coordinator that was live less than this ago may be restarting
 FORGET_AFTER_S: Final = 60.0  # after this time clients have probably dropped a lost coordinator too
 
 
@@ -41,7 +41,7 @@
             del self._last_live_s[address]
 
     def is_lookup_delayed(self, zone: str, region: str, now_s: float) -> bool:
-        """Return whether a client that calls this coordinator has probably timed out at a lost one first.
+        """Return whether a client that calls here has probably timed out at a lost coordinator first.
 
         `zone` and `region` are those of the client.
         """
--- a/coveport/serving/coordinator/duty_factory.py
+++ b/coveport/serving/coordinator/duty_factory.py
@@ -29,7 +29,7 @@
 from coveport.serving.settings.boot import BootSettings, PlatformSettings
 from coveport.serving.wire.versions import DUTIES_VERSION
 
-NO_PLATFORM: Final = PlatformSettings(("", 0))  # a platform without duties
+NO_PLATFORM: Final = PlatformSettings(("", 0))  # the settings of a platform that requires no duties
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     random_source: random.Random,
     log: EventLogger,
 ) -> DutyRunner:
-    """Return a runner for the duties in the settings; it does nothing where there are none."""
+    """Return a runner for the duties in the settings; without duties, the runner does nothing."""
     platform = settings.platform or NO_PLATFORM
     duties = make_duties(settings, platform, sources, log)
     incarnation = f"{random_source.getrandbits(64):016x}" if duties else ""
--- a/coveport/serving/coordinator/duty_lease_keeper.py
+++ b/coveport/serving/coordinator/duty_lease_keeper.py
@@ -82,12 +82,12 @@
     # -- inputs --
 
     def record_stall(self) -> None:
-        """Void confirmations from before a stall: calls may begin again after a new confirmation."""
+        """Void confirmations from before a stall: further calls begin only after a new confirmation."""
         self._lease = self._lease.invalidate(self._net.now_s())
         self._end_tenure("stalled")
 
     def record_rejected_fence(self, fence: int) -> None:
-        """Give up a fencing token that the platform has rejected."""
+        """Give up the lease under a fencing token that the platform has rejected."""
         self._lease = self._lease.reject_token(fence, self._net.now_s())
         self._end_tenure("the platform refused the fence")
 
@@ -116,7 +116,7 @@
     # -- leadership and tenure --
 
     def _observe(self) -> None:
-        """Update lease and tenure: whether this coordinator is the primary, in which view, and may act."""
+        """Update lease and tenure by whether this coordinator is the primary, and in which view."""
         replica = self._runtime.replica
         view = replica.view_epoch if replica.is_primary else None
         now_s = self._net.now_s()
@@ -151,7 +151,7 @@
 
     async def _acquire(self) -> None:
         confirmed_state = self._lease.confirmed_state
-        assert confirmed_state is not None  # else the next step would be CONFIRM
+        assert confirmed_state is not None  # without a confirmed state the next step would be CONFIRM
         await self.submit(AcquireDuties(self._lease.own_identity, confirmed_state.fencing_token))
         self._lease = self._lease.record_acquisition_end()
 
--- a/coveport/serving/coordinator/duty_runner.py
+++ b/coveport/serving/coordinator/duty_runner.py
@@ -1,8 +1,8 @@
 """Performs the duties while this coordinator holds them: commits their commands and calls the platform.
 
-Each `SingletonTask` decides which command or call is next, and `duty_lease_keeper` whether it may be made;
-this module runs the asyncio tasks. The tenure is checked again after each await, and right before the bytes
-of a call are sent.
+Each `SingletonTask` decides which command or call is next, and `duty_lease_keeper` whether this command or
+call may be made; this module runs the asyncio tasks. The tenure is checked again after each await, and right
+before the bytes of a call are sent.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from coveport.serving.duties.state import SingletonState
 from coveport.serving.log import EventLogger
 
-RETRY_PAUSE_S: Final = 0.5  # before the next command of a duty whose last one was not committed
+RETRY_PAUSE_S: Final = 0.5  # wait before the next command of a duty whose last command was not committed
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 
 
 class DutyRunner:
-    """Owns the tasks of the duties, and the time of the last call to the platform."""
+    """Owns the asyncio tasks of the duties, and the time of the last call to the platform."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
                 self._start(TaskKey(TaskKind.CALLS, duty_index), partial(self._make_calls, duty_index))
 
     def record_committed(self, state: ControlState) -> None:
-        """Replace the state of the duties by that of a newer committed state."""
+        """Replace the state of the duties by the state in a newer committed state."""
         self._state = state.singleton_state
 
     def record_stall(self) -> None:
@@ -140,7 +140,7 @@
     # -- tenure and tasks --
 
     def _tenure(self) -> Tenure | None:
-        """Return the tenure under which a duty may act now; let the duties take over for a new one first."""
+        """Return the tenure under which a duty may act now; in a new tenure, the duties first take over."""
         if self._is_stopping:
             return None
         tenure = self._lease_manager.current_tenure()
@@ -165,7 +165,7 @@
     # -- duties --
 
     async def _commit(self, duty_index: int) -> None:
-        """Commit the commands of a duty, also while a call of it is in flight."""
+        """Commit the commands of a duty, also while a call of this duty is in flight."""
         duty = self._duties[duty_index]
         async with self._commit_locks[duty_index]:
             while not self._is_paused(duty_index) and (tenure := self._tenure()) is not None:
@@ -213,7 +213,7 @@
             await asyncio.sleep(allowed_at_s - now_s)
 
     async def _post(self, call: PlatformCall, tenure: Tenure) -> CallResult:
-        """Make a call, and cancel it where the tenure ends first."""
+        """Make a call, and cancel the call if the tenure ends before the response."""
 
         def may_send() -> bool:
             return self._tenure() == tenure
--- a/coveport/serving/coordinator/heartbeat.py
+++ b/coveport/serving/coordinator/heartbeat.py
@@ -13,7 +13,7 @@
 from coveport.serving.wire.names import Heartbeat
 
 _STATES: Final = {Heartbeat.ACCEPTING: NodeState.ACCEPTING, Heartbeat.CLOSING: NodeState.DRAINING}
-_INCARNATION: Final = re.compile(r"[!-~]+")  # sent to nodes as the value of a header
+_INCARNATION: Final = re.compile(r"[!-~]+")  # the incarnation is sent to nodes as the value of a header
 _INCARNATION_LOCATION: Final = "path"
 _NUMBER_LIMIT: Final = 1e15  # whole numbers below this are exact as floats
 
--- a/coveport/serving/coordinator/lookup_api.py
+++ b/coveport/serving/coordinator/lookup_api.py
@@ -11,9 +11,10 @@
 from coveport.serving.web.router import route
 from coveport.serving.wire.names import ERROR, Lookup, Path
 
-MAX_ADDRESSES: Final = 64  # in a response
+MAX_ADDRESSES: Final = 64  # maximum number of addresses in a response
 TTL_S: Final = 1.0  # short, so that clients stop calling a lost proxy soon
-# Longer while each look-up costs the client a second at a lost coordinator; see `coordinator_liveness`.
+# Longer than TTL_S while each look-up costs the client a second at a lost coordinator (`coordinator_liveness`
+# decides).
 TTL_WHILE_DELAYED_S: Final = 4.0
 
 
--- a/coveport/serving/coordinator/node_api.py
+++ b/coveport/serving/coordinator/node_api.py
@@ -27,8 +27,8 @@
         """Create handlers; `regions`: the region of each zone.
 
         `has_quorum`: whether this coordinator has a quorum. Without a quorum heartbeats are applied, but the
-        response sends the node to another coordinator, since this one can't replicate them. Reports that
-        were replicated to a majority (`closing`, deregistrations) need no such check.
+        response sends the node to another coordinator, since this coordinator can't replicate heartbeats.
+        Reports that were replicated to a majority (`closing`, deregistrations) need no such check.
         """
         self._reports = reports
         self._has_quorum = has_quorum
@@ -37,7 +37,7 @@
 
     @route("PUT", Path.NODES)
     async def heartbeat(self, request: ApiRequest) -> ApiResponse:
-        """Register a node, or record that it is live, and its state.
+        """Register a node, or record that a registered node is live; store the state that the node reports.
 
         Return 400 where the heartbeat is invalid, 503 where the node should report to another coordinator.
         """
@@ -55,7 +55,7 @@
 
     @route("DELETE", Path.NODES)
     async def deregister(self, request: ApiRequest) -> ApiResponse:
-        """Remove a node for good; return 503 where too few coordinators acknowledged that in time."""
+        """Remove a node for good; return 503 where too few coordinators acknowledged the removal in time."""
         incarnation = request.path_suffix
         if not await self._reports.accept(deregistration(incarnation)):
             return json_response(503, {ERROR: "no other coordinator confirmed it"})
--- a/coveport/serving/coordinator/node_report_replication.py
+++ b/coveport/serving/coordinator/node_report_replication.py
@@ -3,7 +3,7 @@
 Reports are heartbeats and deregistrations. A deregistration or a heartbeat of a draining node is acknowledged
 to the node only after a majority of the core's members, and as many other coordinators as may fail at the
 same time, have acknowledged it in response to a request sent after the report arrived. Members count only if
-they have the same view as this coordinator: after a partition it might count a former majority.
+they have the same view as this coordinator, which might otherwise count a former majority after a partition.
 
 A coordinator that applies a report for the first time replicates it, and the first message on a new
 connection is the complete table, tombstones included. So a coordinator with a quorum receives each report
@@ -26,7 +26,7 @@
 
 ACK_TIMEOUT_S: Final = 0.75  # below the node's time-out of 1 s
 RETRY_INTERVAL_S: Final = 0.25  # a request may be lost with its connection, or the views may differ briefly
-BATCH_INTERVAL_S: Final = 0.25  # between messages with the heartbeats that changed nothing
+BATCH_INTERVAL_S: Final = 0.25  # between messages with the heartbeats that reported no change
 NO_ACK: Final = 0  # confirmation id of reports that need no acknowledgement
 
 
@@ -47,8 +47,10 @@
     live: Callable[[], list[str]]  # addresses of connected peers that sent something lately
     known: Callable[[], list[str]]  # addresses of all peers, connected or not
     view_epoch: Callable[[], Epoch]  # epoch of this coordinator's newest view
-    is_majority: Callable[[Collection[MemberId]], bool]  # these members and this coordinator, in that view
-    has_quorum: Callable[[], bool]  # reports received without a quorum may be delayed ones
+    # Whether these members and this coordinator are a majority in this coordinator's newest view.
+    is_majority: Callable[[Collection[MemberId]], bool]
+    # Whether this coordinator has a quorum; without one, the reports that it receives may be out of date.
+    has_quorum: Callable[[], bool]
 
 
 class NodeReportReplicator:
@@ -66,7 +68,7 @@
         """Create a replicator.
 
         `required_acks`: how many other coordinators must acknowledge a report of a draining or deregistered
-        node before it is acknowledged to the node.
+        node before this coordinator acknowledges the report to the node.
         `first_confirmation_id`: drawn at random, so that a late acknowledgement for an earlier incarnation of
         this process isn't taken for one of this incarnation.
         """
@@ -102,7 +104,7 @@
     def receive_deregistered(self, incarnations: Iterable[str]) -> None:
         """Apply the deregistrations that a proxy has recorded.
 
-        After a restart of all coordinators, proxies are the only processes that still have them.
+        After a restart of all coordinators, only the proxies still have these deregistrations.
         """
         self._apply(tuple(deregistration(incarnation) for incarnation in incarnations), "")
 
--- a/coveport/serving/coordinator/operator_api.py
+++ b/coveport/serving/coordinator/operator_api.py
@@ -1,8 +1,8 @@
 """The operators' API: the configuration, evacuations of zones, and the status of a coordinator.
 
 Changes are made by the primary. Any other coordinator redirects the caller to the primary (307); during an
-election it waits briefly for a new primary. Each response is confirmed by a majority of the core, also a
-rejection: a coordinator without a quorum could reject a change that was accepted long ago.
+election the coordinator waits briefly for a new primary. Each response, also a rejection, is confirmed by a
+majority of the core: a coordinator without a quorum could reject a change that was accepted long ago.
 
 A request for an evacuation has no version, so a delayed duplicate looks like a new request. A duplicate that
 was delayed in a queue, in the network or in a stalled process has a caller that has disconnected since.
@@ -26,14 +26,14 @@
 from coveport.serving.web.router import route
 from coveport.serving.wire.names import ERROR, Header, Path
 
-_TEMPORARY_REDIRECT: Final = 307  # the caller repeats method and body at the new location (RFC 9110, 15.4.8)
+_TEMPORARY_REDIRECT: Final = 307  # the caller repeats method and body at the new URL (RFC 9110, 15.4.8)
 
 
 class ControlPlane(Protocol):
     """The operations of the core that the handlers call."""
 
     async def submit(self, command: bytes) -> ApiResponse:
-        """Run a command at the primary, and return the response to its caller."""
+        """Run a command at the primary; return the HTTP response for the operator who sent the command."""
 
     async def read_configuration(self) -> ApiResponse:
         """Return the newest configuration, confirmed by a majority of the core."""
@@ -67,7 +67,7 @@
 
     @route("PATCH", Path.CONFIG)
     async def patch_configuration(self, request: ApiRequest) -> ApiResponse:
-        """Change some items of the configuration, each by its name."""
+        """Change the items of the configuration that the request names."""
         return await self._change_configuration(request, PatchConfiguration)
 
     @route("GET", Path.CONFIG)
@@ -124,7 +124,7 @@
 
 
 def _expected_edition(request: ApiRequest) -> int | ApiResponse | None:
-    """Return the edition in `If-Match`, None where that is missing, or the response to an invalid one."""
+    """Return the edition in `If-Match`; None without this header; for an invalid edition, the response."""
     value = request.header(Header.IF_MATCH)
     if value is None:
         return None
--- a/coveport/serving/coordinator/peer_connections.py
+++ b/coveport/serving/coordinator/peer_connections.py
@@ -1,4 +1,4 @@
-"""Connections to the other coordinators: each coordinator dials every other one.
+"""Connections to the other coordinators: each coordinator dials every other coordinator.
 
 Messages may be lost; a sender repeats a message whose loss matters. Peers ping several times within
 `PEER_TIMEOUT_S`. A connection whose peer sent nothing for that long is dropped and dialed again, since TCP's
@@ -20,7 +20,7 @@
 
 CONNECT_TIMEOUT_S: Final = 0.5
 REDIAL_INTERVAL_S: Final = 0.2
-LIVE_REDIAL_INTERVAL_S: Final = 0.02  # for a peer that has just sent something
+LIVE_REDIAL_INTERVAL_S: Final = 0.02  # interval for a peer that has just sent something
 PEER_TIMEOUT_S: Final = 1.0
 
 PeerMessageHandler = Callable[[Hello, Message], None]
--- a/coveport/serving/coordinator/peer_versions.py
+++ b/coveport/serving/coordinator/peer_versions.py
@@ -21,7 +21,7 @@
         self._coordinator_versions[address] = version
 
     def coordinator_version(self, address: str) -> int:
-        """Return the version of a coordinator; the lowest one where it hasn't connected yet."""
+        """Return a coordinator's version; the lowest version if the coordinator hasn't connected yet."""
         return self._coordinator_versions.get(address, UNANNOUNCED_VERSION)
 
     def record_proxy(self, name: str, version: int) -> None:
@@ -38,8 +38,8 @@
     def describe(self, coordinators: Iterable[str], proxies: Iterable[str]) -> dict[str, Any]:
         """Return the versions of the given live coordinators (inner addresses) and proxies (names).
 
-        `lowest` is the lowest version, that of this process included. An upgrade is in progress while it is
-        below `own`.
+        `lowest` is the lowest of these versions and of this process' own version. An upgrade is in progress
+        while `lowest` is below `own`.
         """
         known = {
             name: self._coordinator_versions[name]
--- a/coveport/serving/coordinator/platform_client.py
+++ b/coveport/serving/coordinator/platform_client.py
@@ -17,10 +17,10 @@
 from coveport.serving.web.http_client import HttpRequest, RequestFailure, send_request
 from coveport.serving.wire.names import CanonicalHeader
 
-CALL_TIMEOUT_S: Final = 4.0  # long enough for a slow platform; the call is repeated after it
+CALL_TIMEOUT_S: Final = 4.0  # long enough for a slow platform; a call without a response by then is repeated
 
-# With these the same body would be rejected again. After any other error, which may be temporary, the call is
-# repeated: a report that is not repeated would be lost.
+# After these statuses the same body would be rejected again. After any other error, which may be temporary,
+# the call is repeated: a report that is not repeated would be lost.
 INVALID_CALL_STATUSES: Final = frozenset(
     {HTTPStatus.BAD_REQUEST, HTTPStatus.REQUEST_ENTITY_TOO_LARGE, HTTPStatus.UNPROCESSABLE_ENTITY}
 )
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """Outcome of a call, and its detail for the log."""
+    """Outcome of a call, and details of this outcome for the log."""
 
     outcome: CallOutcome
     detail: str
@@ -52,7 +52,7 @@
     async def post(
         self, call: PlatformCall, credentials: Credentials, may_send: Callable[[], bool]
     ) -> CallResult:
-        """Make a call; its connection is reset if this task is cancelled.
+        """Make a call; if this asyncio task is cancelled, reset the connection of the call.
 
         `may_send` is checked right before the bytes are sent.
         """
--- a/coveport/serving/coordinator/process.py
+++ b/coveport/serving/coordinator/process.py
@@ -1,4 +1,4 @@
-"""Runs a coordinator as a process: opens its storage, and seeds its random source from the system."""
+"""Runs a coordinator as a process: opens the storage, and seeds the random source from the system."""
 
 from __future__ import annotations
 
--- a/coveport/serving/coordinator/quorum_status.py
+++ b/coveport/serving/coordinator/quorum_status.py
@@ -48,7 +48,7 @@
         return self._quorum_since_s is not None
 
     def knows_all_nodes(self) -> bool:
-        """Return whether the quorum has lasted long enough to have a report of every live node."""
+        """Return whether the quorum has lasted so long that a report of every live node has arrived."""
         if self._quorum_since_s is None:
             return False
         return self._now_s() - self._quorum_since_s >= self._full_table_after_s
--- a/coveport/serving/coordinator/replica_runtime.py
+++ b/coveport/serving/coordinator/replica_runtime.py
@@ -38,7 +38,7 @@
 class ReplicaCallbacks:
     """Functions that the runtime calls for effects of the replica."""
 
-    send: Callable[[str, object], None]  # inner address, message
+    send: Callable[[str, object], None]  # its arguments: inner address, message
     on_committed: Callable[[CommittedState], None]
 
 
--- a/coveport/serving/coordinator/stall_detector.py
+++ b/coveport/serving/coordinator/stall_detector.py
@@ -27,7 +27,7 @@
         self._last_tick_s = now_s()
 
     def check(self) -> None:
-        """Report a stall that has just ended; to be called before input that arrived during it is handled.
+        """Report a stall that has just ended; call this before handling input that arrived during the stall.
 
         The event loop may read sockets before it runs the timer of the next tick.
         """
@@ -39,6 +39,6 @@
             self._on_stall(late_s)
 
     def record_tick(self) -> None:
-        """Check, and expect the next tick `TICK_INTERVAL_S` from now."""
+        """Call `check`, and expect the next tick `TICK_INTERVAL_S` from now."""
         self.check()
         self._last_tick_s = self._now_s()
--- a/coveport/serving/coordinator/state_history.py
+++ b/coveport/serving/coordinator/state_history.py
@@ -10,7 +10,7 @@
 
 from coveport.serving.wire.messages import StateChange
 
-MAX_CHANGES: Final = 64  # a proxy that lacks more receives the complete state
+MAX_CHANGES: Final = 64  # a proxy that lacks more changes receives the complete state
 
 
 class StateHistory:
@@ -21,12 +21,13 @@
         self.encoded_state = b""
         self._changes: deque[StateChange | None] = deque(
             maxlen=MAX_CHANGES
-        )  # None: a change of the duties alone
+        )  # None: a change of only the duties
 
     def advance(self, sequence: int, encoded_state: bytes, command: bytes | None) -> None:
         """Record a newer committed state.
 
-        `command` changed the state before into this one; None where it isn't known, as after a snapshot.
+        `command` turned the previous state into this state; None where the command isn't known, as after a
+        snapshot.
         """
         if command is None or not self.is_next(sequence):
             self._changes.clear()
@@ -36,7 +37,7 @@
         self.encoded_state = encoded_state
 
     def is_next(self, sequence: int) -> bool:
-        """Return whether this sequence number directly follows that of the newest state."""
+        """Return whether `sequence` directly follows the sequence number of the newest state."""
         return sequence == self.sequence + 1
 
     def advance_duties(self) -> None:
--- a/coveport/serving/coordinator/status_report.py
+++ b/coveport/serving/coordinator/status_report.py
@@ -31,7 +31,10 @@
     describe_duties: Callable[[], dict[str, Any]]
 
     def describe(self) -> dict[str, Any]:
-        """Return the body of the status call; its keys are documented for operators and must not change."""
+        """Return the body of the status call.
+
+        The keys in the body are documented for operators and must not change.
+        """
         coordinators = [endpoint.address for endpoint in self.quorum_status.live_coordinators()]
         proxies = [lease.name for lease in self.leases.active(self.now_s())]
         return {
--- a/coveport/serving/coordinator/subscriptions.py
+++ b/coveport/serving/coordinator/subscriptions.py
@@ -17,7 +17,8 @@
 from coveport.serving.wire.messages import CoordinatorEndpoint, Update, UpdateRequest
 from coveport.serving.wire.shared_update import SharedUpdate
 
-# A request is answered after this time without a change; the proxy's next request renews its lease.
+# A request is answered after this time also without a change. The proxy's next request renews the proxy's
+# lease.
 POLL_TIMEOUT_S: Final = 0.4
 NO_VERSION: Final = -1  # version of a node table or state that a proxy doesn't have
 
@@ -29,7 +30,7 @@
         """Return whether the coordinator is connected to a majority of the core's members."""
 
     def knows_all_nodes(self) -> bool:
-        """Return whether its quorum has lasted long enough to have a report of every live node."""
+        """Return whether the quorum has lasted so long that a report of every live node has arrived."""
 
     def live_coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
         """Return the live coordinators, this one included."""
@@ -112,7 +113,7 @@
         has_quorum = self._status.has_quorum()
         have_both_just_started = request.state_sequence < 0 and self._history.sequence < 0
         if have_both_just_started and not has_quorum:
-            return False  # after a start of the whole system the first state comes here as soon as anywhere
+            return False  # at the start of the whole system no other coordinator has the first state earlier
         return (
             request.table_id != self._table_id
             or request.node_revision < self._table.revision
@@ -133,8 +134,8 @@
     def _max_proxies(self) -> int:
         """Return the upper limit on the number of proxies.
 
-        Until reports of all nodes are in, return 0 (unknown) unless the limit exceeds the one that proxies
-        start with.
+        Until this coordinator has reports of all nodes, return 0 (unknown) unless the limit exceeds the limit
+        that proxies start with.
         """
         max_proxies = self._leases.max_proxies()
         return max_proxies if self._status.knows_all_nodes() or max_proxies > INITIAL_MAX_PROXIES else 0
@@ -157,7 +158,7 @@
         )
 
     def _make_update(self, requested: RequestedVersions, current: CurrentVersions, now_s: float) -> Update:
-        """Create an update without request number and proxy count, which are filled in for each proxy."""
+        """Create an update without request number and `max_proxies`, which are filled in for each proxy."""
         nodes = self._table.changes_since(requested.node_revision, now_s)
         changes = self._history.changes_since(requested.state_sequence)
         return Update(
--- a/coveport/serving/coordinator/telemetry_replication.py
+++ b/coveport/serving/coordinator/telemetry_replication.py
@@ -1,4 +1,4 @@
-"""Replicates proxies' traffic reports to the other coordinators, so that each new primary has them."""
+"""Replicates proxies' traffic reports to the other coordinators: each new primary needs these reports."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from coveport.serving.wire.versions import TELEMETRY_VERSION
 
 PRIMARY_INTERVAL_S: Final = 0.5  # the duties of the primary need reports soon
-FOLLOWER_INTERVAL_S: Final = 2.0  # longer, since followers need reports only later: saves half of the bytes
+FOLLOWER_INTERVAL_S: Final = 2.0  # longer, as followers need reports only later; saves half of the bytes
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
         primary_address: Callable[[], str | None],
         now_s: Callable[[], float],
     ) -> None:
-        """Create a replicator; `primary_address` returns the primary's inner address, or None without one."""
+        """Create a replicator; `primary_address` returns the primary's inner address; None: no primary."""
         self.usage_log = UsageLog()
         self.table = TelemetryTable()
         self._peers = peers
@@ -99,7 +99,7 @@
         self._send_to_primary(peers)
         primary = self._primary_address()
         if primary not in peers:
-            primary = None  # this coordinator is the primary, or there is none
+            primary = None  # this coordinator is the primary, or there is no primary
         if now_s - self._sent_to_followers_s >= FOLLOWER_INTERVAL_S or primary != self._synced_primary:
             self._sent_to_followers_s = now_s
             self._send_to_followers(peers)
--- a/coveport/serving/coordinator/update_cache.py
+++ b/coveport/serving/coordinator/update_cache.py
@@ -1,4 +1,4 @@
-"""Caches encoded updates briefly, since most proxies request updates since the same versions."""
+"""Caches encoded updates briefly, since most proxies have the same versions and need the same update."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from coveport.serving.wire.shared_update import SharedUpdate
 
 LIFETIME_S: Final = 0.25  # limits how outdated the remaining times in a cached update may be
-DRAINING_LIFETIME_S: Final = 0.05  # the same for an update with a draining node
+DRAINING_LIFETIME_S: Final = 0.05  # the same limit for an update with a draining node
 
 
 @dataclass(frozen=True, slots=True)
 class RequestedVersions:
     """The versions that a proxy has; proxies with the same versions receive the same update."""
 
-    node_revision: int  # -1: the proxy has no table and needs the full one
+    node_revision: int  # -1: the proxy has no table and needs the full table
     state_sequence: int
 
 
--- a/coveport/serving/duties/commands.py
+++ b/coveport/serving/duties/commands.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireDuties:
-    """Acquire the lease under the next fencing token; refused unless the current one is `previous_token`."""
+    """Acquire the lease with the next fencing token; refused unless `previous_token` is the current token."""
 
     owner: LeaseOwner
     previous_token: int
@@ -17,9 +17,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FixUsageReports:
-    """Fix the counts of windows, and drop reports that the platform has accepted.
+    """Make the usage counts of windows final, and drop reports that the platform has accepted.
 
-    Refused under any but the current fencing token. A window that is already fixed keeps its counts.
+    Refused under any but the current fencing token. A window whose counts are already final keeps them.
     """
 
     fencing_token: int
--- a/coveport/serving/duties/demand_history.py
+++ b/coveport/serving/duties/demand_history.py
@@ -1,4 +1,4 @@
-"""The recent demand for nodes of one service in one zone: its peak and its forecast. Pure."""
+"""The recent demand for nodes of one service in one zone: peak and forecast of this demand. Does no I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 TREND_WINDOW_S: Final = 2.0  # the arrivals of the two newest windows are compared
 # A rise by fewer standard deviations of a Poisson count counts as chance.
 SIGNIFICANT_DEVIATIONS: Final = 3.0
-MAX_GROWTH: Final = 2.0  # limit of a forecast, as a factor: traffic grows in bursts, not without end
+MAX_GROWTH: Final = 2.0  # limit of a forecast, as a multiple of the current demand: bursts of traffic end
 
 
 class DemandSample(NamedTuple):
@@ -20,7 +20,7 @@
 
     at_s: float
     demand: int  # slots in use, and requests that wait for a slot
-    arrivals: int  # requests since the start of counting
+    arrivals: int  # number of requests that arrived since the start of counting
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
         return self._samples[-1].demand * min(MAX_GROWTH, 1 + self._growth_per_s() * lead_s)
 
     def _growth_per_s(self) -> float:
-        """Return the relative growth of the arrivals per second; 0 where they grow no more than by chance."""
+        """Return the relative growth of the arrivals per second; 0 where the growth may be chance."""
         newest = self._samples[-1]
         recent_start = self._last_at(newest.at_s - TREND_WINDOW_S)
         previous_start = self._last_at(newest.at_s - 2 * TREND_WINDOW_S)
--- a/coveport/serving/duties/fleet_controller.py
+++ b/coveport/serving/duties/fleet_controller.py
@@ -1,4 +1,4 @@
-"""Orders nodes from the platform: records orders of `fleet_planner`, and sends them until accepted. Pure.
+"""Orders nodes from the platform: records orders of `fleet_planner`, and returns the calls that send them.
 
 An order is recorded before it is sent, and repeated with the same bytes until the platform has answered. The
 next lease owner continues from the recorded orders: where the nodes are as ordered, the order was accepted.
@@ -32,7 +32,7 @@
 
     sent: dict[NodeGroup, FleetOrder] = field(default_factory=dict)  # the last order sent
     sent_at_s: dict[NodeGroup, float] = field(default_factory=dict)
-    accepted: dict[NodeGroup, FleetOrder] = field(default_factory=dict)  # the last order accepted
+    accepted: dict[NodeGroup, FleetOrder] = field(default_factory=dict)  # the last accepted order
     rejected: set[NodeGroup] = field(default_factory=set)  # groups for which the platform rejects orders
 
     def is_done(self, order: FleetOrder) -> bool:
@@ -58,14 +58,14 @@
         self._planner = FleetPlanner(tolerated)
         self._backoff = RetryBackoff(MIN_BACKOFF_S, MAX_BACKOFF_S)
         self._calls = _CallHistory()
-        self._recorded: dict[NodeGroup, FleetOrder] = {}  # by this lease owner
-        self._last_called: FleetOrder | None = None  # in the newest call
+        self._recorded: dict[NodeGroup, FleetOrder] = {}  # orders recorded by this lease owner
+        self._last_called: FleetOrder | None = None  # the order in the newest call
         self._observation: FleetObservation | None = None
         self._observed_at_s = -inf
         self._polled_at_s = -inf
 
     def take_over(self, state: SingletonState, now_s: float) -> None:
-        """Start as the lease owner; whether the platform has accepted the recorded orders is unknown."""
+        """Start as the lease owner, which doesn't know whether the platform accepted the recorded orders."""
         self._calls = _CallHistory()
         self._recorded.clear()
         self._backoff.reset()
@@ -77,7 +77,7 @@
     def next_command(
         self, state: SingletonState, fencing_token: int, now_s: float
     ) -> SingletonCommand | None:
-        """Return the command that records new orders; None where there are none."""
+        """Return the command that records new orders; None where there are no new orders."""
         observation = self._recent_observation(state, now_s)
         wanted_by_group = _wanted_by_group(state)
         unconfirmed = self._unconfirmed(state, observation, now_s)
@@ -131,7 +131,7 @@
     def _unconfirmed(
         self, state: SingletonState, observation: FleetObservation, now_s: float
     ) -> frozenset[NodeGroup]:
-        """Return the groups with an order of this owner that may not be accepted; all groups in a backoff."""
+        """Return the groups with an order of this owner that may be unaccepted; in a backoff, all groups."""
         if self._backoff.is_active(now_s):
             return frozenset(observation.fleets)
         own = (order for order in state.fleet_orders if self._is_own(order))
@@ -151,7 +151,7 @@
         return is_first_call or self._must_repeat(order, observation, now_s)
 
     def _must_repeat(self, order: FleetOrder, observation: FleetObservation, now_s: float) -> bool:
-        """Return whether an order was evidently not accepted, and is still wanted."""
+        """Return whether an order was evidently not accepted, and its nodes are still wanted."""
         group = group_of(order)
         fleet = observation.fleets.get(group)
         if fleet is None or group.zone not in observation.reachable_zones:
@@ -174,7 +174,7 @@
 
 
 def _is_within_bounds(order: FleetOrder, observation: FleetObservation) -> bool:
-    """Return whether the newest configuration allows an order, which may be older than it."""
+    """Return whether the newest configuration allows an order, which may be older than the configuration."""
     service = observation.services.get(order.service)
     if service is None or service.scaling is None:
         return False
--- a/coveport/serving/duties/fleet_observation.py
+++ b/coveport/serving/duties/fleet_observation.py
@@ -1,8 +1,8 @@
-"""Observes nodes and load of each service with a variable number of nodes, for the lease owner. Pure.
+"""Observes, for the lease owner, nodes and load of each service with a variable number of nodes. No I/O.
 
 The nodes' heartbeats and the proxies' reports may both be missing. Therefore an observation has a flag for
-whether it is complete: nodes and load that are not observed may still exist, as in a region that the lease
-owner can't reach.
+whether the observation is complete: nodes and load that are not observed may still exist, as in a region that
+the lease owner can't reach.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 from coveport.serving.model.configuration import Service
 from coveport.serving.model.node import Node, NodeState
 
-# Maximum age of a fresh report. Loads arrive each second; through another coordinator half a second later.
+# Maximum age of a fresh report. Load reports arrive each second, or half a second later through another
+# coordinator.
 MAX_REPORT_AGE_S: Final = 3.0
 
 
@@ -42,7 +43,7 @@
     table: TelemetryTable
     live_proxies: Callable[[float], Collection[LiveProxy]]
     nodes: Callable[[float], Iterable[Node]]
-    services: Callable[[], Iterable[Service]]  # of the newest configuration
+    services: Callable[[], Iterable[Service]]  # services of the newest configuration
     evacuated_zones: Callable[[], Collection[str]]
     regions: dict[str, str]  # region by zone, for all zones
 
@@ -55,14 +56,14 @@
     accepting: int = 0  # includes nodes that are warming up
     warming_up: int = 0
     closing: int = 0  # draining, or with a time set for their shutdown
-    slots: int = 0  # of the accepting nodes
+    slots: int = 0  # slots of the accepting nodes
     in_flight: int = 0
     waiting: int = 0
-    arrivals: int = 0  # requests since the observer's start; never decreases
+    arrivals: int = 0  # number of requests that arrived since the observer's start; never decreases
 
     @property
     def demand(self) -> int:
-        """The number of slots that would be in use now if there were enough."""
+        """The number of slots that would be in use now if there were enough slots."""
         return self.in_flight + self.waiting
 
 
@@ -84,7 +85,10 @@
 
 @dataclass(slots=True)
 class ArrivalCounter:
-    """Sums the arrivals at all proxies; the first report of a run of a proxy does not count as a burst."""
+    """Sums the arrivals at all proxies.
+
+    The arrivals in the first report of a proxy run are not counted, since they would look like a burst.
+    """
 
     _reported: dict[ReportSource, dict[NodeGroup, int]] = field(default_factory=dict)
     _totals: dict[NodeGroup, int] = field(default_factory=dict)
@@ -100,12 +104,12 @@
             reported[group] = load.arrivals
 
     def retain_only(self, sources: Collection[ReportSource]) -> None:
-        """Drop the counts of all other runs of proxies, which have ended."""
+        """Drop the counts of all runs of proxies that aren't in `sources`; these runs have ended."""
         for source in [source for source in self._reported if source not in sources]:
             del self._reported[source]
 
     def total(self, group: NodeGroup) -> int:
-        """Return the arrivals since the first report."""
+        """Return the arrivals at a group since the first report."""
         return self._totals.get(group, 0)
 
 
@@ -139,7 +143,7 @@
     def _add_loads(
         self, fleets: dict[NodeGroup, ZoneFleet], runs: Collection[ReportedState], now_s: float
     ) -> None:
-        """Add recently reported load, also of proxies whose lease has just ended: they may still serve."""
+        """Add recently reported load, also of proxies whose lease has just ended: these may still serve."""
         self._arrivals.retain_only({entry.source for entry in runs})
         for entry in runs:
             self._arrivals.record(entry)
--- a/coveport/serving/duties/fleet_planner.py
+++ b/coveport/serving/duties/fleet_planner.py
@@ -1,8 +1,8 @@
-"""Decides how many nodes each service should have in each zone. Pure.
+"""Decides how many nodes each service should have in each zone. Does no I/O.
 
-More nodes are ordered at once, for the demand expected when they will serve. Fewer nodes are ordered step by
-step, and only while observations are complete: demand or nodes that are not observed are no reason to remove
-nodes (`fleet_stability`). A lost request costs far more than a node that was not needed.
+More nodes are ordered at once, for the demand expected when the new nodes will serve. Fewer nodes are ordered
+step by step, and only while observations are complete: demand or nodes that are not observed are no reason to
+remove nodes (`fleet_stability`). A lost request costs far more than a node that was not needed.
 """
 
 from __future__ import annotations
@@ -25,18 +25,19 @@
 from coveport.serving.duties.state import FleetOrder
 from coveport.serving.model.configuration import Scaling
 
-# Whether nodes are ever removed. Two trials on small copies did not show that it pays off (docs/policy.md).
+# Whether the planner may remove nodes. Two trials on scaled-down copies did not show that removing nodes pays
+# off (docs/policy.md).
 ORDERS_FEWER: Final = False
 TAKEOVER_GRACE_S: Final = 2.0  # time in which the tables of a new lease owner fill up
-SCALE_UP_INTERVAL_S: Final = 2.0  # between two orders for a group, the second for more nodes
-SCALE_DOWN_INTERVAL_S: Final = 3.0  # same for fewer nodes: the load after the last step is known by then
-MAX_SCALE_DOWN_RATIO: Final = 0.25  # largest part of the nodes that is removed in one step
-REPLACEMENT_MARGIN_S: Final = 3.0  # nodes missing this long after they should serve are given up
+SCALE_UP_INTERVAL_S: Final = 2.0  # from any order for a group to an order for more nodes
+SCALE_DOWN_INTERVAL_S: Final = 3.0  # from any order to one for fewer nodes, when the load after it is known
+MAX_SCALE_DOWN_RATIO: Final = 0.25  # largest part of the nodes that one step may remove
+REPLACEMENT_MARGIN_S: Final = 3.0  # nodes that are missing for longer after they should serve are given up
 
 
 @dataclass(frozen=True, slots=True)
 class _GroupStatus:
-    """One node group, with the inputs of its order."""
+    """One node group, with the inputs to the decision about an order for this group."""
 
     key: NodeGroup
     fleet: ZoneFleet
@@ -71,7 +72,7 @@
         self._stability.reset(now_s)
 
     def record(self, observation: FleetObservation, wanted: Mapping[NodeGroup, int], now_s: float) -> None:
-        """Add an observation. `wanted`: the numbers of nodes ordered, by group."""
+        """Add an observation. `wanted`: the number of nodes ordered for each group."""
         self._stability.record(observation, wanted, now_s)
         for group, fleet in observation.fleets.items():
             history = self._histories.setdefault(group, DemandHistory())
@@ -94,7 +95,8 @@
     ) -> tuple[FleetOrder, ...]:
         """Return the orders to make now; `observation` must have been recorded before.
 
-        `unconfirmed`: groups whose newest order the platform may not have accepted. They get no fewer nodes.
+        `unconfirmed`: groups whose newest order the platform may not have accepted. No order reduces the
+        nodes of such a group.
         """
         if not self.is_ready(now_s):
             return ()
@@ -109,7 +111,7 @@
         return tuple(orders)
 
     def _more_nodes(self, group: _GroupStatus, observation: FleetObservation, now_s: float) -> int | None:
-        """Return a higher number of nodes, if the demand expected when they serve needs it."""
+        """Return a higher number of nodes, if the demand expected when these nodes serve needs more."""
         since_order_s = self._since_order_s(group, now_s)
         if since_order_s < SCALE_UP_INTERVAL_S:
             return None
@@ -119,12 +121,12 @@
         demand = self._demand_ahead(group, observation)
         if not exceeds_high_occupancy(demand, expected_nodes, group.slots_per_node):
             return None
-        # Always above the newest order, as its missing nodes may never start.
+        # The number is always above the newest order, as that order's missing nodes may never start.
         nodes = clamp(max(ordered_nodes + 1, nodes_for(demand, group.slots_per_node)), group.scaling)
         return nodes if nodes > ordered_nodes else None
 
     def _fewer_nodes(self, group: _GroupStatus, observation: FleetObservation, now_s: float) -> int | None:
-        """Return a number of nodes that is one step lower, if the recent demand allows it."""
+        """Return a number of nodes that is one step lower, if the recent demand allows this step."""
         if not self._may_scale_down(group, now_s):
             return None
         ordered_nodes = group.ordered_nodes
@@ -143,7 +145,7 @@
         )
 
     def _demand_ahead(self, group: _GroupStatus, observation: FleetObservation) -> float:
-        """Return the demand to size the group for when nodes that are ordered now serve.
+        """Return the demand that the group must serve when nodes that are ordered now begin to serve.
 
         This is the forecast, or the current demand with the worst loss; both at once are unlikely.
         """
@@ -156,9 +158,9 @@
         observation: FleetObservation,
         demand_of: Callable[[NodeGroup], float],
     ) -> float:
-        """Return a zone's demand, plus the demand that moves to it with the losses to be tolerated.
+        """Return a zone's demand, plus the demand that moves to this zone with the losses to be tolerated.
 
-        Where a zone is already missing, no further loss is added: its demand has moved already.
+        Where a zone is already missing, no further loss is added: that zone's demand has moved already.
         """
         tolerated = self._tolerated if observation.has_all_zones else ToleratedLosses()
         fleets = {other: fleet for other, fleet in observation.fleets.items() if other.service == key.service}
--- a/coveport/serving/duties/fleet_sizing.py
+++ b/coveport/serving/duties/fleet_sizing.py
@@ -1,4 +1,4 @@
-"""Computes the nodes that a zone needs for a demand, and its spare for the loss of zones or regions. Pure."""
+"""Computes the nodes that a zone needs for a demand, and a spare for lost zones or regions. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 from coveport.serving.model.configuration import Scaling
 
-# Occupancy of the slots that a zone is sized for, spare demand included. The rest is for random arrivals and
-# for prompts, which are prefilled one after another.
+# Part of its slots that a zone is sized to have in use, spare demand included. The other slots allow for
+# random arrivals and for prompts, which are prefilled one after another.
 TARGET_OCCUPANCY: Final = 0.65
-# Nodes are added above this occupancy, down to the target. The distance prevents oscillating orders.
+# Above this occupancy, nodes are added until the occupancy is at the target. The distance between the two
+# prevents oscillating orders.
 HIGH_OCCUPANCY: Final = 0.95
 
 
--- a/coveport/serving/duties/fleet_stability.py
+++ b/coveport/serving/duties/fleet_stability.py
@@ -1,4 +1,4 @@
-"""Tracks for how long a complete fleet has been observed under load, before nodes may be removed. Pure."""
+"""Tracks for how long a complete fleet has been observed under load, before nodes may be removed. No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Tracks when nodes or observations were last missing."""
 
     _unstable_at_s: float = inf
-    _accepting: dict[NodeGroup, int] = field(default_factory=dict)  # in the last observation
+    _accepting: dict[NodeGroup, int] = field(default_factory=dict)  # accepting nodes as last observed
     _loaded_since_s: dict[str, float] = field(default_factory=dict)  # first time with demand, by service
 
     def reset(self, now_s: float) -> None:
@@ -27,7 +27,7 @@
         self._loaded_since_s.clear()
 
     def record(self, observation: FleetObservation, wanted: Mapping[NodeGroup, int], now_s: float) -> None:
-        """Add an observation. `wanted`: the numbers of nodes ordered, by group."""
+        """Add an observation. `wanted`: the number of nodes ordered for each group."""
         if not observation.is_complete or self._lacks_nodes(observation, wanted):
             self._unstable_at_s = now_s
         self._accepting = {group: fleet.accepting for group, fleet in observation.fleets.items()}
--- a/coveport/serving/duties/lease.py
+++ b/coveport/serving/duties/lease.py
@@ -1,9 +1,9 @@
-"""The lease of the singleton tasks: when this run of a coordinator may act, and its next step. Pure.
+"""The lease of the singleton tasks: when this run of a coordinator may act, and the run's next step. No I/O.
 
 All times are on this process' monotonic clock. `L` is the length of the lease, `M` its margin, a part of `L`.
 
-1. A primary whose view became active at `a` does not acquire the lease before `a + L + M`, unless it never
-   had an owner. An acquisition raises the replicated fencing token by one, from the value that was read.
+1. A primary whose view became active at `a` does not acquire the lease before `a + L + M`, unless the lease
+   never had an owner. An acquisition raises the replicated fencing token by one, from the value read.
 2. A confirmation is a linearizable read: a majority answers, after the request at `t`, that it has promised
    no higher epoch. If the state read names this run as the owner, the lease is valid until `t + L - M`.
 3. A call begins only while the lease is valid, and is cancelled when the lease ends.
@@ -19,8 +19,9 @@
 A process that is frozen after its check may send a call when it resumes. Either the call has a lower fencing
 token than another owner's, and the platform refuses it, or no other owner has acted meanwhile.
 
-A fencing token that is acquired in one view and first confirmed in a later one (the command was carried over
-to it) counts as acquired in the later view: the previous owner may have confirmed in a view between the two.
+A fencing token that is acquired in one view and first confirmed in a later view (the command was carried over
+to the later view) counts as acquired in the later view: the previous owner may have confirmed in a view
+between the two.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 MARGIN_RATIO: Final = 0.1  # of the lease length: with 3 s, two owners are 0.6 s apart
 RENEWAL_RATIO: Final = 0.25  # of the lease length, between confirmations: several may fail in a lease
 NEVER_S: Final = float("-inf")
-FIRST_FENCING_TOKEN: Final = NO_FENCING_TOKEN + 1  # its owner has no predecessor
+FIRST_FENCING_TOKEN: Final = NO_FENCING_TOKEN + 1  # the owner with this token has no predecessor
 
 
 class LeasePhase(Enum):
@@ -56,19 +57,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SingletonLease:
-    """The lease from the view of this run; immutable: each input returns the lease after it."""
+    """The lease as this run knows it; immutable: each input returns the lease after the input."""
 
     own_identity: LeaseOwner
     length_s: float
     leading_since_s: float | None = None  # None: not the active primary
     requested_at_s: float = NEVER_S  # when the newest confirmation was requested
-    invalid_before_s: float = NEVER_S  # confirmations that were requested before do not count
-    confirmed_state: SingletonState | None = None  # read by the newest confirmation; None: none counts
+    invalid_before_s: float = NEVER_S  # confirmations that were requested earlier do not count
+    confirmed_state: SingletonState | None = None  # read by the newest valid confirmation, if any
     held_token: int = NO_FENCING_TOKEN  # the newest token with which this run was the owner
-    acts_from_s: float = NEVER_S  # with that token
+    acts_from_s: float = NEVER_S  # when this run may begin to act with `held_token`
     valid_until_s: float = NEVER_S
-    rejected_token: int = NO_FENCING_TOKEN  # highest token that the platform refused; none up to it is used
-    may_acquire_from_s: float = NEVER_S  # later than otherwise after a refused token
+    rejected_token: int = NO_FENCING_TOKEN  # highest refused token; no token up to this is used
+    may_acquire_from_s: float = NEVER_S  # no acquisition before this; later after a refused token
 
     @property
     def margin_s(self) -> float:
@@ -88,7 +89,7 @@
         return replace(self, leading_since_s=None, confirmed_state=None, valid_until_s=NEVER_S)
 
     def invalidate(self, now_s: float) -> SingletonLease:
-        """Invalidate all confirmations so far, as after a stall; a new one is needed."""
+        """Invalidate all confirmations so far, as after a stall; a new confirmation is needed."""
         return replace(
             self, confirmed_state=None, requested_at_s=NEVER_S, invalid_before_s=now_s, valid_until_s=NEVER_S
         )
--- a/coveport/serving/duties/retry_pause.py
+++ b/coveport/serving/duties/retry_pause.py
@@ -1,4 +1,4 @@
-"""Backoff between calls of a singleton task after calls that the platform did not accept. Pure."""
+"""Backoff between calls of a singleton task after calls that the platform did not accept. Does no I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from math import inf
 from typing import Final
 
-MIN_BACKOFF_S: Final = 0.1  # by then a burst above the platform's rate limit has ended
+MIN_BACKOFF_S: Final = 0.1  # after this time a burst above the platform's rate limit has ended
 MAX_BACKOFF_S: Final = 1.0  # limits the further delay after the platform has recovered
 
 
--- a/coveport/serving/duties/state.py
+++ b/coveport/serving/duties/state.py
@@ -14,13 +14,13 @@
 class LeaseOwner:
     """One run of one coordinator: after a restart or a replacement, a machine is another owner."""
 
-    name: str  # of the machine, as sent to the platform
+    name: str  # name of the machine, as sent to the platform
     incarnation: str  # random, drawn at each start of the process
 
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """The counts of one window, fixed before they are first sent: all lease owners send the same."""
+    """The final counts of one window. They are final before they are first sent: all owners send the same."""
 
     window: int
     counts: tuple[TenantCount, ...]  # sorted by tenant name
@@ -37,10 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SingletonState:
-    """The state, acknowledged like the configuration: never lost, forked or reverted."""
+    """The replicated state of the singleton tasks.
+
+    As with the configuration, an acknowledged change is never lost, forked or reverted.
+    """
 
     owner: LeaseOwner | None = None
     fencing_token: int = NO_FENCING_TOKEN  # rises with each acquisition of the lease
-    last_fixed_window: int = NO_WINDOW  # counts of this window and all before it are fixed
-    unsent_reports: tuple[UsageReport, ...] = ()  # fixed, but not known to be accepted; oldest first
-    fleet_orders: tuple[FleetOrder, ...] = ()  # the newest for each service and zone
+    last_fixed_window: int = NO_WINDOW  # the usage counts up to this window are final
+    unsent_reports: tuple[UsageReport, ...] = ()  # final, but not known to be accepted; oldest first
+    fleet_orders: tuple[FleetOrder, ...] = ()  # the newest order for each service and zone
--- a/coveport/serving/duties/state_machine.py
+++ b/coveport/serving/duties/state_machine.py
@@ -15,8 +15,9 @@
 )
 from coveport.serving.duties.state import SingletonState, UsageReport
 
-# Tenant counts in all unsent reports, about 1 MB of state. Further windows are not fixed: their counts stay
-# at the proxies and coordinators, and are submitted again once the platform has accepted older reports.
+# Maximum of tenant counts in all unsent reports, about 1 MB of state. Further windows are not made final:
+# their counts stay at the proxies and coordinators, and are submitted again once the platform has accepted
+# older reports.
 MAX_UNSENT_COUNTS: Final = 50_000
 
 
@@ -39,7 +40,7 @@
 def apply_singleton_command(
     state: SingletonState, command: SingletonCommand
 ) -> SingletonState | CommandRefusal:
-    """Return the state after a command, or why it is refused."""
+    """Return the state after a command, or why the command is refused."""
     match command:
         case AcquireDuties(owner, previous_token):
             if previous_token != state.fencing_token:
@@ -77,7 +78,7 @@
 def _take_fitting(
     unsent: tuple[UsageReport, ...], candidates: tuple[UsageReport, ...]
 ) -> tuple[UsageReport, ...]:
-    """Return the first candidates that `MAX_UNSENT_COUNTS` leaves room for."""
+    """Return the first candidates that fit into `MAX_UNSENT_COUNTS` in addition to the unsent reports."""
     used_count = sum(_size(report) for report in unsent)
     for index, report in enumerate(candidates):
         used_count += _size(report)
--- a/coveport/serving/duties/telemetry_table.py
+++ b/coveport/serving/duties/telemetry_table.py
@@ -1,4 +1,4 @@
-"""The newest report of each run of a proxy, with its load and the windows that are final. Pure."""
+"""The newest report of each run of a proxy, with load and final windows of that run. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from coveport.serving.duties.usage_ledger import ReportSource
 from coveport.serving.model.telemetry import ProxyTelemetry, ServiceLoad
 
-NO_SEQUENCE: Final = 0  # in a report of which only the counts are known
+NO_SEQUENCE: Final = 0  # sequence number of a report of which only the counts are known
 RETENTION_S: Final = 30.0  # until then a proxy without reports may be partitioned and still serve
 
 
@@ -31,7 +31,7 @@
         self._entries: dict[ReportSource, ReportedState] = {}
 
     def record(self, report: ProxyTelemetry, now_s: float) -> bool:
-        """Record a report; return whether it is newer than the last one of its source."""
+        """Record a report; return whether the report is newer than the last report of the same source."""
         if report.sequence == NO_SEQUENCE:
             return False
         source = ReportSource(report.proxy, report.incarnation)
--- a/coveport/serving/duties/usage_ledger.py
+++ b/coveport/serving/duties/usage_ledger.py
@@ -1,7 +1,7 @@
-"""The usage log: requests of tenants as counted by all proxies, by usage window. Pure.
+"""The usage log: requests of tenants as counted by all proxies, by usage window. Does no I/O.
 
 Counts are absolute and never decrease within an incarnation of a proxy. Reports are merged by the maximum, so
-that they give the same log in any order, also if repeated or forwarded by another coordinator.
+that reports give the same log in any order, also if a report is repeated or forwarded by another coordinator.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from coveport.serving.duties.state import NO_WINDOW
 from coveport.serving.model.telemetry import ProxyTelemetry, TenantCount, WindowCounts
 
-MAX_WINDOWS: Final = 120  # windows not yet fixed: ten minutes without a majority, with windows of 5 s
+MAX_WINDOWS: Final = 120  # windows that are not final: ten minutes without a majority, if windows last 5 s
 
 
 class ReportSource(NamedTuple):
@@ -23,14 +23,14 @@
 
 
 class UsageLog:
-    """Owns the counts of the windows that are not yet fixed."""
+    """Owns the counts of the windows that are not yet final."""
 
     def __init__(self) -> None:
         self._windows: dict[int, dict[ReportSource, dict[str, int]]] = {}  # the last key is the tenant
         self._last_dropped = NO_WINDOW
 
     def merge(self, report: ProxyTelemetry) -> tuple[WindowCounts, ...]:
-        """Merge a report; return its counts that are higher than the known ones."""
+        """Merge a report; return the report's counts that are higher than the known counts."""
         source = ReportSource(report.proxy, report.incarnation)
         increased = (self._merge_window(source, counts) for counts in report.windows)
         return tuple(counts for counts in increased if counts.counts)
@@ -52,7 +52,7 @@
             self.drop_until(min(self._windows))
 
     def drop_until(self, window: int) -> None:
-        """Drop a window and all earlier windows; later reports of them are ignored."""
+        """Drop a window and all earlier windows; later reports of these windows are ignored."""
         if window <= self._last_dropped:
             return
         self._last_dropped = window
@@ -60,7 +60,7 @@
             del self._windows[dropped]
 
     def first_window(self) -> int | None:
-        """Return the first window with counts; None where there is none."""
+        """Return the first window with counts; None where no window has counts."""
         return min(self._windows, default=None)
 
     def counts(self, window: int) -> tuple[TenantCount, ...]:
--- a/coveport/serving/duties/usage_schedule.py
+++ b/coveport/serving/duties/usage_schedule.py
@@ -1,8 +1,9 @@
-"""Decides which usage windows are fixed, and which reports are sent when. Pure.
+"""Decides which usage windows become final, and which reports are sent when. Does no I/O.
 
-A window is fixed once, by a command that a majority has synced, before its report is sent; so the next lease
-owner sends the same bytes. Before that the schedule waits for missing counts: of proxies with a live lease
-until the report would be late, of unresponsive proxies for a part of that, since most of them have ended.
+The counts of a window become final once, by a command that a majority has synced, before the window's report
+is sent; so the next lease owner sends the same bytes. Before the command, the schedule waits for missing
+counts: for counts of proxies with a live lease until the report would be late, for counts of unresponsive
+proxies a part of that time, since most unresponsive proxies have ended.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 from coveport.serving.model.telemetry import usage_window_at
 from coveport.serving.model.true_clock import TrueClock
 
-GRACE_S: Final = 0.6  # after a window's end, for reports that another coordinator forwards
-REPORT_MARGIN_S: Final = 3.0  # for the commit and a slow call, before the report is late
+GRACE_S: Final = 0.6  # wait after a window's end for reports that another coordinator forwards
+REPORT_MARGIN_S: Final = 3.0  # time for the commit and a slow call before the report is late
 UNRESPONSIVE_WAIT_RATIO: Final = 0.5  # of the allowed delay, spent waiting for unresponsive proxies
 TAKEOVER_GRACE_S: Final = 0.5  # time for proxies and peers to report to a new lease owner
 MAX_REPORTS_PER_COMMAND: Final = 12  # limits the size of the command after an outage
@@ -41,7 +42,7 @@
 
     usage_log: UsageLog
     table: TelemetryTable
-    live_proxies: Callable[[float], Collection[ReportSource]]  # takes the monotonic time
+    live_proxies: Callable[[float], Collection[ReportSource]]  # its argument: the monotonic time
 
 
 class UsageSchedule:
@@ -74,7 +75,7 @@
     def next_command(
         self, state: SingletonState, fencing_token: int, now_s: float
     ) -> SingletonCommand | None:
-        """Return the command that fixes the windows whose counts are complete; None where there are none."""
+        """Return the command that makes complete windows final; None where no window is complete."""
         reports = tuple(
             UsageReport(window, self._sources.usage_log.counts(window))
             for window in self._windows_to_fix(state, now_s)
@@ -108,7 +109,7 @@
                 pass  # the same report is sent under the next fencing token
 
     def _done_windows(self, state: SingletonState) -> tuple[int, ...]:
-        """Return the windows to drop from the state; windows no longer in the state are dropped here."""
+        """Return the windows to drop from the state; forget windows that are no longer in the state."""
         self._done.intersection_update(report.window for report in state.unsent_reports)
         return tuple(sorted(self._done))
 
@@ -124,9 +125,10 @@
         return windows
 
     def _first_window(self, state: SingletonState, now_s: float) -> int | None:
-        """Return the first window that is not fixed.
+        """Return the first window that is not final.
+
+        If no window is final, this is the first window with counts: earlier owners may have made none final.
 
-        If no window has been fixed, this is the first one with counts: earlier owners may have fixed none.
         """
         if state.last_fixed_window != NO_WINDOW:
             return max(state.last_fixed_window + 1, self._window_at(now_s) - MAX_WINDOWS)
--- a/coveport/serving/membership/leases.py
+++ b/coveport/serving/membership/leases.py
@@ -1,8 +1,8 @@
 """Leases of proxies: a proxy is a member while it renews its lease, by requesting updates from a coordinator.
 
-Any coordinator renews leases, and sends its peers those that it renewed. `LeaseTable.max_proxies` also counts
-proxies whose lease expired recently: a partitioned proxy still spends its quota of the budgets that all
-proxies share.
+Any coordinator renews leases, and sends its peers the leases that it renewed. `LeaseTable.max_proxies` also
+counts proxies whose lease expired recently: a partitioned proxy still spends its quota of the budgets that
+all proxies share.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-LEASE_DURATION_S: Final = 1.2  # from the last renewal; clients don't get the address of an expired lease
+LEASE_DURATION_S: Final = 1.2  # time from the last renewal; clients don't get the address of an expired lease
 # Time from the last renewal for which a quota stays reserved, since the proxy may only be partitioned.
 QUOTA_RETENTION_S: Final = 30.0
 
@@ -28,15 +28,15 @@
     zone: str
     region: str
     ready: bool  # whether clients may be sent to the proxy
-    renewal: int  # rises with every renewal within an incarnation
-    incarnation: int  # start of the process in Unix milliseconds; rises with every restart
+    renewal: int  # number that rises with every renewal within an incarnation
+    incarnation: int  # when the process started, in Unix milliseconds; rises with every restart
 
 
 @dataclass(slots=True)
 class _LeaseEntry:
     lease: ProxyLease
     renewed_at_s: float
-    renewed_locally: bool  # renewed at this coordinator, not at a peer
+    renewed_locally: bool  # whether the proxy renewed at this coordinator, not at a peer
 
 
 class LeaseTable:
@@ -91,7 +91,7 @@
         return len(self._entries)
 
     def addresses_for(self, zone: str, region: str, limit: int, now_s: float) -> list[str]:
-        """Return addresses of ready proxies: those in the zone, else those in the region, else all."""
+        """Return addresses of ready proxies in the zone; if there are none, in the region; else of all."""
         ready = [lease for lease in self.active(now_s) if lease.ready]
         same_zone = [lease.address for lease in ready if lease.zone == zone]
         same_region = [lease.address for lease in ready if lease.region == region]
--- a/coveport/serving/membership/node_table.py
+++ b/coveport/serving/membership/node_table.py
@@ -2,17 +2,17 @@
 
 Every coordinator accepts heartbeats and forwards them to its peers, so no coordinator owns the table:
 
-- Of two reports on an incarnation the newer one is applied, and draining is never undone.
+- Of two reports on an incarnation the newer report is applied, and draining is never undone.
 - Each change gets a revision of this table; a subscriber that sends its revision gets the changes since then.
 - An incarnation that times out is removed, and a later heartbeat adds it again. Time-outs run only while this
-  coordinator is able to receive (see `NodeTable.reset_timeouts`). After a partition or stall it removes the
-  nodes that are missing in the complete table of a coordinator that has reports on every live node (see
-  `NodeTable.expire_unlisted`).
+  coordinator is able to receive (see `NodeTable.reset_timeouts`). After a partition or stall, this
+  coordinator removes the nodes that are missing in the complete table of a coordinator that has reports on
+  every live node (see `NodeTable.expire_unlisted`).
 - A deregistration leaves a tombstone, and no later report adds the incarnation again. Tombstones are sent
   like entries, to proxies and to coordinators that were partitioned or restarted, and are kept for longer
   than heartbeats are delayed.
-- Of two incarnations at one address the one that reported last is valid: the new incarnation of a restarted
-  node replaces the previous one at once.
+- Of two incarnations at one address, the incarnation that reported last is valid: the new incarnation of a
+  restarted node replaces the previous incarnation at once.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 from coveport.serving.model.node import Node, NodeState, deregistration
 
-# A warm-up that ends later than recorded by more than this is a change that routing needs. Smaller
-# differences are jitter of the heartbeats, which give the remaining time.
+# If a warm-up ends more than this later than recorded, routing needs to know the change. Smaller differences
+# are jitter of the heartbeats, which give the remaining time.
 WARM_UP_CHANGE_S: Final = 0.3
 TOMBSTONE_S: Final = 600.0  # longer than a partition can delay messages
 UNCONFIRMED: Final = -inf  # value of `NodeEntry.reported_at_s`: the report may have been delayed
-MAX_TOMBSTONES: Final = 8192  # the oldest ones above this number are dropped
+MAX_TOMBSTONES: Final = 8192  # above this number, the oldest tombstones are dropped
 MAX_REMOVALS: Final = 4096  # a subscriber that missed more removals gets the complete table
 
 
@@ -60,7 +60,7 @@
     """The changes since a revision of the table."""
 
     revision: int  # revision of the table after these changes
-    is_complete: bool  # `nodes` is the complete table, not a difference
+    is_complete: bool  # whether `nodes` is the complete table, not only the changed nodes
     nodes: tuple[Node, ...]
     removed: tuple[str, ...]  # incarnations that are no longer in the table
     deregistered: tuple[str, ...] = ()  # incarnations with a tombstone, whether sent before or not
@@ -209,7 +209,7 @@
         ]
 
     def _add_tombstone(self, incarnation: str, until_s: float) -> None:
-        """Remove an incarnation for good; this is a change even if the table never had it."""
+        """Remove an incarnation for good; this is a change even if the table never had the incarnation."""
         self._tombstones[incarnation] = until_s
         if len(self._tombstones) > MAX_TOMBSTONES:
             del self._tombstones[next(iter(self._tombstones))]
--- a/coveport/serving/replication/acceptor.py
+++ b/coveport/serving/replication/acceptor.py
@@ -1,7 +1,7 @@
-"""Owns this member's promise and state, and handles the requests that witnesses and backups serve.
+"""Owns this member's promise and replicated state, and handles the requests that witnesses and backups serve.
 
-A member answers only after the records behind its answer are synced. It rejects every request whose epoch is
-below its promise: this rule alone keeps a deposed primary or candidate from having any effect.
+A member answers only after the records that its answer depends on are synced. A member rejects every request
+whose epoch is below its promise: this rule alone keeps a deposed primary or candidate from having any effect.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
 )
 from coveport.serving.replication.state_machine import Applied, Refused, StateMachine
 
-# Log compaction: after this many commands, or bytes of commands, the complete state is written in their
-# place, so that a start replays few commands and the ring of files on the disk always has room.
+# Log compaction: after this many commands, or bytes of commands, the complete state is written and replaces
+# them, so that a start replays few commands and the ring of files on the disk always has room.
 COMPACT_COMMANDS = 64
 COMPACT_BYTES = 256 * 1024
 
@@ -109,7 +109,7 @@
     # -- a view change --
 
     def prepare(self, sender: MemberId, message: Prepare) -> None:
-        """Promise to reject all lower epochs; answer with the view and the state's position."""
+        """Promise to reject all lower epochs; answer with the accepted view and the position of the state."""
         if self._is_fenced(sender, message.epoch):
             return
         if message.epoch > self.durable.promised:
@@ -135,7 +135,7 @@
         return self._state_machine.encode(self.state)
 
     def install(self, sender: MemberId, message: Install) -> None:
-        """Replace the state, once for each epoch. A state that can't be decoded gets no answer."""
+        """Replace the state, once for each epoch. If the new state can't be decoded, send no answer."""
         if self._is_fenced(sender, message.epoch):
             return
         if self.durable.state_epoch != message.epoch:
@@ -175,7 +175,7 @@
     # -- commands --
 
     def append(self, sender: MemberId, message: Append) -> None:
-        """Apply and store the primary's next command, if its epoch is that of this replica's state."""
+        """Apply and store the primary's next command, if the state was installed in the same epoch."""
         if self._is_fenced(sender, message.epoch) or message.epoch != self.durable.state_epoch:
             return
         if message.sequence > self.durable.sequence + 1:
--- a/coveport/serving/replication/bootstrap.py
+++ b/coveport/serving/replication/bootstrap.py
@@ -78,7 +78,7 @@
                 self.is_active = self._accepted.issuperset(self.view.members)
 
     def has_lost_member(self) -> bool:
-        """Return whether a seed that must answer never will, since its address now has another disk."""
+        """Return whether a seed that must answer never will, since its machine now has another disk."""
         return any(self._context.peers.is_replaced(member) for member in self.view.members)
 
     def tick(self, now_s: float) -> None:
@@ -88,7 +88,7 @@
 
 
 def ready_seeds(context: ReplicaContext, seeds: tuple[str, ...], now_s: float) -> tuple[MemberId, ...] | None:
-    """Return the members of the first view, this member first, if it may propose that view; else None.
+    """Return the members of the first view, this member first; None if this member may not propose the view.
 
     All seeds must be usable. `seeds` are inner addresses.
     """
--- a/coveport/serving/replication/catch_up.py
+++ b/coveport/serving/replication/catch_up.py
@@ -32,7 +32,7 @@
             peer.last_catch_up_at_s = now_s
 
     def _send_missing_view(self, peer: Peer, ping: Ping) -> bool:
-        """As the active primary, send the view and that it is active; return whether the peer lacked that."""
+        """As the active primary, send a view or activation that a peer lacks; return whether one was sent."""
         primary = self._leader_role.primary
         if primary is None or primary.is_paused:
             return False
@@ -45,7 +45,7 @@
         return True
 
     def commit_own_state(self, epoch: Epoch, committed: int) -> None:
-        """Add this replica's state to the committed log, if the primary of `epoch` has committed up to it."""
+        """Add this replica's state to the committed log, if the primary of `epoch` has committed it."""
         acceptor = self._context.acceptor
         durable = acceptor.durable
         if durable.state_epoch == epoch and durable.sequence == committed:
--- a/coveport/serving/replication/committed_log.py
+++ b/coveport/serving/replication/committed_log.py
@@ -1,4 +1,4 @@
-"""Owns the newest committed state that has arrived here and its last commands; brings peers up to date.
+"""Owns the newest committed state that this coordinator received, and its last commands; updates the peers.
 
 Every coordinator has a committed log, whether it is a member of the core or not. The state never goes back,
 and it contains committed commands only.
@@ -19,7 +19,7 @@
 # A snapshot counts as lost unless it arrives within MIN_TRANSFER_S plus the time for its bytes.
 MIN_TRANSFER_S = 0.4
 MIN_TRANSFER_BYTES_PER_S = 1e6
-# The newest commands are kept up to this number and size; a peer that lacks more is sent a snapshot.
+# The newest commands are kept up to this number and size; a peer that lacks more commands is sent a snapshot.
 RECENT_COMMANDS = 64
 RECENT_BYTES = 1024 * 1024
 
@@ -36,7 +36,10 @@
         self._recent_bytes = 0
 
     def advance(self, sequence: int, state: Any, command: bytes | None = None) -> None:
-        """Replace the committed state unless `sequence` is older; `command` led to it from `sequence - 1`."""
+        """Replace the committed state if `sequence` is newer.
+
+        `command` turned the state of `sequence - 1` into `state`; None if it isn't known.
+        """
         if sequence <= self.sequence:
             return
         if command is None or sequence != self.sequence + 1:
@@ -91,7 +94,7 @@
         return True
 
     def missing_after(self, sequence: int) -> CatchUpCommands | CatchUpSnapshot | None:
-        """Return the message that brings a peer from `sequence` (-1: no state) up to date; None if it is."""
+        """Return the message that updates a peer at `sequence` (-1: no state); None if nothing is missing."""
         missing_count = self.sequence - sequence
         if missing_count <= 0:
             return None
--- a/coveport/serving/replication/election.py
+++ b/coveport/serving/replication/election.py
@@ -1,4 +1,4 @@
-"""Decides when a member starts an election: no primary leads, its time-out is over, a majority answers."""
+"""Decides when a member starts an election: no primary leads, the time-out is over, a majority answers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self._earliest_start_s = max(self._earliest_start_s, until_s)
 
     def leader_address(self, view: View | None, now_s: float) -> str:
-        """Return the address of the active primary if it is a peer in contact; else ""."""
+        """Return the address of the active primary; "" unless the primary is a peer that is in contact."""
         if view is None or view.primary == self._context.own_id:
             return ""
         ping = self._context.peers.ping_of(view.primary, now_s)
--- a/coveport/serving/replication/events.py
+++ b/coveport/serving/replication/events.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Persisted:
-    """All records up to and including the Persist effect with this token are synced."""
+    """All records of the Persist effect with this token, and of all earlier effects, are synced."""
 
     token: int
 
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelCall:
-    """The caller of `request` has gone. The call is dropped unless it has started; then it continues."""
+    """The caller of `request` has gone. A call that hasn't started is dropped; a started call continues."""
 
     request: int
 
@@ -154,12 +154,12 @@
 
     sequence: int
     state: Any
-    command: bytes | None = None  # leads from the state of `sequence - 1` to this one; None: unknown
+    command: bytes | None = None  # the command that turned state `sequence - 1` into this; None: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class MessageRejected:
-    """A message was rejected for a fault that a correct coordinator never makes; reported in the log."""
+    """A message was rejected for a fault that a correct coordinator never makes; the caller logs this."""
 
     sender: str  # inner address
     problem: str
--- a/coveport/serving/replication/identity.py
+++ b/coveport/serving/replication/identity.py
@@ -48,10 +48,10 @@
     primary: MemberId
     replicas: tuple[MemberId, ...]  # the primary first; each replica holds every acknowledged change
     members: tuple[MemberId, ...]  # the voters; the next view needs a majority of them
-    previous_members: tuple[MemberId, ...] = ()  # voters too until this view is known to be active
+    previous_members: tuple[MemberId, ...] = ()  # they vote too until this view is known to be active
 
     def quorum_groups(self, active_epoch: Epoch) -> tuple[tuple[MemberId, ...], ...]:
-        """Return the groups of voters; the next view needs a majority of each (Raft's joint consensus).
+        """Return the groups of voters; the next view needs a majority of each group (Raft's joint consensus).
 
         `active_epoch` is the epoch of the newest view known to be active. A later active view doesn't prove
         that this view became active: this view may be a branch whose members never decided anything.
--- a/coveport/serving/replication/journal.py
+++ b/coveport/serving/replication/journal.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingMessage:
-    """A message that is sent after the records behind it are synced."""
+    """A message that is sent after the records that it depends on are synced."""
 
     to_address: str
     message: Message
@@ -34,8 +34,8 @@
 class Journal:
     """Changes `durable` at once, and sends messages that depend on a change only after it is synced.
 
-    The storage syncs in the order of the tokens. After a failure it keeps the records and writes them with
-    the next token, so that a synced token proves that all earlier tokens are synced too.
+    The storage syncs in the order of the tokens. After a failure the storage keeps the records, and writes
+    them with the next token, so that a synced token proves that all earlier tokens are synced too.
     """
 
     def __init__(self, durable: DurableState, outbox: Outbox, timings: Timings) -> None:
@@ -93,7 +93,7 @@
         self._last_fault_at_s = now_s
 
     def restart_timers(self, now_s: float) -> None:
-        """Count the time of pending batches from now: the process was frozen, the disk wasn't slow."""
+        """Restart the timers of the pending batches: the process was frozen, the disk wasn't slow."""
         for batch in self._batches:
             batch.started_at_s = now_s
 
--- a/coveport/serving/replication/leader_role.py
+++ b/coveport/serving/replication/leader_role.py
@@ -36,7 +36,7 @@
 # A member that promised a higher epoch rejects the primary's requests. If there is no newer view after this
 # time-out, the primary starts a view change under an even higher epoch.
 HIGHER_PROMISE_TIMEOUT_S = 0.6
-# The minimum delay before the next attempt; `max_retry_backoff_s` times the jitter is added.
+# The minimum delay before the next attempt; `max_retry_backoff_s` times the jitter is added to this delay.
 MIN_RETRY_DELAY_S = 0.1
 
 
@@ -71,7 +71,7 @@
         return self.primary is not None and not self.primary.is_paused
 
     def primary_address(self, now_s: float) -> str | None:
-        """Return the inner address of the active primary; None without contact to one."""
+        """Return the inner address of the active primary; None without contact with an active primary."""
         if self.is_active:
             return self._context.own_id.address
         return self.election.leader_address(self._context.journal.durable.view, now_s) or None
@@ -223,7 +223,7 @@
         self.primary.begin(now_s, predecessor, continues_own_state)
 
     def step_down(self, now_s: float) -> None:
-        """End the primary role, if this replica has it: another member leads or may lead."""
+        """End the primary role, if this replica is the primary: another member leads or may lead."""
         if self.primary is not None:
             primary = self.primary
             self.primary = None
@@ -291,7 +291,7 @@
         self.step_down(now_s)
 
     def _transfer_leadership(self, now_s: float, primary: Primary) -> None:
-        """Request the best usable backup to lead, at every tick; without a usable backup, keep leading."""
+        """Ask the best usable backup, at every tick, to lead; without a usable backup, keep leading."""
         successors = [
             member for member in primary.view.replicas[1:] if self._context.is_usable(member, now_s)
         ]
--- a/coveport/serving/replication/messages.py
+++ b/coveport/serving/replication/messages.py
@@ -19,20 +19,20 @@
     echo: int  # newest `counter` that the sender received from the receiver; 0: none
     locality: Locality
     promised: Epoch  # the sender rejects all lower epochs
-    view_epoch: Epoch  # of the newest view that the sender accepted; NO_EPOCH: none
-    active_epoch: Epoch  # of the newest view that the sender has recorded as active
+    view_epoch: Epoch  # epoch of the newest view that the sender accepted; NO_EPOCH: none
+    active_epoch: Epoch  # epoch of the newest view that the sender has recorded as active
     committed: int  # sequence of the sender's committed state; -1: none
     primary: str  # address of the active primary that the sender is in contact with; empty: none
-    is_leading: bool  # the sender is the active primary and has two-way contact with a majority
-    is_healthy: bool  # the sender's disk syncs in time
+    is_leading: bool  # whether the sender is the active primary and has two-way contact with a majority
+    is_healthy: bool  # whether the sender's disk syncs in time
     is_shutting_down: bool
-    may_bootstrap: bool  # the sender has accepted no view, and its disk dates from the system's first start
+    may_bootstrap: bool  # whether the sender has no view, and a disk created at the system's first start
     reaches: tuple[str, ...]  # addresses of the peers with which the sender has two-way contact
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Sent by a candidate: request a promise to reject all lower epochs (Paxos' phase 1a)."""
+    """Request of a candidate for a promise to reject all lower epochs (Paxos' phase 1a)."""
 
     epoch: Epoch
 
@@ -44,7 +44,7 @@
     epoch: Epoch
     view: View | None  # the newest view that the sender accepted
     active_epoch: Epoch
-    state_epoch: Epoch  # under which the sender's state was installed; NO_EPOCH: it has no state
+    state_epoch: Epoch  # epoch in which the sender's state was installed; NO_EPOCH: the sender has no state
     state_sequence: int
 
 
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Sent by a candidate to a replica that answered with a Promise: request its state."""
+    """Request of a candidate for the state of a replica that answered with a Promise."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Fetched:
-    """Answer to Fetch: the state; it has not changed since the promise."""
+    """Answer to Fetch: the sender's state, which has not changed since the sender's promise."""
 
     epoch: Epoch
     sequence: int
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """Sent by a candidate to each replica of its next view: replace the receiver's state."""
+    """Request of a candidate to each replica of its next view to replace the replica's state."""
 
     epoch: Epoch
     sequence: int
@@ -93,10 +93,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Sent by a candidate, and by the primary to peers that missed it: request to store a view."""
+    """Request to store a view. Sent by a candidate, and by the primary to peers that lack the view."""
 
     view: View
-    is_bootstrap: bool  # the view of a bootstrap: only a member without a view accepts it
+    is_bootstrap: bool  # whether this is the view of a bootstrap, which only a member without a view accepts
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,14 +108,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewActivated:
-    """The view of this epoch is active: its `previous_members` are voters no longer."""
+    """The view of this epoch is active: the view's `previous_members` are no longer voters."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Sent by the primary to its backups: store the next command."""
+    """Request of the primary to its backups to store the next command."""
 
     epoch: Epoch
     sequence: int
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """Sent by the primary to all members before it answers a read: check that it still leads.
+    """Sent by the primary to all members before it answers a read, to check that it still leads.
 
     Members that promised a higher epoch answer with Fenced. Raft's ReadIndex checks a majority likewise.
     """
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Sent by a primary that shuts down: request the receiver to lead at once (Raft's TimeoutNow)."""
+    """Request of a primary that shuts down to the receiver to lead at once (Raft's TimeoutNow)."""
 
     epoch: Epoch
 
--- a/coveport/serving/replication/outbox.py
+++ b/coveport/serving/replication/outbox.py
@@ -37,7 +37,7 @@
         self._effects.append(Answer(request, outcome))
 
     def publish_committed(self, sequence: int, state: object, command: bytes | None) -> None:
-        """Publish a newer committed state, with the command that led to it unless that is unknown."""
+        """Publish a newer committed state, and the command that produced the state; None: unknown."""
         self._effects.append(CommittedState(sequence, state, command))
 
     def reject_message(self, sender: MemberId, problem: Exception) -> None:
--- a/coveport/serving/replication/peers.py
+++ b/coveport/serving/replication/peers.py
@@ -1,8 +1,8 @@
 """Owns the table of the other coordinators: whether each is alive, and the status in its newest ping.
 
-A peer is alive while contact is two-way, that is, while it has recently echoed a ping from here. A peer whose
-pings arrive but which doesn't receive pings from here isn't alive. A ping's counter is its sender's clock in
-milliseconds, so the sender can compute the age of an echo.
+A peer is alive while contact is two-way, that is, while the peer has recently echoed a ping of this
+coordinator. A peer whose pings arrive but which doesn't receive this coordinator's pings isn't alive. The
+counter of a ping is the sender's clock in milliseconds, so the sender can compute the age of an echo.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     address: str
     identity: MemberId | None = None
     ping: Ping | None = None  # the newest ping from this peer
-    last_counter: int = 0  # counter of that ping
+    last_counter: int = 0  # counter of the newest ping from this peer
     echoed_at_s: float = float("-inf")  # when the newest ping that this peer echoed was sent
     alive_since_s: float = 0.0
     last_catch_up_at_s: float = float("-inf")  # when a missing view or state was last sent to this peer
@@ -45,7 +45,7 @@
 
     @property
     def locality(self) -> Locality:
-        """The failure domains from its newest ping."""
+        """The failure domains that this peer's newest ping names."""
         return self.ping.locality if self.ping else UNKNOWN_LOCALITY
 
 
@@ -62,12 +62,12 @@
         return iter(list(self._peers.values()))
 
     def add(self, address: str) -> None:
-        """Add an address, unless it is empty, present already or the own address."""
+        """Add an address, unless the address is empty, known already or this coordinator's own."""
         if address and address != self._own_id.address and address not in self._peers:
             self._peers[address] = Peer(address)
 
     def restart_timers(self, now_s: float) -> None:
-        """Count the time without contact from now: the process was frozen, the peers weren't silent."""
+        """Restart the timers of lost contact: the process was frozen, the peers weren't silent."""
         self._awake_since_s = now_s
 
     def get(self, address: str) -> Peer | None:
@@ -75,7 +75,7 @@
         return self._peers.get(address)
 
     def record_ping(self, now_s: float, sender: MemberId, ping: Ping) -> Peer:
-        """Record a ping and add the addresses in it; return its sender."""
+        """Record a ping, add the addresses that the ping names, and return the peer that sent the ping."""
         self.add(sender.address)
         peer = self._peers[sender.address]
         was_alive = self._is_alive(peer, now_s) and peer.identity == sender
@@ -98,7 +98,7 @@
         return now_s - peer.echoed_at_s < self._timings.suspect_s
 
     def is_alive(self, member: MemberId, now_s: float) -> bool:
-        """Return whether there is two-way contact with this very disk at the address; True for the own id."""
+        """Return whether contact with the member, on the same disk, is two-way; True for this coordinator."""
         if member == self._own_id:
             return True
         peer = self._peers.get(member.address)
@@ -107,7 +107,7 @@
     def is_fresh(self, member: MemberId, now_s: float) -> bool:
         """Return whether the last contact is younger than `max_contact_age_s`, which is below `suspect_s`.
 
-        A coordinator that is cut off loses its peers one after the other. The last ones still count as alive
+        A coordinator that is cut off loses its peers one after the other. The last peers still count as alive
         for a moment; an election that relies on them would fail and delay the other members.
         """
         return member == self._own_id or self.since_contact_s(member, now_s) < self._timings.max_contact_age_s
@@ -131,7 +131,7 @@
         return peer is not None and peer.identity is not None and peer.identity != member
 
     def ping_of(self, member: MemberId, now_s: float) -> Ping | None:
-        """Return the newest ping of a live peer; None for other members and the own id."""
+        """Return the newest ping of a live peer; None if the member isn't alive or is this coordinator."""
         if member == self._own_id or not self.is_alive(member, now_s):
             return None
         peer = self._peers[member.address]
--- a/coveport/serving/replication/placement.py
+++ b/coveport/serving/replication/placement.py
@@ -1,4 +1,4 @@
-"""Chooses which machines are members of the core, and which members are replicas. Pure functions."""
+"""Chooses which machines are members of the core, and which members are replicas. All functions are pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from coveport.serving.replication.identity import Locality, MemberId
 
-MAX_MEMBERS = 7  # a larger core waits for more syncs and tolerates more losses than any deployment needs
+MAX_MEMBERS = 7  # a larger core would wait for more syncs, and tolerate more losses than any deployment needs
 MAX_CANDIDATES = 10  # machines considered as members; all their subsets are rated, 1,023 at most
 
 
@@ -19,18 +19,18 @@
 
     member: MemberId
     locality: Locality
-    is_usable: bool  # may be a replica: alive, disk healthy, not shutting down
-    is_lost: bool  # a member that may be replaced by another machine; never usable
-    is_droppable: bool  # a member that may be removed without a replacement
+    is_usable: bool  # whether the machine may be a replica: alive, disk healthy, not shutting down
+    is_lost: bool  # whether this is a member that another machine may replace; such a member isn't usable
+    is_droppable: bool  # whether this is a member that may be removed without a replacement
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class SurvivableLosses:
-    """The further losses that a set of members tolerates; compared field by field, more is better."""
+    """The further losses that a set of members tolerates. Compared field by field; more losses are better."""
 
     machine_losses: int  # number of machines; capped at the losses that must be tolerated, at least 1
-    region_loss: bool  # whether it tolerates the loss of any one region
-    zone_loss: bool  # whether it tolerates the loss of any one zone
+    region_loss: bool  # whether the set tolerates the loss of any one region
+    zone_loss: bool  # whether the set tolerates the loss of any one zone
 
 
 def choose_replicas(
@@ -93,7 +93,7 @@
     newcomers: Sequence[MachineStatus],
     tolerated_losses: int,
 ) -> tuple[MemberId, ...] | None:
-    """Return the best set of members that tolerates strictly more than the current one; None without one.
+    """Return the best set of members that tolerates more losses than the current set; None if there is none.
 
     Among equally tolerant sets, prefers an odd number of members, then the fewest changes. A lost member may
     be replaced by another machine; a droppable member may be removed without a replacement.
--- a/coveport/serving/replication/primary.py
+++ b/coveport/serving/replication/primary.py
@@ -1,7 +1,7 @@
 """Owns the active primary's queue of commands.
 
-The primary replicates one command at a time, and answers its caller after all replicas of the view have
-synced the command.
+The primary replicates one command at a time, and answers the command's caller after all replicas of the view
+have synced the command.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     sequence: int
     command: bytes
     state: Any  # the state after the command
-    result: Any  # for the caller
+    result: Any  # the result for the caller
     started_at_s: float
     last_send_s: float
     appended: set[MemberId] = field(default_factory=set)  # replicas that have synced the command
@@ -51,8 +51,8 @@
 
     def __init__(self, context: ReplicaContext, view: View) -> None:
         self.view = view
-        self.is_paused = False  # set during a view change of this primary: no call is started
-        self.is_handing_over = False  # set before a backup takes over: no call is started
+        self.is_paused = False  # whether this primary runs a view change; meanwhile no call is started
+        self.is_handing_over = False  # whether a backup is about to take over; meanwhile no call is started
         self._context = context
         self._queue: deque[QueuedCommand] = deque()
         self._in_flight: InFlightCommand | None = None
@@ -120,7 +120,7 @@
     def cancel(self, request: int) -> None:
         """Remove a call whose caller has gone, unless it has been started.
 
-        A caller without an answer sends the same call to another coordinator; the first one must not take
+        A caller without an answer sends the same call to another coordinator; the first call must not take
         effect much later.
         """
         self._queue = deque(queued for queued in self._queue if queued.request != request)
@@ -199,7 +199,7 @@
                 context.outbox.send(peer.address, message)
 
     def _send_snapshots(self, now_s: float) -> None:
-        """Send the state to coordinators that just started: their proxies can't serve without it."""
+        """Send the state to coordinators that just started: their proxies can't serve without a state."""
         context = self._context
         for peer in context.peers.alive(now_s):
             is_replica = peer.identity in self.view.replicas
@@ -232,6 +232,6 @@
         return set(self.view.replicas) - in_flight.appended - {self._context.own_id}
 
     def restart_timers(self, now_s: float) -> None:
-        """Count the time of the command in flight from now: the process was frozen, no backup was slow."""
+        """Restart the timer of the command in flight: the process was frozen, no backup was slow."""
         if self._in_flight is not None:
             self._in_flight.started_at_s = now_s
--- a/coveport/serving/replication/quorum_check.py
+++ b/coveport/serving/replication/quorum_check.py
@@ -1,8 +1,8 @@
-"""Owns the answers that are held until a majority has confirmed that the primary still leads.
+"""Owns the answers that are delayed until a majority has confirmed that the primary still leads.
 
-A refusal or a read depends on the newest state. So it is answered only after a check that started after the
-call arrived, in which a majority of the members confirmed that they have promised no higher epoch. Raft's
-ReadIndex works in the same way.
+A refusal or a read depends on the newest state. So the primary answers such a call only after a check that
+started after the call arrived, in which a majority of the members confirmed that they have promised no higher
+epoch. Raft's ReadIndex works in the same way.
 """
 
 from __future__ import annotations
@@ -44,12 +44,12 @@
     def __init__(self, context: ReplicaContext, view: View) -> None:
         self._context = context
         self._view = view
-        self._unchecked: list[UnconfirmedAnswer] = []  # answers for the next check
+        self._unchecked: list[UnconfirmedAnswer] = []  # answers that wait for the next check
         self._checks: list[QuorumCheck] = []
         self._last_number = 0
 
     def add(self, answer: UnconfirmedAnswer) -> None:
-        """Hold an answer until a check that starts later than this call has succeeded."""
+        """Delay an answer until a check that starts after this call has succeeded."""
         self._unchecked.append(answer)
 
     def cancel(self, request: int) -> None:
--- a/coveport/serving/replication/reconfiguration.py
+++ b/coveport/serving/replication/reconfiguration.py
@@ -20,7 +20,7 @@
     """The reason for a view change, and its constraints on members and replicas."""
 
     reason: str
-    is_urgent: bool  # true: start without regard to `view_change_interval_s`
+    is_urgent: bool  # whether to start the view change without waiting for `view_change_interval_s`
     proposal: MembershipProposal | None = None
     avoided: frozenset[MemberId] = frozenset()  # members that shouldn't be replicas of the next view
 
@@ -43,7 +43,7 @@
         self._chosen_members: tuple[MemberId, ...] | None = None
 
     def needed_view_change(self, view: View, slow: set[MemberId], now_s: float) -> ViewChangeRequest | None:
-        """Return the view change that is needed now; None if there is none.
+        """Return the view change that is needed now; None if no view change is needed.
 
         `slow` are the backups that have not acknowledged the command in flight in time.
         """
--- a/coveport/serving/replication/records.py
+++ b/coveport/serving/replication/records.py
@@ -18,7 +18,7 @@
     """The first record on an empty disk."""
 
     disk: str  # the disk id, random hex
-    created_at_bootstrap: bool  # written during the first start of the whole system
+    created_at_bootstrap: bool  # whether the record was written at the first start of the whole system
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandRecord:
-    """The command that leads from the state of `sequence - 1` to that of `sequence`."""
+    """The command that turned the state of `sequence - 1` into the state of `sequence`."""
 
     epoch: Epoch
     sequence: int
--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -1,9 +1,9 @@
-"""One replica of the control state: dispatches each event to the responsible module, returns the effects.
+"""One replica of the control state: passes each event to the responsible module, and returns the effects.
 
 Besides dispatching, this module sets only the election delays after a start, a stall and a promise. Owners:
 
 - `acceptor.py`: the promise and the state of this replica; `journal.py`: the disk
-- `committed_log.py`: the committed state; `catch_up.py`: catch-up of peers that lack some of it
+- `committed_log.py`: the committed state; `catch_up.py`: catch-up of peers that lack a part of this state
 - `peers.py`: the liveness of peers; `ping_sender.py`: the pings that report this replica's status
 - `leader_role.py`: follower, candidate or primary; with `election.py`, `view_change.py`, `bootstrap.py`,
   `primary.py`, `quorum_check.py` and `reconfiguration.py`
@@ -58,14 +58,14 @@
 # A member that has just started listens for an active primary before an election, unless all members answer
 # earlier.
 STARTUP_ELECTION_DELAY_S = 0.25
-# A member that was frozen delays elections, since its status of the peers is outdated.
+# A member that was frozen delays elections, since what it knows about its peers is outdated.
 STALL_ELECTION_DELAY_S = 0.5
 
 
 class Replica:
     """Entry point of the package; created once in a process, from the durable state on its disk.
 
-    Raises UnreadableStateError and DivergedStateError if that state can't be restored.
+    Raises UnreadableStateError or DivergedStateError if that state can't be restored.
     """
 
     def __init__(
@@ -134,7 +134,7 @@
 
     @property
     def primary_address(self) -> str | None:
-        """Inner address of the active primary; None without contact to one."""
+        """Inner address of the active primary; None without contact with an active primary."""
         return self._leader_role.primary_address(self._now_s)
 
     @property
--- a/coveport/serving/replication/replica_context.py
+++ b/coveport/serving/replication/replica_context.py
@@ -62,7 +62,7 @@
         )
 
     def min_replicas(self, member_count: int) -> int:
-        """Return the minimum number of replicas of a view; a live majority always has enough members."""
+        """Return the minimum number of replicas of a view; any live majority has enough members for it."""
         return min(self.tolerated_losses + 1, member_count // 2 + 1)
 
     def target_replicas(self, member_count: int) -> int:
--- a/coveport/serving/replication/shutdown.py
+++ b/coveport/serving/replication/shutdown.py
@@ -7,7 +7,7 @@
 
 
 def is_safe_to_stop(context: ReplicaContext, now_s: float) -> bool:
-    """Return whether no view needs this replica's state, and its vote has moved if a spare can take it."""
+    """Return whether no view needs this replica's state, and no usable spare could take over its vote."""
     durable = context.journal.durable
     view = durable.view
     if view is None:
@@ -18,7 +18,7 @@
 
 
 def _has_spare(context: ReplicaContext, view: View, now_s: float) -> bool:
-    """Return whether a usable coordinator outside the view could become a member in this one's place."""
+    """Return whether a usable coordinator outside the view could replace this coordinator as a member."""
     candidates = [peer.identity for peer in context.peers.alive(now_s) if peer.identity is not None]
     return any(
         candidate not in view.members and context.is_usable(candidate, now_s) for candidate in candidates
--- a/coveport/serving/replication/state_machine.py
+++ b/coveport/serving/replication/state_machine.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The outcome of a valid command: the state after it, and the result for its caller."""
+    """The outcome of a valid command: the state after the command, and the result for the caller."""
 
     state: Any
     result: Any
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The outcome of a command that is invalid in the state; `result` is the reason, for its caller."""
+    """The outcome of a command that the state does not allow; `result` is the reason, for the caller."""
 
     result: Any
 
--- a/coveport/serving/replication/view_change.py
+++ b/coveport/serving/replication/view_change.py
@@ -36,8 +36,8 @@
 from coveport.serving.replication.replica_context import ReplicaContext
 from coveport.serving.replication.timings import transfer_s
 
-EXTRA_PROMISES_WAIT_S = 0.12  # after a majority promised, so that more states are available to choose from
-INSTALL_TIMEOUT_S = 0.45  # plus the time for the state's bytes; after this, another replica is chosen
+EXTRA_PROMISES_WAIT_S = 0.12  # wait after a majority promised, so that more states are available
+INSTALL_TIMEOUT_S = 0.45  # plus the time for the state's bytes; then another replica replaces the slow one
 
 
 class Step(Enum):
@@ -59,7 +59,7 @@
 
 
 class ViewChangeAttempt:
-    """The attempt with one epoch. Its owner gives it up when a step takes longer than `timeout_s`."""
+    """The attempt with one epoch. `LeaderRole` gives it up when a step takes longer than `timeout_s`."""
 
     def __init__(
         self,
@@ -189,9 +189,9 @@
     def _holds_all_acknowledged(self, member: MemberId, promise: Promise) -> bool:
         """Return whether a member holds all commands that the newest view acknowledged.
 
-        That is true of a replica of that view, and of a member that installed a state under a later epoch. It
-        is false of a member that installed the state under the view's own epoch but was replaced as too slow
-        before the view was proposed: it never received the view's commands.
+        This is true of a replica of the newest view, and of a member that installed a state under a later
+        epoch. This is false of a member that installed the state under the view's own epoch but was replaced
+        as too slow before the view was proposed: that member never received the view's commands.
         """
         newest = self._newest
         if promise.state_epoch == NO_EPOCH:
@@ -249,7 +249,7 @@
         replicas = choose_replicas(own_machine, machines, wanted, self._newest.replicas)
         self._replicas_chosen_at_s = now_s
         if len(replicas) < context.min_replicas(len(members)):
-            self._avoided.clear()  # too few are left: try the slow replicas again
+            self._avoided.clear()  # too few replicas are left: try the slow replicas again
             return
         self._replicas = replicas
         self._send_installs(now_s)
--- a/coveport/serving/settings/boot.py
+++ b/coveport/serving/settings/boot.py
@@ -36,7 +36,7 @@
     """Bounds of the operators' rules, in the unit of each name's suffix.
 
     A process uses `grace_s`, `ttl_max_s`, `retry_*`, `warm_up_*`, `lease_ms`, `usage_window_s` and
-    `usage_delay_s`. The simulation checks the system's behaviour against the others.
+    `usage_delay_s`. The simulation checks the system's behaviour against the other bounds.
     """
 
     seed_lag_s: float = 3.0
@@ -63,7 +63,7 @@
     lease_ms: float = 3000.0
     thaw_slack_ms: float = 300.0
     usage_window_s: float = 5.0
-    usage_error: float = 0.05  # fraction of the true count
+    usage_error: float = 0.05  # bound on the error of a usage count, as a fraction of the true count
     usage_delay_s: float = 10.0
     revoked_closed: bool = False
     revoke_ms: float = 5000.0
@@ -93,7 +93,7 @@
     seeds: tuple[Address, ...]  # control addresses of coordinators
     first_boot: bool
     loss_counted: bool
-    data_dir: str | None  # None: no disk
+    data_dir: str | None  # directory of the stored state; None: no disk
     serves: tuple[str, ...]
     heartbeat_ms: float  # interval between the heartbeats of a node
     regions: dict[str, str]  # region of each zone, for all zones
--- a/coveport/serving/settings/bound_checks.py
+++ b/coveport/serving/settings/bound_checks.py
@@ -1,6 +1,6 @@
 """Finds bounds of the operators that are below the times that this system requires.
 
-The required times are fixed, so a deployment with a tighter bound would break a rule under the fault named
+The required times can't be set, so a deployment with a tighter bound would break a rule under the fault named
 here. The process runs nevertheless: the decision is the operators'.
 """
 
@@ -20,7 +20,7 @@
 
     field: str  # name of a field of `Bounds`
     needed: float  # in the unit of the field
-    reason: str  # event that takes this time
+    reason: str  # the event that takes this time
 
 
 # A proxy whose coordinator stops responding subscribes at another coordinator after 1.2 s and a connect of up
--- a/coveport/serving/settings/reload.py
+++ b/coveport/serving/settings/reload.py
@@ -1,6 +1,6 @@
 """Reloads the settings file at a SIGHUP, and applies the changes that a role can apply while it runs.
 
-Other changes take effect at the next start. An invalid file changes nothing.
+Changes of other settings take effect at the next start. An invalid file changes nothing.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 class ReloadingRole(Protocol):
     """A role that can apply changes of some settings while it runs."""
 
-    reloadable: frozenset[str]  # names of those settings, as in `changed_settings`
+    reloadable: frozenset[str]  # names of the settings that can change, as in `changed_settings`
 
     def apply_settings(self, settings: BootSettings) -> None:
-        """Apply the reloadable settings among these."""
+        """Apply the values of the reloadable settings in `settings`."""
 
 
 def changed_settings(running: BootSettings, candidate: BootSettings) -> tuple[str, ...]:
@@ -55,8 +55,8 @@
 class SettingsChange:
     """The names of the settings that a reload has found changed."""
 
-    applied: tuple[str, ...]  # in effect now
-    at_next_start: tuple[str, ...]  # in effect from the next start on
+    applied: tuple[str, ...]  # changes that are in effect now
+    at_next_start: tuple[str, ...]  # changes that take effect at the next start
 
 
 @dataclass(slots=True)
--- a/coveport/serving/storage/directory_lock.py
+++ b/coveport/serving/storage/directory_lock.py
@@ -9,7 +9,7 @@
 
 from coveport.serving.storage.errors import DirectoryLockedError
 
-# Which of them is raised depends on the system: flock(2), fcntl(2).
+# Which of these errors means that the lock is held depends on the system: flock(2), fcntl(2).
 _LOCK_HELD_ERRNOS: Final = (errno.EWOULDBLOCK, errno.EACCES)
 
 
--- a/coveport/serving/storage/errors.py
+++ b/coveport/serving/storage/errors.py
@@ -12,7 +12,7 @@
 
 
 class CorruptedRecordsError(StorageError):
-    """Synced records are unreadable although later ones are readable: the disk lost data."""
+    """Synced records are unreadable although later records are readable: the disk lost data."""
 
 
 class DirectoryLockedError(StorageError, OSError):
--- a/coveport/serving/storage/open_store.py
+++ b/coveport/serving/storage/open_store.py
@@ -1,7 +1,7 @@
 """Opens the storage of a coordinator, and gives an empty disk its identity.
 
-A disk that lost synced records is treated as empty: its earlier promises and acknowledgements are unknown,
-and only a new identity keeps the other replicas from relying on them.
+A disk that lost synced records is treated as empty: the promises and acknowledgements made earlier are
+unknown, and only a new identity keeps the other replicas from relying on these promises and acknowledgements.
 """
 
 from __future__ import annotations
--- a/coveport/serving/storage/ring.py
+++ b/coveport/serving/storage/ring.py
@@ -1,10 +1,10 @@
 """A ring of preallocated files that holds records and survives torn, missing, reordered and corrupted bytes.
 
 Each use of a file begins a generation (`ring_format`): a header; then the records of a snapshot, which
-replaces all earlier generations; then the records appended after it. Everything is written twice, at the
-same offset of the two halves of the file, so that a flipped bit or a lost sector is read from the other copy.
-A batch is the data written to one file with one sync. A batch is only written after all earlier ones were
-synced, and a generation is only relied on after its snapshot was synced.
+replaces all earlier generations; then the records appended after the snapshot. Everything is written twice,
+at the same offset of the two halves of the file, so that after a flipped bit or a lost sector the data is
+read from the other copy. A batch is the data written to one file with one sync. A batch is only written after
+all earlier batches were synced, and a generation is only relied on after its snapshot was synced.
 
 The newest generation with a valid header and a complete snapshot is the one that is read (`ring_recovery`).
 After each opening and each failed write, a new generation begins in another file.
@@ -64,8 +64,9 @@
         """Open all files and return the records of the newest generation.
 
         `begin` must be called before the records are relied on, since they may not be synced. The names of
-        the files are synced even if they existed: a process that was killed right after creating them has not
-        done so. Raises UnsupportedFormatError, and CorruptedRecordsError, after which `begin` may be called.
+        the files are synced even if the files existed: a process that was killed right after creating the
+        files has not synced their names. Raises UnsupportedFormatError, and CorruptedRecordsError, after
+        which `begin` may be called.
         """
         self._files = [self._disk.open(_file_name(index)) for index in range(self._file_count)]
         self._disk.sync_directory()
@@ -94,7 +95,7 @@
         return newest
 
     def begin(self, snapshot: Sequence[bytes]) -> None:
-        """Begin a generation with these records in place of all earlier ones, synced when this returns."""
+        """Begin a generation with these records in place of all earlier records, synced when this returns."""
         index = self._next_index()
         self._current_index = -1
         self._last_number += 1
@@ -111,7 +112,7 @@
         self._newest_index = index
 
     def _next_index(self) -> int:
-        """Return the index of the next file in turn, skipping that of the newest synced generation."""
+        """Return the index of the next file in turn, skipping the file of the newest synced generation."""
         self._last_begun_index = (self._last_begun_index + 1) % self._file_count
         if self._last_begun_index == self._newest_index:
             self._last_begun_index = (self._last_begun_index + 1) % self._file_count
--- a/coveport/serving/storage/ring_format.py
+++ b/coveport/serving/storage/ring_format.py
@@ -15,7 +15,7 @@
 
 MAGIC: Final = b"CVPR"
 FORMAT_VERSION: Final = 2
-HIGHEST_PLAUSIBLE_VERSION: Final = 1000  # a higher number is garbage, not a version
+HIGHEST_PLAUSIBLE_VERSION: Final = 1000  # a number above this is garbage, not a version
 SALT_BYTES: Final = 8
 TAG_BYTES: Final = 4  # part of the salt in front of each frame, to find a frame behind a corrupted one
 
--- a/coveport/serving/storage/ring_format_1.py
+++ b/coveport/serving/storage/ring_format_1.py
@@ -27,7 +27,7 @@
 
 
 def read(data: bytes) -> Format1Generation | None:
-    """Return the generation in a file of format 1; None if there is none."""
+    """Return the generation in a file of format 1; None if the file holds no generation."""
     if len(data) < _HEADER_BYTES:
         return None
     header = data[: _HEADER.size]
--- a/coveport/serving/storage/ring_recovery.py
+++ b/coveport/serving/storage/ring_recovery.py
@@ -1,9 +1,9 @@
 """Reads the generation in a file of a ring, and distinguishes a torn tail from lost data.
 
-The records of a generation are read up to the first one that is corrupted in both copies. If no later batch
+A generation's records are read up to the first record that is corrupted in both copies. If no later batch
 follows, the record belongs to the batch that was being written at the power loss: it was never synced, and
 nothing relies on it. If a later batch follows, the disk has lost synced data, since a batch is only written
-after all earlier ones were synced.
+after all earlier batches were synced.
 """
 
 from __future__ import annotations
--- a/coveport/serving/storage/store.py
+++ b/coveport/serving/storage/store.py
@@ -11,7 +11,7 @@
 class RecordStore:
     """Appends records to a ring, and compacts them into a snapshot when they no longer fit.
 
-    Not thread-safe. Records of a failed write are kept and written with the next one.
+    Not thread-safe. Records of a failed write are kept and written with the next write.
     """
 
     def __init__(
@@ -35,11 +35,11 @@
         return recover(records)
 
     def _rewrite_after_opening(self) -> None:
-        """Write the read records again: a process that was killed may have left them unsynced."""
+        """Write the records again that were read: a process that was killed may have left them unsynced."""
         self._begin_generation()
 
     def append(self, records: Sequence[Record]) -> None:
-        """Append records, synced when this returns. After an OSError they are written with the next call."""
+        """Append records, synced when this returns. After an OSError the next call writes them too."""
         for record in records:
             self._state.apply_record(record)
         encoded = [self._encode(record) for record in records]
--- a/coveport/serving/storage/writer.py
+++ b/coveport/serving/storage/writer.py
@@ -62,7 +62,7 @@
         self._queue.put(_Write(records, on_written))
 
     def close(self, timeout_s: float) -> None:
-        """End the thread after all submitted records are written; wait at most `timeout_s` for its end."""
+        """End the thread after all submitted records are written; wait at most `timeout_s` for this end."""
         self._queue.put(None)
         self._thread.join(timeout_s)
 
@@ -78,7 +78,7 @@
                 return
 
     def _drain_queue(self, batch: list[_Write]) -> bool:
-        """Move all queued writes to the batch; return whether the thread must end after it."""
+        """Move all queued writes to the batch; return whether the thread must end after this batch."""
         while True:
             try:
                 write = self._queue.get_nowait()
--- a/coveport/serving/wire/codec.py
+++ b/coveport/serving/wire/codec.py
@@ -31,14 +31,14 @@
         return known_format
 
     def encode(self, message: T) -> bytes:
-        """Return a message as bytes; raise LocalProtocolError if the codec doesn't have its class."""
+        """Return a message as bytes; raise LocalProtocolError if the codec lacks the message's class."""
         number = self._numbers.get(type(message))
         if number is None:
             raise LocalProtocolError(f"the codec does not have the class {type(message).__qualname__}")
         return bytes([number]) + bytes(self._format(number).build(message))
 
     def decode(self, data: bytes) -> T:
-        """Return the message in the bytes; raise MalformedMessageError if they are not a valid one."""
+        """Return the message in the bytes; raise MalformedMessageError if they are no valid message."""
         if not data or data[0] >= len(self._kinds):
             raise MalformedMessageError("unknown kind of message")
         try:
--- a/coveport/serving/wire/connection.py
+++ b/coveport/serving/wire/connection.py
@@ -14,7 +14,7 @@
 from coveport.serving.wire.traffic import Traffic
 from coveport.serving.wire.versions import FRAME_VERSION
 
-# With more unsent bytes the connection is aborted, so that a frozen peer can't exhaust the memory.
+# If more bytes are unsent than this, the connection is aborted: a frozen peer must not exhaust the memory.
 MAX_UNSENT_BYTES: Final = 16 * 1024 * 1024
 
 MessageHandler = Callable[["Connection", Message], None]
@@ -47,7 +47,7 @@
         self._traffic = traffic if traffic is not None else Traffic()
         self._reader = FrameReader()
         self._transport: asyncio.Transport | None = None
-        self.last_received_s = 0.0  # by the net's clock; at first the time at which the connection was made
+        self.last_received_s = 0.0  # by the net's clock; at first, the time of connecting
         self.peer: object = None  # data that the owner attaches to the connection
 
     @property
@@ -100,7 +100,7 @@
         self.send_frame(type(message), write_frame(CODEC.encode(message)))
 
     def send_frame(self, kind: type, frame: bytes) -> None:
-        """Send a message of class `kind` that is already framed, as `send` does."""
+        """Like `send`, for a message of class `kind` that is already framed."""
         if self._write(frame):
             self._traffic.record_sent(kind, len(frame))
 
--- a/coveport/serving/wire/dataclass_formats.py
+++ b/coveport/serving/wire/dataclass_formats.py
@@ -38,7 +38,7 @@
 
 
 def cache_encodings(kind: type[T]) -> type[T]:
-    """Cache the encodings of a dataclass's values within messages; meant for values that are sent often.
+    """Cache the encodings of a dataclass's values within messages; for classes whose values are sent often.
 
     Equal values must have equal encodings.
     """
@@ -64,7 +64,7 @@
         values = [field_format._parsereport(stream, context, path) for _, field_format in original]
         for _, field_format in self._fields[self._original_count :]:
             if _is_at_end(stream):
-                break  # an older version wrote the message: the other fields get their defaults
+                break  # an older version wrote the message: the remaining fields get their defaults
             values.append(field_format._parsereport(stream, context, path))
         return self._kind(*values)
 
@@ -151,7 +151,7 @@
 
 
 def _nested_format(kind: type) -> Any:
-    """Return the format of a dataclass that is a field of another one."""
+    """Return the format of a dataclass that is a field of another dataclass."""
     if any(is_added(field) for field in dataclasses.fields(kind)):
         raise LocalProtocolError(f"{kind.__qualname__} is nested, so it can't have added fields")
     return _CachedDataclassFormat(kind) if kind in _cached_kinds else DataclassFormat(kind)
--- a/coveport/serving/wire/messages.py
+++ b/coveport/serving/wire/messages.py
@@ -1,8 +1,8 @@
 """Messages among coordinators, and between proxies and coordinators, except those of replication.
 
 Fields are encoded by their order and type (see `dataclass_formats`), classes by their position in `MESSAGES`:
-neither may be moved. A new field goes to the end of its message, declared with `added_in`. A changed type, or
-a new field of a nested dataclass, needs a new version of the frames (see `versions`).
+neither fields nor classes may be moved. A new field goes to the end of its message, declared with `added_in`.
+A changed type, or a new field of a nested dataclass, needs a new version of the frames (see `versions`).
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 class NodeReports:
     """Reports on nodes, forwarded by the coordinator that received them."""
 
-    confirmation_id: int  # if not 0, the receiver answers with a `NodeReportsAck` of this number
+    confirmation_id: int  # unless this is 0, the receiver answers with a `NodeReportsAck` of this number
     nodes: tuple[Node, ...]
     # Whether `nodes` is the sender's complete table, with its tombstones.
     is_complete_table: bool = added_in(4, default=False)
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateRequest:
-    """A proxy's request for everything newer than its own data; it renews the proxy's lease."""
+    """A proxy's request for everything newer than the proxy's data; the request renews the proxy's lease."""
 
     lease: ProxyLease
     table_id: str  # identity of the node table to which `node_revision` belongs; empty: none
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsubscribe:
-    """A proxy's last message on a connection: it uses a nearer coordinator, and its lease stays valid."""
+    """A proxy's last message on a connection: it now uses a nearer coordinator; its lease stays valid."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,17 +101,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """The answer to an `UpdateRequest`: everything newer, or nothing after the maximum wait.
+    """The answer to an `UpdateRequest`: all newer data; empty if there is none by the maximum wait.
 
-    A proxy that gets an update without `has_quorum` requests its next one from another coordinator.
+    A proxy that gets an update without `has_quorum` requests its next update from another coordinator.
     """
 
     request_number: int
     has_quorum: bool  # whether the sender is in contact with a majority of the core
-    knows_all_nodes: bool  # whether that contact has lasted long enough for a report of every live node
+    knows_all_nodes: bool  # whether the sender has a report of every live node, after long enough contact
     table_id: str
     node_revision: int
-    is_full_table: bool  # `nodes` is the complete table; otherwise the changes since the requested revision
+    is_full_table: bool  # whether `nodes` is the complete table, not the changes since a revision
     nodes: tuple[Node, ...]
     removed: tuple[str, ...]  # incarnations that are no longer in the table
     deregistered: tuple[str, ...]  # incarnations that never return
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TelemetryShared:
-    """Telemetry that proxies reported to the sender: all, or the changes since its last such message."""
+    """Telemetry that proxies reported to the sender: all, or changes since the sender's last such message."""
 
     reports: tuple[ProxyTelemetry, ...]
 
--- a/coveport/serving/wire/names.py
+++ b/coveport/serving/wire/names.py
@@ -1,6 +1,6 @@
 """The external names of the HTTP interfaces, as the operators' protocol defines them.
 
-No other module repeats them: this module maps this system's own terms to them.
+No other module repeats these names: this module maps this system's own terms to them.
 """
 
 from __future__ import annotations
--- a/coveport/serving/wire/shared_update.py
+++ b/coveport/serving/wire/shared_update.py
@@ -1,7 +1,7 @@
 """One update for many proxies: encoded once, completed for each request.
 
 Hundreds of proxies send requests with the same versions and get the same answer. With 600 nodes, encoding
-the node table for each of them would keep a coordinator busy for longer than its peers' time-out for pings of
+the node table for each request would keep a coordinator busy for longer than its peers' time-out for pings of
 the primary.
 """
 
@@ -20,10 +20,10 @@
 
 
 class SharedUpdate:
-    """The encoding of an update without its first field, `request_number`, and its last, `max_proxies`."""
+    """The encoding of an update without the first field, `request_number`, and the last, `max_proxies`."""
 
     def __init__(self, update: Update) -> None:
-        """Encode `update`; its values of these two fields are ignored."""
+        """Encode `update` without its values of `request_number` and `max_proxies`."""
         encoded = CODEC.encode(replace(update, request_number=_PLACEHOLDER, max_proxies=_PLACEHOLDER))
         placeholder_bytes = len(_encode_number(_PLACEHOLDER))
         self._class_number = encoded[:_KIND_BYTES]
--- a/coveport/serving/wire/versions.py
+++ b/coveport/serving/wire/versions.py
@@ -15,9 +15,10 @@
 import dataclasses
 from typing import Any, Final
 
-FRAME_VERSION: Final = 3  # in the header of each frame; a program with another version can't read the frame
+FRAME_VERSION: Final = 3  # version in each frame's header; programs with another version can't read it
 UNANNOUNCED_VERSION: Final = 3  # version of a peer that announces none: the last one before announcements
-# Version 4 added announcements, marked complete node tables and version rejections; 5 duties and telemetry.
+# Version 4 added announcements, marks of complete node tables, and version rejections; version 5 added duties
+# and telemetry.
 PROTOCOL_VERSION: Final = 5
 DUTIES_VERSION: Final = 5  # older coordinators can't read the commands of the duties
 TELEMETRY_VERSION: Final = 5  # older peers can't read `TelemetryShared`
@@ -26,7 +27,7 @@
 
 
 def added_in(version: int, default: Any) -> Any:
-    """Return a dataclass field that older versions neither write nor read; it must come after their fields.
+    """Return a dataclass field that older versions neither write nor read; it follows all of their fields.
 
     `default`: the value of the field in messages of older versions.
     """
