--- a/coveport/serving/configuration/commands.py
+++ b/coveport/serving/configuration/commands.py
@@ -26,7 +26,7 @@
 class PatchConfiguration:
     """Change named items of the configuration."""
 
-    if_match: int | None  # as in PutConfiguration
+    if_match: int | None  # same as in PutConfiguration
     body: bytes  # JSON
 
 
@@ -49,7 +49,7 @@
 _CONFIGURATION_COMMANDS: Final = (PutConfiguration, PatchConfiguration, StartEvacuation, EndEvacuation)
 _SINGLETON_COMMANDS: Final = (AcquireDuties, FixUsageReports, RecordFleetOrders)  # new in protocol version 5
 
-# The order gives each command its number on the wire and on disk.
+# The position of a command in this order is the command's number on the wire and on disk.
 _CODEC: Final[MessageCodec[Command]] = MessageCodec((*_CONFIGURATION_COMMANDS, *_SINGLETON_COMMANDS))
 
 
--- a/coveport/serving/configuration/digest.py
+++ b/coveport/serving/configuration/digest.py
@@ -5,7 +5,7 @@
 import hashlib
 from typing import Final
 
-DIGEST_BYTES: Final = 16  # can't change, as it is part of the stored format; avoids chance collisions
+DIGEST_BYTES: Final = 16  # part of the stored format, so can't change; enough to avoid chance collisions
 
 
 def digest_of(data: bytes) -> bytes:
--- a/coveport/serving/configuration/reader.py
+++ b/coveport/serving/configuration/reader.py
@@ -56,7 +56,7 @@
     findings = Findings()
     checker = TypeChecker(findings)
     checked = checker.check(RawConfiguration, data, "")
-    assert checked is not None  # it is an object
+    assert checked is not None  # the checked value is an object
     raw = checked.value
     if raw.edition == 0:
         findings.add(CONFIGURATION["edition"], "must be above 0")
@@ -74,6 +74,6 @@
 
 def _read_limits(data: JsonObject, checker: TypeChecker) -> ClientLimits:
     checked = checker.check(RawClientLimits, data, CONFIGURATION["limits"])
-    assert checked is not None  # it is an object
+    assert checked is not None  # the checked value is an object
     raw = checked.value
     return ClientLimits(int(raw.header_bytes), int(raw.body_bytes), raw.header_read_ms, raw.idle_ms)
--- a/coveport/serving/coordinator/__init__.py
+++ b/coveport/serving/coordinator/__init__.py
@@ -1,1 +1,1 @@
-"""The coordinator: keeps the configuration, knows nodes and proxies, tells proxies what is in force."""
+"""The coordinator: stores the configuration, tracks nodes and proxies, and sends updates to the proxies."""
--- a/coveport/serving/coordinator/coordinator.py
+++ b/coveport/serving/coordinator/coordinator.py
@@ -65,7 +65,8 @@
 
 MAINTENANCE_INTERVAL_S: Final = 0.1
 NODE_TIMEOUT_HEARTBEATS: Final = 4.5  # intervals without a heartbeat after which a node is removed
-FULL_TABLE_HEARTBEATS: Final = 2.5  # intervals within which every live node reports here or to a peer
+# Intervals within which every live node reports to this coordinator or to a peer.
+FULL_TABLE_HEARTBEATS: Final = 2.5
 HANDOVER_MIN_S: Final = 0.4  # a stop waits at least this long for another primary to take over
 HANDOVER_MAX_FRACTION: Final = 0.5  # the wait for a handover ends after this part of the grace period
 HANDOVER_POLL_S: Final = 0.05
@@ -279,8 +280,8 @@
     async def _wait_for_handover(self) -> None:
         """Wait until a view without this coordinator is active.
 
-        The wait ends at `HANDOVER_MAX_FRACTION` of the grace period: no such view becomes active while too
-        few other coordinators are live.
+        The wait ends at `HANDOVER_MAX_FRACTION` of the grace period: no view without this coordinator becomes
+        active while too few other coordinators are live.
         """
         until_s = self._net.now_s() + self._settings.bounds.grace_s * HANDOVER_MAX_FRACTION
         await asyncio.sleep(HANDOVER_MIN_S)
@@ -334,7 +335,7 @@
 
     def _on_peer_connected(self, address: str) -> None:
         # The tables are sent before the first ping, so that a peer that counts this coordinator as live has
-        # its node table.
+        # this coordinator's node table.
         self._send_tables(address)
         self.telemetry.record_connected(address)
         self._runtime.record_connected(address)
--- a/coveport/serving/coordinator/coordinator_liveness.py
+++ b/coveport/serving/coordinator/coordinator_liveness.py
@@ -17,7 +17,7 @@
 SAME_REGION: Final = 1
 OTHER_REGION: Final = 2
 RESTART_ALLOWANCE_S: Final = 1.0  # a coordinator that was live less than this ago may be restarting
-FORGET_AFTER_S: Final = 60.0  # after this time clients have probably dropped a lost coordinator too
+FORGET_AFTER_S: Final = 60.0  # by then clients too have probably dropped a lost coordinator
 
 
 @dataclass(slots=True)
--- a/coveport/serving/coordinator/duty_lease_keeper.py
+++ b/coveport/serving/coordinator/duty_lease_keeper.py
@@ -22,7 +22,7 @@
 from coveport.serving.replication.identity import Epoch
 from coveport.serving.replication.state_machine import Refused
 
-COMMAND_TIMEOUT_S: Final = 4.0  # for the outcome of a command; the same as for operators' commands
+COMMAND_TIMEOUT_S: Final = 4.0  # wait for the outcome of a command; the same as for operators' commands
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
         self._lease = lease
         self._may_submit = may_submit
         self._log = log
-        self._led_view: Epoch | None = None  # view that this coordinator leads; None: it is a follower
+        self._led_view: Epoch | None = None  # view that this coordinator leads; None: not the primary
         self._tenure: Tenure | None = None
         self._tenure_count = 0
 
--- a/coveport/serving/coordinator/duty_runner.py
+++ b/coveport/serving/coordinator/duty_runner.py
@@ -72,7 +72,7 @@
         self._state = SingletonState()
         self._notified_tenure: Tenure | None = None  # newest tenure for which the duties took over
         self._next_call_at_s = 0.0
-        self._paused_until_s = [0.0] * len(self._duties)  # by index of the duty
+        self._paused_until_s = [0.0] * len(self._duties)  # when each duty's pause ends, by index of the duty
         self._commit_locks = [asyncio.Lock() for _ in self._duties]
         self._tasks: dict[TaskKey, asyncio.Task[None]] = {}
         self._last_call: LastCall | None = None
--- a/coveport/serving/coordinator/peer_versions.py
+++ b/coveport/serving/coordinator/peer_versions.py
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         self._coordinator_versions: dict[str, int] = {}  # by inner address
-        self._proxy_versions: dict[str, int] = {}  # by name; proxies that subscribe here
+        self._proxy_versions: dict[str, int] = {}  # by name, for proxies that subscribe here
 
     def record_coordinator(self, address: str, version: int) -> None:
         """Record the version that a coordinator announced when it connected."""
--- a/coveport/serving/coordinator/quorum_status.py
+++ b/coveport/serving/coordinator/quorum_status.py
@@ -54,5 +54,5 @@
         return self._now_s() - self._quorum_since_s >= self._full_table_after_s
 
     def live_coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
-        """Return the live coordinators, this one included."""
+        """Return the live coordinators, including this coordinator."""
         return self._live_coordinators()
--- a/coveport/serving/coordinator/subscriptions.py
+++ b/coveport/serving/coordinator/subscriptions.py
@@ -33,7 +33,7 @@
         """Return whether the quorum has lasted so long that a report of every live node has arrived."""
 
     def live_coordinators(self) -> tuple[CoordinatorEndpoint, ...]:
-        """Return the live coordinators, this one included."""
+        """Return the live coordinators, including this coordinator."""
 
 
 @dataclass(slots=True)
--- a/coveport/serving/coordinator/update_cache.py
+++ b/coveport/serving/coordinator/update_cache.py
@@ -8,7 +8,7 @@
 from coveport.serving.wire.messages import CoordinatorEndpoint, Update
 from coveport.serving.wire.shared_update import SharedUpdate
 
-LIFETIME_S: Final = 0.25  # limits how outdated the remaining times in a cached update may be
+LIFETIME_S: Final = 0.25  # the remaining times in a cached update are outdated by at most this
 DRAINING_LIFETIME_S: Final = 0.05  # the same limit for an update with a draining node
 
 
--- a/coveport/serving/duties/demand_history.py
+++ b/coveport/serving/duties/demand_history.py
@@ -7,7 +7,8 @@
 from math import sqrt
 from typing import Final, NamedTuple
 
-# Nodes are removed only as far as the peak demand of this window allows: about half a wave of the traffic.
+# Nodes are removed only as far as the peak demand of this window allows. The window is about half as long as
+# a wave of the traffic.
 PEAK_WINDOW_S: Final = 12.0
 TREND_WINDOW_S: Final = 2.0  # the arrivals of the two newest windows are compared
 # A rise by fewer standard deviations of a Poisson count counts as chance.
--- a/coveport/serving/duties/fleet_controller.py
+++ b/coveport/serving/duties/fleet_controller.py
@@ -20,7 +20,7 @@
 from coveport.serving.duties.state import FleetOrder, SingletonState
 
 OBSERVATION_INTERVAL_S: Final = 0.25  # between two observations of the fleet
-STALL_S: Final = 1.5  # after a longer gap between two polls, earlier observations are dropped
+STALL_S: Final = 1.5  # earlier observations are dropped after a longer gap between two polls
 CALL_INTERVAL_S: Final = 1.0  # between two calls for one node group, repeats included
 MIN_BACKOFF_S: Final = 1.0
 MAX_BACKOFF_S: Final = 8.0  # the platform charges for each call, also for failed ones
--- a/coveport/serving/duties/fleet_planner.py
+++ b/coveport/serving/duties/fleet_planner.py
@@ -29,10 +29,12 @@
 # off (docs/policy.md).
 ORDERS_FEWER: Final = False
 TAKEOVER_GRACE_S: Final = 2.0  # time in which the tables of a new lease owner fill up
-SCALE_UP_INTERVAL_S: Final = 2.0  # from any order for a group to an order for more nodes
-SCALE_DOWN_INTERVAL_S: Final = 3.0  # from any order to one for fewer nodes, when the load after it is known
+SCALE_UP_INTERVAL_S: Final = 2.0  # minimum between any order for a group and an order for more nodes
+# Minimum between any order for a group and an order for fewer nodes: by then the load after the earlier order
+# is known.
+SCALE_DOWN_INTERVAL_S: Final = 3.0
 MAX_SCALE_DOWN_RATIO: Final = 0.25  # largest part of the nodes that one step may remove
-REPLACEMENT_MARGIN_S: Final = 3.0  # nodes that are missing for longer after they should serve are given up
+REPLACEMENT_MARGIN_S: Final = 3.0  # nodes that still don't serve this long after they should are given up
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/serving/duties/fleet_sizing.py
+++ b/coveport/serving/duties/fleet_sizing.py
@@ -9,8 +9,8 @@
 
 from coveport.serving.model.configuration import Scaling
 
-# Part of its slots that a zone is sized to have in use, spare demand included. The other slots allow for
-# random arrivals and for prompts, which are prefilled one after another.
+# A zone is sized so that this part of the zone's slots is in use, spare demand included. The other slots
+# allow for random arrivals and for prompts, which are prefilled one after another.
 TARGET_OCCUPANCY: Final = 0.65
 # Above this occupancy, nodes are added until the occupancy is at the target. The distance between the two
 # prevents oscillating orders.
--- a/coveport/serving/duties/lease.py
+++ b/coveport/serving/duties/lease.py
@@ -32,8 +32,9 @@
 
 from coveport.serving.duties.state import NO_FENCING_TOKEN, LeaseOwner, SingletonState
 
-MARGIN_RATIO: Final = 0.1  # of the lease length: with 3 s, two owners are 0.6 s apart
-RENEWAL_RATIO: Final = 0.25  # of the lease length, between confirmations: several may fail in a lease
+MARGIN_RATIO: Final = 0.1  # part of the lease length: with a length of 3 s, two owners are 0.6 s apart
+# Time between confirmations, as a part of the lease length: several confirmations may fail during a lease.
+RENEWAL_RATIO: Final = 0.25
 NEVER_S: Final = float("-inf")
 FIRST_FENCING_TOKEN: Final = NO_FENCING_TOKEN + 1  # the owner with this token has no predecessor
 
@@ -64,7 +65,8 @@
     leading_since_s: float | None = None  # None: not the active primary
     requested_at_s: float = NEVER_S  # when the newest confirmation was requested
     invalid_before_s: float = NEVER_S  # confirmations that were requested earlier do not count
-    confirmed_state: SingletonState | None = None  # read by the newest valid confirmation, if any
+    # The state that the newest confirmation has read; None: no confirmation is valid.
+    confirmed_state: SingletonState | None = None
     held_token: int = NO_FENCING_TOKEN  # the newest token with which this run was the owner
     acts_from_s: float = NEVER_S  # when this run may begin to act with `held_token`
     valid_until_s: float = NEVER_S
--- a/coveport/serving/duties/retry_pause.py
+++ b/coveport/serving/duties/retry_pause.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 MIN_BACKOFF_S: Final = 0.1  # after this time a burst above the platform's rate limit has ended
-MAX_BACKOFF_S: Final = 1.0  # limits the further delay after the platform has recovered
+MAX_BACKOFF_S: Final = 1.0  # longest further delay after the platform has recovered
 
 
 @dataclass(slots=True)
--- a/coveport/serving/duties/state.py
+++ b/coveport/serving/duties/state.py
@@ -6,7 +6,7 @@
 
 from coveport.serving.model.telemetry import TenantCount
 
-NO_FENCING_TOKEN = 0  # before the first lease owner
+NO_FENCING_TOKEN = 0  # token before the first lease owner
 NO_WINDOW = -1
 
 
--- a/coveport/serving/duties/telemetry_table.py
+++ b/coveport/serving/duties/telemetry_table.py
@@ -10,7 +10,7 @@
 from coveport.serving.model.telemetry import ProxyTelemetry, ServiceLoad
 
 NO_SEQUENCE: Final = 0  # sequence number of a report of which only the counts are known
-RETENTION_S: Final = 30.0  # until then a proxy without reports may be partitioned and still serve
+RETENTION_S: Final = 30.0  # for this time, a proxy without reports may be partitioned and still serve
 
 
 @dataclass(slots=True)
--- a/coveport/serving/duties/usage_schedule.py
+++ b/coveport/serving/duties/usage_schedule.py
@@ -23,9 +23,9 @@
 
 GRACE_S: Final = 0.6  # wait after a window's end for reports that another coordinator forwards
 REPORT_MARGIN_S: Final = 3.0  # time for the commit and a slow call before the report is late
-UNRESPONSIVE_WAIT_RATIO: Final = 0.5  # of the allowed delay, spent waiting for unresponsive proxies
+UNRESPONSIVE_WAIT_RATIO: Final = 0.5  # part of the allowed delay that is waited for unresponsive proxies
 TAKEOVER_GRACE_S: Final = 0.5  # time for proxies and peers to report to a new lease owner
-MAX_REPORTS_PER_COMMAND: Final = 12  # limits the size of the command after an outage
+MAX_REPORTS_PER_COMMAND: Final = 12  # bounds the size of the commands after an outage
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/serving/membership/leases.py
+++ b/coveport/serving/membership/leases.py
@@ -43,7 +43,7 @@
     """All known leases."""
 
     def __init__(self) -> None:
-        self._entries: dict[str, _LeaseEntry] = {}  # by address
+        self._entries: dict[str, _LeaseEntry] = {}  # leases by the proxies' addresses
 
     def renew(self, lease: ProxyLease, now_s: float, local: bool) -> bool:
         """Apply a renewal; return whether it changes the answers to clients.
--- a/coveport/serving/membership/node_table.py
+++ b/coveport/serving/membership/node_table.py
@@ -39,7 +39,7 @@
     """An incarnation of a node, with times on this coordinator's clock."""
 
     node: Node
-    reported_at_s: float  # arrival of the newest report; UNCONFIRMED if it may have been delayed
+    reported_at_s: float  # arrival of the newest report; UNCONFIRMED if the report may have been delayed
     last_seen_s: float  # start of the time-out: arrival of the newest report, or a later reset
     warming_until_s: float  # 0.0: the node is warmed up
     shutdown_at_s: float  # 0.0: no shutdown is announced
@@ -78,8 +78,8 @@
     def __init__(self, timeout_s: float) -> None:
         """Create an empty table, which removes a node after `timeout_s` without a report."""
         self._timeout_s = timeout_s
-        self._entries: dict[str, NodeEntry] = {}  # by incarnation, in the order of their revisions
-        self._incarnation_at: dict[str, str] = {}  # by address
+        self._entries: dict[str, NodeEntry] = {}  # by incarnation, in the order of the entries' revisions
+        self._incarnation_at: dict[str, str] = {}  # the incarnation that reported last, by address
         self._tombstones: dict[str, float] = {}  # expiry times by incarnation, the oldest first
         self._removals: list[_Removal] = []
         self._removals_complete_since = 0  # `_removals` holds all removals after this revision
@@ -137,7 +137,7 @@
         return is_change
 
     def _claim_address(self, node: Node) -> None:
-        """Record the node's address, and remove the incarnation that had it before."""
+        """Record the node's address, and remove the incarnation that had this address before."""
         previous = self._incarnation_at.get(node.address)
         self._incarnation_at[node.address] = node.incarnation
         if previous is not None and previous != node.incarnation and previous in self._entries:
--- a/coveport/serving/replication/journal.py
+++ b/coveport/serving/replication/journal.py
@@ -11,7 +11,7 @@
 from coveport.serving.replication.records import DurableState, Record
 from coveport.serving.replication.timings import Timings
 
-RETRY_INTERVAL_S = 0.5  # after a failed write, interval of the empty writes that probe the disk
+RETRY_INTERVAL_S = 0.5  # interval of the empty writes that probe the disk after a failed write
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
         self._outbox = outbox
         self._timings = timings
         self._records: list[Record] = []
-        self._messages: list[PendingMessage] = []  # sent after `_records` are synced
+        self._messages: list[PendingMessage] = []  # messages to send after `_records` are synced
         self._batches: deque[PendingBatch] = deque()
         self._last_token = 0
         self._is_failing = False
--- a/coveport/serving/replication/leader_role.py
+++ b/coveport/serving/replication/leader_role.py
@@ -273,7 +273,7 @@
         members = ready_seeds(self._context, self._seeds, now_s)
         if members is not None:
             epoch = self.highest_epoch_seen.after(self._context.own_id.disk)
-            self.highest_epoch_seen = epoch  # so that no other proposal of this replica uses the same epoch
+            self.highest_epoch_seen = epoch  # no other proposal of this replica may use the same epoch
             self._bootstrap = Bootstrap(self._context, now_s, members, epoch, self._initial_state)
 
     def _tick_primary(self, now_s: float, primary: Primary) -> None:
--- a/coveport/serving/replication/messages.py
+++ b/coveport/serving/replication/messages.py
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """Sent by the primary to all members before it answers a read, to check that it still leads.
+    """Sent by the primary to all members before an answer to a read, to check that this primary still leads.
 
     Members that promised a higher epoch answer with Fenced. Raft's ReadIndex checks a majority likewise.
     """
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """Sent by the primary to its backups: the commands up to `sequence`, which they hold, are committed."""
+    """Sent by the primary to its backups: the commands up to `sequence`, which they have, are committed."""
 
     epoch: Epoch
     sequence: int
--- a/coveport/serving/replication/peers.py
+++ b/coveport/serving/replication/peers.py
@@ -22,7 +22,7 @@
     """A complete state that was sent to a peer."""
 
     sequence: int
-    deadline_s: float  # after this the snapshot counts as lost
+    deadline_s: float  # the snapshot counts as lost after this time
 
     def is_pending(self, committed: int, now_s: float) -> bool:
         """Return whether the snapshot may still arrive at a peer that has the state of `committed`."""
@@ -50,7 +50,7 @@
 
 
 class Peers:
-    """All known coordinators other than this one, by address."""
+    """All known coordinators other than this coordinator, by address."""
 
     def __init__(self, own_id: MemberId, timings: Timings, now_s: float) -> None:
         self._own_id = own_id
--- a/coveport/serving/replication/ping_sender.py
+++ b/coveport/serving/replication/ping_sender.py
@@ -9,7 +9,7 @@
 from coveport.serving.replication.peers import MS_PER_S, Peer
 from coveport.serving.replication.replica_context import ReplicaContext
 
-MIN_ANSWER_INTERVAL_S = 0.02  # limits the extra pings to a peer that has just become alive
+MIN_ANSWER_INTERVAL_S = 0.02  # minimum between extra pings to a peer that becomes alive
 
 
 class PingSender:
--- a/coveport/serving/replication/reconfiguration.py
+++ b/coveport/serving/replication/reconfiguration.py
@@ -38,7 +38,7 @@
 
     def __init__(self, context: ReplicaContext) -> None:
         self._context = context
-        # The choice of members rates up to 1,023 sets, so it is cached until a status changes.
+        # To choose the members, up to 1,023 sets are rated, so the choice is cached until a status changes.
         self._rated_statuses: MachineStatuses | None = None
         self._chosen_members: tuple[MemberId, ...] | None = None
 
--- a/coveport/serving/replication/replica.py
+++ b/coveport/serving/replication/replica.py
@@ -58,7 +58,7 @@
 # A member that has just started listens for an active primary before an election, unless all members answer
 # earlier.
 STARTUP_ELECTION_DELAY_S = 0.25
-# A member that was frozen delays elections, since what it knows about its peers is outdated.
+# A member that was frozen delays elections, since the recorded status of the peers is outdated.
 STALL_ELECTION_DELAY_S = 0.5
 
 
@@ -161,7 +161,7 @@
         return has_majorities({*other_members, self._context.own_id}, groups)
 
     def live_localities(self, now_s: float) -> dict[str, Locality]:
-        """Return the locality of each live coordinator, this one included, by inner address."""
+        """Return the locality of each live coordinator, including this coordinator, by inner address."""
         localities = {peer.address: peer.locality for peer in self._context.peers.alive(now_s)}
         return localities | {self._context.own_id.address: self._context.locality}
 
--- a/coveport/serving/replication/timings.py
+++ b/coveport/serving/replication/timings.py
@@ -32,9 +32,8 @@
     confirmation_timeout_s: float = 1.5  # a read that a majority hasn't confirmed ends after this time
     stall_threshold_s: float = 0.4  # a gap between ticks longer than this means that the process was frozen
     replace_after_s: float = 3.0  # a member silent for this time may be replaced by a newcomer
-    drop_after_s: float = (
-        8.0  # a member silent for this time may be removed if that raises the tolerated losses
-    )
+    # A member silent for this time may be removed if the set of members then tolerates more losses.
+    drop_after_s: float = 8.0
     min_alive_s: float = 1.0  # how long newcomers, and replicas that improve a view, must have been alive
     view_change_interval_s: float = 0.5  # minimum between two view changes that aren't urgent
     catch_up_interval_s: float = 0.5  # minimum between two sends of missing state to the same peer
--- a/coveport/serving/replication/view_change.py
+++ b/coveport/serving/replication/view_change.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipProposal:
-    """Members of the next view, valid only while the view of `base` is the newest one and active."""
+    """Members of the next view, valid only while the view of `base` is the newest view and is active."""
 
     base: Epoch
     members: tuple[MemberId, ...]
@@ -135,7 +135,7 @@
     def _send_prepares(self, now_s: float) -> None:
         self._last_send_s = now_s
         if self._context.own_id not in self._promises:
-            return  # the candidate syncs its own promise before it sends the epoch to others
+            return  # the candidate syncs its own promise before it sends the epoch to other members
         for member in sorted(self._voters() - self._promises.keys()):
             self._context.send(member, Prepare(self.epoch))
 
--- a/coveport/serving/settings/bound_checks.py
+++ b/coveport/serving/settings/bound_checks.py
@@ -19,7 +19,7 @@
     """The lowest value of a bound that this system can meet."""
 
     field: str  # name of a field of `Bounds`
-    needed: float  # in the unit of the field
+    needed: float  # lowest value that the system can meet, in the unit of the field
     reason: str  # the event that takes this time
 
 
--- a/coveport/serving/wire/messages.py
+++ b/coveport/serving/wire/messages.py
@@ -47,7 +47,7 @@
     """The sender has applied the reports with this number to its node table."""
 
     confirmation_id: int
-    # Epoch of the newest view that the sender has accepted: its confirmation counts only in that view.
+    # Epoch of the newest view that the sender has accepted: the confirmation counts only in this view.
     view: Epoch
 
 
@@ -79,7 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsubscribe:
-    """A proxy's last message on a connection: it now uses a nearer coordinator; its lease stays valid."""
+    """A proxy's last message on a connection: the proxy now uses a nearer coordinator.
+
+    The proxy's lease stays valid.
+    """
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/serving/wire/names.py
+++ b/coveport/serving/wire/names.py
@@ -56,7 +56,7 @@
     REPORT: Final = "/coveport/report"
     USAGE: Final = "/usage"  # served by the platform
     FLEET: Final = "/fleet"  # served by the platform
-    STATUS: Final = "/coveport/status"  # not part of the protocol: the state of the core, for operators
+    STATUS: Final = "/coveport/status"  # state of the core, for operators; not part of the protocol
 
 
 class Heartbeat:
--- a/coveport/serving/wire/versions.py
+++ b/coveport/serving/wire/versions.py
@@ -15,8 +15,8 @@
 import dataclasses
 from typing import Any, Final
 
-FRAME_VERSION: Final = 3  # version in each frame's header; programs with another version can't read it
-UNANNOUNCED_VERSION: Final = 3  # version of a peer that announces none: the last one before announcements
+FRAME_VERSION: Final = 3  # version in each frame's header; other versions can't read the frame
+UNANNOUNCED_VERSION: Final = 3  # version of a peer that announces none: the last version before announcements
 # Version 4 added announcements, marks of complete node tables, and version rejections; version 5 added duties
 # and telemetry.
 PROTOCOL_VERSION: Final = 5
