--- a/coveport/serving/coordinator/duty_lease_keeper.py
+++ b/coveport/serving/coordinator/duty_lease_keeper.py
@@ -22,7 +22,7 @@
 from coveport.serving.replication.identity import Epoch
 from coveport.serving.replication.state_machine import Refused
 
-COMMAND_TIMEOUT_S: Final = 4.0  # for the outcome of a command; the same as for operators' commands
+COMMAND_TIMEOUT_S: Final = 4.0  # wait for the outcome of a command; the same as for operators' commands
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
         self._lease = lease
         self._may_submit = may_submit
         self._log = log
-        self._led_view: Epoch | None = None  # view that this coordinator leads; None: it is a follower
+        self._led_view: Epoch | None = None  # view that this coordinator leads; None: not the primary
         self._tenure: Tenure | None = None
         self._tenure_count = 0
 
@@ -82,12 +82,12 @@
     # -- inputs --
 
     def record_stall(self) -> None:
-        """Void confirmations from before a stall: calls may begin again after a new confirmation."""
+        """Void confirmations from before a stall: further calls begin only after a new confirmation."""
         self._lease = self._lease.invalidate(self._net.now_s())
         self._end_tenure("stalled")
 
     def record_rejected_fence(self, fence: int) -> None:
-        """Give up a fencing token that the platform has rejected."""
+        """Give up the lease under a fencing token that the platform has rejected."""
         self._lease = self._lease.reject_token(fence, self._net.now_s())
         self._end_tenure("the platform refused the fence")
 
@@ -116,7 +116,7 @@
     # -- leadership and tenure --
 
     def _observe(self) -> None:
-        """Update lease and tenure: whether this coordinator is the primary, in which view, and may act."""
+        """Update lease and tenure by whether this coordinator is the primary, and in which view."""
         replica = self._runtime.replica
         view = replica.view_epoch if replica.is_primary else None
         now_s = self._net.now_s()
@@ -151,7 +151,7 @@
 
     async def _acquire(self) -> None:
         confirmed_state = self._lease.confirmed_state
-        assert confirmed_state is not None  # else the next step would be CONFIRM
+        assert confirmed_state is not None  # without a confirmed state the next step would be CONFIRM
         await self.submit(AcquireDuties(self._lease.own_identity, confirmed_state.fencing_token))
         self._lease = self._lease.record_acquisition_end()
 
--- a/coveport/serving/replication/journal.py
+++ b/coveport/serving/replication/journal.py
@@ -11,12 +11,12 @@
 from coveport.serving.replication.records import DurableState, Record
 from coveport.serving.replication.timings import Timings
 
-RETRY_INTERVAL_S = 0.5  # after a failed write, interval of the empty writes that probe the disk
+RETRY_INTERVAL_S = 0.5  # interval of the empty writes that probe the disk after a failed write
 
 
 @dataclass(frozen=True, slots=True)
 class PendingMessage:
-    """A message that is sent after the records behind it are synced."""
+    """A message that is sent after the records that it depends on are synced."""
 
     to_address: str
     message: Message
@@ -34,8 +34,8 @@
 class Journal:
     """Changes `durable` at once, and sends messages that depend on a change only after it is synced.
 
-    The storage syncs in the order of the tokens. After a failure it keeps the records and writes them with
-    the next token, so that a synced token proves that all earlier tokens are synced too.
+    The storage syncs in the order of the tokens. After a failure the storage keeps the records, and writes
+    them with the next token, so that a synced token proves that all earlier tokens are synced too.
     """
 
     def __init__(self, durable: DurableState, outbox: Outbox, timings: Timings) -> None:
@@ -43,7 +43,7 @@
         self._outbox = outbox
         self._timings = timings
         self._records: list[Record] = []
-        self._messages: list[PendingMessage] = []  # sent after `_records` are synced
+        self._messages: list[PendingMessage] = []  # messages to send after `_records` are synced
         self._batches: deque[PendingBatch] = deque()
         self._last_token = 0
         self._is_failing = False
@@ -93,7 +93,7 @@
         self._last_fault_at_s = now_s
 
     def restart_timers(self, now_s: float) -> None:
-        """Count the time of pending batches from now: the process was frozen, the disk wasn't slow."""
+        """Restart the timers of the pending batches: the process was frozen, the disk wasn't slow."""
         for batch in self._batches:
             batch.started_at_s = now_s
 
--- a/coveport/serving/replication/reconfiguration.py
+++ b/coveport/serving/replication/reconfiguration.py
@@ -20,7 +20,7 @@
     """The reason for a view change, and its constraints on members and replicas."""
 
     reason: str
-    is_urgent: bool  # true: start without regard to `view_change_interval_s`
+    is_urgent: bool  # whether to start the view change without waiting for `view_change_interval_s`
     proposal: MembershipProposal | None = None
     avoided: frozenset[MemberId] = frozenset()  # members that shouldn't be replicas of the next view
 
@@ -38,12 +38,12 @@
 
     def __init__(self, context: ReplicaContext) -> None:
         self._context = context
-        # The choice of members rates up to 1,023 sets, so it is cached until a status changes.
+        # To choose the members, up to 1,023 sets are rated, so the choice is cached until a status changes.
         self._rated_statuses: MachineStatuses | None = None
         self._chosen_members: tuple[MemberId, ...] | None = None
 
     def needed_view_change(self, view: View, slow: set[MemberId], now_s: float) -> ViewChangeRequest | None:
-        """Return the view change that is needed now; None if there is none.
+        """Return the view change that is needed now; None if no view change is needed.
 
         `slow` are the backups that have not acknowledged the command in flight in time.
         """
--- a/coveport/serving/wire/names.py
+++ b/coveport/serving/wire/names.py
@@ -1,6 +1,6 @@
 """The external names of the HTTP interfaces, as the operators' protocol defines them.
 
-No other module repeats them: this module maps this system's own terms to them.
+No other module repeats these names: this module maps this system's own terms to them.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
     REPORT: Final = "/coveport/report"
     USAGE: Final = "/usage"  # served by the platform
     FLEET: Final = "/fleet"  # served by the platform
-    STATUS: Final = "/coveport/status"  # not part of the protocol: the state of the core, for operators
+    STATUS: Final = "/coveport/status"  # state of the core, for operators; not part of the protocol
 
 
 class Heartbeat:
