--- a/coveport/sidecar/config/operator_checks.py
+++ b/coveport/sidecar/config/operator_checks.py
@@ -1,4 +1,6 @@
-"""Checks the sections of the operator's file beyond what their types check. Pure.
+"""Checks the sections of the operator's file beyond what their types check.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 Each check returns one line per fault, which names the section and the key.
 """
--- a/coveport/sidecar/config/reload_checks.py
+++ b/coveport/sidecar/config/reload_checks.py
@@ -1,4 +1,7 @@
-"""Checks a platform file that is to replace the running one, before any of it takes effect. Pure."""
+"""Checks a platform file that is to replace the running one, before any of it takes effect.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+"""
 
 from __future__ import annotations
 
--- a/coveport/sidecar/intent_log/observed_age.py
+++ b/coveport/sidecar/intent_log/observed_age.py
@@ -1,4 +1,6 @@
-"""Bounds on the age of a write in the store, by this instance's clock alone. Pure.
+"""Bounds on the age of a write in the store, by this instance's clock alone.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 `AgeUpperBound` is used to decide whether a deduplication window may be over, `AgeLowerBound` to decide
 whether a record is old enough to be deleted. Both err on the safe side, and neither has observations from
--- a/coveport/sidecar/intent_log/pending_operation.py
+++ b/coveport/sidecar/intent_log/pending_operation.py
@@ -1,4 +1,6 @@
-"""One operation that an instance executes and records: its stages, and the check before each send. Pure.
+"""One operation that an instance executes and records: its stages, and the check before each send.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 `record_writer` decides what is written and when.
 """
--- a/coveport/sidecar/intent_log/presence.py
+++ b/coveport/sidecar/intent_log/presence.py
@@ -1,4 +1,6 @@
-"""One instance's view of which instances are alive, draining or lost. Pure.
+"""One instance's view of which instances are alive, draining or lost.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 It decides only when this instance begins to try a takeover; the comparison of the record's revision makes a
 takeover safe. An incarnation that was never seen may be new, so it counts as lost only after one time to live
--- a/coveport/sidecar/intent_log/record.py
+++ b/coveport/sidecar/intent_log/record.py
@@ -1,4 +1,6 @@
-"""Record of an operation: its recovery points and the transitions between them. Pure.
+"""Record of an operation: its recovery points and the transitions between them.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
     ACCEPTED -> SENDING -> ANSWERED -> CLOSED
 
--- a/coveport/sidecar/intent_log/record_codec.py
+++ b/coveport/sidecar/intent_log/record_codec.py
@@ -1,4 +1,7 @@
-"""Encoding and decoding of records: eight hex digits of a CRC-32, then JSON. Pure."""
+"""Encoding and decoding of records: eight hex digits of a CRC-32, then JSON.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+"""
 
 from __future__ import annotations
 
--- a/coveport/sidecar/intent_log/record_layout.py
+++ b/coveport/sidecar/intent_log/record_layout.py
@@ -1,4 +1,6 @@
-"""Keys and transactions by which records are kept in a store. Pure.
+"""Keys and transactions by which records are kept in a store.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
     r/ID                    the record
     o/OWNER/ID              index: open records by owner
--- a/coveport/sidecar/intent_log/replay_decision.py
+++ b/coveport/sidecar/intent_log/replay_decision.py
@@ -1,4 +1,6 @@
-"""Decides the response to a client that repeats a request which is already recorded. Pure.
+"""Decides the response to a client that repeats a request which is already recorded.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 It never causes a second run by itself: an operation that may have run is sent again only through
 `takeover.decide`, which counts the attempts of all instances.
--- a/coveport/sidecar/intent_log/settings.py
+++ b/coveport/sidecar/intent_log/settings.py
@@ -1,4 +1,7 @@
-"""Validated settings of the intent log, and an estimate of its load on a store. Pure."""
+"""Validated settings of the intent log, and an estimate of its load on a store.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+"""
 
 from __future__ import annotations
 
--- a/coveport/sidecar/intent_log/takeover.py
+++ b/coveport/sidecar/intent_log/takeover.py
@@ -1,4 +1,6 @@
-"""Decides how a successor continues a lost instance's record. Pure.
+"""Decides how a successor continues a lost instance's record.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 The rules are listed in docs/design/work-in-hand.md ("What a successor does").
 """
--- a/coveport/sidecar/intent_log/takeover_order.py
+++ b/coveport/sidecar/intent_log/takeover_order.py
@@ -1,4 +1,6 @@
-"""Order in which instances try to take over a record of a lost instance. Pure.
+"""Order in which instances try to take over a record of a lost instance.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 Rendezvous hashing (Thaler and Ravishankar 1998): each record has its own order of the instances. The first
 instance tries at once, each further one a step later. Safety does not depend on the order; it makes
--- a/coveport/sidecar/intent_log/token_bucket.py
+++ b/coveport/sidecar/intent_log/token_bucket.py
@@ -1,4 +1,7 @@
-"""Limits how many records are taken over per second. Pure."""
+"""Limits how many records are taken over per second.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+"""
 
 from __future__ import annotations
 
--- a/coveport/sidecar/leases/effects.py
+++ b/coveport/sidecar/leases/effects.py
@@ -1,4 +1,6 @@
-"""Effects that `LeaseState` returns, and that its client carries out in order. Pure.
+"""Effects that `LeaseState` returns, and that its client carries out in order.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 Each `StoreCall` has a number; its outcome is passed to `LeaseState.handle_outcome` with this number.
 """
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRole:
-    """Delete the role's key, if it still has this fencing token."""
+    """Delete the role's key, if the key still has this fencing token."""
 
     call: int
     role: str
--- a/coveport/sidecar/leases/etcd.py
+++ b/coveport/sidecar/leases/etcd.py
@@ -1,9 +1,9 @@
 """Lease store for instances on several hosts: an etcd cluster, accessed through its v3 API.
 
-Messages and stubs come from `aetcd`. Its client class is not used because it drops the revision and the
-cluster id of response headers, which fencing tokens and the detection of a restored store need. Endpoints
-are tried in turn. A transaction without a response has an unknown outcome and is never sent again, not to
-another endpoint either; reads, grants and renewals are repeated.
+Messages and stubs come from `aetcd`. The client class of `aetcd` is not used because it drops the revision
+and the cluster id of response headers, which fencing tokens and the detection of a restored store need.
+Endpoints are tried in turn. A transaction without a response has an unknown outcome and is never sent again,
+not to another endpoint either; reads, grants and renewals are repeated.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 0.5  # time-out of a call to one endpoint
-MAX_CONCURRENT_TRANSACTIONS = 32  # per `commit_all` call
-HEARTBEAT_INTERVAL_S = 0.5  # between the progress requests of a watch
+MAX_CONCURRENT_TRANSACTIONS = 32  # transactions in flight per `commit_all` call
+HEARTBEAT_INTERVAL_S = 0.5  # interval between the progress requests of a watch
 MAX_MISSED_HEARTBEATS = 4  # consecutive intervals without a response, after which a watch is lost
 # Makes a member that has lost its leader end the stream; otherwise the stream would stay open without events.
 REQUIRE_LEADER = (("hasleader", "true"),)
@@ -128,7 +128,7 @@
         return _done(response, entries=tuple(map(entry_of, response.kvs)))
 
     async def commit(self, transaction: Transaction) -> Outcome:
-        """Carry out a transaction; it is sent only once."""
+        """Carry out a transaction; the request is sent only once."""
         request = transaction_request(transaction)
         try:
             response: Any = await self._call_once(lambda channel: rpc.KVStub(channel).Txn(request))
@@ -159,7 +159,7 @@
         return _done(response, lease=response.ID, ttl_s=float(response.TTL))
 
     async def renew(self, lease: int) -> Outcome:
-        """Renew a lease by its time to live; refused if it has ended."""
+        """Renew a lease by its time to live; the outcome is Refused if the lease has ended."""
 
         async def keep_alive(channel: Any) -> Any:
             stream = rpc.LeaseStub(channel).LeaseKeepAlive(metadata=REQUIRE_LEADER)
@@ -229,7 +229,7 @@
         except asyncio.InvalidStateError as error:
             raise WatchLostError(f"{endpoint}: the watch stream failed") from error
         finally:
-            # The next watch starts at another endpoint, for any reason that this one ended.
+            # The next watch starts at another endpoint, whatever the reason that this watch ended.
             self._leave_endpoint(index)
             heartbeat.cancel()
             stream.cancel()
@@ -267,7 +267,7 @@
             return Unknown(f"{endpoint}: {error.code().name}: {error.details()}")
 
     async def _call_until_answered(self, call: Callable[[Any], Awaitable[T]]) -> T | Unknown:
-        """Call the endpoints in turn until one answers; only for idempotent calls."""
+        """Call the endpoints in turn until one of them answers; only for idempotent calls."""
         outcome: T | Unknown = Unknown("no endpoint was tried")
         for _ in self._endpoints:
             outcome = await self._call_once(call)
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -53,18 +53,18 @@
 
 CALL_TIMEOUT_SHARE = 1 / 3  # share of the time to live: leaves time to repeat a lost renewal
 CLOSE_TIMEOUT_S = 1.0  # time for the store calls of a shutdown
-WATCH_BACKOFF_S = 0.2  # before the first new watch after a lost one; doubles up to the maximum
+WATCH_BACKOFF_S = 0.2  # delay of the first new watch after a lost watch; doubles up to the maximum
 MAX_WATCH_BACKOFF_S = 2.0
 MAX_WATCH_BACKOFF_DOUBLINGS = 10  # limits the exponent; the maximum backoff is reached earlier
 WATCH_BACKOFF_JITTER = (0.5, 1.0)  # range of the random factor of the backoff
-TIMER_GRACE_S = 0.001  # tolerance for rounded timers: deadlines within it count as reached
+TIMER_GRACE_S = 0.001  # deadlines at most this far away count as reached, because timers are rounded
 MIN_TIMER_S = 0.001  # shortest delay of a timer
 
 
 class LeaseClient:
     """The session and the roles of one instance at a store.
 
-    `incarnation` identifies this process in every key it writes; `prefix` starts all keys of the
+    `incarnation` identifies this process in every key that it writes; `prefix` starts all keys of the
     installation; `now_s` is a clock that keeps counting during suspend; `unix_s` gives the wall-clock time,
     which is written to role keys for operators only.
 
@@ -119,7 +119,7 @@
     async def commit_fenced(
         self, role: str, *changes: Put | Delete, compares: tuple[Compare, ...] = (), description: str = ""
     ) -> Outcome | None:
-        """Commit changes as the holder of a role; None if this instance does not hold it.
+        """Commit changes as the holder of a role; return None if this instance does not hold the role.
 
         Keys are without the prefix. The transaction compares the fencing token, so the store refuses it
         once this instance has lost the role.
@@ -269,7 +269,7 @@
             self._values.write_status()
 
     async def _make(self, call: StoreCall) -> Outcome:
-        """Make a call. Its kind is part of the names of counters and must not change."""
+        """Make a call. The kind of call is part of the names of counters and must not change."""
         match call:
             case GrantLease():
                 return await self._call("grant", self._store.grant(call.ttl_s))
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -1,4 +1,4 @@
-"""State machine of one instance's session and its roles. Pure: (time, input) -> effects.
+"""State machine of one instance's session and its roles. It is pure: (time, input) -> effects.
 
 Safety depends on one inequality (docs/design/duties.md, Safety; after Gray and Cheriton, SOSP 1989). With
 
@@ -52,33 +52,33 @@
 )
 from coveport.sidecar.leases.store import Done, Entry, Outcome, Refused, Unknown
 
-BACKOFF_S = 0.1  # after a call with an unknown outcome; doubles up to the maximum
+BACKOFF_S = 0.1  # backoff after a call with an unknown outcome; doubles up to the maximum
 MAX_BACKOFF_S = 2.0
 MAX_BACKOFF_DOUBLINGS = 10  # limits the exponent; the maximum backoff is reached earlier
 BACKOFF_JITTER = (0.5, 1.0)  # range of the random factor of the backoff
 FIRST_RENEWAL_JITTER = (0.7, 1.0)  # factor of the renewal interval; spreads instances that started together
 NAME_TAKEN_BACKOFF_S = 1.0  # minimum backoff while another process is registered under the name
 WAIT_PER_INSTANCE_S = 0.001  # maximum random wait of a contender, per registered instance
-MAX_CONTENTION_WAIT_S = 0.08  # cap of that wait, which spreads concurrent acquisitions
-SLOW_RENEWAL_SHARE = 0.25  # of T: a slower renewal means that the store is too slow for more roles
-STALL_SHARE = 0.2  # of T: a timer that fires later means that the process lacks CPU time
-NO_CONTENTION_TTLS = 1.0  # in times to live: no contention after a slow renewal or a stall
-LOST_RENEWAL_SHARE = 0.25  # of the renewal interval: maximum backoff before a renewal is repeated
+MAX_CONTENTION_WAIT_S = 0.08  # upper bound of the random wait, which spreads concurrent acquisitions
+SLOW_RENEWAL_SHARE = 0.25  # share of T: a slower renewal means that the store is too slow for more roles
+STALL_SHARE = 0.2  # share of T: a timer that fires later than this means that the process lacks CPU time
+NO_CONTENTION_TTLS = 1.0  # in times to live: time without contention after a slow renewal or a stall
+LOST_RENEWAL_SHARE = 0.25  # share of the renewal interval: maximum backoff before a renewal is repeated
 
 NOT_RENEWED = "not renewed in time"
 LEASE_ENDED = "the store ended the lease"
 
 
 def incarnation_of(value: bytes) -> str:
-    """Return the incarnation in a role key's value; the acquisition time follows it for operators."""
+    """Return the incarnation in a role key's value, where the acquisition time follows for operators."""
     return value.split(b" ")[0].decode(errors="replace")
 
 
 class LeaseState:
     """The session and roles of one instance.
 
-    `incarnation` identifies this process in every key it writes. `now` of all calls is in s, by a clock that
-    keeps counting during suspend. `rng` is the random generator for jitter.
+    `incarnation` identifies this process in every key that the process writes. `now` of all calls is in s, by
+    a clock that keeps counting during suspend. `rng` is the random generator for jitter.
     """
 
     def __init__(
@@ -102,18 +102,18 @@
         self._next_read_at = inf
         self._no_contention_until = -inf
         self._unhealthy_reason = ""
-        self._expected_wakeup_at = inf  # for the detection of stalls
+        self._expected_wakeup_at = inf  # time at which the timer should fire; a later call shows a stall
         self._effects: list[Effect] = []
 
     # Queries.
 
     def usable_token(self, now: float, name: str) -> int:
-        """Return the role's fencing token if new work may start now, else 0. Check before each commit."""
+        """Return the role's fencing token if new work may start now, else 0; call this before each commit."""
         token = self._token(name)
         return token if self.session is SessionState.ACTIVE and now < self._expiring_from else 0
 
     def valid_token(self, now: float, name: str) -> int:
-        """Return the role's fencing token while it is held under a valid session, else 0."""
+        """Return the role's fencing token while the role is held under a valid session, else 0."""
         token = self._token(name)
         return token if now < self.session_valid_until else 0
 
@@ -178,7 +178,8 @@
         elif self._renewal is not None and call == self._renewal[0]:
             self._handle_renewal(now, outcome)
         elif call == self._read_call:
-            # A successful read was already handled by `handle_role_key`; an unknown one is repeated.
+            # The keys of a successful read were already passed to `handle_role_key`; a read with an unknown
+            # outcome is repeated.
             self._read_call = 0
             self._next_read_at = now + self._next_backoff_s() if isinstance(outcome, Unknown) else inf
         else:
@@ -385,7 +386,7 @@
             self._next_read_at = now
             self._log(log_events.SESSION_ESTABLISHED, f"lease {self.lease:x}")
         elif isinstance(outcome, Refused) and not outcome.lease_gone:
-            # If two processes have the same name, the later one gets no session while the first one is alive.
+            # If two processes have the same name, the later process gets no session while the first is alive.
             self._log(log_events.DUPLICATE_NAME, "another process is registered under this name")
             self._disconnect_until(now + max(NAME_TAKEN_BACKOFF_S, self.terms.ttl_s / RENEWALS_PER_TTL))
         else:
@@ -422,7 +423,8 @@
             self._expire_session(now, LEASE_ENDED)
         else:
             # Either result is possible: the session is not extended here, but the lease in the store may be,
-            # and other instances then wait for its end. The renewal is repeated soon, while there is time.
+            # and other instances then wait for its end. The renewal is repeated soon, while the session is
+            # still valid.
             longest_s = self.terms.renew_s * LOST_RENEWAL_SHARE
             self._next_request_at = now + min(self._next_backoff_s(), longest_s)
 
@@ -459,8 +461,8 @@
         elif role.state in (RoleState.HELD, RoleState.RELEASING):
             self._lose_role(now, role, "another instance holds the key, or it was deleted")
         elif entry is None and self.in_session:
-            # UNCERTAIN: the pending acquisition may still be carried out. A second one is then refused, and
-            # the following read finds the key of this instance.
+            # UNCERTAIN: the pending acquisition may still be carried out. A second acquisition is then
+            # refused, and the following read finds the key of this instance.
             if role.state in (RoleState.IDLE, RoleState.UNCERTAIN) and role.contending:
                 self._wait_to_acquire(now, role)
         elif role.state in (RoleState.WAITING, RoleState.UNCERTAIN):
--- a/coveport/sidecar/leases/open_store.py
+++ b/coveport/sidecar/leases/open_store.py
@@ -1,4 +1,4 @@
-"""Opens the store that the operator's file configures; imports the module of that kind only."""
+"""Opens the store that the operator's file configures; imports the module of this kind of store only."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 def open_store(operator_file: OperatorFile) -> Store:
-    """Return the lease store; StoreError if it can't be used."""
+    """Return the lease store; raise StoreError if the store can't be used."""
     if operator_file.sqlite is not None:
         from coveport.sidecar.leases.sqlite import SqliteStore
 
         return SqliteStore(operator_file.sqlite)
     from coveport.sidecar.leases.etcd import EtcdStore
 
-    # The client's time-out is a third of the time to live. All endpoints must be tried within it.
+    # The client's time-out is a third of the time to live. All endpoints must be tried within this time-out.
     endpoints = operator_file.endpoints
     return EtcdStore(endpoints, operator_file.terms.ttl_s / 3 / (len(endpoints) + 1))
 
--- a/coveport/sidecar/leases/role.py
+++ b/coveport/sidecar/leases/role.py
@@ -1,4 +1,7 @@
-"""State of one singleton role at one instance. Pure."""
+"""State of one singleton role at one instance.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+"""
 
 from __future__ import annotations
 
@@ -22,14 +25,14 @@
     call: int = 0  # number of the acquisition or release that is in flight
     acquire_at: float = inf  # when to try the acquisition, while WAITING
     release_retry_at: float = inf  # when to repeat a release with an unknown outcome, while RELEASING
-    rest_until: float = -inf  # no contention before this time
+    rest_until: float = -inf  # time before which the instance does not contend for the role
     rest_count: int = 0  # consecutive rests
     acquired_at: float = 0.0
     known_revision: int = 0  # store revision of the last known value of the role's key
     contending: bool = True  # False if an operator, a drain or the operator's file excludes the instance
 
     def set_state(self, next_state: RoleState) -> None:
-        """Move to another state; AssertionError if there is no such transition."""
+        """Move to another state; raise AssertionError if there is no such transition."""
         if next_state not in ROLE_TRANSITIONS[self.state]:
             raise AssertionError(f"no transition of role {self.name} from {self.state} to {next_state}")
         if next_state is RoleState.IDLE:
@@ -48,7 +51,10 @@
         self.call = 0
 
     def rest(self, now: float, ttl_s: float) -> None:
-        """Start a rest without contention. It grows, or unhealthy instances would keep alternating."""
+        """Start a rest without contention.
+
+        Consecutive rests grow up to a limit; without that, unhealthy instances would keep alternating.
+        """
         if now - self.acquired_at > REST_RESET_TTLS * ttl_s:
             self.rest_count = 0
         doublings = min(self.rest_count, MAX_REST_DOUBLINGS)
--- a/coveport/sidecar/leases/session_values.py
+++ b/coveport/sidecar/leases/session_values.py
@@ -1,7 +1,7 @@
 """Values that the store keeps while the session lasts: the instance's status and its published values.
 
-Each is bound to the session's lease. Without a lease, a value would outlive the session, and the instance
-could never register its name again.
+Each value is bound to the session's lease. Without a lease, a value would outlive the session, and the
+instance could never register its name again.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class WriteCall(Protocol):
-    """Function that puts a value; `kind` names the counter of the call."""
+    """Function that puts a value in the store; `kind` is part of the name of the call's counter."""
 
     async def __call__(self, kind: str, put: Put) -> Outcome:
         """Return the outcome of the put."""
@@ -43,7 +43,7 @@
         self._values: dict[str, bytes] = {}  # by key: values in flight or to be written next
 
     def close(self) -> None:
-        """Start no more writes."""
+        """Stop starting writes."""
         self._closed = True
 
     @property
@@ -51,7 +51,7 @@
         return not self._closed and self._lease_state.in_session
 
     def publish(self, key: str, value: bytes) -> None:
-        """Write a value now; it is discarded if there is no session."""
+        """Write a value now, or discard the value if there is no session."""
         writing = key in self._values
         if writing:
             self._values[key] = value
@@ -77,7 +77,7 @@
             self.write_status()
 
     def write_status(self) -> None:
-        """Write the current status; after a write in flight, another one follows if the status changed."""
+        """Write the current status; if a write is in flight and the status changed, write again after it."""
         if self._may_write and not self._writing_status:
             self._writing_status = True
             self._start_task(self._write_status())
--- a/coveport/sidecar/leases/sqlite.py
+++ b/coveport/sidecar/leases/sqlite.py
@@ -1,4 +1,6 @@
-"""Lease store for the instances of one host: a SQLite file, used by its own thread, timed by the boot clock.
+"""Lease store for the instances of one host: a SQLite file.
+
+The file is accessed by a thread of its own, and leases expire by the boot clock.
 
 Every transaction first ends the leases that have expired, and only then checks its compares: the first
 instance that writes after a lease's expiry ends it for all instances.
@@ -41,7 +43,7 @@
 
 
 class SqliteStore(Store):
-    """The connection of one instance to the file. It must be closed to end its thread.
+    """The connection of one instance to the file. The connection must be closed to end its thread.
 
     `now_s` is the clock of lease expiry, the same for all instances of the host, and `boot` returns the id of
     the boot that it counts from. Without `watched`, no history is kept and `watch` yields no changes.
@@ -60,7 +62,7 @@
         self._thread = ThreadPoolExecutor(1, "leases")
         self._file = SqliteFile(path, boot=boot, lock_timeout_s=lock_timeout_s, keep_history=watched)
 
-    # Calls. Each runs as one job in the thread.
+    # Calls. Each call runs as one job in the thread.
 
     async def read(self, prefix: str) -> Done | Unknown:
         """Return all entries whose keys start with a prefix; expired leases are ended first."""
@@ -81,7 +83,7 @@
         return await self._write(job)
 
     async def commit_all(self, transactions: Sequence[Transaction]) -> list[Outcome]:
-        """Carry out several transactions within one of the file: after a crash, all or none are stored."""
+        """Carry out several transactions within one SQLite transaction: a crash loses all or none of them."""
 
         def job(tables: LeaseTables) -> list[Outcome]:
             with self._file.writing(tables):
@@ -110,7 +112,7 @@
         return outcome
 
     async def renew(self, lease: int) -> Outcome:
-        """Renew a lease by its time to live; refused if it has ended."""
+        """Renew a lease by its time to live; the outcome is Refused if the lease has ended."""
 
         def job(tables: LeaseTables, revision: int) -> Outcome:
             ttl_s = tables.lease_ttl_s(lease)
@@ -199,5 +201,6 @@
 
 
 def _unknown(error: Exception) -> Unknown:
-    # A failure before the commit had no effect, a failed commit may have had. They are not distinguished.
+    # A failure before the commit had no effect; a failed commit may have had an effect. The two are not
+    # distinguished.
     return Unknown(f"{type(error).__name__}: {error}")
--- a/coveport/sidecar/leases/sqlite_file.py
+++ b/coveport/sidecar/leases/sqlite_file.py
@@ -1,8 +1,9 @@
 """File of a SQLite store: opens it, acquires its lock, and runs transactions.
 
-Used by one thread only. With WAL and `synchronous=FULL`, a transaction that was reported as done survives a
-SIGKILL or a loss of power. If a process is killed during a transaction, the file keeps the state before it.
-If a process is suspended during a transaction, it keeps the lock until it resumes.
+The file object is used by one thread only. With WAL and `synchronous=FULL`, a transaction that was reported
+as done survives a SIGKILL or a loss of power. If a process is killed during a transaction, the file keeps the
+state before the transaction. A process that is suspended during a transaction keeps the lock until the
+process resumes.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
         self.identity = ""
 
     def open(self) -> LeaseTables:
-        """Return the tables; opens the file if it is not open or was replaced by another one."""
+        """Return the tables; opens the file if it is not open or was replaced by another file."""
         try:
             inode = os.stat(self._path).st_ino
         except FileNotFoundError:
--- a/coveport/sidecar/leases/sqlite_tables.py
+++ b/coveport/sidecar/leases/sqlite_tables.py
@@ -60,7 +60,7 @@
         self.connection.execute(f"PRAGMA user_version={FORMAT}")
 
     def read_property(self, name: str) -> str:
-        """Return a property of the store; StoreError if it is missing."""
+        """Return a property of the store; raise StoreError if the property is missing."""
         row = self.connection.execute("SELECT value FROM about WHERE name = ?", (name,)).fetchone()
         if row is None:
             raise StoreError(f"{self._path}: incomplete store: property {name} is missing")
@@ -86,12 +86,12 @@
         return lease
 
     def lease_ttl_s(self, lease: int) -> float | None:
-        """Return a lease's time to live; None if it has ended."""
+        """Return a lease's time to live; None if the lease has ended."""
         row = self.connection.execute("SELECT ttl_s FROM leases WHERE id = ?", (lease,)).fetchone()
         return None if row is None else float(row[0])
 
     def lease_until_s(self, lease: int) -> float | None:
-        """Return the expiry time of a lease, by the store's clock; None if it has ended."""
+        """Return the expiry time of a lease, by the store's clock; None if the lease has ended."""
         row = self.connection.execute("SELECT until_s FROM leases WHERE id = ?", (lease,)).fetchone()
         return None if row is None else float(row[0])
 
@@ -115,7 +115,7 @@
         self._end_leases(self.revision, [row[0] for row in rows])
 
     def end_lease(self, revision: int, lease: int) -> int | None:
-        """End a lease at a revision; return the resulting revision, or None if it had already ended."""
+        """End a lease at a revision; return the resulting revision; None if the lease had already ended."""
         if self.lease_ttl_s(lease) is None:
             return None
         return self._end_leases(revision, [lease])
@@ -150,7 +150,7 @@
         return int(row[0] if row else 0) == compare.equals
 
     def _apply(self, revision: int, changes: Sequence[Put | Delete]) -> int:
-        """Apply changes at the next revision; return it, or `revision` if they had no effect."""
+        """Apply changes at the next revision; return that one, or `revision` if no change had an effect."""
         next_revision = revision + 1
         # A list, so that every change is applied even if an earlier one had an effect.
         changed = [self._apply_one(next_revision, change) for change in changes]
@@ -199,7 +199,7 @@
             yield Entry(*row)
 
     def changes(self, prefix: str, after: int, revision: int) -> list[Change]:
-        """Return the changes after `after` up to `revision`; WatchLostError if the history lacks some."""
+        """Return the changes after `after` up to `revision`; WatchLostError if the history is incomplete."""
         if revision < after:
             raise WatchLostError(f"the store's revision went back from {after} to {revision}")
         if after < int(self.read_property("compacted")):
--- a/coveport/sidecar/leases/states.py
+++ b/coveport/sidecar/leases/states.py
@@ -1,4 +1,6 @@
-"""States of a session and of a role at one instance, and the transitions between them. Pure.
+"""States of a session and of a role at one instance, and the transitions between them.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 The values appear in trial reports and must not change.
 """
@@ -15,7 +17,7 @@
     REQUESTING_LEASE = "asking"
     REGISTERING = "arriving"  # the instance's key is being created under the lease
     ACTIVE = "in"
-    EXPIRING = "wary"  # not renewed in time: no new work is started
+    EXPIRING = "wary"  # the session was not renewed in time: no new work is started
     CLOSED = "left"
     STORE_RESET = "estranged"  # the store was wiped, restored or replaced
 
--- a/coveport/sidecar/leases/store.py
+++ b/coveport/sidecar/leases/store.py
@@ -1,8 +1,9 @@
 """Interface of a lease store, and the three outcomes of a call. Each implementation has its own module.
 
 A store keeps small values under keys. It has one revision, which grows by one with each transaction that
-has an effect. A lease has a time to live; the keys that are bound to it are deleted when it ends. A call is
-done, refused or unknown. Unknown is not an error: the call may have been carried out, or may still be.
+has an effect. A lease has a time to live; the keys that are bound to a lease are deleted when the lease ends.
+A call is done, refused or unknown. Unknown is not an error: the call may have been carried out, or may still
+be.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 
     key: str
     value: bytes
-    created: int  # revision of its creation; the fencing token of a role's key
-    modified: int  # revision of its last put
+    created: int  # revision at which the key was created; the fencing token of a role's key
+    modified: int  # revision of the last put of the key
     lease: int = 0  # 0: not bound to a lease
 
 
@@ -127,11 +128,14 @@
 
     @abstractmethod
     async def commit(self, transaction: Transaction) -> Outcome:
-        """Carry out a transaction. An implementation never sends it twice."""
+        """Carry out a transaction. An implementation never sends a transaction twice."""
 
     @abstractmethod
     async def commit_all(self, transactions: Sequence[Transaction]) -> list[Outcome]:
-        """Carry out several independent transactions, even if some are refused. As durable as `commit`."""
+        """Carry out several independent transactions, even if some are refused.
+
+        The transactions are as durable as by `commit`.
+        """
 
     @abstractmethod
     async def grant(self, ttl_s: float) -> Done | Unknown:
@@ -139,7 +143,7 @@
 
     @abstractmethod
     async def renew(self, lease: int) -> Outcome:
-        """Renew a lease by its time to live; refused if it has ended."""
+        """Renew a lease by its time to live; the outcome is Refused if the lease has ended."""
 
     @abstractmethod
     async def revoke(self, lease: int) -> Outcome:
@@ -147,7 +151,7 @@
 
     @abstractmethod
     async def time_left(self, lease: int) -> Outcome:
-        """Return the remaining time of a lease as `ttl_s`; refused if it has ended."""
+        """Return the remaining time of a lease as `ttl_s`; the outcome is Refused if the lease has ended."""
 
     @abstractmethod
     def watch(self, prefix: str, after: int) -> AsyncIterator[Sequence[Change]]:
--- a/coveport/sidecar/leases/store_calls.py
+++ b/coveport/sidecar/leases/store_calls.py
@@ -21,8 +21,9 @@
 class StoreCalls:
     """The calls of one instance. `on_reset` is called with a reason when the store was reset.
 
-    A store that was wiped, restored or replaced has another identity, or a lower revision than was known when
-    the call was sent. The revision known at the answer is no criterion, because answers may be reordered.
+    A store that was wiped, restored or replaced has another identity, or a lower revision than the revision
+    known when the call was sent. The revision known when the answer arrives is no criterion, because answers
+    may be reordered.
     """
 
     def __init__(self, timeout_s: float, history: History, on_reset: Callable[[str], None]) -> None:
@@ -34,7 +35,7 @@
         self.counts: dict[str, int] = {}  # by kind of call and outcome
 
     async def make(self, kind: str, call: Coroutine[Any, Any, Outcome], known_revision: int) -> Outcome:
-        """Return the outcome of a call; unknown after a time-out or if the store was reset.
+        """Return the outcome of a call; the outcome is Unknown after a time-out or if the store was reset.
 
         `known_revision`: the highest revision from the watch, which the store had reached before this call.
         """
--- a/coveport/sidecar/leases/store_view.py
+++ b/coveport/sidecar/leases/store_view.py
@@ -1,4 +1,7 @@
-"""Copy of the store's keys under a prefix, kept up to date by reads and a watch. Pure."""
+"""Copy of the store's keys under a prefix, kept up to date by reads and a watch.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
         return Entry(key, entry.value, entry.created, entry.modified, entry.lease)
 
     def replace(self, entries: Iterable[Entry], revision: int) -> list[KeyChange] | None:
-        """Replace all entries by those of a revision (keys without the prefix).
+        """Replace all entries by the entries of a revision (keys without the prefix).
 
         Return the changes; None if a later revision is known.
         """
--- a/coveport/sidecar/singletons/drill.py
+++ b/coveport/sidecar/singletons/drill.py
@@ -1,6 +1,7 @@
-"""Singleton role for testing a store: it only increments a counter.
+"""Singleton role for testing a store: the role only increments a counter.
 
-Every step increments the counter and stores it, so that lost steps can be distinguished from repeated ones.
+Every step increments the counter and stores the new value, so that lost steps can be distinguished from
+repeated ones.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Drill:
-    """Role that counts its steps and stores the incarnation that made the last one."""
+    """Role that counts its steps and stores the incarnation that made the last step."""
 
     name = "drill"
 
--- a/coveport/sidecar/singletons/health_checking.py
+++ b/coveport/sidecar/singletons/health_checking.py
@@ -1,4 +1,6 @@
-"""Shared health checks: each ledger node is checked by one instance, which publishes the result. Pure.
+"""Shared health checks: each ledger node is checked by one instance, which publishes the result.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 The assignment depends only on the names of nodes and instances (rendezvous hashing, Thaler and Ravishankar
 1998): all instances with the same names agree without communication, and when an instance leaves, only its
@@ -6,8 +8,8 @@
 none for a short time; neither does harm. A result is stored under `look/NODE`, bound to its author's session,
 and is deleted when that session ends.
 
-Instead of its own check, an instance uses another instance's recent result. A result may exclude a node or
-readmit it sooner; it never ends an operation.
+An instance uses a recent result of another instance instead of checking the node itself. A result may
+exclude a node, or readmit the node sooner; a result never ends an operation.
 """
 
 from __future__ import annotations
@@ -23,20 +25,20 @@
 from coveport.sidecar.leases.store import Entry
 
 RESULT_PREFIX = "look/"
-RESULT_LIFETIME_S = 2.0  # time after its receipt during which a result is used
-REPUBLISH_S = 1.0  # interval for unchanged results; a change is published at once
-OWN_OBSERVATION_LIFETIME_S = 5.0  # time during which an own observation overrides a result
+RESULT_LIFETIME_S = 2.0  # time after the receipt of a result during which the result is used
+REPUBLISH_S = 1.0  # interval at which unchanged results are published again; a change is published at once
+OWN_OBSERVATION_LIFETIME_S = 5.0  # time during which an observation of this instance overrides a result
 MAX_CLOCK_AHEAD_S = 5.0  # results dated further into the future are ignored: wrong clock
 
 
 class HealthCheckResult(msgspec.Struct, frozen=True):
-    """Result of an instance's check of a node. `name` is a field's name in the store, if it differs."""
+    """Result of an instance's check of a node. `name` is a field's name in the store, where it differs."""
 
-    checked_by: str = msgspec.field(name="by")  # incarnation
+    checked_by: str = msgspec.field(name="by")  # incarnation of the author
     checked_at: float = msgspec.field(name="at")  # unix s, by the author's clock
     ok: bool
     latency_ms: float = msgspec.field(default=0.0, name="ms")
-    sequence: int = msgspec.field(default=0, name="n")  # number of the result, counted by its author
+    sequence: int = msgspec.field(default=0, name="n")  # number of the result, counted by the author
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnCheck:
-    """Last own check of a node; `ok` is the last known result."""
+    """The last check of a node by this instance; `ok` is the last known result."""
 
     started_at: float
     ok: bool
@@ -91,7 +93,7 @@
         self._own_checks: dict[str, OwnCheck] = {}
         self._observed: dict[
             str, tuple[float, bool]
-        ] = {}  # by node: last time and success of an own operation
+        ] = {}  # by node: when this instance's last operation ended, and whether it succeeded
         self._instances: set[str] = set()
         self._checkers: dict[str, str] = {}  # assigned instance by node, for the current set of instances
         self._sequence = 0
@@ -130,7 +132,7 @@
     def check_finished(
         self, now: float, unix: float, node: str, *, ok: bool, latency_ms: float
     ) -> bytes | None:
-        """Return the result to publish; None if it is unchanged and was published recently."""
+        """Return the result to publish; None if the same result was published recently."""
         last_check = self._last_check(node)
         publish = last_check.ok is not ok or now - last_check.published_at >= REPUBLISH_S
         self._own_checks[node] = OwnCheck(now, ok, now if publish else last_check.published_at)
@@ -149,7 +151,7 @@
         self._observed[node] = now, ok
 
     def receive(self, now: float, unix: float, node: str, entry: Entry | None) -> HealthCheckResult | None:
-        """Handle a changed result of a node; `entry` is None if it was deleted with its author's session.
+        """Handle a changed result of a node; `entry` is None if it was deleted with the author's session.
 
         Return the result if it differs from the last one; None if not, if this instance is its author, or
         if recent operations of this instance contradict it.
@@ -172,7 +174,10 @@
         return None if self._contradicts_observation(now, node, result.ok) else result
 
     def recent_result(self, now: float, node: str) -> HealthCheckResult | None:
-        """Return another instance's recent result, which replaces an own check; None if there is none."""
+        """Return a recent result from another instance, so that this instance need not check the node itself.
+
+        None if there is no such result, or recent operations of this instance contradict the result.
+        """
         received = self._received.get(node)
         if received is None or received.result.checked_by == self._incarnation:
             return None
@@ -181,7 +186,8 @@
         return None if self._contradicts_observation(now, node, received.result.ok) else received.result
 
     def _contradicts_observation(self, now: float, node: str, ok: bool) -> bool:
-        # The author may reach the node by a different network path, so own observations take precedence.
+        # The author may reach the node by a different network path, so this instance's own observations take
+        # precedence.
         observed = self._observed.get(node)
         if observed is None:
             return False
--- a/coveport/sidecar/singletons/rollout.py
+++ b/coveport/sidecar/singletons/rollout.py
@@ -1,4 +1,6 @@
-"""Roll-out of settings to a tenth of the instances at a time, with roll-back on failures. Pure.
+"""Roll-out of settings to a tenth of the instances at a time, with roll-back on failures.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 The role's holder makes decisions with `Rollout`; each instance applies them with `rollout_follower`. The
 formats of the store are in `rollout_plan`.
@@ -36,11 +38,12 @@
 DECISION_INTERVAL_S = 0.25
 SOAK_S = 5.0  # time that all updated instances must run the new settings before the next step
 APPLY_TIMEOUT_S = 30.0  # time-out for an instance to apply the settings, after which the plan rolls back
-MAX_SUCCESS_DROP = 0.05  # a larger drop below the success ratio of the old settings rolls back
-MIN_OPERATIONS = 20  # minimum on both sides for a comparison of success ratios
+# After a larger drop below the success ratio of the old settings, the plan rolls back.
+MAX_SUCCESS_DROP = 0.05
+MIN_OPERATIONS = 20  # minimum under the old and under the new settings for a comparison of success ratios
 MAX_PUTS_PER_STEP = 100  # etcd accepts at most 128 operations in a transaction
 
-# By action of a command: the phases in which it is accepted, and the phase that it leads to.
+# By action of a command: the phases in which it is accepted, and the phase that the action leads to.
 COMMAND_TRANSITIONS: dict[str, tuple[frozenset[RolloutPhase], RolloutPhase]] = {
     "pause": (frozenset({RolloutPhase.RUNNING}), RolloutPhase.PAUSED),
     "resume": (frozenset({RolloutPhase.PAUSED}), RolloutPhase.RUNNING),
@@ -51,7 +54,7 @@
 class Rollout:
     """Singleton role that carries out a roll-out.
 
-    Only its timers are kept in memory, so a successor starts them again.
+    Only the timers are kept in memory, so a successor starts them again.
     """
 
     name = ROLLOUT_ROLE
--- a/coveport/sidecar/singletons/rollout_follower.py
+++ b/coveport/sidecar/singletons/rollout_follower.py
@@ -1,4 +1,7 @@
-"""An instance's part in a roll-out: determines its desired settings from the store. Pure."""
+"""An instance's part in a roll-out: determines its desired settings from the store.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,7 @@
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._revision = 0  # of the key that was applied last; older revisions are ignored
+        self._revision = 0  # revision of the key that was applied last; older revisions are ignored
         self.running = ""
         self.rejected = ""
         self.reject_reason = ""
@@ -51,7 +54,7 @@
         return None if settings_id == self.running else DesiredSettings(settings_id, text)
 
     def _latest_desired(self, entries: Mapping[str, Entry]) -> Entry | None:
-        """Return the latest key that applies to the instance, if it is later than the last one used."""
+        """Return the latest key that applies to the instance, if the key is later than the last key used."""
         keys = (DESIRED_PREFIX + self._name, DESIRED_BY_DEFAULT_KEY)
         desired = [entries[key] for key in keys if key in entries]
         latest = max(desired, key=lambda entry: entry.modified, default=None)
@@ -64,7 +67,7 @@
         self.reject_reason = ""
 
     def record_rejected(self, settings: str, reason: str) -> None:
-        """Record that these settings can't be used; the previous ones stay in effect."""
+        """Record that these settings can't be used; the previous settings stay in effect."""
         self.rejected = settings
         self.reject_reason = reason
 
--- a/coveport/sidecar/singletons/rollout_plan.py
+++ b/coveport/sidecar/singletons/rollout_plan.py
@@ -1,4 +1,6 @@
-"""Formats of a roll-out in the store: its plan, operators' commands, and instances' status. Pure.
+"""Formats of a roll-out in the store: its plan, operators' commands, and instances' status.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
     ask/rollout         a command of an operator: start (with the settings), pause, resume, abort; deleted by
                         the step that carries it out
@@ -8,7 +10,7 @@
                         one with the higher revision applies
     instance/NAME       status of an instance: running and rejected settings, success ratio
 
-`name` of a field gives its name in the store where it differs; stored names must not change.
+`name` of a field is the field's name in the store, if the two names differ; stored names must not change.
 """
 
 from __future__ import annotations
@@ -62,7 +64,7 @@
     steps: tuple[tuple[str, ...], ...]  # names of the instances of each step
     phase: RolloutPhase = RolloutPhase.RUNNING
     steps_done: int = msgspec.field(default=0, name="done")
-    rolled_back: int = msgspec.field(default=0, name="back")  # instances rolled back so far
+    rolled_back: int = msgspec.field(default=0, name="back")  # number of instances rolled back so far
     reason: str = msgspec.field(default="", name="why")
     requested_by: str = msgspec.field(default="", name="by")
     last_reply: str = msgspec.field(default="", name="said")  # reply to the last command of an operator
@@ -86,8 +88,8 @@
     running: str = msgspec.field(default="", name="runs")  # settings id; empty: settings of its own file
     rejected: str = msgspec.field(default="", name="refused")  # settings id
     reject_reason: str = msgspec.field(default="", name="why")
-    success_ratio: float = msgspec.field(default=1.0, name="served")  # of recent operations
-    operations: int = msgspec.field(default=0, name="ended")  # number of these operations
+    success_ratio: float = msgspec.field(default=1.0, name="served")  # success ratio of recent operations
+    operations: int = msgspec.field(default=0, name="ended")  # number of these recent operations
 
 
 class RolloutCommand(msgspec.Struct, frozen=True):
@@ -124,7 +126,7 @@
 
 
 def instance_statuses(entries: Mapping[str, Entry]) -> dict[str, InstanceStatus]:
-    """Return the status of each registered instance; an empty one if its value can't be read."""
+    """Return the status of each registered instance; an empty status if its value can't be read."""
     statuses = {}
     for key, entry in entries.items():
         if not key.startswith(INSTANCE_PREFIX):
@@ -140,7 +142,8 @@
 def plan_steps(names: Iterable[str], steps: int = MAX_STEPS) -> tuple[tuple[str, ...], ...]:
     """Return the instances in steps of a tenth each, rounded up.
 
-    They are ordered by a hash of their names, so that instances with similar names fall into different steps.
+    The instances are ordered by a hash of their names, so that instances with similar names fall into
+    different steps.
     """
     ordered = sorted(names, key=lambda name: (hashlib.sha256(name.encode()).digest(), name))
     size = max(1, -(-len(ordered) // steps))
--- a/coveport/sidecar/singletons/singleton.py
+++ b/coveport/sidecar/singletons/singleton.py
@@ -1,9 +1,11 @@
-"""Interface of a singleton role, which decides on the next step of its holder. Pure.
+"""Interface of a singleton role, which decides on the next step of its holder.
 
-A role stores its state under `state/NAME`; a successor continues from it. Each step is one transaction: it
-compares the fencing token and the revision of the state that the decision was based on, puts the next state,
-and makes the step's changes. A step is therefore carried out once or not at all, even if another instance
-takes over in between.
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+
+A role stores its state under `state/NAME`; a successor continues from that state. Each step is one
+transaction: it compares the fencing token and the revision of the state that the decision was based on, puts
+the next state, and makes the step's changes. A step is therefore carried out once or not at all, even if
+another instance takes over in between.
 """
 
 from __future__ import annotations
--- a/coveport/sidecar/singletons/slow_start_client.py
+++ b/coveport/sidecar/singletons/slow_start_client.py
@@ -1,4 +1,7 @@
-"""An instance's part in slow start: its capacity requests, and the grants that it may use. Pure."""
+"""An instance's part in slow start: its capacity requests, and the grants that it may use.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
     CapacityRequest,
 )
 
-REQUEST_INTERVAL_S = GRANT_LIFETIME_S / 2  # a new grant arrives before the last one expires
+REQUEST_INTERVAL_S = GRANT_LIFETIME_S / 2  # a new grant arrives before the last grant expires
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/sidecar/singletons/slow_start_coordinator.py
+++ b/coveport/sidecar/singletons/slow_start_coordinator.py
@@ -1,13 +1,15 @@
-"""Coordinator of slow start: grants instances shares of a warming node's safe load. Pure.
+"""Coordinator of slow start: grants instances shares of a warming node's safe load.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 Shares are whole operations. Each zone has one coordinator. The formats of the store are in
 `slow_start_messages`, an instance's part in `slow_start_client`.
 
 Times of different clocks are never compared. An instance may use a grant while its own clock is below
-requested_at + G. It took the time requested_at before the grant was written, so no grant is used later than G
-after it was written, by any clock within the drift. The coordinator counts a grant as in use for
-G' = G (1 + drift) after writing it. A successor can't use times of its predecessor's clock and counts from
-its takeover, which is later.
+requested_at + G. The instance read requested_at from its clock before the grant was written, so no grant is
+used later than G after the grant was written, by any clock within the drift. The coordinator counts a grant
+as in use for G' = G (1 + drift) after writing the grant. A successor can't use times of its predecessor's
+clock and counts from its takeover, which is later.
 
 Let W be the window of a node's safe load, and B(age) the number of operations that a node of that age can
 carry out in that window; it never falls with age. Operations that arrive within W were granted within W + G'
@@ -72,7 +74,8 @@
 class SlowStartCoordinator:
     """Singleton role that grants capacity in one zone.
 
-    `incarnation` marks the states it writes; `drift` is the share by which two clocks may differ.
+    `incarnation` marks the states that the coordinator writes; `drift` is the share by which two clocks may
+    differ.
     """
 
     def __init__(
@@ -89,10 +92,11 @@
         self._incarnation = incarnation
         self._safe_load = safe_load
         self.in_use_s = GRANT_LIFETIME_S * (1 + drift)  # G': time during which a grant counts as in use
-        # A predecessor's state, and when it was first read.
+        # A predecessor's state, and when this process first read the state.
         self._adopted: tuple[bytes | None, float] | None = None
         self._has_written = False  # whether this process has written a state
-        # By instance: the time of its request by its own clock, and when it was first read by this clock.
+        # By instance: time of its request by the instance's clock, and when this process first read the
+        # request, by this process' clock.
         self._requests_seen: dict[str, tuple[float, float]] = {}
 
     @property
@@ -162,7 +166,7 @@
         outstanding: Sequence[OutstandingGrant],
         step: int,
     ) -> dict[str, int]:
-        """Return the operations of one node for each instance that requests it."""
+        """Return how many operations on this node to grant, by name of the requesting instance."""
         requesting = {name: request for name, request in requests.items() if node in request.nodes}
         # The lowest age and the longest mean time of an operation that any instance reports.
         age_s = min(request.nodes[node][1] for request in requesting.values())
--- a/coveport/sidecar/singletons/slow_start_messages.py
+++ b/coveport/sidecar/singletons/slow_start_messages.py
@@ -1,10 +1,12 @@
-"""Formats of slow start in the store: capacity requests, grants, and the coordinator's state. Pure.
+"""Formats of slow start in the store: capacity requests, grants, and the coordinator's state.
 
-    need/NAME           request of an instance: its own clock's time, its rate, the known warming nodes
-    grant/ZONE/NAME     operations that it may send to each node of that zone, and the time of the request
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+
+    need/NAME           request of an instance: time by its own clock, its rate, the known warming nodes
+    grant/ZONE/NAME     operations that instance NAME may send to each node of ZONE, and the request's time
     state/warden@ZONE   state of the zone's coordinator: grants that may be in use, by node
 
-`name` of a field gives its name in the store where it differs; stored names must not change.
+`name` of a field is the field's name in the store, if the two names differ; stored names must not change.
 """
 
 from __future__ import annotations
@@ -16,20 +18,20 @@
 REQUEST_PREFIX = "need/"
 GRANT_PREFIX = "grant/"
 ROLE_NAME_PREFIX = "warden@"  # + zone
-GRANT_LIFETIME_S = 2.0  # G: time after its request during which an instance may use a grant
+GRANT_LIFETIME_S = 2.0  # G: time after the request during which an instance may use the grant
 
 
 @dataclass(frozen=True, slots=True)
 class SafeLoad:
     """Load that a warming node can carry without failing, by the invariants of the settings."""
 
-    initial_fraction: float = 0.36  # share of its full capacity at the start
+    initial_fraction: float = 0.36  # share of the node's full capacity that the node has at its start
     warm_after_s: float = 8.6  # age at which a node has its full capacity
-    overload_factor: float = 4.0  # multiple of its present capacity at which it fails
-    overload_window_s: float = 2.0  # W: duration of such a load after which it fails
+    overload_factor: float = 4.0  # multiple of its present capacity at which a node fails
+    overload_window_s: float = 2.0  # W: duration of that load after which the node fails
 
     def operations(self, age_s: float, service_s: float) -> float:
-        """Return how many operations of a mean time a one-core node of an age can carry out in W."""
+        """Return how many operations a one-core node can carry out in W, by its age and their mean time."""
         age = min(max(age_s, 0.0), self.warm_after_s)
         warmth = age / self.warm_after_s if self.warm_after_s else 1.0
         capacity_fraction = self.initial_fraction + (1 - self.initial_fraction) * warmth
@@ -39,7 +41,8 @@
 class CapacityRequest(msgspec.Struct, frozen=True):
     """An instance's request for a share of warming nodes' capacity."""
 
-    incarnation: str = msgspec.field(name="to")  # a later process of the same name can't use the grant
+    # Incarnation of the requester: a later process of the same name can't use the grant.
+    incarnation: str = msgspec.field(name="to")
     requested_at: float = msgspec.field(name="stamp")  # s, by the requester's own clock
     rate_per_s: float = msgspec.field(name="rate")  # recent rate of first attempts
     service_s: float = msgspec.field(name="service")  # estimated mean time of an operation
@@ -51,12 +54,12 @@
 
     incarnation: str = msgspec.field(name="to")
     requested_at: float = msgspec.field(name="stamp")  # time of the answered request
-    step: int  # step of the coordinator, by which a grant is accepted only once
+    step: int  # number of the coordinator's step; used to accept each grant only once
     operations: dict[str, int] = msgspec.field(name="counts")
 
 
 class OutstandingGrant(msgspec.Struct, frozen=True):
-    """Granted operations of a node that may be in use."""
+    """Operations on one node that were granted at one time and may be in use."""
 
     granted_at: float = msgspec.field(name="at")  # s, by the writer's clock
     operations: int = msgspec.field(name="count")
