--- a/coveport/sidecar/admin/__init__.py
+++ b/coveport/sidecar/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: an operator's commands, a line each."""
+"""The admin protocol on the sidecar's second address: an operator sends commands, one per line."""
--- a/coveport/sidecar/admin/codec.py
+++ b/coveport/sidecar/admin/codec.py
@@ -1,4 +1,4 @@
-"""Decodes commands and encodes responses of the admin protocol. No I/O."""
+"""Decodes commands and encodes responses of the admin protocol, without I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from coveport.sidecar.admin.errors import BadCommandError
 
-MAX_LINE_BYTES = 64  # the longest command has 8 bytes
+MAX_LINE_BYTES = 64  # maximum length of a command's line; the longest command has 8 bytes
 
 
 class Command(Enum):
@@ -22,11 +22,11 @@
 def read_command(buffer: bytes | bytearray, *, is_eof: bool = False) -> Command | None:
     """Return the command in the bytes received on a connection, or None until its line is complete.
 
-    Raises BadCommandError if the bytes can't become a command. `is_eof`: the client has ended its stream.
+    Raise BadCommandError if the bytes can't become a command. `is_eof`: the client has ended its stream.
     """
     line, line_feed, _ = bytes(buffer[: MAX_LINE_BYTES + 2]).partition(b"\n")
     if not line_feed:
-        # Guards against a line that never ends: it would be buffered without a limit.
+        # The limit guards against a line that never ends, which would be buffered without a limit.
         if len(buffer) > MAX_LINE_BYTES:
             raise BadCommandError(f"a call has {MAX_LINE_BYTES} bytes at most")
         if is_eof:
@@ -40,7 +40,7 @@
 
 
 def write_ack(rows: Iterable[str] | None = None) -> bytes:
-    """Return the acknowledgement of a command; `rows`: its report, which a line `--` ends."""
+    """Return the acknowledgement of a command; `rows`: the command's report, which a line `--` ends."""
     lines = ["ACK"] if rows is None else ["ACK", *rows, "--"]
     return "".join(f"{line}\n" for line in lines).encode()
 
--- a/coveport/sidecar/admin/errors.py
+++ b/coveport/sidecar/admin/errors.py
@@ -4,4 +4,7 @@
 
 
 class BadCommandError(Exception):
-    """The bytes received are not a valid command; the text is the reason in the response."""
+    """The bytes received are not a valid command.
+
+    The exception's message is sent as the reason in the response.
+    """
--- a/coveport/sidecar/admin/server.py
+++ b/coveport/sidecar/admin/server.py
@@ -14,13 +14,14 @@
 from coveport.sidecar.telemetry.counters import Counters
 from coveport.sidecar.telemetry.log import Log
 
-COMMAND_TIMEOUT_S = 2.0  # from the connect until the command's line is complete
-PROTECTED_S = 0.1  # time after the connect or the response in which a connection isn't closed for new ones
+COMMAND_TIMEOUT_S = 2.0  # time-out from the connect until the command's line is complete
+PROTECTED_S = 0.1  # time after connect or response in which a connection isn't closed for a new connection
 LINGER_S = 0.5  # time for an operator to read the response and close the connection
 MAX_PENDING_ACCEPTS = 64  # backlog of the listening socket
 ACCEPTS_PER_TURN = 8  # connections accepted per turn of the event loop
 
-_READ_BUFFER = memoryview(bytearray(4096))  # shared by all connections: emptied before the next read
+# Shared by all connections, because the buffer is emptied before the next read.
+_READ_BUFFER = memoryview(bytearray(4096))
 
 CommandResult = str | Iterable[str] | None
 """The result of a command: a str is the reason of its rejection, an iterable its report; None: done."""
@@ -78,7 +79,7 @@
         assert self._transport is not None
         self._timer.cancel()
         self._timer = self._server.net.loop.call_later(LINGER_S, self.close)
-        # Guards against an operator that has disconnected meanwhile.
+        # The write may fail because the operator has disconnected meanwhile.
         with contextlib.suppress(OSError):
             self._transport.write(data)
             self._transport.write_eof()
@@ -104,7 +105,7 @@
     """Accepts operators' connections and dispatches their commands.
 
     `max_connections`: the limit of open connections; connections of the last `PROTECTED_S` may exceed it.
-    `commands`: the handler of each command; a handler's exception is answered with a rejection.
+    `commands`: the handler of each command; if a handler raises an exception, the response is a rejection.
     """
 
     def __init__(
@@ -121,7 +122,8 @@
         self._log = log
         self._max_connections = max_connections
         self._commands = commands
-        self._waiting: dict[_Connection, None] = {}  # no command received yet; oldest first
+        # Connections whose command has not arrived yet; oldest first.
+        self._waiting: dict[_Connection, None] = {}
         self._answered: dict[_Connection, None] = {}
         self._listening: Listening | None = None
 
@@ -137,7 +139,7 @@
 
     def add(self, connection: _Connection) -> None:
         """Add a connection; above the limit, close an answered connection or else the oldest waiting one."""
-        # Guards against clients that stay connected without a command: they would lock other operators out.
+        # The limit guards against clients that stay connected without a command and lock other operators out.
         # The command of a new connection is probably in flight, so up to twice the limit may stay open.
         count = len(self._waiting) + len(self._answered)
         if count >= self._max_connections:
@@ -167,7 +169,7 @@
         self._counters.add(f"console_{command.value.lower()}")
         try:
             result = self._commands[command]()
-        except Exception as error:  # noqa: BLE001  # answered with a rejection; the sidecar goes on
+        except Exception as error:  # noqa: BLE001  # the response is a rejection; the sidecar goes on
             self._log.note("console", f"{command.value}: {error!r}")
             return codec.write_nak(f"a fault: {type(error).__name__}")
         return codec.write_nak(result) if isinstance(result, str) else codec.write_ack(result)
--- a/coveport/sidecar/config/lease_terms.py
+++ b/coveport/sidecar/config/lease_terms.py
@@ -1,6 +1,7 @@
 """Lease terms: the time to live of a session, with allowance for lost renewals and for clock drift.
 
-The inequality that they must satisfy is at the head of `coveport/sidecar/leases/lease_state.py`. Pure.
+The inequality that lease terms must satisfy is at the head of `coveport/sidecar/leases/lease_state.py`. The
+module is pure: it does no I/O, and uses no clock or random source of its own.
 """
 
 from __future__ import annotations
@@ -10,8 +11,10 @@
 
 from coveport.sidecar.config.errors import LeaseTermsError
 
-RENEWALS_PER_TTL: Final = 3  # two of them in a row may be lost
-MIN_VALID_RENEWALS: Final = 1.5  # renewal intervals: room for one lost renewal and a part of the next
+RENEWALS_PER_TTL: Final = 3  # renewals sent per time to live; two renewals in a row may be lost
+# In renewal intervals: lower limit of the time in which the holder may start new work (local validity less
+# `margin_s`). The limit leaves room for one lost renewal and a part of the next interval.
+MIN_VALID_RENEWALS: Final = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,7 +22,8 @@
     """The terms on which a lease is requested, in seconds; `drift` is a fraction."""
 
     ttl_s: float = 3.0
-    margin_s: float = 0.2  # deducted from the local validity; in its last `margin_s` nothing new is started
+    # Deducted from the local validity; no new work is started in the last `margin_s` of it.
+    margin_s: float = 0.2
     drift: float = 0.02  # fraction by which two clocks may differ in speed
 
     def check(self) -> None:
@@ -35,7 +39,7 @@
 
     @property
     def local_validity_s(self) -> float:
-        """How long the holder counts its session as valid, from when it sent the renewal."""
+        """How long the holder counts its session as valid, from when the holder sent the renewal."""
         return self.ttl_s / (1 + self.drift) - self.margin_s
 
     @property
--- a/coveport/sidecar/config/operator_checks.py
+++ b/coveport/sidecar/config/operator_checks.py
@@ -2,7 +2,7 @@
 
 The module is pure: it does no I/O, and uses no clock or random source of its own.
 
-Each check returns one line per fault, which names the section and the key.
+Each check returns one line per fault; the line names the section and the key.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     key: str
     minimum: float
     maximum: float
-    text: str = ""  # the range as an error message has it; empty: MINIMUM to MAXIMUM
+    text: str = ""  # the range as written in an error message; empty: MINIMUM to MAXIMUM
 
     def accepts(self, section: msgspec.Struct) -> bool:
         """Return whether the section's value is within the bounds."""
@@ -93,7 +93,7 @@
 
 
 def lease_faults(leases: LeaseSection, store: StoreSection | None) -> list[str]:
-    """Return the faults of `[leases]`; `store`: the `[store]` section, None where it can't be read."""
+    """Return the faults of `[leases]`; `store`: the `[store]` section, None if unreadable."""
     faults = []
     try:
         LeaseTerms(leases.ttl, leases.margin, leases.drift).check()
@@ -120,7 +120,7 @@
 
 
 def fleet_faults(fleet: Fleet, instance: InstanceSection | None) -> list[str]:
-    """Return the faults of `[fleet]`; `instance`: the `[instance]` section, None where it can't be read."""
+    """Return the faults of `[fleet]`; `instance`: the `[instance]` section, None if unreadable."""
     faults = [
         f"[fleet] {bounds.key}: must be {bounds.minimum:g} to {bounds.maximum:g}, "
         f"not {getattr(fleet, bounds.key):g}"
@@ -157,7 +157,7 @@
 
 
 def schema_faults(name: str, kind: type[msgspec.Struct], section: Any) -> list[str]:
-    """Return the faults of a section: unknown and missing keys, and values of the wrong type; all of them."""
+    """Return the faults of a section: all unknown keys, missing keys and values of the wrong type."""
     if not isinstance(section, dict):
         return [f"[{name}] must be a section"]
     fields = {field.name: field for field in msgspec.structs.fields(kind)}
--- a/coveport/sidecar/config/operator_file.py
+++ b/coveport/sidecar/config/operator_file.py
@@ -1,6 +1,6 @@
 """The operator's file (TOML): settings of the fleet's coordination, and an instance's part in it.
 
-Instances on the platform don't read one. All faults of a file are reported at once.
+Instances on the platform don't read such a file. All faults of a file are reported at once.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class OperatorFile(msgspec.Struct, frozen=True):
-    """The complete file, checked."""
+    """The checked settings of the complete file."""
 
     instance: InstanceSection
     store: StoreSection
@@ -66,7 +66,7 @@
 
     @property
     def fleet_prefix(self) -> str:
-        """The key prefix of the supervisors in the store; they are not instances."""
+        """The key prefix of the supervisors in the store; supervisors are not instances."""
         return self.store.prefix.rstrip("/") + "-fleet/"
 
     @property
@@ -121,7 +121,7 @@
 
 
 def _read_section(name: str, kind: type[msgspec.Struct], section: Any, faults: list[str]) -> Any:
-    """Return a section as an instance of its class; None if it has faults, which are added to `faults`."""
+    """Return a section as an instance of its class; None if there are faults, which are added to `faults`."""
     own_faults = checks.schema_faults(name, kind, section)
     faults += own_faults
     return None if own_faults else msgspec.convert(section, kind)
--- a/coveport/sidecar/config/operator_sections.py
+++ b/coveport/sidecar/config/operator_sections.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-MAX_INSTANCES: Final = 1000  # per host
+MAX_INSTANCES: Final = 1000  # maximum number of instances per host
 
 
 class InstanceSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -45,7 +45,8 @@
     def contended_roles(self, zone: int) -> tuple[str, ...]:
         """Return the singleton roles for which an instance of that zone contends.
 
-        Health checking (`looking`) is not a singleton role: each instance where it is on takes part.
+        Health checking (`looking`) is not a singleton role: each instance whose health checking is on takes
+        part.
         """
         roles = {"warden": f"warden@{zone}", "rollout": "rollout", "drill": "drill"}
         return tuple(role for name, role in roles.items() if getattr(self, name))
@@ -56,7 +57,7 @@
 
     record: tuple[str, ...] = ()  # names of the request classes that are logged
     refuse: tuple[str, ...] = ()  # classes in `record` that are rejected while the store is unreachable
-    by_request_id: bool = False  # clients retry with the same X-Request-Id
+    by_request_id: bool = False  # whether clients retry with the same X-Request-Id
     key_file: str = ""  # path relative to this file's folder; empty: requests and responses are not stored
     kept_s: float = 600.0  # how long a finished operation is retained for retries
     body_most: int = 65536  # bytes; longer bodies are not stored
@@ -71,7 +72,7 @@
 
 
 class InstanceOverrides(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[fleet.each.NAME]`: settings of one instance; 0 or empty: the same as the others'."""
+    """`[fleet.each.NAME]`: settings of one instance; 0 or empty: as for the other instances."""
 
     listen: str = ""
     sockets: int = 0
@@ -83,27 +84,29 @@
 
     name: str = ""  # name of this host's fleet; empty: there is no fleet
     instances: int = 2  # number of instances
-    listen: str = "127.0.0.1:9100"  # address of the first instance; each further one has the next port
+    listen: str = "127.0.0.1:9100"  # address of the first instance; each further instance has the next port
     state: str = "fleet"  # folder of the state on this host, relative to this file's folder
     sockets: int = 0  # descriptors per instance; 0: as in the platform's file
     memory_mb: float = 0.0  # memory per instance; 0: as in the platform's file
-    at_once: int = 4  # instances that may be starting at the same time
-    a_second: float = 4.0  # starts per second, after a burst of `at_once`
-    ready_s: float = 20.0  # time-out from an instance's start until it serves
+    at_once: int = 4  # maximum number of instances that are starting at the same time
+    a_second: float = 4.0  # maximum number of starts per second, after a burst of `at_once` starts
+    ready_s: float = 20.0  # time-out from an instance's start until the instance serves
     stop_s: float = 15.0  # time-out from SIGTERM until the instance has exited
     hung_s: float = 5.0  # an instance without a heartbeat of its event loop for this long is replaced
     backoff_s: float = 0.5  # backoff before the restart after a crash; doubled at each further crash
     backoff_most_s: float = 30.0  # maximum of that backoff
     loop: int = 5  # number of crashes within `loop_s` that make a crash loop
     loop_s: float = 60.0  # time in which the crashes of a crash loop are counted
-    rest_s: float = 300.0  # how long an instance in a crash loop isn't restarted
-    hold_s: float = 5.0  # rolling restart: how long an instance must serve before the next one is restarted
+    rest_s: float = 300.0  # time for which an instance in a crash loop isn't restarted
+    # Rolling restart: how long an instance must serve before the next instance is restarted.
+    hold_s: float = 5.0
     young_s: float = 120.0  # maximum age of a snapshot of discovery that is read; 0: no snapshots
-    peers: bool = False  # count the sidecars that share a node by their sessions; needs one store for all
+    # Whether the sidecars that share a node are counted by their sessions; needs one store for all sidecars.
+    peers: bool = False
     each: dict[str, InstanceOverrides] = {}  # overrides by instance name
 
     def number(self, name: str) -> int:
-        """Return an instance's number by its name; 0 where the name is not one of this fleet."""
+        """Return an instance's number by its name; 0 if no instance of this fleet has the name."""
         head, _, tail = name.rpartition("-")
         return int(tail) if head == self.name and tail.isascii() and tail.isdigit() else 0
 
@@ -114,7 +117,7 @@
     def address(self, name: str) -> str:
         """Return the address at which an instance listens, as HOST:PORT.
 
-        Raises ValueError where `listen` has no port.
+        Raise ValueError if `listen` has no port.
         """
         overrides = self.each.get(name)
         if overrides is not None and overrides.listen:
--- a/coveport/sidecar/config/platform.py
+++ b/coveport/sidecar/config/platform.py
@@ -37,7 +37,8 @@
     zones: tuple[str, ...]
     keepalive_ms: float
     console: Address | None = None  # address of the operators' console; None: there is no console
-    known_endpoints: Any = field(default=None, repr=False)  # list at the start, in discovery's form
+    # List of endpoints at the start, in discovery's form.
+    known_endpoints: Any = field(default=None, repr=False)
     document: Mapping[str, Any] = field(default_factory=dict, repr=False, compare=False)  # the parsed file
 
 
@@ -88,7 +89,7 @@
 
 
 def _config(document: Mapping[str, Any], environ: Mapping[str, str], is_reload: bool) -> Config:
-    """Return the configuration; raise any of the errors that `read` catches where a value is invalid."""
+    """Return the configuration; raise an error that `read` catches if a value is invalid."""
     settings = document["settings"]
     limits = document.get("limits") or {}
     seed = document.get("seed", "0")
@@ -112,7 +113,7 @@
 
 def _number(section: Mapping[str, Any], key: str, default: float, *, least: float = 0) -> float:
     value = section.get(key, default)
-    # Guards against integers too large for a float, which JSON allows.
+    # The check rejects integers too large for a float, which JSON allows.
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
@@ -128,7 +129,7 @@
     settings = simulator_settings.parse_settings(json.dumps(document))
     if type(settings.zone) is not int:
         raise PlatformFileError(f"zone must be a whole number, not {settings.zone!r}")
-    # Guards against names that are not strings: nothing in an HTTP message could equal them.
+    # The check rejects names that are not strings, because nothing in an HTTP message could equal such names.
     for key, names in (
         ("classes: name", [operation_class.name for operation_class in settings.classes]),
         ("telemetry: fields", settings.load_fields),
--- a/coveport/sidecar/config/reload_checks.py
+++ b/coveport/sidecar/config/reload_checks.py
@@ -1,4 +1,4 @@
-"""Checks a platform file that is to replace the running one, before any of it takes effect.
+"""Checks a platform file that is to replace the running file, before any of the new file takes effect.
 
 The module is pure: it does no I/O, and uses no clock or random source of its own.
 """
@@ -83,6 +83,6 @@
 
 
 def _check_positive(value: Any, location: str) -> None:
-    # Guards against true, which counts as 1, and integers too large for a float.
+    # The check rejects true, which counts as 1, and integers too large for a float.
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value <= sys.float_info.max:
         raise PlatformFileError(f"{location} must be a positive number, not {value!r}")
--- a/coveport/sidecar/intent_log/deferred_writes.py
+++ b/coveport/sidecar/intent_log/deferred_writes.py
@@ -16,10 +16,11 @@
 from coveport.sidecar.intent_log.runtime import Runtime
 from coveport.sidecar.leases.store import Done, Entry
 
-MAX_REMEMBERED = 4096  # operations
+MAX_REMEMBERED = 4096  # maximum number of remembered operations
 RETRY_INTERVAL_S = 0.5
 RETRY_JITTER = (0.8, 1.2)  # bounds of the random factor of the interval
-FIRST_REVISION = 1  # first revision of every store; a write at this revision has no upper bound of its age
+# First revision of every store; there is no upper bound of the age of a write at this revision.
+FIRST_REVISION = 1
 
 
 class DeferredWrites:
@@ -38,11 +39,11 @@
         return record_id in self._pending
 
     def get(self, record_id: str) -> PendingOperation | None:
-        """Return the operation of a record, None where it is not remembered."""
+        """Return the operation of a record, None if no operation of the record is remembered."""
         return self._pending.get(record_id)
 
     def remember(self, pending: PendingOperation) -> None:
-        """Remember an answered operation, to write its final status later; drop the oldest when full."""
+        """Remember an answered operation to write its final status later; drop the oldest above the limit."""
         self._pending[pending.record.id] = pending
         if len(self._pending) > MAX_REMEMBERED:
             # The dropped operation's record in the store, if there is one, says that it may have run.
@@ -65,7 +66,7 @@
                     del self._pending[record_id]
 
     async def write(self, pending: PendingOperation) -> bool:
-        """Write the final status of an operation; return False where the write has to be tried again."""
+        """Write the final status of an operation; return False if the write must be tried again."""
         record = pending.record
         stored = await self._journal.read(self._layout.record_key(record.id))
         if not isinstance(stored, Done):
@@ -78,7 +79,7 @@
                 return True
             revision = stored.entries[0].modified
         elif pending.revision:
-            return True  # the record was stored and has been deleted
+            return True  # the record was stored earlier and has been deleted since
         outcome = await self._journal.commit(self._layout.write(before, revision, self._closed(pending)))
         if isinstance(outcome, Done):
             self._runtime.count("work_written_late")
@@ -90,7 +91,7 @@
             status = FinalStatus.FAILED if record.may_have_run else FinalStatus.NEVER_RAN
             record = record.closed(status, "not answered", self._runtime.unix_s())
         if record.attempts:
-            # Where the age of the attempts is not known, their deduplication window counts as over.
+            # If the age of the attempts is not known, their deduplication window counts as over.
             first_revision = pending.first_attempt_revision or FIRST_REVISION
             record = msgspec.structs.replace(record, first_attempt_revision=first_revision)
         return record
@@ -99,7 +100,7 @@
 def _unfinished_record(entry: Entry, record: Record) -> Record | None:
     """Return the stored record that `record` completes.
 
-    Return None where the stored record can't be read, is closed, or belongs to another owner, generation or
+    Return None if the stored record can't be read, is closed, or belongs to another owner, generation or
     request by now.
     """
     try:
--- a/coveport/sidecar/intent_log/encryption.py
+++ b/coveport/sidecar/intent_log/encryption.py
@@ -1,9 +1,9 @@
 """Authenticated encryption of members' data in records, and the key file.
 
 AES-GCM (NIST SP 800-38D) with a fresh random nonce for each encryption; the record's id and the kind of the
-payload are authenticated with it, so that one ciphertext can't be substituted for another. A key file has a
-line for each key, `NAME HEX` (32 bytes). The first key encrypts; the others decrypt payloads that were
-encrypted before the key was changed. Only the file's owner may have access to the file.
+payload are authenticated with it, so that a ciphertext can't be substituted for another ciphertext. A key
+file has a line for each key, `NAME HEX` (32 bytes). The first key encrypts; the others decrypt payloads that
+were encrypted before the key was changed. Only the file's owner may have access to the file.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class KeyRing:
-    """Keys by name; the first one encrypts. The constructor raises EncryptionError where there is no key."""
+    """Keys by name; the first key encrypts. The constructor raises EncryptionError if there is no key."""
 
     def __init__(self, keys: dict[str, bytes]) -> None:
         # Imported late: most installations keep no payloads.
--- a/coveport/sidecar/intent_log/execution.py
+++ b/coveport/sidecar/intent_log/execution.py
@@ -54,7 +54,7 @@
 
 
 class ResponseObserver(Protocol):
-    """Receives responses before the clients do."""
+    """Handler that receives each response before the client does."""
 
     def answered(
         self,
@@ -63,14 +63,14 @@
         answer: Answer | None,
         deliver: Callable[[], None],
     ) -> None:
-        """Handle the one final response; `deliver` passes it on."""
+        """Handle the one final response; `deliver` passes the response on to the client."""
 
     def finished(self, pending: PendingOperation, complete: bool) -> None:
         """Handle the end of a streamed response."""
 
 
 class RecordingClient:
-    """Wraps a client: the recorder handles the end of each response before the client gets it."""
+    """Wrapper of a client: the recorder handles the end of each response before the client gets that end."""
 
     def __init__(self, observer: ResponseObserver, pending: PendingOperation, client: Client) -> None:
         self._observer = observer
@@ -102,7 +102,7 @@
 
 
 class AbsentClient:
-    """Replaces the client of an operation that was taken over: the response is recorded and then dropped."""
+    """Stands in for the client of an operation taken over: the response is recorded and then dropped."""
 
     def __init__(self, observer: ResponseObserver, pending: PendingOperation) -> None:
         self._observer = observer
--- a/coveport/sidecar/intent_log/journal.py
+++ b/coveport/sidecar/intent_log/journal.py
@@ -21,14 +21,14 @@
 
 MAX_QUEUED_ENTRIES = 1024
 MAX_QUEUED_BYTES = 4 * 1024 * 1024
-MAX_QUEUED_S = 0.1  # age of the oldest entry; beyond it a new write would become durable too late
+MAX_QUEUED_S = 0.1  # age of the oldest queued entry, beyond which a new write would be durable too late
 GROUP_ENTRIES = 128  # etcd's default limits are 128 operations and 1.5 MB a request
 GROUP_BYTES = 512 * 1024
 UNAVAILABLE_AFTER = 2  # consecutive calls without a response
-RECHECK_INTERVAL_S = 0.5  # between checks of whether an unavailable store responds again
-HEARTBEAT_INTERVAL_S = 1.0  # between reads of the store's revision, which bound the ages of peers' writes
+RECHECK_INTERVAL_S = 0.5  # interval between checks of whether an unavailable store responds again
+HEARTBEAT_INTERVAL_S = 1.0  # between reads of the store's revision, which bound the age of peers' writes
 CLOSE_TIMEOUT_S = 1.0
-_HEARTBEAT_PREFIX = "pulse"  # has no keys; the heartbeat needs only the revision in the response
+_HEARTBEAT_PREFIX = "pulse"  # prefix without keys: the heartbeat needs only the revision in the response
 
 
 class StoreStatus(Enum):
@@ -36,7 +36,8 @@
 
     AVAILABLE = "available"
     UNAVAILABLE = "unavailable"
-    REPLACED = "replaced"  # it was restored to an earlier revision, or is another store: no more writes
+    # The store was restored to an earlier revision, or is another store: no more writes.
+    REPLACED = "replaced"
 
 
 @dataclass(slots=True)
@@ -78,7 +79,7 @@
         self.groups = 0
         self.written = 0
         self.calls = 0
-        self.bytes = 0  # keys and values put by the groups
+        self.bytes = 0  # size of all keys and values that the groups have put
 
     def start(self) -> None:
         """Start the heartbeat, which observes the store's revision; must be called in a running loop."""
@@ -106,7 +107,7 @@
     ) -> None:
         """Queue a write.
 
-        `build` is called when the group is written, and returns the transaction, or None where no write is
+        `build` is called when the group is written, and returns the transaction, or None if no write is
         needed any more. Unless it returned None, `done` is called once, in a later turn of the loop. `size`:
         approximate, in bytes.
         """
@@ -114,7 +115,7 @@
         self._queued_bytes += size
         if not self._is_writing:
             self._is_writing = True
-            # In the next turn: all writes that one turn queues make one group.
+            # The group is written in the next turn, so that all writes that one turn queues make one group.
             asyncio.get_running_loop().call_soon(self._start_writing)
 
     async def read(self, prefix: str) -> Done | Unknown:
@@ -194,7 +195,7 @@
     async def _call_all(
         self, call: Callable[[], Coroutine[Any, Any, Sequence[Outcome]]], count: int
     ) -> list[Outcome]:
-        """Call the store; return its `count` outcomes, all `Unknown` where it did not respond in time."""
+        """Call the store; return its `count` outcomes, all `Unknown` if the store did not respond in time."""
         if self.status is StoreStatus.REPLACED:
             return [_replaced()] * count
         requested_s = self._now_s()
@@ -218,7 +219,7 @@
                 self._set_status(StoreStatus.UNAVAILABLE, outcome.reason)
             return outcome
         if (identity and outcome.identity != identity) or outcome.revision < revision:
-            # Guards against a restored store: its records of operations are out of date.
+            # No more writes are made to a restored store, because its records of operations are out of date.
             self._set_status(
                 StoreStatus.REPLACED, f"revision {outcome.revision} after {revision}, {outcome.identity}"
             )
--- a/coveport/sidecar/intent_log/observed_age.py
+++ b/coveport/sidecar/intent_log/observed_age.py
@@ -3,8 +3,8 @@
 The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 `AgeUpperBound` is used to decide whether a deduplication window may be over, `AgeLowerBound` to decide
-whether a record is old enough to be deleted. Both err on the safe side, and neither has observations from
-before its creation.
+whether a record is old enough to be deleted. Each bound errs on the safe side. Neither object has
+observations from before the object was created.
 
 When the response to a call reports revision r, the store was at r at some time after the call was sent. A
 write with a later revision was made after that, so it is no older than the time since the call was *sent*.
@@ -16,16 +16,17 @@
 from collections import deque
 from math import inf
 
-MAX_OBSERVATIONS = 4096  # the oldest are dropped; a write older than all observations has no upper bound
-LOWER_BOUND_STEPS = 256  # observations in a span; more would only make the bound finer
+# The oldest observations are dropped; a write older than all observations has no upper bound.
+MAX_OBSERVATIONS = 4096
+LOWER_BOUND_STEPS = 256  # number of observations in a span; more would only make the bound finer
 
 
 class AgeUpperBound:
-    """Times at which the store was observed at a revision."""
+    """Upper bound of a write's age, from the times at which the store was observed at a revision."""
 
     def __init__(self, max_observations: int = MAX_OBSERVATIONS) -> None:
         self._max_observations = max_observations
-        self._revisions: list[int] = []  # ascending
+        self._revisions: list[int] = []  # observed revisions, ascending
         # When the latest call that reported the revision was sent, by this instance's clock; ascending.
         self._requested_s: list[float] = []
 
@@ -38,7 +39,8 @@
             return
         if self._requested_s and requested_s <= self._requested_s[-1]:
             # This call was sent before the previous observation's, yet reports a later revision. The store
-            # reached it after the previous observation, so that observation's time holds for it as well.
+            # reached that revision after the previous observation, so that observation's time holds for it
+            # too.
             requested_s = self._requested_s[-1]
         self._revisions.append(revision)
         self._requested_s.append(requested_s)
@@ -52,7 +54,7 @@
 
 
 class AgeLowerBound:
-    """Times since which revisions of the store have been known to this instance.
+    """Lower bound of a write's age, from the times since which this instance has known store revisions.
 
     Deletion of records needs this clock. A record's own times come from the wall clock of the instance that
     closed it; if that clock or this instance's wall clock were an hour wrong, the record would be deleted
@@ -62,7 +64,8 @@
     def __init__(self, span_s: float) -> None:
         self._span_s = span_s
         self._step_s = span_s / LOWER_BOUND_STEPS
-        self._observations: deque[tuple[float, int]] = deque()  # own time in s, revision; both ascending
+        # Time in s by this instance's clock, and revision; both ascending.
+        self._observations: deque[tuple[float, int]] = deque()
 
     def observe(self, now_s: float, revision: int) -> None:
         """Note that the store has reached a revision at `now_s` at the latest."""
@@ -72,7 +75,7 @@
             self._observations.popleft()  # the next observation is old enough to prove any age up to the span
 
     def at_least(self, now_s: float, revision: int) -> float:
-        """Return a lower bound, in s, of the age of the write at a revision; 0: not known."""
+        """Return a lower bound, in s, of the age of the write at a revision; 0: no bound is known."""
         return next(
             (now_s - observed_s for observed_s, observed in self._observations if observed >= revision), 0.0
         )
--- a/coveport/sidecar/intent_log/payloads.py
+++ b/coveport/sidecar/intent_log/payloads.py
@@ -1,4 +1,4 @@
-"""Requests and responses as stored in records: encrypted, or left out. They are never logged."""
+"""Requests and responses as stored in records: encrypted, or left out. Payloads are never logged."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from coveport.sidecar.intent_log.encryption import KeyRing
 from coveport.sidecar.intent_log.errors import EncryptionError
 
-# Kinds of payload, authenticated with each payload: a change would make stored payloads unreadable.
+# Kinds of payload. The kind is authenticated with each payload, so that a change of these values would make
+# stored payloads unreadable.
 _REQUEST = "asked"
 _RESPONSE = "given"
 
@@ -47,19 +48,19 @@
         self._max_body_bytes = max_body_bytes
 
     def encode_request(self, record_id: str, request: StoredRequest) -> bytes:
-        """Return a request in its stored form; empty where it is left out."""
+        """Return a request in its stored form; empty if it is left out."""
         return self._encode(record_id, _REQUEST, request)
 
     def encode_response(self, record_id: str, response: StoredResponse) -> bytes:
-        """Return a response in its stored form; empty where it is left out."""
+        """Return a response in its stored form; empty if it is left out."""
         return self._encode(record_id, _RESPONSE, response)
 
     def decode_request(self, record_id: str, sealed: bytes) -> StoredRequest | None:
-        """Return a stored request; None where it was left out or can't be decrypted."""
+        """Return a stored request; None if it was left out or can't be decrypted."""
         return self._decode(record_id, _REQUEST, sealed, StoredRequest)
 
     def decode_response(self, record_id: str, sealed: bytes) -> StoredResponse | None:
-        """Return a stored response; None where it was left out or can't be decrypted."""
+        """Return a stored response; None if it was left out or can't be decrypted."""
         return self._decode(record_id, _RESPONSE, sealed, StoredResponse)
 
     def _encode(self, record_id: str, kind: str, payload: StoredRequest | StoredResponse) -> bytes:
--- a/coveport/sidecar/intent_log/presence.py
+++ b/coveport/sidecar/intent_log/presence.py
@@ -2,9 +2,9 @@
 
 The module is pure: it does no I/O, and uses no clock or random source of its own.
 
-It decides only when this instance begins to try a takeover; the comparison of the record's revision makes a
-takeover safe. An incarnation that was never seen may be new, so it counts as lost only after one time to live
-of a session.
+The view decides only when this instance begins to try a takeover; the comparison of the record's revision
+makes a takeover safe. An incarnation that was never seen may be new, so it counts as lost only after one time
+to live of a session.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
     SELF = "self"
     ALIVE = "alive"
-    DRAINING = "draining"  # its session is over; it finishes its operations
+    DRAINING = "draining"  # the owner's session is over; the owner finishes its operations
     LOST = "lost"
 
 
@@ -27,9 +27,9 @@
     def __init__(self, incarnation: str, ttl_s: float) -> None:
         self._own = incarnation
         self._ttl_s = ttl_s
-        self._present: dict[str, str] = {}  # incarnations by name
-        self._absent_since: dict[str, float] = {}  # by incarnation, own time in s
-        self._draining_until: dict[str, float] = {}  # by incarnation, own time in s
+        self._present: dict[str, str] = {}  # incarnations of the instances with a session, by name
+        self._absent_since: dict[str, float] = {}  # by incarnation; time in s by this instance's clock
+        self._draining_until: dict[str, float] = {}  # by incarnation; time in s by this instance's clock
         self._has_seen_sessions = False
 
     def add(self, name: str, incarnation: str) -> None:
@@ -39,7 +39,7 @@
         self._absent_since.pop(incarnation, None)
 
     def remove(self, now_s: float, name: str) -> str:
-        """Note that an instance's session is over; return its incarnation, empty where it was not known."""
+        """Note that an instance's session is over; return its incarnation, empty if not known."""
         incarnation = self._present.pop(name, "")
         if incarnation:
             # The session's time to live has already passed.
@@ -47,7 +47,7 @@
         return incarnation
 
     def start_drain(self, incarnation: str, until_s: float) -> None:
-        """Note that an incarnation is draining until `until_s`; only the first call for it takes effect."""
+        """Note that an incarnation drains until `until_s`; only the first call for an incarnation counts."""
         self._draining_until.setdefault(incarnation, until_s)
 
     def end_drain(self, incarnation: str) -> None:
@@ -55,7 +55,7 @@
         self._draining_until.pop(incarnation, None)
 
     def incarnation_of(self, name: str) -> str:
-        """Return the incarnation of an instance; empty where it has no session."""
+        """Return the incarnation of an instance; empty if it has no session."""
         return self._present.get(name, "")
 
     @property
--- a/coveport/sidecar/intent_log/record.py
+++ b/coveport/sidecar/intent_log/record.py
@@ -12,7 +12,7 @@
 compared to decide anything (see `observed_age`). A closed record is reopened only when its client repeats the
 request (`replay_decision`).
 
-A field with `msgspec.field(name=...)` is stored under that name instead of its attribute's.
+A field with `msgspec.field(name=...)` is stored under that name instead of the attribute's name.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
     """How an operation was closed."""
 
     SERVED = "served"
-    REFUSED = "refused"  # rejected as busy: it did not run, and the client got that response
+    REFUSED = "refused"  # rejected as busy: the operation did not run, and the client got that response
     FAILED = "failed"  # the client got a failure; the operation may have run
-    NEVER_RAN = "never-run"  # determined by its owner or a successor, or by an operator's resolution
-    UNKNOWN = "unknown"  # it may have run; an operator resolves it
+    NEVER_RAN = "never-run"  # the operation did not run, as its owner, a successor or an operator determined
+    UNKNOWN = "unknown"  # the operation may have run; an operator resolves the record
 
 
 TRANSITIONS: dict[RecoveryPoint, frozenset[RecoveryPoint]] = {
@@ -52,7 +52,7 @@
     RecoveryPoint.ANSWERED: frozenset({RecoveryPoint.CLOSED}),
     RecoveryPoint.CLOSED: frozenset(),
 }
-# Statuses that say that it did not run; not allowed where an attempt may have run.
+# Statuses that say that the operation did not run. They are not allowed if an attempt may have run.
 NOT_EXECUTED = frozenset({FinalStatus.REFUSED, FinalStatus.NEVER_RAN})
 
 
@@ -61,7 +61,7 @@
 
     effect: Effect
     group: DeduplicationScope
-    window_ms: float  # deduplication window: a cell drops repeats of a key for so long
+    window_ms: float  # deduplication window: how long a cell drops repeats of a key
     max_attempts: int = msgspec.field(name="most_attempts")
     deadline_ms: float = 1000.0
 
@@ -78,7 +78,7 @@
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """One attempt; it is durable before its first byte is sent."""
+    """One attempt; the attempt is durable before its first byte is sent."""
 
     node: str  # address of the node
     zone: int
@@ -103,13 +103,13 @@
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True):
-    """Stored record of one operation; immutable, each change returns a new record."""
+    """Stored record of one operation; immutable: each change returns a new record."""
 
     format: int = FORMAT
     id: str
     idempotency_key: str = msgspec.field(name="key")  # Idempotency-Key; empty: the request has none
     class_name: str = msgspec.field(name="cls")
-    # Digest of method, target and body, by which another request under the same key is rejected. Empty where
+    # Digest of method, target and body, by which another request under the same key is rejected. Empty if
     # `sealed_request` is kept.
     request_digest: str = msgspec.field(name="digest")
     policy: ExecutionPolicy = msgspec.field(name="rules")
@@ -119,11 +119,13 @@
     attempts: tuple[Attempt, ...] = ()
     final_status: FinalStatus | None = msgspec.field(name="end", default=None)
     reason: str = msgspec.field(name="why", default="")
-    sealed_request: bytes = msgspec.field(name="request", default=b"")  # encrypted; empty: not kept
-    sealed_response: bytes = msgspec.field(name="answer", default=b"")  # encrypted; empty: none, or not kept
+    sealed_request: bytes = msgspec.field(name="request", default=b"")  # encrypted request; empty: not kept
+    # Encrypted response; empty: none, or not kept.
+    sealed_response: bytes = msgspec.field(name="answer", default=b"")
     # Revision at which the first of `attempts` was stored; 0: the revision of this record itself.
     first_attempt_revision: int = msgspec.field(name="since", default=0)
-    generation: int = msgspec.field(name="lives", default=1)  # number of times it was accepted
+    # Number of times that the operation was accepted.
+    generation: int = msgspec.field(name="lives", default=1)
     previous_owners: tuple[str, ...] = msgspec.field(name="owners", default=())
     request_id: str = msgspec.field(name="asked", default="")  # X-Request-Id of the latest request
     accepted_unix_s: float = msgspec.field(name="unix", default=0.0)
@@ -133,7 +135,7 @@
     def moved_to(self, point: RecoveryPoint) -> Record:
         """Return the record at another recovery point.
 
-        Raise InvalidTransitionError where the table has no such transition.
+        Raise InvalidTransitionError if the table has no such transition.
         """
         if point not in TRANSITIONS[self.recovery_point]:
             raise InvalidTransitionError(
@@ -144,7 +146,7 @@
     def with_attempt(self, attempt: Attempt) -> Record:
         """Return the record with a further attempt.
 
-        Raise InvalidTransitionError where the policy allows no more.
+        Raise InvalidTransitionError if the policy allows no more.
         """
         if len(self.attempts) >= self.policy.max_attempts:
             raise InvalidTransitionError(
@@ -169,7 +171,7 @@
         return record
 
     def closed(self, status: FinalStatus, reason: str = "", unix_s: float = 0.0) -> Record:
-        """Return the closed record; raise InvalidTransitionError where its attempts contradict the status."""
+        """Return the closed record; raise InvalidTransitionError if its attempts contradict the status."""
         if status in NOT_EXECUTED and self.may_have_run:
             raise InvalidTransitionError(
                 f"{self.id}: can't be closed as {status.value}: an attempt may have run"
@@ -186,7 +188,7 @@
         )
 
     def claimed(self, incarnation: str, token: int) -> Record:
-        """Return the record under a new owner; raise InvalidTransitionError where it is closed."""
+        """Return the record under a new owner; raise InvalidTransitionError if the record is closed."""
         if self.recovery_point is RecoveryPoint.CLOSED:
             raise InvalidTransitionError(f"{self.id}: it is closed")
         return msgspec.structs.replace(
@@ -200,8 +202,8 @@
         """Return a closed record as its next generation, for a client that repeats the request.
 
         An operation that did not run starts again without attempts. An operation that may have run keeps its
-        attempts: they count towards the limit, and restrict it to their cell and window. Raise
-        InvalidTransitionError where the record is open or the operation may not run again.
+        attempts: these count towards the limit, and restrict the operation to their cell and window. Raise
+        InvalidTransitionError if the record is open or the operation may not run again.
         """
         not_executed = self.final_status in NOT_EXECUTED or (
             self.resolution is not None and self.resolution.final_status is FinalStatus.NEVER_RAN
@@ -226,7 +228,7 @@
     def resolved(self, status: FinalStatus, resolved_by: str, reason: str, unix_s: float = 0.0) -> Record:
         """Return the record with an operator's resolution in addition to its final status.
 
-        Raise InvalidTransitionError where its outcome is known, it was resolved before, or the resolution is
+        Raise InvalidTransitionError if its outcome is known, it was resolved before, or the resolution is
         not SERVED or NEVER_RAN with a name and a reason.
         """
         if self.final_status is not FinalStatus.UNKNOWN and self.final_status is not FinalStatus.FAILED:
--- a/coveport/sidecar/intent_log/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -28,11 +28,11 @@
 from coveport.sidecar.reducer.operation import Answer, Operation
 
 RETRY_DELAY_S = 0.2  # delay before a takeover that was rejected as busy is tried again
-MIN_RETRY_MS = 100.0  # least remaining part of a window in which a retry is made
+MIN_RETRY_MS = 100.0  # minimum time that must remain of a deduplication window for a retry to be made
 
 
 def as_owned(record: Record, entry: Entry, incarnation: str, token: int) -> Record:
-    """Return a stored record with this instance as its owner: claimed where it is open, else reopened."""
+    """Return a stored record, now owned by this instance: claimed if the record is open, else reopened."""
     owned = (record.claimed if record.is_open else record.reopened)(incarnation, token)
     if not owned.attempts:
         return owned
@@ -63,7 +63,7 @@
         outcome = await self.journal.commit(self.layout.write(record, entry.modified, owned))
         if isinstance(outcome, Unknown):
             # The write may take effect, now or later. When this instance next reads the record as its own but
-            # not pending, it claims it again.
+            # not pending, this instance claims the record again.
             self._count("work_claims_unknown")
             return None
         return outcome.revision if isinstance(outcome, Done) else None
@@ -71,14 +71,14 @@
     # Adoption.
 
     def adopt(self, owned: Record, revision: int, accepted_age_s: float) -> PendingOperation | None:
-        """Continue a lost instance's record, claimed at `revision`; return None where it is already pending.
+        """Continue a lost instance's record, claimed at `revision`; return None if already pending.
 
         `accepted_age_s`: upper bound of the time since the operation was accepted.
         """
         deadline_s = owned.policy.deadline_ms / 1000
         if not owned.may_have_run:
-            # No client waits beyond its deadline. An operation that may have run is retried without a client,
-            # for as long as its window allows.
+            # No client waits beyond the client's deadline. An operation that may have run is retried without
+            # a client, for as long as its deduplication window allows.
             deadline_s = max(0.0, deadline_s - accepted_age_s)
         return self._adopt_without_client(owned, revision, self._now_s() + deadline_s)
 
@@ -120,7 +120,7 @@
         return self._last_own_number
 
     def _first_attempt_s(self, pending: PendingOperation) -> float:
-        """Return a time no later than its first attempt: -inf where none is known, inf without an attempt."""
+        """Return a time no later than the first attempt; -inf: not known; inf: there is no attempt."""
         if not pending.record.attempts:
             return inf
         max_age_s = self.journal.ages.at_most(self._now_s(), pending.first_attempt_revision)
@@ -173,7 +173,7 @@
         self._close(pending, client, FinalStatus.SERVED, "", response)
 
     def _restored_operation(self, pending: PendingOperation) -> Operation | None:
-        """Return the operation of the recorded request; None where it is not kept or has no class now."""
+        """Return the operation of the recorded request; None if it is not kept or has no class now."""
         record = pending.record
         request = self.codec.decode_request(record.id, record.sealed_request)
         class_names = [request_class.name for request_class in self._executor.settings.classes]
@@ -241,7 +241,7 @@
         reason: str,
         response: StoredResponse | None = None,
     ) -> None:
-        """Close an owned record without another attempt, and send the client that waits for it a response."""
+        """Close an owned record without another attempt, and send a response to the client that waits."""
         if pending.record.is_open:
             pending.close(status, reason, self._unix_s())
         pending.is_answered = True
@@ -258,7 +258,7 @@
     # Retries of takeovers.
 
     def _schedule_retry(self, pending: PendingOperation) -> bool:
-        """Schedule a retry of a takeover that was rejected as busy; return False where none is allowed."""
+        """Schedule a retry of a takeover that was rejected as busy; return False if none is allowed."""
         if not self._may_retry_later(pending):
             return False
         self._loop().call_later(RETRY_DELAY_S, self._retry, pending)
--- a/coveport/sidecar/intent_log/record_codec.py
+++ b/coveport/sidecar/intent_log/record_codec.py
@@ -26,7 +26,7 @@
 
 
 def decode(data: bytes) -> Record:
-    """Return a stored record; raise UnreadableRecordError where it is damaged or of a later format."""
+    """Return a stored record; raise UnreadableRecordError if the record is damaged or of a later format."""
     body = data[CHECKSUM_BYTES:]
     if data[:CHECKSUM_BYTES] != _checksum(body):
         raise UnreadableRecordError("its checksum does not match: it was damaged")
@@ -51,7 +51,7 @@
 
 
 def _format_of(body: bytes) -> int:
-    """Return the format number in a body; 0 where there is none."""
+    """Return the format number in a body; 0 if there is none."""
     try:
         return msgspec.json.decode(body, type=_FormatOnly).format
     except (msgspec.DecodeError, msgspec.ValidationError):
--- a/coveport/sidecar/intent_log/record_layout.py
+++ b/coveport/sidecar/intent_log/record_layout.py
@@ -5,11 +5,12 @@
     r/ID                    the record
     o/OWNER/ID              index: open records by owner
     k/BUCKET/ID             index: closed records by the time interval after which they may be deleted
-    u/ID                    index: outcome unknown; kept until an operator has resolved and exported it
-    l/OWNER                 drain notice: the owner finishes its operations and leaves the rest to its peers
+    u/ID                    index: records with an unknown outcome, kept until an operator has resolved and
+    exported them l/OWNER                 drain notice: the owner finishes its operations and leaves the rest
+    to its peers
 
-Every write of a record compares the stored revision with the one that the writer last read or wrote. So after
-a claim, the writes of the previous owner are refused, whatever its clock or lease says.
+Every write of a record compares the stored revision with the revision that the writer last read or wrote. So
+after a claim, the writes of the previous owner are refused, whatever its clock or lease says.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 
 def id_of(idempotency_key: str, request_id: str) -> str:
-    """Return a record's id: a hash of its Idempotency-Key, or of its X-Request-Id where it has no key."""
+    """Return a record's id: a hash of its Idempotency-Key, or of its X-Request-Id if there is no key."""
     source = f"k {idempotency_key}" if idempotency_key else f"r {request_id}"
     return hashlib.blake2b(source.encode(), digest_size=ID_BYTES).hexdigest()
 
@@ -113,7 +114,7 @@
     def write(self, before: Record | None, revision: int, after: Record) -> Transaction:
         """Return the write that replaces `before`, stored at `revision` (None and 0: not stored), by `after`.
 
-        Raise RecordError where the two differ in their id.
+        Raise RecordError if the two records differ in their id.
         """
         if before is not None and before.id != after.id:
             raise RecordError(f"record {before.id} can't be replaced by record {after.id}")
@@ -126,7 +127,7 @@
         return Transaction((Compare(self.record_key(after.id), Field.MODIFIED, revision),), tuple(changes))
 
     def deletion(self, record_id: str, revision: int, index: str) -> Transaction:
-        """Return the deletion of a record and its index key; it takes effect only at that revision."""
+        """Return the deletion of a record and its index key, which takes effect only at that revision."""
         return Transaction(
             (Compare(self.record_key(record_id), Field.MODIFIED, revision),),
             (Delete(self.record_key(record_id)), Delete(index)),
--- a/coveport/sidecar/intent_log/record_writer.py
+++ b/coveport/sidecar/intent_log/record_writer.py
@@ -17,8 +17,8 @@
 written right after. The table does not apply to operations that run unrecorded while the store is
 unavailable.
 
-Every write compares the stored revision with the one that this instance last read or wrote. Three outcomes
-are possible:
+Every write compares the stored revision with the revision that this instance last read or wrote. Three
+outcomes are possible:
 
 - Done: the actions that waited for this write go on.
 - Refused: another instance has claimed the record, or created it first. This instance writes and sends
@@ -76,11 +76,13 @@
         self._count = runtime.count
         self._log_event = runtime.log_event
         self._by_number: dict[int, PendingOperation] = {}
-        self._by_id: dict[str, PendingOperation] = {}  # by record id; owned and open
+        # By record id: operations whose records are open and owned by this instance.
+        self._by_id: dict[str, PendingOperation] = {}
         self._waiters: dict[int, asyncio.Task[None]] = {}  # by number: repeats that wait for a record's owner
-        self._clients: dict[int, Client] = {}  # by number; needed where another instance owns the record
+        self._clients: dict[int, Client] = {}  # by number; needed if another instance owns the record
         self._deferred = DeferredWrites(journal, layout, runtime)
-        self._last_own_number = 0  # latest number that the recorder assigned; counts down from -1
+        # Latest number that the recorder assigned; these numbers count down from -1.
+        self._last_own_number = 0
         self._drain_token = 0  # while draining: the token of this instance's last session
         self._deferred_task: asyncio.Task[None] | None = None
 
@@ -90,7 +92,7 @@
 
     @property
     def token(self) -> int:
-        """The fencing token under which this instance owns records now; 0: it may own none."""
+        """The fencing token under which this instance owns records now; 0: this instance may own none."""
         return self._drain_token or self._runtime.session_token()
 
     @property
@@ -176,11 +178,11 @@
         self._wait_for_owner(pending)
 
     def _outcome_unknown(self, pending: PendingOperation) -> None:
-        """Continue without a record, or send nothing: the write may have taken effect, or may do so later.
+        """Continue without a record, or send nothing: the write may have taken effect, or may still.
 
         Where an earlier write is stored, or this one has the state ACCEPTED, a successor may conclude that
-        the operation never ran, so it must not be sent. A first write that contains an attempt permits
-        sending: if it takes effect, the record says that the operation may have run.
+        the operation never ran, so the operation must not be sent. A first write that contains an attempt
+        permits sending: if it takes effect, the record says that the operation may have run.
         """
         self._count("work_adrift")
         pending.move_to(OperationStage.UNRECORDED)
@@ -227,7 +229,7 @@
 
     @staticmethod
     def _is_unknown_to_store(pending: PendingOperation) -> bool:
-        """Return whether no write of it was queued or made, so that its end needs no write either."""
+        """Return whether no write of the operation was queued or made; its end then needs no write either."""
         return (
             pending.stage is OperationStage.OWNED
             and pending.durable_record is None
@@ -237,7 +239,7 @@
         )
 
     def _finish(self, pending: PendingOperation) -> None:
-        """Remove an operation from the tables, as nothing is left to do for it on this instance."""
+        """Remove an operation, for which this instance has nothing left to do, from the tables."""
         pending.move_to(OperationStage.DONE)
         for number in pending.numbers:
             self._by_number.pop(number, None)
--- a/coveport/sidecar/intent_log/recorder.py
+++ b/coveport/sidecar/intent_log/recorder.py
@@ -1,4 +1,4 @@
-"""Records operations before they can run; stands between the clients and the executor.
+"""Records operations before they can run; the recorder stands between the clients and the executor.
 
 The decisions are made in pure modules: `record`, `pending_operation`, `replay_decision`, `takeover`. The
 table at the head of `record_writer` lists which state has to be durable before which action.
@@ -23,8 +23,9 @@
 from coveport.sidecar.reducer.messages import Verdict
 from coveport.sidecar.reducer.operation import Answer, Operation
 
-RESPONSE_WAIT_S = 0.05  # longest time for which an unsafe operation's response waits to be durable
-MAX_WAITERS = 2000  # repeated requests that wait for a record's owner
+# Maximum time for which the response of an unsafe operation waits for its record to be durable.
+RESPONSE_WAIT_S = 0.05
+MAX_WAITERS = 2000  # maximum number of repeated requests that wait for a record's owner
 _CLIENT_GONE = "its client went away"
 
 
@@ -42,7 +43,7 @@
 
     async def drain(self, within_s: float) -> None:
         """Announce the shutdown to peers: this instance finishes its operations within `within_s`."""
-        # The token is kept, as the session is released before the last operations are finished.
+        # The token is kept, because the session is released before the last operations are finished.
         self._drain_token = self._runtime.session_token()
         if self._drain_token:
             notice = msgspec.json.encode(DrainNotice(within_s))
@@ -73,7 +74,7 @@
     # Events of the executor.
 
     def accept(self, number: int, client: Client, operation: Operation) -> Client | None:
-        """Accept an operation; return the client for its response, None where the recorder answers it."""
+        """Accept an operation; return the client for its response, None if the recorder answers it."""
         if number in self._by_number or not operation.is_admitted:
             return client
         request_class = self._executor.settings.classes[operation.cls]
@@ -86,7 +87,8 @@
         self._by_number[number] = pending
         self._clients[number] = client
         if self.has(record_id):
-            # A repeat of an operation that is pending here: it waits, and no attempt is made for it.
+            # A repeat of an operation that is pending on this instance waits; no attempt is made for the
+            # repeat.
             pending.move_to(OperationStage.FOREIGN)
             self._loop().call_soon(self._wait_for_owner, pending)
             return None
@@ -95,7 +97,7 @@
         return RecordingClient(self, pending, client)
 
     def _may_record(self, operation: Operation, class_name: str) -> bool:
-        """Return whether an operation is recorded; clear its `room` where it is to be rejected instead."""
+        """Return whether an operation is recorded; clear its `is_admitted` if it must be rejected."""
         if class_name not in self._settings.recorded_classes:
             return False
         if operation.upload is not None:
@@ -108,18 +110,20 @@
             return False
         if self.journal.is_full or len(self._waiters) >= MAX_WAITERS:
             self._count("work_no_room")
-            operation.is_admitted = False  # rejected at once, as it would miss its deadline after the wait
+            # The operation is rejected at once, because it would miss its deadline after the wait.
+            operation.is_admitted = False
             return False
         return True
 
     def _record_id(self, number: int, operation: Operation) -> str:
         if operation.key is None and not self._settings.by_request_id:
-            # No client can repeat it, so the id need not follow from the request; only operators look it up.
+            # No client can repeat the request, so the id need not follow from it; only operators look up this
+            # id.
             return id_of("", f"{operation.id} {self.incarnation} {number}")
         return id_of(operation.key or "", operation.id)
 
     def send(self, number: int, step: int, destination: int, resume: ResumeSend) -> bool:
-        """Return True where a route step may be sent at once; else call `resume` once, in a later turn."""
+        """Return True if a route step may be sent at once; else call `resume` once, in a later turn."""
         pending = self._by_number.get(number)
         if pending is None:
             return True
@@ -135,7 +139,7 @@
         return False
 
     def _begin_attempt(self, pending: PendingOperation, step: int, destination: int) -> bool:
-        """Add an attempt; return False where all instances together have made the allowed number."""
+        """Add an attempt; return False if all instances together have made the allowed number."""
         node, zone, cell = self._executor.location_of(destination)
         attempt = Attempt(node, zone, cell, self.incarnation, recorded_unix_s=self._unix_s())
         try:
@@ -161,7 +165,8 @@
             return
         self._clients.pop(number, None)
         if number != pending.number:
-            # It is executed under a number that the recorder assigned, and goes on without the client.
+            # The operation is executed under a number that the recorder assigned, and goes on without the
+            # client.
             pending.is_takeover = True
             return
         if pending.is_answered:
@@ -208,7 +213,7 @@
 
     def _deliver_when_durable(self, pending: PendingOperation, deliver: Callable[[], None]) -> None:
         # A repeat at another instance must get the same response, which can't be fetched from the node again.
-        # The wait ends at the client's deadline, as a later response is of no use.
+        # The wait ends at the client's deadline, because a later response is of no use.
         pending.deliver_response = deliver
         wait_s = min(RESPONSE_WAIT_S, pending.deadline_s - self._now_s())
         self._loop().call_later(max(0.0, wait_s), self._deliver_unwritten, pending)
--- a/coveport/sidecar/intent_log/repeated_requests.py
+++ b/coveport/sidecar/intent_log/repeated_requests.py
@@ -30,10 +30,10 @@
 
 
 class RepeatedRequests(RecordAdopter):
-    """Makes a client wait for its record's owner, and takes the record over where the owner is lost.
+    """Makes a client wait for its record's owner, and takes the record over if the owner is lost.
 
-    The client's pending operation is FOREIGN meanwhile. After every `await` it may be DONE, as the client may
-    have disconnected, so each `await` is followed by a check of the stage.
+    The client's pending operation is FOREIGN meanwhile. After every `await` the operation may be DONE,
+    because the client may have disconnected, so each `await` is followed by a check of the stage.
     """
 
     def _wait_for_owner(self, pending: PendingOperation) -> None:
@@ -55,7 +55,8 @@
         while self._may_wait(pending):
             own = self._deferred.get(pending.record.id) or self._by_id.get(pending.record.id)
             if own is not None:
-                # Guards against a second execution: this instance's state may be ahead of the store's.
+                # The stored record is not acted on, because the stored state may be older than the state at
+                # this instance, and the operation could then be executed a second time.
                 record = own.record
                 await self._wait_for_next_poll()
                 continue
@@ -73,7 +74,7 @@
             self._answer_client(pending, client, Verdict.BUSY if is_busy else Verdict.FAILED)
 
     async def _act_on_stored(self, pending: PendingOperation, client: Client, stored: Done) -> Record | None:
-        """Act on the stored record; return the record where the wait goes on, None where it is over."""
+        """Act on the stored record; return the record if the wait goes on, None if the wait is over."""
         if not stored.entries:
             self._accept_anew(pending, client)
             return None
@@ -106,7 +107,8 @@
             has_response=has_response,
         )
         if decision.action is ReplayAction.CLAIM and record.owner != self.incarnation:
-            # Guards against a claim from an owner that is draining and about to finish the operation.
+            # The drain notice is read again, so that no record is claimed from an owner that is draining and
+            # about to finish the operation.
             await self.refresh_drain_notice(record.owner)
             decision = decide_replay(
                 record, self._owner_status(record), same_request=True, has_response=has_response
@@ -130,7 +132,7 @@
     async def _claim_for_client(
         self, pending: PendingOperation, client: Client, record: Record, entry: Entry
     ) -> bool:
-        """Claim a record and continue it for the client; return whether both were done."""
+        """Claim a record and continue the operation for the client; return whether both steps were done."""
         owned = as_owned(record, entry, self.incarnation, self.token)
         owned = msgspec.structs.replace(owned, request_id=pending.operation.id)
         revision = await self.claim(record, entry, owned) if self.token else None
@@ -146,11 +148,12 @@
     def _owner_status(self, record: Record) -> OwnerStatus:
         if record.owner != self.incarnation:
             return self.presence.status_of(self._now_s(), record.owner)
-        # Owned by this instance but not pending: left by a claim whose response was lost.
+        # The record is owned by this instance but not pending: a claim whose response was lost left the
+        # record so.
         return OwnerStatus.SELF if self.has(record.id) else OwnerStatus.LOST
 
     def _is_same_request(self, pending: PendingOperation, record: Record) -> bool | None:
-        """Return whether a client repeats the recorded request; None where that can't be checked."""
+        """Return whether a client repeats the recorded request; None if the requests can't be compared."""
         operation = pending.operation
         if record.request_digest:
             digest = digest_of(record.id, operation.method, operation.target, operation.body)
--- a/coveport/sidecar/intent_log/replay_decision.py
+++ b/coveport/sidecar/intent_log/replay_decision.py
@@ -2,7 +2,7 @@
 
 The module is pure: it does no I/O, and uses no clock or random source of its own.
 
-It never causes a second run by itself: an operation that may have run is sent again only through
+The decision never causes a second run by itself: an operation that may have run is sent again only through
 `takeover.decide`, which counts the attempts of all instances.
 """
 
@@ -19,10 +19,10 @@
     """Action for a repeated request. The values are suffixes of counters (`work_again_*`)."""
 
     RETURN_RESPONSE = "give"  # the recorded response is sent
-    WAIT = "wait"  # it waits for the attempt in flight, within its own deadline
+    WAIT = "wait"  # the client waits for the attempt in flight, until the client's own deadline
     CLAIM = "claim"  # the owner is lost: the record is taken over for this client
     RESTART = "anew"  # the operation did not run: it is accepted again
-    RETRY = "try"  # it may have run, and its class allows another attempt with the same key
+    RETRY = "try"  # the operation may have run, and its class allows another attempt with the same key
     KEY_REUSED = "other"  # rejected: the key belongs to another operation
     FAIL = "told"  # a failure is sent: the operation may have run
 
@@ -40,7 +40,7 @@
 ) -> ReplayDecision:
     """Decide by the record, its owner's status, and whether the request is the recorded one.
 
-    `same_request`: None where that can't be checked. `has_response`: the recorded response can be read.
+    `same_request`: None if the requests can't be compared. `has_response`: the recorded response can be read.
     """
     if same_request is False:
         return ReplayDecision(ReplayAction.KEY_REUSED, "the key was used for another operation")
@@ -72,5 +72,8 @@
 
 
 def may_be_rejected_as_busy(record: Record | None) -> bool:
-    """Return whether a repeat whose wait timed out is rejected as busy (it did not run), not as failed."""
+    """Return whether a repeat whose wait timed out is rejected as busy, not as failed.
+
+    Busy means that the operation did not run.
+    """
     return record is None or not record.may_have_run
--- a/coveport/sidecar/intent_log/retention_sweeper.py
+++ b/coveport/sidecar/intent_log/retention_sweeper.py
@@ -14,10 +14,10 @@
 from coveport.sidecar.intent_log.takeover_order import rank
 from coveport.sidecar.leases.store import Delete, Done, Entry, Transaction
 
-MAX_INTERVAL_S = 10.0  # longest interval between two sweeps
-SWEEPS_PER_RETENTION = 8  # least number of sweeps within a retention time
+MAX_INTERVAL_S = 10.0  # maximum interval between two sweeps
+SWEEPS_PER_RETENTION = 8  # minimum number of sweeps within a retention time
 JITTER = (0.5, 1.5)  # bounds of the random factor of the interval
-PAUSE_S = 0.002  # pause between two deletions, so that they don't delay operations
+PAUSE_S = 0.002  # pause between two deletions, so that deletions don't delay operations
 _NOTHING_SWEPT = -1  # value of `_swept_bucket` before the first sweep
 
 
@@ -36,7 +36,7 @@
         self._now_s = runtime.now_s
         self._ages = AgeLowerBound(recorder.layout.retention_s)
         self._swept_bucket = _NOTHING_SWEPT
-        self._resweep_s = inf  # when the first record that a sweep left as too young is old enough
+        self._resweep_s = inf  # when the first record that a sweep left as too young will be old enough
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -65,11 +65,12 @@
                 self._swept_bucket = last_bucket
 
     async def _sweep(self, last_bucket: int) -> bool:
-        """Sweep the due buckets that were not swept yet; return False where the store did not respond."""
+        """Sweep the due buckets that were not swept yet; return False if the store did not respond."""
         if self._swept_bucket < 0:
             return await self._sweep_index(self._recorder.layout.retained_prefix(), last_bucket)
         for bucket in range(self._swept_bucket + 1, last_bucket + 1):
-            # The first instance in a bucket's order sweeps it. What remains is swept at the next start.
+            # The first instance in a bucket's order sweeps it. Records that remain are swept at the next
+            # start.
             names = (*self._recorder.presence.names, self._name)
             if rank(f"{bucket}", self._name, names) != 0:
                 continue
@@ -78,7 +79,7 @@
         return True
 
     async def _sweep_index(self, prefix: str, last_bucket: int) -> bool:
-        """Delete the due records under an index prefix; return False where the store did not respond."""
+        """Delete the due records under an index prefix; return False if the store did not respond."""
         recorder = self._recorder
         outcome = await recorder.journal.read(prefix)
         if not isinstance(outcome, Done):
@@ -97,14 +98,15 @@
         return True
 
     def _deletion(self, record_id: str, index: str, entries: tuple[Entry, ...]) -> Transaction | None:
-        """Return the deletion of a record, or of a stale index key; None where the record is too young."""
+        """Return the deletion of a record, or of a stale index key; None if the record is too young."""
         layout = self._recorder.layout
         if not entries or not self._is_indexed_by(entries[0].value, index):
             return Transaction((), (Delete(index),))
         now_s = self._now_s()
         left_s = layout.retention_s - self._ages.at_least(now_s, entries[0].modified)
         if left_s > 0:
-            # Guards against wrong wall clocks of this instance or the owner, which make records look too old.
+            # The record stays: its bucket may be due only because the wall clock of this instance or of the
+            # owner is wrong, which makes records look older than they are.
             self._resweep_s = min(self._resweep_s, now_s + left_s)
             return None
         return layout.deletion(record_id, entries[0].modified, index)
--- a/coveport/sidecar/intent_log/runtime.py
+++ b/coveport/sidecar/intent_log/runtime.py
@@ -12,11 +12,11 @@
 class Runtime:
     """Dependencies of one instance; simulated in trials."""
 
-    name: str  # name of the instance; an earlier incarnation may have had the same
+    name: str  # name of the instance; an earlier incarnation may have had the same name
     incarnation: str
     session_token: Callable[[], int]  # revision of the instance's session key; 0: no session
     now_s: Callable[[], float]  # monotonic clock that includes time in suspend
     rng: random.Random
-    count: Callable[[str], None]  # increments a counter by its name
-    log_event: Callable[..., None]  # logs an event by its name, with its fields as keywords
+    count: Callable[[str], None]  # function that increments a counter, by its name
+    log_event: Callable[..., None]  # function that logs an event, by its name, with its fields as keywords
     unix_s: Callable[[], float] = time.time
--- a/coveport/sidecar/intent_log/settings.py
+++ b/coveport/sidecar/intent_log/settings.py
@@ -8,8 +8,9 @@
 from dataclasses import dataclass
 
 RECORD_BYTES = 700  # approximate size of a record without request and response
-_WRITES_PER_OPERATION = 2  # one with its first attempt and one that closes it; retries add one each
-_SEALED_RATIO = 1.4  # ratio of a body's encrypted and base64-encoded size to its own
+# A write with the first attempt and a write that closes the record; each retry adds a write.
+_WRITES_PER_OPERATION = 2
+_SEALED_RATIO = 1.4  # size of an encrypted and base64-encoded body, relative to the body's size
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,7 +20,7 @@
     recorded_classes: frozenset[str]
     # Recorded classes that are rejected while the store is unavailable; the others run unrecorded then.
     rejected_when_unavailable: frozenset[str] = frozenset()
-    by_request_id: bool = False  # clients repeat a request with the same X-Request-Id
+    by_request_id: bool = False  # whether clients repeat a request with the same X-Request-Id
     retention_s: float = 600.0  # how long a closed record is kept for a client that repeats its request
     max_body_bytes: int = 65536  # requests and responses with longer bodies are not kept
     takeovers_per_s: float = 50.0
--- a/coveport/sidecar/intent_log/takeover.py
+++ b/coveport/sidecar/intent_log/takeover.py
@@ -17,8 +17,10 @@
 class TakeoverAction(Enum):
     """Action of a successor. The values appear in log lines (`operation_taken_over`)."""
 
-    SEND = "send"  # it has not run, or may be repeated: the balancer picks a node as for any other operation
-    RETRY = "retry"  # it is sent with the same key to a node that drops repeats of the earlier attempts
+    # The operation has not run, or may be repeated: the balancer picks a node as for any other operation.
+    SEND = "send"
+    # The operation is sent with the same key to a node that drops repeats of the earlier attempts.
+    RETRY = "retry"
     CLOSE_NEVER_RAN = "never-run"
     CLOSE_UNKNOWN = "unknown"  # the record is kept for operators, and for a client that repeats the request
     KEEP_RESPONSE = "keep response"  # a client that repeats the request gets the recorded response
@@ -38,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeoverDecision:
-    """Action of a successor, the rule that led to it, and limits of a new attempt."""
+    """Action of a successor, the rule that led to it, and the limits of a new attempt."""
 
     action: TakeoverAction
     rule: str
--- a/coveport/sidecar/intent_log/takeover_order.py
+++ b/coveport/sidecar/intent_log/takeover_order.py
@@ -3,8 +3,8 @@
 The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 Rendezvous hashing (Thaler and Ravishankar 1998): each record has its own order of the instances. The first
-instance tries at once, each further one a step later. Safety does not depend on the order; it makes
-collisions rare.
+instance tries at once, each further instance a step later. Safety does not depend on the order;
+the order makes collisions rare.
 """
 
 from __future__ import annotations
--- a/coveport/sidecar/intent_log/takeover_worker.py
+++ b/coveport/sidecar/intent_log/takeover_worker.py
@@ -20,9 +20,9 @@
 from coveport.sidecar.intent_log.token_bucket import TokenBucket
 from coveport.sidecar.leases.store import Done, Entry
 
-TAKEOVER_INTERVAL_S = 0.25  # between two passes over the records of lost owners
+TAKEOVER_INTERVAL_S = 0.25  # interval between two passes over the records of lost owners
 TAKEOVER_JITTER = (0.8, 1.2)  # bounds of the random factor of the interval
-SCAN_INTERVAL_S = 5.0  # between scans of all open records for owners without a session
+SCAN_INTERVAL_S = 5.0  # interval between scans of all open records for owners without a session
 SCAN_JITTER = (0.5, 1.5)  # bounds of the random factor of the interval
 
 
@@ -84,7 +84,7 @@
             self._recorder.presence.forget(incarnation)
             return
         lost_s = now_s - self._lost_since.setdefault(incarnation, now_s)
-        # A random order: two instances with the same records rarely try the same one at the same time.
+        # A random order: two instances with the same records rarely try the same record at the same time.
         self._runtime.rng.shuffle(record_ids)
         for record_id in record_ids:
             if not self._recorder.may_write:
@@ -110,7 +110,7 @@
         await recorder.refresh_drain_notice(incarnation)
         status = recorder.presence.status_of(self._now_s(), incarnation)
         if status is OwnerStatus.ALIVE:
-            self._lost_since.pop(incarnation, None)  # it has a session again, or was never lost
+            self._lost_since.pop(incarnation, None)  # the instance has a session again, or was never lost
             return False
         if status is OwnerStatus.DRAINING:
             self._lost_since[incarnation] = now_s
@@ -149,7 +149,7 @@
         recorder.adopt(owned, revision, accepted_age_s)
 
     def _decoded(self, record_id: str, entry: Entry) -> Record | None:
-        """Return a stored record; None where it can't be read, which is reported once for each record."""
+        """Return a stored record; None if it can't be read, which is reported once for each record."""
         try:
             return decode(entry.value)
         except RecordError as error:
@@ -160,7 +160,7 @@
             return None
 
     async def _scan(self) -> None:
-        """Find owners with open records but no session, whose end of session this instance has missed."""
+        """Find owners that have open records but no session, and whose loss this instance has not noticed."""
         recorder = self._recorder
         while True:
             await asyncio.sleep(SCAN_INTERVAL_S * self._runtime.rng.uniform(*SCAN_JITTER))
@@ -175,6 +175,7 @@
 
     def _may_be_lost(self, owner: str) -> bool:
         if owner == self._recorder.incarnation:
-            # Records left by claims whose responses were lost: they are not pending here.
+            # These records were left by claims whose responses were lost; they are not pending on this
+            # instance.
             return True
         return self._recorder.presence.status_of(self._now_s(), owner) is not OwnerStatus.ALIVE
--- a/coveport/sidecar/intent_log/token_bucket.py
+++ b/coveport/sidecar/intent_log/token_bucket.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-_BUSY_RATE_FACTOR = 1 / 4  # applied to the rate while the instance's own operations wait
+_BUSY_RATE_FACTOR = 1 / 4  # factor of the rate while the instance's own operations wait
 
 
 class TokenBucket:
-    """Allows `rate_per_s`, a quarter of it while the instance is busy, and bursts of `burst`."""
+    """Rate limit: `rate_per_s`, a quarter of that while the instance is busy, and bursts of `burst`."""
 
     def __init__(self, rate_per_s: float, burst: int) -> None:
         self._rate_per_s = rate_per_s
--- a/coveport/sidecar/leases/open_store.py
+++ b/coveport/sidecar/leases/open_store.py
@@ -1,4 +1,4 @@
-"""Opens the store that the operator's file configures; imports the module of this kind of store only."""
+"""Opens the store that the operator's file configures; imports only the module of that kind of store."""
 
 from __future__ import annotations
 
--- a/coveport/sidecar/leases/role.py
+++ b/coveport/sidecar/leases/role.py
@@ -21,12 +21,12 @@
 
     name: str
     state: RoleState = RoleState.IDLE
-    token: int = 0  # fencing token, while held or being released
+    token: int = 0  # fencing token, while the role is held or being released
     call: int = 0  # number of the acquisition or release that is in flight
     acquire_at: float = inf  # when to try the acquisition, while WAITING
     release_retry_at: float = inf  # when to repeat a release with an unknown outcome, while RELEASING
     rest_until: float = -inf  # time before which the instance does not contend for the role
-    rest_count: int = 0  # consecutive rests
+    rest_count: int = 0  # number of consecutive rests
     acquired_at: float = 0.0
     known_revision: int = 0  # store revision of the last known value of the role's key
     contending: bool = True  # False if an operator, a drain or the operator's file excludes the instance
--- a/coveport/sidecar/singletons/health_checking.py
+++ b/coveport/sidecar/singletons/health_checking.py
@@ -32,7 +32,10 @@
 
 
 class HealthCheckResult(msgspec.Struct, frozen=True):
-    """Result of an instance's check of a node. `name` is a field's name in the store, where it differs."""
+    """Result of an instance's check of a node.
+
+    `name` of a field is the field's name in the store, if the two names differ.
+    """
 
     checked_by: str = msgspec.field(name="by")  # incarnation of the author
     checked_at: float = msgspec.field(name="at")  # unix s, by the author's clock
--- a/coveport/sidecar/singletons/rollout.py
+++ b/coveport/sidecar/singletons/rollout.py
@@ -43,7 +43,7 @@
 MIN_OPERATIONS = 20  # minimum under the old and under the new settings for a comparison of success ratios
 MAX_PUTS_PER_STEP = 100  # etcd accepts at most 128 operations in a transaction
 
-# By action of a command: the phases in which it is accepted, and the phase that the action leads to.
+# By action of a command: the phases in which the command is accepted, and the phase that the action leads to.
 COMMAND_TRANSITIONS: dict[str, tuple[frozenset[RolloutPhase], RolloutPhase]] = {
     "pause": (frozenset({RolloutPhase.RUNNING}), RolloutPhase.PAUSED),
     "resume": (frozenset({RolloutPhase.PAUSED}), RolloutPhase.RUNNING),
--- a/coveport/sidecar/singletons/slow_start_messages.py
+++ b/coveport/sidecar/singletons/slow_start_messages.py
@@ -41,7 +41,7 @@
 class CapacityRequest(msgspec.Struct, frozen=True):
     """An instance's request for a share of warming nodes' capacity."""
 
-    # Incarnation of the requester: a later process of the same name can't use the grant.
+    # Incarnation of the requesting instance: a later process of the same name can't use the grant.
     incarnation: str = msgspec.field(name="to")
     requested_at: float = msgspec.field(name="stamp")  # s, by the requester's own clock
     rate_per_s: float = msgspec.field(name="rate")  # recent rate of first attempts
--- a/coveport/sidecar/telemetry/counters.py
+++ b/coveport/sidecar/telemetry/counters.py
@@ -1,7 +1,7 @@
 """The registry of counters and gauges of one sidecar.
 
-It is read for the admin address, on SIGUSR1 and at exit. A counter starts at 0 with the process, only grows
-and is never removed; a gauge is computed when it is read.
+The registry is read for the admin address, on SIGUSR1 and at exit. A counter starts at 0 with the process,
+only grows and is never removed; a gauge is computed when the gauge is read.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 RESULTS = ("completed", "rejected", "failed")  # results of an operation
-# Reported to operators, in addition to the results of each class' operations.
+# Counters and gauges that are reported to operators, in addition to the results of each class' operations.
 REPORTED = (
     "upstream_requests",
     "pending",
@@ -42,7 +42,7 @@
         self._counts[name] = self._counts.get(name, 0) + amount
 
     def get(self, name: str) -> int:
-        """Return the value of a counter or gauge; 0 if there is none."""
+        """Return the value of a counter or gauge; 0 if there is no such counter or gauge."""
         gauge = self._gauges.get(name)
         return gauge() if gauge is not None else self._counts.get(name, 0)
 
@@ -52,7 +52,7 @@
         self._gauges[name] = read
 
     def register_class(self, cls: str) -> None:
-        """Report a class from now on, even after it is removed from the settings."""
+        """Report a class from now on, even after the class is removed from the settings."""
         self._classes[cls] = None
 
     def report_lines(self) -> list[str]:
--- a/coveport/sidecar/telemetry/log.py
+++ b/coveport/sidecar/telemetry/log.py
@@ -6,13 +6,14 @@
 import sys
 from collections.abc import Callable
 
-MAX_LINES = 5  # lines of one kind per window; further lines are counted, and the next one gives their number
+# Lines of one kind per window; further lines are counted, and the next printed line gives their number.
+MAX_LINES = 5
 WINDOW_S = 10.0
 
 
 def to_stderr(line: str) -> None:
     """Print a line to standard error."""
-    # Guards against a closed or full standard error: a log line is not worth a crash.
+    # Standard error may be closed or full; a log line that can't be written must not end the process.
     with contextlib.suppress(OSError):
         print(line, file=sys.stderr, flush=True)
 
@@ -23,7 +24,8 @@
     def __init__(self, now_s: Callable[[], float], write: Callable[[str], None] = to_stderr) -> None:
         self._now_s = now_s
         self._write = write
-        self._kinds: dict[str, list[float]] = {}  # kind: window start, lines printed, lines left out
+        # By kind: start of the window, number of lines printed, number of lines left out.
+        self._kinds: dict[str, list[float]] = {}
 
     def note(self, kind: str, text: str) -> None:
         """Print a line unless its kind has reached the limit of the current window."""
