--- a/coveport/sidecar/config/lease_terms.py
+++ b/coveport/sidecar/config/lease_terms.py
@@ -22,7 +22,7 @@
     """The terms on which a lease is requested, in seconds; `drift` is a fraction."""
 
     ttl_s: float = 3.0
-    # Deducted from the local validity; no new work is started in the last `margin_s` of it.
+    # Deducted from the local validity; no new work is started in the last `margin_s` of the validity.
     margin_s: float = 0.2
     drift: float = 0.02  # fraction by which two clocks may differ in speed
 
--- a/coveport/sidecar/config/operator_checks.py
+++ b/coveport/sidecar/config/operator_checks.py
@@ -141,7 +141,7 @@
 
 
 def _address_faults(fleet: Fleet) -> list[str]:
-    """Return the faults of the instances' addresses, up to the first one that is malformed."""
+    """Return the faults of the instances' addresses, up to the first malformed address."""
     faults: list[str] = []
     owners: dict[str, str] = {}
     try:
--- a/coveport/sidecar/config/operator_sections.py
+++ b/coveport/sidecar/config/operator_sections.py
@@ -61,7 +61,7 @@
     key_file: str = ""  # path relative to this file's folder; empty: requests and responses are not stored
     kept_s: float = 600.0  # how long a finished operation is retained for retries
     body_most: int = 65536  # bytes; longer bodies are not stored
-    pace: float = 50.0  # records of failed instances that are taken over per second
+    pace: float = 50.0  # maximum number of records of failed instances that are taken over per second
 
 
 class LogSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -94,7 +94,7 @@
     stop_s: float = 15.0  # time-out from SIGTERM until the instance has exited
     hung_s: float = 5.0  # an instance without a heartbeat of its event loop for this long is replaced
     backoff_s: float = 0.5  # backoff before the restart after a crash; doubled at each further crash
-    backoff_most_s: float = 30.0  # maximum of that backoff
+    backoff_most_s: float = 30.0  # maximum backoff before a restart after a crash
     loop: int = 5  # number of crashes within `loop_s` that make a crash loop
     loop_s: float = 60.0  # time in which the crashes of a crash loop are counted
     rest_s: float = 300.0  # time for which an instance in a crash loop isn't restarted
--- a/coveport/sidecar/config/platform.py
+++ b/coveport/sidecar/config/platform.py
@@ -31,7 +31,7 @@
     listen: Address
     discovery: Address
     seed: int  # seed of all random numbers
-    sockets: int  # file descriptors that the process may use
+    sockets: int  # number of file descriptors that the process may use
     memory_mb: float
     settings: balancing.Settings  # settings of the balancer
     zones: tuple[str, ...]
--- a/coveport/sidecar/intent_log/deferred_writes.py
+++ b/coveport/sidecar/intent_log/deferred_writes.py
@@ -1,4 +1,7 @@
-"""Keeps operations that ended while the store did not respond, and writes their records once it responds."""
+"""Keeps operations that ended while the store did not respond, and writes their records afterwards.
+
+The records are written once the store responds again.
+"""
 
 from __future__ import annotations
 
@@ -61,7 +64,7 @@
             for record_id, pending in list(self._pending.items()):
                 if not self._journal.is_available or not has_session():
                     break
-                # Another operation may have been remembered under the same id while this one was written.
+                # Another operation may have been remembered under the same id during this write.
                 if await self.write(pending) and self._pending.get(record_id) is pending:
                     del self._pending[record_id]
 
--- a/coveport/sidecar/intent_log/journal.py
+++ b/coveport/sidecar/intent_log/journal.py
@@ -26,7 +26,8 @@
 GROUP_BYTES = 512 * 1024
 UNAVAILABLE_AFTER = 2  # consecutive calls without a response
 RECHECK_INTERVAL_S = 0.5  # interval between checks of whether an unavailable store responds again
-HEARTBEAT_INTERVAL_S = 1.0  # between reads of the store's revision, which bound the age of peers' writes
+# Interval between reads of the store's revision; the reads bound the age of peers' writes.
+HEARTBEAT_INTERVAL_S = 1.0
 CLOSE_TIMEOUT_S = 1.0
 _HEARTBEAT_PREFIX = "pulse"  # prefix without keys: the heartbeat needs only the revision in the response
 
--- a/coveport/sidecar/intent_log/observed_age.py
+++ b/coveport/sidecar/intent_log/observed_age.py
@@ -27,7 +27,8 @@
     def __init__(self, max_observations: int = MAX_OBSERVATIONS) -> None:
         self._max_observations = max_observations
         self._revisions: list[int] = []  # observed revisions, ascending
-        # When the latest call that reported the revision was sent, by this instance's clock; ascending.
+        # For each revision: when the latest call that reported the revision was sent, by this instance's
+        # clock; ascending.
         self._requested_s: list[float] = []
 
     def observe(self, requested_s: float, revision: int) -> None:
@@ -56,7 +57,7 @@
 class AgeLowerBound:
     """Lower bound of a write's age, from the times since which this instance has known store revisions.
 
-    Deletion of records needs this clock. A record's own times come from the wall clock of the instance that
+    Deletion of records needs this bound. A record's own times come from the wall clock of the instance that
     closed it; if that clock or this instance's wall clock were an hour wrong, the record would be deleted
     while its client still repeats the request. `span_s`: greatest age that callers need to tell apart.
     """
--- a/coveport/sidecar/intent_log/pending_operation.py
+++ b/coveport/sidecar/intent_log/pending_operation.py
@@ -58,14 +58,15 @@
 
     number: int  # present number of the operation at the executor
     operation: Operation
-    record: Record  # latest state of the record; newer than the stored state until it is written
+    record: Record  # latest state of the record; newer than the stored state until written
     deadline_s: float  # deadline of the operation's client
     stage: OperationStage = OperationStage.OWNED
     durable_record: Record | None = None  # latest state that the store confirmed; None: not stored
     record_in_flight: Record | None = None  # state in the latest write
     revision: int = 0  # revision of `durable_record`
     first_attempt_revision: int = 0  # revision at which the first attempt was stored
-    first_attempt_s: float = inf  # no later than when the first attempt that may have run was sent
+    # Lower bound of the time at which the first attempt that may have run was sent.
+    first_attempt_s: float = inf
     is_writing: bool = False
     may_send: bool = True  # in stage UNRECORDED: whether the operation may be sent without a record
     # Whether the operation was taken over, so that no client of this instance waits for it.
--- a/coveport/sidecar/intent_log/presence.py
+++ b/coveport/sidecar/intent_log/presence.py
@@ -13,7 +13,7 @@
 
 
 class OwnerStatus(Enum):
-    """Status of a record's owner, as far as it is known."""
+    """Status of a record's owner, as far as this instance knows."""
 
     SELF = "self"
     ALIVE = "alive"
@@ -55,7 +55,7 @@
         self._draining_until.pop(incarnation, None)
 
     def incarnation_of(self, name: str) -> str:
-        """Return the incarnation of an instance; empty if it has no session."""
+        """Return the incarnation of an instance; empty if the instance has no session."""
         return self._present.get(name, "")
 
     @property
--- a/coveport/sidecar/intent_log/record.py
+++ b/coveport/sidecar/intent_log/record.py
@@ -57,7 +57,7 @@
 
 
 class ExecutionPolicy(msgspec.Struct, frozen=True):
-    """Rules of an operation's class at the time when it was accepted."""
+    """Rules of an operation's class at the time when the operation was accepted."""
 
     effect: Effect
     group: DeduplicationScope
@@ -67,7 +67,7 @@
 
     @classmethod
     def of(cls, request_class: RequestClass, max_attempts: int) -> ExecutionPolicy:
-        """Return the policy of a class as it is configured at present."""
+        """Return the policy of a class by the present settings of the class."""
         return cls(
             request_class.effect,
             request_class.group,
@@ -89,7 +89,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the attempt may have run: no outcome proves that it did not."""
+        """Whether the attempt may have run: true unless its outcome proves that the attempt did not run."""
         return self.outcome is None or self.outcome not in NEVER_RAN
 
 
--- a/coveport/sidecar/intent_log/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -42,10 +42,10 @@
 
 
 class RecordAdopter(RecordWriter):
-    """Claims records, and continues or closes each as its recovery point allows."""
+    """Claims records, and continues or closes each record as its recovery point allows."""
 
     async def refresh_drain_notice(self, incarnation: str) -> None:
-        """Read whether an incarnation whose session is over is draining, and note it in `presence`."""
+        """Read whether an incarnation whose session is over is draining; note the result in `presence`."""
         outcome = await self.journal.read(self.layout.drain_key(incarnation))
         if not isinstance(outcome, Done):
             return
@@ -129,7 +129,7 @@
     # Takeover decisions.
 
     def _continue(self, pending: PendingOperation, client: Client | None) -> None:
-        """Continue an owned record by the takeover rules; `client` None: no client waits for it."""
+        """Continue an owned record by the takeover rules; `client` None: no client waits."""
         now_s = self._now_s()
         decision = self._decide(pending, now_s, has_client=client is not None)
         action = decision.action
@@ -203,7 +203,7 @@
         """Pass an owned operation to the executor, under a number that the recorder assigns."""
         restored = self._restored_operation(pending) if client is None else None
         source = restored or pending.operation
-        # A copy, as writes and attempts that are in progress still use the previous operation.
+        # A copy is used, because writes and attempts that are in progress still use the previous operation.
         operation = Operation(
             source.method,
             source.target,
--- a/coveport/sidecar/intent_log/record_codec.py
+++ b/coveport/sidecar/intent_log/record_codec.py
@@ -51,7 +51,7 @@
 
 
 def _format_of(body: bytes) -> int:
-    """Return the format number in a body; 0 if there is none."""
+    """Return the format number in a body; 0 if there is no number."""
     try:
         return msgspec.json.decode(body, type=_FormatOnly).format
     except (msgspec.DecodeError, msgspec.ValidationError):
--- a/coveport/sidecar/intent_log/record_layout.py
+++ b/coveport/sidecar/intent_log/record_layout.py
@@ -5,9 +5,9 @@
     r/ID                    the record
     o/OWNER/ID              index: open records by owner
     k/BUCKET/ID             index: closed records by the time interval after which they may be deleted
-    u/ID                    index: records with an unknown outcome, kept until an operator has resolved and
-    exported them l/OWNER                 drain notice: the owner finishes its operations and leaves the rest
-    to its peers
+    u/ID                    index: records whose outcome is unknown, until an operator has resolved
+                            and exported them
+    l/OWNER                 drain notice: the owner finishes its operations and leaves the rest to its peers
 
 Every write of a record compares the stored revision with the revision that the writer last read or wrote. So
 after a claim, the writes of the previous owner are refused, whatever its clock or lease says.
--- a/coveport/sidecar/intent_log/record_writer.py
+++ b/coveport/sidecar/intent_log/record_writer.py
@@ -110,7 +110,7 @@
     # Writing.
 
     def _schedule_write(self, pending: PendingOperation) -> None:
-        """Queue a write of a changed record; after a write that is in flight, `_write_done` queues it."""
+        """Queue a write of a changed record; during a write, `_write_done` queues the next write later."""
         is_durable = pending.record is pending.durable_record
         if pending.is_writing or pending.stage is not OperationStage.OWNED or is_durable:
             return
@@ -167,7 +167,7 @@
     def _ownership_lost(self, pending: PendingOperation) -> None:
         """Stop writing and sending, as another instance has created or claimed the record."""
         if pending.is_answered:
-            # The response comes from a node, so it is valid whichever instance owns the record.
+            # The response comes from a node, so the response is valid whichever instance owns the record.
             self._deliver_response(pending)
             self._finish(pending)
             self._cancel_waiting_sends(pending)
--- a/coveport/sidecar/intent_log/recorder.py
+++ b/coveport/sidecar/intent_log/recorder.py
@@ -74,7 +74,7 @@
     # Events of the executor.
 
     def accept(self, number: int, client: Client, operation: Operation) -> Client | None:
-        """Accept an operation; return the client for its response, None if the recorder answers it."""
+        """Accept an operation; return the client for the response, None if the recorder responds."""
         if number in self._by_number or not operation.is_admitted:
             return client
         request_class = self._executor.settings.classes[operation.cls]
--- a/coveport/sidecar/intent_log/replay_decision.py
+++ b/coveport/sidecar/intent_log/replay_decision.py
@@ -21,7 +21,7 @@
     RETURN_RESPONSE = "give"  # the recorded response is sent
     WAIT = "wait"  # the client waits for the attempt in flight, until the client's own deadline
     CLAIM = "claim"  # the owner is lost: the record is taken over for this client
-    RESTART = "anew"  # the operation did not run: it is accepted again
+    RESTART = "anew"  # the operation did not run and is accepted again
     RETRY = "try"  # the operation may have run, and its class allows another attempt with the same key
     KEY_REUSED = "other"  # rejected: the key belongs to another operation
     FAIL = "told"  # a failure is sent: the operation may have run
@@ -38,7 +38,7 @@
 def decide_replay(
     record: Record, owner: OwnerStatus, *, same_request: bool | None, has_response: bool
 ) -> ReplayDecision:
-    """Decide by the record, its owner's status, and whether the request is the recorded one.
+    """Decide by the record, its owner's status, and whether the request is the recorded request.
 
     `same_request`: None if the requests can't be compared. `has_response`: the recorded response can be read.
     """
--- a/coveport/sidecar/intent_log/retention_sweeper.py
+++ b/coveport/sidecar/intent_log/retention_sweeper.py
@@ -69,8 +69,8 @@
         if self._swept_bucket < 0:
             return await self._sweep_index(self._recorder.layout.retained_prefix(), last_bucket)
         for bucket in range(self._swept_bucket + 1, last_bucket + 1):
-            # The first instance in a bucket's order sweeps it. Records that remain are swept at the next
-            # start.
+            # The first instance in a bucket's order sweeps the bucket. Records that remain are swept at the
+            # next start.
             names = (*self._recorder.presence.names, self._name)
             if rank(f"{bucket}", self._name, names) != 0:
                 continue
--- a/coveport/sidecar/intent_log/takeover_order.py
+++ b/coveport/sidecar/intent_log/takeover_order.py
@@ -3,8 +3,8 @@
 The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 Rendezvous hashing (Thaler and Ravishankar 1998): each record has its own order of the instances. The first
-instance tries at once, each further instance a step later. Safety does not depend on the order;
-the order makes collisions rare.
+instance tries at once, each further instance a step later. Safety does not depend on the order; the order
+makes collisions rare.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import xxhash
 
 STEP_S = 0.4  # additional delay of each further instance in a record's order
-MAX_STEPS = 5  # instances of a higher rank wait no longer than this many steps
+MAX_STEPS = 5  # maximum number of steps that an instance waits, also if its rank is higher
 
 
 def rank(record_id: str, name: str, names: Collection[str]) -> int:
--- a/coveport/sidecar/leases/etcd.py
+++ b/coveport/sidecar/leases/etcd.py
@@ -38,7 +38,8 @@
 MAX_CONCURRENT_TRANSACTIONS = 32  # transactions in flight per `commit_all` call
 HEARTBEAT_INTERVAL_S = 0.5  # interval between the progress requests of a watch
 MAX_MISSED_HEARTBEATS = 4  # consecutive intervals without a response, after which a watch is lost
-# Makes a member that has lost its leader end the stream; otherwise the stream would stay open without events.
+# With this metadata, a member that has lost its leader ends the stream; otherwise the stream would stay open
+# without events.
 REQUIRE_LEADER = (("hasleader", "true"),)
 CHANNEL_OPTIONS = (
     ("grpc.enable_http_proxy", 0),
@@ -139,7 +140,7 @@
         return _done(response) if response.succeeded else _refused(response)
 
     async def commit_all(self, transactions: Sequence[Transaction]) -> list[Outcome]:
-        """Carry out several transactions, each by its own call, with limited concurrency."""
+        """Carry out several transactions, each by a separate call, with limited concurrency."""
         slots = asyncio.Semaphore(MAX_CONCURRENT_TRANSACTIONS)
 
         async def commit(transaction: Transaction) -> Outcome:
--- a/coveport/sidecar/leases/lease_client.py
+++ b/coveport/sidecar/leases/lease_client.py
@@ -176,7 +176,7 @@
         return self._calls.counts
 
     def publish_status(self, status: bytes) -> None:
-        """Write the instance's status now and after each registration; it is deleted with the session."""
+        """Write the instance's status now and after each registration; the status ends with the session."""
         self._values.publish_status(status)
 
     def publish(self, key: str, value: bytes) -> None:
@@ -188,7 +188,7 @@
         self._apply(self.lease_state.set_unhealthy(self._now_s(), reason))
 
     def set_contending(self, role: str, *, contending: bool, reason: str) -> None:
-        """Contend for a role, or release it and stop contending."""
+        """Contend for a role, or release the role and stop contending."""
         effects = self.lease_state.set_contending(self._now_s(), role, contending=contending, reason=reason)
         self._apply(effects)
 
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -96,7 +96,7 @@
         self._last_call = 0
         self._session_call = 0  # number of the grant or registration in flight
         self._renewal: tuple[int, float] | None = None  # renewal in flight: call number and send time
-        self._next_request_at = 0.0  # when to request a lease (DISCONNECTED) or renew it
+        self._next_request_at = 0.0  # when to request a lease (if DISCONNECTED) or to renew the lease
         self._failures = 0  # consecutive calls with an unknown outcome
         self._read_call = 0
         self._next_read_at = inf
@@ -132,7 +132,7 @@
 
     @property
     def in_session(self) -> bool:
-        """Whether the instance has a session, including one that is about to expire."""
+        """Whether the instance has a session, including a session that is about to expire."""
         return self.session in (SessionState.ACTIVE, SessionState.EXPIRING)
 
     def next_timer(self) -> float:
@@ -229,7 +229,7 @@
                 role.set_state(RoleState.IDLE)
 
     def set_contending(self, now: float, name: str, *, contending: bool, reason: str) -> list[Effect]:
-        """Contend for a role, or release it: by an operator's command, a drain, or the operator's file."""
+        """Contend for a role, or release the role, as an operator, a drain or the operator's file demands."""
         self._effects = []
         role = self.roles[name]
         role.contending = contending
@@ -284,8 +284,8 @@
     def _notice_stall(self, now: float) -> None:
         late_s = now - self._expected_wakeup_at
         if late_s > STALL_SHARE * self.terms.ttl_s:
-            # An instance without enough CPU time must not acquire roles that it can't serve. Every input is
-            # checked, because the timer is not always the first input after a stall.
+            # An instance without enough CPU time must not acquire roles, because it can't serve them. Every
+            # input is checked, because the timer is not always the first input after a stall.
             self._no_contention_until = now + NO_CONTENTION_TTLS * self.terms.ttl_s
             self._log(log_events.PROCESS_STALLED, f"{late_s:.2f} s")
         self._expected_wakeup_at = inf
@@ -450,7 +450,8 @@
         return role.contending and not self._unhealthy_reason and rested
 
     def _is_own_key(self, entry: Entry) -> bool:
-        # A key under an older lease of this instance is deleted when that lease ends, so it is not adopted.
+        # A key under an older lease of this instance is not adopted, because it is deleted when that lease
+        # ends.
         own_key = incarnation_of(entry.value) == self.incarnation and entry.lease == self.lease != 0
         return own_key and self.in_session
 
--- a/coveport/sidecar/leases/log_events.py
+++ b/coveport/sidecar/leases/log_events.py
@@ -19,5 +19,5 @@
 COMMIT_SENT = "commit_sent"
 COMMIT_FINISHED = "commit_finished"
 
-# Logged at debug level: there is one for each renewal, commit and unknown outcome.
+# These events are logged at debug level, because each renewal, commit and unknown outcome has an event.
 DEBUG_EVENTS = frozenset({LEASE_RENEWED, COMMIT_SENT, COMMIT_FINISHED, STORE_CALL_UNKNOWN})
--- a/coveport/sidecar/leases/sqlite.py
+++ b/coveport/sidecar/leases/sqlite.py
@@ -164,7 +164,7 @@
     def _poll(self, prefix: str, last_poll: _Poll, tables: LeaseTables) -> _Poll:
         first_expiry_s = tables.first_expiry_s()
         if first_expiry_s is not None and first_expiry_s <= self._now_s():
-            # Otherwise a stopped holder would keep its role until another instance writes.
+            # Without this write, a stopped holder would keep its role until another instance writes.
             with self._file.writing(tables):
                 tables.end_expired(self._now_s())
         data_version = int(tables.connection.execute("PRAGMA data_version").fetchone()[0])
--- a/coveport/sidecar/leases/sqlite_file.py
+++ b/coveport/sidecar/leases/sqlite_file.py
@@ -50,7 +50,7 @@
             inode = 0
         if self.tables is not None and inode == self._inode:
             return self.tables
-        # After a replacement, the open file is no longer the one that other processes use.
+        # After a replacement, the open file is no longer the file that other processes use.
         self.close()
         self._lock_descriptor = os.open(f"{self._path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         connection = sqlite3.connect(
--- a/coveport/sidecar/leases/sqlite_tables.py
+++ b/coveport/sidecar/leases/sqlite_tables.py
@@ -150,9 +150,9 @@
         return int(row[0] if row else 0) == compare.equals
 
     def _apply(self, revision: int, changes: Sequence[Put | Delete]) -> int:
-        """Apply changes at the next revision; return that one, or `revision` if no change had an effect."""
+        """Apply changes at the next revision; return the new revision, or `revision` if nothing changed."""
         next_revision = revision + 1
-        # A list, so that every change is applied even if an earlier one had an effect.
+        # The results are a list, so that every change is applied even if an earlier change had an effect.
         changed = [self._apply_one(next_revision, change) for change in changes]
         if not any(changed):
             return revision
--- a/coveport/sidecar/leases/states.py
+++ b/coveport/sidecar/leases/states.py
@@ -11,7 +11,7 @@
 
 
 class SessionState(Enum):
-    """An instance's session with the store: a lease, and the instance's key bound to it."""
+    """State of an instance's session with the store: a lease, and the instance's key bound to the lease."""
 
     DISCONNECTED = "out"
     REQUESTING_LEASE = "asking"
@@ -42,7 +42,7 @@
     SessionState.CLOSED: frozenset(),
     SessionState.STORE_RESET: frozenset(),
 }
-# States that are reached from any state that is not final.
+# States that can be reached from every state that is not final.
 FINAL_SESSION_STATES = frozenset({SessionState.CLOSED, SessionState.STORE_RESET})
 
 ROLE_TRANSITIONS: dict[RoleState, frozenset[RoleState]] = {
--- a/coveport/sidecar/leases/store.py
+++ b/coveport/sidecar/leases/store.py
@@ -3,7 +3,7 @@
 A store keeps small values under keys. It has one revision, which grows by one with each transaction that
 has an effect. A lease has a time to live; the keys that are bound to a lease are deleted when the lease ends.
 A call is done, refused or unknown. Unknown is not an error: the call may have been carried out, or may still
-be.
+be carried out.
 """
 
 from __future__ import annotations
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The call got no answer: it may have been carried out, or may still be."""
+    """The call got no answer: the call may have been carried out, or may still be carried out."""
 
     kind: ClassVar[str] = "Unknown"
 
--- a/coveport/sidecar/leases/store_view.py
+++ b/coveport/sidecar/leases/store_view.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyChange:
-    """A key that changed; `entry` is None if it was deleted."""
+    """A key that changed; `entry` is None if the key was deleted."""
 
     key: str
     entry: Entry | None
--- a/coveport/sidecar/singletons/rollout.py
+++ b/coveport/sidecar/singletons/rollout.py
@@ -69,7 +69,7 @@
         self._soak_s = soak_s
         self._apply_timeout_s = apply_timeout_s
         self._state: bytes | None = None  # last state that was read
-        self._state_since = 0.0  # when that state was first read
+        self._state_since = 0.0  # when the last state was first read
         self._applied_since: float | None = None  # since when all updated instances have run the new settings
 
     def decide(self, now: float, state: bytes | None, entries: Mapping[str, Entry]) -> Step | None:
@@ -150,7 +150,7 @@
 
 
 def _handle_command(plan: RolloutPlan | None, entries: Mapping[str, Entry]) -> Step:
-    """Carry out or reject the command in the store, and delete it."""
+    """Carry out or reject the command in the store, and delete the command."""
     try:
         command = msgspec.json.decode(entries[COMMAND_KEY].value, type=RolloutCommand)
     except msgspec.DecodeError:
--- a/coveport/sidecar/singletons/rollout_follower.py
+++ b/coveport/sidecar/singletons/rollout_follower.py
@@ -24,8 +24,8 @@
 class DesiredSettings:
     """Settings that an instance is to apply."""
 
-    id: str  # settings id; empty for the settings of its own file
-    text: str | None  # JSON; None for the settings of its own file
+    id: str  # settings id; empty for the settings of the instance's file
+    text: str | None  # settings as JSON; None for the settings of the instance's file
 
 
 class RolloutFollower:
--- a/coveport/sidecar/singletons/rollout_plan.py
+++ b/coveport/sidecar/singletons/rollout_plan.py
@@ -85,7 +85,8 @@
     """Status that an instance publishes under its name."""
 
     incarnation: str = ""
-    running: str = msgspec.field(default="", name="runs")  # settings id; empty: settings of its own file
+    # Settings id; empty: settings of the instance's file.
+    running: str = msgspec.field(default="", name="runs")
     rejected: str = msgspec.field(default="", name="refused")  # settings id
     reject_reason: str = msgspec.field(default="", name="why")
     success_ratio: float = msgspec.field(default=1.0, name="served")  # success ratio of recent operations
--- a/coveport/sidecar/singletons/singleton_runner.py
+++ b/coveport/sidecar/singletons/singleton_runner.py
@@ -69,7 +69,7 @@
             await asyncio.sleep(self.role.interval_s)
 
     async def _step(self, token: int, state: StoredState) -> StoredState | None:
-        """Carry out the next step; return the resulting state, or None if it must be read again."""
+        """Carry out the next step; return the resulting state, or None if the state must be read again."""
         step = self.role.decide(self._now_s(), state.value, self._lease_client.entries)
         if step is None:
             return state
--- a/coveport/sidecar/singletons/slow_start_client.py
+++ b/coveport/sidecar/singletons/slow_start_client.py
@@ -63,8 +63,8 @@
             grant = msgspec.json.decode(entry.value, type=CapacityGrant)
         except msgspec.DecodeError:
             return None
-        # A grant is accepted once, and only by the process that requested it, because an earlier process of
-        # the same name may have used it.
+        # A grant is accepted once, and only by the process that requested the grant, because an earlier
+        # process of the same name may have used it.
         if grant.incarnation != self._incarnation or grant.step <= self._accepted_steps.get(zone, 0):
             return None
         self._accepted_steps[zone] = grant.step
--- a/coveport/sidecar/singletons/slow_start_coordinator.py
+++ b/coveport/sidecar/singletons/slow_start_coordinator.py
@@ -232,7 +232,7 @@
         if first_read is None or first_read[0] != request.requested_at:
             first_read = self._requests_seen[name] = request.requested_at, now
         if now - first_read[1] > GRANT_LIFETIME_S / 2:
-            return False  # a grant would expire before the instance can use it
+            return False  # a grant would expire before the instance can use the grant
         if request.rate_per_s <= 0 or request.service_s <= 0:
             return False
         return stored.answered.get(name) != request.requested_at
--- a/coveport/sidecar/singletons/slow_start_messages.py
+++ b/coveport/sidecar/singletons/slow_start_messages.py
@@ -31,7 +31,10 @@
     overload_window_s: float = 2.0  # W: duration of that load after which the node fails
 
     def operations(self, age_s: float, service_s: float) -> float:
-        """Return how many operations a one-core node can carry out in W, by its age and their mean time."""
+        """Return how many operations a one-core node of this age can carry out in W.
+
+        `service_s`: mean time of an operation.
+        """
         age = min(max(age_s, 0.0), self.warm_after_s)
         warmth = age / self.warm_after_s if self.warm_after_s else 1.0
         capacity_fraction = self.initial_fraction + (1 - self.initial_fraction) * warmth
