--- a/coveport/sidecar/intent_log/settings.py
+++ b/coveport/sidecar/intent_log/settings.py
@@ -18,8 +18,8 @@
     """Validated `[work]` table of an operator's file."""
 
     recorded_classes: frozenset[str]
-    # Recorded classes that are rejected while the store is unavailable; operations of other classes run
-    # unrecorded then.
+    # Recorded classes that are rejected while the store is unavailable; operations of other
+    # recorded classes run unrecorded then.
     rejected_when_unavailable: frozenset[str] = frozenset()
     by_request_id: bool = False  # whether clients repeat a request with the same X-Request-Id
     retention_s: float = 600.0  # how long a closed record is kept for a client that repeats its request
--- a/coveport/sidecar/leases/lease_state.py
+++ b/coveport/sidecar/leases/lease_state.py
@@ -450,8 +450,8 @@
         return role.contending and not self._unhealthy_reason and rested
 
     def _is_own_key(self, entry: Entry) -> bool:
-        # A key under an older lease of this instance is not adopted, because it is deleted when that lease
-        # ends.
+        # A key under an older lease of this instance is not adopted, because the key is deleted when that
+        # lease ends.
         own_key = incarnation_of(entry.value) == self.incarnation and entry.lease == self.lease != 0
         return own_key and self.in_session
 
--- a/coveport/sidecar/singletons/slow_start_client.py
+++ b/coveport/sidecar/singletons/slow_start_client.py
@@ -64,7 +64,7 @@
         except msgspec.DecodeError:
             return None
         # A grant is accepted once, and only by the process that requested the grant, because an earlier
-        # process of the same name may have used it.
+        # process of the same name may have used the grant.
         if grant.incarnation != self._incarnation or grant.step <= self._accepted_steps.get(zone, 0):
             return None
         self._accepted_steps[zone] = grant.step
