--- a/coveport/sidecar/intent_log/record_codec.py
+++ b/coveport/sidecar/intent_log/record_codec.py
@@ -1,4 +1,7 @@
-"""Encoding and decoding of records: eight hex digits of a CRC-32, then JSON. Pure."""
+"""Encoding and decoding of records: eight hex digits of a CRC-32, then JSON.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 
 def decode(data: bytes) -> Record:
-    """Return a stored record; raise UnreadableRecordError where it is damaged or of a later format."""
+    """Return a stored record; raise UnreadableRecordError if the record is damaged or of a later format."""
     body = data[CHECKSUM_BYTES:]
     if data[:CHECKSUM_BYTES] != _checksum(body):
         raise UnreadableRecordError("its checksum does not match: it was damaged")
@@ -48,7 +51,7 @@
 
 
 def _format_of(body: bytes) -> int:
-    """Return the format number in a body; 0 where there is none."""
+    """Return the format number in a body; 0 if there is no number."""
     try:
         return msgspec.json.decode(body, type=_FormatOnly).format
     except (msgspec.DecodeError, msgspec.ValidationError):
--- a/coveport/sidecar/leases/sqlite_file.py
+++ b/coveport/sidecar/leases/sqlite_file.py
@@ -1,8 +1,9 @@
 """File of a SQLite store: opens it, acquires its lock, and runs transactions.
 
-Used by one thread only. With WAL and `synchronous=FULL`, a transaction that was reported as done survives a
-SIGKILL or a loss of power. If a process is killed during a transaction, the file keeps the state before it.
-If a process is suspended during a transaction, it keeps the lock until it resumes.
+The file object is used by one thread only. With WAL and `synchronous=FULL`, a transaction that was reported
+as done survives a SIGKILL or a loss of power. If a process is killed during a transaction, the file keeps the
+state before the transaction. A process that is suspended during a transaction keeps the lock until the
+process resumes.
 """
 
 from __future__ import annotations
@@ -42,14 +43,14 @@
         self.identity = ""
 
     def open(self) -> LeaseTables:
-        """Return the tables; opens the file if it is not open or was replaced by another one."""
+        """Return the tables; opens the file if it is not open or was replaced by another file."""
         try:
             inode = os.stat(self._path).st_ino
         except FileNotFoundError:
             inode = 0
         if self.tables is not None and inode == self._inode:
             return self.tables
-        # After a replacement, the open file is no longer the one that other processes use.
+        # After a replacement, the open file is no longer the file that other processes use.
         self.close()
         self._lock_descriptor = os.open(f"{self._path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         connection = sqlite3.connect(
--- a/coveport/sidecar/leases/states.py
+++ b/coveport/sidecar/leases/states.py
@@ -1,4 +1,6 @@
-"""States of a session and of a role at one instance, and the transitions between them. Pure.
+"""States of a session and of a role at one instance, and the transitions between them.
+
+The module is pure: it does no I/O, and uses no clock or random source of its own.
 
 The values appear in trial reports and must not change.
 """
@@ -9,13 +11,13 @@
 
 
 class SessionState(Enum):
-    """An instance's session with the store: a lease, and the instance's key bound to it."""
+    """State of an instance's session with the store: a lease, and the instance's key bound to the lease."""
 
     DISCONNECTED = "out"
     REQUESTING_LEASE = "asking"
     REGISTERING = "arriving"  # the instance's key is being created under the lease
     ACTIVE = "in"
-    EXPIRING = "wary"  # not renewed in time: no new work is started
+    EXPIRING = "wary"  # the session was not renewed in time: no new work is started
     CLOSED = "left"
     STORE_RESET = "estranged"  # the store was wiped, restored or replaced
 
@@ -40,7 +42,7 @@
     SessionState.CLOSED: frozenset(),
     SessionState.STORE_RESET: frozenset(),
 }
-# States that are reached from any state that is not final.
+# States that can be reached from every state that is not final.
 FINAL_SESSION_STATES = frozenset({SessionState.CLOSED, SessionState.STORE_RESET})
 
 ROLE_TRANSITIONS: dict[RoleState, frozenset[RoleState]] = {
