--- a/coveport/serving/model/configuration.py
+++ b/coveport/serving/model/configuration.py
@@ -9,9 +9,9 @@
 class RouteKind(Enum):
     """Whether a route's requests may be retried once they may have run."""
 
-    SAFE = "safe"  # idempotent: may run more than once
-    UNSAFE = "unsafe"  # runs at most once per attempt of the client
-    STREAMING = "streaming"  # answered with events; runs at most once unless the route is resumable
+    SAFE = "safe"  # requests are idempotent: they may run more than once
+    UNSAFE = "unsafe"  # a request runs at most once per attempt of the client
+    STREAMING = "streaming"  # responses are events; a request runs at most once unless the route is resumable
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,12 +31,12 @@
     path_prefix: str
     kind: RouteKind
     timeout_ms: float  # deadline of a request, unless its client gives an earlier one
-    latency_target_ms: float = 0.0  # a response within it has its full value; 0: no target
+    latency_target_ms: float = 0.0  # a response within this time has its full value; 0: no target
     priority: int = 0  # requests of priority 0 are served first
     services: tuple[WeightedService, ...] = ()
     max_attempts: int = 1  # most nodes that a request may be sent to, one after another
-    session_affinity: bool = False  # accepted in a configuration, but ignored
-    resumable: bool = False  # a stream may continue on another node after its last event
+    session_affinity: bool = False  # this field is accepted in a configuration, but ignored
+    resumable: bool = False  # whether a stream may continue on another node after the last event received
     inter_token_target_ms: float = 0.0  # longest gap between two events that is not late; 0: no target
     home_regions: frozenset[str] = frozenset()  # regions whose nodes may serve; empty: any
     is_public: bool = False  # whether requests need no API key
@@ -84,8 +84,10 @@
 
     name: str
     api_keys: tuple[str, ...] = field(default=(), repr=False)
-    priority: int | None = None  # overrides the route's priority; None: the route's applies
-    home_regions: frozenset[str] = frozenset()  # apply in addition to the route's; empty: any
+    priority: int | None = None  # replaces the route's priority; None: the route's priority applies
+    home_regions: frozenset[str] = (
+        frozenset()
+    )  # a further restriction besides the route's home regions; empty: none
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/serving/model/node.py
+++ b/coveport/serving/model/node.py
@@ -11,8 +11,8 @@
     """Whether a node accepts new requests. The values are sent between the system's processes."""
 
     ACCEPTING = "accepting"
-    DRAINING = "closing"  # finishes its requests; an incarnation never accepts again
-    DEREGISTERED = "gone"  # final for an incarnation
+    DRAINING = "closing"  # the node finishes its requests; the incarnation never accepts requests again
+    DEREGISTERED = "gone"  # the final state of an incarnation
 
 
 # A state is never followed by an earlier one.
@@ -45,7 +45,7 @@
         return rank > other_rank or (rank == other_rank and self.sequence > other.sequence)
 
 
-DEREGISTRATION_SEQUENCE: Final = 1 << 60  # higher than that of any heartbeat
+DEREGISTRATION_SEQUENCE: Final = 1 << 60  # higher than the sequence number of any heartbeat
 
 
 def deregistration(incarnation: str, tombstone_left_ms: float = 0.0) -> Node:
--- a/coveport/serving/model/telemetry.py
+++ b/coveport/serving/model/telemetry.py
@@ -37,9 +37,9 @@
     """The load that one proxy puts on the nodes of a service in a zone."""
 
     service: str
-    zone: str  # that of the nodes
+    zone: str  # zone of the nodes
     in_flight: int  # the proxy's requests at those nodes
-    waiting: int  # requests in the proxy that wait for a node; 0 in other zones than its own
+    waiting: int  # requests in the proxy that wait for a node; 0 unless `zone` is the proxy's zone
     arrivals: int  # requests sent to those nodes since the proxy started
 
 
@@ -49,7 +49,7 @@
 
     proxy: str  # name of its machine
     incarnation: int  # start time of the process, in Unix milliseconds
-    sequence: int  # rises with each report of an incarnation
-    open_window: int  # the proxy's current window; earlier ones are final except for late first tokens
+    sequence: int  # sequence number of the report; rises with each report of an incarnation
+    open_window: int  # the proxy's current window; counts of earlier windows change only by late first tokens
     windows: tuple[WindowCounts, ...] = ()  # the counts that changed
-    loads: tuple[ServiceLoad, ...] = ()  # empty: unchanged since the previous report
+    loads: tuple[ServiceLoad, ...] = ()  # loads of services; empty: unchanged since the previous report
--- a/coveport/serving/model/true_clock.py
+++ b/coveport/serving/model/true_clock.py
@@ -1,4 +1,7 @@
-"""Unix time that ignores steps of the wall clock: the monotonic clock plus a median offset. Pure."""
+"""Unix time that ignores steps of the wall clock: the monotonic clock plus a median offset.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
--- a/coveport/serving/proxy/admission.py
+++ b/coveport/serving/proxy/admission.py
@@ -1,9 +1,11 @@
-"""Admission control: requests for which no node has capacity wait in a bounded priority queue. Pure.
+"""Admission control: requests for which no node has capacity wait in a bounded priority queue.
 
 A request waits only while a response within the route's latency target is still possible, and for at most a
 fifth of that target; then it is rejected, so that the client can react at once. There is one queue for each
 service and set of home regions, so that a request isn't blocked behind one that needs other nodes. No request
 waits while a usable node has capacity.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -15,10 +17,12 @@
 
 from coveport.serving.model.configuration import Route
 
-MAX_QUEUED_REQUESTS = 256  # bounds memory, and the linear search for the last request
-MAX_WAIT_TARGET_RATIO = 0.2  # a rejection after a quarter of the target counts as late
-MAX_WAIT_S = 0.5  # upper bound for long targets: the client can retry elsewhere instead
-MAX_WAIT_WITHOUT_TARGET_S = 0.2  # for routes without a latency target
+MAX_QUEUED_REQUESTS = (
+    256  # limits the memory used, and the duration of the linear search for the last request
+)
+MAX_WAIT_TARGET_RATIO = 0.2  # less than a quarter: a rejection after a quarter of the target counts as late
+MAX_WAIT_S = 0.5  # upper bound of the wait if the target is long: the client can retry elsewhere instead
+MAX_WAIT_WITHOUT_TARGET_S = 0.2  # longest wait on routes without a latency target
 
 
 def max_wait_s(route: Route) -> float:
--- a/coveport/serving/proxy/client_connection.py
+++ b/coveport/serving/proxy/client_connection.py
@@ -11,9 +11,9 @@
 from coveport.serving.model.configuration import ClientLimits
 from coveport.serving.proxy.response_writing import status_line, write_response
 
-MAX_PIPELINED_BYTES = 64 * 1024  # pipelined behind the current request: bounds memory
-MAX_UNSENT_BYTES = 64 * 1024  # buffered of a response for a slow client: bounds memory
-LINGER_S = 1.0  # lets a client that is still sending read the rejection before the close
+MAX_PIPELINED_BYTES = 64 * 1024  # bytes of requests pipelined behind the current one; limits the memory used
+MAX_UNSENT_BYTES = 64 * 1024  # bytes of a response buffered for a slow client; limits the memory used
+LINGER_S = 1.0  # time before the close in which a client that is still sending can read the rejection
 IDLE_MARGIN_S = 2.0  # the announced Keep-Alive time-out is this much shorter than the actual one
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"  # RFC 9110, 10.1.1
 
@@ -53,14 +53,16 @@
         self._timer: asyncio.TimerHandle | None = None
         self._writable = asyncio.Event()
         self._writable.set()
-        self._is_rejected = False  # further received bytes are discarded
+        self._is_rejected = False  # whether a request was rejected; all bytes received after it are discarded
         self._is_reading_paused = False
-        self._has_begun = False  # the head of the current response has been written
-        self._is_finished = False  # the current response has been written completely
+        self._has_begun = False  # whether the head of the current response has been written
+        self._is_finished = False  # whether the current response has been written completely
         self._is_chunked = False
-        self._is_framed = False  # the response has a length or is chunked: its end isn't the connection's
+        self._is_framed = (
+            False  # whether the response has a length or is chunked, so that its end is not the close
+        )
         self._keeps_alive = False
-        self._is_reading_head = False  # the running timer limits the time to read a head
+        self._is_reading_head = False  # whether the running timer limits the time to read a head
 
     # Callbacks of asyncio.Protocol.
 
@@ -88,11 +90,11 @@
             self._transport.pause_reading()
 
     def pause_writing(self) -> None:
-        """Block writers: the client reads more slowly than the node sends."""
+        """Make `wait_writable` wait, because the client reads more slowly than the node sends."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Unblock writers."""
+        """Let `wait_writable` return."""
         self._writable.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -229,7 +231,7 @@
         self._transport.write(http1.write_head(status_line(status), head))
 
     def write(self, data: bytes) -> None:
-        """Write bytes of the body. Runs for every event, so it makes no further calls."""
+        """Write bytes of the body. This method makes no further calls, because it runs for every event."""
         if self._transport is not None and data:
             self._transport.write(http1.write_chunk(data) if self._is_chunked else data)
 
--- a/coveport/serving/proxy/client_listener.py
+++ b/coveport/serving/proxy/client_listener.py
@@ -15,7 +15,7 @@
 MAX_ACCEPTS_PER_TURN = 64  # a burst of connects must not delay requests in flight
 ACCEPT_BACKLOG = 512  # connections queued in the kernel
 DRAIN_ACCEPT_S = 1.0  # clients that have not yet learned of the stop still connect for this long
-DRAIN_POLL_S = 0.05  # delays the stop by at most this much
+DRAIN_POLL_S = 0.05  # interval of the checks for open connections; the stop is delayed by at most this time
 
 RequestHandler = Callable[[http1.Request, ClientConnection], Coroutine[Any, Any, None]]
 
--- a/coveport/serving/proxy/connection_pool.py
+++ b/coveport/serving/proxy/connection_pool.py
@@ -11,8 +11,8 @@
 from coveport.serving.proxy.errors import ConnectFailedError
 from coveport.serving.proxy.node_connection import NodeConnection
 
-LOCAL_CONNECT_TIMEOUT_S = 0.4  # leaves half of a latency target of 0.8 s for another node
-REMOTE_CONNECT_TIMEOUT_S = 0.6  # round trips to another region are longer
+LOCAL_CONNECT_TIMEOUT_S = 0.4  # half of a latency target of 0.8 s: the other half is left for another node
+REMOTE_CONNECT_TIMEOUT_S = 0.6  # longer than the local time-out, as round trips to another region take longer
 
 
 class ConnectionPool:
--- a/coveport/serving/proxy/coordinator_selection.py
+++ b/coveport/serving/proxy/coordinator_selection.py
@@ -1,7 +1,9 @@
-"""Selects the coordinator that a proxy polls: the nearest live one, or another while that one fails. Pure.
+"""Selects the coordinator that a proxy polls: the nearest live one, or another while that one fails.
 
 A near coordinator answers sooner, and its answers cost fewer bytes between zones and regions. The localities
 of the coordinators are unknown until one of them has sent the list of all live ones.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,7 +14,9 @@
 
 from coveport.serving.wire.messages import CoordinatorEndpoint
 
-FAILURE_BACKOFF_S = 4.0  # time after a failure in which coordinators further away are preferred
+FAILURE_BACKOFF_S = (
+    4.0  # time after a failure of a coordinator in which more distant coordinators are preferred
+)
 
 SAME_ZONE, SAME_REGION, OTHER_REGION, UNKNOWN_LOCALITY = range(4)  # distances, nearest first
 
--- a/coveport/serving/proxy/errors.py
+++ b/coveport/serving/proxy/errors.py
@@ -19,6 +19,6 @@
     """A node's response ended or became invalid before it was complete. The request may have run."""
 
     def __init__(self, stage: str, expected: str, received: str) -> None:
-        """`stage` is the part of the response that was read, such as "head" or "body"."""
+        """Create an error; `stage` is the part of the response that was being read ("head", "body")."""
         super().__init__(f"response {stage}: expected {expected}, received {received}")
         self.stage = stage
--- a/coveport/serving/proxy/event_stream.py
+++ b/coveport/serving/proxy/event_stream.py
@@ -1,6 +1,8 @@
-"""Splits a `text/event-stream` into events, and checks that a resumed stream continues the first. Pure.
+"""Splits a `text/event-stream` into events, and checks that a resumed stream continues the first.
 
 The format is that of the WHATWG HTML standard, 9.2 (server-sent events).
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -15,14 +17,16 @@
 
 @dataclass(slots=True)
 class EventSplitter:
-    """Splits received bytes into complete events; an incomplete event is never returned."""
+    """Splits received bytes into events; an event is returned only once it is complete."""
 
-    incomplete: bytearray = field(default_factory=bytearray)  # the start of an event whose end is missing
+    incomplete: bytearray = field(
+        default_factory=bytearray
+    )  # the received start of an event whose end has not been received
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the events that these bytes complete, each with its terminating blank line.
 
-        Written as one loop without helper functions, since it runs for every read of a stream.
+        The code is one loop without helper functions, since this function runs for every read of a stream.
         """
         event_begin = 0
         search_begin = max(0, len(self.incomplete) - _MAX_EVENT_END_BYTES + 1)
@@ -48,7 +52,7 @@
 
     last_id: str | None = None  # id of the last complete event that the client received
     _max_id_step: int = 0  # largest difference between consecutive ids; 0: unknown
-    _is_resuming: bool = False  # the next event is the first of another node's stream
+    _is_resuming: bool = False  # whether the next event is the first in the stream of another node
 
     def begin_stream(self) -> None:
         """Record that a node's stream begins; a stream that resumes another must not skip events."""
@@ -57,7 +61,7 @@
     def may_follow(self, event: bytes) -> bool:
         """Return whether the event may come next.
 
-        Numeric ids must increase. The first id of a resumed stream may exceed the last one by no more than
+        Numeric ids must increase. The first id of a resumed stream may exceed the last id by no more than
         the largest step seen so far.
         """
         next_number = _as_number(event_id(event))
--- a/coveport/serving/proxy/failure_response.py
+++ b/coveport/serving/proxy/failure_response.py
@@ -9,7 +9,7 @@
 from coveport.serving.proxy.request_routing import RoutingFailure
 from coveport.serving.wire.names import CanonicalHeader
 
-RETRY_AFTER_S = 0.3  # mean; long enough for capacity to become free, randomized to spread the retries
+RETRY_AFTER_S = 0.3  # mean; long enough for capacity to become free; randomized to spread the retries
 
 AUTHENTICATION_SCHEME = "ApiKey"  # RFC 9110, 11.6.1: a 401 response must name a scheme
 
--- a/coveport/serving/proxy/headers.py
+++ b/coveport/serving/proxy/headers.py
@@ -1,4 +1,7 @@
-"""Parses headers, and selects the headers that a proxy forwards. Pure."""
+"""Parses headers, and selects the headers that a proxy forwards.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 _HOP_BY_HOP = frozenset(
     {
         "connection",
-        "content-length",  # written by the codec
+        "content-length",  # the codec writes this header
         "expect",
         "keep-alive",
         "proxy-authenticate",
@@ -26,7 +29,8 @@
 )
 STATUSES_WITHOUT_BODY = frozenset({204, 304})
 
-# ASCII digits only: headers are decoded as latin-1, which has more. No useful number has over 15 digits.
+# ASCII digits only: headers are decoded as latin-1, which has other digits too. No useful number has more
+# than 15 digits.
 _WHOLE_NUMBER: Final = re.compile(r"[0-9]{1,15}")
 
 
--- a/coveport/serving/proxy/in_flight_request.py
+++ b/coveport/serving/proxy/in_flight_request.py
@@ -19,9 +19,9 @@
     routed: RoutedRequest
     deadline_s: float  # on the clock of `Net.now_s`
     sequence: EventSequence  # ids of the events that the client has received
-    attempts: int = 0  # how often the request was written to a node
+    attempts: int = 0  # number of times that the request was written to a node
     failed_connects: int = 0
     may_have_run: bool = False
-    has_success_started: bool = False  # a node has started a successful response
+    has_success_started: bool = False  # whether a node has started a successful response
     # Incarnations whose response broke off or was an error.
     failed_nodes: set[str] = field(default_factory=set)
--- a/coveport/serving/proxy/latency_estimate.py
+++ b/coveport/serving/proxy/latency_estimate.py
@@ -1,4 +1,4 @@
-"""Estimates the latency of nodes in this proxy's streams, and finds nodes that don't respond at all. Pure.
+"""Estimates the latency of nodes in this proxy's streams, and finds nodes that don't respond at all.
 
 - A node is *saturated* while the mean gap between the events of this proxy's streams there exceeds
   `SATURATED_GAP_RATIO` of the route's target: it prefills in every step, and each further request makes its
@@ -9,6 +9,8 @@
 
 One class holds both estimates because both are updated for every read of a response: two classes would need
 one more call there.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -16,11 +18,11 @@
 from dataclasses import dataclass, field
 from math import exp
 
-DECAY_S = 0.7  # time constant of the mean: about twenty events of an undisturbed stream
-MIN_GAPS = 1.5  # least decayed count of gaps for a mean: a single long gap may be chance
+DECAY_S = 0.7  # time constant of the mean: the duration of about twenty events of an undisturbed stream
+MIN_GAPS = 1.5  # minimum decayed count of gaps for a mean to count: a single long gap may be chance
 # Ratio of the mean gap to the target; undisturbed streams stay under 0.1 (docs/policy.md, `saturated-gap`).
 SATURATED_GAP_RATIO = 0.15
-UNRESPONSIVE_S = 0.8  # 0.5 s ejected live nodes (docs/policy.md, `unresponsive-time`)
+UNRESPONSIVE_S = 0.8  # with 0.5 s, live nodes were ejected (docs/policy.md, `unresponsive-time`)
 
 
 @dataclass(slots=True)
@@ -28,7 +30,7 @@
     gap_sum_s: float = 0.0  # decaying sum of the gaps
     gap_count: float = 0.0  # decaying count of the gaps
     decayed_at_s: float = 0.0  # time of the last decay
-    pending_requests: int = 0  # this proxy's requests that were sent and not completely answered
+    pending_requests: int = 0  # this proxy's requests to the node whose responses are not complete
     last_received_s: float = 0.0  # time of the last byte, successful connect, or send without others pending
 
     def decay(self, now_s: float) -> None:
@@ -70,7 +72,7 @@
             node.gap_count += 1
 
     def record_reachable(self, incarnation: str, now_s: float) -> None:
-        """Record that a connect to the node succeeded: it is reachable, even if its responses are pending."""
+        """Record that a connect to the node succeeded: the node is reachable even while requests wait."""
         node = self._nodes.get(incarnation)
         if node is not None:
             node.last_received_s = now_s
--- a/coveport/serving/proxy/load_sampler.py
+++ b/coveport/serving/proxy/load_sampler.py
@@ -1,6 +1,8 @@
-"""Counts the load that this proxy puts on nodes, by service and zone, for its reports to coordinators. Pure.
+"""Counts the load that this proxy puts on nodes, by service and zone, for its reports to coordinators.
 
 The counts are updated when attempts begin and end, so a report needs no iteration over requests.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
--- a/coveport/serving/proxy/node_connection.py
+++ b/coveport/serving/proxy/node_connection.py
@@ -10,9 +10,11 @@
 from coveport.serving.proxy.errors import BrokenResponseError
 from coveport.serving.proxy.headers import is_unframed, keep_alive_s
 
-MAX_BUFFERED_BYTES = 64 * 1024  # buffered of a response for a slow client: bounds memory
-MAX_RESPONSE_BYTES = 1 << 40  # effectively unbounded: responses are forwarded as they arrive
-UNACKNOWLEDGED_TIMEOUT_MS = 2000  # TCP: a peer that acknowledges nothing for this long is unreachable
+MAX_BUFFERED_BYTES = 64 * 1024  # bytes of a response buffered for a slow client; limits the memory used
+MAX_RESPONSE_BYTES = 1 << 40  # no limit in practice, as responses are forwarded while they are received
+UNACKNOWLEDGED_TIMEOUT_MS = (
+    2000  # TCP time-out: a peer that acknowledges nothing for this long is presumed unreachable
+)
 DEFAULT_IDLE_TIMEOUT_S = 0.4  # for nodes without a Keep-Alive time-out, which may be under a second
 IDLE_MARGIN_S = 1.0  # an idle connection is closed this long before the node closes it
 IDLE_MARGIN_RATIO = 0.4  # the margin is at most this part of the idle time-out
@@ -31,10 +33,11 @@
         self._is_reading_paused = False
         self._is_in_use = False
         self._keeps_alive = True
-        self._has_carried_response = False  # a response before the current one
+        self._has_carried_response = False  # whether the connection carried a response before the current one
         self._unacknowledged_timeout_ms = 0  # as set on the socket; 0: the system's default
-        self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S  # after which the node closes the connection
-        self.is_desynchronized = False  # received a response to another request: must not be reused
+        self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S  # idle time after which the node closes the connection
+        # Whether a response to another request was received; if so, the connection must not be reused.
+        self.is_desynchronized = False
         self.idle_since_s = 0.0
         self.last_received_s = 0.0
         self.one_way_delay_s = 0.0  # network delay from the node, without delays on either machine
--- a/coveport/serving/proxy/node_directory.py
+++ b/coveport/serving/proxy/node_directory.py
@@ -1,8 +1,10 @@
-"""Merges coordinators' reports on nodes into a proxy's node table, and keeps tombstones. Pure.
+"""Merges coordinators' reports on nodes into a proxy's node table, and keeps tombstones.
 
 A coordinator may lag behind after a restart or while it is partitioned off. Therefore the newer of two
 reports on an incarnation wins, regardless of the coordinator that sent it, and an incarnation that was
 deregistered is never added again.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
--- a/coveport/serving/proxy/node_eligibility.py
+++ b/coveport/serving/proxy/node_eligibility.py
@@ -1,6 +1,8 @@
-"""Finds the nodes that the control plane allows for a request, and groups them by locality. Pure.
+"""Finds the nodes that the control plane allows for a request, and groups them by locality.
 
 `node_selection` filters them further by this proxy's own observations.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
--- a/coveport/serving/proxy/node_observations.py
+++ b/coveport/serving/proxy/node_observations.py
@@ -1,4 +1,7 @@
-"""Records what this proxy observes of nodes in its own attempts, for node selection. Pure."""
+"""Records what this proxy observes of nodes in its own attempts, for node selection.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,9 @@
 from coveport.serving.proxy.routed_request import RoutedRequest
 from coveport.serving.proxy.slow_start import SlowStartLimiter
 
-DELAYED_SEND_S = 0.1  # a send so long after the selection may fall into the next slow-start window
+DELAYED_SEND_S = (
+    0.1  # if the request is sent this long after the selection, the next slow-start window may have begun
+)
 
 
 @dataclass(slots=True)
@@ -49,7 +54,7 @@
     def record_received(
         self, known: KnownNode, routed: RoutedRequest, gaps: StreamGaps, now_s: float
     ) -> None:
-        """Record that bytes of the response were received. Runs for every read: keep its calls few."""
+        """Record that bytes of the response were received. For speed at every read, it makes few calls."""
         incarnation = known.node.incarnation
         gap_s = gaps.record_event(now_s)
         self.latency.record_received(incarnation, gap_s, now_s)
--- a/coveport/serving/proxy/node_selection.py
+++ b/coveport/serving/proxy/node_selection.py
@@ -1,4 +1,4 @@
-"""Selects the node for one attempt of a request, from the view and this proxy's observations. Pure.
+"""Selects the node for one attempt of a request, from the view and this proxy's observations.
 
 The candidates are the first group that is not empty:
 
@@ -24,6 +24,8 @@
 
 Among usable nodes those are preferred that are neither saturated (`latency_estimate`) nor overloaded for a
 prompt of this length (`overload_estimate`).
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -47,7 +49,7 @@
 from coveport.serving.proxy.prefix_cache import AFFINITY_NODES, affinity_candidates
 from coveport.serving.proxy.routed_request import RoutedRequest
 
-LONG_PREFILL_TOKENS = 4000  # a prompt of this length takes a node several steps in a row
+LONG_PREFILL_TOKENS = 4000  # a node takes several steps in a row to prefill a prompt of this length
 
 
 class NoNode(Enum):
@@ -113,7 +115,7 @@
         return by_incarnation[chosen]
 
     def _is_overloaded_for(self, routed: RoutedRequest, incarnation: str, now_s: float) -> bool:
-        """Return whether prefilling the prompt there would make the node's streams late."""
+        """Return whether the node's streams would be late if the node prefilled this prompt."""
         if self.observations.prefix_cache.uncached_tokens(routed.segments, incarnation) < LONG_PREFILL_TOKENS:
             return False
         return self.observations.overload.is_overloaded(
--- a/coveport/serving/proxy/outlier_ejection.py
+++ b/coveport/serving/proxy/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Ejects nodes whose responses to this proxy fail: outlier detection with circuit breaking. Pure.
+"""Ejects nodes whose responses to this proxy fail: outlier detection with circuit breaking.
 
 A node whose recent attempts all failed is ejected until a health check succeeds; the ejection time is
 jittered and doubles with each failure. After a failed connect, the health check is a separate connect, so
@@ -8,6 +8,8 @@
 
 A node that answers some of its requests with its own errors is *degraded*: it is ejected when the ratio of
 such errors among its recent responses is too high, and each request served meanwhile lowers that ratio.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -18,9 +20,11 @@
 
 CONSECUTIVE_FAILURES_TO_EJECT = 2  # a single failure may be chance
 BASE_EJECTION_S = 0.4  # about the time that a failed connect costs
-MAX_EJECTION_S = 4.0  # bounds the time until a recovered node is used again
-AT_CAPACITY_S = 0.15  # short, so that capacity that frees up is soon used
-DEGRADED_FAILURES = 1.2  # decaying count; two failures in a row reach it
+MAX_EJECTION_S = 4.0  # longest time until a recovered node is used again
+AT_CAPACITY_S = 0.15  # short, so that the node is used again soon after it has capacity
+DEGRADED_FAILURES = (
+    1.2  # threshold of the decaying count of failures; two failures in a row reach this threshold
+)
 DEGRADED_FAILURE_RATIO = 0.25  # failures among the counted responses (docs/policy.md, `degraded-nodes`)
 FAILURE_DECAY_S = 15.0  # time constant of both counts (docs/policy.md, `degraded-nodes`)
 CHECK_TIMEOUT_S = 3.0  # a check without a result blocks the next one for this long
@@ -29,7 +33,7 @@
 @dataclass(slots=True)
 class _NodeRecord:
     consecutive_failures: int = 0
-    is_unreachable: bool = False  # the last connect failed
+    is_unreachable: bool = False  # whether the last connect failed
     ejection_s: float = BASE_EJECTION_S  # length of the next ejection
     next_check_at_s: float = 0.0  # time of the next health check or half-open request
     at_capacity_until_s: float = 0.0
@@ -80,7 +84,7 @@
         return record.at_capacity_until_s if record is not None else 0.0
 
     def scheduled_health_checks(self, now_s: float) -> list[str]:
-        """Return the incarnations to connect to now; each of them is returned once per check."""
+        """Return the incarnations whose health check is due; each one is returned once per check."""
         scheduled = []
         for incarnation, record in self._records.items():
             if record.is_unreachable and now_s >= record.next_check_at_s:
--- a/coveport/serving/proxy/overload_estimate.py
+++ b/coveport/serving/proxy/overload_estimate.py
@@ -1,4 +1,4 @@
-"""Estimates which nodes are too slow to prefill long prompts beside their streams. Pure.
+"""Estimates which nodes are too slow to prefill long prompts beside their streams.
 
 A node prefills prompts in chunks between the tokens of its streams, so a long prompt stretches the gaps
 between their events, on a slow node beyond the route's target. Such a node is *overloaded* for a request
@@ -10,6 +10,8 @@
 the means of a few gaps in a row, by stochastic approximation (Robbins and Monro, 1951).
 
 The row `overload-signs` in docs/policy.md compares the two signs.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -22,13 +24,13 @@
 NEAR_LIMIT_TTL_S = 30.0  # how long a gap near the target counts (docs/policy.md, `near-limit-ttl`)
 NEAR_LIMIT_RATIO = 0.9  # ratio of a gap to the target from which the next gap may be late
 OUTAGE_GAP_RATIO = 2.0  # ratio to the target above which a gap is an outage and does not count
-GAPS_PER_MEAN = 6  # smooths jitter, yet few enough to fit between two prefills
+GAPS_PER_MEAN = 6  # enough gaps to smooth jitter, and few enough to fit between two prefills
 MIN_MEANS = 20  # with fewer means a node's speed is unknown: the quantile has not converged
 QUANTILE = 0.2  # quantile of a node's means, low enough to be a mean without prefills
 QUANTILE_STEP = 0.03  # scale of the estimate's relative change by one mean
 FASTEST_REFRESH_S = 0.5  # a search over all nodes for each candidate would be quadratic (600 nodes)
 SLOWER_RATIO = 1.12  # nodes whose steady gaps differ by less count as equally fast
-MIN_STEADY_GAP_S = 1e-6  # lower bound of a divisor
+MIN_STEADY_GAP_S = 1e-6  # lower bound of a steady gap, which is used as a divisor
 
 
 @dataclass(slots=True)
@@ -76,7 +78,7 @@
 @dataclass(frozen=True, slots=True)
 class _WorstGap:
     gap_s: float
-    steady_gap_s: float  # that of the node where the gap was observed
+    steady_gap_s: float  # steady gap of the node where the worst gap was observed
     seen_at_s: float
 
 
--- a/coveport/serving/proxy/prefix_cache.py
+++ b/coveport/serving/proxy/prefix_cache.py
@@ -1,8 +1,10 @@
-"""Estimates which nodes hold which prompt prefixes in their prefix caches, for cache affinity. Pure.
+"""Estimates which nodes hold which prompt prefixes in their prefix caches, for cache affinity.
 
 Affinity reduces the nodes of a locality to a few, the same on all proxies (rendezvous hashing), and decides
 ties of the draw between two of them: the node that received more of the prompt's leading segments lately has
 less to prefill. It never overrides the load: of the two nodes drawn, the less busy takes the request.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -15,8 +17,8 @@
 
 from coveport.serving.proxy.prompt_segments import PromptSegment
 
-MAX_SEGMENTS = 2048  # bounds memory: the least recently used are dropped
-NODES_PER_SEGMENT = 4  # the last nodes that received it; earlier ones have probably evicted it
+MAX_SEGMENTS = 2048  # limits the memory used: the least recently used segments are dropped
+NODES_PER_SEGMENT = 4  # the last nodes that received a segment; earlier nodes have probably evicted it
 RANK_BYTES = 8  # hash size, large enough that no two nodes get the same rank
 AFFINITY_NODES = 2  # nodes of a locality that share a prefix (docs/policy.md, `affinity-nodes`)
 # Shorter prefixes are prefilled in one step (docs/policy.md, `affinity-min-tokens`).
--- a/coveport/serving/proxy/process.py
+++ b/coveport/serving/proxy/process.py
@@ -19,7 +19,9 @@
 from coveport.serving.web.router import Router
 from coveport.serving.web.server import HttpServer
 
-SHUTDOWN_TIME_RATIO = 0.9  # part of the grace period for draining; the rest is for the process exit
+SHUTDOWN_TIME_RATIO = (
+    0.9  # part of the grace period used for draining; the rest is left for the process to exit
+)
 METRICS_INTERVAL_S = 10.0  # time between two log lines of metrics
 
 
--- a/coveport/serving/proxy/prompt_segments.py
+++ b/coveport/serving/proxy/prompt_segments.py
@@ -1,4 +1,7 @@
-"""Parses the prompt segments that a client names in `Coveport-Prompt-Prefix`. Pure."""
+"""Parses the prompt segments that a client names in `Coveport-Prompt-Prefix`.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
--- a/coveport/serving/proxy/request_forwarder.py
+++ b/coveport/serving/proxy/request_forwarder.py
@@ -75,7 +75,7 @@
         return True
 
     def _observe_event_gaps(self, known_node: KnownNode, connection: NodeConnection) -> None:
-        """Record when bytes of this response arrive. The callback runs for every read, so it is short."""
+        """Record when bytes of this response arrive. The callback is short, as it runs for every read."""
         net = self.context.net
         observations = self.context.observations
         routed = self.request.routed
--- a/coveport/serving/proxy/response_relay.py
+++ b/coveport/serving/proxy/response_relay.py
@@ -19,10 +19,10 @@
 from coveport.serving.proxy.stall_timeouts import StallTimeouts, read_or_abandon
 from coveport.serving.wire.names import Header
 
-REJECTION_STATUSES = frozenset({408, 421, 429, 503})  # clients may read these as "did not run"
+REJECTION_STATUSES = frozenset({408, 421, 429, 503})  # statuses that clients may take to mean "did not run"
 MISDIRECTED_STATUS = 421
 RETRIABLE_ERROR_STATUSES = frozenset({500, 502})  # the request ran and failed; another node may succeed
-MAX_STALE_RESPONSES = 2  # skipped ahead of the expected response
+MAX_STALE_RESPONSES = 2  # responses to other requests that are skipped before the expected response
 
 
 class RelayOutcome(Enum):
@@ -40,7 +40,7 @@
     """Relays the responses to one request, from all nodes that it is sent to."""
 
     client: ClientConnection
-    attempt_id: str | None  # sent with the request; a response must repeat it
+    attempt_id: str | None  # id sent with the request; the response must contain the same id
     is_resumable: bool
     counters: Counters
     sequence: EventSequence
@@ -122,7 +122,7 @@
             await self._forward_body(connection, response)
 
     async def _forward_body(self, connection: NodeConnection, response: http1.Response) -> None:
-        """Forward the head, and the body as it arrives."""
+        """Forward the head, and then the body while it is being received."""
         is_last = not response.is_streamed
         headers = list(end_to_end_headers(response.headers))
         self.client.begin(response.status, headers, 0 if is_last else response.content_length)
--- a/coveport/serving/proxy/response_writing.py
+++ b/coveport/serving/proxy/response_writing.py
@@ -1,4 +1,7 @@
-"""Writes status lines, and complete responses of the proxy itself. Pure."""
+"""Writes status lines, and complete responses of the proxy itself.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
--- a/coveport/serving/proxy/retry_budget.py
+++ b/coveport/serving/proxy/retry_budget.py
@@ -1,4 +1,4 @@
-"""A proxy's quota of the retry budget. Pure.
+"""A proxy's quota of the retry budget.
 
 The rule (`settings.boot.Bounds`): in each sliding window the requests that reach nodes of a service beyond
 the first attempt of each request, summed over all proxies, are at most ratio x requests + slack. The quota
@@ -8,6 +8,8 @@
 
 A retry is reserved when it is decided and spent when it is sent, since further retries may be decided in
 between.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -17,8 +19,8 @@
 
 from coveport.serving.proxy.sliding_window import SlidingWindow
 
-RATIO_MARGIN = 0.9  # part of the ratio in use: the rule's windows differ; measurement `retry-windows`
-SLACK_MARGIN = 0.8  # part of the slack in use, for the same reason; measurement `retry-windows`
+RATIO_MARGIN = 0.9  # part of the ratio that is used, as the rule's windows differ; measured (`retry-windows`)
+SLACK_MARGIN = 0.8  # part of the slack that is used, for the same reason; measured (`retry-windows`)
 
 
 @dataclass(slots=True)
--- a/coveport/serving/proxy/retry_policy.py
+++ b/coveport/serving/proxy/retry_policy.py
@@ -19,7 +19,7 @@
 from coveport.serving.proxy.in_flight_request import InFlightRequest
 from coveport.serving.proxy.proxy_context import ProxyContext
 
-MAX_FAILED_CONNECTS = 4  # per request; each may take a large part of its latency target
+MAX_FAILED_CONNECTS = 4  # per request; each failed connect may take a large part of the latency target
 
 
 class AttemptOutcome(Enum):
--- a/coveport/serving/proxy/route_table.py
+++ b/coveport/serving/proxy/route_table.py
@@ -1,4 +1,7 @@
-"""Finds the route of a request, and draws the service of a route. Pure."""
+"""Finds the route of a request, and draws the service of a route.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
--- a/coveport/serving/proxy/routed_request.py
+++ b/coveport/serving/proxy/routed_request.py
@@ -1,4 +1,4 @@
-"""The inputs of node selection for one request. Pure."""
+"""The inputs of node selection for one request. This module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -15,5 +15,5 @@
     route: Route  # includes the tenant's priority and home regions
     service: Service
     segments: tuple[PromptSegment, ...] = ()
-    tenant: str | None = None  # name; None if the route is public or no tenants are configured
+    tenant: str | None = None  # name of the tenant; None if the route is public or no tenants are configured
     edition: int = 0  # edition of the configuration that routed the request
--- a/coveport/serving/proxy/sliding_window.py
+++ b/coveport/serving/proxy/sliding_window.py
@@ -1,4 +1,4 @@
-"""Counts the events of the last `span_s` seconds. Pure."""
+"""Counts the events of the last `span_s` seconds. This module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
--- a/coveport/serving/proxy/slow_start.py
+++ b/coveport/serving/proxy/slow_start.py
@@ -1,4 +1,4 @@
-"""Limits the requests that this proxy sends to a node that is warming up: its quota in slow start. Pure.
+"""Limits the requests that this proxy sends to a node that is warming up: its quota in slow start.
 
 The rule (`settings.boot.Bounds`): a node that is warming up receives at most rate x overshoot + slack
 requests from all proxies together in any second. Each proxy sends at most its equal quota in any `WINDOW_S`,
@@ -7,6 +7,8 @@
 starts at a random moment so that proxies don't send at the same time.
 
 Sends to warm nodes are counted too, because a node's warm-up may begin again shortly after them.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -20,8 +22,10 @@
 from coveport.serving.proxy.sliding_window import SlidingWindow
 
 WINDOW_S = 1.2  # the rule's second plus the difference of two delays (docs/policy.md, `slow-start-sum`)
-BOUND_MARGIN = 0.97  # part of the rule's bound in use; most margin is the longer window (`slow-start-sum`)
-TURN_MARGIN = 0.4  # part of the quota in use while proxies take random turns (`slow-start-sum`)
+BOUND_MARGIN = (
+    0.97  # part of the rule's bound that is used; the longer window is most of the margin (`slow-start-sum`)
+)
+TURN_MARGIN = 0.4  # part of the quota that is used while proxies take random turns (`slow-start-sum`)
 
 
 def is_warming_up(known: KnownNode, service: Service, view: ControlView, now_s: float) -> bool:
--- a/coveport/serving/proxy/startup_gate.py
+++ b/coveport/serving/proxy/startup_gate.py
@@ -12,7 +12,7 @@
 from coveport.net.transport import Net
 from coveport.serving.model.view import ControlView
 
-MAX_WAIT_S = 0.5  # per request; short because some latency targets are under a second
+MAX_WAIT_S = 0.5  # maximum wait of a request; short because some latency targets are below a second
 STARTUP_WINDOW_S = 2.0  # after this time the coordinators are assumed to be unreachable
 
 
--- a/coveport/serving/proxy/subscription.py
+++ b/coveport/serving/proxy/subscription.py
@@ -24,10 +24,10 @@
 from coveport.serving.wire.messages import Message, Unsubscribe, Update, UpdateRequest
 from coveport.serving.wire.rejection_throttle import RejectionThrottle
 
-CONNECT_TIMEOUT_S = 0.5  # enough for a round trip between regions and a retransmission
+CONNECT_TIMEOUT_S = 0.5  # long enough for a round trip between regions and one retransmission
 ANSWER_TIMEOUT_S = 1.2  # time without any byte; a live coordinator answers within 0.4 s
 MIN_BACKOFF_S = 0.05  # first backoff after a round without any answer; doubles in each further round
-MAX_BACKOFF_S = 0.25  # with its jitter, bounds the time until a new primary is found
+MAX_BACKOFF_S = 0.25  # limits, together with the jitter, the time until a new primary is found
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
                 await self._poll(address)
                 if self._answered_at_s > previous_answer_at_s:
                     break
-            # A proxy without a state can't serve, so it does not back off.
+            # A proxy without a control state can't serve clients, so it polls again without a backoff.
             resets_backoff = self._answered_at_s > previous_answer_at_s or not self._updater.has_state
             backoff_s = MIN_BACKOFF_S if resets_backoff else min(2 * backoff_s, MAX_BACKOFF_S)
             await asyncio.sleep(backoff_s * self._random.uniform(0.5, 1.5))
--- a/coveport/serving/proxy/telemetry_reporter.py
+++ b/coveport/serving/proxy/telemetry_reporter.py
@@ -23,7 +23,7 @@
         incarnation: int,
         usage_window_s: float,
     ) -> None:
-        """Create a reporter; `name` is that of the machine, `incarnation` that of the proxy's lease."""
+        """Create a reporter; `name`: of the proxy's machine, `incarnation`: as in the proxy's lease."""
         self._net = net
         self._name = name
         self._incarnation = incarnation
@@ -41,7 +41,7 @@
         self._usage.add(tenant, self._clock.unix_s(at_s))
 
     def begin_connection(self) -> None:
-        """Make the next report complete, as it goes to another coordinator."""
+        """Make the next report a complete one, as the new connection may be to another coordinator."""
         self._usage.mark_all_changed()
         self._reported_window = None
         self._reported_at_s = None
--- a/coveport/serving/proxy/tenant_index.py
+++ b/coveport/serving/proxy/tenant_index.py
@@ -1,4 +1,7 @@
-"""Finds the tenant of a request by its API key, and applies the tenant's settings to a route. Pure."""
+"""Finds the tenant of a request by its API key, and applies the tenant's settings to a route.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,7 @@
         return cls({key: tenant for tenant in tenants for key in tenant.api_keys})
 
     def find(self, headers: Headers) -> Tenant | None:
-        """Return the tenant of a request; None unless it has exactly one API key, and that is a tenant's."""
+        """Return the tenant of a request; None unless the request has exactly one API key, of a tenant."""
         keys = headers.get(Header.API_KEY, ())
         return self.tenants_by_key.get(keys[0]) if len(keys) == 1 else None
 
--- a/coveport/serving/proxy/usage_counter.py
+++ b/coveport/serving/proxy/usage_counter.py
@@ -1,4 +1,7 @@
-"""Counts the requests that began to run, by tenant and usage window. Pure."""
+"""Counts the requests that began to run, by tenant and usage window.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
--- a/coveport/serving/proxy/view_updater.py
+++ b/coveport/serving/proxy/view_updater.py
@@ -22,9 +22,9 @@
 from coveport.serving.wire.messages import StateChange, Update, UpdateRequest
 from coveport.serving.wire.versions import PROTOCOL_VERSION
 
-NO_STATE_SEQUENCE = -1  # requests the complete state
-NO_TENANTS = -1  # logged where requests need no API key
-NO_NODE_REVISION = -1  # requests the complete node table
+NO_STATE_SEQUENCE = -1  # sent to request the complete state
+NO_TENANTS = -1  # number of tenants that is logged if requests need no API key
+NO_NODE_REVISION = -1  # sent to request the complete node table
 
 
 class ViewUpdater:
@@ -40,7 +40,7 @@
         self._has_full_table = False  # whether the full table of a coordinator with all nodes was received
         self._directory = NodeDirectory()
         self._max_proxies = 0
-        self.needs_full_state = False  # after changes that can't be applied, or a state that can't be decoded
+        self.needs_full_state = False  # set if changes can't be applied or a state can't be decoded
         view.max_proxies = INITIAL_MAX_PROXIES
 
     @property
@@ -167,7 +167,7 @@
 
 
 def _apply_command(state: ControlState, command: bytes) -> Applied | None:
-    """Return the state after a command; None if it does not apply, or has a newer program's encoding."""
+    """Return the state after a command; None if it can't be applied, or a newer program encoded it."""
     try:
         applied = apply(state, command)
     except MalformedMessageError:
--- a/coveport/serving/web/http_client.py
+++ b/coveport/serving/web/http_client.py
@@ -11,12 +11,12 @@
 from coveport.net.address import Address
 from coveport.net.transport import Net
 
-MAX_RESPONSE_BYTES: Final = 64 * 1024 * 1024  # bounds the memory that a faulty peer can make a command use
+MAX_RESPONSE_BYTES: Final = 64 * 1024 * 1024  # limits the memory that a command uses if its peer is faulty
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A request; sent again, it has the same bytes."""
+    """A request; if the request is sent again, its bytes are the same."""
 
     method: str
     path: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFailure:
-    """The lack of a complete response: the request may have been carried out or not."""
+    """No complete response was received: the request may or may not have been carried out."""
 
     reason: str
 
@@ -70,7 +70,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if self.outcome.done():  # timed out or cancelled during the connect
+        if self.outcome.done():  # the request timed out or was cancelled during the connect
             return
         if self._may_send():
             transport.write(self._request)
@@ -103,7 +103,7 @@
             self.outcome.set_result(outcome)
 
     def close(self) -> None:
-        """Close the connection at once; reset it, which discards data in transit, if there is no outcome."""
+        """Close the connection at once; without an outcome reset it, which discards data in transit."""
         has_outcome = self.outcome.done() and not self.outcome.cancelled()
         self.outcome.cancel()
         if self._transport is None:
--- a/coveport/serving/web/router.py
+++ b/coveport/serving/web/router.py
@@ -1,4 +1,4 @@
-"""Finds the handler of a request. Routes are declared with the decorator `route` of their handlers."""
+"""Finds the handler of a request. A handler method declares its routes with the decorator `route`."""
 
 from __future__ import annotations
 
--- a/coveport/serving/web/server.py
+++ b/coveport/serving/web/server.py
@@ -48,7 +48,7 @@
         )
 
     def stop(self) -> None:
-        """Stop accepting; close idle connections now, and the others after their response."""
+        """Stop accepting; close idle connections now, and other connections after their response."""
         if self._listening is not None:
             self._listening.close()
         for connection in list(self.connections):
@@ -89,7 +89,7 @@
         self._cancel_response()
 
     def _cancel_response(self) -> None:
-        """Cancel the response without a client, so that the requested action is not started any more."""
+        """Cancel the response, as the client has gone: the requested action must not start any more."""
         if self._response_task is not None:
             self._response_task.cancel()
 
--- a/coveport/sidecar/descriptor_limits.py
+++ b/coveport/sidecar/descriptor_limits.py
@@ -1,4 +1,7 @@
-"""Divides a process' file descriptors among clients, destinations and the rest. Pure."""
+"""Divides a process' file descriptors among clients, destinations and the rest.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
--- a/coveport/sidecar/reducer/streams.py
+++ b/coveport/sidecar/reducer/streams.py
@@ -1,4 +1,7 @@
-"""Streamed bodies: the process' budget of buffered bytes, and the chunks of a streamed request. Pure."""
+"""Streamed bodies: the process' budget of buffered bytes, and the chunks of a streamed request.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
--- a/coveport/sidecar/upstream/http1_messages.py
+++ b/coveport/sidecar/upstream/http1_messages.py
@@ -1,4 +1,7 @@
-"""Attempts and their results as HTTP/1.1 messages to and from ledger nodes. Pure."""
+"""Attempts and their results as HTTP/1.1 messages to and from ledger nodes.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
