--- a/coveport/balancing/balancer.py
+++ b/coveport/balancing/balancer.py
@@ -71,7 +71,8 @@
         elif isinstance(event, ClientDisconnected | StreamStarted):
             self._end(event.id, event.attempt if isinstance(event, StreamStarted) else -1)
         if self.effective_now >= self.subscribe_at:
-            # Without an answer, the next subscription comes well within the time allowed for asking.
+            # If discovery does not answer, the next subscription follows well within the time allowed for
+            # asking.
             self._schedule_subscribe(now_ms + self.rules.ask_within_ms / 2)
             self.actions.append(Subscribe())
         return self.actions
@@ -98,7 +99,7 @@
         request = self.requests[event.id] = RequestState(event, self.settings, self.random)
         self._set_times(request, event)
         if event.repeat and self.recent_latency > self.congested_latency:
-            request.queue_until = self.now  # it is late already, and would delay other requests
+            request.queue_until = self.now  # a repeat is late already, and would delay other requests
         elif not event.repeat:
             decay = exp((self.arrivals_at - self.now) / (ARRIVALS_COUNTED_TARGETS * self.latency_target))
             self.arrivals = 1.0 + self.arrivals * decay
@@ -109,13 +110,14 @@
         self.retry_budget = min(RETRY_BUDGET_BURST, self.retry_budget + earned)
         queue_key = request.class_name, self.effective_now < request.any_zone_at
         if (self.saturated or queue_key in self.blocked_queues) and self.effective_now < request.queue_until:
-            # Other requests of its queue already wait; drawing hosts for each arrival would cost too much.
+            # Requests already wait in the queue of this request; drawing hosts for each arrival would cost
+            # too much.
             self._enqueue(request)
         else:
             self._send_or_queue(request)
 
     def _set_times(self, request: RequestState, event: Request) -> None:
-        """Set when a request is given up, when it expires in its queue, and when it may go to any zone."""
+        """Set the times at which a request is given up, expires in its queue, and may go to any zone."""
         cls = request.cls
         target_at = self.now + cls.aim_ms + cls.aim_stretch * event.cost_ms
         latest = self.now + cls.deadline_ms if cls.late_share else target_at  # a late answer may be worthless
@@ -142,7 +144,8 @@
 
     def _enqueue(self, request: RequestState) -> None:
         """Queue a request, and schedule its checks."""
-        # The newest goes first: the request that has waited longest is the likeliest to be late in any case.
+        # The newest request goes first: the one that has waited longest is the likeliest to be late in any
+        # case.
         self.queue.add(request, self.effective_now)
         self._schedule_queue_check(
             min(
@@ -152,7 +155,7 @@
         )
 
     def _schedule_queue_check(self, at: float) -> None:
-        """Schedule a check of the queued requests at `at`, or sooner if that is far off."""
+        """Schedule a check of the queued requests at `at`, or sooner if `at` is far off."""
         at = min(at, self.now + self._latency_limit(self.latency_target))
         if at < self.queue_check_at:
             self.queue_check_at = at
@@ -175,11 +178,11 @@
                 if request.waiting and not request.attempts:
                     self.blocked_queues.add(queue_key)  # the rest of the queue would find no host either
                     break
-        if self.queue_check_at == inf:  # otherwise a check is scheduled that covers them all
+        if self.queue_check_at == inf:  # otherwise a check of all queued requests is already scheduled
             self._schedule_queue_check(self.queue.next_at(self.effective_now))
 
     def _rank(self, request: RequestState) -> float:
-        """Return a queue's rank; the class of most value for its latency and its target has the lowest."""
+        """Return a queue's rank: lowest for the class of most value relative to its latency and target."""
         cls = request.cls
         return -cls.worth / (self.class_latency.get(request.class_name, cls.aim_ms) * cls.aim_ms)
 
@@ -214,7 +217,8 @@
             if not self._may_retry(request):
                 self._answer(request)
             elif event.outcome is Outcome.FULL:
-                # If one host is full, others are too: an immediate retry would only cost connections.
+                # If one host is full, other hosts probably are too: an immediate retry would only cost
+                # connections.
                 self._enqueue(request)
             else:
                 self._send_or_queue(request)
@@ -247,7 +251,7 @@
         self._end(request.id)
 
     def _end(self, request_id: int, stream: int = -1) -> None:
-        """Close a request that is answered or abandoned, or whose answer attempt `stream` now streams."""
+        """Close a request that is answered or abandoned, or whose answer is streamed by attempt `stream`."""
         if (request := self.requests.get(request_id)) is None:
             return
         self.queue.remove(request)
@@ -256,7 +260,8 @@
             del self.requests[request_id]
         for index, attempt in enumerate(request.attempts):
             if index == stream:
-                attempt.overtaken_by = LOST_AFTER  # from now on its duration depends on the client
+                # From now on the duration of the attempt depends on the client.
+                attempt.overtaken_by = LOST_AFTER
             elif attempt.pending and self.limits.cancel:
                 self.actions.append(Cancel(request_id, index))
 
--- a/coveport/balancing/balancer_state.py
+++ b/coveport/balancing/balancer_state.py
@@ -1,7 +1,8 @@
 """The state of a balancer and its timers: the base class of the classes that make the decisions.
 
 One object holds the whole state, since each decision reads most of it. Each subclass (subsetting, ejection,
-slow start, ...) adds one concern; an inherited method costs a request no more to call than an own one.
+slow start, ...) adds one concern; calling an inherited method takes a request no longer than calling
+a method of the class itself.
 """
 
 from __future__ import annotations
@@ -71,7 +72,8 @@
             cls.name: self.class_latency.get(cls.name, initial_latency) for cls in settings.classes
         }
         self.cross_zone_cost = settings.prices.cross_zone * sum(cls.worth for cls in settings.classes)
-        # Requests that may run twice try ejected hosts; unsafe ones do so only if there is no such class.
+        # Requests that may run twice try ejected hosts; unsafe requests try them only if no class may run
+        # twice.
         self.has_repeatable_class = any(cls.effect is not Effect.UNSAFE for cls in settings.classes)
         self.max_in_flight = max(1, int(MAX_IN_FLIGHT_PER_HOST / settings.peers_total + 0.5))
         self.retry_ratio = RETRY_RATIO if settings.peers_total < MANY_PEERS else RETRY_RATIO_WHILE_QUEUED
--- a/coveport/balancing/endpoint_discovery.py
+++ b/coveport/balancing/endpoint_discovery.py
@@ -24,7 +24,8 @@
             self.subscribe_failures = 0
             self.subscribe_at = inf
         elif self.settings.must_ask and event.entries:
-            # Balancers started together all have a cached list, and would subscribe at the same moment.
+            # Balancers that start together all have a cached list, and would otherwise subscribe at the same
+            # moment.
             self._schedule_subscribe(self.now + self.random.uniform(0, self.rules.ask_within_ms / 16))
         if event.kind is not EndpointUpdateKind.DELTA:
             for removed in self.hosts.keys() - {entry.host for entry in event.entries}:
@@ -36,9 +37,9 @@
     def _apply_entry(self, entry: Endpoint) -> None:
         host = self.hosts.get(entry.host)
         if host is not None and (entry.state is not EndpointState.READY or entry.started_ms > host.started):
-            host.ready = False  # draining applies as soon as it is reported
+            host.ready = False  # a draining host gets no requests as soon as discovery reports its state
             if entry.state is not EndpointState.DRAINING:
-                del self.hosts[entry.host]  # removed, or a new process without history
+                del self.hosts[entry.host]  # the host was removed, or is a new process without history
         if entry.state is EndpointState.READY:
             self.hosts.setdefault(entry.host, Host(entry, self.random.random())).ready = True
 
--- a/coveport/balancing/events.py
+++ b/coveport/balancing/events.py
@@ -40,7 +40,7 @@
     CONNECT_FAILED = 502
     RESET = 598
     CANCELLED = 499
-    MOOT = 410  # given up before the request was sent
+    MOOT = 410  # the attempt was given up before the request was sent
 
 
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
@@ -56,7 +56,7 @@
     cell: int = 0
     state: EndpointState = EndpointState.READY
     weight: float = 1.0
-    started_ms: float = 0.0  # 0: not reported, taken as long ago
+    started_ms: float = 0.0  # start time; 0: not reported, so the host is presumed to have started long ago
 
 
 @dataclass(slots=True)
@@ -70,11 +70,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PriorAttempt:
-    """An attempt of a request by another balancer, or by this one in an earlier incarnation."""
+    """An attempt of a request by another balancer, or by an earlier incarnation of this balancer."""
 
     zone: int
     cell: int
-    sent_ms: float  # a lower bound of its send time, on this balancer's clock
+    sent_ms: float  # a lower bound of the time when it was sent, on this balancer's clock
     may_have_run: bool
 
 
@@ -86,12 +86,14 @@
     deadline_ms: float
     cls: int = 0
     key: int = 0
-    cost_ms: float = 0.0  # hint of its service time; 0: none
+    cost_ms: float = 0.0  # hint of the request's service time; 0: no hint
     tenant: int = 0
-    repeat: bool = False  # the client's retry of an earlier request
+    repeat: bool = False  # whether the request is the client's retry of an earlier request
     write: bool = False
-    streams_body: bool = False  # its body is forwarded as it arrives: an attempt takes as long as the client
-    prior_attempts: tuple[PriorAttempt, ...] = ()  # count as its attempts, numbered from 0
+    # Whether the body is forwarded while the client sends it: an attempt then takes as long as the client.
+    streams_body: bool = False
+    # Earlier attempts, which count as attempts of this request and are numbered from 0.
+    prior_attempts: tuple[PriorAttempt, ...] = ()
 
 
 @dataclass(slots=True)
--- a/coveport/balancing/host.py
+++ b/coveport/balancing/host.py
@@ -23,12 +23,16 @@
         self.sent_at = sent_at
         self.pending = ended is None
         self.may_have_run = ended is None or ended.may_have_run
-        self.concurrency = len(host.pending) + 1  # the balancer's attempts in flight there, with this one
+        # The balancer's attempts in flight at the host, including this attempt.
+        self.concurrency = len(host.pending) + 1
         self.overtaken_by = 0  # attempts sent to the host later but answered earlier
 
     @property
     def lost(self) -> bool:
-        """Whether later attempts overtook it: it is lost or long, and no evidence about its host."""
+        """Whether `LOST_AFTER` later attempts overtook this attempt.
+
+        Such an attempt is lost or long, and no evidence about its host.
+        """
         return self.overtaken_by >= LOST_AFTER
 
 
@@ -39,22 +43,22 @@
         self.id = entry.host
         self.zone = entry.zone
         self.cell = entry.cell
-        self.rank = rank  # random; a subset takes the hosts of lowest rank
+        self.rank = rank  # random number; a subset consists of the hosts of lowest rank
         self.pending: dict[tuple[int, int], Attempt] = {}  # by request id and attempt number, in send order
         self.started = entry.started_ms
-        self.ready = False  # whether discovery lists it as ready
+        self.ready = False  # whether discovery lists the host as ready
         self.slow_start_at = entry.started_ms if entry.started_ms > 0 else -inf
         self.mean_latency = 0.0  # moving average of latency per request in flight; 0: unknown
-        self.ejections = 0  # reduced by one with each success
-        self.consecutive_failures = 0  # errors and resets
+        self.ejections = 0  # number of ejections, reduced by one with each success
+        self.consecutive_failures = 0  # number of errors and resets in a row
         self.granted = 0  # requests that the slow-start grant still permits
         self.last_response_at = -inf
         self.last_sample_at = -inf
         self.backoff_until = -inf
         self.grant_until = -inf
-        self.readmit_at = inf  # when an ejected host is tried again; infinity: it is not ejected
+        self.readmit_at = inf  # when an ejected host is tried again; infinity: the host is not ejected
         self.unresponsive_since = inf
 
     def has_capacity(self, limit: int) -> bool:
-        """Return whether fewer than `limit` attempts are in flight at the host, lost ones not counted."""
+        """Return whether fewer than `limit` attempts are in flight at the host, without the lost attempts."""
         return sum(attempt.overtaken_by < LOST_AFTER for attempt in self.pending.values()) < limit
--- a/coveport/balancing/host_selection.py
+++ b/coveport/balancing/host_selection.py
@@ -33,13 +33,14 @@
         if self.queue.count and self._is_saturated():
             return None
         levels = self.local, self.wide, self.ready_hosts
-        # Levels that end the search if they hold a host that is not ejected.
+        # Levels at which the search ends if a host there is not ejected.
         final_levels = levels if self.effective_now < request.any_zone_at else levels[1:]
         for level in levels:
             host = self._draw(level, request) if level is self.local or len(level) > len(self.local) else None
             if host or level is first_usable_level(final_levels, lambda host: host.readmit_at == inf):
                 return host
-        # All hosts are ejected: a fault in this balancer's view is likelier (Envoy's panic threshold).
+        # All hosts are ejected: a fault in this balancer's view is likelier than a fault of all hosts (as in
+        # Envoy's panic threshold).
         for host in self.ready_hosts:
             host.readmit_at = inf
         return self._draw(self.local or self.ready_hosts, request)
@@ -67,7 +68,8 @@
             if self.now < host.readmit_at or host.pending:
                 return False
             if self.limits.probes:
-                # Only drawn hosts are checked: no more checks than requests, however many hosts are ejected.
+                # Only drawn hosts are checked, so there are no more checks than requests, however many hosts
+                # are ejected.
                 self._eject(host)
                 self.actions.append(HealthCheck(host.id))
             if self.limits.probes or (request.cls.effect is Effect.UNSAFE and self.has_repeatable_class):
@@ -89,7 +91,8 @@
         if not in_flight:
             stale_after = host.mean_latency * max(1.0, self.settings.peers_total / 5)
             if self.now - host.last_sample_at > stale_after:
-                return 0.0  # the estimate is stale: one request, of few balancers at a time, may renew it
+                # The estimate is stale: one request, of few balancers at a time, may renew the estimate.
+                return 0.0
         oldest = in_flight[0].sent_at if in_flight else self.now
         # A late answer is evidence even before its time-out.
         return max(host.mean_latency * (len(in_flight) + 1), self.now - oldest)
--- a/coveport/balancing/load_shedding.py
+++ b/coveport/balancing/load_shedding.py
@@ -1,7 +1,7 @@
 """Load shedding: this balancer's share of the requests in flight at the hosts.
 
-Without it balancers would fill each host as far as they may; the backlog of all of them would slow the host
-down and make its answers late.
+Without load shedding, each balancer would send each host as many requests as its limit allows; the backlog
+of all balancers would slow the host down and make its answers late.
 """
 
 from __future__ import annotations
--- a/coveport/balancing/locality.py
+++ b/coveport/balancing/locality.py
@@ -1,6 +1,7 @@
 """Locality and the power of two choices: a request's level of candidates, and its choice of two drawn there.
 
-The power of two choices: Mitzenmacher, IEEE TPDS 12(10), 2001. The functions are pure but for the draws.
+The power of two choices: Mitzenmacher, IEEE TPDS 12(10), 2001. The functions depend on nothing but their
+arguments; only the draws are random.
 """
 
 from __future__ import annotations
--- a/coveport/balancing/outlier_ejection.py
+++ b/coveport/balancing/outlier_ejection.py
@@ -28,7 +28,7 @@
         """Record an outcome at a host; `attempt` is None for a health check."""
         if outcome is Outcome.OK:
             self._record_success(host)
-        elif outcome is Outcome.FULL:  # it is alive: no ejection, only a pause of about one answer
+        elif outcome is Outcome.FULL:  # a full host is alive: no ejection, only a pause of about one answer
             host.last_response_at = self.now
             host.backoff_until = self.now + max(host.mean_latency, self.service_time)
         elif outcome in (Outcome.ERROR, Outcome.RESET):
@@ -50,7 +50,8 @@
                 outage > max(self.latency_target, self.rules.fall_ms)
                 and host.unresponsive_since > host.last_response_at
             ):
-                # A host back from a long silence has probably restarted, even if discovery did not report it.
+                # A host that answers after a long silence has probably restarted, even if discovery reports
+                # no restart.
                 host.slow_start_at = self.now
                 host.mean_latency = 0.0
             host.readmit_at = inf
@@ -70,7 +71,8 @@
                 if not host.mean_latency
                 else host.mean_latency + LATENCY_WEIGHT * (unit_latency - host.mean_latency)
             )
-            # A time-out is a sample too: else the estimate of a stuck host goes stale and invites requests.
+            # A time-out is a sample too: otherwise the estimate of a stuck host becomes stale and invites
+            # requests.
             host.last_sample_at = self.now
 
     def _eject(self, host: Host, *, unresponsive: bool = True) -> None:
@@ -82,6 +84,6 @@
             )
             # Jitter keeps balancers from trying the host at the same time.
             host.readmit_at = self.now + duration * self.random.uniform(0.5, 1.5)
-            # A host that sends errors is alive: taken for restarted, it would be in slow start for seconds.
+            # A host that sends errors is alive: if presumed restarted, it would be in slow start for seconds.
             if unresponsive:
                 host.unresponsive_since = min(host.unresponsive_since, self.now)
--- a/coveport/balancing/pending_requests.py
+++ b/coveport/balancing/pending_requests.py
@@ -16,14 +16,14 @@
 
 
 class PendingRequest:
-    """A request that can be queued. An entry with another number than the request's current one is stale."""
+    """A request that can be queued. Entries whose number is not the request's current number are stale."""
 
     class_name: str  # name of its request class
-    queue_until: float  # when it expires, in ms
-    any_zone_at: float  # when it may go to any zone, in ms
-    waiting = False  # whether it is queued
-    heap_number = 0  # number of its heap entries
-    queue_number = 0  # number of its queue entry
+    queue_until: float  # time at which the request expires, in ms
+    any_zone_at: float  # time from which the request may go to any zone, in ms
+    waiting = False  # whether the request is queued
+    heap_number = 0  # current number of the request's heap entries
+    queue_number = 0  # current number of the request's queue entry
 
 
 R = TypeVar("R", bound=PendingRequest)
@@ -90,7 +90,8 @@
         """Yield the queues by the rank of their front; no request may be added during the iteration."""
         for request in self._pop_due(self._zone_expiries, now):
             self._enqueue(request, own_zone=False)
-        # Equal ranks keep the order in which the queues were created: a name must not decide.
+        # Queues of equal rank keep the order in which they were created: a class name must not decide the
+        # order.
         order = sorted(
             (
                 (rank(queue[0][1]), not own_zone, class_name, queue)
--- a/coveport/balancing/request_state.py
+++ b/coveport/balancing/request_state.py
@@ -15,7 +15,7 @@
 
     def __init__(self, event: Request, settings: Settings, random_source: random.Random) -> None:
         self.cls = settings.classes[event.cls]
-        self.limits = settings.limits  # the limits at its arrival
+        self.limits = settings.limits  # the limits that applied when the request arrived
         self.id = event.id
         self.class_name = self.cls.name
         self.deadline = event.deadline_ms
@@ -23,7 +23,8 @@
         self.give_up_at = event.deadline_ms
         self.queue_until = event.deadline_ms
         self.any_zone_at = event.deadline_ms
-        self.slow_start_draw = random_source.random()  # decides whether a host in slow start may take it
+        # Decides whether a host in slow start may get the request.
+        self.slow_start_draw = random_source.random()
         self.streaming = False
         self.attempts = [
             Attempt(Host(Endpoint(-1, prior.zone, prior.cell), 0.0), prior.sent_ms, prior)
--- a/coveport/balancing/settings.py
+++ b/coveport/balancing/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a balancer: request classes, limits of the site, slow-start rules and prices.
+"""Settings of a balancer: request classes, limits of the deployment, slow-start rules and prices.
 
 Times are in milliseconds. A value out of range raises `ValueError`, which names the field.
 """
@@ -73,7 +73,7 @@
     aim_stretch: float = 0.0  # fraction of the cost hint by which the target is longer
     effect: Effect = Effect.UNSAFE
     group: DeduplicationScope = DeduplicationScope.ALL  # hosts that drop repeats of a keyed request
-    window_ms: float = 0.0  # time for which they drop them
+    window_ms: float = 0.0  # time for which these hosts drop repeats
     stream: bool = False
 
     def __post_init__(self) -> None:
@@ -87,7 +87,7 @@
 
     @property
     def is_repeatable_anywhere(self) -> bool:
-        """Whether another attempt is harmless at any host, even if the client makes it."""
+        """Whether another attempt, also one by the client, is harmless at any host."""
         return self.effect is Effect.SAFE or (
             self.effect is Effect.KEYED and self.group is DeduplicationScope.ALL
         )
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits of the site on attempts, hedged requests and health checks."""
+    """Limits that the deployment sets on attempts, hedged requests and health checks."""
 
     max_attempts: int = 3
     second_copies: bool = False  # whether hedged requests are allowed
@@ -116,7 +116,7 @@
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    ask_within_ms: float = 10_000.0  # time within which discovery must be asked
+    ask_within_ms: float = 10_000.0  # time within which the balancer must ask discovery for endpoints
     cold_from: float = 0.1  # fraction of its capacity that a host has at its start
     warm_after_ms: float = 30_000.0  # time from the start of a host to its full capacity
     overload_factor: float = 2.0
--- a/coveport/balancing/simulator_codec.py
+++ b/coveport/balancing/simulator_codec.py
@@ -45,7 +45,7 @@
 
 
 class Halt:
-    """The kill of an instance; all its state is discarded."""
+    """The end of an instance that is killed; all state of the instance is discarded."""
 
     __slots__ = ()
 
--- a/coveport/balancing/simulator_link.py
+++ b/coveport/balancing/simulator_link.py
@@ -1,4 +1,4 @@
-"""The loop between the simulator's wire and the balancers, of which each instance has one of its own."""
+"""The loop between the simulator's wire and the balancers; each instance has a separate balancer."""
 
 from __future__ import annotations
 
--- a/coveport/balancing/subsetting.py
+++ b/coveport/balancing/subsetting.py
@@ -1,7 +1,8 @@
 """Subsetting: the hosts that this balancer uses, chosen by random rank.
 
-In a large fleet of balancers, one that uses all hosts of its zone uses each too seldom to recognize a slow
-host or to keep a connection open. Ranks keep the subset nearly unchanged when a host is added or removed.
+In a large fleet of balancers, a balancer that used all hosts of its zone would use each host too seldom to
+recognize a slow host or to keep a connection open. Ranks keep the subset nearly unchanged when a host is
+added or removed.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def lowest_ranked(hosts: list[Host], limit: int) -> list[Host]:
-    """Return the `limit` hosts of lowest rank in that order, or `hosts` as it is if it has no more."""
+    """Return the `limit` hosts of lowest rank, ordered by rank; `hosts` unchanged if there are no more."""
     return hosts if len(hosts) <= limit else sorted(hosts, key=lambda host: host.rank)[:limit]
 
 
--- a/coveport/serving/model/configuration.py
+++ b/coveport/serving/model/configuration.py
@@ -85,9 +85,8 @@
     name: str
     api_keys: tuple[str, ...] = field(default=(), repr=False)
     priority: int | None = None  # replaces the route's priority; None: the route's priority applies
-    home_regions: frozenset[str] = (
-        frozenset()
-    )  # a further restriction besides the route's home regions; empty: none
+    # A further restriction besides the route's home regions; empty: none.
+    home_regions: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
--- a/coveport/serving/proxy/admission.py
+++ b/coveport/serving/proxy/admission.py
@@ -17,9 +17,8 @@
 
 from coveport.serving.model.configuration import Route
 
-MAX_QUEUED_REQUESTS = (
-    256  # limits the memory used, and the duration of the linear search for the last request
-)
+# Limits the memory used, and the duration of the linear search for the last request.
+MAX_QUEUED_REQUESTS = 256
 MAX_WAIT_TARGET_RATIO = 0.2  # less than a quarter: a rejection after a quarter of the target counts as late
 MAX_WAIT_S = 0.5  # upper bound of the wait if the target is long: the client can retry elsewhere instead
 MAX_WAIT_WITHOUT_TARGET_S = 0.2  # longest wait on routes without a latency target
--- a/coveport/serving/proxy/client_connection.py
+++ b/coveport/serving/proxy/client_connection.py
@@ -58,9 +58,8 @@
         self._has_begun = False  # whether the head of the current response has been written
         self._is_finished = False  # whether the current response has been written completely
         self._is_chunked = False
-        self._is_framed = (
-            False  # whether the response has a length or is chunked, so that its end is not the close
-        )
+        # Whether the response has a length or is chunked, so that its end is not the close.
+        self._is_framed = False
         self._keeps_alive = False
         self._is_reading_head = False  # whether the running timer limits the time to read a head
 
--- a/coveport/serving/proxy/coordinator_selection.py
+++ b/coveport/serving/proxy/coordinator_selection.py
@@ -14,9 +14,8 @@
 
 from coveport.serving.wire.messages import CoordinatorEndpoint
 
-FAILURE_BACKOFF_S = (
-    4.0  # time after a failure of a coordinator in which more distant coordinators are preferred
-)
+# Time after a failure of a coordinator in which more distant coordinators are preferred.
+FAILURE_BACKOFF_S = 4.0
 
 SAME_ZONE, SAME_REGION, OTHER_REGION, UNKNOWN_LOCALITY = range(4)  # distances, nearest first
 
--- a/coveport/serving/proxy/node_acquisition.py
+++ b/coveport/serving/proxy/node_acquisition.py
@@ -10,9 +10,8 @@
 from coveport.serving.proxy.node_selection import NoNode
 from coveport.serving.proxy.proxy_context import ProxyContext
 
-POLL_INTERVAL_S = (
-    0.02  # interval at which the first queued request looks for capacity; short compared with the wait
-)
+# Interval at which the first queued request looks for capacity; short compared with the wait.
+POLL_INTERVAL_S = 0.02
 MIN_TIME_LEFT_S = 0.01  # if less time is left until the deadline, no node can respond by then
 
 
--- a/coveport/serving/proxy/node_connection.py
+++ b/coveport/serving/proxy/node_connection.py
@@ -12,9 +12,8 @@
 
 MAX_BUFFERED_BYTES = 64 * 1024  # bytes of a response buffered for a slow client; limits the memory used
 MAX_RESPONSE_BYTES = 1 << 40  # no limit in practice, as responses are forwarded while they are received
-UNACKNOWLEDGED_TIMEOUT_MS = (
-    2000  # TCP time-out: a peer that acknowledges nothing for this long is presumed unreachable
-)
+# TCP time-out: a peer that acknowledges nothing for this long is presumed unreachable.
+UNACKNOWLEDGED_TIMEOUT_MS = 2000
 DEFAULT_IDLE_TIMEOUT_S = 0.4  # for nodes without a Keep-Alive time-out, which may be under a second
 IDLE_MARGIN_S = 1.0  # an idle connection is closed this long before the node closes it
 IDLE_MARGIN_RATIO = 0.4  # the margin is at most this part of the idle time-out
--- a/coveport/serving/proxy/node_observations.py
+++ b/coveport/serving/proxy/node_observations.py
@@ -16,9 +16,8 @@
 from coveport.serving.proxy.routed_request import RoutedRequest
 from coveport.serving.proxy.slow_start import SlowStartLimiter
 
-DELAYED_SEND_S = (
-    0.1  # if the request is sent this long after the selection, the next slow-start window may have begun
-)
+# If the request is sent this long after the selection, the next slow-start window may have begun.
+DELAYED_SEND_S = 0.1
 
 
 @dataclass(slots=True)
--- a/coveport/serving/proxy/outlier_ejection.py
+++ b/coveport/serving/proxy/outlier_ejection.py
@@ -22,9 +22,8 @@
 BASE_EJECTION_S = 0.4  # about the time that a failed connect costs
 MAX_EJECTION_S = 4.0  # longest time until a recovered node is used again
 AT_CAPACITY_S = 0.15  # short, so that the node is used again soon after it has capacity
-DEGRADED_FAILURES = (
-    1.2  # threshold of the decaying count of failures; two failures in a row reach this threshold
-)
+# Threshold of the decaying count of failures; two failures in a row reach this threshold.
+DEGRADED_FAILURES = 1.2
 DEGRADED_FAILURE_RATIO = 0.25  # failures among the counted responses (docs/policy.md, `degraded-nodes`)
 FAILURE_DECAY_S = 15.0  # time constant of both counts (docs/policy.md, `degraded-nodes`)
 CHECK_TIMEOUT_S = 3.0  # a check without a result blocks the next one for this long
--- a/coveport/serving/proxy/process.py
+++ b/coveport/serving/proxy/process.py
@@ -19,9 +19,8 @@
 from coveport.serving.web.router import Router
 from coveport.serving.web.server import HttpServer
 
-SHUTDOWN_TIME_RATIO = (
-    0.9  # part of the grace period used for draining; the rest is left for the process to exit
-)
+# Part of the grace period used for draining; the rest is left for the process to exit.
+SHUTDOWN_TIME_RATIO = 0.9
 METRICS_INTERVAL_S = 10.0  # time between two log lines of metrics
 
 
--- a/coveport/serving/proxy/request_priority.py
+++ b/coveport/serving/proxy/request_priority.py
@@ -12,9 +12,8 @@
 # Numbers of uncached tokens from which a prompt gets the next lower priority. The time to the first event on
 # an idle node grows with them (docs/policy.md, late first events).
 SHORT_PROMPT_TOKENS = 1500  # fewer tokens are prefilled in one step
-MEDIUM_PROMPT_TOKENS = (
-    4000  # prompts of this length take several steps, see `node_selection.LONG_PREFILL_TOKENS`
-)
+# Prompts of this length take several steps, see `node_selection.LONG_PREFILL_TOKENS`.
+MEDIUM_PROMPT_TOKENS = 4000
 LONG_PROMPT_TOKENS = 9000
 
 HIGHEST_PRIORITY = 2  # nodes admit 0 first, and use 5 for requests without a priority
--- a/coveport/serving/proxy/request_routing.py
+++ b/coveport/serving/proxy/request_routing.py
@@ -15,9 +15,8 @@
 from coveport.serving.proxy.tenant_index import route_for_tenant
 from coveport.serving.wire.names import Header
 
-DEFAULT_TIMEOUT_S = (
-    3600.0  # time-out if neither the client nor the route sets one, so that every request ends
-)
+# Time-out if neither the client nor the route sets one, so that every request ends.
+DEFAULT_TIMEOUT_S = 3600.0
 
 
 class RoutingFailure(Enum):
--- a/coveport/serving/proxy/slow_start.py
+++ b/coveport/serving/proxy/slow_start.py
@@ -22,9 +22,8 @@
 from coveport.serving.proxy.sliding_window import SlidingWindow
 
 WINDOW_S = 1.2  # the rule's second plus the difference of two delays (docs/policy.md, `slow-start-sum`)
-BOUND_MARGIN = (
-    0.97  # part of the rule's bound that is used; the longer window is most of the margin (`slow-start-sum`)
-)
+# Part of the rule's bound that is used; the longer window is most of the margin (`slow-start-sum`).
+BOUND_MARGIN = 0.97
 TURN_MARGIN = 0.4  # part of the quota that is used while proxies take random turns (`slow-start-sum`)
 
 
