--- a/coveport/serving/proxy/event_stream.py
+++ b/coveport/serving/proxy/event_stream.py
@@ -19,9 +19,8 @@
 class EventSplitter:
     """Splits received bytes into events; an event is returned only once it is complete."""
 
-    incomplete: bytearray = field(
-        default_factory=bytearray
-    )  # the received start of an event whose end has not been received
+    # The received start of an event whose end has not been received.
+    incomplete: bytearray = field(default_factory=bytearray)
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the events that these bytes complete, each with its terminating blank line.
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -56,10 +56,11 @@
 
 STEP_DOWN_PREFIX = "ask/yield/"
 STATUS_INTERVAL_S = 1.0  # time between samples of an instance's own success
-STATUS_SAMPLES = 5  # samples in the success that an instance publishes
+STATUS_SAMPLES = 5  # number of samples from which an instance computes the success that it publishes
 CAPACITY_REQUEST_INTERVAL_S = 0.25  # time between checks for destinations in slow start
 CHECK_INTERVAL_S = 0.5  # time between shared health checks of a destination, by the instance whose turn it is
-UNREACHABLE_S = 3.0  # unfit as a lease holder: attempts failed in this time, and no destination answered
+# An instance is unfit as a lease holder if in this time attempts failed and no destination answered.
+UNREACHABLE_S = 3.0
 REACHED = ("outcome_ok", "outcome_full", "outcome_error", "probe_ok")
 UNREACHED = ("connects_failed", "outcome_connect_failed", "outcome_reset", "outcome_timeout")
 CLOSE_TIMEOUT_S = 2.0
@@ -95,7 +96,7 @@
 
 
 class SidecarExtensions:
-    """The optional parts of one sidecar: lease client, singleton roles, and its share in others' roles."""
+    """The optional parts of one sidecar: lease client, singleton roles, use of other instances' roles."""
 
     def __init__(
         self,
@@ -412,7 +413,7 @@
         effects.connection_pool.send(number, None, timeout_s, on_ended)
 
     def shared_result(self, destination: int) -> core.HealthCheckEnded | None:
-        """Return another instance's recent result for a destination; None: this instance has to check it."""
+        """Return another instance's recent result for a destination; None: this instance must check."""
         node = self._name_of(destination)
         if self._health_checks is None or not node:
             return None
--- a/coveport/sidecar/descriptor_limits.py
+++ b/coveport/sidecar/descriptor_limits.py
@@ -21,6 +21,6 @@
 def admin_connection_limit(max_descriptors: int) -> int:
     """Return the maximum connections of the admin server: a third of the reserved descriptors.
 
-    Twice as many may be open for a moment.
+    Twice as many connections may be open for a moment.
     """
     return max(2, int(max(RESERVED_SHARE * max_descriptors, MIN_RESERVED) / 3))
--- a/coveport/sidecar/discovery/discovery_client.py
+++ b/coveport/sidecar/discovery/discovery_client.py
@@ -21,7 +21,7 @@
 # So a watch, a connect and a call that time out in succession, each with the longest backoff after it, must
 # take less: 1.5 + 0.5 + 1.0 + 1.5 s and three times 0.45 s.
 WATCH_MS = 1500  # how long discovery holds a watch open without a change
-WATCH_AFTER_FAILURE_MS = 1000  # the same right after a failure: no longer than CALL_TIMEOUT_S with the grace
+WATCH_AFTER_FAILURE_MS = 1000  # the same right after a failure; with WATCH_GRACE_S at most CALL_TIMEOUT_S
 WATCH_GRACE_S = 0.5  # how much longer a watch may take; discovery may stop answering without closing
 CONNECT_TIMEOUT_S = 1.0  # as long as the operating system waits before it retransmits a SYN
 CALL_TIMEOUT_S = 1.5  # time-out of a call other than a watch: an overloaded discovery queues its calls
@@ -62,15 +62,16 @@
         self._rng = rng
         self._connection: DiscoveryConnection | None = None
         self._connecting: asyncio.Task[None] | None = None  # set while a connect is under way
-        self._is_busy = False  # a call is under way, or its retry is scheduled
+        self._is_busy = False  # whether a call is under way, or its retry is scheduled
         self._version: int | None = None  # version of the last list that was accepted
-        self._was_malformed = False  # the last list could not be used: the next call requests a full one
+        # Whether the last list could not be used, so that the next call requests the full list.
+        self._was_malformed = False
         self._is_confirmed = False  # whether this discovery has returned a valid list
         self._is_watching = False
         self._is_full_requested = False
         self._is_closed = False
-        self._failures = 0  # failures in a row
-        self._older_lists = 0  # older lists in a row
+        self._failures = 0  # number of failures in a row
+        self._older_lists = 0  # number of older lists in a row
         self._called_at = 0.0
         self._timer: asyncio.TimerHandle | None = None  # the time-out of the present connect or call
 
@@ -121,7 +122,7 @@
             return
         self._connecting = None
         if self._connection is None:
-            return  # closed in the meantime
+            return  # the client was closed in the meantime
         connection = self._connection
         transport = connection.transport
         if transport is None or transport.is_closing():
@@ -214,7 +215,7 @@
             self._net.loop.call_later(EMPTY_WATCH_DELAY_S, self._call_next)
 
     def _read(self, data: object) -> DiscoveredEndpoints:
-        """Read a list; DiscoveryResponseError where it is malformed, older or not what was requested."""
+        """Read a list; raise DiscoveryResponseError if it is malformed, older or not as requested."""
         present = self._version
         if present is not None and isinstance(data, dict) and isinstance(data.get("seq"), int):
             # Guards against a stale replica, whose list would undo newer changes. After MAX_OLDER_LISTS of
@@ -236,7 +237,7 @@
         self._log.note("endpoint list", reason)
         self._counters.add("pool_failures")
         self._disconnect()
-        # With jitter, as a failure of discovery affects all sidecars at the same moment.
+        # The backoff has jitter, as a failure of discovery affects all sidecars at the same moment.
         mean_s = BACKOFFS_S[min(self._failures, len(BACKOFFS_S) - 1)]
         backoff_s = mean_s * self._rng.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER)
         # A broken watch is reopened at once, also if calls are made on demand: discovery has not rejected it.
--- a/coveport/sidecar/discovery/endpoint_source.py
+++ b/coveport/sidecar/discovery/endpoint_source.py
@@ -67,7 +67,8 @@
             if successor is self._client:
                 self._on_update(update)
 
-        # Not on demand, so that the first call is retried until it succeeds: the list there may differ.
+        # Not on demand, so that the first call is retried until it succeeds: the list of the new discovery
+        # may differ.
         successor = self._new_client(address, on_update, on_demand=False)
         self._successor = successor
         successor.request(full=True)
--- a/coveport/sidecar/downstream/client_connection.py
+++ b/coveport/sidecar/downstream/client_connection.py
@@ -56,14 +56,14 @@
         self._upload_timing = UploadTiming(0.0)
         self._response_source: Attempt | None = None  # source of the streamed response that is being written
         self._is_response_chunked = False
-        self._unsent_bytes = 0  # response bytes in the write buffer when last counted
+        self._unsent_bytes = 0  # number of response bytes in the write buffer when they were last counted
         self._keep_alive = True
-        self._omits_body = False  # the request is a HEAD request
+        self._omits_body = False  # whether the request is a HEAD request
         self._has_been_used = False  # whether the connection has carried a complete request
-        self._is_excess = False  # there were more clients than allowed when this one connected
+        self._is_excess = False  # whether there were more clients than allowed when this client connected
         self._is_write_paused = False
         self._is_read_paused = False
-        self._is_ending = False  # the last response has been written, or the client has disconnected
+        self._is_ending = False  # whether the last response has been written or the client has disconnected
         self._discarded_bytes = 0  # bytes read since the connection began to end
         self._max_discarded_bytes = MAX_DISCARDED_BYTES
         self._linger_s = LINGER_S  # how long the connection is read on while it is ending
@@ -129,7 +129,7 @@
         self._context.net.loop.call_soon(self._read_requests)
 
     def eof_received(self) -> bool:
-        """Cancel the operation: the client has disconnected; its pipelined requests are dropped."""
+        """Cancel the operation and drop pipelined requests, because the client has disconnected."""
         self._cancel()
         self._is_ending = True
         return False
@@ -171,7 +171,8 @@
             self._write(200 if context.is_ready() else 503)
             return
         if request.is_streamed:
-            self._keep_alive = False  # until the body is complete: after an error the rest of it is unread
+            # False until the body is complete: after an error the rest of the body is unread.
+            self._keep_alive = False
         operation = read_operation(request, context.classes)
         operation.is_admitted = not self._is_rejected
         operation.wait_ms -= max(context.sweep_timer.stalled_s(), self._first_request_stalled_s()) * 1000
@@ -357,11 +358,11 @@
 
     @property
     def _is_rejected(self) -> bool:
-        """Whether there were too many clients when this one connected, and there still are."""
+        """Whether there were too many clients when this client connected, and there still are too many."""
         return self._is_excess and self._context.clients.is_overfull
 
     def may_close_idle(self, fresh_until: float) -> bool:
-        """Return whether it is between two requests, or has had none and connected before `fresh_until`."""
+        """Return whether the client is between requests, or sent none and connected before `fresh_until`."""
         # Guards against losing a request: it may be unread, or on its way on a connection just accepted. A
         # client resends it only if it has used the connection before.
         return (
@@ -376,7 +377,7 @@
         return self._is_ending and not self._is_write_paused and self._is_quiet
 
     def may_close_unused(self) -> bool:
-        """Return whether it has carried no complete request, though all received bytes have been read."""
+        """Return whether all received bytes have been read without a complete request among them."""
         return self._has_nothing_in_flight and not self._has_been_used and self._is_quiet
 
     @property
@@ -399,7 +400,10 @@
         )
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has disconnected, even if its end is still unread; if so, cancel soon."""
+        """Return whether the client has disconnected, even if the end of stream is unread.
+
+        If the client has disconnected, the operation is cancelled soon.
+        """
         if self._transport is None:
             return True
         if not self._context.net.has_peer_closed(self._transport):
@@ -474,7 +478,7 @@
                 self._transport.write_eof()
 
     def _cancel(self) -> None:
-        """Cancel the present operation: its client has gone."""
+        """Cancel the present operation, because the client has disconnected."""
         operation = self._operation
         self._operation = None
         self._response_source = None
--- a/coveport/sidecar/downstream/client_table.py
+++ b/coveport/sidecar/downstream/client_table.py
@@ -16,20 +16,20 @@
 
 
 class Connection(Protocol):
-    """What the table uses of a client connection."""
+    """The part of a client connection that the table uses."""
 
     @property
     def phase_began_at(self) -> float:
-        """When it connected, its present request began to arrive, or it went idle; monotonic seconds."""
+        """When the client connected, began its present request, or went idle; monotonic seconds."""
 
     def may_close_idle(self, fresh_until: float) -> bool:
-        """Return whether it is between requests, or has had none and connected before `fresh_until`."""
+        """Return whether the client is between requests, or sent none and connected before `fresh_until`."""
 
     def may_close_ending(self) -> bool:
-        """Return whether its last response is written and a close would not destroy it by a reset."""
+        """Return whether the last response is written, and closing would not destroy it by a reset."""
 
     def may_close_unused(self) -> bool:
-        """Return whether it has carried no complete request, though all received bytes have been read."""
+        """Return whether all received bytes have been read without a complete request among them."""
 
     def check(self, now: float) -> None:
         """Enforce the time-outs."""
@@ -57,7 +57,7 @@
 
     @property
     def is_overfull(self) -> bool:
-        """Whether there are more clients than allowed; the newest ones are then rejected."""
+        """Whether there are more clients than allowed; if so, the newest clients are rejected."""
         return len(self._connected) > self._max_clients
 
     def add(self, client: Connection) -> None:
--- a/coveport/sidecar/downstream/context.py
+++ b/coveport/sidecar/downstream/context.py
@@ -39,8 +39,9 @@
     submit: Callable[[int, OperationClient, Operation], None]
     cancel: Callable[[int], None]
     on_upload_complete: Callable[[int, float], None]
-    is_closing: bool = False  # the graceful shutdown has begun
-    is_draining: bool = False  # an operator drains this instance: connections close after their response
+    is_closing: bool = False  # whether the graceful shutdown has begun
+    # Whether an operator drains this instance; if so, connections close after their response.
+    is_draining: bool = False
     keeps_idle: bool = True  # whether idle connections stay open
     _last_operation: int = 0
 
--- a/coveport/sidecar/downstream/limits.py
+++ b/coveport/sidecar/downstream/limits.py
@@ -21,9 +21,10 @@
 
 DRAIN_DELAY_S = 0.7  # a load balancer opens connections for a while after it sees the failed health check
 ACCEPT_PENDING_S = 2.0  # time to accept pending connections at the shutdown; asyncio pauses 1 s after EMFILE
-LINGER_S = 1.0  # how long to read on after the last response, which a reset would destroy
-UPLOAD_LINGER_S = 5.0  # the same, where a streamed body was still being received
-MAX_DISCARDED_BYTES = 256 * 1024  # read on at most: reading all of 60 MB would take time from other clients
+LINGER_S = 1.0  # how long to read on after the last response, as a reset would destroy the response
+UPLOAD_LINGER_S = 5.0  # the same, if a streamed body was still being received
+# Maximum read on after the last response: reading 60 MB would take time from other clients.
+MAX_DISCARDED_BYTES = 256 * 1024
 
 SWEEP_S = 0.25  # interval of the sweep over all clients
 FIRST_TURNS_S = 0.02  # time in which bytes that arrived before the accept are read
--- a/coveport/sidecar/downstream/listener.py
+++ b/coveport/sidecar/downstream/listener.py
@@ -117,9 +117,9 @@
             client.close()
 
     def _sweep(self) -> bool:
-        """Check all clients; return whether there are any."""
+        """Check all clients; return whether there are any clients."""
         self._check_all()
-        self.clients.trim_idle()  # also here: if all client connections are idle, no request triggers it
+        self.clients.trim_idle()  # no request triggers this while all clients are idle
         return len(self.clients) > 0
 
     def _check_all(self) -> None:
--- a/coveport/sidecar/downstream/sweep_timer.py
+++ b/coveport/sidecar/downstream/sweep_timer.py
@@ -14,7 +14,8 @@
 class SweepTimer:
     """Calls `sweep` every SWEEP_S as long as it returns True, and measures stalls of the process.
 
-    `accepts_pending` returns whether connections wait to be accepted; after a stall they may date from it.
+    `accepts_pending` returns whether connections wait to be accepted; after a stall these may
+    have been opened during the stall.
     """
 
     def __init__(
--- a/coveport/sidecar/effects.py
+++ b/coveport/sidecar/effects.py
@@ -36,7 +36,7 @@
 CONNECT_SHARE = 0.25
 UPLOAD_DEADLINE_MS = 3_600_000.0  # preliminary deadline of a long operation, until its last byte is received
 STALL_CHECK_INTERVAL_S = 0.25  # longest time between stall checks while an operation is open
-STALL_TOLERANCE_MS = 50.0  # a check that is later than this means that the process had no CPU
+STALL_TOLERANCE_MS = 50.0  # if a check is later than this, the process had no CPU
 # Lateness beyond the connect time-out up to which a first attempt may be sent: a drain counts after 750 ms.
 MAX_START_LATENESS_MS = 300.0
 MAX_RETRY_LATENESS_MS = 30.0  # the balancer reserves the time of one connect in the retry window
@@ -123,7 +123,7 @@
             counters.register_class(request_class.name)
 
     def load_known_endpoints(self) -> None:
-        """Start from the list in the configuration, which the sidecar had last."""
+        """Start from the endpoint list in the configuration: the last list that the sidecar had."""
         if self._config.known_endpoints is None:
             return
         try:
@@ -132,7 +132,7 @@
             self._log.note("endpoint list", f"the known list is garbled: {error}")
             return
         if update.endpoints:
-            # Comes before the balancer's update: the balancer may request endpoints at once.
+            # This comes before the balancer's update, as the balancer may request endpoints at once.
             self.endpoint_source.resume_from(update.update.version)
         self._apply_update(update)
 
@@ -451,8 +451,9 @@
 
         `started_at_ms`: when its connection was requested. `fence_check`: the recorder's own check.
         """
-        # Guards against beginning anything for a client that has gone: its end may stand below, unread,
-        # behind what it sent ahead or behind a stall of ours, or be read and not reported yet.
+        # Guards against starting work for a client that has disconnected. The end of its stream may be
+        # unread, behind pipelined requests or because this process stalled, or it may be read and not
+        # reported yet.
         if opened.client is None or opened.client.has_disconnected():
             return False
         # Guards against a stall between the decision and the connection: a retry would be sent after its
--- a/coveport/sidecar/open_operation.py
+++ b/coveport/sidecar/open_operation.py
@@ -20,7 +20,7 @@
         self.ended = False
 
     def cancel(self) -> None:
-        """End the attempt without having sent anything."""
+        """End the attempt; nothing of it has been sent."""
         if not self.ended:
             self.ended = True
             self._on_ended(AttemptResult(balancing.Outcome.MOOT))
@@ -32,10 +32,10 @@
 
     client: OperationClient | None
     operation: Operation
-    class_name: str  # name of its class when it was received
+    class_name: str  # name of the operation's class when the operation was received
     deadline_timer: asyncio.TimerHandle | None = None
     attempts: dict[int, Attempt | DeferredAttempt] = field(default_factory=dict)
     answered: bool = False
     forwarding: bool = False  # whether a streamed answer is being forwarded
-    complete: bool = True  # whether its last byte was received
-    ended: bool = False  # whether its result was counted
+    complete: bool = True  # whether the last byte of the operation was received
+    ended: bool = False  # whether the result of the operation was counted
--- a/coveport/sidecar/operation_interfaces.py
+++ b/coveport/sidecar/operation_interfaces.py
@@ -15,7 +15,7 @@
     """Shares health checks with other instances (`daemon`); optional."""
 
     def shared_result(self, destination: int) -> core.HealthCheckEnded | None:
-        """Return another instance's recent result for a destination; None: this instance has to check it."""
+        """Return another instance's recent result for a destination; None: this instance must check."""
 
     def observed(self, destination: int, outcome: balancing.Outcome) -> None:
         """Record the outcome of an attempt of this instance."""
--- a/coveport/sidecar/recording.py
+++ b/coveport/sidecar/recording.py
@@ -29,7 +29,7 @@
 
 BUSY_ABOVE = 16  # pending operations above which an instance takes records over more slowly
 TAKEOVER_BURST = 16  # records that may be taken over at once
-DRAIN_MARGIN_S = 1.0  # time that a planned shutdown takes beyond the longest deadline
+DRAIN_MARGIN_S = 1.0  # time that a planned shutdown may take beyond the longest deadline
 
 
 class _InstanceValue(msgspec.Struct):
--- a/coveport/sidecar/reducer/messages.py
+++ b/coveport/sidecar/reducer/messages.py
@@ -16,7 +16,7 @@
     SERVED = "served"
     BUSY = "busy"
     FAILED = "failed"
-    DUPLICATE = "double"  # its id is the id of an open operation
+    DUPLICATE = "double"  # the operation has the same id as an open operation
 
 
 # Inputs.
@@ -33,7 +33,7 @@
     cost_ms: float = 0.0
     is_admitted: bool = True  # False: the client limit is exceeded
     id: str = ""  # the client's request id; may be empty
-    long: bool = False  # its body is still being received: no deadline applies until `BodyReceived`
+    long: bool = False  # whether the body is still being received: no deadline applies until `BodyReceived`
     prior_attempts: tuple[balancing.PriorAttempt, ...] = ()  # earlier attempts, numbered from 0
 
 
@@ -194,7 +194,7 @@
 
 @dataclass(slots=True)
 class EndAnswer:
-    """End a forwarded streamed answer; if not `complete`, the client must be able to detect that."""
+    """End a forwarded streamed answer; if it is not `complete`, the client must be able to detect this."""
 
     operation: int
     complete: bool
@@ -232,7 +232,7 @@
 
 @dataclass(slots=True)
 class SwitchDiscovery:
-    """Use another discovery from now on; the present list applies until the first list from there."""
+    """Use another discovery from now on; the present list applies until the first list of that discovery."""
 
     discovery: Address
 
--- a/coveport/sidecar/reducer/operation.py
+++ b/coveport/sidecar/reducer/operation.py
@@ -19,11 +19,11 @@
     key: str | None
     cls: int  # index of its class in the settings
     wait_ms: float  # the time that the client waits, counted from the receipt
-    repeat: bool = False  # whether the client marks it as a retry
-    cost_ms: float = 0.0  # the client's estimate of its cost; 0: unknown
+    repeat: bool = False  # whether the client marks the operation as a retry
+    cost_ms: float = 0.0  # the client's estimate of the operation's cost; 0: unknown
     content_type: tuple[str, ...] = ()
     accept: tuple[str, ...] = ()
-    is_admitted: bool = True  # False: the client limit is exceeded, so it is to be rejected
+    is_admitted: bool = True  # False: the client limit is exceeded, so the operation must be rejected
     upload: Upload | None = None  # a streamed body; `body` is empty then
     prior_attempts: tuple[PriorAttempt, ...] = ()  # attempts that other instances have made
 
--- a/coveport/sidecar/reducer/phases.py
+++ b/coveport/sidecar/reducer/phases.py
@@ -9,7 +9,7 @@
 class Phase(Enum):
     """A phase of the process."""
 
-    STARTING = "starting"  # no endpoint list yet: not ready
+    STARTING = "starting"  # there is no endpoint list yet: not ready
     SERVING = "serving"
     LAMEDUCK = "lameduck"  # drained by operators: not ready, serves the clients it has; can rejoin
     DRAINING = "draining"  # graceful shutdown: closes idle connections, still answers requests
--- a/coveport/sidecar/reducer/reducer.py
+++ b/coveport/sidecar/reducer/reducer.py
@@ -1,7 +1,7 @@
 """The state machine of one sidecar: (time, input) -> effects.
 
-All state changes happen here. It owns the Balancer, the operations and their attempts. It has no I/O, no
-clock and no HTTP: a second protocol would feed the same inputs and execute the same effects.
+All state changes happen in the reducer. It owns the Balancer, the operations and their attempts. The reducer
+has no I/O, no clock and no HTTP: a second protocol would feed the same inputs and execute the same effects.
 """
 
 from __future__ import annotations
@@ -59,8 +59,9 @@
 class _Operation:
     deadline_ms: float
     id: str
-    max_attempts: int  # limit at its receipt
-    answered: bool = False  # or its client has disconnected: no answer is needed
+    max_attempts: int  # limit that applied when the operation was received
+    # Whether no answer is needed any more: one was given, or the client has disconnected.
+    answered: bool = False
     attempts: list[_Attempt] = field(default_factory=list)
     stream: int = -1  # number of the attempt whose answer is being forwarded; -1: none
 
@@ -188,7 +189,8 @@
 
     def _operation_received(self, item: OperationReceived) -> None:
         if not item.is_admitted:
-            # Guards against running out of descriptors: rejected before the balancer, so it has never run.
+            # Guards against running out of descriptors: the operation is rejected before the balancer
+            # gets it, so it has never run.
             self._effects.append(self._rejection(item.operation, self._settings.classes[item.cls].aim_ms))
             return
         if item.id and item.id in self._ids:
@@ -232,7 +234,8 @@
     def _answer_started(self, item: AnswerStarted) -> None:
         operation = self._operations.get(item.operation)
         if operation is None or operation.answered or not operation.attempts[item.step].in_flight:
-            self._effects.append(CancelAttempt(item.operation, item.step))  # another answer was first
+            # Another attempt was answered first.
+            self._effects.append(CancelAttempt(item.operation, item.step))
             return
         attempt = operation.attempts[item.step]
         operation.answered, operation.stream, attempt.answer_began_at = True, item.step, self._now
@@ -297,13 +300,13 @@
             self._effects.append(SendAnswer(number, verdict))
         self._notify_balancer(balancing.ClientDisconnected(number))
         for index, attempt in enumerate(operation.attempts):
-            if attempt.in_flight:  # a second cancel, after the balancer's own, does nothing
+            if attempt.in_flight:  # a second cancel, after that of the balancer, does nothing
                 self._effects.append(CancelAttempt(number, index))
         if operation.is_over:
             self._remove(number)
 
     def _notify_balancer(self, event: balancing.Event) -> bool:
-        """Let the balancer handle an event; return False where it raised."""
+        """Let the balancer handle an event; return False if the balancer raised an exception."""
         succeeded = True
         self._events.append(event)
         while self._events:
@@ -320,7 +323,7 @@
         return succeeded
 
     def _apply(self, action: balancing.Action) -> bool:  # noqa: C901  # see `step`
-        """Apply an action of the balancer; return False where it is invalid."""
+        """Apply an action of the balancer; return False if the action is invalid."""
         if isinstance(action, balancing.Send):
             self._send(action)
         elif isinstance(action, balancing.SetTimer):
--- a/coveport/sidecar/reducer/streams.py
+++ b/coveport/sidecar/reducer/streams.py
@@ -9,10 +9,11 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024  # the largest body forwarded either way; production has 32 MB
+# The largest body forwarded in either direction; in production, up to 32 MB.
+MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024
 MAX_READ_BYTES = 64 * 1024  # bytes per read
-MIN_READ_BYTES = 4 * 1024  # per read with the budget used up: each stream still makes progress
-MAX_READ_AHEAD_BYTES = 64 * 1024  # read ahead of the slowest reader of a streamed request
+MIN_READ_BYTES = 4 * 1024  # bytes per read if the budget is used up, so that each stream still makes progress
+MAX_READ_AHEAD_BYTES = 64 * 1024  # bytes received ahead of the slowest reader of a streamed request
 
 
 class Budget:
--- a/coveport/sidecar/service.py
+++ b/coveport/sidecar/service.py
@@ -28,7 +28,7 @@
 from coveport.sidecar.telemetry.log import Log
 from coveport.sidecar.upstream.http1_connection import Dialer
 
-FIRST_LIST_TIMEOUT_S = 0.5  # wait for discovery's first list before the known list is used
+FIRST_LIST_TIMEOUT_S = 0.5  # time to wait for discovery's first list before the known list is used
 # The address may still be bound by the previous process for a moment.
 BIND_TIMEOUT_S, BIND_RETRY_INTERVAL_S = 5.0, 0.1
 POLL_INTERVAL_S = 0.02
--- a/coveport/sidecar/upstream/attempt.py
+++ b/coveport/sidecar/upstream/attempt.py
@@ -43,7 +43,7 @@
 class AttemptConnection(Protocol):
     """The connection that carries an attempt."""
 
-    number: int  # the destination's number
+    number: int  # number of the destination
     endpoint: EndpointAddress
 
     def release(self, keep: bool) -> None:
@@ -61,7 +61,7 @@
 
 
 class AttemptPool(Protocol):
-    """The part of its pool that an attempt uses."""
+    """The part of the connection pool that an attempt uses."""
 
     net: Net
     counters: Counters
@@ -99,7 +99,8 @@
         self._started_s = pool.net.now_s()
         self.connection: AttemptConnection | None = None
         self._connecting: asyncio.Task[object] | None = None
-        self.sent = False  # the last byte was written to an accepted connection: the operation may run
+        # Whether the last byte was written to an accepted connection, so that the operation may run.
+        self.sent = False
         self.ended = False
         self.sink: Sink | None = None  # set once a streamed answer has begun
         # Whether the request body is streamed.
@@ -114,7 +115,7 @@
         ]
 
     def limit_connect_time(self, timeout_s: float) -> None:
-        """Fail the attempt unless its connection is up after this time."""
+        """Fail the attempt if its connection is not up after `timeout_s`."""
         self._timers.append(self._pool.net.loop.call_later(timeout_s, self._connect_timed_out))
 
     def await_connection(self, connecting: asyncio.Task[object]) -> None:
@@ -131,7 +132,7 @@
             self.end(AttemptResult(Outcome.CONNECT_FAILED))
 
     def _expire(self) -> None:
-        # Unless all bytes were sent the operation can't have run, so the outcome is a failed connect.
+        # If not all bytes were sent, the operation can't have run, so the outcome is a failed connect.
         self.end(AttemptResult(Outcome.TIMEOUT if self.sent else Outcome.CONNECT_FAILED))
 
     def may_start(self, connection: AttemptConnection) -> bool:
@@ -144,7 +145,7 @@
     @property
     def remaining_s(self) -> float:
         """The remaining time in seconds; with an upload, all of it until its last byte has been sent."""
-        # Guards against work whose result nobody waits for: the time of the connect counts too.
+        # The time of the connect counts too, so that no node does work whose result nobody waits for.
         return (
             self.timeout_s if self.has_upload else self.timeout_s - (self._pool.net.now_s() - self._started_s)
         )
--- a/coveport/sidecar/upstream/connection_pool.py
+++ b/coveport/sidecar/upstream/connection_pool.py
@@ -17,11 +17,12 @@
 from coveport.sidecar.upstream.attempt import Attempt, AttemptResult, OnBegin, OnEnd
 from coveport.sidecar.upstream.protocol import Connection, Dial
 
-IDLE_SHARE = 0.8  # share of the keep-alive time after which we close: the destination must never close first
+# Share of the keep-alive time after which the pool closes; the destination must not close first.
+IDLE_SHARE = 0.8
 REUSE_DELAY_S = 0.01  # delay before a reuse: some nodes send a second answer milliseconds after the first
 SWEEP_INTERVAL_S = 0.25  # minimum time between two searches for expired idle connections
 EVICTED_WHEN_EXHAUSTED = 16  # idle connections closed when the process has run out of descriptors
-# The attempt never ran; our lack of descriptors must not count as a failure of the destination.
+# The attempt never ran; a lack of descriptors in this process must not count as a failure of the destination.
 NO_DESCRIPTOR = Outcome.FULL
 
 
@@ -123,7 +124,7 @@
                 (candidate for candidate in reversed(idle) if candidate.idle_since <= now - REUSE_DELAY_S),
                 None,
             )
-            if connection is None:  # the rest of the delay is shorter than a connect
+            if connection is None:  # waiting for the rest of the delay takes less time than a connect
                 connection = idle[0]
                 self._take(connection)
                 delay_s = connection.idle_since + REUSE_DELAY_S - now
--- a/coveport/sidecar/upstream/http1_connection.py
+++ b/coveport/sidecar/upstream/http1_connection.py
@@ -57,7 +57,7 @@
         transport.set_write_buffer_limits(high=0)
         attempt = self._attempt
         self._attempt = None
-        if attempt is None or attempt.ended:  # guards against a late connection for an ended attempt
+        if attempt is None or attempt.ended:  # the attempt ended before its connection was up
             transport.abort()
             return
         self._pool.add_connection(self)
@@ -74,7 +74,7 @@
             self._pool.net.loop.call_soon(attempt.abandon_unsent)
             return
         if attempt.has_upload:
-            # In the next iteration: an attempt must not end before `send` has returned it.
+            # Called in the next iteration: an attempt must not end before `send` has returned it.
             self._pool.net.loop.call_soon(self._send_upload, attempt)
             return
         self._transport.write(encode_request(attempt, self.endpoint))
@@ -90,7 +90,8 @@
         ):
             return
         if not attempt.operation.upload.join(self):
-            attempt.end(AttemptResult(Outcome.MOOT), keep=True)  # the first bytes have been released
+            # The first bytes of the body have been released, so the attempt can't send them.
+            attempt.end(AttemptResult(Outcome.MOOT), keep=True)
             return
         self._upload = attempt.operation.upload
         self._transport.write(encode_request(attempt, self.endpoint))
@@ -165,7 +166,7 @@
     def buffer_updated(self, nbytes: int) -> None:
         """Parse the bytes of the answer that were read."""
         attempt = self._attempt
-        if attempt is None:  # guards against stray bytes, which belong to no attempt
+        if attempt is None:  # stray bytes: there is no attempt that they could belong to
             self.drop()
             return
         try:
--- a/coveport/sidecar/upstream/protocol.py
+++ b/coveport/sidecar/upstream/protocol.py
@@ -15,13 +15,13 @@
 class Connection(AttemptConnection, Protocol):
     """One connection to a destination, or a stream of a connection; it carries one attempt at a time."""
 
-    idle_since: float  # when it returned to the pool, in seconds of the event loop's clock
+    idle_since: float  # when the connection returned to the pool, in seconds of the event loop's clock
 
     def carry(self, attempt: Attempt) -> None:
         """Send an attempt, call its `mark_sent` once the last byte was written, and end it once."""
 
     def drop(self) -> None:
-        """Close at once: the destination must see the close before a retry reaches another one."""
+        """Close at once: the destination must see the close before a retry reaches another destination."""
 
     @property
     def is_quiet(self) -> bool:
@@ -29,7 +29,7 @@
 
 
 class Pool(AttemptPool, Protocol):
-    """The part of its pool that a connection uses."""
+    """The part of the connection pool that a connection uses."""
 
     net: Net
     counters: Counters
