--- a/coveport/balancing/balancer_state.py
+++ b/coveport/balancing/balancer_state.py
@@ -1,8 +1,8 @@
 """The state of a balancer and its timers: the base class of the classes that make the decisions.
 
 One object holds the whole state, since each decision reads most of it. Each subclass (subsetting, ejection,
-slow start, ...) adds one concern; calling an inherited method takes a request no longer than calling
-a method of the class itself.
+slow start, ...) adds one concern; calling an inherited method costs a request no more time than
+calling a method of the class itself.
 """
 
 from __future__ import annotations
--- a/coveport/balancing/endpoint_discovery.py
+++ b/coveport/balancing/endpoint_discovery.py
@@ -37,7 +37,7 @@
     def _apply_entry(self, entry: Endpoint) -> None:
         host = self.hosts.get(entry.host)
         if host is not None and (entry.state is not EndpointState.READY or entry.started_ms > host.started):
-            host.ready = False  # a draining host gets no requests as soon as discovery reports its state
+            host.ready = False  # draining takes effect as soon as discovery reports it
             if entry.state is not EndpointState.DRAINING:
                 del self.hosts[entry.host]  # the host was removed, or is a new process without history
         if entry.state is EndpointState.READY:
--- a/coveport/balancing/outlier_ejection.py
+++ b/coveport/balancing/outlier_ejection.py
@@ -22,13 +22,13 @@
 
 
 class OutlierEjection(BalancerState):
-    """The health of hosts, from the outcomes of attempts and health checks."""
+    """The health of hosts, as judged from the outcomes of attempts and health checks."""
 
     def _record_outcome(self, host: Host, outcome: Outcome, latency: float, attempt: Attempt | None) -> None:
         """Record an outcome at a host; `attempt` is None for a health check."""
         if outcome is Outcome.OK:
             self._record_success(host)
-        elif outcome is Outcome.FULL:  # a full host is alive: no ejection, only a pause of about one answer
+        elif outcome is Outcome.FULL:  # the host is alive: no ejection, only a pause of about one answer
             host.last_response_at = self.now
             host.backoff_until = self.now + max(host.mean_latency, self.service_time)
         elif outcome in (Outcome.ERROR, Outcome.RESET):
--- a/coveport/balancing/request_state.py
+++ b/coveport/balancing/request_state.py
@@ -30,5 +30,6 @@
             Attempt(Host(Endpoint(-1, prior.zone, prior.cell), 0.0), prior.sent_ms, prior)
             for prior in event.prior_attempts
         ]
-        # Time in which it may run again. A repeat decided by then is sent in time even over a new connection.
+        # Time in which the request may run again. A repeat decided by then is sent in time even over a new
+        # connection.
         self.window = self.cls.window_ms - 2 * settings.tick_ms - self.limits.connect_timeout_ms
--- a/coveport/balancing/simulator_settings.py
+++ b/coveport/balancing/simulator_settings.py
@@ -62,8 +62,8 @@
 def parse_settings(text: str | bytes) -> Settings:
     """Parse settings from a JSON text.
 
-    Unknown keys are skipped, and absent ones take the defaults of the settings classes. A text that is not
-    JSON, or a value out of range, raises `ValueError`.
+    Unknown keys are skipped; for absent keys the defaults of the settings classes apply. A text that is
+    not JSON, or a value out of range, raises `ValueError`.
     """
     info = json.loads(text)
     classes = []
--- a/coveport/serving/proxy/latency_estimate.py
+++ b/coveport/serving/proxy/latency_estimate.py
@@ -72,7 +72,7 @@
             node.gap_count += 1
 
     def record_reachable(self, incarnation: str, now_s: float) -> None:
-        """Record that a connect to the node succeeded: the node is reachable even while requests wait."""
+        """Record a successful connect to the node, which is reachable even if its responses are pending."""
         node = self._nodes.get(incarnation)
         if node is not None:
             node.last_received_s = now_s
--- a/coveport/serving/proxy/node_observations.py
+++ b/coveport/serving/proxy/node_observations.py
@@ -53,7 +53,10 @@
     def record_received(
         self, known: KnownNode, routed: RoutedRequest, gaps: StreamGaps, now_s: float
     ) -> None:
-        """Record that bytes of the response were received. For speed at every read, it makes few calls."""
+        """Record that bytes of the response were received.
+
+        This method runs for every read, so it must make few calls.
+        """
         incarnation = known.node.incarnation
         gap_s = gaps.record_event(now_s)
         self.latency.record_received(incarnation, gap_s, now_s)
--- a/coveport/serving/proxy/request_priority.py
+++ b/coveport/serving/proxy/request_priority.py
@@ -17,7 +17,7 @@
 LONG_PROMPT_TOKENS = 9000
 
 HIGHEST_PRIORITY = 2  # nodes admit 0 first, and use 5 for requests without a priority
-LATE_PRIORITY = 7  # lower than the priority of every request that can still meet its target
+LATE_PRIORITY = 7  # behind the priorities of all requests that can still meet their target
 
 
 def request_priority(uncached_tokens: int, slack_s: float) -> int:
--- a/coveport/serving/proxy/stall_policy.py
+++ b/coveport/serving/proxy/stall_policy.py
@@ -11,7 +11,7 @@
 from coveport.serving.proxy.retry_policy import RetryPolicy
 from coveport.serving.proxy.stall_timeouts import StallTimeouts
 
-HEAD_STALL_S = 2.0  # time-out to the first byte; a shorter one would move requests out of a long queue
+HEAD_STALL_S = 2.0  # time-out to the first byte; a shorter one would move requests out of a node's long queue
 HEAD_STALL_PER_TOKEN_S = 0.00005  # extra time per token of the prompt, which is prefilled first
 EVENT_STALL_S = 1.2  # minimum time-out between events, for routes with a short inter-token target
 EVENT_STALL_TARGET_RATIO = 3  # time-out between events, as a multiple of the inter-token target
--- a/coveport/sidecar/daemon.py
+++ b/coveport/sidecar/daemon.py
@@ -96,7 +96,7 @@
 
 
 class SidecarExtensions:
-    """The optional parts of one sidecar: lease client, singleton roles, use of other instances' roles."""
+    """The optional parts of one sidecar: lease client, singleton roles, part in other instances' roles."""
 
     def __init__(
         self,
--- a/coveport/sidecar/discovery/endpoint_reader.py
+++ b/coveport/sidecar/discovery/endpoint_reader.py
@@ -29,7 +29,7 @@
 
 
 class _EndpointRow(NamedTuple):
-    """One endpoint of a list, checked."""
+    """One endpoint of a list, after the checks."""
 
     name: str
     address: Address
@@ -59,7 +59,7 @@
         self.on_endpoints: Callable[[Any, bool], None] | None = None
 
     def read(self, data: Any, kind: balancing.EndpointUpdateKind | None = None) -> DiscoveredEndpoints:
-        """Read a list; raise DiscoveryResponseError, and change nothing, where any of it is malformed.
+        """Read a list; if any part of the list is malformed, raise DiscoveryResponseError and change nothing.
 
         `data`: the parsed JSON. `kind`: by default full or delta, as the list itself states.
         """
--- a/coveport/sidecar/downstream/listener.py
+++ b/coveport/sidecar/downstream/listener.py
@@ -65,7 +65,7 @@
         self.context.classes = _by_name(classes)
 
     async def open(self, address: Address) -> int:
-        """Listen and return the port that was bound; OSError where that fails."""
+        """Listen, and return the port that was bound; raise OSError if listening fails."""
         self._server = await self._net.listen(
             lambda: ClientConnection(self.context),
             address,
@@ -119,7 +119,7 @@
     def _sweep(self) -> bool:
         """Check all clients; return whether there are any clients."""
         self._check_all()
-        self.clients.trim_idle()  # no request triggers this while all clients are idle
+        self.clients.trim_idle()  # done here too: no request triggers this if all clients are idle
         return len(self.clients) > 0
 
     def _check_all(self) -> None:
--- a/coveport/sidecar/downstream/operation_reader.py
+++ b/coveport/sidecar/downstream/operation_reader.py
@@ -15,7 +15,7 @@
 
 
 def read_operation(request: http1.Request, classes: dict[str, tuple[int, balancing.Effect]]) -> Operation:
-    """Return the operation of a request; RemoteProtocolError where a part is missing or malformed.
+    """Return the operation of a request; raise RemoteProtocolError if a part is missing or malformed.
 
     `classes`: the number and effect of each request class by the first part of its path.
     """
--- a/coveport/sidecar/reducer/messages.py
+++ b/coveport/sidecar/reducer/messages.py
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has closed its connection; the operation needs no answer any more."""
+    """The client has closed its connection, so its operation needs no answer any more."""
 
     operation: int
 
--- a/coveport/sidecar/reducer/streams.py
+++ b/coveport/sidecar/reducer/streams.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-# The largest body forwarded in either direction; in production, up to 32 MB.
+# The largest body forwarded in either direction; production has 32 MB.
 MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024
 MAX_READ_BYTES = 64 * 1024  # bytes per read
 MIN_READ_BYTES = 4 * 1024  # bytes per read if the budget is used up, so that each stream still makes progress
--- a/coveport/sidecar/upstream/attempt.py
+++ b/coveport/sidecar/upstream/attempt.py
@@ -166,7 +166,7 @@
                 self._on_sent()
 
     def begin(self, answer: Answer) -> bool:
-        """Begin a streamed answer, which times out only without progress; False if it has no receiver."""
+        """Begin a streamed answer, which times out only without progress; return False without a receiver."""
         self.sink = self._on_began(self, answer) if self._on_began is not None and not self.ended else None
         if self.sink is None or self.ended:
             return False
--- a/coveport/sidecar/upstream/connection_pool.py
+++ b/coveport/sidecar/upstream/connection_pool.py
@@ -27,7 +27,7 @@
 
 
 class ConnectionPool:
-    """The connections to all destinations on the endpoint list: connects, reuses, closes when idle."""
+    """The connections to all listed destinations: opens, reuses, and closes them when they are idle."""
 
     def __init__(
         self,
