--- a/coveport/serving/cli/day_losses.py
+++ b/coveport/serving/cli/day_losses.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowLoss:
-    """A window of the day, and the kinds of events that touch it."""
+    """A time window of the day: its outcome counts, and the kinds of events that may have caused losses."""
 
     from_s: float
     counts: OutcomeCounts
--- a/coveport/serving/coordinator/control_service.py
+++ b/coveport/serving/coordinator/control_service.py
@@ -16,7 +16,7 @@
 
 PRIMARY_TIMEOUT_S: Final = 0.88  # callers time out after 1 s, of which the network takes up to 0.1 s
 PRIMARY_POLL_S: Final = 0.02
-OUTCOME_TIMEOUT_S: Final = 4.0  # after this time the callers of a command have given up
+OUTCOME_TIMEOUT_S: Final = 4.0  # time limit for the outcome of a command; by then its callers have timed out
 DISCONNECT_WAIT_S: Final = 0.15  # longer than the round trip within which a caller's disconnect arrives
 
 
--- a/coveport/serving/duties/fleet_observation.py
+++ b/coveport/serving/duties/fleet_observation.py
@@ -79,7 +79,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether nodes and load that were not observed certainly do not exist."""
+        """Whether all nodes and all load are covered, so that a node or load missing here does not exist."""
         return self.has_all_load and self.has_all_zones
 
 
--- a/coveport/serving/duties/lease.py
+++ b/coveport/serving/duties/lease.py
@@ -71,7 +71,8 @@
     acts_from_s: float = NEVER_S  # when this run may begin to act with `held_token`
     valid_until_s: float = NEVER_S
     rejected_token: int = NO_FENCING_TOKEN  # highest refused token; no token up to this is used
-    may_acquire_from_s: float = NEVER_S  # no acquisition before this; later after a refused token
+    # No acquisition before this time; a refused token sets it to one lease length after the refusal.
+    may_acquire_from_s: float = NEVER_S
 
     @property
     def margin_s(self) -> float:
--- a/coveport/serving/proxy/overload_estimate.py
+++ b/coveport/serving/proxy/overload_estimate.py
@@ -29,7 +29,9 @@
 QUANTILE = 0.2  # quantile of a node's means, low enough to be a mean without prefills
 QUANTILE_STEP = 0.03  # scale of the estimate's relative change by one mean
 FASTEST_REFRESH_S = 0.5  # a search over all nodes for each candidate would be quadratic (600 nodes)
-SLOWER_RATIO = 1.12  # nodes whose steady gaps differ by less count as equally fast
+# A node counts as slower only if its steady gap is more than this factor times the shortest steady gap of all
+# nodes.
+SLOWER_RATIO = 1.12
 MIN_STEADY_GAP_S = 1e-6  # lower bound of a steady gap, which is used as a divisor
 
 
--- a/coveport/sidecar/discovery/discovery_client.py
+++ b/coveport/sidecar/discovery/discovery_client.py
@@ -35,9 +35,10 @@
 
 
 class DiscoveryClient:
-    """Requests one discovery's list and watches it.
+    """Requests the endpoint list of one discovery server and watches the list for changes.
 
-    `on_demand`: the client calls only on request and reports failures; otherwise it retries on its own.
+    `on_demand`: the client calls only on request and reports failures; otherwise it retries failed calls
+    itself.
     """
 
     def __init__(
@@ -71,7 +72,8 @@
         self._is_full_requested = False
         self._is_closed = False
         self._failures = 0  # number of failures in a row
-        self._older_lists = 0  # number of older lists in a row
+        # Number of consecutive lists that were rejected because their version was older than `_version`.
+        self._older_lists = 0
         self._called_at = 0.0
         self._timer: asyncio.TimerHandle | None = None  # the time-out of the present connect or call
 
--- a/coveport/sidecar/intent_log/journal.py
+++ b/coveport/sidecar/intent_log/journal.py
@@ -116,7 +116,8 @@
         self._queued_bytes += size
         if not self._is_writing:
             self._is_writing = True
-            # The group is written in the next turn, so that all writes that one turn queues make one group.
+            # Start writing in the next iteration of the event loop, so that all writes queued in the present
+            # iteration form one group.
             asyncio.get_running_loop().call_soon(self._start_writing)
 
     async def read(self, prefix: str) -> Done | Unknown:
--- a/coveport/sidecar/intent_log/record_adopter.py
+++ b/coveport/sidecar/intent_log/record_adopter.py
@@ -129,7 +129,10 @@
     # Takeover decisions.
 
     def _continue(self, pending: PendingOperation, client: Client | None) -> None:
-        """Continue an owned record by the takeover rules; `client` None: no client waits."""
+        """Continue the operation of a record that this instance owns, as the takeover rules decide.
+
+        `client` is None if no client waits for the response.
+        """
         now_s = self._now_s()
         decision = self._decide(pending, now_s, has_client=client is not None)
         action = decision.action
--- a/coveport/sidecar/leases/sqlite_tables.py
+++ b/coveport/sidecar/leases/sqlite_tables.py
@@ -1,4 +1,4 @@
-"""Tables of a SQLite store: keys, leases, and the history that watches read.
+"""Tables of a SQLite store: keys, leases, and the change history from which watches are served.
 
 Every method runs within a transaction of the caller, in the store's thread.
 """
--- a/tests/balancing/test_balancer_health.py
+++ b/tests/balancing/test_balancer_health.py
@@ -1,4 +1,4 @@
-"""The balancer's view of a host: ejections, slow start, pauses, concurrency limits, lost requests."""
+"""How the balancer judges a host: ejections, slow start, pauses, concurrency limits, lost requests."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     fall: float = 1000,
     now: float = 100_000,
 ) -> Driver:
-    """Return a driver without hedged requests, so that each attempt is judged alone."""
+    """Return a driver without hedged requests, so that each attempt affects a host's health separately."""
     config = settings(SAFE, UNSAFE, peers=peers, second_copies=False, fall_ms=fall)
     return Driver(config, hosts(local, remote, started), seed=seed, now=now)
 
@@ -43,13 +43,13 @@
 
 
 def send_if_possible(driver: Driver, cls: int = 0) -> Sent | None:
-    """Make a request, and return its attempt if it is sent at once; otherwise its client disconnects."""
+    """Make a request, and return its attempt if sent at once; otherwise disconnect its client."""
     request_id = driver.request(cls)
     if history := driver.history.get(request_id):
         return history[-1][0]
     driver.feed(balancing.ClientDisconnected(request_id))
     driver.answers[request_id] = "left"
-    driver.feed(balancing.TimerFired(0))  # clears the state of blocked queues for the next request
+    driver.feed(balancing.TimerFired(0))  # the timer empties `blocked_queues` for the next request
     return None
 
 
@@ -61,7 +61,7 @@
 
 
 def sent_fraction(driver: Driver, requests: int) -> float:
-    """Return the fraction of `requests` requests that are sent at once; each is answered."""
+    """Return the fraction of `requests` requests that are sent at once; answer each sent request."""
     count = 0
     for _ in range(requests):
         if sent := send_if_possible(driver):
@@ -71,7 +71,10 @@
 
 
 def time_until_sent_to(driver: Driver, host: int, step: float = 5.0) -> float:
-    """Return the time until a request goes to `host`; requests sent to other hosts are answered."""
+    """Return the time until a request goes to `host`; infinite if longer than 20 latency targets.
+
+    Requests sent to other hosts are answered.
+    """
     start = driver.now
     while not (sent := send_if_possible(driver)) or sent.host != host:
         if sent:
@@ -86,7 +89,7 @@
 
 
 def trial_waits(seed: int, outcomes: str) -> list[float]:
-    """Return the waits before the next trial, in latency targets, at a host with these trial outcomes."""
+    """Return the wait after each failed trial, in latency targets, of a host with these trial outcomes."""
     driver, waits = unhedged_driver(2, seed=seed), []
     host = driver.balancer.hosts[100]
     for letter in outcomes:
@@ -100,10 +103,11 @@
 @pytest.mark.parametrize(
     ("outcomes", "means"),
     [
-        ("ccccccc", [0.5, 1, 2, 4, 8, 16, 16]),  # half a target, doubled up to 32 times that
-        ("ctcer", [0.5, 1, 2, 4, 8]),  # each kind of failure counts
+        # The mean wait is half a latency target at first, and is doubled up to 32 times the first mean wait.
+        ("ccccccc", [0.5, 1, 2, 4, 8, 16, 16]),
+        ("ctcer", [0.5, 1, 2, 4, 8]),  # each kind of failure doubles the wait
         ("ccococ", [0.5, 1, 1, 1]),
-        ("coooc", [0.5, 0.5]),  # an answer takes one failure back
+        ("coooc", [0.5, 0.5]),  # each answer subtracts 1 from the count of ejections
     ],
 )
 def test_each_failed_trial_doubles_the_ejection_with_jitter(outcomes: str, means: list[float]) -> None:
@@ -137,7 +141,7 @@
     assert time_until_sent_to(driver, 100) == math.inf, "an earlier request is still in flight there"
     driver.end(bad_attempts[0], 1.0, Outcome.CANCELLED)
     for _ in range(20):
-        # A request that may not run twice tries no ejected host.
+        # A request that may not run twice is not sent to an ejected host.
         driver.end(send_to(driver, 101, cls=1), 20.0)
     assert time_until_sent_to(driver, 100) < 50
     assert time_until_sent_to(driver, 100) == math.inf, "the trial is in flight"
@@ -149,7 +153,8 @@
     check_health(driver, Outcome.CONNECT_FAILED, 100)
     assert time_until_sent_to(driver, 100, 50.0) == math.inf
     checks = [action for action in driver.other if isinstance(action, balancing.HealthCheck)]
-    # In twenty targets: half a target, then 1, 2, 4, 8, ..., each with jitter of up to half.
+    # Within twenty latency targets, the waits between the checks are 0.5, 1, 2, 4, 8, ... latency targets,
+    # each with jitter of up to half of the wait.
     assert 5 <= len(checks) <= 10 and {check.host for check in checks} == {100}
     check_health(driver, Outcome.OK, 100)
     assert time_until_sent_to(driver, 100) < 500, "in slow start at first"
@@ -175,9 +180,9 @@
     check_health(driver, Outcome.FULL, 100, 101, 102, 103)
     queued = driver.request()
     check_health(driver, Outcome.CONNECT_FAILED, 100, 101, 102, 103)
-    driver.now += 110.0  # longer than a full host is skipped
+    driver.now += 110.0  # a full host is skipped for a shorter time than this
     driver.feed(balancing.TimerFired(0))
-    driver.reply(driver.of(queued)[0])  # the queued request tries a host too
+    driver.reply(driver.of(queued)[0])  # the queued request was sent too, although all hosts were ejected
     check_health(driver, Outcome.CONNECT_FAILED, 100, 101, 102, 103)
     due_host = 100 + seed % 3
     driver.balancer.hosts[due_host].readmit_at = driver.now
@@ -197,11 +202,11 @@
     [
         (1000, "c 990o", False),
         (1000, "c 1020o", True),
-        (500, "c 600o", False),  # silence shorter than the latency target
-        (2000, "c 1900o", False),  # silence shorter than `fall_ms`
-        (1000, "c 800c 800o", True),  # silence counts from the first failure
-        (1000, "c 800f 800o", False),  # the host responded
-        (1000, "c 10o 1600c 100o", False),  # an answer ends the silence
+        (500, "c 600o", False),  # the silence is shorter than the latency target
+        (2000, "c 1900o", False),  # the silence is shorter than `fall_ms`
+        (1000, "c 800c 800o", True),  # the silence is measured from the first failure
+        (1000, "c 800f 800o", False),  # the host responded, namely that it was full
+        (1000, "c 10o 1600c 100o", False),  # the first answer ended the first silence
     ],
 )
 def test_a_host_starts_slowly_after_a_long_silence(fall: float, script: str, slow_start: bool) -> None:
@@ -227,8 +232,9 @@
 @pytest.mark.parametrize(
     ("age", "least", "most"),
     [
-        # Fraction of the requests that the random draw lets through: a tenth at the start (a quarter of twice
-        # a fifth), half just before the host is warm.
+        # Fraction of the requests that may be sent to the host: the slow start budget fraction (0.25) * the
+        # overload factor (2) * the capacity fraction. The capacity fraction rises from 0.2 at the start to 1
+        # when the host is warm. The result rises from 0.1 at the start to 0.5 just before the host is warm.
         (-5000.0, 0.06, 0.14),
         (0.0, 0.06, 0.14),
         (5000.0, 0.25, 0.35),
@@ -265,7 +271,8 @@
 
 
 def test_a_host_in_slow_start_does_not_take_the_load_of_ejected_hosts() -> None:
-    # The host is among the first two drawn of six in three of ten draws, and takes half of those.
+    # For three of ten requests, the host is one of the first two hosts drawn from the six hosts. The host
+    # takes half of these requests.
     driver = unhedged_driver(6)
     driver.feed(
         balancing.EndpointUpdate(
@@ -282,7 +289,7 @@
 @pytest.mark.parametrize(("peers", "limit"), [(1, 5), (2, 3), (3, 2), (500, 1)])
 def test_balancers_share_the_concurrency_limit_of_a_host(peers: int, limit: int) -> None:
     driver = unhedged_driver(peers=peers)
-    driver.warm(160.0 / limit)  # fast enough for this limit, too slow for its double
+    driver.warm(160.0 / limit)  # this latency allows `limit`, but not twice `limit`
     assert sum(send_if_possible(driver) is not None for _ in range(20)) == limit
 
 
@@ -292,15 +299,17 @@
         (15.0, 8),
         (24.0, 6),
         (29.0, 5),
-        (40.0, 5),  # doubled if the expected latency is below 0.15 of the target
+        (40.0, 5),  # the limit is doubled if the expected latency is below 0.15 of the target
         (200.0, 2),
-        (300.0, 1),  # only as many as can be answered within the latency limit, at most half the target
+        # The host gets only as many requests as can be answered within the latency limit, which is at most
+        # half the latency target.
+        (300.0, 1),
         (600.0, 0),
     ],
 )
 def test_the_concurrency_limit_depends_on_the_latency(latency: float, limit: int) -> None:
     driver = unhedged_driver()
-    driver.warm(latency, 60, apart=700.0)  # without answers for so long the estimate goes stale
+    driver.warm(latency, 60, apart=700.0)  # each estimate is stale after 700 ms without answers
     assert sum(send_if_possible(driver) is not None for _ in range(20)) == limit
     if not limit:
         driver.now += latency - 2
@@ -325,7 +334,7 @@
     for number, sent in enumerate([send_to(driver) for _ in range(3)], 1):
         driver.end(sent, 40.0 * number)
     assert driver.balancer.hosts[100].mean_latency == pytest.approx(40.0)
-    # The initial estimate weighs as one answer.
+    # The initial estimate of the service time weighs as much as one answer.
     assert driver.balancer.service_time == pytest.approx((100.0 + 3 * 40.0) / 4)
 
 
@@ -359,7 +368,8 @@
     driver = unhedged_driver(1, 1)
     driver.warm(50.0)
     send_to(driver)
-    driver.now += math.sqrt(50.6 * TARGET_MS) - 30  # just below the latency limit
+    # The first request has now been in flight for just less than the latency limit.
+    driver.now += math.sqrt(50.6 * TARGET_MS) - 30
     send_to(driver)
     driver.now += 40
     send_to(driver, 101)
@@ -388,9 +398,10 @@
     driver.now = start + 30.0
     for number in range(1, len(later) + 1):
         driver.reply(sent[number], outcome)
-    driver.now = start + 400.0  # more than the latency limit, of about 145
+    driver.now = start + 400.0  # longer than the latency limit, which is about 145 ms
     if outcome is Outcome.OK:
-        driver.end(send_to(driver, 100 if lost else 101), 20.0)  # a lost request does not rule its host out
+        # A lost request does not prevent further requests to its host.
+        driver.end(send_to(driver, 100 if lost else 101), 20.0)
     host = driver.balancer.hosts[100]
     mean_latency = host.mean_latency
     driver.end(sent[0], 900.0, Outcome.TIMEOUT)
@@ -415,7 +426,7 @@
     while (sent := send_if_possible(driver)) and sent.host != 101:
         driver.end(sent, 50.0)
     check_health(driver, Outcome.CONNECT_FAILED, 100)
-    driver.now += 240  # more than the latency limit
+    driver.now += 240  # longer than the latency limit
     queued = driver.request()
     driver.balancer.hosts[100].readmit_at = driver.now + 50
     driver.feed(balancing.TimerFired(0))
@@ -449,7 +460,8 @@
 def test_unsafe_requests_try_ejected_hosts_without_a_repeatable_class(
     classes: tuple[balancing.RequestClass, ...], is_tried: bool
 ) -> None:
-    # Without a repeatable class and health checks, an ejected host stayed ejected until all hosts were.
+    # Regression: without a repeatable class and health checks, an ejected host stayed ejected until all hosts
+    # were ejected.
     driver = Driver(settings(*classes, peers=1), hosts(local=2, remote=0))
     unsafe = len(classes) - 1
     driver.serve(20, cls=unsafe)
--- a/tests/serving/replication/core_world.py
+++ b/tests/serving/replication/core_world.py
@@ -418,7 +418,10 @@
         return request
 
     def cancel(self, machine: Machine, request: int) -> None:
-        """Disconnect the caller of a request; the machine notices it after a delay, and not while frozen."""
+        """Disconnect the caller of a request.
+
+        The machine receives the disconnect after a delay, and processes it only when not frozen.
+        """
         incarnation = machine.incarnation
 
         def notice() -> None:
--- a/tests/serving/replication/test_view_change_sources.py
+++ b/tests/serving/replication/test_view_change_sources.py
@@ -49,8 +49,9 @@
 def core_that_excluded_a_slow_backup() -> tuple[World, Machine, tuple[str, ...]]:
     """Return a world whose slow backup installed the state of a view that excludes it.
 
-    Of five members two are replicas; the backup synced the next view's state too late to be in that view.
-    Then that view acknowledged a change, and both of its replicas lost power, without a loss of their disks.
+    Of five members two are replicas. The backup synced the state of the new view too late to be a replica
+    of the new view. Then the primary of the new view acknowledged a change, and both replicas of the new
+    view lost power, without a loss of their disks.
     """
     world = World(5, [*THREE_LOCALITIES, *THREE_LOCALITIES[:2]], 1, 0.012, seed_count=5)
     world.start_all()
--- a/tests/sidecar/intent_log/test_processes.py
+++ b/tests/sidecar/intent_log/test_processes.py
@@ -567,7 +567,7 @@
         config = str(trial.instances[1].folder / "coveport.toml")
         kill_count = 0
         for at in range(8):
-            # Killed after it has written some bytes, at whatever point it is when the signal arrives.
+            # The export process is killed after it has written some bytes, at an arbitrary point of its run.
             before = out.stat().st_size if out.exists() else 0
             export = start_export(config, out)
             end_s = time.monotonic() + LONG_TIMEOUT_S
--- a/tests/sidecar/leases/store_conformance.py
+++ b/tests/sidecar/leases/store_conformance.py
@@ -157,7 +157,8 @@
     await done(store.commit(put("x/a", b"1")))
     await done(store.commit(Transaction((), (Put("w/b", b"1"), Put("w/c", b"1")))))
     await done(store.commit(Transaction((), (Delete("w/b"),))))
-    for _ in range(100):  # upper bound: the lease expires, later on a busy machine
+    # Upper bound of the wait for the expiry of the lease; on a busy machine the expiry may be late.
+    for _ in range(100):
         if len(seen) >= 5:
             break
         await wait(0.1)
--- a/tests/sidecar/singletons/test_rollout.py
+++ b/tests/sidecar/singletons/test_rollout.py
@@ -1,4 +1,4 @@
-"""Roll-out: its steps, takeovers by another holder, and the causes of a roll-back."""
+"""Tests of the roll-out: its steps, takeovers by another holder of its role, and causes of a roll-back."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/test_descriptors.py
+++ b/tests/sidecar/test_descriptors.py
@@ -11,7 +11,8 @@
 
 @pytest.mark.parametrize("max_descriptors", [24, 26, 40, 64, 96, 160, 256, 384, 1024])
 def test_enough_descriptors_are_reserved_at_any_limit(max_descriptors: int) -> None:
-    # With 26 descriptors, 13 for clients and 10 for destinations left a listener that ran out repeatedly.
+    # Regression: of 26 descriptors, 13 were assigned to clients and 10 to destinations. The remaining 3 were
+    # too few, so the listener ran out of descriptors repeatedly.
     clients, destinations = connection_limits(max_descriptors)
     assert clients >= 2 and destinations >= 2 and max_descriptors - clients - destinations >= NEEDED
 
